--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Life is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
+// Incarnation is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
 // were started as well. Whatever is known of a back end is known of one life of it.
-type Life struct {
+type Incarnation struct {
 	Name string // under which the back end knows itself; a later life may have the same
 	Born int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
 }
@@ -20,7 +20,7 @@
 )
 
 // ID returns the name of this life alone, for use as Instance.ID.
-func (l Life) ID() string {
+func (l Incarnation) ID() string {
 	if l.Born == 0 && !strings.Contains(l.Name, lifeMark) {
 		return l.Name
 	}
@@ -28,20 +28,20 @@
 }
 
 // LifeOf returns the life that an id names.
-func LifeOf(id string) Life {
+func LifeOf(id string) Incarnation {
 	at := strings.LastIndex(id, lifeMark)
 	if at < 0 {
-		return Life{Name: id}
+		return Incarnation{Name: id}
 	}
 	born, err := strconv.ParseInt(id[at+len(lifeMark):], decimal, bits64)
 	if err != nil {
-		return Life{Name: id}
+		return Incarnation{Name: id}
 	}
-	return Life{Name: id[:at], Born: born}
+	return Incarnation{Name: id[:at], Born: born}
 }
 
 // Precedes reports whether both lives tell their start, and this one was started earlier.
-func (l Life) Precedes(other Life) bool { return l.Born > 0 && l.Born < other.Born }
+func (l Incarnation) Precedes(other Incarnation) bool { return l.Born > 0 && l.Born < other.Born }
 
 // lives tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
 type lives struct {
@@ -95,7 +95,7 @@
 }
 
 // outlived reports whether a later life is registered, or has left.
-func (l *lives) outlived(life Life) bool {
+func (l *lives) outlived(life Incarnation) bool {
 	later := func(born int64) bool { return life.Born < born }
 	return later(LifeOf(l.registered[life.Name]).Born) || slices.ContainsFunc(l.ended[life.Name], later)
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -136,7 +136,7 @@
 func (m *Machine) Named(name string) (Instance, bool) {
 	id, tells := m.lives.standing(name)
 	if !tells {
-		id = Life{Name: name}.ID()
+		id = Incarnation{Name: name}.ID()
 	}
 	instance, known := m.instances[id]
 	return instance, known
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -22,7 +22,7 @@
 // share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
 // one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
 // word (highest random weights), and one that is cut off knows it still.
-func (c *Core) share(life catalog.Life, limit float64) float64 {
+func (c *Core) share(life catalog.Incarnation, limit float64) float64 {
 	senders := min(1+len(c.others), max(1, int(min(limit, float64(1+len(c.others))))))
 	own := routerWeight(life, c.config.Router)
 	before := 0
@@ -38,7 +38,7 @@
 }
 
 // routerWeight is a router's weight for a life of a back end.
-func routerWeight(life catalog.Life, router string) uint64 {
+func routerWeight(life catalog.Incarnation, router string) uint64 {
 	return xxhash.Sum64String(life.ID() + "/" + router)
 }
 
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -8,8 +8,8 @@
 )
 
 // lifeOf names a life of a back end. Incarnations tell lives apart and no time.
-func lifeOf(name string, incarnation uint64) catalog.Life {
-	return catalog.Life{Name: name, Born: int64(incarnation)}
+func lifeOf(name string, incarnation uint64) catalog.Incarnation {
+	return catalog.Incarnation{Name: name, Born: int64(incarnation)}
 }
 
 // observeSaid takes up what a back end says of itself.
@@ -84,7 +84,7 @@
 		return
 	}
 	c.pushedSweptAt = c.now
-	c.pushed.Sweep(c.now, func(life catalog.Life) bool {
+	c.pushed.Sweep(c.now, func(life catalog.Incarnation) bool {
 		id, known := c.byName[life.Name]
 		return known && c.backends[id].incarnation == uint64(life.Born)
 	})
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -25,7 +25,7 @@
 
 // endpoint is a row of the back end table.
 type endpoint struct {
-	life     catalog.Life        // never changes
+	life     catalog.Incarnation // never changes
 	entry    control.RosterEntry // with the newest weights that control or the back end itself told of
 	told     map[string]uint64   // weights by model, as control last told them
 	heardAt  time.Duration       // when the entry came
@@ -277,7 +277,7 @@
 	t.links.Sweep(now)
 	t.forgetHolders()
 	t.forgetMet(now)
-	t.pushed.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
+	t.pushed.Sweep(now, func(life catalog.Incarnation) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupied.Sweep(now)
 	}
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -23,7 +23,7 @@
 
 // NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (b *Book) NoteLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
+func (b *Book) NoteLimit(at time.Duration, life catalog.Incarnation, limit Limit) (news bool) {
 	if limit.Nothing() {
 		return false
 	}
@@ -41,7 +41,7 @@
 
 // Unlimited takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (b *Book) Unlimited(now, sent time.Duration, life catalog.Life) (over bool) {
+func (b *Book) Unlimited(now, sent time.Duration, life catalog.Incarnation) (over bool) {
 	at := slices.IndexFunc(b.words[life.Name], func(w word) bool { return w.life == life })
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
@@ -50,13 +50,13 @@
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
-func (b *Book) Limit(life catalog.Life) Limit {
+func (b *Book) Limit(life catalog.Incarnation) Limit {
 	limit, _ := b.LimitHeard(life)
 	return limit
 }
 
 // LimitHeard returns the limit that a life names, and when that was last heard.
-func (b *Book) LimitHeard(life catalog.Life) (limit Limit, heard time.Duration) {
+func (b *Book) LimitHeard(life catalog.Incarnation) (limit Limit, heard time.Duration) {
 	for _, w := range b.words[life.Name] {
 		if w.life == life && w.limit.Named {
 			return w.limit, w.limitAt
@@ -66,7 +66,7 @@
 }
 
 // word returns the word of a life, made when it first says something.
-func (b *Book) word(life catalog.Life) *word {
+func (b *Book) word(life catalog.Incarnation) *word {
 	words := b.words[life.Name]
 	at := slices.IndexFunc(words, func(w word) bool { return w.life == life })
 	if at < 0 {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -50,7 +50,7 @@
 
 // word is what one life said.
 type word struct {
-	life    catalog.Life
+	life    catalog.Incarnation
 	until   time.Duration // end of the rest
 	heardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
 	leaving bool
@@ -69,7 +69,7 @@
 
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Said, chance float64) Bar {
+func (b *Book) Note(now time.Duration, day time.Time, life catalog.Incarnation, said Said, chance float64) Bar {
 	if said.Nothing() {
 		return b.At(now, life)
 	}
@@ -90,7 +90,7 @@
 
 // At returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Book) At(now time.Duration, life catalog.Life) Bar {
+func (b *Book) At(now time.Duration, life catalog.Incarnation) Bar {
 	var bar Bar
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
@@ -109,12 +109,12 @@
 }
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
-func (w *word) mayBe(later catalog.Life) bool {
+func (w *word) mayBe(later catalog.Incarnation) bool {
 	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(birthSlack).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (b *Book) Sweep(now time.Duration, named func(catalog.Life) bool) {
+func (b *Book) Sweep(now time.Duration, named func(catalog.Incarnation) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
 			lasting := w.leaving || w.limit.Named
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -12,7 +12,7 @@
 // heard is a word as the oracle keeps it: all of them, in a list.
 type heard struct {
 	at   time.Duration
-	life catalog.Life
+	life catalog.Incarnation
 	said Said
 }
 
@@ -22,8 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		book, now, began := NewBook(), time.Duration(0), time.UnixMilli(1_000_000)
 		var list []heard
-		life := rapid.Custom(func(t *rapid.T) catalog.Life {
-			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
+		life := rapid.Custom(func(t *rapid.T) catalog.Incarnation {
+			made := catalog.Incarnation{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if made.Name == "a" {
 				made.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
@@ -40,7 +40,7 @@
 				list = append(list, word)
 				book.Note(now, began.Add(now), word.life, word.said, 0)
 			case 1:
-				book.Sweep(now, func(catalog.Life) bool { return true })
+				book.Sweep(now, func(catalog.Incarnation) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
 			wanted := Bar{}
@@ -75,9 +75,9 @@
 			limit Limit
 		}
 		book, now := NewBook(), time.Minute
-		latest := map[catalog.Life]told{}
-		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
-		hear := func(at time.Duration, life catalog.Life, limit Limit) {
+		latest := map[catalog.Incarnation]told{}
+		lives := []catalog.Incarnation{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
+		hear := func(at time.Duration, life catalog.Incarnation, limit Limit) {
 			before := latest[life]
 			news := book.NoteLimit(at, life, limit)
 			if at < before.at || limit.Over && !before.limit.Named {
@@ -111,7 +111,7 @@
 					latest[life] = told{now, Limit{Over: true}}
 				}
 			case 4:
-				book.Sweep(now, func(catalog.Life) bool { return true })
+				book.Sweep(now, func(catalog.Incarnation) bool { return true })
 				for life, last := range latest {
 					if last.limit.Over {
 						delete(latest, life) // nothing is left of it
@@ -135,16 +135,16 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewBook()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
+	book.Note(0, day, catalog.Incarnation{Name: "a", Born: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
 	for what, step := range map[string]struct {
-		life           catalog.Life
+		life           catalog.Incarnation
 		rests, leaving bool
 	}{
-		"itself":                          {catalog.Life{Name: "a", Born: 10_000}, true, true},
-		"a life that had begun by then":   {catalog.Life{Name: "a", Born: 49_000}, true, false},
-		"one that began as it was heard":  {catalog.Life{Name: "a", Born: 50_500}, true, false},
-		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
-		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
+		"itself":                          {catalog.Incarnation{Name: "a", Born: 10_000}, true, true},
+		"a life that had begun by then":   {catalog.Incarnation{Name: "a", Born: 49_000}, true, false},
+		"one that began as it was heard":  {catalog.Incarnation{Name: "a", Born: 50_500}, true, false},
+		"a life that began clearly later": {catalog.Incarnation{Name: "a", Born: 52_000}, false, false},
+		"another back end":                {catalog.Incarnation{Name: "b", Born: 10_000}, false, false},
 	} {
 		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Leaving != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
@@ -155,7 +155,7 @@
 // TestRestEnds: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
 // than the bound.
 func TestRestEnds(t *testing.T) {
-	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
+	a, day := catalog.Incarnation{Name: "a"}, time.UnixMilli(0)
 	book := NewBook()
 	if bar := book.Note(time.Second, day, a, Said{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
@@ -173,15 +173,15 @@
 
 // TestWordsAreForgotten: a rest with its time; that a life leaves once nobody has named it for long.
 func TestWordsAreForgotten(t *testing.T) {
-	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
+	leaver, rester, day := catalog.Incarnation{Name: "l"}, catalog.Incarnation{Name: "r"}, time.UnixMilli(0)
 	book := NewBook()
 	book.Note(0, day, leaver, Said{Leaving: true}, 0)
 	book.Note(0, day, rester, Said{Rest: time.Second}, 0)
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
+	book.Sweep(2*leavingKept, func(catalog.Incarnation) bool { return true })
 	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
 		t.Fatalf("%+v", book.words)
 	}
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return false })
+	book.Sweep(2*leavingKept, func(catalog.Incarnation) bool { return false })
 	if len(book.words) != 0 {
 		t.Fatalf("%+v", book.words)
 	}
