--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -4,7 +4,7 @@
 
 // forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
 func (m *Machine) forget(id string) {
-	if _, known := m.instances[id]; known && LifeOf(id).Born > 0 {
+	if _, known := m.instances[id]; known && LifeOf(id).StartedMS > 0 {
 		m.forgotten = append(m.forgotten, id)
 		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-tombstonesKept))
 	}
@@ -15,7 +15,7 @@
 // forgotten.
 func (m *Machine) Meant(id string) string {
 	life := LifeOf(id)
-	if _, known := m.instances[id]; known || life.Born > 0 {
+	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
 	}
 	if standing, tells := m.lives.standing(life.Name); tells {
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -9,8 +9,8 @@
 // Incarnation is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
 // were started as well. Whatever is known of a back end is known of one life of it.
 type Incarnation struct {
-	Name string // under which the back end knows itself; a later life may have the same
-	Born int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
+	Name      string // under which the back end knows itself; a later life may have the same
+	StartedMS int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
 }
 
 const (
@@ -21,10 +21,10 @@
 
 // ID returns the name of this life alone, for use as Instance.ID.
 func (l Incarnation) ID() string {
-	if l.Born == 0 && !strings.Contains(l.Name, lifeMark) {
+	if l.StartedMS == 0 && !strings.Contains(l.Name, lifeMark) {
 		return l.Name
 	}
-	return l.Name + lifeMark + strconv.FormatInt(l.Born, decimal)
+	return l.Name + lifeMark + strconv.FormatInt(l.StartedMS, decimal)
 }
 
 // LifeOf returns the life that an id names.
@@ -37,11 +37,13 @@
 	if err != nil {
 		return Incarnation{Name: id}
 	}
-	return Incarnation{Name: id[:at], Born: born}
+	return Incarnation{Name: id[:at], StartedMS: born}
 }
 
 // Precedes reports whether both lives tell their start, and this one was started earlier.
-func (l Incarnation) Precedes(other Incarnation) bool { return l.Born > 0 && l.Born < other.Born }
+func (l Incarnation) Precedes(other Incarnation) bool {
+	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
+}
 
 // lives tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
 type lives struct {
@@ -56,7 +58,7 @@
 
 // add notes a registered instance.
 func (l *lives) add(instance Instance) {
-	if life := LifeOf(instance.ID); life.Born > 0 {
+	if life := LifeOf(instance.ID); life.StartedMS > 0 {
 		l.registered[life.Name] = instance.ID
 		l.telling[instance.Service]++
 	}
@@ -65,7 +67,7 @@
 // drop forgets a registered instance.
 func (l *lives) drop(instance Instance) {
 	life := LifeOf(instance.ID)
-	if life.Born == 0 {
+	if life.StartedMS == 0 {
 		return
 	}
 	if l.registered[life.Name] == instance.ID {
@@ -79,14 +81,14 @@
 // end remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
 func (l *lives) end(id string) {
-	if life := LifeOf(id); life.Born > 0 {
-		l.ended[life.Name] = append(l.ended[life.Name], life.Born)
+	if life := LifeOf(id); life.StartedMS > 0 {
+		l.ended[life.Name] = append(l.ended[life.Name], life.StartedMS)
 	}
 }
 
 func (l *lives) forget(id string) {
 	life := LifeOf(id)
-	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.Born })
+	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
 		delete(l.ended, life.Name)
 		return
@@ -96,8 +98,8 @@
 
 // outlived reports whether a later life is registered, or has left.
 func (l *lives) outlived(life Incarnation) bool {
-	later := func(born int64) bool { return life.Born < born }
-	return later(LifeOf(l.registered[life.Name]).Born) || slices.ContainsFunc(l.ended[life.Name], later)
+	later := func(born int64) bool { return life.StartedMS < born }
+	return later(LifeOf(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
 }
 
 // standing returns the id of the registered life of the back end of a name, if it has one that tells its start.
--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -12,7 +12,7 @@
 func TestLifeAndIDAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Incarnation {
-			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), Born: rapid.Int64Range(0, 3).Draw(t, label+" born")}
+			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), StartedMS: rapid.Int64Range(0, 3).Draw(t, label+" born")}
 		}
 		first, second := draw("first"), draw("second")
 		if got := LifeOf(first.ID()); got != first {
@@ -29,10 +29,10 @@
 func TestSnapshotTellsWhichLivesLeft(t *testing.T) {
 	m := NewMachine()
 	leave := func(id string) { m.Apply(Command{Remove: id}) }
-	leave(Incarnation{Name: "e", Born: 9}.ID())
-	leave(Incarnation{Name: "e", Born: 5}.ID())
+	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
+	leave(Incarnation{Name: "e", StartedMS: 5}.ID())
 	for i := range tombstonesKept - 1 {
-		leave(Incarnation{Name: strconv.Itoa(i), Born: 1}.ID())
+		leave(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	for born := int64(1); born < 12; born++ {
-		instance := Instance{ID: Incarnation{Name: "e", Born: born}.ID(), Service: "s", Address: "a"}
+		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
 		if m.Takes(instance) != restored.Takes(instance) {
 			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Takes(instance), restored.Takes(instance))
 		}
@@ -55,8 +55,8 @@
 func TestLeaveByNameEndsAForgottenLife(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
-		held := Instance{ID: Incarnation{Name: "e", Born: 5}.ID(), Service: "s", Address: "a"}
-		next := Instance{ID: Incarnation{Name: "e", Born: 6}.ID(), Service: "s", Address: "a"}
+		held := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
+		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
 		m.Apply(Command{Register: &held})
 		m.Apply(Command{Forget: held.ID})
 		if !m.Takes(held) {
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -9,7 +9,7 @@
 
 // drawInstance draws one of few lives of few back ends, at one of few addresses.
 func drawInstance(t *rapid.T) Instance {
-	life := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), Born: rapid.Int64Range(0, 3).Draw(t, "born")}
+	life := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
 	return Instance{
 		ID: life.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
 		Address: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"),
@@ -35,7 +35,7 @@
 			case "forget":
 				m.Apply(Command{Forget: instance.ID})
 			case "leave":
-				left[instance.ID] = LifeOf(instance.ID).Born > 0 || left[instance.ID]
+				left[instance.ID] = LifeOf(instance.ID).StartedMS > 0 || left[instance.ID]
 				m.Apply(Command{Remove: instance.ID})
 			case "leave by name":
 				if held, known := m.Named(LifeOf(instance.ID).Name); known {
@@ -81,7 +81,7 @@
 	}
 	for _, name := range []string{"e", "f"} {
 		for born := range int64(4) {
-			instance := Instance{ID: Incarnation{Name: name, Born: born}.ID(), Service: "s"}
+			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
 			if m.Takes(instance) != restored.Takes(instance) || m.Ordered(instance.ID) != restored.Ordered(instance.ID) {
 				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Takes(instance), m.Ordered(instance.ID))
 			}
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -23,7 +23,9 @@
 }
 
 // life returns the id of one life of a back end.
-func life(name string, born int64) string { return catalog.Incarnation{Name: name, Born: born}.ID() }
+func life(name string, born int64) string {
+	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
+}
 
 // openAlone is a fleet whose two engines have left, so that the next one stands alone.
 func openAlone(t *testing.T) *solo {
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -9,7 +9,7 @@
 
 // lifeOf names a life of a back end. Incarnations tell lives apart and no time.
 func lifeOf(name string, incarnation uint64) catalog.Incarnation {
-	return catalog.Incarnation{Name: name, Born: int64(incarnation)}
+	return catalog.Incarnation{Name: name, StartedMS: int64(incarnation)}
 }
 
 // observeSaid takes up what a back end says of itself.
@@ -86,6 +86,6 @@
 	c.pushedSweptAt = c.now
 	c.pushed.Sweep(c.now, func(life catalog.Incarnation) bool {
 		id, known := c.byName[life.Name]
-		return known && c.backends[id].incarnation == uint64(life.Born)
+		return known && c.backends[id].incarnation == uint64(life.StartedMS)
 	})
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -30,7 +30,7 @@
 
 // hearAside takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
 func (g *Gateway) hearAside(id string, news CacheNews) {
-	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.life.Born) {
+	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.life.StartedMS) {
 		g.hear(row, heard{said: news.Said})
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -90,7 +90,7 @@
 // life of that name is another one, unless it may be the one that asked.
 func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
-	first, later := catalog.Incarnation{Name: "e", Born: born}, catalog.Incarnation{Name: "e", Born: time.Now().Add(time.Hour).UnixMilli()}
+	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
 	tell := func(g *Gateway, life catalog.Incarnation, address string) {
 		g.table.takeRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
 			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -25,7 +25,7 @@
 		life := rapid.Custom(func(t *rapid.T) catalog.Incarnation {
 			made := catalog.Incarnation{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if made.Name == "a" {
-				made.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
+				made.StartedMS = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
 			return made
 		})
@@ -46,7 +46,7 @@
 			wanted := Bar{}
 			for _, word := range list {
 				until := word.at + word.said.Rest
-				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
+				earlier := word.life.Name == asked.Name && word.life.StartedMS < asked.StartedMS && asked.StartedMS <= began.Add(word.at+birthSlack).UnixMilli()
 				if word.life == asked && word.said.Leaving {
 					wanted.Leaving = true
 				}
@@ -76,7 +76,7 @@
 		}
 		book, now := NewBook(), time.Minute
 		latest := map[catalog.Incarnation]told{}
-		lives := []catalog.Incarnation{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
+		lives := []catalog.Incarnation{{Name: "a", StartedMS: 1}, {Name: "a", StartedMS: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Incarnation, limit Limit) {
 			before := latest[life]
 			news := book.NoteLimit(at, life, limit)
@@ -135,16 +135,16 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewBook()
-	book.Note(0, day, catalog.Incarnation{Name: "a", Born: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
+	book.Note(0, day, catalog.Incarnation{Name: "a", StartedMS: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Incarnation
 		rests, leaving bool
 	}{
-		"itself":                          {catalog.Incarnation{Name: "a", Born: 10_000}, true, true},
-		"a life that had begun by then":   {catalog.Incarnation{Name: "a", Born: 49_000}, true, false},
-		"one that began as it was heard":  {catalog.Incarnation{Name: "a", Born: 50_500}, true, false},
-		"a life that began clearly later": {catalog.Incarnation{Name: "a", Born: 52_000}, false, false},
-		"another back end":                {catalog.Incarnation{Name: "b", Born: 10_000}, false, false},
+		"itself":                          {catalog.Incarnation{Name: "a", StartedMS: 10_000}, true, true},
+		"a life that had begun by then":   {catalog.Incarnation{Name: "a", StartedMS: 49_000}, true, false},
+		"one that began as it was heard":  {catalog.Incarnation{Name: "a", StartedMS: 50_500}, true, false},
+		"a life that began clearly later": {catalog.Incarnation{Name: "a", StartedMS: 52_000}, false, false},
+		"another back end":                {catalog.Incarnation{Name: "b", StartedMS: 10_000}, false, false},
 	} {
 		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Leaving != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
