--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -4,7 +4,7 @@
 
 // forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
 func (m *Machine) forget(id string) {
-	if _, known := m.instances[id]; known && LifeOf(id).StartedMS > 0 {
+	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
 		m.forgotten = append(m.forgotten, id)
 		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-tombstonesKept))
 	}
@@ -14,7 +14,7 @@
 // Meant returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
 // forgotten.
 func (m *Machine) Meant(id string) string {
-	life := LifeOf(id)
+	life := ParseInstanceID(id)
 	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
 	}
@@ -22,7 +22,7 @@
 		return standing
 	}
 	for _, last := range slices.Backward(m.forgotten) {
-		if LifeOf(last).Name == life.Name {
+		if ParseInstanceID(last).Name == life.Name {
 			return last
 		}
 	}
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -27,8 +27,8 @@
 	return l.Name + lifeMark + strconv.FormatInt(l.StartedMS, decimal)
 }
 
-// LifeOf returns the life that an id names.
-func LifeOf(id string) Incarnation {
+// ParseInstanceID returns the life that an id names.
+func ParseInstanceID(id string) Incarnation {
 	at := strings.LastIndex(id, lifeMark)
 	if at < 0 {
 		return Incarnation{Name: id}
@@ -58,7 +58,7 @@
 
 // add notes a registered instance.
 func (l *lives) add(instance Instance) {
-	if life := LifeOf(instance.ID); life.StartedMS > 0 {
+	if life := ParseInstanceID(instance.ID); life.StartedMS > 0 {
 		l.registered[life.Name] = instance.ID
 		l.telling[instance.Service]++
 	}
@@ -66,7 +66,7 @@
 
 // drop forgets a registered instance.
 func (l *lives) drop(instance Instance) {
-	life := LifeOf(instance.ID)
+	life := ParseInstanceID(instance.ID)
 	if life.StartedMS == 0 {
 		return
 	}
@@ -81,13 +81,13 @@
 // end remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
 func (l *lives) end(id string) {
-	if life := LifeOf(id); life.StartedMS > 0 {
+	if life := ParseInstanceID(id); life.StartedMS > 0 {
 		l.ended[life.Name] = append(l.ended[life.Name], life.StartedMS)
 	}
 }
 
 func (l *lives) forget(id string) {
-	life := LifeOf(id)
+	life := ParseInstanceID(id)
 	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
 		delete(l.ended, life.Name)
@@ -99,7 +99,7 @@
 // outlived reports whether a later life is registered, or has left.
 func (l *lives) outlived(life Incarnation) bool {
 	later := func(born int64) bool { return life.StartedMS < born }
-	return later(LifeOf(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
+	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
 }
 
 // standing returns the id of the registered life of the back end of a name, if it has one that tells its start.
--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -15,7 +15,7 @@
 			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), StartedMS: rapid.Int64Range(0, 3).Draw(t, label+" born")}
 		}
 		first, second := draw("first"), draw("second")
-		if got := LifeOf(first.ID()); got != first {
+		if got := ParseInstanceID(first.ID()); got != first {
 			t.Fatalf("%+v has the id %q, which names %+v", first, first.ID(), got)
 		}
 		if first != second && first.ID() == second.ID() {
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -35,13 +35,13 @@
 			case "forget":
 				m.Apply(Command{Forget: instance.ID})
 			case "leave":
-				left[instance.ID] = LifeOf(instance.ID).StartedMS > 0 || left[instance.ID]
+				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
 				m.Apply(Command{Remove: instance.ID})
 			case "leave by name":
-				if held, known := m.Named(LifeOf(instance.ID).Name); known {
+				if held, known := m.Named(ParseInstanceID(instance.ID).Name); known {
 					left[held.ID] = true
 				}
-				m.Apply(Command{Remove: LifeOf(instance.ID).Name})
+				m.Apply(Command{Remove: ParseInstanceID(instance.ID).Name})
 			case "order":
 				m.Apply(Command{Ordering: []string{instance.ID}})
 			}
@@ -53,7 +53,7 @@
 func checkLives(t *rapid.T, m *Machine, left map[string]bool) {
 	names, addresses := map[string]string{}, map[string]string{}
 	for id, instance := range m.Instances() {
-		name := LifeOf(id).Name
+		name := ParseInstanceID(id).Name
 		if other, taken := names[name]; taken {
 			t.Fatalf("%s and %s are registered", id, other)
 		}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -121,7 +121,7 @@
 // Takes reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
 // life where others of its service do. What doesn't is somebody else's word.
 func (m *Machine) Takes(instance Instance) bool {
-	life := LifeOf(instance.ID)
+	life := ParseInstanceID(instance.ID)
 	untold := life.StartedMS == 0 && m.lives.telling[instance.Service] > 0
 	return !m.ended[instance.ID] && !m.lives.outlived(life) && !untold
 }
@@ -238,10 +238,10 @@
 	if !known && !m.Takes(instance) {
 		return Outcome{Revision: m.document.Revision, Gone: true}
 	}
-	if other, taken := m.At(instance.Address); taken && LifeOf(instance.ID).Precedes(LifeOf(other.ID)) {
+	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).Precedes(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, Gone: true}
 	}
-	if last, stands := m.Named(LifeOf(instance.ID).Name); stands && last.ID != instance.ID {
+	if last, stands := m.Named(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
 		ordered := m.ordered[last.ID]
 		m.drop(last.ID)
 		if ordered {
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -37,7 +37,7 @@
 // noteOrdering remembers that a leader is about to order back ends.
 func (r *Replica) noteOrdering(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
-		name := catalog.LifeOf(id).Name
+		name := catalog.ParseInstanceID(id).Name
 		mark, known := r.orders[name]
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAt = true, mark.at
@@ -55,14 +55,14 @@
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.Ordered(id) {
-			r.orders[catalog.LifeOf(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
+			r.orders[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
 }
 
 // orderedElsewhere returns when another leader was last about to order a back end, if one may have been.
 func (r *Replica) orderedElsewhere(id string) (time.Duration, bool) {
-	mark, known := r.orders[catalog.LifeOf(id).Name]
+	mark, known := r.orders[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
 		return 0, r.machine.catalog.Ordered(id)
@@ -75,7 +75,7 @@
 // mayOrderBackend reports whether a back end may be ordered now: this leader's intent is in the log, has been for a moment only, and the back
 // end was handed over.
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
-	name := catalog.LifeOf(id).Name
+	name := catalog.ParseInstanceID(id).Name
 	mark := r.orders[name]
 	if mark.term != r.node.Term() || !r.handedOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
@@ -93,7 +93,7 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orders[catalog.LifeOf(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
+	return now <= r.orders[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -33,12 +33,12 @@
 	if !r.machine.catalog.Takes(instance) {
 		return false
 	}
-	last, known := r.machine.catalog.Named(catalog.LifeOf(instance.ID).Name)
+	last, known := r.machine.catalog.Named(catalog.ParseInstanceID(instance.ID).Name)
 	if known && !r.mayReplace(last, instance) {
 		return false
 	}
 	holder, taken := r.machine.catalog.At(instance.Address)
-	if !taken || catalog.LifeOf(holder.ID).Name == catalog.LifeOf(instance.ID).Name {
+	if !taken || catalog.ParseInstanceID(holder.ID).Name == catalog.ParseInstanceID(instance.ID).Name {
 		return true
 	}
 	if !r.mayReplace(holder, instance) {
@@ -48,7 +48,7 @@
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: holder.ID}}) // its clock may have run ahead of the other's
 		return true
 	}
-	return !catalog.LifeOf(instance.ID).Precedes(catalog.LifeOf(holder.ID))
+	return !catalog.ParseInstanceID(instance.ID).Precedes(catalog.ParseInstanceID(holder.ID))
 }
 
 // mayReplace reports whether what a heartbeat tells may take the place of a registered instance. One of a service that isn't routed to
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -331,7 +331,7 @@
 // ofAnotherLife reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
 // their start, too.
 func (w *WeightsResult) ofAnotherLife() bool {
-	asked := catalog.LifeOf(w.Call.Instance).StartedMS
+	asked := catalog.ParseInstanceID(w.Call.Instance).StartedMS
 	return w.Born > 0 && asked > 0 && w.Born != asked
 }
 
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -141,7 +141,7 @@
 
 // isMeant reports whether a call that expects a life reaches this one: a back end knows its name alone.
 func (b *fleetBackend) isMeant(id string) bool {
-	return catalog.LifeOf(id).Name == catalog.LifeOf(b.id).Name
+	return catalog.ParseInstanceID(id).Name == catalog.ParseInstanceID(b.id).Name
 }
 
 func (b *fleetBackend) instance() catalog.Instance {
@@ -206,7 +206,7 @@
 			b.w.oracle.fleet.leaving[id] = b.w.now()
 		}
 		b.after(fleetDrain, func() {
-			leave := &control.Beat{Instance: catalog.Instance{ID: catalog.LifeOf(id).Name}, Leaves: true}
+			leave := &control.Beat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaves: true}
 			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -105,7 +105,7 @@
 
 // barred reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) barred(entry control.RosterEntry) bool {
-	bar, now := g.pushed.At(g.clock(), catalog.LifeOf(entry.ID)), g.clock()
+	bar, now := g.pushed.At(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
 	return bar.Rests(now) && g.w.guards.On(guard.RestCheck) || bar.Leaving && g.w.guards.On(guard.LeavingHeard)
 }
 
@@ -114,11 +114,11 @@
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
 	said := pushback.Said{Rest: b.shed.sheds(g.w.now()), Leaving: b.draining, Limit: b.need.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
-	g.pushed.Note(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
+	g.pushed.Note(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Named {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
 	} else {
-		g.pushed.Unlimited(g.clock(), sent, catalog.LifeOf(entry.ID))
+		g.pushed.Unlimited(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
 	return said.Rest > 0
 }
