--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -14,26 +14,26 @@
 }
 
 const (
-	lifeMark = "@"
-	decimal  = 10
-	bits64   = 64
+	startTimeSeparator = "@"
+	decimal            = 10
+	bits64             = 64
 )
 
 // ID returns the name of this life alone, for use as Instance.ID.
 func (l Incarnation) ID() string {
-	if l.StartedMS == 0 && !strings.Contains(l.Name, lifeMark) {
+	if l.StartedMS == 0 && !strings.Contains(l.Name, startTimeSeparator) {
 		return l.Name
 	}
-	return l.Name + lifeMark + strconv.FormatInt(l.StartedMS, decimal)
+	return l.Name + startTimeSeparator + strconv.FormatInt(l.StartedMS, decimal)
 }
 
 // ParseInstanceID returns the life that an id names.
 func ParseInstanceID(id string) Incarnation {
-	at := strings.LastIndex(id, lifeMark)
+	at := strings.LastIndex(id, startTimeSeparator)
 	if at < 0 {
 		return Incarnation{Name: id}
 	}
-	born, err := strconv.ParseInt(id[at+len(lifeMark):], decimal, bits64)
+	born, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, bits64)
 	if err != nil {
 		return Incarnation{Name: id}
 	}
