--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -16,7 +16,7 @@
 const (
 	startTimeSeparator = "@"
 	decimal            = 10
-	bits64             = 64
+	int64Bits          = 64
 )
 
 // ID returns the name of this life alone, for use as Instance.ID.
@@ -33,7 +33,7 @@
 	if at < 0 {
 		return Incarnation{Name: id}
 	}
-	born, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, bits64)
+	born, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, int64Bits)
 	if err != nil {
 		return Incarnation{Name: id}
 	}
