--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -40,8 +40,8 @@
 	return Incarnation{Name: id[:at], StartedMS: born}
 }
 
-// Precedes reports whether both lives tell their start, and this one was started earlier.
-func (l Incarnation) Precedes(other Incarnation) bool {
+// StartedBefore reports whether both lives tell their start, and this one was started earlier.
+func (l Incarnation) StartedBefore(other Incarnation) bool {
 	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
 }
 
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -238,7 +238,7 @@
 	if !known && !m.Takes(instance) {
 		return Outcome{Revision: m.document.Revision, Gone: true}
 	}
-	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).Precedes(ParseInstanceID(other.ID)) {
+	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, Gone: true}
 	}
 	if last, stands := m.Named(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -48,7 +48,7 @@
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: holder.ID}}) // its clock may have run ahead of the other's
 		return true
 	}
-	return !catalog.ParseInstanceID(instance.ID).Precedes(catalog.ParseInstanceID(holder.ID))
+	return !catalog.ParseInstanceID(instance.ID).StartedBefore(catalog.ParseInstanceID(holder.ID))
 }
 
 // mayReplace reports whether what a heartbeat tells may take the place of a registered instance. One of a service that isn't routed to
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -110,7 +110,7 @@
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
 func (w *word) mayBe(later catalog.Incarnation) bool {
-	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.StartedMS <= w.heardAt.Add(birthSlack).UnixMilli()
+	return !w.heardAt.IsZero() && w.life.StartedBefore(later) && later.StartedMS <= w.heardAt.Add(birthSlack).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
