--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -45,19 +45,19 @@
 	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
 }
 
-// lives tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
-type lives struct {
+// incarnations tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
+type incarnations struct {
 	registered map[string]string  // by name: id of the registered life
 	ended      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
 	telling    map[string]int     // by service: registered lives; none is 0
 }
 
-func newLives() lives {
-	return lives{registered: map[string]string{}, ended: map[string][]int64{}, telling: map[string]int{}}
+func newLives() incarnations {
+	return incarnations{registered: map[string]string{}, ended: map[string][]int64{}, telling: map[string]int{}}
 }
 
 // add notes a registered instance.
-func (l *lives) add(instance Instance) {
+func (l *incarnations) add(instance Instance) {
 	if life := ParseInstanceID(instance.ID); life.StartedMS > 0 {
 		l.registered[life.Name] = instance.ID
 		l.telling[instance.Service]++
@@ -65,7 +65,7 @@
 }
 
 // drop forgets a registered instance.
-func (l *lives) drop(instance Instance) {
+func (l *incarnations) drop(instance Instance) {
 	life := ParseInstanceID(instance.ID)
 	if life.StartedMS == 0 {
 		return
@@ -80,13 +80,13 @@
 
 // end remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
-func (l *lives) end(id string) {
+func (l *incarnations) end(id string) {
 	if life := ParseInstanceID(id); life.StartedMS > 0 {
 		l.ended[life.Name] = append(l.ended[life.Name], life.StartedMS)
 	}
 }
 
-func (l *lives) forget(id string) {
+func (l *incarnations) forget(id string) {
 	life := ParseInstanceID(id)
 	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
@@ -97,13 +97,13 @@
 }
 
 // outlived reports whether a later life is registered, or has left.
-func (l *lives) outlived(life Incarnation) bool {
+func (l *incarnations) outlived(life Incarnation) bool {
 	later := func(born int64) bool { return life.StartedMS < born }
 	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
 }
 
 // standing returns the id of the registered life of the back end of a name, if it has one that tells its start.
-func (l *lives) standing(name string) (string, bool) {
+func (l *incarnations) standing(name string) (string, bool) {
 	id, known := l.registered[name]
 	return id, known
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -82,8 +82,8 @@
 	ids        []string          // of instances, rising; nil when they have changed
 	tombstones []string
 	ended      map[string]bool
-	forgotten  []string // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	lives      lives    // of instances and tombstones
+	forgotten  []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
+	lives      incarnations // of instances and tombstones
 	versions   map[string]uint64
 	namings    map[string][]Naming          // by model, rising; the newest is of the version in versions
 	held       map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
