--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -52,7 +52,7 @@
 	telling    map[string]int     // by service: registered lives; none is 0
 }
 
-func newLives() incarnations {
+func newIncarnations() incarnations {
 	return incarnations{registered: map[string]string{}, ended: map[string][]int64{}, telling: map[string]int{}}
 }
 
