--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -47,20 +47,20 @@
 
 // incarnations tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
 type incarnations struct {
-	registered map[string]string  // by name: id of the registered life
-	ended      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
-	telling    map[string]int     // by service: registered lives; none is 0
+	registered    map[string]string  // by name: id of the registered life
+	ended         map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
+	withStartTime map[string]int     // by service: registered lives; none is 0
 }
 
 func newIncarnations() incarnations {
-	return incarnations{registered: map[string]string{}, ended: map[string][]int64{}, telling: map[string]int{}}
+	return incarnations{registered: map[string]string{}, ended: map[string][]int64{}, withStartTime: map[string]int{}}
 }
 
 // add notes a registered instance.
 func (l *incarnations) add(instance Instance) {
 	if life := ParseInstanceID(instance.ID); life.StartedMS > 0 {
 		l.registered[life.Name] = instance.ID
-		l.telling[instance.Service]++
+		l.withStartTime[instance.Service]++
 	}
 }
 
@@ -73,8 +73,8 @@
 	if l.registered[life.Name] == instance.ID {
 		delete(l.registered, life.Name)
 	}
-	if l.telling[instance.Service]--; l.telling[instance.Service] == 0 {
-		delete(l.telling, instance.Service)
+	if l.withStartTime[instance.Service]--; l.withStartTime[instance.Service] == 0 {
+		delete(l.withStartTime, instance.Service)
 	}
 }
 
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -122,7 +122,7 @@
 // life where others of its service do. What doesn't is somebody else's word.
 func (m *Machine) Takes(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
-	untold := life.StartedMS == 0 && m.lives.telling[instance.Service] > 0
+	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
 	return !m.ended[instance.ID] && !m.lives.outlived(life) && !untold
 }
 
