--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -96,8 +96,8 @@
 	l.ended[life.Name] = left
 }
 
-// outlived reports whether a later life is registered, or has left.
-func (l *incarnations) outlived(life Incarnation) bool {
+// isSuperseded reports whether a later life is registered, or has left.
+func (l *incarnations) isSuperseded(life Incarnation) bool {
 	later := func(born int64) bool { return life.StartedMS < born }
 	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -123,7 +123,7 @@
 func (m *Machine) Takes(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
 	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
-	return !m.ended[instance.ID] && !m.lives.outlived(life) && !untold
+	return !m.ended[instance.ID] && !m.lives.isSuperseded(life) && !untold
 }
 
 // At returns the instance that is registered at an address, if there is one.
