--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -18,7 +18,7 @@
 	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.lives.standing(life.Name); tells {
+	if standing, tells := m.lives.currentID(life.Name); tells {
 		return standing
 	}
 	for _, last := range slices.Backward(m.forgotten) {
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -102,8 +102,8 @@
 	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
 }
 
-// standing returns the id of the registered life of the back end of a name, if it has one that tells its start.
-func (l *incarnations) standing(name string) (string, bool) {
+// currentID returns the id of the registered life of the back end of a name, if it has one that tells its start.
+func (l *incarnations) currentID(name string) (string, bool) {
 	id, known := l.registered[name]
 	return id, known
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -134,7 +134,7 @@
 
 // Named returns the registered life of the back end that has a name, if there is one.
 func (m *Machine) Named(name string) (Instance, bool) {
-	id, tells := m.lives.standing(name)
+	id, tells := m.lives.currentID(name)
 	if !tells {
 		id = Incarnation{Name: name}.ID()
 	}
