--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -11,9 +11,9 @@
 	m.drop(id)
 }
 
-// Meant returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
+// ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
 // forgotten.
-func (m *Machine) Meant(id string) string {
+func (m *Machine) ResolveInstanceID(id string) string {
 	life := ParseInstanceID(id)
 	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
@@ -31,7 +31,7 @@
 
 // remove ends an instance for good.
 func (m *Machine) remove(id string) {
-	id = m.Meant(id)
+	id = m.ResolveInstanceID(id)
 	m.drop(id)
 	if m.ended[id] {
 		return
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -67,7 +67,7 @@
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
 	case beat.Leaves && r.mayMeanLastLife(now, id):
-		r.propose(now, client, Command{Catalog: &catalog.Command{Forget: r.machine.catalog.Meant(id)}})
+		r.propose(now, client, Command{Catalog: &catalog.Command{Forget: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Remove: id}})
 	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -22,7 +22,7 @@
 // mayMeanLastLife reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
 // there: that one is forgotten then, and may register again.
 func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
-	meant := r.machine.catalog.Meant(id)
+	meant := r.machine.catalog.ResolveInstanceID(id)
 	state := r.lead.fleet[meant]
 	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+youngFor
 }
