--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -38,10 +38,10 @@
 	}
 	m.ended[id] = true
 	m.lives.end(id)
-	m.tombstones = append(m.tombstones, id)
-	if len(m.tombstones) > tombstonesKept {
-		delete(m.ended, m.tombstones[0])
-		m.lives.forget(m.tombstones[0])
-		m.tombstones = slices.Delete(m.tombstones, 0, 1)
+	m.departedIDs = append(m.departedIDs, id)
+	if len(m.departedIDs) > tombstonesKept {
+		delete(m.ended, m.departedIDs[0])
+		m.lives.forget(m.departedIDs[0])
+		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
