--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -6,7 +6,7 @@
 func (m *Machine) forget(id string) {
 	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
 		m.forgotten = append(m.forgotten, id)
-		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-tombstonesKept))
+		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-maxDepartedIDs))
 	}
 	m.drop(id)
 }
@@ -39,7 +39,7 @@
 	m.ended[id] = true
 	m.lives.end(id)
 	m.departedIDs = append(m.departedIDs, id)
-	if len(m.departedIDs) > tombstonesKept {
+	if len(m.departedIDs) > maxDepartedIDs {
 		delete(m.ended, m.departedIDs[0])
 		m.lives.forget(m.departedIDs[0])
 		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -31,7 +31,7 @@
 	leave := func(id string) { m.Apply(Command{Remove: id}) }
 	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
 	leave(Incarnation{Name: "e", StartedMS: 5}.ID())
-	for i := range tombstonesKept - 1 {
+	for i := range maxDepartedIDs - 1 {
 		leave(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
 	}
 	data, err := json.Marshal(m)
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -28,8 +28,8 @@
 	State   State  `json:"state"`
 }
 
-// tombstonesKept bounds the ended instances that are remembered, so that a late heartbeat revives none of them.
-const tombstonesKept = 2000
+// maxDepartedIDs bounds the ended instances that are remembered, so that a late heartbeat revives none of them.
+const maxDepartedIDs = 2000
 
 // Command is one change of the replicated state. Exactly one field is set, beside UnixMS.
 type Command struct {
