--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -33,14 +33,14 @@
 func (m *Machine) remove(id string) {
 	id = m.ResolveInstanceID(id)
 	m.drop(id)
-	if m.ended[id] {
+	if m.departed[id] {
 		return
 	}
-	m.ended[id] = true
+	m.departed[id] = true
 	m.lives.end(id)
 	m.departedIDs = append(m.departedIDs, id)
 	if len(m.departedIDs) > maxDepartedIDs {
-		delete(m.ended, m.departedIDs[0])
+		delete(m.departed, m.departedIDs[0])
 		m.lives.forget(m.departedIDs[0])
 		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -81,7 +81,7 @@
 	addresses   map[string]string // the one instance at each address
 	ids         []string          // of instances, rising; nil when they have changed
 	departedIDs []string
-	ended       map[string]bool
+	departed    map[string]bool
 	forgotten   []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
 	lives       incarnations // of instances and tombstones
 	versions    map[string]uint64
@@ -99,7 +99,7 @@
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, ended: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
 		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewLedger(),
 	}
 }
@@ -123,7 +123,7 @@
 func (m *Machine) Takes(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
 	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
-	return !m.ended[instance.ID] && !m.lives.isSuperseded(life) && !untold
+	return !m.departed[instance.ID] && !m.lives.isSuperseded(life) && !untold
 }
 
 // At returns the instance that is registered at an address, if there is one.
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -83,7 +83,7 @@
 				if err := json.Unmarshal(data, restored); err != nil {
 					t.Fatal(err)
 				}
-				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.ended, machine.ended) {
+				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.departed, machine.departed) {
 					t.Fatalf("restored %+v, was %+v", restored, machine)
 				}
 				machine = restored
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -61,7 +61,7 @@
 		m.restoreNamings(model, form.Namings[model])
 	}
 	for _, id := range form.Tombstones {
-		m.ended[id] = true
+		m.departed[id] = true
 		m.lives.end(id)
 	}
 	return nil
