--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -5,8 +5,8 @@
 // forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
 func (m *Machine) forget(id string) {
 	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
-		m.forgotten = append(m.forgotten, id)
-		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-maxDepartedIDs))
+		m.expiredIDs = append(m.expiredIDs, id)
+		m.expiredIDs = slices.Delete(m.expiredIDs, 0, max(0, len(m.expiredIDs)-maxDepartedIDs))
 	}
 	m.drop(id)
 }
@@ -21,7 +21,7 @@
 	if standing, tells := m.lives.currentID(life.Name); tells {
 		return standing
 	}
-	for _, last := range slices.Backward(m.forgotten) {
+	for _, last := range slices.Backward(m.expiredIDs) {
 		if ParseInstanceID(last).Name == life.Name {
 			return last
 		}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -82,7 +82,7 @@
 	ids         []string          // of instances, rising; nil when they have changed
 	departedIDs []string
 	departed    map[string]bool
-	forgotten   []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
+	expiredIDs  []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
 	lives       incarnations // of instances and tombstones
 	versions    map[string]uint64
 	namings     map[string][]Naming          // by model, rising; the newest is of the version in versions
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.namings, m.forgotten})
+	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.namings, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -41,7 +41,7 @@
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.departedIDs, m.fence, m.forgotten = form.Document, form.Tombstones, form.Fence, form.Forgotten
+	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
 	for _, instance := range form.Instances {
 		m.put(instance)
 	}
