--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -28,7 +28,7 @@
 // said after a later one that it left, and the later one is remembered no more.
 func TestSnapshotTellsWhichLivesLeft(t *testing.T) {
 	m := NewMachine()
-	leave := func(id string) { m.Apply(Command{Remove: id}) }
+	leave := func(id string) { m.Apply(Command{Deregister: id}) }
 	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
 	leave(Incarnation{Name: "e", StartedMS: 5}.ID())
 	for i := range maxDepartedIDs - 1 {
@@ -65,7 +65,7 @@
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
 			t.Fatal("no snapshot")
 		}
-		m.Apply(Command{Remove: "e"})
+		m.Apply(Command{Deregister: "e"})
 		if m.Takes(held) || !m.Takes(next) {
 			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Takes(held), m.Takes(next))
 		}
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -36,12 +36,12 @@
 				m.Apply(Command{Forget: instance.ID})
 			case "leave":
 				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
-				m.Apply(Command{Remove: instance.ID})
+				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
 				if held, known := m.Named(ParseInstanceID(instance.ID).Name); known {
 					left[held.ID] = true
 				}
-				m.Apply(Command{Remove: ParseInstanceID(instance.ID).Name})
+				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
 				m.Apply(Command{Ordering: []string{instance.ID}})
 			}
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -54,7 +54,7 @@
 			},
 			"remove": func(t *rapid.T) {
 				id := instance()
-				machine.Apply(Command{Remove: id})
+				machine.Apply(Command{Deregister: id})
 				expected.left[id] = true
 			},
 			"forget": func(t *rapid.T) {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -69,7 +69,7 @@
 	case beat.Leaves && r.mayMeanLastLife(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Forget: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
-		r.propose(now, client, Command{Catalog: &catalog.Command{Remove: id}})
+		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
 	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
 	case known && !r.mayReplace(held, beat.Instance):
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -61,7 +61,7 @@
 	for i, command := range []catalog.Command{
 		{Replace: &catalog.Document{Revision: 3, Services: []catalog.Service{{Name: "engine", Engine: true}}, Source: json.RawMessage("{}")}},
 		{Register: ptr(instance("i-1"))}, {Joined: []catalog.Instance{instance("i-2"), instance("i-3")}},
-		{Drain: "i-2"}, {Remove: "i-3"},
+		{Drain: "i-2"}, {Deregister: "i-3"},
 		{Version: &catalog.NamedWeight{Model: "m", Version: 2}}, {Fence: true},
 		{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 1}}}},
 		{Ordering: []string{"i-1"}}, {Gateways: []string{"g1", "g2"}}, {Bounds: map[string]uint64{"engine": 9}},
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -139,7 +139,7 @@
 	if machine.Held("i-1")["m"] != 3 {
 		t.Fatalf("held %v after an older report", machine.Held("i-1"))
 	}
-	machine.Apply(catalog.Command{Remove: "i-1"})
+	machine.Apply(catalog.Command{Deregister: "i-1"})
 	if machine.Held("i-1") != nil {
 		t.Fatal("an ended instance holds weights")
 	}
