--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -58,7 +58,7 @@
 		held := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
 		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
 		m.Apply(Command{Register: &held})
-		m.Apply(Command{Forget: held.ID})
+		m.Apply(Command{Expire: held.ID})
 		if !m.Takes(held) {
 			t.Fatal("one that was silent can't register again")
 		}
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -33,7 +33,7 @@
 			case "drain":
 				m.Apply(Command{Drain: instance.ID})
 			case "forget":
-				m.Apply(Command{Forget: instance.ID})
+				m.Apply(Command{Expire: instance.ID})
 			case "leave":
 				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
 				m.Apply(Command{Deregister: instance.ID})
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -38,7 +38,7 @@
 	Joined     []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
 	Drain      string            `json:"drain,omitempty"`   // instance
 	Deregister string            `json:"remove,omitempty"`  // instance that said that it leaves
-	Forget     string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
+	Expire     string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
 	Version    *NamedWeight      `json:"version,omitempty"` // newest weights of a model
 	Fence      bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
 	Held       []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
@@ -200,8 +200,8 @@
 		m.drain(command.Drain)
 	case command.Deregister != "":
 		m.remove(command.Deregister)
-	case command.Forget != "":
-		m.forget(command.Forget)
+	case command.Expire != "":
+		m.forget(command.Expire)
 	case len(command.Held) > 0:
 		m.hold(command.Held)
 	case len(command.Ordering) > 0:
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -59,7 +59,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				id := instance()
-				machine.Apply(Command{Forget: id})
+				machine.Apply(Command{Expire: id})
 				delete(expected.draining, id)
 			},
 			"version": func(t *rapid.T) {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -67,7 +67,7 @@
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
 	case beat.Leaves && r.mayMeanLastLife(now, id):
-		r.propose(now, client, Command{Catalog: &catalog.Command{Forget: r.machine.catalog.ResolveInstanceID(id)}})
+		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
 	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
@@ -218,7 +218,7 @@
 			r.lead.rosterChanged(id)
 		}
 		if silence > forgetAfter {
-			r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: id}})
+			r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: id}})
 			state.heardAt = now
 		}
 	}
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if now-r.member(now, holder.ID).heardAt > silentAfter {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: holder.ID}}) // its clock may have run ahead of the other's
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // its clock may have run ahead of the other's
 		return true
 	}
 	return !catalog.ParseInstanceID(instance.ID).StartedBefore(catalog.ParseInstanceID(holder.ID))
