--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -29,7 +29,7 @@
 			case "register":
 				m.Apply(Command{Register: &instance})
 			case "join":
-				m.Apply(Command{Joined: []Instance{instance, drawInstance(t)}})
+				m.Apply(Command{RegisterBatch: []Instance{instance, drawInstance(t)}})
 			case "drain":
 				m.Apply(Command{Drain: instance.ID})
 			case "forget":
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -60,7 +60,7 @@
 	}
 	for i, command := range []catalog.Command{
 		{Replace: &catalog.Document{Revision: 3, Services: []catalog.Service{{Name: "engine", Engine: true}}, Source: json.RawMessage("{}")}},
-		{Register: ptr(instance("i-1"))}, {Joined: []catalog.Instance{instance("i-2"), instance("i-3")}},
+		{Register: ptr(instance("i-1"))}, {RegisterBatch: []catalog.Instance{instance("i-2"), instance("i-3")}},
 		{Drain: "i-2"}, {Deregister: "i-3"},
 		{Version: &catalog.NamedWeight{Model: "m", Version: 2}}, {Fence: true},
 		{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 1}}}},
