--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -33,20 +33,20 @@
 
 // Command is one change of the replicated state. Exactly one field is set, beside UnixMS.
 type Command struct {
-	Replace       *Document         `json:"replace,omitempty"`
-	Register      *Instance         `json:"register,omitempty"`
-	RegisterBatch []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
-	Drain         string            `json:"drain,omitempty"`   // instance
-	Deregister    string            `json:"remove,omitempty"`  // instance that said that it leaves
-	Expire        string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
-	Version       *NamedWeight      `json:"version,omitempty"` // newest weights of a model
-	Fence         bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Held          []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
-	Ordering      []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
-	Gateways      []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
-	Bounds        map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
-	Came          []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
-	Left          []string          `json:"left,omitempty"`    // gateways that no longer do
+	Replace        *Document         `json:"replace,omitempty"`
+	Register       *Instance         `json:"register,omitempty"`
+	RegisterBatch  []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
+	Drain          string            `json:"drain,omitempty"`   // instance
+	Deregister     string            `json:"remove,omitempty"`  // instance that said that it leaves
+	Expire         string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
+	PublishWeights *NamedWeight      `json:"version,omitempty"` // newest weights of a model
+	Fence          bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
+	Held           []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
+	Ordering       []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
+	Gateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
+	Bounds         map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
+	Came           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
+	Left           []string          `json:"left,omitempty"`    // gateways that no longer do
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests under which back ends ended
 
@@ -214,8 +214,8 @@
 		maps.Copy(m.bounds, command.Bounds)
 	case command.Quarantine != nil:
 		m.quarantine.Apply(*command.Quarantine)
-	case command.Version != nil:
-		m.name(*command.Version, command.UnixMS)
+	case command.PublishWeights != nil:
+		m.name(*command.PublishWeights, command.UnixMS)
 	case command.Fence:
 		m.fence++
 		return Outcome{Revision: m.document.Revision, Fence: m.fence}
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -15,15 +15,15 @@
 		applied, restored := NewMachine(), NewMachine()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
 			command := Command{
-				Version: &NamedWeight{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
-				UnixMS:  rapid.Int64Range(1, 1000).Draw(t, "time"),
+				PublishWeights: &NamedWeight{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
+				UnixMS:         rapid.Int64Range(1, 1000).Draw(t, "time"),
 			}
-			before := len(applied.Namings(command.Version.Model))
-			newer := command.Version.Version > applied.Versions()[command.Version.Model]
+			before := len(applied.Namings(command.PublishWeights.Model))
+			newer := command.PublishWeights.Version > applied.Versions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
-			namings := applied.Namings(command.Version.Model)
-			if last := namings[len(namings)-1]; newer && last != (Naming{command.Version.Version, command.UnixMS}) {
+			namings := applied.Namings(command.PublishWeights.Model)
+			if last := namings[len(namings)-1]; newer && last != (Naming{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
 			if !newer && len(namings) != before || len(namings) > NamingsKept {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -248,7 +248,7 @@
 
 // applyCatalog applies a command of the catalog and tells watchers of it.
 func (r *Replica) applyCatalog(now time.Duration, command catalog.Command) *catalog.Outcome {
-	before := command.Version != nil && r.machine.catalog.Versions()[command.Version.Model] < command.Version.Version
+	before := command.PublishWeights != nil && r.machine.catalog.Versions()[command.PublishWeights.Model] < command.PublishWeights.Version
 	bounds := map[string]uint64{}
 	for service := range command.Bounds {
 		bounds[service] = r.machine.catalog.Bound(service)
@@ -258,7 +258,7 @@
 		r.noteQuarantined(now, *command.Quarantine)
 	}
 	if before {
-		r.noteNaming(now, command.Version.Model)
+		r.noteNaming(now, command.PublishWeights.Model)
 	}
 	touched := r.machine.catalog.Touched()
 	if r.lead == nil {
