--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -39,7 +39,7 @@
 	Drain          string            `json:"drain,omitempty"`   // instance
 	Deregister     string            `json:"remove,omitempty"`  // instance that said that it leaves
 	Expire         string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
-	PublishWeights *NamedWeight      `json:"version,omitempty"` // newest weights of a model
+	PublishWeights *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
 	Fence          bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
 	Held           []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
 	Ordering       []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
@@ -57,11 +57,11 @@
 // HeldWeight is a version of a model's weights that an instance was seen to hold.
 type HeldWeight struct {
 	Instance string `json:"instance"`
-	NamedWeight
+	WeightsVersion
 }
 
-// NamedWeight is a version of a model's weights.
-type NamedWeight struct {
+// WeightsVersion is a version of a model's weights.
+type WeightsVersion struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -64,7 +64,7 @@
 			},
 			"version": func(t *rapid.T) {
 				version := rapid.Uint64Range(1, 9).Draw(t, "version")
-				machine.Apply(Command{PublishWeights: &NamedWeight{Model: "m", Version: version}})
+				machine.Apply(Command{PublishWeights: &WeightsVersion{Model: "m", Version: version}})
 				expected.versions["m"] = max(expected.versions["m"], version)
 			},
 			"fence": func(t *rapid.T) {
--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -15,7 +15,7 @@
 func (m *Machine) Namings(model string) []Naming { return m.namings[model] }
 
 // name notes the newest version of a model. One that isn't newer than what was named before changes nothing.
-func (m *Machine) name(named NamedWeight, unixMS int64) {
+func (m *Machine) name(named WeightsVersion, unixMS int64) {
 	if m.versions[named.Model] >= named.Version {
 		return
 	}
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -15,7 +15,7 @@
 		applied, restored := NewMachine(), NewMachine()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
 			command := Command{
-				PublishWeights: &NamedWeight{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
+				PublishWeights: &WeightsVersion{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
 				UnixMS:         rapid.Int64Range(1, 1000).Draw(t, "time"),
 			}
 			before := len(applied.Namings(command.PublishWeights.Model))
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -198,7 +198,7 @@
 	logged := r.machine.catalog.Held(id)
 	for _, model := range sortedKeys(state.versions) {
 		if version := state.versions[model]; version > logged[model] {
-			fresh = append(fresh, catalog.HeldWeight{Instance: id, NamedWeight: catalog.NamedWeight{Model: model, Version: version}})
+			fresh = append(fresh, catalog.HeldWeight{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
 		}
 	}
 	return fresh
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -58,7 +58,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	s.watchNow("g1", held)
 	s.beats("i-1", "i-2")
@@ -77,7 +77,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	if early := s.orders(2 * time.Second); len(early) > 0 {
 		t.Fatalf("ordered while g1 may trust its view: %+v", early)
@@ -134,7 +134,7 @@
 	for life := range 3 {
 		s := openSolo(t, folder)
 		s.config(func(config *Config) { config.OrderWait = time.Second })
-		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
+		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: uint64(life + 2)}}})
 		s.pass(time.Second)
 		if s.replica.lead.fence <= last {
 			t.Fatalf("life %d: fence %d after %d", life, s.replica.lead.fence, last)
@@ -148,7 +148,7 @@
 // then, and another replica may lead (simulator, seeds 147 and 5210 with stalled disks).
 func TestOrderDecidedBeforeALongSyncIsNotGiven(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	s.beats("i-1", "i-2")
 	s.replica.Tick(s.now, 0)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -17,7 +17,7 @@
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.pass(gatewaysPeriod + 100*time.Millisecond)
 	s.watchNow("g1", version)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
 	for range 20 {
 		s.beats("i-1", "i-2")
@@ -172,7 +172,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	ask := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
 		for end := s.now + length; s.now < end && len(orders) == 0; {
 			s.beats("i-1", "i-2")
@@ -201,7 +201,7 @@
 // later after its announcement than the next leader counts on.
 func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	s.beats("i-1", "i-2")
 	for range 20 {
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -142,7 +142,7 @@
 	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
 	}
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	asked(answer.Version)
 	s.beats("i-1", "i-2")
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -186,7 +186,7 @@
 // own word is believed, and it is ordered again.
 func TestWeightsThatFellAreReplaced(t *testing.T) {
 	s := openAlone(t)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 3}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(2*time.Second, 3, 1)
@@ -207,7 +207,7 @@
 // TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
 func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
 	s := openAlone(t)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 3}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
@@ -222,7 +222,7 @@
 	s := openAlone(t)
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 1)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
 		s.weights = nil
 		s.pass(100 * time.Millisecond)
@@ -241,7 +241,7 @@
 // TestUntoldLifeIsOrderedByItsReport: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
 func TestUntoldLifeIsOrderedByItsReport(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
 		s.weights = nil
 		s.beats("i-1", "i-2")
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -11,7 +11,7 @@
 
 // name names a version of model m, as an operator does.
 func (s *solo) name(version uint64) {
-	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: version}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
 // told returns the ages that a gateway is told, by version.
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -49,7 +49,7 @@
 		if !s.replica.stressed(s.now) {
 			t.Fatal("the fleet is not short of hands")
 		}
-		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: "m", Version: 2}}})
+		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 		s.beats(ids...)
 		s.orders(200 * time.Millisecond) // the reports
 		s.beats(ids...)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -91,7 +91,7 @@
 func (o *fleetOperator) nameWeightsNow() {
 	version := o.w.oracle.fleet.named + 1
 	o.w.oracle.nameSent(version)
-	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.NamedWeight{Model: fleetModel, Version: version}}}
+	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
 			o.w.oracle.nameAcknowledged(version)
