--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -41,7 +41,7 @@
 	Expire         string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
 	PublishWeights *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
 	Fence          bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Held           []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
+	Held           []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
 	Ordering       []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
 	Gateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
 	Bounds         map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
@@ -54,8 +54,8 @@
 	UnixMS int64 `json:"-"`
 }
 
-// HeldWeight is a version of a model's weights that an instance was seen to hold.
-type HeldWeight struct {
+// LoadedWeights is a version of a model's weights that an instance was seen to hold.
+type LoadedWeights struct {
 	Instance string `json:"instance"`
 	WeightsVersion
 }
@@ -319,7 +319,7 @@
 }
 
 // hold notes what registered instances hold.
-func (m *Machine) hold(seen []HeldWeight) {
+func (m *Machine) hold(seen []LoadedWeights) {
 	for _, w := range seen {
 		if _, known := m.instances[w.Instance]; !known {
 			continue
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -175,7 +175,7 @@
 		return
 	}
 	r.lead.heldAt = now
-	var seen []catalog.HeldWeight
+	var seen []catalog.LoadedWeights
 	for _, id := range sortedKeys(r.lead.unlogged) {
 		fresh := r.unloggedWeights(id)
 		if _, known := r.machine.catalog.Instances()[id]; len(fresh) == 0 && known {
@@ -189,16 +189,16 @@
 }
 
 // unloggedWeights returns what a registered back end holds that the log doesn't tell.
-func (r *Replica) unloggedWeights(id string) []catalog.HeldWeight {
+func (r *Replica) unloggedWeights(id string) []catalog.LoadedWeights {
 	state := r.lead.fleet[id]
 	if _, known := r.machine.catalog.Instances()[id]; !known || state == nil {
 		return nil
 	}
-	var fresh []catalog.HeldWeight
+	var fresh []catalog.LoadedWeights
 	logged := r.machine.catalog.Held(id)
 	for _, model := range sortedKeys(state.versions) {
 		if version := state.versions[model]; version > logged[model] {
-			fresh = append(fresh, catalog.HeldWeight{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
+			fresh = append(fresh, catalog.LoadedWeights{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
 		}
 	}
 	return fresh
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -127,7 +127,7 @@
 // TestHeldWeightsNeedARegistration: an instance that has ended leaves nothing behind.
 func TestHeldWeightsNeedARegistration(t *testing.T) {
 	machine := catalog.NewMachine()
-	held := catalog.Command{Held: []catalog.HeldWeight{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
+	held := catalog.Command{Held: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
 	if machine.Held("i-1") != nil {
 		t.Fatal("an unknown instance holds weights")
