--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -41,7 +41,7 @@
 	Expire         string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
 	PublishWeights *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
 	Fence          bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Held           []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
+	Loaded         []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
 	Ordering       []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
 	Gateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
 	Bounds         map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
@@ -202,8 +202,8 @@
 		m.remove(command.Deregister)
 	case command.Expire != "":
 		m.forget(command.Expire)
-	case len(command.Held) > 0:
-		m.hold(command.Held)
+	case len(command.Loaded) > 0:
+		m.hold(command.Loaded)
 	case len(command.Ordering) > 0:
 		m.order(command.Ordering)
 	case len(command.Gateways) > 0:
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -127,14 +127,14 @@
 // TestHeldWeightsNeedARegistration: an instance that has ended leaves nothing behind.
 func TestHeldWeightsNeedARegistration(t *testing.T) {
 	machine := catalog.NewMachine()
-	held := catalog.Command{Held: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
+	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
 	if machine.Held("i-1") != nil {
 		t.Fatal("an unknown instance holds weights")
 	}
 	machine.Apply(catalog.Command{Register: &catalog.Instance{ID: "i-1", Address: "a"}})
 	machine.Apply(held)
-	held.Held[0].Version = 2
+	held.Loaded[0].Version = 2
 	machine.Apply(held)
 	if machine.Held("i-1")["m"] != 3 {
 		t.Fatalf("held %v after an older report", machine.Held("i-1"))
