--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -43,7 +43,7 @@
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
-				m.Apply(Command{Ordering: []string{instance.ID}})
+				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
 			}
 			checkLives(t, m, left)
 		}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -33,20 +33,20 @@
 
 // Command is one change of the replicated state. Exactly one field is set, beside UnixMS.
 type Command struct {
-	Replace        *Document         `json:"replace,omitempty"`
-	Register       *Instance         `json:"register,omitempty"`
-	RegisterBatch  []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
-	Drain          string            `json:"drain,omitempty"`   // instance
-	Deregister     string            `json:"remove,omitempty"`  // instance that said that it leaves
-	Expire         string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
-	PublishWeights *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
-	Fence          bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Loaded         []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
-	Ordering       []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
-	Gateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
-	Bounds         map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
-	Came           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
-	Left           []string          `json:"left,omitempty"`    // gateways that no longer do
+	Replace               *Document         `json:"replace,omitempty"`
+	Register              *Instance         `json:"register,omitempty"`
+	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
+	Drain                 string            `json:"drain,omitempty"`   // instance
+	Deregister            string            `json:"remove,omitempty"`  // instance that said that it leaves
+	Expire                string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
+	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
+	Fence                 bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
+	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
+	WeightsCommandTargets []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
+	Gateways              []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
+	Bounds                map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
+	Came                  []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
+	Left                  []string          `json:"left,omitempty"`    // gateways that no longer do
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests under which back ends ended
 
@@ -204,8 +204,8 @@
 		m.forget(command.Expire)
 	case len(command.Loaded) > 0:
 		m.hold(command.Loaded)
-	case len(command.Ordering) > 0:
-		m.order(command.Ordering)
+	case len(command.WeightsCommandTargets) > 0:
+		m.order(command.WeightsCommandTargets)
 	case len(command.Gateways) > 0:
 		m.list(command.Gateways)
 	case len(command.Came)+len(command.Left) > 0:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -269,7 +269,7 @@
 	if len(command.Bounds) > 0 {
 		r.noteBounds(now, bounds)
 	}
-	quiet := len(command.Loaded)+len(command.Ordering) > 0 || listed || command.Quarantine != nil // no roster tells of these
+	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
 		r.lead.rosterChanged(touched...)
 	}
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -124,7 +124,7 @@
 	}
 	ids := r.lead.ordering
 	r.lead.ordering = nil
-	r.propose(now, 0, Command{Catalog: &catalog.Command{Ordering: ids}})
+	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsCommandTargets: ids}})
 }
 
 const (
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -16,7 +16,7 @@
 	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := life("e", 1000), life("e", 2000)
 	s.says(first, "a1", 1, 1)
-	s.ask(Request{Catalog: &catalog.Command{Ordering: []string{first}}})
+	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
 	for name, mark := range s.replica.orders {
 		mark.term-- // as whoever leads next sees it
 		s.replica.orders[name] = mark
