--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -43,7 +43,7 @@
 	Fence                 bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
 	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
 	WeightsCommandTargets []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
-	Gateways              []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
+	ReplaceGateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
 	Bounds                map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
 	Came                  []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
 	Left                  []string          `json:"left,omitempty"`    // gateways that no longer do
@@ -206,8 +206,8 @@
 		m.hold(command.Loaded)
 	case len(command.WeightsCommandTargets) > 0:
 		m.order(command.WeightsCommandTargets)
-	case len(command.Gateways) > 0:
-		m.list(command.Gateways)
+	case len(command.ReplaceGateways) > 0:
+		m.list(command.ReplaceGateways)
 	case len(command.Came)+len(command.Left) > 0:
 		m.relist(command.Came, command.Left)
 	case len(command.Bounds) > 0:
