--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -133,7 +133,7 @@
 func TestWaitingQuestionsGoOnThroughTheReplica(t *testing.T) {
 	membership := consensus.Membership{Members: []consensus.Member{{ID: "c1", Name: "c1", Address: "a"}, {ID: "c2", Name: "c2", Address: "b"}}}
 	machine := NewMachine(guard.Set{})
-	machine.catalog.Apply(catalog.Command{Came: []string{"g1"}})
+	machine.catalog.Apply(catalog.Command{AddGateways: []string{"g1"}})
 	meta := consensus.SnapshotMeta{Index: 1, Term: 1, Membership: membership}
 	r, err := NewReplica(soloConfig("c1"), Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: machine.Snapshot()}}, 0)
 	if err != nil {
