--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -46,7 +46,7 @@
 	ReplaceGateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
 	Bounds                map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
 	AddGateways           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
-	Left                  []string          `json:"left,omitempty"`    // gateways that no longer do
+	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that no longer do
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests under which back ends ended
 
@@ -208,8 +208,8 @@
 		m.order(command.WeightsCommandTargets)
 	case len(command.ReplaceGateways) > 0:
 		m.list(command.ReplaceGateways)
-	case len(command.AddGateways)+len(command.Left) > 0:
-		m.relist(command.AddGateways, command.Left)
+	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
+		m.relist(command.AddGateways, command.RemoveGateways)
 	case len(command.Bounds) > 0:
 		maps.Copy(m.bounds, command.Bounds)
 	case command.Quarantine != nil:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -264,7 +264,7 @@
 	if r.lead == nil {
 		return &outcome
 	}
-	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.Left) > 0
+	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
 	r.lead.listedNews = r.lead.listedNews || listed
 	if len(command.Bounds) > 0 {
 		r.noteBounds(now, bounds)
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -170,7 +170,7 @@
 		left = nil // all at once: nobody is left to mislead, and they come back soon
 	}
 	if len(came)+len(left) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: came, Left: left}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: came, RemoveGateways: left}})
 	}
 }
 
