--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -68,9 +68,9 @@
 
 // Outcome is what a command did.
 type Outcome struct {
-	Revision uint64 `json:"revision"`        // of the document in force
-	Fence    uint64 `json:"fence,omitempty"` // given to a new holder
-	Gone     bool   `json:"gone,omitempty"`  // the instance had ended already
+	Revision        uint64 `json:"revision"`        // of the document in force
+	Fence           uint64 `json:"fence,omitempty"` // given to a new holder
+	AlreadyDeparted bool   `json:"gone,omitempty"`  // the instance had ended already
 }
 
 // Machine is the replicated state.
@@ -236,10 +236,10 @@
 func (m *Machine) register(instance Instance) Outcome {
 	held, known := m.instances[instance.ID]
 	if !known && !m.Takes(instance) {
-		return Outcome{Revision: m.document.Revision, Gone: true}
+		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
-		return Outcome{Revision: m.document.Revision, Gone: true}
+		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if last, stands := m.Named(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
 		ordered := m.ordered[last.ID]
