--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -44,8 +44,8 @@
 	}
 	for born := int64(1); born < 12; born++ {
 		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
-		if m.Takes(instance) != restored.Takes(instance) {
-			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Takes(instance), restored.Takes(instance))
+		if m.Accepts(instance) != restored.Accepts(instance) {
+			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
 		}
 	}
 }
@@ -59,15 +59,15 @@
 		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
 		m.Apply(Command{Register: &held})
 		m.Apply(Command{Expire: held.ID})
-		if !m.Takes(held) {
+		if !m.Accepts(held) {
 			t.Fatal("one that was silent can't register again")
 		}
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
 			t.Fatal("no snapshot")
 		}
 		m.Apply(Command{Deregister: "e"})
-		if m.Takes(held) || !m.Takes(next) {
-			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Takes(held), m.Takes(next))
+		if m.Accepts(held) || !m.Accepts(next) {
+			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Accepts(held), m.Accepts(next))
 		}
 	}
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -118,9 +118,9 @@
 	return m.ids
 }
 
-// Takes reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
+// Accepts reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
 // life where others of its service do. What doesn't is somebody else's word.
-func (m *Machine) Takes(instance Instance) bool {
+func (m *Machine) Accepts(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
 	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
 	return !m.departed[instance.ID] && !m.lives.isSuperseded(life) && !untold
@@ -235,7 +235,7 @@
 // sender has ended.
 func (m *Machine) register(instance Instance) Outcome {
 	held, known := m.instances[instance.ID]
-	if !known && !m.Takes(instance) {
+	if !known && !m.Accepts(instance) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -30,7 +30,7 @@
 // admits reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
 // earlier than who stands at its address, or that is of no service that is routed to, may be anybody's, or long gone.
 func (r *Replica) admits(now time.Duration, instance catalog.Instance) bool {
-	if !r.machine.catalog.Takes(instance) {
+	if !r.machine.catalog.Accepts(instance) {
 		return false
 	}
 	last, known := r.machine.catalog.Named(catalog.ParseInstanceID(instance.ID).Name)
