--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -38,7 +38,7 @@
 				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
 				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
-				if held, known := m.Named(ParseInstanceID(instance.ID).Name); known {
+				if held, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
 					left[held.ID] = true
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
@@ -64,7 +64,7 @@
 		if at, _ := m.At(instance.Address); at.ID != id {
 			t.Fatalf("%s stands at %s, where %q is known", id, instance.Address, at.ID)
 		}
-		if named, _ := m.Named(name); named.ID != id {
+		if named, _ := m.InstanceByName(name); named.ID != id {
 			t.Fatalf("%s is registered, and named %q", id, named.ID)
 		}
 		if left[id] {
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -132,8 +132,8 @@
 	return instance, known
 }
 
-// Named returns the registered life of the back end that has a name, if there is one.
-func (m *Machine) Named(name string) (Instance, bool) {
+// InstanceByName returns the registered life of the back end that has a name, if there is one.
+func (m *Machine) InstanceByName(name string) (Instance, bool) {
 	id, tells := m.lives.currentID(name)
 	if !tells {
 		id = Incarnation{Name: name}.ID()
@@ -241,7 +241,7 @@
 	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if last, stands := m.Named(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
+	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
 		ordered := m.ordered[last.ID]
 		m.drop(last.ID)
 		if ordered {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -230,7 +230,7 @@
 	instances := r.machine.catalog.Instances()
 	if len(r.orders) > len(instances) {
 		for name, mark := range r.orders {
-			if _, known := r.machine.catalog.Named(name); !known && now > mark.at+forgetAfter {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+forgetAfter {
 				delete(r.orders, name)
 			}
 		}
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -33,7 +33,7 @@
 	if !r.machine.catalog.Accepts(instance) {
 		return false
 	}
-	last, known := r.machine.catalog.Named(catalog.ParseInstanceID(instance.ID).Name)
+	last, known := r.machine.catalog.InstanceByName(catalog.ParseInstanceID(instance.ID).Name)
 	if known && !r.mayReplace(last, instance) {
 		return false
 	}
