--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -61,7 +61,7 @@
 			t.Fatalf("%s and %s stand at %s", id, other, instance.Address)
 		}
 		names[name], addresses[instance.Address] = id, id
-		if at, _ := m.At(instance.Address); at.ID != id {
+		if at, _ := m.InstanceAt(instance.Address); at.ID != id {
 			t.Fatalf("%s stands at %s, where %q is known", id, instance.Address, at.ID)
 		}
 		if named, _ := m.InstanceByName(name); named.ID != id {
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -126,8 +126,8 @@
 	return !m.departed[instance.ID] && !m.lives.isSuperseded(life) && !untold
 }
 
-// At returns the instance that is registered at an address, if there is one.
-func (m *Machine) At(address string) (Instance, bool) {
+// InstanceAt returns the instance that is registered at an address, if there is one.
+func (m *Machine) InstanceAt(address string) (Instance, bool) {
 	instance, known := m.instances[m.addresses[address]]
 	return instance, known
 }
@@ -238,7 +238,7 @@
 	if !known && !m.Accepts(instance) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if other, taken := m.At(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
+	if other, taken := m.InstanceAt(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -37,7 +37,7 @@
 	if known && !r.mayReplace(last, instance) {
 		return false
 	}
-	holder, taken := r.machine.catalog.At(instance.Address)
+	holder, taken := r.machine.catalog.InstanceAt(instance.Address)
 	if !taken || catalog.ParseInstanceID(holder.ID).Name == catalog.ParseInstanceID(instance.ID).Name {
 		return true
 	}
