--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -172,8 +172,8 @@
 	return known
 }
 
-// Touched returns the instances that changed since the last call, in no order.
-func (m *Machine) Touched() []string {
+// TakeChanged returns the instances that changed since the last call, in no order.
+func (m *Machine) TakeChanged() []string {
 	if len(m.touched) == 0 {
 		return nil
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -260,7 +260,7 @@
 	if before {
 		r.noteNaming(now, command.PublishWeights.Model)
 	}
-	touched := r.machine.catalog.Touched()
+	touched := r.machine.catalog.TakeChanged()
 	if r.lead == nil {
 		return &outcome
 	}
