--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -91,7 +91,7 @@
 	gateways    []string                     // that asked the last leader that wrote them, rising
 	listed      map[string]bool              // the same
 	bounds      map[string]uint64            // by service; of those that don't use all their back ends
-	touched     map[string]bool              // instances that changed since Touched was last called
+	changed     map[string]bool              // instances that changed since Touched was last called
 	fence       uint64
 	quarantine  *quarantine.Ledger
 }
@@ -100,7 +100,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewLedger(),
+		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewLedger(),
 	}
 }
 
@@ -174,11 +174,11 @@
 
 // TakeChanged returns the instances that changed since the last call, in no order.
 func (m *Machine) TakeChanged() []string {
-	if len(m.touched) == 0 {
+	if len(m.changed) == 0 {
 		return nil
 	}
-	ids := slices.Collect(maps.Keys(m.touched))
-	clear(m.touched)
+	ids := slices.Collect(maps.Keys(m.changed))
+	clear(m.changed)
 	return ids
 }
 
@@ -271,7 +271,7 @@
 		m.lives.drop(held)
 	}
 	m.lives.add(instance)
-	m.touched[instance.ID] = true
+	m.changed[instance.ID] = true
 	m.instances[instance.ID] = instance
 	m.addresses[instance.Address] = instance.ID
 }
@@ -282,7 +282,7 @@
 	if known {
 		delete(m.addresses, held.Address)
 		m.lives.drop(held)
-		m.ids, m.touched[id] = nil, true
+		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
 	delete(m.held, id)
