--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -155,8 +155,8 @@
 // Gateways returns the gateways that were written last, rising; callers only read it.
 func (m *Machine) Gateways() []string { return m.gateways }
 
-// Listed reports whether a gateway is among them.
-func (m *Machine) Listed(gateway string) bool { return m.listed[gateway] }
+// HasGateway reports whether a gateway is among them.
+func (m *Machine) HasGateway(gateway string) bool { return m.listed[gateway] }
 
 // Bound returns the highest weight of the back ends of a service that are in use.
 func (m *Machine) Bound(service string) uint64 {
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -139,7 +139,7 @@
 // unlisted reports whether the log doesn't hold a gateway yet, so that the next leader wouldn't wait for it: its view isn't confirmed. One
 // that closes is written no more.
 func (r *Replica) unlisted(watch Watch) bool {
-	return !r.machine.catalog.Listed(watch.Gateway) && !watch.Closing
+	return !r.machine.catalog.HasGateway(watch.Gateway) && !watch.Closing
 }
 
 // noteGateways writes which gateways may trust this leader's views.
@@ -154,7 +154,7 @@
 	r.lead.gatewaysAt, r.lead.unlisted = now, false
 	var came, left []string
 	for name, report := range r.lead.usage {
-		if now-report.at <= r.trustEnd() && !r.machine.catalog.Listed(name) {
+		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
 			came = append(came, name)
 		}
 	}
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -121,5 +121,5 @@
 		return true
 	}
 	r.lead.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
-	return r.machine.catalog.Listed(report.Gateway)
+	return r.machine.catalog.HasGateway(report.Gateway)
 }
