--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -89,7 +89,7 @@
 	held        map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
 	ordered     map[string]bool              // registered instances that, or whose last life, were ever to be given an order
 	gateways    []string                     // that asked the last leader that wrote them, rising
-	listed      map[string]bool              // the same
+	gatewaySet  map[string]bool              // the same
 	bounds      map[string]uint64            // by service; of those that don't use all their back ends
 	changed     map[string]bool              // instances that changed since Touched was last called
 	fence       uint64
@@ -100,7 +100,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewLedger(),
+		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewLedger(),
 	}
 }
 
@@ -156,7 +156,7 @@
 func (m *Machine) Gateways() []string { return m.gateways }
 
 // HasGateway reports whether a gateway is among them.
-func (m *Machine) HasGateway(gateway string) bool { return m.listed[gateway] }
+func (m *Machine) HasGateway(gateway string) bool { return m.gatewaySet[gateway] }
 
 // Bound returns the highest weight of the back ends of a service that are in use.
 func (m *Machine) Bound(service string) uint64 {
@@ -301,21 +301,21 @@
 // list replaces the gateways; names rise.
 func (m *Machine) list(names []string) {
 	m.gateways = names
-	clear(m.listed)
+	clear(m.gatewaySet)
 	for _, name := range names {
-		m.listed[name] = true
+		m.gatewaySet[name] = true
 	}
 }
 
 // relist takes gateways that came and that left up.
 func (m *Machine) relist(came, left []string) {
 	for _, name := range came {
-		m.listed[name] = true
+		m.gatewaySet[name] = true
 	}
 	for _, name := range left {
-		delete(m.listed, name)
+		delete(m.gatewaySet, name)
 	}
-	m.gateways = slices.Sorted(maps.Keys(m.listed))
+	m.gateways = slices.Sorted(maps.Keys(m.gatewaySet))
 }
 
 // hold notes what registered instances hold.
