--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -85,7 +85,7 @@
 	expiredIDs  []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
 	lives       incarnations // of instances and tombstones
 	versions    map[string]uint64
-	namings     map[string][]Naming          // by model, rising; the newest is of the version in versions
+	namings     map[string][]Publication     // by model, rising; the newest is of the version in versions
 	held        map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
 	ordered     map[string]bool              // registered instances that, or whose last life, were ever to be given an order
 	gateways    []string                     // that asked the last leader that wrote them, rising
@@ -99,7 +99,7 @@
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Publication{}, held: map[string]map[string]uint64{},
 		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewLedger(),
 	}
 }
--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -1,7 +1,7 @@
 package catalog
 
-// Naming is a version of a model's weights that was the newest once, and when it was named.
-type Naming struct {
+// Publication is a version of a model's weights that was the newest once, and when it was named.
+type Publication struct {
 	Version uint64 `json:"version"`
 	UnixMS  int64  `json:"ms"` // by the clock of the leader that proposed it; 0 is unknown, and long past
 }
@@ -12,7 +12,7 @@
 
 // Namings returns when the versions of a model were named, rising by version; callers only read it. Each replica holds the same ones,
 // however it came by them.
-func (m *Machine) Namings(model string) []Naming { return m.namings[model] }
+func (m *Machine) Namings(model string) []Publication { return m.namings[model] }
 
 // name notes the newest version of a model. One that isn't newer than what was named before changes nothing.
 func (m *Machine) name(named WeightsVersion, unixMS int64) {
@@ -20,15 +20,15 @@
 		return
 	}
 	m.versions[named.Model] = named.Version
-	namings := append(m.namings[named.Model], Naming{Version: named.Version, UnixMS: unixMS})
+	namings := append(m.namings[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
 	m.namings[named.Model] = namings[max(0, len(namings)-NamingsKept):]
 }
 
 // restoreNamings takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
 // no times, that one is long past: in doubt nothing begins on older weights.
-func (m *Machine) restoreNamings(model string, namings []Naming) {
+func (m *Machine) restoreNamings(model string, namings []Publication) {
 	if last := len(namings) - 1; last < 0 || namings[last].Version != m.versions[model] {
-		namings = append(namings, Naming{Version: m.versions[model]})
+		namings = append(namings, Publication{Version: m.versions[model]})
 	}
 	m.namings[model] = namings
 }
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -23,7 +23,7 @@
 			applied.Apply(command)
 			restored.Apply(command)
 			namings := applied.Namings(command.PublishWeights.Model)
-			if last := namings[len(namings)-1]; newer && last != (Naming{command.PublishWeights.Version, command.UnixMS}) {
+			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
 			if !newer && len(namings) != before || len(namings) > NamingsKept {
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -22,7 +22,7 @@
 
 	Quarantine *quarantine.Ledger `json:"quarantine,omitempty"`
 
-	Namings map[string][]Naming `json:"namings,omitempty"`
+	Namings map[string][]Publication `json:"namings,omitempty"`
 
 	Forgotten []string `json:"forgotten,omitempty"`
 }
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -22,7 +22,7 @@
 
 // dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) dateNaming(now time.Duration, naming catalog.Naming) datedNaming {
+func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) datedNaming {
 	dated := datedNaming{version: naming.Version, at: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.NamingAgreed) {
 		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
