--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -6,9 +6,9 @@
 	UnixMS  int64  `json:"ms"` // by the clock of the leader that proposed it; 0 is unknown, and long past
 }
 
-// NamingsKept bounds the namings of a model that are kept, the newest. It is of use only for what was named within the limit for old
+// MaxPublications bounds the namings of a model that are kept, the newest. It is of use only for what was named within the limit for old
 // weights, some seconds.
-const NamingsKept = 32
+const MaxPublications = 32
 
 // Namings returns when the versions of a model were named, rising by version; callers only read it. Each replica holds the same ones,
 // however it came by them.
@@ -21,7 +21,7 @@
 	}
 	m.versions[named.Model] = named.Version
 	namings := append(m.namings[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
-	m.namings[named.Model] = namings[max(0, len(namings)-NamingsKept):]
+	m.namings[named.Model] = namings[max(0, len(namings)-MaxPublications):]
 }
 
 // restoreNamings takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -26,7 +26,7 @@
 			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
-			if !newer && len(namings) != before || len(namings) > NamingsKept {
+			if !newer && len(namings) != before || len(namings) > MaxPublications {
 				t.Fatalf("%d namings after %d", len(namings), before)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -34,7 +34,7 @@
 func (r *Replica) noteNaming(now time.Duration, model string) {
 	namings := r.machine.catalog.Namings(model)
 	dated := append(r.namings[model], r.dateNaming(now, namings[len(namings)-1]))
-	r.namings[model] = dated[max(0, len(dated)-catalog.NamingsKept):]
+	r.namings[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
 }
 
 // dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -77,7 +77,7 @@
 func (n *Namings) add(model string, fresh naming) {
 	known := append(n.models[model], fresh)
 	slices.SortFunc(known, func(a, b naming) int { return cmp.Compare(a.version, b.version) })
-	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.NamingsKept))
+	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.MaxPublications))
 }
 
 // find returns what is known of a version, or nil.
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -69,7 +69,7 @@
 		for version := range uint64(100) {
 			n.Take(time.Second, time.Second, 1, wantedOf(version+1, 0))
 		}
-		if kept := len(n.models["m"]); kept > catalog.NamingsKept {
+		if kept := len(n.models["m"]); kept > catalog.MaxPublications {
 			t.Fatalf("%d are kept", kept)
 		}
 		at(t, n, 99, time.Second)
