--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -10,9 +10,9 @@
 // weights, some seconds.
 const MaxPublications = 32
 
-// Namings returns when the versions of a model were named, rising by version; callers only read it. Each replica holds the same ones,
+// Publications returns when the versions of a model were named, rising by version; callers only read it. Each replica holds the same ones,
 // however it came by them.
-func (m *Machine) Namings(model string) []Publication { return m.namings[model] }
+func (m *Machine) Publications(model string) []Publication { return m.namings[model] }
 
 // name notes the newest version of a model. One that isn't newer than what was named before changes nothing.
 func (m *Machine) name(named WeightsVersion, unixMS int64) {
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -18,11 +18,11 @@
 				PublishWeights: &WeightsVersion{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
 				UnixMS:         rapid.Int64Range(1, 1000).Draw(t, "time"),
 			}
-			before := len(applied.Namings(command.PublishWeights.Model))
+			before := len(applied.Publications(command.PublishWeights.Model))
 			newer := command.PublishWeights.Version > applied.Versions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
-			namings := applied.Namings(command.PublishWeights.Model)
+			namings := applied.Publications(command.PublishWeights.Model)
 			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -32,7 +32,7 @@
 
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
-	namings := r.machine.catalog.Namings(model)
+	namings := r.machine.catalog.Publications(model)
 	dated := append(r.namings[model], r.dateNaming(now, namings[len(namings)-1]))
 	r.namings[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
 }
@@ -43,7 +43,7 @@
 func (r *Replica) dateNamings(now time.Duration) {
 	dated := map[string][]datedNaming{}
 	for model := range r.machine.catalog.Versions() {
-		for _, naming := range r.machine.catalog.Namings(model) {
+		for _, naming := range r.machine.catalog.Publications(model) {
 			fresh := r.dateNaming(now, naming)
 			at := slices.IndexFunc(r.namings[model], func(d datedNaming) bool { return d.version == naming.Version })
 			if at >= 0 {
