--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -24,9 +24,9 @@
 	m.namings[named.Model] = namings[max(0, len(namings)-MaxPublications):]
 }
 
-// restoreNamings takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
+// restorePublications takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
 // no times, that one is long past: in doubt nothing begins on older weights.
-func (m *Machine) restoreNamings(model string, namings []Publication) {
+func (m *Machine) restorePublications(model string, namings []Publication) {
 	if last := len(namings) - 1; last < 0 || namings[last].Version != m.versions[model] {
 		namings = append(namings, Publication{Version: m.versions[model]})
 	}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -58,7 +58,7 @@
 	}
 	for model, version := range form.Versions {
 		m.versions[model] = version
-		m.restoreNamings(model, form.Namings[model])
+		m.restorePublications(model, form.Namings[model])
 	}
 	for _, id := range form.Tombstones {
 		m.departed[id] = true
