--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -75,31 +75,31 @@
 
 // Machine is the replicated state.
 type Machine struct {
-	Guards      guard.Set `json:"-"`
-	document    Document
-	instances   map[string]Instance
-	addresses   map[string]string // the one instance at each address
-	ids         []string          // of instances, rising; nil when they have changed
-	departedIDs []string
-	departed    map[string]bool
-	expiredIDs  []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	lives       incarnations // of instances and tombstones
-	versions    map[string]uint64
-	namings     map[string][]Publication     // by model, rising; the newest is of the version in versions
-	held        map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
-	ordered     map[string]bool              // registered instances that, or whose last life, were ever to be given an order
-	gateways    []string                     // that asked the last leader that wrote them, rising
-	gatewaySet  map[string]bool              // the same
-	bounds      map[string]uint64            // by service; of those that don't use all their back ends
-	changed     map[string]bool              // instances that changed since Touched was last called
-	fence       uint64
-	quarantine  *quarantine.Ledger
+	Guards       guard.Set `json:"-"`
+	document     Document
+	instances    map[string]Instance
+	addresses    map[string]string // the one instance at each address
+	ids          []string          // of instances, rising; nil when they have changed
+	departedIDs  []string
+	departed     map[string]bool
+	expiredIDs   []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
+	lives        incarnations // of instances and tombstones
+	versions     map[string]uint64
+	publications map[string][]Publication     // by model, rising; the newest is of the version in versions
+	held         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
+	ordered      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
+	gateways     []string                     // that asked the last leader that wrote them, rising
+	gatewaySet   map[string]bool              // the same
+	bounds       map[string]uint64            // by service; of those that don't use all their back ends
+	changed      map[string]bool              // instances that changed since Touched was last called
+	fence        uint64
+	quarantine   *quarantine.Ledger
 }
 
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, namings: map[string][]Publication{}, held: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, held: map[string]map[string]uint64{},
 		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewLedger(),
 	}
 }
--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -12,7 +12,7 @@
 
 // Publications returns when the versions of a model were named, rising by version; callers only read it. Each replica holds the same ones,
 // however it came by them.
-func (m *Machine) Publications(model string) []Publication { return m.namings[model] }
+func (m *Machine) Publications(model string) []Publication { return m.publications[model] }
 
 // name notes the newest version of a model. One that isn't newer than what was named before changes nothing.
 func (m *Machine) name(named WeightsVersion, unixMS int64) {
@@ -20,8 +20,8 @@
 		return
 	}
 	m.versions[named.Model] = named.Version
-	namings := append(m.namings[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
-	m.namings[named.Model] = namings[max(0, len(namings)-MaxPublications):]
+	namings := append(m.publications[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
+	m.publications[named.Model] = namings[max(0, len(namings)-MaxPublications):]
 }
 
 // restorePublications takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
@@ -30,5 +30,5 @@
 	if last := len(namings) - 1; last < 0 || namings[last].Version != m.versions[model] {
 		namings = append(namings, Publication{Version: m.versions[model]})
 	}
-	m.namings[model] = namings
+	m.publications[model] = namings
 }
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -40,10 +40,10 @@
 				}
 			}
 		}
-		if !reflect.DeepEqual(applied.namings, restored.namings) {
-			t.Fatalf("namings %+v and, through snapshots, %+v", applied.namings, restored.namings)
+		if !reflect.DeepEqual(applied.publications, restored.publications) {
+			t.Fatalf("namings %+v and, through snapshots, %+v", applied.publications, restored.publications)
 		}
-		for model, namings := range applied.namings {
+		for model, namings := range applied.publications {
 			for i := range namings[1:] {
 				if namings[i].Version >= namings[i+1].Version {
 					t.Fatalf("namings of %s: %+v", model, namings)
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.namings, m.expiredIDs})
+	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
