--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -215,7 +215,7 @@
 	case command.Quarantine != nil:
 		m.quarantine.Apply(*command.Quarantine)
 	case command.PublishWeights != nil:
-		m.name(*command.PublishWeights, command.UnixMS)
+		m.publish(*command.PublishWeights, command.UnixMS)
 	case command.Fence:
 		m.fence++
 		return Outcome{Revision: m.document.Revision, Fence: m.fence}
--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -14,8 +14,8 @@
 // however it came by them.
 func (m *Machine) Publications(model string) []Publication { return m.publications[model] }
 
-// name notes the newest version of a model. One that isn't newer than what was named before changes nothing.
-func (m *Machine) name(named WeightsVersion, unixMS int64) {
+// publish notes the newest version of a model. One that isn't newer than what was named before changes nothing.
+func (m *Machine) publish(named WeightsVersion, unixMS int64) {
 	if m.versions[named.Model] >= named.Version {
 		return
 	}
