--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -40,8 +40,8 @@
 	Open       bool          `json:"open"`      // needs no API key
 }
 
-// MayRepeat reports whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool { return r.Repeatable || (r.Streaming && r.Resumable) }
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool { return r.Repeatable || (r.Streaming && r.Resumable) }
 
 // Target is a service and its share of a route's requests.
 type Target struct {
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -35,7 +35,7 @@
 			x.gateway.log.note(events.WeightsLearnt, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
 		}
 		return a.turnedAway(answer, verdict)
-	case !x.route.MayRepeat() && promisesNoRun(answer.StatusCode):
+	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
 		return a.broken("promise of a back end that doesn't say so: " + answer.Status)
 	case x.relayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
 		return a.broken("stream not taken up: " + answer.Status)
@@ -146,7 +146,7 @@
 	if failure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.MayRepeat() && !x.relayed && x.spendRepeat() {
+	if failure && x.route.Retryable() && !x.relayed && x.spendRepeat() {
 		return result{kind: resultFailed, cause: answer.Status}
 	}
 	x.passHead(answer, len(body))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -220,7 +220,7 @@
 			x.cover = sent.cover // nothing ran, so nothing was used
 		}
 		x.logFailure(sent, result)
-		if x.route.MayRepeat() {
+		if x.route.Retryable() {
 			sent.awaitProof()
 		}
 		if !x.mayGoOn(result) {
@@ -297,13 +297,13 @@
 	case resultFailed:
 		return true
 	case resultNotRun:
-		if x.mayHave && !x.route.MayRepeat() {
+		if x.mayHave && !x.route.Retryable() {
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
 		return x.repeat(reasonTurnedAway, max(retrySoon, x.comeBackAfter(result)))
 	}
-	if !x.route.MayRepeat() || x.suspected() {
+	if !x.route.Retryable() || x.suspected() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
