--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -25,19 +25,19 @@
 
 // Route sends the requests of a host and path prefix to services.
 type Route struct {
-	Name       string        `json:"name"`
-	Host       string        `json:"host"`
-	PathPrefix string        `json:"path_prefix"` // begins and ends with a slash; the longest that fits wins
-	Targets    []Target      `json:"targets"`
-	Timeout    time.Duration `json:"timeout_ns"` // longest time until the final answer
-	Objective  time.Duration `json:"objective_ns"`
-	Pause      time.Duration `json:"pause_ns"` // longest pause between events that is still in time
-	Attempts   int           `json:"attempts"` // back ends that one request may be sent to
-	Priority   int           `json:"priority"` // 0 is the most urgent
-	Repeatable bool          `json:"repeatable"`
-	Streaming  bool          `json:"streaming"`
-	Resumable  bool          `json:"resumable"` // a broken stream may go on at another back end
-	Open       bool          `json:"open"`      // needs no API key
+	Name           string        `json:"name"`
+	Host           string        `json:"host"`
+	PathPrefix     string        `json:"path_prefix"` // begins and ends with a slash; the longest that fits wins
+	Targets        []Target      `json:"targets"`
+	Timeout        time.Duration `json:"timeout_ns"` // longest time until the final answer
+	Objective      time.Duration `json:"objective_ns"`
+	Pause          time.Duration `json:"pause_ns"` // longest pause between events that is still in time
+	Attempts       int           `json:"attempts"` // back ends that one request may be sent to
+	Priority       int           `json:"priority"` // 0 is the most urgent
+	Repeatable     bool          `json:"repeatable"`
+	Streaming      bool          `json:"streaming"`
+	Resumable      bool          `json:"resumable"` // a broken stream may go on at another back end
+	AllowAnonymous bool          `json:"open"`      // needs no API key
 }
 
 // Retryable reports whether a request of the route may run more than once.
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -73,7 +73,7 @@
 
 // tenant returns the owner of a key. needed is false where no key is asked for.
 func (v *view) tenant(route *catalog.Route, key string) (owner *catalog.Tenant, needed bool) {
-	needed = len(v.document.Tenants) > 0 && !route.Open
+	needed = len(v.document.Tenants) > 0 && !route.AllowAnonymous
 	if !needed {
 		return nil, false
 	}
