--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -344,5 +344,5 @@
 	if x.keyed && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
-	return x.sent < max(1, x.route.Attempts)
+	return x.sent < max(1, x.route.MaxAttempts)
 }
