--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -31,7 +31,7 @@
 	Targets        []Target      `json:"targets"`
 	Timeout        time.Duration `json:"timeout_ns"` // longest time until the final answer
 	Objective      time.Duration `json:"objective_ns"`
-	Pause          time.Duration `json:"pause_ns"` // longest pause between events that is still in time
+	MaxEventGap    time.Duration `json:"pause_ns"` // longest pause between events that is still in time
 	MaxAttempts    int           `json:"attempts"` // back ends that one request may be sent to
 	Priority       int           `json:"priority"` // 0 is the most urgent
 	Repeatable     bool          `json:"repeatable"`
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -95,7 +95,7 @@
 	if x.firstAt > 0 {
 		took = x.firstAt - x.arrived
 	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.Pause > 0 && x.pause > x.route.Pause
+	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
 }
 
 func (x *exchange) logFailure(sent *attempt, failed result) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -105,7 +105,7 @@
 		}
 		a.begun.Store(true)
 		if a.silence != nil {
-			a.silence.Reset(max(resumeMinimum, resumePauses*x.route.Pause))
+			a.silence.Reset(max(resumeMinimum, resumePauses*x.route.MaxEventGap))
 		}
 		if !x.passEvent(controller, answer, event) {
 			a.cancel(nil)
