--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -175,7 +175,7 @@
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
 		return moveBase
 	}
-	bits := float64(tokens) * service.TokenBytes * bitsPerByte
+	bits := float64(tokens) * service.KVBytesPerToken * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
 	if far {
 		time *= farFactor
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -52,7 +52,7 @@
 func TestMovesOverABusyLinkWait(t *testing.T) {
 	g := scheduler(1)
 	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
-	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
+	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
 	parts := partsOf("own")
 	g.table.stored.Note(time.Second, "w1", prefix.Shared(parts))
 	wish := need{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
