--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -55,7 +55,7 @@
 	HealthPath      string  `json:"health_path"`
 	Engine          bool    `json:"engine"`         // keeps prompt caches and takes orders
 	Slots           int     `json:"slots"`          // requests at once at one back end; 0 unknown
-	CacheLimit      int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
+	CacheTokens     int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
 	KVBytesPerToken float64 `json:"token_bytes"`    // of a cached token; 0 unknown
 	LinkMbps        float64 `json:"link_mbps"`      // of one back end or of the store; 0 unknown
 	Store           string  `json:"store"`          // address, when the service is a store of kept caches
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -151,7 +151,7 @@
 	limits := map[string]int{}
 	if held := g.view.Load(); held != nil {
 		for name, service := range held.services {
-			limits[name] = service.CacheLimit
+			limits[name] = service.CacheTokens
 		}
 	}
 	return limits
