--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -73,10 +73,10 @@
 
 // Quota bounds what all of a tenant's requests may use, over the whole fleet.
 type Quota struct {
-	Rate        float64 `json:"rate"`                   // units a second; 0 is no limit
-	Burst       float64 `json:"burst,omitempty"`        // units at once on top
-	Tokens      bool    `json:"tokens,omitempty"`       // units are prompt and output tokens; else requests
-	PlainTokens float64 `json:"plain_tokens,omitempty"` // of a request that doesn't tell its tokens
+	Rate          float64 `json:"rate"`                   // units a second; 0 is no limit
+	Burst         float64 `json:"burst,omitempty"`        // units at once on top
+	Tokens        bool    `json:"tokens,omitempty"`       // units are prompt and output tokens; else requests
+	DefaultTokens float64 `json:"plain_tokens,omitempty"` // of a request that doesn't tell its tokens
 }
 
 // Limited reports whether there is a limit.
@@ -88,7 +88,7 @@
 	case !q.Tokens:
 		return 1
 	case !counted:
-		return q.PlainTokens
+		return q.DefaultTokens
 	}
 	return float64(tokens)
 }
@@ -192,7 +192,7 @@
 	if tenant.Name == "" {
 		c.fault(where, "has no name")
 	}
-	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.PlainTokens < 0 {
+	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.DefaultTokens < 0 {
 		c.fault(where, "has a limit below 0")
 	}
 	for _, key := range tenant.Keys {
