--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -58,7 +58,7 @@
 	CacheTokens     int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
 	KVBytesPerToken float64 `json:"token_bytes"`    // of a cached token; 0 unknown
 	LinkMbps        float64 `json:"link_mbps"`      // of one back end or of the store; 0 unknown
-	Store           string  `json:"store"`          // address, when the service is a store of kept caches
+	StoreAddress    string  `json:"store"`          // address, when the service is a store of kept caches
 	Zone            string  `json:"zone,omitempty"` // of the store
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -209,7 +209,7 @@
 	if cached < sharedTokens && scored.version > 0 {
 		cached = g.planFetch(now, scored, wish, cached, sources)
 	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
-		scored.fetch = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
+		scored.fetch = wish.store.StoreAddress // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
 	scored.uncached, scored.reread = wish.total()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -123,8 +123,8 @@
 		scored.fetch, scored.cost = best.from, scored.cost+best.cost
 		scored.move = belief.Move{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
-	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < saveWait:
-		scored.fetch, scored.save = wish.store.Store, wish.store.Store
+	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.StoreAddress) < saveWait:
+		scored.fetch, scored.save = wish.store.StoreAddress, wish.store.StoreAddress
 		saved := g.storeCopy(now, scored, wish, whole, cached) // the way there takes as long as the way back
 		scored.move = belief.Move{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
@@ -154,7 +154,7 @@
 // storeCopy returns what a copy between the store and the engine costs.
 func (g *Gateway) storeCopy(now time.Duration, scored *candidate, wish need, tokens, cached int) copyPlan {
 	far := wish.store.Zone != scored.row.entry.Zone
-	return g.copyPlan(now, wish, wish.store.Store, wish.store.LinkMbps, tokens, cached, far)
+	return g.copyPlan(now, wish, wish.store.StoreAddress, wish.store.LinkMbps, tokens, cached, far)
 }
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -300,7 +300,7 @@
 // TestStoresShareTheParts: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
 func TestStoresShareTheParts(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
-		{Name: "a", Store: "10.0.0.1:1"}, {Name: "b", Store: "10.0.0.2:1"}, {Name: "c", Store: "10.0.0.3:1"}, {Name: "d"},
+		{Name: "a", StoreAddress: "10.0.0.1:1"}, {Name: "b", StoreAddress: "10.0.0.2:1"}, {Name: "c", StoreAddress: "10.0.0.3:1"}, {Name: "d"},
 	}}
 	whole := newView(document)
 	fewer := newView(&catalog.Document{Services: document.Services[1:]})
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -40,7 +40,7 @@
 	for i := range document.Services {
 		service := &document.Services[i]
 		made.services[service.Name] = service
-		if service.Store != "" {
+		if service.StoreAddress != "" {
 			made.stores = append(made.stores, service)
 		}
 	}
@@ -64,7 +64,7 @@
 	var best *catalog.Service
 	var highest uint64
 	for _, s := range v.stores {
-		if weight := mix(key ^ xxhash.Sum64String(s.Store)); best == nil || weight > highest {
+		if weight := mix(key ^ xxhash.Sum64String(s.StoreAddress)); best == nil || weight > highest {
 			best, highest = s, weight
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -74,7 +74,7 @@
 		return limits
 	}
 	for _, service := range document.Services {
-		if service.Store == "" {
+		if service.StoreAddress == "" {
 			limits[Repeats(service.Name)] = terms.repeats()
 		}
 	}
