--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -110,8 +110,8 @@
 // String returns the problem in one line.
 func (p Problem) String() string { return p.Where + ": " + p.Message }
 
-// Check returns everything that is wrong with a document.
-func (d *Document) Check() []Problem {
+// Validate returns everything that is wrong with a document.
+func (d *Document) Validate() []Problem {
 	check := &checker{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
 	if d.Revision == 0 {
 		check.fault("document", "its revision must be 1 or more")
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -124,7 +124,7 @@
 // TestCheckNamesWhatIsWrong: each fault is found and its place is named.
 func TestCheckNamesWhatIsWrong(t *testing.T) {
 	good := goodDocument()
-	if problems := good.Check(); len(problems) > 0 {
+	if problems := good.Validate(); len(problems) > 0 {
 		t.Fatalf("problems %v", problems)
 	}
 	faults := map[string]func(*Document){
@@ -141,7 +141,7 @@
 	for wanted, spoil := range faults {
 		document := goodDocument()
 		spoil(&document)
-		problems := document.Check()
+		problems := document.Validate()
 		found := false
 		for _, problem := range problems {
 			found = found || strings.HasPrefix(problem.String(), wanted)
