--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -112,7 +112,7 @@
 
 // Validate returns everything that is wrong with a document.
 func (d *Document) Validate() []Problem {
-	check := &checker{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
+	check := &validator{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
 	if d.Revision == 0 {
 		check.fault("document", "its revision must be 1 or more")
 	}
@@ -128,19 +128,19 @@
 	return check.problems
 }
 
-// checker collects the problems of a document.
-type checker struct {
+// validator collects the problems of a document.
+type validator struct {
 	problems []Problem
 	services map[string]bool
 	places   map[string]string // route by host and prefix
 	keys     map[string]string // tenant by key
 }
 
-func (c *checker) fault(where, message string) {
+func (c *validator) fault(where, message string) {
 	c.problems = append(c.problems, Problem{Where: where, Message: message})
 }
 
-func (c *checker) service(service Service) {
+func (c *validator) service(service Service) {
 	where := fmt.Sprintf("service %q", service.Name)
 	if service.Name == "" {
 		c.fault(where, "has no name")
@@ -151,7 +151,7 @@
 	c.services[service.Name] = true
 }
 
-func (c *checker) route(route *Route) {
+func (c *validator) route(route *Route) {
 	where := fmt.Sprintf("route %q", route.Name)
 	place := route.Host + route.PathPrefix
 	if other, taken := c.places[place]; taken {
@@ -171,7 +171,7 @@
 	return len(prefix) > 0 && prefix[0] == '/' && prefix[len(prefix)-1] == '/'
 }
 
-func (c *checker) targets(where string, targets []Target) {
+func (c *validator) targets(where string, targets []Target) {
 	sum := 0
 	for _, target := range targets {
 		if !c.services[target.Service] {
@@ -187,7 +187,7 @@
 	}
 }
 
-func (c *checker) tenant(tenant Tenant) {
+func (c *validator) tenant(tenant Tenant) {
 	where := fmt.Sprintf("tenant %q", tenant.Name)
 	if tenant.Name == "" {
 		c.fault(where, "has no name")
