--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -114,7 +114,7 @@
 func (d *Document) Validate() []Problem {
 	check := &validator{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
 	if d.Revision == 0 {
-		check.fault("document", "its revision must be 1 or more")
+		check.report("document", "its revision must be 1 or more")
 	}
 	for _, service := range d.Services {
 		check.service(service)
@@ -136,17 +136,17 @@
 	keys     map[string]string // tenant by key
 }
 
-func (c *validator) fault(where, message string) {
+func (c *validator) report(where, message string) {
 	c.problems = append(c.problems, Problem{Where: where, Message: message})
 }
 
 func (c *validator) service(service Service) {
 	where := fmt.Sprintf("service %q", service.Name)
 	if service.Name == "" {
-		c.fault(where, "has no name")
+		c.report(where, "has no name")
 	}
 	if c.services[service.Name] {
-		c.fault(where, "stands there twice")
+		c.report(where, "stands there twice")
 	}
 	c.services[service.Name] = true
 }
@@ -155,14 +155,14 @@
 	where := fmt.Sprintf("route %q", route.Name)
 	place := route.Host + route.PathPrefix
 	if other, taken := c.places[place]; taken {
-		c.fault(where, fmt.Sprintf("has the host and path prefix of route %q", other))
+		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
 	}
 	c.places[place] = route.Name
 	if route.Host == "" || !slashed(route.PathPrefix) {
-		c.fault(where, "needs a host, and a path prefix that begins and ends with a slash")
+		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
 	}
 	if route.Timeout <= 0 {
-		c.fault(where, "its time limit must be above 0")
+		c.report(where, "its time limit must be above 0")
 	}
 	c.targets(where, route.Targets)
 }
@@ -175,29 +175,29 @@
 	sum := 0
 	for _, target := range targets {
 		if !c.services[target.Service] {
-			c.fault(where, fmt.Sprintf("names the unknown service %q", target.Service))
+			c.report(where, fmt.Sprintf("names the unknown service %q", target.Service))
 		}
 		if target.Weight < 0 {
-			c.fault(where, "has a weight below 0")
+			c.report(where, "has a weight below 0")
 		}
 		sum += target.Weight
 	}
 	if sum <= 0 {
-		c.fault(where, "its weights sum to 0")
+		c.report(where, "its weights sum to 0")
 	}
 }
 
 func (c *validator) tenant(tenant Tenant) {
 	where := fmt.Sprintf("tenant %q", tenant.Name)
 	if tenant.Name == "" {
-		c.fault(where, "has no name")
+		c.report(where, "has no name")
 	}
 	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.DefaultTokens < 0 {
-		c.fault(where, "has a limit below 0")
+		c.report(where, "has a limit below 0")
 	}
 	for _, key := range tenant.Keys {
 		if owner, taken := c.keys[key]; taken && owner != tenant.Name {
-			c.fault(where, fmt.Sprintf("shares an API key with tenant %q", owner))
+			c.report(where, fmt.Sprintf("shares an API key with tenant %q", owner))
 		}
 		c.keys[key] = tenant.Name
 	}
