--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -112,7 +112,7 @@
 
 // Validate returns everything that is wrong with a document.
 func (d *Document) Validate() []Problem {
-	check := &validator{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
+	check := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keys: map[string]string{}}
 	if d.Revision == 0 {
 		check.report("document", "its revision must be 1 or more")
 	}
@@ -130,10 +130,10 @@
 
 // validator collects the problems of a document.
 type validator struct {
-	problems []Problem
-	services map[string]bool
-	places   map[string]string // route by host and prefix
-	keys     map[string]string // tenant by key
+	problems       []Problem
+	services       map[string]bool
+	routesByPrefix map[string]string // route by host and prefix
+	keys           map[string]string // tenant by key
 }
 
 func (c *validator) report(where, message string) {
@@ -154,10 +154,10 @@
 func (c *validator) route(route *Route) {
 	where := fmt.Sprintf("route %q", route.Name)
 	place := route.Host + route.PathPrefix
-	if other, taken := c.places[place]; taken {
+	if other, taken := c.routesByPrefix[place]; taken {
 		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
 	}
-	c.places[place] = route.Name
+	c.routesByPrefix[place] = route.Name
 	if route.Host == "" || !slashed(route.PathPrefix) {
 		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
 	}
