--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -158,7 +158,7 @@
 		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
 	}
 	c.routesByPrefix[place] = route.Name
-	if route.Host == "" || !slashed(route.PathPrefix) {
+	if route.Host == "" || !hasOuterSlashes(route.PathPrefix) {
 		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
 	}
 	if route.Timeout <= 0 {
@@ -167,7 +167,7 @@
 	c.targets(where, route.Targets)
 }
 
-func slashed(prefix string) bool {
+func hasOuterSlashes(prefix string) bool {
 	return len(prefix) > 0 && prefix[0] == '/' && prefix[len(prefix)-1] == '/'
 }
 
