--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -44,7 +44,7 @@
 	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
 	WeightsCommandTargets []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
 	ReplaceGateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
-	Bounds                map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
+	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
 	AddGateways           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
 	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that no longer do
 
@@ -210,8 +210,8 @@
 		m.list(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
 		m.relist(command.AddGateways, command.RemoveGateways)
-	case len(command.Bounds) > 0:
-		maps.Copy(m.bounds, command.Bounds)
+	case len(command.MaxHashWeights) > 0:
+		maps.Copy(m.bounds, command.MaxHashWeights)
 	case command.Quarantine != nil:
 		m.quarantine.Apply(*command.Quarantine)
 	case command.PublishWeights != nil:
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(bounds) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Bounds: bounds}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{MaxHashWeights: bounds}})
 	}
 }
 
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -250,7 +250,7 @@
 func (r *Replica) applyCatalog(now time.Duration, command catalog.Command) *catalog.Outcome {
 	before := command.PublishWeights != nil && r.machine.catalog.Versions()[command.PublishWeights.Model] < command.PublishWeights.Version
 	bounds := map[string]uint64{}
-	for service := range command.Bounds {
+	for service := range command.MaxHashWeights {
 		bounds[service] = r.machine.catalog.Bound(service)
 	}
 	outcome := r.machine.catalog.Apply(command)
@@ -266,7 +266,7 @@
 	}
 	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
 	r.lead.listedNews = r.lead.listedNews || listed
-	if len(command.Bounds) > 0 {
+	if len(command.MaxHashWeights) > 0 {
 		r.noteBounds(now, bounds)
 	}
 	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -64,7 +64,7 @@
 		{Drain: "i-2"}, {Deregister: "i-3"},
 		{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}, {Fence: true},
 		{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 1}}}},
-		{WeightsCommandTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {Bounds: map[string]uint64{"engine": 9}},
+		{WeightsCommandTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {MaxHashWeights: map[string]uint64{"engine": 9}},
 		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Ended: []quarantine.Ended{{Life: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
 	} {
 		command.UnixMS = testWallStart + int64(i)
