--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -158,8 +158,8 @@
 // HasGateway reports whether a gateway is among them.
 func (m *Machine) HasGateway(gateway string) bool { return m.gatewaySet[gateway] }
 
-// Bound returns the highest weight of the back ends of a service that are in use.
-func (m *Machine) Bound(service string) uint64 {
+// MaxHashWeight returns the highest weight of the back ends of a service that are in use.
+func (m *Machine) MaxHashWeight(service string) uint64 {
 	if bound, known := m.bounds[service]; known {
 		return bound
 	}
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -9,7 +9,7 @@
 
 // inUse reports whether gateways are told of a back end.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).weight <= r.machine.catalog.Bound(instance.Service)
+	return r.member(now, instance.ID).weight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
 // boundsPeriod is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
@@ -27,7 +27,7 @@
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
 		if work == nil {
-			work = &serviceWork{bound: r.machine.catalog.Bound(instance.Service)}
+			work = &serviceWork{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
 			services[instance.Service] = work
 		}
 		work.running += used[id]
@@ -80,7 +80,7 @@
 			continue
 		}
 		weight := r.member(now, id).weight
-		if weight <= was != (weight <= r.machine.catalog.Bound(instance.Service)) {
+		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
 			r.lead.changed[id] = true
 		}
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -251,7 +251,7 @@
 	before := command.PublishWeights != nil && r.machine.catalog.Versions()[command.PublishWeights.Model] < command.PublishWeights.Version
 	bounds := map[string]uint64{}
 	for service := range command.MaxHashWeights {
-		bounds[service] = r.machine.catalog.Bound(service)
+		bounds[service] = r.machine.catalog.MaxHashWeight(service)
 	}
 	outcome := r.machine.catalog.Apply(command)
 	if command.Quarantine != nil {
