--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -166,8 +166,8 @@
 	return math.MaxUint64
 }
 
-// Bounded reports whether it was ever decided which back ends of a service are in use.
-func (m *Machine) Bounded(service string) bool {
+// HasMaxHashWeight reports whether it was ever decided which back ends of a service are in use.
+func (m *Machine) HasMaxHashWeight(service string) bool {
 	_, known := m.bounds[service]
 	return known
 }
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -36,7 +36,7 @@
 	bounds := map[string]uint64{}
 	for service, work := range services {
 		size := r.lead.sizes[service]
-		if !r.machine.catalog.Bounded(service) {
+		if !r.machine.catalog.HasMaxHashWeight(service) {
 			work.under = 0
 		}
 		wanted := size.Note(now, work.running, work.under)
