--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -82,8 +82,8 @@
 	for _, name := range []string{"e", "f"} {
 		for born := range int64(4) {
 			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
-			if m.Accepts(instance) != restored.Accepts(instance) || m.Ordered(instance.ID) != restored.Ordered(instance.ID) {
-				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Accepts(instance), m.Ordered(instance.ID))
+			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsCommand(instance.ID) != restored.MayHaveWeightsCommand(instance.ID) {
+				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
 			}
 		}
 	}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -149,8 +149,8 @@
 // or older ones where a late order was carried out.
 func (m *Machine) Held(id string) map[string]uint64 { return m.held[id] }
 
-// Ordered reports whether an instance, or the life that it followed, may ever have been given an order.
-func (m *Machine) Ordered(id string) bool { return m.ordered[id] }
+// MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
+func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.ordered[id] }
 
 // Gateways returns the gateways that were written last, rising; callers only read it.
 func (m *Machine) Gateways() []string { return m.gateways }
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -42,7 +42,7 @@
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAt = true, mark.at
 		}
-		if !known && r.machine.catalog.Ordered(id) {
+		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
 		mark.term, mark.at, mark.renewTo = term, now, 0
@@ -54,7 +54,7 @@
 // never applied here.
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
-		if r.machine.catalog.Ordered(id) {
+		if r.machine.catalog.MayHaveWeightsCommand(id) {
 			r.orders[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
@@ -65,7 +65,7 @@
 	mark, known := r.orders[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
-		return 0, r.machine.catalog.Ordered(id)
+		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
 	case mark.term != r.node.Term():
 		return mark.at, true
 	}
