--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -142,8 +142,8 @@
 	return instance, known
 }
 
-// Versions returns the newest weights version by model; callers only read it.
-func (m *Machine) Versions() map[string]uint64 { return m.versions }
+// LatestVersions returns the newest weights version by model; callers only read it.
+func (m *Machine) LatestVersions() map[string]uint64 { return m.versions }
 
 // Held returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
 // or older ones where a late order was carried out.
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -97,8 +97,8 @@
 	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
 		t.Fatalf("document %+v, expected revision %d %q", machine.Document(), o.revision, o.content)
 	}
-	if machine.Versions()["m"] != o.versions["m"] {
-		t.Fatalf("version %d, expected %d", machine.Versions()["m"], o.versions["m"])
+	if machine.LatestVersions()["m"] != o.versions["m"] {
+		t.Fatalf("version %d, expected %d", machine.LatestVersions()["m"], o.versions["m"])
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -19,7 +19,7 @@
 				UnixMS:         rapid.Int64Range(1, 1000).Draw(t, "time"),
 			}
 			before := len(applied.Publications(command.PublishWeights.Model))
-			newer := command.PublishWeights.Version > applied.Versions()[command.PublishWeights.Model]
+			newer := command.PublishWeights.Version > applied.LatestVersions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
 			namings := applied.Publications(command.PublishWeights.Model)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -248,7 +248,7 @@
 
 // applyCatalog applies a command of the catalog and tells watchers of it.
 func (r *Replica) applyCatalog(now time.Duration, command catalog.Command) *catalog.Outcome {
-	before := command.PublishWeights != nil && r.machine.catalog.Versions()[command.PublishWeights.Model] < command.PublishWeights.Version
+	before := command.PublishWeights != nil && r.machine.catalog.LatestVersions()[command.PublishWeights.Model] < command.PublishWeights.Version
 	bounds := map[string]uint64{}
 	for service := range command.MaxHashWeights {
 		bounds[service] = r.machine.catalog.MaxHashWeight(service)
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -42,7 +42,7 @@
 // may take the best they heard of one leadership.
 func (r *Replica) dateNamings(now time.Duration) {
 	dated := map[string][]datedNaming{}
-	for model := range r.machine.catalog.Versions() {
+	for model := range r.machine.catalog.LatestVersions() {
 		for _, naming := range r.machine.catalog.Publications(model) {
 			fresh := r.dateNaming(now, naming)
 			at := slices.IndexFunc(r.namings[model], func(d datedNaming) bool { return d.version == naming.Version })
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -117,7 +117,7 @@
 // rollOut takes the next steps towards the newest weights everywhere.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.machine.catalog.Versions()) == 0 || now < r.lead.rolledAt+stepPace*time.Duration(len(instances)) {
+	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.lead.rolledAt+stepPace*time.Duration(len(instances)) {
 		return
 	}
 	r.lead.rolledAt = now
@@ -166,7 +166,7 @@
 // lagging returns the model and version that a back end should hold and does not, if any.
 func (r *Replica) lagging(instance catalog.Instance, state *memberState) (string, uint64, bool) {
 	for model, held := range state.versions {
-		if wanted := r.machine.catalog.Versions()[model]; wanted > held && instance.State == catalog.StateReady {
+		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > held && instance.State == catalog.StateReady {
 			return model, wanted, true
 		}
 	}
@@ -262,7 +262,7 @@
 			return
 		}
 		loads.running++
-		state.rollout.version = max(state.rollout.version, r.machine.catalog.Versions()[state.rollout.model])
+		state.rollout.version = max(state.rollout.version, r.machine.catalog.LatestVersions()[state.rollout.model])
 		state.rollout.orderedAt, state.rollout.takenAt = now, 0
 		r.setPhase(state, phaseOrdered, now+callPatience)
 		r.callWeights(instance, state, WeightsOrder)
