--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -96,10 +96,10 @@
 type ActionFinish struct {
 	ID         RequestID
 	Reason     Reason
-	Run        Run            // for errors
-	RetryAfter time.Duration  // 0: trying again does not help
-	Tokens     int            // length of a complete stream
-	Answer     *ledger.Answer // small services
+	Run        Run              // for errors
+	RetryAfter time.Duration    // 0: trying again does not help
+	Tokens     int              // length of a complete stream
+	Answer     *ledger.Response // small services
 }
 
 // ActionSnapshot asks an engine for its full list of blocks.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -142,7 +142,7 @@
 	row := &c.backends[sent.backend]
 	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.inStream() {
 		c.dropAttempt(r, at)
-		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Answer{}})
+		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Response{}})
 		return
 	}
 	if !event.Well {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -100,7 +100,7 @@
 	Text        string // AttemptChunk
 	Cached      int    // AttemptStarted: prompt tokens that were reused
 	Incarnation uint64 // AttemptStarted and AttemptMismatch
-	Answer      *ledger.Answer
+	Answer      *ledger.Response
 	Limited     bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
 	Well        bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
 }
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -240,7 +240,7 @@
 }
 
 // answerOf returns the body of a stored answer.
-func answerOf(answer *ledger.Answer) string {
+func answerOf(answer *ledger.Response) string {
 	if answer == nil {
 		return ""
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -45,8 +45,8 @@
 	Epoch  uint64 `json:"epoch"`
 }
 
-// Answer is what the back end returned.
-type Answer struct {
+// Response is what the back end returned.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -64,10 +64,10 @@
 
 // End reports how a claim ended.
 type End struct {
-	Key     Key     `json:"key"`
-	ClaimID string  `json:"claim_id"`
-	Kind    EndKind `json:"kind"`
-	Answer  *Answer `json:"answer,omitempty"` // with EndFinished
+	Key     Key       `json:"key"`
+	ClaimID string    `json:"claim_id"`
+	Kind    EndKind   `json:"kind"`
+	Answer  *Response `json:"answer,omitempty"` // with EndFinished
 }
 
 // EndKind is how a claim ended.
@@ -98,19 +98,19 @@
 // Outcome is the answer to a claim.
 type Outcome struct {
 	Kind   OutcomeKind `json:"kind"`
-	Answer *Answer     `json:"answer,omitempty"`
+	Answer *Response   `json:"answer,omitempty"`
 }
 
 // record is the state of one key.
 type record struct {
-	Key       Key     `json:"key"`
-	Digest    uint64  `json:"digest"`
-	State     State   `json:"state"`
-	ClaimID   string  `json:"claim_id"`
-	Holder    Holder  `json:"holder"`
-	Answer    *Answer `json:"answer,omitempty"`
-	Retention int64   `json:"retention_ms"`
-	ExpiresMS int64   `json:"expires_ms"`
+	Key       Key       `json:"key"`
+	Digest    uint64    `json:"digest"`
+	State     State     `json:"state"`
+	ClaimID   string    `json:"claim_id"`
+	Holder    Holder    `json:"holder"`
+	Answer    *Response `json:"answer,omitempty"`
+	Retention int64     `json:"retention_ms"`
+	ExpiresMS int64     `json:"expires_ms"`
 }
 
 // withdrawal remembers a released claim id, so that a late copy of the claim is not granted.
@@ -207,11 +207,11 @@
 	held.Answer = boundedAnswer(end.Answer)
 }
 
-func boundedAnswer(answer *Answer) *Answer {
+func boundedAnswer(answer *Response) *Response {
 	if answer == nil || len(answer.Body) <= maxAnswerBytes {
 		return answer
 	}
-	return &Answer{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
+	return &Response{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
 }
 
 func (l *Ledger) withdraw(claimID string, nowMS int64) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -50,7 +50,7 @@
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != RunUnknown {
 		t.Fatalf("after the session ended: %s", got)
 	}
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Answer{Status: 200}}, 0)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 0)
 	if got := l.Claim(claim("k", "c3", 1), 0, true).Kind; got != Replayed {
 		t.Fatalf("after the late answer: %s", got)
 	}
@@ -59,7 +59,7 @@
 func TestExpiredKeyIsRefusedNotRerun(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Answer{Status: 200}}, 1)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 1)
 	if got := l.Claim(claim("k", "c2", 1), testRetention+1, true).Kind; got != KeyExpired {
 		t.Fatalf("after the retention: %s", got)
 	}
@@ -132,7 +132,7 @@
 	if held == nil {
 		return
 	}
-	l.End(End{Key: key(name), ClaimID: held.claimID, Kind: kind, Answer: &Answer{Status: 200}}, 0)
+	l.End(End{Key: key(name), ClaimID: held.claimID, Kind: kind, Answer: &Response{Status: 200}}, 0)
 	switch {
 	case held.state == StateFinished:
 	case kind == EndReleased:
