--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,8 +17,8 @@
 const (
 	// expiredFactor is how many retention times an expired key is still refused, without its answer.
 	expiredFactor = 30
-	// maxAnswerBytes bounds a stored answer; a longer one is stored as finished without its body.
-	maxAnswerBytes = 256 << 10
+	// maxResponseBytes bounds a stored answer; a longer one is stored as finished without its body.
+	maxResponseBytes = 256 << 10
 )
 
 // State is where the run of a key stands.
@@ -208,7 +208,7 @@
 }
 
 func boundedAnswer(answer *Response) *Response {
-	if answer == nil || len(answer.Body) <= maxAnswerBytes {
+	if answer == nil || len(answer.Body) <= maxResponseBytes {
 		return answer
 	}
 	return &Response{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
