--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -204,10 +204,10 @@
 	}
 	// A late answer replaces "unknown": it is the truth, and the key stays spent either way.
 	held.State = StateFinished
-	held.Answer = boundedAnswer(end.Answer)
+	held.Answer = truncateResponse(end.Answer)
 }
 
-func boundedAnswer(answer *Response) *Response {
+func truncateResponse(answer *Response) *Response {
 	if answer == nil || len(answer.Body) <= maxResponseBytes {
 		return answer
 	}
