--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -127,8 +127,8 @@
 	withdrawals []withdrawal // in order of time
 }
 
-// withdrawalMS is how long a released claim id is remembered; no message is delayed longer.
-const withdrawalMS = 10 * 60 * 1000
+// withdrawalTTLMS is how long a released claim id is remembered; no message is delayed longer.
+const withdrawalTTLMS = 10 * 60 * 1000
 
 // New returns an empty ledger.
 func New() *Ledger {
@@ -218,7 +218,7 @@
 	if _, known := l.withdrawn[claimID]; known {
 		return
 	}
-	item := withdrawal{ClaimID: claimID, ExpiresMS: nowMS + withdrawalMS}
+	item := withdrawal{ClaimID: claimID, ExpiresMS: nowMS + withdrawalTTLMS}
 	l.withdrawn[claimID] = item.ExpiresMS
 	l.withdrawals = append(l.withdrawals, item)
 }
