--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// expiredFactor is how many retention times an expired key is still refused, without its answer.
-	expiredFactor = 30
+	// expiredRetentionFactor is how many retention times an expired key is still refused, without its answer.
+	expiredRetentionFactor = 30
 	// maxResponseBytes bounds a stored answer; a longer one is stored as finished without its body.
 	maxResponseBytes = 256 << 10
 )
@@ -255,7 +255,7 @@
 	}
 	held.State = StateExpired
 	held.Answer = nil
-	held.ExpiresMS = nowMS + expiredFactor*held.Retention
+	held.ExpiresMS = nowMS + expiredRetentionFactor*held.Retention
 	heap.Push(&l.expiry, expiryItem{key: held.Key, at: held.ExpiresMS})
 }
 
