--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -262,15 +262,15 @@
 // Digest identifies a request body.
 func Digest(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// snapshotForm is the JSON form of a ledger.
-type snapshotForm struct {
+// ledgerSnapshot is the JSON form of a ledger.
+type ledgerSnapshot struct {
 	Records     []*record    `json:"records"`
 	Withdrawals []withdrawal `json:"withdrawals"`
 }
 
 // MarshalJSON writes the whole state for a snapshot.
 func (l *Ledger) MarshalJSON() ([]byte, error) {
-	form := snapshotForm{Withdrawals: l.withdrawals}
+	form := ledgerSnapshot{Withdrawals: l.withdrawals}
 	for _, held := range l.records {
 		form.Records = append(form.Records, held)
 	}
@@ -279,7 +279,7 @@
 
 // UnmarshalJSON restores a state written by MarshalJSON.
 func (l *Ledger) UnmarshalJSON(data []byte) error {
-	var form snapshotForm
+	var form ledgerSnapshot
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
