--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -187,7 +187,7 @@
 		return
 	}
 	c.counters.Gaps++
-	c.index.Doubt(row.id, c.now)
+	c.index.MarkStale(row.id, c.now)
 	row.wantSnapshot = true
 	row.snapshotAsked = -snapshotRetry
 	c.gaps = append(c.gaps, row.id)
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -87,8 +87,8 @@
 	state.doubtBefore = 0
 }
 
-// Doubt marks everything heard so far about an engine as doubtful, after a gap in its events.
-func (x *Index) Doubt(engine EngineID, now time.Duration) {
+// MarkStale marks everything heard so far about an engine as doubtful, after a gap in its events.
+func (x *Index) MarkStale(engine EngineID, now time.Duration) {
 	x.engine(engine).doubtBefore = ticks(now)
 }
 
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -142,7 +142,7 @@
 	if found := index.Lookup(chain(2, 2), 2*time.Second, nil); len(found) != 1 {
 		t.Fatal("what the engine said does not count any more")
 	}
-	index.Doubt(0, 3*time.Second)
+	index.MarkStale(0, 3*time.Second)
 	if found := index.Lookup(chain(2, 2), 4*time.Second, nil); len(found) != 0 {
 		t.Fatalf("a doubtful old belief still counts: %v", found)
 	}
