--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -207,7 +207,7 @@
 func (c *Core) scoreOne(r *request, row *backend) Candidate {
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
-	if match.Doubtful {
+	if match.Stale {
 		cached = int(float64(cached) * doubtfulShare)
 	}
 	rate := row.load.PrefillRate
@@ -278,7 +278,7 @@
 func (c *Core) holders(blocks int) int {
 	count := 0
 	for _, match := range c.matches {
-		if match.Blocks >= blocks && !match.Doubtful {
+		if match.Blocks >= blocks && !match.Stale {
 			count++
 		}
 	}
@@ -291,7 +291,7 @@
 	blocks, source := 0, ""
 	for _, match := range c.matches {
 		other := &c.backends[match.Engine]
-		if match.Engine != row.id && !match.Doubtful && match.Blocks > blocks && other.weights == row.weights && c.ready(other) {
+		if match.Engine != row.id && !match.Stale && match.Blocks > blocks && other.weights == row.weights && c.ready(other) {
 			blocks, source = match.Blocks, other.machine.Address
 		}
 	}
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -241,9 +241,9 @@
 
 // Match is an engine that is believed to hold the first Blocks blocks of a chain.
 type Match struct {
-	Engine   EngineID
-	Blocks   int
-	Doubtful bool
+	Engine EngineID
+	Blocks int
+	Stale  bool
 }
 
 // probeShares are the depths, as shares of the deepest known block, at which shallower holders are looked
@@ -267,7 +267,7 @@
 		for at := x.heads[chain[position]]; at != noNode; at = x.nodes[at].next {
 			counts, doubtful := x.believed(at, ticks(now))
 			if counts && !containsEngine(matches[start:], x.nodes[at].engine) {
-				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Doubtful: doubtful})
+				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Stale: doubtful})
 			}
 		}
 	}
