--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -40,7 +40,7 @@
 type engineLife struct {
 	life        uint32
 	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
-	doubtBefore uint32 // beliefs older than this were heard before a gap in the engine's events
+	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
 	beliefs     int
 }
 
@@ -84,12 +84,12 @@
 	state := x.engine(engine)
 	state.life++
 	state.beliefs = 0
-	state.doubtBefore = 0
+	state.staleBefore = 0
 }
 
 // MarkStale marks everything heard so far about an engine as doubtful, after a gap in its events.
 func (x *Index) MarkStale(engine EngineID, now time.Duration) {
-	x.engine(engine).doubtBefore = ticks(now)
+	x.engine(engine).staleBefore = ticks(now)
 }
 
 // SetMaxAge sets how long unused blocks stay on an engine, as measured there; 0 is unknown.
@@ -192,7 +192,7 @@
 	if held.life != state.life {
 		return false, false
 	}
-	doubtful = held.heard < state.doubtBefore
+	doubtful = held.heard < state.staleBefore
 	confirmed := held.source != SourceDispatch && !doubtful
 	if !confirmed && now-min(now, held.heard) > state.maxAge {
 		return false, false
