--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -36,7 +36,7 @@
 		c.attemptDone(r, at, event)
 	case AttemptMismatch:
 		c.counters.Mismatches++
-		c.index.Forget(r.attempts[at].backend)
+		c.index.InvalidateEngine(r.attempts[at].backend)
 	default:
 		c.attemptFailed(r, at, event)
 	}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -72,7 +72,7 @@
 		c.breakAttempts(row, onlyRepeatable)
 	case BackendDead:
 		c.breakAttempts(row, everyRequest)
-		c.index.Forget(row.id)
+		c.index.InvalidateEngine(row.id)
 		row.incarnation = 0
 		row.pendingPrefill = row.pendingPrefill[:0]
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -153,7 +153,7 @@
 	newLife := report.Incarnation != row.incarnation
 	row.incarnation, row.weights = report.Incarnation, report.Weights
 	if c.config.Guards.On(guard.IncarnationCheck) {
-		c.index.Forget(row.id)
+		c.index.InvalidateEngine(row.id)
 	}
 	if newLife {
 		c.breakAttempts(row, everyRequest)
@@ -205,7 +205,7 @@
 	c.counters.Snapshots++
 	row.wantSnapshot = false
 	row.nextSequence = max(row.nextSequence, event.Sequence)
-	c.index.Forget(id)
+	c.index.InvalidateEngine(id)
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
 }
 
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -79,8 +79,8 @@
 
 func ticks(t time.Duration) uint32 { return uint32(t / clockUnit) }
 
-// Forget voids every belief about an engine: it restarted, died, or changed its weights.
-func (x *Index) Forget(engine EngineID) {
+// InvalidateEngine voids every belief about an engine: it restarted, died, or changed its weights.
+func (x *Index) InvalidateEngine(engine EngineID) {
 	state := x.engine(engine)
 	state.life++
 	state.beliefs = 0
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -82,7 +82,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				id := engine.Draw(t, "engine")
-				index.Forget(id)
+				index.InvalidateEngine(id)
 				delete(model, id)
 			},
 			"sweep": func(*rapid.T) { index.Sweep(0, 10) },
