--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -67,8 +67,8 @@
 // Len returns the number of beliefs held, dead ones that were not yet swept included.
 func (x *Index) Len() int { return x.live }
 
-// EngineBeliefs returns how many live beliefs are held about an engine.
-func (x *Index) EngineBeliefs(engine EngineID) int { return x.engine(engine).beliefs }
+// EngineEntries returns how many live beliefs are held about an engine.
+func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).beliefs }
 
 func (x *Index) engine(id EngineID) *engineLife {
 	for int(id) >= len(x.engines) {
