--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -41,7 +41,7 @@
 	life        uint32
 	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
 	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
-	beliefs     int
+	entries     int
 }
 
 // Index maps blocks to the engines believed to hold them. Its size is bounded; it is not safe for
@@ -68,7 +68,7 @@
 func (x *Index) Len() int { return x.live }
 
 // EngineEntries returns how many live beliefs are held about an engine.
-func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).beliefs }
+func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).entries }
 
 func (x *Index) engine(id EngineID) *engineLife {
 	for int(id) >= len(x.engines) {
@@ -83,7 +83,7 @@
 func (x *Index) InvalidateEngine(engine EngineID) {
 	state := x.engine(engine)
 	state.life++
-	state.beliefs = 0
+	state.entries = 0
 	state.staleBefore = 0
 }
 
@@ -113,7 +113,7 @@
 			continue
 		}
 		x.insert(hash, engine, state.life, ticks(now), source)
-		state.beliefs++
+		state.entries++
 	}
 }
 
@@ -159,7 +159,7 @@
 	x.unlink(dropped.hash, at)
 	state := x.engine(dropped.engine)
 	if dropped.life == state.life {
-		state.beliefs--
+		state.entries--
 	}
 	*dropped = node{next: x.free}
 	x.free = at
