--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// believed reports whether a node still counts, and whether it is doubtful.
-func (x *Index) believed(at uint32, now uint32) (believed, doubtful bool) {
+// isValid reports whether a node still counts, and whether it is doubtful.
+func (x *Index) isValid(at uint32, now uint32) (believed, doubtful bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
 	if held.life != state.life {
@@ -233,7 +233,7 @@
 		if !x.nodes[x.hand].used {
 			continue
 		}
-		if counts, _ := x.believed(x.hand, ticks(now)); !counts {
+		if counts, _ := x.isValid(x.hand, ticks(now)); !counts {
 			x.drop(x.hand)
 		}
 	}
@@ -265,7 +265,7 @@
 		}
 		last = position
 		for at := x.heads[chain[position]]; at != noNode; at = x.nodes[at].next {
-			counts, doubtful := x.believed(at, ticks(now))
+			counts, doubtful := x.isValid(at, ticks(now))
 			if counts && !containsEngine(matches[start:], x.nodes[at].engine) {
 				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Stale: doubtful})
 			}
@@ -294,7 +294,7 @@
 
 func (x *Index) anyHolder(hash Hash, now uint32) bool {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
-		if counts, _ := x.believed(at, now); counts {
+		if counts, _ := x.isValid(at, now); counts {
 			return true
 		}
 	}
