--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -36,8 +36,8 @@
 	source Source
 }
 
-// engineLife is what the index knows about an engine as a whole.
-type engineLife struct {
+// engineState is what the index knows about an engine as a whole.
+type engineState struct {
 	life        uint32
 	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
 	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
@@ -53,7 +53,7 @@
 	heads   map[Hash]uint32
 	nodes   []node
 	free    uint32
-	engines []engineLife
+	engines []engineState
 	limit   int
 	hand    uint32
 	live    int
@@ -70,9 +70,9 @@
 // EngineEntries returns how many live beliefs are held about an engine.
 func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).entries }
 
-func (x *Index) engine(id EngineID) *engineLife {
+func (x *Index) engine(id EngineID) *engineState {
 	for int(id) >= len(x.engines) {
-		x.engines = append(x.engines, engineLife{maxAge: math.MaxUint32})
+		x.engines = append(x.engines, engineState{maxAge: math.MaxUint32})
 	}
 	return &x.engines[id]
 }
