--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -27,13 +27,13 @@
 
 // node is one belief: an engine holds a block. Nodes of one block form a list. 36 bytes.
 type node struct {
-	hash   Hash
-	engine EngineID
-	life   uint32
-	heard  uint32 // in clockUnit
-	next   uint32
-	used   bool
-	source Source
+	hash     Hash
+	engine   EngineID
+	life     uint32
+	lastSeen uint32 // in clockUnit
+	next     uint32
+	used     bool
+	source   Source
 }
 
 // engineState is what the index knows about an engine as a whole.
@@ -106,7 +106,7 @@
 	state := x.engine(engine)
 	for _, hash := range chain {
 		if found := x.find(hash, engine, state.life); found != noNode {
-			x.nodes[found].heard = ticks(now)
+			x.nodes[found].lastSeen = ticks(now)
 			if source != SourceDispatch { // a send does not confirm what the engine itself has said
 				x.nodes[found].source = source
 			}
@@ -148,7 +148,7 @@
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
 	}
-	x.nodes[at] = node{hash: hash, engine: engine, life: life, heard: heard, next: x.heads[hash], used: true, source: source}
+	x.nodes[at] = node{hash: hash, engine: engine, life: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
 	x.heads[hash] = at
 	x.live++
 }
@@ -192,9 +192,9 @@
 	if held.life != state.life {
 		return false, false
 	}
-	doubtful = held.heard < state.staleBefore
+	doubtful = held.lastSeen < state.staleBefore
 	confirmed := held.source != SourceDispatch && !doubtful
-	if !confirmed && now-min(now, held.heard) > state.maxAge {
+	if !confirmed && now-min(now, held.lastSeen) > state.maxAge {
 		return false, false
 	}
 	return true, doubtful
@@ -216,7 +216,7 @@
 			oldest = x.hand
 			break
 		}
-		if oldest == noNode || x.nodes[x.hand].heard < x.nodes[oldest].heard {
+		if oldest == noNode || x.nodes[x.hand].lastSeen < x.nodes[oldest].lastSeen {
 			oldest = x.hand
 		}
 	}
