--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -246,9 +246,9 @@
 	Stale  bool
 }
 
-// probeShares are the depths, as shares of the deepest known block, at which shallower holders are looked
+// probeFractions are the depths, as shares of the deepest known block, at which shallower holders are looked
 // for. Engines evict the end of a chain first, so a holder of block i holds all blocks before it.
-var probeShares = [...]float64{1, 0.75, 0.5, 0.25, 0}
+var probeFractions = [...]float64{1, 0.75, 0.5, 0.25, 0}
 
 // Lookup appends to matches the engines that hold a prefix of the chain, deepest first, each once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
@@ -258,7 +258,7 @@
 	}
 	start := len(matches)
 	last := -1
-	for _, share := range probeShares {
+	for _, share := range probeFractions {
 		position := int(share * float64(deepest-1))
 		if position == last {
 			continue
