--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -283,7 +283,7 @@
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
-		if x.anyHolder(chain[middle], now) {
+		if x.hasHolder(chain[middle], now) {
 			low = middle + 1
 		} else {
 			high = middle
@@ -292,7 +292,7 @@
 	return low
 }
 
-func (x *Index) anyHolder(hash Hash, now uint32) bool {
+func (x *Index) hasHolder(hash Hash, now uint32) bool {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
 		if counts, _ := x.isValid(at, now); counts {
 			return true
