--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -252,14 +252,14 @@
 
 // Lookup appends to matches the engines that hold a prefix of the chain, deepest first, each once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
-	deepest := x.deepest(chain, ticks(now))
-	if deepest == 0 {
+	longestHeldPrefix := x.deepest(chain, ticks(now))
+	if longestHeldPrefix == 0 {
 		return matches
 	}
 	start := len(matches)
 	last := -1
 	for _, share := range probeFractions {
-		position := int(share * float64(deepest-1))
+		position := int(share * float64(longestHeldPrefix-1))
 		if position == last {
 			continue
 		}
