--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -21,7 +21,7 @@
 
 const (
 	noNode         = 0
-	clockUnit      = 10 * time.Millisecond // grain of the times kept with beliefs
+	tickPeriod     = 10 * time.Millisecond // grain of the times kept with beliefs
 	evictionSample = 8                     // beliefs looked at to find one to drop when the index is full
 )
 
@@ -77,7 +77,7 @@
 	return &x.engines[id]
 }
 
-func ticks(t time.Duration) uint32 { return uint32(t / clockUnit) }
+func ticks(t time.Duration) uint32 { return uint32(t / tickPeriod) }
 
 // InvalidateEngine voids every belief about an engine: it restarted, died, or changed its weights.
 func (x *Index) InvalidateEngine(engine EngineID) {
