--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	noNode         = 0
-	tickPeriod     = 10 * time.Millisecond // grain of the times kept with beliefs
-	evictionSample = 8                     // beliefs looked at to find one to drop when the index is full
+	noNode             = 0
+	tickPeriod         = 10 * time.Millisecond // grain of the times kept with beliefs
+	evictionSampleSize = 8                     // beliefs looked at to find one to drop when the index is full
 )
 
 // node is one belief: an engine holds a block. Nodes of one block form a list. 36 bytes.
@@ -203,7 +203,7 @@
 // evictOne drops a dead belief, or the oldest of a few.
 func (x *Index) evictOne() {
 	oldest := uint32(noNode)
-	for looked := 0; looked < evictionSample; {
+	for looked := 0; looked < evictionSampleSize; {
 		x.hand++
 		if int(x.hand) >= len(x.nodes) {
 			x.hand = 1
