--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -122,7 +122,7 @@
 	state := x.engine(engine)
 	for _, hash := range hashes {
 		if found := x.find(hash, engine, state.life); found != noNode {
-			x.drop(found)
+			x.freeNode(found)
 		}
 	}
 }
@@ -153,8 +153,8 @@
 	x.live++
 }
 
-// drop unlinks a belief and frees its node.
-func (x *Index) drop(at uint32) {
+// freeNode unlinks a belief and frees its node.
+func (x *Index) freeNode(at uint32) {
 	dropped := &x.nodes[at]
 	x.unlink(dropped.hash, at)
 	state := x.engine(dropped.engine)
@@ -220,7 +220,7 @@
 			oldest = x.hand
 		}
 	}
-	x.drop(oldest)
+	x.freeNode(oldest)
 }
 
 // Sweep looks at up to count nodes and drops those that no longer count.
@@ -234,7 +234,7 @@
 			continue
 		}
 		if counts, _ := x.isValid(x.hand, ticks(now)); !counts {
-			x.drop(x.hand)
+			x.freeNode(x.hand)
 		}
 	}
 }
