--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -50,13 +50,13 @@
 // Invariant: a belief counts only while its life equals the engine's, so that Forget voids all beliefs
 // about an engine in constant time.
 type Index struct {
-	heads   map[Hash]uint32
-	nodes   []node
-	free    uint32
-	engines []engineState
-	limit   int
-	hand    uint32
-	live    int
+	heads     map[Hash]uint32
+	nodes     []node
+	free      uint32
+	engines   []engineState
+	limit     int
+	clockHand uint32
+	live      int
 }
 
 // NewIndex returns an index of at most limit beliefs.
@@ -204,20 +204,20 @@
 func (x *Index) evictOne() {
 	oldest := uint32(noNode)
 	for looked := 0; looked < evictionSampleSize; {
-		x.hand++
-		if int(x.hand) >= len(x.nodes) {
-			x.hand = 1
+		x.clockHand++
+		if int(x.clockHand) >= len(x.nodes) {
+			x.clockHand = 1
 		}
-		if !x.nodes[x.hand].used {
+		if !x.nodes[x.clockHand].used {
 			continue
 		}
 		looked++
-		if x.nodes[x.hand].life != x.engines[x.nodes[x.hand].engine].life {
-			oldest = x.hand
+		if x.nodes[x.clockHand].life != x.engines[x.nodes[x.clockHand].engine].life {
+			oldest = x.clockHand
 			break
 		}
-		if oldest == noNode || x.nodes[x.hand].lastSeen < x.nodes[oldest].lastSeen {
-			oldest = x.hand
+		if oldest == noNode || x.nodes[x.clockHand].lastSeen < x.nodes[oldest].lastSeen {
+			oldest = x.clockHand
 		}
 	}
 	x.freeNode(oldest)
@@ -226,15 +226,15 @@
 // Sweep looks at up to count nodes and drops those that no longer count.
 func (x *Index) Sweep(now time.Duration, count int) {
 	for range min(count, len(x.nodes)-1) {
-		x.hand++
-		if int(x.hand) >= len(x.nodes) {
-			x.hand = 1
+		x.clockHand++
+		if int(x.clockHand) >= len(x.nodes) {
+			x.clockHand = 1
 		}
-		if !x.nodes[x.hand].used {
+		if !x.nodes[x.clockHand].used {
 			continue
 		}
-		if counts, _ := x.isValid(x.hand, ticks(now)); !counts {
-			x.freeNode(x.hand)
+		if counts, _ := x.isValid(x.clockHand, ticks(now)); !counts {
+			x.freeNode(x.clockHand)
 		}
 	}
 }
