--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 	resumedAt       time.Duration // when the process last went on after it had stood still
 
 	index   *prefix.Index
-	hot     *prefix.HotTable
+	hot     *prefix.RequestRates
 	vault   map[prefix.Hash]bool
 	matches []prefix.Match // scratch
 	scores  []Candidate    // scratch
--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -16,16 +16,16 @@
 	updated time.Duration
 }
 
-// HotTable tracks how often each shared prefix is asked for, with exponential decay.
-type HotTable struct {
+// RequestRates tracks how often each shared prefix is asked for, with exponential decay.
+type RequestRates struct {
 	rates map[Hash]*rate
 }
 
 // NewHotTable returns an empty table.
-func NewHotTable() *HotTable { return &HotTable{rates: map[Hash]*rate{}} }
+func NewHotTable() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
 
 // Touch counts a request for the prefix that ends with the given block and returns its rate per minute.
-func (t *HotTable) Touch(hash Hash, now time.Duration) float64 {
+func (t *RequestRates) Touch(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
 		if len(t.rates) >= hotLimit {
@@ -40,7 +40,7 @@
 }
 
 // Rate returns the rate per minute of a prefix.
-func (t *HotTable) Rate(hash Hash, now time.Duration) float64 {
+func (t *RequestRates) Rate(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
 		return 0
@@ -59,7 +59,7 @@
 }
 
 // shed drops prefixes that have gone cold, and half of the rest when that is not enough.
-func (t *HotTable) shed(now time.Duration) {
+func (t *RequestRates) shed(now time.Duration) {
 	for threshold := 0.5; len(t.rates) >= hotLimit; threshold *= 2 {
 		for hash, entry := range t.rates {
 			if entry.decayed(now) < threshold {
