--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -21,8 +21,8 @@
 	rates map[Hash]*rate
 }
 
-// NewHotTable returns an empty table.
-func NewHotTable() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
+// NewRequestRates returns an empty table.
+func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
 
 // Touch counts a request for the prefix that ends with the given block and returns its rate per minute.
 func (t *RequestRates) Touch(hash Hash, now time.Duration) float64 {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -149,7 +149,7 @@
 }
 
 func TestHotRateOfSteadyRequests(t *testing.T) {
-	table := NewHotTable()
+	table := NewRequestRates()
 	var rate float64
 	for i := range 600 {
 		rate = table.Touch(Hash{1}, time.Duration(i)*time.Second/2)
