--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -24,8 +24,8 @@
 // NewRequestRates returns an empty table.
 func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
 
-// Touch counts a request for the prefix that ends with the given block and returns its rate per minute.
-func (t *RequestRates) Touch(hash Hash, now time.Duration) float64 {
+// Record counts a request for the prefix that ends with the given block and returns its rate per minute.
+func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
 		if len(t.rates) >= hotLimit {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -152,7 +152,7 @@
 	table := NewRequestRates()
 	var rate float64
 	for i := range 600 {
-		rate = table.Touch(Hash{1}, time.Duration(i)*time.Second/2)
+		rate = table.Record(Hash{1}, time.Duration(i)*time.Second/2)
 	}
 	if rate < 110 || rate > 130 {
 		t.Fatalf("rate %.1f a minute, want about 120", rate)
