--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	hotHalfLife = 20 * time.Second
-	hotLimit    = 4096 // prefixes whose rate is tracked
+	rateHalfLife = 20 * time.Second
+	hotLimit     = 4096 // prefixes whose rate is tracked
 )
 
 // rate is a decayed count of one prefix.
@@ -50,12 +50,12 @@
 }
 
 func (r *rate) decayed(now time.Duration) float64 {
-	return r.count * math.Exp2(-float64(now-r.updated)/float64(hotHalfLife))
+	return r.count * math.Exp2(-float64(now-r.updated)/float64(rateHalfLife))
 }
 
 // perMinute converts a decayed count: a steady rate r leaves a count of r * halfLife / ln 2.
 func (r *rate) perMinute() float64 {
-	return r.count * math.Ln2 / hotHalfLife.Minutes()
+	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
 // shed drops prefixes that have gone cold, and half of the rest when that is not enough.
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -157,7 +157,7 @@
 	if rate < 110 || rate > 130 {
 		t.Fatalf("rate %.1f a minute, want about 120", rate)
 	}
-	if cold := table.Rate(Hash{1}, 300*time.Second+2*hotHalfLife); cold > rate/3 {
+	if cold := table.Rate(Hash{1}, 300*time.Second+2*rateHalfLife); cold > rate/3 {
 		t.Fatalf("rate %.1f after two half-lives", cold)
 	}
 }
