--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	rateHalfLife = 20 * time.Second
-	hotLimit     = 4096 // prefixes whose rate is tracked
+	rateHalfLife       = 20 * time.Second
+	maxTrackedPrefixes = 4096 // prefixes whose rate is tracked
 )
 
 // rate is a decayed count of one prefix.
@@ -28,7 +28,7 @@
 func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
-		if len(t.rates) >= hotLimit {
+		if len(t.rates) >= maxTrackedPrefixes {
 			t.shed(now)
 		}
 		entry = &rate{updated: now}
@@ -60,7 +60,7 @@
 
 // shed drops prefixes that have gone cold, and half of the rest when that is not enough.
 func (t *RequestRates) shed(now time.Duration) {
-	for threshold := 0.5; len(t.rates) >= hotLimit; threshold *= 2 {
+	for threshold := 0.5; len(t.rates) >= maxTrackedPrefixes; threshold *= 2 {
 		for hash, entry := range t.rates {
 			if entry.decayed(now) < threshold {
 				delete(t.rates, hash)
