--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -29,7 +29,7 @@
 	entry := t.rates[hash]
 	if entry == nil {
 		if len(t.rates) >= maxTrackedPrefixes {
-			t.shed(now)
+			t.evict(now)
 		}
 		entry = &rate{updated: now}
 		t.rates[hash] = entry
@@ -58,8 +58,8 @@
 	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
-// shed drops prefixes that have gone cold, and half of the rest when that is not enough.
-func (t *RequestRates) shed(now time.Duration) {
+// evict drops prefixes that have gone cold, and half of the rest when that is not enough.
+func (t *RequestRates) evict(now time.Duration) {
 	for threshold := 0.5; len(t.rates) >= maxTrackedPrefixes; threshold *= 2 {
 		for hash, entry := range t.rates {
 			if entry.decayed(now) < threshold {
