--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -164,4 +164,4 @@
 	})
 }
 
-func tokensOf(text string) int { return prefix.Tokens(len(text)) }
+func tokensOf(text string) int { return prefix.EstimateTokens(len(text)) }
--- a/internal/prefix/hash.go
+++ b/internal/prefix/hash.go
@@ -58,8 +58,8 @@
 // BlockTokens returns the tokens of a block.
 func (h *Hasher) BlockTokens() int { return h.blockTokens }
 
-// Tokens returns how many tokens a prompt counts.
-func Tokens(promptBytes int) int { return (promptBytes + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens returns how many tokens a prompt counts.
+func EstimateTokens(promptBytes int) int { return (promptBytes + BytesPerToken - 1) / BytesPerToken }
 
 // Chain returns the hash of each whole block of the prompt. The chain starts from the tenant and the weights
 // version, so that chains of two tenants or two versions share no hash.
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -190,7 +190,7 @@
 		return nil, request, refusal
 	}
 	request.Name, request.Tenant, request.Service = name, tenant, service
-	request.PromptTokens = prefix.Tokens(len(prompt))
+	request.PromptTokens = prefix.EstimateTokens(len(prompt))
 	request.MaxTokens = completion.MaxTokens
 	for _, weights := range held.weights[service] {
 		request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: s.hasher.Chain(tenant, weights, []byte(prompt))})
