--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -208,7 +208,7 @@
 // memoryOf is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
 // that run with them; they count half.
 func memoryOf(call *Call) int {
-	shared := prefix.PartTokens(prefix.Shared(call.Parts))
+	shared := prefix.PartTokens(prefix.SharedParts(call.Parts))
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
 
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -21,7 +21,7 @@
 	h := NewHoldings(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
 	h.Use(time.Second, "w1", prompt)
-	shared := prefix.Shared(prompt)
+	shared := prefix.SharedParts(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -83,7 +83,7 @@
 
 // longest is how many prompt tokens have to be read where nothing but the shared parts is held.
 func (w *need) longest() int {
-	return w.total() - prefix.PartTokens(prefix.Shared(w.call.Parts))
+	return w.total() - prefix.PartTokens(prefix.SharedParts(w.call.Parts))
 }
 
 // choose filters, scores and picks the back end of least cost, or returns nil.
@@ -108,7 +108,7 @@
 		return nil
 	}
 	if best.reread > 0 {
-		best.why = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
+		best.why = g.whyReread(now, &best, prefix.SharedParts(wish.call.Parts), sources)
 	}
 	return &best
 }
@@ -203,7 +203,7 @@
 	if scored.version == 0 || !wish.trusted {
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
-	shared := prefix.Shared(wish.call.Parts)
+	shared := prefix.SharedParts(wish.call.Parts)
 	cached := row.held.Cached(scored.salt, shared)
 	sharedTokens := prefix.PartTokens(shared)
 	if cached < sharedTokens && scored.version > 0 {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -36,7 +36,7 @@
 // deepest first, at most maximumHolders. Of the many that hold a common part a random sample is looked at, so that deciders
 // which know the same don't all choose among the same few.
 func (g *Gateway) sources(now time.Duration, wish need) []source {
-	shared := prefix.Shared(wish.call.Parts)
+	shared := prefix.SharedParts(wish.call.Parts)
 	if !wish.service.Engine || len(shared) == 0 || !wish.trusted {
 		return nil
 	}
@@ -88,7 +88,7 @@
 	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidTo || row.entry.Loading {
 		return source{}, false
 	}
-	tokens := row.held.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
+	tokens := row.held.Cached(salts.of(version, wish.tenant), prefix.SharedParts(wish.call.Parts))
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
@@ -104,7 +104,7 @@
 // again is one of the ways: a copy that waits long for its turn is worth less than that. Where nobody is known to hold more,
 // the store is asked: a miss costs next to nothing.
 func (g *Gateway) planFetch(now time.Duration, scored *candidate, wish need, cached int, sources []source) int {
-	shared := prefix.Shared(wish.call.Parts)
+	shared := prefix.SharedParts(wish.call.Parts)
 	whole := prefix.PartTokens(shared)
 	stored := wish.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -57,11 +57,11 @@
 
 func (t *table) hold(at time.Duration, row *endpoint, made send) {
 	row.held.Use(at, made.Salt, made.Parts)
-	t.meet(at, prefix.Shared(made.Parts))
+	t.meet(at, prefix.SharedParts(made.Parts))
 	t.links.Note(at, made.Move)
-	t.index(row, prefix.Shared(made.Parts))
+	t.index(row, prefix.SharedParts(made.Parts))
 	if made.Saved {
-		t.stored.Note(at, made.Salt, prefix.Shared(made.Parts))
+		t.stored.Note(at, made.Salt, prefix.SharedParts(made.Parts))
 	}
 }
 
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -43,7 +43,7 @@
 	if owner != nil {
 		picked = append(picked, owner)
 	}
-	picked = append(picked, holders(sources, prefix.PartTokens(prefix.Shared(wish.call.Parts)))...)
+	picked = append(picked, holders(sources, prefix.PartTokens(prefix.SharedParts(wish.call.Parts)))...)
 	return append(picked, g.sample(now, g.laneOf(rows, wish), wish)...)
 }
 
--- a/internal/prefix/part.go
+++ b/internal/prefix/part.go
@@ -7,9 +7,9 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Shared returns the leading parts that several prompts may have in common: all but the last, which belongs to the request
+// SharedParts returns the leading parts that several prompts may have in common: all but the last, which belongs to the request
 // or its session.
-func Shared(parts []Part) []Part { return parts[:max(0, len(parts)-1)] }
+func SharedParts(parts []Part) []Part { return parts[:max(0, len(parts)-1)] }
 
 // AffinityKey names what requests must have in common to profit from one engine: the deepest shared part, or the only
 // part.
@@ -17,7 +17,7 @@
 	if len(parts) == 0 {
 		return ""
 	}
-	return parts[max(0, len(Shared(parts))-1)].ID
+	return parts[max(0, len(SharedParts(parts))-1)].ID
 }
 
 // PartTokens returns the tokens of parts.
