--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -91,7 +91,7 @@
 	if g.budget.take(service, g.now()) {
 		return true
 	}
-	name := quota.Repeats(service)
+	name := quota.ServiceRetries(service)
 	taken := g.desk.Take(ctx, name, 1, repeatPatience)
 	return taken.Outcome == desk.Granted && taken.Hold.Name == name
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -56,8 +56,8 @@
 // Tenant names the resource of a tenant.
 func Tenant(name string) string { return tenantPrefix + name }
 
-// Repeats names the resource of a service's repeats.
-func Repeats(service string) string { return retryPrefix + service }
+// ServiceRetries names the resource of a service's repeats.
+func ServiceRetries(service string) string { return retryPrefix + service }
 
 // BackEnd names the resource of a life of a back end, which names its limit itself.
 func BackEnd(id string) string { return backPrefix + id }
@@ -75,7 +75,7 @@
 	}
 	for _, service := range document.Services {
 		if service.StoreAddress == "" {
-			limits[Repeats(service.Name)] = terms.repeats()
+			limits[ServiceRetries(service.Name)] = terms.repeats()
 		}
 	}
 	return limits
