--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -141,7 +141,7 @@
 	if !limit.Named || !g.w.guards.On(guard.LimitCheck) {
 		return true
 	}
-	name, now := quota.BackEnd(entry.ID), g.clock()
+	name, now := quota.Backend(entry.ID), g.clock()
 	named := allowance.Named{Rate: limit.Rate, Age: now - heard}
 	g.borrower.Name(now, name, named)
 	if hold, ok := g.borrower.Take(now, name, 1); ok {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -59,8 +59,8 @@
 // ServiceRetries names the resource of a service's repeats.
 func ServiceRetries(service string) string { return retryPrefix + service }
 
-// BackEnd names the resource of a life of a back end, which names its limit itself.
-func BackEnd(id string) string { return backPrefix + id }
+// Backend names the resource of a life of a back end, which names its limit itself.
+func Backend(id string) string { return backPrefix + id }
 
 // Limits returns the limits that a document and terms set, by resource.
 func Limits(document *catalog.Document, terms Terms) map[string]allowance.Limit {
