--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -26,8 +26,8 @@
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// Filled returns the terms with defaults where nothing is set.
-func (t Terms) Filled() Terms {
+// WithDefaults returns the terms with defaults where nothing is set.
+func (t Terms) WithDefaults() Terms {
 	if t.Window == 0 {
 		t.Window = DefaultWindow
 	}
