--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -28,7 +28,7 @@
 	SnapshotEvery uint64        // applied entries between snapshots
 	OrderWait     time.Duration // how long a new leader waits before its first order for weights
 	GatewayTrust  time.Duration // how long a gateway may use a view that is not confirmed
-	Quota         quota.Terms   // how limits over the fleet are judged
+	Quota         quota.Policy  // how limits over the fleet are judged
 	Guards        guard.Set
 	Mechanisms    mechanism.Set // parts of the decision that are on
 	Level         level.Level   // of this build
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -24,7 +24,7 @@
 	VersionLimit time.Duration // how long after newer weights were named a request may still begin on older ones
 	Grace        time.Duration // longest planned stop
 	RetryRatio   float64       // repeats as a share of the requests for a service, over the whole fleet
-	Quota        quota.Terms   // of limits over the whole fleet, repeats beyond the ratio among them
+	Quota        quota.Policy  // of limits over the whole fleet, repeats beyond the ratio among them
 
 	Mechanisms mechanism.Set // parts of the decision that are on
 	Clock      clock.Source  // nil is the machine's
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -30,7 +30,7 @@
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
 		borrowers := make([]*allowance.Borrower, gateways)
-		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
+		terms := quota.Policy{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
 		lender := allowance.NewLender(1)
 		lender.Use(0, limits)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 }
 
 // Terms returns the settings as the fleet uses them.
-func (q Quota) Terms() quota.Terms { return quota.Terms(q).WithDefaults() }
+func (q Quota) Terms() quota.Policy { return quota.Policy(q).WithDefaults() }
 
 // Limits and defaults of node files.
 const (
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// Terms are how limits are judged. They are settings of the whole fleet.
-type Terms struct {
+// Policy are how limits are judged. They are settings of the whole fleet.
+type Policy struct {
 	Window      time.Duration // that a tenant's use is added up in
 	Overage     float64       // share by which use in a window may exceed a tenant's limit
 	Slack       float64       // units by which it may besides
@@ -27,7 +27,7 @@
 )
 
 // WithDefaults returns the terms with defaults where nothing is set.
-func (t Terms) WithDefaults() Terms {
+func (t Policy) WithDefaults() Policy {
 	if t.Window == 0 {
 		t.Window = DefaultWindow
 	}
@@ -63,7 +63,7 @@
 func Backend(id string) string { return backPrefix + id }
 
 // Limits returns the limits that a document and terms set, by resource.
-func Limits(document *catalog.Document, terms Terms) map[string]allowance.Limit {
+func Limits(document *catalog.Document, terms Policy) map[string]allowance.Limit {
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
 		if tenant.Quota.Limited() {
@@ -81,12 +81,12 @@
 	return limits
 }
 
-func (t Terms) tenant(quota catalog.Quota) allowance.Limit {
+func (t Policy) tenant(quota catalog.Quota) allowance.Limit {
 	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Room: room}
 }
 
-func (t Terms) repeats() allowance.Limit {
+func (t Policy) repeats() allowance.Limit {
 	return allowance.Limit{
 		Rate: retryRateShare * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Room: retryRoomShare * t.RetrySlack,
 	}
