--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -100,7 +100,7 @@
 		if !e.down {
 			e.advance()
 			report := e.model.Report(n.run.clock.Now(), cursor.Next())
-			cursor.Take(&report)
+			cursor.Advance(&report)
 			event.Report = &report
 		}
 		n.run.clock.After(n.latency(e), func() { n.post(event) })
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -156,7 +156,7 @@
 		e.advance()
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
-			cursor.Take(&report)
+			cursor.Advance(&report)
 			r.post(core.EventBackend{Name: e.name, AskedAt: asked, Report: &report})
 			again()
 		})
--- a/internal/membership/cursor.go
+++ b/internal/membership/cursor.go
@@ -13,9 +13,9 @@
 // Next returns the sequence from which events are wanted.
 func (c *Cursor) Next() uint64 { return c.next }
 
-// Take moves the cursor past a report. The events of a report that shows another life, or other weights, belong
+// Advance moves the cursor past a report. The events of a report that shows another life, or other weights, belong
 // to a sequence that was not asked for; they are dropped and the next poll starts from the first.
-func (c *Cursor) Take(report *core.BackendReport) {
+func (c *Cursor) Advance(report *core.BackendReport) {
 	if report.Incarnation != c.incarnation || report.Weights != c.weights {
 		*c = Cursor{incarnation: report.Incarnation, weights: report.Weights}
 		report.Events, report.NextSequence = nil, 0
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -73,7 +73,7 @@
 			return
 		}
 		if ok {
-			cursor.Take(report)
+			cursor.Advance(report)
 			event.Report = report
 		}
 		s.offer(event)
