--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -66,7 +66,7 @@
 		}
 		told := r.lead.levels.told[member.ID]
 		if now-told.at > levelFresh {
-			return level.Untold
+			return level.Unannounced
 		}
 		common = min(common, told.level)
 	}
@@ -79,7 +79,7 @@
 	case id == r.config.ID:
 		return r.config.Level
 	case r.lead == nil:
-		return level.Untold
+		return level.Unannounced
 	}
 	return r.lead.levels.told[id].level
 }
--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -57,7 +57,7 @@
 func (w *world) drawBuild() level.Level {
 	switch {
 	case w.builds == nil:
-		return level.Untold
+		return level.Unannounced
 	case w.builds.Float64() < newBuildShare:
 		return newBuild
 	}
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -15,8 +15,8 @@
 type Level uint64
 
 const (
-	// Untold is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
-	Untold Level = 0
+	// Unannounced is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
+	Unannounced Level = 0
 	// Told is that of builds that tell theirs, and refuse what is above it.
 	Told Level = 1
 	// Own is that of this build.
