--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -17,10 +17,10 @@
 const (
 	// Unannounced is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
 	Unannounced Level = 0
-	// Told is that of builds that tell theirs, and refuse what is above it.
-	Told Level = 1
+	// Announced is that of builds that tell theirs, and refuse what is above it.
+	Announced Level = 1
 	// Own is that of this build.
-	Own = Told
+	Own = Announced
 )
 
 // ErrTooOld says that a build met records of a higher level than its own. A caller can tell it with errors.Is.
