--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -35,7 +35,7 @@
 func soloConfig(id consensus.ID) Config {
 	timing := consensus.Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 700 * time.Millisecond, ElectionMax: 1400 * time.Millisecond, Lease: 500 * time.Millisecond}
 	return Config{ID: id, Name: "c1", Address: "a", Timing: timing, Replicas: 1, SettingsLease: 2 * time.Second, RepairAfter: time.Hour,
-		SnapshotEvery: 40, Level: level.Own, Random: func(n int64) int64 { return n / 2 }}
+		SnapshotEvery: 40, Level: level.Current, Random: func(n int64) int64 { return n / 2 }}
 }
 
 func openSolo(t *testing.T, folder string) *solo {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -139,7 +139,7 @@
 		ElectionMax: 14 * section.Heartbeat, Lease: 5 * section.Heartbeat,
 	}
 	return Config{
-		Mechanisms: mechanisms, Level: level.Own,
+		Mechanisms: mechanisms, Level: level.Current,
 		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, RelayAbove: relayAbove, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -11,7 +11,7 @@
 
 const (
 	// newBuild is what this build's successor will know.
-	newBuild = level.Own + 1
+	newBuild = level.Current + 1
 	// newBuildShare is how often a start takes the newer of two builds, where both are played.
 	newBuildShare = 0.7
 	// replacedEach is how often a control process is ended to come back as one of both builds, beside all faults: several times before a level
@@ -61,7 +61,7 @@
 	case w.builds.Float64() < newBuildShare:
 		return newBuild
 	}
-	return level.Own
+	return level.Current
 }
 
 // replaceTooOld lets a control process that is too old for its own files, or for the group, come back as the newer build.
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -19,8 +19,8 @@
 	Unannounced Level = 0
 	// Announced is that of builds that tell theirs, and refuse what is above it.
 	Announced Level = 1
-	// Own is that of this build.
-	Own = Announced
+	// Current is that of this build.
+	Current = Announced
 )
 
 // ErrTooOld says that a build met records of a higher level than its own. A caller can tell it with errors.Is.
