--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -35,7 +35,7 @@
 // knowsLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
 // anything of the message is taken, so that the replica's files stay as they are.
 func (r *Replica) knowsLevel(now time.Duration, message consensus.Message) bool {
-	r.ended = r.config.Level.Knows(message.InForce)
+	r.ended = r.config.Level.CheckSupports(message.InForce)
 	if r.ended != nil {
 		return false
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 	}
-	if err := config.Level.Knows(replica.machine.highestLevel(restored.Entries)); err != nil {
+	if err := config.Level.CheckSupports(replica.machine.highestLevel(restored.Entries)); err != nil {
 		return nil, err
 	}
 	replica.applied = restored.Snapshot.Meta.Index
@@ -291,7 +291,7 @@
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
 	}
-	if r.ended = r.config.Level.Knows(r.machine.level); r.ended != nil {
+	if r.ended = r.config.Level.CheckSupports(r.machine.level); r.ended != nil {
 		return Effects{}
 	}
 	if r.lead != nil && r.lead.listedNews {
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -26,8 +26,8 @@
 // ErrTooOld says that a build met records of a higher level than its own. A caller can tell it with errors.Is.
 var ErrTooOld = eris.New("this program is too old for the control group")
 
-// Knows returns ErrTooOld if a build doesn't know all that is written while a level is in force.
-func (l Level) Knows(inForce Level) error {
+// CheckSupports returns ErrTooOld if a build doesn't know all that is written while a level is in force.
+func (l Level) CheckSupports(inForce Level) error {
 	if inForce <= l {
 		return nil
 	}
