--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -141,7 +141,7 @@
 		ctx, cancel := context.WithTimeout(h.group.ctx, askTimeout)
 		response, err := h.client.Once(ctx, control.Request{Heartbeat: &beat})
 		cancel()
-		pause := session.EagerPeriod
+		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
 			step := machine.Take(time.Since(started), *response.Heartbeat)
 			pause = step.Pause
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -100,7 +100,7 @@
 	beat := r.session.Heartbeat()
 	r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
-			r.after(session.EagerPeriod, r.beat)
+			r.after(session.FastHeartbeatInterval, r.beat)
 			return
 		}
 		reply := *response.Heartbeat
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -27,7 +27,7 @@
 		beat.Quarantine = s.quarantine.Version()
 		response, err := s.group.Once(attempt, control.Request{Heartbeat: &beat})
 		cancel()
-		pause := session.EagerPeriod
+		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
 			pause = s.takeReply(sent, *response.Heartbeat)
 		}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/settings"
 )
 
-// EagerPeriod is the pause between heartbeats until the first lease, and while a version waits to be acknowledged.
-const EagerPeriod = 20 * time.Millisecond
+// FastHeartbeatInterval is the pause between heartbeats until the first lease, and while a version waits to be acknowledged.
+const FastHeartbeatInterval = 20 * time.Millisecond
 
 // Settings is the newest version that a router synced.
 type Settings struct {
@@ -79,7 +79,7 @@
 func (m *Machine) Take(sent time.Duration, reply control.HeartbeatReply) Step {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
-		return Step{Pause: EagerPeriod, Problem: problem}
+		return Step{Pause: FastHeartbeatInterval, Problem: problem}
 	}
 	m.epoch = reply.Epoch
 	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, Pause: m.period}
@@ -91,7 +91,7 @@
 		step.Save = &Settings{Version: reply.Version, Tree: next}
 	}
 	if changed || reply.Lease == 0 {
-		step.Pause = EagerPeriod
+		step.Pause = FastHeartbeatInterval
 	}
 	return step
 }
