--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -143,7 +143,7 @@
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
-			step := machine.Take(time.Since(started), *response.Heartbeat)
+			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
 			pause = step.Pause
 			if step.Save != nil {
 				machine.Saved(*step.Save)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -113,7 +113,7 @@
 
 // take syncs new settings before they are used and acknowledged.
 func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
-	step := r.session.Take(sent, reply)
+	step := r.session.HandleReply(sent, reply)
 	if step.Problem != "" || step.Save == nil {
 		if step.Problem == "" {
 			r.post(r.renewed(step)...)
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -43,7 +43,7 @@
 	if reply.Quarantine != nil {
 		s.quarantine.Take(reply.Quarantine)
 	}
-	step := s.session.Take(sent, reply)
+	step := s.session.HandleReply(sent, reply)
 	if step.Problem != "" {
 		s.log.Warn("heartbeat reply not used", zap.String("problem", step.Problem))
 		return step.Pause
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -75,8 +75,8 @@
 	Problem string          // why the reply was not used, or ""
 }
 
-// Take decides on a reply to the heartbeat that was sent at the given time of the router's clock.
-func (m *Machine) Take(sent time.Duration, reply control.HeartbeatReply) Step {
+// HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
+func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) Step {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
 		return Step{Pause: FastHeartbeatInterval, Problem: problem}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestOlderVersionIsRefused(t *testing.T) {
-	step := newMachine(5).Take(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
+	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
 	if step.Problem == "" || step.Save != nil || step.Lease.Until != 0 {
 		t.Fatalf("step %+v", step)
 	}
@@ -29,7 +29,7 @@
 
 func TestVersionIsAcknowledgedOnlyAfterItIsSaved(t *testing.T) {
 	m := newMachine(5)
-	step := m.Take(0, control.HeartbeatReply{Epoch: 3, Version: 6, Tree: tree()})
+	step := m.HandleReply(0, control.HeartbeatReply{Epoch: 3, Version: 6, Tree: tree()})
 	if step.Save == nil {
 		t.Fatal("nothing to save")
 	}
@@ -43,14 +43,14 @@
 }
 
 func TestEditsMustStartFromTheHeldVersion(t *testing.T) {
-	step := newMachine(5).Take(0, control.HeartbeatReply{Version: 7, Base: 6, Edits: []settings.Edit{{Path: "/z", Create: true}}})
+	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 7, Base: 6, Edits: []settings.Edit{{Path: "/z", Create: true}}})
 	if step.Problem == "" {
 		t.Fatal("edits of another base were taken")
 	}
 }
 
 func TestLeaseCountsFromTheSend(t *testing.T) {
-	step := newMachine(5).Take(2*time.Second, control.HeartbeatReply{Epoch: 1, Version: 5, Lease: 3 * time.Second})
+	step := newMachine(5).HandleReply(2*time.Second, control.HeartbeatReply{Epoch: 1, Version: 5, Lease: 3 * time.Second})
 	if step.Lease.Until != 5*time.Second {
 		t.Fatalf("lease until %v", step.Lease.Until)
 	}
@@ -59,7 +59,7 @@
 func TestPeersOfTheOwnZoneComeFirst(t *testing.T) {
 	list := &control.PeerList{Version: 9, Peers: []control.Peer{{Name: "a", Zone: "y"}, {Name: "r1", Zone: "z"}, {Name: "b", Zone: "z"}}}
 	m := newMachine(5)
-	step := m.Take(0, control.HeartbeatReply{Version: 5, Peers: list})
+	step := m.HandleReply(0, control.HeartbeatReply{Version: 5, Peers: list})
 	if len(step.Peers) != 2 || step.Peers[0].Name != "b" || m.Heartbeat().PeersSeen != 9 {
 		t.Fatalf("peers %+v", step.Peers)
 	}
@@ -72,7 +72,7 @@
 		var newest uint64
 		t.Repeat(map[string]func(*rapid.T){
 			"reply": func(t *rapid.T) {
-				step := m.Take(0, control.HeartbeatReply{Version: rapid.Uint64Range(1, 20).Draw(t, "version"), Tree: tree()})
+				step := m.HandleReply(0, control.HeartbeatReply{Version: rapid.Uint64Range(1, 20).Draw(t, "version"), Tree: tree()})
 				if step.Save != nil && rapid.Bool().Draw(t, "synced") {
 					m.Saved(*step.Save)
 				}
