--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -146,7 +146,7 @@
 			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
 			pause = step.Pause
 			if step.Save != nil {
-				machine.Saved(*step.Save)
+				machine.MarkSynced(*step.Save)
 			}
 			if response.Heartbeat.Lease > 0 && first {
 				first = false
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -53,7 +53,7 @@
 			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
-		s.session.Saved(*step.Save)
+		s.session.MarkSynced(*step.Save)
 		s.post(core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree})
 		s.log.Info("settings taken up", zap.Uint64("settings_version", step.Save.Version))
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -115,8 +115,8 @@
 	return 1
 }
 
-// Saved records that a version is synced, so that the next heartbeat acknowledges it.
-func (m *Machine) Saved(saved Settings) { m.held = saved }
+// MarkSynced records that a version is synced, so that the next heartbeat acknowledges it.
+func (m *Machine) MarkSynced(saved Settings) { m.held = saved }
 
 // Held returns the newest synced version.
 func (m *Machine) Held() Settings { return m.held }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -36,7 +36,7 @@
 	if beat := m.Heartbeat(); beat.Acked != 5 {
 		t.Fatalf("version %d acknowledged before the sync", beat.Acked)
 	}
-	m.Saved(*step.Save)
+	m.MarkSynced(*step.Save)
 	if beat := m.Heartbeat(); beat.Acked != 6 || beat.Epoch != 3 {
 		t.Fatalf("heartbeat %+v", beat)
 	}
@@ -74,7 +74,7 @@
 			"reply": func(t *rapid.T) {
 				step := m.HandleReply(0, control.HeartbeatReply{Version: rapid.Uint64Range(1, 20).Draw(t, "version"), Tree: tree()})
 				if step.Save != nil && rapid.Bool().Draw(t, "synced") {
-					m.Saved(*step.Save)
+					m.MarkSynced(*step.Save)
 				}
 			},
 			"restart": func(*rapid.T) {
