--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -118,8 +118,8 @@
 // MarkSynced records that a version is synced, so that the next heartbeat acknowledges it.
 func (m *Machine) MarkSynced(saved Settings) { m.held = saved }
 
-// Held returns the newest synced version.
-func (m *Machine) Held() Settings { return m.held }
+// Synced returns the newest synced version.
+func (m *Machine) Synced() Settings { return m.held }
 
 // next returns the tree of the reply's version, or why the reply cannot be used.
 func (m *Machine) next(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -78,13 +78,13 @@
 				}
 			},
 			"restart": func(*rapid.T) {
-				m = New(Identity{Router: "r1", Incarnation: 2}, m.Held(), time.Second, guard.Set{})
+				m = New(Identity{Router: "r1", Incarnation: 2}, m.Synced(), time.Second, guard.Set{})
 			},
 			"": func(t *rapid.T) {
-				if held := m.Held().Version; held < newest {
+				if held := m.Synced().Version; held < newest {
 					t.Fatalf("went back from %d to %d", newest, held)
 				}
-				newest = m.Held().Version
+				newest = m.Synced().Version
 			},
 		})
 	})
