--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -334,7 +334,7 @@
 			return
 		}
 		r.w.oracle.routerStopped(r)
-		beat := r.session.Closing()
+		beat := r.session.ClosingHeartbeat()
 		r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(control.Response, bool) {})
 		r.after(drainCheck, func() {
 			r.kill(false)
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -69,7 +69,7 @@
 func (s *Server) closeSession() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	beat := s.session.Closing()
+	beat := s.session.ClosingHeartbeat()
 	_, _ = s.group.Once(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
 }
 
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Closing returns the message that ends the session at a planned stop.
-func (m *Machine) Closing() control.Heartbeat {
+// ClosingHeartbeat returns the message that ends the session at a planned stop.
+func (m *Machine) ClosingHeartbeat() control.Heartbeat {
 	beat := m.Heartbeat()
 	beat.Closing = true
 	return beat
