--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -144,7 +144,7 @@
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
 			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
-			pause = step.Pause
+			pause = step.NextHeartbeatIn
 			if step.Save != nil {
 				machine.MarkSynced(*step.Save)
 			}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -118,14 +118,14 @@
 		if step.Problem == "" {
 			r.post(r.renewed(step)...)
 		}
-		done(step.Pause)
+		done(step.NextHeartbeatIn)
 		return
 	}
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
 		r.saved = *step.Save
 		r.session.MarkSynced(*step.Save)
 		r.post(append([]core.Event{core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree}}, r.renewed(step)...)...)
-		done(step.Pause)
+		done(step.NextHeartbeatIn)
 	})
 }
 
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -46,7 +46,7 @@
 	step := s.session.HandleReply(sent, reply)
 	if step.Problem != "" {
 		s.log.Warn("heartbeat reply not used", zap.String("problem", step.Problem))
-		return step.Pause
+		return step.NextHeartbeatIn
 	}
 	if step.Save != nil {
 		if err := s.disk.save(*step.Save); err != nil {
@@ -62,7 +62,7 @@
 		s.announcer.SetPeers(peerAddresses(step.Peers))
 		s.post(core.EventRouters{Others: peerNames(step.Peers)})
 	}
-	return step.Pause
+	return step.NextHeartbeatIn
 }
 
 // closeSession ends the session at a planned stop, so that nobody waits for its lease.
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -68,21 +68,21 @@
 
 // Step is what to do with a reply.
 type Step struct {
-	Save    *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
-	Lease   core.EventLease // for the core, after Save
-	Peers   []control.Peer  // the other routers, when they changed; never nil then
-	Pause   time.Duration   // until the next heartbeat
-	Problem string          // why the reply was not used, or ""
+	Save            *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
+	Lease           core.EventLease // for the core, after Save
+	Peers           []control.Peer  // the other routers, when they changed; never nil then
+	NextHeartbeatIn time.Duration   // until the next heartbeat
+	Problem         string          // why the reply was not used, or ""
 }
 
 // HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
 func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) Step {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
-		return Step{Pause: FastHeartbeatInterval, Problem: problem}
+		return Step{NextHeartbeatIn: FastHeartbeatInterval, Problem: problem}
 	}
 	m.epoch = reply.Epoch
-	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, Pause: m.period}
+	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
 		step.Peers = m.others()
@@ -91,7 +91,7 @@
 		step.Save = &Settings{Version: reply.Version, Tree: next}
 	}
 	if changed || reply.Lease == 0 {
-		step.Pause = FastHeartbeatInterval
+		step.NextHeartbeatIn = FastHeartbeatInterval
 	}
 	return step
 }
