--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -114,8 +114,8 @@
 // take syncs new settings before they are used and acknowledged.
 func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
 	step := r.session.HandleReply(sent, reply)
-	if step.Problem != "" || step.Save == nil {
-		if step.Problem == "" {
+	if step.RejectReason != "" || step.Save == nil {
+		if step.RejectReason == "" {
 			r.post(r.renewed(step)...)
 		}
 		done(step.NextHeartbeatIn)
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -44,8 +44,8 @@
 		s.quarantine.Take(reply.Quarantine)
 	}
 	step := s.session.HandleReply(sent, reply)
-	if step.Problem != "" {
-		s.log.Warn("heartbeat reply not used", zap.String("problem", step.Problem))
+	if step.RejectReason != "" {
+		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
 		return step.NextHeartbeatIn
 	}
 	if step.Save != nil {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -72,14 +72,14 @@
 	Lease           core.EventLease // for the core, after Save
 	Peers           []control.Peer  // the other routers, when they changed; never nil then
 	NextHeartbeatIn time.Duration   // until the next heartbeat
-	Problem         string          // why the reply was not used, or ""
+	RejectReason    string          // why the reply was not used, or ""
 }
 
 // HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
 func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) Step {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
-		return Step{NextHeartbeatIn: FastHeartbeatInterval, Problem: problem}
+		return Step{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
 	m.epoch = reply.Epoch
 	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -22,7 +22,7 @@
 
 func TestOlderVersionIsRefused(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
-	if step.Problem == "" || step.Save != nil || step.Lease.Until != 0 {
+	if step.RejectReason == "" || step.Save != nil || step.Lease.Until != 0 {
 		t.Fatalf("step %+v", step)
 	}
 }
@@ -44,7 +44,7 @@
 
 func TestEditsMustStartFromTheHeldVersion(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 7, Base: 6, Edits: []settings.Edit{{Path: "/z", Create: true}}})
-	if step.Problem == "" {
+	if step.RejectReason == "" {
 		t.Fatal("edits of another base were taken")
 	}
 }
