--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -130,7 +130,7 @@
 }
 
 // renewed is what a renewed session tells the core beside settings.
-func (r *routerNode) renewed(step session.Step) []core.Event {
+func (r *routerNode) renewed(step session.ReplyActions) []core.Event {
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -66,8 +66,8 @@
 	return beat
 }
 
-// Step is what to do with a reply.
-type Step struct {
+// ReplyActions is what to do with a reply.
+type ReplyActions struct {
 	Save            *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
 	Lease           core.EventLease // for the core, after Save
 	Peers           []control.Peer  // the other routers, when they changed; never nil then
@@ -76,13 +76,13 @@
 }
 
 // HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
-func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) Step {
+func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) ReplyActions {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
-		return Step{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
+		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
 	m.epoch = reply.Epoch
-	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
+	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
 		step.Peers = m.others()
