--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -145,8 +145,8 @@
 		if err == nil && response.Heartbeat != nil {
 			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
 			pause = step.NextHeartbeatIn
-			if step.Save != nil {
-				machine.MarkSynced(*step.Save)
+			if step.ToSync != nil {
+				machine.MarkSynced(*step.ToSync)
 			}
 			if response.Heartbeat.Lease > 0 && first {
 				first = false
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -114,7 +114,7 @@
 // take syncs new settings before they are used and acknowledged.
 func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
 	step := r.session.HandleReply(sent, reply)
-	if step.RejectReason != "" || step.Save == nil {
+	if step.RejectReason != "" || step.ToSync == nil {
 		if step.RejectReason == "" {
 			r.post(r.renewed(step)...)
 		}
@@ -122,9 +122,9 @@
 		return
 	}
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
-		r.saved = *step.Save
-		r.session.MarkSynced(*step.Save)
-		r.post(append([]core.Event{core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree}}, r.renewed(step)...)...)
+		r.saved = *step.ToSync
+		r.session.MarkSynced(*step.ToSync)
+		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.renewed(step)...)...)
 		done(step.NextHeartbeatIn)
 	})
 }
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -48,14 +48,14 @@
 		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
 		return step.NextHeartbeatIn
 	}
-	if step.Save != nil {
-		if err := s.disk.save(*step.Save); err != nil {
+	if step.ToSync != nil {
+		if err := s.disk.save(*step.ToSync); err != nil {
 			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
-		s.session.MarkSynced(*step.Save)
-		s.post(core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree})
-		s.log.Info("settings taken up", zap.Uint64("settings_version", step.Save.Version))
+		s.session.MarkSynced(*step.ToSync)
+		s.post(core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree})
+		s.log.Info("settings taken up", zap.Uint64("settings_version", step.ToSync.Version))
 	}
 	s.post(step.Lease)
 	if step.Peers != nil {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -68,7 +68,7 @@
 
 // ReplyActions is what to do with a reply.
 type ReplyActions struct {
-	Save            *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
+	ToSync          *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
 	Lease           core.EventLease // for the core, after Save
 	Peers           []control.Peer  // the other routers, when they changed; never nil then
 	NextHeartbeatIn time.Duration   // until the next heartbeat
@@ -88,7 +88,7 @@
 		step.Peers = m.others()
 	}
 	if changed {
-		step.Save = &Settings{Version: reply.Version, Tree: next}
+		step.ToSync = &Settings{Version: reply.Version, Tree: next}
 	}
 	if changed || reply.Lease == 0 {
 		step.NextHeartbeatIn = FastHeartbeatInterval
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -22,7 +22,7 @@
 
 func TestOlderVersionIsRefused(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
-	if step.RejectReason == "" || step.Save != nil || step.Lease.Until != 0 {
+	if step.RejectReason == "" || step.ToSync != nil || step.Lease.Until != 0 {
 		t.Fatalf("step %+v", step)
 	}
 }
@@ -30,13 +30,13 @@
 func TestVersionIsAcknowledgedOnlyAfterItIsSaved(t *testing.T) {
 	m := newMachine(5)
 	step := m.HandleReply(0, control.HeartbeatReply{Epoch: 3, Version: 6, Tree: tree()})
-	if step.Save == nil {
+	if step.ToSync == nil {
 		t.Fatal("nothing to save")
 	}
 	if beat := m.Heartbeat(); beat.Acked != 5 {
 		t.Fatalf("version %d acknowledged before the sync", beat.Acked)
 	}
-	m.MarkSynced(*step.Save)
+	m.MarkSynced(*step.ToSync)
 	if beat := m.Heartbeat(); beat.Acked != 6 || beat.Epoch != 3 {
 		t.Fatalf("heartbeat %+v", beat)
 	}
@@ -73,8 +73,8 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"reply": func(t *rapid.T) {
 				step := m.HandleReply(0, control.HeartbeatReply{Version: rapid.Uint64Range(1, 20).Draw(t, "version"), Tree: tree()})
-				if step.Save != nil && rapid.Bool().Draw(t, "synced") {
-					m.MarkSynced(*step.Save)
+				if step.ToSync != nil && rapid.Bool().Draw(t, "synced") {
+					m.MarkSynced(*step.ToSync)
 				}
 			},
 			"restart": func(*rapid.T) {
