--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -57,9 +57,9 @@
 	SettingsFaulty      = "settings not reloaded"
 )
 
-// Routine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
+// IsRoutine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
 // the reader of a log does not keep up.
-func Routine(event string) bool { return event == RequestAnswered }
+func IsRoutine(event string) bool { return event == RequestAnswered }
 
 // Names of fields that several events share.
 const (
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -76,7 +76,7 @@
 
 // Write passes a line to the ring, or drops it.
 func (c rankedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	if events.Routine(entry.Message) && len(c.ring.lines) >= logRing-logReserve {
+	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logRing-logReserve {
 		c.ring.dropped.Add(1)
 		return nil
 	}
