--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -145,7 +145,7 @@
 		return Outcome{Kind: Withdrawn}
 	}
 	if held, found := l.records[claim.Key]; found {
-		return held.answer(claim, sessionOpen)
+		return held.decide(claim, sessionOpen)
 	}
 	if !sessionOpen {
 		return Outcome{Kind: SessionClosed}
@@ -159,8 +159,8 @@
 	return Outcome{Kind: Granted}
 }
 
-// answer decides a claim for a key that is held already.
-func (r *record) answer(claim Claim, sessionOpen bool) Outcome {
+// decide decides a claim for a key that is held already.
+func (r *record) decide(claim Claim, sessionOpen bool) Outcome {
 	if r.State == StateExpired {
 		return Outcome{Kind: KeyExpired}
 	}
