--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// cacheShare is the part of an engine's memory that is taken to hold cached parts where nobody reads what it keeps;
+	// cacheMemoryFraction is the part of an engine's memory that is taken to hold cached parts where nobody reads what it keeps;
 	// running requests need the rest.
-	cacheShare = 0.75
+	cacheMemoryFraction = 0.75
 	// toldFor is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
 	// tells decides, but for parts up to toldLimit times its memory.
 	toldFor   = 4 * time.Second
@@ -59,7 +59,7 @@
 	if memory <= 0 {
 		memory = defaultCache
 	}
-	return &Holdings{parts: map[partKey]holding{}, salts: map[string]int{}, limit: int(cacheShare * float64(memory)), memory: memory}
+	return &Holdings{parts: map[partKey]holding{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
 // set notes that so many tokens of a part are held; 0 forgets it.
