--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -10,9 +10,9 @@
 	// cacheMemoryFraction is the part of an engine's memory that is taken to hold cached parts where nobody reads what it keeps;
 	// running requests need the rest.
 	cacheMemoryFraction = 0.75
-	// toldFor is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
+	// reportTTL is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
 	// tells decides, but for parts up to toldLimit times its memory.
-	toldFor   = 4 * time.Second
+	reportTTL = 4 * time.Second
 	toldLimit = 2.0
 	// unsureFor is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
 	// often that is looked at.
@@ -89,7 +89,7 @@
 		h.set(key, holding{kept: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
 	}
 	limit := h.limit
-	if h.told && now < h.toldAt+toldFor {
+	if h.told && now < h.toldAt+reportTTL {
 		limit = int(toldLimit * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
