--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -12,8 +12,8 @@
 	cacheMemoryFraction = 0.75
 	// reportTTL is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
 	// tells decides, but for parts up to toldLimit times its memory.
-	reportTTL = 4 * time.Second
-	toldLimit = 2.0
+	reportTTL            = 4 * time.Second
+	reportedMemoryFactor = 2.0
 	// unsureFor is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
 	// often that is looked at.
 	unsureFor  = 4 * time.Second
@@ -90,7 +90,7 @@
 	}
 	limit := h.limit
 	if h.told && now < h.toldAt+reportTTL {
-		limit = int(toldLimit * float64(h.memory))
+		limit = int(reportedMemoryFactor * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
 		h.dropOldest()
