--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -14,10 +14,10 @@
 	// tells decides, but for parts up to toldLimit times its memory.
 	reportTTL            = 4 * time.Second
 	reportedMemoryFactor = 2.0
-	// unsureFor is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
+	// unconfirmedTTL is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
 	// often that is looked at.
-	unsureFor  = 4 * time.Second
-	unsureEach = 500 * time.Millisecond
+	unconfirmedTTL = 4 * time.Second
+	unsureEach     = 500 * time.Millisecond
 	// defaultCache is assumed where an engine's memory is not known, in tokens.
 	defaultCache = 100_000
 	// storedFor is how long a part is taken to stay in the store.
@@ -157,7 +157,7 @@
 	h.unsureAt = now
 	var gone []KeptPart
 	for key, held := range h.parts {
-		stale := !held.sure && now > held.usedAt+unsureFor || whole && held.sure && !named[key]
+		stale := !held.sure && now > held.usedAt+unconfirmedTTL || whole && held.sure && !named[key]
 		if !stale {
 			continue
 		}
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -40,7 +40,7 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("a moment after another send %d tokens", got)
 	}
-	differ = h.Tell(2*time.Second+unsureFor+time.Millisecond, nil, false)
+	differ = h.Tell(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
 	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != kept("b", 0) {
 		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
 	}
@@ -109,9 +109,9 @@
 			"lose": func(*rapid.T) { pending, lost = nil, true },
 			"read": func(*rapid.T) { now += 100 * time.Millisecond; tell(lost); lost = false },
 		})
-		now += unsureFor + time.Second
+		now += unconfirmedTTL + time.Second
 		tell(lost)
-		now += unsureFor + time.Second
+		now += unconfirmedTTL + time.Second
 		tell(true)
 		for i := range 10 {
 			id := fmt.Sprint("p", i)
