--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -16,8 +16,8 @@
 	reportedMemoryFactor = 2.0
 	// unconfirmedTTL is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
 	// often that is looked at.
-	unconfirmedTTL = 4 * time.Second
-	unsureEach     = 500 * time.Millisecond
+	unconfirmedTTL           = 4 * time.Second
+	unconfirmedCheckInterval = 500 * time.Millisecond
 	// defaultCache is assumed where an engine's memory is not known, in tokens.
 	defaultCache = 100_000
 	// storedFor is how long a part is taken to stay in the store.
@@ -151,7 +151,7 @@
 // giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
 func (h *Holdings) giveUp(now time.Duration, named map[partKey]bool, whole bool) []KeptPart {
-	if now < h.unsureAt+unsureEach && !whole {
+	if now < h.unsureAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
 	h.unsureAt = now
