--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -18,8 +18,8 @@
 	// often that is looked at.
 	unconfirmedTTL           = 4 * time.Second
 	unconfirmedCheckInterval = 500 * time.Millisecond
-	// defaultCache is assumed where an engine's memory is not known, in tokens.
-	defaultCache = 100_000
+	// defaultCacheTokens is assumed where an engine's memory is not known, in tokens.
+	defaultCacheTokens = 100_000
 	// storedFor is how long a part is taken to stay in the store.
 	storedFor = 60 * time.Second
 )
@@ -57,7 +57,7 @@
 // NewHoldings returns the beliefs about an engine whose memory has room for so many tokens.
 func NewHoldings(memory int) *Holdings {
 	if memory <= 0 {
-		memory = defaultCache
+		memory = defaultCacheTokens
 	}
 	return &Holdings{parts: map[partKey]holding{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
