--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -20,8 +20,8 @@
 	unconfirmedCheckInterval = 500 * time.Millisecond
 	// defaultCacheTokens is assumed where an engine's memory is not known, in tokens.
 	defaultCacheTokens = 100_000
-	// storedFor is how long a part is taken to stay in the store.
-	storedFor = 60 * time.Second
+	// storedTTL is how long a part is taken to stay in the store.
+	storedTTL = 60 * time.Second
 )
 
 // KeptPart is a part of a prompt and how many of its tokens an engine keeps now; 0 says that it is gone.
@@ -212,7 +212,7 @@
 func (s *Stored) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
 	for _, part := range parts {
 		at, known := s.parts[partKey{salt, part.ID}]
-		if !known || now-at > storedFor {
+		if !known || now-at > storedTTL {
 			return false
 		}
 	}
@@ -222,7 +222,7 @@
 // Sweep forgets what was saved long ago.
 func (s *Stored) Sweep(now time.Duration) {
 	for key, at := range s.parts {
-		if now-at > storedFor {
+		if now-at > storedTTL {
 			delete(s.parts, key)
 		}
 	}
