--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -24,8 +24,8 @@
 	storedTTL = 60 * time.Second
 )
 
-// KeptPart is a part of a prompt and how many of its tokens an engine keeps now; 0 says that it is gone.
-type KeptPart struct {
+// CachedPart is a part of a prompt and how many of its tokens an engine keeps now; 0 says that it is gone.
+type CachedPart struct {
 	Salt string
 	prefix.Part
 }
@@ -134,9 +134,9 @@
 
 // Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
 // that were believed otherwise.
-func (h *Holdings) Tell(now time.Duration, parts []KeptPart, whole bool) []KeptPart {
+func (h *Holdings) Tell(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.Hear(now)
-	var differ []KeptPart
+	var differ []CachedPart
 	named := map[partKey]bool{}
 	for _, p := range parts {
 		key := partKey{p.Salt, p.ID}
@@ -150,12 +150,12 @@
 
 // giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
-func (h *Holdings) giveUp(now time.Duration, named map[partKey]bool, whole bool) []KeptPart {
+func (h *Holdings) giveUp(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unsureAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
 	h.unsureAt = now
-	var gone []KeptPart
+	var gone []CachedPart
 	for key, held := range h.parts {
 		stale := !held.sure && now > held.usedAt+unconfirmedTTL || whole && held.sure && !named[key]
 		if !stale {
@@ -163,7 +163,7 @@
 		}
 		h.set(key, holding{})
 		if !held.own {
-			gone = append(gone, KeptPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
+			gone = append(gone, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
 	}
 	return gone
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -11,8 +11,8 @@
 )
 
 // kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) KeptPart {
-	return KeptPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
+func kept(id string, tokens int) CachedPart {
+	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
 // TestEnginesWordPutsBeliefsRight: parts that gave way are no longer counted on, parts held in part count as far as they go,
@@ -25,10 +25,10 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
 	}
-	if differ := h.Tell(1100*time.Millisecond, []KeptPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
+	if differ := h.Tell(1100*time.Millisecond, []CachedPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
 		t.Fatalf("what all believe is told again: %v", differ)
 	}
-	differ := h.Tell(1200*time.Millisecond, []KeptPart{kept("b", 64), kept("own", 0)}, false)
+	differ := h.Tell(1200*time.Millisecond, []CachedPart{kept("b", 64), kept("own", 0)}, false)
 	if len(differ) != 1 || differ[0] != kept("b", 64) {
 		t.Fatalf("told: %v", differ)
 	}
@@ -49,9 +49,9 @@
 // TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
 func TestListReplacesWhatWasTold(t *testing.T) {
 	h := NewHoldings(100_000)
-	h.Tell(0, []KeptPart{kept("a", 10), kept("b", 10)}, false)
+	h.Tell(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
 	h.Use(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
-	h.Tell(1100*time.Millisecond, []KeptPart{kept("b", 10)}, true)
+	h.Tell(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
 			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
@@ -66,7 +66,7 @@
 // everything believes what the engine keeps, and so does one that is only told of what the reader believed otherwise.
 func TestBeliefsFollowAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engine, pending := engineCache{}, []KeptPart{}
+		engine, pending := engineCache{}, []CachedPart{}
 		reader, other := NewHoldings(1000), NewHoldings(1000)
 		now := time.Duration(0)
 		lost := false
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -16,8 +16,8 @@
 )
 
 // kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) belief.KeptPart {
-	return belief.KeptPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
+func kept(id string, tokens int) belief.CachedPart {
+	return belief.CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
 // scriptedCache is a cache reader that gives one answer after the other, and then waits.
@@ -73,11 +73,11 @@
 		"lost": {Life: 1, Next: 9, Lost: true}, "another life": {Life: 2, Next: 9}, "another start": {Life: 1, Born: 7, Next: 9}, "numbers go back": {Life: 1, Next: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheNews{Life: 1, Next: 5, Parts: []belief.KeptPart{kept("a", 10), kept("b", 10)}}, // the first list
+			CacheNews{Life: 1, Next: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
 			eris.New("cut off"),
-			CacheNews{Life: 1, Next: 6, Parts: []belief.KeptPart{kept("b", 0)}},
+			CacheNews{Life: 1, Next: 6, Parts: []belief.CachedPart{kept("b", 0)}},
 			gap,
-			CacheNews{Life: gap.Life, Born: gap.Born, Next: 20, Parts: []belief.KeptPart{kept("c", 10)}}, // the list after it
+			CacheNews{Life: gap.Life, Born: gap.Born, Next: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -30,7 +30,7 @@
 }
 
 // takeKept takes up what a back end tells that it keeps, and returns what was believed otherwise, as sends that say so.
-func (t *table) takeKept(now time.Duration, id string, parts []belief.KeptPart, whole bool) []send {
+func (t *table) takeKept(now time.Duration, id string, parts []belief.CachedPart, whole bool) []send {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
