--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -30,8 +30,8 @@
 	prefix.Part
 }
 
-// holding is one belief: an engine holds a part, or the first tokens of it.
-type holding struct {
+// cacheEntry is one belief: an engine holds a part, or the first tokens of it.
+type cacheEntry struct {
 	kept   int // tokens that are held; above 0
 	usedAt time.Duration
 	own    bool // it was the last part of a prompt, which is of use to no other
@@ -44,7 +44,7 @@
 // Holdings is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
 // nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
 type Holdings struct {
-	parts    map[partKey]holding
+	parts    map[partKey]cacheEntry
 	salts    map[string]int // under which each id is held, counted
 	total    int            // sum of the kept tokens
 	limit    int
@@ -59,11 +59,11 @@
 	if memory <= 0 {
 		memory = defaultCacheTokens
 	}
-	return &Holdings{parts: map[partKey]holding{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
+	return &Holdings{parts: map[partKey]cacheEntry{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
 // set notes that so many tokens of a part are held; 0 forgets it.
-func (h *Holdings) set(key partKey, next holding) {
+func (h *Holdings) set(key partKey, next cacheEntry) {
 	before, known := h.parts[key]
 	h.total += next.kept - before.kept
 	switch {
@@ -86,7 +86,7 @@
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
 		sure := before.sure && before.kept >= part.Tokens
-		h.set(key, holding{kept: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
+		h.set(key, cacheEntry{kept: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
 	}
 	limit := h.limit
 	if h.told && now < h.toldAt+reportTTL {
@@ -105,7 +105,7 @@
 			oldest, first = key, false
 		}
 	}
-	h.set(oldest, holding{})
+	h.set(oldest, cacheEntry{})
 }
 
 // Hear notes that the engine's own word was heard.
@@ -124,7 +124,7 @@
 // learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
 func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
-	next := holding{kept: max(0, kept), usedAt: now, own: before.own, sure: true}
+	next := cacheEntry{kept: max(0, kept), usedAt: now, own: before.own, sure: true}
 	if before.kept > 0 {
 		next.usedAt = before.usedAt
 	}
@@ -161,7 +161,7 @@
 		if !stale {
 			continue
 		}
-		h.set(key, holding{})
+		h.set(key, cacheEntry{})
 		if !held.own {
 			gone = append(gone, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
