--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -32,7 +32,7 @@
 
 // cacheEntry is one belief: an engine holds a part, or the first tokens of it.
 type cacheEntry struct {
-	kept   int // tokens that are held; above 0
+	tokens int // tokens that are held; above 0
 	usedAt time.Duration
 	own    bool // it was the last part of a prompt, which is of use to no other
 	sure   bool // the engine said so; else it follows from a send
@@ -65,14 +65,14 @@
 // set notes that so many tokens of a part are held; 0 forgets it.
 func (h *Holdings) set(key partKey, next cacheEntry) {
 	before, known := h.parts[key]
-	h.total += next.kept - before.kept
+	h.total += next.tokens - before.tokens
 	switch {
-	case next.kept <= 0 && known:
+	case next.tokens <= 0 && known:
 		delete(h.parts, key)
 		if h.salts[key.id]--; h.salts[key.id] <= 0 {
 			delete(h.salts, key.id)
 		}
-	case next.kept > 0:
+	case next.tokens > 0:
 		h.parts[key] = next
 		if !known {
 			h.salts[key.id]++
@@ -85,8 +85,8 @@
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
-		sure := before.sure && before.kept >= part.Tokens
-		h.set(key, cacheEntry{kept: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
+		sure := before.sure && before.tokens >= part.Tokens
+		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
 	}
 	limit := h.limit
 	if h.told && now < h.toldAt+reportTTL {
@@ -124,12 +124,12 @@
 // learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
 func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
-	next := cacheEntry{kept: max(0, kept), usedAt: now, own: before.own, sure: true}
-	if before.kept > 0 {
+	next := cacheEntry{tokens: max(0, kept), usedAt: now, own: before.own, sure: true}
+	if before.tokens > 0 {
 		next.usedAt = before.usedAt
 	}
 	h.set(key, next)
-	return before.kept != next.kept && !before.own
+	return before.tokens != next.tokens && !before.own
 }
 
 // Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
@@ -184,7 +184,7 @@
 func (h *Holdings) Cached(salt string, parts []prefix.Part) int {
 	tokens := 0
 	for _, part := range parts {
-		kept := min(h.parts[partKey{salt, part.ID}].kept, part.Tokens)
+		kept := min(h.parts[partKey{salt, part.ID}].tokens, part.Tokens)
 		tokens += kept
 		if kept < part.Tokens {
 			break
