--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -32,10 +32,10 @@
 
 // cacheEntry is one belief: an engine holds a part, or the first tokens of it.
 type cacheEntry struct {
-	tokens int // tokens that are held; above 0
-	usedAt time.Duration
-	own    bool // it was the last part of a prompt, which is of use to no other
-	sure   bool // the engine said so; else it follows from a send
+	tokens  int // tokens that are held; above 0
+	usedAt  time.Duration
+	private bool // it was the last part of a prompt, which is of use to no other
+	sure    bool // the engine said so; else it follows from a send
 }
 
 // partKey names a part under a salt: parts of other weights or of a tenant that shares nothing never meet.
@@ -86,7 +86,7 @@
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
 		sure := before.sure && before.tokens >= part.Tokens
-		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
+		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, sure: sure})
 	}
 	limit := h.limit
 	if h.told && now < h.toldAt+reportTTL {
@@ -124,12 +124,12 @@
 // learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
 func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
-	next := cacheEntry{tokens: max(0, kept), usedAt: now, own: before.own, sure: true}
+	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, sure: true}
 	if before.tokens > 0 {
 		next.usedAt = before.usedAt
 	}
 	h.set(key, next)
-	return before.tokens != next.tokens && !before.own
+	return before.tokens != next.tokens && !before.private
 }
 
 // Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
@@ -162,7 +162,7 @@
 			continue
 		}
 		h.set(key, cacheEntry{})
-		if !held.own {
+		if !held.private {
 			gone = append(gone, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
 	}
