--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -32,10 +32,10 @@
 
 // cacheEntry is one belief: an engine holds a part, or the first tokens of it.
 type cacheEntry struct {
-	tokens  int // tokens that are held; above 0
-	usedAt  time.Duration
-	private bool // it was the last part of a prompt, which is of use to no other
-	sure    bool // the engine said so; else it follows from a send
+	tokens    int // tokens that are held; above 0
+	usedAt    time.Duration
+	private   bool // it was the last part of a prompt, which is of use to no other
+	confirmed bool // the engine said so; else it follows from a send
 }
 
 // partKey names a part under a salt: parts of other weights or of a tenant that shares nothing never meet.
@@ -85,8 +85,8 @@
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
-		sure := before.sure && before.tokens >= part.Tokens
-		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, sure: sure})
+		sure := before.confirmed && before.tokens >= part.Tokens
+		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: sure})
 	}
 	limit := h.limit
 	if h.told && now < h.toldAt+reportTTL {
@@ -124,7 +124,7 @@
 // learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
 func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
-	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, sure: true}
+	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, confirmed: true}
 	if before.tokens > 0 {
 		next.usedAt = before.usedAt
 	}
@@ -157,7 +157,7 @@
 	h.unsureAt = now
 	var gone []CachedPart
 	for key, held := range h.parts {
-		stale := !held.sure && now > held.usedAt+unconfirmedTTL || whole && held.sure && !named[key]
+		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !named[key]
 		if !stale {
 			continue
 		}
