--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -41,9 +41,9 @@
 // partKey names a part under a salt: parts of other weights or of a tenant that shares nothing never meet.
 type partKey struct{ salt, id string }
 
-// Holdings is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
+// CacheEstimate is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
 // nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
-type Holdings struct {
+type CacheEstimate struct {
 	parts    map[partKey]cacheEntry
 	salts    map[string]int // under which each id is held, counted
 	total    int            // sum of the kept tokens
@@ -55,15 +55,15 @@
 }
 
 // NewHoldings returns the beliefs about an engine whose memory has room for so many tokens.
-func NewHoldings(memory int) *Holdings {
+func NewHoldings(memory int) *CacheEstimate {
 	if memory <= 0 {
 		memory = defaultCacheTokens
 	}
-	return &Holdings{parts: map[partKey]cacheEntry{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
+	return &CacheEstimate{parts: map[partKey]cacheEntry{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
 // set notes that so many tokens of a part are held; 0 forgets it.
-func (h *Holdings) set(key partKey, next cacheEntry) {
+func (h *CacheEstimate) set(key partKey, next cacheEntry) {
 	before, known := h.parts[key]
 	h.total += next.tokens - before.tokens
 	switch {
@@ -81,7 +81,7 @@
 }
 
 // Use notes that a request with these parts was sent.
-func (h *Holdings) Use(now time.Duration, salt string, parts []prefix.Part) {
+func (h *CacheEstimate) Use(now time.Duration, salt string, parts []prefix.Part) {
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
@@ -97,7 +97,7 @@
 	}
 }
 
-func (h *Holdings) dropOldest() {
+func (h *CacheEstimate) dropOldest() {
 	var oldest partKey
 	first := true
 	for key, held := range h.parts {
@@ -109,12 +109,12 @@
 }
 
 // Hear notes that the engine's own word was heard.
-func (h *Holdings) Hear(now time.Duration) {
+func (h *CacheEstimate) Hear(now time.Duration) {
 	h.told, h.toldAt = true, max(h.toldAt, now)
 }
 
 // Keep takes up what another gateway read of the engine's own word.
-func (h *Holdings) Keep(now time.Duration, salt string, parts []prefix.Part) {
+func (h *CacheEstimate) Keep(now time.Duration, salt string, parts []prefix.Part) {
 	h.Hear(now)
 	for _, part := range parts {
 		h.learn(now, partKey{salt, part.ID}, part.Tokens)
@@ -122,7 +122,7 @@
 }
 
 // learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
-func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
+func (h *CacheEstimate) learn(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
 	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, confirmed: true}
 	if before.tokens > 0 {
@@ -134,7 +134,7 @@
 
 // Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
 // that were believed otherwise.
-func (h *Holdings) Tell(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
+func (h *CacheEstimate) Tell(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.Hear(now)
 	var differ []CachedPart
 	named := map[partKey]bool{}
@@ -150,7 +150,7 @@
 
 // giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
-func (h *Holdings) giveUp(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
+func (h *CacheEstimate) giveUp(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unsureAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
@@ -170,18 +170,18 @@
 }
 
 // Clear forgets everything: the engine's weights were replaced.
-func (h *Holdings) Clear() {
+func (h *CacheEstimate) Clear() {
 	clear(h.parts)
 	clear(h.salts)
 	h.total = 0
 }
 
 // Holds reports whether a part is held under any salt.
-func (h *Holdings) Holds(id string) bool { return h.salts[id] > 0 }
+func (h *CacheEstimate) Holds(id string) bool { return h.salts[id] > 0 }
 
 // Cached returns the leading tokens that are believed to be held; a part is of use only behind all parts before it, and
 // what follows one that is held in part is of none.
-func (h *Holdings) Cached(salt string, parts []prefix.Part) int {
+func (h *CacheEstimate) Cached(salt string, parts []prefix.Part) int {
 	tokens := 0
 	for _, part := range parts {
 		kept := min(h.parts[partKey{salt, part.ID}].tokens, part.Tokens)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -30,10 +30,10 @@
 	told     map[string]uint64   // weights by model, as control last told them
 	heardAt  time.Duration       // when the entry came
 	occupied belief.Occupancy
-	busyTo   time.Duration    // when the prompts sent so far, by any gateway, are taken to be read
-	held     *belief.Holdings // cached parts that it is believed to hold
-	hash     uint64           // of its address
-	long     bool             // it serves long requests rather than short ones
+	busyTo   time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
+	held     *belief.CacheEstimate // cached parts that it is believed to hold
+	hash     uint64                // of its address
+	long     bool                  // it serves long requests rather than short ones
 	waiting  map[*attempt]time.Duration
 	spokeAt  time.Duration // newest bytes of any answer
 	failures int           // in a row
