--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -54,8 +54,8 @@
 	unsureAt time.Duration // when parts that were only sent were looked through
 }
 
-// NewHoldings returns the beliefs about an engine whose memory has room for so many tokens.
-func NewHoldings(memory int) *CacheEstimate {
+// NewCacheEstimate returns the beliefs about an engine whose memory has room for so many tokens.
+func NewCacheEstimate(memory int) *CacheEstimate {
 	if memory <= 0 {
 		memory = defaultCacheTokens
 	}
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -18,7 +18,7 @@
 // TestEnginesWordPutsBeliefsRight: parts that gave way are no longer counted on, parts held in part count as far as they go,
 // and what the engine never confirms is given up.
 func TestEnginesWordPutsBeliefsRight(t *testing.T) {
-	h := NewHoldings(100_000)
+	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
 	h.Use(time.Second, "w1", prompt)
 	shared := prefix.Shared(prompt)
@@ -48,7 +48,7 @@
 
 // TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
 func TestListReplacesWhatWasTold(t *testing.T) {
-	h := NewHoldings(100_000)
+	h := NewCacheEstimate(100_000)
 	h.Tell(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
 	h.Use(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
 	h.Tell(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
@@ -67,7 +67,7 @@
 func TestBeliefsFollowAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine, pending := engineCache{}, []CachedPart{}
-		reader, other := NewHoldings(1000), NewHoldings(1000)
+		reader, other := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
 		tell := func(whole bool) {
@@ -129,8 +129,8 @@
 // TestHoldingsAgreeWithASimpleCache: against an oracle that keeps the order of use, whatever is sent.
 func TestHoldingsAgreeWithASimpleCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewHoldings(1000) // 750 tokens
-		var order []prefix.Part   // oldest first
+		held := NewCacheEstimate(1000) // 750 tokens
+		var order []prefix.Part        // oldest first
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now += time.Millisecond
@@ -164,7 +164,7 @@
 
 // TestPartsCountOnlyBehindAllBeforeThem: a part is of use only after the same parts as before.
 func TestPartsCountOnlyBehindAllBeforeThem(t *testing.T) {
-	held := NewHoldings(10_000)
+	held := NewCacheEstimate(10_000)
 	held.Use(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
 	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
 		t.Fatalf("%d tokens behind a part that is not held", got)
