--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -49,7 +49,7 @@
 	total    int            // sum of the kept tokens
 	limit    int
 	memory   int           // of the engine, in tokens
-	told     bool          // the engine's own word was heard
+	reported bool          // the engine's own word was heard
 	toldAt   time.Duration // newest word
 	unsureAt time.Duration // when parts that were only sent were looked through
 }
@@ -89,7 +89,7 @@
 		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: sure})
 	}
 	limit := h.limit
-	if h.told && now < h.toldAt+reportTTL {
+	if h.reported && now < h.toldAt+reportTTL {
 		limit = int(reportedMemoryFactor * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
@@ -110,7 +110,7 @@
 
 // Hear notes that the engine's own word was heard.
 func (h *CacheEstimate) Hear(now time.Duration) {
-	h.told, h.toldAt = true, max(h.toldAt, now)
+	h.reported, h.toldAt = true, max(h.toldAt, now)
 }
 
 // Keep takes up what another gateway read of the engine's own word.
