--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -44,14 +44,14 @@
 // CacheEstimate is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
 // nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
 type CacheEstimate struct {
-	parts    map[partKey]cacheEntry
-	salts    map[string]int // under which each id is held, counted
-	total    int            // sum of the kept tokens
-	limit    int
-	memory   int           // of the engine, in tokens
-	reported bool          // the engine's own word was heard
-	toldAt   time.Duration // newest word
-	unsureAt time.Duration // when parts that were only sent were looked through
+	parts      map[partKey]cacheEntry
+	salts      map[string]int // under which each id is held, counted
+	total      int            // sum of the kept tokens
+	limit      int
+	memory     int           // of the engine, in tokens
+	reported   bool          // the engine's own word was heard
+	reportedAt time.Duration // newest word
+	unsureAt   time.Duration // when parts that were only sent were looked through
 }
 
 // NewCacheEstimate returns the beliefs about an engine whose memory has room for so many tokens.
@@ -89,7 +89,7 @@
 		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: sure})
 	}
 	limit := h.limit
-	if h.reported && now < h.toldAt+reportTTL {
+	if h.reported && now < h.reportedAt+reportTTL {
 		limit = int(reportedMemoryFactor * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
@@ -110,7 +110,7 @@
 
 // Hear notes that the engine's own word was heard.
 func (h *CacheEstimate) Hear(now time.Duration) {
-	h.reported, h.toldAt = true, max(h.toldAt, now)
+	h.reported, h.reportedAt = true, max(h.reportedAt, now)
 }
 
 // Keep takes up what another gateway read of the engine's own word.
