--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -44,14 +44,14 @@
 // CacheEstimate is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
 // nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
 type CacheEstimate struct {
-	parts      map[partKey]cacheEntry
-	salts      map[string]int // under which each id is held, counted
-	total      int            // sum of the kept tokens
-	limit      int
-	memory     int           // of the engine, in tokens
-	reported   bool          // the engine's own word was heard
-	reportedAt time.Duration // newest word
-	unsureAt   time.Duration // when parts that were only sent were looked through
+	parts                map[partKey]cacheEntry
+	salts                map[string]int // under which each id is held, counted
+	total                int            // sum of the kept tokens
+	limit                int
+	memory               int           // of the engine, in tokens
+	reported             bool          // the engine's own word was heard
+	reportedAt           time.Duration // newest word
+	unconfirmedCheckedAt time.Duration // when parts that were only sent were looked through
 }
 
 // NewCacheEstimate returns the beliefs about an engine whose memory has room for so many tokens.
@@ -151,10 +151,10 @@
 // giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
 func (h *CacheEstimate) giveUp(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
-	if now < h.unsureAt+unconfirmedCheckInterval && !whole {
+	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
-	h.unsureAt = now
+	h.unconfirmedCheckedAt = now
 	var gone []CachedPart
 	for key, held := range h.parts {
 		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !named[key]
