--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -45,7 +45,7 @@
 // nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
 type CacheEstimate struct {
 	parts                map[partKey]cacheEntry
-	salts                map[string]int // under which each id is held, counted
+	saltCounts           map[string]int // under which each id is held, counted
 	total                int            // sum of the kept tokens
 	limit                int
 	memory               int           // of the engine, in tokens
@@ -59,7 +59,7 @@
 	if memory <= 0 {
 		memory = defaultCacheTokens
 	}
-	return &CacheEstimate{parts: map[partKey]cacheEntry{}, salts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
+	return &CacheEstimate{parts: map[partKey]cacheEntry{}, saltCounts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
 // set notes that so many tokens of a part are held; 0 forgets it.
@@ -69,13 +69,13 @@
 	switch {
 	case next.tokens <= 0 && known:
 		delete(h.parts, key)
-		if h.salts[key.id]--; h.salts[key.id] <= 0 {
-			delete(h.salts, key.id)
+		if h.saltCounts[key.id]--; h.saltCounts[key.id] <= 0 {
+			delete(h.saltCounts, key.id)
 		}
 	case next.tokens > 0:
 		h.parts[key] = next
 		if !known {
-			h.salts[key.id]++
+			h.saltCounts[key.id]++
 		}
 	}
 }
@@ -172,12 +172,12 @@
 // Clear forgets everything: the engine's weights were replaced.
 func (h *CacheEstimate) Clear() {
 	clear(h.parts)
-	clear(h.salts)
+	clear(h.saltCounts)
 	h.total = 0
 }
 
 // Holds reports whether a part is held under any salt.
-func (h *CacheEstimate) Holds(id string) bool { return h.salts[id] > 0 }
+func (h *CacheEstimate) Holds(id string) bool { return h.saltCounts[id] > 0 }
 
 // Cached returns the leading tokens that are believed to be held; a part is of use only behind all parts before it, and
 // what follows one that is held in part is of none.
