--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Use notes that a request with these parts was sent.
-func (h *CacheEstimate) Use(now time.Duration, salt string, parts []prefix.Part) {
+// RecordUse notes that a request with these parts was sent.
+func (h *CacheEstimate) RecordUse(now time.Duration, salt string, parts []prefix.Part) {
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -20,7 +20,7 @@
 func TestEnginesWordPutsBeliefsRight(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
-	h.Use(time.Second, "w1", prompt)
+	h.RecordUse(time.Second, "w1", prompt)
 	shared := prefix.Shared(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
@@ -35,7 +35,7 @@
 	if got := h.Cached("w1", shared); got != 164 {
 		t.Fatalf("with a part held in part %d tokens", got)
 	}
-	h.Use(2*time.Second, "w1", prompt)
+	h.RecordUse(2*time.Second, "w1", prompt)
 	h.Tell(3*time.Second, nil, false)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("a moment after another send %d tokens", got)
@@ -50,7 +50,7 @@
 func TestListReplacesWhatWasTold(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	h.Tell(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
-	h.Use(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
+	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
 	h.Tell(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
@@ -89,8 +89,8 @@
 				now += time.Millisecond
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
 				parts := []prefix.Part{{ID: id, Tokens: 100}, {ID: fmt.Sprint("own", now), Tokens: 10}}
-				reader.Use(now, "w1", parts)
-				other.Use(now, "w1", parts)
+				reader.RecordUse(now, "w1", parts)
+				other.RecordUse(now, "w1", parts)
 				engine[id] = 100
 				pending = append(pending, kept(id, 100))
 			},
@@ -136,7 +136,7 @@
 			now += time.Millisecond
 			id := rapid.IntRange(0, 12).Draw(t, "part")
 			part := prefix.Part{ID: fmt.Sprint(id), Tokens: 50 + 20*id}
-			held.Use(now, "w1", []prefix.Part{part})
+			held.RecordUse(now, "w1", []prefix.Part{part})
 			for i, known := range order {
 				if known.ID == part.ID {
 					order = append(order[:i], order[i+1:]...)
@@ -165,7 +165,7 @@
 // TestPartsCountOnlyBehindAllBeforeThem: a part is of use only after the same parts as before.
 func TestPartsCountOnlyBehindAllBeforeThem(t *testing.T) {
 	held := NewCacheEstimate(10_000)
-	held.Use(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
+	held.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
 	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
 		t.Fatalf("%d tokens behind a part that is not held", got)
 	}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -56,7 +56,7 @@
 }
 
 func (t *table) hold(at time.Duration, row *endpoint, made send) {
-	row.held.Use(at, made.Salt, made.Parts)
+	row.held.RecordUse(at, made.Salt, made.Parts)
 	t.meet(at, prefix.Shared(made.Parts))
 	t.links.Note(at, made.Move)
 	t.index(row, prefix.Shared(made.Parts))
