--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -93,11 +93,11 @@
 		limit = int(reportedMemoryFactor * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
-		h.dropOldest()
+		h.evictOldest()
 	}
 }
 
-func (h *CacheEstimate) dropOldest() {
+func (h *CacheEstimate) evictOldest() {
 	var oldest partKey
 	first := true
 	for key, held := range h.parts {
