--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -108,14 +108,14 @@
 	h.set(oldest, cacheEntry{})
 }
 
-// Hear notes that the engine's own word was heard.
-func (h *CacheEstimate) Hear(now time.Duration) {
+// RecordReport notes that the engine's own word was heard.
+func (h *CacheEstimate) RecordReport(now time.Duration) {
 	h.reported, h.reportedAt = true, max(h.reportedAt, now)
 }
 
 // Keep takes up what another gateway read of the engine's own word.
 func (h *CacheEstimate) Keep(now time.Duration, salt string, parts []prefix.Part) {
-	h.Hear(now)
+	h.RecordReport(now)
 	for _, part := range parts {
 		h.learn(now, partKey{salt, part.ID}, part.Tokens)
 	}
@@ -135,7 +135,7 @@
 // Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
 // that were believed otherwise.
 func (h *CacheEstimate) Tell(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
-	h.Hear(now)
+	h.RecordReport(now)
 	var differ []CachedPart
 	named := map[partKey]bool{}
 	for _, p := range parts {
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -79,7 +79,7 @@
 				}
 			}
 			pending = nil
-			other.Hear(now) // others are told every second that the engine is read
+			other.RecordReport(now) // others are told every second that the engine is read
 			for _, p := range reader.Tell(now, news, whole) {
 				other.Keep(now, p.Salt, []prefix.Part{p.Part})
 			}
