--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -113,8 +113,8 @@
 	h.reported, h.reportedAt = true, max(h.reportedAt, now)
 }
 
-// Keep takes up what another gateway read of the engine's own word.
-func (h *CacheEstimate) Keep(now time.Duration, salt string, parts []prefix.Part) {
+// ApplyPeerReport takes up what another gateway read of the engine's own word.
+func (h *CacheEstimate) ApplyPeerReport(now time.Duration, salt string, parts []prefix.Part) {
 	h.RecordReport(now)
 	for _, part := range parts {
 		h.learn(now, partKey{salt, part.ID}, part.Tokens)
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -81,7 +81,7 @@
 			pending = nil
 			other.RecordReport(now) // others are told every second that the engine is read
 			for _, p := range reader.Tell(now, news, whole) {
-				other.Keep(now, p.Salt, []prefix.Part{p.Part})
+				other.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -226,7 +226,7 @@
 		}
 		at := now - min(now, made.Age)
 		if made.Kept {
-			row.held.Keep(at, made.Salt, made.Parts)
+			row.held.ApplyPeerReport(at, made.Salt, made.Parts)
 			t.index(row, made.Parts)
 			continue
 		}
