--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -117,12 +117,12 @@
 func (h *CacheEstimate) ApplyPeerReport(now time.Duration, salt string, parts []prefix.Part) {
 	h.RecordReport(now)
 	for _, part := range parts {
-		h.learn(now, partKey{salt, part.ID}, part.Tokens)
+		h.update(now, partKey{salt, part.ID}, part.Tokens)
 	}
 }
 
-// learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
-func (h *CacheEstimate) learn(now time.Duration, key partKey, kept int) bool {
+// update notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
+func (h *CacheEstimate) update(now time.Duration, key partKey, kept int) bool {
 	before := h.parts[key]
 	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, confirmed: true}
 	if before.tokens > 0 {
@@ -141,7 +141,7 @@
 	for _, p := range parts {
 		key := partKey{p.Salt, p.ID}
 		named[key] = true
-		if h.learn(now, key, p.Tokens) {
+		if h.update(now, key, p.Tokens) {
 			differ = append(differ, p)
 		}
 	}
