--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -132,9 +132,9 @@
 	return before.tokens != next.tokens && !before.private
 }
 
-// Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
+// ApplyReport takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
 // that were believed otherwise.
-func (h *CacheEstimate) Tell(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
+func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.RecordReport(now)
 	var differ []CachedPart
 	named := map[partKey]bool{}
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -25,10 +25,10 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
 	}
-	if differ := h.Tell(1100*time.Millisecond, []CachedPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
+	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
 		t.Fatalf("what all believe is told again: %v", differ)
 	}
-	differ := h.Tell(1200*time.Millisecond, []CachedPart{kept("b", 64), kept("own", 0)}, false)
+	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{kept("b", 64), kept("own", 0)}, false)
 	if len(differ) != 1 || differ[0] != kept("b", 64) {
 		t.Fatalf("told: %v", differ)
 	}
@@ -36,11 +36,11 @@
 		t.Fatalf("with a part held in part %d tokens", got)
 	}
 	h.RecordUse(2*time.Second, "w1", prompt)
-	h.Tell(3*time.Second, nil, false)
+	h.ApplyReport(3*time.Second, nil, false)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("a moment after another send %d tokens", got)
 	}
-	differ = h.Tell(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
+	differ = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
 	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != kept("b", 0) {
 		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
 	}
@@ -49,9 +49,9 @@
 // TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
 func TestListReplacesWhatWasTold(t *testing.T) {
 	h := NewCacheEstimate(100_000)
-	h.Tell(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
+	h.ApplyReport(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
 	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
-	h.Tell(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
+	h.ApplyReport(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
 			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
@@ -80,7 +80,7 @@
 			}
 			pending = nil
 			other.RecordReport(now) // others are told every second that the engine is read
-			for _, p := range reader.Tell(now, news, whole) {
+			for _, p := range reader.ApplyReport(now, news, whole) {
 				other.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	bySalt := map[string][]prefix.Part{}
-	for _, p := range row.held.Tell(now, parts, whole) {
+	for _, p := range row.held.ApplyReport(now, parts, whole) {
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
 		t.index(row, []prefix.Part{p.Part})
 	}
