--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -145,12 +145,12 @@
 			differ = append(differ, p)
 		}
 	}
-	return append(differ, h.giveUp(now, named, whole)...)
+	return append(differ, h.expire(now, named, whole)...)
 }
 
-// giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
+// expire forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
-func (h *CacheEstimate) giveUp(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
+func (h *CacheEstimate) expire(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
