--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -193,23 +193,23 @@
 	return tokens
 }
 
-// Stored remembers which parts were sent to a store, and when.
-type Stored struct {
+// StoredParts remembers which parts were sent to a store, and when.
+type StoredParts struct {
 	parts map[partKey]time.Duration
 }
 
 // NewStored returns the beliefs about stores.
-func NewStored() *Stored { return &Stored{parts: map[partKey]time.Duration{}} }
+func NewStored() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
 
 // Note remembers that parts are being saved.
-func (s *Stored) Note(now time.Duration, salt string, parts []prefix.Part) {
+func (s *StoredParts) Note(now time.Duration, salt string, parts []prefix.Part) {
 	for _, part := range parts {
 		s.parts[partKey{salt, part.ID}] = now
 	}
 }
 
 // Holds reports whether all parts were saved lately.
-func (s *Stored) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
+func (s *StoredParts) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
 	for _, part := range parts {
 		at, known := s.parts[partKey{salt, part.ID}]
 		if !known || now-at > storedTTL {
@@ -220,7 +220,7 @@
 }
 
 // Sweep forgets what was saved long ago.
-func (s *Stored) Sweep(now time.Duration) {
+func (s *StoredParts) Sweep(now time.Duration) {
 	for key, at := range s.parts {
 		if now-at > storedTTL {
 			delete(s.parts, key)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -53,7 +53,7 @@
 	rows       map[string]*endpoint
 	services   map[string][]*endpoint
 	named      *belief.Namings             // of weights
-	stored     *belief.Stored              // parts that were sent to a store
+	stored     *belief.StoredParts         // parts that were sent to a store
 	lanes      map[string]*lanes           // by service
 	stays      map[string]belief.Stays     // by service
 	placed     map[string]placement        // for other gateways, by ticket
