--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -198,8 +198,8 @@
 	parts map[partKey]time.Duration
 }
 
-// NewStored returns the beliefs about stores.
-func NewStored() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
+// NewStoredParts returns the beliefs about stores.
+func NewStoredParts() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
 
 // Note remembers that parts are being saved.
 func (s *StoredParts) Note(now time.Duration, salt string, parts []prefix.Part) {
