--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -201,8 +201,8 @@
 // NewStoredParts returns the beliefs about stores.
 func NewStoredParts() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
 
-// Note remembers that parts are being saved.
-func (s *StoredParts) Note(now time.Duration, salt string, parts []prefix.Part) {
+// Record remembers that parts are being saved.
+func (s *StoredParts) Record(now time.Duration, salt string, parts []prefix.Part) {
 	for _, part := range parts {
 		s.parts[partKey{salt, part.ID}] = now
 	}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -61,7 +61,7 @@
 	t.links.Note(at, made.Move)
 	t.index(row, prefix.Shared(made.Parts))
 	if made.Saved {
-		t.stored.Note(at, made.Salt, prefix.Shared(made.Parts))
+		t.stored.Record(at, made.Salt, prefix.Shared(made.Parts))
 	}
 }
 
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -54,7 +54,7 @@
 	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
 	parts := partsOf("own")
-	g.table.stored.Note(time.Second, "w1", prefix.Shared(parts))
+	g.table.stored.Record(time.Second, "w1", prefix.Shared(parts))
 	wish := need{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, wish)
 	if free == nil || free.fetch != store.Store || free.uncached != 2890 || free.move.Time < 15*time.Millisecond {
