--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -53,9 +53,9 @@
 	Instance string
 	Salt     string
 	Parts    []prefix.Part
-	Uncached int         // prompt tokens
-	Saved    bool        // the parts go to the store as well
-	Move     belief.Move // of cached parts to the engine, or to the store
+	Uncached int             // prompt tokens
+	Saved    bool            // the parts go to the store as well
+	Move     belief.Transfer // of cached parts to the engine, or to the store
 	// Unreached says that no connection came up; then nothing was sent, and there is no salt.
 	Unreached bool
 	// Kept says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Said{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Said{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/gateway/belief/links.go
+++ b/internal/gateway/belief/links.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Move is cached tokens on their way from one place to another, as the others are told of it.
-type Move struct {
+// Transfer is cached tokens on their way from one place to another, as the others are told of it.
+type Transfer struct {
 	From string        // address of the engine or store whose link carries it, or "" of none
 	Time time.Duration // that it takes there
 }
@@ -18,7 +18,7 @@
 }
 
 // Note adds a move.
-func (l Links) Note(now time.Duration, m Move) {
+func (l Links) Note(now time.Duration, m Transfer) {
 	if m.From != "" && m.Time > 0 {
 		l[m.From] = max(now, l[m.From]) + m.Time
 	}
