--- a/internal/gateway/belief/links.go
+++ b/internal/gateway/belief/links.go
@@ -17,8 +17,8 @@
 	return max(0, l[address]-now)
 }
 
-// Note adds a move.
-func (l Links) Note(now time.Duration, m Transfer) {
+// Record adds a move.
+func (l Links) Record(now time.Duration, m Transfer) {
 	if m.From != "" && m.Time > 0 {
 		l[m.From] = max(now, l[m.From]) + m.Time
 	}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -58,7 +58,7 @@
 func (t *table) hold(at time.Duration, row *endpoint, made send) {
 	row.held.RecordUse(at, made.Salt, made.Parts)
 	t.meet(at, prefix.Shared(made.Parts))
-	t.links.Note(at, made.Move)
+	t.links.Record(at, made.Move)
 	t.index(row, prefix.Shared(made.Parts))
 	if made.Saved {
 		t.stored.Record(at, made.Salt, prefix.Shared(made.Parts))
