--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -11,9 +11,9 @@
 	"kitetiller/internal/guard"
 )
 
-// youngerMargin is by how much a naming must be told younger than known to be told of: an answer may take so long that its age is out of
+// ageTolerance is by how much a naming must be told younger than known to be told of: an answer may take so long that its age is out of
 // date by about as much (650 ms of a gateway's patience with control).
-const youngerMargin = 700 * time.Millisecond
+const ageTolerance = 700 * time.Millisecond
 
 // Younger is a naming that control tells to be younger than was known.
 type Younger struct {
@@ -65,7 +65,7 @@
 			continue
 		}
 		known.before, known.at, known.term = known.namedAt(), told, term
-		if !known.noted && told > known.before+youngerMargin {
+		if !known.noted && told > known.before+ageTolerance {
 			known.noted = true
 			younger = append(younger, Younger{Model: w.Model, Version: w.Version, Known: now - known.before, Told: now - told})
 		}
