--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -15,8 +15,8 @@
 // date by about as much (650 ms of a gateway's patience with control).
 const ageTolerance = 700 * time.Millisecond
 
-// Younger is a naming that control tells to be younger than was known.
-type Younger struct {
+// AgeRegression is a naming that control tells to be younger than was known.
+type AgeRegression struct {
 	Model       string
 	Version     uint64
 	Known, Told time.Duration // since it was named
@@ -48,11 +48,11 @@
 
 // Take takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
 // than was known, once each. term is of the leader that confirmed the answer.
-func (n *Namings) Take(now, asked time.Duration, term uint64, wanted []roster.Wanted) []Younger {
+func (n *Namings) Take(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
 	if !n.guards.On(guard.NamingKeptOlder) {
 		clear(n.models)
 	}
-	var younger []Younger
+	var younger []AgeRegression
 	for _, w := range wanted {
 		told := asked - w.Age
 		known := n.find(w.Model, w.Version)
@@ -67,7 +67,7 @@
 		known.before, known.at, known.term = known.namedAt(), told, term
 		if !known.noted && told > known.before+ageTolerance {
 			known.noted = true
-			younger = append(younger, Younger{Model: w.Model, Version: w.Version, Known: now - known.before, Told: now - told})
+			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Told: now - told})
 		}
 	}
 	return younger
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -96,7 +96,7 @@
 }
 
 // takeNews notes what every answer of control carries, and returns the versions of weights that it tells to be younger than known.
-func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.Younger {
+func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.named.Take(now, asked, reply.Version.Term, reply.Wanted)
