--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -17,9 +17,9 @@
 
 // AgeRegression is a naming that control tells to be younger than was known.
 type AgeRegression struct {
-	Model       string
-	Version     uint64
-	Known, Told time.Duration // since it was named
+	Model           string
+	Version         uint64
+	Known, Reported time.Duration // since it was named
 }
 
 // Namings are when versions of models' weights were named, as control told. A version never grows younger by a new leader's word, and
@@ -67,7 +67,7 @@
 		known.before, known.at, known.term = known.namedAt(), told, term
 		if !known.noted && told > known.before+ageTolerance {
 			known.noted = true
-			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Told: now - told})
+			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
 		}
 	}
 	return younger
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -27,7 +27,7 @@
 		n.Take(10*time.Second, 10*time.Second, 1, wantedOf(2, 4*time.Second))
 		younger := n.Take(12*time.Second, 12*time.Second, 2, wantedOf(2, time.Second))
 		at(t, n, 1, 6*time.Second)
-		if len(younger) != 1 || younger[0].Known != 6*time.Second || younger[0].Told != time.Second {
+		if len(younger) != 1 || younger[0].Known != 6*time.Second || younger[0].Reported != time.Second {
 			t.Fatalf("told %+v", younger)
 		}
 		if again := n.Take(13*time.Second, 13*time.Second, 2, wantedOf(2, 2*time.Second)); len(again) > 0 {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -128,7 +128,7 @@
 	}
 	for _, n := range g.table.takeNews(g.now(), asked, reply) {
 		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
-			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Told.Seconds()))
+			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchLimits()
 	g.desk.Touch(asked, reply.Gateways)
