--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -22,9 +22,9 @@
 	Known, Reported time.Duration // since it was named
 }
 
-// Namings are when versions of models' weights were named, as control told. A version never grows younger by a new leader's word, and
+// PublishTimes are when versions of models' weights were named, as control told. A version never grows younger by a new leader's word, and
 // none is forgotten for that one doesn't tell of it.
-type Namings struct {
+type PublishTimes struct {
 	guards guard.Set
 	models map[string][]naming // rising by version; at most catalog.NamingsKept, as control tells
 }
@@ -42,13 +42,13 @@
 func (n *naming) namedAt() time.Duration { return min(n.at, n.before) }
 
 // NewNamings returns none.
-func NewNamings(guards guard.Set) *Namings {
-	return &Namings{guards: guards, models: map[string][]naming{}}
+func NewNamings(guards guard.Set) *PublishTimes {
+	return &PublishTimes{guards: guards, models: map[string][]naming{}}
 }
 
 // Take takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
 // than was known, once each. term is of the leader that confirmed the answer.
-func (n *Namings) Take(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
+func (n *PublishTimes) Take(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
 	if !n.guards.On(guard.NamingKeptOlder) {
 		clear(n.models)
 	}
@@ -74,14 +74,14 @@
 }
 
 // add adds a version that isn't known yet.
-func (n *Namings) add(model string, fresh naming) {
+func (n *PublishTimes) add(model string, fresh naming) {
 	known := append(n.models[model], fresh)
 	slices.SortFunc(known, func(a, b naming) int { return cmp.Compare(a.version, b.version) })
 	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.NamingsKept))
 }
 
 // find returns what is known of a version, or nil.
-func (n *Namings) find(model string, version uint64) *naming {
+func (n *PublishTimes) find(model string, version uint64) *naming {
 	for i := range n.models[model] {
 		if known := &n.models[model][i]; known.version == version {
 			return known
@@ -92,7 +92,7 @@
 
 // Since returns when the oldest version was named that is newer than one that is held, if there is one. A newer version may be told to be
 // older, by another proposer's clock: it was named after all the same.
-func (n *Namings) Since(model string, held uint64) (time.Duration, bool) {
+func (n *PublishTimes) Since(model string, held uint64) (time.Duration, bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for _, known := range slices.Backward(n.models[model]) {
 		if known.version <= held {
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -16,7 +16,7 @@
 // TestNamingGrowsNoYounger: a gateway knew how long ago a version had been named. Then another replica led, which had heard of it later
 // or whose clock was behind, and told a smaller age: the limit for old weights moved later while requests waited for it.
 func TestNamingGrowsNoYounger(t *testing.T) {
-	at := func(t *testing.T, n *Namings, held uint64, want time.Duration) {
+	at := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
 		t.Helper()
 		if got, lacks := n.Since("m", held); !lacks || got != want {
 			t.Fatalf("version above %d is taken to be named at %v (known: %t), not at %v", held, got, lacks, want)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -52,7 +52,7 @@
 	mutex      sync.Mutex
 	rows       map[string]*endpoint
 	services   map[string][]*endpoint
-	named      *belief.Namings             // of weights
+	named      *belief.PublishTimes        // of weights
 	stored     *belief.StoredParts         // parts that were sent to a store
 	lanes      map[string]*lanes           // by service
 	stays      map[string]belief.Stays     // by service
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -286,7 +286,7 @@
 	roster    []control.RosterEntry
 	confirmed time.Duration // by its own clock; 0 never
 	record    *quarantine.Record
-	namings   *belief.Namings
+	namings   *belief.PublishTimes
 	pushed    *pushback.Book // what back ends said of themselves
 	borrower  *allowance.Borrower
 	lender    *asker // asks for parts of limits
