--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -26,11 +26,11 @@
 // none is forgotten for that one doesn't tell of it.
 type PublishTimes struct {
 	guards guard.Set
-	models map[string][]naming // rising by version; at most catalog.NamingsKept, as control tells
+	models map[string][]publication // rising by version; at most catalog.NamingsKept, as control tells
 }
 
-// naming is a version that was named. All times are of this process's clock.
-type naming struct {
+// publication is a version that was named. All times are of this process's clock.
+type publication struct {
 	version uint64
 	term    uint64        // of the leader that told of it last
 	at      time.Duration // when it was named at the earliest by that leader's word; each leader tells of one time
@@ -39,11 +39,11 @@
 }
 
 // namedAt returns the earliest time that was told.
-func (n *naming) namedAt() time.Duration { return min(n.at, n.before) }
+func (n *publication) namedAt() time.Duration { return min(n.at, n.before) }
 
 // NewNamings returns none.
 func NewNamings(guards guard.Set) *PublishTimes {
-	return &PublishTimes{guards: guards, models: map[string][]naming{}}
+	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
 // Take takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
@@ -57,7 +57,7 @@
 		told := asked - w.Age
 		known := n.find(w.Model, w.Version)
 		if known == nil {
-			n.add(w.Model, naming{version: w.Version, term: term, at: told, before: math.MaxInt64})
+			n.add(w.Model, publication{version: w.Version, term: term, at: told, before: math.MaxInt64})
 			continue
 		}
 		if known.term == term {
@@ -74,14 +74,14 @@
 }
 
 // add adds a version that isn't known yet.
-func (n *PublishTimes) add(model string, fresh naming) {
+func (n *PublishTimes) add(model string, fresh publication) {
 	known := append(n.models[model], fresh)
-	slices.SortFunc(known, func(a, b naming) int { return cmp.Compare(a.version, b.version) })
+	slices.SortFunc(known, func(a, b publication) int { return cmp.Compare(a.version, b.version) })
 	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.NamingsKept))
 }
 
 // find returns what is known of a version, or nil.
-func (n *PublishTimes) find(model string, version uint64) *naming {
+func (n *PublishTimes) find(model string, version uint64) *publication {
 	for i := range n.models[model] {
 		if known := &n.models[model][i]; known.version == version {
 			return known
