--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -41,8 +41,8 @@
 // namedAt returns the earliest time that was told.
 func (n *publication) namedAt() time.Duration { return min(n.at, n.before) }
 
-// NewNamings returns none.
-func NewNamings(guards guard.Set) *PublishTimes {
+// NewPublishTimes returns none.
+func NewPublishTimes(guards guard.Set) *PublishTimes {
 	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	t.Run("a new leader tells less", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		n.Take(10*time.Second, 10*time.Second, 1, wantedOf(2, 4*time.Second))
 		younger := n.Take(12*time.Second, 12*time.Second, 2, wantedOf(2, time.Second))
 		at(t, n, 1, 6*time.Second)
@@ -35,14 +35,14 @@
 		}
 	})
 	t.Run("a new leader tells more", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		n.Take(10*time.Second, 10*time.Second, 1, wantedOf(2, time.Second))
 		n.Take(12*time.Second, 12*time.Second, 2, wantedOf(2, 9*time.Second))
 		at(t, n, 1, 3*time.Second)
 	})
 	// A new leader that knew only the newest version told of no other. A back end that lacks both is late by the older one.
 	t.Run("a new leader tells of fewer", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		n.Take(10*time.Second, 10*time.Second, 1, append(wantedOf(2, 5*time.Second), wantedOf(3, time.Second)...))
 		n.Take(12*time.Second, 12*time.Second, 2, wantedOf(3, 3*time.Second))
 		at(t, n, 1, 5*time.Second)
@@ -51,21 +51,21 @@
 	// An answer that took long names the time in the question's past. The next answer of the same leader, which always tells of one time,
 	// may correct that: otherwise a gateway that was suspended would turn back ends away for that long too early, for good.
 	t.Run("an answer that took long", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		n.Take(18*time.Second, 10*time.Second, 1, wantedOf(2, 8*time.Second))
 		n.Take(19*time.Second, 19*time.Second, 1, wantedOf(2, 9*time.Second))
 		at(t, n, 1, 10*time.Second)
 	})
 	// A gateway that moves between replicas hears of a leader, of its successor, and of the first again.
 	t.Run("back and forth", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		n.Take(10*time.Second, 10*time.Second, 2, wantedOf(2, 4*time.Second))
 		n.Take(11*time.Second, 11*time.Second, 1, wantedOf(2, time.Second))
 		n.Take(12*time.Second, 12*time.Second, 2, wantedOf(2, time.Second))
 		at(t, n, 1, 6*time.Second)
 	})
 	t.Run("so many at the most", func(t *testing.T) {
-		n := NewNamings(guard.Set{})
+		n := NewPublishTimes(guard.Set{})
 		for version := range uint64(100) {
 			n.Take(time.Second, time.Second, 1, wantedOf(version+1, 0))
 		}
