--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -38,8 +38,8 @@
 	noted   bool          // that it was told younger
 }
 
-// namedAt returns the earliest time that was told.
-func (n *publication) namedAt() time.Duration { return min(n.at, n.before) }
+// publishedAt returns the earliest time that was told.
+func (n *publication) publishedAt() time.Duration { return min(n.at, n.before) }
 
 // NewPublishTimes returns none.
 func NewPublishTimes(guards guard.Set) *PublishTimes {
@@ -64,7 +64,7 @@
 			known.at = max(known.at, told) // the age may be as much younger than the question as that took
 			continue
 		}
-		known.before, known.at, known.term = known.namedAt(), told, term
+		known.before, known.at, known.term = known.publishedAt(), told, term
 		if !known.noted && told > known.before+ageTolerance {
 			known.noted = true
 			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
@@ -98,7 +98,7 @@
 		if known.version <= held {
 			break
 		}
-		oldest = min(oldest, known.namedAt())
+		oldest = min(oldest, known.publishedAt())
 	}
 	if oldest == math.MaxInt64 {
 		return 0, false
