--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -46,9 +46,9 @@
 	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
-// Take takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
+// Update takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
 // than was known, once each. term is of the leader that confirmed the answer.
-func (n *PublishTimes) Take(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
+func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
 	if !n.guards.On(guard.NamingKeptOlder) {
 		clear(n.models)
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -99,7 +99,7 @@
 func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.named.Take(now, asked, reply.Version.Term, reply.Wanted)
+	return t.named.Update(now, asked, reply.Version.Term, reply.Wanted)
 }
 
 // setHome notes which back ends this gateway reads.
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -343,7 +343,7 @@
 		g.record.Idled(g.clock(), g.clock()-g.confirmed-fleetTrust)
 	}
 	g.takeQuarantine(reply, before)
-	g.namings.Take(g.clock(), asked, reply.Version.Term, reply.Wanted)
+	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Wanted)
 	g.w.oracle.namingsTold(g.process.name, reply.Wanted)
 	g.version, g.confirmed = reply.Version, asked
 	g.borrower.Touch(asked, reply.Gateways)
