--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// Since returns when the oldest version was named that is newer than one that is held, if there is one. A newer version may be told to be
+// OldestMissing returns when the oldest version was named that is newer than one that is held, if there is one. A newer version may be told to be
 // older, by another proposer's clock: it was named after all the same.
-func (n *PublishTimes) Since(model string, held uint64) (time.Duration, bool) {
+func (n *PublishTimes) OldestMissing(model string, held uint64) (time.Duration, bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for _, known := range slices.Backward(n.models[model]) {
 		if known.version <= held {
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -18,7 +18,7 @@
 func TestNamingGrowsNoYounger(t *testing.T) {
 	at := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
 		t.Helper()
-		if got, lacks := n.Since("m", held); !lacks || got != want {
+		if got, lacks := n.OldestMissing("m", held); !lacks || got != want {
 			t.Fatalf("version above %d is taken to be named at %v (known: %t), not at %v", held, got, lacks, want)
 		}
 	}
