--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -31,11 +31,11 @@
 
 // publication is a version that was named. All times are of this process's clock.
 type publication struct {
-	version uint64
-	term    uint64        // of the leader that told of it last
-	at      time.Duration // when it was named at the earliest by that leader's word; each leader tells of one time
-	before  time.Duration // the earliest time by any other leader's word
-	noted   bool          // that it was told younger
+	version            uint64
+	term               uint64        // of the leader that told of it last
+	at                 time.Duration // when it was named at the earliest by that leader's word; each leader tells of one time
+	before             time.Duration // the earliest time by any other leader's word
+	regressionReported bool          // that it was told younger
 }
 
 // publishedAt returns the earliest time that was told.
@@ -65,8 +65,8 @@
 			continue
 		}
 		known.before, known.at, known.term = known.publishedAt(), told, term
-		if !known.noted && told > known.before+ageTolerance {
-			known.noted = true
+		if !known.regressionReported && told > known.before+ageTolerance {
+			known.regressionReported = true
 			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
 		}
 	}
