--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// toldCounts is how long what another gateway told of its requests counts; each change is told, and no request is longer.
-const toldCounts = 12 * time.Second
+// peerLoadTTL is how long what another gateway told of its requests counts; each change is told, and no request is longer.
+const peerLoadTTL = 12 * time.Second
 
 // Load is what runs at one back end.
 type Load struct {
@@ -58,7 +58,7 @@
 // Sweep forgets what was told long ago.
 func (o *Occupancy) Sweep(now time.Duration) {
 	for from, l := range o.told {
-		if now-l.at > toldCounts {
+		if now-l.at > peerLoadTTL {
 			o.sum = o.sum.Minus(l.Load)
 			delete(o.told, from)
 		}
