--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -21,8 +21,8 @@
 	return Load{Running: l.Running - other.Running, Tokens: l.Tokens - other.Tokens}
 }
 
-// toldLoad is what another gateway has running, as of a time of this process's clock.
-type toldLoad struct {
+// peerLoad is what another gateway has running, as of a time of this process's clock.
+type peerLoad struct {
 	Load
 	at time.Duration
 }
@@ -32,7 +32,7 @@
 type Occupancy struct {
 	Own    Load                // of this gateway's callers
 	Placed Load                // that this gateway placed for others
-	told   map[string]toldLoad // by gateway
+	told   map[string]peerLoad // by gateway
 	sum    Load                // of told
 }
 
@@ -49,9 +49,9 @@
 		return
 	}
 	if o.told == nil {
-		o.told = map[string]toldLoad{}
+		o.told = map[string]peerLoad{}
 	}
-	o.told[from] = toldLoad{Load: l, at: at}
+	o.told[from] = peerLoad{Load: l, at: at}
 	o.sum = o.sum.Plus(l).Minus(before.Load)
 }
 
