--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -32,7 +32,7 @@
 type Occupancy struct {
 	Own    Load                // of this gateway's callers
 	Placed Load                // that this gateway placed for others
-	told   map[string]peerLoad // by gateway
+	peers  map[string]peerLoad // by gateway
 	sum    Load                // of told
 }
 
@@ -44,23 +44,23 @@
 
 // Note takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
 func (o *Occupancy) Note(from string, at time.Duration, l Load) {
-	before := o.told[from]
+	before := o.peers[from]
 	if at < before.at {
 		return
 	}
-	if o.told == nil {
-		o.told = map[string]peerLoad{}
+	if o.peers == nil {
+		o.peers = map[string]peerLoad{}
 	}
-	o.told[from] = peerLoad{Load: l, at: at}
+	o.peers[from] = peerLoad{Load: l, at: at}
 	o.sum = o.sum.Plus(l).Minus(before.Load)
 }
 
 // Sweep forgets what was told long ago.
 func (o *Occupancy) Sweep(now time.Duration) {
-	for from, l := range o.told {
+	for from, l := range o.peers {
 		if now-l.at > peerLoadTTL {
 			o.sum = o.sum.Minus(l.Load)
-			delete(o.told, from)
+			delete(o.peers, from)
 		}
 	}
 }
--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -39,7 +39,7 @@
 		if o.Total() != wanted {
 			t.Fatalf("total %+v, wanted %+v", o.Total(), wanted)
 		}
-		if o.Sweep(time.Second + peerLoadTTL); o.Total() != (Load{}) || len(o.told) > 0 {
+		if o.Sweep(time.Second + peerLoadTTL); o.Total() != (Load{}) || len(o.peers) > 0 {
 			t.Fatalf("after a long silence: %+v", o)
 		}
 	})
