--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -30,14 +30,14 @@
 // Occupancy adds up what all gateways have running at one back end. Each gateway tells whole figures, not differences, so
 // that a lost message is made good by the next one.
 type Occupancy struct {
-	Own    Load                // of this gateway's callers
-	Placed Load                // that this gateway placed for others
-	peers  map[string]peerLoad // by gateway
-	sum    Load                // of told
+	Own       Load                // of this gateway's callers
+	Placed    Load                // that this gateway placed for others
+	peers     map[string]peerLoad // by gateway
+	peerTotal Load                // of told
 }
 
 // Total is what all gateways have running.
-func (o *Occupancy) Total() Load { return o.Here().Plus(o.sum) }
+func (o *Occupancy) Total() Load { return o.Here().Plus(o.peerTotal) }
 
 // Here is what this gateway has running or placed, as it tells others.
 func (o *Occupancy) Here() Load { return o.Own.Plus(o.Placed) }
@@ -52,14 +52,14 @@
 		o.peers = map[string]peerLoad{}
 	}
 	o.peers[from] = peerLoad{Load: l, at: at}
-	o.sum = o.sum.Plus(l).Minus(before.Load)
+	o.peerTotal = o.peerTotal.Plus(l).Minus(before.Load)
 }
 
 // Sweep forgets what was told long ago.
 func (o *Occupancy) Sweep(now time.Duration) {
 	for from, l := range o.peers {
 		if now-l.at > peerLoadTTL {
-			o.sum = o.sum.Minus(l.Load)
+			o.peerTotal = o.peerTotal.Minus(l.Load)
 			delete(o.peers, from)
 		}
 	}
