--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -37,10 +37,10 @@
 }
 
 // Total is what all gateways have running.
-func (o *Occupancy) Total() Load { return o.Here().Plus(o.peerTotal) }
+func (o *Occupancy) Total() Load { return o.Local().Plus(o.peerTotal) }
 
-// Here is what this gateway has running or placed, as it tells others.
-func (o *Occupancy) Here() Load { return o.Own.Plus(o.Placed) }
+// Local is what this gateway has running or placed, as it tells others.
+func (o *Occupancy) Local() Load { return o.Own.Plus(o.Placed) }
 
 // Note takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
 func (o *Occupancy) Note(from string, at time.Duration, l Load) {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -167,7 +167,7 @@
 	sent.limited = t.pushed.Limit(sent.row.life)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
-	return sent.row.occupied.Here()
+	return sent.row.occupied.Local()
 }
 
 // spoke notes bytes of an answer; the first ones end the wait.
@@ -198,7 +198,7 @@
 	if good == gradeGood {
 		t.noteStay(sent.row, now-sent.began)
 	}
-	return sent.row.occupied.Here()
+	return sent.row.occupied.Local()
 }
 
 // noteStay learns how long a request stayed at a back end. The caller holds the mutex.
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -147,7 +147,7 @@
 	here.Placed = here.Placed.Plus(made.load)
 	t.read(now, made.row, made.uncached)
 	t.spreadOver(now, made.row)
-	return here.Here()
+	return here.Local()
 }
 
 // endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
@@ -173,7 +173,7 @@
 	if end.Grade == gradeGood {
 		t.noteStay(row, wireTime(end.StayMS))
 	}
-	return made, row.occupied.Here(), true
+	return made, row.occupied.Local(), true
 }
 
 // forgetPlacement takes a placement out of the sums. The caller holds the mutex.
