--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -42,8 +42,8 @@
 // Local is what this gateway has running or placed, as it tells others.
 func (o *Occupancy) Local() Load { return o.Own.Plus(o.Placed) }
 
-// Note takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
-func (o *Occupancy) Note(from string, at time.Duration, l Load) {
+// RecordPeer takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
+func (o *Occupancy) RecordPeer(from string, at time.Duration, l Load) {
 	before := o.peers[from]
 	if at < before.at {
 		return
--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -28,12 +28,12 @@
 			sent, newest[m.from] = append(sent, m), m
 			if back := rapid.IntRange(0, min(5, len(sent)-1)).Draw(t, "overtaken"); rapid.Bool().Draw(t, "arrives") {
 				late := sent[len(sent)-1-back]
-				o.Note(late.from, late.at, late.load)
+				o.RecordPeer(late.from, late.at, late.load)
 			}
 		}
 		var wanted Load
 		for _, m := range newest {
-			o.Note(m.from, m.at, m.load)
+			o.RecordPeer(m.from, m.at, m.load)
 			wanted = wanted.Plus(m.load)
 		}
 		if o.Total() != wanted {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -244,7 +244,7 @@
 			t.judge(row.entry.Service).Remember(at, made.Refused)
 			continue
 		}
-		row.occupied.Note(made.Gateway, at, made.Load)
+		row.occupied.RecordPeer(made.Gateway, at, made.Load)
 		if made.Salt == "" {
 			continue // it tells of no prompt
 		}
