--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -66,10 +66,10 @@
 }
 
 const (
-	// StayFirst is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
+	// InitialMeanDuration is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
 	// newest one.
-	StayFirst     = 1000.0
-	staySmoothing = 0.05
+	InitialMeanDuration = 1000.0
+	staySmoothing       = 0.05
 )
 
 // Stays is the smoothed time that requests stay at the back ends of a service, in milliseconds.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -212,7 +212,7 @@
 	if known, measured := t.stays[service]; measured {
 		return known
 	}
-	return belief.StayFirst
+	return belief.InitialMeanDuration
 }
 
 // takeSends notes what other gateways sent, and returns what is news of what back ends said of themselves.
