--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -69,7 +69,7 @@
 	// InitialMeanDuration is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
 	// newest one.
 	InitialMeanDuration = 1000.0
-	staySmoothing       = 0.05
+	durationSmoothing   = 0.05
 )
 
 // Stays is the smoothed time that requests stay at the back ends of a service, in milliseconds.
@@ -77,7 +77,7 @@
 
 // Next takes the stay of one more request.
 func (s Stays) Next(length time.Duration) Stays {
-	return s + staySmoothing*(Stays(length)/Stays(time.Millisecond)-s)
+	return s + durationSmoothing*(Stays(length)/Stays(time.Millisecond)-s)
 }
 
 // Crowding predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
