--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -72,17 +72,17 @@
 	durationSmoothing   = 0.05
 )
 
-// Stays is the smoothed time that requests stay at the back ends of a service, in milliseconds.
-type Stays float64
+// MeanDuration is the smoothed time that requests stay at the back ends of a service, in milliseconds.
+type MeanDuration float64
 
 // Next takes the stay of one more request.
-func (s Stays) Next(length time.Duration) Stays {
-	return s + durationSmoothing*(Stays(length)/Stays(time.Millisecond)-s)
+func (s MeanDuration) Next(length time.Duration) MeanDuration {
+	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
 // Crowding predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
 // come free evenly over the time that requests stay.
-func Crowding(held Load, slots, memory, tokens int, stay Stays) float64 {
+func Crowding(held Load, slots, memory, tokens int, stay MeanDuration) float64 {
 	wait := 0.0
 	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
 		wait = float64(stay) * float64(over) / float64(slots)
