--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -75,8 +75,8 @@
 // MeanDuration is the smoothed time that requests stay at the back ends of a service, in milliseconds.
 type MeanDuration float64
 
-// Next takes the stay of one more request.
-func (s MeanDuration) Next(length time.Duration) MeanDuration {
+// Observe takes the stay of one more request.
+func (s MeanDuration) Observe(length time.Duration) MeanDuration {
 	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -204,7 +204,7 @@
 // noteStay learns how long a request stayed at a back end. The caller holds the mutex.
 func (t *table) noteStay(row *endpoint, length time.Duration) {
 	service := row.entry.Service
-	t.stays[service] = t.stay(service).Next(length)
+	t.stays[service] = t.stay(service).Observe(length)
 }
 
 // stay returns how long requests stay at the back ends of a service.
