--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -80,9 +80,9 @@
 	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
-// Crowding predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
+// CapacityWait predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
 // come free evenly over the time that requests stay.
-func Crowding(held Load, slots, memory, tokens int, stay MeanDuration) float64 {
+func CapacityWait(held Load, slots, memory, tokens int, stay MeanDuration) float64 {
 	wait := 0.0
 	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
 		wait = float64(stay) * float64(over) / float64(slots)
--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -56,11 +56,11 @@
 		{Load{15, 70_000}, 10_000, 0}, {Load{16, 0}, 10, 125}, {Load{23, 0}, 10, 1000}, {Load{8, 80_000}, 20_000, 500},
 		{Load{0, 0}, 90_000, 0}, {Load{31, 80_000}, 20_000, 2000},
 	} {
-		if got := Crowding(c.held, slots, memory, c.tokens, stay); got != c.wanted {
+		if got := CapacityWait(c.held, slots, memory, c.tokens, stay); got != c.wanted {
 			t.Errorf("%+v and %d Tokens: %.0f ms, wanted %.0f", c.held, c.tokens, got, c.wanted)
 		}
 	}
-	if got := Crowding(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
+	if got := CapacityWait(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
 		t.Errorf("unknown limits give %.0f ms", got)
 	}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -217,7 +217,7 @@
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).Reading(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.Crowding(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
+		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
 	}
 	scored.wait, scored.alone = scored.cost, queue == 0
 	scored.queue = scored.wait - reading
