--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// paceQuantile of the requests that were taken to be alone at their engine are read at the learnt pace or faster: below the
+	// prefillQuantile of the requests that were taken to be alone at their engine are read at the learnt pace or faster: below the
 	// median, since some of them were not alone.
-	paceQuantile = 0.3
+	prefillQuantile = 0.3
 	// paceStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
 	paceStep = 0.05
 	paceMost = 4.0
@@ -50,9 +50,9 @@
 // quantileStep is which way one seen value moves an estimate of the quantile, and how far, in steps.
 func quantileStep(estimate, seen float64) float64 {
 	if seen > estimate {
-		return paceQuantile
+		return prefillQuantile
 	}
-	return paceQuantile - 1
+	return prefillQuantile - 1
 }
 
 // Reading returns how long the tokens take, beside what each request takes.
