--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -6,9 +6,9 @@
 	// prefillQuantile of the requests that were taken to be alone at their engine are read at the learnt pace or faster: below the
 	// median, since some of them were not alone.
 	prefillQuantile = 0.3
-	// paceStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
-	paceStep = 0.05
-	paceMost = 4.0
+	// tokenTimeStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
+	tokenTimeStep = 0.05
+	paceMost      = 4.0
 	// fixedStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
 	// way there and back, but a queue.
 	fixedStep = 5.0
@@ -41,7 +41,7 @@
 		p.fixed += quantileStep(p.fixed, seen-p.token*float64(tokens)) * fixedStep
 		p.fixed = min(max(p.fixed, 0), fixedMost)
 	case tokens >= longRead:
-		p.token += quantileStep(p.token, (seen-p.fixed)/float64(tokens)) * paceStep * p.token
+		p.token += quantileStep(p.token, (seen-p.fixed)/float64(tokens)) * tokenTimeStep * p.token
 		p.token = min(max(p.token, 1/PrefillRate/paceMost), paceMost/PrefillRate)
 	}
 	return p
