--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -9,10 +9,10 @@
 	// tokenTimeStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
 	tokenTimeStep = 0.05
 	paceMost      = 4.0
-	// fixedStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
+	// overheadStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
 	// way there and back, but a queue.
-	fixedStep = 5.0
-	fixedMost = 1000.0
+	overheadStep = 5.0
+	fixedMost    = 1000.0
 	// shortRead is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
 	shortRead = 512
 	longRead  = 1500
@@ -38,7 +38,7 @@
 	seen := Milliseconds(first)
 	switch {
 	case tokens < shortRead:
-		p.fixed += quantileStep(p.fixed, seen-p.token*float64(tokens)) * fixedStep
+		p.fixed += quantileStep(p.fixed, seen-p.token*float64(tokens)) * overheadStep
 		p.fixed = min(max(p.fixed, 0), fixedMost)
 	case tokens >= longRead:
 		p.token += quantileStep(p.token, (seen-p.fixed)/float64(tokens)) * tokenTimeStep * p.token
