--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -13,9 +13,9 @@
 	// way there and back, but a queue.
 	overheadStep = 5.0
 	fixedMost    = 1000.0
-	// shortRead is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
-	shortRead = 512
-	longRead  = 1500
+	// overheadSampleTokens is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
+	overheadSampleTokens = 512
+	longRead             = 1500
 )
 
 // PrefillRate is how many prompt tokens an engine is taken to read in a millisecond.
@@ -37,7 +37,7 @@
 func (p Pace) Next(tokens int, first time.Duration) Pace {
 	seen := Milliseconds(first)
 	switch {
-	case tokens < shortRead:
+	case tokens < overheadSampleTokens:
 		p.fixed += quantileStep(p.fixed, seen-p.token*float64(tokens)) * overheadStep
 		p.fixed = min(max(p.fixed, 0), fixedMost)
 	case tokens >= longRead:
