--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -21,20 +21,20 @@
 // PrefillRate is how many prompt tokens an engine is taken to read in a millisecond.
 const PrefillRate = 40.0
 
-// Pace is how long an engine takes to read a prompt token beside the other work that it has, apart from the time that each request takes whatever it
+// PrefillEstimate is how long an engine takes to read a prompt token beside the other work that it has, apart from the time that each request takes whatever it
 // reads: the way there and back, and the first step. Only the reading keeps the next prompt waiting. It is learnt from requests that were taken to
 // be alone there, and tells until when an engine is busy and how long a prompt takes there; what reading again weighs besides is a matter of its own
 // (PrefillRate).
-type Pace struct {
+type PrefillEstimate struct {
 	token float64 // milliseconds, from 1/paceMost of the first guess to paceMost times as long
 	fixed float64 // milliseconds, from 0 to fixedMost
 }
 
 // FirstPace is taken before anything was learnt.
-func FirstPace() Pace { return Pace{token: 1 / PrefillRate} }
+func FirstPace() PrefillEstimate { return PrefillEstimate{token: 1 / PrefillRate} }
 
 // Next moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
-func (p Pace) Next(tokens int, first time.Duration) Pace {
+func (p PrefillEstimate) Next(tokens int, first time.Duration) PrefillEstimate {
 	seen := Milliseconds(first)
 	switch {
 	case tokens < overheadSampleTokens:
@@ -56,11 +56,11 @@
 }
 
 // Reading returns how long the tokens take, beside what each request takes.
-func (p Pace) Reading(tokens int) time.Duration {
+func (p PrefillEstimate) Reading(tokens int) time.Duration {
 	return FromMilliseconds(p.token * float64(tokens))
 }
 
 // First returns how long a request alone waits for its first event.
-func (p Pace) First(tokens int) time.Duration {
+func (p PrefillEstimate) First(tokens int) time.Duration {
 	return p.Reading(tokens) + FromMilliseconds(p.fixed)
 }
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -7,7 +7,7 @@
 )
 
 // pace returns the learnt pace of a service's engines. The caller holds the mutex.
-func (t *table) pace(service string) belief.Pace {
+func (t *table) pace(service string) belief.PrefillEstimate {
 	if known, learnt := t.paces[service]; learnt {
 		return known
 	}
