--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -26,23 +26,23 @@
 // be alone there, and tells until when an engine is busy and how long a prompt takes there; what reading again weighs besides is a matter of its own
 // (PrefillRate).
 type PrefillEstimate struct {
-	token float64 // milliseconds, from 1/paceMost of the first guess to paceMost times as long
-	fixed float64 // milliseconds, from 0 to fixedMost
+	tokenTime float64 // milliseconds, from 1/paceMost of the first guess to paceMost times as long
+	fixed     float64 // milliseconds, from 0 to fixedMost
 }
 
 // FirstPace is taken before anything was learnt.
-func FirstPace() PrefillEstimate { return PrefillEstimate{token: 1 / PrefillRate} }
+func FirstPace() PrefillEstimate { return PrefillEstimate{tokenTime: 1 / PrefillRate} }
 
 // Next moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
 func (p PrefillEstimate) Next(tokens int, first time.Duration) PrefillEstimate {
 	seen := Milliseconds(first)
 	switch {
 	case tokens < overheadSampleTokens:
-		p.fixed += quantileStep(p.fixed, seen-p.token*float64(tokens)) * overheadStep
+		p.fixed += quantileStep(p.fixed, seen-p.tokenTime*float64(tokens)) * overheadStep
 		p.fixed = min(max(p.fixed, 0), fixedMost)
 	case tokens >= longRead:
-		p.token += quantileStep(p.token, (seen-p.fixed)/float64(tokens)) * tokenTimeStep * p.token
-		p.token = min(max(p.token, 1/PrefillRate/paceMost), paceMost/PrefillRate)
+		p.tokenTime += quantileStep(p.tokenTime, (seen-p.fixed)/float64(tokens)) * tokenTimeStep * p.tokenTime
+		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/paceMost), paceMost/PrefillRate)
 	}
 	return p
 }
@@ -57,7 +57,7 @@
 
 // Reading returns how long the tokens take, beside what each request takes.
 func (p PrefillEstimate) Reading(tokens int) time.Duration {
-	return FromMilliseconds(p.token * float64(tokens))
+	return FromMilliseconds(p.tokenTime * float64(tokens))
 }
 
 // First returns how long a request alone waits for its first event.
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -19,7 +19,7 @@
 			}
 			p = p.Next(tokens, FromMilliseconds(first))
 		}
-		if got := 1 / p.token; got < 0.85*rate || got > 1.15*rate {
+		if got := 1 / p.tokenTime; got < 0.85*rate || got > 1.15*rate {
 			t.Errorf("%v tokens a ms are learnt as %.1f", rate, got)
 		}
 	}
@@ -27,7 +27,7 @@
 	for range 1000 {
 		slow, fast, late = slow.Next(longRead, time.Hour), fast.Next(1<<40, time.Nanosecond), late.Next(1, time.Hour)
 	}
-	if slow.token > FirstPace().token*paceMost || fast.token < FirstPace().token/paceMost || late.fixed > fixedMost {
+	if slow.tokenTime > FirstPace().tokenTime*paceMost || fast.tokenTime < FirstPace().tokenTime/paceMost || late.fixed > fixedMost {
 		t.Errorf("%v, %v and %v", slow, fast, late)
 	}
 }
