--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -27,7 +27,7 @@
 // (PrefillRate).
 type PrefillEstimate struct {
 	tokenTime float64 // milliseconds, from 1/paceMost of the first guess to paceMost times as long
-	fixed     float64 // milliseconds, from 0 to fixedMost
+	overhead  float64 // milliseconds, from 0 to fixedMost
 }
 
 // FirstPace is taken before anything was learnt.
@@ -38,10 +38,10 @@
 	seen := Milliseconds(first)
 	switch {
 	case tokens < overheadSampleTokens:
-		p.fixed += quantileStep(p.fixed, seen-p.tokenTime*float64(tokens)) * overheadStep
-		p.fixed = min(max(p.fixed, 0), fixedMost)
+		p.overhead += quantileStep(p.overhead, seen-p.tokenTime*float64(tokens)) * overheadStep
+		p.overhead = min(max(p.overhead, 0), fixedMost)
 	case tokens >= longRead:
-		p.tokenTime += quantileStep(p.tokenTime, (seen-p.fixed)/float64(tokens)) * tokenTimeStep * p.tokenTime
+		p.tokenTime += quantileStep(p.tokenTime, (seen-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
 		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/paceMost), paceMost/PrefillRate)
 	}
 	return p
@@ -62,5 +62,5 @@
 
 // First returns how long a request alone waits for its first event.
 func (p PrefillEstimate) First(tokens int) time.Duration {
-	return p.Reading(tokens) + FromMilliseconds(p.fixed)
+	return p.Reading(tokens) + FromMilliseconds(p.overhead)
 }
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -27,7 +27,7 @@
 	for range 1000 {
 		slow, fast, late = slow.Next(longRead, time.Hour), fast.Next(1<<40, time.Nanosecond), late.Next(1, time.Hour)
 	}
-	if slow.tokenTime > FirstPace().tokenTime*paceMost || fast.tokenTime < FirstPace().tokenTime/paceMost || late.fixed > fixedMost {
+	if slow.tokenTime > FirstPace().tokenTime*paceMost || fast.tokenTime < FirstPace().tokenTime/paceMost || late.overhead > fixedMost {
 		t.Errorf("%v, %v and %v", slow, fast, late)
 	}
 }
