--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -30,8 +30,8 @@
 	overhead  float64 // milliseconds, from 0 to fixedMost
 }
 
-// FirstPace is taken before anything was learnt.
-func FirstPace() PrefillEstimate { return PrefillEstimate{tokenTime: 1 / PrefillRate} }
+// DefaultPrefillEstimate is taken before anything was learnt.
+func DefaultPrefillEstimate() PrefillEstimate { return PrefillEstimate{tokenTime: 1 / PrefillRate} }
 
 // Next moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
 func (p PrefillEstimate) Next(tokens int, first time.Duration) PrefillEstimate {
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -10,7 +10,7 @@
 func TestPaceIsLearnt(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, rate := range []float64{15, 30, 57, 110} { // tokens a ms
-		p := FirstPace()
+		p := DefaultPrefillEstimate()
 		for i := range 400 {
 			tokens := 1500 + random.IntN(9000)
 			first := float64(tokens) / rate * (0.95 + 0.1*random.Float64())
@@ -23,11 +23,11 @@
 			t.Errorf("%v tokens a ms are learnt as %.1f", rate, got)
 		}
 	}
-	slow, fast, late := FirstPace(), FirstPace(), FirstPace()
+	slow, fast, late := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
 	for range 1000 {
 		slow, fast, late = slow.Next(longRead, time.Hour), fast.Next(1<<40, time.Nanosecond), late.Next(1, time.Hour)
 	}
-	if slow.tokenTime > FirstPace().tokenTime*paceMost || fast.tokenTime < FirstPace().tokenTime/paceMost || late.overhead > fixedMost {
+	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*paceMost || fast.tokenTime < DefaultPrefillEstimate().tokenTime/paceMost || late.overhead > fixedMost {
 		t.Errorf("%v, %v and %v", slow, fast, late)
 	}
 }
@@ -41,7 +41,7 @@
 func TestFixedTimeIsNoReading(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, rate := range []float64{22, 38, 110} { // tokens a ms
-		p := FirstPace()
+		p := DefaultPrefillEstimate()
 		for range 600 {
 			tokens := random.IntN(500)
 			if random.IntN(2) == 0 {
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -11,7 +11,7 @@
 	if known, learnt := t.paces[service]; learnt {
 		return known
 	}
-	return belief.FirstPace()
+	return belief.DefaultPrefillEstimate()
 }
 
 // notePace learns from a request that was placed so, and whose first event came after a time.
