--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -33,8 +33,8 @@
 // DefaultPrefillEstimate is taken before anything was learnt.
 func DefaultPrefillEstimate() PrefillEstimate { return PrefillEstimate{tokenTime: 1 / PrefillRate} }
 
-// Next moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
-func (p PrefillEstimate) Next(tokens int, first time.Duration) PrefillEstimate {
+// Observe moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
+func (p PrefillEstimate) Observe(tokens int, first time.Duration) PrefillEstimate {
 	seen := Milliseconds(first)
 	switch {
 	case tokens < overheadSampleTokens:
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -17,7 +17,7 @@
 			if i%4 == 0 {
 				first *= 2.5
 			}
-			p = p.Next(tokens, FromMilliseconds(first))
+			p = p.Observe(tokens, FromMilliseconds(first))
 		}
 		if got := 1 / p.tokenTime; got < 0.85*rate || got > 1.15*rate {
 			t.Errorf("%v tokens a ms are learnt as %.1f", rate, got)
@@ -25,7 +25,7 @@
 	}
 	slow, fast, late := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
 	for range 1000 {
-		slow, fast, late = slow.Next(longRead, time.Hour), fast.Next(1<<40, time.Nanosecond), late.Next(1, time.Hour)
+		slow, fast, late = slow.Observe(longRead, time.Hour), fast.Observe(1<<40, time.Nanosecond), late.Observe(1, time.Hour)
 	}
 	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*paceMost || fast.tokenTime < DefaultPrefillEstimate().tokenTime/paceMost || late.overhead > fixedMost {
 		t.Errorf("%v, %v and %v", slow, fast, late)
@@ -48,7 +48,7 @@
 				tokens = 1500 + random.IntN(7500)
 			}
 			first := 60 + float64(tokens)/rate*(0.95+0.1*random.Float64())
-			p = p.Next(tokens, FromMilliseconds(first))
+			p = p.Observe(tokens, FromMilliseconds(first))
 		}
 		if got, wanted := Milliseconds(p.Reading(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
 			t.Errorf("2,890 tokens are taken to be read in %.0f ms, it takes %.0f", got, wanted)
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -22,7 +22,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := row.entry.Service
-	t.paces[service] = t.pace(service).Next(uncached, first)
+	t.paces[service] = t.pace(service).Observe(uncached, first)
 }
 
 // read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
