--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -55,12 +55,12 @@
 	return prefillQuantile - 1
 }
 
-// Reading returns how long the tokens take, beside what each request takes.
-func (p PrefillEstimate) Reading(tokens int) time.Duration {
+// PrefillTime returns how long the tokens take, beside what each request takes.
+func (p PrefillEstimate) PrefillTime(tokens int) time.Duration {
 	return FromMilliseconds(p.tokenTime * float64(tokens))
 }
 
 // First returns how long a request alone waits for its first event.
 func (p PrefillEstimate) First(tokens int) time.Duration {
-	return p.Reading(tokens) + FromMilliseconds(p.overhead)
+	return p.PrefillTime(tokens) + FromMilliseconds(p.overhead)
 }
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -50,7 +50,7 @@
 			first := 60 + float64(tokens)/rate*(0.95+0.1*random.Float64())
 			p = p.Observe(tokens, FromMilliseconds(first))
 		}
-		if got, wanted := Milliseconds(p.Reading(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
+		if got, wanted := Milliseconds(p.PrefillTime(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
 			t.Errorf("2,890 tokens are taken to be read in %.0f ms, it takes %.0f", got, wanted)
 		}
 		if got := Milliseconds(p.First(300)); got < 50 || got > 75 {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -214,7 +214,7 @@
 	scored.uncached, scored.reread = wish.total()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
 	held := row.occupied.Total()
-	reading := belief.Milliseconds(g.table.pace(wish.service.Name).Reading(scored.uncached))
+	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
 		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
