--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -60,7 +60,7 @@
 	return FromMilliseconds(p.tokenTime * float64(tokens))
 }
 
-// First returns how long a request alone waits for its first event.
-func (p PrefillEstimate) First(tokens int) time.Duration {
+// TimeToFirstEvent returns how long a request alone waits for its first event.
+func (p PrefillEstimate) TimeToFirstEvent(tokens int) time.Duration {
 	return p.PrefillTime(tokens) + FromMilliseconds(p.overhead)
 }
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -53,7 +53,7 @@
 		if got, wanted := Milliseconds(p.PrefillTime(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
 			t.Errorf("2,890 tokens are taken to be read in %.0f ms, it takes %.0f", got, wanted)
 		}
-		if got := Milliseconds(p.First(300)); got < 50 || got > 75 {
+		if got := Milliseconds(p.TimeToFirstEvent(300)); got < 50 || got > 75 {
 			t.Errorf("a short one is expected after %.0f ms", got)
 		}
 	}
