--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -19,8 +19,8 @@
 	// interferenceWeight is what the reading of a prompt costs for each request that runs there meanwhile, as a part of its time:
 	// between two pieces of it each of them gets one token.
 	interferenceWeight = 0.3
-	// slotTime is the work of a typical request at a service without prompts, in milliseconds.
-	slotTime = 40.0
+	// plainRequestTime is the work of a typical request at a service without prompts, in milliseconds.
+	plainRequestTime = 40.0
 	// zoneCost is what a back end in another zone costs, in milliseconds of waiting.
 	zoneCost = 4.0
 	// avoidCost, silentCost and failingCost keep requests from back ends that are in doubt, in milliseconds.
@@ -177,7 +177,7 @@
 	if wish.service.Engine {
 		g.scoreEngine(now, &scored, wish, owner, sources)
 	} else {
-		scored.cost = slotTime * float64(row.occupied.Total().Running) / float64(max(1, row.entry.Slots))
+		scored.cost = plainRequestTime * float64(row.occupied.Total().Running) / float64(max(1, row.entry.Slots))
 	}
 	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
 		scored.cost += zoneCost
