--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -21,8 +21,8 @@
 	interferenceWeight = 0.3
 	// plainRequestTime is the work of a typical request at a service without prompts, in milliseconds.
 	plainRequestTime = 40.0
-	// zoneCost is what a back end in another zone costs, in milliseconds of waiting.
-	zoneCost = 4.0
+	// crossZoneCost is what a back end in another zone costs, in milliseconds of waiting.
+	crossZoneCost = 4.0
 	// avoidCost, silentCost and failingCost keep requests from back ends that are in doubt, in milliseconds.
 	avoidCost   = 2000.0
 	silentCost  = 300.0
@@ -180,7 +180,7 @@
 		scored.cost = plainRequestTime * float64(row.occupied.Total().Running) / float64(max(1, row.entry.Slots))
 	}
 	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
-		scored.cost += zoneCost
+		scored.cost += crossZoneCost
 	}
 	scored.cost += g.doubt(now, row)
 	if g.foreign(row, wish) {
