--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -27,9 +27,9 @@
 	avoidCost   = 2000.0
 	silentCost  = 300.0
 	failingCost = 400.0
-	// foreignCost is what an engine costs that another gateway of a large fleet samples, in milliseconds: what that one sends there
+	// assignedElsewhereCost is what an engine costs that another gateway of a large fleet samples, in milliseconds: what that one sends there
 	// in the next moment is not known yet.
-	foreignCost = 15.0
+	assignedElsewhereCost = 15.0
 	// coldCost is what a back end that has just started costs, in milliseconds.
 	coldCost = 40.0
 	// rereadWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
@@ -184,7 +184,7 @@
 	}
 	scored.cost += g.doubt(now, row)
 	if g.foreign(row, wish) {
-		scored.cost += foreignCost
+		scored.cost += assignedElsewhereCost
 	}
 	return scored
 }
