--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -32,10 +32,10 @@
 	assignedElsewhereCost = 15.0
 	// coldCost is what a back end that has just started costs, in milliseconds.
 	coldCost = 40.0
-	// rereadWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
+	// recomputeWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
 	// to read them anywhere but at their owner. Weights of 0.5, 2 and 5 were played (design/015).
-	rereadWeight = 2.0
-	strayCost    = 0.3
+	recomputeWeight = 2.0
+	strayCost       = 0.3
 )
 
 // candidate is one back end as the decision sees it.
@@ -223,7 +223,7 @@
 	scored.queue = scored.wait - reading
 	scored.cost += g.astray(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
-		scored.cost += rereadWeight * float64(sharedTokens-cached) / belief.PrefillRate
+		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 	scored.cost += runningCost * float64(held.Running)
 	if g.on(mechanism.Interference) {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -133,7 +133,7 @@
 
 // net is what a way costs more than to read the parts, in milliseconds; below 0 it is the better one.
 func (p copyPlan) net(cached int) float64 {
-	return p.cost - (1+rereadWeight)*float64(p.tokens-cached)/belief.PrefillRate
+	return p.cost - (1+recomputeWeight)*float64(p.tokens-cached)/belief.PrefillRate
 }
 
 // bestEngineCopy returns the copy from an engine that costs least against reading.
