--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -182,7 +182,7 @@
 	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
 		x.gateway.table.notePace(a.row, a.plan.alone, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, rank(x.tenant, x.route), a.plan.queue, a.uncached, a.first(), x.gateway.now()-a.began)
+		x.gateway.table.noteQueue(x.service.Name, rank(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
 		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
 	}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -40,22 +40,22 @@
 
 // candidate is one back end as the decision sees it.
 type candidate struct {
-	row      *endpoint
-	cost     float64 // milliseconds
-	salt     string
-	version  uint64          // of its weights
-	wait     float64         // predicted time until the request begins, in milliseconds
-	queue    float64         // of it, the time until its prompt is read
-	beginBy  time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
-	uncached int             // prompt tokens to read
-	reread   int             // of them, tokens of shared parts
-	dearer   bool            // a copy of these is known, and costs more than to read them
-	why      rereadCause     // of reread; "" where that is 0, and before the choice is made
-	alone    bool            // nothing else is taken to be read there
-	fetch    string          // address to take cached parts from, or ""
-	save     string          // address of the store to keep the parts in, or ""
-	move     belief.Transfer // of cached parts that the placement causes
-	back     time.Duration   // the request is to be turned away, and to come back after this time; else 0
+	row       *endpoint
+	cost      float64 // milliseconds
+	salt      string
+	version   uint64          // of its weights
+	wait      float64         // predicted time until the request begins, in milliseconds
+	queueWait float64         // of it, the time until its prompt is read
+	beginBy   time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
+	uncached  int             // prompt tokens to read
+	reread    int             // of them, tokens of shared parts
+	dearer    bool            // a copy of these is known, and costs more than to read them
+	why       rereadCause     // of reread; "" where that is 0, and before the choice is made
+	alone     bool            // nothing else is taken to be read there
+	fetch     string          // address to take cached parts from, or ""
+	save      string          // address of the store to keep the parts in, or ""
+	move      belief.Transfer // of cached parts that the placement causes
+	back      time.Duration   // the request is to be turned away, and to come back after this time; else 0
 	// scheduled names the placement where a scheduler made it; else this gateway did.
 	scheduled *scheduled
 }
@@ -220,7 +220,7 @@
 		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
 	}
 	scored.wait, scored.alone = scored.cost, queue == 0
-	scored.queue = scored.wait - reading
+	scored.queueWait = scored.wait - reading
 	scored.cost += g.astray(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -104,7 +104,7 @@
 	}
 	running := g.table.place(now, asked.Ticket, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.alone, until: now + wireTime(asked.WithinMS),
-		rank: asked.Rank, queue: chosen.queue,
+		rank: asked.Rank, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacement{
