--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -63,8 +63,8 @@
 // place was chosen, and the one that holds now.
 func (a *attempt) limitFields(now, named time.Duration, lacks bool) []zap.Field {
 	var fields []zap.Field
-	if a.plan.beginBy > 0 {
-		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.beginBy-now))
+	if a.plan.startDeadline > 0 {
+		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
 	}
 	if lacks {
 		left := named + a.exchange.gateway.settings.VersionLimit - now
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -59,7 +59,7 @@
 	if !limited {
 		return false
 	}
-	scored.beginBy = limit
+	scored.startDeadline = limit
 	return scored.beginsAfter(now, limit)
 }
 
