--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -48,7 +48,7 @@
 	queueWait     float64         // of it, the time until its prompt is read
 	startDeadline time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
 	uncached      int             // prompt tokens to read
-	reread        int             // of them, tokens of shared parts
+	recomputed    int             // of them, tokens of shared parts
 	dearer        bool            // a copy of these is known, and costs more than to read them
 	why           rereadCause     // of reread; "" where that is 0, and before the choice is made
 	alone         bool            // nothing else is taken to be read there
@@ -107,7 +107,7 @@
 	if !found {
 		return nil
 	}
-	if best.reread > 0 {
+	if best.recomputed > 0 {
 		best.why = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
 	}
 	return &best
@@ -211,7 +211,7 @@
 	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
 		scored.fetch = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
-	scored.uncached, scored.reread = wish.total()-cached, max(0, sharedTokens-cached)
+	scored.uncached, scored.recomputed = wish.total()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
 	held := row.occupied.Total()
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -72,8 +72,8 @@
 	if x.plan != nil && x.service.Engine {
 		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetch),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.reread > 0 {
-			fields = append(fields, zap.Int(events.FieldReread, x.plan.reread), zap.String(events.FieldRereadWhy, string(x.plan.why)))
+		if x.plan.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldReread, x.plan.recomputed), zap.String(events.FieldRereadWhy, string(x.plan.why)))
 		}
 	}
 	if x.atRest > 0 {
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -52,7 +52,7 @@
 	case chosen.dearer:
 		return rereadDearer
 	}
-	cached := prefix.PartTokens(shared) - chosen.reread
+	cached := prefix.PartTokens(shared) - chosen.recomputed
 	for _, other := range sources {
 		if other.version != chosen.version && other.tokens > cached {
 			return rereadOther
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -20,14 +20,14 @@
 		holders []*endpoint
 		wanted  rereadCause
 	}{
-		{"nobody read them", candidate{version: version, reread: 1000}, nil, 0, nil, rereadFirst},
-		{"long ago", candidate{version: version, reread: 1000}, nil, 2 * metKept, nil, rereadFirst},
-		{"who did is gone", candidate{version: version, reread: 1000}, nil, time.Second, nil, rereadLost},
-		{"who did can't be asked", candidate{version: version, reread: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
-		{"with other weights", candidate{version: version, reread: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, rereadOther},
-		{"others hold no more", candidate{version: version, reread: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, rereadLost},
-		{"a copy is dearer", candidate{version: version, reread: 1000, dearer: true}, nil, time.Second, nil, rereadDearer},
-		{"weights unknown", candidate{reread: 1000}, nil, time.Second, nil, rereadUntrusted},
+		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, rereadFirst},
+		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, rereadFirst},
+		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, rereadLost},
+		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
+		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, rereadOther},
+		{"others hold no more", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, rereadLost},
+		{"a copy is dearer", candidate{version: version, recomputed: 1000, dearer: true}, nil, time.Second, nil, rereadDearer},
+		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, rereadUntrusted},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			now := time.Hour
