--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -49,7 +49,7 @@
 	startDeadline time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
 	uncached      int             // prompt tokens to read
 	recomputed    int             // of them, tokens of shared parts
-	dearer        bool            // a copy of these is known, and costs more than to read them
+	copyCostsMore bool            // a copy of these is known, and costs more than to read them
 	why           rereadCause     // of reread; "" where that is 0, and before the choice is made
 	alone         bool            // nothing else is taken to be read there
 	fetch         string          // address to take cached parts from, or ""
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -117,7 +117,7 @@
 			best, found = fromStore, true
 		}
 	}
-	scored.dearer = found && best.net(cached) >= 0
+	scored.copyCostsMore = found && best.net(cached) >= 0
 	switch {
 	case found && best.net(cached) < 0:
 		scored.fetch, scored.cost = best.from, scored.cost+best.cost
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -49,7 +49,7 @@
 	switch {
 	case chosen.version == 0:
 		return rereadUntrusted
-	case chosen.dearer:
+	case chosen.copyCostsMore:
 		return rereadDearer
 	}
 	cached := prefix.PartTokens(shared) - chosen.recomputed
