--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -40,22 +40,22 @@
 
 // candidate is one back end as the decision sees it.
 type candidate struct {
-	row           *endpoint
-	cost          float64 // milliseconds
-	salt          string
-	version       uint64          // of its weights
-	wait          float64         // predicted time until the request begins, in milliseconds
-	queueWait     float64         // of it, the time until its prompt is read
-	startDeadline time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
-	uncached      int             // prompt tokens to read
-	recomputed    int             // of them, tokens of shared parts
-	copyCostsMore bool            // a copy of these is known, and costs more than to read them
-	why           rereadCause     // of reread; "" where that is 0, and before the choice is made
-	alone         bool            // nothing else is taken to be read there
-	fetch         string          // address to take cached parts from, or ""
-	save          string          // address of the store to keep the parts in, or ""
-	move          belief.Transfer // of cached parts that the placement causes
-	back          time.Duration   // the request is to be turned away, and to come back after this time; else 0
+	row             *endpoint
+	cost            float64 // milliseconds
+	salt            string
+	version         uint64          // of its weights
+	wait            float64         // predicted time until the request begins, in milliseconds
+	queueWait       float64         // of it, the time until its prompt is read
+	startDeadline   time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
+	uncached        int             // prompt tokens to read
+	recomputed      int             // of them, tokens of shared parts
+	copyCostsMore   bool            // a copy of these is known, and costs more than to read them
+	recomputeReason rereadCause     // of reread; "" where that is 0, and before the choice is made
+	alone           bool            // nothing else is taken to be read there
+	fetch           string          // address to take cached parts from, or ""
+	save            string          // address of the store to keep the parts in, or ""
+	move            belief.Transfer // of cached parts that the placement causes
+	back            time.Duration   // the request is to be turned away, and to come back after this time; else 0
 	// scheduled names the placement where a scheduler made it; else this gateway did.
 	scheduled *scheduled
 }
@@ -108,7 +108,7 @@
 		return nil
 	}
 	if best.recomputed > 0 {
-		best.why = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
+		best.recomputeReason = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
 	}
 	return &best
 }
