--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -51,7 +51,7 @@
 	recomputed      int             // of them, tokens of shared parts
 	copyCostsMore   bool            // a copy of these is known, and costs more than to read them
 	recomputeReason rereadCause     // of reread; "" where that is 0, and before the choice is made
-	alone           bool            // nothing else is taken to be read there
+	engineIdle      bool            // nothing else is taken to be read there
 	fetch           string          // address to take cached parts from, or ""
 	save            string          // address of the store to keep the parts in, or ""
 	move            belief.Transfer // of cached parts that the placement causes
@@ -219,7 +219,7 @@
 	if g.on(mechanism.Occupancy) {
 		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
 	}
-	scored.wait, scored.alone = scored.cost, queue == 0
+	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
 	scored.cost += g.astray(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -103,7 +103,7 @@
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.Ticket, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.alone, until: now + wireTime(asked.WithinMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
