--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -35,7 +35,7 @@
 	// recomputeWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
 	// to read them anywhere but at their owner. Weights of 0.5, 2 and 5 were played (design/015).
 	recomputeWeight = 2.0
-	strayCost       = 0.3
+	nonOwnerWeight  = 0.3
 )
 
 // candidate is one back end as the decision sees it.
@@ -230,7 +230,7 @@
 		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(held.Running)
 	}
 	if !owner && g.on(mechanism.StrayCost) {
-		scored.cost += strayCost * float64(sharedTokens-cached) / belief.PrefillRate
+		scored.cost += nonOwnerWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 }
 
