--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -327,7 +327,7 @@
 	}
 	if sending.Engine {
 		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, rank(x.tenant, x.route)
-		sending.FetchFrom, sending.SaveTo = a.plan.fetch, a.plan.save
+		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.save
 	}
 	x.gateway.dialect.Write(header, sending)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -52,7 +52,7 @@
 	copyCostsMore   bool            // a copy of these is known, and costs more than to read them
 	recomputeReason rereadCause     // of reread; "" where that is 0, and before the choice is made
 	engineIdle      bool            // nothing else is taken to be read there
-	fetch           string          // address to take cached parts from, or ""
+	fetchFrom       string          // address to take cached parts from, or ""
 	save            string          // address of the store to keep the parts in, or ""
 	move            belief.Transfer // of cached parts that the placement causes
 	back            time.Duration   // the request is to be turned away, and to come back after this time; else 0
@@ -209,7 +209,7 @@
 	if cached < sharedTokens && scored.version > 0 {
 		cached = g.planFetch(now, scored, wish, cached, sources)
 	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
-		scored.fetch = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
+		scored.fetchFrom = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
 	scored.uncached, scored.recomputed = wish.total()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
