--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -170,7 +170,7 @@
 func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, running belief.Load) {
 	made := send{
 		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
-		Uncached: placed.uncached, Saved: placed.save != "", Move: placed.move,
+		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.move,
 	}
 	g.table.noteHeld(now, made)
 	g.spread.own(made)
@@ -327,7 +327,7 @@
 	}
 	if sending.Engine {
 		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, rank(x.tenant, x.route)
-		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.save
+		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
 	x.gateway.dialect.Write(header, sending)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -53,7 +53,7 @@
 	recomputeReason rereadCause     // of reread; "" where that is 0, and before the choice is made
 	engineIdle      bool            // nothing else is taken to be read there
 	fetchFrom       string          // address to take cached parts from, or ""
-	save            string          // address of the store to keep the parts in, or ""
+	saveTo          string          // address of the store to keep the parts in, or ""
 	move            belief.Transfer // of cached parts that the placement causes
 	back            time.Duration   // the request is to be turned away, and to come back after this time; else 0
 	// scheduled names the placement where a scheduler made it; else this gateway did.
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -108,7 +108,7 @@
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacement{
-		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.save,
+		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
 	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
 		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
