--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -170,7 +170,7 @@
 func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, running belief.Load) {
 	made := send{
 		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
-		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.move,
+		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
 	}
 	g.table.noteHeld(now, made)
 	g.spread.own(made)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -54,7 +54,7 @@
 	engineIdle      bool            // nothing else is taken to be read there
 	fetchFrom       string          // address to take cached parts from, or ""
 	saveTo          string          // address of the store to keep the parts in, or ""
-	move            belief.Transfer // of cached parts that the placement causes
+	transfer        belief.Transfer // of cached parts that the placement causes
 	back            time.Duration   // the request is to be turned away, and to come back after this time; else 0
 	// scheduled names the placement where a scheduler made it; else this gateway did.
 	scheduled *scheduled
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -121,12 +121,12 @@
 	switch {
 	case found && best.net(cached) < 0:
 		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
-		scored.move = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
+		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
 	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < saveWait:
 		scored.fetchFrom, scored.saveTo = wish.store.Store, wish.store.Store
 		saved := g.storeCopy(now, scored, wish, whole, cached) // the way there takes as long as the way back
-		scored.move = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
+		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
 }
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -57,11 +57,11 @@
 	g.table.stored.Record(time.Second, "w1", prefix.Shared(parts))
 	wish := need{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, wish)
-	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.move.Time < 15*time.Millisecond {
+	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
 		t.Fatalf("over a free link: %+v", free)
 	}
 	for range 40 {
-		g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.move}})
+		g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
 	}
 	if busy := g.choose(time.Second, wish); busy.fetchFrom != "" || busy.uncached != 9190 {
 		t.Fatalf("over a busy link: %+v", busy)
