--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -55,7 +55,7 @@
 	fetchFrom       string          // address to take cached parts from, or ""
 	saveTo          string          // address of the store to keep the parts in, or ""
 	transfer        belief.Transfer // of cached parts that the placement causes
-	back            time.Duration   // the request is to be turned away, and to come back after this time; else 0
+	retryAfter      time.Duration   // the request is to be turned away, and to come back after this time; else 0
 	// scheduled names the placement where a scheduler made it; else this gateway did.
 	scheduled *scheduled
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -207,8 +207,8 @@
 			return
 		}
 		x.plan = chosen
-		if chosen.back > 0 {
-			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.back)
+		if chosen.retryAfter > 0 {
+			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
 		}
 		sent := x.newAttempt(chosen)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if back, refused := g.judge(now, chosen, wish); refused {
-		chosen.back = back
+		chosen.retryAfter = back
 	}
 }
 
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -91,7 +91,7 @@
 func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
 	g := scheduler(2)
 	chosen := g.scheduledCandidate(&wirePlacement{Instance: "i-0", WaitMS: 3000, BackMS: 1200}, scheduled{}, need{})
-	if chosen == nil || chosen.back != 1200*time.Millisecond {
+	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
 		t.Fatalf("%+v", chosen)
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -182,7 +182,7 @@
 		return nil
 	}
 	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, back: wireTime(answer.BackMS)}
+		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.BackMS)}
 	}
 	now := g.now()
 	g.hearScheduler(now, answer)
