--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -60,8 +60,8 @@
 	scheduled *scheduled
 }
 
-// need is what a decision depends on.
-type need struct {
+// selectionInput is what a decision depends on.
+type selectionInput struct {
 	service *catalog.Service
 	store   *catalog.Service // of kept caches, or nil
 	tenant  *catalog.Tenant
@@ -79,15 +79,17 @@
 }
 
 // total is the number of prompt tokens.
-func (w *need) total() int { return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts)) }
+func (w *selectionInput) total() int {
+	return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts))
+}
 
 // longest is how many prompt tokens have to be read where nothing but the shared parts is held.
-func (w *need) longest() int {
+func (w *selectionInput) longest() int {
 	return w.total() - prefix.PartTokens(prefix.Shared(w.call.Parts))
 }
 
 // choose filters, scores and picks the back end of least cost, or returns nil.
-func (g *Gateway) choose(now time.Duration, wish need) *candidate {
+func (g *Gateway) choose(now time.Duration, wish selectionInput) *candidate {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	rows := g.table.services[wish.service.Name]
@@ -114,7 +116,7 @@
 }
 
 // cheapest scores the back ends of a list that may get a request and returns the one of least cost.
-func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, wish need) (best candidate, found bool) {
+func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, wish selectionInput) (best candidate, found bool) {
 	first := rand.IntN(max(1, len(listed))) // so that gateways which see the same don't all take the same one of equals
 	for i := range listed {
 		row := listed[(first+i)%len(listed)]
@@ -133,7 +135,7 @@
 }
 
 // eligible reports whether a back end may get a new request at all.
-func (g *Gateway) eligible(now time.Duration, row *endpoint, wish need) bool {
+func (g *Gateway) eligible(now time.Duration, row *endpoint, wish selectionInput) bool {
 	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.elsewhere) != "" {
 		return false
 	}
@@ -143,7 +145,7 @@
 
 // owner returns the back end on which requests with the same shared prompt meet while nobody is believed to hold it: the
 // highest random weight among those that may be used (rendezvous hashing), so that all gateways agree without a word.
-func (g *Gateway) owner(now time.Duration, rows []*endpoint, wish need) *endpoint {
+func (g *Gateway) owner(now time.Duration, rows []*endpoint, wish selectionInput) *endpoint {
 	if !wish.service.Engine || len(wish.call.Parts) == 0 || !g.on(mechanism.Owner) {
 		return nil
 	}
@@ -172,7 +174,7 @@
 }
 
 // score predicts the time to the first event at a back end, in milliseconds, with what speaks against it.
-func (g *Gateway) score(now time.Duration, row *endpoint, wish need, owner bool, sources []source) candidate {
+func (g *Gateway) score(now time.Duration, row *endpoint, wish selectionInput, owner bool, sources []source) candidate {
 	scored := candidate{row: row}
 	if wish.service.Engine {
 		g.scoreEngine(now, &scored, wish, owner, sources)
@@ -190,13 +192,13 @@
 }
 
 // foreign reports whether another gateway samples a back end of a large service.
-func (g *Gateway) foreign(row *endpoint, wish need) bool {
+func (g *Gateway) foreign(row *endpoint, wish selectionInput) bool {
 	return !row.home && g.table.homes > 0 && len(g.table.services[wish.service.Name]) > scoreAllUpTo
 }
 
 // scoreEngine adds up the queue of prompts, what is read, and what is copied from elsewhere. Reading shared parts again
 // costs more than its time, since it is work that the fleet has done already.
-func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, wish need, owner bool, sources []source) {
+func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, wish selectionInput, owner bool, sources []source) {
 	row := scored.row
 	scored.version = row.entry.Versions[wish.call.Model]
 	scored.salt = salt(scored.version, wish.tenant)
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -35,7 +35,7 @@
 // sources returns back ends that hold leading shared parts of the prompt, each under the salt of its own weights, the
 // deepest first, at most maximumHolders. Of the many that hold a common part a random sample is looked at, so that deciders
 // which know the same don't all choose among the same few.
-func (g *Gateway) sources(now time.Duration, wish need) []source {
+func (g *Gateway) sources(now time.Duration, wish selectionInput) []source {
 	shared := prefix.Shared(wish.call.Parts)
 	if !wish.service.Engine || len(shared) == 0 || !wish.trusted {
 		return nil
@@ -83,7 +83,7 @@
 }
 
 // sourceAt returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
-func (g *Gateway) sourceAt(now time.Duration, row *endpoint, wish need, salts *knownSalts) (source, bool) {
+func (g *Gateway) sourceAt(now time.Duration, row *endpoint, wish selectionInput, salts *knownSalts) (source, bool) {
 	version := row.entry.Versions[wish.call.Model]
 	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidTo || row.entry.Loading {
 		return source{}, false
@@ -103,7 +103,7 @@
 // planFetch chooses how the engine gets the missing shared parts, and returns the tokens that need not be read. Reading them
 // again is one of the ways: a copy that waits long for its turn is worth less than that. Where nobody is known to hold more,
 // the store is asked: a miss costs next to nothing.
-func (g *Gateway) planFetch(now time.Duration, scored *candidate, wish need, cached int, sources []source) int {
+func (g *Gateway) planFetch(now time.Duration, scored *candidate, wish selectionInput, cached int, sources []source) int {
 	shared := prefix.Shared(wish.call.Parts)
 	whole := prefix.PartTokens(shared)
 	stored := wish.store != nil && g.table.stored.Holds(now, scored.salt, shared)
@@ -137,7 +137,7 @@
 }
 
 // bestEngineCopy returns the copy from an engine that costs least against reading.
-func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, wish need, cached int, sources []source) (best copyPlan, found bool) {
+func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, wish selectionInput, cached int, sources []source) (best copyPlan, found bool) {
 	for _, other := range sources {
 		if other.row == scored.row || other.version != scored.version || other.tokens <= cached {
 			continue
@@ -152,13 +152,13 @@
 }
 
 // storeCopy returns what a copy between the store and the engine costs.
-func (g *Gateway) storeCopy(now time.Duration, scored *candidate, wish need, tokens, cached int) copyPlan {
+func (g *Gateway) storeCopy(now time.Duration, scored *candidate, wish selectionInput, tokens, cached int) copyPlan {
 	far := wish.store.Zone != scored.row.entry.Zone
 	return g.copyPlan(now, wish, wish.store.Store, wish.store.LinkMbps, tokens, cached, far)
 }
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
-func (g *Gateway) copyPlan(now time.Duration, wish need, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
+func (g *Gateway) copyPlan(now time.Duration, wish selectionInput, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
 	plan := copyPlan{from: from, tokens: tokens, time: moveTime(wish.service, linkMbps, tokens-cached, far)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -55,7 +55,7 @@
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
 	parts := partsOf("own")
 	g.table.stored.Record(time.Second, "w1", prefix.Shared(parts))
-	wish := need{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
+	wish := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, wish)
 	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
 		t.Fatalf("over a free link: %+v", free)
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -72,7 +72,7 @@
 		if bar := chosen.barred(); (bar != "") != late {
 			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
 		}
-		wish := need{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
+		wish := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 		if placed := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); (placed == nil) != late {
 			t.Errorf("named %v ago, version 1 expected by the scheduler: placed %t", age, placed != nil)
 		}
@@ -86,7 +86,7 @@
 func sendsUnconfirmed(t *testing.T, g *Gateway) {
 	t.Helper()
 	x := asking(g)
-	chosen := g.choose(g.now(), need{service: x.service, call: &x.call})
+	chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call})
 	if chosen == nil || chosen.version != 0 {
 		t.Fatalf("placed %+v", chosen)
 	}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -83,7 +83,7 @@
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
 	x := asking(g)
-	if chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}); chosen != nil {
+	if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		return chosen.row.entry.ID
 	}
 	return ""
@@ -162,7 +162,7 @@
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
 	g := scheduler(2)
 	call := (&wireQuestion{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
-	held := need{service: g.view.Load().services["s"], call: &call, trusted: true}
+	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	names(g, owner.entry.ID, 4)
 	if next := g.owner(0, g.table.services["s"], held); next == nil || next == owner {
@@ -257,7 +257,7 @@
 	x := asking(g)
 	limit := 3.5
 	placed := &wirePlacement{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
-	g.scheduledCandidate(placed, scheduled{}, need{service: x.service, call: &x.call, trusted: true})
+	g.scheduledCandidate(placed, scheduled{}, selectionInput{service: x.service, call: &x.call, trusted: true})
 	if rate() != 3.5 {
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -33,7 +33,7 @@
 // placedAt returns an attempt of a request that a gateway has chosen to send to its one back end.
 func placedAt(g *Gateway) *attempt {
 	x := asking(g)
-	return x.newAttempt(g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}))
+	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
 
 // placedOn returns an attempt at a back end.
@@ -86,8 +86,8 @@
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
-	wish := func(g *Gateway) need {
-		return need{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
+	wish := func(g *Gateway) selectionInput {
+		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
 	t.Run("a version is named after the choice", func(t *testing.T) {
 		g, _ := fresh()
@@ -130,7 +130,7 @@
 		if g.choose(g.now(), wish(g)) != nil {
 			t.Fatal("it is sent")
 		}
-		plain := need{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
+		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
 		if g.choose(g.now(), plain) == nil {
 			t.Fatal("a service without weights gets nothing")
 		}
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -10,7 +10,7 @@
 )
 
 // turnAway marks a placement of this gateway's own whose request is to be turned away.
-func (g *Gateway) turnAway(now time.Duration, chosen *candidate, wish need) {
+func (g *Gateway) turnAway(now time.Duration, chosen *candidate, wish selectionInput) {
 	if chosen == nil {
 		return
 	}
@@ -20,7 +20,7 @@
 }
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) judge(now time.Duration, chosen *candidate, wish need) (back time.Duration, refused bool) {
+func (g *Gateway) judge(now time.Duration, chosen *candidate, wish selectionInput) (back time.Duration, refused bool) {
 	if !wish.first || !wish.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -118,7 +118,7 @@
 			step.meanwhile(g)
 			g.table.sweep(g.now())
 			x := asking(g)
-			if chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}); (chosen != nil) != step.open {
+			if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); (chosen != nil) != step.open {
 				t.Errorf("%s, %s: chosen %v", kind, what, chosen)
 			}
 		}
@@ -134,13 +134,13 @@
 		t.Fatalf("placed %+v", placed)
 	}
 	x := asking(s)
-	if chosen := s.choose(s.now(), need{service: x.service, call: &x.call, trusted: true}); chosen != nil {
+	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
 	if without := s.table.unwanted(s.now(), "s", nil); len(without) != 1 {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
-	wish := need{service: x.service, call: &x.call, trusted: true}
+	wish := selectionInput{service: x.service, call: &x.call, trusted: true}
 	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
@@ -170,7 +170,7 @@
 	}
 	x := asking(g)
 	for range 50 {
-		chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true})
+		chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true})
 		if chosen == nil || chosen.row.entry.ID != "i-7" && chosen.row.entry.ID != "i-311" {
 			t.Fatalf("chosen %+v", chosen)
 		}
@@ -235,7 +235,7 @@
 		chosen = map[string]int{}
 		x := asking(g)
 		for range 20 {
-			chosen[g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}).row.entry.ID]++
+			chosen[g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}).row.entry.ID]++
 		}
 		return g, chosen
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -111,7 +111,7 @@
 }
 
 // askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
-func (x *exchange) askSchedulers(wish need) *candidate {
+func (x *exchange) askSchedulers(wish selectionInput) *candidate {
 	g := x.gateway
 	if !wish.trusted {
 		return nil
@@ -148,7 +148,7 @@
 }
 
 // question returns what schedulers are asked.
-func (x *exchange) question(wish need) wireQuestion {
+func (x *exchange) question(wish selectionInput) wireQuestion {
 	g := x.gateway
 	asked := wireQuestion{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
@@ -177,7 +177,7 @@
 
 // scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, wish need) *candidate {
+func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, wish selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -32,7 +32,7 @@
 
 // shortlist returns the back ends worth scoring: all of a small service, else the owner, those that hold parts of the
 // prompt, and a random sample of those that are meant for requests as long as this one.
-func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, wish need) []*endpoint {
+func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, wish selectionInput) []*endpoint {
 	switch {
 	case !wish.service.Engine && g.table.homes > 0:
 		return g.pick(now, nil, rows, plainSample, wish)
@@ -61,7 +61,7 @@
 }
 
 // laneOf returns the back ends that serve requests as long as this one, or all where there are no lanes.
-func (g *Gateway) laneOf(rows []*endpoint, wish need) []*endpoint {
+func (g *Gateway) laneOf(rows []*endpoint, wish selectionInput) []*endpoint {
 	if !wish.service.Engine || !g.on(mechanism.Lanes) {
 		return rows
 	}
@@ -74,7 +74,7 @@
 
 // sample returns a few back ends at random that may get the request: of those that this gateway reads, which are few and which
 // nobody else samples, and of all.
-func (g *Gateway) sample(now time.Duration, rows []*endpoint, wish need) []*endpoint {
+func (g *Gateway) sample(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var home []*endpoint
 	for _, row := range rows {
 		if row.home {
@@ -87,7 +87,7 @@
 
 // anyOf returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
 // hold none of the others.
-func (g *Gateway) anyOf(now time.Duration, rows []*endpoint, wish need) []*endpoint {
+func (g *Gateway) anyOf(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
 	for i := 0; i < len(rows) && len(found) < homeSample+sampleSize; i++ {
@@ -99,7 +99,7 @@
 }
 
 // pick adds back ends at random that may get the request, until there are so many.
-func (g *Gateway) pick(now time.Duration, picked, rows []*endpoint, count int, wish need) []*endpoint {
+func (g *Gateway) pick(now time.Duration, picked, rows []*endpoint, count int, wish selectionInput) []*endpoint {
 	for tries := 0; tries < sampleTries && len(picked) < count && len(rows) > 0; tries++ {
 		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, wish) && !slices.Contains(picked, row) {
 			picked = append(picked, row)
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -273,7 +273,7 @@
 					row.dryTo = time.Hour
 				}
 			}
-			wish := need{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
+			wish := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
 			b.ReportAllocs()
 			for b.Loop() {
 				if g.choose(time.Millisecond, wish) == nil {
@@ -345,7 +345,7 @@
 		}
 		g.table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
-	wish := need{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
+	wish := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, wish)
 	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maximumHolders {
 		t.Fatalf("%d sources, the first %+v", len(found), found)
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -54,7 +54,7 @@
 }
 
 // chosenTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
-func (g *Gateway) chosenTooLate(now time.Duration, scored *candidate, wish need) bool {
+func (g *Gateway) chosenTooLate(now time.Duration, scored *candidate, wish selectionInput) bool {
 	limit, limited := g.sendLimit(scored, wish.service, wish.call.Model)
 	if !limited {
 		return false
