--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -62,17 +62,17 @@
 
 // selectionInput is what a decision depends on.
 type selectionInput struct {
-	service *catalog.Service
-	store   *catalog.Service // of kept caches, or nil
-	tenant  *catalog.Tenant
-	call    *Call
-	tried   []*endpoint
-	trusted bool                // the view is confirmed, so what it says of weights holds
-	memory  int                 // tokens that the prompt takes of an engine's memory; set by choose
-	stay    belief.MeanDuration // how long requests stay at the service's back ends; set by choose
-	first   bool                // no back end was sent the request yet
-	rank    int                 // of urgency, 0 the most
-	target  time.Duration       // the route's objective
+	service      *catalog.Service
+	store        *catalog.Service // of kept caches, or nil
+	tenant       *catalog.Tenant
+	call         *Call
+	tried        []*endpoint
+	trusted      bool                // the view is confirmed, so what it says of weights holds
+	memory       int                 // tokens that the prompt takes of an engine's memory; set by choose
+	meanDuration belief.MeanDuration // how long requests stay at the service's back ends; set by choose
+	first        bool                // no back end was sent the request yet
+	rank         int                 // of urgency, 0 the most
+	target       time.Duration       // the route's objective
 	// elsewhere says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
 	// its own.
 	elsewhere bool
@@ -97,7 +97,7 @@
 		lanes := g.table.lane(wish.service.Name)
 		lanes.divide(rows)
 		lanes.measure(now, rows)
-		wish.memory, wish.stay = memoryOf(wish.call), g.table.stay(wish.service.Name)
+		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.stay(wish.service.Name)
 	}
 	owner := g.owner(now, rows, wish)
 	sources := g.sources(now, wish)
@@ -219,7 +219,7 @@
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
+		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
