--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -21,7 +21,7 @@
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
 func (g *Gateway) judge(now time.Duration, chosen *candidate, wish selectionInput) (back time.Duration, refused bool) {
-	if !wish.first || !wish.service.Engine || !g.on(mechanism.Refusal) {
+	if !wish.firstAttempt || !wish.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
 	asked := admission.Wish{
