--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -71,7 +71,7 @@
 	memory       int                 // tokens that the prompt takes of an engine's memory; set by choose
 	meanDuration belief.MeanDuration // how long requests stay at the service's back ends; set by choose
 	firstAttempt bool                // no back end was sent the request yet
-	rank         int                 // of urgency, 0 the most
+	priority     int                 // of urgency, 0 the most
 	target       time.Duration       // the route's objective
 	// elsewhere says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
 	// its own.
