--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -62,17 +62,17 @@
 
 // selectionInput is what a decision depends on.
 type selectionInput struct {
-	service      *catalog.Service
-	store        *catalog.Service // of kept caches, or nil
-	tenant       *catalog.Tenant
-	call         *Call
-	tried        []*endpoint
-	trusted      bool                // the view is confirmed, so what it says of weights holds
-	memory       int                 // tokens that the prompt takes of an engine's memory; set by choose
-	meanDuration belief.MeanDuration // how long requests stay at the service's back ends; set by choose
-	firstAttempt bool                // no back end was sent the request yet
-	priority     int                 // of urgency, 0 the most
-	target       time.Duration       // the route's objective
+	service       *catalog.Service
+	store         *catalog.Service // of kept caches, or nil
+	tenant        *catalog.Tenant
+	call          *Call
+	tried         []*endpoint
+	trusted       bool                // the view is confirmed, so what it says of weights holds
+	memory        int                 // tokens that the prompt takes of an engine's memory; set by choose
+	meanDuration  belief.MeanDuration // how long requests stay at the service's back ends; set by choose
+	firstAttempt  bool                // no back end was sent the request yet
+	priority      int                 // of urgency, 0 the most
+	latencyTarget time.Duration       // the route's objective
 	// elsewhere says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
 	// its own.
 	elsewhere bool
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -25,7 +25,7 @@
 		return 0, false
 	}
 	asked := admission.Wish{
-		Rank: wish.priority, Queue: belief.FromMilliseconds(chosen.queueWait), Objective: wish.target, Chance: rand.Float64(),
+		Rank: wish.priority, Queue: belief.FromMilliseconds(chosen.queueWait), Objective: wish.latencyTarget, Chance: rand.Float64(),
 	}
 	if parts := wish.call.Parts; len(parts) > 0 {
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -94,7 +94,7 @@
 	if g.on(mechanism.Store) {
 		wish.store = held.storeOf(call.Parts)
 	}
-	wish.firstAttempt, wish.priority, wish.target = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	wish.firstAttempt, wish.priority, wish.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
 	chosen := g.choose(now, wish)
 	if chosen == nil {
 		return wirePlacement{}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -154,7 +154,7 @@
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
 		Without: g.table.unwanted(g.now(), x.service.Name, wish.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.First, asked.Rank, asked.TargetMS = wish.firstAttempt, wish.priority, wish.target.Milliseconds()
+	asked.First, asked.Rank, asked.TargetMS = wish.firstAttempt, wish.priority, wish.latencyTarget.Milliseconds()
 	if wish.tenant != nil && wish.tenant.Isolated {
 		asked.Wall = wish.tenant.Name
 	}
