--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -73,9 +73,9 @@
 	firstAttempt  bool                // no back end was sent the request yet
 	priority      int                 // of urgency, 0 the most
 	latencyTarget time.Duration       // the route's objective
-	// elsewhere says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
+	// sentByPeer says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
 	// its own.
-	elsewhere bool
+	sentByPeer bool
 }
 
 // total is the number of prompt tokens.
@@ -136,7 +136,7 @@
 
 // eligible reports whether a back end may get a new request at all.
 func (g *Gateway) eligible(now time.Duration, row *endpoint, wish selectionInput) bool {
-	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.elsewhere) != "" {
+	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.sentByPeer) != "" {
 		return false
 	}
 	limit, limited := g.beginLimit(row, wish.service, wish.call.Model)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -87,7 +87,7 @@
 		return wirePlacement{}
 	}
 	call := asked.call()
-	wish := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, elsewhere: true}
+	wish := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
 	if asked.Wall != "" {
 		wish.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
 	}
