--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -78,14 +78,14 @@
 	sentByPeer bool
 }
 
-// total is the number of prompt tokens.
-func (w *selectionInput) total() int {
+// promptTokens is the number of prompt tokens.
+func (w *selectionInput) promptTokens() int {
 	return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts))
 }
 
 // longest is how many prompt tokens have to be read where nothing but the shared parts is held.
 func (w *selectionInput) longest() int {
-	return w.total() - prefix.PartTokens(prefix.Shared(w.call.Parts))
+	return w.promptTokens() - prefix.PartTokens(prefix.Shared(w.call.Parts))
 }
 
 // choose filters, scores and picks the back end of least cost, or returns nil.
@@ -213,7 +213,7 @@
 	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
 		scored.fetchFrom = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
-	scored.uncached, scored.recomputed = wish.total()-cached, max(0, sharedTokens-cached)
+	scored.uncached, scored.recomputed = wish.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
 	held := row.occupied.Total()
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
