--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -83,8 +83,8 @@
 	return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts))
 }
 
-// longest is how many prompt tokens have to be read where nothing but the shared parts is held.
-func (w *selectionInput) longest() int {
+// maxUncached is how many prompt tokens have to be read where nothing but the shared parts is held.
+func (w *selectionInput) maxUncached() int {
 	return w.promptTokens() - prefix.PartTokens(prefix.Shared(w.call.Parts))
 }
 
@@ -150,7 +150,7 @@
 		return nil
 	}
 	key := xxhash.Sum64String(prefix.AffinityKey(wish.call.Parts))
-	longest := wish.longest()
+	longest := wish.maxUncached()
 	var best *endpoint
 	var highest uint64
 	for _, row := range rows {
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -66,7 +66,7 @@
 		return rows
 	}
 	lanes := g.table.lane(wish.service.Name)
-	if lane := lanes.of(wish.longest()); len(lane) > 0 && lanes.weight() > 0 {
+	if lane := lanes.of(wish.maxUncached()); len(lane) > 0 && lanes.weight() > 0 {
 		return lane
 	}
 	return rows
