--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -185,14 +185,14 @@
 		scored.cost += crossZoneCost
 	}
 	scored.cost += g.doubt(now, row)
-	if g.foreign(row, wish) {
+	if g.assignedElsewhere(row, wish) {
 		scored.cost += assignedElsewhereCost
 	}
 	return scored
 }
 
-// foreign reports whether another gateway samples a back end of a large service.
-func (g *Gateway) foreign(row *endpoint, wish selectionInput) bool {
+// assignedElsewhere reports whether another gateway samples a back end of a large service.
+func (g *Gateway) assignedElsewhere(row *endpoint, wish selectionInput) bool {
 	return !row.home && g.table.homes > 0 && len(g.table.services[wish.service.Name]) > scoreAllUpTo
 }
 
