--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -184,7 +184,7 @@
 	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
 		scored.cost += crossZoneCost
 	}
-	scored.cost += g.doubt(now, row)
+	scored.cost += g.healthPenalty(now, row)
 	if g.assignedElsewhere(row, wish) {
 		scored.cost += assignedElsewhereCost
 	}
@@ -236,8 +236,8 @@
 	}
 }
 
-// doubt is what speaks against a back end, in milliseconds.
-func (g *Gateway) doubt(now time.Duration, row *endpoint) float64 {
+// healthPenalty is what speaks against a back end, in milliseconds.
+func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
 	cost := failingCost * row.failing
 	if g.on(mechanism.Avoidance) && (now < row.avoidTo || row.mute(now)) {
 		cost += avoidCost
