--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -182,7 +182,7 @@
 	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
 		x.gateway.table.notePace(a.row, a.plan.engineIdle, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, rank(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
+		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
 		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
 	}
 }
@@ -326,7 +326,7 @@
 		sending.LastEvent = x.lastEvent
 	}
 	if sending.Engine {
-		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, rank(x.tenant, x.route)
+		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
 		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
 	x.gateway.dialect.Write(header, sending)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -257,8 +257,8 @@
 	return cost
 }
 
-// rank is the priority of a request at an engine: the tenant's comes first.
-func rank(owner *catalog.Tenant, route *catalog.Route) int {
+// enginePriority is the priority of a request at an engine: the tenant's comes first.
+func enginePriority(owner *catalog.Tenant, route *catalog.Route) int {
 	tenant := 0
 	if owner != nil {
 		tenant = owner.Priority
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -245,7 +245,7 @@
 // place chooses a back end; while none can be used it waits a moment for a better roster.
 func (x *exchange) place() *candidate {
 	wish := selectionInput{
-		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: rank(x.tenant, x.route), latencyTarget: x.route.Objective,
+		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
 	}
 	if x.gateway.on(mechanism.Store) {
 		wish.store = x.view.storeOf(x.call.Parts)
