--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -263,10 +263,10 @@
 	if owner != nil {
 		tenant = owner.Priority
 	}
-	return min(lowestPriority, tenant*rankStep+route.Priority)
+	return min(lowestPriority, tenant*tenantPriorityStep+route.Priority)
 }
 
 const (
-	lowestPriority = 9
-	rankStep       = 3
+	lowestPriority     = 9
+	tenantPriorityStep = 3
 )
