--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// muteAfter is how long a back end may leave a request without a word, while it says nothing else either, before it is
+	// silenceTimeout is how long a back end may leave a request without a word, while it says nothing else either, before it is
 	// avoided.
-	muteAfter = 1200 * time.Millisecond
+	silenceTimeout = 1200 * time.Millisecond
 	// olderPause is how long a back end is avoided that holds older weights than believed: about a period of its heartbeats.
 	olderPause = time.Second
 )
@@ -285,9 +285,9 @@
 
 // mute reports whether a back end leaves requests without a word.
 func (e *endpoint) mute(now time.Duration) bool {
-	if len(e.waiting) == 0 || now-e.spokeAt < muteAfter {
+	if len(e.waiting) == 0 || now-e.spokeAt < silenceTimeout {
 		return false
 	}
 	oldest := slices.Min(slices.Collect(maps.Values(e.waiting)))
-	return now-oldest > muteAfter
+	return now-oldest > silenceTimeout
 }
