--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// mute reports whether a back end leaves requests without a word.
-func (e *endpoint) mute(now time.Duration) bool {
+// unresponsive reports whether a back end leaves requests without a word.
+func (e *endpoint) unresponsive(now time.Duration) bool {
 	if len(e.waiting) == 0 || now-e.spokeAt < silenceTimeout {
 		return false
 	}
