--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -19,8 +19,8 @@
 	// silenceTimeout is how long a back end may leave a request without a word, while it says nothing else either, before it is
 	// avoided.
 	silenceTimeout = 1200 * time.Millisecond
-	// olderPause is how long a back end is avoided that holds older weights than believed: about a period of its heartbeats.
-	olderPause = time.Second
+	// outdatedAvoidance is how long a back end is avoided that holds older weights than believed: about a period of its heartbeats.
+	outdatedAvoidance = time.Second
 )
 
 // endpoint is a row of the back end table.
@@ -86,7 +86,7 @@
 	defer t.mutex.Unlock()
 	if believed := row.entry.Versions[model]; version <= believed {
 		if version > 0 && version < believed {
-			row.avoidTo = max(row.avoidTo, now+olderPause)
+			row.avoidTo = max(row.avoidTo, now+outdatedAvoidance)
 		}
 		return false
 	}
