--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -59,11 +59,11 @@
 	told := entry.Versions
 	entry.Versions = newestVersions(e.entry.Versions, told)
 	for model, version := range told {
-		if version < e.told[model] {
+		if version < e.controlVersions[model] {
 			entry.Versions[model] = version // they fell, or a new leader hasn't heard of them yet: a send expects these, so nothing begins on others
 		}
 	}
-	e.told = told
+	e.controlVersions = told
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
 		e.held.Clear()
 	}
