--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -248,7 +248,7 @@
 	if row.entry.Silent && row.failures > 0 {
 		cost += avoidCost // neither control nor this gateway has heard it since
 	}
-	if now < row.heardAt+row.entry.ColdLeft {
+	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
 	if limit, heard := g.table.pushed.LimitHeard(row.life); limit.Named {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -28,7 +28,7 @@
 	life            catalog.Life        // never changes
 	entry           control.RosterEntry // with the newest weights that control or the back end itself told of
 	controlVersions map[string]uint64   // weights by model, as control last told them
-	heardAt         time.Duration       // when the entry came
+	entryAt         time.Duration       // when the entry came
 	occupied        belief.Occupancy
 	busyTo          time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
 	held            *belief.CacheEstimate // cached parts that it is believed to hold
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -67,7 +67,7 @@
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
 		e.held.Clear()
 	}
-	e.entry, e.heardAt = entry, now
+	e.entry, e.entryAt = entry, now
 }
 
 // replaceRows puts the rows of a new roster in force and wakes who waits for one. The caller holds the mutex.
