--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -179,7 +179,7 @@
 	if wish.service.Engine {
 		g.scoreEngine(now, &scored, wish, owner, sources)
 	} else {
-		scored.cost = plainRequestTime * float64(row.occupied.Total().Running) / float64(max(1, row.entry.Slots))
+		scored.cost = plainRequestTime * float64(row.occupancy.Total().Running) / float64(max(1, row.entry.Slots))
 	}
 	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
 		scored.cost += crossZoneCost
@@ -215,7 +215,7 @@
 	}
 	scored.uncached, scored.recomputed = wish.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.busyTo-now)
-	held := row.occupied.Total()
+	held := row.occupancy.Total()
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -29,7 +29,7 @@
 	entry           control.RosterEntry // with the newest weights that control or the back end itself told of
 	controlVersions map[string]uint64   // weights by model, as control last told them
 	entryAt         time.Duration       // when the entry came
-	occupied        belief.Occupancy
+	occupancy       belief.Occupancy
 	busyTo          time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
 	held            *belief.CacheEstimate // cached parts that it is believed to hold
 	hash            uint64                // of its address
@@ -121,7 +121,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for id, row := range t.rows {
-		if n := row.occupied.Own.Running; n > 0 {
+		if n := row.occupancy.Own.Running; n > 0 {
 			counts[id] = n
 		}
 	}
@@ -147,7 +147,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.rows {
-		if row.entry.Loading && row.occupied.Own.Running > 0 {
+		if row.entry.Loading && row.occupancy.Own.Running > 0 {
 			return true
 		}
 	}
@@ -158,7 +158,7 @@
 func (t *table) begin(now time.Duration, sent *attempt) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	own := &sent.row.occupied.Own
+	own := &sent.row.occupancy.Own
 	*own = own.Plus(sent.load())
 	if sent.plan.scheduled == nil {
 		t.read(now, sent.row, sent.uncached)
@@ -167,7 +167,7 @@
 	sent.limited = t.pushed.Limit(sent.row.life)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
-	return sent.row.occupied.Local()
+	return sent.row.occupancy.Local()
 }
 
 // spoke notes bytes of an answer; the first ones end the wait.
@@ -192,13 +192,13 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
-	own := &sent.row.occupied.Own
+	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
 	sent.row.grade(now, good)
 	if good == gradeGood {
 		t.noteStay(sent.row, now-sent.began)
 	}
-	return sent.row.occupied.Local()
+	return sent.row.occupancy.Local()
 }
 
 // noteStay learns how long a request stayed at a back end. The caller holds the mutex.
@@ -244,7 +244,7 @@
 			t.judge(row.entry.Service).Remember(at, made.Refused)
 			continue
 		}
-		row.occupied.RecordPeer(made.Gateway, at, made.Load)
+		row.occupancy.RecordPeer(made.Gateway, at, made.Load)
 		if made.Salt == "" {
 			continue // it tells of no prompt
 		}
@@ -279,7 +279,7 @@
 	t.forgetMet(now)
 	t.pushed.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
-		row.occupied.Sweep(now)
+		row.occupancy.Sweep(now)
 	}
 }
 
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -50,7 +50,7 @@
 	}
 	running, slots := 0, 0
 	for _, row := range rows {
-		running += row.occupied.Total().Running
+		running += row.occupancy.Total().Running
 		slots += row.entry.Slots
 	}
 	l.used, l.usedAt = 0, now
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("three seconds of reading: %+v", got)
 	}
 	for id, row := range g.table.rows {
-		if n := row.occupied.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
+		if n := row.occupancy.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
 			t.Fatalf("%d requests are counted at %s", n, id)
 		}
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -143,7 +143,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.placed[ticket] = made
-	here := &made.row.occupied
+	here := &made.row.occupancy
 	here.Placed = here.Placed.Plus(made.load)
 	t.read(now, made.row, made.uncached)
 	t.spreadOver(now, made.row)
@@ -173,13 +173,13 @@
 	if end.Grade == gradeGood {
 		t.noteStay(row, wireTime(end.StayMS))
 	}
-	return made, row.occupied.Local(), true
+	return made, row.occupancy.Local(), true
 }
 
 // forgetPlacement takes a placement out of the sums. The caller holds the mutex.
 func (t *table) forgetPlacement(ticket string, made placement) {
 	delete(t.placed, ticket)
-	made.row.occupied.Placed = made.row.occupied.Placed.Minus(made.load)
+	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
 }
 
 // sweepPlacements forgets placements whose end was never told. The caller holds the mutex.
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -88,8 +88,8 @@
 				counts[r.instance]++
 			}
 			for id, row := range g.table.rows {
-				if row.occupied.Total().Running != counts[id] || row.occupied.Total().Tokens != counts[id]*loadOf(&Call{Parts: partsOf("x")}).Tokens {
-					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupied.Total(), counts[id])
+				if row.occupancy.Total().Running != counts[id] || row.occupancy.Total().Tokens != counts[id]*loadOf(&Call{Parts: partsOf("x")}).Tokens {
+					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupancy.Total(), counts[id])
 				}
 			}
 		}
@@ -216,12 +216,12 @@
 	if chosen == nil || chosen.scheduled == nil || chosen.row.entry.ID != "i-2" || chosen.salt != "w1/t" {
 		t.Fatalf("chosen %+v", chosen)
 	}
-	if n := s.table.rows["i-2"].occupied.Placed.Running; n != 1 {
+	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 1 {
 		t.Fatalf("%d requests counted", n)
 	}
 	x.newAttempt(chosen).settle()
 	<-ended
-	if n := s.table.rows["i-2"].occupied.Placed.Running; n != 0 {
+	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 0 {
 		t.Fatalf("%d requests counted after the end", n)
 	}
 	if _, err := mechanism.Without(string(mechanism.Schedulers)); err != nil {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -234,7 +234,7 @@
 		rows := rowsOf("a", "b", "c")
 		for _, row := range rows {
 			row.entry.Slots = c.slots
-			row.occupied.Own.Running = c.running
+			row.occupancy.Own.Running = c.running
 		}
 		held := &lanes{}
 		if held.measure(time.Second, rows); held.weight() != c.wanted {
