--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -214,7 +214,7 @@
 		scored.fetchFrom = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
 	scored.uncached, scored.recomputed = wish.promptTokens()-cached, max(0, sharedTokens-cached)
-	queue := max(0, row.busyTo-now)
+	queue := max(0, row.prefillBusyUntil-now)
 	held := row.occupancy.Total()
 	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -81,7 +81,7 @@
 		g.table.notePace(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
 	}
 	g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
-	if busy := row.busyTo - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
+	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
 		t.Fatalf("8000 tokens keep the engine busy for %v", busy)
 	}
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -12,7 +12,7 @@
 // busy lets every engine have so much to read from a time on.
 func busy(g *Gateway, now, length time.Duration) {
 	for _, row := range g.table.rows {
-		row.busyTo = now + length
+		row.prefillBusyUntil = now + length
 	}
 }
 
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -27,5 +27,5 @@
 
 // read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
 func (t *table) read(now time.Duration, row *endpoint, tokens int) {
-	row.busyTo = max(now, row.busyTo) + t.pace(row.entry.Service).PrefillTime(tokens)
+	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.pace(row.entry.Service).PrefillTime(tokens)
 }
