--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -206,7 +206,7 @@
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
 	shared := prefix.Shared(wish.call.Parts)
-	cached := row.held.Cached(scored.salt, shared)
+	cached := row.cache.Cached(scored.salt, shared)
 	sharedTokens := prefix.PartTokens(shared)
 	if cached < sharedTokens && scored.version > 0 {
 		cached = g.planFetch(now, scored, wish, cached, sources)
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -88,7 +88,7 @@
 	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidTo || row.entry.Loading {
 		return source{}, false
 	}
-	tokens := row.held.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
+	tokens := row.cache.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -31,7 +31,7 @@
 	entryAt          time.Duration       // when the entry came
 	occupancy        belief.Occupancy
 	prefillBusyUntil time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
-	held             *belief.CacheEstimate // cached parts that it is believed to hold
+	cache            *belief.CacheEstimate // cached parts that it is believed to hold
 	hash             uint64                // of its address
 	long             bool                  // it serves long requests rather than short ones
 	waiting          map[*attempt]time.Duration
@@ -91,7 +91,7 @@
 		return false
 	}
 	row.entry.Versions = newestVersions(row.entry.Versions, map[string]uint64{model: version})
-	row.held.Clear()
+	row.cache.Clear()
 	return true
 }
 
@@ -226,7 +226,7 @@
 		}
 		at := now - min(now, made.Age)
 		if made.Kept {
-			row.held.ApplyPeerReport(at, made.Salt, made.Parts)
+			row.cache.ApplyPeerReport(at, made.Salt, made.Parts)
 			t.index(row, made.Parts)
 			continue
 		}
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -87,7 +87,7 @@
 			t.Helper()
 			held := ""
 			for _, id := range []string{"a", "b", "c"} {
-				if g.table.rows["i-1"].held.Holds(id) {
+				if g.table.rows["i-1"].cache.Holds(id) {
 					held += id
 				}
 			}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -12,7 +12,7 @@
 // index makes a back end be found by parts that it holds.
 func (t *table) index(row *endpoint, parts []prefix.Part) {
 	for _, part := range parts {
-		if row.held.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
+		if row.cache.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
 			t.holders[part.ID] = append(t.holders[part.ID], row)
 		}
 	}
@@ -38,7 +38,7 @@
 		return nil
 	}
 	bySalt := map[string][]prefix.Part{}
-	for _, p := range row.held.ApplyReport(now, parts, whole) {
+	for _, p := range row.cache.ApplyReport(now, parts, whole) {
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
 		t.index(row, []prefix.Part{p.Part})
 	}
@@ -56,7 +56,7 @@
 }
 
 func (t *table) hold(at time.Duration, row *endpoint, made send) {
-	row.held.RecordUse(at, made.Salt, made.Parts)
+	row.cache.RecordUse(at, made.Salt, made.Parts)
 	t.meet(at, prefix.Shared(made.Parts))
 	t.links.Record(at, made.Move)
 	t.index(row, prefix.Shared(made.Parts))
@@ -78,7 +78,7 @@
 // forgetHolders drops back ends that are gone, and parts that nobody holds any more, from the holders.
 func (t *table) forgetHolders() {
 	for id, rows := range t.holders {
-		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.held.Holds(id) })
+		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.cache.Holds(id) })
 		if len(rows) == 0 {
 			delete(t.holders, id)
 			continue
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -35,7 +35,7 @@
 		row := t.rows[entry.ID]
 		if row == nil {
 			row = &endpoint{life: catalog.LifeOf(entry.ID), waiting: map[*attempt]time.Duration{}, spokeAt: now, hash: xxhash.Sum64String(entry.Address)}
-			row.held = belief.NewCacheEstimate(cacheLimits[entry.Service])
+			row.cache = belief.NewCacheEstimate(cacheLimits[entry.Service])
 			changes = append(changes, rosterChange{events.InstanceJoined, entry})
 		}
 		if entry.State == catalog.StateDraining && row.entry.State != entry.State {
@@ -65,7 +65,7 @@
 	}
 	e.controlVersions = told
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
-		e.held.Clear()
+		e.cache.Clear()
 	}
 	e.entry, e.entryAt = entry, now
 }
