--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -33,7 +33,7 @@
 	prefillBusyUntil time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
 	cache            *belief.CacheEstimate // cached parts that it is believed to hold
 	hash             uint64                // of its address
-	long             bool                  // it serves long requests rather than short ones
+	longLane         bool                  // it serves long requests rather than short ones
 	waiting          map[*attempt]time.Duration
 	spokeAt          time.Duration // newest bytes of any answer
 	failures         int           // in a row
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -109,8 +109,8 @@
 		count := int(math.Round(l.share * float64(len(members))))
 		count = min(max(count, 1), max(1, len(members)-1))
 		for at, member := range members {
-			member.long = at < count
-			l.sides[sideOf(member.long)] = append(l.sides[sideOf(member.long)], member)
+			member.longLane = at < count
+			l.sides[sideOf(member.longLane)] = append(l.sides[sideOf(member.longLane)], member)
 		}
 	}
 }
@@ -135,9 +135,9 @@
 
 func (e *endpoint) astray(uncached int) float64 {
 	switch {
-	case uncached >= longPrompt && !e.long:
+	case uncached >= longPrompt && !e.longLane:
 		return longAstray
-	case uncached < longPrompt && e.long:
+	case uncached < longPrompt && e.longLane:
 		return shortAstray
 	}
 	return 0
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -112,7 +112,7 @@
 		held.divide(rows)
 		long, short := map[string]int{}, map[string]int{}
 		for _, row := range rows {
-			if row.long {
+			if row.longLane {
 				long[row.entry.Zone]++
 			} else {
 				short[row.entry.Zone]++
