--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -35,7 +35,7 @@
 	hash             uint64                // of its address
 	longLane         bool                  // it serves long requests rather than short ones
 	waiting          map[*attempt]time.Duration
-	spokeAt          time.Duration // newest bytes of any answer
+	lastByteAt       time.Duration // newest bytes of any answer
 	failures         int           // in a row
 	failing          float64       // share of failures, smoothed
 	avoidTo          time.Duration
@@ -174,7 +174,7 @@
 func (t *table) spoke(now time.Duration, sent *attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	sent.row.spokeAt = now
+	sent.row.lastByteAt = now
 	t.endWait(sent)
 }
 
@@ -285,7 +285,7 @@
 
 // unresponsive reports whether a back end leaves requests without a word.
 func (e *endpoint) unresponsive(now time.Duration) bool {
-	if len(e.waiting) == 0 || now-e.spokeAt < silenceTimeout {
+	if len(e.waiting) == 0 || now-e.lastByteAt < silenceTimeout {
 		return false
 	}
 	oldest := slices.Min(slices.Collect(maps.Values(e.waiting)))
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -37,10 +37,10 @@
 	case gradeGood:
 		e.failures = 0
 		e.failing *= 1 - failureSmoothing
-		e.spokeAt = now
+		e.lastByteAt = now
 	case gradeFull:
 		e.avoidTo = max(e.avoidTo, now+suspectBase/2)
-		e.spokeAt = now
+		e.lastByteAt = now
 	case gradeBad:
 		e.failed(now, suspectBase)
 	}
@@ -83,7 +83,7 @@
 	before := e.reports
 	e.reports = suspicion{from: from, at: at}
 	fresh := before.from != "" && before.from != from && at-before.at < reportWindow
-	if (fresh || e.failures > 0) && e.spokeAt < at {
+	if (fresh || e.failures > 0) && e.lastByteAt < at {
 		e.avoidTo = max(e.avoidTo, at+reportedFor)
 	}
 }
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -19,7 +19,7 @@
 		"one reporter, however often": {func(*endpoint) {}, []string{"a", "a", "a"}, false},
 		"two reporters":               {func(*endpoint) {}, []string{"a", "b"}, true},
 		"one, and an own failure":     {func(e *endpoint) { e.failures = 1 }, []string{"a"}, true},
-		"it has spoken since":         {func(e *endpoint) { e.spokeAt = at + time.Second }, []string{"a", "b"}, false},
+		"it has spoken since":         {func(e *endpoint) { e.lastByteAt = at + time.Second }, []string{"a", "b"}, false},
 	} {
 		e := &endpoint{}
 		c.prepare(e)
