--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -238,7 +238,7 @@
 
 // healthPenalty is what speaks against a back end, in milliseconds.
 func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
-	cost := failingCost * row.failing
+	cost := failingCost * row.failureRate
 	if g.on(mechanism.Avoidance) && (now < row.avoidTo || row.unresponsive(now)) {
 		cost += avoidCost
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -37,7 +37,7 @@
 	waiting          map[*attempt]time.Duration
 	lastByteAt       time.Duration // newest bytes of any answer
 	failures         int           // in a row
-	failing          float64       // share of failures, smoothed
+	failureRate      float64       // share of failures, smoothed
 	avoidTo          time.Duration
 	dryTo            time.Duration // nothing of its limit can be had until then, as the lender says
 	pacedTo          time.Duration // no more of its limit is placed for other gateways until then
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -162,7 +162,7 @@
 	if row.avoidTo > 0 || row.failures > 0 {
 		t.Fatal("one gateway turned everybody away")
 	}
-	if row.failing == 0 {
+	if row.failureRate == 0 {
 		t.Fatal("its word costs nothing")
 	}
 	broke(1100*time.Millisecond, "b", "t9")
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -36,7 +36,7 @@
 	switch good {
 	case gradeGood:
 		e.failures = 0
-		e.failing *= 1 - failureSmoothing
+		e.failureRate *= 1 - failureSmoothing
 		e.lastByteAt = now
 	case gradeFull:
 		e.avoidTo = max(e.avoidTo, now+suspectBase/2)
@@ -47,7 +47,7 @@
 }
 
 // blame counts a failure in the back end's share of them.
-func (e *endpoint) blame() { e.failing += failureSmoothing * (1 - e.failing) }
+func (e *endpoint) blame() { e.failureRate += failureSmoothing * (1 - e.failureRate) }
 
 func (e *endpoint) failed(now, base time.Duration) {
 	e.failures++
