--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -158,7 +158,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidTo || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Named {
+		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Named {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -239,7 +239,7 @@
 // healthPenalty is what speaks against a back end, in milliseconds.
 func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
 	cost := failingCost * row.failureRate
-	if g.on(mechanism.Avoidance) && (now < row.avoidTo || row.unresponsive(now)) {
+	if g.on(mechanism.Avoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
 		cost += avoidCost
 	}
 	if row.entry.Silent {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -85,7 +85,7 @@
 // sourceAt returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
 func (g *Gateway) sourceAt(now time.Duration, row *endpoint, wish selectionInput, salts *knownSalts) (source, bool) {
 	version := row.entry.Versions[wish.call.Model]
-	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidTo || row.entry.Loading {
+	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
 	}
 	tokens := row.cache.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -38,7 +38,7 @@
 	lastByteAt       time.Duration // newest bytes of any answer
 	failures         int           // in a row
 	failureRate      float64       // share of failures, smoothed
-	avoidTo          time.Duration
+	avoidUntil       time.Duration
 	dryTo            time.Duration // nothing of its limit can be had until then, as the lender says
 	pacedTo          time.Duration // no more of its limit is placed for other gateways until then
 	reports          suspicion     // of other gateways
@@ -86,7 +86,7 @@
 	defer t.mutex.Unlock()
 	if believed := row.entry.Versions[model]; version <= believed {
 		if version > 0 && version < believed {
-			row.avoidTo = max(row.avoidTo, now+outdatedAvoidance)
+			row.avoidUntil = max(row.avoidUntil, now+outdatedAvoidance)
 		}
 		return false
 	}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -47,8 +47,8 @@
 	if table.learnVersion(time.Second, row, "m", 3) {
 		t.Fatal("older weights are news")
 	}
-	if row.avoidTo <= time.Second || row.entry.Versions["m"] != 4 {
-		t.Fatalf("avoided to %v, believed %d", row.avoidTo, row.entry.Versions["m"])
+	if row.avoidUntil <= time.Second || row.entry.Versions["m"] != 4 {
+		t.Fatalf("avoided to %v, believed %d", row.avoidUntil, row.entry.Versions["m"])
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -104,7 +104,7 @@
 // gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
 func (t *table) makeDearer(at time.Duration, row *endpoint, rest time.Duration) {
 	if rest > 0 {
-		row.avoidTo = max(row.avoidTo, at+min(rest, restHint))
+		row.avoidUntil = max(row.avoidUntil, at+min(rest, restHint))
 	}
 }
 
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -144,7 +144,7 @@
 	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
-	if avoided := s.table.rows["i-0"].avoidTo - s.now(); avoided < restHint-time.Second || avoided > restHint {
+	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
 		t.Fatalf("dearer to others for %v", avoided)
 	}
 	if !s.table.remains(s.table.rows["i-0"]) {
@@ -243,11 +243,11 @@
 	if chosen["i-0"] > 0 || placedOn(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
-	if avoided := g.table.rows["i-0"].avoidTo - g.now(); avoided > time.Second {
+	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Said{Rest: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
-		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidTo-g.now())
+	if g, _ := told(pushback.Said{Rest: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > restHint {
+		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Said{Leaving: true})
 	if bar := placedOn(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -136,11 +136,11 @@
 	for i := range 5 {
 		report(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
-	if row.avoidTo > 0 {
+	if row.avoidUntil > 0 {
 		t.Fatal("five reports of one gateway turned everybody away")
 	}
 	report(1100*time.Millisecond, "b", "t9")
-	if row.avoidTo == 0 {
+	if row.avoidUntil == 0 {
 		t.Fatal("reports of two gateways turned nobody away")
 	}
 }
@@ -159,14 +159,14 @@
 	for i := range 5 {
 		broke(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
-	if row.avoidTo > 0 || row.failures > 0 {
+	if row.avoidUntil > 0 || row.failures > 0 {
 		t.Fatal("one gateway turned everybody away")
 	}
 	if row.failureRate == 0 {
 		t.Fatal("its word costs nothing")
 	}
 	broke(1100*time.Millisecond, "b", "t9")
-	if row.avoidTo == 0 {
+	if row.avoidUntil == 0 {
 		t.Fatal("two gateways turned nobody away")
 	}
 }
@@ -206,7 +206,7 @@
 	defer func() { _ = server.Close(context.Background()) }()
 	g := scheduler(3)
 	g.schedulers.use([]string{"127.0.0.1:17391"})
-	g.table.rows["i-0"].avoidTo = time.Hour
+	g.table.rows["i-0"].avoidUntil = time.Hour
 	x := &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
 		request: &http.Request{}, call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour, tried: []*endpoint{g.table.rows["i-1"]},
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -39,7 +39,7 @@
 		e.failureRate *= 1 - failureSmoothing
 		e.lastByteAt = now
 	case gradeFull:
-		e.avoidTo = max(e.avoidTo, now+suspectBase/2)
+		e.avoidUntil = max(e.avoidUntil, now+suspectBase/2)
 		e.lastByteAt = now
 	case gradeBad:
 		e.failed(now, suspectBase)
@@ -52,14 +52,14 @@
 func (e *endpoint) failed(now, base time.Duration) {
 	e.failures++
 	e.blame()
-	e.avoidTo = max(e.avoidTo, now+min(base<<min(e.failures-1, 10), suspectLimit))
+	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), suspectLimit))
 }
 
 // unreachable notes that no connection came up, and reports whether that is news to the other gateways.
 func (t *table) unreachable(now time.Duration, row *endpoint) (news bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	news = now >= row.avoidTo
+	news = now >= row.avoidUntil
 	row.failed(now, unreachedBase)
 	return news
 }
@@ -84,6 +84,6 @@
 	e.reports = suspicion{from: from, at: at}
 	fresh := before.from != "" && before.from != from && at-before.at < reportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
-		e.avoidTo = max(e.avoidTo, at+reportedFor)
+		e.avoidUntil = max(e.avoidUntil, at+reportedFor)
 	}
 }
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -26,17 +26,17 @@
 		for i, from := range c.from {
 			e.suspect(at+time.Duration(i)*time.Millisecond, from)
 		}
-		if got := e.avoidTo > at; got != c.avoided {
+		if got := e.avoidUntil > at; got != c.avoided {
 			t.Errorf("%s: avoided %v, wanted %v", name, got, c.avoided)
 		}
-		if e.avoidTo > at+2*reportedFor {
-			t.Errorf("%s: avoided for %v", name, e.avoidTo-at)
+		if e.avoidUntil > at+2*reportedFor {
+			t.Errorf("%s: avoided for %v", name, e.avoidUntil-at)
 		}
 	}
 	old := &endpoint{}
 	old.suspect(at, "a")
 	old.suspect(at+2*reportWindow, "b")
-	if old.avoidTo != 0 {
+	if old.avoidUntil != 0 {
 		t.Error("reports far apart count together")
 	}
 }
