--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -25,25 +25,25 @@
 
 // endpoint is a row of the back end table.
 type endpoint struct {
-	life             catalog.Life        // never changes
-	entry            control.RosterEntry // with the newest weights that control or the back end itself told of
-	controlVersions  map[string]uint64   // weights by model, as control last told them
-	entryAt          time.Duration       // when the entry came
-	occupancy        belief.Occupancy
-	prefillBusyUntil time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
-	cache            *belief.CacheEstimate // cached parts that it is believed to hold
-	hash             uint64                // of its address
-	longLane         bool                  // it serves long requests rather than short ones
-	waiting          map[*attempt]time.Duration
-	lastByteAt       time.Duration // newest bytes of any answer
-	failures         int           // in a row
-	failureRate      float64       // share of failures, smoothed
-	avoidUntil       time.Duration
-	dryTo            time.Duration // nothing of its limit can be had until then, as the lender says
-	pacedTo          time.Duration // no more of its limit is placed for other gateways until then
-	reports          suspicion     // of other gateways
-	gone             bool
-	home             bool // this gateway reads its cache events
+	life                catalog.Life        // never changes
+	entry               control.RosterEntry // with the newest weights that control or the back end itself told of
+	controlVersions     map[string]uint64   // weights by model, as control last told them
+	entryAt             time.Duration       // when the entry came
+	occupancy           belief.Occupancy
+	prefillBusyUntil    time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
+	cache               *belief.CacheEstimate // cached parts that it is believed to hold
+	hash                uint64                // of its address
+	longLane            bool                  // it serves long requests rather than short ones
+	waiting             map[*attempt]time.Duration
+	lastByteAt          time.Duration // newest bytes of any answer
+	failures            int           // in a row
+	failureRate         float64       // share of failures, smoothed
+	avoidUntil          time.Duration
+	limitExhaustedUntil time.Duration // nothing of its limit can be had until then, as the lender says
+	pacedTo             time.Duration // no more of its limit is placed for other gateways until then
+	reports             suspicion     // of other gateways
+	gone                bool
+	home                bool // this gateway reads its cache events
 }
 
 // table holds the back ends of the newest roster.
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -151,14 +151,14 @@
 	if elsewhere {
 		return max(0, row.pacedTo-now) // that one asks for itself; this only spreads what is placed
 	}
-	return max(0, row.dryTo-now, t.unlentTo-now)
+	return max(0, row.limitExhaustedUntil-now, t.unlentTo-now)
 }
 
 // setDry notes until when nothing can be had of a back end's limit.
 func (t *table) setDry(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	row.dryTo = max(row.dryTo, until)
+	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
 // setUnlent notes until when nobody is asked for a part of any limit.
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -270,7 +270,7 @@
 				row := g.table.rows[fmt.Sprint(i)]
 				g.table.pushed.NoteLimit(0, row.life, pushback.Limit{Named: true, Rate: 4})
 				if i%2 == 0 {
-					row.dryTo = time.Hour
+					row.limitExhaustedUntil = time.Hour
 				}
 			}
 			wish := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
