--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -40,7 +40,7 @@
 	failureRate         float64       // share of failures, smoothed
 	avoidUntil          time.Duration
 	limitExhaustedUntil time.Duration // nothing of its limit can be had until then, as the lender says
-	pacedTo             time.Duration // no more of its limit is placed for other gateways until then
+	limitPacedUntil     time.Duration // no more of its limit is placed for other gateways until then
 	reports             suspicion     // of other gateways
 	gone                bool
 	home                bool // this gateway reads its cache events
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -149,7 +149,7 @@
 // holds the mutex.
 func (t *table) dry(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
 	if elsewhere {
-		return max(0, row.pacedTo-now) // that one asks for itself; this only spreads what is placed
+		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
 	return max(0, row.limitExhaustedUntil-now, t.unlentTo-now)
 }
@@ -171,7 +171,7 @@
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
 	if limit := t.pushed.Limit(row.life); limit.Named {
-		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
+		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
 	}
 }
 
