--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -43,7 +43,7 @@
 	limitPacedUntil     time.Duration // no more of its limit is placed for other gateways until then
 	reports             suspicion     // of other gateways
 	gone                bool
-	home                bool // this gateway reads its cache events
+	assigned            bool // this gateway reads its cache events
 }
 
 // table holds the back ends of the newest roster.
@@ -108,8 +108,8 @@
 	defer t.mutex.Unlock()
 	t.homes = 0
 	for id, row := range t.rows {
-		row.home = slices.Contains(ids, id)
-		if row.home {
+		row.assigned = slices.Contains(ids, id)
+		if row.assigned {
 			t.homes++
 		}
 	}
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -77,7 +77,7 @@
 func (g *Gateway) sample(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var home []*endpoint
 	for _, row := range rows {
-		if row.home {
+		if row.assigned {
 			home = append(home, row)
 		}
 	}
