--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -48,26 +48,26 @@
 
 // table holds the back ends of the newest roster.
 type table struct {
-	mechanisms mechanism.Set // that are on
-	mutex      sync.Mutex
-	rows       map[string]*endpoint
-	services   map[string][]*endpoint
-	named      *belief.PublishTimes              // of weights
-	stored     *belief.StoredParts               // parts that were sent to a store
-	lanes      map[string]*lanes                 // by service
-	stays      map[string]belief.MeanDuration    // by service
-	placed     map[string]placement              // for other gateways, by ticket
-	links      belief.Links                      // of engines and stores
-	paces      map[string]belief.PrefillEstimate // by service
-	met        map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	judges     map[string]*admission.Judge       // by service
-	homes      int                               // rows that are home
-	holders    map[string][]*endpoint            // that hold a shared part, under any salt, by its id
-	pushed     *pushback.Book                    // what back ends said of themselves
-	unlentTo   time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
-	turns      map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
-	changed    *bell                             // rings with each roster
-	waiting    map[*attempt]struct{}             // all that wait at any row, also at those that are gone
+	mechanisms    mechanism.Set // that are on
+	mutex         sync.Mutex
+	rows          map[string]*endpoint
+	services      map[string][]*endpoint
+	named         *belief.PublishTimes              // of weights
+	stored        *belief.StoredParts               // parts that were sent to a store
+	lanes         map[string]*lanes                 // by service
+	stays         map[string]belief.MeanDuration    // by service
+	placed        map[string]placement              // for other gateways, by ticket
+	links         belief.Links                      // of engines and stores
+	paces         map[string]belief.PrefillEstimate // by service
+	met           map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
+	judges        map[string]*admission.Judge       // by service
+	assignedCount int                               // rows that are home
+	holders       map[string][]*endpoint            // that hold a shared part, under any salt, by its id
+	pushed        *pushback.Book                    // what back ends said of themselves
+	unlentTo      time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
+	turns         map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
+	changed       *bell                             // rings with each roster
+	waiting       map[*attempt]struct{}             // all that wait at any row, also at those that are gone
 }
 
 func newTable(mechanisms mechanism.Set) *table {
@@ -106,11 +106,11 @@
 func (t *table) setHome(ids []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.homes = 0
+	t.assignedCount = 0
 	for id, row := range t.rows {
 		row.assigned = slices.Contains(ids, id)
 		if row.assigned {
-			t.homes++
+			t.assignedCount++
 		}
 	}
 }
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -34,7 +34,7 @@
 // prompt, and a random sample of those that are meant for requests as long as this one.
 func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, wish selectionInput) []*endpoint {
 	switch {
-	case !wish.service.Engine && g.table.homes > 0:
+	case !wish.service.Engine && g.table.assignedCount > 0:
 		return g.pick(now, nil, rows, plainSample, wish)
 	case len(rows) <= scoreAllUpTo:
 		return rows
