--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -102,8 +102,8 @@
 	return t.named.Update(now, asked, reply.Version.Term, reply.Wanted)
 }
 
-// setHome notes which back ends this gateway reads.
-func (t *table) setHome(ids []string) {
+// setAssigned notes which back ends this gateway reads.
+func (t *table) setAssigned(ids []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.assignedCount = 0
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -136,7 +136,7 @@
 	g.near.use(reply.Near)
 	g.spread.use(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
-	g.table.setHome(reply.Reads)
+	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
 		g.confirm.Store(int64(asked))
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -22,7 +22,7 @@
 		for i := d; i < engines; i += deciders {
 			home = append(home, fmt.Sprint("i-", i))
 		}
-		fleet[d].table.setHome(home)
+		fleet[d].table.setAssigned(home)
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
 			fleet[d].table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
@@ -107,7 +107,7 @@
 // like those of engines; what is told of other gateways counts as well.
 func TestPlainServicesAreSpread(t *testing.T) {
 	g := scheduler(1)
-	g.table.setHome([]string{"i-0"})
+	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
 	news := &control.RosterNews{}
 	for i := range 8 {
