--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -52,7 +52,7 @@
 	mutex         sync.Mutex
 	rows          map[string]*endpoint
 	services      map[string][]*endpoint
-	named         *belief.PublishTimes              // of weights
+	published     *belief.PublishTimes              // of weights
 	stored        *belief.StoredParts               // parts that were sent to a store
 	lanes         map[string]*lanes                 // by service
 	stays         map[string]belief.MeanDuration    // by service
@@ -73,7 +73,7 @@
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
-		named: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, pushed: pushback.NewBook(),
+		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, pushed: pushback.NewBook(),
 		lanes: map[string]*lanes{}, stays: map[string]belief.MeanDuration{}, paces: map[string]belief.PrefillEstimate{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
@@ -99,7 +99,7 @@
 func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.named.Update(now, asked, reply.Version.Term, reply.Wanted)
+	return t.published.Update(now, asked, reply.Version.Term, reply.Wanted)
 }
 
 // setAssigned notes which back ends this gateway reads.
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -26,7 +26,7 @@
 	if held == 0 {
 		held = seen.believed
 	}
-	seen.named, seen.lacks = g.table.named.OldestMissing(model, held)
+	seen.named, seen.lacks = g.table.published.OldestMissing(model, held)
 	return seen
 }
 
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -24,7 +24,7 @@
 	if !holds && !service.Engine {
 		return 0, false
 	}
-	return g.table.named.OldestMissing(model, held)
+	return g.table.published.OldestMissing(model, held)
 }
 
 // sendLimit is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
@@ -35,7 +35,7 @@
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return limit, limited
 	}
-	namedAt, lacks := g.table.named.OldestMissing(model, placed.version)
+	namedAt, lacks := g.table.published.OldestMissing(model, placed.version)
 	if !lacks {
 		return limit, limited
 	}
