--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -55,7 +55,7 @@
 	published     *belief.PublishTimes              // of weights
 	stored        *belief.StoredParts               // parts that were sent to a store
 	lanes         map[string]*lanes                 // by service
-	stays         map[string]belief.MeanDuration    // by service
+	meanDurations map[string]belief.MeanDuration    // by service
 	placed        map[string]placement              // for other gateways, by ticket
 	links         belief.Links                      // of engines and stores
 	paces         map[string]belief.PrefillEstimate // by service
@@ -74,7 +74,7 @@
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, pushed: pushback.NewBook(),
-		lanes: map[string]*lanes{}, stays: map[string]belief.MeanDuration{}, paces: map[string]belief.PrefillEstimate{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
+		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, paces: map[string]belief.PrefillEstimate{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
 }
@@ -204,12 +204,12 @@
 // noteStay learns how long a request stayed at a back end. The caller holds the mutex.
 func (t *table) noteStay(row *endpoint, length time.Duration) {
 	service := row.entry.Service
-	t.stays[service] = t.stay(service).Observe(length)
+	t.meanDurations[service] = t.stay(service).Observe(length)
 }
 
 // stay returns how long requests stay at the back ends of a service.
 func (t *table) stay(service string) belief.MeanDuration {
-	if known, measured := t.stays[service]; measured {
+	if known, measured := t.meanDurations[service]; measured {
 		return known
 	}
 	return belief.InitialMeanDuration
