--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -48,33 +48,33 @@
 
 // table holds the back ends of the newest roster.
 type table struct {
-	mechanisms    mechanism.Set // that are on
-	mutex         sync.Mutex
-	rows          map[string]*endpoint
-	services      map[string][]*endpoint
-	published     *belief.PublishTimes              // of weights
-	stored        *belief.StoredParts               // parts that were sent to a store
-	lanes         map[string]*lanes                 // by service
-	meanDurations map[string]belief.MeanDuration    // by service
-	placed        map[string]placement              // for other gateways, by ticket
-	links         belief.Links                      // of engines and stores
-	paces         map[string]belief.PrefillEstimate // by service
-	met           map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	judges        map[string]*admission.Judge       // by service
-	assignedCount int                               // rows that are home
-	holders       map[string][]*endpoint            // that hold a shared part, under any salt, by its id
-	pushed        *pushback.Book                    // what back ends said of themselves
-	unlentTo      time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
-	turns         map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
-	changed       *bell                             // rings with each roster
-	waiting       map[*attempt]struct{}             // all that wait at any row, also at those that are gone
+	mechanisms       mechanism.Set // that are on
+	mutex            sync.Mutex
+	rows             map[string]*endpoint
+	services         map[string][]*endpoint
+	published        *belief.PublishTimes              // of weights
+	stored           *belief.StoredParts               // parts that were sent to a store
+	lanes            map[string]*lanes                 // by service
+	meanDurations    map[string]belief.MeanDuration    // by service
+	placed           map[string]placement              // for other gateways, by ticket
+	links            belief.Links                      // of engines and stores
+	prefillEstimates map[string]belief.PrefillEstimate // by service
+	met              map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
+	judges           map[string]*admission.Judge       // by service
+	assignedCount    int                               // rows that are home
+	holders          map[string][]*endpoint            // that hold a shared part, under any salt, by its id
+	pushed           *pushback.Book                    // what back ends said of themselves
+	unlentTo         time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
+	turns            map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
+	changed          *bell                             // rings with each roster
+	waiting          map[*attempt]struct{}             // all that wait at any row, also at those that are gone
 }
 
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, pushed: pushback.NewBook(),
-		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, paces: map[string]belief.PrefillEstimate{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
+		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
 }
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -8,7 +8,7 @@
 
 // pace returns the learnt pace of a service's engines. The caller holds the mutex.
 func (t *table) pace(service string) belief.PrefillEstimate {
-	if known, learnt := t.paces[service]; learnt {
+	if known, learnt := t.prefillEstimates[service]; learnt {
 		return known
 	}
 	return belief.DefaultPrefillEstimate()
@@ -22,7 +22,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := row.entry.Service
-	t.paces[service] = t.pace(service).Observe(uncached, first)
+	t.prefillEstimates[service] = t.pace(service).Observe(uncached, first)
 }
 
 // read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
