--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -30,16 +30,16 @@
 		return
 	}
 	last := shared[len(shared)-1].ID
-	if _, known := t.met[last]; known || len(t.met) < metMost {
-		t.met[last] = at
+	if _, known := t.lastSent[last]; known || len(t.lastSent) < metMost {
+		t.lastSent[last] = at
 	}
 }
 
 // forgetMet forgets what was sent long ago. The caller holds the mutex.
 func (t *table) forgetMet(now time.Duration) {
-	for id, at := range t.met {
+	for id, at := range t.lastSent {
 		if now-at > metKept {
-			delete(t.met, id)
+			delete(t.lastSent, id)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		}
 	}
 	last := shared[len(shared)-1].ID
-	if at, met := g.table.met[last]; !met || now-at > metKept {
+	if at, met := g.table.lastSent[last]; !met || now-at > metKept {
 		return rereadFirst
 	}
 	if len(g.table.holders[last]) > 0 {
