--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -151,7 +151,7 @@
 	if elsewhere {
 		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
-	return max(0, row.limitExhaustedUntil-now, t.unlentTo-now)
+	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
 // setDry notes until when nothing can be had of a back end's limit.
@@ -165,7 +165,7 @@
 func (t *table) setUnlent(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.unlentTo = max(t.unlentTo, until)
+	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
