--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -158,7 +158,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Named {
+		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.astray(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -251,7 +251,7 @@
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.pushed.LimitHeard(row.life); limit.Named {
+	if limit, heard := g.table.signals.LimitHeard(row.life); limit.Named {
 		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
 	}
 	return cost
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -63,7 +63,7 @@
 	judges           map[string]*admission.Judge       // by service
 	assignedCount    int                               // rows that are home
 	holders          map[string][]*endpoint            // that hold a shared part, under any salt, by its id
-	pushed           *pushback.Book                    // what back ends said of themselves
+	signals          *pushback.Book                    // what back ends said of themselves
 	leaseRetryAt     time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
 	turns            map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
 	changed          *bell                             // rings with each roster
@@ -73,7 +73,7 @@
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
-		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, pushed: pushback.NewBook(),
+		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewBook(),
 		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
@@ -163,8 +163,8 @@
 	if sent.plan.scheduled == nil {
 		t.read(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.pushed.At(now, sent.row.life).Until-now)
-	sent.limited = t.pushed.Limit(sent.row.life)
+	sent.atRest = max(0, t.signals.At(now, sent.row.life).Until-now)
+	sent.limited = t.signals.Limit(sent.row.life)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
 	return sent.row.occupancy.Local()
@@ -277,7 +277,7 @@
 	t.links.Sweep(now)
 	t.forgetHolders()
 	t.forgetMet(now)
-	t.pushed.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
+	t.signals.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupancy.Sweep(now)
 	}
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -22,7 +22,7 @@
 func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.pushed.Unlimited(now, sent, row.life)
+	over := g.table.signals.Unlimited(now, sent, row.life)
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Over: true}
@@ -40,7 +40,7 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.pushed.NoteLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
+	news := row != nil && g.table.signals.NoteLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
@@ -138,7 +138,7 @@
 func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.Named, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.pushed.LimitHeard(row.life)
+	named, heard := t.signals.LimitHeard(row.life)
 	if !named.Named {
 		return nil, false
 	}
@@ -170,7 +170,7 @@
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
-	if limit := t.pushed.Limit(row.life); limit.Named {
+	if limit := t.signals.Limit(row.life); limit.Named {
 		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
 	}
 }
@@ -183,7 +183,7 @@
 	sum := 0.0
 	for _, row := range t.services[service] {
 		if row.open() {
-			sum += t.pushed.Limit(row.life).Rate
+			sum += t.signals.Limit(row.life).Rate
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.LeastRate) * float64(time.Second))
@@ -198,7 +198,7 @@
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
 	for _, row := range t.rows {
-		if limit := t.pushed.Limit(row.life); limit.Named {
+		if limit := t.signals.Limit(row.life); limit.Named {
 			counts[row.entry.Service]++
 			sums[row.entry.Service] += limit.Rate
 		}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -83,12 +83,12 @@
 func (t *table) hear(now time.Duration, row *endpoint, said pushback.Said) (made news) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	before := t.pushed.At(now, row.life)
-	limit, heard := t.pushed.LimitHeard(row.life)
-	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
+	before := t.signals.At(now, row.life)
+	limit, heard := t.signals.LimitHeard(row.life)
+	made.bar = t.signals.Note(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Rest)
 	made.others = pushback.Said{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
-	if t.pushed.Limit(row.life) != limit {
+	if t.signals.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
 	if said.Limit.Named && now >= heard+retellEach {
@@ -112,12 +112,12 @@
 // limit; a wish for rest is between the two. The caller holds the mutex.
 func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Said) (news pushback.Said) {
 	t.makeDearer(at, row, said.Rest)
-	if t.pushed.NoteLimit(at, row.life, said.Limit) {
+	if t.signals.NoteLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Leaving && !t.pushed.At(now, row.life).Leaving {
+	if said.Leaving && !t.signals.At(now, row.life).Leaving {
 		news.Leaving = true
-		t.pushed.Note(now, time.Now(), row.life, news, 0)
+		t.signals.Note(now, time.Now(), row.life, news, 0)
 	}
 	return news
 }
@@ -128,7 +128,7 @@
 // bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
 func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
-	bar := t.pushed.At(now, row.life)
+	bar := t.signals.At(now, row.life)
 	switch {
 	case bar.Leaving:
 		return causeLeaving
@@ -146,7 +146,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.pushed.At(now, row.life)
+		bar := t.signals.At(now, row.life)
 		if !row.open() || bar.Leaving {
 			continue
 		}
@@ -207,7 +207,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for _, row := range t.rows {
-		if t.pushed.At(now, row.life).Rests(now) {
+		if t.signals.At(now, row.life).Rests(now) {
 			counts[row.entry.Service]++
 		}
 	}
