--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -60,7 +60,7 @@
 	links            belief.Links                      // of engines and stores
 	prefillEstimates map[string]belief.PrefillEstimate // by service
 	lastSent         map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	judges           map[string]*admission.Judge       // by service
+	admission        map[string]*admission.Judge       // by service
 	assignedCount    int                               // rows that are home
 	holders          map[string][]*endpoint            // that hold a shared part, under any salt, by its id
 	signals          *pushback.Book                    // what back ends said of themselves
@@ -74,7 +74,7 @@
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewBook(),
-		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
+		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Judge{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
 }
@@ -271,7 +271,7 @@
 	defer t.mutex.Unlock()
 	t.stored.Sweep(now)
 	t.sweepPlacements(now)
-	for _, judge := range t.judges {
+	for _, judge := range t.admission {
 		judge.Sweep(now)
 	}
 	t.links.Sweep(now)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -41,10 +41,10 @@
 
 // judge returns the judge of a service. The caller holds the mutex.
 func (t *table) judge(service string) *admission.Judge {
-	held := t.judges[service]
+	held := t.admission[service]
 	if held == nil {
 		held = &admission.Judge{}
-		t.judges[service] = held
+		t.admission[service] = held
 	}
 	return held
 }
