--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -187,8 +187,8 @@
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.LeastRate) * float64(time.Second))
-	at := min(max(now+first, t.turns[service]+step), now+longestTurn)
-	t.turns[service] = at
+	at := min(max(now+first, t.lastRetryAt[service]+step), now+longestTurn)
+	t.lastRetryAt[service] = at
 	return at - now
 }
 
