--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -66,7 +66,7 @@
 	signals          *pushback.Book                    // what back ends said of themselves
 	leaseRetryAt     time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
 	lastRetryAt      map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
-	changed          *bell                             // rings with each roster
+	rosterChanged    *bell                             // rings with each roster
 	waiting          map[*attempt]struct{}             // all that wait at any row, also at those that are gone
 }
 
@@ -75,7 +75,7 @@
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewBook(),
 		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Judge{},
-		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), lastRetryAt: map[string]time.Duration{},
+		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newBell(), lastRetryAt: map[string]time.Duration{},
 	}
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -253,7 +253,7 @@
 	patience := x.gateway.now() + backendGrace
 	for {
 		wish.trusted = x.gateway.trusted(x.gateway.now())
-		news := x.gateway.table.changed.Next()
+		news := x.gateway.table.rosterChanged.Next()
 		chosen := x.askSchedulers(wish)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), wish)
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -79,7 +79,7 @@
 	}
 	t.rows, t.services = fresh, services
 	t.forgetHolders()
-	t.changed.Ring()
+	t.rosterChanged.Ring()
 }
 
 // newestVersions merges what was known of a back end's weights with what is told: a new leader may not have heard of them yet.
