--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -31,7 +31,7 @@
 	a.noteWeights(answer.StatusCode, verdict)
 	switch {
 	case verdict.NotRun:
-		if x.gateway.table.learnVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
+		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
 			x.gateway.log.note(events.WeightsLearnt, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
 		}
 		return a.turnedAway(answer, verdict)
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -32,7 +32,7 @@
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
 		t.Fatalf("believed %d after control told nothing", believed)
 	}
-	table.learnVersion(time.Second, table.rows["e@1"], "m", 5)
+	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	tell(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
 		t.Fatalf("believed %d after the engine itself told 5 and control what it had told before", believed)
@@ -44,7 +44,7 @@
 	table, tell := versionsTable()
 	tell(map[string]uint64{"m": 4})
 	row := table.rows["e@1"]
-	if table.learnVersion(time.Second, row, "m", 3) {
+	if table.recordVersion(time.Second, row, "m", 3) {
 		t.Fatal("older weights are news")
 	}
 	if row.avoidUntil <= time.Second || row.entry.Versions["m"] != 4 {
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -233,7 +233,7 @@
 				g.table.takeNews(g.now(), g.now(), reply)
 			case 5:
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
-				g.table.learnVersion(g.now(), rows[id], "m", version)
+				g.table.recordVersion(g.now(), rows[id], "m", version)
 				versions[id] = max(versions[id], version)
 				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
