--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -95,8 +95,8 @@
 	return true
 }
 
-// takeNews notes what every answer of control carries, and returns the versions of weights that it tells to be younger than known.
-func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
+// applyWatchReply notes what every answer of control carries, and returns the versions of weights that it tells to be younger than known.
+func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.published.Update(now, asked, reply.Version.Term, reply.Wanted)
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -19,7 +19,7 @@
 
 // name tells a gateway that a version of the model m was named so long before now.
 func name(g *Gateway, version uint64, age time.Duration) {
-	g.table.takeNews(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
+	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
 
 // asking returns a request for the model m.
@@ -230,7 +230,7 @@
 						reply.Wanted = append(reply.Wanted, control.WantedVersion{Model: "m", Version: version, Age: age})
 					}
 				}
-				g.table.takeNews(g.now(), g.now(), reply)
+				g.table.applyWatchReply(g.now(), g.now(), reply)
 			case 5:
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
 				g.table.recordVersion(g.now(), rows[id], "m", version)
