--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -128,8 +128,8 @@
 	return counts
 }
 
-// loads reports whether a back end's weights are being replaced.
-func (t *table) loads(row *endpoint) bool {
+// weightsLoading reports whether a back end's weights are being replaced.
+func (t *table) weightsLoading(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return row.entry.Loading && !row.gone
