--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -288,7 +288,7 @@
 // anybody can tell: the next back end may turn the stream away, and the caller's answer would be cut.
 func (a *attempt) silent() {
 	t := a.exchange.gateway.table
-	if t.weightsLoading(a.row) || a.begun.Load() && t.heard(a.row) {
+	if t.weightsLoading(a.row) || a.begun.Load() && t.hasHeartbeat(a.row) {
 		a.silence.Reset(patienceMinimum)
 		return
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -135,8 +135,8 @@
 	return row.entry.Loading && !row.gone
 }
 
-// heard reports whether control hears a back end's heartbeats.
-func (t *table) heard(row *endpoint) bool {
+// hasHeartbeat reports whether control hears a back end's heartbeats.
+func (t *table) hasHeartbeat(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && !row.entry.Silent
