--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -142,8 +142,8 @@
 	return !row.gone && !row.entry.Silent
 }
 
-// drains reports whether own requests run on a back end that gets no new ones, since its weights are to be replaced.
-func (t *table) drains() bool {
+// weightsDraining reports whether own requests run on a back end that gets no new ones, since its weights are to be replaced.
+func (t *table) weightsDraining() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.rows {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -98,7 +98,7 @@
 // hold is how long a question may be held. While a back end drains for new weights, control is to see soon that its
 // requests have ended.
 func (g *Gateway) hold() time.Duration {
-	if g.table.drains() {
+	if g.table.weightsDraining() {
 		return drainHold
 	}
 	return watchHold
