--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 		if answer.StatusCode >= http.StatusOK {
-			a.exchange.gateway.table.spoke(a.exchange.gateway.now(), a)
+			a.exchange.gateway.table.recordBytes(a.exchange.gateway.now(), a)
 			return answer, nil
 		}
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -170,8 +170,8 @@
 	return sent.row.occupancy.Local()
 }
 
-// spoke notes bytes of an answer; the first ones end the wait.
-func (t *table) spoke(now time.Duration, sent *attempt) {
+// recordBytes notes bytes of an answer; the first ones end the wait.
+func (t *table) recordBytes(now time.Duration, sent *attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	sent.row.lastByteAt = now
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -142,7 +142,7 @@
 		for _, sent := range []*attempt{waits, begun} {
 			g.table.begin(g.now(), sent)
 		}
-		g.table.spoke(g.now(), begun)
+		g.table.recordBytes(g.now(), begun)
 		*now += 9900 * time.Millisecond
 		waits.watchLimit()
 		begun.watchLimit()
@@ -211,7 +211,7 @@
 			case 2:
 				if len(sent) > 0 {
 					begun := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
-					g.table.spoke(g.now(), begun)
+					g.table.recordBytes(g.now(), begun)
 					delete(waits, begun)
 				}
 			case 3:
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			return a.failed(err)
 		}
-		x.gateway.table.spoke(x.gateway.now(), a)
+		x.gateway.table.recordBytes(x.gateway.now(), a)
 		if stream.id != "" && !later(stream.id, x.lastEvent) {
 			return a.broken("event out of order")
 		}
