--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -196,13 +196,13 @@
 	*own = own.Minus(sent.load())
 	sent.row.grade(now, good)
 	if good == gradeGood {
-		t.noteStay(sent.row, now-sent.began)
+		t.recordDuration(sent.row, now-sent.began)
 	}
 	return sent.row.occupancy.Local()
 }
 
-// noteStay learns how long a request stayed at a back end. The caller holds the mutex.
-func (t *table) noteStay(row *endpoint, length time.Duration) {
+// recordDuration learns how long a request stayed at a back end. The caller holds the mutex.
+func (t *table) recordDuration(row *endpoint, length time.Duration) {
 	service := row.entry.Service
 	t.meanDurations[service] = t.stay(service).Observe(length)
 }
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -171,7 +171,7 @@
 		row.grade(now, end.Grade)
 	}
 	if end.Grade == gradeGood {
-		t.noteStay(row, wireTime(end.StayMS))
+		t.recordDuration(row, wireTime(end.StayMS))
 	}
 	return made, row.occupancy.Local(), true
 }
