--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -97,7 +97,7 @@
 		lanes := g.table.lane(wish.service.Name)
 		lanes.divide(rows)
 		lanes.measure(now, rows)
-		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.stay(wish.service.Name)
+		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.meanDuration(wish.service.Name)
 	}
 	owner := g.owner(now, rows, wish)
 	sources := g.sources(now, wish)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -204,11 +204,11 @@
 // recordDuration learns how long a request stayed at a back end. The caller holds the mutex.
 func (t *table) recordDuration(row *endpoint, length time.Duration) {
 	service := row.entry.Service
-	t.meanDurations[service] = t.stay(service).Observe(length)
+	t.meanDurations[service] = t.meanDuration(service).Observe(length)
 }
 
-// stay returns how long requests stay at the back ends of a service.
-func (t *table) stay(service string) belief.MeanDuration {
+// meanDuration returns how long requests meanDuration at the back ends of a service.
+func (t *table) meanDuration(service string) belief.MeanDuration {
 	if known, measured := t.meanDurations[service]; measured {
 		return known
 	}
