--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -261,7 +261,7 @@
 		sends = append(sends, w.send())
 		pass(sends[len(sends)-1])
 	}
-	for _, told := range g.table.takeSends(g.now(), sends) {
+	for _, told := range g.table.applySends(g.now(), sends) {
 		if told.news.Leaving {
 			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
 		}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -215,8 +215,8 @@
 	return belief.InitialMeanDuration
 }
 
-// takeSends notes what other gateways sent, and returns what is news of what back ends said of themselves.
-func (t *table) takeSends(now time.Duration, sends []send) (told []said) {
+// applySends notes what other gateways sent, and returns what is news of what back ends said of themselves.
+func (t *table) applySends(now time.Duration, sends []send) (told []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, made := range sends {
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -27,7 +27,7 @@
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
 			fleet[d].table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
 			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i} // the shortest are the same for all
-			fleet[d].table.takeSends(time.Second, []send{queued})
+			fleet[d].table.applySends(time.Second, []send{queued})
 		}
 	}
 	met := 0
@@ -61,7 +61,7 @@
 		t.Fatalf("over a free link: %+v", free)
 	}
 	for range 40 {
-		g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
+		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
 	}
 	if busy := g.choose(time.Second, wish); busy.fetchFrom != "" || busy.uncached != 9190 {
 		t.Fatalf("over a busy link: %+v", busy)
@@ -80,7 +80,7 @@
 		g.table.notePace(row, true, 8000, 400*time.Millisecond)   // 20 a ms
 		g.table.notePace(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
 	}
-	g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
+	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
 	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
 		t.Fatalf("8000 tokens keep the engine busy for %v", busy)
 	}
@@ -116,7 +116,7 @@
 		})
 	}
 	g.table.takeRoster(0, news, nil)
-	g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
+	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
 		used[g.placeFor(time.Second, &wireQuestion{Ticket: fmt.Sprint("t", i), Service: "plain", WithinMS: 1000}).Instance]++
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -230,7 +230,7 @@
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
 		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Said{Limit: limit}}
-		g.table.takeSends(now, []send{heard.wire(0).send()})
+		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -231,7 +231,7 @@
 	told := func(said pushback.Said) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
-		g.table.takeSends(g.now(), []send{heard.wire(0).send()})
+		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
 		x := asking(g)
 		for range 20 {
