--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -94,7 +94,7 @@
 	defer g.table.mutex.Unlock()
 	rows := g.table.services[wish.service.Name]
 	if wish.service.Engine {
-		lanes := g.table.lane(wish.service.Name)
+		lanes := g.table.lanesOf(wish.service.Name)
 		lanes.divide(rows)
 		lanes.measure(now, rows)
 		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.meanDuration(wish.service.Name)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -255,8 +255,8 @@
 	return told
 }
 
-// lane returns the lanes of a service, made when it is first named.
-func (t *table) lane(service string) *lanes {
+// lanesOf returns the lanes of a service, made when it is first named.
+func (t *table) lanesOf(service string) *lanes {
 	held := t.lanes[service]
 	if held == nil {
 		held = &lanes{}
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -130,7 +130,7 @@
 	if !g.on(mechanism.Lanes) {
 		return 0
 	}
-	return g.table.lane(e.entry.Service).weight() * e.astray(uncached)
+	return g.table.lanesOf(e.entry.Service).weight() * e.astray(uncached)
 }
 
 func (e *endpoint) astray(uncached int) float64 {
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -65,7 +65,7 @@
 	if !wish.service.Engine || !g.on(mechanism.Lanes) {
 		return rows
 	}
-	lanes := g.table.lane(wish.service.Name)
+	lanes := g.table.lanesOf(wish.service.Name)
 	if lane := lanes.of(wish.maxUncached()); len(lane) > 0 && lanes.weight() > 0 {
 		return lane
 	}
