--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// longPrompt is how many prompt tokens an engine has to read for a request to count as long. While it reads them, the
+	// longPromptTokens is how many prompt tokens an engine has to read for a request to count as long. While it reads them, the
 	// streams that run there get their tokens late.
-	longPrompt = 1500
+	longPromptTokens = 1500
 	// laneMemory is how fast the measured demand of long and short requests is forgotten.
 	laneMemory = 6 * time.Second
 	// laneBase is the demand, in prompt tokens, that both are taken to have from the start.
@@ -65,7 +65,7 @@
 // note adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
 func (l *lanes) note(now time.Duration, uncached int, slotTime float64) {
 	l.decay(now)
-	if uncached >= longPrompt {
+	if uncached >= longPromptTokens {
 		l.long += float64(uncached)
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // of returns the engines for requests that read so many tokens, as they were divided last.
-func (l *lanes) of(uncached int) []*endpoint { return l.sides[sideOf(uncached >= longPrompt)] }
+func (l *lanes) of(uncached int) []*endpoint { return l.sides[sideOf(uncached >= longPromptTokens)] }
 
 func sideOf(long bool) int {
 	if long {
@@ -135,9 +135,9 @@
 
 func (e *endpoint) astray(uncached int) float64 {
 	switch {
-	case uncached >= longPrompt && !e.longLane:
+	case uncached >= longPromptTokens && !e.longLane:
 		return longAstray
-	case uncached < longPrompt && e.longLane:
+	case uncached < longPromptTokens && e.longLane:
 		return shortAstray
 	}
 	return 0
