--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -14,8 +14,8 @@
 	// longPromptTokens is how many prompt tokens an engine has to read for a request to count as long. While it reads them, the
 	// streams that run there get their tokens late.
 	longPromptTokens = 1500
-	// laneMemory is how fast the measured demand of long and short requests is forgotten.
-	laneMemory = 6 * time.Second
+	// demandDecayTime is how fast the measured demand of long and short requests is forgotten.
+	demandDecayTime = 6 * time.Second
 	// laneBase is the demand, in prompt tokens, that both are taken to have from the start.
 	laneBase = 4000.0
 	// shortSurcharge: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
@@ -76,7 +76,7 @@
 	if now <= l.at {
 		return
 	}
-	kept := math.Exp(-float64(now-l.at) / float64(laneMemory))
+	kept := math.Exp(-float64(now-l.at) / float64(demandDecayTime))
 	l.long, l.short, l.at = l.long*kept, l.short*kept, now
 }
 
