--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -16,8 +16,8 @@
 	longPromptTokens = 1500
 	// demandDecayTime is how fast the measured demand of long and short requests is forgotten.
 	demandDecayTime = 6 * time.Second
-	// laneBase is the demand, in prompt tokens, that both are taken to have from the start.
-	laneBase = 4000.0
+	// baseDemand is the demand, in prompt tokens, that both are taken to have from the start.
+	baseDemand = 4000.0
 	// shortSurcharge: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
 	// Where slots are few, the time that it keeps one of them counts as reading.
 	shortSurcharge = 250.0
@@ -82,7 +82,7 @@
 
 // longShare returns the share of the engines for long requests.
 func (l *lanes) longShare() float64 {
-	return (l.long + laneBase) / (l.long + l.short + 2*laneBase)
+	return (l.long + baseDemand) / (l.long + l.short + 2*baseDemand)
 }
 
 // divide marks the engines of each zone for long requests: the first by hash, at least one of each kind where there are
