--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -18,9 +18,9 @@
 	demandDecayTime = 6 * time.Second
 	// baseDemand is the demand, in prompt tokens, that both are taken to have from the start.
 	baseDemand = 4000.0
-	// shortSurcharge: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
+	// minSlotDemand: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
 	// Where slots are few, the time that it keeps one of them counts as reading.
-	shortSurcharge = 250.0
+	minSlotDemand = 250.0
 	// lanesGoneAt is the share of a service's slots in use from which on there are no lanes: where slots are scarce, those that a
 	// lane keeps free for one kind are missing to the other. Below it they count the less the more slots are in use, looked at each
 	// roomEach.
@@ -69,7 +69,7 @@
 		l.long += float64(uncached)
 		return
 	}
-	l.short += float64(uncached) + max(shortSurcharge, slotTime*belief.PrefillRate)
+	l.short += float64(uncached) + max(minSlotDemand, slotTime*belief.PrefillRate)
 }
 
 func (l *lanes) decay(now time.Duration) {
