--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -21,11 +21,11 @@
 	// minSlotDemand: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
 	// Where slots are few, the time that it keeps one of them counts as reading.
 	minSlotDemand = 250.0
-	// lanesGoneAt is the share of a service's slots in use from which on there are no lanes: where slots are scarce, those that a
+	// lanesOffUtilization is the share of a service's slots in use from which on there are no lanes: where slots are scarce, those that a
 	// lane keeps free for one kind are missing to the other. Below it they count the less the more slots are in use, looked at each
 	// roomEach.
-	lanesGoneAt = 0.5
-	roomEach    = 50 * time.Millisecond
+	lanesOffUtilization = 0.5
+	roomEach            = 50 * time.Millisecond
 	// longAstray and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
 	longAstray  = 120.0
 	shortAstray = 60.0
@@ -60,7 +60,7 @@
 }
 
 // weight is how much lanes count, from 0 to 1.
-func (l *lanes) weight() float64 { return min(max(1-l.used/lanesGoneAt, 0), 1) }
+func (l *lanes) weight() float64 { return min(max(1-l.used/lanesOffUtilization, 0), 1) }
 
 // note adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
 func (l *lanes) note(now time.Duration, uncached int, slotTime float64) {
