--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -25,7 +25,7 @@
 	// lane keeps free for one kind are missing to the other. Below it they count the less the more slots are in use, looked at each
 	// roomEach.
 	lanesOffUtilization = 0.5
-	roomEach            = 50 * time.Millisecond
+	utilizationInterval = 50 * time.Millisecond
 	// longAstray and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
 	longAstray  = 120.0
 	shortAstray = 60.0
@@ -45,7 +45,7 @@
 
 // measure looks how many of the slots are in use. Where slots are not known, none count as in use.
 func (l *lanes) measure(now time.Duration, rows []*endpoint) {
-	if now < l.usedAt+roomEach && l.usedAt > 0 {
+	if now < l.usedAt+utilizationInterval && l.usedAt > 0 {
 		return
 	}
 	running, slots := 0, 0
