--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -26,9 +26,9 @@
 	// roomEach.
 	lanesOffUtilization = 0.5
 	utilizationInterval = 50 * time.Millisecond
-	// longAstray and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
-	longAstray  = 120.0
-	shortAstray = 60.0
+	// longOffLaneCost and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
+	longOffLaneCost = 120.0
+	shortAstray     = 60.0
 )
 
 // lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
@@ -136,7 +136,7 @@
 func (e *endpoint) astray(uncached int) float64 {
 	switch {
 	case uncached >= longPromptTokens && !e.longLane:
-		return longAstray
+		return longOffLaneCost
 	case uncached < longPromptTokens && e.longLane:
 		return shortAstray
 	}
