--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -27,8 +27,8 @@
 	lanesOffUtilization = 0.5
 	utilizationInterval = 50 * time.Millisecond
 	// longOffLaneCost and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
-	longOffLaneCost = 120.0
-	shortAstray     = 60.0
+	longOffLaneCost  = 120.0
+	shortOffLaneCost = 60.0
 )
 
 // lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
@@ -138,7 +138,7 @@
 	case uncached >= longPromptTokens && !e.longLane:
 		return longOffLaneCost
 	case uncached < longPromptTokens && e.longLane:
-		return shortAstray
+		return shortOffLaneCost
 	}
 	return 0
 }
