--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -34,13 +34,13 @@
 // lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
 // see alike, so that long prompts stay out of the short requests' way.
 type lanes struct {
-	long, short float64 // decaying sums of demand, in prompt tokens
-	at          time.Duration
-	share       float64        // of the engines that serve long requests, when they were divided last
-	divided     []*endpoint    // as they were then
-	sides       [2][]*endpoint // of divided: those for short requests, and those for long ones
-	used        float64        // share of the slots that are in use
-	usedAt      time.Duration  // when that was looked at
+	long, short  float64 // decaying sums of demand, in prompt tokens
+	at           time.Duration
+	longFraction float64        // of the engines that serve long requests, when they were divided last
+	divided      []*endpoint    // as they were then
+	sides        [2][]*endpoint // of divided: those for short requests, and those for long ones
+	used         float64        // share of the slots that are in use
+	usedAt       time.Duration  // when that was looked at
 }
 
 // measure looks how many of the slots are in use. Where slots are not known, none count as in use.
@@ -89,12 +89,12 @@
 // two or more. An engine changes sides only when the share has moved by more than half of one.
 func (l *lanes) divide(rows []*endpoint) {
 	share := l.longShare()
-	moved := math.Abs(share-l.share)*float64(len(rows)) > 0.5
+	moved := math.Abs(share-l.longFraction)*float64(len(rows)) > 0.5
 	if !moved && slices.Equal(l.divided, rows) {
 		return
 	}
 	if moved {
-		l.share = share
+		l.longFraction = share
 	}
 	l.divided = rows
 	zones := map[string][]*endpoint{}
@@ -106,7 +106,7 @@
 		slices.SortFunc(members, func(a, b *endpoint) int {
 			return cmp.Compare(a.hash, b.hash)
 		})
-		count := int(math.Round(l.share * float64(len(members))))
+		count := int(math.Round(l.longFraction * float64(len(members))))
 		count = min(max(count, 1), max(1, len(members)-1))
 		for at, member := range members {
 			member.longLane = at < count
