--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -39,7 +39,7 @@
 	longFraction float64        // of the engines that serve long requests, when they were divided last
 	divided      []*endpoint    // as they were then
 	sides        [2][]*endpoint // of divided: those for short requests, and those for long ones
-	used         float64        // share of the slots that are in use
+	utilization  float64        // share of the slots that are in use
 	usedAt       time.Duration  // when that was looked at
 }
 
@@ -53,14 +53,14 @@
 		running += row.occupancy.Total().Running
 		slots += row.entry.Slots
 	}
-	l.used, l.usedAt = 0, now
+	l.utilization, l.usedAt = 0, now
 	if slots > 0 {
-		l.used = float64(running) / float64(slots)
+		l.utilization = float64(running) / float64(slots)
 	}
 }
 
 // weight is how much lanes count, from 0 to 1.
-func (l *lanes) weight() float64 { return min(max(1-l.used/lanesOffUtilization, 0), 1) }
+func (l *lanes) weight() float64 { return min(max(1-l.utilization/lanesOffUtilization, 0), 1) }
 
 // note adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
 func (l *lanes) note(now time.Duration, uncached int, slotTime float64) {
