--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -34,18 +34,18 @@
 // lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
 // see alike, so that long prompts stay out of the short requests' way.
 type lanes struct {
-	long, short  float64 // decaying sums of demand, in prompt tokens
-	at           time.Duration
-	longFraction float64        // of the engines that serve long requests, when they were divided last
-	divided      []*endpoint    // as they were then
-	sides        [2][]*endpoint // of divided: those for short requests, and those for long ones
-	utilization  float64        // share of the slots that are in use
-	usedAt       time.Duration  // when that was looked at
+	long, short   float64 // decaying sums of demand, in prompt tokens
+	at            time.Duration
+	longFraction  float64        // of the engines that serve long requests, when they were divided last
+	divided       []*endpoint    // as they were then
+	sides         [2][]*endpoint // of divided: those for short requests, and those for long ones
+	utilization   float64        // share of the slots that are in use
+	utilizationAt time.Duration  // when that was looked at
 }
 
 // measure looks how many of the slots are in use. Where slots are not known, none count as in use.
 func (l *lanes) measure(now time.Duration, rows []*endpoint) {
-	if now < l.usedAt+utilizationInterval && l.usedAt > 0 {
+	if now < l.utilizationAt+utilizationInterval && l.utilizationAt > 0 {
 		return
 	}
 	running, slots := 0, 0
@@ -53,7 +53,7 @@
 		running += row.occupancy.Total().Running
 		slots += row.entry.Slots
 	}
-	l.utilization, l.usedAt = 0, now
+	l.utilization, l.utilizationAt = 0, now
 	if slots > 0 {
 		l.utilization = float64(running) / float64(slots)
 	}
