--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -96,7 +96,7 @@
 	if wish.service.Engine {
 		lanes := g.table.lanesOf(wish.service.Name)
 		lanes.divide(rows)
-		lanes.measure(now, rows)
+		lanes.measureUtilization(now, rows)
 		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.meanDuration(wish.service.Name)
 	}
 	owner := g.owner(now, rows, wish)
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -43,8 +43,8 @@
 	utilizationAt time.Duration  // when that was looked at
 }
 
-// measure looks how many of the slots are in use. Where slots are not known, none count as in use.
-func (l *lanes) measure(now time.Duration, rows []*endpoint) {
+// measureUtilization looks how many of the slots are in use. Where slots are not known, none count as in use.
+func (l *lanes) measureUtilization(now time.Duration, rows []*endpoint) {
 	if now < l.utilizationAt+utilizationInterval && l.utilizationAt > 0 {
 		return
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -237,7 +237,7 @@
 			row.occupancy.Own.Running = c.running
 		}
 		held := &lanes{}
-		if held.measure(time.Second, rows); held.weight() != c.wanted {
+		if held.measureUtilization(time.Second, rows); held.weight() != c.wanted {
 			t.Errorf("%d of %d slots: weight %v, wanted %v", c.running, c.slots, held.weight(), c.wanted)
 		}
 	}
