--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -52,7 +52,7 @@
 // noteDemand notes what an engine was sent to read, for the lanes of its service. The caller holds the mutex.
 func (t *table) noteDemand(now time.Duration, row *endpoint, uncached int) {
 	slotTime := float64(t.meanDuration(row.entry.Service)) / float64(max(1, row.entry.Slots))
-	t.lanesOf(row.entry.Service).note(now, uncached, slotTime)
+	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
 
 func (t *table) hold(at time.Duration, row *endpoint, made send) {
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -62,8 +62,8 @@
 // weight is how much lanes count, from 0 to 1.
 func (l *lanes) weight() float64 { return min(max(1-l.utilization/lanesOffUtilization, 0), 1) }
 
-// note adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
-func (l *lanes) note(now time.Duration, uncached int, slotTime float64) {
+// recordDemand adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
+func (l *lanes) recordDemand(now time.Duration, uncached int, slotTime float64) {
 	l.decay(now)
 	if uncached >= longPromptTokens {
 		l.long += float64(uncached)
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -107,7 +107,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 100).Draw(t, "sends") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
-			held.note(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
+			held.recordDemand(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
 		}
 		held.divide(rows)
 		long, short := map[string]int{}, map[string]int{}
