--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -80,15 +80,15 @@
 	l.long, l.short, l.at = l.long*kept, l.short*kept, now
 }
 
-// longShare returns the share of the engines for long requests.
-func (l *lanes) longShare() float64 {
+// longDemandFraction returns the share of the engines for long requests.
+func (l *lanes) longDemandFraction() float64 {
 	return (l.long + baseDemand) / (l.long + l.short + 2*baseDemand)
 }
 
 // divide marks the engines of each zone for long requests: the first by hash, at least one of each kind where there are
 // two or more. An engine changes sides only when the share has moved by more than half of one.
 func (l *lanes) divide(rows []*endpoint) {
-	share := l.longShare()
+	share := l.longDemandFraction()
 	moved := math.Abs(share-l.longFraction)*float64(len(rows)) > 0.5
 	if !moved && slices.Equal(l.divided, rows) {
 		return
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -96,7 +96,7 @@
 			l.recordDemand(now, 6000, slotTime)
 			l.recordDemand(now, 545, slotTime)
 		}
-		return l.longShare()
+		return l.longDemandFraction()
 	}
 	if tokens, slots := share(0), share(60); tokens < 0.85 || slots > 0.75 {
 		t.Fatalf("shares of long requests: %.2f by tokens, %.2f with slots of 60 ms", tokens, slots)
