--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -158,7 +158,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.astray(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
+		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -223,7 +223,7 @@
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
-	scored.cost += g.astray(row, scored.uncached)
+	scored.cost += g.offLaneCost(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -125,8 +125,8 @@
 	return 0
 }
 
-// astray is what a request costs on an engine of the other lane, in milliseconds, where lanes are on.
-func (g *Gateway) astray(e *endpoint, uncached int) float64 {
+// offLaneCost is what a request costs on an engine of the other lane, in milliseconds, where lanes are on.
+func (g *Gateway) offLaneCost(e *endpoint, uncached int) float64 {
 	if !g.on(mechanism.Lanes) {
 		return 0
 	}
