--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -130,10 +130,10 @@
 	if !g.on(mechanism.Lanes) {
 		return 0
 	}
-	return g.table.lanesOf(e.entry.Service).weight() * e.astray(uncached)
+	return g.table.lanesOf(e.entry.Service).weight() * e.fullOffLaneCost(uncached)
 }
 
-func (e *endpoint) astray(uncached int) float64 {
+func (e *endpoint) fullOffLaneCost(uncached int) float64 {
 	switch {
 	case uncached >= longPromptTokens && !e.longLane:
 		return longOffLaneCost
