--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -110,15 +110,15 @@
 		count = min(max(count, 1), max(1, len(members)-1))
 		for at, member := range members {
 			member.longLane = at < count
-			l.sides[sideOf(member.longLane)] = append(l.sides[sideOf(member.longLane)], member)
+			l.sides[laneIndex(member.longLane)] = append(l.sides[laneIndex(member.longLane)], member)
 		}
 	}
 }
 
 // of returns the engines for requests that read so many tokens, as they were divided last.
-func (l *lanes) of(uncached int) []*endpoint { return l.sides[sideOf(uncached >= longPromptTokens)] }
+func (l *lanes) of(uncached int) []*endpoint { return l.sides[laneIndex(uncached >= longPromptTokens)] }
 
-func sideOf(long bool) int {
+func laneIndex(long bool) int {
 	if long {
 		return 1
 	}
