--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -38,7 +38,7 @@
 	at            time.Duration
 	longFraction  float64        // of the engines that serve long requests, when they were divided last
 	divided       []*endpoint    // as they were then
-	sides         [2][]*endpoint // of divided: those for short requests, and those for long ones
+	members       [2][]*endpoint // of divided: those for short requests, and those for long ones
 	utilization   float64        // share of the slots that are in use
 	utilizationAt time.Duration  // when that was looked at
 }
@@ -101,7 +101,7 @@
 	for _, row := range rows {
 		zones[row.entry.Zone] = append(zones[row.entry.Zone], row)
 	}
-	l.sides = [2][]*endpoint{}
+	l.members = [2][]*endpoint{}
 	for _, members := range zones {
 		slices.SortFunc(members, func(a, b *endpoint) int {
 			return cmp.Compare(a.hash, b.hash)
@@ -110,13 +110,15 @@
 		count = min(max(count, 1), max(1, len(members)-1))
 		for at, member := range members {
 			member.longLane = at < count
-			l.sides[laneIndex(member.longLane)] = append(l.sides[laneIndex(member.longLane)], member)
+			l.members[laneIndex(member.longLane)] = append(l.members[laneIndex(member.longLane)], member)
 		}
 	}
 }
 
 // of returns the engines for requests that read so many tokens, as they were divided last.
-func (l *lanes) of(uncached int) []*endpoint { return l.sides[laneIndex(uncached >= longPromptTokens)] }
+func (l *lanes) of(uncached int) []*endpoint {
+	return l.members[laneIndex(uncached >= longPromptTokens)]
+}
 
 func laneIndex(long bool) int {
 	if long {
