--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -227,7 +227,7 @@
 		at := now - min(now, made.Age)
 		if made.Kept {
 			row.cache.ApplyPeerReport(at, made.Salt, made.Parts)
-			t.index(row, made.Parts)
+			t.indexHolder(row, made.Parts)
 			continue
 		}
 		if made.Unreached {
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// index makes a back end be found by parts that it holds.
-func (t *table) index(row *endpoint, parts []prefix.Part) {
+// indexHolder makes a back end be found by parts that it holds.
+func (t *table) indexHolder(row *endpoint, parts []prefix.Part) {
 	for _, part := range parts {
 		if row.cache.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
 			t.holders[part.ID] = append(t.holders[part.ID], row)
@@ -40,7 +40,7 @@
 	bySalt := map[string][]prefix.Part{}
 	for _, p := range row.cache.ApplyReport(now, parts, whole) {
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
-		t.index(row, []prefix.Part{p.Part})
+		t.indexHolder(row, []prefix.Part{p.Part})
 	}
 	var corrections []send
 	for _, salt := range slices.Sorted(maps.Keys(bySalt)) {
@@ -59,7 +59,7 @@
 	row.cache.RecordUse(at, made.Salt, made.Parts)
 	t.meet(at, prefix.Shared(made.Parts))
 	t.links.Record(at, made.Move)
-	t.index(row, prefix.Shared(made.Parts))
+	t.indexHolder(row, prefix.Shared(made.Parts))
 	if made.Saved {
 		t.stored.Record(at, made.Salt, prefix.Shared(made.Parts))
 	}
