--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -111,7 +111,7 @@
 
 // readCache asks an engine once and takes up what it tells. It may be too early to ask, the engine may be gone, or it wants rest.
 func (g *Gateway) readCache(ctx context.Context, id string, at *cacheCursor) (asked bool, err error) {
-	address, open := g.table.address(g.now(), id)
+	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
 		return false, nil
 	}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// address returns where a back end may be asked what it keeps. One that wants rest isn't asked that either.
-func (t *table) address(now time.Duration, id string) (string, bool) {
+// cacheAddress returns where a back end may be asked what it keeps. One that wants rest isn't asked that either.
+func (t *table) cacheAddress(now time.Duration, id string) (string, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
