--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -29,8 +29,8 @@
 	return row.entry.Address, true
 }
 
-// takeKept takes up what a back end tells that it keeps, and returns what was believed otherwise, as sends that say so.
-func (t *table) takeKept(now time.Duration, id string, parts []belief.CachedPart, whole bool) []send {
+// applyCacheReport takes up what a back end tells that it keeps, and returns what was believed otherwise, as sends that say so.
+func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, whole bool) []send {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
