--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -250,7 +250,7 @@
 		}
 		t.read(at, row, made.Uncached)
 		t.hold(at, row, made)
-		t.noteDemand(at, row, made.Uncached)
+		t.recordDemand(at, row, made.Uncached)
 	}
 	return told
 }
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -49,8 +49,8 @@
 	return corrections
 }
 
-// noteDemand notes what an engine was sent to read, for the lanes of its service. The caller holds the mutex.
-func (t *table) noteDemand(now time.Duration, row *endpoint, uncached int) {
+// recordDemand notes what an engine was sent to read, for the lanes of its service. The caller holds the mutex.
+func (t *table) recordDemand(now time.Duration, row *endpoint, uncached int) {
 	slotTime := float64(t.meanDuration(row.entry.Service)) / float64(max(1, row.entry.Slots))
 	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
@@ -70,7 +70,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if row := t.rows[made.Instance]; row != nil && made.Salt != "" {
-		t.noteDemand(now, row, made.Uncached)
+		t.recordDemand(now, row, made.Uncached)
 		t.hold(now, row, made)
 	}
 }
