--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -249,7 +249,7 @@
 			continue // it tells of no prompt
 		}
 		t.read(at, row, made.Uncached)
-		t.hold(at, row, made)
+		t.recordCached(at, row, made)
 		t.recordDemand(at, row, made.Uncached)
 	}
 	return told
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -55,7 +55,7 @@
 	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
 
-func (t *table) hold(at time.Duration, row *endpoint, made send) {
+func (t *table) recordCached(at time.Duration, row *endpoint, made send) {
 	row.cache.RecordUse(at, made.Salt, made.Parts)
 	t.meet(at, prefix.Shared(made.Parts))
 	t.links.Record(at, made.Move)
@@ -71,7 +71,7 @@
 	defer t.mutex.Unlock()
 	if row := t.rows[made.Instance]; row != nil && made.Salt != "" {
 		t.recordDemand(now, row, made.Uncached)
-		t.hold(now, row, made)
+		t.recordCached(now, row, made)
 	}
 }
 
