--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -172,7 +172,7 @@
 		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
 	}
-	g.table.noteHeld(now, made)
+	g.table.recordOwnSend(now, made)
 	g.spread.own(made)
 }
 
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// noteHeld notes which parts an own send leaves where.
-func (t *table) noteHeld(now time.Duration, made send) {
+// recordOwnSend notes which parts an own send leaves where.
+func (t *table) recordOwnSend(now time.Duration, made send) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if row := t.rows[made.Instance]; row != nil && made.Salt != "" {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -264,7 +264,7 @@
 			}
 			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
-				g.table.noteHeld(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
+				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
 			for i := range int(inNeed * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
@@ -343,7 +343,7 @@
 		if i == 0 {
 			parts[1] = dossier
 		}
-		g.table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
+		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
 	wish := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, wish)
