--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -275,7 +275,7 @@
 		judge.Sweep(now)
 	}
 	t.links.Sweep(now)
-	t.forgetHolders()
+	t.sweepHolders()
 	t.forgetMet(now)
 	t.signals.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// forgetHolders drops back ends that are gone, and parts that nobody holds any more, from the holders.
-func (t *table) forgetHolders() {
+// sweepHolders drops back ends that are gone, and parts that nobody holds any more, from the holders.
+func (t *table) sweepHolders() {
 	for id, rows := range t.holders {
 		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.cache.Holds(id) })
 		if len(rows) == 0 {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -78,7 +78,7 @@
 		services[row.entry.Service] = append(services[row.entry.Service], row)
 	}
 	t.rows, t.services = fresh, services
-	t.forgetHolders()
+	t.sweepHolders()
 	t.rosterChanged.Ring()
 }
 
