--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// moveBase is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
-	moveBase  = 4.0
-	farFactor = 2.0
+	// minTransferTime is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
+	minTransferTime = 4.0
+	farFactor       = 2.0
 	// displaceWeight is what each copied token costs besides, as a part of the time of reading one.
 	displaceWeight = 0.8
 	// saveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
@@ -173,12 +173,12 @@
 // moveTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
 func moveTime(service *catalog.Service, linkMbps float64, tokens int, far bool) float64 {
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
-		return moveBase
+		return minTransferTime
 	}
 	bits := float64(tokens) * service.TokenBytes * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
 	if far {
 		time *= farFactor
 	}
-	return moveBase + time
+	return minTransferTime + time
 }
