--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -15,7 +15,7 @@
 const (
 	// minTransferTime is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
 	minTransferTime = 4.0
-	farFactor       = 2.0
+	crossZoneFactor = 2.0
 	// displaceWeight is what each copied token costs besides, as a part of the time of reading one.
 	displaceWeight = 0.8
 	// saveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
@@ -178,7 +178,7 @@
 	bits := float64(tokens) * service.TokenBytes * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
 	if far {
-		time *= farFactor
+		time *= crossZoneFactor
 	}
 	return minTransferTime + time
 }
