--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -16,8 +16,8 @@
 	// minTransferTime is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
 	minTransferTime = 4.0
 	crossZoneFactor = 2.0
-	// displaceWeight is what each copied token costs besides, as a part of the time of reading one.
-	displaceWeight = 0.8
+	// displacementWeight is what each copied token costs besides, as a part of the time of reading one.
+	displacementWeight = 0.8
 	// saveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
 	saveWait              = 60 * time.Millisecond
 	bitsPerByte           = 8
@@ -162,7 +162,7 @@
 	plan := copyPlan{from: from, tokens: tokens, time: moveTime(wish.service, linkMbps, tokens-cached, far)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
-		plan.cost += displaceWeight * float64(tokens-cached) / belief.PrefillRate
+		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
 	}
 	if g.on(mechanism.Links) {
 		plan.cost += belief.Milliseconds(g.table.links.Wait(now, from))
