--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -18,8 +18,8 @@
 	crossZoneFactor = 2.0
 	// displacementWeight is what each copied token costs besides, as a part of the time of reading one.
 	displacementWeight = 0.8
-	// saveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
-	saveWait              = 60 * time.Millisecond
+	// maxSaveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
+	maxSaveWait           = 60 * time.Millisecond
 	bitsPerByte           = 8
 	bitsPerMegabit        = 1e6
 	millisecondsPerSecond = 1e3
@@ -123,7 +123,7 @@
 		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
 		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
-	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < saveWait:
+	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < maxSaveWait:
 		scored.fetchFrom, scored.saveTo = wish.store.Store, wish.store.Store
 		saved := g.storeCopy(now, scored, wish, whole, cached) // the way there takes as long as the way back
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
