--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -47,7 +47,7 @@
 			if len(found) == maximumHolders || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
-			if held, holds := g.sourceAt(now, row, wish, &salts); holds {
+			if held, holds := g.sourceFrom(now, row, wish, &salts); holds {
 				found = append(found, held)
 			}
 		}
@@ -82,8 +82,8 @@
 	return k.name
 }
 
-// sourceAt returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
-func (g *Gateway) sourceAt(now time.Duration, row *endpoint, wish selectionInput, salts *knownSalts) (source, bool) {
+// sourceFrom returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
+func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, wish selectionInput, salts *knownSalts) (source, bool) {
 	version := row.entry.Versions[wish.call.Model]
 	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
