--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	found := make([]source, 0, maximumHolders)
-	var salts knownSalts
+	var salts saltCache
 	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maximumHolders; deepest-- {
 		for _, row := range sampled(g.table.holders[shared[deepest].ID], holdersSampled) {
 			if len(found) == maximumHolders || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
@@ -68,14 +68,14 @@
 	return picked
 }
 
-// knownSalts keeps the salt of the weights that came last: few versions are about at a time, mostly one.
-type knownSalts struct {
+// saltCache keeps the salt of the weights that came last: few versions are about at a time, mostly one.
+type saltCache struct {
 	version uint64
 	name    string
 }
 
 // of returns the salt of a version for a tenant.
-func (k *knownSalts) of(version uint64, owner *catalog.Tenant) string {
+func (k *saltCache) of(version uint64, owner *catalog.Tenant) string {
 	if k.name == "" || k.version != version {
 		k.version, k.name = version, salt(version, owner)
 	}
@@ -83,7 +83,7 @@
 }
 
 // sourceFrom returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
-func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, wish selectionInput, salts *knownSalts) (source, bool) {
+func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, wish selectionInput, salts *saltCache) (source, bool) {
 	version := row.entry.Versions[wish.call.Model]
 	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
