--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -113,13 +113,13 @@
 	}
 	if stored {
 		fromStore := g.storeCopy(now, scored, wish, whole, cached)
-		if !found || fromStore.net(cached) < best.net(cached) {
+		if !found || fromStore.netCost(cached) < best.netCost(cached) {
 			best, found = fromStore, true
 		}
 	}
-	scored.copyCostsMore = found && best.net(cached) >= 0
+	scored.copyCostsMore = found && best.netCost(cached) >= 0
 	switch {
-	case found && best.net(cached) < 0:
+	case found && best.netCost(cached) < 0:
 		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
 		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
@@ -131,8 +131,8 @@
 	return cached
 }
 
-// net is what a way costs more than to read the parts, in milliseconds; below 0 it is the better one.
-func (p copyPlan) net(cached int) float64 {
+// netCost is what a way costs more than to read the parts, in milliseconds; below 0 it is the better one.
+func (p copyPlan) netCost(cached int) float64 {
 	return p.cost - (1+recomputeWeight)*float64(p.tokens-cached)/belief.PrefillRate
 }
 
@@ -144,7 +144,7 @@
 		}
 		far := other.row.entry.Zone != scored.row.entry.Zone
 		plan := g.copyPlan(now, wish, other.row.entry.Address, wish.service.LinkMbps, other.tokens, cached, far)
-		if !found || plan.net(cached) < best.net(cached) {
+		if !found || plan.netCost(cached) < best.netCost(cached) {
 			best, found = plan, true
 		}
 	}
