--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -159,7 +159,7 @@
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
 func (g *Gateway) copyPlan(now time.Duration, wish selectionInput, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
-	plan := copyPlan{from: from, tokens: tokens, time: moveTime(wish.service, linkMbps, tokens-cached, far)}
+	plan := copyPlan{from: from, tokens: tokens, time: transferTime(wish.service, linkMbps, tokens-cached, far)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
@@ -170,8 +170,8 @@
 	return plan
 }
 
-// moveTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
-func moveTime(service *catalog.Service, linkMbps float64, tokens int, far bool) float64 {
+// transferTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
+func transferTime(service *catalog.Service, linkMbps float64, tokens int, far bool) float64 {
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
 		return minTransferTime
 	}
