--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -193,7 +193,7 @@
 
 // assignedElsewhere reports whether another gateway samples a back end of a large service.
 func (g *Gateway) assignedElsewhere(row *endpoint, wish selectionInput) bool {
-	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[wish.service.Name]) > scoreAllUpTo
+	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[wish.service.Name]) > maxScoreAll
 }
 
 // scoreEngine adds up the queue of prompts, what is read, and what is copied from elsewhere. Reading shared parts again
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// scoreAllUpTo is the number of a service's back ends up to which all are scored; beyond it a shortlist is.
-	scoreAllUpTo = 64
+	// maxScoreAll is the number of a service's back ends up to which all are scored; beyond it a shortlist is.
+	maxScoreAll = 64
 	// maximumHolders and holdersSampled bound the back ends that are looked at as sources of copies: in all, and of those that hold
 	// the same part.
 	maximumHolders = 24
@@ -36,7 +36,7 @@
 	switch {
 	case !wish.service.Engine && g.table.assignedCount > 0:
 		return g.pick(now, nil, rows, plainSample, wish)
-	case len(rows) <= scoreAllUpTo:
+	case len(rows) <= maxScoreAll:
 		return rows
 	}
 	var picked []*endpoint
