--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -40,11 +40,11 @@
 	if !wish.service.Engine || len(shared) == 0 || !wish.trusted {
 		return nil
 	}
-	found := make([]source, 0, maximumHolders)
+	found := make([]source, 0, maxSources)
 	var salts saltCache
-	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maximumHolders; deepest-- {
+	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maxSources; deepest-- {
 		for _, row := range sampled(g.table.holders[shared[deepest].ID], holdersSampled) {
-			if len(found) == maximumHolders || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
+			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
 			if held, holds := g.sourceFrom(now, row, wish, &salts); holds {
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -12,9 +12,9 @@
 const (
 	// maxScoreAll is the number of a service's back ends up to which all are scored; beyond it a shortlist is.
 	maxScoreAll = 64
-	// maximumHolders and holdersSampled bound the back ends that are looked at as sources of copies: in all, and of those that hold
+	// maxSources and holdersSampled bound the back ends that are looked at as sources of copies: in all, and of those that hold
 	// the same part.
-	maximumHolders = 24
+	maxSources     = 24
 	holdersSampled = 24
 	// Of a large service few back ends are scored: several gateways decide at once and know of each other 20 ms late, so that the
 	// best of many would be the same one for all of them. holdersScored of those that hold the whole shared prompt are, as many of
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -347,7 +347,7 @@
 	}
 	wish := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, wish)
-	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maximumHolders {
+	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maxSources {
 		t.Fatalf("%d sources, the first %+v", len(found), found)
 	}
 }
