--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -43,7 +43,7 @@
 	found := make([]source, 0, maxSources)
 	var salts saltCache
 	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maxSources; deepest-- {
-		for _, row := range sampled(g.table.holders[shared[deepest].ID], holdersSampled) {
+		for _, row := range sampled(g.table.holders[shared[deepest].ID], holderSample) {
 			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -14,8 +14,8 @@
 	maxScoreAll = 64
 	// maxSources and holdersSampled bound the back ends that are looked at as sources of copies: in all, and of those that hold
 	// the same part.
-	maxSources     = 24
-	holdersSampled = 24
+	maxSources   = 24
+	holderSample = 24
 	// Of a large service few back ends are scored: several gateways decide at once and know of each other 20 ms late, so that the
 	// best of many would be the same one for all of them. holdersScored of those that hold the whole shared prompt are, as many of
 	// those that hold a part of it, homeSample of those that this gateway reads, and sampleSize of all. Samples of 24 and 12, 8 and
