--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -17,12 +17,12 @@
 	maxSources   = 24
 	holderSample = 24
 	// Of a large service few back ends are scored: several gateways decide at once and know of each other 20 ms late, so that the
-	// best of many would be the same one for all of them. holdersScored of those that hold the whole shared prompt are, as many of
+	// best of many would be the same one for all of them. maxHoldersScored of those that hold the whole shared prompt are, as many of
 	// those that hold a part of it, homeSample of those that this gateway reads, and sampleSize of all. Samples of 24 and 12, 8 and
 	// 6, 4 and 4 were played (design/015).
-	holdersScored = 4
-	homeSample    = 4
-	sampleSize    = 2
+	maxHoldersScored = 4
+	homeSample       = 4
+	sampleSize       = 2
 	// plainSample back ends of a service without engines are scored where schedulers place: two choices do nearly as well as all,
 	// and three allow for one that is slow.
 	plainSample = 3
@@ -51,13 +51,13 @@
 func holders(sources []source, shared int) []*endpoint {
 	var picked, less []*endpoint
 	for _, held := range sources {
-		if held.tokens == shared && len(picked) < holdersScored {
+		if held.tokens == shared && len(picked) < maxHoldersScored {
 			picked = append(picked, held.row)
 		} else {
 			less = append(less, held.row)
 		}
 	}
-	return append(picked, sampled(less, holdersScored)...)
+	return append(picked, sampled(less, maxHoldersScored)...)
 }
 
 // laneOf returns the back ends that serve requests as long as this one, or all where there are no lanes.
