--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -21,7 +21,7 @@
 	// those that hold a part of it, homeSample of those that this gateway reads, and sampleSize of all. Samples of 24 and 12, 8 and
 	// 6, 4 and 4 were played (design/015).
 	maxHoldersScored = 4
-	homeSample       = 4
+	assignedSample   = 4
 	sampleSize       = 2
 	// plainSample back ends of a service without engines are scored where schedulers place: two choices do nearly as well as all,
 	// and three allow for one that is slow.
@@ -81,8 +81,8 @@
 			home = append(home, row)
 		}
 	}
-	picked := g.pick(now, nil, home, homeSample, wish)
-	return g.pick(now, picked, rows, homeSample+sampleSize, wish)
+	picked := g.pick(now, nil, home, assignedSample, wish)
+	return g.pick(now, picked, rows, assignedSample+sampleSize, wish)
 }
 
 // anyOf returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
@@ -90,7 +90,7 @@
 func (g *Gateway) anyOf(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
-	for i := 0; i < len(rows) && len(found) < homeSample+sampleSize; i++ {
+	for i := 0; i < len(rows) && len(found) < assignedSample+sampleSize; i++ {
 		if row := rows[(first+i)%len(rows)]; g.eligible(now, row, wish) {
 			found = append(found, row)
 		}
