--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -22,7 +22,7 @@
 	// 6, 4 and 4 were played (design/015).
 	maxHoldersScored = 4
 	assignedSample   = 4
-	sampleSize       = 2
+	serviceSample    = 2
 	// plainSample back ends of a service without engines are scored where schedulers place: two choices do nearly as well as all,
 	// and three allow for one that is slow.
 	plainSample = 3
@@ -82,7 +82,7 @@
 		}
 	}
 	picked := g.pick(now, nil, home, assignedSample, wish)
-	return g.pick(now, picked, rows, assignedSample+sampleSize, wish)
+	return g.pick(now, picked, rows, assignedSample+serviceSample, wish)
 }
 
 // anyOf returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
@@ -90,7 +90,7 @@
 func (g *Gateway) anyOf(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
-	for i := 0; i < len(rows) && len(found) < assignedSample+sampleSize; i++ {
+	for i := 0; i < len(rows) && len(found) < assignedSample+serviceSample; i++ {
 		if row := rows[(first+i)%len(rows)]; g.eligible(now, row, wish) {
 			found = append(found, row)
 		}
