--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -26,8 +26,8 @@
 	// plainSample back ends of a service without engines are scored where schedulers place: two choices do nearly as well as all,
 	// and three allow for one that is slow.
 	plainSample = 3
-	// sampleTries is how often a random back end is drawn to find some that may get the request; a third of them may be loading.
-	sampleTries = 24
+	// maxSampleTries is how often a random back end is drawn to find some that may get the request; a third of them may be loading.
+	maxSampleTries = 24
 )
 
 // shortlist returns the back ends worth scoring: all of a small service, else the owner, those that hold parts of the
@@ -100,7 +100,7 @@
 
 // pick adds back ends at random that may get the request, until there are so many.
 func (g *Gateway) pick(now time.Duration, picked, rows []*endpoint, count int, wish selectionInput) []*endpoint {
-	for tries := 0; tries < sampleTries && len(picked) < count && len(rows) > 0; tries++ {
+	for tries := 0; tries < maxSampleTries && len(picked) < count && len(rows) > 0; tries++ {
 		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, wish) && !slices.Contains(picked, row) {
 			picked = append(picked, row)
 		}
