--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -43,12 +43,12 @@
 	if owner != nil {
 		picked = append(picked, owner)
 	}
-	picked = append(picked, holders(sources, prefix.PartTokens(prefix.Shared(wish.call.Parts)))...)
+	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.Shared(wish.call.Parts)))...)
 	return append(picked, g.sample(now, g.laneOf(rows, wish), wish)...)
 }
 
-// holders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
-func holders(sources []source, shared int) []*endpoint {
+// sampleHolders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
+func sampleHolders(sources []source, shared int) []*endpoint {
 	var picked, less []*endpoint
 	for _, held := range sources {
 		if held.tokens == shared && len(picked) < maxHoldersScored {
