--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -44,7 +44,7 @@
 		picked = append(picked, owner)
 	}
 	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.Shared(wish.call.Parts)))...)
-	return append(picked, g.sample(now, g.laneOf(rows, wish), wish)...)
+	return append(picked, g.sample(now, g.laneMembers(rows, wish), wish)...)
 }
 
 // sampleHolders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
@@ -60,8 +60,8 @@
 	return append(picked, sampled(less, maxHoldersScored)...)
 }
 
-// laneOf returns the back ends that serve requests as long as this one, or all where there are no lanes.
-func (g *Gateway) laneOf(rows []*endpoint, wish selectionInput) []*endpoint {
+// laneMembers returns the back ends that serve requests as long as this one, or all where there are no lanes.
+func (g *Gateway) laneMembers(rows []*endpoint, wish selectionInput) []*endpoint {
 	if !wish.service.Engine || !g.on(mechanism.Lanes) {
 		return rows
 	}
