--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -104,7 +104,7 @@
 	listed := g.shortlist(now, rows, owner, sources, wish)
 	best, found := g.cheapest(now, listed, owner, sources, wish)
 	if !found && len(listed) < len(rows) {
-		best, found = g.cheapest(now, g.anyOf(now, rows, wish), owner, sources, wish)
+		best, found = g.cheapest(now, g.scanEligible(now, rows, wish), owner, sources, wish)
 	}
 	if !found {
 		return nil
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -85,9 +85,9 @@
 	return g.pick(now, picked, rows, assignedSample+serviceSample, wish)
 }
 
-// anyOf returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
+// scanEligible returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
 // hold none of the others.
-func (g *Gateway) anyOf(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
+func (g *Gateway) scanEligible(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
 	for i := 0; i < len(rows) && len(found) < assignedSample+serviceSample; i++ {
