--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -35,7 +35,7 @@
 func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, wish selectionInput) []*endpoint {
 	switch {
 	case !wish.service.Engine && g.table.assignedCount > 0:
-		return g.pick(now, nil, rows, plainSample, wish)
+		return g.pickRandom(now, nil, rows, plainSample, wish)
 	case len(rows) <= maxScoreAll:
 		return rows
 	}
@@ -81,8 +81,8 @@
 			home = append(home, row)
 		}
 	}
-	picked := g.pick(now, nil, home, assignedSample, wish)
-	return g.pick(now, picked, rows, assignedSample+serviceSample, wish)
+	picked := g.pickRandom(now, nil, home, assignedSample, wish)
+	return g.pickRandom(now, picked, rows, assignedSample+serviceSample, wish)
 }
 
 // scanEligible returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
@@ -98,8 +98,8 @@
 	return found
 }
 
-// pick adds back ends at random that may get the request, until there are so many.
-func (g *Gateway) pick(now time.Duration, picked, rows []*endpoint, count int, wish selectionInput) []*endpoint {
+// pickRandom adds back ends at random that may get the request, until there are so many.
+func (g *Gateway) pickRandom(now time.Duration, picked, rows []*endpoint, count int, wish selectionInput) []*endpoint {
 	for tries := 0; tries < maxSampleTries && len(picked) < count && len(rows) > 0; tries++ {
 		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, wish) && !slices.Contains(picked, row) {
 			picked = append(picked, row)
