--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -139,7 +139,7 @@
 	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.sentByPeer) != "" {
 		return false
 	}
-	limit, limited := g.beginLimit(row, wish.service, wish.call.Model)
+	limit, limited := g.startDeadline(row, wish.service, wish.call.Model)
 	return !limited || now < limit-beginMargin
 }
 
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -9,10 +9,10 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// beginLimit returns until when requests may begin on a back end's weights, if newer ones were named. The time counts
+// startDeadline returns until when requests may begin on a back end's weights, if newer ones were named. The time counts
 // from when the oldest version that it lacks was named, not the newest. The caller holds the table's mutex, and asks again
 // whenever it acts: news move the limit.
-func (g *Gateway) beginLimit(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
+func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	namedAt, lacks := g.lacksSince(row, service, model)
 	return namedAt + g.settings.VersionLimit, lacks
 }
@@ -31,7 +31,7 @@
 // them may believe others than this gateway does now, so the oldest version counts that either lack. One that expects none begins on
 // whatever is there. The caller holds the table's mutex.
 func (g *Gateway) sendLimit(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
-	limit, limited := g.beginLimit(placed.row, service, model)
+	limit, limited := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return limit, limited
 	}
@@ -103,7 +103,7 @@
 	if _, waits := a.row.waiting[a]; !waits {
 		return false
 	}
-	limit, limited := x.gateway.beginLimit(a.row, x.service, x.call.Model)
+	limit, limited := x.gateway.startDeadline(a.row, x.service, x.call.Model)
 	left := limit - takeBackMargin - now
 	switch {
 	case !limited:
