--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -13,13 +13,13 @@
 // from when the oldest version that it lacks was named, not the newest. The caller holds the table's mutex, and asks again
 // whenever it acts: news move the limit.
 func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
-	namedAt, lacks := g.lacksSince(row, service, model)
+	namedAt, lacks := g.missingSince(row, service, model)
 	return namedAt + g.settings.VersionLimit, lacks
 }
 
-// lacksSince returns when the oldest version that a back end lacks was named, if there is one. An engine whose weights are
+// missingSince returns when the oldest version that a back end lacks was named, if there is one. An engine whose weights are
 // not known may have any old ones, so it counts as lacking all; a plain service has none to lack.
-func (g *Gateway) lacksSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
+func (g *Gateway) missingSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	held, holds := row.entry.Versions[model]
 	if !holds && !service.Engine {
 		return 0, false
