--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -27,10 +27,10 @@
 	return g.table.published.OldestMissing(model, held)
 }
 
-// sendLimit is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
+// placementDeadline is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
 // them may believe others than this gateway does now, so the oldest version counts that either lack. One that expects none begins on
 // whatever is there. The caller holds the table's mutex.
-func (g *Gateway) sendLimit(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
+func (g *Gateway) placementDeadline(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
 	limit, limited := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return limit, limited
@@ -49,13 +49,13 @@
 // beginsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
 // holds the table's mutex.
 func (g *Gateway) beginsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
-	limit, limited := g.sendLimit(placed, service, model)
+	limit, limited := g.placementDeadline(placed, service, model)
 	return limited && placed.beginsAfter(now, limit)
 }
 
 // chosenTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
 func (g *Gateway) chosenTooLate(now time.Duration, scored *candidate, wish selectionInput) bool {
-	limit, limited := g.sendLimit(scored, wish.service, wish.call.Model)
+	limit, limited := g.placementDeadline(scored, wish.service, wish.call.Model)
 	if !limited {
 		return false
 	}
