--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -243,7 +243,7 @@
 	if a.row.entry.Loading {
 		return "loading" // its order may come before the request, which control doesn't see yet
 	}
-	if x.gateway.beginsTooLate(now, &a.plan, x.service, x.call.Model) {
+	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeOutdated
 	}
 	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -46,9 +46,9 @@
 	return min(limit, expected), true
 }
 
-// beginsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
+// startsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
 // holds the table's mutex.
-func (g *Gateway) beginsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
+func (g *Gateway) startsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
 	limit, limited := g.placementDeadline(placed, service, model)
 	return limited && placed.beginsAfter(now, limit)
 }
