--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -124,7 +124,7 @@
 			continue
 		}
 		scored := g.score(now, row, wish, row == owner, sources)
-		if g.chosenTooLate(now, &scored, wish) {
+		if g.scoredTooLate(now, &scored, wish) {
 			continue
 		}
 		if !found || scored.cost < best.cost {
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -195,7 +195,7 @@
 	if answer.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
-	if chosen.row == nil || !g.eligible(now, chosen.row, wish) || g.chosenTooLate(now, chosen, wish) {
+	if chosen.row == nil || !g.eligible(now, chosen.row, wish) || g.scoredTooLate(now, chosen, wish) {
 		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
 		return nil
 	}
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -53,8 +53,8 @@
 	return limited && placed.beginsAfter(now, limit)
 }
 
-// chosenTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
-func (g *Gateway) chosenTooLate(now time.Duration, scored *candidate, wish selectionInput) bool {
+// scoredTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
+func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, wish selectionInput) bool {
 	limit, limited := g.placementDeadline(scored, wish.service, wish.call.Model)
 	if !limited {
 		return false
