--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -50,7 +50,7 @@
 // holds the table's mutex.
 func (g *Gateway) startsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
 	limit, limited := g.placementDeadline(placed, service, model)
-	return limited && placed.beginsAfter(now, limit)
+	return limited && placed.startsAfter(now, limit)
 }
 
 // scoredTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
@@ -60,11 +60,11 @@
 		return false
 	}
 	scored.startDeadline = limit
-	return scored.beginsAfter(now, limit)
+	return scored.startsAfter(now, limit)
 }
 
-// beginsAfter reports whether a request that is sent now would likely begin after a limit.
-func (c *candidate) beginsAfter(now, limit time.Duration) bool {
+// startsAfter reports whether a request that is sent now would likely begin after a limit.
+func (c *candidate) startsAfter(now, limit time.Duration) bool {
 	return now+belief.FromMilliseconds(beginFactor*c.wait) >= limit-beginMargin
 }
 
