--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -144,7 +144,7 @@
 	a.begin()
 	defer a.end()
 	a.watchSilence(a.patience())
-	a.watchLimit()
+	a.watchStartDeadline()
 	a.send()
 	ended := a.receive()
 	if a.silence != nil {
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -144,8 +144,8 @@
 		}
 		g.table.recordBytes(g.now(), begun)
 		*now += 9900 * time.Millisecond
-		waits.watchLimit()
-		begun.watchLimit()
+		waits.watchStartDeadline()
+		begun.watchStartDeadline()
 		if context.Cause(waits.ctx) != errOutdated {
 			t.Error("it waits on")
 		}
@@ -163,7 +163,7 @@
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
 	sent := placedAt(g)
 	g.table.begin(g.now(), sent)
-	sent.watchLimit()
+	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
 	name(g, 2, g.settings.VersionLimit-left)
 	g.watchLimits()
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -68,8 +68,8 @@
 	return now+belief.FromMilliseconds(beginFactor*c.wait) >= limit-beginMargin
 }
 
-// watchLimit ends the attempt if it has not begun when the limit for its back end's weights nears, and looks again then.
-func (a *attempt) watchLimit() {
+// watchStartDeadline ends the attempt if it has not begun when the limit for its back end's weights nears, and looks again then.
+func (a *attempt) watchStartDeadline() {
 	g := a.exchange.gateway
 	g.table.mutex.Lock()
 	late := a.armLimit(g.now())
@@ -111,7 +111,7 @@
 	case left <= 0:
 		return true
 	case a.limit == nil:
-		a.limit = time.AfterFunc(left, a.watchLimit)
+		a.limit = time.AfterFunc(left, a.watchStartDeadline)
 	default:
 		a.limit.Reset(left)
 	}
