--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -130,7 +130,7 @@
 		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
-	g.watchLimits()
+	g.watchStartDeadlines()
 	g.desk.Touch(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.near.use(reply.Near)
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -166,7 +166,7 @@
 	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
 	name(g, 2, g.settings.VersionLimit-left)
-	g.watchLimits()
+	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
 		t.Fatal("taken back too early")
 	}
@@ -237,7 +237,7 @@
 				versions[id] = max(versions[id], version)
 				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
-			g.watchLimits()
+			g.watchStartDeadlines()
 			for _, one := range sent {
 				if waits[one] && isLate(one.row.entry.ID) {
 					late[one] = true
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// watchLimits sets the watch of all attempts that wait to the limits that hold now: news may have brought one forward, or the
+// watchStartDeadlines sets the watch of all attempts that wait to the limits that hold now: news may have brought one forward, or the
 // first one.
-func (g *Gateway) watchLimits() {
+func (g *Gateway) watchStartDeadlines() {
 	var late []*attempt
 	g.table.mutex.Lock()
 	now := g.now()
