--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -72,7 +72,7 @@
 func (a *attempt) watchStartDeadline() {
 	g := a.exchange.gateway
 	g.table.mutex.Lock()
-	late := a.armLimit(g.now())
+	late := a.armDeadlineTimer(g.now())
 	g.table.mutex.Unlock()
 	if late {
 		a.cancel(errOutdated)
@@ -86,7 +86,7 @@
 	g.table.mutex.Lock()
 	now := g.now()
 	for sent := range g.table.waiting {
-		if sent.armLimit(now) {
+		if sent.armDeadlineTimer(now) {
 			late = append(late, sent)
 		}
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-// armLimit sets the attempt's watch to the limit that holds now, and reports whether it must be taken back at once. A limit
+// armDeadlineTimer sets the attempt's watch to the limit that holds now, and reports whether it must be taken back at once. A limit
 // that moved later, or is gone, is seen when the timer fires. The caller holds the table's mutex.
-func (a *attempt) armLimit(now time.Duration) (late bool) {
+func (a *attempt) armDeadlineTimer(now time.Duration) (late bool) {
 	x := a.exchange
 	if _, waits := a.row.waiting[a]; !waits {
 		return false
