--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -201,7 +201,7 @@
 func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, wish selectionInput, owner bool, sources []source) {
 	row := scored.row
 	scored.version = row.entry.Versions[wish.call.Model]
-	scored.salt = salt(scored.version, wish.tenant)
+	scored.salt = cacheSalt(scored.version, wish.tenant)
 	if scored.version == 0 || !wish.trusted {
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -77,7 +77,7 @@
 // of returns the salt of a version for a tenant.
 func (k *saltCache) of(version uint64, owner *catalog.Tenant) string {
 	if k.name == "" || k.version != version {
-		k.version, k.name = version, salt(version, owner)
+		k.version, k.name = version, cacheSalt(version, owner)
 	}
 	return k.name
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -189,7 +189,7 @@
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
-		row: g.table.rows[answer.Instance], version: answer.Version, salt: salt(answer.Version, wish.tenant), wait: answer.WaitMS,
+		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, wish.tenant), wait: answer.WaitMS,
 		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Reread), recomputeReason: rereadCause(answer.Why), fetchFrom: answer.Fetch, saveTo: answer.Save, scheduled: &made,
 	}
 	if answer.Version == 0 {
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -118,9 +118,9 @@
 	return false
 }
 
-// salt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
+// cacheSalt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
 // shares nothing.
-func salt(version uint64, owner *catalog.Tenant) string {
+func cacheSalt(version uint64, owner *catalog.Tenant) string {
 	name := "w" + formatVersion(version)
 	if owner != nil && owner.Isolated {
 		name += "/" + owner.Name
