--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/events"
 )
 
-// weightsSeen is what an answer tells of a back end's weights, beside what was believed of them.
-type weightsSeen struct {
+// versionComparison is what an answer tells of a back end's weights, beside what was believed of them.
+type versionComparison struct {
 	believed uint64        // now
 	answered uint64        // 0 unknown
 	named    time.Duration // when the oldest version was named that the weights lack
@@ -18,10 +18,10 @@
 }
 
 // seeWeights compares the weights of an answer, or the believed ones where it names none, with what was named.
-func (g *Gateway) seeWeights(row *endpoint, model string, answered uint64) weightsSeen {
+func (g *Gateway) seeWeights(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := weightsSeen{believed: row.entry.Versions[model], answered: answered}
+	seen := versionComparison{believed: row.entry.Versions[model], answered: answered}
 	held := answered
 	if held == 0 {
 		held = seen.believed
