--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -17,8 +17,8 @@
 	lacks    bool          // there is such a version
 }
 
-// seeWeights compares the weights of an answer, or the believed ones where it names none, with what was named.
-func (g *Gateway) seeWeights(row *endpoint, model string, answered uint64) versionComparison {
+// compareVersions compares the weights of an answer, or the believed ones where it names none, with what was named.
+func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	seen := versionComparison{believed: row.entry.Versions[model], answered: answered}
@@ -40,7 +40,7 @@
 		return
 	}
 	g := x.gateway
-	seen := g.seeWeights(a.row, x.call.Model, verdict.Version)
+	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
 	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.believed)
 	if !differs && !(begun && seen.lacks) {
@@ -76,7 +76,7 @@
 // outdated returns the limits of an attempt that was ended for them.
 func (a *attempt) outdated() []zap.Field {
 	x := a.exchange
-	seen := x.gateway.seeWeights(a.row, x.call.Model, 0)
+	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
 	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
 	return append(fields, a.limitFields(x.gateway.now(), seen.named, seen.lacks)...)
 }
