--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -28,7 +28,7 @@
 	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
 		return a.broken("answer of another request")
 	}
-	a.noteWeights(answer.StatusCode, verdict)
+	a.logVersionMismatch(answer.StatusCode, verdict)
 	switch {
 	case verdict.NotRun:
 		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -30,9 +30,9 @@
 	return seen
 }
 
-// noteWeights logs that an answer names other weights than were expected or believed, or that a request began on weights that
+// logVersionMismatch logs that an answer names other weights than were expected or believed, or that a request began on weights that
 // lack a named version: whether it was allowed to can't be told later without the limits that held.
-func (a *attempt) noteWeights(status int, verdict Verdict) {
+func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
 	x := a.exchange
 	begun := status < http.StatusMultipleChoices && verdict.Signed
 	refused := verdict.NotRun && verdict.Version > 0
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -48,16 +48,16 @@
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	chosen := placedAt(g)
-	chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	if lines.Len() != 0 {
 		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
 	}
 	name(g, 2, 10*time.Second)
 	for range 3 {
-		chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+		chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	}
 	now += node.SparseEach
-	chosen.noteWeights(421, Verdict{NotRun: true, Version: 3})
+	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
 	got := lines.FilterMessage(events.WeightsDiffer).All()
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("lines %v", lines.All())
