--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -56,12 +56,12 @@
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
 		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.limitFields(now, seen.named, seen.lacks)...)...)
+	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.named, seen.lacks)...)...)
 }
 
-// limitFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
+// deadlineFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
 // place was chosen, and the one that holds now.
-func (a *attempt) limitFields(now, named time.Duration, lacks bool) []zap.Field {
+func (a *attempt) deadlineFields(now, named time.Duration, lacks bool) []zap.Field {
 	var fields []zap.Field
 	if a.plan.startDeadline > 0 {
 		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
@@ -78,5 +78,5 @@
 	x := a.exchange
 	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
 	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
-	return append(fields, a.limitFields(x.gateway.now(), seen.named, seen.lacks)...)
+	return append(fields, a.deadlineFields(x.gateway.now(), seen.named, seen.lacks)...)
 }
