--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -115,7 +115,7 @@
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
 	}
 	if failed.cause == causeOutdated {
-		fields = append(fields, sent.outdated()...)
+		fields = append(fields, sent.outdatedFields()...)
 	}
 	x.gateway.log.note(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -73,8 +73,8 @@
 	return fields
 }
 
-// outdated returns the limits of an attempt that was ended for them.
-func (a *attempt) outdated() []zap.Field {
+// outdatedFields returns the limits of an attempt that was ended for them.
+func (a *attempt) outdatedFields() []zap.Field {
 	x := a.exchange
 	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
 	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
