--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -14,7 +14,7 @@
 	believed     uint64        // now
 	answered     uint64        // 0 unknown
 	missingSince time.Duration // when the oldest version was named that the weights lack
-	lacks        bool          // there is such a version
+	outdated     bool          // there is such a version
 }
 
 // compareVersions compares the weights of an answer, or the believed ones where it names none, with what was named.
@@ -26,7 +26,7 @@
 	if held == 0 {
 		held = seen.believed
 	}
-	seen.missingSince, seen.lacks = g.table.published.OldestMissing(model, held)
+	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, held)
 	return seen
 }
 
@@ -43,7 +43,7 @@
 	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
 	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.believed)
-	if !differs && !(begun && seen.lacks) {
+	if !differs && !(begun && seen.outdated) {
 		return
 	}
 	now := g.now()
@@ -56,7 +56,7 @@
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
 		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.lacks)...)...)
+	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
 // deadlineFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
@@ -78,5 +78,5 @@
 	x := a.exchange
 	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
 	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
-	return append(fields, a.deadlineFields(x.gateway.now(), seen.missingSince, seen.lacks)...)
+	return append(fields, a.deadlineFields(x.gateway.now(), seen.missingSince, seen.outdated)...)
 }
