--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -50,7 +50,7 @@
 	uncached        int             // prompt tokens to read
 	recomputed      int             // of them, tokens of shared parts
 	copyCostsMore   bool            // a copy of these is known, and costs more than to read them
-	recomputeReason rereadCause     // of reread; "" where that is 0, and before the choice is made
+	recomputeReason recomputeCause  // of reread; "" where that is 0, and before the choice is made
 	engineIdle      bool            // nothing else is taken to be read there
 	fetchFrom       string          // address to take cached parts from, or ""
 	saveTo          string          // address of the store to keep the parts in, or ""
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -6,16 +6,16 @@
 	"kitetiller/internal/prefix"
 )
 
-// rereadCause tells why an engine is expected to read shared parts.
-type rereadCause string
+// recomputeCause tells why an engine is expected to read shared parts.
+type recomputeCause string
 
 const (
-	rereadFirst     rereadCause = "first"           // nobody was known to have read them lately
-	rereadLost      rereadCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
-	rereadOther     rereadCause = "other-weights"   // who holds them has made them with other weights
-	rereadBarred    rereadCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
-	rereadDearer    rereadCause = "dearer"          // a copy would cost more
-	rereadUntrusted rereadCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
+	rereadFirst     recomputeCause = "first"           // nobody was known to have read them lately
+	rereadLost      recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
+	rereadOther     recomputeCause = "other-weights"   // who holds them has made them with other weights
+	rereadBarred    recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
+	rereadDearer    recomputeCause = "dearer"          // a copy would cost more
+	rereadUntrusted recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
 )
 
 const (
@@ -45,7 +45,7 @@
 }
 
 // whyReread tells why a chosen engine is to read shared parts. The caller holds the table's mutex.
-func (g *Gateway) whyReread(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) rereadCause {
+func (g *Gateway) whyReread(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
 	switch {
 	case chosen.version == 0:
 		return rereadUntrusted
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -18,7 +18,7 @@
 		sources []source
 		met     time.Duration // ago; 0 never
 		holders []*endpoint
-		wanted  rereadCause
+		wanted  recomputeCause
 	}{
 		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, rereadFirst},
 		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, rereadFirst},
