--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -10,7 +10,7 @@
 type recomputeCause string
 
 const (
-	rereadFirst     recomputeCause = "first"           // nobody was known to have read them lately
+	recomputeFirst  recomputeCause = "first"           // nobody was known to have read them lately
 	rereadLost      recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
 	rereadOther     recomputeCause = "other-weights"   // who holds them has made them with other weights
 	rereadBarred    recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
@@ -60,7 +60,7 @@
 	}
 	last := shared[len(shared)-1].ID
 	if at, met := g.table.lastSent[last]; !met || now-at > metKept {
-		return rereadFirst
+		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
 		return rereadBarred
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -20,8 +20,8 @@
 		holders []*endpoint
 		wanted  recomputeCause
 	}{
-		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, rereadFirst},
-		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, rereadFirst},
+		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
+		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, recomputeFirst},
 		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, rereadLost},
 		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
 		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, rereadOther},
