--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -11,7 +11,7 @@
 
 const (
 	recomputeFirst  recomputeCause = "first"           // nobody was known to have read them lately
-	rereadLost      recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
+	recomputeLost   recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
 	rereadOther     recomputeCause = "other-weights"   // who holds them has made them with other weights
 	rereadBarred    recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
 	rereadDearer    recomputeCause = "dearer"          // a copy would cost more
@@ -65,5 +65,5 @@
 	if len(g.table.holders[last]) > 0 {
 		return rereadBarred
 	}
-	return rereadLost
+	return recomputeLost
 }
