--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -10,12 +10,12 @@
 type recomputeCause string
 
 const (
-	recomputeFirst  recomputeCause = "first"           // nobody was known to have read them lately
-	recomputeLost   recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
-	rereadOther     recomputeCause = "other-weights"   // who holds them has made them with other weights
-	rereadBarred    recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
-	rereadDearer    recomputeCause = "dearer"          // a copy would cost more
-	rereadUntrusted recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
+	recomputeFirst        recomputeCause = "first"           // nobody was known to have read them lately
+	recomputeLost         recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
+	recomputeOtherWeights recomputeCause = "other-weights"   // who holds them has made them with other weights
+	rereadBarred          recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
+	rereadDearer          recomputeCause = "dearer"          // a copy would cost more
+	rereadUntrusted       recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
 )
 
 const (
@@ -55,7 +55,7 @@
 	cached := prefix.PartTokens(shared) - chosen.recomputed
 	for _, other := range sources {
 		if other.version != chosen.version && other.tokens > cached {
-			return rereadOther
+			return recomputeOtherWeights
 		}
 	}
 	last := shared[len(shared)-1].ID
