--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -13,7 +13,7 @@
 	recomputeFirst        recomputeCause = "first"           // nobody was known to have read them lately
 	recomputeLost         recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
 	recomputeOtherWeights recomputeCause = "other-weights"   // who holds them has made them with other weights
-	rereadBarred          recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
+	recomputeHolderBarred recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
 	rereadDearer          recomputeCause = "dearer"          // a copy would cost more
 	rereadUntrusted       recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
 )
@@ -63,7 +63,7 @@
 		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
-		return rereadBarred
+		return recomputeHolderBarred
 	}
 	return recomputeLost
 }
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -23,7 +23,7 @@
 		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
 		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, recomputeFirst},
 		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
-		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
+		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
 		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
 		{"others hold no more", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
 		{"a copy is dearer", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, rereadDearer},
