--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -14,7 +14,7 @@
 	recomputeLost         recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
 	recomputeOtherWeights recomputeCause = "other-weights"   // who holds them has made them with other weights
 	recomputeHolderBarred recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
-	rereadDearer          recomputeCause = "dearer"          // a copy would cost more
+	recomputeCheaper      recomputeCause = "dearer"          // a copy would cost more
 	rereadUntrusted       recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
 )
 
@@ -50,7 +50,7 @@
 	case chosen.version == 0:
 		return rereadUntrusted
 	case chosen.copyCostsMore:
-		return rereadDearer
+		return recomputeCheaper
 	}
 	cached := prefix.PartTokens(shared) - chosen.recomputed
 	for _, other := range sources {
