--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -10,12 +10,12 @@
 type recomputeCause string
 
 const (
-	recomputeFirst        recomputeCause = "first"           // nobody was known to have read them lately
-	recomputeLost         recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
-	recomputeOtherWeights recomputeCause = "other-weights"   // who holds them has made them with other weights
-	recomputeHolderBarred recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
-	recomputeCheaper      recomputeCause = "dearer"          // a copy would cost more
-	rereadUntrusted       recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
+	recomputeFirst          recomputeCause = "first"           // nobody was known to have read them lately
+	recomputeLost           recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
+	recomputeOtherWeights   recomputeCause = "other-weights"   // who holds them has made them with other weights
+	recomputeHolderBarred   recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
+	recomputeCheaper        recomputeCause = "dearer"          // a copy would cost more
+	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
 )
 
 const (
@@ -48,7 +48,7 @@
 func (g *Gateway) whyReread(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
 	switch {
 	case chosen.version == 0:
-		return rereadUntrusted
+		return recomputeWeightsUnknown
 	case chosen.copyCostsMore:
 		return recomputeCheaper
 	}
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -27,7 +27,7 @@
 		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
 		{"others hold no more", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
 		{"a copy is dearer", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
-		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, rereadUntrusted},
+		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, recomputeWeightsUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			now := time.Hour
