--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// metKept is how long a shared part that was sent somewhere counts as read lately, and metMost how many are remembered.
-	metKept = 20 * time.Second
-	metMost = 20_000
+	// lastSentTTL is how long a shared part that was sent somewhere counts as read lately, and metMost how many are remembered.
+	lastSentTTL = 20 * time.Second
+	metMost     = 20_000
 )
 
 // meet notes that shared parts are sent to a back end. The caller holds the mutex.
@@ -38,7 +38,7 @@
 // forgetMet forgets what was sent long ago. The caller holds the mutex.
 func (t *table) forgetMet(now time.Duration) {
 	for id, at := range t.lastSent {
-		if now-at > metKept {
+		if now-at > lastSentTTL {
 			delete(t.lastSent, id)
 		}
 	}
@@ -59,7 +59,7 @@
 		}
 	}
 	last := shared[len(shared)-1].ID
-	if at, met := g.table.lastSent[last]; !met || now-at > metKept {
+	if at, met := g.table.lastSent[last]; !met || now-at > lastSentTTL {
 		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -21,7 +21,7 @@
 		wanted  recomputeCause
 	}{
 		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
-		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * metKept, nil, recomputeFirst},
+		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
 		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
 		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
 		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
@@ -41,7 +41,7 @@
 			if got := g.whyReread(now, &row.chosen, shared, row.sources); got != row.wanted {
 				t.Fatalf("%s, wanted %s", got, row.wanted)
 			}
-			if g.table.forgetMet(now); row.met > metKept && len(g.table.lastSent) > 0 {
+			if g.table.forgetMet(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
 				t.Fatal("what was long ago is remembered")
 			}
 		})
