--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -21,7 +21,7 @@
 const (
 	// lastSentTTL is how long a shared part that was sent somewhere counts as read lately, and metMost how many are remembered.
 	lastSentTTL = 20 * time.Second
-	metMost     = 20_000
+	maxLastSent = 20_000
 )
 
 // meet notes that shared parts are sent to a back end. The caller holds the mutex.
@@ -30,7 +30,7 @@
 		return
 	}
 	last := shared[len(shared)-1].ID
-	if _, known := t.lastSent[last]; known || len(t.lastSent) < metMost {
+	if _, known := t.lastSent[last]; known || len(t.lastSent) < maxLastSent {
 		t.lastSent[last] = at
 	}
 }
