--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -57,7 +57,7 @@
 
 func (t *table) recordCached(at time.Duration, row *endpoint, made send) {
 	row.cache.RecordUse(at, made.Salt, made.Parts)
-	t.meet(at, prefix.Shared(made.Parts))
+	t.recordSent(at, prefix.Shared(made.Parts))
 	t.links.Record(at, made.Move)
 	t.indexHolder(row, prefix.Shared(made.Parts))
 	if made.Saved {
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -24,8 +24,8 @@
 	maxLastSent = 20_000
 )
 
-// meet notes that shared parts are sent to a back end. The caller holds the mutex.
-func (t *table) meet(at time.Duration, shared []prefix.Part) {
+// recordSent notes that shared parts are sent to a back end. The caller holds the mutex.
+func (t *table) recordSent(at time.Duration, shared []prefix.Part) {
 	if len(shared) == 0 {
 		return
 	}
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -33,7 +33,7 @@
 			now := time.Hour
 			g := &Gateway{table: newTable(mechanism.Set{})}
 			if row.met > 0 {
-				g.table.meet(now-row.met, shared)
+				g.table.recordSent(now-row.met, shared)
 			}
 			if row.holders != nil {
 				g.table.holders["b"] = row.holders
