--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -276,7 +276,7 @@
 	}
 	t.links.Sweep(now)
 	t.sweepHolders()
-	t.forgetMet(now)
+	t.sweepLastSent(now)
 	t.signals.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupancy.Sweep(now)
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// forgetMet forgets what was sent long ago. The caller holds the mutex.
-func (t *table) forgetMet(now time.Duration) {
+// sweepLastSent forgets what was sent long ago. The caller holds the mutex.
+func (t *table) sweepLastSent(now time.Duration) {
 	for id, at := range t.lastSent {
 		if now-at > lastSentTTL {
 			delete(t.lastSent, id)
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -41,7 +41,7 @@
 			if got := g.whyReread(now, &row.chosen, shared, row.sources); got != row.wanted {
 				t.Fatalf("%s, wanted %s", got, row.wanted)
 			}
-			if g.table.forgetMet(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
+			if g.table.sweepLastSent(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
 				t.Fatal("what was long ago is remembered")
 			}
 		})
