--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -110,7 +110,7 @@
 		return nil
 	}
 	if best.recomputed > 0 {
-		best.recomputeReason = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
+		best.recomputeReason = g.explainRecompute(now, &best, prefix.Shared(wish.call.Parts), sources)
 	}
 	return &best
 }
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// whyReread tells why a chosen engine is to read shared parts. The caller holds the table's mutex.
-func (g *Gateway) whyReread(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
+// explainRecompute tells why a chosen engine is to read shared parts. The caller holds the table's mutex.
+func (g *Gateway) explainRecompute(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
 	switch {
 	case chosen.version == 0:
 		return recomputeWeightsUnknown
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -38,7 +38,7 @@
 			if row.holders != nil {
 				g.table.holders["b"] = row.holders
 			}
-			if got := g.whyReread(now, &row.chosen, shared, row.sources); got != row.wanted {
+			if got := g.explainRecompute(now, &row.chosen, shared, row.sources); got != row.wanted {
 				t.Fatalf("%s, wanted %s", got, row.wanted)
 			}
 			if g.table.sweepLastSent(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
