--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -216,7 +216,7 @@
 	scored.uncached, scored.recomputed = wish.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
 	held := row.occupancy.Total()
-	reading := belief.Milliseconds(g.table.pace(wish.service.Name).PrefillTime(scored.uncached))
+	reading := belief.Milliseconds(g.table.prefillEstimate(wish.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
 		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.meanDuration)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -57,7 +57,7 @@
 	judge := t.judge(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.Learn(rank, queue, max(0, first-t.pace(service).TimeToFirstEvent(uncached)))
+		judge.Learn(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
 	if stayed > judge.Expected(rank, queue) {
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -6,8 +6,8 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// pace returns the learnt pace of a service's engines. The caller holds the mutex.
-func (t *table) pace(service string) belief.PrefillEstimate {
+// prefillEstimate returns the learnt prefillEstimate of a service's engines. The caller holds the mutex.
+func (t *table) prefillEstimate(service string) belief.PrefillEstimate {
 	if known, learnt := t.prefillEstimates[service]; learnt {
 		return known
 	}
@@ -22,10 +22,10 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := row.entry.Service
-	t.prefillEstimates[service] = t.pace(service).Observe(uncached, first)
+	t.prefillEstimates[service] = t.prefillEstimate(service).Observe(uncached, first)
 }
 
 // read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
 func (t *table) read(now time.Duration, row *endpoint, tokens int) {
-	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.pace(row.entry.Service).PrefillTime(tokens)
+	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.prefillEstimate(row.entry.Service).PrefillTime(tokens)
 }
