--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -77,8 +77,8 @@
 	g := scheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
-		g.table.notePace(row, true, 8000, 400*time.Millisecond)   // 20 a ms
-		g.table.notePace(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
+		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 a ms
+		g.table.observePrefill(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
 	}
 	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
 	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -14,8 +14,8 @@
 	return belief.DefaultPrefillEstimate()
 }
 
-// notePace learns from a request that was placed so, and whose first event came after a time.
-func (t *table) notePace(row *endpoint, alone bool, uncached int, first time.Duration) {
+// observePrefill learns from a request that was placed so, and whose first event came after a time.
+func (t *table) observePrefill(row *endpoint, alone bool, uncached int, first time.Duration) {
 	if !alone || first <= 0 {
 		return
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -130,7 +130,7 @@
 		return
 	}
 	row := made.row
-	g.table.notePace(row, made.alone, made.uncached, wireTime(end.FirstMS))
+	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
 	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
