--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -161,7 +161,7 @@
 	own := &sent.row.occupancy.Own
 	*own = own.Plus(sent.load())
 	if sent.plan.scheduled == nil {
-		t.read(now, sent.row, sent.uncached)
+		t.addPrefill(now, sent.row, sent.uncached)
 	}
 	sent.atRest = max(0, t.signals.At(now, sent.row.life).Until-now)
 	sent.limited = t.signals.Limit(sent.row.life)
@@ -248,7 +248,7 @@
 		if made.Salt == "" {
 			continue // it tells of no prompt
 		}
-		t.read(at, row, made.Uncached)
+		t.addPrefill(at, row, made.Uncached)
 		t.recordCached(at, row, made)
 		t.recordDemand(at, row, made.Uncached)
 	}
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -25,7 +25,7 @@
 	t.prefillEstimates[service] = t.prefillEstimate(service).Observe(uncached, first)
 }
 
-// read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
-func (t *table) read(now time.Duration, row *endpoint, tokens int) {
+// addPrefill notes that an engine has so many more prompt tokens to addPrefill. The caller holds the mutex.
+func (t *table) addPrefill(now time.Duration, row *endpoint, tokens int) {
 	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.prefillEstimate(row.entry.Service).PrefillTime(tokens)
 }
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -145,7 +145,7 @@
 	t.placed[ticket] = made
 	here := &made.row.occupancy
 	here.Placed = here.Placed.Plus(made.load)
-	t.read(now, made.row, made.uncached)
+	t.addPrefill(now, made.row, made.uncached)
 	t.spreadOver(now, made.row)
 	return here.Local()
 }
