--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 	now      clock.Source // since it was made
 
 	group   *control.Client
-	near    *near // who answers for the control leader
+	near    *nearbyReplicas // who answers for the control leader
 	view    atomic.Pointer[view]
 	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table   *table
--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// near are the control replicas of the own zone that answer for the leader, the one to ask first. A zone's gateways spread over them, and each
+// nearbyReplicas are the control replicas of the own zone that answer for the leader, the one to ask first. A zone's gateways spread over them, and each
 // stays with its own while that answers. It is used by the thread that follows control only.
-type near struct {
+type nearbyReplicas struct {
 	own       uint64   // weight of the gateway
 	addresses []string // in the order of this gateway; empty where the leader answers
 }
 
-func newNear(name string) *near { return &near{own: xxhash.Sum64String(name)} }
+func newNear(name string) *nearbyReplicas { return &nearbyReplicas{own: xxhash.Sum64String(name)} }
 
 // use takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
-func (n *near) use(addresses []string) {
+func (n *nearbyReplicas) use(addresses []string) {
 	stay := slices.DeleteFunc(slices.Clone(n.addresses), func(a string) bool { return !slices.Contains(addresses, a) })
 	fresh := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(stay, a) })
 	weight := func(a string) uint64 { return mix(n.own ^ xxhash.Sum64String(a)) }
@@ -26,7 +26,7 @@
 }
 
 // first returns the replica to ask, if there is one.
-func (n *near) first() (string, bool) {
+func (n *nearbyReplicas) first() (string, bool) {
 	if len(n.addresses) == 0 {
 		return "", false
 	}
@@ -34,7 +34,7 @@
 }
 
 // failed puts the first one last.
-func (n *near) failed() {
+func (n *nearbyReplicas) failed() {
 	if len(n.addresses) > 1 {
 		n.addresses = append(n.addresses[1:], n.addresses[0])
 	}
