--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -14,7 +14,9 @@
 	addresses []string // in the order of this gateway; empty where the leader answers
 }
 
-func newNear(name string) *nearbyReplicas { return &nearbyReplicas{own: xxhash.Sum64String(name)} }
+func newNearbyReplicas(name string) *nearbyReplicas {
+	return &nearbyReplicas{own: xxhash.Sum64String(name)}
+}
 
 // use takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
 func (n *nearbyReplicas) use(addresses []string) {
--- a/internal/gateway/near_test.go
+++ b/internal/gateway/near_test.go
@@ -12,7 +12,7 @@
 	replicas := []string{"10.0.0.1:7340", "10.0.0.2:7340", "10.0.0.3:7340", "10.0.0.4:7340", "10.0.0.5:7340"}
 	asked := map[string]int{}
 	for i := range 400 {
-		n := newNear(fmt.Sprint("g-", i))
+		n := newNearbyReplicas(fmt.Sprint("g-", i))
 		n.use(replicas)
 		first, _ := n.first()
 		asked[first]++
@@ -31,7 +31,7 @@
 			t.Fatalf("%s is asked by %d of 400 gateways", address, count)
 		}
 	}
-	n := newNear("g")
+	n := newNearbyReplicas("g")
 	if _, any := n.first(); any {
 		t.Fatal("there is somebody to ask before control has named one")
 	}
