--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -10,19 +10,19 @@
 // nearbyReplicas are the control replicas of the own zone that answer for the leader, the one to ask first. A zone's gateways spread over them, and each
 // stays with its own while that answers. It is used by the thread that follows control only.
 type nearbyReplicas struct {
-	own       uint64   // weight of the gateway
-	addresses []string // in the order of this gateway; empty where the leader answers
+	gatewayHash uint64   // weight of the gateway
+	addresses   []string // in the order of this gateway; empty where the leader answers
 }
 
 func newNearbyReplicas(name string) *nearbyReplicas {
-	return &nearbyReplicas{own: xxhash.Sum64String(name)}
+	return &nearbyReplicas{gatewayHash: xxhash.Sum64String(name)}
 }
 
 // use takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
 func (n *nearbyReplicas) use(addresses []string) {
 	stay := slices.DeleteFunc(slices.Clone(n.addresses), func(a string) bool { return !slices.Contains(addresses, a) })
 	fresh := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(stay, a) })
-	weight := func(a string) uint64 { return mix(n.own ^ xxhash.Sum64String(a)) }
+	weight := func(a string) uint64 { return mix(n.gatewayHash ^ xxhash.Sum64String(a)) }
 	slices.SortFunc(fresh, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
 	n.addresses = append(stay, fresh...)
 }
