--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.near.use(response.Watch.Near)
+	g.near.update(response.Watch.Near)
 	g.group.Use(response.Watch.Replicas)
 	return true
 }
@@ -133,7 +133,7 @@
 	g.watchStartDeadlines()
 	g.desk.Touch(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
-	g.near.use(reply.Near)
+	g.near.update(reply.Near)
 	g.spread.use(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -18,8 +18,8 @@
 	return &nearbyReplicas{gatewayHash: xxhash.Sum64String(name)}
 }
 
-// use takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
-func (n *nearbyReplicas) use(addresses []string) {
+// update takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
+func (n *nearbyReplicas) update(addresses []string) {
 	stay := slices.DeleteFunc(slices.Clone(n.addresses), func(a string) bool { return !slices.Contains(addresses, a) })
 	fresh := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(stay, a) })
 	weight := func(a string) uint64 { return mix(n.gatewayHash ^ xxhash.Sum64String(a)) }
--- a/internal/gateway/near_test.go
+++ b/internal/gateway/near_test.go
@@ -13,16 +13,16 @@
 	asked := map[string]int{}
 	for i := range 400 {
 		n := newNearbyReplicas(fmt.Sprint("g-", i))
-		n.use(replicas)
+		n.update(replicas)
 		first, _ := n.first()
 		asked[first]++
 		n.failed()
-		if n.use(replicas); n.addresses[0] == first || n.addresses[4] != first {
+		if n.update(replicas); n.addresses[0] == first || n.addresses[4] != first {
 			t.Fatalf("after %s failed the order is %v", first, n.addresses)
 		}
 		second, _ := n.first()
-		n.use(slices.DeleteFunc(slices.Clone(replicas), func(a string) bool { return a == first }))
-		if n.use(replicas); n.addresses[0] != second {
+		n.update(slices.DeleteFunc(slices.Clone(replicas), func(a string) bool { return a == first }))
+		if n.update(replicas); n.addresses[0] != second {
 			t.Fatalf("%s came back and is asked instead of %s", n.addresses[0], second)
 		}
 	}
