--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,7 +21,7 @@
 		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
-			g.near.failed()
+			g.near.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
 				g.log.lost()
--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -35,8 +35,8 @@
 	return n.addresses[0], true
 }
 
-// failed puts the first one last.
-func (n *nearbyReplicas) failed() {
+// demoteFirst puts the first one last.
+func (n *nearbyReplicas) demoteFirst() {
 	if len(n.addresses) > 1 {
 		n.addresses = append(n.addresses[1:], n.addresses[0])
 	}
--- a/internal/gateway/near_test.go
+++ b/internal/gateway/near_test.go
@@ -16,7 +16,7 @@
 		n.update(replicas)
 		first, _ := n.first()
 		asked[first]++
-		n.failed()
+		n.demoteFirst()
 		if n.update(replicas); n.addresses[0] == first || n.addresses[4] != first {
 			t.Fatalf("after %s failed the order is %v", first, n.addresses)
 		}
