--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// phaseSteps bounds the random part of a cycle that a split starts after.
-const phaseSteps = 1000
+// maxPhase bounds the random part of a cycle that a split starts after.
+const maxPhase = 1000
 
 // splits spreads the requests of a route over its targets by weight.
 type splits struct {
@@ -33,7 +33,7 @@
 	if owed == nil {
 		owed = map[string]float64{}
 		s.owed[route.Name] = owed
-		for range s.rng.IntN(min(max(1, totalWeight(route)), phaseSteps)) {
+		for range s.rng.IntN(min(max(1, totalWeight(route)), maxPhase)) {
 			step(owed, route)
 		}
 	}
