--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -12,13 +12,13 @@
 
 // splits spreads the requests of a route over its targets by weight.
 type splits struct {
-	mu   sync.Mutex
-	rng  *rand.Rand                    // guarded by mu
-	owed map[string]map[string]float64 // by route and service; the sum over a route's services is 0
+	mu      sync.Mutex
+	rng     *rand.Rand                    // guarded by mu
+	credits map[string]map[string]float64 // by route and service; the sum over a route's services is 0
 }
 
 func newSplits(rng *rand.Rand) *splits {
-	return &splits{rng: rng, owed: map[string]map[string]float64{}}
+	return &splits{rng: rng, credits: map[string]map[string]float64{}}
 }
 
 // next returns the target that is owed most (smooth weighted round robin), so that shares hold over short spans. Each
@@ -29,10 +29,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	owed := s.owed[route.Name]
+	owed := s.credits[route.Name]
 	if owed == nil {
 		owed = map[string]float64{}
-		s.owed[route.Name] = owed
+		s.credits[route.Name] = owed
 		for range s.rng.IntN(min(max(1, totalWeight(route)), maxPhase)) {
 			step(owed, route)
 		}
