--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -34,14 +34,14 @@
 		owed = map[string]float64{}
 		s.credits[route.Name] = owed
 		for range s.rng.IntN(min(max(1, totalWeight(route)), maxPhase)) {
-			step(owed, route)
+			advance(owed, route)
 		}
 	}
-	return step(owed, route)
+	return advance(owed, route)
 }
 
-// step pays each target its weight, and takes the round's total from the one that is owed most.
-func step(owed map[string]float64, route *catalog.Route) string {
+// advance pays each target its weight, and takes the round's total from the one that is owed most.
+func advance(owed map[string]float64, route *catalog.Route) string {
 	best := ""
 	for _, t := range route.Targets {
 		owed[t.Service] += float64(t.Weight)
