--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -89,42 +89,42 @@
 }
 
 // choose filters, scores and picks the back end of least cost, or returns nil.
-func (g *Gateway) choose(now time.Duration, wish selectionInput) *candidate {
+func (g *Gateway) choose(now time.Duration, in selectionInput) *candidate {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	rows := g.table.services[wish.service.Name]
-	if wish.service.Engine {
-		lanes := g.table.lanesOf(wish.service.Name)
+	rows := g.table.services[in.service.Name]
+	if in.service.Engine {
+		lanes := g.table.lanesOf(in.service.Name)
 		lanes.divide(rows)
 		lanes.measureUtilization(now, rows)
-		wish.memory, wish.meanDuration = memoryOf(wish.call), g.table.meanDuration(wish.service.Name)
+		in.memory, in.meanDuration = memoryOf(in.call), g.table.meanDuration(in.service.Name)
 	}
-	owner := g.owner(now, rows, wish)
-	sources := g.sources(now, wish)
-	listed := g.shortlist(now, rows, owner, sources, wish)
-	best, found := g.cheapest(now, listed, owner, sources, wish)
+	owner := g.owner(now, rows, in)
+	sources := g.sources(now, in)
+	listed := g.shortlist(now, rows, owner, sources, in)
+	best, found := g.cheapest(now, listed, owner, sources, in)
 	if !found && len(listed) < len(rows) {
-		best, found = g.cheapest(now, g.scanEligible(now, rows, wish), owner, sources, wish)
+		best, found = g.cheapest(now, g.scanEligible(now, rows, in), owner, sources, in)
 	}
 	if !found {
 		return nil
 	}
 	if best.recomputed > 0 {
-		best.recomputeReason = g.explainRecompute(now, &best, prefix.Shared(wish.call.Parts), sources)
+		best.recomputeReason = g.explainRecompute(now, &best, prefix.Shared(in.call.Parts), sources)
 	}
 	return &best
 }
 
 // cheapest scores the back ends of a list that may get a request and returns the one of least cost.
-func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, wish selectionInput) (best candidate, found bool) {
+func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, in selectionInput) (best candidate, found bool) {
 	first := rand.IntN(max(1, len(listed))) // so that gateways which see the same don't all take the same one of equals
 	for i := range listed {
 		row := listed[(first+i)%len(listed)]
-		if !g.eligible(now, row, wish) {
+		if !g.eligible(now, row, in) {
 			continue
 		}
-		scored := g.score(now, row, wish, row == owner, sources)
-		if g.scoredTooLate(now, &scored, wish) {
+		scored := g.score(now, row, in, row == owner, sources)
+		if g.scoredTooLate(now, &scored, in) {
 			continue
 		}
 		if !found || scored.cost < best.cost {
@@ -135,22 +135,22 @@
 }
 
 // eligible reports whether a back end may get a new request at all.
-func (g *Gateway) eligible(now time.Duration, row *endpoint, wish selectionInput) bool {
-	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.sentByPeer) != "" {
+func (g *Gateway) eligible(now time.Duration, row *endpoint, in selectionInput) bool {
+	if !row.open() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
 		return false
 	}
-	limit, limited := g.startDeadline(row, wish.service, wish.call.Model)
+	limit, limited := g.startDeadline(row, in.service, in.call.Model)
 	return !limited || now < limit-beginMargin
 }
 
 // owner returns the back end on which requests with the same shared prompt meet while nobody is believed to hold it: the
 // highest random weight among those that may be used (rendezvous hashing), so that all gateways agree without a word.
-func (g *Gateway) owner(now time.Duration, rows []*endpoint, wish selectionInput) *endpoint {
-	if !wish.service.Engine || len(wish.call.Parts) == 0 || !g.on(mechanism.Owner) {
+func (g *Gateway) owner(now time.Duration, rows []*endpoint, in selectionInput) *endpoint {
+	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.Owner) {
 		return nil
 	}
-	key := xxhash.Sum64String(prefix.AffinityKey(wish.call.Parts))
-	longest := wish.maxUncached()
+	key := xxhash.Sum64String(prefix.AffinityKey(in.call.Parts))
+	longest := in.maxUncached()
 	var best *endpoint
 	var highest uint64
 	for _, row := range rows {
@@ -158,7 +158,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
+		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -174,10 +174,10 @@
 }
 
 // score predicts the time to the first event at a back end, in milliseconds, with what speaks against it.
-func (g *Gateway) score(now time.Duration, row *endpoint, wish selectionInput, owner bool, sources []source) candidate {
+func (g *Gateway) score(now time.Duration, row *endpoint, in selectionInput, owner bool, sources []source) candidate {
 	scored := candidate{row: row}
-	if wish.service.Engine {
-		g.scoreEngine(now, &scored, wish, owner, sources)
+	if in.service.Engine {
+		g.scoreEngine(now, &scored, in, owner, sources)
 	} else {
 		scored.cost = plainRequestTime * float64(row.occupancy.Total().Running) / float64(max(1, row.entry.Slots))
 	}
@@ -185,41 +185,41 @@
 		scored.cost += crossZoneCost
 	}
 	scored.cost += g.healthPenalty(now, row)
-	if g.assignedElsewhere(row, wish) {
+	if g.assignedElsewhere(row, in) {
 		scored.cost += assignedElsewhereCost
 	}
 	return scored
 }
 
 // assignedElsewhere reports whether another gateway samples a back end of a large service.
-func (g *Gateway) assignedElsewhere(row *endpoint, wish selectionInput) bool {
-	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[wish.service.Name]) > maxScoreAll
+func (g *Gateway) assignedElsewhere(row *endpoint, in selectionInput) bool {
+	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[in.service.Name]) > maxScoreAll
 }
 
 // scoreEngine adds up the queue of prompts, what is read, and what is copied from elsewhere. Reading shared parts again
 // costs more than its time, since it is work that the fleet has done already.
-func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, wish selectionInput, owner bool, sources []source) {
+func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, in selectionInput, owner bool, sources []source) {
 	row := scored.row
-	scored.version = row.entry.Versions[wish.call.Model]
-	scored.salt = cacheSalt(scored.version, wish.tenant)
-	if scored.version == 0 || !wish.trusted {
+	scored.version = row.entry.Versions[in.call.Model]
+	scored.salt = cacheSalt(scored.version, in.tenant)
+	if scored.version == 0 || !in.trusted {
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
-	shared := prefix.Shared(wish.call.Parts)
+	shared := prefix.Shared(in.call.Parts)
 	cached := row.cache.Cached(scored.salt, shared)
 	sharedTokens := prefix.PartTokens(shared)
 	if cached < sharedTokens && scored.version > 0 {
-		cached = g.planFetch(now, scored, wish, cached, sources)
-	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
-		scored.fetchFrom = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
+		cached = g.planFetch(now, scored, in, cached, sources)
+	} else if scored.version > 0 && sharedTokens > 0 && in.store != nil {
+		scored.fetchFrom = in.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
 	}
-	scored.uncached, scored.recomputed = wish.promptTokens()-cached, max(0, sharedTokens-cached)
+	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
 	held := row.occupancy.Total()
-	reading := belief.Milliseconds(g.table.prefillEstimate(wish.service.Name).PrefillTime(scored.uncached))
+	reading := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.CapacityWait(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.meanDuration)
+		scored.cost += belief.CapacityWait(held, row.entry.Slots, in.service.CacheLimit, in.memory, in.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -35,9 +35,9 @@
 // sources returns back ends that hold leading shared parts of the prompt, each under the salt of its own weights, the
 // deepest first, at most maximumHolders. Of the many that hold a common part a random sample is looked at, so that deciders
 // which know the same don't all choose among the same few.
-func (g *Gateway) sources(now time.Duration, wish selectionInput) []source {
-	shared := prefix.Shared(wish.call.Parts)
-	if !wish.service.Engine || len(shared) == 0 || !wish.trusted {
+func (g *Gateway) sources(now time.Duration, in selectionInput) []source {
+	shared := prefix.Shared(in.call.Parts)
+	if !in.service.Engine || len(shared) == 0 || !in.trusted {
 		return nil
 	}
 	found := make([]source, 0, maxSources)
@@ -47,7 +47,7 @@
 			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
-			if held, holds := g.sourceFrom(now, row, wish, &salts); holds {
+			if held, holds := g.sourceFrom(now, row, in, &salts); holds {
 				found = append(found, held)
 			}
 		}
@@ -83,12 +83,12 @@
 }
 
 // sourceFrom returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
-func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, wish selectionInput, salts *saltCache) (source, bool) {
-	version := row.entry.Versions[wish.call.Model]
-	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidUntil || row.entry.Loading {
+func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, in selectionInput, salts *saltCache) (source, bool) {
+	version := row.entry.Versions[in.call.Model]
+	if version == 0 || row.entry.Service != in.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
 	}
-	tokens := row.cache.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
+	tokens := row.cache.Cached(salts.of(version, in.tenant), prefix.Shared(in.call.Parts))
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
@@ -103,16 +103,16 @@
 // planFetch chooses how the engine gets the missing shared parts, and returns the tokens that need not be read. Reading them
 // again is one of the ways: a copy that waits long for its turn is worth less than that. Where nobody is known to hold more,
 // the store is asked: a miss costs next to nothing.
-func (g *Gateway) planFetch(now time.Duration, scored *candidate, wish selectionInput, cached int, sources []source) int {
-	shared := prefix.Shared(wish.call.Parts)
+func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
+	shared := prefix.Shared(in.call.Parts)
 	whole := prefix.PartTokens(shared)
-	stored := wish.store != nil && g.table.stored.Holds(now, scored.salt, shared)
+	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
 	if g.on(mechanism.Copies) {
-		best, found = g.bestEngineCopy(now, scored, wish, cached, sources)
+		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
-		fromStore := g.storeCopy(now, scored, wish, whole, cached)
+		fromStore := g.storeCopy(now, scored, in, whole, cached)
 		if !found || fromStore.netCost(cached) < best.netCost(cached) {
 			best, found = fromStore, true
 		}
@@ -123,9 +123,9 @@
 		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
 		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
-	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < maxSaveWait:
-		scored.fetchFrom, scored.saveTo = wish.store.Store, wish.store.Store
-		saved := g.storeCopy(now, scored, wish, whole, cached) // the way there takes as long as the way back
+	case !stored && in.store != nil && g.table.links.Wait(now, in.store.Store) < maxSaveWait:
+		scored.fetchFrom, scored.saveTo = in.store.Store, in.store.Store
+		saved := g.storeCopy(now, scored, in, whole, cached) // the way there takes as long as the way back
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
@@ -137,13 +137,13 @@
 }
 
 // bestEngineCopy returns the copy from an engine that costs least against reading.
-func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, wish selectionInput, cached int, sources []source) (best copyPlan, found bool) {
+func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) (best copyPlan, found bool) {
 	for _, other := range sources {
 		if other.row == scored.row || other.version != scored.version || other.tokens <= cached {
 			continue
 		}
 		far := other.row.entry.Zone != scored.row.entry.Zone
-		plan := g.copyPlan(now, wish, other.row.entry.Address, wish.service.LinkMbps, other.tokens, cached, far)
+		plan := g.copyPlan(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, far)
 		if !found || plan.netCost(cached) < best.netCost(cached) {
 			best, found = plan, true
 		}
@@ -152,14 +152,14 @@
 }
 
 // storeCopy returns what a copy between the store and the engine costs.
-func (g *Gateway) storeCopy(now time.Duration, scored *candidate, wish selectionInput, tokens, cached int) copyPlan {
-	far := wish.store.Zone != scored.row.entry.Zone
-	return g.copyPlan(now, wish, wish.store.Store, wish.store.LinkMbps, tokens, cached, far)
+func (g *Gateway) storeCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
+	far := in.store.Zone != scored.row.entry.Zone
+	return g.copyPlan(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, far)
 }
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
-func (g *Gateway) copyPlan(now time.Duration, wish selectionInput, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
-	plan := copyPlan{from: from, tokens: tokens, time: transferTime(wish.service, linkMbps, tokens-cached, far)}
+func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
+	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, far)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -244,20 +244,20 @@
 
 // place chooses a back end; while none can be used it waits a moment for a better roster.
 func (x *exchange) place() *candidate {
-	wish := selectionInput{
+	in := selectionInput{
 		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
 	}
 	if x.gateway.on(mechanism.Store) {
-		wish.store = x.view.storeOf(x.call.Parts)
+		in.store = x.view.storeOf(x.call.Parts)
 	}
 	patience := x.gateway.now() + backendGrace
 	for {
-		wish.trusted = x.gateway.trusted(x.gateway.now())
+		in.trusted = x.gateway.trusted(x.gateway.now())
 		news := x.gateway.table.rosterChanged.Next()
-		chosen := x.askSchedulers(wish)
+		chosen := x.askSchedulers(in)
 		if chosen == nil {
-			chosen = x.gateway.choose(x.gateway.now(), wish)
-			x.gateway.turnAway(x.gateway.now(), chosen, wish)
+			chosen = x.gateway.choose(x.gateway.now(), in)
+			x.gateway.turnAway(x.gateway.now(), chosen, in)
 		}
 		left := patience - x.gateway.now()
 		if chosen != nil || left <= 0 || len(x.tried) > 0 {
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -55,15 +55,15 @@
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
 	parts := partsOf("own")
 	g.table.stored.Record(time.Second, "w1", prefix.Shared(parts))
-	wish := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
-	free := g.choose(time.Second, wish)
+	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
+	free := g.choose(time.Second, in)
 	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
 		t.Fatalf("over a free link: %+v", free)
 	}
 	for range 40 {
 		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
 	}
-	if busy := g.choose(time.Second, wish); busy.fetchFrom != "" || busy.uncached != 9190 {
+	if busy := g.choose(time.Second, in); busy.fetchFrom != "" || busy.uncached != 9190 {
 		t.Fatalf("over a busy link: %+v", busy)
 	}
 	g.table.sweep(5 * time.Second)
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -86,7 +86,7 @@
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
-	wish := func(g *Gateway) selectionInput {
+	in := func(g *Gateway) selectionInput {
 		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
 	t.Run("a version is named after the choice", func(t *testing.T) {
@@ -112,7 +112,7 @@
 	t.Run("a scheduler has chosen", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := placedAt(g)
-		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish(g))
+		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		name(g, 2, time.Minute)
 		if chosen.barred() == "" {
@@ -123,11 +123,11 @@
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
 		name(g, 2, 10*time.Second)
-		if g.choose(g.now(), wish(g)) == nil {
+		if g.choose(g.now(), in(g)) == nil {
 			t.Fatal("nothing is sent although there is time")
 		}
 		*now += 50 * time.Second
-		if g.choose(g.now(), wish(g)) != nil {
+		if g.choose(g.now(), in(g)) != nil {
 			t.Fatal("it is sent")
 		}
 		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -10,28 +10,28 @@
 )
 
 // turnAway marks a placement of this gateway's own whose request is to be turned away.
-func (g *Gateway) turnAway(now time.Duration, chosen *candidate, wish selectionInput) {
+func (g *Gateway) turnAway(now time.Duration, chosen *candidate, in selectionInput) {
 	if chosen == nil {
 		return
 	}
-	if back, refused := g.judge(now, chosen, wish); refused {
+	if back, refused := g.judge(now, chosen, in); refused {
 		chosen.retryAfter = back
 	}
 }
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) judge(now time.Duration, chosen *candidate, wish selectionInput) (back time.Duration, refused bool) {
-	if !wish.firstAttempt || !wish.service.Engine || !g.on(mechanism.Refusal) {
+func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
+	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
 	asked := admission.Wish{
-		Rank: wish.priority, Queue: belief.FromMilliseconds(chosen.queueWait), Objective: wish.latencyTarget, Chance: rand.Float64(),
+		Rank: in.priority, Queue: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Chance: rand.Float64(),
 	}
-	if parts := wish.call.Parts; len(parts) > 0 {
+	if parts := in.call.Parts; len(parts) > 0 {
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(wish.service.Name).Refuse(now, asked)
+	back, refused = g.table.judge(in.service.Name).Refuse(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
 		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -87,19 +87,19 @@
 		return wirePlacement{}
 	}
 	call := asked.call()
-	wish := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
+	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
 	if asked.Wall != "" {
-		wish.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
+		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
 	}
 	if g.on(mechanism.Store) {
-		wish.store = held.storeOf(call.Parts)
+		in.store = held.storeOf(call.Parts)
 	}
-	wish.firstAttempt, wish.priority, wish.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
-	chosen := g.choose(now, wish)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
 	}
-	if back, refused := g.judge(now, chosen, wish); refused {
+	if back, refused := g.judge(now, chosen, in); refused {
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.Ticket, placement{
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -140,8 +140,8 @@
 	if without := s.table.unwanted(s.now(), "s", nil); len(without) != 1 {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
-	wish := selectionInput{service: x.service, call: &x.call, trusted: true}
-	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); chosen != nil {
+	in := selectionInput{service: x.service, call: &x.call, trusted: true}
+	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
 	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -111,16 +111,16 @@
 }
 
 // askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
-func (x *exchange) askSchedulers(wish selectionInput) *candidate {
+func (x *exchange) askSchedulers(in selectionInput) *candidate {
 	g := x.gateway
-	if !wish.trusted {
+	if !in.trusted {
 		return nil
 	}
 	asked := g.schedulers.order(g.now(), x.call.Parts)
 	if len(asked) == 0 {
 		return nil
 	}
-	question := x.question(wish)
+	question := x.question(in)
 	for _, address := range asked {
 		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
 		question.Ticket = made.ticket
@@ -129,7 +129,7 @@
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
 		if err == nil {
-			return g.scheduledCandidate(&answer, made, wish)
+			return g.scheduledCandidate(&answer, made, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
@@ -148,15 +148,15 @@
 }
 
 // question returns what schedulers are asked.
-func (x *exchange) question(wish selectionInput) wireQuestion {
+func (x *exchange) question(in selectionInput) wireQuestion {
 	g := x.gateway
 	asked := wireQuestion{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
-		Without: g.table.unwanted(g.now(), x.service.Name, wish.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
+		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.First, asked.Rank, asked.TargetMS = wish.firstAttempt, wish.priority, wish.latencyTarget.Milliseconds()
-	if wish.tenant != nil && wish.tenant.Isolated {
-		asked.Wall = wish.tenant.Name
+	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
+	if in.tenant != nil && in.tenant.Isolated {
+		asked.Wall = in.tenant.Name
 	}
 	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
 	return asked
@@ -177,7 +177,7 @@
 
 // scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, wish selectionInput) *candidate {
+func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, in selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
@@ -189,13 +189,13 @@
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
-		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, wish.tenant), wait: answer.WaitMS,
+		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, in.tenant), wait: answer.WaitMS,
 		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Reread), recomputeReason: recomputeCause(answer.Why), fetchFrom: answer.Fetch, saveTo: answer.Save, scheduled: &made,
 	}
 	if answer.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
-	if chosen.row == nil || !g.eligible(now, chosen.row, wish) || g.scoredTooLate(now, chosen, wish) {
+	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
 		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
 		return nil
 	}
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -32,10 +32,10 @@
 
 // shortlist returns the back ends worth scoring: all of a small service, else the owner, those that hold parts of the
 // prompt, and a random sample of those that are meant for requests as long as this one.
-func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, wish selectionInput) []*endpoint {
+func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, in selectionInput) []*endpoint {
 	switch {
-	case !wish.service.Engine && g.table.assignedCount > 0:
-		return g.pickRandom(now, nil, rows, plainSample, wish)
+	case !in.service.Engine && g.table.assignedCount > 0:
+		return g.pickRandom(now, nil, rows, plainSample, in)
 	case len(rows) <= maxScoreAll:
 		return rows
 	}
@@ -43,8 +43,8 @@
 	if owner != nil {
 		picked = append(picked, owner)
 	}
-	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.Shared(wish.call.Parts)))...)
-	return append(picked, g.sample(now, g.laneMembers(rows, wish), wish)...)
+	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.Shared(in.call.Parts)))...)
+	return append(picked, g.sample(now, g.laneMembers(rows, in), in)...)
 }
 
 // sampleHolders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
@@ -61,12 +61,12 @@
 }
 
 // laneMembers returns the back ends that serve requests as long as this one, or all where there are no lanes.
-func (g *Gateway) laneMembers(rows []*endpoint, wish selectionInput) []*endpoint {
-	if !wish.service.Engine || !g.on(mechanism.Lanes) {
+func (g *Gateway) laneMembers(rows []*endpoint, in selectionInput) []*endpoint {
+	if !in.service.Engine || !g.on(mechanism.Lanes) {
 		return rows
 	}
-	lanes := g.table.lanesOf(wish.service.Name)
-	if lane := lanes.of(wish.maxUncached()); len(lane) > 0 && lanes.weight() > 0 {
+	lanes := g.table.lanesOf(in.service.Name)
+	if lane := lanes.of(in.maxUncached()); len(lane) > 0 && lanes.weight() > 0 {
 		return lane
 	}
 	return rows
@@ -74,24 +74,24 @@
 
 // sample returns a few back ends at random that may get the request: of those that this gateway reads, which are few and which
 // nobody else samples, and of all.
-func (g *Gateway) sample(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
+func (g *Gateway) sample(now time.Duration, rows []*endpoint, in selectionInput) []*endpoint {
 	var home []*endpoint
 	for _, row := range rows {
 		if row.assigned {
 			home = append(home, row)
 		}
 	}
-	picked := g.pickRandom(now, nil, home, assignedSample, wish)
-	return g.pickRandom(now, picked, rows, assignedSample+serviceSample, wish)
+	picked := g.pickRandom(now, nil, home, assignedSample, in)
+	return g.pickRandom(now, picked, rows, assignedSample+serviceSample, in)
 }
 
 // scanEligible returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
 // hold none of the others.
-func (g *Gateway) scanEligible(now time.Duration, rows []*endpoint, wish selectionInput) []*endpoint {
+func (g *Gateway) scanEligible(now time.Duration, rows []*endpoint, in selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
 	for i := 0; i < len(rows) && len(found) < assignedSample+serviceSample; i++ {
-		if row := rows[(first+i)%len(rows)]; g.eligible(now, row, wish) {
+		if row := rows[(first+i)%len(rows)]; g.eligible(now, row, in) {
 			found = append(found, row)
 		}
 	}
@@ -99,9 +99,9 @@
 }
 
 // pickRandom adds back ends at random that may get the request, until there are so many.
-func (g *Gateway) pickRandom(now time.Duration, picked, rows []*endpoint, count int, wish selectionInput) []*endpoint {
+func (g *Gateway) pickRandom(now time.Duration, picked, rows []*endpoint, count int, in selectionInput) []*endpoint {
 	for tries := 0; tries < maxSampleTries && len(picked) < count && len(rows) > 0; tries++ {
-		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, wish) && !slices.Contains(picked, row) {
+		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, in) && !slices.Contains(picked, row) {
 			picked = append(picked, row)
 		}
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -273,10 +273,10 @@
 					row.limitExhaustedUntil = time.Hour
 				}
 			}
-			wish := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
+			in := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
 			b.ReportAllocs()
 			for b.Loop() {
-				if g.choose(time.Millisecond, wish) == nil {
+				if g.choose(time.Millisecond, in) == nil {
 					b.Fatal("no choice")
 				}
 			}
@@ -345,8 +345,8 @@
 		}
 		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
-	wish := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
-	found := g.sources(time.Second, wish)
+	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
+	found := g.sources(time.Second, in)
 	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maxSources {
 		t.Fatalf("%d sources, the first %+v", len(found), found)
 	}
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -54,8 +54,8 @@
 }
 
 // scoredTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
-func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, wish selectionInput) bool {
-	limit, limited := g.placementDeadline(scored, wish.service, wish.call.Model)
+func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, in selectionInput) bool {
+	limit, limited := g.placementDeadline(scored, in.service, in.call.Model)
 	if !limited {
 		return false
 	}
