--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -10,8 +10,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) CachedPart {
+// cached is a part that an engine says it keeps so many tokens of.
+func cached(id string, tokens int) CachedPart {
 	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
@@ -25,11 +25,11 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
 	}
-	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
+	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(differ) > 0 {
 		t.Fatalf("what all believe is told again: %v", differ)
 	}
-	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{kept("b", 64), kept("own", 0)}, false)
-	if len(differ) != 1 || differ[0] != kept("b", 64) {
+	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
+	if len(differ) != 1 || differ[0] != cached("b", 64) {
 		t.Fatalf("told: %v", differ)
 	}
 	if got := h.Cached("w1", shared); got != 164 {
@@ -41,7 +41,7 @@
 		t.Fatalf("a moment after another send %d tokens", got)
 	}
 	differ = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
-	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != kept("b", 0) {
+	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != cached("b", 0) {
 		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
 	}
 }
@@ -49,9 +49,9 @@
 // TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
 func TestListReplacesWhatWasTold(t *testing.T) {
 	h := NewCacheEstimate(100_000)
-	h.ApplyReport(0, []CachedPart{kept("a", 10), kept("b", 10)}, false)
+	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
 	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
-	h.ApplyReport(1100*time.Millisecond, []CachedPart{kept("b", 10)}, true)
+	h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
 			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
@@ -75,7 +75,7 @@
 			if whole {
 				news = nil
 				for id, tokens := range engine {
-					news = append(news, kept(id, tokens))
+					news = append(news, cached(id, tokens))
 				}
 			}
 			pending = nil
@@ -92,7 +92,7 @@
 				reader.RecordUse(now, "w1", parts)
 				other.RecordUse(now, "w1", parts)
 				engine[id] = 100
-				pending = append(pending, kept(id, 100))
+				pending = append(pending, cached(id, 100))
 			},
 			"give way": func(t *rapid.T) {
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
@@ -104,7 +104,7 @@
 				if left == 0 {
 					delete(engine, id)
 				}
-				pending = append(pending, kept(id, left))
+				pending = append(pending, cached(id, left))
 			},
 			"lose": func(*rapid.T) { pending, lost = nil, true },
 			"read": func(*rapid.T) { now += 100 * time.Millisecond; tell(lost); lost = false },
