--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -15,9 +15,9 @@
 	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// TestEnginesWordPutsBeliefsRight: parts that gave way are no longer counted on, parts held in part count as far as they go,
+// TestReportCorrectsEstimate: parts that gave way are no longer counted on, parts held in part count as far as they go,
 // and what the engine never confirms is given up.
-func TestEnginesWordPutsBeliefsRight(t *testing.T) {
+func TestReportCorrectsEstimate(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
 	h.RecordUse(time.Second, "w1", prompt)
