--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
-func TestListReplacesWhatWasTold(t *testing.T) {
+// TestWholeListReplacesReportedEntries: what a list does not name is gone, but for what was sent since.
+func TestWholeListReplacesReportedEntries(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
 	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
