--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -62,9 +62,9 @@
 // engineCache is an engine's cache as the oracle of the tests below sees it.
 type engineCache map[string]int
 
-// TestBeliefsFollowAnEngine: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
+// TestEstimateMatchesEngineCache: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
 // everything believes what the engine keeps, and so does one that is only told of what the reader believed otherwise.
-func TestBeliefsFollowAnEngine(t *testing.T) {
+func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine, pending := engineCache{}, []CachedPart{}
 		reader, other := NewCacheEstimate(1000), NewCacheEstimate(1000)
