--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestHoldingsAgreeWithASimpleCache: against an oracle that keeps the order of use, whatever is sent.
-func TestHoldingsAgreeWithASimpleCache(t *testing.T) {
+// TestEstimateMatchesLRUCache: against an oracle that keeps the order of use, whatever is sent.
+func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := NewCacheEstimate(1000) // 750 tokens
 		var order []prefix.Part        // oldest first
