--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -162,8 +162,8 @@
 	})
 }
 
-// TestPartsCountOnlyBehindAllBeforeThem: a part is of use only after the same parts as before.
-func TestPartsCountOnlyBehindAllBeforeThem(t *testing.T) {
+// TestCachedStopsAtFirstMissingPart: a part is of use only after the same parts as before.
+func TestCachedStopsAtFirstMissingPart(t *testing.T) {
 	held := NewCacheEstimate(10_000)
 	held.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
 	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
