--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -13,9 +13,9 @@
 	return []roster.Wanted{{Model: "m", Version: version, Age: age}}
 }
 
-// TestNamingGrowsNoYounger: a gateway knew how long ago a version had been named. Then another replica led, which had heard of it later
+// TestPublishTimeNeverMovesLater: a gateway knew how long ago a version had been named. Then another replica led, which had heard of it later
 // or whose clock was behind, and told a smaller age: the limit for old weights moved later while requests waited for it.
-func TestNamingGrowsNoYounger(t *testing.T) {
+func TestPublishTimeNeverMovesLater(t *testing.T) {
 	at := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
 		t.Helper()
 		if got, lacks := n.OldestMissing("m", held); !lacks || got != want {
