--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -25,10 +25,10 @@
 	t.Run("a new leader tells less", func(t *testing.T) {
 		n := NewPublishTimes(guard.Set{})
 		n.Update(10*time.Second, 10*time.Second, 1, wantedVersion(2, 4*time.Second))
-		younger := n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, time.Second))
+		regressions := n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, time.Second))
 		at(t, n, 1, 6*time.Second)
-		if len(younger) != 1 || younger[0].Known != 6*time.Second || younger[0].Reported != time.Second {
-			t.Fatalf("told %+v", younger)
+		if len(regressions) != 1 || regressions[0].Known != 6*time.Second || regressions[0].Reported != time.Second {
+			t.Fatalf("told %+v", regressions)
 		}
 		if again := n.Update(13*time.Second, 13*time.Second, 2, wantedVersion(2, 2*time.Second)); len(again) > 0 {
 			t.Fatalf("told again: %+v", again)
