--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOccupancyFollowsEveryGateway: messages may be lost, come twice or overtake each other; once the newest one of each
+// TestOccupancyTotalWithLostOrReorderedMessages: messages may be lost, come twice or overtake each other; once the newest one of each
 // gateway has come, the sum is right, and what is told no more is forgotten.
-func TestOccupancyFollowsEveryGateway(t *testing.T) {
+func TestOccupancyTotalWithLostOrReorderedMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Occupancy
 		type message struct {
