--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestCrowdingStartsWhereSlotsOrMemoryEnd: nothing while there is room; more with each request that has to go first.
-func TestCrowdingStartsWhereSlotsOrMemoryEnd(t *testing.T) {
+// TestCapacityWaitStartsAtSlotOrMemoryLimit: nothing while there is room; more with each request that has to go first.
+func TestCapacityWaitStartsAtSlotOrMemoryLimit(t *testing.T) {
 	const slots, memory, stay = 16, 80_000, 2000
 	for _, c := range []struct {
 		held   Load
