--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPaceIsLearnt: from requests of which every fourth was not alone, and within bounds whatever is told.
-func TestPaceIsLearnt(t *testing.T) {
+// TestPrefillEstimateConverges: from requests of which every fourth was not alone, and within bounds whatever is told.
+func TestPrefillEstimateConverges(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, rate := range []float64{15, 30, 57, 110} { // tokens a ms
 		p := DefaultPrefillEstimate()
