--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -32,13 +32,13 @@
 	}
 }
 
-// TestFixedTimeIsNoReading: each request takes 60 ms besides what it reads, of which the engine reads 110 tokens a ms. A queue of prompts is as
+// TestPrefillTimeExcludesOverhead: each request takes 60 ms besides what it reads, of which the engine reads 110 tokens a ms. A queue of prompts is as
 // long as their reading; before, the 60 ms of each counted too, so that engines with little to do seemed crowded.
 //
 // Cause: the pace was the whole time divided by the tokens. On a deployment whose engines read 112 tokens a ms, from its lines:
 //
 //	predicted 1,048 to 2,128 ms: first event after 162, 228, 363 ms (quartiles); predicted 271 to 361 ms: after 134, 211, 435 ms
-func TestFixedTimeIsNoReading(t *testing.T) {
+func TestPrefillTimeExcludesOverhead(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, rate := range []float64{22, 38, 110} { // tokens a ms
 		p := DefaultPrefillEstimate()
