--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -7,8 +7,8 @@
 	// median, since some of them were not alone.
 	prefillQuantile = 0.3
 	// tokenTimeStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
-	tokenTimeStep = 0.05
-	paceMost      = 4.0
+	tokenTimeStep      = 0.05
+	maxTokenTimeFactor = 4.0
 	// overheadStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
 	// way there and back, but a queue.
 	overheadStep = 5.0
@@ -42,7 +42,7 @@
 		p.overhead = min(max(p.overhead, 0), fixedMost)
 	case tokens >= longRead:
 		p.tokenTime += quantileStep(p.tokenTime, (seen-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
-		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/paceMost), paceMost/PrefillRate)
+		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/maxTokenTimeFactor), maxTokenTimeFactor/PrefillRate)
 	}
 	return p
 }
