--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -136,16 +136,16 @@
 // that were believed otherwise.
 func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.RecordReport(now)
-	var differ []CachedPart
+	var corrections []CachedPart
 	named := map[partKey]bool{}
 	for _, p := range parts {
 		key := partKey{p.Salt, p.ID}
 		named[key] = true
 		if h.update(now, key, p.Tokens) {
-			differ = append(differ, p)
+			corrections = append(corrections, p)
 		}
 	}
-	return append(differ, h.expire(now, named, whole)...)
+	return append(corrections, h.expire(now, named, whole)...)
 }
 
 // expire forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
