--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -137,15 +137,15 @@
 func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.RecordReport(now)
 	var corrections []CachedPart
-	named := map[partKey]bool{}
+	listed := map[partKey]bool{}
 	for _, p := range parts {
 		key := partKey{p.Salt, p.ID}
-		named[key] = true
+		listed[key] = true
 		if h.update(now, key, p.Tokens) {
 			corrections = append(corrections, p)
 		}
 	}
-	return append(corrections, h.expire(now, named, whole)...)
+	return append(corrections, h.expire(now, listed, whole)...)
 }
 
 // expire forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
