--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -150,14 +150,14 @@
 
 // expire forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
 // also those that it had told of before.
-func (h *CacheEstimate) expire(now time.Duration, named map[partKey]bool, whole bool) []CachedPart {
+func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
 		return nil
 	}
 	h.unconfirmedCheckedAt = now
 	var gone []CachedPart
 	for key, held := range h.parts {
-		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !named[key]
+		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !listed[key]
 		if !stale {
 			continue
 		}
