--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -155,7 +155,7 @@
 		return nil
 	}
 	h.unconfirmedCheckedAt = now
-	var gone []CachedPart
+	var removed []CachedPart
 	for key, held := range h.parts {
 		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !listed[key]
 		if !stale {
@@ -163,10 +163,10 @@
 		}
 		h.set(key, cacheEntry{})
 		if !held.private {
-			gone = append(gone, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
+			removed = append(removed, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
 	}
-	return gone
+	return removed
 }
 
 // Clear forgets everything: the engine's weights were replaced.
