--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -85,8 +85,8 @@
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
-		sure := before.confirmed && before.tokens >= part.Tokens
-		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: sure})
+		confirmed := before.confirmed && before.tokens >= part.Tokens
+		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: confirmed})
 	}
 	limit := h.limit
 	if h.reported && now < h.reportedAt+reportTTL {
