--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -52,7 +52,7 @@
 	if !n.guards.On(guard.NamingKeptOlder) {
 		clear(n.models)
 	}
-	var younger []AgeRegression
+	var regressions []AgeRegression
 	for _, w := range wanted {
 		told := asked - w.Age
 		known := n.find(w.Model, w.Version)
@@ -67,10 +67,10 @@
 		known.before, known.at, known.term = known.publishedAt(), told, term
 		if !known.regressionReported && told > known.before+ageTolerance {
 			known.regressionReported = true
-			younger = append(younger, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
+			regressions = append(regressions, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
 		}
 	}
-	return younger
+	return regressions
 }
 
 // add adds a version that isn't known yet.
