--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -54,20 +54,20 @@
 	}
 	var regressions []AgeRegression
 	for _, w := range wanted {
-		told := asked - w.Age
+		reported := asked - w.Age
 		known := n.find(w.Model, w.Version)
 		if known == nil {
-			n.add(w.Model, publication{version: w.Version, term: term, at: told, before: math.MaxInt64})
+			n.add(w.Model, publication{version: w.Version, term: term, at: reported, before: math.MaxInt64})
 			continue
 		}
 		if known.term == term {
-			known.at = max(known.at, told) // the age may be as much younger than the question as that took
+			known.at = max(known.at, reported) // the age may be as much younger than the question as that took
 			continue
 		}
-		known.before, known.at, known.term = known.publishedAt(), told, term
-		if !known.regressionReported && told > known.before+ageTolerance {
+		known.before, known.at, known.term = known.publishedAt(), reported, term
+		if !known.regressionReported && reported > known.before+ageTolerance {
 			known.regressionReported = true
-			regressions = append(regressions, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - told})
+			regressions = append(regressions, AgeRegression{Model: w.Model, Version: w.Version, Known: now - known.before, Reported: now - reported})
 		}
 	}
 	return regressions
