--- a/internal/gateway/near_test.go
+++ b/internal/gateway/near_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestGatewaysSpreadOverNearReplicas: each replica of a zone answers about as many, who fails is asked last, and one that comes back takes
+// TestGatewaysSpreadOverNearbyReplicas: each replica of a zone answers about as many, who fails is asked last, and one that comes back takes
 // nobody away from those that answer.
-func TestGatewaysSpreadOverNearReplicas(t *testing.T) {
+func TestGatewaysSpreadOverNearbyReplicas(t *testing.T) {
 	replicas := []string{"10.0.0.1:7340", "10.0.0.2:7340", "10.0.0.3:7340", "10.0.0.4:7340", "10.0.0.5:7340"}
 	asked := map[string]int{}
 	for i := range 400 {
