--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -48,7 +48,7 @@
 	g := scheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
 	chosen := placedAt(g)
-	name(g, 2, g.settings.VersionLimit)
+	publishVersion(g, 2, g.settings.VersionLimit)
 	got := chosen.perform()
 	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sent != 0 || len(g.table.waiting) > 0 {
 		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sent, len(g.table.waiting))
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -60,7 +60,7 @@
 		g := scheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
 		chosen := placedAt(g)
-		name(g, 2, age)
+		publishVersion(g, 2, age)
 		entry := g.table.rows["i-0"].entry
 		entry.Versions = map[string]uint64{"m": 2}
 		g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
@@ -100,7 +100,7 @@
 func TestUnconfirmedViewIsPlacedByBelief(t *testing.T) {
 	g := scheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
-	name(g, 2, 5*time.Minute)
+	publishVersion(g, 2, 5*time.Minute)
 	entry := g.table.rows["i-0"].entry
 	entry.Versions = map[string]uint64{"m": 2}
 	g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
@@ -111,6 +111,6 @@
 func TestNoVersionExpectedIsNoOldOne(t *testing.T) {
 	g := scheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
-	name(g, 1, 2*time.Minute)
+	publishVersion(g, 1, 2*time.Minute)
 	sendsUnconfirmed(t, g)
 }
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/node"
 )
 
-// name tells a gateway that a version of the model m was named so long before now.
-func name(g *Gateway, version uint64, age time.Duration) {
+// publishVersion tells a gateway that a version of the model m was named so long before now.
+func publishVersion(g *Gateway, version uint64, age time.Duration) {
 	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
 
@@ -52,7 +52,7 @@
 	if lines.Len() != 0 {
 		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
 	}
-	name(g, 2, 10*time.Second)
+	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
 		chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	}
@@ -95,14 +95,14 @@
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
 		}
 	})
 	t.Run("the limit comes near while the connection comes up", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
+		publishVersion(g, 2, 50*time.Second)
 		chosen := placedAt(g)
 		*now += 9900 * time.Millisecond
 		if chosen.barred() == "" {
@@ -114,7 +114,7 @@
 		chosen := placedAt(g)
 		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in(g))
 		chosen = chosen.exchange.newAttempt(plan)
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
 		}
@@ -122,7 +122,7 @@
 	t.Run("the weights are not known", func(t *testing.T) {
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
-		name(g, 2, 10*time.Second)
+		publishVersion(g, 2, 10*time.Second)
 		if g.choose(g.now(), in(g)) == nil {
 			t.Fatal("nothing is sent although there is time")
 		}
@@ -137,7 +137,7 @@
 	})
 	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
+		publishVersion(g, 2, 50*time.Second)
 		waits, begun := placedAt(g), placedAt(g)
 		for _, sent := range []*attempt{waits, begun} {
 			g.table.begin(g.now(), sent)
@@ -165,7 +165,7 @@
 	g.table.begin(g.now(), sent)
 	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
-	name(g, 2, g.settings.VersionLimit-left)
+	publishVersion(g, 2, g.settings.VersionLimit-left)
 	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
 		t.Fatal("taken back too early")
