--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -85,7 +85,7 @@
 // sendsUnconfirmed checks that a gateway which is cut off from control places and sends a request, and expects no version of it.
 func sendsUnconfirmed(t *testing.T, g *Gateway) {
 	t.Helper()
-	x := asking(g)
+	x := newModelRequest(g)
 	chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call})
 	if chosen == nil || chosen.version != 0 {
 		t.Fatalf("placed %+v", chosen)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -82,7 +82,7 @@
 
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
-	x := asking(g)
+	x := newModelRequest(g)
 	if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		return chosen.row.entry.ID
 	}
@@ -181,7 +181,7 @@
 		names(g, id, 4)
 		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
@@ -254,7 +254,7 @@
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
 		}
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	limit := 3.5
 	placed := &wirePlacement{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
 	g.scheduledCandidate(placed, scheduled{}, selectionInput{service: x.service, call: &x.call, trusted: true})
@@ -270,7 +270,7 @@
 // TestRequestGoesOnFromALimit: it may come back to that back end, which is full for a moment only, and gives up after a few.
 func TestRequestGoesOnFromALimit(t *testing.T) {
 	g := scheduler(1)
-	x := asking(g)
+	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -22,8 +22,8 @@
 	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
 
-// asking returns a request for the model m.
-func asking(g *Gateway) *exchange {
+// newModelRequest returns a request for the model m.
+func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
 		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: cover{covered: true},
@@ -32,12 +32,14 @@
 
 // placedAt returns an attempt of a request that a gateway has chosen to send to its one back end.
 func placedAt(g *Gateway) *attempt {
-	x := asking(g)
+	x := newModelRequest(g)
 	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
 
 // placedOn returns an attempt at a back end.
-func placedOn(g *Gateway, row *endpoint) *attempt { return asking(g).newAttempt(&candidate{row: row}) }
+func placedOn(g *Gateway, row *endpoint) *attempt {
+	return newModelRequest(g).newAttempt(&candidate{row: row})
+}
 
 // TestAnswersOnOtherWeightsAreTold: what was expected, believed and answered, with both limits, once a second for each back
 // end; an answer on the weights that were wanted leaves no line.
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -117,7 +117,7 @@
 			say(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
-			x := asking(g)
+			x := newModelRequest(g)
 			if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); (chosen != nil) != step.open {
 				t.Errorf("%s, %s: chosen %v", kind, what, chosen)
 			}
@@ -133,7 +133,7 @@
 	if placed := s.placeFor(s.now(), question("t1", 0)); placed.Instance != "i-0" {
 		t.Fatalf("placed %+v", placed)
 	}
-	x := asking(s)
+	x := newModelRequest(s)
 	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
@@ -168,7 +168,7 @@
 			asks(g, id, time.Minute)
 		}
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	for range 50 {
 		chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true})
 		if chosen == nil || chosen.row.entry.ID != "i-7" && chosen.row.entry.ID != "i-311" {
@@ -180,7 +180,7 @@
 // TestTurnedAwayCallersComeBackWhenItHelps: at once while another back end takes requests, else when the first does again, each a little apart.
 func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
 	g := scheduler(2)
-	x := asking(g)
+	x := newModelRequest(g)
 	asks(g, "i-0", 10*time.Second)
 	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
@@ -233,7 +233,7 @@
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
 		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
-		x := asking(g)
+		x := newModelRequest(g)
 		for range 20 {
 			chosen[g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}).row.entry.ID]++
 		}
