--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			g := scheduler(1)
-			chosen := placedAt(g)
+			chosen := chosenAttempt(g)
 			news := &control.RosterNews{Whole: true}
 			if change != nil {
 				entry := g.table.rows["i-0"].entry
@@ -47,7 +47,7 @@
 	defer listener.Close()
 	g := scheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
-	chosen := placedAt(g)
+	chosen := chosenAttempt(g)
 	publishVersion(g, 2, g.settings.VersionLimit)
 	got := chosen.perform()
 	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sent != 0 || len(g.table.waiting) > 0 {
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -59,7 +59,7 @@
 	believes := func(age time.Duration) (*Gateway, *attempt) {
 		g := scheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		publishVersion(g, 2, age)
 		entry := g.table.rows["i-0"].entry
 		entry.Versions = map[string]uint64{"m": 2}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -95,7 +95,7 @@
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
-	chosen := placedAt(g)
+	chosen := chosenAttempt(g)
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// placedAt returns an attempt of a request that a gateway has chosen to send to its one back end.
-func placedAt(g *Gateway) *attempt {
+// chosenAttempt returns an attempt of a request that a gateway has chosen to send to its one back end.
+func chosenAttempt(g *Gateway) *attempt {
 	x := newModelRequest(g)
 	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
@@ -49,7 +49,7 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	chosen := placedAt(g)
+	chosen := chosenAttempt(g)
 	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	if lines.Len() != 0 {
 		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
@@ -93,7 +93,7 @@
 	}
 	t.Run("a version is named after the choice", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
@@ -105,7 +105,7 @@
 	t.Run("the limit comes near while the connection comes up", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
@@ -113,7 +113,7 @@
 	})
 	t.Run("a scheduler has chosen", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
@@ -140,7 +140,7 @@
 	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
-		waits, begun := placedAt(g), placedAt(g)
+		waits, begun := chosenAttempt(g), chosenAttempt(g)
 		for _, sent := range []*attempt{waits, begun} {
 			g.table.begin(g.now(), sent)
 		}
@@ -163,7 +163,7 @@
 	now.Store(int64(10 * time.Minute))
 	g := scheduler(1)
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
-	sent := placedAt(g)
+	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
 	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -75,7 +75,7 @@
 		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := scheduler(1)
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
