--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -30,11 +30,11 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	sent := placedOn(g, g.table.rows["i-0"])
+	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
 		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
-	placedOn(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
+	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnread] != "3,8" {
@@ -53,11 +53,11 @@
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
 	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -36,8 +36,8 @@
 	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
 
-// placedOn returns an attempt at a back end.
-func placedOn(g *Gateway, row *endpoint) *attempt {
+// attemptAt returns an attempt at a back end.
+func attemptAt(g *Gateway, row *endpoint) *attempt {
 	return newModelRequest(g).newAttempt(&candidate{row: row})
 }
 
@@ -207,7 +207,7 @@
 			id := fmt.Sprint("i-", rapid.IntRange(0, engines-1).Draw(t, "engine"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				made := placedOn(g, rows[id])
+				made := attemptAt(g, rows[id])
 				g.table.begin(g.now(), made)
 				sent, waits[made] = append(sent, made), true
 			case 2:
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -24,11 +24,11 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	sent := placedOn(g, g.table.rows["i-0"])
+	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
 		sent.hear(503, Verdict{NotRun: true, Said: pushback.Said{Rest: 3 * time.Second}})
 	}
-	placedOn(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
@@ -40,7 +40,7 @@
 	if unread[events.FieldUnread] != "soon" || unread[events.FieldRestLeft] != time.Duration(0) {
 		t.Errorf("a wish that can't be read: %v", unread)
 	}
-	again := placedOn(g, g.table.rows["i-0"])
+	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
@@ -240,7 +240,7 @@
 		return g, chosen
 	}
 	g, chosen := told(pushback.Said{Rest: time.Second})
-	if chosen["i-0"] > 0 || placedOn(g, g.table.rows["i-0"]).barred() != "" {
+	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
@@ -250,7 +250,7 @@
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Said{Leaving: true})
-	if bar := placedOn(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
+	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
 }
