--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -41,9 +41,9 @@
 	return newModelRequest(g).newAttempt(&candidate{row: row})
 }
 
-// TestAnswersOnOtherWeightsAreTold: what was expected, believed and answered, with both limits, once a second for each back
+// TestVersionMismatchIsLogged: what was expected, believed and answered, with both limits, once a second for each back
 // end; an answer on the weights that were wanted leaves no line.
-func TestAnswersOnOtherWeightsAreTold(t *testing.T) {
+func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
