--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -80,7 +80,7 @@
 // asked for the back end's state only, so that a request chosen 10 s before a limit was still sent 0.1 s before it, or after a version
 // was named whose time had passed. Back ends whose weights nobody knew had no limit at all. And an attempt was ended at its limit to the
 // millisecond, though it is over only once the close has reached the back end, and a timer may fire late.
-func TestLimitOfOldWeightsHoldsWhenSent(t *testing.T) {
+func TestStartDeadlineIsCheckedBeforeSend(t *testing.T) {
 	// fresh returns a gateway with one engine on version 1, and its clock. Nothing may begin a minute after a newer version was named.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
