--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -157,8 +157,8 @@
 	})
 }
 
-// TestTimerTakesAWaitingRequestBack: without any news after the one that gave the limit; a limit that moved meanwhile counts.
-func TestTimerTakesAWaitingRequestBack(t *testing.T) {
+// TestDeadlineTimerCancelsWaitingRequest: without any news after the one that gave the limit; a limit that moved meanwhile counts.
+func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
 	g := scheduler(1)
