--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestWaitingRequestsFollowTheNews: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
+// TestOnlyWaitingRequestsPastDeadlineAreCanceled: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
 // taken back that waited when the limit of their back end's weights, as it stood then, was near.
-func TestWaitingRequestsFollowTheNews(t *testing.T) {
+func TestOnlyWaitingRequestsPastDeadlineAreCanceled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 3
 		var clock atomic.Int64
