--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -88,7 +88,7 @@
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
-	in := func(g *Gateway) selectionInput {
+	input := func(g *Gateway) selectionInput {
 		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
 	t.Run("a version is named after the choice", func(t *testing.T) {
@@ -114,7 +114,7 @@
 	t.Run("a scheduler has chosen", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in(g))
+		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
@@ -125,11 +125,11 @@
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
 		publishVersion(g, 2, 10*time.Second)
-		if g.choose(g.now(), in(g)) == nil {
+		if g.choose(g.now(), input(g)) == nil {
 			t.Fatal("nothing is sent although there is time")
 		}
 		*now += 50 * time.Second
-		if g.choose(g.now(), in(g)) != nil {
+		if g.choose(g.now(), input(g)) != nil {
 			t.Fatal("it is sent")
 		}
 		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
