--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestWhyPartsAreRead: each way in which nobody's copy of shared parts serves.
-func TestWhyPartsAreRead(t *testing.T) {
+// TestExplainRecompute: each way in which nobody's copy of shared parts serves.
+func TestExplainRecompute(t *testing.T) {
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
 	for _, row := range []struct {
