--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -22,9 +22,9 @@
 	"kitetiller/internal/quota"
 )
 
-// TestBudgetNeverExceedsTheRatio: over any run of requests and repeats on several gateways, repeats in every window stay
+// TestRetryBudgetNeverExceedsRatio: over any run of requests and repeats on several gateways, repeats in every window stay
 // below the fleet's allowance for the requests of that window.
-func TestBudgetNeverExceedsTheRatio(t *testing.T) {
+func TestRetryBudgetNeverExceedsRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
