--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// rowsOf returns engines in zones, all ready.
-func rowsOf(zones ...string) []*endpoint {
+// endpointsIn returns engines in zones, all ready.
+func endpointsIn(zones ...string) []*endpoint {
 	var rows []*endpoint
 	for i, zone := range zones {
 		rows = append(rows, &endpoint{hash: uint64(i * 7919), entry: control.RosterEntry{Instance: catalog.Instance{
@@ -102,7 +102,7 @@
 // TestLanesLeaveBothKindsAnEngine: whatever the demand, each zone with two engines serves both kinds.
 func TestLanesLeaveBothKindsAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rows := rowsOf("a", "a", "a", "b", "b", "c", "c", "c", "c")
+		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
 		held := &lanes{}
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 100).Draw(t, "sends") {
@@ -231,7 +231,7 @@
 		slots, running int
 		wanted         float64
 	}{{16, 0, 1}, {16, 4, 0.5}, {16, 8, 0}, {16, 40, 0}, {0, 40, 1}} {
-		rows := rowsOf("a", "b", "c")
+		rows := endpointsIn("a", "b", "c")
 		for _, row := range rows {
 			row.entry.Slots = c.slots
 			row.occupancy.Own.Running = c.running
