--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -99,8 +99,8 @@
 	return rows
 }
 
-// TestLanesLeaveBothKindsAnEngine: whatever the demand, each zone with two engines serves both kinds.
-func TestLanesLeaveBothKindsAnEngine(t *testing.T) {
+// TestLanesGiveEachKindAnEngine: whatever the demand, each zone with two engines serves both kinds.
+func TestLanesGiveEachKindAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
 		held := &lanes{}
