--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestSplitHoldsItsWeights: over any run of requests each target has its share to within one request.
-func TestSplitHoldsItsWeights(t *testing.T) {
+// TestSplitFollowsWeights: over any run of requests each target has its share to within one request.
+func TestSplitFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &catalog.Route{Name: "r"}
 		total := 0
