--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -152,9 +152,9 @@
 	})
 }
 
-// TestSplitHoldsItsWeightsOverManyGateways: where each of many gateways sees a few requests only, the fleet's shares hold
+// TestSplitFollowsWeightsAcrossGateways: where each of many gateways sees a few requests only, the fleet's shares hold
 // as well; all of them starting with the heaviest target would leave the others without any.
-func TestSplitHoldsItsWeightsOverManyGateways(t *testing.T) {
+func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	light := 0
