--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestMostSpecificRouteWins: the longest prefix of the host, never another host's.
-func TestMostSpecificRouteWins(t *testing.T) {
+// TestLongestPathPrefixWins: the longest prefix of the host, never another host's.
+func TestLongestPathPrefixWins(t *testing.T) {
 	held := newView(&catalog.Document{Routes: []catalog.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "o", PathPrefix: "/"},
 	}})
