--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -215,8 +215,8 @@
 	})
 }
 
-// TestLaterComparesNumbers: ids rise as numbers do, not as texts.
-func TestLaterComparesNumbers(t *testing.T) {
+// TestLaterComparesIDsAsNumbers: ids rise as numbers do, not as texts.
+func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
 		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
 			t.Errorf("%q and %q", pair[0], pair[1])
