--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -224,9 +224,9 @@
 	}
 }
 
-// TestLanesGoWhereSlotsAreScarce: they count in full while slots are free, not at all from half of them on, and as they did where
+// TestLaneWeightFallsWithUtilization: they count in full while slots are free, not at all from half of them on, and as they did where
 // slots are not known.
-func TestLanesGoWhereSlotsAreScarce(t *testing.T) {
+func TestLaneWeightFallsWithUtilization(t *testing.T) {
 	for _, c := range []struct {
 		slots, running int
 		wanted         float64
