--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -246,8 +246,8 @@
 // BenchmarkDecision chooses among engines, half of which hold the prompt's shared parts.
 func BenchmarkDecision(b *testing.B) { benchmarkDecision(b, 0) }
 
-// BenchmarkDecisionInNeed does so where half of the engines name a limit, and of half of these nothing can be had.
-func BenchmarkDecisionInNeed(b *testing.B) { benchmarkDecision(b, 0.5) }
+// BenchmarkDecisionWithLimits does so where half of the engines name a limit, and of half of these nothing can be had.
+func BenchmarkDecisionWithLimits(b *testing.B) { benchmarkDecision(b, 0.5) }
 
 func benchmarkDecision(b *testing.B, inNeed float64) {
 	for _, engines := range []int{18, 320, 3100} {
