--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -249,7 +249,7 @@
 // BenchmarkDecisionWithLimits does so where half of the engines name a limit, and of half of these nothing can be had.
 func BenchmarkDecisionWithLimits(b *testing.B) { benchmarkDecision(b, 0.5) }
 
-func benchmarkDecision(b *testing.B, inNeed float64) {
+func benchmarkDecision(b *testing.B, limitedFraction float64) {
 	for _, engines := range []int{18, 320, 3100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			g := &Gateway{settings: Settings{Zone: "z0", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
@@ -266,7 +266,7 @@
 			for i := range engines / 2 {
 				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
-			for i := range int(inNeed * float64(engines)) {
+			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
 				g.table.signals.NoteLimit(0, row.life, pushback.Limit{Named: true, Rate: 4})
 				if i%2 == 0 {
