--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestSendsTravelUnchanged: whatever is told arrives as it was, older by the time that it waited.
-func TestSendsTravelUnchanged(t *testing.T) {
+// TestSendSurvivesWireRoundTrip: whatever is told arrives as it was, older by the time that it waited.
+func TestSendSurvivesWireRoundTrip(t *testing.T) {
 	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
