--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -297,8 +297,8 @@
 	}
 }
 
-// TestStoresShareTheParts: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
-func TestStoresShareTheParts(t *testing.T) {
+// TestPartsAreSpreadOverStores: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
+func TestPartsAreSpreadOverStores(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
 		{Name: "a", Store: "10.0.0.1:1"}, {Name: "b", Store: "10.0.0.2:1"}, {Name: "c", Store: "10.0.0.3:1"}, {Name: "d"},
 	}}
