--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestDeepestHolderIsFound: where every engine holds the first part of a prompt, the one that also holds the next is found,
+// TestSourcesPreferDeepestHolder: where every engine holds the first part of a prompt, the one that also holds the next is found,
 // however long ago that was.
-func TestDeepestHolderIsFound(t *testing.T) {
+func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
 	news := &control.RosterNews{Whole: true}
