--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -11,9 +11,9 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestDecidersThatKnowTheSameSpread: fifteen schedulers that place a request each at the same moment, of the same preamble, which
+// TestConcurrentSchedulersSpreadRequests: fifteen schedulers that place a request each at the same moment, of the same preamble, which
 // all engines hold, choose nearly as many engines.
-func TestDecidersThatKnowTheSameSpread(t *testing.T) {
+func TestConcurrentSchedulersSpreadRequests(t *testing.T) {
 	const deciders, engines, rounds = 15, 240, 20
 	fleet := make([]*Gateway, deciders)
 	for d := range fleet {
