--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestMovesOverABusyLinkWait: a copy from a store is taken while its link is free, and not once many others are on their way;
+// TestBusyStoreLinkPreventsCopy: a copy from a store is taken while its link is free, and not once many others are on their way;
 // the parts are read then.
-func TestMovesOverABusyLinkWait(t *testing.T) {
+func TestBusyStoreLinkPreventsCopy(t *testing.T) {
 	g := scheduler(1)
 	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
