--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestLearntPaceTellsTheQueue: the same reading keeps an engine busy for longer where engines are slower.
-func TestLearntPaceTellsTheQueue(t *testing.T) {
+// TestObservedPrefillRateSetsQueueTime: the same reading keeps an engine busy for longer where engines are slower.
+func TestObservedPrefillRateSetsQueueTime(t *testing.T) {
 	g := scheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
