--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestLanesLeaveRoomForKeptSlots: where short requests keep slots for long, as many engines are theirs as that needs, although
+// TestLaneDemandCountsSlotTime: where short requests keep slots for long, as many engines are theirs as that needs, although
 // they read little.
-func TestLanesLeaveRoomForKeptSlots(t *testing.T) {
+func TestLaneDemandCountsSlotTime(t *testing.T) {
 	share := func(slotTime float64) float64 {
 		l := &lanes{}
 		for i := range 1000 {
