--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestPlainServicesAreSpread: requests of a service without engines that a scheduler places count at once, and are told to the others
+// TestScheduledPlainRequestsAreSpread: requests of a service without engines that a scheduler places count at once, and are told to the others
 // like those of engines; what is told of other gateways counts as well.
-func TestPlainServicesAreSpread(t *testing.T) {
+func TestScheduledPlainRequestsAreSpread(t *testing.T) {
 	g := scheduler(1)
 	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
