--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -14,12 +14,12 @@
 // TestConcurrentSchedulersSpreadRequests: fifteen schedulers that place a request each at the same moment, of the same preamble, which
 // all engines hold, choose nearly as many engines.
 func TestConcurrentSchedulersSpreadRequests(t *testing.T) {
-	const deciders, engines, rounds = 15, 240, 20
-	fleet := make([]*Gateway, deciders)
+	const schedulers, engines, rounds = 15, 240, 20
+	fleet := make([]*Gateway, schedulers)
 	for d := range fleet {
 		fleet[d] = scheduler(engines)
 		var home []string
-		for i := d; i < engines; i += deciders {
+		for i := d; i < engines; i += schedulers {
 			home = append(home, fmt.Sprint("i-", i))
 		}
 		fleet[d].table.setAssigned(home)
@@ -34,16 +34,16 @@
 	for round := range rounds {
 		used := map[string]bool{}
 		for d, g := range fleet {
-			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*deciders+d)
+			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
 			answer := g.placeFor(time.Second, asked)
 			g.table.endPlacement(time.Second, &wireEnd{Ticket: asked.Ticket})
 			used[answer.Instance] = true
 		}
-		met += deciders - len(used)
+		met += schedulers - len(used)
 	}
-	t.Logf("%d of %d met another", met, rounds*deciders)
+	t.Logf("%d of %d met another", met, rounds*schedulers)
 	if met > 5*rounds/2 {
-		t.Fatalf("%d of %d requests met another one of the same moment", met, rounds*deciders)
+		t.Fatalf("%d of %d requests met another one of the same moment", met, rounds*schedulers)
 	}
 }
 
