--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -30,7 +30,7 @@
 			fleet[d].table.applySends(time.Second, []send{queued})
 		}
 	}
-	met := 0
+	collisions := 0
 	for round := range rounds {
 		used := map[string]bool{}
 		for d, g := range fleet {
@@ -39,11 +39,11 @@
 			g.table.endPlacement(time.Second, &wireEnd{Ticket: asked.Ticket})
 			used[answer.Instance] = true
 		}
-		met += schedulers - len(used)
+		collisions += schedulers - len(used)
 	}
-	t.Logf("%d of %d met another", met, rounds*schedulers)
-	if met > 5*rounds/2 {
-		t.Fatalf("%d of %d requests met another one of the same moment", met, rounds*schedulers)
+	t.Logf("%d of %d met another", collisions, rounds*schedulers)
+	if collisions > 5*rounds/2 {
+		t.Fatalf("%d of %d requests met another one of the same moment", collisions, rounds*schedulers)
 	}
 }
 
