--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -10,8 +10,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestMessagesStaySmall: every begin and end goes to every gateway, and every change of a back end too.
-func TestMessagesStaySmall(t *testing.T) {
+// TestMessageSizes: every begin and end goes to every gateway, and every change of a back end too.
+func TestMessageSizes(t *testing.T) {
 	begin := send{Gateway: "4x7k2m9q", Load: belief.Load{Running: 3, Tokens: 21000}, Instance: "i-80cd531cfc", Salt: "w3", Uncached: 2890, Age: 12e6,
 		Parts: []prefix.Part{{ID: "5c1e07a2", Tokens: 2520}, {ID: "91bd3f06", Tokens: 3780}, {ID: "e4402b7d", Tokens: 2890}}}
 	end := send{Gateway: "4x7k2m9q", Load: belief.Load{Running: 2, Tokens: 14000}, Instance: "i-80cd531cfc", Age: 12e6}
