--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -55,13 +55,13 @@
 	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
 
-func (t *table) recordCached(at time.Duration, row *endpoint, made send) {
-	row.cache.RecordUse(at, made.Salt, made.Parts)
-	t.recordSent(at, prefix.Shared(made.Parts))
-	t.links.Record(at, made.Move)
-	t.indexHolder(row, prefix.Shared(made.Parts))
-	if made.Saved {
-		t.stored.Record(at, made.Salt, prefix.Shared(made.Parts))
+func (t *table) recordCached(at time.Duration, row *endpoint, sent send) {
+	row.cache.RecordUse(at, sent.Salt, sent.Parts)
+	t.recordSent(at, prefix.Shared(sent.Parts))
+	t.links.Record(at, sent.Move)
+	t.indexHolder(row, prefix.Shared(sent.Parts))
+	if sent.Saved {
+		t.stored.Record(at, sent.Salt, prefix.Shared(sent.Parts))
 	}
 }
 
