--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -66,12 +66,12 @@
 }
 
 // recordOwnSend notes which parts an own send leaves where.
-func (t *table) recordOwnSend(now time.Duration, made send) {
+func (t *table) recordOwnSend(now time.Duration, sent send) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if row := t.rows[made.Instance]; row != nil && made.Salt != "" {
-		t.recordDemand(now, row, made.Uncached)
-		t.recordCached(now, row, made)
+	if row := t.rows[sent.Instance]; row != nil && sent.Salt != "" {
+		t.recordDemand(now, row, sent.Uncached)
+		t.recordCached(now, row, sent)
 	}
 }
 
