--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -216,7 +216,7 @@
 }
 
 // applySends notes what other gateways sent, and returns what is news of what back ends said of themselves.
-func (t *table) applySends(now time.Duration, sends []send) (told []said) {
+func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, made := range sends {
@@ -236,7 +236,7 @@
 		}
 		if !made.Said.Nothing() {
 			if news := t.hearOf(now, at, row, made.Said); !news.Nothing() {
-				told = append(told, said{made.Instance, news})
+				updates = append(updates, said{made.Instance, news})
 			}
 			continue
 		}
@@ -252,7 +252,7 @@
 		t.recordCached(at, row, made)
 		t.recordDemand(at, row, made.Uncached)
 	}
-	return told
+	return updates
 }
 
 // lanesOf returns the lanes of a service, made when it is first named.
