--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -219,38 +219,38 @@
 func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, made := range sends {
-		row := t.rows[made.Instance]
+	for _, sent := range sends {
+		row := t.rows[sent.Instance]
 		if row == nil {
 			continue
 		}
-		at := now - min(now, made.Age)
-		if made.Kept {
-			row.cache.ApplyPeerReport(at, made.Salt, made.Parts)
-			t.indexHolder(row, made.Parts)
+		at := now - min(now, sent.Age)
+		if sent.Kept {
+			row.cache.ApplyPeerReport(at, sent.Salt, sent.Parts)
+			t.indexHolder(row, sent.Parts)
 			continue
 		}
-		if made.Unreached {
-			t.suspect(at, row, made.Gateway)
+		if sent.Unreached {
+			t.suspect(at, row, sent.Gateway)
 			continue
 		}
-		if !made.Said.Nothing() {
-			if news := t.hearOf(now, at, row, made.Said); !news.Nothing() {
-				updates = append(updates, said{made.Instance, news})
+		if !sent.Said.Nothing() {
+			if news := t.hearOf(now, at, row, sent.Said); !news.Nothing() {
+				updates = append(updates, said{sent.Instance, news})
 			}
 			continue
 		}
-		if made.Refused != "" {
-			t.judge(row.entry.Service).Remember(at, made.Refused)
+		if sent.Refused != "" {
+			t.judge(row.entry.Service).Remember(at, sent.Refused)
 			continue
 		}
-		row.occupancy.RecordPeer(made.Gateway, at, made.Load)
-		if made.Salt == "" {
+		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
+		if sent.Salt == "" {
 			continue // it tells of no prompt
 		}
-		t.addPrefill(at, row, made.Uncached)
-		t.recordCached(at, row, made)
-		t.recordDemand(at, row, made.Uncached)
+		t.addPrefill(at, row, sent.Uncached)
+		t.recordCached(at, row, sent)
+		t.recordDemand(at, row, sent.Uncached)
 	}
 	return updates
 }
