--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -235,8 +235,8 @@
 			continue
 		}
 		if !sent.Said.Nothing() {
-			if news := t.hearOf(now, at, row, sent.Said); !news.Nothing() {
-				updates = append(updates, said{sent.Instance, news})
+			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.Nothing() {
+				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
 		}
