--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -81,7 +81,7 @@
 
 // recordVersion notes the weights that a back end itself told of when it turned a request away, and reports whether they are news. Where they are
 // older than believed it is left alone for a while: control hears of it with the next heartbeat.
-func (t *table) recordVersion(now time.Duration, row *endpoint, model string, version uint64) (news bool) {
+func (t *table) recordVersion(now time.Duration, row *endpoint, model string, version uint64) (newer bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if believed := row.entry.Versions[model]; version <= believed {
