--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -188,14 +188,14 @@
 }
 
 // end notes that an attempt is over, and how it went. It returns what this gateway still has running there.
-func (t *table) end(now time.Duration, sent *attempt, good outcomeGrade) belief.Load {
+func (t *table) end(now time.Duration, sent *attempt, grade outcomeGrade) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.grade(now, good)
-	if good == gradeGood {
+	sent.row.grade(now, grade)
+	if grade == gradeGood {
 		t.recordDuration(sent.row, now-sent.began)
 	}
 	return sent.row.occupancy.Local()
