--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -257,12 +257,12 @@
 
 // lanesOf returns the lanes of a service, made when it is first named.
 func (t *table) lanesOf(service string) *lanes {
-	held := t.lanes[service]
-	if held == nil {
-		held = &lanes{}
-		t.lanes[service] = held
+	found := t.lanes[service]
+	if found == nil {
+		found = &lanes{}
+		t.lanes[service] = found
 	}
-	return held
+	return found
 }
 
 // sweep forgets what is long past.
