--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -105,14 +105,14 @@
 // the store is asked: a miss costs next to nothing.
 func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
 	shared := prefix.Shared(in.call.Parts)
-	whole := prefix.PartTokens(shared)
+	sharedTokens := prefix.PartTokens(shared)
 	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
 	if g.on(mechanism.Copies) {
 		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
-		fromStore := g.storeCopy(now, scored, in, whole, cached)
+		fromStore := g.storeCopy(now, scored, in, sharedTokens, cached)
 		if !found || fromStore.netCost(cached) < best.netCost(cached) {
 			best, found = fromStore, true
 		}
@@ -125,7 +125,7 @@
 		return best.tokens
 	case !stored && in.store != nil && g.table.links.Wait(now, in.store.Store) < maxSaveWait:
 		scored.fetchFrom, scored.saveTo = in.store.Store, in.store.Store
-		saved := g.storeCopy(now, scored, in, whole, cached) // the way there takes as long as the way back
+		saved := g.storeCopy(now, scored, in, sharedTokens, cached) // the way there takes as long as the way back
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
