--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -142,8 +142,8 @@
 		if other.row == scored.row || other.version != scored.version || other.tokens <= cached {
 			continue
 		}
-		far := other.row.entry.Zone != scored.row.entry.Zone
-		plan := g.copyPlan(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, far)
+		crossZone := other.row.entry.Zone != scored.row.entry.Zone
+		plan := g.copyPlan(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, crossZone)
 		if !found || plan.netCost(cached) < best.netCost(cached) {
 			best, found = plan, true
 		}
