--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -153,8 +153,8 @@
 
 // storeCopy returns what a copy between the store and the engine costs.
 func (g *Gateway) storeCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
-	far := in.store.Zone != scored.row.entry.Zone
-	return g.copyPlan(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, far)
+	crossZone := in.store.Zone != scored.row.entry.Zone
+	return g.copyPlan(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
 }
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
