--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -158,8 +158,8 @@
 }
 
 // copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
-func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
-	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, far)}
+func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
+	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
