--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -171,13 +171,13 @@
 }
 
 // transferTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
-func transferTime(service *catalog.Service, linkMbps float64, tokens int, far bool) float64 {
+func transferTime(service *catalog.Service, linkMbps float64, tokens int, crossZone bool) float64 {
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
 		return minTransferTime
 	}
 	bits := float64(tokens) * service.TokenBytes * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
-	if far {
+	if crossZone {
 		time *= crossZoneFactor
 	}
 	return minTransferTime + time
