--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -75,9 +75,9 @@
 }
 
 // of returns the salt of a version for a tenant.
-func (k *saltCache) of(version uint64, owner *catalog.Tenant) string {
+func (k *saltCache) of(version uint64, tenant *catalog.Tenant) string {
 	if k.name == "" || k.version != version {
-		k.version, k.name = version, cacheSalt(version, owner)
+		k.version, k.name = version, cacheSalt(version, tenant)
 	}
 	return k.name
 }
