--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -49,15 +49,15 @@
 
 // sampleHolders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
 func sampleHolders(sources []source, shared int) []*endpoint {
-	var picked, less []*endpoint
+	var picked, partial []*endpoint
 	for _, held := range sources {
 		if held.tokens == shared && len(picked) < maxHoldersScored {
 			picked = append(picked, held.row)
 		} else {
-			less = append(less, held.row)
+			partial = append(partial, held.row)
 		}
 	}
-	return append(picked, sampled(less, maxHoldersScored)...)
+	return append(picked, sampled(partial, maxHoldersScored)...)
 }
 
 // laneMembers returns the back ends that serve requests as long as this one, or all where there are no lanes.
