--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -21,10 +21,10 @@
 // update takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
 func (n *nearbyReplicas) update(addresses []string) {
 	known := slices.DeleteFunc(slices.Clone(n.addresses), func(a string) bool { return !slices.Contains(addresses, a) })
-	fresh := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(known, a) })
+	added := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(known, a) })
 	weight := func(a string) uint64 { return mix(n.gatewayHash ^ xxhash.Sum64String(a)) }
-	slices.SortFunc(fresh, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
-	n.addresses = append(known, fresh...)
+	slices.SortFunc(added, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
+	n.addresses = append(known, added...)
 }
 
 // first returns the replica to ask, if there is one.
