--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -29,15 +29,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	owed := s.credits[route.Name]
-	if owed == nil {
-		owed = map[string]float64{}
-		s.credits[route.Name] = owed
+	credits := s.credits[route.Name]
+	if credits == nil {
+		credits = map[string]float64{}
+		s.credits[route.Name] = credits
 		for range s.rng.IntN(min(max(1, totalWeight(route)), maxPhase)) {
-			advance(owed, route)
+			advance(credits, route)
 		}
 	}
-	return advance(owed, route)
+	return advance(credits, route)
 }
 
 // advance pays each target its weight, and takes the round's total from the one that is owed most.
