--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -41,15 +41,15 @@
 }
 
 // advance pays each target its weight, and takes the round's total from the one that is owed most.
-func advance(owed map[string]float64, route *catalog.Route) string {
+func advance(credits map[string]float64, route *catalog.Route) string {
 	best := ""
 	for _, t := range route.Targets {
-		owed[t.Service] += float64(t.Weight)
-		if t.Weight > 0 && (best == "" || owed[t.Service] > owed[best]) {
+		credits[t.Service] += float64(t.Weight)
+		if t.Weight > 0 && (best == "" || credits[t.Service] > credits[best]) {
 			best = t.Service
 		}
 	}
-	owed[best] -= float64(totalWeight(route))
+	credits[best] -= float64(totalWeight(route))
 	return best
 }
 
