--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -76,8 +76,8 @@
 	if now <= l.at {
 		return
 	}
-	kept := math.Exp(-float64(now-l.at) / float64(demandDecayTime))
-	l.long, l.short, l.at = l.long*kept, l.short*kept, now
+	factor := math.Exp(-float64(now-l.at) / float64(demandDecayTime))
+	l.long, l.short, l.at = l.long*factor, l.short*factor, now
 }
 
 // longDemandFraction returns the share of the engines for long requests.
