--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -120,10 +120,10 @@
 
 // cacheSalt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
 // shares nothing.
-func cacheSalt(version uint64, owner *catalog.Tenant) string {
+func cacheSalt(version uint64, tenant *catalog.Tenant) string {
 	name := "w" + formatVersion(version)
-	if owner != nil && owner.Isolated {
-		name += "/" + owner.Name
+	if tenant != nil && tenant.Isolated {
+		name += "/" + tenant.Name
 	}
 	return name
 }
