--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -12,7 +12,7 @@
 	// overheadStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
 	// way there and back, but a queue.
 	overheadStep = 5.0
-	fixedMost    = 1000.0
+	maxOverhead  = 1000.0
 	// overheadSampleTokens is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
 	overheadSampleTokens = 512
 	longRead             = 1500
@@ -39,7 +39,7 @@
 	switch {
 	case tokens < overheadSampleTokens:
 		p.overhead += quantileStep(p.overhead, seen-p.tokenTime*float64(tokens)) * overheadStep
-		p.overhead = min(max(p.overhead, 0), fixedMost)
+		p.overhead = min(max(p.overhead, 0), maxOverhead)
 	case tokens >= longRead:
 		p.tokenTime += quantileStep(p.tokenTime, (seen-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
 		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/maxTokenTimeFactor), maxTokenTimeFactor/PrefillRate)
