--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -14,8 +14,8 @@
 	overheadStep = 5.0
 	maxOverhead  = 1000.0
 	// overheadSampleTokens is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
-	overheadSampleTokens = 512
-	longRead             = 1500
+	overheadSampleTokens  = 512
+	tokenTimeSampleTokens = 1500
 )
 
 // PrefillRate is how many prompt tokens an engine is taken to read in a millisecond.
@@ -40,7 +40,7 @@
 	case tokens < overheadSampleTokens:
 		p.overhead += quantileStep(p.overhead, seen-p.tokenTime*float64(tokens)) * overheadStep
 		p.overhead = min(max(p.overhead, 0), maxOverhead)
-	case tokens >= longRead:
+	case tokens >= tokenTimeSampleTokens:
 		p.tokenTime += quantileStep(p.tokenTime, (seen-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
 		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/maxTokenTimeFactor), maxTokenTimeFactor/PrefillRate)
 	}
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -25,7 +25,7 @@
 	}
 	slow, fast, late := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
 	for range 1000 {
-		slow, fast, late = slow.Observe(longRead, time.Hour), fast.Observe(1<<40, time.Nanosecond), late.Observe(1, time.Hour)
+		slow, fast, late = slow.Observe(tokenTimeSampleTokens, time.Hour), fast.Observe(1<<40, time.Nanosecond), late.Observe(1, time.Hour)
 	}
 	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*maxTokenTimeFactor || fast.tokenTime < DefaultPrefillEstimate().tokenTime/maxTokenTimeFactor || late.overhead > maxOverhead {
 		t.Errorf("%v, %v and %v", slow, fast, late)
