--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -122,9 +122,9 @@
 }
 
 // update notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
-func (h *CacheEstimate) update(now time.Duration, key partKey, kept int) bool {
+func (h *CacheEstimate) update(now time.Duration, key partKey, tokens int) bool {
 	before := h.parts[key]
-	next := cacheEntry{tokens: max(0, kept), usedAt: now, private: before.private, confirmed: true}
+	next := cacheEntry{tokens: max(0, tokens), usedAt: now, private: before.private, confirmed: true}
 	if before.tokens > 0 {
 		next.usedAt = before.usedAt
 	}
