--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -31,13 +31,13 @@
 				o.RecordPeer(late.from, late.at, late.load)
 			}
 		}
-		var wanted Load
+		var want Load
 		for _, m := range newest {
 			o.RecordPeer(m.from, m.at, m.load)
-			wanted = wanted.Plus(m.load)
+			want = want.Plus(m.load)
 		}
-		if o.Total() != wanted {
-			t.Fatalf("total %+v, wanted %+v", o.Total(), wanted)
+		if o.Total() != want {
+			t.Fatalf("total %+v, wanted %+v", o.Total(), want)
 		}
 		if o.Sweep(time.Second + peerLoadTTL); o.Total() != (Load{}) || len(o.peers) > 0 {
 			t.Fatalf("after a long silence: %+v", o)
