--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -259,11 +259,11 @@
 
 // enginePriority is the priority of a request at an engine: the tenant's comes first.
 func enginePriority(owner *catalog.Tenant, route *catalog.Route) int {
-	tenant := 0
+	tenantPriority := 0
 	if owner != nil {
-		tenant = owner.Priority
+		tenantPriority = owner.Priority
 	}
-	return min(lowestPriority, tenant*tenantPriorityStep+route.Priority)
+	return min(lowestPriority, tenantPriority*tenantPriorityStep+route.Priority)
 }
 
 const (
