--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -258,10 +258,10 @@
 }
 
 // enginePriority is the priority of a request at an engine: the tenant's comes first.
-func enginePriority(owner *catalog.Tenant, route *catalog.Route) int {
+func enginePriority(tenant *catalog.Tenant, route *catalog.Route) int {
 	tenantPriority := 0
-	if owner != nil {
-		tenantPriority = owner.Priority
+	if tenant != nil {
+		tenantPriority = tenant.Priority
 	}
 	return min(lowestPriority, tenantPriority*tenantPriorityStep+route.Priority)
 }
