--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,8 +52,8 @@
 	Chance    float64       // drawn from 0 to 1
 }
 
-// Judge keeps what is learnt of one service. Its zero value has learnt nothing.
-type Judge struct {
+// Controller keeps what is learnt of one service. Its zero value has learnt nothing.
+type Controller struct {
 	ratios  [RanksMost]float64 // of seen to predicted waits, their median; 0 before the first
 	stands  [RanksMost]standing
 	refused map[string]time.Duration
@@ -73,7 +73,7 @@
 }
 
 // Learn takes what a request of a rank waited, against what was predicted for it.
-func (j *Judge) Learn(rank int, predicted, seen time.Duration) {
+func (j *Controller) Learn(rank int, predicted, seen time.Duration) {
 	if predicted < learnFrom {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // Expected returns the wait of a rank that a prediction stands for.
-func (j *Judge) Expected(rank int, predicted time.Duration) time.Duration {
+func (j *Controller) Expected(rank int, predicted time.Duration) time.Duration {
 	ratio := j.ratios[clampRank(rank)]
 	if ratio == 0 || predicted < learnFrom {
 		return predicted
@@ -102,7 +102,7 @@
 
 // Refuse reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Judge) Refuse(now time.Duration, wish Wish) (comeBack time.Duration, refuse bool) {
+func (j *Controller) Refuse(now time.Duration, wish Wish) (comeBack time.Duration, refuse bool) {
 	if wish.Objective <= 0 {
 		return 0, false
 	}
@@ -124,7 +124,7 @@
 }
 
 // Remember notes a refusal, of this judge or of another one, so that the request is known when it comes back.
-func (j *Judge) Remember(now time.Duration, key string) {
+func (j *Controller) Remember(now time.Duration, key string) {
 	if key == "" {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // Sweep forgets refusals that are long past.
-func (j *Judge) Sweep(now time.Duration) {
+func (j *Controller) Sweep(now time.Duration) {
 	for key, at := range j.refused {
 		if now >= at+remembered {
 			delete(j.refused, key)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,7 +16,7 @@
 func refusals(queue time.Duration, stands bool) int {
 	refused := 0
 	for chance := range 100 {
-		j, now := &Judge{}, time.Duration(0)
+		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
 			now += standsMemory / 20
 			j.Refuse(now, wishOf("", queue, 1))
@@ -47,14 +47,14 @@
 			before = refused
 		}
 	}
-	if _, refuse := (&Judge{}).Refuse(0, Wish{Queue: time.Hour}); refuse {
+	if _, refuse := (&Controller{}).Refuse(0, Wish{Queue: time.Hour}); refuse {
 		t.Fatal("refused without an objective")
 	}
 }
 
 // TestOneQueueIsNoStandingOne: where requests are few, a single one that meets a queue slides nothing.
 func TestOneQueueIsNoStandingOne(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for i := range 20 {
 		queue := time.Duration(0)
 		if i%10 == 9 {
@@ -68,7 +68,7 @@
 
 // TestErrorOfPredictionsIsLearnt for each rank by itself: what the urgent wait less than was predicted lets them in.
 func TestErrorOfPredictionsIsLearnt(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for range 200 {
 		j.Learn(0, 1500*time.Millisecond, 150*time.Millisecond)
 		j.Learn(1, 400*time.Millisecond, 1200*time.Millisecond)
@@ -91,7 +91,7 @@
 
 // TestWhoComesBackGoesFirst: at a queue at which new ones are refused, and only for a while.
 func TestWhoComesBackGoesFirst(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	if _, refuse := j.Refuse(0, wishOf("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
 	}
@@ -114,7 +114,7 @@
 // TestAdviceFollowsTheQueue and is spread.
 func TestAdviceFollowsTheQueue(t *testing.T) {
 	advice := func(queue time.Duration, chance float64) time.Duration {
-		wait, refuse := (&Judge{}).Refuse(0, wishOf("", queue, chance))
+		wait, refuse := (&Controller{}).Refuse(0, wishOf("", queue, chance))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
@@ -133,7 +133,7 @@
 
 // TestRefusalsThatAreRememberedAreBounded.
 func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for i := range rememberedMost + 100 {
 		j.Refuse(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -52,29 +52,29 @@
 	mutex      sync.Mutex
 	rows       map[string]*endpoint
 	services   map[string][]*endpoint
-	named      *belief.Namings             // of weights
-	stored     *belief.Stored              // parts that were sent to a store
-	lanes      map[string]*lanes           // by service
-	stays      map[string]belief.Stays     // by service
-	placed     map[string]placement        // for other gateways, by ticket
-	links      belief.Links                // of engines and stores
-	paces      map[string]belief.Pace      // by service
-	met        map[string]time.Duration    // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	judges     map[string]*admission.Judge // by service
-	homes      int                         // rows that are home
-	holders    map[string][]*endpoint      // that hold a shared part, under any salt, by its id
-	pushed     *pushback.Book              // what back ends said of themselves
-	unlentTo   time.Duration               // until then nobody is asked for a part of a limit: the lender gave no answer
-	turns      map[string]time.Duration    // by service: when the caller that was told last may come back that found all at their limits
-	changed    *bell                       // rings with each roster
-	waiting    map[*attempt]struct{}       // all that wait at any row, also at those that are gone
+	named      *belief.Namings                  // of weights
+	stored     *belief.Stored                   // parts that were sent to a store
+	lanes      map[string]*lanes                // by service
+	stays      map[string]belief.Stays          // by service
+	placed     map[string]placement             // for other gateways, by ticket
+	links      belief.Links                     // of engines and stores
+	paces      map[string]belief.Pace           // by service
+	met        map[string]time.Duration         // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
+	judges     map[string]*admission.Controller // by service
+	homes      int                              // rows that are home
+	holders    map[string][]*endpoint           // that hold a shared part, under any salt, by its id
+	pushed     *pushback.Book                   // what back ends said of themselves
+	unlentTo   time.Duration                    // until then nobody is asked for a part of a limit: the lender gave no answer
+	turns      map[string]time.Duration         // by service: when the caller that was told last may come back that found all at their limits
+	changed    *bell                            // rings with each roster
+	waiting    map[*attempt]struct{}            // all that wait at any row, also at those that are gone
 }
 
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		named: belief.NewNamings(guard.Set{}), stored: belief.NewStored(), links: belief.Links{}, pushed: pushback.NewBook(),
-		lanes: map[string]*lanes{}, stays: map[string]belief.Stays{}, paces: map[string]belief.Pace{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
+		lanes: map[string]*lanes{}, stays: map[string]belief.Stays{}, paces: map[string]belief.Pace{}, met: map[string]time.Duration{}, judges: map[string]*admission.Controller{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -40,10 +40,10 @@
 }
 
 // judge returns the judge of a service. The caller holds the mutex.
-func (t *table) judge(service string) *admission.Judge {
+func (t *table) judge(service string) *admission.Controller {
 	held := t.judges[service]
 	if held == nil {
-		held = &admission.Judge{}
+		held = &admission.Controller{}
 		t.judges[service] = held
 	}
 	return held
--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -88,7 +88,7 @@
 	freeAt  []time.Duration // by engine
 	known   []time.Duration // freeAt as deciders know it
 	knownAt time.Duration
-	judge   admission.Judge
+	judge   admission.Controller
 	calls   goodputCalls
 	point   GoodputPoint
 	word    time.Duration
