--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -43,8 +43,8 @@
 	rememberedMost = 20_000
 )
 
-// Wish is a request whose placement is known.
-type Wish struct {
+// Request is a request whose placement is known.
+type Request struct {
 	Key       string        // names the request when it comes back; "" nobody knows it again
 	Rank      int           // 0 is the most urgent
 	Queue     time.Duration // predicted wait before it is read
@@ -102,7 +102,7 @@
 
 // Refuse reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Controller) Refuse(now time.Duration, wish Wish) (comeBack time.Duration, refuse bool) {
+func (j *Controller) Refuse(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
 	if wish.Objective <= 0 {
 		return 0, false
 	}
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -24,7 +24,7 @@
 	if !wish.first || !wish.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
-	asked := admission.Wish{
+	asked := admission.Request{
 		Rank: wish.rank, Queue: belief.FromMilliseconds(chosen.queue), Objective: wish.target, Chance: rand.Float64(),
 	}
 	if parts := wish.call.Parts; len(parts) > 0 {
