--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// RanksMost is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
+	// PriorityLevels is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
 	// more urgent in first.
-	RanksMost = 10
+	PriorityLevels = 10
 	// ratioStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
 	ratioStep = 0.03
 	ratioMost = 16.0
@@ -54,8 +54,8 @@
 
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
 type Controller struct {
-	ratios  [RanksMost]float64 // of seen to predicted waits, their median; 0 before the first
-	stands  [RanksMost]standing
+	ratios  [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
+	stands  [PriorityLevels]standing
 	refused map[string]time.Duration
 }
 
@@ -98,7 +98,7 @@
 	return time.Duration(ratio * float64(predicted))
 }
 
-func clampRank(rank int) int { return min(max(rank, 0), RanksMost-1) }
+func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
 
 // Refuse reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
