--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -45,11 +45,11 @@
 
 // Request is a request whose placement is known.
 type Request struct {
-	Key       string        // names the request when it comes back; "" nobody knows it again
-	Priority  int           // 0 is the most urgent
-	Queue     time.Duration // predicted wait before it is read
-	Objective time.Duration // 0: it is never turned away
-	Chance    float64       // drawn from 0 to 1
+	Key           string        // names the request when it comes back; "" nobody knows it again
+	Priority      int           // 0 is the most urgent
+	PredictedWait time.Duration // predicted wait before it is read
+	Objective     time.Duration // 0: it is never turned away
+	Chance        float64       // drawn from 0 to 1
 }
 
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
@@ -106,7 +106,7 @@
 	if wish.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.Expected(wish.Priority, wish.Queue)
+	expected := j.Expected(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
 	slid := j.stands[clampRank(wish.Priority)].note(now, load)
 	from, to := lateFrom+slid*(earlyFrom-lateFrom), lateTo+slid*(earlyTo-lateTo)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,7 +9,7 @@
 const objective = 800 * time.Millisecond
 
 func wishOf(key string, queue time.Duration, chance float64) Request {
-	return Request{Key: key, Priority: 1, Queue: queue, Objective: objective, Chance: chance}
+	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Chance: chance}
 }
 
 // refusals returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
@@ -47,7 +47,7 @@
 			before = refused
 		}
 	}
-	if _, refuse := (&Controller{}).Refuse(0, Request{Queue: time.Hour}); refuse {
+	if _, refuse := (&Controller{}).Refuse(0, Request{PredictedWait: time.Hour}); refuse {
 		t.Fatal("refused without an objective")
 	}
 }
@@ -78,7 +78,7 @@
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
-	if _, refuse := j.Refuse(0, Request{Priority: 0, Queue: 1500 * time.Millisecond, Objective: objective}); refuse {
+	if _, refuse := j.Refuse(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
