--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -49,7 +49,7 @@
 	Priority      int           // 0 is the most urgent
 	PredictedWait time.Duration // predicted wait before it is read
 	Objective     time.Duration // 0: it is never turned away
-	Chance        float64       // drawn from 0 to 1
+	Random        float64       // drawn from 0 to 1
 }
 
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
@@ -113,13 +113,13 @@
 	if at, came := j.refused[wish.Key]; came && now < at+remembered {
 		load /= returnedBand
 	}
-	if wish.Chance >= (load-from)/(to-from) {
+	if wish.Random >= (load-from)/(to-from) {
 		delete(j.refused, wish.Key)
 		return 0, false
 	}
 	j.Remember(now, wish.Key)
 	wait := max(comeBackLeast, expected-time.Duration(from*float64(wish.Objective)))
-	wait += time.Duration(comeBackSpread * wish.Chance * float64(wait))
+	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
 	return min(wait, comeBackMost), true
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,7 +9,7 @@
 const objective = 800 * time.Millisecond
 
 func wishOf(key string, queue time.Duration, chance float64) Request {
-	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Chance: chance}
+	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Random: chance}
 }
 
 // refusals returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -25,7 +25,7 @@
 		return 0, false
 	}
 	asked := admission.Request{
-		Priority: wish.rank, PredictedWait: belief.FromMilliseconds(chosen.queue), Objective: wish.target, Chance: rand.Float64(),
+		Priority: wish.rank, PredictedWait: belief.FromMilliseconds(chosen.queue), Objective: wish.target, Random: rand.Float64(),
 	}
 	if parts := wish.call.Parts; len(parts) > 0 {
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -107,7 +107,7 @@
 		}
 	}
 	predicted := max(0, f.known[engine]-c.at)
-	wish := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Chance: f.random.Float64()}
+	wish := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
 	if back, refused := f.judge.Refuse(c.at, wish); refused && f.refusal {
 		f.turnAway(c, back)
 		return
