--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -72,8 +72,8 @@
 	return min(max((s.load-standsFrom)/(standsTo-standsFrom), 0), 1)
 }
 
-// Learn takes what a request of a rank waited, against what was predicted for it.
-func (j *Controller) Learn(rank int, predicted, seen time.Duration) {
+// ObserveWait takes what a request of a rank waited, against what was predicted for it.
+func (j *Controller) ObserveWait(rank int, predicted, seen time.Duration) {
 	if predicted < learnFrom {
 		return
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -70,9 +70,9 @@
 func TestErrorOfPredictionsIsLearnt(t *testing.T) {
 	j := &Controller{}
 	for range 200 {
-		j.Learn(0, 1500*time.Millisecond, 150*time.Millisecond)
-		j.Learn(1, 400*time.Millisecond, 1200*time.Millisecond)
-		j.Learn(0, learnFrom-1, time.Hour) // teaches nothing
+		j.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
+		j.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
+		j.ObserveWait(0, learnFrom-1, time.Hour) // teaches nothing
 	}
 	urgent, other := j.Expected(0, 1500*time.Millisecond), j.Expected(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
@@ -82,7 +82,7 @@
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
-		j.Learn(5, time.Second, 0)
+		j.ObserveWait(5, time.Second, 0)
 	}
 	if least := j.Expected(5, time.Second); least < time.Second/(ratioMost+1) {
 		t.Fatalf("%v is expected", least)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -57,10 +57,10 @@
 	judge := t.judge(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.Learn(rank, queue, max(0, first-t.pace(service).First(uncached)))
+		judge.ObserveWait(rank, queue, max(0, first-t.pace(service).First(uncached)))
 		return
 	}
 	if stayed > judge.Expected(rank, queue) {
-		judge.Learn(rank, queue, stayed)
+		judge.ObserveWait(rank, queue, stayed)
 	}
 }
--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -136,7 +136,7 @@
 		f.word += goodputDeadline
 		return
 	}
-	f.judge.Learn(0, predicted, begins-c.at)
+	f.judge.ObserveWait(0, predicted, begins-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputService))
 	ends := begins + work
 	f.freeAt[engine] = min(ends, deadline)
