--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -89,8 +89,8 @@
 	*at = min(max(*at, 1/ratioMost), ratioMost)
 }
 
-// Expected returns the wait of a rank that a prediction stands for.
-func (j *Controller) Expected(rank int, predicted time.Duration) time.Duration {
+// ExpectedWait returns the wait of a rank that a prediction stands for.
+func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
 	ratio := j.ratios[clampRank(rank)]
 	if ratio == 0 || predicted < learnFrom {
 		return predicted
@@ -106,7 +106,7 @@
 	if wish.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.Expected(wish.Priority, wish.PredictedWait)
+	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
 	slid := j.stands[clampRank(wish.Priority)].note(now, load)
 	from, to := lateFrom+slid*(earlyFrom-lateFrom), lateTo+slid*(earlyTo-lateTo)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -74,7 +74,7 @@
 		j.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
 		j.ObserveWait(0, learnFrom-1, time.Hour) // teaches nothing
 	}
-	urgent, other := j.Expected(0, 1500*time.Millisecond), j.Expected(1, 400*time.Millisecond)
+	urgent, other := j.ExpectedWait(0, 1500*time.Millisecond), j.ExpectedWait(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
@@ -84,7 +84,7 @@
 	for range 10_000 {
 		j.ObserveWait(5, time.Second, 0)
 	}
-	if least := j.Expected(5, time.Second); least < time.Second/(ratioMost+1) {
+	if least := j.ExpectedWait(5, time.Second); least < time.Second/(ratioMost+1) {
 		t.Fatalf("%v is expected", least)
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -60,7 +60,7 @@
 		judge.ObserveWait(rank, queue, max(0, first-t.pace(service).First(uncached)))
 		return
 	}
-	if stayed > judge.Expected(rank, queue) {
+	if stayed > judge.ExpectedWait(rank, queue) {
 		judge.ObserveWait(rank, queue, stayed)
 	}
 }
