--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -100,9 +100,9 @@
 
 func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
 
-// Refuse reports whether a request is to be turned away, and when it should come back: when the queue will have become as
+// Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Controller) Refuse(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
+func (j *Controller) Decide(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
 	if wish.Objective <= 0 {
 		return 0, false
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,9 +19,9 @@
 		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
 			now += standsMemory / 20
-			j.Refuse(now, wishOf("", queue, 1))
+			j.Decide(now, wishOf("", queue, 1))
 		}
-		if _, refuse := j.Refuse(now, wishOf("", queue, float64(chance)/100)); refuse {
+		if _, refuse := j.Decide(now, wishOf("", queue, float64(chance)/100)); refuse {
 			refused++
 		}
 	}
@@ -47,7 +47,7 @@
 			before = refused
 		}
 	}
-	if _, refuse := (&Controller{}).Refuse(0, Request{PredictedWait: time.Hour}); refuse {
+	if _, refuse := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); refuse {
 		t.Fatal("refused without an objective")
 	}
 }
@@ -60,7 +60,7 @@
 		if i%10 == 9 {
 			queue = objective * 6 / 10
 		}
-		if _, refuse := j.Refuse(time.Duration(i)*time.Second, wishOf("", queue, 0)); refuse {
+		if _, refuse := j.Decide(time.Duration(i)*time.Second, wishOf("", queue, 0)); refuse {
 			t.Fatalf("number %d is refused", i)
 		}
 	}
@@ -78,7 +78,7 @@
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
-	if _, refuse := j.Refuse(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
+	if _, refuse := j.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
@@ -92,21 +92,21 @@
 // TestWhoComesBackGoesFirst: at a queue at which new ones are refused, and only for a while.
 func TestWhoComesBackGoesFirst(t *testing.T) {
 	j := &Controller{}
-	if _, refuse := j.Refuse(0, wishOf("a", time.Second, 0.5)); !refuse {
+	if _, refuse := j.Decide(0, wishOf("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
 	j.stands[1] = standing{at: time.Second}
-	if _, refuse := j.Refuse(time.Second, wishOf("b", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("b", queue, 0.3)); !refuse {
 		t.Fatal("a new one is let in")
 	}
-	if _, refuse := j.Refuse(time.Second, wishOf("a", queue, 0.3)); refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); refuse {
 		t.Fatal("one that comes back is refused")
 	}
-	if _, refuse := j.Refuse(time.Second, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := j.Refuse(time.Second+remembered, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second+remembered, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it is remembered for ever")
 	}
 }
@@ -114,7 +114,7 @@
 // TestAdviceFollowsTheQueue and is spread.
 func TestAdviceFollowsTheQueue(t *testing.T) {
 	advice := func(queue time.Duration, chance float64) time.Duration {
-		wait, refuse := (&Controller{}).Refuse(0, wishOf("", queue, chance))
+		wait, refuse := (&Controller{}).Decide(0, wishOf("", queue, chance))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
@@ -135,7 +135,7 @@
 func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
 	j := &Controller{}
 	for i := range rememberedMost + 100 {
-		j.Refuse(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
+		j.Decide(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
 	}
 	if len(j.refused) > rememberedMost {
 		t.Fatalf("%d are remembered", len(j.refused))
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -31,7 +31,7 @@
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(wish.service.Name).Refuse(now, asked)
+	back, refused = g.table.judge(wish.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
 		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -108,7 +108,7 @@
 	}
 	predicted := max(0, f.known[engine]-c.at)
 	wish := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
-	if back, refused := f.judge.Refuse(c.at, wish); refused && f.refusal {
+	if back, refused := f.judge.Decide(c.at, wish); refused && f.refusal {
 		f.turnAway(c, back)
 		return
 	}
