--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -117,14 +117,14 @@
 		delete(j.refused, wish.Key)
 		return 0, false
 	}
-	j.Remember(now, wish.Key)
+	j.RecordRejection(now, wish.Key)
 	wait := max(comeBackLeast, expected-time.Duration(from*float64(wish.Objective)))
 	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
 	return min(wait, comeBackMost), true
 }
 
-// Remember notes a refusal, of this judge or of another one, so that the request is known when it comes back.
-func (j *Controller) Remember(now time.Duration, key string) {
+// RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
+func (j *Controller) RecordRejection(now time.Duration, key string) {
 	if key == "" {
 		return
 	}
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -241,7 +241,7 @@
 			continue
 		}
 		if made.Refused != "" {
-			t.judge(row.entry.Service).Remember(at, made.Refused)
+			t.judge(row.entry.Service).RecordRejection(at, made.Refused)
 			continue
 		}
 		row.occupied.Note(made.Gateway, at, made.Load)
