--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -57,7 +57,7 @@
 	}
 	life := lifeOf(row.machine.Name, row.incarnation)
 	limit := c.pushed.Limit(life)
-	if !limit.Named {
+	if !limit.Advertised {
 		row.permits = permits{}
 		return 0
 	}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -13,7 +13,7 @@
 
 // named is what an engine says of its limit in an answer.
 func named(engine string, rate float64) EventSaid {
-	return EventSaid{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+	return EventSaid{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Advertised: true, Rate: rate}}}
 }
 
 // askEach lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
@@ -58,7 +58,7 @@
 		var rows []*backend
 		for i := range all {
 			c := New(Config{Router: fmt.Sprint("r", i), Seed: uint64(i)})
-			c.pushed.NoteLimit(0, lifeOf("e", 1), pushback.Limit{Named: true, Rate: limit})
+			c.pushed.NoteLimit(0, lifeOf("e", 1), pushback.Limit{Advertised: true, Rate: limit})
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -132,7 +132,7 @@
 
 // wireLimit returns a limit as messages carry it.
 func wireLimit(limit pushback.Limit) (rate *float64, over bool) {
-	if limit.Named {
+	if limit.Advertised {
 		rate = &limit.Rate
 	}
 	return rate, limit.Over
@@ -141,7 +141,7 @@
 // limitOfWire is the reverse; no rate is below 0.
 func limitOfWire(rate *float64, over bool) pushback.Limit {
 	if rate != nil {
-		return pushback.Limit{Named: true, Rate: max(0, *rate)}
+		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
 	return pushback.Limit{Over: over}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -156,7 +156,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidTo || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Named {
+		if !g.eligible(now, row, wish) || now < row.avoidTo || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Advertised {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -249,7 +249,7 @@
 	if now < row.heardAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.pushed.LimitHeard(row.life); limit.Named {
+	if limit, heard := g.table.pushed.LimitHeard(row.life); limit.Advertised {
 		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
 	}
 	return cost
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -79,7 +79,7 @@
 	if x.atRest > 0 {
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, x.atRest))
 	}
-	if x.limited.Named {
+	if x.limited.Advertised {
 		fields = append(fields, zap.Float64(events.FieldLimit, x.limited.Rate))
 	}
 	if x.served != "" {
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -51,7 +51,7 @@
 func (g *Gateway) noteLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
-	case news.Named:
+	case news.Advertised:
 		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
 	case news.Over:
 		g.log.note(events.InstanceUnlimited, fields...)
@@ -139,7 +139,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	named, heard := t.pushed.LimitHeard(row.life)
-	if !named.Named {
+	if !named.Advertised {
 		return nil, false
 	}
 	return &allowance.Named{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
@@ -170,7 +170,7 @@
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
-	if limit := t.pushed.Limit(row.life); limit.Named {
+	if limit := t.pushed.Limit(row.life); limit.Advertised {
 		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
 	}
 }
@@ -198,7 +198,7 @@
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
 	for _, row := range t.rows {
-		if limit := t.pushed.Limit(row.life); limit.Named {
+		if limit := t.pushed.Limit(row.life); limit.Advertised {
 			counts[row.entry.Service]++
 			sums[row.entry.Service] += limit.Rate
 		}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // names lets a back end name a limit to a gateway.
 func names(g *Gateway, id string, rate float64) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Said{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
@@ -32,7 +32,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := placedOn(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
 	placedOn(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
@@ -244,10 +244,10 @@
 		limit  pushback.Limit
 		wanted float64
 	}{
-		{time.Second, pushback.Limit{Named: true, Rate: 4}, 4},
-		{2 * time.Second, pushback.Limit{Named: true, Rate: 9}, 4},
+		{time.Second, pushback.Limit{Advertised: true, Rate: 4}, 4},
+		{2 * time.Second, pushback.Limit{Advertised: true, Rate: 9}, 4},
 		{2 * time.Second, pushback.Limit{Over: true}, 4},
-		{500 * time.Millisecond, pushback.Limit{Named: true, Rate: 0}, 0},
+		{500 * time.Millisecond, pushback.Limit{Advertised: true, Rate: 0}, 0},
 		{400 * time.Millisecond, pushback.Limit{Over: true}, -1},
 	} {
 		if told(step.age, step.limit); rate() != step.wanted {
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -91,7 +91,7 @@
 	if t.pushed.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
-	if said.Limit.Named && now >= heard+retellEach {
+	if said.Limit.Advertised && now >= heard+retellEach {
 		made.others.Limit = said.Limit
 	}
 	return made
@@ -134,7 +134,7 @@
 		return causeLeaving
 	case bar.Rests(now) && !elsewhere:
 		return causeResting
-	case bar.Limit.Named && t.dry(now, row, elsewhere) > 0:
+	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
 		return causeLimited
 	}
 	return ""
@@ -151,7 +151,7 @@
 			continue
 		}
 		left, why := max(0, bar.Until-now), causeResting
-		if bar.Limit.Named {
+		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
 				left, why = dry, causeLimited
 			}
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -41,9 +41,9 @@
 	case now < n.from || now >= n.until:
 		return pushback.Limit{}
 	case now < (n.from+n.until)/2:
-		return pushback.Limit{Named: true, Rate: n.rate}
+		return pushback.Limit{Advertised: true, Rate: n.rate}
 	}
-	return pushback.Limit{Named: true, Rate: n.later}
+	return pushback.Limit{Advertised: true, Rate: n.later}
 }
 
 // highest returns the highest limit that was named between two times.
@@ -121,7 +121,7 @@
 // sendsLimited checks a request at the moment it is sent to a back end.
 func (o *oracle) sendsLimited(p pair, n need) {
 	now := o.w.now()
-	if !n.limit(now).Named {
+	if !n.limit(now).Advertised {
 		return
 	}
 	life := o.limits.of(p.backend, n)
@@ -138,7 +138,7 @@
 // permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
 func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
 	limit, heard := g.pushed.LimitHeard(catalog.LifeOf(entry.ID))
-	if !limit.Named || !g.w.guards.On(guard.LimitCheck) {
+	if !limit.Advertised || !g.w.guards.On(guard.LimitCheck) {
 		return true
 	}
 	name, now := quota.BackEnd(entry.ID), g.clock()
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -115,7 +115,7 @@
 	said := pushback.Said{Rest: b.shed.sheds(g.w.now()), Leaving: b.draining, Limit: b.need.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
 	g.pushed.Note(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
-	if said.Limit.Named {
+	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
 	} else {
 		g.pushed.Unlimited(g.clock(), sent, catalog.LifeOf(entry.ID))
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -252,7 +252,7 @@
 		result := e.submit(action, s)
 		inNeed, limit, asker := e.need, e.need.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
-			if limit.Named {
+			if limit.Advertised {
 				r.w.oracle.heardLimit(asker, inNeed)
 				r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: pushback.Said{Limit: limit}})
 			}
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -9,9 +9,9 @@
 
 // Limit is what an answer says of the requests that its back end takes from all machines together, for as long as it names that.
 type Limit struct {
-	Named bool    // it names a limit
-	Over  bool    // it names none any more; never together with Named
-	Rate  float64 // requests a second where it names one; finite, 0 or more
+	Advertised bool    // it names a limit
+	Over       bool    // it names none any more; never together with Named
+	Rate       float64 // requests a second where it names one; finite, 0 or more
 }
 
 // LeastRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
@@ -19,7 +19,7 @@
 const LeastRate = 0.25
 
 // Nothing reports whether nothing is said of a limit.
-func (l Limit) Nothing() bool { return !l.Named && !l.Over }
+func (l Limit) Nothing() bool { return !l.Advertised && !l.Over }
 
 // NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
@@ -28,7 +28,7 @@
 		return false
 	}
 	known := b.Limit(life)
-	if limit.Over && !known.Named {
+	if limit.Over && !known.Advertised {
 		return false
 	}
 	w := b.word(life)
@@ -36,7 +36,7 @@
 		return false
 	}
 	w.limit, w.limitAt, w.newest = limit, at, max(w.newest, at)
-	return known.Named != limit.Named || known.Rate != limit.Rate
+	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
 // Unlimited takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
@@ -58,7 +58,7 @@
 // LimitHeard returns the limit that a life names, and when that was last heard.
 func (b *Book) LimitHeard(life catalog.Life) (limit Limit, heard time.Duration) {
 	for _, w := range b.words[life.Name] {
-		if w.life == life && w.limit.Named {
+		if w.life == life && w.limit.Advertised {
 			return w.limit, w.limitAt
 		}
 	}
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -95,7 +95,7 @@
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
 			bar.Leaving = bar.Leaving || w.leaving
-			if w.limit.Named {
+			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
 		} else if !w.mayBe(life) {
@@ -117,7 +117,7 @@
 func (b *Book) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
-			lasting := w.leaving || w.limit.Named
+			lasting := w.leaving || w.limit.Advertised
 			return now >= w.until && (!lasting || now >= w.newest+leavingKept && !named(w.life))
 		})
 		if len(left) == 0 {
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -80,11 +80,11 @@
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
 			news := book.NoteLimit(at, life, limit)
-			if at < before.at || limit.Over && !before.limit.Named {
+			if at < before.at || limit.Over && !before.limit.Advertised {
 				return
 			}
 			latest[life] = told{at, limit}
-			if changed := before.limit.Named != limit.Named || before.limit.Rate != limit.Rate; news != changed {
+			if changed := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != changed {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
 		}
@@ -94,18 +94,18 @@
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				said := Said{Limit: Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
+				said := Said{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
 				if before := latest[life]; now >= before.at {
 					latest[life] = told{now, said.Limit}
 				}
 				book.Note(now, time.Time{}, life, said, 0)
 			case 1:
-				hear(now-age, life, Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
+				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
 				hear(now-age, life, Limit{Over: true})
 			case 3:
 				before := latest[life]
-				if over := book.Unlimited(now, now-age, life); over != (before.limit.Named && before.at < now-age) {
+				if over := book.Unlimited(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
 					latest[life] = told{now, Limit{Over: true}}
@@ -120,7 +120,7 @@
 			}
 			for _, life := range lives {
 				last := latest[life]
-				if got := book.Limit(life); got.Named != last.limit.Named || got.Named && got != last.limit {
+				if got := book.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
 				}
 				if bar := book.At(now, life); bar.Limit != book.Limit(life) {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -155,7 +155,7 @@
 	if named == nil || *named < 0 {
 		return pushback.Limit{}
 	}
-	return pushback.Limit{Named: true, Rate: *named}
+	return pushback.Limit{Advertised: true, Rate: *named}
 }
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
@@ -203,7 +203,7 @@
 		return
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Said.Limit; limit.Named {
+	if limit := told.Said.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
 	}
 	if told.Said.Rest > 0 || told.Said.Leaving {
