--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -135,7 +135,7 @@
 	if limit.Advertised {
 		rate = &limit.Rate
 	}
-	return rate, limit.Over
+	return rate, limit.Withdrawn
 }
 
 // limitOfWire is the reverse; no rate is below 0.
@@ -143,7 +143,7 @@
 	if rate != nil {
 		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
-	return pushback.Limit{Over: over}
+	return pushback.Limit{Withdrawn: over}
 }
 
 // spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -25,7 +25,7 @@
 	over := g.table.pushed.Unlimited(now, sent, row.life)
 	g.table.mutex.Unlock()
 	if over {
-		news := pushback.Limit{Over: true}
+		news := pushback.Limit{Withdrawn: true}
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Said{Limit: news}})
 		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
 	}
@@ -53,7 +53,7 @@
 	switch {
 	case news.Advertised:
 		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
-	case news.Over:
+	case news.Withdrawn:
 		g.log.note(events.InstanceUnlimited, fields...)
 	}
 	if unread == "" {
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -246,9 +246,9 @@
 	}{
 		{time.Second, pushback.Limit{Advertised: true, Rate: 4}, 4},
 		{2 * time.Second, pushback.Limit{Advertised: true, Rate: 9}, 4},
-		{2 * time.Second, pushback.Limit{Over: true}, 4},
+		{2 * time.Second, pushback.Limit{Withdrawn: true}, 4},
 		{500 * time.Millisecond, pushback.Limit{Advertised: true, Rate: 0}, 0},
-		{400 * time.Millisecond, pushback.Limit{Over: true}, -1},
+		{400 * time.Millisecond, pushback.Limit{Withdrawn: true}, -1},
 	} {
 		if told(step.age, step.limit); rate() != step.wanted {
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -10,7 +10,7 @@
 // Limit is what an answer says of the requests that its back end takes from all machines together, for as long as it names that.
 type Limit struct {
 	Advertised bool    // it names a limit
-	Over       bool    // it names none any more; never together with Named
+	Withdrawn  bool    // it names none any more; never together with Named
 	Rate       float64 // requests a second where it names one; finite, 0 or more
 }
 
@@ -19,7 +19,7 @@
 const LeastRate = 0.25
 
 // Nothing reports whether nothing is said of a limit.
-func (l Limit) Nothing() bool { return !l.Advertised && !l.Over }
+func (l Limit) Nothing() bool { return !l.Advertised && !l.Withdrawn }
 
 // NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
@@ -28,7 +28,7 @@
 		return false
 	}
 	known := b.Limit(life)
-	if limit.Over && !known.Advertised {
+	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
 	w := b.word(life)
@@ -46,7 +46,7 @@
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
 	}
-	return b.NoteLimit(now, life, Limit{Over: true})
+	return b.NoteLimit(now, life, Limit{Withdrawn: true})
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -80,7 +80,7 @@
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
 			news := book.NoteLimit(at, life, limit)
-			if at < before.at || limit.Over && !before.limit.Advertised {
+			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
 			latest[life] = told{at, limit}
@@ -102,18 +102,18 @@
 			case 1:
 				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
-				hear(now-age, life, Limit{Over: true})
+				hear(now-age, life, Limit{Withdrawn: true})
 			case 3:
 				before := latest[life]
 				if over := book.Unlimited(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
-					latest[life] = told{now, Limit{Over: true}}
+					latest[life] = told{now, Limit{Withdrawn: true}}
 				}
 			case 4:
 				book.Sweep(now, func(catalog.Life) bool { return true })
 				for life, last := range latest {
-					if last.limit.Over {
+					if last.limit.Withdrawn {
 						delete(latest, life) // nothing is left of it
 					}
 				}
