--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -34,7 +34,7 @@
 	if before >= senders {
 		return 0
 	}
-	return max(limit, pushback.LeastRate) / float64(senders)
+	return max(limit, pushback.MinRate) / float64(senders)
 }
 
 // routerWeight is a router's weight for a life of a back end.
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -171,7 +171,7 @@
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
 	if limit := t.pushed.Limit(row.life); limit.Advertised {
-		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
+		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
 
@@ -186,7 +186,7 @@
 			sum += t.pushed.Limit(row.life).Rate
 		}
 	}
-	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.LeastRate) * float64(time.Second))
+	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
 	at := min(max(now+first, t.turns[service]+step), now+longestTurn)
 	t.turns[service] = at
 	return at - now
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -14,9 +14,9 @@
 	Rate       float64 // requests a second where it names one; finite, 0 or more
 }
 
-// LeastRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
+// MinRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
 // nothing never hears that a limit is over. One request in the longest window in which limits are judged.
-const LeastRate = 0.25
+const MinRate = 0.25
 
 // Nothing reports whether nothing is said of a limit.
 func (l Limit) Nothing() bool { return !l.Advertised && !l.Withdrawn }
