--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -18,13 +18,13 @@
 // nothing never hears that a limit is over. One request in the longest window in which limits are judged.
 const MinRate = 0.25
 
-// Nothing reports whether nothing is said of a limit.
-func (l Limit) Nothing() bool { return !l.Advertised && !l.Withdrawn }
+// IsEmpty reports whether nothing is said of a limit.
+func (l Limit) IsEmpty() bool { return !l.Advertised && !l.Withdrawn }
 
 // NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
 func (b *Book) NoteLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
-	if limit.Nothing() {
+	if limit.IsEmpty() {
 		return false
 	}
 	known := b.Limit(life)
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -33,7 +33,7 @@
 }
 
 // Nothing reports whether an answer says nothing of its back end.
-func (s Said) Nothing() bool { return s.Rest <= 0 && !s.Leaving && s.Limit.Nothing() }
+func (s Said) Nothing() bool { return s.Rest <= 0 && !s.Leaving && s.Limit.IsEmpty() }
 
 // Bar is what keeps requests from a life.
 type Bar struct {
