--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -40,7 +40,7 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.pushed.NoteLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
+	news := row != nil && g.table.pushed.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -112,7 +112,7 @@
 // limit; a wish for rest is between the two. The caller holds the mutex.
 func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Said) (news pushback.Said) {
 	t.makeDearer(at, row, said.Rest)
-	if t.pushed.NoteLimit(at, row.life, said.Limit) {
+	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
 	if said.Leaving && !t.pushed.At(now, row.life).Leaving {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -268,7 +268,7 @@
 			}
 			for i := range int(inNeed * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.pushed.NoteLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
+				g.table.pushed.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
 					row.dryTo = time.Hour
 				}
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -21,9 +21,9 @@
 // IsEmpty reports whether nothing is said of a limit.
 func (l Limit) IsEmpty() bool { return !l.Advertised && !l.Withdrawn }
 
-// NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
+// ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (b *Book) NoteLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
+func (b *Book) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
 	if limit.IsEmpty() {
 		return false
 	}
@@ -46,7 +46,7 @@
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
 	}
-	return b.NoteLimit(now, life, Limit{Withdrawn: true})
+	return b.ObserveLimit(now, life, Limit{Withdrawn: true})
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -78,7 +78,7 @@
 	if said.Rest > 0 {
 		w.until, w.heardAt = max(w.until, now+Apart(min(said.Rest, LongestRest), chance)), day
 	}
-	b.NoteLimit(now, life, said.Limit)
+	b.ObserveLimit(now, life, said.Limit)
 	return b.At(now, life)
 }
 
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -79,7 +79,7 @@
 		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
-			news := book.NoteLimit(at, life, limit)
+			news := book.ObserveLimit(at, life, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
