--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -22,7 +22,7 @@
 func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.pushed.Unlimited(now, sent, row.life)
+	over := g.table.pushed.ObserveNoLimit(now, sent, row.life)
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -118,7 +118,7 @@
 	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
 	} else {
-		g.pushed.Unlimited(g.clock(), sent, catalog.LifeOf(entry.ID))
+		g.pushed.ObserveNoLimit(g.clock(), sent, catalog.LifeOf(entry.ID))
 	}
 	return said.Rest > 0
 }
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -39,9 +39,9 @@
 	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
-// Unlimited takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
+// ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (b *Book) Unlimited(now, sent time.Duration, life catalog.Life) (over bool) {
+func (b *Book) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
 	at := slices.IndexFunc(b.words[life.Name], func(w word) bool { return w.life == life })
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -105,7 +105,7 @@
 				hear(now-age, life, Limit{Withdrawn: true})
 			case 3:
 				before := latest[life]
-				if over := book.Unlimited(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
+				if over := book.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
 					latest[life] = told{now, Limit{Withdrawn: true}}
