--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -249,7 +249,7 @@
 	if now < row.heardAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.pushed.LimitHeard(row.life); limit.Advertised {
+	if limit, heard := g.table.pushed.LimitObservedAt(row.life); limit.Advertised {
 		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
 	}
 	return cost
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -138,7 +138,7 @@
 func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.Named, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.pushed.LimitHeard(row.life)
+	named, heard := t.pushed.LimitObservedAt(row.life)
 	if !named.Advertised {
 		return nil, false
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -84,7 +84,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.pushed.At(now, row.life)
-	limit, heard := t.pushed.LimitHeard(row.life)
+	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Rest)
 	made.others = pushback.Said{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -51,12 +51,12 @@
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
 func (b *Book) Limit(life catalog.Life) Limit {
-	limit, _ := b.LimitHeard(life)
+	limit, _ := b.LimitObservedAt(life)
 	return limit
 }
 
-// LimitHeard returns the limit that a life names, and when that was last heard.
-func (b *Book) LimitHeard(life catalog.Life) (limit Limit, heard time.Duration) {
+// LimitObservedAt returns the limit that a life names, and when that was last heard.
+func (b *Book) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
 	for _, w := range b.words[life.Name] {
 		if w.life == life && w.limit.Advertised {
 			return w.limit, w.limitAt
