--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -63,7 +63,7 @@
 	// Refused names a request that was turned away from here for overload; nothing was sent then.
 	Refused string
 	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
-	Said pushback.Said
+	Said pushback.Signals
 	Age  time.Duration
 }
 
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Said{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -14,7 +14,7 @@
 	Next  uint64            // number to ask for next
 	Lost  bool              // some news is missing
 	Parts []belief.KeptPart // in the order in which they changed
-	Said  pushback.Said     // of itself; also beside an error
+	Said  pushback.Signals  // of itself; also beside an error
 }
 
 // CacheReader asks engines what they keep. It is safe for concurrent use. An answer that cannot be read in full is an
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -15,7 +15,7 @@
 // said is what a back end said of itself to another gateway, as far as it is news here.
 type said struct {
 	instance string
-	news     pushback.Said
+	news     pushback.Signals
 }
 
 // hearUnlimited takes up an answer without a limit, to a request that was sent at a time.
@@ -26,7 +26,7 @@
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Said{Limit: news}})
+		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: news}})
 		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
 	}
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // names lets a back end name a limit to a gateway.
 func names(g *Gateway, id string, rate float64) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
@@ -32,7 +32,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := placedOn(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
 	placedOn(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
@@ -229,7 +229,7 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Said{Limit: limit}}
+		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
 		g.table.takeSends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -39,7 +39,7 @@
 type heard struct {
 	request string // "" of an answer to no caller's request
 	status  int
-	said    pushback.Said
+	said    pushback.Signals
 	unread  string
 
 	limitUnread string
@@ -74,20 +74,20 @@
 
 // news is what of a back end's word is to be told.
 type news struct {
-	bar    pushback.Bar   // what now keeps requests from it
-	others pushback.Said  // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit  pushback.Limit // for the log: only if it differs from the one before
+	bar    pushback.Bar     // what now keeps requests from it
+	others pushback.Signals // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
+	limit  pushback.Limit   // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
-func (t *table) hear(now time.Duration, row *endpoint, said pushback.Said) (made news) {
+func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.pushed.At(now, row.life)
 	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Rest)
-	made.others = pushback.Said{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
+	made.others = pushback.Signals{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
 	if t.pushed.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
@@ -110,7 +110,7 @@
 
 // hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Said) (news pushback.Said) {
+func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
 	t.makeDearer(at, row, said.Rest)
 	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,7 +26,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := placedOn(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, Verdict{NotRun: true, Said: pushback.Said{Rest: 3 * time.Second}})
+		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Rest: 3 * time.Second}})
 	}
 	placedOn(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
@@ -59,12 +59,12 @@
 
 // asks lets a back end ask a gateway for rest.
 func asks(g *Gateway, id string, rest time.Duration) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Rest: rest}, status: 503})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Rest: rest}, status: 503})
 }
 
 // leaves lets a back end tell a gateway that it leaves.
 func leaves(g *Gateway, id string) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Leaving: true}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Leaving: true}, status: 200})
 }
 
 // Between the choice and the send lies a connection that may take 300 ms to come up, or a scheduler's answer: what the back end says of itself
@@ -212,7 +212,7 @@
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
 	g := scheduler(1)
 	at := cacheCursor{listedAt: -listPause}
-	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheNews{Said: pushback.Said{Rest: time.Minute}}}}
+	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheNews{Said: pushback.Signals{Rest: time.Minute}}}}
 	g.UseCacheReader(script)
 	for step := range 3 {
 		at.listedAt = -listPause
@@ -228,7 +228,7 @@
 // TestOtherGatewaysHearOfIt: over the wire that a back end leaves binds whoever is told; a wish for rest makes the back end dearer there for a
 // while and bars nobody.
 func TestOtherGatewaysHearOfIt(t *testing.T) {
-	told := func(said pushback.Said) (g *Gateway, chosen map[string]int) {
+	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
 		g.table.takeSends(g.now(), []send{heard.wire(0).send()})
@@ -239,17 +239,17 @@
 		}
 		return g, chosen
 	}
-	g, chosen := told(pushback.Said{Rest: time.Second})
+	g, chosen := told(pushback.Signals{Rest: time.Second})
 	if chosen["i-0"] > 0 || placedOn(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidTo - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Said{Rest: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
+	if g, _ := told(pushback.Signals{Rest: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidTo-g.now())
 	}
-	g, chosen = told(pushback.Said{Leaving: true})
+	g, chosen = told(pushback.Signals{Leaving: true})
 	if bar := placedOn(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
@@ -269,7 +269,7 @@
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Said{Rest: time.Second, Leaving: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Rest: time.Second, Leaving: true}}.wire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -243,7 +243,7 @@
 		if rest := e.shed.sheds(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
-				said := pushback.Said{Rest: rest}
+				said := pushback.Signals{Rest: rest}
 				r.w.oracle.heard(asker, said)
 				r.refused(s, action, life, said)
 			})
@@ -254,14 +254,14 @@
 		respond(func() {
 			if limit.Advertised {
 				r.w.oracle.heardLimit(asker, inNeed)
-				r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: pushback.Said{Limit: limit}})
+				r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: pushback.Signals{Limit: limit}})
 			}
 			switch result {
 			case engine.Taken:
 			case engine.TakenWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptMismatch})
 			default:
-				r.refused(s, action, life, pushback.Said{Leaving: result == engine.RefusedLeaving, Rest: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Leaving: result == engine.RefusedLeaving, Rest: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
@@ -285,7 +285,7 @@
 
 // attemptEvent passes what a back end answered to the core.
 // refused takes up an engine's refusal, with what it says of itself.
-func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Said) {
+func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
 	r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: said})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, Well: true})
 }
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -25,15 +25,15 @@
 	leavingKept = 10 * time.Minute
 )
 
-// Said is what one answer of a back end says of itself.
-type Said struct {
+// Signals is what one answer of a back end says of itself.
+type Signals struct {
 	Rest    time.Duration // it wants nothing from this process for so long; 0 says nothing of it
 	Leaving bool          // it ends soon and wants nothing new
 	Limit   Limit         // of the requests that it takes
 }
 
 // Nothing reports whether an answer says nothing of its back end.
-func (s Said) Nothing() bool { return s.Rest <= 0 && !s.Leaving && s.Limit.IsEmpty() }
+func (s Signals) Nothing() bool { return s.Rest <= 0 && !s.Leaving && s.Limit.IsEmpty() }
 
 // Bar is what keeps requests from a life.
 type Bar struct {
@@ -69,7 +69,7 @@
 
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Said, chance float64) Bar {
+func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Bar {
 	if said.Nothing() {
 		return b.At(now, life)
 	}
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -13,7 +13,7 @@
 type heard struct {
 	at   time.Duration
 	life catalog.Life
-	said Said
+	said Signals
 }
 
 // TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
@@ -33,7 +33,7 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := heard{now, life.Draw(t, "speaker"), Said{
+				word := heard{now, life.Draw(t, "speaker"), Signals{
 					Rest:    time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Leaving: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
@@ -94,7 +94,7 @@
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				said := Said{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
+				said := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
 				if before := latest[life]; now >= before.at {
 					latest[life] = told{now, said.Limit}
 				}
@@ -135,7 +135,7 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewBook()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
+	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Rest: 30 * time.Second, Leaving: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
@@ -157,16 +157,16 @@
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewBook()
-	if bar := book.Note(time.Second, day, a, Said{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
+	if bar := book.Note(time.Second, day, a, Signals{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Note(2*time.Second, day, a, Said{Rest: time.Second}, 0); bar.Until < 4*time.Second {
+	if bar := book.Note(2*time.Second, day, a, Signals{Rest: time.Second}, 0); bar.Until < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
 	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Said{Rest: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
+	if bar := book.Note(5*time.Second, day, a, Signals{Rest: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
@@ -175,8 +175,8 @@
 func TestWordsAreForgotten(t *testing.T) {
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewBook()
-	book.Note(0, day, leaver, Said{Leaving: true}, 0)
-	book.Note(0, day, rester, Said{Rest: time.Second}, 0)
+	book.Note(0, day, leaver, Signals{Leaving: true}, 0)
+	book.Note(0, day, rester, Signals{Rest: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
 	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
 		t.Fatalf("%+v", book.words)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -137,7 +137,7 @@
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
 	rest := min(body.RetryAfterMS, pushback.LongestRest.Milliseconds()) // so that no figure is too long for a duration
-	said.Said = pushback.Said{Rest: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
+	said.Said = pushback.Signals{Rest: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
 	}
@@ -161,7 +161,7 @@
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Said{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
