--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -19,7 +19,7 @@
 
 // hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
 func (a *attempt) hear(status int, verdict Verdict) {
-	a.asked = verdict.Said.Rest
+	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
 	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
@@ -63,11 +63,11 @@
 	if news.others.Leaving {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
 	}
-	if told.said.Rest <= 0 && told.unread == "" {
+	if told.said.Backoff <= 0 && told.unread == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Rest),
+		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Backoff),
 			zap.Duration(events.FieldRestLeft, max(0, news.bar.Until-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
 	}
 }
@@ -86,8 +86,8 @@
 	before := t.pushed.At(now, row.life)
 	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
-	t.makeDearer(now, row, said.Rest)
-	made.others = pushback.Signals{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
+	t.makeDearer(now, row, said.Backoff)
+	made.others = pushback.Signals{Backoff: said.Backoff, Leaving: made.bar.Leaving && !before.Leaving}
 	if t.pushed.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
@@ -111,7 +111,7 @@
 // hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
 func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
-	t.makeDearer(at, row, said.Rest)
+	t.makeDearer(at, row, said.Backoff)
 	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,7 +26,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := placedOn(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Rest: 3 * time.Second}})
+		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
 	}
 	placedOn(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
@@ -59,7 +59,7 @@
 
 // asks lets a back end ask a gateway for rest.
 func asks(g *Gateway, id string, rest time.Duration) {
-	g.hear(g.table.rows[id], heard{said: pushback.Signals{Rest: rest}, status: 503})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Backoff: rest}, status: 503})
 }
 
 // leaves lets a back end tell a gateway that it leaves.
@@ -212,7 +212,7 @@
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
 	g := scheduler(1)
 	at := cacheCursor{listedAt: -listPause}
-	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheNews{Said: pushback.Signals{Rest: time.Minute}}}}
+	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheNews{Said: pushback.Signals{Backoff: time.Minute}}}}
 	g.UseCacheReader(script)
 	for step := range 3 {
 		at.listedAt = -listPause
@@ -239,14 +239,14 @@
 		}
 		return g, chosen
 	}
-	g, chosen := told(pushback.Signals{Rest: time.Second})
+	g, chosen := told(pushback.Signals{Backoff: time.Second})
 	if chosen["i-0"] > 0 || placedOn(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidTo - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Signals{Rest: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
+	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidTo-g.now())
 	}
 	g, chosen = told(pushback.Signals{Leaving: true})
@@ -269,7 +269,7 @@
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Rest: time.Second, Leaving: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Leaving: true}}.wire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -243,7 +243,7 @@
 		if rest := e.shed.sheds(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
-				said := pushback.Signals{Rest: rest}
+				said := pushback.Signals{Backoff: rest}
 				r.w.oracle.heard(asker, said)
 				r.refused(s, action, life, said)
 			})
@@ -261,7 +261,7 @@
 			case engine.TakenWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptMismatch})
 			default:
-				r.refused(s, action, life, pushback.Signals{Leaving: result == engine.RefusedLeaving, Rest: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Leaving: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -34,7 +34,7 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				word := heard{now, life.Draw(t, "speaker"), Signals{
-					Rest:    time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
+					Backoff: time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Leaving: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
@@ -45,12 +45,12 @@
 			asked := life.Draw(t, "asked")
 			wanted := Bar{}
 			for _, word := range list {
-				until := word.at + word.said.Rest
+				until := word.at + word.said.Backoff
 				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
 				if word.life == asked && word.said.Leaving {
 					wanted.Leaving = true
 				}
-				if (word.life == asked || earlier) && word.said.Rest > 0 && until > now {
+				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
 					wanted.Until = max(wanted.Until, until)
 				}
 			}
@@ -135,7 +135,7 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewBook()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Rest: 30 * time.Second, Leaving: true}, 0)
+	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Leaving: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
@@ -157,16 +157,16 @@
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewBook()
-	if bar := book.Note(time.Second, day, a, Signals{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
+	if bar := book.Note(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Note(2*time.Second, day, a, Signals{Rest: time.Second}, 0); bar.Until < 4*time.Second {
+	if bar := book.Note(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.Until < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
 	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Signals{Rest: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
+	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
@@ -176,7 +176,7 @@
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewBook()
 	book.Note(0, day, leaver, Signals{Leaving: true}, 0)
-	book.Note(0, day, rester, Signals{Rest: time.Second}, 0)
+	book.Note(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
 	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
 		t.Fatalf("%+v", book.words)
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -17,7 +17,7 @@
 	for body, wanted := range map[string]core.EventSaid{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
 		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Said: pushback.Signals{Leaving: true}},
-		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Said: pushback.Signals{Rest: 50 * time.Millisecond}},
+		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Said: pushback.Signals{Backoff: 50 * time.Millisecond}},
 		`{"run":"not-run","limit_per_s":3.8,"incarnation":4}`: {Name: "e", Incarnation: 4, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 3.8}}},
 		`{"run":"not-run","limit_per_s":0}`:                   {Name: "e", Incarnation: 3, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true}}},
 		`{"run":"not-run","limit_per_s":-1}`:                  {Name: "e", Incarnation: 3},
