--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -94,7 +94,7 @@
 	w := wireSend{
 		Gateway: s.Gateway, Running: s.Load.Running, Held: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
-		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Leaving, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
+		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
 	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
@@ -262,7 +262,7 @@
 		pass(sends[len(sends)-1])
 	}
 	for _, told := range g.table.takeSends(g.now(), sends) {
-		if told.news.Leaving {
+		if told.news.Draining {
 			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
 		}
 		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -60,7 +60,7 @@
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
-	if news.others.Leaving {
+	if news.others.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
 	}
 	if told.said.Backoff <= 0 && told.unread == "" {
@@ -87,7 +87,7 @@
 	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
-	made.others = pushback.Signals{Backoff: said.Backoff, Leaving: made.bar.Leaving && !before.Leaving}
+	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Leaving && !before.Leaving}
 	if t.pushed.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
@@ -115,8 +115,8 @@
 	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Leaving && !t.pushed.At(now, row.life).Leaving {
-		news.Leaving = true
+	if said.Draining && !t.pushed.At(now, row.life).Leaving {
+		news.Draining = true
 		t.pushed.Note(now, time.Now(), row.life, news, 0)
 	}
 	return news
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -64,7 +64,7 @@
 
 // leaves lets a back end tell a gateway that it leaves.
 func leaves(g *Gateway, id string) {
-	g.hear(g.table.rows[id], heard{said: pushback.Signals{Leaving: true}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Draining: true}, status: 200})
 }
 
 // Between the choice and the send lies a connection that may take 300 ms to come up, or a scheduler's answer: what the back end says of itself
@@ -249,7 +249,7 @@
 	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidTo-g.now())
 	}
-	g, chosen = told(pushback.Signals{Leaving: true})
+	g, chosen = told(pushback.Signals{Draining: true})
 	if bar := placedOn(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
@@ -269,7 +269,7 @@
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Leaving: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -82,7 +82,7 @@
 		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
 		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + restFree, until: end})
 	}
-	if _, known := o.said.left[p]; said.Leaving && !known {
+	if _, known := o.said.left[p]; said.Draining && !known {
 		o.said.left[p] = now
 	}
 }
@@ -112,7 +112,7 @@
 // hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Leaving: b.draining, Limit: b.need.limit(g.w.now())}
+	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.need.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
 	g.pushed.Note(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -261,7 +261,7 @@
 			case engine.TakenWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptMismatch})
 			default:
-				r.refused(s, action, life, pushback.Signals{Leaving: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -27,13 +27,13 @@
 
 // Signals is what one answer of a back end says of itself.
 type Signals struct {
-	Backoff time.Duration // it wants nothing from this process for so long; 0 says nothing of it
-	Leaving bool          // it ends soon and wants nothing new
-	Limit   Limit         // of the requests that it takes
+	Backoff  time.Duration // it wants nothing from this process for so long; 0 says nothing of it
+	Draining bool          // it ends soon and wants nothing new
+	Limit    Limit         // of the requests that it takes
 }
 
 // Nothing reports whether an answer says nothing of its back end.
-func (s Signals) Nothing() bool { return s.Backoff <= 0 && !s.Leaving && s.Limit.IsEmpty() }
+func (s Signals) Nothing() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
 
 // Bar is what keeps requests from a life.
 type Bar struct {
@@ -74,7 +74,7 @@
 		return b.At(now, life)
 	}
 	w := b.word(life)
-	w.newest, w.leaving = now, w.leaving || said.Leaving
+	w.newest, w.leaving = now, w.leaving || said.Draining
 	if said.Backoff > 0 {
 		w.until, w.heardAt = max(w.until, now+Apart(min(said.Backoff, LongestRest), chance)), day
 	}
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -34,8 +34,8 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				word := heard{now, life.Draw(t, "speaker"), Signals{
-					Backoff: time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
-					Leaving: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
+					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
+					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
 				book.Note(now, began.Add(now), word.life, word.said, 0)
@@ -47,7 +47,7 @@
 			for _, word := range list {
 				until := word.at + word.said.Backoff
 				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
-				if word.life == asked && word.said.Leaving {
+				if word.life == asked && word.said.Draining {
 					wanted.Leaving = true
 				}
 				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
@@ -135,7 +135,7 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewBook()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Leaving: true}, 0)
+	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
@@ -175,7 +175,7 @@
 func TestWordsAreForgotten(t *testing.T) {
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewBook()
-	book.Note(0, day, leaver, Signals{Leaving: true}, 0)
+	book.Note(0, day, leaver, Signals{Draining: true}, 0)
 	book.Note(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
 	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -137,7 +137,7 @@
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
 	rest := min(body.RetryAfterMS, pushback.LongestRest.Milliseconds()) // so that no figure is too long for a duration
-	said.Said = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
+	said.Said = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
 	}
@@ -206,8 +206,8 @@
 	if limit := told.Said.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
 	}
-	if told.Said.Backoff > 0 || told.Said.Leaving {
-		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Said.Backoff), zap.Bool("leaving", told.Said.Leaving))...)
+	if told.Said.Backoff > 0 || told.Said.Draining {
+		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
 	}
 }
 
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -16,7 +16,7 @@
 	meant := &attemptRun{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, wanted := range map[string]core.EventSaid{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
-		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Said: pushback.Signals{Leaving: true}},
+		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Said: pushback.Signals{Draining: true}},
 		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Said: pushback.Signals{Backoff: 50 * time.Millisecond}},
 		`{"run":"not-run","limit_per_s":3.8,"incarnation":4}`: {Name: "e", Incarnation: 4, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 3.8}}},
 		`{"run":"not-run","limit_per_s":0}`:                   {Name: "e", Incarnation: 3, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true}}},
