--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// LongestRest bounds what is believed of a wish for rest: a figure beyond it is taken for it.
-	LongestRest = time.Hour
+	// MaxBackoff bounds what is believed of a wish for rest: a figure beyond it is taken for it.
+	MaxBackoff = time.Hour
 	// spreadShare of a time, spreadMost at most, is added to it at random, so that those which were refused together don't come back together.
 	spreadShare = 0.1
 	spreadMost  = 250 * time.Millisecond
@@ -76,7 +76,7 @@
 	w := b.word(life)
 	w.newest, w.leaving = now, w.leaving || said.Draining
 	if said.Backoff > 0 {
-		w.until, w.heardAt = max(w.until, now+Apart(min(said.Backoff, LongestRest), chance)), day
+		w.until, w.heardAt = max(w.until, now+Apart(min(said.Backoff, MaxBackoff), chance)), day
 	}
 	b.ObserveLimit(now, life, said.Limit)
 	return b.At(now, life)
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -166,7 +166,7 @@
 	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
+	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+MaxBackoff+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -136,7 +136,7 @@
 		return said, a.event(core.AttemptBroken)
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
-	rest := min(body.RetryAfterMS, pushback.LongestRest.Milliseconds()) // so that no figure is too long for a duration
+	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
 	said.Said = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
