--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -234,8 +234,8 @@
 			t.suspect(at, row, made.Gateway)
 			continue
 		}
-		if !made.Said.Nothing() {
-			if news := t.hearOf(now, at, row, made.Said); !news.Nothing() {
+		if !made.Said.IsEmpty() {
+			if news := t.hearOf(now, at, row, made.Said); !news.IsEmpty() {
 				told = append(told, said{made.Instance, news})
 			}
 			continue
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -47,12 +47,12 @@
 
 // hear takes up and logs what a back end says of itself.
 func (g *Gateway) hear(row *endpoint, told heard) {
-	if told.said.Nothing() && told.unread == "" && told.limitUnread == "" {
+	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
 		return
 	}
 	now := g.now()
 	news := g.table.hear(now, row, told.said)
-	if !news.others.Nothing() {
+	if !news.others.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
 	}
 	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -262,7 +262,7 @@
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
-	if got := from.send(); !got.Said.Nothing() || got.Load.Running != 2 {
+	if got := from.send(); !got.Said.IsEmpty() || got.Load.Running != 2 {
 		t.Fatalf("%+v", got)
 	}
 	var older struct {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -32,8 +32,8 @@
 	Limit    Limit         // of the requests that it takes
 }
 
-// Nothing reports whether an answer says nothing of its back end.
-func (s Signals) Nothing() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
+// IsEmpty reports whether an answer says nothing of its back end.
+func (s Signals) IsEmpty() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
 
 // Bar is what keeps requests from a life.
 type Bar struct {
@@ -70,7 +70,7 @@
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
 func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Bar {
-	if said.Nothing() {
+	if said.IsEmpty() {
 		return b.At(now, life)
 	}
 	w := b.word(life)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -142,7 +142,7 @@
 		return said, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.Well = !said.Said.Nothing()
+	event.Well = !said.Said.IsEmpty()
 	return said, event
 }
 
@@ -194,7 +194,7 @@
 
 // hear passes on and logs what a back end said of itself.
 func (s *Server) hear(a *attemptRun, told core.EventSaid, status int) {
-	if told.Said.Nothing() {
+	if told.Said.IsEmpty() {
 		return
 	}
 	s.post(told)
