--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -74,9 +74,9 @@
 
 // news is what of a back end's word is to be told.
 type news struct {
-	bar    pushback.Bar     // what now keeps requests from it
-	others pushback.Signals // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit  pushback.Limit   // for the log: only if it differs from the one before
+	bar    pushback.Restriction // what now keeps requests from it
+	others pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
+	limit  pushback.Limit       // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -35,18 +35,18 @@
 // IsEmpty reports whether an answer says nothing of its back end.
 func (s Signals) IsEmpty() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
 
-// Bar is what keeps requests from a life.
-type Bar struct {
+// Restriction is what keeps requests from a life.
+type Restriction struct {
 	Leaving bool          // until its end
 	Until   time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
 	Limit   Limit         // that it names now; it bars what has no part of it
 }
 
 // Stands reports whether nothing may be sent now.
-func (b Bar) Stands(now time.Duration) bool { return b.Leaving || b.Rests(now) }
+func (b Restriction) Stands(now time.Duration) bool { return b.Leaving || b.Rests(now) }
 
 // Rests reports whether the life wants rest now.
-func (b Bar) Rests(now time.Duration) bool { return now < b.Until }
+func (b Restriction) Rests(now time.Duration) bool { return now < b.Until }
 
 // word is what one life said.
 type word struct {
@@ -69,7 +69,7 @@
 
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Bar {
+func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
 		return b.At(now, life)
 	}
@@ -90,8 +90,8 @@
 
 // At returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Book) At(now time.Duration, life catalog.Life) Bar {
-	var bar Bar
+func (b *Book) At(now time.Duration, life catalog.Life) Restriction {
+	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
 			bar.Leaving = bar.Leaving || w.leaving
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -43,7 +43,7 @@
 				book.Sweep(now, func(catalog.Life) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
-			wanted := Bar{}
+			wanted := Restriction{}
 			for _, word := range list {
 				until := word.at + word.said.Backoff
 				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
