--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -21,7 +21,7 @@
 // saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
 // undo that.
 func (c *Core) saysLeaving(row *backend) bool {
-	return c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Leaving
+	return c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Draining
 }
 
 // rests returns how long a back end still wants nothing from this router.
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -87,7 +87,7 @@
 	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
-	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Leaving && !before.Leaving}
+	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
 	if t.pushed.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
@@ -115,7 +115,7 @@
 	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Draining && !t.pushed.At(now, row.life).Leaving {
+	if said.Draining && !t.pushed.At(now, row.life).Draining {
 		news.Draining = true
 		t.pushed.Note(now, time.Now(), row.life, news, 0)
 	}
@@ -130,7 +130,7 @@
 func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
 	bar := t.pushed.At(now, row.life)
 	switch {
-	case bar.Leaving:
+	case bar.Draining:
 		return causeLeaving
 	case bar.Rests(now) && !elsewhere:
 		return causeResting
@@ -147,7 +147,7 @@
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
 		bar := t.pushed.At(now, row.life)
-		if !row.open() || bar.Leaving {
+		if !row.open() || bar.Draining {
 			continue
 		}
 		left, why := max(0, bar.Until-now), causeResting
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -37,13 +37,13 @@
 
 // Restriction is what keeps requests from a life.
 type Restriction struct {
-	Leaving bool          // until its end
-	Until   time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
-	Limit   Limit         // that it names now; it bars what has no part of it
+	Draining bool          // until its end
+	Until    time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
+	Limit    Limit         // that it names now; it bars what has no part of it
 }
 
 // Stands reports whether nothing may be sent now.
-func (b Restriction) Stands(now time.Duration) bool { return b.Leaving || b.Rests(now) }
+func (b Restriction) Stands(now time.Duration) bool { return b.Draining || b.Rests(now) }
 
 // Rests reports whether the life wants rest now.
 func (b Restriction) Rests(now time.Duration) bool { return now < b.Until }
@@ -94,7 +94,7 @@
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
-			bar.Leaving = bar.Leaving || w.leaving
+			bar.Draining = bar.Draining || w.leaving
 			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -48,7 +48,7 @@
 				until := word.at + word.said.Backoff
 				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
 				if word.life == asked && word.said.Draining {
-					wanted.Leaving = true
+					wanted.Draining = true
 				}
 				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
 					wanted.Until = max(wanted.Until, until)
@@ -56,7 +56,7 @@
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
 			got := book.At(now, asked)
-			if got.Leaving != wanted.Leaving || got.Until < wanted.Until {
+			if got.Draining != wanted.Draining || got.Until < wanted.Until {
 				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
 			}
 			if asked.Name == "b" && got != wanted {
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Leaving != step.leaving {
+		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Draining != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
 		}
 	}
@@ -178,7 +178,7 @@
 	book.Note(0, day, leaver, Signals{Draining: true}, 0)
 	book.Note(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
-	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
+	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Draining {
 		t.Fatalf("%+v", book.words)
 	}
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return false })
