--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -29,7 +29,7 @@
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
-	return max(0, c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Until-c.now)
+	return max(0, c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
 }
 
 // barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -68,7 +68,7 @@
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
 		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, news.bar.Until-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
+			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
 	}
 }
 
@@ -150,7 +150,7 @@
 		if !row.open() || bar.Draining {
 			continue
 		}
-		left, why := max(0, bar.Until-now), causeResting
+		left, why := max(0, bar.BackoffUntil-now), causeResting
 		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
 				left, why = dry, causeLimited
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -37,16 +37,16 @@
 
 // Restriction is what keeps requests from a life.
 type Restriction struct {
-	Draining bool          // until its end
-	Until    time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
-	Limit    Limit         // that it names now; it bars what has no part of it
+	Draining     bool          // until its end
+	BackoffUntil time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
+	Limit        Limit         // that it names now; it bars what has no part of it
 }
 
 // Stands reports whether nothing may be sent now.
 func (b Restriction) Stands(now time.Duration) bool { return b.Draining || b.Rests(now) }
 
 // Rests reports whether the life wants rest now.
-func (b Restriction) Rests(now time.Duration) bool { return now < b.Until }
+func (b Restriction) Rests(now time.Duration) bool { return now < b.BackoffUntil }
 
 // word is what one life said.
 type word struct {
@@ -102,7 +102,7 @@
 			continue
 		}
 		if now < w.until {
-			bar.Until = max(bar.Until, w.until)
+			bar.BackoffUntil = max(bar.BackoffUntil, w.until)
 		}
 	}
 	return bar
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -51,12 +51,12 @@
 					wanted.Draining = true
 				}
 				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
-					wanted.Until = max(wanted.Until, until)
+					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
 			got := book.At(now, asked)
-			if got.Draining != wanted.Draining || got.Until < wanted.Until {
+			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
 				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
 			}
 			if asked.Name == "b" && got != wanted {
@@ -157,16 +157,16 @@
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewBook()
-	if bar := book.Note(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
+	if bar := book.Note(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Note(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.Until < 4*time.Second {
+	if bar := book.Note(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
 	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+MaxBackoff+spreadMost {
+	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
