--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -42,8 +42,8 @@
 	Limit        Limit         // that it names now; it bars what has no part of it
 }
 
-// Stands reports whether nothing may be sent now.
-func (b Restriction) Stands(now time.Duration) bool { return b.Draining || b.Rests(now) }
+// IsBlocked reports whether nothing may be sent now.
+func (b Restriction) IsBlocked(now time.Duration) bool { return b.Draining || b.Rests(now) }
 
 // Rests reports whether the life wants rest now.
 func (b Restriction) Rests(now time.Duration) bool { return now < b.BackoffUntil }
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -163,7 +163,7 @@
 	if bar := book.Note(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
-	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
+	if bar := book.At(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
 	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
