--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -132,7 +132,7 @@
 	switch {
 	case bar.Draining:
 		return causeLeaving
-	case bar.Rests(now) && !elsewhere:
+	case bar.IsBackingOff(now) && !elsewhere:
 		return causeResting
 	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
 		return causeLimited
@@ -207,7 +207,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for _, row := range t.rows {
-		if t.pushed.At(now, row.life).Rests(now) {
+		if t.pushed.At(now, row.life).IsBackingOff(now) {
 			counts[row.entry.Service]++
 		}
 	}
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -43,10 +43,10 @@
 }
 
 // IsBlocked reports whether nothing may be sent now.
-func (b Restriction) IsBlocked(now time.Duration) bool { return b.Draining || b.Rests(now) }
+func (b Restriction) IsBlocked(now time.Duration) bool { return b.Draining || b.IsBackingOff(now) }
 
-// Rests reports whether the life wants rest now.
-func (b Restriction) Rests(now time.Duration) bool { return now < b.BackoffUntil }
+// IsBackingOff reports whether the life wants rest now.
+func (b Restriction) IsBackingOff(now time.Duration) bool { return now < b.BackoffUntil }
 
 // word is what one life said.
 type word struct {
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Draining != step.leaving {
+		if bar := book.At(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
 		}
 	}
