--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -47,16 +47,16 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
-	if !hold.Valid(now+Lease) || hold.Valid(now+Lease+1) {
+	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", hold)
 	}
 	b.Put(now, hold)
-	if _, ok := b.Take(now+Lease+1, resource, 100); ok {
+	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
 	wants := []Want{{Name: resource, Amount: 100}}
 	late := l.Take(now, b.Ask(now, wants))
-	if got := b.Granted(now+Lease+1, now, wants, late); got[0].Hold.Amount != 0 {
+	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Hold.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
@@ -89,7 +89,7 @@
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
 	b.Put(now, hold)
-	now += Lease - time.Millisecond
+	now += LeaseTTL - time.Millisecond
 	question := b.Ask(now, []Want{{Name: resource, Amount: 10}})
 	if len(question.Back) != 1 || question.Back[0].Amount != 100 {
 		t.Fatalf("%v goes back", question.Back)
@@ -225,7 +225,7 @@
 // second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
 func TestRoomIsNotGivenTwice(t *testing.T) {
 	const silence, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
-	given := toleranceShare + debtShare + reserveShare + Lease.Seconds() + silence*silent
+	given := toleranceShare + debtShare + reserveShare + LeaseTTL.Seconds() + silence*silent
 	if given > 0.9 {
 		t.Fatalf("%.2f of the room is given", given)
 	}
@@ -235,7 +235,7 @@
 func TestFractionsAreTakenWhole(t *testing.T) {
 	b := newTestBorrower()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Put(time.Minute, Hold{Name: resource, Amount: amount, Until: time.Minute + Lease})
+		b.Put(time.Minute, Hold{Name: resource, Amount: amount, Until: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
 	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -14,7 +14,7 @@
 	demandShare = 0.5
 	aheadLeast  = 2.0
 	// backAfter is how long before its end an amount that lies idle is given back with the next question.
-	backAfter = Lease / 2
+	backAfter = LeaseTTL / 2
 )
 
 // Hold is an amount that may be used once, before its time.
@@ -180,7 +180,7 @@
 
 // ahead returns how much more than an amount is worth asking for: so many more of the kind.
 func (p *pocket) ahead(amount float64) float64 {
-	needed := p.demand * Lease.Seconds()
+	needed := p.demand * LeaseTTL.Seconds()
 	if needed < aheadLeast*amount {
 		return 0
 	}
@@ -222,7 +222,7 @@
 		granted := answer.Grants[i]
 		results[i].Wait, results[i].Young = granted.Wait, granted.Young
 		results[i].Uncounted = want.Named != nil && !granted.Counted
-		piece := Hold{Name: want.Name, Amount: granted.Amount, Until: asked + Lease}
+		piece := Hold{Name: want.Name, Amount: granted.Amount, Until: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
 			continue
 		}
@@ -257,7 +257,7 @@
 		return Hold{}, false
 	}
 	p.used += amount
-	return Hold{Name: name, Amount: amount, Until: now + Lease, own: true}, true
+	return Hold{Name: name, Amount: amount, Until: now + LeaseTTL, own: true}, true
 }
 
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -15,9 +15,9 @@
 
 import "time"
 
-// Lease is how long an amount may be used after it was asked for: some times what a question takes, and short beside the
+// LeaseTTL is how long an amount may be used after it was asked for: some times what a question takes, and short beside the
 // windows that limits are judged in, since what was lent before a window may be used in it.
-const Lease = 200 * time.Millisecond
+const LeaseTTL = 200 * time.Millisecond
 
 const (
 	// toleranceShare of a limit's room may be lent at once beside the burst, so that a caller just inside its limit is not
