--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -16,7 +16,7 @@
 	return l, time.Minute
 }
 
-func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Hold, time.Duration) {
+func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
 	wants := []Want{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
 	return got.Hold, got.Wait
@@ -235,7 +235,7 @@
 func TestFractionsAreTakenWhole(t *testing.T) {
 	b := newTestBorrower()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Put(time.Minute, Hold{Name: resource, Amount: amount, Until: time.Minute + LeaseTTL})
+		b.Put(time.Minute, Lease{Name: resource, Amount: amount, Until: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
 	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -17,8 +17,8 @@
 	backAfter = LeaseTTL / 2
 )
 
-// Hold is an amount that may be used once, before its time.
-type Hold struct {
+// Lease is an amount that may be used once, before its time.
+type Lease struct {
 	Name   string
 	Amount float64
 	Until  time.Duration // by the borrower's clock
@@ -26,7 +26,7 @@
 }
 
 // Valid reports whether the amount may still be used.
-func (h Hold) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.Until }
+func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.Until }
 
 // Borrower keeps what one process was lent.
 type Borrower struct {
@@ -46,7 +46,7 @@
 
 // pocket is what is held of one resource.
 type pocket struct {
-	pieces  []Hold        // lent and not used, rising by time
+	pieces  []Lease       // lent and not used, rising by time
 	used    float64       // of the reserve and the own part, not made good yet
 	usedAt  time.Duration // when used was right
 	demand  float64       // units a second, of the last moments
@@ -88,27 +88,27 @@
 }
 
 // Take takes an amount from what was lent.
-func (b *Borrower) Take(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Borrower) Take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p := b.pocket(name)
 	p.note(now, amount)
 	return p.take(now, name, amount)
 }
 
 // TakeAgain takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Borrower) TakeAgain(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Borrower) TakeAgain(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.pocket(name).take(now, name, amount)
 }
 
-func (p *pocket) take(now time.Duration, name string, amount float64) (Hold, bool) {
+func (p *pocket) take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p.expire(now)
 	held := 0.0
 	for _, piece := range p.pieces {
 		held += piece.Amount
 	}
 	if held < amount {
-		return Hold{}, false
+		return Lease{}, false
 	}
-	taken := Hold{Name: name, Amount: amount}
+	taken := Lease{Name: name, Amount: amount}
 	for left := amount; left > 0 && len(p.pieces) > 0; { // rounding may leave a trace of what the pieces add up to
 		piece := &p.pieces[0]
 		if taken.Until == 0 {
@@ -126,7 +126,7 @@
 
 // expire drops what may be used no more.
 func (p *pocket) expire(now time.Duration) {
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool { return !piece.Valid(now) })
+	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
 // note counts a demand.
@@ -136,7 +136,7 @@
 }
 
 // Put gives back to the pocket what was taken and not used.
-func (b *Borrower) Put(now time.Duration, h Hold) {
+func (b *Borrower) Put(now time.Duration, h Lease) {
 	if !b.Limited(h.Name) || h.Amount <= 0 {
 		return
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-func (p *pocket) add(piece Hold) {
-	at, _ := slices.BinarySearchFunc(p.pieces, piece.Until, func(other Hold, until time.Duration) int { return int(other.Until - until) })
+func (p *pocket) add(piece Lease) {
+	at, _ := slices.BinarySearchFunc(p.pieces, piece.Until, func(other Lease, until time.Duration) int { return int(other.Until - until) })
 	p.pieces = slices.Insert(p.pieces, at, piece)
 }
 
@@ -191,7 +191,7 @@
 func (p *pocket) idle(now time.Duration) float64 {
 	p.expire(now)
 	amount := 0.0
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool {
+	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
 		ends := piece.Until < now+backAfter
 		if ends {
 			amount += piece.Amount
@@ -203,7 +203,7 @@
 
 // Result is what became of a want: a hold, or what the lender said instead.
 type Result struct {
-	Hold      Hold
+	Hold      Lease
 	Wait      time.Duration
 	Young     bool
 	Uncounted bool // the lender doesn't count resources that name their limits
@@ -222,7 +222,7 @@
 		granted := answer.Grants[i]
 		results[i].Wait, results[i].Young = granted.Wait, granted.Young
 		results[i].Uncounted = want.Named != nil && !granted.Counted
-		piece := Hold{Name: want.Name, Amount: granted.Amount, Until: asked + LeaseTTL}
+		piece := Lease{Name: want.Name, Amount: granted.Amount, Until: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
 			continue
 		}
@@ -235,29 +235,29 @@
 
 // TakeOwn takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
-func (b *Borrower) TakeOwn(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Borrower) TakeOwn(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, now-b.touched)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
-func (b *Borrower) TakeReserve(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Borrower) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, 0)
 }
 
 // takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Borrower) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Hold, bool) {
+func (b *Borrower) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
 	if !limited || now-b.touched > b.trust || b.touched == 0 {
-		return Hold{}, false
+		return Lease{}, false
 	}
 	p := b.pocket(name)
 	p.makeGood(now, limit.reserve()/b.parts)
 	part := limit.reserve()/b.parts + limit.Rate/b.parts*silence.Seconds()
 	if p.used+amount > part {
-		return Hold{}, false
+		return Lease{}, false
 	}
 	p.used += amount
-	return Hold{Name: name, Amount: amount, Until: now + LeaseTTL, own: true}, true
+	return Lease{Name: name, Amount: amount, Until: now + LeaseTTL, own: true}, true
 }
 
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -36,7 +36,7 @@
 // Result is an outcome and what belongs to it.
 type Result struct {
 	Outcome Outcome
-	Hold    allowance.Hold
+	Hold    allowance.Lease
 	Wait    time.Duration
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Put gives back what was taken and not used.
-func (d *Desk) Put(h allowance.Hold) {
+func (d *Desk) Put(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.Put(d.now(), h)
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -48,7 +48,7 @@
 	heard     []time.Duration // when a lender last heard each
 	paused    []time.Duration // until when each stands still
 	cut       []time.Duration // until when each reaches no lender
-	held      [][]Hold        // taken and not used yet
+	held      [][]Lease       // taken and not used yet
 	letters   []letter
 	uses      []use
 	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		chance: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Hold, size), borrowers: make([]*Borrower, size),
+		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Borrower, size),
 	}
 	for i := range size {
 		f.start(i)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -93,7 +93,7 @@
 	atRest   time.Duration   // what was left of a rest of the back end when the request was sent
 	asked    time.Duration   // rest that the back end asked for in its answer
 	limited  pushback.Limit  // that the back end had named when the request was sent
-	hold     allowance.Hold  // of that limit, until the request is sent
+	hold     allowance.Lease // of that limit, until the request is sent
 	looked   <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
@@ -138,7 +138,7 @@
 		_ = wire.Close()
 		return result{kind: resultUnreached, cause: bar}
 	}
-	a.hold = allowance.Hold{} // used up
+	a.hold = allowance.Lease{} // used up
 	x.sent++
 	a.cover, x.cover = x.cover, cover{}
 	a.begin()
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -18,7 +18,7 @@
 
 // cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type cover struct {
-	hold    allowance.Hold
+	hold    allowance.Lease
 	covered bool // the next send is covered, by hold or because there is no limit
 }
 
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -130,7 +130,7 @@
 	if a.hold.Amount > 0 {
 		a.exchange.gateway.desk.Put(a.hold)
 		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
-		a.hold = allowance.Hold{}
+		a.hold = allowance.Lease{}
 	}
 }
 
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -160,7 +160,7 @@
 	g.asking = true
 	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
 		g.asking = false
-		var hold allowance.Hold
+		var hold allowance.Lease
 		if answered && response.Lent != nil {
 			hold = g.borrower.Granted(g.clock(), asked, wants, *response.Lent)[0].Hold
 		} else {
