--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -235,7 +235,7 @@
 func TestFractionsAreTakenWhole(t *testing.T) {
 	b := newTestBorrower()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Put(time.Minute, Lease{Name: resource, Amount: amount, Until: time.Minute + LeaseTTL})
+		b.Put(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
 	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -19,14 +19,14 @@
 
 // Lease is an amount that may be used once, before its time.
 type Lease struct {
-	Name   string
-	Amount float64
-	Until  time.Duration // by the borrower's clock
-	own    bool          // from the own part, not lent
+	Name      string
+	Amount    float64
+	ExpiresAt time.Duration // by the borrower's clock
+	own       bool          // from the own part, not lent
 }
 
 // Valid reports whether the amount may still be used.
-func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.Until }
+func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.ExpiresAt }
 
 // Borrower keeps what one process was lent.
 type Borrower struct {
@@ -111,8 +111,8 @@
 	taken := Lease{Name: name, Amount: amount}
 	for left := amount; left > 0 && len(p.pieces) > 0; { // rounding may leave a trace of what the pieces add up to
 		piece := &p.pieces[0]
-		if taken.Until == 0 {
-			taken.Until = piece.Until // the first piece ends first
+		if taken.ExpiresAt == 0 {
+			taken.ExpiresAt = piece.ExpiresAt // the first piece ends first
 		}
 		part := min(left, piece.Amount)
 		left -= part
@@ -151,7 +151,7 @@
 }
 
 func (p *pocket) add(piece Lease) {
-	at, _ := slices.BinarySearchFunc(p.pieces, piece.Until, func(other Lease, until time.Duration) int { return int(other.Until - until) })
+	at, _ := slices.BinarySearchFunc(p.pieces, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
 	p.pieces = slices.Insert(p.pieces, at, piece)
 }
 
@@ -192,7 +192,7 @@
 	p.expire(now)
 	amount := 0.0
 	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
-		ends := piece.Until < now+backAfter
+		ends := piece.ExpiresAt < now+backAfter
 		if ends {
 			amount += piece.Amount
 		}
@@ -222,7 +222,7 @@
 		granted := answer.Grants[i]
 		results[i].Wait, results[i].Young = granted.Wait, granted.Young
 		results[i].Uncounted = want.Named != nil && !granted.Counted
-		piece := Lease{Name: want.Name, Amount: granted.Amount, Until: asked + LeaseTTL}
+		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
 			continue
 		}
@@ -257,7 +257,7 @@
 		return Lease{}, false
 	}
 	p.used += amount
-	return Lease{Name: name, Amount: amount, Until: now + LeaseTTL, own: true}, true
+	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, own: true}, true
 }
 
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
