--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -17,7 +17,7 @@
 }
 
 func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
-	wants := []Want{{Name: resource, Amount: amount}}
+	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
 	return got.Hold, got.Wait
 }
@@ -54,7 +54,7 @@
 	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
-	wants := []Want{{Name: resource, Amount: 100}}
+	wants := []Demand{{Name: resource, Amount: 100}}
 	late := l.Take(now, b.Ask(now, wants))
 	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Hold.Amount != 0 {
 		t.Fatal("a late answer gave something")
@@ -65,7 +65,7 @@
 func TestAnswersCountOnce(t *testing.T) {
 	l, now := fullLender()
 	b := newTestBorrower()
-	wants := []Want{{Name: resource, Amount: 100}}
+	wants := []Demand{{Name: resource, Amount: 100}}
 	answer := l.Take(now, b.Ask(now, wants))
 	if got := b.Granted(now, now, wants, answer); got[0].Hold.Amount != 100 {
 		t.Fatal("nothing lent")
@@ -90,7 +90,7 @@
 	hold, _ := askOne(l, now, b, 100)
 	b.Put(now, hold)
 	now += LeaseTTL - time.Millisecond
-	question := b.Ask(now, []Want{{Name: resource, Amount: 10}})
+	question := b.Ask(now, []Demand{{Name: resource, Amount: 10}})
 	if len(question.Back) != 1 || question.Back[0].Amount != 100 {
 		t.Fatalf("%v goes back", question.Back)
 	}
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -155,15 +155,15 @@
 	p.pieces = slices.Insert(p.pieces, at, piece)
 }
 
-// Want is an amount that is waited for.
-type Want struct {
+// Demand is an amount that is waited for.
+type Demand struct {
 	Name   string
 	Amount float64
 	Named  *Named // where the resource names its limit itself, else nil
 }
 
 // Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Borrower) Ask(now time.Duration, wants []Want) Question {
+func (b *Borrower) Ask(now time.Duration, wants []Demand) Question {
 	b.sequence++
 	asked := Question{Borrower: b.name, Sequence: b.sequence}
 	for _, want := range wants {
@@ -211,7 +211,7 @@
 
 // Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Borrower) Granted(now, asked time.Duration, wants []Want, answer Answer) []Result {
+func (b *Borrower) Granted(now, asked time.Duration, wants []Demand, answer Answer) []Result {
 	results := make([]Result, len(wants))
 	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
 		return results
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -58,7 +58,7 @@
 
 // wish is an amount that a request waits for.
 type wish struct {
-	allowance.Want
+	allowance.Demand
 	after time.Duration // not to be asked for before
 	until time.Duration // the request waits no longer
 	done  chan Result   // has room for the one result
@@ -99,7 +99,7 @@
 
 // Take takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
 func (d *Desk) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
-	return d.take(ctx, allowance.Want{Name: name, Amount: amount}, patience)
+	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
 }
 
 // TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
@@ -107,10 +107,10 @@
 	d.mu.Lock()
 	d.borrower.Name(d.now(), name, named)
 	d.mu.Unlock()
-	return d.take(ctx, allowance.Want{Name: name, Amount: 1, Named: &named}, 0)
+	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Named: &named}, 0)
 }
 
-func (d *Desk) take(ctx context.Context, want allowance.Want, patience time.Duration) Result {
+func (d *Desk) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
 	wanted, result := d.begin(want, patience)
 	if wanted == nil {
 		return result
@@ -128,7 +128,7 @@
 }
 
 // begin takes from what is held, or lets a wish wait.
-func (d *Desk) begin(want allowance.Want, patience time.Duration) (*wish, Result) {
+func (d *Desk) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.borrower.Limited(want.Name) {
@@ -141,7 +141,7 @@
 	if len(d.waiting) >= waitingMost {
 		return nil, Result{Outcome: Unknown}
 	}
-	wanted := &wish{Want: want, until: now + patience, done: make(chan Result, 1)}
+	wanted := &wish{Demand: want, until: now + patience, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
@@ -197,7 +197,7 @@
 }
 
 // batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *Desk) batch() (batch []*wish, wants []allowance.Want, question allowance.Question) {
+func (d *Desk) batch() (batch []*wish, wants []allowance.Demand, question allowance.Question) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -210,7 +210,7 @@
 			return true
 		}
 		batch = append(batch, w)
-		wants = append(wants, w.Want)
+		wants = append(wants, w.Demand)
 		return true
 	})
 	if len(batch) == 0 {
@@ -236,7 +236,7 @@
 }
 
 // answered passes on what was lent.
-func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Want, answer allowance.Answer) {
+func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -26,7 +26,7 @@
 	to     int
 	asked  time.Duration
 	due    time.Duration
-	wants  []Want
+	wants  []Demand
 	answer Answer
 }
 
@@ -101,7 +101,7 @@
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
 	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.chance.Float64())
-	wants := []Want{{Name: resource, Amount: amount}}
+	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
 		wants[0].Amount, wants[0].Named = 1, &named
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -40,7 +40,7 @@
 			borrowers[i].Use(limits)
 		}
 		lent := func(b *allowance.Borrower, now time.Duration) bool {
-			wants := []allowance.Want{{Name: quota.Repeats("s"), Amount: 1}}
+			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
 				hold = b.Granted(now, now, wants, lender.Take(now, b.Ask(now, wants)))[0].Hold
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -148,13 +148,13 @@
 		return hold.Valid(now)
 	}
 	if !g.asking {
-		g.askPermit(entry, []allowance.Want{{Name: name, Amount: 1, Named: &named}})
+		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Named: &named}})
 	}
 	return false
 }
 
 // askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
-func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Want) {
+func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
 	question := g.borrower.Ask(asked, wants)
 	g.asking = true
