--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -157,9 +157,9 @@
 
 // Demand is an amount that is waited for.
 type Demand struct {
-	Name   string
-	Amount float64
-	Named  *Named // where the resource names its limit itself, else nil
+	Name       string
+	Amount     float64
+	Advertised *Named // where the resource names its limit itself, else nil
 }
 
 // Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
@@ -168,7 +168,7 @@
 	asked := Question{Borrower: b.name, Sequence: b.sequence}
 	for _, want := range wants {
 		p := b.pocket(want.Name)
-		asked.Asks = append(asked.Asks, Ask{Name: want.Name, Amount: want.Amount, Ahead: p.ahead(want.Amount), Named: want.Named})
+		asked.Asks = append(asked.Asks, Ask{Name: want.Name, Amount: want.Amount, Ahead: p.ahead(want.Amount), Named: want.Advertised})
 	}
 	for name, p := range b.pockets {
 		if idle := p.idle(now); idle > 0 {
@@ -221,7 +221,7 @@
 	for i, want := range wants {
 		granted := answer.Grants[i]
 		results[i].Wait, results[i].Young = granted.Wait, granted.Young
-		results[i].Uncounted = want.Named != nil && !granted.Counted
+		results[i].Uncounted = want.Advertised != nil && !granted.Counted
 		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
 			continue
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -107,7 +107,7 @@
 	d.mu.Lock()
 	d.borrower.Name(d.now(), name, named)
 	d.mu.Unlock()
-	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Named: &named}, 0)
+	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
 }
 
 func (d *Desk) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
@@ -253,7 +253,7 @@
 			d.finish(w, Result{Hold: got.Hold})
 		case got.Uncounted:
 			d.finish(w, Result{Outcome: Unknown})
-		case w.Named == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
+		case w.Advertised == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
 			w.after = now + got.Wait
 			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.Wait, shortWait)})
 		default:
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -104,7 +104,7 @@
 	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
-		wants[0].Amount, wants[0].Named = 1, &named
+		wants[0].Amount, wants[0].Advertised = 1, &named
 		amount = 1
 		b.Name(f.now, resource, named)
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -172,7 +172,7 @@
 	b := NewBorrower("b", testTrust)
 	named := Named{Rate: 4}
 	b.Name(time.Second, resource, named)
-	wants := []Demand{{Name: resource, Amount: 1, Named: &named}}
+	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
 	question := b.Ask(time.Second, wants)
 	older := Answer{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
 	if got := b.Granted(time.Second, time.Second, wants, older)[0]; got.Hold.Amount > 0 || !got.Uncounted {
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -148,7 +148,7 @@
 		return hold.Valid(now)
 	}
 	if !g.asking {
-		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Named: &named}})
+		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
 	}
 	return false
 }
