--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -19,7 +19,7 @@
 func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
-	return got.Hold, got.Wait
+	return got.Lease, got.Wait
 }
 
 func newTestBorrower() *Borrower {
@@ -56,7 +56,7 @@
 	}
 	wants := []Demand{{Name: resource, Amount: 100}}
 	late := l.Take(now, b.Ask(now, wants))
-	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Hold.Amount != 0 {
+	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
@@ -67,10 +67,10 @@
 	b := newTestBorrower()
 	wants := []Demand{{Name: resource, Amount: 100}}
 	answer := l.Take(now, b.Ask(now, wants))
-	if got := b.Granted(now, now, wants, answer); got[0].Hold.Amount != 100 {
+	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.Granted(now, now, wants, answer); got[0].Hold.Amount != 0 {
+	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
 	if _, ok := b.Take(now, resource, 100); ok {
@@ -78,7 +78,7 @@
 	}
 	older := NewLender(0)
 	older.Use(0, limitsOf(testLimit))
-	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Hold.Amount != 0 {
+	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -203,7 +203,7 @@
 
 // Result is what became of a want: a hold, or what the lender said instead.
 type Result struct {
-	Hold      Lease
+	Lease     Lease
 	Wait      time.Duration
 	Young     bool
 	Uncounted bool // the lender doesn't count resources that name their limits
@@ -228,7 +228,7 @@
 		}
 		p := b.pocket(want.Name)
 		p.add(piece)
-		results[i].Hold, _ = p.take(now, want.Name, want.Amount)
+		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
 	}
 	return results
 }
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -242,15 +242,15 @@
 	now := d.now()
 	for i, got := range d.borrower.Granted(now, asked, wants, answer) {
 		w := batch[i]
-		if got.Hold.Amount == 0 {
-			got.Hold, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
+		if got.Lease.Amount == 0 {
+			got.Lease, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
-		if got.Hold.Amount == 0 && got.Young {
-			got.Hold, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
+		if got.Lease.Amount == 0 && got.Young {
+			got.Lease, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
-		case got.Hold.Amount > 0 || w.Amount == 0:
-			d.finish(w, Result{Hold: got.Hold})
+		case got.Lease.Amount > 0 || w.Amount == 0:
+			d.finish(w, Result{Hold: got.Lease})
 		case got.Uncounted:
 			d.finish(w, Result{Outcome: Unknown})
 		case w.Advertised == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -148,11 +148,11 @@
 		got := b.Granted(f.now, l.asked, l.wants, l.answer)
 		b.Touch(l.asked, len(f.borrowers))
 		for _, result := range got {
-			if result.Young && result.Hold.Amount == 0 {
-				result.Hold, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
+			if result.Young && result.Lease.Amount == 0 {
+				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
 			}
-			if result.Hold.Amount > 0 {
-				f.held[l.to] = append(f.held[l.to], result.Hold)
+			if result.Lease.Amount > 0 {
+				f.held[l.to] = append(f.held[l.to], result.Lease)
 			}
 		}
 	}
