--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -19,7 +19,7 @@
 func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
-	return got.Lease, got.Wait
+	return got.Lease, got.RetryAfter
 }
 
 func newTestBorrower() *Borrower {
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -203,10 +203,10 @@
 
 // Result is what became of a want: a hold, or what the lender said instead.
 type Result struct {
-	Lease     Lease
-	Wait      time.Duration
-	Young     bool
-	Uncounted bool // the lender doesn't count resources that name their limits
+	Lease      Lease
+	RetryAfter time.Duration
+	Young      bool
+	Uncounted  bool // the lender doesn't count resources that name their limits
 }
 
 // Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
@@ -220,7 +220,7 @@
 	b.touched = max(b.touched, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
-		results[i].Wait, results[i].Young = granted.Wait, granted.Young
+		results[i].RetryAfter, results[i].Young = granted.Wait, granted.Young
 		results[i].Uncounted = want.Advertised != nil && !granted.Counted
 		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -253,11 +253,11 @@
 			d.finish(w, Result{Hold: got.Lease})
 		case got.Uncounted:
 			d.finish(w, Result{Outcome: Unknown})
-		case w.Advertised == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
-			w.after = now + got.Wait
-			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.Wait, shortWait)})
+		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.Young && now+got.RetryAfter <= w.until):
+			w.after = now + got.RetryAfter
+			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.RetryAfter, shortWait)})
 		default:
-			d.finish(w, Result{Outcome: Over, Wait: got.Wait})
+			d.finish(w, Result{Outcome: Over, Wait: got.RetryAfter})
 		}
 	}
 }
