--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -245,7 +245,7 @@
 		if got.Lease.Amount == 0 {
 			got.Lease, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
-		if got.Lease.Amount == 0 && got.Young {
+		if got.Lease.Amount == 0 && got.WarmingUp {
 			got.Lease, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
@@ -253,7 +253,7 @@
 			d.finish(w, Result{Hold: got.Lease})
 		case got.Uncounted:
 			d.finish(w, Result{Outcome: Unknown})
-		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.Young && now+got.RetryAfter <= w.until):
+		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
 			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.RetryAfter, shortWait)})
 		default:
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -148,7 +148,7 @@
 		got := b.Granted(f.now, l.asked, l.wants, l.answer)
 		b.Touch(l.asked, len(f.borrowers))
 		for _, result := range got {
-			if result.Young && result.Lease.Amount == 0 {
+			if result.WarmingUp && result.Lease.Amount == 0 {
 				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
 			}
 			if result.Lease.Amount > 0 {
