--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -206,7 +206,7 @@
 	Lease      Lease
 	RetryAfter time.Duration
 	WarmingUp  bool
-	Uncounted  bool // the lender doesn't count resources that name their limits
+	Unenforced bool // the lender doesn't count resources that name their limits
 }
 
 // Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
@@ -221,9 +221,9 @@
 	for i, want := range wants {
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.Wait, granted.Young
-		results[i].Uncounted = want.Advertised != nil && !granted.Counted
+		results[i].Unenforced = want.Advertised != nil && !granted.Counted
 		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
-		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
+		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
 			continue
 		}
 		p := b.pocket(want.Name)
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -251,7 +251,7 @@
 		switch {
 		case got.Lease.Amount > 0 || w.Amount == 0:
 			d.finish(w, Result{Hold: got.Lease})
-		case got.Uncounted:
+		case got.Unenforced:
 			d.finish(w, Result{Outcome: Unknown})
 		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
