--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var testLimit = Limit{Rate: 1000, Burst: 500, Room: 1000}
+var testLimit = Limit{Rate: 1000, Burst: 500, Slack: 1000}
 
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -93,7 +93,7 @@
 // TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Room: 100}, func(*allowance.Lender) Lend {
+	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Lender) Lend {
 		return func(context.Context, allowance.Question) (allowance.Answer, error) {
 			return allowance.Answer{}, errNobody
 		}
@@ -168,7 +168,7 @@
 
 // TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
-	limit := allowance.Limit{Rate: 1, Burst: 100, Room: 100}
+	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewLender(1)
 	young.Use(clock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Lender) Lend {
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -36,17 +36,17 @@
 type Limit struct {
 	Rate  float64 `json:"rate"`  // units a second; a limit has one above 0
 	Burst float64 `json:"burst"` // units at once
-	Room  float64 `json:"room"`  // units beyond both that a window may hold, for what cannot be counted exactly
+	Slack float64 `json:"room"`  // units beyond both that a window may hold, for what cannot be counted exactly
 }
 
 // capacity is the most that may be lent at once.
-func (l Limit) capacity() float64 { return l.Burst + toleranceShare*l.Room }
+func (l Limit) capacity() float64 { return l.Burst + toleranceShare*l.Slack }
 
 // largest is the largest amount that is ever lent at once.
-func (l Limit) largest() float64 { return l.capacity() + debtShare*l.Room }
+func (l Limit) largest() float64 { return l.capacity() + debtShare*l.Slack }
 
 // reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
-func (l Limit) reserve() float64 { return reserveShare * l.Room }
+func (l Limit) reserve() float64 { return reserveShare * l.Slack }
 
 // Ask is a question for an amount of a resource.
 type Ask struct {
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -231,7 +231,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := 1000.0
 		limit := Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 2).Draw(t, "burst")}
-		limit.Room = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
+		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.weather = weather{
@@ -249,7 +249,7 @@
 		for range 300 {
 			f.step(eagerness)
 		}
-		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Room; used > allowed*1.000001 {
+		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
 			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
 		}
 	})
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -35,7 +35,7 @@
 // limit returns what may be used of a resource that names a rate.
 func (n Named) limit() Limit {
 	rate := min(max(n.Rate, pushback.MinRate), namedMost)
-	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Room: 1 + namedRoom*rate}
+	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Slack: 1 + namedRoom*rate}
 }
 
 // namedAccount is a resource that names its limit. It begins with nothing when it is first asked for.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -83,11 +83,11 @@
 
 func (t Terms) tenant(quota catalog.Quota) allowance.Limit {
 	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
-	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Room: room}
+	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
 
 func (t Terms) repeats() allowance.Limit {
 	return allowance.Limit{
-		Rate: retryRateShare * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Room: retryRoomShare * t.RetrySlack,
+		Rate: retryRateShare * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
 	}
 }
