--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -48,8 +48,8 @@
 // reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
 func (l Limit) reserve() float64 { return reserveShare * l.Slack }
 
-// Ask is a question for an amount of a resource.
-type Ask struct {
+// RequestItem is a question for an amount of a resource.
+type RequestItem struct {
 	Name   string  `json:"n"`
 	Amount float64 `json:"a"`           // that is needed now; it is lent whole or not at all
 	Ahead  float64 `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
@@ -71,10 +71,10 @@
 
 // Question is what a borrower asks a lender: it gives amounts back and asks for others.
 type Question struct {
-	Borrower string  `json:"b"`
-	Sequence uint64  `json:"s"` // rises with each question of a borrower's life
-	Back     []Grant `json:"k,omitempty"`
-	Asks     []Ask   `json:"q"`
+	Borrower string        `json:"b"`
+	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
+	Back     []Grant       `json:"k,omitempty"`
+	Asks     []RequestItem `json:"q"`
 }
 
 // Answer is what a lender answers; Grants stand in the order of the asks.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -49,7 +49,7 @@
 
 // lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Lender) lendNamed(now time.Duration, ask Ask) Grant {
+func (l *Lender) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.named[ask.Name]
 	if a == nil {
 		a = &namedAccount{account: account{began: now, at: now, limit: ask.Named.limit()}}
