--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -111,11 +111,11 @@
 func TestAheadIsLentFromPlentyOnly(t *testing.T) {
 	l, now := fullLender()
 	capacity := testLimit.capacity()
-	answer := l.Take(now, Question{Borrower: "b", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Ahead: 10_000}}})
+	answer := l.Take(now, Question{Borrower: "b", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := answer.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	answer = l.Take(now, Question{Borrower: "c", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Ahead: 100}}})
+	answer = l.Take(now, Question{Borrower: "c", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := answer.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -117,7 +117,7 @@
 	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.largest() {
 		return Grant{Name: ask.Name, Wait: a.refuse(now, ask.Amount), Young: a.young(now)}
 	}
-	amount := ask.Amount + max(0, min(ask.Ahead, a.level-ask.Amount-aheadShare*capacity))
+	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*capacity))
 	a.level -= amount
 	a.lent += amount
 	a.queue = max(0, a.queue-ask.Amount)
