--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -105,7 +105,7 @@
 
 // lend lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
 func (l *Lender) lend(now time.Duration, ask RequestItem) Grant {
-	if ask.Named != nil {
+	if ask.Advertised != nil {
 		return l.lendNamed(now, ask)
 	}
 	a := l.accounts[ask.Name]
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -52,12 +52,12 @@
 func (l *Lender) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.named[ask.Name]
 	if a == nil {
-		a = &namedAccount{account: account{began: now, at: now, limit: ask.Named.limit()}}
-		a.newest, a.newestAt = a.limit, now-ask.Named.Age
+		a = &namedAccount{account: account{began: now, at: now, limit: ask.Advertised.limit()}}
+		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
 		l.named[ask.Name] = a
 	}
 	a.refill(now, l.withheld)
-	a.hear(now, *ask.Named)
+	a.hear(now, *ask.Advertised)
 	a.askedAt = now
 	if ask.Amount > a.level {
 		a.refused += ask.Amount
