--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -58,9 +58,9 @@
 
 // Grant answers an Ask.
 type Grant struct {
-	Name   string        `json:"n"`
-	Amount float64       `json:"a"`           // lent; 0 where the limit is reached
-	Wait   time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
+	Name       string        `json:"n"`
+	Amount     float64       `json:"a"`           // lent; 0 where the limit is reached
+	RetryAfter time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
 	// Young tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
 	// waiting for.
 	Young bool `json:"y,omitempty"`
