--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -155,7 +155,7 @@
 	l := NewLender(1)
 	l.Use(time.Minute, limitsOf(testLimit))
 	asked := Question{Borrower: "b", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 600}}}
-	if got := l.Take(time.Minute, asked).Grants[0]; !got.Young || got.Amount != 0 {
+	if got := l.Take(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 	if states := l.States(time.Minute); states[0].Over {
@@ -163,7 +163,7 @@
 	}
 	now := time.Minute + 2*time.Second
 	l.Take(now, asked)
-	if got := l.Take(now, asked).Grants[0]; got.Young || got.Amount != 0 {
+	if got := l.Take(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -220,7 +220,7 @@
 	b.touched = max(b.touched, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
-		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.Young
+		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
 		results[i].Unenforced = want.Advertised != nil && !granted.Counted
 		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -61,9 +61,9 @@
 	Name       string        `json:"n"`
 	Amount     float64       `json:"a"`           // lent; 0 where the limit is reached
 	RetryAfter time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
-	// Young tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
+	// WarmingUp tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
 	// waiting for.
-	Young bool `json:"y,omitempty"`
+	WarmingUp bool `json:"y,omitempty"`
 	// Counted tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
 	// resource whose limit was taken away; its grants are not used.
 	Counted bool `json:"c,omitempty"`
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -115,7 +115,7 @@
 	a.refill(now, l.withheld)
 	capacity := a.limit.capacity()
 	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.largest() {
-		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), Young: a.young(now)}
+		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.young(now)}
 	}
 	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*capacity))
 	a.level -= amount
