--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -221,7 +221,7 @@
 	for i, want := range wants {
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
-		results[i].Unenforced = want.Advertised != nil && !granted.Counted
+		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
 		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
 			continue
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -64,9 +64,9 @@
 	// WarmingUp tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
 	// waiting for.
 	WarmingUp bool `json:"y,omitempty"`
-	// Counted tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
+	// Enforced tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
 	// resource whose limit was taken away; its grants are not used.
-	Counted bool `json:"c,omitempty"`
+	Enforced bool `json:"c,omitempty"`
 }
 
 // Question is what a borrower asks a lender: it gives amounts back and asks for others.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -62,13 +62,13 @@
 	if ask.Amount > a.level {
 		a.refused += ask.Amount
 		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
-		return Grant{Name: ask.Name, RetryAfter: min(wait, longestAdvice), Counted: true}
+		return Grant{Name: ask.Name, RetryAfter: min(wait, longestAdvice), Enforced: true}
 	}
 	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*a.limit.capacity()))) // whole units: a part of one is of no use
 	amount := ask.Amount + ahead
 	a.level -= amount
 	a.lent += amount
-	return Grant{Name: ask.Name, Amount: amount, Counted: true}
+	return Grant{Name: ask.Name, Amount: amount, Enforced: true}
 }
 
 // hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -134,7 +134,7 @@
 	s.t.Helper()
 	ask := allowance.RequestItem{Name: quota.BackEnd("i-1"), Amount: 1, Advertised: &allowance.Named{Rate: rate, Age: age}}
 	response := s.ask(Request{Borrow: &allowance.Question{Borrower: gateway, Sequence: uint64(s.now), Asks: []allowance.RequestItem{ask}}})
-	if response.Lent == nil || !response.Lent.Grants[0].Counted {
+	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
 	return response.Lent.Grants[0].Amount
