--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -41,7 +41,7 @@
 }
 
 // Lend asks the lender once.
-type Lend func(ctx context.Context, asked allowance.Question) (allowance.Answer, error)
+type Lend func(ctx context.Context, asked allowance.Request) (allowance.Answer, error)
 
 // Desk is safe for concurrent use.
 type Desk struct {
@@ -197,7 +197,7 @@
 }
 
 // batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *Desk) batch() (batch []*wish, wants []allowance.Demand, question allowance.Question) {
+func (d *Desk) batch() (batch []*wish, wants []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -69,8 +69,8 @@
 	Enforced bool `json:"c,omitempty"`
 }
 
-// Question is what a borrower asks a lender: it gives amounts back and asks for others.
-type Question struct {
+// Request is what a borrower asks a lender: it gives amounts back and asks for others.
+type Request struct {
 	Borrower string        `json:"b"`
 	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
 	Back     []Grant       `json:"k,omitempty"`
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -74,7 +74,7 @@
 }
 
 // Take answers a question.
-func (l *Lender) Take(now time.Duration, asked Question) Answer {
+func (l *Lender) Take(now time.Duration, asked Request) Answer {
 	if asked.Sequence > l.sequences[asked.Borrower] {
 		l.sequences[asked.Borrower] = asked.Sequence
 		l.takeBack(now, asked.Back)
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -29,8 +29,8 @@
 	Watch     *Watch            `json:"watch,omitempty"`
 	Document  *DocumentRequest  `json:"document,omitempty"`
 
-	Relay  *relay.Question     `json:"relay,omitempty"`  // a replica asks for the gateways that ask it
-	Borrow *allowance.Question `json:"borrow,omitempty"` // a gateway asks for amounts of limited resources
+	Relay  *relay.Question    `json:"relay,omitempty"`  // a replica asks for the gateways that ask it
+	Borrow *allowance.Request `json:"borrow,omitempty"` // a gateway asks for amounts of limited resources
 }
 
 // DocumentRequest asks for the routing document in force.
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -71,7 +71,7 @@
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Question) (allowance.Answer, error) {
+func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Answer, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(electionPatience) {
 		ask = g.group.Any
