--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -165,7 +165,7 @@
 // Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
 func (b *Borrower) Ask(now time.Duration, wants []Demand) Request {
 	b.sequence++
-	asked := Request{Borrower: b.name, Sequence: b.sequence}
+	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
 		p := b.pocket(want.Name)
 		asked.Asks = append(asked.Asks, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -71,7 +71,7 @@
 
 // Request is what a borrower asks a lender: it gives amounts back and asks for others.
 type Request struct {
-	Borrower string        `json:"b"`
+	Client   string        `json:"b"`
 	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
 	Back     []Grant       `json:"k,omitempty"`
 	Asks     []RequestItem `json:"q"`
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -75,8 +75,8 @@
 
 // Take answers a question.
 func (l *Lender) Take(now time.Duration, asked Request) Answer {
-	if asked.Sequence > l.sequences[asked.Borrower] {
-		l.sequences[asked.Borrower] = asked.Sequence
+	if asked.Sequence > l.sequences[asked.Client] {
+		l.sequences[asked.Client] = asked.Sequence
 		l.takeBack(now, asked.Back)
 	}
 	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Asks))}
