--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -91,8 +91,8 @@
 	b.Put(now, hold)
 	now += LeaseTTL - time.Millisecond
 	question := b.Ask(now, []Demand{{Name: resource, Amount: 10}})
-	if len(question.Back) != 1 || question.Back[0].Amount != 100 {
-		t.Fatalf("%v goes back", question.Back)
+	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
+		t.Fatalf("%v goes back", question.Returned)
 	}
 	l.Withhold(now, 1) // nothing else comes in
 	before := l.accounts[resource].level
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -172,7 +172,7 @@
 	}
 	for name, p := range b.pockets {
 		if idle := p.idle(now); idle > 0 {
-			asked.Back = append(asked.Back, Grant{Name: name, Amount: idle})
+			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
 		}
 	}
 	return asked
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -73,7 +73,7 @@
 type Request struct {
 	Client   string        `json:"b"`
 	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
-	Back     []Grant       `json:"k,omitempty"`
+	Returned []Grant       `json:"k,omitempty"`
 	Asks     []RequestItem `json:"q"`
 }
 
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -77,7 +77,7 @@
 func (l *Lender) Take(now time.Duration, asked Request) Answer {
 	if asked.Sequence > l.sequences[asked.Client] {
 		l.sequences[asked.Client] = asked.Sequence
-		l.takeBack(now, asked.Back)
+		l.takeBack(now, asked.Returned)
 	}
 	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Asks))}
 	for _, ask := range asked.Asks {
