--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -111,11 +111,11 @@
 func TestAheadIsLentFromPlentyOnly(t *testing.T) {
 	l, now := fullLender()
 	capacity := testLimit.capacity()
-	answer := l.Take(now, Request{Client: "b", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
+	answer := l.Take(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := answer.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	answer = l.Take(now, Request{Client: "c", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
+	answer = l.Take(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := answer.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
@@ -154,7 +154,7 @@
 func TestYoungAccountsSaySo(t *testing.T) {
 	l := NewLender(1)
 	l.Use(time.Minute, limitsOf(testLimit))
-	asked := Request{Client: "b", Sequence: 1, Asks: []RequestItem{{Name: resource, Amount: 600}}}
+	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
 	if got := l.Take(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -168,7 +168,7 @@
 	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
 		p := b.pocket(want.Name)
-		asked.Asks = append(asked.Asks, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
+		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range b.pockets {
 		if idle := p.idle(now); idle > 0 {
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -74,7 +74,7 @@
 	Client   string        `json:"b"`
 	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
 	Returned []Grant       `json:"k,omitempty"`
-	Asks     []RequestItem `json:"q"`
+	Items    []RequestItem `json:"q"`
 }
 
 // Answer is what a lender answers; Grants stand in the order of the asks.
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -79,8 +79,8 @@
 		l.sequences[asked.Client] = asked.Sequence
 		l.takeBack(now, asked.Returned)
 	}
-	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Asks))}
-	for _, ask := range asked.Asks {
+	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
+	for _, ask := range asked.Items {
 		answer.Grants = append(answer.Grants, l.lend(now, ask))
 	}
 	return answer
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -110,7 +110,7 @@
 
 // ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
 func ask(l *Lender, now time.Duration, rate float64, age time.Duration) Grant {
-	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Asks: []RequestItem{{Name: resource, Amount: 1, Advertised: &Named{Rate: rate, Age: age}}}}).Grants[0]
+	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &Named{Rate: rate, Age: age}}}}).Grants[0]
 }
 
 // TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
@@ -206,6 +206,6 @@
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
 		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &Named{Rate: 4}}}
-		l.Take(now, Request{Client: "b", Sequence: uint64(i), Asks: asks})
+		l.Take(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
 	}
 }
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -26,7 +26,7 @@
 // borrow asks for an amount as a gateway does, and returns what was lent.
 func (s *solo) borrow(gateway string, amount float64) float64 {
 	s.t.Helper()
-	asked := allowance.Request{Client: gateway, Sequence: uint64(s.now), Asks: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
+	asked := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
 	response := s.ask(Request{Borrow: &asked})
 	if response.Lent == nil {
 		s.t.Fatalf("%+v", response)
@@ -133,7 +133,7 @@
 func (s *solo) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	ask := allowance.RequestItem{Name: quota.BackEnd("i-1"), Amount: 1, Advertised: &allowance.Named{Rate: rate, Age: age}}
-	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Asks: []allowance.RequestItem{ask}}})
+	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{ask}}})
 	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
