--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -41,7 +41,7 @@
 }
 
 // Lend asks the lender once.
-type Lend func(ctx context.Context, asked allowance.Request) (allowance.Answer, error)
+type Lend func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
 
 // Desk is safe for concurrent use.
 type Desk struct {
@@ -236,7 +236,7 @@
 }
 
 // answered passes on what was lent.
-func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Answer) {
+func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -39,7 +39,7 @@
 	lender.Use(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
 	over := lend(lender)
-	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Answer, error) {
+	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return over(ctx, asked)
@@ -53,7 +53,7 @@
 }
 
 func direct(l *allowance.Lender) Lend {
-	return func(_ context.Context, asked allowance.Request) (allowance.Answer, error) {
+	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 		return l.Take(clock(), asked), nil
 	}
 }
@@ -94,8 +94,8 @@
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
 	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Lender) Lend {
-		return func(context.Context, allowance.Request) (allowance.Answer, error) {
-			return allowance.Answer{}, errNobody
+		return func(context.Context, allowance.Request) (allowance.Reply, error) {
+			return allowance.Reply{}, errNobody
 		}
 	})
 	d.Touch(clock(), 1)
@@ -112,7 +112,7 @@
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Request) (allowance.Answer, error) {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
 			return l.Take(clock(), asked), nil
 		}
@@ -134,7 +134,7 @@
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
 	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Request) (allowance.Answer, error) {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return l.Take(running(), asked), nil
 		}
 	})
@@ -156,7 +156,7 @@
 		young := allowance.NewLender(1)
 		young.Use(running(), map[string]allowance.Limit{resource: limit})
 		d := openDeskBy(t, running, limit, func(*allowance.Lender) Lend {
-			return func(_ context.Context, asked allowance.Request) (allowance.Answer, error) {
+			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 				return young.Take(running(), asked), nil
 			}
 		})
@@ -172,7 +172,7 @@
 	young := allowance.NewLender(1)
 	young.Use(clock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Request) (allowance.Answer, error) {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return young.Take(clock(), asked), nil
 		}
 	})
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -77,8 +77,8 @@
 	Items    []RequestItem `json:"q"`
 }
 
-// Answer is what a lender answers; Grants stand in the order of the asks.
-type Answer struct {
+// Reply is what a lender answers; Grants stand in the order of the asks.
+type Reply struct {
 	Term     uint64  `json:"t"` // rises with each lender
 	Sequence uint64  `json:"s"` // of the question
 	Grants   []Grant `json:"g"`
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -74,12 +74,12 @@
 }
 
 // Take answers a question.
-func (l *Lender) Take(now time.Duration, asked Request) Answer {
+func (l *Lender) Take(now time.Duration, asked Request) Reply {
 	if asked.Sequence > l.sequences[asked.Client] {
 		l.sequences[asked.Client] = asked.Sequence
 		l.takeBack(now, asked.Returned)
 	}
-	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
+	answer := Reply{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
 	for _, ask := range asked.Items {
 		answer.Grants = append(answer.Grants, l.lend(now, ask))
 	}
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -27,7 +27,7 @@
 	asked  time.Duration
 	due    time.Duration
 	wants  []Demand
-	answer Answer
+	answer Reply
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -174,7 +174,7 @@
 	b.Name(time.Second, resource, named)
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
 	question := b.Ask(time.Second, wants)
-	older := Answer{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
+	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
 	if got := b.Granted(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -162,7 +162,7 @@
 	Catalog   *catalog.Outcome  `json:"catalog,omitempty"`
 	Watch     *WatchReply       `json:"watch,omitempty"`
 	Document  *catalog.Document `json:"document,omitempty"`
-	Lent      *allowance.Answer `json:"lent,omitempty"`
+	Lent      *allowance.Reply  `json:"lent,omitempty"`
 	Relayed   *relay.Answer     `json:"relayed,omitempty"`
 	Strangers []string          `json:"strangers,omitempty"` // back ends of which the leader wants a whole heartbeat
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -71,17 +71,17 @@
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Answer, error) {
+func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(electionPatience) {
 		ask = g.group.Any
 	}
 	response, err := ask(ctx, control.Request{Borrow: &asked})
 	if err != nil {
-		return allowance.Answer{}, err
+		return allowance.Reply{}, err
 	}
 	if response.Kind != control.ResponseOK || response.Lent == nil {
-		return allowance.Answer{}, eris.Errorf("control answers %s", response.Kind)
+		return allowance.Reply{}, eris.Errorf("control answers %s", response.Kind)
 	}
 	return *response.Lent, nil
 }
