--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -159,7 +159,7 @@
 type Demand struct {
 	Name       string
 	Amount     float64
-	Advertised *Named // where the resource names its limit itself, else nil
+	Advertised *AdvertisedLimit // where the resource names its limit itself, else nil
 }
 
 // Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -50,10 +50,10 @@
 
 // RequestItem is a question for an amount of a resource.
 type RequestItem struct {
-	Name       string  `json:"n"`
-	Amount     float64 `json:"a"`           // that is needed now; it is lent whole or not at all
-	Prefetch   float64 `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
-	Advertised *Named  `json:"l,omitempty"` // the resource names its limit itself; nil the lender knows it
+	Name       string           `json:"n"`
+	Amount     float64          `json:"a"`           // that is needed now; it is lent whole or not at all
+	Prefetch   float64          `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
+	Advertised *AdvertisedLimit `json:"l,omitempty"` // the resource names its limit itself; nil the lender knows it
 }
 
 // Grant answers an Ask.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -26,14 +26,14 @@
 	namedKept = 10 * time.Second
 )
 
-// Named is a limit that a resource names itself, as a borrower heard it.
-type Named struct {
+// AdvertisedLimit is a limit that a resource names itself, as a borrower heard it.
+type AdvertisedLimit struct {
 	Rate float64       `json:"r"` // units a second
 	Age  time.Duration `json:"g"` // since it was last heard
 }
 
 // limit returns what may be used of a resource that names a rate.
-func (n Named) limit() Limit {
+func (n AdvertisedLimit) limit() Limit {
 	rate := min(max(n.Rate, pushback.MinRate), namedMost)
 	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Slack: 1 + namedRoom*rate}
 }
@@ -73,7 +73,7 @@
 
 // hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
-func (a *namedAccount) hear(now time.Duration, told Named) {
+func (a *namedAccount) hear(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
 	if heard >= a.newestAt {
 		a.newest, a.newestAt = limit, heard
@@ -127,7 +127,7 @@
 }
 
 // Name notes the limit that a resource names, before an amount of it is taken.
-func (b *Borrower) Name(now time.Duration, name string, named Named) {
+func (b *Borrower) Name(now time.Duration, name string, named AdvertisedLimit) {
 	b.named[name] = heardLimit{named.limit(), now}
 	if now < b.namedSwept+namedKept {
 		return
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -23,7 +23,9 @@
 	at   time.Duration
 }
 
-func (w word) told(now time.Duration) Named { return Named{Rate: w.rate, Age: now - w.at} }
+func (w word) told(now time.Duration) AdvertisedLimit {
+	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
+}
 
 // newNamedFleet is a fleet that shares a resource which names its limit.
 func newNamedFleet(rate float64, size int, seed uint64) *fleet {
@@ -110,7 +112,7 @@
 
 // ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
 func ask(l *Lender, now time.Duration, rate float64, age time.Duration) Grant {
-	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &Named{Rate: rate, Age: age}}}}).Grants[0]
+	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
 // TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
@@ -170,7 +172,7 @@
 		t.Fatal("not forgotten")
 	}
 	b := NewBorrower("b", testTrust)
-	named := Named{Rate: 4}
+	named := AdvertisedLimit{Rate: 4}
 	b.Name(time.Second, resource, named)
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
 	question := b.Ask(time.Second, wants)
@@ -183,12 +185,12 @@
 // TestBorrowersForgetNamedLimits: those that nobody asks for, not those of a document.
 func TestBorrowersForgetNamedLimits(t *testing.T) {
 	b := NewBorrower("b", testTrust)
-	b.Name(time.Second, "x", Named{Rate: 1})
+	b.Name(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.Use(map[string]Limit{"tenant/a": {Rate: 1}})
 	if !b.Limited("x") || !b.Limited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
-	b.Name(time.Second+2*namedKept, "y", Named{Rate: 1})
+	b.Name(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
 	if b.Limited("x") || !b.Limited("y") || !b.Limited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
@@ -205,7 +207,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
-		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &Named{Rate: 4}}}
+		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
 		l.Take(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
 	}
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -135,14 +135,14 @@
 }
 
 // limitOf returns the limit that a back end names, or nil, and whether nothing of it can be had now.
-func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.Named, dry bool) {
+func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	named, heard := t.pushed.LimitObservedAt(row.life)
 	if !named.Advertised {
 		return nil, false
 	}
-	return &allowance.Named{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
+	return &allowance.AdvertisedLimit{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
 }
 
 // dry returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -142,7 +142,7 @@
 		return true
 	}
 	name, now := quota.BackEnd(entry.ID), g.clock()
-	named := allowance.Named{Rate: limit.Rate, Age: now - heard}
+	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
 	g.borrower.Name(now, name, named)
 	if hold, ok := g.borrower.Take(now, name, 1); ok {
 		return hold.Valid(now)
