--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -102,8 +102,8 @@
 	a.level = min(a.level, limit.capacity())
 }
 
-// Forget drops the accounts of resources that name their limits and that nobody has asked for lately.
-func (l *Lender) Forget(now time.Duration) {
+// SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
+func (l *Lender) SweepAdvertised(now time.Duration) {
 	maps.DeleteFunc(l.named, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
 }
 
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -164,11 +164,11 @@
 	if states := l.Named(3*time.Second, 0); len(states) != 0 {
 		t.Fatalf("%+v", states)
 	}
-	l.Forget(3*time.Second + namedKept)
+	l.SweepAdvertised(3*time.Second + namedKept)
 	if len(l.named) != 1 {
 		t.Fatal("forgotten too soon")
 	}
-	if l.Forget(4*time.Second + namedKept); len(l.named) != 0 {
+	if l.SweepAdvertised(4*time.Second + namedKept); len(l.named) != 0 {
 		t.Fatal("not forgotten")
 	}
 	b := NewBorrower("b", testTrust)
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -41,7 +41,7 @@
 	held.lender.Withhold(now, r.partOutOfTouch(now))
 	if now >= held.forgotAt+forgetEach {
 		held.forgotAt = now
-		held.lender.Forget(now)
+		held.lender.SweepAdvertised(now)
 	}
 }
 
