--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -105,7 +105,7 @@
 // TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
 func (d *Desk) TakeNamed(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
-	d.borrower.Name(d.now(), name, named)
+	d.borrower.SetAdvertisedLimit(d.now(), name, named)
 	d.mu.Unlock()
 	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
 }
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -106,7 +106,7 @@
 		named := f.words[i].told(f.now)
 		wants[0].Amount, wants[0].Advertised = 1, &named
 		amount = 1
-		b.Name(f.now, resource, named)
+		b.SetAdvertisedLimit(f.now, resource, named)
 	}
 	if hold, ok := b.Take(f.now, resource, amount); ok {
 		f.held[i] = append(f.held[i], hold)
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -126,8 +126,8 @@
 	at    time.Duration // when it was last asked for
 }
 
-// Name notes the limit that a resource names, before an amount of it is taken.
-func (b *Borrower) Name(now time.Duration, name string, named AdvertisedLimit) {
+// SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
+func (b *Borrower) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
 	b.named[name] = heardLimit{named.limit(), now}
 	if now < b.namedSwept+namedKept {
 		return
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -173,7 +173,7 @@
 	}
 	b := NewBorrower("b", testTrust)
 	named := AdvertisedLimit{Rate: 4}
-	b.Name(time.Second, resource, named)
+	b.SetAdvertisedLimit(time.Second, resource, named)
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
 	question := b.Ask(time.Second, wants)
 	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
@@ -185,12 +185,12 @@
 // TestBorrowersForgetNamedLimits: those that nobody asks for, not those of a document.
 func TestBorrowersForgetNamedLimits(t *testing.T) {
 	b := NewBorrower("b", testTrust)
-	b.Name(time.Second, "x", AdvertisedLimit{Rate: 1})
+	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.Use(map[string]Limit{"tenant/a": {Rate: 1}})
 	if !b.Limited("x") || !b.Limited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
-	b.Name(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
+	b.SetAdvertisedLimit(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
 	if b.Limited("x") || !b.Limited("y") || !b.Limited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -143,7 +143,7 @@
 	}
 	name, now := quota.BackEnd(entry.ID), g.clock()
 	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
-	g.borrower.Name(now, name, named)
+	g.borrower.SetAdvertisedLimit(now, name, named)
 	if hold, ok := g.borrower.Take(now, name, 1); ok {
 		return hold.Valid(now)
 	}
