--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -10,13 +10,13 @@
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
 // fullLender returns a lender whose account is full, and the time.
-func fullLender() (*Lender, time.Duration) {
+func fullLender() (*Allocator, time.Duration) {
 	l := NewLender(1)
 	l.Use(0, limitsOf(testLimit))
 	return l, time.Minute
 }
 
-func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
+func askOne(l *Allocator, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
 	return got.Lease, got.RetryAfter
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -17,8 +17,8 @@
 // overFor is how long after its last refusal a resource still counts as over its limit.
 const overFor = time.Second
 
-// Lender keeps the whole of each limited resource.
-type Lender struct {
+// Allocator keeps the whole of each limited resource.
+type Allocator struct {
 	term      uint64
 	accounts  map[string]*account
 	named     map[string]*namedAccount // of resources that name their limits
@@ -39,13 +39,13 @@
 }
 
 // NewLender returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
-func NewLender(term uint64) *Lender {
-	return &Lender{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+func NewLender(term uint64) *Allocator {
+	return &Allocator{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
 // Use replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
 // new capacity.
-func (l *Lender) Use(now time.Duration, limits map[string]Limit) {
+func (l *Allocator) Use(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
 		a := l.accounts[name]
 		if a == nil {
@@ -60,7 +60,7 @@
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
-func (l *Lender) Withhold(now time.Duration, part float64) {
+func (l *Allocator) Withhold(now time.Duration, part float64) {
 	if part == l.withheld {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // Take answers a question.
-func (l *Lender) Take(now time.Duration, asked Request) Reply {
+func (l *Allocator) Take(now time.Duration, asked Request) Reply {
 	if asked.Sequence > l.sequences[asked.Client] {
 		l.sequences[asked.Client] = asked.Sequence
 		l.takeBack(now, asked.Returned)
@@ -87,7 +87,7 @@
 }
 
 // takeBack adds what a borrower gives back.
-func (l *Lender) takeBack(now time.Duration, back []Grant) {
+func (l *Allocator) takeBack(now time.Duration, back []Grant) {
 	for _, returned := range back {
 		a := l.accounts[returned.Name]
 		if named := l.named[returned.Name]; named != nil {
@@ -104,7 +104,7 @@
 }
 
 // lend lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Lender) lend(now time.Duration, ask RequestItem) Grant {
+func (l *Allocator) lend(now time.Duration, ask RequestItem) Grant {
 	if ask.Advertised != nil {
 		return l.lendNamed(now, ask)
 	}
@@ -164,7 +164,7 @@
 }
 
 // States returns all resources, rising by name.
-func (l *Lender) States(now time.Duration) []State {
+func (l *Allocator) States(now time.Duration) []State {
 	states := make([]State, 0, len(l.accounts))
 	for name, a := range l.accounts {
 		a.refill(now, l.withheld)
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -41,7 +41,7 @@
 	now       time.Duration
 	limit     Limit
 	largest   float64
-	lender    *Lender // nil while nobody leads
+	lender    *Allocator // nil while nobody leads
 	term      uint64
 	since     time.Duration
 	borrowers []*Borrower
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -49,7 +49,7 @@
 
 // lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Lender) lendNamed(now time.Duration, ask RequestItem) Grant {
+func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.named[ask.Name]
 	if a == nil {
 		a = &namedAccount{account: account{began: now, at: now, limit: ask.Advertised.limit()}}
@@ -103,12 +103,12 @@
 }
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
-func (l *Lender) SweepAdvertised(now time.Duration) {
+func (l *Allocator) SweepAdvertised(now time.Duration) {
 	maps.DeleteFunc(l.named, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
 }
 
 // Named returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
-func (l *Lender) Named(now time.Duration, most int) []State {
+func (l *Allocator) Named(now time.Duration, most int) []State {
 	states := make([]State, 0, len(l.named))
 	for name, a := range l.named {
 		a.refill(now, l.withheld)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -111,7 +111,7 @@
 }
 
 // ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
-func ask(l *Lender, now time.Duration, rate float64, age time.Duration) Grant {
+func ask(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
 	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -16,7 +16,7 @@
 
 // lending is what a leader lends of limited resources; each leadership begins it anew.
 type lending struct {
-	lender   *allowance.Lender
+	lender   *allowance.Allocator
 	revision uint64 // of the document that the limits were taken from
 	forgotAt time.Duration
 }
