--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -11,7 +11,7 @@
 
 // fullLender returns a lender whose account is full, and the time.
 func fullLender() (*Allocator, time.Duration) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	l.Use(0, limitsOf(testLimit))
 	return l, time.Minute
 }
@@ -30,7 +30,7 @@
 
 // TestNewLenderLendsNothingOfTheLastOne: it begins empty, and only what comes in after it began is lent.
 func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
-	l := NewLender(2)
+	l := NewAllocator(2)
 	l.Use(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	hold, wait := askOne(l, time.Minute, b, 100)
@@ -76,7 +76,7 @@
 	if _, ok := b.Take(now, resource, 100); ok {
 		t.Fatal("an answer counted twice")
 	}
-	older := NewLender(0)
+	older := NewAllocator(0)
 	older.Use(0, limitsOf(testLimit))
 	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
@@ -140,7 +140,7 @@
 
 // TestRefusedAreToldWhenTheirTurnComes: each after those that were refused before it.
 func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	l.Use(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	for i := range 3 {
@@ -152,7 +152,7 @@
 
 // TestYoungAccountsSaySo: a refusal of an account that has just begun is no sign of a caller beyond its limit.
 func TestYoungAccountsSaySo(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	l.Use(time.Minute, limitsOf(testLimit))
 	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
 	if got := l.Take(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
@@ -212,7 +212,7 @@
 
 // TestWithheldPartsComeInForNobody until they are lent again.
 func TestWithheldPartsComeInForNobody(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	l.Use(0, limitsOf(testLimit))
 	l.Withhold(0, 0.75)
 	l.Withhold(400*time.Millisecond, 0)
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -32,7 +32,7 @@
 
 func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) Lend) *Desk {
 	t.Helper()
-	lender := allowance.NewLender(1)
+	lender := allowance.NewAllocator(1)
 	filling := limit
 	filling.Rate = 1e6
 	lender.Use(0, map[string]allowance.Limit{resource: filling})
@@ -153,7 +153,7 @@
 		patience time.Duration
 		wanted   Outcome
 	}{{0, Over}, {time.Minute, Granted}} {
-		young := allowance.NewLender(1)
+		young := allowance.NewAllocator(1)
 		young.Use(running(), map[string]allowance.Limit{resource: limit})
 		d := openDeskBy(t, running, limit, func(*allowance.Allocator) Lend {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
@@ -169,7 +169,7 @@
 // TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
-	young := allowance.NewLender(1)
+	young := allowance.NewAllocator(1)
 	young.Use(clock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Allocator) Lend {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -38,8 +38,8 @@
 	over    time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
 }
 
-// NewLender returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
-func NewLender(term uint64) *Allocator {
+// NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
+func NewAllocator(term uint64) *Allocator {
 	return &Allocator{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -77,7 +77,7 @@
 
 func (f *fleet) elect() {
 	f.term++
-	f.lender, f.since = NewLender(f.term), f.now
+	f.lender, f.since = NewAllocator(f.term), f.now
 	if f.words == nil {
 		f.lender.Use(f.now, map[string]Limit{resource: f.limit})
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -118,7 +118,7 @@
 // TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
 // words the later counts.
 func TestTheLowestLimitOfAWindowBinds(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	second := time.Second
 	inForce := func(wanted float64) {
 		t.Helper()
@@ -150,7 +150,7 @@
 // TestNamedAccountsStandApart: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
 // doesn't know of them lends nothing that counts.
 func TestNamedAccountsStandApart(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	ask(l, time.Second, 4, 0)
 	l.Use(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
 	for _, wanted := range []float64{1, 1, 0} { // what came in since it began, and no more
@@ -203,7 +203,7 @@
 	for i := range names {
 		names[i] = fmt.Sprint("back-end/i-", i)
 	}
-	l, now := NewLender(1), time.Second
+	l, now := NewAllocator(1), time.Second
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -101,7 +101,7 @@
 		opening: map[string]bool{}, engines: map[string]*engineState{},
 		since: now, orderLostAt: now - stressMemory, fenceAskedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, replicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
-		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
+		lending: lending{lender: allowance.NewAllocator(term)}, strangers: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
 	}
 	for router := range machine.sessions {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -32,7 +32,7 @@
 		borrowers := make([]*allowance.Borrower, gateways)
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
-		lender := allowance.NewLender(1)
+		lender := allowance.NewAllocator(1)
 		lender.Use(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
