--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -12,7 +12,7 @@
 // fullLender returns a lender whose account is full, and the time.
 func fullLender() (*Allocator, time.Duration) {
 	l := NewAllocator(1)
-	l.Use(0, limitsOf(testLimit))
+	l.SetLimits(0, limitsOf(testLimit))
 	return l, time.Minute
 }
 
@@ -31,7 +31,7 @@
 // TestNewLenderLendsNothingOfTheLastOne: it begins empty, and only what comes in after it began is lent.
 func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
 	l := NewAllocator(2)
-	l.Use(time.Minute, limitsOf(testLimit))
+	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	hold, wait := askOne(l, time.Minute, b, 100)
 	if hold.Amount != 0 || wait != 100*time.Millisecond {
@@ -77,7 +77,7 @@
 		t.Fatal("an answer counted twice")
 	}
 	older := NewAllocator(0)
-	older.Use(0, limitsOf(testLimit))
+	older.SetLimits(0, limitsOf(testLimit))
 	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
@@ -141,7 +141,7 @@
 // TestRefusedAreToldWhenTheirTurnComes: each after those that were refused before it.
 func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
 	l := NewAllocator(1)
-	l.Use(time.Minute, limitsOf(testLimit))
+	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	for i := range 3 {
 		if _, wait := askOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
@@ -153,7 +153,7 @@
 // TestYoungAccountsSaySo: a refusal of an account that has just begun is no sign of a caller beyond its limit.
 func TestYoungAccountsSaySo(t *testing.T) {
 	l := NewAllocator(1)
-	l.Use(time.Minute, limitsOf(testLimit))
+	l.SetLimits(time.Minute, limitsOf(testLimit))
 	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
 	if got := l.Take(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
@@ -172,15 +172,15 @@
 func TestLowerLimitBindsAtOnce(t *testing.T) {
 	l, now := fullLender()
 	lower := Limit{Rate: 10, Burst: 10}
-	l.Use(now, limitsOf(lower))
+	l.SetLimits(now, limitsOf(lower))
 	if level := l.accounts[resource].level; level != 10 {
 		t.Fatalf("%v left", level)
 	}
-	l.Use(now, nil)
+	l.SetLimits(now, nil)
 	if hold, _ := askOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
 		t.Fatalf("%v of a limit that was taken away", hold)
 	}
-	l.Use(now, limitsOf(testLimit))
+	l.SetLimits(now, limitsOf(testLimit))
 	if level := l.accounts[resource].level; level != 0 {
 		t.Fatalf("%v left of a limit that was taken away", level)
 	}
@@ -213,7 +213,7 @@
 // TestWithheldPartsComeInForNobody until they are lent again.
 func TestWithheldPartsComeInForNobody(t *testing.T) {
 	l := NewAllocator(1)
-	l.Use(0, limitsOf(testLimit))
+	l.SetLimits(0, limitsOf(testLimit))
 	l.Withhold(0, 0.75)
 	l.Withhold(400*time.Millisecond, 0)
 	if states := l.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -35,8 +35,8 @@
 	lender := allowance.NewAllocator(1)
 	filling := limit
 	filling.Rate = 1e6
-	lender.Use(0, map[string]allowance.Limit{resource: filling})
-	lender.Use(clock(), map[string]allowance.Limit{resource: limit})
+	lender.SetLimits(0, map[string]allowance.Limit{resource: filling})
+	lender.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
 	over := lend(lender)
 	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
@@ -154,7 +154,7 @@
 		wanted   Outcome
 	}{{0, Over}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
-		young.Use(running(), map[string]allowance.Limit{resource: limit})
+		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
 		d := openDeskBy(t, running, limit, func(*allowance.Allocator) Lend {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 				return young.Take(running(), asked), nil
@@ -170,7 +170,7 @@
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewAllocator(1)
-	young.Use(clock(), map[string]allowance.Limit{resource: limit})
+	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Allocator) Lend {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return young.Take(clock(), asked), nil
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -43,9 +43,9 @@
 	return &Allocator{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
-// Use replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
+// SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
 // new capacity.
-func (l *Allocator) Use(now time.Duration, limits map[string]Limit) {
+func (l *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
 		a := l.accounts[name]
 		if a == nil {
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -79,7 +79,7 @@
 	f.term++
 	f.lender, f.since = NewAllocator(f.term), f.now
 	if f.words == nil {
-		f.lender.Use(f.now, map[string]Limit{resource: f.limit})
+		f.lender.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
 	f.withhold()
 }
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -152,7 +152,7 @@
 func TestNamedAccountsStandApart(t *testing.T) {
 	l := NewAllocator(1)
 	ask(l, time.Second, 4, 0)
-	l.Use(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
+	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
 	for _, wanted := range []float64{1, 1, 0} { // what came in since it began, and no more
 		if got := ask(l, 3*time.Second, 4, 0).Amount; got != wanted {
 			t.Fatalf("the account is not as it was: %v lent", got)
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -36,7 +36,7 @@
 	held := &r.lead.lending
 	if document := r.machine.catalog.Document(); document.Revision != held.revision {
 		held.revision = document.Revision
-		held.lender.Use(now, quota.Limits(document, r.config.Quota))
+		held.lender.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
 	held.lender.Withhold(now, r.partOutOfTouch(now))
 	if now >= held.forgotAt+forgetEach {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -33,7 +33,7 @@
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
 		lender := allowance.NewAllocator(1)
-		lender.Use(0, limits)
+		lender.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
 			borrowers[i] = allowance.NewBorrower(fmt.Sprint("g", i), time.Second)
