--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 
 func askOne(l *Allocator, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
-	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
+	got := b.Granted(now, now, wants, l.Allocate(now, b.Ask(now, wants)))[0]
 	return got.Lease, got.RetryAfter
 }
 
@@ -55,7 +55,7 @@
 		t.Fatal("taken after its time")
 	}
 	wants := []Demand{{Name: resource, Amount: 100}}
-	late := l.Take(now, b.Ask(now, wants))
+	late := l.Allocate(now, b.Ask(now, wants))
 	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
@@ -66,7 +66,7 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	wants := []Demand{{Name: resource, Amount: 100}}
-	answer := l.Take(now, b.Ask(now, wants))
+	answer := l.Allocate(now, b.Ask(now, wants))
 	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
@@ -78,7 +78,7 @@
 	}
 	older := NewAllocator(0)
 	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
+	if got := b.Granted(now, now, wants, older.Allocate(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
@@ -96,8 +96,8 @@
 	}
 	l.Withhold(now, 1) // nothing else comes in
 	before := l.accounts[resource].level
-	l.Take(now, question)
-	l.Take(now, question)
+	l.Allocate(now, question)
+	l.Allocate(now, question)
 	after := l.accounts[resource].level
 	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
 		t.Fatalf("%v before, %v after", before, after)
@@ -111,11 +111,11 @@
 func TestAheadIsLentFromPlentyOnly(t *testing.T) {
 	l, now := fullLender()
 	capacity := testLimit.capacity()
-	answer := l.Take(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
+	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := answer.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	answer = l.Take(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
+	answer = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := answer.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
@@ -155,15 +155,15 @@
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
-	if got := l.Take(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
+	if got := l.Allocate(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 	if states := l.States(time.Minute); states[0].Over {
 		t.Fatalf("a young account says that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
-	l.Take(now, asked)
-	if got := l.Take(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
+	l.Allocate(now, asked)
+	if got := l.Allocate(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -54,7 +54,7 @@
 
 func direct(l *allowance.Allocator) Lend {
 	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-		return l.Take(clock(), asked), nil
+		return l.Allocate(clock(), asked), nil
 	}
 }
 
@@ -114,7 +114,7 @@
 	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) Lend {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
-			return l.Take(clock(), asked), nil
+			return l.Allocate(clock(), asked), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +135,7 @@
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
 	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) Lend {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return l.Take(running(), asked), nil
+			return l.Allocate(running(), asked), nil
 		}
 	})
 	for range 5 {
@@ -157,7 +157,7 @@
 		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
 		d := openDeskBy(t, running, limit, func(*allowance.Allocator) Lend {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-				return young.Take(running(), asked), nil
+				return young.Allocate(running(), asked), nil
 			}
 		})
 		if result := d.Take(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
@@ -173,7 +173,7 @@
 	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Allocator) Lend {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return young.Take(clock(), asked), nil
+			return young.Allocate(clock(), asked), nil
 		}
 	})
 	d.Touch(clock(), 1)
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -73,8 +73,8 @@
 	l.withheld = part
 }
 
-// Take answers a question.
-func (l *Allocator) Take(now time.Duration, asked Request) Reply {
+// Allocate answers a question.
+func (l *Allocator) Allocate(now time.Duration, asked Request) Reply {
 	if asked.Sequence > l.sequences[asked.Client] {
 		l.sequences[asked.Client] = asked.Sequence
 		l.takeBack(now, asked.Returned)
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -120,9 +120,9 @@
 		return
 	}
 	f.heard[i] = f.now
-	answer := f.lender.Take(f.now, question)
+	answer := f.lender.Allocate(f.now, question)
 	if f.happens(f.weather.repeated) {
-		f.lender.Take(f.now, question)
+		f.lender.Allocate(f.now, question)
 	}
 	sent := letter{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
 	if f.happens(f.weather.late) {
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -112,7 +112,7 @@
 
 // ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
 func ask(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
-	return l.Take(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
+	return l.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
 // TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
@@ -208,6 +208,6 @@
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
 		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
-		l.Take(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
+		l.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
 	}
 }
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -27,7 +27,7 @@
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
 func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
 	r.tendLimits(now)
-	answer := r.lead.lending.lender.Take(now, asked)
+	answer := r.lead.lending.lender.Allocate(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
