--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -157,7 +157,7 @@
 	Name     string  `json:"name"`
 	Limit    Limit   `json:"limit"`
 	Level    float64 `json:"level"`    // that may be lent now
-	Lent     float64 `json:"lent"`     // since the lender began
+	Granted  float64 `json:"lent"`     // since the lender began
 	Refused  float64 `json:"refused"`  // since the lender began
 	Over     bool    `json:"over"`     // something was refused a moment ago
 	Withheld float64 `json:"withheld"` // part of the rate that is kept back
@@ -169,7 +169,7 @@
 	for name, a := range l.accounts {
 		a.refill(now, l.withheld)
 		states = append(states, State{
-			Name: name, Limit: a.limit, Level: a.level, Lent: a.lent, Refused: a.refused, Withheld: l.withheld,
+			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
 			Over: a.over > 0 && now < a.over+overFor,
 		})
 	}
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -112,7 +112,7 @@
 	states := make([]State, 0, len(l.named))
 	for name, a := range l.named {
 		a.refill(now, l.withheld)
-		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Lent: a.lent, Refused: a.refused, Withheld: l.withheld})
+		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Name, y.Name)) })
 	states = states[:min(len(states), most)]
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -128,7 +128,7 @@
 			event = events.LimitReached
 		}
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
-			zap.Float64("lent", state.Lent), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
+			zap.Float64("lent", state.Granted), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
 	s.over.reached = reached
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -91,7 +91,7 @@
 		if reply.LeaseHeld && len(reply.Named) > 0 {
 			fmt.Fprintln(w, "LIMIT NAMED BY\tA SECOND\tLEFT\tLENT\tREFUSED")
 			for _, l := range reply.Named {
-				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", l.Name, l.Limit.Rate, l.Level, l.Lent, l.Refused)
+				fmt.Fprintf(w, "%s\t%.2f\t%.1f\t%.0f\t%.0f\n", l.Name, l.Limit.Rate, l.Level, l.Granted, l.Refused)
 			}
 		}
 		if !reply.LeaseHeld || len(reply.Limits) == 0 {
@@ -99,7 +99,7 @@
 		}
 		fmt.Fprintln(w, "LIMIT\tRATE\tBURST\tLEFT\tLENT\tREFUSED\tOVER\tKEPT BACK")
 		for _, l := range reply.Limits {
-			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", l.Name, l.Limit.Rate, l.Limit.Burst, l.Level, l.Lent, l.Refused,
+			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", l.Name, l.Limit.Rate, l.Limit.Burst, l.Level, l.Granted, l.Refused,
 				l.Over, l.Withheld)
 		}
 	}
