--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -158,7 +158,7 @@
 	if got := l.Allocate(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
-	if states := l.States(time.Minute); states[0].Over {
+	if states := l.States(time.Minute); states[0].OverLimit {
 		t.Fatalf("a young account says that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -154,13 +154,13 @@
 
 // State is what a lender can tell of one resource.
 type State struct {
-	Name     string  `json:"name"`
-	Limit    Limit   `json:"limit"`
-	Level    float64 `json:"level"`    // that may be lent now
-	Granted  float64 `json:"lent"`     // since the lender began
-	Refused  float64 `json:"refused"`  // since the lender began
-	Over     bool    `json:"over"`     // something was refused a moment ago
-	Withheld float64 `json:"withheld"` // part of the rate that is kept back
+	Name      string  `json:"name"`
+	Limit     Limit   `json:"limit"`
+	Level     float64 `json:"level"`    // that may be lent now
+	Granted   float64 `json:"lent"`     // since the lender began
+	Refused   float64 `json:"refused"`  // since the lender began
+	OverLimit bool    `json:"over"`     // something was refused a moment ago
+	Withheld  float64 `json:"withheld"` // part of the rate that is kept back
 }
 
 // States returns all resources, rising by name.
@@ -170,7 +170,7 @@
 		a.refill(now, l.withheld)
 		states = append(states, State{
 			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
-			Over: a.over > 0 && now < a.over+overFor,
+			OverLimit: a.over > 0 && now < a.over+overFor,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -117,14 +117,14 @@
 	s.over.at = now
 	reached := map[string]bool{}
 	for _, state := range s.replica.lead.lending.lender.States(now) {
-		if state.Over {
+		if state.OverLimit {
 			reached[state.Name] = true
 		}
-		if state.Over == s.over.reached[state.Name] {
+		if state.OverLimit == s.over.reached[state.Name] {
 			continue
 		}
 		event := events.LimitLeft
-		if state.Over {
+		if state.OverLimit {
 			event = events.LimitReached
 		}
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -104,7 +104,7 @@
 	s.pass(50 * time.Millisecond)
 	s.borrow("g1", 40)
 	limits := s.ask(Request{Status: &StatusRequest{}}).Status.Limits
-	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Granted != 40 || limits[0].Refused != 40 || !limits[0].Over {
+	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Granted != 40 || limits[0].Refused != 40 || !limits[0].OverLimit {
 		t.Fatalf("%+v", limits)
 	}
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -100,7 +100,7 @@
 		fmt.Fprintln(w, "LIMIT\tRATE\tBURST\tLEFT\tLENT\tREFUSED\tOVER\tKEPT BACK")
 		for _, l := range reply.Limits {
 			fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%t\t%.2f\n", l.Name, l.Limit.Rate, l.Limit.Burst, l.Level, l.Granted, l.Refused,
-				l.Over, l.Withheld)
+				l.OverLimit, l.Withheld)
 		}
 	}
 }
