--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -16,13 +16,13 @@
 	return l, time.Minute
 }
 
-func askOne(l *Allocator, now time.Duration, b *Borrower, amount float64) (Lease, time.Duration) {
+func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.Granted(now, now, wants, l.Allocate(now, b.Ask(now, wants)))[0]
 	return got.Lease, got.RetryAfter
 }
 
-func newTestBorrower() *Borrower {
+func newTestBorrower() *Client {
 	b := NewBorrower("b", testTrust)
 	b.Use(limitsOf(testLimit))
 	return b
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -28,8 +28,8 @@
 // Valid reports whether the amount may still be used.
 func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.ExpiresAt }
 
-// Borrower keeps what one process was lent.
-type Borrower struct {
+// Client keeps what one process was lent.
+type Client struct {
 	name     string
 	sequence uint64 // of the newest question
 	answered uint64 // newest question that was answered
@@ -54,12 +54,12 @@
 }
 
 // NewBorrower returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
-func NewBorrower(name string, trust time.Duration) *Borrower {
-	return &Borrower{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
+func NewBorrower(name string, trust time.Duration) *Client {
+	return &Client{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
 }
 
 // Use replaces the limits.
-func (b *Borrower) Use(limits map[string]Limit) {
+func (b *Client) Use(limits map[string]Limit) {
 	b.limits = limits
 	for name := range b.pockets {
 		if !b.Limited(name) {
@@ -69,16 +69,16 @@
 }
 
 // Limited reports whether a resource is limited.
-func (b *Borrower) Limited(name string) bool { _, limited := b.limit(name); return limited }
+func (b *Client) Limited(name string) bool { _, limited := b.limit(name); return limited }
 
 // Touch notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
-func (b *Borrower) Touch(asked time.Duration, borrowers int) {
+func (b *Client) Touch(asked time.Duration, borrowers int) {
 	b.touched = max(b.touched, asked)
 	b.parts = max(1, float64(borrowers))
 }
 
-func (b *Borrower) pocket(name string) *pocket {
+func (b *Client) pocket(name string) *pocket {
 	p := b.pockets[name]
 	if p == nil {
 		p = &pocket{}
@@ -88,14 +88,14 @@
 }
 
 // Take takes an amount from what was lent.
-func (b *Borrower) Take(now time.Duration, name string, amount float64) (Lease, bool) {
+func (b *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p := b.pocket(name)
 	p.note(now, amount)
 	return p.take(now, name, amount)
 }
 
 // TakeAgain takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Borrower) TakeAgain(now time.Duration, name string, amount float64) (Lease, bool) {
+func (b *Client) TakeAgain(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.pocket(name).take(now, name, amount)
 }
 
@@ -136,7 +136,7 @@
 }
 
 // Put gives back to the pocket what was taken and not used.
-func (b *Borrower) Put(now time.Duration, h Lease) {
+func (b *Client) Put(now time.Duration, h Lease) {
 	if !b.Limited(h.Name) || h.Amount <= 0 {
 		return
 	}
@@ -163,7 +163,7 @@
 }
 
 // Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Borrower) Ask(now time.Duration, wants []Demand) Request {
+func (b *Client) Ask(now time.Duration, wants []Demand) Request {
 	b.sequence++
 	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
@@ -211,7 +211,7 @@
 
 // Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Borrower) Granted(now, asked time.Duration, wants []Demand, answer Reply) []Result {
+func (b *Client) Granted(now, asked time.Duration, wants []Demand, answer Reply) []Result {
 	results := make([]Result, len(wants))
 	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
 		return results
@@ -235,17 +235,17 @@
 
 // TakeOwn takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
-func (b *Borrower) TakeOwn(now time.Duration, name string, amount float64) (Lease, bool) {
+func (b *Client) TakeOwn(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, now-b.touched)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
-func (b *Borrower) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
+func (b *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, 0)
 }
 
 // takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Borrower) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
+func (b *Client) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
 	if !limited || now-b.touched > b.trust || b.touched == 0 {
 		return Lease{}, false
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -50,10 +50,10 @@
 	wake chan struct{}        // has an item when something waits; room for one
 
 	mu       sync.Mutex
-	borrower *allowance.Borrower // guarded by mu
-	waiting  []*wish             // guarded by mu; at most waitingMost
-	failed   uint64              // questions without an answer; guarded by mu
-	asked    uint64              // questions; guarded by mu
+	borrower *allowance.Client // guarded by mu
+	waiting  []*wish           // guarded by mu; at most waitingMost
+	failed   uint64            // questions without an answer; guarded by mu
+	asked    uint64            // questions; guarded by mu
 }
 
 // wish is an amount that a request waits for.
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -44,7 +44,7 @@
 	lender    *Allocator // nil while nobody leads
 	term      uint64
 	since     time.Duration
-	borrowers []*Borrower
+	borrowers []*Client
 	heard     []time.Duration // when a lender last heard each
 	paused    []time.Duration // until when each stands still
 	cut       []time.Duration // until when each reaches no lender
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		chance: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Borrower, size),
+		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -127,7 +127,7 @@
 }
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
-func (b *Borrower) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
+func (b *Client) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
 	b.named[name] = heardLimit{named.limit(), now}
 	if now < b.namedSwept+namedKept {
 		return
@@ -142,7 +142,7 @@
 }
 
 // limit returns the limit of a resource.
-func (b *Borrower) limit(name string) (limit Limit, limited bool) {
+func (b *Client) limit(name string) (limit Limit, limited bool) {
 	if limit, limited = b.limits[name]; limited {
 		return limit, true
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -29,7 +29,7 @@
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
-		borrowers := make([]*allowance.Borrower, gateways)
+		borrowers := make([]*allowance.Client, gateways)
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
 		lender := allowance.NewAllocator(1)
@@ -39,7 +39,7 @@
 			borrowers[i] = allowance.NewBorrower(fmt.Sprint("g", i), time.Second)
 			borrowers[i].Use(limits)
 		}
-		lent := func(b *allowance.Borrower, now time.Duration) bool {
+		lent := func(b *allowance.Client, now time.Duration) bool {
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -288,7 +288,7 @@
 	record    *quarantine.Record
 	namings   *belief.Namings
 	pushed    *pushback.Book // what back ends said of themselves
-	borrower  *allowance.Borrower
+	borrower  *allowance.Client
 	lender    *asker // asks for parts of limits
 	asking    bool
 }
