--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -23,7 +23,7 @@
 }
 
 func newTestBorrower() *Client {
-	b := NewBorrower("b", testTrust)
+	b := NewClient("b", testTrust)
 	b.Use(limitsOf(testLimit))
 	return b
 }
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -53,8 +53,8 @@
 	takenAt time.Duration // when some was last taken
 }
 
-// NewBorrower returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
-func NewBorrower(name string, trust time.Duration) *Client {
+// NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
+func NewClient(name string, trust time.Duration) *Client {
 	return &Client{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
 }
 
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -66,7 +66,7 @@
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
 func New(name string, trust time.Duration, now func() time.Duration, lend Lend) *Desk {
-	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewBorrower(name, trust)}
+	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
 // Use replaces the limits.
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -171,7 +171,7 @@
 	if l.SweepAdvertised(4*time.Second + namedKept); len(l.named) != 0 {
 		t.Fatal("not forgotten")
 	}
-	b := NewBorrower("b", testTrust)
+	b := NewClient("b", testTrust)
 	named := AdvertisedLimit{Rate: 4}
 	b.SetAdvertisedLimit(time.Second, resource, named)
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
@@ -184,7 +184,7 @@
 
 // TestBorrowersForgetNamedLimits: those that nobody asks for, not those of a document.
 func TestBorrowersForgetNamedLimits(t *testing.T) {
-	b := NewBorrower("b", testTrust)
+	b := NewClient("b", testTrust)
 	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.Use(map[string]Limit{"tenant/a": {Rate: 1}})
 	if !b.Limited("x") || !b.Limited("tenant/a") {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -36,7 +36,7 @@
 		lender.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
-			borrowers[i] = allowance.NewBorrower(fmt.Sprint("g", i), time.Second)
+			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
 			borrowers[i].Use(limits)
 		}
 		lent := func(b *allowance.Client, now time.Duration) bool {
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -299,7 +299,7 @@
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewRecord()
 	g.namings, g.pushed = belief.NewNamings(g.w.guards), pushback.NewBook()
-	g.borrower, g.asking = allowance.NewBorrower(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
+	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
