--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -24,7 +24,7 @@
 
 func newTestBorrower() *Client {
 	b := NewClient("b", testTrust)
-	b.Use(limitsOf(testLimit))
+	b.SetLimits(limitsOf(testLimit))
 	return b
 }
 
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -58,8 +58,8 @@
 	return &Client{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
 }
 
-// Use replaces the limits.
-func (b *Client) Use(limits map[string]Limit) {
+// SetLimits replaces the limits.
+func (b *Client) SetLimits(limits map[string]Limit) {
 	b.limits = limits
 	for name := range b.pockets {
 		if !b.Limited(name) {
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -73,7 +73,7 @@
 func (d *Desk) Use(limits map[string]allowance.Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Use(limits)
+	d.borrower.SetLimits(limits)
 }
 
 // Touch notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -71,7 +71,7 @@
 func (f *fleet) start(i int) {
 	f.borrowers[i], f.held[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
 	if f.words == nil {
-		f.borrowers[i].Use(map[string]Limit{resource: f.limit})
+		f.borrowers[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
 }
 
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -186,7 +186,7 @@
 func TestBorrowersForgetNamedLimits(t *testing.T) {
 	b := NewClient("b", testTrust)
 	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
-	b.Use(map[string]Limit{"tenant/a": {Rate: 1}})
+	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
 	if !b.Limited("x") || !b.Limited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -37,7 +37,7 @@
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
 			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
-			borrowers[i].Use(limits)
+			borrowers[i].SetLimits(limits)
 		}
 		lent := func(b *allowance.Client, now time.Duration) bool {
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
