--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,8 +70,8 @@
 	matches []prefix.Match // scratch
 	scores  []Candidate    // scratch
 
-	pushed        *pushback.Book // what back ends said of themselves in answers
-	others        []string       // routers beside this one that send to the same back ends
+	pushed        *pushback.Tracker // what back ends said of themselves in answers
+	others        []string          // routers beside this one that send to the same back ends
 	pushedSweptAt time.Duration
 
 	decisions decisionRing
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -63,7 +63,7 @@
 	judges     map[string]*admission.Controller // by service
 	homes      int                              // rows that are home
 	holders    map[string][]*endpoint           // that hold a shared part, under any salt, by its id
-	pushed     *pushback.Book                   // what back ends said of themselves
+	pushed     *pushback.Tracker                // what back ends said of themselves
 	unlentTo   time.Duration                    // until then nobody is asked for a part of a limit: the lender gave no answer
 	turns      map[string]time.Duration         // by service: when the caller that was told last may come back that found all at their limits
 	changed    *bell                            // rings with each roster
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -287,7 +287,7 @@
 	confirmed time.Duration // by its own clock; 0 never
 	record    *quarantine.Record
 	namings   *belief.Namings
-	pushed    *pushback.Book // what back ends said of themselves
+	pushed    *pushback.Tracker // what back ends said of themselves
 	borrower  *allowance.Client
 	lender    *asker // asks for parts of limits
 	asking    bool
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -23,7 +23,7 @@
 
 // ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (b *Book) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
+func (b *Tracker) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
 	if limit.IsEmpty() {
 		return false
 	}
@@ -41,7 +41,7 @@
 
 // ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (b *Book) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
+func (b *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
 	at := slices.IndexFunc(b.words[life.Name], func(w word) bool { return w.life == life })
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
@@ -50,13 +50,13 @@
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
-func (b *Book) Limit(life catalog.Life) Limit {
+func (b *Tracker) Limit(life catalog.Life) Limit {
 	limit, _ := b.LimitObservedAt(life)
 	return limit
 }
 
 // LimitObservedAt returns the limit that a life names, and when that was last heard.
-func (b *Book) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
+func (b *Tracker) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
 	for _, w := range b.words[life.Name] {
 		if w.life == life && w.limit.Advertised {
 			return w.limit, w.limitAt
@@ -66,7 +66,7 @@
 }
 
 // word returns the word of a life, made when it first says something.
-func (b *Book) word(life catalog.Life) *word {
+func (b *Tracker) word(life catalog.Life) *word {
 	words := b.words[life.Name]
 	at := slices.IndexFunc(words, func(w word) bool { return w.life == life })
 	if at < 0 {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -59,17 +59,17 @@
 	newest  time.Duration // when anything was last heard
 }
 
-// Book holds the words of back ends that still count.
-type Book struct {
+// Tracker holds the words of back ends that still count.
+type Tracker struct {
 	words map[string][]word // by name, one for each life; none is empty
 }
 
 // NewBook returns a book without a word.
-func NewBook() *Book { return &Book{words: map[string][]word{}} }
+func NewBook() *Tracker { return &Tracker{words: map[string][]word{}} }
 
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+func (b *Tracker) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
 		return b.At(now, life)
 	}
@@ -90,7 +90,7 @@
 
 // At returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Book) At(now time.Duration, life catalog.Life) Restriction {
+func (b *Tracker) At(now time.Duration, life catalog.Life) Restriction {
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
@@ -114,7 +114,7 @@
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (b *Book) Sweep(now time.Duration, named func(catalog.Life) bool) {
+func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
 			lasting := w.leaving || w.limit.Advertised
