--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -106,7 +106,7 @@
 		values: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewTracker(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -73,7 +73,7 @@
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
-		named: belief.NewNamings(guard.Set{}), stored: belief.NewStored(), links: belief.Links{}, pushed: pushback.NewBook(),
+		named: belief.NewNamings(guard.Set{}), stored: belief.NewStored(), links: belief.Links{}, pushed: pushback.NewTracker(),
 		lanes: map[string]*lanes{}, stays: map[string]belief.Stays{}, paces: map[string]belief.Pace{}, met: map[string]time.Duration{}, judges: map[string]*admission.Controller{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
 	}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -298,7 +298,7 @@
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
 	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewRecord()
-	g.namings, g.pushed = belief.NewNamings(g.w.guards), pushback.NewBook()
+	g.namings, g.pushed = belief.NewNamings(g.w.guards), pushback.NewTracker()
 	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -64,8 +64,8 @@
 	words map[string][]word // by name, one for each life; none is empty
 }
 
-// NewBook returns a book without a word.
-func NewBook() *Tracker { return &Tracker{words: map[string][]word{}} }
+// NewTracker returns a book without a word.
+func NewTracker() *Tracker { return &Tracker{words: map[string][]word{}} }
 
 // Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -20,7 +20,7 @@
 // a life before it was heard to ask for, unless it began clearly later.
 func TestBookAgreesWithAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, now, began := NewBook(), time.Duration(0), time.UnixMilli(1_000_000)
+		book, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var list []heard
 		life := rapid.Custom(func(t *rapid.T) catalog.Life {
 			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
@@ -74,7 +74,7 @@
 			at    time.Duration
 			limit Limit
 		}
-		book, now := NewBook(), time.Minute
+		book, now := NewTracker(), time.Minute
 		latest := map[catalog.Life]told{}
 		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
@@ -134,7 +134,7 @@
 // TestRestIsOfALife: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
-	book := NewBook()
+	book := NewTracker()
 	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
@@ -156,7 +156,7 @@
 // than the bound.
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
-	book := NewBook()
+	book := NewTracker()
 	if bar := book.Note(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
@@ -174,7 +174,7 @@
 // TestWordsAreForgotten: a rest with its time; that a life leaves once nobody has named it for long.
 func TestWordsAreForgotten(t *testing.T) {
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
-	book := NewBook()
+	book := NewTracker()
 	book.Note(0, day, leaver, Signals{Draining: true}, 0)
 	book.Note(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
