--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -85,7 +85,7 @@
 	defer t.mutex.Unlock()
 	before := t.pushed.At(now, row.life)
 	limit, heard := t.pushed.LimitObservedAt(row.life)
-	made.bar = t.pushed.Note(now, time.Now(), row.life, said, rand.Float64())
+	made.bar = t.pushed.Observe(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
 	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
 	if t.pushed.Limit(row.life) != limit {
@@ -117,7 +117,7 @@
 	}
 	if said.Draining && !t.pushed.At(now, row.life).Draining {
 		news.Draining = true
-		t.pushed.Note(now, time.Now(), row.life, news, 0)
+		t.pushed.Observe(now, time.Now(), row.life, news, 0)
 	}
 	return news
 }
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -114,7 +114,7 @@
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
 	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.need.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
-	g.pushed.Note(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
+	g.pushed.Observe(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
 	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
 	} else {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -67,9 +67,9 @@
 // NewTracker returns a book without a word.
 func NewTracker() *Tracker { return &Tracker{words: map[string][]word{}} }
 
-// Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
+// Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Tracker) Note(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
 		return b.At(now, life)
 	}
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -38,7 +38,7 @@
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
-				book.Note(now, began.Add(now), word.life, word.said, 0)
+				book.Observe(now, began.Add(now), word.life, word.said, 0)
 			case 1:
 				book.Sweep(now, func(catalog.Life) bool { return true })
 			}
@@ -98,7 +98,7 @@
 				if before := latest[life]; now >= before.at {
 					latest[life] = told{now, said.Limit}
 				}
-				book.Note(now, time.Time{}, life, said, 0)
+				book.Observe(now, time.Time{}, life, said, 0)
 			case 1:
 				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
@@ -135,7 +135,7 @@
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewTracker()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
+	book.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
@@ -157,16 +157,16 @@
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewTracker()
-	if bar := book.Note(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
+	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Note(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
+	if bar := book.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
 	if bar := book.At(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
+	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
@@ -175,8 +175,8 @@
 func TestWordsAreForgotten(t *testing.T) {
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewTracker()
-	book.Note(0, day, leaver, Signals{Draining: true}, 0)
-	book.Note(0, day, rester, Signals{Backoff: time.Second}, 0)
+	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
+	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
 	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Draining {
 		t.Fatalf("%+v", book.words)
