--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -192,7 +192,7 @@
 }
 
 // apart returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
-func apart(after time.Duration) time.Duration { return pushback.Apart(after, rand.Float64()) }
+func apart(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
 
 // row returns the back end of an id, or nil.
 func (t *table) row(id string) *endpoint {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -76,14 +76,14 @@
 	w := b.word(life)
 	w.newest, w.leaving = now, w.leaving || said.Draining
 	if said.Backoff > 0 {
-		w.until, w.heardAt = max(w.until, now+Apart(min(said.Backoff, MaxBackoff), chance)), day
+		w.until, w.heardAt = max(w.until, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
 	b.ObserveLimit(now, life, said.Limit)
 	return b.At(now, life)
 }
 
-// Apart returns a time with a part of the spread on top; chance lies in [0, 1).
-func Apart(after time.Duration, chance float64) time.Duration {
+// WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
+func WithJitter(after time.Duration, chance float64) time.Duration {
 	spread := min(time.Duration(spreadShare*float64(after)), spreadMost)
 	return after + time.Duration(chance*float64(spread))
 }
