--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -21,7 +21,7 @@
 // saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
 // undo that.
 func (c *Core) saysLeaving(row *backend) bool {
-	return c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Draining
+	return c.pushed.Restriction(c.now, lifeOf(row.machine.Name, row.incarnation)).Draining
 }
 
 // rests returns how long a back end still wants nothing from this router.
@@ -29,7 +29,7 @@
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
-	return max(0, c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
+	return max(0, c.pushed.Restriction(c.now, lifeOf(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
 }
 
 // barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -163,7 +163,7 @@
 	if sent.plan.scheduled == nil {
 		t.read(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.pushed.At(now, sent.row.life).BackoffUntil-now)
+	sent.atRest = max(0, t.pushed.Restriction(now, sent.row.life).BackoffUntil-now)
 	sent.limited = t.pushed.Limit(sent.row.life)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -83,7 +83,7 @@
 func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	before := t.pushed.At(now, row.life)
+	before := t.pushed.Restriction(now, row.life)
 	limit, heard := t.pushed.LimitObservedAt(row.life)
 	made.bar = t.pushed.Observe(now, time.Now(), row.life, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
@@ -115,7 +115,7 @@
 	if t.pushed.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Draining && !t.pushed.At(now, row.life).Draining {
+	if said.Draining && !t.pushed.Restriction(now, row.life).Draining {
 		news.Draining = true
 		t.pushed.Observe(now, time.Now(), row.life, news, 0)
 	}
@@ -128,7 +128,7 @@
 // bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
 func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
-	bar := t.pushed.At(now, row.life)
+	bar := t.pushed.Restriction(now, row.life)
 	switch {
 	case bar.Draining:
 		return causeLeaving
@@ -146,7 +146,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.pushed.At(now, row.life)
+		bar := t.pushed.Restriction(now, row.life)
 		if !row.open() || bar.Draining {
 			continue
 		}
@@ -207,7 +207,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for _, row := range t.rows {
-		if t.pushed.At(now, row.life).IsBackingOff(now) {
+		if t.pushed.Restriction(now, row.life).IsBackingOff(now) {
 			counts[row.entry.Service]++
 		}
 	}
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -105,7 +105,7 @@
 
 // barred reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) barred(entry control.RosterEntry) bool {
-	bar, now := g.pushed.At(g.clock(), catalog.LifeOf(entry.ID)), g.clock()
+	bar, now := g.pushed.Restriction(g.clock(), catalog.LifeOf(entry.ID)), g.clock()
 	return bar.IsBackingOff(now) && g.w.guards.On(guard.RestCheck) || bar.Draining && g.w.guards.On(guard.LeavingHeard)
 }
 
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -71,7 +71,7 @@
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
 func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
-		return b.At(now, life)
+		return b.Restriction(now, life)
 	}
 	w := b.word(life)
 	w.newest, w.leaving = now, w.leaving || said.Draining
@@ -79,7 +79,7 @@
 		w.until, w.heardAt = max(w.until, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
 	b.ObserveLimit(now, life, said.Limit)
-	return b.At(now, life)
+	return b.Restriction(now, life)
 }
 
 // WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
@@ -88,9 +88,9 @@
 	return after + time.Duration(chance*float64(spread))
 }
 
-// At returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
+// Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Tracker) At(now time.Duration, life catalog.Life) Restriction {
+func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -55,7 +55,7 @@
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
-			got := book.At(now, asked)
+			got := book.Restriction(now, asked)
 			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
 				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
 			}
@@ -123,7 +123,7 @@
 				if got := book.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
 				}
-				if bar := book.At(now, life); bar.Limit != book.Limit(life) {
+				if bar := book.Restriction(now, life); bar.Limit != book.Limit(life) {
 					t.Fatalf("%+v bars, %+v is named", bar.Limit, book.Limit(life))
 				}
 			}
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := book.At(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
+		if bar := book.Restriction(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
 		}
 	}
@@ -163,7 +163,7 @@
 	if bar := book.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
-	if bar := book.At(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
+	if bar := book.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
 	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
@@ -178,7 +178,7 @@
 	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
 	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
-	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Draining {
+	if len(book.words) != 1 || !book.Restriction(2*leavingKept, leaver).Draining {
 		t.Fatalf("%+v", book.words)
 	}
 	book.Sweep(2*leavingKept, func(catalog.Life) bool { return false })
