--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -97,8 +97,8 @@
 	}
 }
 
-func (g *fleetGateway) tellEnded(told quarantine.Ended) {
-	g.tell(quarantine.Change{Ended: []quarantine.Ended{told}})
+func (g *fleetGateway) tellEnded(told quarantine.Crash) {
+	g.tell(quarantine.Change{Ended: []quarantine.Crash{told}})
 }
 
 // tell has control make a change, as a gateway's thread does.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -24,8 +24,8 @@
 	entriesMost = 4096
 )
 
-// Ended says that a life of a back end ended while it ran requests.
-type Ended struct {
+// Crash says that a life of a back end ended while it ran requests.
+type Crash struct {
 	Life     string        `json:"life"`
 	Requests []Fingerprint `json:"requests"`
 }
@@ -33,7 +33,7 @@
 // Change is one change of the ledger.
 type Change struct {
 	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
-	Ended    []Ended   `json:"ended,omitempty"`
+	Ended    []Crash   `json:"ended,omitempty"`
 	Released []Release `json:"released,omitempty"`
 }
 
@@ -108,7 +108,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Ended, func(ended Ended) bool { return !l.knows(ended) })
+	return slices.ContainsFunc(c.Ended, func(ended Crash) bool { return !l.knows(ended) })
 }
 
 func (l *Ledger) plant(seed []byte) {
@@ -125,7 +125,7 @@
 func (l *Ledger) Version() uint64 { return l.version }
 
 // note counts an ended life for each request that it ran.
-func (l *Ledger) note(ended Ended) {
+func (l *Ledger) note(ended Crash) {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil {
@@ -145,7 +145,7 @@
 }
 
 // knows reports whether noting a life would change nothing.
-func (l *Ledger) knows(ended Ended) bool {
+func (l *Ledger) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil || !slices.Contains(e.lives, ended.Life) && len(e.lives) < livesKept {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,8 +17,8 @@
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-func endedOf(life string, numbers ...int) Ended {
-	ended := Ended{Life: life}
+func endedOf(life string, numbers ...int) Crash {
+	ended := Crash{Life: life}
 	for _, n := range numbers {
 		ended.Requests = append(ended.Requests, printOf(n))
 	}
@@ -28,7 +28,7 @@
 // TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
 func TestLivesAreASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Ended {
+		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return endedOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
 		wanted := map[Fingerprint]map[string]bool{}
@@ -42,7 +42,7 @@
 		}
 		one, other := NewLedger(), NewLedger()
 		for _, ended := range told {
-			one.Apply(Change{Ended: []Ended{ended}})
+			one.Apply(Change{Ended: []Crash{ended}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
 		other.Apply(Change{Ended: shuffled})
@@ -66,9 +66,9 @@
 
 func (m *ledgerModel) Ended(t *rapid.T) {
 	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.Changes(Change{Ended: []Ended{ended}})
+	changes := m.ledger.Changes(Change{Ended: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Ended: []Ended{ended}})
+	m.ledger.Apply(Change{Ended: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
 		if !slices.Contains(m.lives[f], ended.Life) && len(m.lives[f]) < livesKept {
@@ -164,10 +164,10 @@
 func TestFloodPushesNoCulpritOut(t *testing.T) {
 	l := NewLedger()
 	for life := range Held {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("life-", life), 1)}})
+		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * entriesMost {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("other-", n), 2+n)}})
+		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
 	if got := l.Lives(printOf(1)); got != Held {
 		t.Fatalf("%d lives are left", got)
@@ -376,7 +376,7 @@
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleasesElsewhereCountHere(t *testing.T) {
 	r, f := NewRecord(), printOf(1)
-	var told []Ended
+	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.Broke(time.Second, life, f)
 		ended, _ := r.End(time.Second, life)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -81,15 +81,15 @@
 }
 
 // Broke notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Record) Broke(now time.Duration, life string, f Fingerprint) (told Ended, counts bool) {
+func (r *Record) Broke(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
 	if r.endedWell(now, f) {
-		return Ended{}, false
+		return Crash{}, false
 	}
 	b := r.breaks[life]
 	if b == nil {
 		r.sweepBreaks(now)
 		if len(r.breaks) >= breaksMost {
-			return Ended{}, false
+			return Crash{}, false
 		}
 		b = &broken{}
 		r.breaks[life] = b
@@ -101,14 +101,14 @@
 	if b.ended {
 		return r.count(now, life, b)
 	}
-	return Ended{}, false
+	return Crash{}, false
 }
 
 // End notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Record) End(now time.Duration, life string) (told Ended, counts bool) {
+func (r *Record) End(now time.Duration, life string) (told Crash, counts bool) {
 	b := r.breaks[life]
 	if b == nil || now-b.at > proofWait {
-		return Ended{}, false
+		return Crash{}, false
 	}
 	b.ended = true
 	return r.count(now, life, b)
@@ -121,11 +121,11 @@
 }
 
 // count counts an ended life for the requests whose runs broke off there.
-func (r *Record) count(now time.Duration, life string, b *broken) (told Ended, counts bool) {
+func (r *Record) count(now time.Duration, life string, b *broken) (told Crash, counts bool) {
 	if len(b.runs) == 0 {
-		return Ended{}, false
+		return Crash{}, false
 	}
-	told = Ended{Life: life, Requests: b.runs}
+	told = Crash{Life: life, Requests: b.runs}
 	b.runs = nil
 	for _, f := range told.Requests {
 		r.addOwn(now, life, f)
@@ -150,7 +150,7 @@
 }
 
 // Taken notes that control has taken what it was told.
-func (r *Record) Taken(told []Ended) {
+func (r *Record) Taken(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
 			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Life {
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -68,7 +68,7 @@
 	record *quarantine.Record       // guarded by mu
 	hasher *quarantine.Hasher       // nil before the first news; guarded by mu
 	looks  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	ended  []quarantine.Ended       // to be told; at most endedMost; guarded by mu
+	ended  []quarantine.Crash       // to be told; at most endedMost; guarded by mu
 	well   []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
@@ -185,7 +185,7 @@
 }
 
 // tell lets control be told of an ended life. The caller holds mu.
-func (r *Reporter) tell(ended quarantine.Ended, proof Proof) {
+func (r *Reporter) tell(ended quarantine.Crash, proof Proof) {
 	shown := make([]string, 0, shownMost)
 	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
 		shown = append(shown, f.String())
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -88,7 +88,7 @@
 }
 
 // startControlStub starts one that knows of lives that ended before.
-func startControlStub(t *testing.T, before ...quarantine.Ended) *controlStub {
+func startControlStub(t *testing.T, before ...quarantine.Crash) *controlStub {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	suspect := hasher.Of(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
-	control := startControlStub(t, quarantine.Ended{Life: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Ended{Life: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
+	control := startControlStub(t, quarantine.Crash{Life: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Life: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
 	s := startSiteOf(t, control.address, machines)
 	s.eventually("the router knows of the lives", control.told.Load)
 	response := s.post("/v1/completions", testKey, body)
