--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -73,7 +73,7 @@
 	Tree    *settings.Tree  `json:"tree,omitempty"`  // instead of edits, for a router too far behind
 	Peers   *PeerList       `json:"peers,omitempty"` // when it differs from what the router holds
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // the same
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // the same
 }
 
 // Read asks for the current tree.
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -44,7 +44,7 @@
 }
 
 // quarantineNews returns what a process is told that holds the news of a version; nil when it holds these.
-func (r *Replica) quarantineNews(held uint64) *quarantine.News {
+func (r *Replica) quarantineNews(held uint64) *quarantine.Update {
 	ledger := r.machine.catalog.Quarantine()
 	if held == ledger.Version() {
 		return nil
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -44,7 +44,7 @@
 	Near     []string          `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
 	Reads    []string          `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // when they differ from the gateway's
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
 	shared *payload.Shared // Document as JSON; or nil
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -60,8 +60,8 @@
 	Lives   []string    `json:"lives"`
 }
 
-// News is all that a process is told.
-type News struct {
+// Update is all that a process is told.
+type Update struct {
 	Version uint64  `json:"version"`
 	Seed    []byte  `json:"seed"`
 	Entries []Entry `json:"entries,omitempty"` // with Suspected lives or more
@@ -78,8 +78,8 @@
 	seed    []byte
 	entries map[Fingerprint]*counted // at most entriesMost
 	order   uint64
-	version uint64 // rises whenever News differ
-	news    *News  // of that version, or an older one; nil before somebody asked
+	version uint64  // rises whenever News differ
+	news    *Update // of that version, or an older one; nil before somebody asked
 }
 
 // NewLedger returns an empty ledger without a seed.
@@ -200,11 +200,11 @@
 }
 
 // News returns what processes are told; callers only read it.
-func (l *Ledger) News() *News {
+func (l *Ledger) News() *Update {
 	if l.news != nil && l.news.Version == l.version {
 		return l.news
 	}
-	news := &News{Version: l.version, Seed: l.seed}
+	news := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.All() {
 		if e := l.entries[f]; len(e.lives) >= Suspected {
 			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -277,7 +277,7 @@
 	if _, counts := r.End(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
-	news := &News{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
+	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
 	if innocent := r.Take(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
 		t.Fatalf("%v is released", innocent)
 	}
@@ -329,11 +329,11 @@
 	if r.Empty() || r.Lives(f) != 2 {
 		t.Fatalf("%d lives", r.Lives(f))
 	}
-	r.Take(time.Second, &News{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
+	r.Take(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
 	if told, held := r.Suspects(); r.Lives(f) != 3 || told != 1 || held != 0 {
 		t.Fatalf("%d lives, %d told, %d held", r.Lives(f), told, held)
 	}
-	r.Take(2*time.Second, &News{Version: 2})
+	r.Take(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + ownKept + 1)
 	if !r.Empty() || r.Version() != 2 {
 		t.Fatalf("%d lives are left", r.Lives(f))
@@ -382,7 +382,7 @@
 		ended, _ := r.End(time.Second, life)
 		told = append(told, ended)
 	}
-	r.Take(time.Second, &News{Version: 1})
+	r.Take(time.Second, &Update{Version: 1})
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before control has taken them", r.Lives(f))
 	}
@@ -390,13 +390,13 @@
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before the news", r.Lives(f))
 	}
-	r.Take(time.Second, &News{Version: 3})
+	r.Take(time.Second, &Update{Version: 3})
 	if r.Lives(f) != 0 {
 		t.Fatalf("%d lives of a request that was released", r.Lives(f))
 	}
 	r.Broke(2*time.Second, "d", f)
 	r.End(2*time.Second, "d")
-	r.Take(2*time.Second, &News{Version: 4})
+	r.Take(2*time.Second, &Update{Version: 4})
 	if r.Lives(f) != 1 {
 		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -66,7 +66,7 @@
 
 // Take takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Record) Take(now time.Duration, news *News) (innocent []Fingerprint) {
+func (r *Record) Take(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.told)
 	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -88,7 +88,7 @@
 }
 
 // Take takes control's news up.
-func (r *Reporter) Take(news *quarantine.News) {
+func (r *Reporter) Take(news *quarantine.Update) {
 	hasher, err := quarantine.NewHasher(news.Seed)
 	if err != nil {
 		hasher = nil // control has planted none yet
