--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -93,7 +93,7 @@
 	bounds     map[string]uint64            // by service; of those that don't use all their back ends
 	touched    map[string]bool              // instances that changed since Touched was last called
 	fence      uint64
-	quarantine *quarantine.Ledger
+	quarantine *quarantine.Registry
 }
 
 // NewMachine returns the empty state.
@@ -183,7 +183,7 @@
 }
 
 // Quarantine returns the requests under which back ends ended; callers only read it.
-func (m *Machine) Quarantine() *quarantine.Ledger { return m.quarantine }
+func (m *Machine) Quarantine() *quarantine.Registry { return m.quarantine }
 
 // Apply applies one committed command.
 func (m *Machine) Apply(command Command) Outcome {
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -20,7 +20,7 @@
 	Gateways []string                     `json:"gateways,omitempty"`
 	Bounds   map[string]uint64            `json:"bounds,omitempty"`
 
-	Quarantine *quarantine.Ledger `json:"quarantine,omitempty"`
+	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
 	Namings map[string][]Naming `json:"namings,omitempty"`
 
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -83,7 +83,7 @@
 }
 
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
-func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Ledger) []quarantine.Release {
+func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	forgotten := quarantine.Release{Why: quarantine.Age}
 	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.Held - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -17,7 +17,7 @@
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-func (s *solo) ledger() *quarantine.Ledger { return s.replica.machine.catalog.Quarantine() }
+func (s *solo) ledger() *quarantine.Registry { return s.replica.machine.catalog.Quarantine() }
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -73,8 +73,8 @@
 	order uint64   // of its newest life among all
 }
 
-// Ledger is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
-type Ledger struct {
+// Registry is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
+type Registry struct {
 	seed    []byte
 	entries map[Fingerprint]*counted // at most entriesMost
 	order   uint64
@@ -83,10 +83,10 @@
 }
 
 // NewLedger returns an empty ledger without a seed.
-func NewLedger() *Ledger { return &Ledger{entries: map[Fingerprint]*counted{}} }
+func NewLedger() *Registry { return &Registry{entries: map[Fingerprint]*counted{}} }
 
 // Apply makes one change: first lives are released, then new ones counted.
-func (l *Ledger) Apply(c Change) {
+func (l *Registry) Apply(c Change) {
 	l.plant(c.Seed)
 	for _, released := range c.Released {
 		for _, f := range released.Requests {
@@ -99,7 +99,7 @@
 }
 
 // Changes reports whether a change would change anything.
-func (l *Ledger) Changes(c Change) bool {
+func (l *Registry) Changes(c Change) bool {
 	if len(c.Seed) > 0 && !l.Planted() {
 		return true
 	}
@@ -111,7 +111,7 @@
 	return slices.ContainsFunc(c.Ended, func(ended Crash) bool { return !l.knows(ended) })
 }
 
-func (l *Ledger) plant(seed []byte) {
+func (l *Registry) plant(seed []byte) {
 	if len(l.seed) == 0 && len(seed) == SeedBytes {
 		l.seed = seed
 		l.version++
@@ -119,13 +119,13 @@
 }
 
 // Planted reports whether there is a seed.
-func (l *Ledger) Planted() bool { return len(l.seed) > 0 }
+func (l *Registry) Planted() bool { return len(l.seed) > 0 }
 
 // Version returns the version of the news.
-func (l *Ledger) Version() uint64 { return l.version }
+func (l *Registry) Version() uint64 { return l.version }
 
 // note counts an ended life for each request that it ran.
-func (l *Ledger) note(ended Crash) {
+func (l *Registry) note(ended Crash) {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil {
@@ -145,7 +145,7 @@
 }
 
 // knows reports whether noting a life would change nothing.
-func (l *Ledger) knows(ended Crash) bool {
+func (l *Registry) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil || !slices.Contains(e.lives, ended.Life) && len(e.lives) < livesKept {
@@ -156,7 +156,7 @@
 }
 
 // makeRoom pushes out the request with the fewest lives, of these the one whose newest life is oldest.
-func (l *Ledger) makeRoom() {
+func (l *Registry) makeRoom() {
 	if len(l.entries) < entriesMost {
 		return
 	}
@@ -171,7 +171,7 @@
 }
 
 // drop forgets all but the newest lives of a request.
-func (l *Ledger) drop(f Fingerprint, keep int) {
+func (l *Registry) drop(f Fingerprint, keep int) {
 	e := l.entries[f]
 	if e == nil || len(e.lives) <= keep {
 		return
@@ -187,7 +187,7 @@
 }
 
 // Lives returns how many lives ended under a request, as far as they are kept.
-func (l *Ledger) Lives(f Fingerprint) int {
+func (l *Registry) Lives(f Fingerprint) int {
 	if e := l.entries[f]; e != nil {
 		return len(e.lives)
 	}
@@ -195,12 +195,12 @@
 }
 
 // All returns every request in a fixed order.
-func (l *Ledger) All() []Fingerprint {
+func (l *Registry) All() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
 // News returns what processes are told; callers only read it.
-func (l *Ledger) News() *Update {
+func (l *Registry) News() *Update {
 	if l.news != nil && l.news.Version == l.version {
 		return l.news
 	}
@@ -228,7 +228,7 @@
 }
 
 // MarshalJSON writes the whole state.
-func (l *Ledger) MarshalJSON() ([]byte, error) {
+func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
 	for _, f := range l.All() {
 		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Lives: l.entries[f].lives}, Order: l.entries[f].order})
@@ -237,12 +237,12 @@
 }
 
 // UnmarshalJSON replaces the whole state.
-func (l *Ledger) UnmarshalJSON(data []byte) error {
+func (l *Registry) UnmarshalJSON(data []byte) error {
 	var form ledgerForm
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
-	*l = Ledger{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
+	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
 	for _, e := range form.Entries {
 		l.entries[e.Request] = &counted{lives: e.Lives, order: e.Order}
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -59,7 +59,7 @@
 
 // ledgerModel compares a ledger with the plainest account of what it was told.
 type ledgerModel struct {
-	ledger *Ledger
+	ledger *Registry
 	lives  map[Fingerprint][]string
 	seed   []byte
 }
