--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -100,7 +100,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, ended: map[string]bool{}, lives: newLives(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewLedger(),
+		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -82,8 +82,8 @@
 	news    *Update // of that version, or an older one; nil before somebody asked
 }
 
-// NewLedger returns an empty ledger without a seed.
-func NewLedger() *Registry { return &Registry{entries: map[Fingerprint]*counted{}} }
+// NewRegistry returns an empty ledger without a seed.
+func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*counted{}} }
 
 // Apply makes one change: first lives are released, then new ones counted.
 func (l *Registry) Apply(c Change) {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -40,7 +40,7 @@
 				wanted[f][ended.Life] = true
 			}
 		}
-		one, other := NewLedger(), NewLedger()
+		one, other := NewRegistry(), NewRegistry()
 		for _, ended := range told {
 			one.Apply(Change{Ended: []Crash{ended}})
 		}
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewLedger()
+	restored := NewRegistry()
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
@@ -155,14 +155,14 @@
 // TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
 func TestLedgerTellsWhatItWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{ledger: NewLedger(), lives: map[Fingerprint][]string{}}
+		m := &ledgerModel{ledger: NewRegistry(), lives: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
 // TestFloodPushesNoCulpritOut: however many other requests are told of, one with more lives against it stays.
 func TestFloodPushesNoCulpritOut(t *testing.T) {
-	l := NewLedger()
+	l := NewRegistry()
 	for life := range Held {
 		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
@@ -182,7 +182,7 @@
 
 // TestSeedStays: the first one is everybody's.
 func TestSeedStays(t *testing.T) {
-	l, first := NewLedger(), make([]byte, SeedBytes)
+	l, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
 	l.Apply(Change{Seed: first[:5]})
 	if l.Planted() {
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -97,7 +97,7 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	var mu sync.Mutex
-	ledger := quarantine.NewLedger()
+	ledger := quarantine.NewRegistry()
 	ledger.Apply(quarantine.Change{Seed: stubSeed, Ended: before})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
