--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -36,7 +36,7 @@
 
 // quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
 func (r *Replica) quarantine(now time.Duration, client uint64, change quarantine.Change) {
-	if !r.machine.catalog.Quarantine().Changes(change) {
+	if !r.machine.catalog.Quarantine().WouldChange(change) {
 		r.reply(client, Response{Kind: ResponseOK})
 		return
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Changes reports whether a change would change anything.
-func (l *Registry) Changes(c Change) bool {
+// WouldChange reports whether a change would change anything.
+func (l *Registry) WouldChange(c Change) bool {
 	if len(c.Seed) > 0 && !l.Planted() {
 		return true
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -51,7 +51,7 @@
 				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.Lives(f), other.Lives(f), len(lives))
 			}
 		}
-		if one.Changes(Change{Ended: told}) {
+		if one.WouldChange(Change{Ended: told}) {
 			t.Fatal("what is known counts as news")
 		}
 	})
@@ -66,7 +66,7 @@
 
 func (m *ledgerModel) Ended(t *rapid.T) {
 	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.Changes(Change{Ended: []Crash{ended}})
+	changes := m.ledger.WouldChange(Change{Ended: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
 	m.ledger.Apply(Change{Ended: []Crash{ended}})
 	changed := false
