--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -73,7 +73,7 @@
 	}
 	r.quarantined.lookedAt = now
 	ledger := r.machine.catalog.Quarantine()
-	if !ledger.Planted() {
+	if !ledger.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -100,7 +100,7 @@
 
 // WouldChange reports whether a change would change anything.
 func (l *Registry) WouldChange(c Change) bool {
-	if len(c.Seed) > 0 && !l.Planted() {
+	if len(c.Seed) > 0 && !l.HasSeed() {
 		return true
 	}
 	for _, released := range c.Released {
@@ -118,8 +118,8 @@
 	}
 }
 
-// Planted reports whether there is a seed.
-func (l *Registry) Planted() bool { return len(l.seed) > 0 }
+// HasSeed reports whether there is a seed.
+func (l *Registry) HasSeed() bool { return len(l.seed) > 0 }
 
 // Version returns the version of the news.
 func (l *Registry) Version() uint64 { return l.version }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -185,7 +185,7 @@
 	l, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
 	l.Apply(Change{Seed: first[:5]})
-	if l.Planted() {
+	if l.HasSeed() {
 		t.Fatal("a short seed is taken")
 	}
 	l.Apply(Change{Seed: first})
