--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -93,7 +93,7 @@
 			at = now
 		}
 		seen[f] = at
-		switch held := ledger.Lives(f) >= quarantine.Held; {
+		switch held := ledger.CrashCount(f) >= quarantine.Held; {
 		case held && now-at > heldFor:
 			tried.Requests = append(tried.Requests, f)
 		case !held && now-at > suspectFor:
@@ -101,7 +101,7 @@
 		}
 	}
 	r.quarantined.seen = seen
-	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.Lives(f) == 0 })
+	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
 	for _, released := range []quarantine.Release{forgotten, tried} {
 		if len(released.Requests) > 0 {
@@ -148,7 +148,7 @@
 	}
 	for f, at := range s.held.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldLives, ledger.Lives(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldLives, ledger.CrashCount(f)))
 		}
 	}
 	s.held.since = since
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -63,11 +63,11 @@
 	}
 	_ = s.disk.Close()
 	s = openSolo(t, folder)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held || !slices.Equal(s.ledger().News().Seed, seed) {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.Held || !slices.Equal(s.ledger().News().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().News().Seed, seed))
 	}
 	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Why: quarantine.Operator}}}}})
-	if got := s.ledger().Lives(deadly); got != 0 {
+	if got := s.ledger().CrashCount(deadly); got != 0 {
 		t.Fatalf("%d lives after an operator's release", got)
 	}
 }
@@ -85,19 +85,19 @@
 		s.pass(3 * time.Second)
 	}
 	skip(suspectFor - 10*time.Second)
-	if s.ledger().Lives(other) != 1 {
+	if s.ledger().CrashCount(other) != 1 {
 		t.Fatal("forgotten early")
 	}
 	skip(20 * time.Second)
-	if s.ledger().Lives(other) != 0 || s.ledger().Lives(deadly) != quarantine.Held {
-		t.Fatalf("%d and %d lives after an hour", s.ledger().Lives(other), s.ledger().Lives(deadly))
+	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.Held {
+		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(deadly))
 	}
 	skip(heldFor - suspectFor)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held-1 {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.Held-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
 	s.ended("i-4", deadly)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.Held {
 		t.Fatalf("%d lives after one more", got)
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -104,7 +104,7 @@
 		return true
 	}
 	for _, released := range c.Released {
-		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.Lives(f) > released.Keep }) {
+		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.CrashCount(f) > released.Keep }) {
 			return true
 		}
 	}
@@ -186,8 +186,8 @@
 	e.lives = slices.Clone(e.lives[len(e.lives)-keep:])
 }
 
-// Lives returns how many lives ended under a request, as far as they are kept.
-func (l *Registry) Lives(f Fingerprint) int {
+// CrashCount returns how many lives ended under a request, as far as they are kept.
+func (l *Registry) CrashCount(f Fingerprint) int {
 	if e := l.entries[f]; e != nil {
 		return len(e.lives)
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -47,8 +47,8 @@
 		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
 		other.Apply(Change{Ended: shuffled})
 		for f, lives := range wanted {
-			if one.Lives(f) != len(lives) || other.Lives(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.Lives(f), other.Lives(f), len(lives))
+			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
+				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
 			}
 		}
 		if one.WouldChange(Change{Ended: told}) {
@@ -169,13 +169,13 @@
 	for n := range 3 * entriesMost {
 		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.Lives(printOf(1)); got != Held {
+	if got := l.CrashCount(printOf(1)); got != Held {
 		t.Fatalf("%d lives are left", got)
 	}
 	if n := len(l.All()); n != entriesMost {
 		t.Fatalf("%d requests are remembered, %d are the most", n, entriesMost)
 	}
-	if l.Lives(printOf(2)) != 0 || l.Lives(printOf(1+3*entriesMost)) != 1 {
+	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*entriesMost)) != 1 {
 		t.Fatal("it is not the oldest that makes room")
 	}
 }
