--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -87,7 +87,7 @@
 	forgotten := quarantine.Release{Why: quarantine.Age}
 	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.Held - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
-	for _, f := range ledger.All() {
+	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.seen[f]
 		if !known {
 			at = now
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -194,8 +194,8 @@
 	return 0
 }
 
-// All returns every request in a fixed order.
-func (l *Registry) All() []Fingerprint {
+// Fingerprints returns every request in a fixed order.
+func (l *Registry) Fingerprints() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
@@ -205,7 +205,7 @@
 		return l.news
 	}
 	news := &Update{Version: l.version, Seed: l.seed}
-	for _, f := range l.All() {
+	for _, f := range l.Fingerprints() {
 		if e := l.entries[f]; len(e.lives) >= Suspected {
 			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
 		}
@@ -230,7 +230,7 @@
 // MarshalJSON writes the whole state.
 func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
-	for _, f := range l.All() {
+	for _, f := range l.Fingerprints() {
 		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Lives: l.entries[f].lives}, Order: l.entries[f].order})
 	}
 	return json.Marshal(form)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -172,7 +172,7 @@
 	if got := l.CrashCount(printOf(1)); got != Held {
 		t.Fatalf("%d lives are left", got)
 	}
-	if n := len(l.All()); n != entriesMost {
+	if n := len(l.Fingerprints()); n != entriesMost {
 		t.Fatalf("%d requests are remembered, %d are the most", n, entriesMost)
 	}
 	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*entriesMost)) != 1 {
