--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -49,7 +49,7 @@
 	if held == ledger.Version() {
 		return nil
 	}
-	return ledger.News()
+	return ledger.Update()
 }
 
 // noteQuarantined remembers when lives were counted.
@@ -135,7 +135,7 @@
 	now := s.now()
 	s.held.version = ledger.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
-	for _, e := range ledger.News().Entries {
+	for _, e := range ledger.Update().Entries {
 		if len(e.Lives) < quarantine.Held {
 			continue
 		}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -54,7 +54,7 @@
 func TestCountOutlivesTheLeader(t *testing.T) {
 	folder := t.TempDir()
 	s := openSolo(t, folder)
-	seed := s.ledger().News().Seed
+	seed := s.ledger().Update().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
 	}
@@ -63,8 +63,8 @@
 	}
 	_ = s.disk.Close()
 	s = openSolo(t, folder)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.Held || !slices.Equal(s.ledger().News().Seed, seed) {
-		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().News().Seed, seed))
+	if got := s.ledger().CrashCount(deadly); got != quarantine.Held || !slices.Equal(s.ledger().Update().Seed, seed) {
+		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
 	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Why: quarantine.Operator}}}}})
 	if got := s.ledger().CrashCount(deadly); got != 0 {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -56,7 +56,7 @@
 	}
 	status.Limits = r.lead.lending.lender.States(now)
 	status.Named = r.lead.lending.lender.Named(now, namedTold)
-	status.Suspects = r.machine.catalog.Quarantine().News().Entries
+	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -199,8 +199,8 @@
 	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// News returns what processes are told; callers only read it.
-func (l *Registry) News() *Update {
+// Update returns what processes are told; callers only read it.
+func (l *Registry) Update() *Update {
 	if l.news != nil && l.news.Version == l.version {
 		return l.news
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -117,8 +117,8 @@
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(restored.News(), m.ledger.News()) {
-		t.Fatalf("restored %+v from %+v", restored.News(), m.ledger.News())
+	if !reflect.DeepEqual(restored.Update(), m.ledger.Update()) {
+		t.Fatalf("restored %+v from %+v", restored.Update(), m.ledger.Update())
 	}
 	m.ledger = restored
 }
@@ -142,7 +142,7 @@
 }
 
 func (m *ledgerModel) Check(t *rapid.T) {
-	news := m.ledger.News()
+	news := m.ledger.Update()
 	told := map[Fingerprint][]string{}
 	for _, e := range news.Entries {
 		told[e.Request] = e.Lives
@@ -190,7 +190,7 @@
 	}
 	l.Apply(Change{Seed: first})
 	l.Apply(Change{Seed: make([]byte, SeedBytes)})
-	if got := l.News(); !slices.Equal(got.Seed, first) || got.Version != 1 {
+	if got := l.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -112,7 +112,7 @@
 		case asked.Heartbeat != nil:
 			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
 			if stub.told.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.told.Load() {
-				answer.Heartbeat.Quarantine = ledger.News()
+				answer.Heartbeat.Quarantine = ledger.Update()
 			}
 		}
 		respond(http.StatusOK, answer)
