--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -59,8 +59,8 @@
 	return &Hasher{idle: sync.Pool{New: func() any { return base.Clone() }}}, nil
 }
 
-// Of returns a request's fingerprint.
-func (h *Hasher) Of(r Request) Fingerprint {
+// Fingerprint returns a request's fingerprint.
+func (h *Hasher) Fingerprint(r Request) Fingerprint {
 	hasher := h.idle.Get().(*blake3.Hasher)
 	defer h.idle.Put(hasher)
 	hasher.Reset()
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -205,7 +205,7 @@
 	base := Request{Method: "POST", Host: "h", Path: "/a/b?c", Caller: "north", Body: []byte("text")}
 	same := base
 	same.Body = slices.Clone(base.Body)
-	if h.Of(base) != h.Of(same) || h.Of(base) == other.Of(base) {
+	if h.Fingerprint(base) != h.Fingerprint(same) || h.Fingerprint(base) == other.Fingerprint(base) {
 		t.Fatal("a fingerprint depends on something else, or not on the seed")
 	}
 	for _, change := range []func(*Request){
@@ -215,7 +215,7 @@
 	} {
 		changed := base
 		change(&changed)
-		if h.Of(base) == h.Of(changed) {
+		if h.Fingerprint(base) == h.Fingerprint(changed) {
 			t.Fatalf("%+v has the fingerprint of %+v", changed, base)
 		}
 	}
@@ -366,7 +366,7 @@
 			again := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.Of(again)
+				h.Fingerprint(again)
 			}
 		})
 	}
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -107,7 +107,7 @@
 	if hasher == nil {
 		return f, false
 	}
-	return hasher.Of(request), true
+	return hasher.Fingerprint(request), true
 }
 
 // Quiet reports whether no request has anything against it, so that none needs a fingerprint to be judged.
