--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -285,7 +285,7 @@
 	version   control.RosterVersion
 	roster    []control.RosterEntry
 	confirmed time.Duration // by its own clock; 0 never
-	record    *quarantine.Record
+	record    *quarantine.Tracker
 	namings   *belief.Namings
 	pushed    *pushback.Tracker // what back ends said of themselves
 	borrower  *allowance.Client
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -23,8 +23,8 @@
 	wellMost   = 1024
 )
 
-// Record is what one process knows of requests that end their back ends.
-type Record struct {
+// Tracker is what one process knows of requests that end their back ends.
+type Tracker struct {
 	version uint64
 	told    map[Fingerprint][]string // by control: lives; with Suspected or more
 	own     map[Fingerprint]*seen    // what this process proved itself; at most ownMost
@@ -55,18 +55,18 @@
 }
 
 // NewRecord returns a record that knows nothing.
-func NewRecord() *Record {
-	return &Record{
+func NewRecord() *Tracker {
+	return &Tracker{
 		told: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
 	}
 }
 
 // Version returns that of the newest news.
-func (r *Record) Version() uint64 { return r.version }
+func (r *Tracker) Version() uint64 { return r.version }
 
 // Take takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Record) Take(now time.Duration, news *Update) (innocent []Fingerprint) {
+func (r *Tracker) Take(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.told)
 	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
@@ -81,7 +81,7 @@
 }
 
 // Broke notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Record) Broke(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
+func (r *Tracker) Broke(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
 	if r.endedWell(now, f) {
 		return Crash{}, false
 	}
@@ -105,7 +105,7 @@
 }
 
 // End notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Record) End(now time.Duration, life string) (told Crash, counts bool) {
+func (r *Tracker) End(now time.Duration, life string) (told Crash, counts bool) {
 	b := r.breaks[life]
 	if b == nil || now-b.at > proofWait {
 		return Crash{}, false
@@ -115,13 +115,13 @@
 }
 
 // Waits reports whether runs that broke off at a life wait for the proof of its end.
-func (r *Record) Waits(life string) bool {
+func (r *Tracker) Waits(life string) bool {
 	b := r.breaks[life]
 	return b != nil && !b.ended
 }
 
 // count counts an ended life for the requests whose runs broke off there.
-func (r *Record) count(now time.Duration, life string, b *broken) (told Crash, counts bool) {
+func (r *Tracker) count(now time.Duration, life string, b *broken) (told Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
@@ -134,7 +134,7 @@
 }
 
 // addOwn notes a life of a request. What doesn't fit is counted by control alone.
-func (r *Record) addOwn(now time.Duration, life string, f Fingerprint) {
+func (r *Tracker) addOwn(now time.Duration, life string, f Fingerprint) {
 	s := r.own[f]
 	if s == nil {
 		if len(r.own) >= ownMost {
@@ -150,7 +150,7 @@
 }
 
 // Taken notes that control has taken what it was told.
-func (r *Record) Taken(told []Crash) {
+func (r *Tracker) Taken(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
 			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Life {
@@ -161,7 +161,7 @@
 }
 
 // EndedWell notes that a back end ran a request to a good end, and reports whether control is to be told so.
-func (r *Record) EndedWell(now time.Duration, f Fingerprint) (release bool) {
+func (r *Tracker) EndedWell(now time.Duration, f Fingerprint) (release bool) {
 	r.remember(now, f)
 	_, told := r.told[f]
 	_, own := r.own[f]
@@ -171,7 +171,7 @@
 }
 
 // remember keeps a good end, in the place of the oldest.
-func (r *Record) remember(now time.Duration, f Fingerprint) {
+func (r *Tracker) remember(now time.Duration, f Fingerprint) {
 	oldest := r.ring[r.next]
 	if held, known := r.well[oldest]; known && held.place == r.next {
 		delete(r.well, oldest)
@@ -182,7 +182,7 @@
 
 // Idled notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
 // it could not end well again meanwhile.
-func (r *Record) Idled(now, length time.Duration) {
+func (r *Tracker) Idled(now, length time.Duration) {
 	for f, held := range r.well {
 		held.at = min(now, held.at+max(0, length))
 		r.well[f] = held
@@ -190,13 +190,13 @@
 }
 
 // endedWell reports whether a request ended well here a moment ago.
-func (r *Record) endedWell(now time.Duration, f Fingerprint) bool {
+func (r *Tracker) endedWell(now time.Duration, f Fingerprint) bool {
 	held, known := r.well[f]
 	return known && now-held.at <= innocenceKept
 }
 
 // Lives returns how many lives ended under a request, as far as this process knows.
-func (r *Record) Lives(f Fingerprint) int {
+func (r *Tracker) Lives(f Fingerprint) int {
 	lives := len(r.told[f])
 	if s := r.own[f]; s != nil {
 		for _, life := range s.lives {
@@ -209,10 +209,10 @@
 }
 
 // Empty reports whether no request has any life against it, so that none needs to be looked up.
-func (r *Record) Empty() bool { return len(r.told) == 0 && len(r.own) == 0 }
+func (r *Tracker) Empty() bool { return len(r.told) == 0 && len(r.own) == 0 }
 
 // Suspects returns how many requests control tells of, and how many of these are held back.
-func (r *Record) Suspects() (told, held int) {
+func (r *Tracker) Suspects() (told, held int) {
 	for _, lives := range r.told {
 		if len(lives) >= Held {
 			held++
@@ -222,7 +222,7 @@
 }
 
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
-func (r *Record) Sweep(now time.Duration) {
+func (r *Tracker) Sweep(now time.Duration) {
 	r.sweepBreaks(now)
 	for f, s := range r.own {
 		if now-s.at > ownKept {
@@ -231,7 +231,7 @@
 	}
 }
 
-func (r *Record) sweepBreaks(now time.Duration) {
+func (r *Tracker) sweepBreaks(now time.Duration) {
 	for life, b := range r.breaks {
 		if now-b.at > proofWait {
 			delete(r.breaks, life)
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -65,7 +65,7 @@
 	wake chan struct{} // has an item when something waits; room for one
 
 	mu     sync.Mutex
-	record *quarantine.Record       // guarded by mu
+	record *quarantine.Tracker      // guarded by mu
 	hasher *quarantine.Hasher       // nil before the first news; guarded by mu
 	looks  map[string]*look         // by life: a look whether it has ended; guarded by mu
 	ended  []quarantine.Crash       // to be told; at most endedMost; guarded by mu
