--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -297,7 +297,7 @@
 	g.start()
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
-	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewRecord()
+	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
 	g.namings, g.pushed = belief.NewNamings(g.w.guards), pushback.NewTracker()
 	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
 	g.lender = &asker{w: g.w, from: g.process}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -243,7 +243,7 @@
 
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	if _, counts := r.Broke(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
 		t.Fatal("a broken run counts without proof")
 	}
@@ -269,7 +269,7 @@
 // TestGoodEndsSpeakForARequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
 // is released.
 func TestGoodEndsSpeakForARequest(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	if r.EndedWell(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
@@ -296,7 +296,7 @@
 // in which there could be none counted.
 func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
 	const away = 6 * time.Second
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	r.EndedWell(time.Second, f)
 	back := 2*time.Second + away
 	r.Idled(back, away)
@@ -321,7 +321,7 @@
 
 // TestOwnLivesAddToToldOnes: each life counts once, and what control has had time to count is forgotten.
 func TestOwnLivesAddToToldOnes(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	for _, life := range []string{"a", "b"} {
 		r.Broke(time.Second, life, f)
 		r.End(time.Second, life)
@@ -342,7 +342,7 @@
 
 // TestRecordIsBounded: whatever breaks off, and however much ends well.
 func TestRecordIsBounded(t *testing.T) {
-	r := NewRecord()
+	r := NewTracker()
 	for n := range 3 * wellMost {
 		r.Broke(time.Second, fmt.Sprint("life-", n), printOf(n))
 		r.End(time.Second, fmt.Sprint("life-", n))
@@ -375,7 +375,7 @@
 // TestReleasesElsewhereCountHere: a process that proved three lives itself follows control once that has taken them: a good end at another
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleasesElsewhereCountHere(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.Broke(time.Second, life, f)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -54,8 +54,8 @@
 	runs  []Fingerprint // not counted yet; distinct; at most runsMost
 }
 
-// NewRecord returns a record that knows nothing.
-func NewRecord() *Tracker {
+// NewTracker returns a record that knows nothing.
+func NewTracker() *Tracker {
 	return &Tracker{
 		told: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
 	}
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -77,7 +77,7 @@
 
 // New returns a reporter that knows nothing.
 func New(ways Ways) *Reporter {
-	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewRecord(), looks: map[string]*look{}}
+	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
