--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -121,7 +121,7 @@
 // takeQuarantine takes up what control tells of ended back ends.
 func (g *fleetGateway) takeQuarantine(reply *control.WatchReply, before []control.RosterEntry) {
 	if reply.Quarantine != nil {
-		g.release(g.record.Take(g.clock(), reply.Quarantine)...)
+		g.release(g.record.ApplyUpdate(g.clock(), reply.Quarantine)...)
 	}
 	now := map[string]string{}
 	for _, e := range g.roster {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -278,14 +278,14 @@
 		t.Fatal("counted right after a good end")
 	}
 	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.Take(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
+	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
 		t.Fatalf("%v is released", innocent)
 	}
 	if !r.EndedWell(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + innocenceKept + 1
-	r.Take(later, news)
+	r.ApplyUpdate(later, news)
 	if r.Lives(f) != Held {
 		t.Fatal("an old good end speaks for a request")
 	}
@@ -329,11 +329,11 @@
 	if r.Empty() || r.Lives(f) != 2 {
 		t.Fatalf("%d lives", r.Lives(f))
 	}
-	r.Take(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
+	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
 	if told, held := r.Suspects(); r.Lives(f) != 3 || told != 1 || held != 0 {
 		t.Fatalf("%d lives, %d told, %d held", r.Lives(f), told, held)
 	}
-	r.Take(2*time.Second, &Update{Version: 2})
+	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + ownKept + 1)
 	if !r.Empty() || r.Version() != 2 {
 		t.Fatalf("%d lives are left", r.Lives(f))
@@ -382,7 +382,7 @@
 		ended, _ := r.End(time.Second, life)
 		told = append(told, ended)
 	}
-	r.Take(time.Second, &Update{Version: 1})
+	r.ApplyUpdate(time.Second, &Update{Version: 1})
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before control has taken them", r.Lives(f))
 	}
@@ -390,13 +390,13 @@
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before the news", r.Lives(f))
 	}
-	r.Take(time.Second, &Update{Version: 3})
+	r.ApplyUpdate(time.Second, &Update{Version: 3})
 	if r.Lives(f) != 0 {
 		t.Fatalf("%d lives of a request that was released", r.Lives(f))
 	}
 	r.Broke(2*time.Second, "d", f)
 	r.End(2*time.Second, "d")
-	r.Take(2*time.Second, &Update{Version: 4})
+	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
 	if r.Lives(f) != 1 {
 		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -64,9 +64,9 @@
 // Version returns that of the newest news.
 func (r *Tracker) Version() uint64 { return r.version }
 
-// Take takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
+// ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Tracker) Take(now time.Duration, news *Update) (innocent []Fingerprint) {
+func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.told)
 	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.record.Take(r.ways.Now(), news)...)
+	r.release(r.record.ApplyUpdate(r.ways.Now(), news)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
