--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -76,7 +76,7 @@
 // brokeOff notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
 func (g *fleetGateway) brokeOff(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
-		if told, counts := g.record.Broke(g.clock(), life, f); counts {
+		if told, counts := g.record.RecordFailure(g.clock(), life, f); counts {
 			g.tellEnded(told)
 		}
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -244,7 +244,7 @@
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
 	r, f := NewTracker(), printOf(1)
-	if _, counts := r.Broke(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
+	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
 		t.Fatal("a broken run counts without proof")
 	}
 	if _, counts := r.End(time.Second, "b"); counts {
@@ -254,13 +254,13 @@
 	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.Waits("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
-	if told, counts = r.Broke(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
+	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
 		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
 	}
 	if _, counts = r.End(2*time.Second, "a"); counts {
 		t.Fatal("a life counts twice")
 	}
-	r.Broke(3*time.Second, "c", f)
+	r.RecordFailure(3*time.Second, "c", f)
 	if _, counts = r.End(3*time.Second+proofWait+1, "c"); counts {
 		t.Fatal("a proof long after counts")
 	}
@@ -273,7 +273,7 @@
 	if r.EndedWell(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
-	r.Broke(2*time.Second, "a", f)
+	r.RecordFailure(2*time.Second, "a", f)
 	if _, counts := r.End(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
@@ -301,14 +301,14 @@
 	back := 2*time.Second + away
 	r.Idled(back, away)
 	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(back, life, f)
+		r.RecordFailure(back, life, f)
 		r.End(back, life)
 	}
 	if lives := r.Lives(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
 	later := time.Second + away + innocenceKept + 1
-	r.Broke(later, "d", f)
+	r.RecordFailure(later, "d", f)
 	if _, counts := r.End(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
@@ -323,7 +323,7 @@
 func TestOwnLivesAddToToldOnes(t *testing.T) {
 	r, f := NewTracker(), printOf(1)
 	for _, life := range []string{"a", "b"} {
-		r.Broke(time.Second, life, f)
+		r.RecordFailure(time.Second, life, f)
 		r.End(time.Second, life)
 	}
 	if r.Empty() || r.Lives(f) != 2 {
@@ -344,9 +344,9 @@
 func TestRecordIsBounded(t *testing.T) {
 	r := NewTracker()
 	for n := range 3 * wellMost {
-		r.Broke(time.Second, fmt.Sprint("life-", n), printOf(n))
+		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
 		r.End(time.Second, fmt.Sprint("life-", n))
-		r.Broke(time.Second, "one", printOf(n))
+		r.RecordFailure(time.Second, "one", printOf(n))
 		r.EndedWell(time.Second, printOf(3*wellMost+n%(wellMost+7)))
 	}
 	if len(r.breaks) > breaksMost || len(r.breaks["one"].runs) > runsMost || len(r.own) > ownMost || len(r.well) > wellMost {
@@ -378,7 +378,7 @@
 	r, f := NewTracker(), printOf(1)
 	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(time.Second, life, f)
+		r.RecordFailure(time.Second, life, f)
 		ended, _ := r.End(time.Second, life)
 		told = append(told, ended)
 	}
@@ -394,7 +394,7 @@
 	if r.Lives(f) != 0 {
 		t.Fatalf("%d lives of a request that was released", r.Lives(f))
 	}
-	r.Broke(2*time.Second, "d", f)
+	r.RecordFailure(2*time.Second, "d", f)
 	r.End(2*time.Second, "d")
 	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
 	if r.Lives(f) != 1 {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -80,8 +80,8 @@
 	return innocent
 }
 
-// Broke notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Tracker) Broke(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
+// RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
+func (r *Tracker) RecordFailure(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
 	if r.endedWell(now, f) {
 		return Crash{}, false
 	}
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -135,7 +135,7 @@
 func (r *Reporter) Broke(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.record.Broke(r.ways.Now(), life, f); counts {
+	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
 		r.tell(told, Refused)
 	}
 	if running := r.looks[life]; running != nil {
