--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -92,7 +92,7 @@
 
 // proved notes the proof that a life ended.
 func (g *fleetGateway) proved(life string) {
-	if told, counts := g.record.End(g.clock(), life); counts {
+	if told, counts := g.record.ConfirmEnd(g.clock(), life); counts {
 		g.tellEnded(told)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -247,21 +247,21 @@
 	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
 		t.Fatal("a broken run counts without proof")
 	}
-	if _, counts := r.End(time.Second, "b"); counts {
+	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
-	told, counts := r.End(2*time.Second, "a")
+	told, counts := r.ConfirmEnd(2*time.Second, "a")
 	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.Waits("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
 	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
 		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
 	}
-	if _, counts = r.End(2*time.Second, "a"); counts {
+	if _, counts = r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("a life counts twice")
 	}
 	r.RecordFailure(3*time.Second, "c", f)
-	if _, counts = r.End(3*time.Second+proofWait+1, "c"); counts {
+	if _, counts = r.ConfirmEnd(3*time.Second+proofWait+1, "c"); counts {
 		t.Fatal("a proof long after counts")
 	}
 }
@@ -274,7 +274,7 @@
 		t.Fatal("released though nothing is known of it")
 	}
 	r.RecordFailure(2*time.Second, "a", f)
-	if _, counts := r.End(2*time.Second, "a"); counts {
+	if _, counts := r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
 	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
@@ -302,14 +302,14 @@
 	r.Idled(back, away)
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(back, life, f)
-		r.End(back, life)
+		r.ConfirmEnd(back, life)
 	}
 	if lives := r.Lives(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
 	later := time.Second + away + innocenceKept + 1
 	r.RecordFailure(later, "d", f)
-	if _, counts := r.End(later, "d"); !counts {
+	if _, counts := r.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
 	r.EndedWell(later, f)
@@ -324,7 +324,7 @@
 	r, f := NewTracker(), printOf(1)
 	for _, life := range []string{"a", "b"} {
 		r.RecordFailure(time.Second, life, f)
-		r.End(time.Second, life)
+		r.ConfirmEnd(time.Second, life)
 	}
 	if r.Empty() || r.Lives(f) != 2 {
 		t.Fatalf("%d lives", r.Lives(f))
@@ -345,7 +345,7 @@
 	r := NewTracker()
 	for n := range 3 * wellMost {
 		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
-		r.End(time.Second, fmt.Sprint("life-", n))
+		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
 		r.RecordFailure(time.Second, "one", printOf(n))
 		r.EndedWell(time.Second, printOf(3*wellMost+n%(wellMost+7)))
 	}
@@ -379,7 +379,7 @@
 	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(time.Second, life, f)
-		ended, _ := r.End(time.Second, life)
+		ended, _ := r.ConfirmEnd(time.Second, life)
 		told = append(told, ended)
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1})
@@ -395,7 +395,7 @@
 		t.Fatalf("%d lives of a request that was released", r.Lives(f))
 	}
 	r.RecordFailure(2*time.Second, "d", f)
-	r.End(2*time.Second, "d")
+	r.ConfirmEnd(2*time.Second, "d")
 	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
 	if r.Lives(f) != 1 {
 		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -104,8 +104,8 @@
 	return Crash{}, false
 }
 
-// End notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Tracker) End(now time.Duration, life string) (told Crash, counts bool) {
+// ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
+func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
 	b := r.breaks[life]
 	if b == nil || now-b.at > proofWait {
 		return Crash{}, false
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -179,7 +179,7 @@
 
 // end counts a life that ended. The caller holds mu.
 func (r *Reporter) end(life string, proof Proof) {
-	if told, counts := r.record.End(r.ways.Now(), life); counts {
+	if told, counts := r.record.ConfirmEnd(r.ways.Now(), life); counts {
 		r.tell(told, proof)
 	}
 }
