--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -244,14 +244,14 @@
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
 	r, f := NewTracker(), printOf(1)
-	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
+	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
 	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
 	told, counts := r.ConfirmEnd(2*time.Second, "a")
-	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.Waits("a") {
+	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
 	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -114,8 +114,8 @@
 	return r.count(now, life, b)
 }
 
-// Waits reports whether runs that broke off at a life wait for the proof of its end.
-func (r *Tracker) Waits(life string) bool {
+// AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
+func (r *Tracker) AwaitsConfirmation(life string) bool {
 	b := r.breaks[life]
 	return b != nil && !b.ended
 }
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -142,7 +142,7 @@
 		return running.done
 	}
 	made := &look{done: make(chan struct{})}
-	if !r.record.Waits(life) {
+	if !r.record.AwaitsConfirmation(life) {
 		close(made.done)
 		return made.done
 	}
