--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -107,7 +107,7 @@
 	record := g.record
 	g.asker.ask(request, g.w.now()+deadlyTellTime, func(_ control.Response, taken bool) {
 		if taken {
-			record.Taken(change.Ended)
+			record.Acknowledge(change.Ended)
 		}
 	})
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -386,7 +386,7 @@
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before control has taken them", r.Lives(f))
 	}
-	r.Taken(told)
+	r.Acknowledge(told)
 	if r.Lives(f) != Held {
 		t.Fatalf("%d lives before the news", r.Lives(f))
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Taken notes that control has taken what it was told.
-func (r *Tracker) Taken(told []Crash) {
+// Acknowledge notes that control has taken what it was told.
+func (r *Tracker) Acknowledge(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
 			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Life {
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -287,6 +287,6 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Taken(change.Ended)
+	r.record.Acknowledge(change.Ended)
 	return true
 }
