--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -144,7 +144,7 @@
 	if g.w.guards.On(guard.HeldBack) && g.record.Lives(hotRequest) >= quarantine.Held {
 		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.Lives(hotRequest))
 	}
-	if g.record.EndedWell(g.clock(), hotRequest) {
+	if g.record.RecordCompletion(g.clock(), hotRequest) {
 		g.release(hotRequest)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -270,7 +270,7 @@
 // is released.
 func TestGoodEndsSpeakForARequest(t *testing.T) {
 	r, f := NewTracker(), printOf(1)
-	if r.EndedWell(time.Second, f) {
+	if r.RecordCompletion(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
 	r.RecordFailure(2*time.Second, "a", f)
@@ -281,7 +281,7 @@
 	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
 		t.Fatalf("%v is released", innocent)
 	}
-	if !r.EndedWell(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
+	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + innocenceKept + 1
@@ -297,7 +297,7 @@
 func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
 	const away = 6 * time.Second
 	r, f := NewTracker(), printOf(1)
-	r.EndedWell(time.Second, f)
+	r.RecordCompletion(time.Second, f)
 	back := 2*time.Second + away
 	r.Idled(back, away)
 	for _, life := range []string{"a", "b", "c"} {
@@ -312,7 +312,7 @@
 	if _, counts := r.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
-	r.EndedWell(later, f)
+	r.RecordCompletion(later, f)
 	r.Idled(later+time.Second, time.Hour)
 	if r.endedWell(later+time.Second+innocenceKept+1, f) {
 		t.Fatal("a good end lies ahead")
@@ -347,7 +347,7 @@
 		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
 		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
 		r.RecordFailure(time.Second, "one", printOf(n))
-		r.EndedWell(time.Second, printOf(3*wellMost+n%(wellMost+7)))
+		r.RecordCompletion(time.Second, printOf(3*wellMost+n%(wellMost+7)))
 	}
 	if len(r.breaks) > breaksMost || len(r.breaks["one"].runs) > runsMost || len(r.own) > ownMost || len(r.well) > wellMost {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.own), len(r.well))
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// EndedWell notes that a back end ran a request to a good end, and reports whether control is to be told so.
-func (r *Tracker) EndedWell(now time.Duration, f Fingerprint) (release bool) {
+// RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
+func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	r.remember(now, f)
 	_, told := r.told[f]
 	_, own := r.own[f]
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -204,7 +204,7 @@
 func (r *Reporter) EndedWell(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.EndedWell(r.ways.Now(), f) {
+	if r.record.RecordCompletion(r.ways.Now(), f) {
 		r.release(f)
 	}
 }
