--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -340,7 +340,7 @@
 		g.roster = reply.Roster.Merge(g.roster)
 	}
 	if g.confirmed > 0 {
-		g.record.Idled(g.clock(), g.clock()-g.confirmed-fleetTrust)
+		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetTrust)
 	}
 	g.takeQuarantine(reply, before)
 	g.namings.Take(g.clock(), asked, reply.Version.Term, reply.Wanted)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -299,7 +299,7 @@
 	r, f := NewTracker(), printOf(1)
 	r.RecordCompletion(time.Second, f)
 	back := 2*time.Second + away
-	r.Idled(back, away)
+	r.RecordIdle(back, away)
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(back, life, f)
 		r.ConfirmEnd(back, life)
@@ -313,7 +313,7 @@
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
 	r.RecordCompletion(later, f)
-	r.Idled(later+time.Second, time.Hour)
+	r.RecordIdle(later+time.Second, time.Hour)
 	if r.endedWell(later+time.Second+innocenceKept+1, f) {
 		t.Fatal("a good end lies ahead")
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -180,9 +180,9 @@
 	r.next = (r.next + 1) % wellMost
 }
 
-// Idled notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
+// RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
 // it could not end well again meanwhile.
-func (r *Tracker) Idled(now, length time.Duration) {
+func (r *Tracker) RecordIdle(now, length time.Duration) {
 	for f, held := range r.well {
 		held.at = min(now, held.at+max(0, length))
 		r.well[f] = held
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -213,7 +213,7 @@
 func (r *Reporter) Idled(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Idled(r.ways.Now(), length)
+	r.record.RecordIdle(r.ways.Now(), length)
 }
 
 // release lets control be told of requests that ended well. The caller holds mu.
