--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -244,14 +244,14 @@
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
 	r, f := NewTracker(), printOf(1)
-	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.AwaitsConfirmation("a") {
+	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.CrashCount(f) != 0 || !r.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
 	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
 	told, counts := r.ConfirmEnd(2*time.Second, "a")
-	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.AwaitsConfirmation("a") {
+	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
 	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
@@ -278,15 +278,15 @@
 		t.Fatal("counted right after a good end")
 	}
 	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
+	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(printOf(2)) != Held {
 		t.Fatalf("%v is released", innocent)
 	}
-	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
+	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.CrashCount(printOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + innocenceKept + 1
 	r.ApplyUpdate(later, news)
-	if r.Lives(f) != Held {
+	if r.CrashCount(f) != Held {
 		t.Fatal("an old good end speaks for a request")
 	}
 }
@@ -304,7 +304,7 @@
 		r.RecordFailure(back, life, f)
 		r.ConfirmEnd(back, life)
 	}
-	if lives := r.Lives(f); lives != 0 {
+	if lives := r.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
 	later := time.Second + away + innocenceKept + 1
@@ -326,17 +326,17 @@
 		r.RecordFailure(time.Second, life, f)
 		r.ConfirmEnd(time.Second, life)
 	}
-	if r.Empty() || r.Lives(f) != 2 {
-		t.Fatalf("%d lives", r.Lives(f))
+	if r.Empty() || r.CrashCount(f) != 2 {
+		t.Fatalf("%d lives", r.CrashCount(f))
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
-	if told, held := r.Suspects(); r.Lives(f) != 3 || told != 1 || held != 0 {
-		t.Fatalf("%d lives, %d told, %d held", r.Lives(f), told, held)
+	if told, held := r.Suspects(); r.CrashCount(f) != 3 || told != 1 || held != 0 {
+		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), told, held)
 	}
 	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + ownKept + 1)
 	if !r.Empty() || r.Version() != 2 {
-		t.Fatalf("%d lives are left", r.Lives(f))
+		t.Fatalf("%d lives are left", r.CrashCount(f))
 	}
 }
 
@@ -383,21 +383,21 @@
 		told = append(told, ended)
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1})
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before control has taken them", r.Lives(f))
+	if r.CrashCount(f) != Held {
+		t.Fatalf("%d lives before control has taken them", r.CrashCount(f))
 	}
 	r.Acknowledge(told)
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before the news", r.Lives(f))
+	if r.CrashCount(f) != Held {
+		t.Fatalf("%d lives before the news", r.CrashCount(f))
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 3})
-	if r.Lives(f) != 0 {
-		t.Fatalf("%d lives of a request that was released", r.Lives(f))
+	if r.CrashCount(f) != 0 {
+		t.Fatalf("%d lives of a request that was released", r.CrashCount(f))
 	}
 	r.RecordFailure(2*time.Second, "d", f)
 	r.ConfirmEnd(2*time.Second, "d")
 	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
-	if r.Lives(f) != 1 {
-		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
+	if r.CrashCount(f) != 1 {
+		t.Fatalf("%d lives after one more that control hasn't taken", r.CrashCount(f))
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -195,8 +195,8 @@
 	return known && now-held.at <= innocenceKept
 }
 
-// Lives returns how many lives ended under a request, as far as this process knows.
-func (r *Tracker) Lives(f Fingerprint) int {
+// CrashCount returns how many lives ended under a request, as far as this process knows.
+func (r *Tracker) CrashCount(f Fingerprint) int {
 	lives := len(r.told[f])
 	if s := r.own[f]; s != nil {
 		for _, life := range s.lives {
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -121,7 +121,7 @@
 func (r *Reporter) Lives(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Lives(f)
+	return r.record.CrashCount(f)
 }
 
 // Suspects returns how many requests control tells of, and how many of these are held back.
