--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -326,7 +326,7 @@
 		r.RecordFailure(time.Second, life, f)
 		r.ConfirmEnd(time.Second, life)
 	}
-	if r.Empty() || r.CrashCount(f) != 2 {
+	if r.IsEmpty() || r.CrashCount(f) != 2 {
 		t.Fatalf("%d lives", r.CrashCount(f))
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
@@ -335,7 +335,7 @@
 	}
 	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + ownKept + 1)
-	if !r.Empty() || r.Version() != 2 {
+	if !r.IsEmpty() || r.Version() != 2 {
 		t.Fatalf("%d lives are left", r.CrashCount(f))
 	}
 }
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -114,7 +114,7 @@
 func (r *Reporter) Quiet() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Empty()
+	return r.record.IsEmpty()
 }
 
 // Lives returns how many lives ended under a request; from quarantine.Held on it must not be sent.
