--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -211,8 +211,8 @@
 // IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
 func (r *Tracker) IsEmpty() bool { return len(r.told) == 0 && len(r.own) == 0 }
 
-// Suspects returns how many requests control tells of, and how many of these are held back.
-func (r *Tracker) Suspects() (told, held int) {
+// SuspectCounts returns how many requests control tells of, and how many of these are held back.
+func (r *Tracker) SuspectCounts() (told, held int) {
 	for _, lives := range r.told {
 		if len(lives) >= Held {
 			held++
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -128,7 +128,7 @@
 func (r *Reporter) Suspects() (told, held int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Suspects()
+	return r.record.SuspectCounts()
 }
 
 // Broke notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
