--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -38,8 +38,8 @@
 	Replaced Proof = "replaced" // control names another life at its address
 )
 
-// Ways are how a reporter reaches the outside.
-type Ways struct {
+// Config are how a reporter reaches the outside.
+type Config struct {
 	// Tell has control make a change; an error says that it may not have been made.
 	Tell func(ctx context.Context, change quarantine.Change) error
 	// Refuses reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
@@ -61,7 +61,7 @@
 
 // Reporter is safe for concurrent use.
 type Reporter struct {
-	ways Ways
+	ways Config
 	wake chan struct{} // has an item when something waits; room for one
 
 	mu     sync.Mutex
@@ -76,7 +76,7 @@
 type look struct{ done chan struct{} }
 
 // New returns a reporter that knows nothing.
-func New(ways Ways) *Reporter {
+func New(ways Config) *Reporter {
 	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -25,8 +25,8 @@
 	at      time.Duration
 }
 
-func (o *outside) ways() Ways {
-	return Ways{
+func (o *outside) ways() Config {
+	return Config{
 		Tell: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
 			defer o.mu.Unlock()
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -29,7 +29,7 @@
 
 // newReporter returns what this router does about requests that end their back ends.
 func (s *Server) newReporter() *reporter.Reporter {
-	return reporter.New(reporter.Ways{
+	return reporter.New(reporter.Config{
 		Tell:    s.group.Quarantine,
 		Refuses: reporter.Refuses(&net.Dialer{}),
 		Note:    func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
