--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -48,8 +48,8 @@
 	Now     func() time.Duration // counts the time a machine was suspended
 }
 
-// Refuses asks by connecting. A connection that comes up says that somebody listens there.
-func Refuses(dialer *net.Dialer) func(ctx context.Context, address string) bool {
+// RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
+func RefusesTCP(dialer *net.Dialer) func(ctx context.Context, address string) bool {
 	return func(ctx context.Context, address string) bool {
 		made, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -31,7 +31,7 @@
 func (s *Server) newReporter() *reporter.Reporter {
 	return reporter.New(reporter.Config{
 		Tell:    s.group.Quarantine,
-		Refuses: reporter.Refuses(&net.Dialer{}),
+		Refuses: reporter.RefusesTCP(&net.Dialer{}),
 		Note:    func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
 		Now:     s.now,
 	})
