--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -108,7 +108,7 @@
 func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
 	g.quarantine.Idled(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
-		g.quarantine.Take(reply.Quarantine)
+		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -87,8 +87,8 @@
 	return r.record.Version()
 }
 
-// Take takes control's news up.
-func (r *Reporter) Take(news *quarantine.Update) {
+// ApplyUpdate takes control's news up.
+func (r *Reporter) ApplyUpdate(news *quarantine.Update) {
 	hasher, err := quarantine.NewHasher(news.Seed)
 	if err != nil {
 		hasher = nil // control has planted none yet
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -129,7 +129,7 @@
 	}
 	r.EndedWell(one)
 	lives := []string{"a", "b", "c"}
-	r.Take(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
+	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
 	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.Lives(one) != 0 {
 		t.Fatalf("version %d, %d told, %d held back", r.Version(), told, held)
 	}
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -41,7 +41,7 @@
 // takeReply syncs new settings, passes settings and lease to the core, and returns when to call again.
 func (s *Server) takeReply(sent time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
-		s.quarantine.Take(reply.Quarantine)
+		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
 	step := s.session.Take(sent, reply)
 	if step.Problem != "" {
