--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -29,7 +29,7 @@
 
 // lives returns how many lives of back ends ended under the request, as far as this gateway knows.
 func (x *exchange) lives() int {
-	if x.gateway.quarantine.Quiet() {
+	if x.gateway.quarantine.IsEmpty() {
 		return 0
 	}
 	f, ok := x.fingerprint()
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -110,8 +110,8 @@
 	return hasher.Fingerprint(request), true
 }
 
-// Quiet reports whether no request has anything against it, so that none needs a fingerprint to be judged.
-func (r *Reporter) Quiet() bool {
+// IsEmpty reports whether no request has anything against it, so that none needs a fingerprint to be judged.
+func (r *Reporter) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record.IsEmpty()
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -106,7 +106,7 @@
 	<-r.Broke("life-1", "dead", one)
 	<-r.Broke("life-1", "dead", two)
 	<-r.Broke("life-2", "alive", one)
-	if r.Lives(one) != 1 || r.Lives(two) != 1 || r.Quiet() {
+	if r.Lives(one) != 1 || r.Lives(two) != 1 || r.IsEmpty() {
 		t.Fatalf("%d and %d lives", r.Lives(one), r.Lives(two))
 	}
 	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
@@ -138,7 +138,7 @@
 	}
 	r.EndedWell(two)
 	waitFor(t, func() bool { return slices.Equal(o.released(), []quarantine.Fingerprint{one, two}) })
-	if !r.Quiet() {
+	if !r.IsEmpty() {
 		t.Fatal("something is held against a request that ended well")
 	}
 }
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -44,7 +44,7 @@
 
 // lives returns how many lives of back ends ended under a request, as far as this router knows.
 func (s *Server) lives(run *exchange) int {
-	if s.quarantine.Quiet() {
+	if s.quarantine.IsEmpty() {
 		return 0
 	}
 	f, ok := s.quarantine.Fingerprint(run.again)
