--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -36,7 +36,7 @@
 	if !ok {
 		return 0
 	}
-	return x.gateway.quarantine.Lives(f)
+	return x.gateway.quarantine.CrashCount(f)
 }
 
 // heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -117,8 +117,8 @@
 	return r.record.IsEmpty()
 }
 
-// Lives returns how many lives ended under a request; from quarantine.Held on it must not be sent.
-func (r *Reporter) Lives(f quarantine.Fingerprint) int {
+// CrashCount returns how many lives ended under a request; from quarantine.Held on it must not be sent.
+func (r *Reporter) CrashCount(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record.CrashCount(f)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -106,8 +106,8 @@
 	<-r.Broke("life-1", "dead", one)
 	<-r.Broke("life-1", "dead", two)
 	<-r.Broke("life-2", "alive", one)
-	if r.Lives(one) != 1 || r.Lives(two) != 1 || r.IsEmpty() {
-		t.Fatalf("%d and %d lives", r.Lives(one), r.Lives(two))
+	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
+		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
 	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
 	if o.looks != 2 {
@@ -115,8 +115,8 @@
 	}
 	r.Ended(Replaced, "life-2", "life-3")
 	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
-	if r.Lives(one) != 2 || slices.Contains(o.lives(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.Lives(one), o.lives())
+	if r.CrashCount(one) != 2 || slices.Contains(o.lives(), "life-3") {
+		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.lives())
 	}
 }
 
@@ -130,7 +130,7 @@
 	r.EndedWell(one)
 	lives := []string{"a", "b", "c"}
 	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
-	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.Lives(one) != 0 {
+	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.CrashCount(one) != 0 {
 		t.Fatalf("version %d, %d told, %d held back", r.Version(), told, held)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -51,7 +51,7 @@
 	if !ok {
 		return 0
 	}
-	return s.quarantine.Lives(f)
+	return s.quarantine.CrashCount(f)
 }
 
 // heldBack answers a request that ends whoever runs it.
