--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -124,8 +124,8 @@
 	return r.record.CrashCount(f)
 }
 
-// Suspects returns how many requests control tells of, and how many of these are held back.
-func (r *Reporter) Suspects() (told, held int) {
+// SuspectCounts returns how many requests control tells of, and how many of these are held back.
+func (r *Reporter) SuspectCounts() (told, held int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record.SuspectCounts()
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -130,7 +130,7 @@
 	r.EndedWell(one)
 	lives := []string{"a", "b", "c"}
 	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
-	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.CrashCount(one) != 0 {
+	if told, held := r.SuspectCounts(); r.Version() != 3 || told != 1 || held != 1 || r.CrashCount(one) != 0 {
 		t.Fatalf("version %d, %d told, %d held back", r.Version(), told, held)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
