--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
-		a.looked = x.gateway.quarantine.Broke(a.row.entry.ID, a.row.entry.Address, f)
+		a.looked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
 	}
 }
 
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -131,8 +131,8 @@
 	return r.record.SuspectCounts()
 }
 
-// Broke notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
-func (r *Reporter) Broke(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
+// RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
+func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -103,9 +103,9 @@
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
 	o := &outside{fails: 2, refuses: map[string]bool{"dead": true}}
 	r := run(t, o)
-	<-r.Broke("life-1", "dead", one)
-	<-r.Broke("life-1", "dead", two)
-	<-r.Broke("life-2", "alive", one)
+	<-r.RecordFailure("life-1", "dead", one)
+	<-r.RecordFailure("life-1", "dead", two)
+	<-r.RecordFailure("life-2", "alive", one)
 	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
 		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if f, ok := s.quarantine.Fingerprint(a.run.again); ok {
-		s.quarantine.Broke(a.life(), a.action.Address, f)
+		s.quarantine.RecordFailure(a.life(), a.action.Address, f)
 	}
 }
 
