--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -168,8 +168,8 @@
 	close(made.done)
 }
 
-// Ended notes the proof that lives ended.
-func (r *Reporter) Ended(proof Proof, lives ...string) {
+// ConfirmEnds notes the proof that lives ended.
+func (r *Reporter) ConfirmEnds(proof Proof, lives ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, life := range lives {
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -113,7 +113,7 @@
 	if o.looks != 2 {
 		t.Fatalf("%d looks at two addresses", o.looks)
 	}
-	r.Ended(Replaced, "life-2", "life-3")
+	r.ConfirmEnds(Replaced, "life-2", "life-3")
 	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
 	if r.CrashCount(one) != 2 || slices.Contains(o.lives(), "life-3") {
 		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.lives())
