--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -55,7 +55,7 @@
 // endedWell notes that a back end ran the request to a good end.
 func (x *exchange) endedWell() {
 	if f, ok := x.fingerprint(); ok {
-		x.gateway.quarantine.EndedWell(f)
+		x.gateway.quarantine.RecordCompletion(f)
 	}
 }
 
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -200,8 +200,8 @@
 	r.ring()
 }
 
-// EndedWell notes that a back end ran a request to a good end.
-func (r *Reporter) EndedWell(f quarantine.Fingerprint) {
+// RecordCompletion notes that a back end ran a request to a good end.
+func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.record.RecordCompletion(r.ways.Now(), f) {
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -127,7 +127,7 @@
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
 		t.Fatal("a fingerprint without a seed")
 	}
-	r.EndedWell(one)
+	r.RecordCompletion(one)
 	lives := []string{"a", "b", "c"}
 	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
 	if told, held := r.SuspectCounts(); r.Version() != 3 || told != 1 || held != 1 || r.CrashCount(one) != 0 {
@@ -136,7 +136,7 @@
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
 		t.Fatal("no fingerprint under a seed")
 	}
-	r.EndedWell(two)
+	r.RecordCompletion(two)
 	waitFor(t, func() bool { return slices.Equal(o.released(), []quarantine.Fingerprint{one, two}) })
 	if !r.IsEmpty() {
 		t.Fatal("something is held against a request that ended well")
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -106,6 +106,6 @@
 // endedWell notes that a back end ran a request to a good end.
 func (s *Server) endedWell(run *exchange) {
 	if f, ok := s.quarantine.Fingerprint(run.again); ok {
-		s.quarantine.EndedWell(f)
+		s.quarantine.RecordCompletion(f)
 	}
 }
