--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -106,7 +106,7 @@
 
 // take puts news in force. A document is only ever replaced by a newer one.
 func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
-	g.quarantine.Idled(g.untrustedFor(g.now()))
+	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
 		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// Idled notes that this process could send nothing for so long until now.
-func (r *Reporter) Idled(length time.Duration) {
+// RecordIdle notes that this process could send nothing for so long until now.
+func (r *Reporter) RecordIdle(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record.RecordIdle(r.ways.Now(), length)
