--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -107,8 +107,8 @@
 	maps.DeleteFunc(l.named, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
 }
 
-// Named returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
-func (l *Allocator) Named(now time.Duration, most int) []State {
+// AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
+func (l *Allocator) AdvertisedStates(now time.Duration, most int) []State {
 	states := make([]State, 0, len(l.named))
 	for name, a := range l.named {
 		a.refill(now, l.withheld)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -158,10 +158,10 @@
 			t.Fatalf("the account is not as it was: %v lent", got)
 		}
 	}
-	if states := l.Named(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
+	if states := l.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
 		t.Fatalf("%+v", states)
 	}
-	if states := l.Named(3*time.Second, 0); len(states) != 0 {
+	if states := l.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
 		t.Fatalf("%+v", states)
 	}
 	l.SweepAdvertised(3*time.Second + namedKept)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -55,7 +55,7 @@
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
 	status.Limits = r.lead.lending.lender.States(now)
-	status.Named = r.lead.lending.lender.Named(now, namedTold)
+	status.Named = r.lead.lending.lender.AdvertisedStates(now, namedTold)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
