--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -62,14 +62,14 @@
 func (b *Client) SetLimits(limits map[string]Limit) {
 	b.limits = limits
 	for name := range b.pockets {
-		if !b.Limited(name) {
+		if !b.IsLimited(name) {
 			delete(b.pockets, name)
 		}
 	}
 }
 
-// Limited reports whether a resource is limited.
-func (b *Client) Limited(name string) bool { _, limited := b.limit(name); return limited }
+// IsLimited reports whether a resource is limited.
+func (b *Client) IsLimited(name string) bool { _, limited := b.limit(name); return limited }
 
 // Touch notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
@@ -137,7 +137,7 @@
 
 // Put gives back to the pocket what was taken and not used.
 func (b *Client) Put(now time.Duration, h Lease) {
-	if !b.Limited(h.Name) || h.Amount <= 0 {
+	if !b.IsLimited(h.Name) || h.Amount <= 0 {
 		return
 	}
 	p := b.pocket(h.Name)
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -131,7 +131,7 @@
 func (d *Desk) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.borrower.Limited(want.Name) {
+	if !d.borrower.IsLimited(want.Name) {
 		return nil, Result{}
 	}
 	now := d.now()
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -187,11 +187,11 @@
 	b := NewClient("b", testTrust)
 	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
-	if !b.Limited("x") || !b.Limited("tenant/a") {
+	if !b.IsLimited("x") || !b.IsLimited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
 	b.SetAdvertisedLimit(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
-	if b.Limited("x") || !b.Limited("y") || !b.Limited("tenant/a") {
+	if b.IsLimited("x") || !b.IsLimited("y") || !b.IsLimited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
 }
