--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -190,7 +190,7 @@
 // what it knows no more.
 func TestOwnPartEnds(t *testing.T) {
 	b := newTestBorrower()
-	b.Touch(time.Minute, 10)
+	b.RecordContact(time.Minute, 10)
 	if _, ok := b.TakeOwn(time.Minute, resource, testLimit.reserve()/10+1); ok {
 		t.Fatal("more than its part of the reserve")
 	}
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -71,9 +71,9 @@
 // IsLimited reports whether a resource is limited.
 func (b *Client) IsLimited(name string) bool { _, limited := b.limit(name); return limited }
 
-// Touch notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
+// RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
-func (b *Client) Touch(asked time.Duration, borrowers int) {
+func (b *Client) RecordContact(asked time.Duration, borrowers int) {
 	b.touched = max(b.touched, asked)
 	b.parts = max(1, float64(borrowers))
 }
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -80,7 +80,7 @@
 func (d *Desk) Touch(asked time.Duration, borrowers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Touch(asked, borrowers)
+	d.borrower.RecordContact(asked, borrowers)
 }
 
 // Put gives back what was taken and not used.
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -146,7 +146,7 @@
 		}
 		b := f.borrowers[l.to]
 		got := b.Granted(f.now, l.asked, l.wants, l.answer)
-		b.Touch(l.asked, len(f.borrowers))
+		b.RecordContact(l.asked, len(f.borrowers))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
 				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -346,7 +346,7 @@
 	g.namings.Take(g.clock(), asked, reply.Version.Term, reply.Wanted)
 	g.w.oracle.namingsTold(g.process.name, reply.Wanted)
 	g.version, g.confirmed = reply.Version, asked
-	g.borrower.Touch(asked, reply.Gateways)
+	g.borrower.RecordContact(asked, reply.Gateways)
 }
 
 // mayBeSent reports whether the gateway's view counts.
