--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -94,8 +94,8 @@
 	return p.take(now, name, amount)
 }
 
-// TakeAgain takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Client) TakeAgain(now time.Duration, name string, amount float64) (Lease, bool) {
+// RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
+func (b *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.pocket(name).take(now, name, amount)
 }
 
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -205,7 +205,7 @@
 		if now < w.after {
 			return false
 		}
-		if hold, ok := d.borrower.TakeAgain(now, w.Name, w.Amount); ok {
+		if hold, ok := d.borrower.RetryTake(now, w.Name, w.Amount); ok {
 			w.done <- Result{Hold: hold}
 			return true
 		}
@@ -243,7 +243,7 @@
 	for i, got := range d.borrower.Granted(now, asked, wants, answer) {
 		w := batch[i]
 		if got.Lease.Amount == 0 {
-			got.Lease, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
+			got.Lease, _ = d.borrower.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
 		if got.Lease.Amount == 0 && got.WarmingUp {
 			got.Lease, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
