--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -50,7 +50,7 @@
 	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", hold)
 	}
-	b.Put(now, hold)
+	b.Release(now, hold)
 	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
@@ -88,7 +88,7 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
-	b.Put(now, hold)
+	b.Release(now, hold)
 	now += LeaseTTL - time.Millisecond
 	question := b.Ask(now, []Demand{{Name: resource, Amount: 10}})
 	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
@@ -235,7 +235,7 @@
 func TestFractionsAreTakenWhole(t *testing.T) {
 	b := newTestBorrower()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Put(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
+		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
 	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -135,8 +135,8 @@
 	p.takenAt = now
 }
 
-// Put gives back to the pocket what was taken and not used.
-func (b *Client) Put(now time.Duration, h Lease) {
+// Release gives back to the pocket what was taken and not used.
+func (b *Client) Release(now time.Duration, h Lease) {
 	if !b.IsLimited(h.Name) || h.Amount <= 0 {
 		return
 	}
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -87,7 +87,7 @@
 func (d *Desk) Put(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Put(d.now(), h)
+	d.borrower.Release(d.now(), h)
 }
 
 // Questions returns how many questions were asked, and how many of them got no answer.
@@ -153,7 +153,7 @@
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
 	select {
 	case result := <-wanted.done:
-		d.borrower.Put(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Hold)
 	default:
 		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
@@ -274,7 +274,7 @@
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
 func (d *Desk) finish(w *wish, result Result) {
 	if w.until == 0 {
-		d.borrower.Put(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Hold)
 		return
 	}
 	w.done <- result
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -164,7 +164,7 @@
 	for _, hold := range f.held[i] {
 		switch {
 		case f.happens(0.05):
-			f.borrowers[i].Put(f.now, hold)
+			f.borrowers[i].Release(f.now, hold)
 		case hold.Valid(f.now):
 			f.uses = append(f.uses, use{at: f.now, amount: hold.Amount})
 		}
