--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 
 func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
-	got := b.Granted(now, now, wants, l.Allocate(now, b.Ask(now, wants)))[0]
+	got := b.Granted(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
 	return got.Lease, got.RetryAfter
 }
 
@@ -55,7 +55,7 @@
 		t.Fatal("taken after its time")
 	}
 	wants := []Demand{{Name: resource, Amount: 100}}
-	late := l.Allocate(now, b.Ask(now, wants))
+	late := l.Allocate(now, b.NewRequest(now, wants))
 	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
@@ -66,7 +66,7 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	wants := []Demand{{Name: resource, Amount: 100}}
-	answer := l.Allocate(now, b.Ask(now, wants))
+	answer := l.Allocate(now, b.NewRequest(now, wants))
 	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
@@ -78,7 +78,7 @@
 	}
 	older := NewAllocator(0)
 	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.Granted(now, now, wants, older.Allocate(now, b.Ask(now, wants))); got[0].Lease.Amount != 0 {
+	if got := b.Granted(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
@@ -90,7 +90,7 @@
 	hold, _ := askOne(l, now, b, 100)
 	b.Release(now, hold)
 	now += LeaseTTL - time.Millisecond
-	question := b.Ask(now, []Demand{{Name: resource, Amount: 10}})
+	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
 	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
 		t.Fatalf("%v goes back", question.Returned)
 	}
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -162,8 +162,8 @@
 	Advertised *AdvertisedLimit // where the resource names its limit itself, else nil
 }
 
-// Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Client) Ask(now time.Duration, wants []Demand) Request {
+// NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
+func (b *Client) NewRequest(now time.Duration, wants []Demand) Request {
 	b.sequence++
 	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -217,7 +217,7 @@
 		return nil, nil, question
 	}
 	d.asked++
-	return batch, wants, d.borrower.Ask(now, wants)
+	return batch, wants, d.borrower.NewRequest(now, wants)
 }
 
 // unanswered serves from the own part; the rest waits on, as long as it may.
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -175,7 +175,7 @@
 	named := AdvertisedLimit{Rate: 4}
 	b.SetAdvertisedLimit(time.Second, resource, named)
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
-	question := b.Ask(time.Second, wants)
+	question := b.NewRequest(time.Second, wants)
 	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
 	if got := b.Granted(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -156,7 +156,7 @@
 // askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
 func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
-	question := g.borrower.Ask(asked, wants)
+	question := g.borrower.NewRequest(asked, wants)
 	g.asking = true
 	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
 		g.asking = false
