--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 
 func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
-	got := b.Granted(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
+	got := b.ApplyReply(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
 	return got.Lease, got.RetryAfter
 }
 
@@ -56,7 +56,7 @@
 	}
 	wants := []Demand{{Name: resource, Amount: 100}}
 	late := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.Granted(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
@@ -67,10 +67,10 @@
 	b := newTestBorrower()
 	wants := []Demand{{Name: resource, Amount: 100}}
 	answer := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 100 {
+	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.Granted(now, now, wants, answer); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
 	if _, ok := b.Take(now, resource, 100); ok {
@@ -78,7 +78,7 @@
 	}
 	older := NewAllocator(0)
 	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.Granted(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -209,9 +209,9 @@
 	Unenforced bool // the lender doesn't count resources that name their limits
 }
 
-// Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
+// ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Client) Granted(now, asked time.Duration, wants []Demand, answer Reply) []Result {
+func (b *Client) ApplyReply(now, asked time.Duration, wants []Demand, answer Reply) []Result {
 	results := make([]Result, len(wants))
 	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
 		return results
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -240,7 +240,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for i, got := range d.borrower.Granted(now, asked, wants, answer) {
+	for i, got := range d.borrower.ApplyReply(now, asked, wants, answer) {
 		w := batch[i]
 		if got.Lease.Amount == 0 {
 			got.Lease, _ = d.borrower.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		b := f.borrowers[l.to]
-		got := b.Granted(f.now, l.asked, l.wants, l.answer)
+		got := b.ApplyReply(f.now, l.asked, l.wants, l.answer)
 		b.RecordContact(l.asked, len(f.borrowers))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -177,7 +177,7 @@
 	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
 	question := b.NewRequest(time.Second, wants)
 	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
-	if got := b.Granted(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
+	if got := b.ApplyReply(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -43,7 +43,7 @@
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
-				hold = b.Granted(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
+				hold = b.ApplyReply(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -162,7 +162,7 @@
 		g.asking = false
 		var hold allowance.Lease
 		if answered && response.Lent != nil {
-			hold = g.borrower.Granted(g.clock(), asked, wants, *response.Lent)[0].Lease
+			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
 		} else {
 			hold, _ = g.borrower.TakeOwn(g.clock(), wants[0].Name, 1)
 		}
