--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -191,21 +191,21 @@
 func TestOwnPartEnds(t *testing.T) {
 	b := newTestBorrower()
 	b.RecordContact(time.Minute, 10)
-	if _, ok := b.TakeOwn(time.Minute, resource, testLimit.reserve()/10+1); ok {
+	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
 		t.Fatal("more than its part of the reserve")
 	}
 	now := time.Minute + time.Second
 	part := testLimit.reserve()/10 + testLimit.Rate/10
-	if hold, ok := b.TakeOwn(now, resource, part); !ok || !hold.Valid(now) {
+	if hold, ok := b.TakeFallback(now, resource, part); !ok || !hold.Valid(now) {
 		t.Fatal("its part is refused")
 	}
-	if _, ok := b.TakeOwn(now, resource, 1); ok {
+	if _, ok := b.TakeFallback(now, resource, 1); ok {
 		t.Fatal("more than its part")
 	}
-	if _, ok := b.TakeOwn(time.Minute+testTrust+1, resource, 1); ok {
+	if _, ok := b.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
 		t.Fatal("out of trust")
 	}
-	if _, ok := newTestBorrower().TakeOwn(time.Minute, resource, 1); ok {
+	if _, ok := newTestBorrower().TakeFallback(time.Minute, resource, 1); ok {
 		t.Fatal("never in touch")
 	}
 }
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -233,9 +233,9 @@
 	return results
 }
 
-// TakeOwn takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
+// TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
-func (b *Client) TakeOwn(now time.Duration, name string, amount float64) (Lease, bool) {
+func (b *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, now-b.touched)
 }
 
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -227,7 +227,7 @@
 	d.failed++
 	now := d.now()
 	for _, w := range batch {
-		if hold, ok := d.borrower.TakeOwn(now, w.Name, w.Amount); ok {
+		if hold, ok := d.borrower.TakeFallback(now, w.Name, w.Amount); ok {
 			d.finish(w, Result{Hold: hold})
 			continue
 		}
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -114,7 +114,7 @@
 	}
 	question := b.NewRequest(f.now, wants)
 	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.lost) {
-		if hold, ok := b.TakeOwn(f.now, resource, amount); ok {
+		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
 		return
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -164,7 +164,7 @@
 		if answered && response.Lent != nil {
 			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
 		} else {
-			hold, _ = g.borrower.TakeOwn(g.clock(), wants[0].Name, 1)
+			hold, _ = g.borrower.TakeFallback(g.clock(), wants[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
 		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
