--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -40,12 +40,12 @@
 	Wait    time.Duration
 }
 
-// Lend asks the lender once.
-type Lend func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
+// RequestFunc asks the lender once.
+type RequestFunc func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
 
 // Desk is safe for concurrent use.
 type Desk struct {
-	lend Lend
+	lend RequestFunc
 	now  func() time.Duration // steady
 	wake chan struct{}        // has an item when something waits; room for one
 
@@ -65,7 +65,7 @@
 }
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
-func New(name string, trust time.Duration, now func() time.Duration, lend Lend) *Desk {
+func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *Desk {
 	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -25,12 +25,12 @@
 func running() time.Duration { return time.Minute + time.Since(started) }
 
 // openDesk runs a desk over a lender whose account is full.
-func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) Lend) *Desk {
+func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *Desk {
 	t.Helper()
 	return openDeskBy(t, clock, limit, lend)
 }
 
-func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) Lend) *Desk {
+func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *Desk {
 	t.Helper()
 	lender := allowance.NewAllocator(1)
 	filling := limit
@@ -52,7 +52,7 @@
 	return d
 }
 
-func direct(l *allowance.Allocator) Lend {
+func direct(l *allowance.Allocator) RequestFunc {
 	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 		return l.Allocate(clock(), asked), nil
 	}
@@ -93,7 +93,7 @@
 // TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) Lend {
+	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
 			return allowance.Reply{}, errNobody
 		}
@@ -111,7 +111,7 @@
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) Lend {
+	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
 			return l.Allocate(clock(), asked), nil
@@ -133,7 +133,7 @@
 
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) Lend {
+	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return l.Allocate(running(), asked), nil
 		}
@@ -155,7 +155,7 @@
 	}{{0, Over}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
 		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
-		d := openDeskBy(t, running, limit, func(*allowance.Allocator) Lend {
+		d := openDeskBy(t, running, limit, func(*allowance.Allocator) RequestFunc {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 				return young.Allocate(running(), asked), nil
 			}
@@ -171,7 +171,7 @@
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewAllocator(1)
 	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
-	d := openDesk(t, limit, func(*allowance.Allocator) Lend {
+	d := openDesk(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return young.Allocate(clock(), asked), nil
 		}
