--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -43,8 +43,8 @@
 // RequestFunc asks the lender once.
 type RequestFunc func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
 
-// Desk is safe for concurrent use.
-type Desk struct {
+// LeasePool is safe for concurrent use.
+type LeasePool struct {
 	lend RequestFunc
 	now  func() time.Duration // steady
 	wake chan struct{}        // has an item when something waits; room for one
@@ -65,52 +65,52 @@
 }
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
-func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *Desk {
-	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
+func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *LeasePool {
+	return &LeasePool{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
 // Use replaces the limits.
-func (d *Desk) Use(limits map[string]allowance.Limit) {
+func (d *LeasePool) Use(limits map[string]allowance.Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.SetLimits(limits)
 }
 
 // Touch notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
-func (d *Desk) Touch(asked time.Duration, borrowers int) {
+func (d *LeasePool) Touch(asked time.Duration, borrowers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.RecordContact(asked, borrowers)
 }
 
 // Put gives back what was taken and not used.
-func (d *Desk) Put(h allowance.Lease) {
+func (d *LeasePool) Put(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.Release(d.now(), h)
 }
 
 // Questions returns how many questions were asked, and how many of them got no answer.
-func (d *Desk) Questions() (asked, failed uint64) {
+func (d *LeasePool) Questions() (asked, failed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.asked, d.failed
 }
 
 // Take takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
-func (d *Desk) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
+func (d *LeasePool) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
 	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
 }
 
 // TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
-func (d *Desk) TakeNamed(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
+func (d *LeasePool) TakeNamed(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
 	d.borrower.SetAdvertisedLimit(d.now(), name, named)
 	d.mu.Unlock()
 	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
 }
 
-func (d *Desk) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
+func (d *LeasePool) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
 	wanted, result := d.begin(want, patience)
 	if wanted == nil {
 		return result
@@ -128,7 +128,7 @@
 }
 
 // begin takes from what is held, or lets a wish wait.
-func (d *Desk) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
+func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.borrower.IsLimited(want.Name) {
@@ -147,7 +147,7 @@
 }
 
 // leave ends a wish whose request is over; what it got meanwhile goes back.
-func (d *Desk) leave(wanted *wish) Result {
+func (d *LeasePool) leave(wanted *wish) Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
@@ -161,7 +161,7 @@
 }
 
 // Run is the thread that asks the lender, until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *LeasePool) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -179,7 +179,7 @@
 }
 
 // round asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *Desk) round(ctx context.Context) (pause time.Duration, more bool) {
+func (d *LeasePool) round(ctx context.Context) (pause time.Duration, more bool) {
 	batch, wants, question := d.batch()
 	if len(batch) > 0 {
 		asked := d.now()
@@ -197,7 +197,7 @@
 }
 
 // batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *Desk) batch() (batch []*wish, wants []allowance.Demand, question allowance.Request) {
+func (d *LeasePool) batch() (batch []*wish, wants []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -221,7 +221,7 @@
 }
 
 // unanswered serves from the own part; the rest waits on, as long as it may.
-func (d *Desk) unanswered(batch []*wish) {
+func (d *LeasePool) unanswered(batch []*wish) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failed++
@@ -236,7 +236,7 @@
 }
 
 // answered passes on what was lent.
-func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Reply) {
+func (d *LeasePool) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -263,7 +263,7 @@
 }
 
 // waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
-func (d *Desk) waitOn(now time.Duration, w *wish, otherwise Result) {
+func (d *LeasePool) waitOn(now time.Duration, w *wish, otherwise Result) {
 	if now >= w.until {
 		d.finish(w, otherwise)
 		return
@@ -272,7 +272,7 @@
 }
 
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
-func (d *Desk) finish(w *wish, result Result) {
+func (d *LeasePool) finish(w *wish, result Result) {
 	if w.until == 0 {
 		d.borrower.Release(d.now(), result.Hold)
 		return
@@ -281,7 +281,7 @@
 }
 
 // next returns how long to wait until somebody has to be asked for again.
-func (d *Desk) next(pause time.Duration) (time.Duration, bool) {
+func (d *LeasePool) next(pause time.Duration) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) == 0 {
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -25,12 +25,12 @@
 func running() time.Duration { return time.Minute + time.Since(started) }
 
 // openDesk runs a desk over a lender whose account is full.
-func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *Desk {
+func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	return openDeskBy(t, clock, limit, lend)
 }
 
-func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *Desk {
+func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	lender := allowance.NewAllocator(1)
 	filling := limit
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table   *table
 	budget  *retryBudget
-	desk    *desk.Desk // of what is limited over the fleet
+	desk    *desk.LeasePool // of what is limited over the fleet
 	pool    *pool
 	splits  *splits
 	spread  *spread
