--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -69,8 +69,8 @@
 	return &LeasePool{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
-// Use replaces the limits.
-func (d *LeasePool) Use(limits map[string]allowance.Limit) {
+// SetLimits replaces the limits.
+func (d *LeasePool) SetLimits(limits map[string]allowance.Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.SetLimits(limits)
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -44,7 +44,7 @@
 		defer mu.Unlock()
 		return over(ctx, asked)
 	})
-	d.Use(map[string]allowance.Limit{resource: limit})
+	d.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
 	threads.Go(func() { d.Run(ctx) })
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -113,7 +113,7 @@
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.Use(quota.Limits(reply.Document, g.settings.Quota))
+		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
