--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -76,8 +76,8 @@
 	d.borrower.SetLimits(limits)
 }
 
-// Touch notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
-func (d *LeasePool) Touch(asked time.Duration, borrowers int) {
+// RecordContact notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
+func (d *LeasePool) RecordContact(asked time.Duration, borrowers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.RecordContact(asked, borrowers)
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -98,7 +98,7 @@
 			return allowance.Reply{}, errNobody
 		}
 	})
-	d.Touch(clock(), 1)
+	d.RecordContact(clock(), 1)
 	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
@@ -176,7 +176,7 @@
 			return young.Allocate(clock(), asked), nil
 		}
 	})
-	d.Touch(clock(), 1)
+	d.RecordContact(clock(), 1)
 	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -131,7 +131,7 @@
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Told.Seconds()))
 	}
 	g.watchLimits()
-	g.desk.Touch(asked, reply.Gateways)
+	g.desk.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.near.use(reply.Near)
 	g.spread.use(reply.Mesh)
