--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -83,8 +83,8 @@
 	d.borrower.RecordContact(asked, borrowers)
 }
 
-// Put gives back what was taken and not used.
-func (d *LeasePool) Put(h allowance.Lease) {
+// Release gives back what was taken and not used.
+func (d *LeasePool) Release(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrower.Release(d.now(), h)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -65,7 +65,7 @@
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
 	if x.cover.covered {
-		x.gateway.desk.Put(x.cover.hold)
+		x.gateway.desk.Release(x.cover.hold)
 	}
 	x.cover = cover{}
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -128,7 +128,7 @@
 // returnPermit gives back what was taken of a limit and not used.
 func (a *attempt) returnPermit() {
 	if a.hold.Amount > 0 {
-		a.exchange.gateway.desk.Put(a.hold)
+		a.exchange.gateway.desk.Release(a.hold)
 		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
 		a.hold = allowance.Lease{}
 	}
