--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -90,8 +90,8 @@
 	d.borrower.Release(d.now(), h)
 }
 
-// Questions returns how many questions were asked, and how many of them got no answer.
-func (d *LeasePool) Questions() (asked, failed uint64) {
+// RequestCounts returns how many questions were asked, and how many of them got no answer.
+func (d *LeasePool) RequestCounts() (asked, failed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.asked, d.failed
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -77,7 +77,7 @@
 	if granted.Load() != 50 || over.Load() != 150 {
 		t.Fatalf("%d granted, %d refused", granted.Load(), over.Load())
 	}
-	if asked, failed := d.Questions(); asked > 200 || failed != 0 {
+	if asked, failed := d.RequestCounts(); asked > 200 || failed != 0 {
 		t.Fatalf("%d questions, %d failed", asked, failed)
 	}
 }
