--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -97,8 +97,8 @@
 	return d.asked, d.failed
 }
 
-// Take takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
-func (d *LeasePool) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
+// Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
+func (d *LeasePool) Acquire(ctx context.Context, name string, amount float64, patience time.Duration) Result {
 	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
 }
 
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -65,7 +65,7 @@
 	var callers sync.WaitGroup
 	for range 200 {
 		callers.Go(func() {
-			switch result := d.Take(t.Context(), resource, 2, time.Second); result.Outcome {
+			switch result := d.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
 			case Granted:
 				granted.Add(1)
 			case Over:
@@ -85,7 +85,7 @@
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
 	d := openDesk(t, allowance.Limit{Rate: 1}, direct)
-	if result := d.Take(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Hold.Amount != 0 {
+	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Hold.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
 }
@@ -99,10 +99,10 @@
 		}
 	})
 	d.RecordContact(clock(), 1)
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Unknown {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unknown {
 		t.Fatalf("%v", result)
 	}
 }
@@ -119,14 +119,14 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan Result)
-	go func() { left <- d.Take(ctx, resource, 100, time.Second) }()
+	go func() { left <- d.Acquire(ctx, resource, 100, time.Second) }()
 	<-asking
 	cancel()
 	if result := <-left; result.Outcome != Unknown {
 		t.Fatalf("%v", result)
 	}
 	close(goOn)
-	if result := d.Take(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Hold.Amount != 100 {
+	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Hold.Amount != 100 {
 		t.Fatalf("%v", result)
 	}
 }
@@ -139,7 +139,7 @@
 		}
 	})
 	for range 5 {
-		if result := d.Take(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
+		if result := d.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
 			t.Fatalf("%v", result)
 		}
 	}
@@ -160,7 +160,7 @@
 				return young.Allocate(running(), asked), nil
 			}
 		})
-		if result := d.Take(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
+		if result := d.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
 			t.Fatalf("patience %v: %+v", c.patience, result)
 		}
 	}
@@ -177,10 +177,10 @@
 		}
 	})
 	d.RecordContact(clock(), 1)
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Over {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Over {
 		t.Fatalf("%+v", result)
 	}
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -32,7 +32,7 @@
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
-	taken := x.gateway.desk.Take(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
 		x.cover = cover{hold: taken.Hold, covered: true}
@@ -92,6 +92,6 @@
 		return true
 	}
 	name := quota.Repeats(service)
-	taken := g.desk.Take(ctx, name, 1, repeatPatience)
+	taken := g.desk.Acquire(ctx, name, 1, repeatPatience)
 	return taken.Outcome == desk.Granted && taken.Hold.Name == name
 }
