--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -102,8 +102,8 @@
 	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
 }
 
-// TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
-func (d *LeasePool) TakeNamed(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
+// AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
+func (d *LeasePool) AcquireAdvertised(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
 	d.borrower.SetAdvertisedLimit(d.now(), name, named)
 	d.mu.Unlock()
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -107,7 +107,7 @@
 	if dry {
 		return false
 	}
-	taken := g.desk.TakeNamed(a.ctx, quota.BackEnd(a.row.entry.ID), *limit)
+	taken := g.desk.AcquireAdvertised(a.ctx, quota.BackEnd(a.row.entry.ID), *limit)
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
