--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -50,7 +50,7 @@
 
 // suspected reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
 // takes all that runs there along.
-func (x *exchange) suspected() bool { return x.lives() >= quarantine.Suspected }
+func (x *exchange) suspected() bool { return x.lives() >= quarantine.SuspectThreshold }
 
 // endedWell notes that a back end ran the request to a good end.
 func (x *exchange) endedWell() {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// Suspected is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
-	Suspected = 2
+	// SuspectThreshold is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
+	SuspectThreshold = 2
 	// Held is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
 	// third is for the users' rules to say, and they allow three more.
 	Held = 3
@@ -138,7 +138,7 @@
 		}
 		l.order++
 		e.lives, e.order = append(e.lives, ended.Life), l.order
-		if len(e.lives) >= Suspected {
+		if len(e.lives) >= SuspectThreshold {
 			l.version++
 		}
 	}
@@ -176,7 +176,7 @@
 	if e == nil || len(e.lives) <= keep {
 		return
 	}
-	if len(e.lives) >= Suspected {
+	if len(e.lives) >= SuspectThreshold {
 		l.version++
 	}
 	if keep == 0 {
@@ -206,7 +206,7 @@
 	}
 	news := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.Fingerprints() {
-		if e := l.entries[f]; len(e.lives) >= Suspected {
+		if e := l.entries[f]; len(e.lives) >= SuspectThreshold {
 			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
 		}
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -127,7 +127,7 @@
 func (m *ledgerModel) told() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
 	for f, lives := range m.lives {
-		if len(lives) >= Suspected {
+		if len(lives) >= SuspectThreshold {
 			told[f] = slices.Clone(lives)
 		}
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -71,7 +71,7 @@
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
 func (s *Server) barred(run *exchange) bool {
 	lives := s.lives(run)
-	return lives >= quarantine.Held || run.mayHaveRun() && lives >= quarantine.Suspected
+	return lives >= quarantine.Held || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
 }
 
 // mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
