--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -85,7 +85,7 @@
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	forgotten := quarantine.Release{Why: quarantine.Age}
-	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.Held - 1}
+	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
 	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.seen[f]
@@ -93,7 +93,7 @@
 			at = now
 		}
 		seen[f] = at
-		switch held := ledger.CrashCount(f) >= quarantine.Held; {
+		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case held && now-at > heldFor:
 			tried.Requests = append(tried.Requests, f)
 		case !held && now-at > suspectFor:
@@ -136,7 +136,7 @@
 	s.held.version = ledger.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
 	for _, e := range ledger.Update().Entries {
-		if len(e.Lives) < quarantine.Held {
+		if len(e.Lives) < quarantine.QuarantineThreshold {
 			continue
 		}
 		at, known := s.held.since[e.Request]
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -63,7 +63,7 @@
 	}
 	_ = s.disk.Close()
 	s = openSolo(t, folder)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.Held || !slices.Equal(s.ledger().Update().Seed, seed) {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
 	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Why: quarantine.Operator}}}}})
@@ -89,15 +89,15 @@
 		t.Fatal("forgotten early")
 	}
 	skip(20 * time.Second)
-	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.Held {
+	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.QuarantineThreshold {
 		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(deadly))
 	}
 	skip(heldFor - suspectFor)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.Held-1 {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
 	s.ended("i-4", deadly)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.Held {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d lives after one more", got)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -232,7 +232,7 @@
 		return reasonUntrusted
 	case !x.covered():
 		return reasonUncounted
-	case x.lives() >= quarantine.Held:
+	case x.lives() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
 	}
 	x.gateway.table.mutex.Lock()
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -41,7 +41,7 @@
 
 // heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
 func (x *exchange) heldBack() bool {
-	if x.lives() < quarantine.Held {
+	if x.lives() < quarantine.QuarantineThreshold {
 		return false
 	}
 	x.giveUp(reasonHeldBack, quarantine.Advice)
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -46,7 +46,7 @@
 
 // sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
 func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
-	if !g.mayBeSent() || g.w.guards.On(guard.HeldBack) && g.record.CrashCount(f) >= quarantine.Held {
+	if !g.mayBeSent() || g.w.guards.On(guard.HeldBack) && g.record.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
 	entry := pick(g.w, g.roster)
@@ -141,7 +141,7 @@
 	if !g.mayBeSent() {
 		return
 	}
-	if g.w.guards.On(guard.HeldBack) && g.record.CrashCount(hotRequest) >= quarantine.Held {
+	if g.w.guards.On(guard.HeldBack) && g.record.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
 		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.CrashCount(hotRequest))
 	}
 	if g.record.RecordCompletion(g.clock(), hotRequest) {
@@ -165,12 +165,12 @@
 	}
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.wokeAt, d.thirdAt)+deadlyContact
-	if d.ended >= quarantine.Held && well {
+	if d.ended >= quarantine.QuarantineThreshold && well {
 		if d.later++; d.later > deadlyMore {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.ended, now-d.thirdAt)
 		}
 	}
-	if d.ended++; d.ended == quarantine.Held {
+	if d.ended++; d.ended == quarantine.QuarantineThreshold {
 		d.thirdAt = now
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,9 +11,9 @@
 const (
 	// SuspectThreshold is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
 	SuspectThreshold = 2
-	// Held is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
+	// QuarantineThreshold is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
 	// third is for the users' rules to say, and they allow three more.
-	Held = 3
+	QuarantineThreshold = 3
 	// Advice is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
 	// callers that repeat at once from doing so.
 	Advice = time.Hour
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 }
 
 func (m *ledgerModel) Release(t *rapid.T) {
-	released := Release{Keep: rapid.IntRange(0, Held-1).Draw(t, "keep"), Why: Operator}
+	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Why: Operator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		released.Requests = append(released.Requests, printOf(n))
 	}
@@ -163,13 +163,13 @@
 // TestFloodPushesNoCulpritOut: however many other requests are told of, one with more lives against it stays.
 func TestFloodPushesNoCulpritOut(t *testing.T) {
 	l := NewRegistry()
-	for life := range Held {
+	for life := range QuarantineThreshold {
 		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * entriesMost {
 		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.CrashCount(printOf(1)); got != Held {
+	if got := l.CrashCount(printOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
 	}
 	if n := len(l.Fingerprints()); n != entriesMost {
@@ -278,7 +278,7 @@
 		t.Fatal("counted right after a good end")
 	}
 	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(printOf(2)) != Held {
+	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(printOf(2)) != QuarantineThreshold {
 		t.Fatalf("%v is released", innocent)
 	}
 	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.CrashCount(printOf(2)) != 0 {
@@ -286,7 +286,7 @@
 	}
 	later := 4*time.Second + innocenceKept + 1
 	r.ApplyUpdate(later, news)
-	if r.CrashCount(f) != Held {
+	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatal("an old good end speaks for a request")
 	}
 }
@@ -383,11 +383,11 @@
 		told = append(told, ended)
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1})
-	if r.CrashCount(f) != Held {
+	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatalf("%d lives before control has taken them", r.CrashCount(f))
 	}
 	r.Acknowledge(told)
-	if r.CrashCount(f) != Held {
+	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatalf("%d lives before the news", r.CrashCount(f))
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 3})
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -214,7 +214,7 @@
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
 func (r *Tracker) SuspectCounts() (told, held int) {
 	for _, lives := range r.told {
-		if len(lives) >= Held {
+		if len(lives) >= QuarantineThreshold {
 			held++
 		}
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -57,7 +57,7 @@
 // heldBack answers a request that ends whoever runs it.
 func (s *Server) heldBack(run *exchange, r *http.Request) bool {
 	lives := s.lives(run)
-	if lives < quarantine.Held {
+	if lives < quarantine.QuarantineThreshold {
 		return false
 	}
 	f, _ := s.quarantine.Fingerprint(run.again) // there is one, or it would have no lives
@@ -71,7 +71,7 @@
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
 func (s *Server) barred(run *exchange) bool {
 	lives := s.lives(run)
-	return lives >= quarantine.Held || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
+	return lives >= quarantine.QuarantineThreshold || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
 }
 
 // mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -169,7 +169,7 @@
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := arrived.Load(); after != before || after > quarantine.Held+3 {
+	if after := arrived.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
 		t.Fatalf("%d engines got it, then %d more", before, after-before)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
