--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -44,7 +44,7 @@
 	if x.lives() < quarantine.QuarantineThreshold {
 		return false
 	}
-	x.giveUp(reasonHeldBack, quarantine.Advice)
+	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
 	return true
 }
 
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -14,9 +14,9 @@
 	// QuarantineThreshold is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
 	// third is for the users' rules to say, and they allow three more.
 	QuarantineThreshold = 3
-	// Advice is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
+	// RetryAfter is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
 	// callers that repeat at once from doing so.
-	Advice = time.Hour
+	RetryAfter = time.Hour
 	// livesKept bounds the lives that are remembered of one request: enough to count, and to show an operator.
 	livesKept = 8
 	// entriesMost bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -78,7 +78,7 @@
 	case reasonOverload, core.ReasonDraining:
 		problem = problem.WithRetry(overloadAdvice)
 	case core.ReasonHeldBack:
-		problem = problem.WithRetry(quarantine.Advice)
+		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
 	s.metrics.refusals.WithLabelValues(string(refusal.reason)).Inc()
 	problem.Write(w)
