--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -26,8 +26,8 @@
 
 // Crash says that a life of a back end ended while it ran requests.
 type Crash struct {
-	Life     string        `json:"life"`
-	Requests []Fingerprint `json:"requests"`
+	Incarnation string        `json:"life"`
+	Requests    []Fingerprint `json:"requests"`
 }
 
 // Change is one change of the ledger.
@@ -133,11 +133,11 @@
 			e = &counted{}
 			l.entries[f] = e
 		}
-		if slices.Contains(e.lives, ended.Life) || len(e.lives) >= livesKept {
+		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= livesKept {
 			continue
 		}
 		l.order++
-		e.lives, e.order = append(e.lives, ended.Life), l.order
+		e.lives, e.order = append(e.lives, ended.Incarnation), l.order
 		if len(e.lives) >= SuspectThreshold {
 			l.version++
 		}
@@ -148,7 +148,7 @@
 func (l *Registry) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
-		if e == nil || !slices.Contains(e.lives, ended.Life) && len(e.lives) < livesKept {
+		if e == nil || !slices.Contains(e.lives, ended.Incarnation) && len(e.lives) < livesKept {
 			return false
 		}
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -18,7 +18,7 @@
 }
 
 func endedOf(life string, numbers ...int) Crash {
-	ended := Crash{Life: life}
+	ended := Crash{Incarnation: life}
 	for _, n := range numbers {
 		ended.Requests = append(ended.Requests, printOf(n))
 	}
@@ -37,7 +37,7 @@
 				if wanted[f] == nil {
 					wanted[f] = map[string]bool{}
 				}
-				wanted[f][ended.Life] = true
+				wanted[f][ended.Incarnation] = true
 			}
 		}
 		one, other := NewRegistry(), NewRegistry()
@@ -71,8 +71,8 @@
 	m.ledger.Apply(Change{Ended: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
-		if !slices.Contains(m.lives[f], ended.Life) && len(m.lives[f]) < livesKept {
-			m.lives[f] = append(m.lives[f], ended.Life)
+		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < livesKept {
+			m.lives[f] = append(m.lives[f], ended.Incarnation)
 			changed = true
 		}
 	}
@@ -251,7 +251,7 @@
 		t.Fatal("a life without broken runs counts")
 	}
 	told, counts := r.ConfirmEnd(2*time.Second, "a")
-	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
+	if !counts || told.Incarnation != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
 	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -125,7 +125,7 @@
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
-	told = Crash{Life: life, Requests: b.runs}
+	told = Crash{Incarnation: life, Requests: b.runs}
 	b.runs = nil
 	for _, f := range told.Requests {
 		r.addOwn(now, life, f)
@@ -153,7 +153,7 @@
 func (r *Tracker) Acknowledge(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
-			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Life {
+			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Incarnation {
 				s.taken = true
 			}
 		}
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -190,10 +190,10 @@
 	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
 		shown = append(shown, f.String())
 	}
-	r.ways.Note(events.EndedUnder, zap.String(events.FieldInstance, ended.Life), zap.String("proof", string(proof)),
+	r.ways.Note(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= endedMost {
-		r.ways.Note(events.EndNotTold, zap.String(events.FieldInstance, ended.Life), zap.Int("waiting", len(r.ended)))
+		r.ways.Note(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
 	r.ended = append(r.ended, ended)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -55,7 +55,7 @@
 	var lives []string
 	for _, change := range o.told {
 		for _, ended := range change.Ended {
-			lives = append(lives, ended.Life)
+			lives = append(lives, ended.Incarnation)
 		}
 	}
 	return lives
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
-	control := startControlStub(t, quarantine.Crash{Life: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Life: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
+	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
 	s := startSiteOf(t, control.address, machines)
 	s.eventually("the router knows of the lives", control.told.Load)
 	response := s.post("/v1/completions", testKey, body)
