--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -65,7 +65,7 @@
 		{Version: &catalog.NamedWeight{Model: "m", Version: 2}}, {Fence: true},
 		{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 1}}}},
 		{Ordering: []string{"i-1"}}, {Gateways: []string{"g1", "g2"}}, {Bounds: map[string]uint64{"engine": 9}},
-		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Ended: []quarantine.Crash{{Incarnation: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
+		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Crashes: []quarantine.Crash{{Incarnation: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
 	} {
 		command.UnixMS = testWallStart + int64(i)
 		machine.catalog.Apply(command)
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -54,7 +54,7 @@
 
 // noteQuarantined remembers when lives were counted.
 func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
-	for _, ended := range change.Ended {
+	for _, ended := range change.Crashes {
 		for _, f := range ended.Requests {
 			r.quarantined.seen[f] = now
 		}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -13,7 +13,7 @@
 
 // ended tells of a life as a gateway does.
 func (s *solo) ended(life string, requests ...quarantine.Fingerprint) Response {
-	change := quarantine.Change{Ended: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
+	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -98,7 +98,7 @@
 }
 
 func (g *fleetGateway) tellEnded(told quarantine.Crash) {
-	g.tell(quarantine.Change{Ended: []quarantine.Crash{told}})
+	g.tell(quarantine.Change{Crashes: []quarantine.Crash{told}})
 }
 
 // tell has control make a change, as a gateway's thread does.
@@ -107,7 +107,7 @@
 	record := g.record
 	g.asker.ask(request, g.w.now()+deadlyTellTime, func(_ control.Response, taken bool) {
 		if taken {
-			record.Acknowledge(change.Ended)
+			record.Acknowledge(change.Crashes)
 		}
 	})
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -33,7 +33,7 @@
 // Change is one change of the ledger.
 type Change struct {
 	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
-	Ended    []Crash   `json:"ended,omitempty"`
+	Crashes  []Crash   `json:"ended,omitempty"`
 	Released []Release `json:"released,omitempty"`
 }
 
@@ -93,7 +93,7 @@
 			l.drop(f, max(0, released.Keep))
 		}
 	}
-	for _, ended := range c.Ended {
+	for _, ended := range c.Crashes {
 		l.note(ended)
 	}
 }
@@ -108,7 +108,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Ended, func(ended Crash) bool { return !l.knows(ended) })
+	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.knows(ended) })
 }
 
 func (l *Registry) plant(seed []byte) {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -42,16 +42,16 @@
 		}
 		one, other := NewRegistry(), NewRegistry()
 		for _, ended := range told {
-			one.Apply(Change{Ended: []Crash{ended}})
+			one.Apply(Change{Crashes: []Crash{ended}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
-		other.Apply(Change{Ended: shuffled})
+		other.Apply(Change{Crashes: shuffled})
 		for f, lives := range wanted {
 			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
 				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
 			}
 		}
-		if one.WouldChange(Change{Ended: told}) {
+		if one.WouldChange(Change{Crashes: told}) {
 			t.Fatal("what is known counts as news")
 		}
 	})
@@ -66,9 +66,9 @@
 
 func (m *ledgerModel) Ended(t *rapid.T) {
 	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.WouldChange(Change{Ended: []Crash{ended}})
+	changes := m.ledger.WouldChange(Change{Crashes: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Ended: []Crash{ended}})
+	m.ledger.Apply(Change{Crashes: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
 		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < livesKept {
@@ -164,10 +164,10 @@
 func TestFloodPushesNoCulpritOut(t *testing.T) {
 	l := NewRegistry()
 	for life := range QuarantineThreshold {
-		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
+		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * entriesMost {
-		l.Apply(Change{Ended: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
+		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
 	if got := l.CrashCount(printOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -267,7 +267,7 @@
 func (r *Reporter) next() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change.Ended = r.ended
+	change.Crashes = r.ended
 	if len(r.well) > 0 {
 		change.Released = []quarantine.Release{{Requests: r.well, Why: quarantine.EndedWell}}
 	}
@@ -277,7 +277,7 @@
 
 // told tells control once, and reports whether nothing is left to tell of a change.
 func (r *Reporter) told(ctx context.Context, change quarantine.Change) bool {
-	if len(change.Ended)+len(change.Released) == 0 {
+	if len(change.Crashes)+len(change.Released) == 0 {
 		return true
 	}
 	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
@@ -287,6 +287,6 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Acknowledge(change.Ended)
+	r.record.Acknowledge(change.Crashes)
 	return true
 }
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -54,7 +54,7 @@
 	defer o.mu.Unlock()
 	var lives []string
 	for _, change := range o.told {
-		for _, ended := range change.Ended {
+		for _, ended := range change.Crashes {
 			lives = append(lives, ended.Incarnation)
 		}
 	}
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -98,7 +98,7 @@
 	_ = listener.Close()
 	var mu sync.Mutex
 	ledger := quarantine.NewRegistry()
-	ledger.Apply(quarantine.Change{Seed: stubSeed, Ended: before})
+	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: before})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
