--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -59,7 +59,7 @@
 			r.quarantined.seen[f] = now
 		}
 	}
-	for _, released := range change.Released {
+	for _, released := range change.Releases {
 		for _, f := range released.Requests {
 			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Why
 		}
@@ -78,7 +78,7 @@
 		return
 	}
 	if old := r.oldEntries(now, ledger); len(old) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: old}}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: old}}})
 	}
 }
 
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -34,7 +34,7 @@
 type Change struct {
 	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
 	Crashes  []Crash   `json:"ended,omitempty"`
-	Released []Release `json:"released,omitempty"`
+	Releases []Release `json:"released,omitempty"`
 }
 
 // Release says that requests are no longer held against lives that ended: all, or all but the newest few.
@@ -88,7 +88,7 @@
 // Apply makes one change: first lives are released, then new ones counted.
 func (l *Registry) Apply(c Change) {
 	l.plant(c.Seed)
-	for _, released := range c.Released {
+	for _, released := range c.Releases {
 		for _, f := range released.Requests {
 			l.drop(f, max(0, released.Keep))
 		}
@@ -103,7 +103,7 @@
 	if len(c.Seed) > 0 && !l.HasSeed() {
 		return true
 	}
-	for _, released := range c.Released {
+	for _, released := range c.Releases {
 		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.CrashCount(f) > released.Keep }) {
 			return true
 		}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -88,7 +88,7 @@
 		released.Requests = append(released.Requests, printOf(n))
 	}
 	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Released: []Release{released}})
+	m.ledger.Apply(Change{Releases: []Release{released}})
 	for _, f := range released.Requests {
 		if len(m.lives[f]) > released.Keep {
 			m.lives[f] = m.lives[f][len(m.lives[f])-released.Keep:]
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -269,7 +269,7 @@
 	defer r.mu.Unlock()
 	change.Crashes = r.ended
 	if len(r.well) > 0 {
-		change.Released = []quarantine.Release{{Requests: r.well, Why: quarantine.EndedWell}}
+		change.Releases = []quarantine.Release{{Requests: r.well, Why: quarantine.EndedWell}}
 	}
 	r.ended, r.well = nil, nil
 	return change
@@ -277,7 +277,7 @@
 
 // told tells control once, and reports whether nothing is left to tell of a change.
 func (r *Reporter) told(ctx context.Context, change quarantine.Change) bool {
-	if len(change.Crashes)+len(change.Released) == 0 {
+	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
 	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -65,7 +65,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, change := range o.told {
-		for _, r := range change.Released {
+		for _, r := range change.Releases {
 			released = append(released, r.Requests...)
 		}
 	}
