--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -61,7 +61,7 @@
 	}
 	for _, released := range change.Releases {
 		for _, f := range released.Requests {
-			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Why
+			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Reason
 		}
 	}
 }
@@ -84,8 +84,8 @@
 
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
-	forgotten := quarantine.Release{Why: quarantine.Age}
-	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.QuarantineThreshold - 1}
+	forgotten := quarantine.Release{Reason: quarantine.Age}
+	tried := quarantine.Release{Reason: quarantine.Age, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
 	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.seen[f]
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -41,7 +41,7 @@
 type Release struct {
 	Requests []Fingerprint `json:"requests"`
 	Keep     int           `json:"keep,omitempty"`
-	Why      Reason        `json:"why"`
+	Reason   Reason        `json:"why"`
 }
 
 // Reason tells why requests are released.
