--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -114,7 +114,7 @@
 
 func (g *fleetGateway) release(innocent ...quarantine.Fingerprint) {
 	if len(innocent) > 0 {
-		g.tell(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.EndedWell}}})
+		g.tell(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.ReasonCompleted}}})
 	}
 }
 
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -49,9 +49,9 @@
 
 // Reasons of a release.
 const (
-	EndedWell Reason = "ended-well" // a back end ran one to a good end
-	Operator  Reason = "operator"
-	Age       Reason = "age" // nothing ended under it for long
+	ReasonCompleted Reason = "ended-well" // a back end ran one to a good end
+	Operator        Reason = "operator"
+	Age             Reason = "age" // nothing ended under it for long
 )
 
 // Entry is a request and the lives that ended under it, oldest first.
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -269,7 +269,7 @@
 	defer r.mu.Unlock()
 	change.Crashes = r.ended
 	if len(r.well) > 0 {
-		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.EndedWell}}
+		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.ReasonCompleted}}
 	}
 	r.ended, r.well = nil, nil
 	return change
