--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -66,7 +66,7 @@
 	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
-	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Reason: quarantine.Operator}}}}})
+	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Reason: quarantine.ReasonOperator}}}}})
 	if got := s.ledger().CrashCount(deadly); got != 0 {
 		t.Fatalf("%d lives after an operator's release", got)
 	}
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -50,7 +50,7 @@
 		case request.Read != nil:
 			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{edit}}}}
 		case request.Catalog != nil:
-			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.Operator || len(released[0].Requests) != 2 {
+			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.ReasonOperator || len(released[0].Requests) != 2 {
 				t.Errorf("released %+v", released)
 			}
 		case request.Change != nil:
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -41,7 +41,7 @@
 	if len(requests) == 0 {
 		return eris.New("no fingerprint is given; kitetiller held shows them")
 	}
-	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.Operator}}}
+	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.ReasonOperator}}}
 	if _, err := c.ask(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
 		return err
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -50,7 +50,7 @@
 // Reasons of a release.
 const (
 	ReasonCompleted Reason = "ended-well" // a back end ran one to a good end
-	Operator        Reason = "operator"
+	ReasonOperator  Reason = "operator"
 	Age             Reason = "age" // nothing ended under it for long
 )
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 }
 
 func (m *ledgerModel) Release(t *rapid.T) {
-	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: Operator}
+	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		released.Requests = append(released.Requests, printOf(n))
 	}
