--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -84,8 +84,8 @@
 
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
-	forgotten := quarantine.Release{Reason: quarantine.Age}
-	tried := quarantine.Release{Reason: quarantine.Age, Keep: quarantine.QuarantineThreshold - 1}
+	forgotten := quarantine.Release{Reason: quarantine.ReasonExpired}
+	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
 	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.seen[f]
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -51,7 +51,7 @@
 const (
 	ReasonCompleted Reason = "ended-well" // a back end ran one to a good end
 	ReasonOperator  Reason = "operator"
-	Age             Reason = "age" // nothing ended under it for long
+	ReasonExpired   Reason = "age" // nothing ended under it for long
 )
 
 // Entry is a request and the lives that ended under it, oldest first.
