--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -136,13 +136,13 @@
 	s.held.version = ledger.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
 	for _, e := range ledger.Update().Entries {
-		if len(e.Lives) < quarantine.QuarantineThreshold {
+		if len(e.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
 		at, known := s.held.since[e.Request]
 		if !known {
 			at = now
-			s.log.Info(events.RequestHeldBack, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Lives))
+			s.log.Info(events.RequestHeldBack, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Incarnations))
 		}
 		since[e.Request] = at
 	}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -38,7 +38,7 @@
 	s.ended("i-2", deadly)
 	s.pass(100 * time.Millisecond)
 	reply := s.replies[client].Watch
-	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Lives, []string{"i-1", "i-2"}) {
+	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
 	}
 	before := s.replica.node.LastIndex()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -35,7 +35,7 @@
 		Engines:  []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
 		Limits:   []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
 		Named:    []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
-		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Lives: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Lives: []string{"i-2", "i-4"}}},
+		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+control.PathAdmin, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -21,7 +21,7 @@
 		return c.emit(reply.Suspects, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "FINGERPRINT\tHELD BACK\tBACK ENDS THAT ENDED")
 			for _, e := range reply.Suspects {
-				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Lives) >= quarantine.QuarantineThreshold, strings.Join(e.Lives, " "))
+				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(e.Incarnations, " "))
 			}
 		})
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -56,8 +56,8 @@
 
 // Entry is a request and the lives that ended under it, oldest first.
 type Entry struct {
-	Request Fingerprint `json:"request"`
-	Lives   []string    `json:"lives"`
+	Request      Fingerprint `json:"request"`
+	Incarnations []string    `json:"lives"`
 }
 
 // Update is all that a process is told.
@@ -207,7 +207,7 @@
 	news := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.Fingerprints() {
 		if e := l.entries[f]; len(e.lives) >= SuspectThreshold {
-			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
+			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.lives)})
 		}
 	}
 	l.news = news
@@ -231,7 +231,7 @@
 func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
 	for _, f := range l.Fingerprints() {
-		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Lives: l.entries[f].lives}, Order: l.entries[f].order})
+		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].lives}, Order: l.entries[f].order})
 	}
 	return json.Marshal(form)
 }
@@ -244,7 +244,7 @@
 	}
 	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
 	for _, e := range form.Entries {
-		l.entries[e.Request] = &counted{lives: e.Lives, order: e.Order}
+		l.entries[e.Request] = &counted{lives: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -145,7 +145,7 @@
 	news := m.ledger.Update()
 	told := map[Fingerprint][]string{}
 	for _, e := range news.Entries {
-		told[e.Request] = e.Lives
+		told[e.Request] = e.Incarnations
 	}
 	if !maps.EqualFunc(told, m.told(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
 		t.Fatalf("news %+v, wanted %v under seed %v", news, m.told(), m.seed)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -75,7 +75,7 @@
 			innocent = append(innocent, e.Request)
 			continue
 		}
-		r.told[e.Request] = e.Lives
+		r.told[e.Request] = e.Incarnations
 	}
 	return innocent
 }
