--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -40,8 +40,8 @@
 
 // Config are how a reporter reaches the outside.
 type Config struct {
-	// Tell has control make a change; an error says that it may not have been made.
-	Tell func(ctx context.Context, change quarantine.Change) error
+	// Submit has control make a change; an error says that it may not have been made.
+	Submit func(ctx context.Context, change quarantine.Change) error
 	// Refuses reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
 	Refuses func(ctx context.Context, address string) bool
 	Note    func(event string, fields ...zap.Field)
@@ -282,7 +282,7 @@
 	}
 	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	if r.ways.Tell(attempt, change) != nil {
+	if r.ways.Submit(attempt, change) != nil {
 		return false
 	}
 	r.mu.Lock()
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -27,7 +27,7 @@
 
 func (o *outside) ways() Config {
 	return Config{
-		Tell: func(_ context.Context, change quarantine.Change) error {
+		Submit: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			if o.fails > 0 {
