--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -42,10 +42,10 @@
 type Config struct {
 	// Submit has control make a change; an error says that it may not have been made.
 	Submit func(ctx context.Context, change quarantine.Change) error
-	// Refuses reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
-	Refuses func(ctx context.Context, address string) bool
-	Note    func(event string, fields ...zap.Field)
-	Now     func() time.Duration // counts the time a machine was suspended
+	// RefusesConnections reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
+	RefusesConnections func(ctx context.Context, address string) bool
+	Note               func(event string, fields ...zap.Field)
+	Now                func() time.Duration // counts the time a machine was suspended
 }
 
 // RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
@@ -157,7 +157,7 @@
 // look asks an address whether anything listens there.
 func (r *Reporter) look(life, address string, made *look) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
-	refuses := r.ways.Refuses(ctx, address)
+	refuses := r.ways.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -37,7 +37,7 @@
 			o.told = append(o.told, change)
 			return nil
 		},
-		Refuses: func(_ context.Context, address string) bool {
+		RefusesConnections: func(_ context.Context, address string) bool {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			o.looks++
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -30,10 +30,10 @@
 // newReporter returns what this router does about requests that end their back ends.
 func (s *Server) newReporter() *reporter.Reporter {
 	return reporter.New(reporter.Config{
-		Submit:  s.group.Quarantine,
-		Refuses: reporter.RefusesTCP(&net.Dialer{}),
-		Note:    func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
-		Now:     s.now,
+		Submit:             s.group.Quarantine,
+		RefusesConnections: reporter.RefusesTCP(&net.Dialer{}),
+		Note:               func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
+		Now:                s.now,
 	})
 }
 
