--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -44,7 +44,7 @@
 	Submit func(ctx context.Context, change quarantine.Change) error
 	// RefusesConnections reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
 	RefusesConnections func(ctx context.Context, address string) bool
-	Note               func(event string, fields ...zap.Field)
+	Log                func(event string, fields ...zap.Field)
 	Now                func() time.Duration // counts the time a machine was suspended
 }
 
@@ -190,10 +190,10 @@
 	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
 		shown = append(shown, f.String())
 	}
-	r.ways.Note(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
+	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= endedMost {
-		r.ways.Note(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
+		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
 	r.ended = append(r.ended, ended)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -43,8 +43,8 @@
 			o.looks++
 			return o.refuses[address]
 		},
-		Note: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
-		Now:  func() time.Duration { return o.at },
+		Log: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
+		Now: func() time.Duration { return o.at },
 	}
 }
 
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -32,7 +32,7 @@
 	return reporter.New(reporter.Config{
 		Submit:             s.group.Quarantine,
 		RefusesConnections: reporter.RefusesTCP(&net.Dialer{}),
-		Note:               func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
+		Log:                func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
 		Now:                s.now,
 	})
 }
