--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -191,7 +191,7 @@
 func (a *attempt) unreached(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.quarantine.ConfirmEnds(reporter.Refused, a.row.entry.ID)
+		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.noWay = true
 	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -34,8 +34,8 @@
 
 // Proofs.
 const (
-	Refused  Proof = "refused"  // its address refuses connections
-	Replaced Proof = "replaced" // control names another life at its address
+	ConnectionRefused Proof = "refused"  // its address refuses connections
+	Replaced          Proof = "replaced" // control names another life at its address
 )
 
 // Config are how a reporter reaches the outside.
@@ -136,7 +136,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
-		r.tell(told, Refused)
+		r.tell(told, ConnectionRefused)
 	}
 	if running := r.looks[life]; running != nil {
 		return running.done
@@ -162,7 +162,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if refuses {
-		r.end(life, Refused)
+		r.end(life, ConnectionRefused)
 	}
 	delete(r.looks, life)
 	close(made.done)
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -97,7 +97,7 @@
 func (s *Server) noteFailure(ctx context.Context, a *attemptRun, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.quarantine.ConfirmEnds(reporter.Refused, a.life())
+		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.life())
 	case !neverSent(err):
 		s.brokeOff(ctx, a)
 	}
