--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -28,9 +28,9 @@
 
 // Outcomes.
 const (
-	Granted Outcome = iota // the hold may be used once; where the resource is not limited it is empty
-	Over                   // the limit is reached; Wait tells when to come back
-	Unknown                // nobody could be asked, and the own part is used up
+	Granted      Outcome = iota // the hold may be used once; where the resource is not limited it is empty
+	LimitReached                // the limit is reached; Wait tells when to come back
+	Unknown                     // nobody could be asked, and the own part is used up
 )
 
 // Result is an outcome and what belongs to it.
@@ -255,9 +255,9 @@
 			d.finish(w, Result{Outcome: Unknown})
 		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
-			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.RetryAfter, shortWait)})
+			d.waitOn(now, w, Result{Outcome: LimitReached, Wait: max(got.RetryAfter, shortWait)})
 		default:
-			d.finish(w, Result{Outcome: Over, Wait: got.RetryAfter})
+			d.finish(w, Result{Outcome: LimitReached, Wait: got.RetryAfter})
 		}
 	}
 }
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -68,7 +68,7 @@
 			switch result := d.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
 			case Granted:
 				granted.Add(1)
-			case Over:
+			case LimitReached:
 				over.Add(1)
 			}
 		})
@@ -152,7 +152,7 @@
 	for _, c := range []struct {
 		patience time.Duration
 		wanted   Outcome
-	}{{0, Over}, {time.Minute, Granted}} {
+	}{{0, LimitReached}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
 		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
 		d := openDeskBy(t, running, limit, func(*allowance.Allocator) RequestFunc {
@@ -180,7 +180,7 @@
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Over {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
 		t.Fatalf("%+v", result)
 	}
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -37,7 +37,7 @@
 	case desk.Granted:
 		x.cover = cover{hold: taken.Hold, covered: true}
 		return true
-	case desk.Over:
+	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.Wait)
 	default:
 		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.comeBack())
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -112,7 +112,7 @@
 	switch {
 	case taken.Outcome == desk.Granted:
 		a.hold = taken.Hold
-	case taken.Outcome == desk.Over:
+	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
 		g.table.setDry(a.row, g.now()+apart(max(taken.Wait, permitLeast)))
 	case a.ctx.Err() != nil:
