--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -30,7 +30,7 @@
 const (
 	Granted      Outcome = iota // the hold may be used once; where the resource is not limited it is empty
 	LimitReached                // the limit is reached; Wait tells when to come back
-	Unknown                     // nobody could be asked, and the own part is used up
+	Unavailable                 // nobody could be asked, and the own part is used up
 )
 
 // Result is an outcome and what belongs to it.
@@ -139,7 +139,7 @@
 		return nil, Result{Hold: hold}
 	}
 	if len(d.waiting) >= waitingMost {
-		return nil, Result{Outcome: Unknown}
+		return nil, Result{Outcome: Unavailable}
 	}
 	wanted := &wish{Demand: want, until: now + patience, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
@@ -157,7 +157,7 @@
 	default:
 		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
-	return Result{Outcome: Unknown}
+	return Result{Outcome: Unavailable}
 }
 
 // Run is the thread that asks the lender, until ctx ends.
@@ -231,7 +231,7 @@
 			d.finish(w, Result{Hold: hold})
 			continue
 		}
-		d.waitOn(now, w, Result{Outcome: Unknown})
+		d.waitOn(now, w, Result{Outcome: Unavailable})
 	}
 }
 
@@ -252,7 +252,7 @@
 		case got.Lease.Amount > 0 || w.Amount == 0:
 			d.finish(w, Result{Hold: got.Lease})
 		case got.Unenforced:
-			d.finish(w, Result{Outcome: Unknown})
+			d.finish(w, Result{Outcome: Unavailable})
 		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
 			d.waitOn(now, w, Result{Outcome: LimitReached, Wait: max(got.RetryAfter, shortWait)})
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -102,7 +102,7 @@
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unknown {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 }
@@ -122,7 +122,7 @@
 	go func() { left <- d.Acquire(ctx, resource, 100, time.Second) }()
 	<-asking
 	cancel()
-	if result := <-left; result.Outcome != Unknown {
+	if result := <-left; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 	close(goOn)
