--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -36,7 +36,7 @@
 // Result is an outcome and what belongs to it.
 type Result struct {
 	Outcome Outcome
-	Hold    allowance.Lease
+	Lease   allowance.Lease
 	Wait    time.Duration
 }
 
@@ -136,7 +136,7 @@
 	}
 	now := d.now()
 	if hold, ok := d.borrower.Take(now, want.Name, want.Amount); ok {
-		return nil, Result{Hold: hold}
+		return nil, Result{Lease: hold}
 	}
 	if len(d.waiting) >= waitingMost {
 		return nil, Result{Outcome: Unavailable}
@@ -153,7 +153,7 @@
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
 	select {
 	case result := <-wanted.done:
-		d.borrower.Release(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Lease)
 	default:
 		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
@@ -206,7 +206,7 @@
 			return false
 		}
 		if hold, ok := d.borrower.RetryTake(now, w.Name, w.Amount); ok {
-			w.done <- Result{Hold: hold}
+			w.done <- Result{Lease: hold}
 			return true
 		}
 		batch = append(batch, w)
@@ -228,7 +228,7 @@
 	now := d.now()
 	for _, w := range batch {
 		if hold, ok := d.borrower.TakeFallback(now, w.Name, w.Amount); ok {
-			d.finish(w, Result{Hold: hold})
+			d.finish(w, Result{Lease: hold})
 			continue
 		}
 		d.waitOn(now, w, Result{Outcome: Unavailable})
@@ -250,7 +250,7 @@
 		}
 		switch {
 		case got.Lease.Amount > 0 || w.Amount == 0:
-			d.finish(w, Result{Hold: got.Lease})
+			d.finish(w, Result{Lease: got.Lease})
 		case got.Unenforced:
 			d.finish(w, Result{Outcome: Unavailable})
 		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
@@ -274,7 +274,7 @@
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
 func (d *LeasePool) finish(w *wish, result Result) {
 	if w.until == 0 {
-		d.borrower.Release(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Lease)
 		return
 	}
 	w.done <- result
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -85,7 +85,7 @@
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
 	d := openDesk(t, allowance.Limit{Rate: 1}, direct)
-	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Hold.Amount != 0 {
+	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
 }
@@ -99,7 +99,7 @@
 		}
 	})
 	d.RecordContact(clock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
@@ -126,7 +126,7 @@
 		t.Fatalf("%v", result)
 	}
 	close(goOn)
-	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Hold.Amount != 100 {
+	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
 		t.Fatalf("%v", result)
 	}
 }
@@ -177,7 +177,7 @@
 		}
 	})
 	d.RecordContact(clock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -35,7 +35,7 @@
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = cover{hold: taken.Hold, covered: true}
+		x.cover = cover{hold: taken.Lease, covered: true}
 		return true
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.Wait)
@@ -93,5 +93,5 @@
 	}
 	name := quota.Repeats(service)
 	taken := g.desk.Acquire(ctx, name, 1, repeatPatience)
-	return taken.Outcome == desk.Granted && taken.Hold.Name == name
+	return taken.Outcome == desk.Granted && taken.Lease.Name == name
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -111,7 +111,7 @@
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
-		a.hold = taken.Hold
+		a.hold = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
 		g.table.setDry(a.row, g.now()+apart(max(taken.Wait, permitLeast)))
