--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -35,9 +35,9 @@
 
 // Result is an outcome and what belongs to it.
 type Result struct {
-	Outcome Outcome
-	Lease   allowance.Lease
-	Wait    time.Duration
+	Outcome    Outcome
+	Lease      allowance.Lease
+	RetryAfter time.Duration
 }
 
 // RequestFunc asks the lender once.
@@ -255,9 +255,9 @@
 			d.finish(w, Result{Outcome: Unavailable})
 		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
-			d.waitOn(now, w, Result{Outcome: LimitReached, Wait: max(got.RetryAfter, shortWait)})
+			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, shortWait)})
 		default:
-			d.finish(w, Result{Outcome: LimitReached, Wait: got.RetryAfter})
+			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
 		}
 	}
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -38,7 +38,7 @@
 		x.cover = cover{hold: taken.Lease, covered: true}
 		return true
 	case desk.LimitReached:
-		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.Wait)
+		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
 	default:
 		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.comeBack())
 	}
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -114,7 +114,7 @@
 		a.hold = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
-		g.table.setDry(a.row, g.now()+apart(max(taken.Wait, permitLeast)))
+		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
