--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -14,22 +14,22 @@
 	demandShare = 0.5
 	aheadLeast  = 2.0
 	// backAfter is how long before its end an amount that lies idle is given back with the next question.
-	backAfter = Lease / 2
+	backAfter = LeaseTTL / 2
 )
 
-// Hold is an amount that may be used once, before its time.
-type Hold struct {
-	Name   string
-	Amount float64
-	Until  time.Duration // by the borrower's clock
-	own    bool          // from the own part, not lent
+// Lease is an amount that may be used once, before its time.
+type Lease struct {
+	Name      string
+	Amount    float64
+	ExpiresAt time.Duration // by the borrower's clock
+	own       bool          // from the own part, not lent
 }
 
 // Valid reports whether the amount may still be used.
-func (h Hold) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.Until }
+func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.ExpiresAt }
 
-// Borrower keeps what one process was lent.
-type Borrower struct {
+// Client keeps what one process was lent.
+type Client struct {
 	name     string
 	sequence uint64 // of the newest question
 	answered uint64 // newest question that was answered
@@ -46,39 +46,39 @@
 
 // pocket is what is held of one resource.
 type pocket struct {
-	pieces  []Hold        // lent and not used, rising by time
+	pieces  []Lease       // lent and not used, rising by time
 	used    float64       // of the reserve and the own part, not made good yet
 	usedAt  time.Duration // when used was right
 	demand  float64       // units a second, of the last moments
 	takenAt time.Duration // when some was last taken
 }
 
-// NewBorrower returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
-func NewBorrower(name string, trust time.Duration) *Borrower {
-	return &Borrower{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
+// NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
+func NewClient(name string, trust time.Duration) *Client {
+	return &Client{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
 }
 
-// Use replaces the limits.
-func (b *Borrower) Use(limits map[string]Limit) {
+// SetLimits replaces the limits.
+func (b *Client) SetLimits(limits map[string]Limit) {
 	b.limits = limits
 	for name := range b.pockets {
-		if !b.Limited(name) {
+		if !b.IsLimited(name) {
 			delete(b.pockets, name)
 		}
 	}
 }
 
-// Limited reports whether a resource is limited.
-func (b *Borrower) Limited(name string) bool { _, limited := b.limit(name); return limited }
+// IsLimited reports whether a resource is limited.
+func (b *Client) IsLimited(name string) bool { _, limited := b.limit(name); return limited }
 
-// Touch notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
+// RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
-func (b *Borrower) Touch(asked time.Duration, borrowers int) {
+func (b *Client) RecordContact(asked time.Duration, borrowers int) {
 	b.touched = max(b.touched, asked)
 	b.parts = max(1, float64(borrowers))
 }
 
-func (b *Borrower) pocket(name string) *pocket {
+func (b *Client) pocket(name string) *pocket {
 	p := b.pockets[name]
 	if p == nil {
 		p = &pocket{}
@@ -88,31 +88,31 @@
 }
 
 // Take takes an amount from what was lent.
-func (b *Borrower) Take(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p := b.pocket(name)
 	p.note(now, amount)
 	return p.take(now, name, amount)
 }
 
-// TakeAgain takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Borrower) TakeAgain(now time.Duration, name string, amount float64) (Hold, bool) {
+// RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
+func (b *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.pocket(name).take(now, name, amount)
 }
 
-func (p *pocket) take(now time.Duration, name string, amount float64) (Hold, bool) {
+func (p *pocket) take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p.expire(now)
 	held := 0.0
 	for _, piece := range p.pieces {
 		held += piece.Amount
 	}
 	if held < amount {
-		return Hold{}, false
+		return Lease{}, false
 	}
-	taken := Hold{Name: name, Amount: amount}
+	taken := Lease{Name: name, Amount: amount}
 	for left := amount; left > 0 && len(p.pieces) > 0; { // rounding may leave a trace of what the pieces add up to
 		piece := &p.pieces[0]
-		if taken.Until == 0 {
-			taken.Until = piece.Until // the first piece ends first
+		if taken.ExpiresAt == 0 {
+			taken.ExpiresAt = piece.ExpiresAt // the first piece ends first
 		}
 		part := min(left, piece.Amount)
 		left -= part
@@ -126,7 +126,7 @@
 
 // expire drops what may be used no more.
 func (p *pocket) expire(now time.Duration) {
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool { return !piece.Valid(now) })
+	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
 // note counts a demand.
@@ -135,9 +135,9 @@
 	p.takenAt = now
 }
 
-// Put gives back to the pocket what was taken and not used.
-func (b *Borrower) Put(now time.Duration, h Hold) {
-	if !b.Limited(h.Name) || h.Amount <= 0 {
+// Release gives back to the pocket what was taken and not used.
+func (b *Client) Release(now time.Duration, h Lease) {
+	if !b.IsLimited(h.Name) || h.Amount <= 0 {
 		return
 	}
 	p := b.pocket(h.Name)
@@ -150,29 +150,29 @@
 	}
 }
 
-func (p *pocket) add(piece Hold) {
-	at, _ := slices.BinarySearchFunc(p.pieces, piece.Until, func(other Hold, until time.Duration) int { return int(other.Until - until) })
+func (p *pocket) add(piece Lease) {
+	at, _ := slices.BinarySearchFunc(p.pieces, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
 	p.pieces = slices.Insert(p.pieces, at, piece)
 }
 
-// Want is an amount that is waited for.
-type Want struct {
-	Name   string
-	Amount float64
-	Named  *Named // where the resource names its limit itself, else nil
+// Demand is an amount that is waited for.
+type Demand struct {
+	Name       string
+	Amount     float64
+	Advertised *AdvertisedLimit // where the resource names its limit itself, else nil
 }
 
-// Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Borrower) Ask(now time.Duration, wants []Want) Question {
+// NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
+func (b *Client) NewRequest(now time.Duration, wants []Demand) Request {
 	b.sequence++
-	asked := Question{Borrower: b.name, Sequence: b.sequence}
+	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
 		p := b.pocket(want.Name)
-		asked.Asks = append(asked.Asks, Ask{Name: want.Name, Amount: want.Amount, Ahead: p.ahead(want.Amount), Named: want.Named})
+		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range b.pockets {
 		if idle := p.idle(now); idle > 0 {
-			asked.Back = append(asked.Back, Grant{Name: name, Amount: idle})
+			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
 		}
 	}
 	return asked
@@ -180,7 +180,7 @@
 
 // ahead returns how much more than an amount is worth asking for: so many more of the kind.
 func (p *pocket) ahead(amount float64) float64 {
-	needed := p.demand * Lease.Seconds()
+	needed := p.demand * LeaseTTL.Seconds()
 	if needed < aheadLeast*amount {
 		return 0
 	}
@@ -191,8 +191,8 @@
 func (p *pocket) idle(now time.Duration) float64 {
 	p.expire(now)
 	amount := 0.0
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool {
-		ends := piece.Until < now+backAfter
+	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
+		ends := piece.ExpiresAt < now+backAfter
 		if ends {
 			amount += piece.Amount
 		}
@@ -203,15 +203,15 @@
 
 // Result is what became of a want: a hold, or what the lender said instead.
 type Result struct {
-	Hold      Hold
-	Wait      time.Duration
-	Young     bool
-	Uncounted bool // the lender doesn't count resources that name their limits
+	Lease      Lease
+	RetryAfter time.Duration
+	WarmingUp  bool
+	Unenforced bool // the lender doesn't count resources that name their limits
 }
 
-// Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
+// ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Borrower) Granted(now, asked time.Duration, wants []Want, answer Answer) []Result {
+func (b *Client) ApplyReply(now, asked time.Duration, wants []Demand, answer Reply) []Result {
 	results := make([]Result, len(wants))
 	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
 		return results
@@ -220,44 +220,44 @@
 	b.touched = max(b.touched, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
-		results[i].Wait, results[i].Young = granted.Wait, granted.Young
-		results[i].Uncounted = want.Named != nil && !granted.Counted
-		piece := Hold{Name: want.Name, Amount: granted.Amount, Until: asked + Lease}
-		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
+		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
+		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
+		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
+		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
 			continue
 		}
 		p := b.pocket(want.Name)
 		p.add(piece)
-		results[i].Hold, _ = p.take(now, want.Name, want.Amount)
+		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
 	}
 	return results
 }
 
-// TakeOwn takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
+// TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
-func (b *Borrower) TakeOwn(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, now-b.touched)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
-func (b *Borrower) TakeReserve(now time.Duration, name string, amount float64) (Hold, bool) {
+func (b *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
 	return b.takePart(now, name, amount, 0)
 }
 
 // takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Borrower) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Hold, bool) {
+func (b *Client) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
 	if !limited || now-b.touched > b.trust || b.touched == 0 {
-		return Hold{}, false
+		return Lease{}, false
 	}
 	p := b.pocket(name)
 	p.makeGood(now, limit.reserve()/b.parts)
 	part := limit.reserve()/b.parts + limit.Rate/b.parts*silence.Seconds()
 	if p.used+amount > part {
-		return Hold{}, false
+		return Lease{}, false
 	}
 	p.used += amount
-	return Hold{Name: name, Amount: amount, Until: now + Lease, own: true}, true
+	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, own: true}, true
 }
 
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -28,89 +28,89 @@
 
 // Outcomes.
 const (
-	Granted Outcome = iota // the hold may be used once; where the resource is not limited it is empty
-	Over                   // the limit is reached; Wait tells when to come back
-	Unknown                // nobody could be asked, and the own part is used up
+	Granted      Outcome = iota // the hold may be used once; where the resource is not limited it is empty
+	LimitReached                // the limit is reached; Wait tells when to come back
+	Unavailable                 // nobody could be asked, and the own part is used up
 )
 
 // Result is an outcome and what belongs to it.
 type Result struct {
-	Outcome Outcome
-	Hold    allowance.Hold
-	Wait    time.Duration
+	Outcome    Outcome
+	Lease      allowance.Lease
+	RetryAfter time.Duration
 }
 
-// Lend asks the lender once.
-type Lend func(ctx context.Context, asked allowance.Question) (allowance.Answer, error)
+// RequestFunc asks the lender once.
+type RequestFunc func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
 
-// Desk is safe for concurrent use.
-type Desk struct {
-	lend Lend
+// LeasePool is safe for concurrent use.
+type LeasePool struct {
+	lend RequestFunc
 	now  func() time.Duration // steady
 	wake chan struct{}        // has an item when something waits; room for one
 
 	mu       sync.Mutex
-	borrower *allowance.Borrower // guarded by mu
-	waiting  []*wish             // guarded by mu; at most waitingMost
-	failed   uint64              // questions without an answer; guarded by mu
-	asked    uint64              // questions; guarded by mu
+	borrower *allowance.Client // guarded by mu
+	waiting  []*wish           // guarded by mu; at most waitingMost
+	failed   uint64            // questions without an answer; guarded by mu
+	asked    uint64            // questions; guarded by mu
 }
 
 // wish is an amount that a request waits for.
 type wish struct {
-	allowance.Want
+	allowance.Demand
 	after time.Duration // not to be asked for before
 	until time.Duration // the request waits no longer
 	done  chan Result   // has room for the one result
 }
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
-func New(name string, trust time.Duration, now func() time.Duration, lend Lend) *Desk {
-	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewBorrower(name, trust)}
+func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *LeasePool {
+	return &LeasePool{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
-// Use replaces the limits.
-func (d *Desk) Use(limits map[string]allowance.Limit) {
+// SetLimits replaces the limits.
+func (d *LeasePool) SetLimits(limits map[string]allowance.Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Use(limits)
+	d.borrower.SetLimits(limits)
 }
 
-// Touch notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
-func (d *Desk) Touch(asked time.Duration, borrowers int) {
+// RecordContact notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
+func (d *LeasePool) RecordContact(asked time.Duration, borrowers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Touch(asked, borrowers)
+	d.borrower.RecordContact(asked, borrowers)
 }
 
-// Put gives back what was taken and not used.
-func (d *Desk) Put(h allowance.Hold) {
+// Release gives back what was taken and not used.
+func (d *LeasePool) Release(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Put(d.now(), h)
+	d.borrower.Release(d.now(), h)
 }
 
-// Questions returns how many questions were asked, and how many of them got no answer.
-func (d *Desk) Questions() (asked, failed uint64) {
+// RequestCounts returns how many questions were asked, and how many of them got no answer.
+func (d *LeasePool) RequestCounts() (asked, failed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.asked, d.failed
 }
 
-// Take takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
-func (d *Desk) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
-	return d.take(ctx, allowance.Want{Name: name, Amount: amount}, patience)
+// Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
+func (d *LeasePool) Acquire(ctx context.Context, name string, amount float64, patience time.Duration) Result {
+	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
 }
 
-// TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
-func (d *Desk) TakeNamed(ctx context.Context, name string, named allowance.Named) Result {
+// AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
+func (d *LeasePool) AcquireAdvertised(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
-	d.borrower.Name(d.now(), name, named)
+	d.borrower.SetAdvertisedLimit(d.now(), name, named)
 	d.mu.Unlock()
-	return d.take(ctx, allowance.Want{Name: name, Amount: 1, Named: &named}, 0)
+	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
 }
 
-func (d *Desk) take(ctx context.Context, want allowance.Want, patience time.Duration) Result {
+func (d *LeasePool) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
 	wanted, result := d.begin(want, patience)
 	if wanted == nil {
 		return result
@@ -128,40 +128,40 @@
 }
 
 // begin takes from what is held, or lets a wish wait.
-func (d *Desk) begin(want allowance.Want, patience time.Duration) (*wish, Result) {
+func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.borrower.Limited(want.Name) {
+	if !d.borrower.IsLimited(want.Name) {
 		return nil, Result{}
 	}
 	now := d.now()
 	if hold, ok := d.borrower.Take(now, want.Name, want.Amount); ok {
-		return nil, Result{Hold: hold}
+		return nil, Result{Lease: hold}
 	}
 	if len(d.waiting) >= waitingMost {
-		return nil, Result{Outcome: Unknown}
+		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &wish{Want: want, until: now + patience, done: make(chan Result, 1)}
+	wanted := &wish{Demand: want, until: now + patience, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
 
 // leave ends a wish whose request is over; what it got meanwhile goes back.
-func (d *Desk) leave(wanted *wish) Result {
+func (d *LeasePool) leave(wanted *wish) Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
 	select {
 	case result := <-wanted.done:
-		d.borrower.Put(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Lease)
 	default:
 		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
-	return Result{Outcome: Unknown}
+	return Result{Outcome: Unavailable}
 }
 
 // Run is the thread that asks the lender, until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *LeasePool) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -179,7 +179,7 @@
 }
 
 // round asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *Desk) round(ctx context.Context) (pause time.Duration, more bool) {
+func (d *LeasePool) round(ctx context.Context) (pause time.Duration, more bool) {
 	batch, wants, question := d.batch()
 	if len(batch) > 0 {
 		asked := d.now()
@@ -197,7 +197,7 @@
 }
 
 // batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *Desk) batch() (batch []*wish, wants []allowance.Want, question allowance.Question) {
+func (d *LeasePool) batch() (batch []*wish, wants []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -205,65 +205,65 @@
 		if now < w.after {
 			return false
 		}
-		if hold, ok := d.borrower.TakeAgain(now, w.Name, w.Amount); ok {
-			w.done <- Result{Hold: hold}
+		if hold, ok := d.borrower.RetryTake(now, w.Name, w.Amount); ok {
+			w.done <- Result{Lease: hold}
 			return true
 		}
 		batch = append(batch, w)
-		wants = append(wants, w.Want)
+		wants = append(wants, w.Demand)
 		return true
 	})
 	if len(batch) == 0 {
 		return nil, nil, question
 	}
 	d.asked++
-	return batch, wants, d.borrower.Ask(now, wants)
+	return batch, wants, d.borrower.NewRequest(now, wants)
 }
 
 // unanswered serves from the own part; the rest waits on, as long as it may.
-func (d *Desk) unanswered(batch []*wish) {
+func (d *LeasePool) unanswered(batch []*wish) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failed++
 	now := d.now()
 	for _, w := range batch {
-		if hold, ok := d.borrower.TakeOwn(now, w.Name, w.Amount); ok {
-			d.finish(w, Result{Hold: hold})
+		if hold, ok := d.borrower.TakeFallback(now, w.Name, w.Amount); ok {
+			d.finish(w, Result{Lease: hold})
 			continue
 		}
-		d.waitOn(now, w, Result{Outcome: Unknown})
+		d.waitOn(now, w, Result{Outcome: Unavailable})
 	}
 }
 
 // answered passes on what was lent.
-func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Want, answer allowance.Answer) {
+func (d *LeasePool) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for i, got := range d.borrower.Granted(now, asked, wants, answer) {
+	for i, got := range d.borrower.ApplyReply(now, asked, wants, answer) {
 		w := batch[i]
-		if got.Hold.Amount == 0 {
-			got.Hold, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
+		if got.Lease.Amount == 0 {
+			got.Lease, _ = d.borrower.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
-		if got.Hold.Amount == 0 && got.Young {
-			got.Hold, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
+		if got.Lease.Amount == 0 && got.WarmingUp {
+			got.Lease, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
-		case got.Hold.Amount > 0 || w.Amount == 0:
-			d.finish(w, Result{Hold: got.Hold})
-		case got.Uncounted:
-			d.finish(w, Result{Outcome: Unknown})
-		case w.Named == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
-			w.after = now + got.Wait
-			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.Wait, shortWait)})
+		case got.Lease.Amount > 0 || w.Amount == 0:
+			d.finish(w, Result{Lease: got.Lease})
+		case got.Unenforced:
+			d.finish(w, Result{Outcome: Unavailable})
+		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
+			w.after = now + got.RetryAfter
+			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, shortWait)})
 		default:
-			d.finish(w, Result{Outcome: Over, Wait: got.Wait})
+			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
 		}
 	}
 }
 
 // waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
-func (d *Desk) waitOn(now time.Duration, w *wish, otherwise Result) {
+func (d *LeasePool) waitOn(now time.Duration, w *wish, otherwise Result) {
 	if now >= w.until {
 		d.finish(w, otherwise)
 		return
@@ -272,16 +272,16 @@
 }
 
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
-func (d *Desk) finish(w *wish, result Result) {
+func (d *LeasePool) finish(w *wish, result Result) {
 	if w.until == 0 {
-		d.borrower.Put(d.now(), result.Hold)
+		d.borrower.Release(d.now(), result.Lease)
 		return
 	}
 	w.done <- result
 }
 
 // next returns how long to wait until somebody has to be asked for again.
-func (d *Desk) next(pause time.Duration) (time.Duration, bool) {
+func (d *LeasePool) next(pause time.Duration) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) == 0 {
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -26,8 +26,8 @@
 	to     int
 	asked  time.Duration
 	due    time.Duration
-	wants  []Want
-	answer Answer
+	wants  []Demand
+	answer Reply
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
@@ -41,14 +41,14 @@
 	now       time.Duration
 	limit     Limit
 	largest   float64
-	lender    *Lender // nil while nobody leads
+	lender    *Allocator // nil while nobody leads
 	term      uint64
 	since     time.Duration
-	borrowers []*Borrower
+	borrowers []*Client
 	heard     []time.Duration // when a lender last heard each
 	paused    []time.Duration // until when each stands still
 	cut       []time.Duration // until when each reaches no lender
-	held      [][]Hold        // taken and not used yet
+	held      [][]Lease       // taken and not used yet
 	letters   []letter
 	uses      []use
 	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		chance: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Hold, size), borrowers: make([]*Borrower, size),
+		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
@@ -69,17 +69,17 @@
 }
 
 func (f *fleet) start(i int) {
-	f.borrowers[i], f.held[i] = NewBorrower(fmt.Sprint("b", i, f.now), testTrust), nil
+	f.borrowers[i], f.held[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
 	if f.words == nil {
-		f.borrowers[i].Use(map[string]Limit{resource: f.limit})
+		f.borrowers[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
 }
 
 func (f *fleet) elect() {
 	f.term++
-	f.lender, f.since = NewLender(f.term), f.now
+	f.lender, f.since = NewAllocator(f.term), f.now
 	if f.words == nil {
-		f.lender.Use(f.now, map[string]Limit{resource: f.limit})
+		f.lender.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
 	f.withhold()
 }
@@ -101,28 +101,28 @@
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
 	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.chance.Float64())
-	wants := []Want{{Name: resource, Amount: amount}}
+	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
-		wants[0].Amount, wants[0].Named = 1, &named
+		wants[0].Amount, wants[0].Advertised = 1, &named
 		amount = 1
-		b.Name(f.now, resource, named)
+		b.SetAdvertisedLimit(f.now, resource, named)
 	}
 	if hold, ok := b.Take(f.now, resource, amount); ok {
 		f.held[i] = append(f.held[i], hold)
 		return
 	}
-	question := b.Ask(f.now, wants)
+	question := b.NewRequest(f.now, wants)
 	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.lost) {
-		if hold, ok := b.TakeOwn(f.now, resource, amount); ok {
+		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
 		return
 	}
 	f.heard[i] = f.now
-	answer := f.lender.Take(f.now, question)
+	answer := f.lender.Allocate(f.now, question)
 	if f.happens(f.weather.repeated) {
-		f.lender.Take(f.now, question)
+		f.lender.Allocate(f.now, question)
 	}
 	sent := letter{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
 	if f.happens(f.weather.late) {
@@ -145,14 +145,14 @@
 			continue
 		}
 		b := f.borrowers[l.to]
-		got := b.Granted(f.now, l.asked, l.wants, l.answer)
-		b.Touch(l.asked, len(f.borrowers))
+		got := b.ApplyReply(f.now, l.asked, l.wants, l.answer)
+		b.RecordContact(l.asked, len(f.borrowers))
 		for _, result := range got {
-			if result.Young && result.Hold.Amount == 0 {
-				result.Hold, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
+			if result.WarmingUp && result.Lease.Amount == 0 {
+				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
 			}
-			if result.Hold.Amount > 0 {
-				f.held[l.to] = append(f.held[l.to], result.Hold)
+			if result.Lease.Amount > 0 {
+				f.held[l.to] = append(f.held[l.to], result.Lease)
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 	for _, hold := range f.held[i] {
 		switch {
 		case f.happens(0.05):
-			f.borrowers[i].Put(f.now, hold)
+			f.borrowers[i].Release(f.now, hold)
 		case hold.Valid(f.now):
 			f.uses = append(f.uses, use{at: f.now, amount: hold.Amount})
 		}
@@ -231,7 +231,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := 1000.0
 		limit := Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 2).Draw(t, "burst")}
-		limit.Room = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
+		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.weather = weather{
@@ -249,7 +249,7 @@
 		for range 300 {
 			f.step(eagerness)
 		}
-		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Room; used > allowed*1.000001 {
+		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
 			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
 		}
 	})
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -93,14 +93,14 @@
 	bounds     map[string]uint64            // by service; of those that don't use all their back ends
 	touched    map[string]bool              // instances that changed since Touched was last called
 	fence      uint64
-	quarantine *quarantine.Ledger
+	quarantine *quarantine.Registry
 }
 
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, ended: map[string]bool{}, lives: newLives(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewLedger(),
+		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -183,7 +183,7 @@
 }
 
 // Quarantine returns the requests under which back ends ended; callers only read it.
-func (m *Machine) Quarantine() *quarantine.Ledger { return m.quarantine }
+func (m *Machine) Quarantine() *quarantine.Registry { return m.quarantine }
 
 // Apply applies one committed command.
 func (m *Machine) Apply(command Command) Outcome {
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -16,7 +16,7 @@
 
 // lending is what a leader lends of limited resources; each leadership begins it anew.
 type lending struct {
-	lender   *allowance.Lender
+	lender   *allowance.Allocator
 	revision uint64 // of the document that the limits were taken from
 	forgotAt time.Duration
 }
@@ -25,9 +25,9 @@
 const forgetEach = time.Second
 
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
-func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Question) {
+func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
 	r.tendLimits(now)
-	answer := r.lead.lending.lender.Take(now, asked)
+	answer := r.lead.lending.lender.Allocate(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
@@ -36,12 +36,12 @@
 	held := &r.lead.lending
 	if document := r.machine.catalog.Document(); document.Revision != held.revision {
 		held.revision = document.Revision
-		held.lender.Use(now, quota.Limits(document, r.config.Quota))
+		held.lender.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
 	held.lender.Withhold(now, r.partOutOfTouch(now))
 	if now >= held.forgotAt+forgetEach {
 		held.forgotAt = now
-		held.lender.Forget(now)
+		held.lender.SweepAdvertised(now)
 	}
 }
 
@@ -117,18 +117,18 @@
 	s.over.at = now
 	reached := map[string]bool{}
 	for _, state := range s.replica.lead.lending.lender.States(now) {
-		if state.Over {
+		if state.OverLimit {
 			reached[state.Name] = true
 		}
-		if state.Over == s.over.reached[state.Name] {
+		if state.OverLimit == s.over.reached[state.Name] {
 			continue
 		}
 		event := events.LimitLeft
-		if state.Over {
+		if state.OverLimit {
 			event = events.LimitReached
 		}
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
-			zap.Float64("lent", state.Lent), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
+			zap.Float64("lent", state.Granted), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
 	s.over.reached = reached
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -29,8 +29,8 @@
 	Watch     *Watch            `json:"watch,omitempty"`
 	Document  *DocumentRequest  `json:"document,omitempty"`
 
-	Relay  *relay.Question     `json:"relay,omitempty"`  // a replica asks for the gateways that ask it
-	Borrow *allowance.Question `json:"borrow,omitempty"` // a gateway asks for amounts of limited resources
+	Relay  *relay.Question    `json:"relay,omitempty"`  // a replica asks for the gateways that ask it
+	Borrow *allowance.Request `json:"borrow,omitempty"` // a gateway asks for amounts of limited resources
 }
 
 // DocumentRequest asks for the routing document in force.
@@ -73,7 +73,7 @@
 	Tree    *settings.Tree  `json:"tree,omitempty"`  // instead of edits, for a router too far behind
 	Peers   *PeerList       `json:"peers,omitempty"` // when it differs from what the router holds
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // the same
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // the same
 }
 
 // Read asks for the current tree.
@@ -162,7 +162,7 @@
 	Catalog   *catalog.Outcome  `json:"catalog,omitempty"`
 	Watch     *WatchReply       `json:"watch,omitempty"`
 	Document  *catalog.Document `json:"document,omitempty"`
-	Lent      *allowance.Answer `json:"lent,omitempty"`
+	Lent      *allowance.Reply  `json:"lent,omitempty"`
 	Relayed   *relay.Answer     `json:"relayed,omitempty"`
 	Strangers []string          `json:"strangers,omitempty"` // back ends of which the leader wants a whole heartbeat
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,8 +70,8 @@
 	matches []prefix.Match // scratch
 	scores  []Candidate    // scratch
 
-	pushed        *pushback.Book // what back ends said of themselves in answers
-	others        []string       // routers beside this one that send to the same back ends
+	pushed        *pushback.Tracker // what back ends said of themselves in answers
+	others        []string          // routers beside this one that send to the same back ends
 	pushedSweptAt time.Duration
 
 	decisions decisionRing
@@ -106,7 +106,7 @@
 		values: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewTracker(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -34,7 +34,7 @@
 	if before >= senders {
 		return 0
 	}
-	return max(limit, pushback.LeastRate) / float64(senders)
+	return max(limit, pushback.MinRate) / float64(senders)
 }
 
 // routerWeight is a router's weight for a life of a back end.
@@ -57,7 +57,7 @@
 	}
 	life := lifeOf(row.machine.Name, row.incarnation)
 	limit := c.pushed.Limit(life)
-	if !limit.Named {
+	if !limit.Advertised {
 		row.permits = permits{}
 		return 0
 	}
@@ -86,6 +86,6 @@
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
 	if !event.Limited {
-		c.pushed.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
+		c.pushed.ObserveNoLimit(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
 	}
 }
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -63,7 +63,7 @@
 	// Refused names a request that was turned away from here for overload; nothing was sent then.
 	Refused string
 	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
-	Said pushback.Said
+	Said pushback.Signals
 	Age  time.Duration
 }
 
@@ -94,7 +94,7 @@
 	w := wireSend{
 		Gateway: s.Gateway, Running: s.Load.Running, Held: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
-		RestMS: s.Said.Rest.Milliseconds(), Leaving: s.Said.Leaving, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
+		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
 	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
@@ -126,24 +126,24 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Said{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
 // wireLimit returns a limit as messages carry it.
 func wireLimit(limit pushback.Limit) (rate *float64, over bool) {
-	if limit.Named {
+	if limit.Advertised {
 		rate = &limit.Rate
 	}
-	return rate, limit.Over
+	return rate, limit.Withdrawn
 }
 
 // limitOfWire is the reverse; no rate is below 0.
 func limitOfWire(rate *float64, over bool) pushback.Limit {
 	if rate != nil {
-		return pushback.Limit{Named: true, Rate: max(0, *rate)}
+		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
-	return pushback.Limit{Over: over}
+	return pushback.Limit{Withdrawn: over}
 }
 
 // spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
@@ -262,7 +262,7 @@
 		pass(sends[len(sends)-1])
 	}
 	for _, told := range g.table.applySends(g.now(), sends) {
-		if told.news.Leaving {
+		if told.news.Draining {
 			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
 		}
 		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -93,7 +93,7 @@
 	atRest   time.Duration   // what was left of a rest of the back end when the request was sent
 	asked    time.Duration   // rest that the back end asked for in its answer
 	limited  pushback.Limit  // that the back end had named when the request was sent
-	hold     allowance.Hold  // of that limit, until the request is sent
+	hold     allowance.Lease // of that limit, until the request is sent
 	looked   <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
@@ -138,7 +138,7 @@
 		_ = wire.Close()
 		return result{kind: resultUnreached, cause: bar}
 	}
-	a.hold = allowance.Hold{} // used up
+	a.hold = allowance.Lease{} // used up
 	x.sent++
 	a.cover, x.cover = x.cover, cover{}
 	a.begin()
@@ -191,7 +191,7 @@
 func (a *attempt) unreached(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.quarantine.Ended(reporter.Refused, a.row.entry.ID)
+		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.noWay = true
 	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
@@ -232,7 +232,7 @@
 		return reasonUntrusted
 	case !x.covered():
 		return reasonUncounted
-	case x.lives() >= quarantine.Held:
+	case x.lives() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
 	}
 	x.gateway.table.mutex.Lock()
@@ -256,7 +256,7 @@
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
 func (a *attempt) withPart(now time.Duration, bar string) string {
 	switch {
-	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.life).Named:
+	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.life).Advertised:
 		return bar
 	case a.hold.Valid(now):
 		return ""
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -158,7 +158,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Named {
+		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Advertised {
 			continue // one with a limit is open and closed in turn: the prompt would be read in two places
 		}
 		best, highest = row, weight
@@ -251,7 +251,7 @@
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.signals.LimitHeard(row.life); limit.Named {
+	if limit, heard := g.table.signals.LimitObservedAt(row.life); limit.Advertised {
 		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
 	}
 	return cost
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -60,10 +60,10 @@
 	links            belief.Links                      // of engines and stores
 	prefillEstimates map[string]belief.PrefillEstimate // by service
 	lastSent         map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	admission        map[string]*admission.Judge       // by service
+	admission        map[string]*admission.Controller  // by service
 	assignedCount    int                               // rows that are home
 	holders          map[string][]*endpoint            // that hold a shared part, under any salt, by its id
-	signals          *pushback.Book                    // what back ends said of themselves
+	signals          *pushback.Tracker                 // what back ends said of themselves
 	leaseRetryAt     time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
 	lastRetryAt      map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
 	rosterChanged    *bell                             // rings with each roster
@@ -73,8 +73,8 @@
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
-		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewBook(),
-		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Judge{},
+		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewTracker(),
+		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Controller{},
 		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newBell(), lastRetryAt: map[string]time.Duration{},
 	}
 }
@@ -163,7 +163,7 @@
 	if sent.plan.scheduled == nil {
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.signals.At(now, sent.row.life).Until-now)
+	sent.atRest = max(0, t.signals.Restriction(now, sent.row.life).BackoffUntil-now)
 	sent.limited = t.signals.Limit(sent.row.life)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
@@ -234,14 +234,14 @@
 			t.suspect(at, row, sent.Gateway)
 			continue
 		}
-		if !sent.Said.Nothing() {
-			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.Nothing() {
+		if !sent.Said.IsEmpty() {
+			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.IsEmpty() {
 				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
 		}
 		if sent.Refused != "" {
-			t.judge(row.entry.Service).Remember(at, sent.Refused)
+			t.judge(row.entry.Service).RecordRejection(at, sent.Refused)
 			continue
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -106,19 +106,19 @@
 
 // take puts news in force. A document is only ever replaced by a newer one.
 func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
-	g.quarantine.Idled(g.untrustedFor(g.now()))
+	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
-		g.quarantine.Take(reply.Quarantine)
+		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.Use(quota.Limits(reply.Document, g.settings.Quota))
+		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
-		g.quarantine.Ended(reporter.Replaced, replaced(changes)...)
+		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
 		for _, change := range changes {
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
@@ -131,7 +131,7 @@
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.desk.Touch(asked, reply.Gateways)
+	g.desk.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.near.update(reply.Near)
 	g.spread.use(reply.Mesh)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table   *table
 	budget  *retryBudget
-	desk    *desk.Desk // of what is limited over the fleet
+	desk    *desk.LeasePool // of what is limited over the fleet
 	pool    *pool
 	splits  *splits
 	spread  *spread
@@ -84,7 +84,7 @@
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Ways{Tell: made.group.Quarantine, Refuses: reporter.Refuses(&made.pool.dialer), Note: made.log.note, Now: made.now})
+	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
 	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
 	made.spread.silent = !made.on(mechanism.Mesh)
 	made.metrics = newMetrics(made)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -18,7 +18,7 @@
 
 // cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type cover struct {
-	hold    allowance.Hold
+	hold    allowance.Lease
 	covered bool // the next send is covered, by hold or because there is no limit
 }
 
@@ -32,13 +32,13 @@
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
-	taken := x.gateway.desk.Take(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = cover{hold: taken.Hold, covered: true}
+		x.cover = cover{hold: taken.Lease, covered: true}
 		return true
-	case desk.Over:
-		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.Wait)
+	case desk.LimitReached:
+		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
 	default:
 		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.comeBack())
 	}
@@ -65,23 +65,23 @@
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
 	if x.cover.covered {
-		x.gateway.desk.Put(x.cover.hold)
+		x.gateway.desk.Release(x.cover.hold)
 	}
 	x.cover = cover{}
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Question) (allowance.Answer, error) {
+func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(electionPatience) {
 		ask = g.group.Any
 	}
 	response, err := ask(ctx, control.Request{Borrow: &asked})
 	if err != nil {
-		return allowance.Answer{}, err
+		return allowance.Reply{}, err
 	}
 	if response.Kind != control.ResponseOK || response.Lent == nil {
-		return allowance.Answer{}, eris.Errorf("control answers %s", response.Kind)
+		return allowance.Reply{}, eris.Errorf("control answers %s", response.Kind)
 	}
 	return *response.Lent, nil
 }
@@ -92,6 +92,6 @@
 		return true
 	}
 	name := quota.Repeats(service)
-	taken := g.desk.Take(ctx, name, 1, repeatPatience)
-	return taken.Outcome == desk.Granted && taken.Hold.Name == name
+	taken := g.desk.Acquire(ctx, name, 1, repeatPatience)
+	return taken.Outcome == desk.Granted && taken.Lease.Name == name
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // names lets a back end name a limit to a gateway.
 func names(g *Gateway, id string, rate float64) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
@@ -32,7 +32,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
 	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
@@ -103,12 +103,12 @@
 	if bar := chosen.barred(); bar != causeLimited {
 		t.Fatalf("barred %q without a part", bar)
 	}
-	chosen.hold = allowance.Hold{Name: "x", Amount: 1, Until: now + allowance.Lease}
+	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setDry(chosen.row, now+time.Second)
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
-	now += 2 * allowance.Lease
+	now += 2 * allowance.LeaseTTL
 	if bar := chosen.barred(); bar != causeLimited {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
@@ -229,7 +229,7 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Said{Limit: limit}}
+		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
 		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
@@ -244,11 +244,11 @@
 		limit  pushback.Limit
 		wanted float64
 	}{
-		{time.Second, pushback.Limit{Named: true, Rate: 4}, 4},
-		{2 * time.Second, pushback.Limit{Named: true, Rate: 9}, 4},
-		{2 * time.Second, pushback.Limit{Over: true}, 4},
-		{500 * time.Millisecond, pushback.Limit{Named: true, Rate: 0}, 0},
-		{400 * time.Millisecond, pushback.Limit{Over: true}, -1},
+		{time.Second, pushback.Limit{Advertised: true, Rate: 4}, 4},
+		{2 * time.Second, pushback.Limit{Advertised: true, Rate: 9}, 4},
+		{2 * time.Second, pushback.Limit{Withdrawn: true}, 4},
+		{500 * time.Millisecond, pushback.Limit{Advertised: true, Rate: 0}, 0},
+		{400 * time.Millisecond, pushback.Limit{Withdrawn: true}, -1},
 	} {
 		if told(step.age, step.limit); rate() != step.wanted {
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -24,14 +24,14 @@
 	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
-	asked := admission.Wish{
-		Rank: in.priority, Queue: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Chance: rand.Float64(),
+	asked := admission.Request{
+		Priority: in.priority, PredictedWait: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Random: rand.Float64(),
 	}
 	if parts := in.call.Parts; len(parts) > 0 {
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(in.service.Name).Refuse(now, asked)
+	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
 		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
@@ -40,10 +40,10 @@
 }
 
 // judge returns the judge of a service. The caller holds the mutex.
-func (t *table) judge(service string) *admission.Judge {
+func (t *table) judge(service string) *admission.Controller {
 	held := t.admission[service]
 	if held == nil {
-		held = &admission.Judge{}
+		held = &admission.Controller{}
 		t.admission[service] = held
 	}
 	return held
@@ -57,10 +57,10 @@
 	judge := t.judge(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.Learn(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
+		judge.ObserveWait(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > judge.Expected(rank, queue) {
-		judge.Learn(rank, queue, stayed)
+	if stayed > judge.ExpectedWait(rank, queue) {
+		judge.ObserveWait(rank, queue, stayed)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -19,7 +19,7 @@
 
 // hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
 func (a *attempt) hear(status int, verdict Verdict) {
-	a.asked = verdict.Said.Rest
+	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
 	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
@@ -39,7 +39,7 @@
 type heard struct {
 	request string // "" of an answer to no caller's request
 	status  int
-	said    pushback.Said
+	said    pushback.Signals
 	unread  string
 
 	limitUnread string
@@ -47,12 +47,12 @@
 
 // hear takes up and logs what a back end says of itself.
 func (g *Gateway) hear(row *endpoint, told heard) {
-	if told.said.Nothing() && told.unread == "" && told.limitUnread == "" {
+	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
 		return
 	}
 	now := g.now()
 	news := g.table.hear(now, row, told.said)
-	if !news.others.Nothing() {
+	if !news.others.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
 	}
 	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
@@ -60,38 +60,38 @@
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
-	if news.others.Leaving {
+	if news.others.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
 	}
-	if told.said.Rest <= 0 && told.unread == "" {
+	if told.said.Backoff <= 0 && told.unread == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Rest),
-			zap.Duration(events.FieldRestLeft, max(0, news.bar.Until-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
+		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Backoff),
+			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
 	}
 }
 
 // news is what of a back end's word is to be told.
 type news struct {
-	bar    pushback.Bar   // what now keeps requests from it
-	others pushback.Said  // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit  pushback.Limit // for the log: only if it differs from the one before
+	bar    pushback.Restriction // what now keeps requests from it
+	others pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
+	limit  pushback.Limit       // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
-func (t *table) hear(now time.Duration, row *endpoint, said pushback.Said) (made news) {
+func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	before := t.signals.At(now, row.life)
-	limit, heard := t.signals.LimitHeard(row.life)
-	made.bar = t.signals.Note(now, time.Now(), row.life, said, rand.Float64())
-	t.makeDearer(now, row, said.Rest)
-	made.others = pushback.Said{Rest: said.Rest, Leaving: made.bar.Leaving && !before.Leaving}
+	before := t.signals.Restriction(now, row.life)
+	limit, heard := t.signals.LimitObservedAt(row.life)
+	made.bar = t.signals.Observe(now, time.Now(), row.life, said, rand.Float64())
+	t.makeDearer(now, row, said.Backoff)
+	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
 	if t.signals.Limit(row.life) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
-	if said.Limit.Named && now >= heard+retellEach {
+	if said.Limit.Advertised && now >= heard+retellEach {
 		made.others.Limit = said.Limit
 	}
 	return made
@@ -110,14 +110,14 @@
 
 // hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Said) (news pushback.Said) {
-	t.makeDearer(at, row, said.Rest)
-	if t.signals.NoteLimit(at, row.life, said.Limit) {
+func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
+	t.makeDearer(at, row, said.Backoff)
+	if t.signals.ObserveLimit(at, row.life, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Leaving && !t.signals.At(now, row.life).Leaving {
-		news.Leaving = true
-		t.signals.Note(now, time.Now(), row.life, news, 0)
+	if said.Draining && !t.signals.Restriction(now, row.life).Draining {
+		news.Draining = true
+		t.signals.Observe(now, time.Now(), row.life, news, 0)
 	}
 	return news
 }
@@ -128,13 +128,13 @@
 // bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
 func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
-	bar := t.signals.At(now, row.life)
+	bar := t.signals.Restriction(now, row.life)
 	switch {
-	case bar.Leaving:
+	case bar.Draining:
 		return causeLeaving
-	case bar.Rests(now) && !elsewhere:
+	case bar.IsBackingOff(now) && !elsewhere:
 		return causeResting
-	case bar.Limit.Named && t.dry(now, row, elsewhere) > 0:
+	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
 		return causeLimited
 	}
 	return ""
@@ -146,12 +146,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.signals.At(now, row.life)
-		if !row.open() || bar.Leaving {
+		bar := t.signals.Restriction(now, row.life)
+		if !row.open() || bar.Draining {
 			continue
 		}
-		left, why := max(0, bar.Until-now), causeResting
-		if bar.Limit.Named {
+		left, why := max(0, bar.BackoffUntil-now), causeResting
+		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
 				left, why = dry, causeLimited
 			}
@@ -192,7 +192,7 @@
 }
 
 // apart returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
-func apart(after time.Duration) time.Duration { return pushback.Apart(after, rand.Float64()) }
+func apart(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
 
 // row returns the back end of an id, or nil.
 func (t *table) row(id string) *endpoint {
@@ -207,7 +207,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for _, row := range t.rows {
-		if t.signals.At(now, row.life).Rests(now) {
+		if t.signals.Restriction(now, row.life).IsBackingOff(now) {
 			counts[row.entry.Service]++
 		}
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -29,21 +29,21 @@
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
-		borrowers := make([]*allowance.Borrower, gateways)
+		borrowers := make([]*allowance.Client, gateways)
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
-		lender := allowance.NewLender(1)
-		lender.Use(0, limits)
+		lender := allowance.NewAllocator(1)
+		lender.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
-			borrowers[i] = allowance.NewBorrower(fmt.Sprint("g", i), time.Second)
-			borrowers[i].Use(limits)
+			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
+			borrowers[i].SetLimits(limits)
 		}
-		lent := func(b *allowance.Borrower, now time.Duration) bool {
-			wants := []allowance.Want{{Name: quota.Repeats("s"), Amount: 1}}
+		lent := func(b *allowance.Client, now time.Duration) bool {
+			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
-				hold = b.Granted(now, now, wants, lender.Take(now, b.Ask(now, wants)))[0].Hold
+				hold = b.ApplyReply(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
@@ -268,7 +268,7 @@
 			}
 			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.signals.NoteLimit(0, row.life, pushback.Limit{Named: true, Rate: 4})
+				g.table.signals.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
 					row.limitExhaustedUntil = time.Hour
 				}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -285,10 +285,10 @@
 	version   control.RosterVersion
 	roster    []control.RosterEntry
 	confirmed time.Duration // by its own clock; 0 never
-	record    *quarantine.Record
+	record    *quarantine.Tracker
 	namings   *belief.PublishTimes
-	pushed    *pushback.Book // what back ends said of themselves
-	borrower  *allowance.Borrower
+	pushed    *pushback.Tracker // what back ends said of themselves
+	borrower  *allowance.Client
 	lender    *asker // asks for parts of limits
 	asking    bool
 }
@@ -297,9 +297,9 @@
 	g.start()
 	g.startedAt = g.w.now()
 	g.asker = newAsker(g.w, g.process)
-	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewRecord()
-	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewBook()
-	g.borrower, g.asking = allowance.NewBorrower(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
+	g.revision, g.version, g.roster, g.confirmed, g.record = 0, control.RosterVersion{}, nil, 0, quarantine.NewTracker()
+	g.namings, g.pushed = belief.NewPublishTimes(g.w.guards), pushback.NewTracker()
+	g.borrower, g.asking = allowance.NewClient(fmt.Sprint(g.process.name, "#", g.life), fleetTrust), false
 	g.lender = &asker{w: g.w, from: g.process}
 	g.w.oracle.fleet.told[g.process.name] = map[uint64]time.Duration{}
 	g.w.oracle.fleet.used[g.process.name] = 0
@@ -340,13 +340,13 @@
 		g.roster = reply.Roster.Merge(g.roster)
 	}
 	if g.confirmed > 0 {
-		g.record.Idled(g.clock(), g.clock()-g.confirmed-fleetTrust)
+		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetTrust)
 	}
 	g.takeQuarantine(reply, before)
 	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Wanted)
 	g.w.oracle.namingsTold(g.process.name, reply.Wanted)
 	g.version, g.confirmed = reply.Version, asked
-	g.borrower.Touch(asked, reply.Gateways)
+	g.borrower.RecordContact(asked, reply.Gateways)
 }
 
 // mayBeSent reports whether the gateway's view counts.
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// LongestRest bounds what is believed of a wish for rest: a figure beyond it is taken for it.
-	LongestRest = time.Hour
+	// MaxBackoff bounds what is believed of a wish for rest: a figure beyond it is taken for it.
+	MaxBackoff = time.Hour
 	// spreadShare of a time, spreadMost at most, is added to it at random, so that those which were refused together don't come back together.
 	spreadShare = 0.1
 	spreadMost  = 250 * time.Millisecond
@@ -25,28 +25,28 @@
 	leavingKept = 10 * time.Minute
 )
 
-// Said is what one answer of a back end says of itself.
-type Said struct {
-	Rest    time.Duration // it wants nothing from this process for so long; 0 says nothing of it
-	Leaving bool          // it ends soon and wants nothing new
-	Limit   Limit         // of the requests that it takes
+// Signals is what one answer of a back end says of itself.
+type Signals struct {
+	Backoff  time.Duration // it wants nothing from this process for so long; 0 says nothing of it
+	Draining bool          // it ends soon and wants nothing new
+	Limit    Limit         // of the requests that it takes
 }
 
-// Nothing reports whether an answer says nothing of its back end.
-func (s Said) Nothing() bool { return s.Rest <= 0 && !s.Leaving && s.Limit.Nothing() }
+// IsEmpty reports whether an answer says nothing of its back end.
+func (s Signals) IsEmpty() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
 
-// Bar is what keeps requests from a life.
-type Bar struct {
-	Leaving bool          // until its end
-	Until   time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
-	Limit   Limit         // that it names now; it bars what has no part of it
+// Restriction is what keeps requests from a life.
+type Restriction struct {
+	Draining     bool          // until its end
+	BackoffUntil time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
+	Limit        Limit         // that it names now; it bars what has no part of it
 }
 
-// Stands reports whether nothing may be sent now.
-func (b Bar) Stands(now time.Duration) bool { return b.Leaving || b.Rests(now) }
+// IsBlocked reports whether nothing may be sent now.
+func (b Restriction) IsBlocked(now time.Duration) bool { return b.Draining || b.IsBackingOff(now) }
 
-// Rests reports whether the life wants rest now.
-func (b Bar) Rests(now time.Duration) bool { return now < b.Until }
+// IsBackingOff reports whether the life wants rest now.
+func (b Restriction) IsBackingOff(now time.Duration) bool { return now < b.BackoffUntil }
 
 // word is what one life said.
 type word struct {
@@ -59,50 +59,50 @@
 	newest  time.Duration // when anything was last heard
 }
 
-// Book holds the words of back ends that still count.
-type Book struct {
+// Tracker holds the words of back ends that still count.
+type Tracker struct {
 	words map[string][]word // by name, one for each life; none is empty
 }
 
-// NewBook returns a book without a word.
-func NewBook() *Book { return &Book{words: map[string][]word{}} }
+// NewTracker returns a book without a word.
+func NewTracker() *Tracker { return &Tracker{words: map[string][]word{}} }
 
-// Note takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
+// Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Book) Note(now time.Duration, day time.Time, life catalog.Life, said Said, chance float64) Bar {
-	if said.Nothing() {
-		return b.At(now, life)
+func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+	if said.IsEmpty() {
+		return b.Restriction(now, life)
 	}
 	w := b.word(life)
-	w.newest, w.leaving = now, w.leaving || said.Leaving
-	if said.Rest > 0 {
-		w.until, w.heardAt = max(w.until, now+Apart(min(said.Rest, LongestRest), chance)), day
+	w.newest, w.leaving = now, w.leaving || said.Draining
+	if said.Backoff > 0 {
+		w.until, w.heardAt = max(w.until, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
-	b.NoteLimit(now, life, said.Limit)
-	return b.At(now, life)
+	b.ObserveLimit(now, life, said.Limit)
+	return b.Restriction(now, life)
 }
 
-// Apart returns a time with a part of the spread on top; chance lies in [0, 1).
-func Apart(after time.Duration, chance float64) time.Duration {
+// WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
+func WithJitter(after time.Duration, chance float64) time.Duration {
 	spread := min(time.Duration(spreadShare*float64(after)), spreadMost)
 	return after + time.Duration(chance*float64(spread))
 }
 
-// At returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
+// Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Book) At(now time.Duration, life catalog.Life) Bar {
-	var bar Bar
+func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
+	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
-			bar.Leaving = bar.Leaving || w.leaving
-			if w.limit.Named {
+			bar.Draining = bar.Draining || w.leaving
+			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
 		} else if !w.mayBe(life) {
 			continue
 		}
 		if now < w.until {
-			bar.Until = max(bar.Until, w.until)
+			bar.BackoffUntil = max(bar.BackoffUntil, w.until)
 		}
 	}
 	return bar
@@ -114,10 +114,10 @@
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (b *Book) Sweep(now time.Duration, named func(catalog.Life) bool) {
+func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
-			lasting := w.leaving || w.limit.Named
+			lasting := w.leaving || w.limit.Advertised
 			return now >= w.until && (!lasting || now >= w.newest+leavingKept && !named(w.life))
 		})
 		if len(left) == 0 {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// Suspected is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
-	Suspected = 2
-	// Held is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
+	// SuspectThreshold is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
+	SuspectThreshold = 2
+	// QuarantineThreshold is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
 	// third is for the users' rules to say, and they allow three more.
-	Held = 3
-	// Advice is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
+	QuarantineThreshold = 3
+	// RetryAfter is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
 	// callers that repeat at once from doing so.
-	Advice = time.Hour
+	RetryAfter = time.Hour
 	// livesKept bounds the lives that are remembered of one request: enough to count, and to show an operator.
 	livesKept = 8
 	// entriesMost bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
@@ -24,24 +24,24 @@
 	entriesMost = 4096
 )
 
-// Ended says that a life of a back end ended while it ran requests.
-type Ended struct {
-	Life     string        `json:"life"`
-	Requests []Fingerprint `json:"requests"`
+// Crash says that a life of a back end ended while it ran requests.
+type Crash struct {
+	Incarnation string        `json:"life"`
+	Requests    []Fingerprint `json:"requests"`
 }
 
 // Change is one change of the ledger.
 type Change struct {
 	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
-	Ended    []Ended   `json:"ended,omitempty"`
-	Released []Release `json:"released,omitempty"`
+	Crashes  []Crash   `json:"ended,omitempty"`
+	Releases []Release `json:"released,omitempty"`
 }
 
 // Release says that requests are no longer held against lives that ended: all, or all but the newest few.
 type Release struct {
 	Requests []Fingerprint `json:"requests"`
 	Keep     int           `json:"keep,omitempty"`
-	Why      Reason        `json:"why"`
+	Reason   Reason        `json:"why"`
 }
 
 // Reason tells why requests are released.
@@ -49,19 +49,19 @@
 
 // Reasons of a release.
 const (
-	EndedWell Reason = "ended-well" // a back end ran one to a good end
-	Operator  Reason = "operator"
-	Age       Reason = "age" // nothing ended under it for long
+	ReasonCompleted Reason = "ended-well" // a back end ran one to a good end
+	ReasonOperator  Reason = "operator"
+	ReasonExpired   Reason = "age" // nothing ended under it for long
 )
 
 // Entry is a request and the lives that ended under it, oldest first.
 type Entry struct {
-	Request Fingerprint `json:"request"`
-	Lives   []string    `json:"lives"`
+	Request      Fingerprint `json:"request"`
+	Incarnations []string    `json:"lives"`
 }
 
-// News is all that a process is told.
-type News struct {
+// Update is all that a process is told.
+type Update struct {
 	Version uint64  `json:"version"`
 	Seed    []byte  `json:"seed"`
 	Entries []Entry `json:"entries,omitempty"` // with Suspected lives or more
@@ -73,59 +73,59 @@
 	order uint64   // of its newest life among all
 }
 
-// Ledger is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
-type Ledger struct {
+// Registry is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
+type Registry struct {
 	seed    []byte
 	entries map[Fingerprint]*counted // at most entriesMost
 	order   uint64
-	version uint64 // rises whenever News differ
-	news    *News  // of that version, or an older one; nil before somebody asked
+	version uint64  // rises whenever News differ
+	news    *Update // of that version, or an older one; nil before somebody asked
 }
 
-// NewLedger returns an empty ledger without a seed.
-func NewLedger() *Ledger { return &Ledger{entries: map[Fingerprint]*counted{}} }
+// NewRegistry returns an empty ledger without a seed.
+func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*counted{}} }
 
 // Apply makes one change: first lives are released, then new ones counted.
-func (l *Ledger) Apply(c Change) {
+func (l *Registry) Apply(c Change) {
 	l.plant(c.Seed)
-	for _, released := range c.Released {
+	for _, released := range c.Releases {
 		for _, f := range released.Requests {
 			l.drop(f, max(0, released.Keep))
 		}
 	}
-	for _, ended := range c.Ended {
+	for _, ended := range c.Crashes {
 		l.note(ended)
 	}
 }
 
-// Changes reports whether a change would change anything.
-func (l *Ledger) Changes(c Change) bool {
-	if len(c.Seed) > 0 && !l.Planted() {
+// WouldChange reports whether a change would change anything.
+func (l *Registry) WouldChange(c Change) bool {
+	if len(c.Seed) > 0 && !l.HasSeed() {
 		return true
 	}
-	for _, released := range c.Released {
-		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.Lives(f) > released.Keep }) {
+	for _, released := range c.Releases {
+		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.CrashCount(f) > released.Keep }) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Ended, func(ended Ended) bool { return !l.knows(ended) })
+	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.knows(ended) })
 }
 
-func (l *Ledger) plant(seed []byte) {
+func (l *Registry) plant(seed []byte) {
 	if len(l.seed) == 0 && len(seed) == SeedBytes {
 		l.seed = seed
 		l.version++
 	}
 }
 
-// Planted reports whether there is a seed.
-func (l *Ledger) Planted() bool { return len(l.seed) > 0 }
+// HasSeed reports whether there is a seed.
+func (l *Registry) HasSeed() bool { return len(l.seed) > 0 }
 
 // Version returns the version of the news.
-func (l *Ledger) Version() uint64 { return l.version }
+func (l *Registry) Version() uint64 { return l.version }
 
 // note counts an ended life for each request that it ran.
-func (l *Ledger) note(ended Ended) {
+func (l *Registry) note(ended Crash) {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil {
@@ -133,22 +133,22 @@
 			e = &counted{}
 			l.entries[f] = e
 		}
-		if slices.Contains(e.lives, ended.Life) || len(e.lives) >= livesKept {
+		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= livesKept {
 			continue
 		}
 		l.order++
-		e.lives, e.order = append(e.lives, ended.Life), l.order
-		if len(e.lives) >= Suspected {
+		e.lives, e.order = append(e.lives, ended.Incarnation), l.order
+		if len(e.lives) >= SuspectThreshold {
 			l.version++
 		}
 	}
 }
 
 // knows reports whether noting a life would change nothing.
-func (l *Ledger) knows(ended Ended) bool {
+func (l *Registry) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
-		if e == nil || !slices.Contains(e.lives, ended.Life) && len(e.lives) < livesKept {
+		if e == nil || !slices.Contains(e.lives, ended.Incarnation) && len(e.lives) < livesKept {
 			return false
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // makeRoom pushes out the request with the fewest lives, of these the one whose newest life is oldest.
-func (l *Ledger) makeRoom() {
+func (l *Registry) makeRoom() {
 	if len(l.entries) < entriesMost {
 		return
 	}
@@ -171,12 +171,12 @@
 }
 
 // drop forgets all but the newest lives of a request.
-func (l *Ledger) drop(f Fingerprint, keep int) {
+func (l *Registry) drop(f Fingerprint, keep int) {
 	e := l.entries[f]
 	if e == nil || len(e.lives) <= keep {
 		return
 	}
-	if len(e.lives) >= Suspected {
+	if len(e.lives) >= SuspectThreshold {
 		l.version++
 	}
 	if keep == 0 {
@@ -186,28 +186,28 @@
 	e.lives = slices.Clone(e.lives[len(e.lives)-keep:])
 }
 
-// Lives returns how many lives ended under a request, as far as they are kept.
-func (l *Ledger) Lives(f Fingerprint) int {
+// CrashCount returns how many lives ended under a request, as far as they are kept.
+func (l *Registry) CrashCount(f Fingerprint) int {
 	if e := l.entries[f]; e != nil {
 		return len(e.lives)
 	}
 	return 0
 }
 
-// All returns every request in a fixed order.
-func (l *Ledger) All() []Fingerprint {
+// Fingerprints returns every request in a fixed order.
+func (l *Registry) Fingerprints() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// News returns what processes are told; callers only read it.
-func (l *Ledger) News() *News {
+// Update returns what processes are told; callers only read it.
+func (l *Registry) Update() *Update {
 	if l.news != nil && l.news.Version == l.version {
 		return l.news
 	}
-	news := &News{Version: l.version, Seed: l.seed}
-	for _, f := range l.All() {
-		if e := l.entries[f]; len(e.lives) >= Suspected {
-			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
+	news := &Update{Version: l.version, Seed: l.seed}
+	for _, f := range l.Fingerprints() {
+		if e := l.entries[f]; len(e.lives) >= SuspectThreshold {
+			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.lives)})
 		}
 	}
 	l.news = news
@@ -228,23 +228,23 @@
 }
 
 // MarshalJSON writes the whole state.
-func (l *Ledger) MarshalJSON() ([]byte, error) {
+func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
-	for _, f := range l.All() {
-		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Lives: l.entries[f].lives}, Order: l.entries[f].order})
+	for _, f := range l.Fingerprints() {
+		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].lives}, Order: l.entries[f].order})
 	}
 	return json.Marshal(form)
 }
 
 // UnmarshalJSON replaces the whole state.
-func (l *Ledger) UnmarshalJSON(data []byte) error {
+func (l *Registry) UnmarshalJSON(data []byte) error {
 	var form ledgerForm
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
-	*l = Ledger{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
+	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
 	for _, e := range form.Entries {
-		l.entries[e.Request] = &counted{lives: e.Lives, order: e.Order}
+		l.entries[e.Request] = &counted{lives: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,8 +17,8 @@
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-func endedOf(life string, numbers ...int) Ended {
-	ended := Ended{Life: life}
+func endedOf(life string, numbers ...int) Crash {
+	ended := Crash{Incarnation: life}
 	for _, n := range numbers {
 		ended.Requests = append(ended.Requests, printOf(n))
 	}
@@ -28,7 +28,7 @@
 // TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
 func TestLivesAreASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Ended {
+		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return endedOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
 		wanted := map[Fingerprint]map[string]bool{}
@@ -37,21 +37,21 @@
 				if wanted[f] == nil {
 					wanted[f] = map[string]bool{}
 				}
-				wanted[f][ended.Life] = true
+				wanted[f][ended.Incarnation] = true
 			}
 		}
-		one, other := NewLedger(), NewLedger()
+		one, other := NewRegistry(), NewRegistry()
 		for _, ended := range told {
-			one.Apply(Change{Ended: []Ended{ended}})
+			one.Apply(Change{Crashes: []Crash{ended}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
-		other.Apply(Change{Ended: shuffled})
+		other.Apply(Change{Crashes: shuffled})
 		for f, lives := range wanted {
-			if one.Lives(f) != len(lives) || other.Lives(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.Lives(f), other.Lives(f), len(lives))
+			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
+				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
 			}
 		}
-		if one.Changes(Change{Ended: told}) {
+		if one.WouldChange(Change{Crashes: told}) {
 			t.Fatal("what is known counts as news")
 		}
 	})
@@ -59,20 +59,20 @@
 
 // ledgerModel compares a ledger with the plainest account of what it was told.
 type ledgerModel struct {
-	ledger *Ledger
+	ledger *Registry
 	lives  map[Fingerprint][]string
 	seed   []byte
 }
 
 func (m *ledgerModel) Ended(t *rapid.T) {
 	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.Changes(Change{Ended: []Ended{ended}})
+	changes := m.ledger.WouldChange(Change{Crashes: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Ended: []Ended{ended}})
+	m.ledger.Apply(Change{Crashes: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
-		if !slices.Contains(m.lives[f], ended.Life) && len(m.lives[f]) < livesKept {
-			m.lives[f] = append(m.lives[f], ended.Life)
+		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < livesKept {
+			m.lives[f] = append(m.lives[f], ended.Incarnation)
 			changed = true
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 func (m *ledgerModel) Release(t *rapid.T) {
-	released := Release{Keep: rapid.IntRange(0, Held-1).Draw(t, "keep"), Why: Operator}
+	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		released.Requests = append(released.Requests, printOf(n))
 	}
 	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Released: []Release{released}})
+	m.ledger.Apply(Change{Releases: []Release{released}})
 	for _, f := range released.Requests {
 		if len(m.lives[f]) > released.Keep {
 			m.lives[f] = m.lives[f][len(m.lives[f])-released.Keep:]
@@ -113,12 +113,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewLedger()
+	restored := NewRegistry()
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(restored.News(), m.ledger.News()) {
-		t.Fatalf("restored %+v from %+v", restored.News(), m.ledger.News())
+	if !reflect.DeepEqual(restored.Update(), m.ledger.Update()) {
+		t.Fatalf("restored %+v from %+v", restored.Update(), m.ledger.Update())
 	}
 	m.ledger = restored
 }
@@ -127,7 +127,7 @@
 func (m *ledgerModel) told() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
 	for f, lives := range m.lives {
-		if len(lives) >= Suspected {
+		if len(lives) >= SuspectThreshold {
 			told[f] = slices.Clone(lives)
 		}
 	}
@@ -142,10 +142,10 @@
 }
 
 func (m *ledgerModel) Check(t *rapid.T) {
-	news := m.ledger.News()
+	news := m.ledger.Update()
 	told := map[Fingerprint][]string{}
 	for _, e := range news.Entries {
-		told[e.Request] = e.Lives
+		told[e.Request] = e.Incarnations
 	}
 	if !maps.EqualFunc(told, m.told(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
 		t.Fatalf("news %+v, wanted %v under seed %v", news, m.told(), m.seed)
@@ -155,42 +155,42 @@
 // TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
 func TestLedgerTellsWhatItWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{ledger: NewLedger(), lives: map[Fingerprint][]string{}}
+		m := &ledgerModel{ledger: NewRegistry(), lives: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
 // TestFloodPushesNoCulpritOut: however many other requests are told of, one with more lives against it stays.
 func TestFloodPushesNoCulpritOut(t *testing.T) {
-	l := NewLedger()
-	for life := range Held {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("life-", life), 1)}})
+	l := NewRegistry()
+	for life := range QuarantineThreshold {
+		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * entriesMost {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("other-", n), 2+n)}})
+		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.Lives(printOf(1)); got != Held {
+	if got := l.CrashCount(printOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
 	}
-	if n := len(l.All()); n != entriesMost {
+	if n := len(l.Fingerprints()); n != entriesMost {
 		t.Fatalf("%d requests are remembered, %d are the most", n, entriesMost)
 	}
-	if l.Lives(printOf(2)) != 0 || l.Lives(printOf(1+3*entriesMost)) != 1 {
+	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*entriesMost)) != 1 {
 		t.Fatal("it is not the oldest that makes room")
 	}
 }
 
 // TestSeedStays: the first one is everybody's.
 func TestSeedStays(t *testing.T) {
-	l, first := NewLedger(), make([]byte, SeedBytes)
+	l, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
 	l.Apply(Change{Seed: first[:5]})
-	if l.Planted() {
+	if l.HasSeed() {
 		t.Fatal("a short seed is taken")
 	}
 	l.Apply(Change{Seed: first})
 	l.Apply(Change{Seed: make([]byte, SeedBytes)})
-	if got := l.News(); !slices.Equal(got.Seed, first) || got.Version != 1 {
+	if got := l.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -205,7 +205,7 @@
 	base := Request{Method: "POST", Host: "h", Path: "/a/b?c", Caller: "north", Body: []byte("text")}
 	same := base
 	same.Body = slices.Clone(base.Body)
-	if h.Of(base) != h.Of(same) || h.Of(base) == other.Of(base) {
+	if h.Fingerprint(base) != h.Fingerprint(same) || h.Fingerprint(base) == other.Fingerprint(base) {
 		t.Fatal("a fingerprint depends on something else, or not on the seed")
 	}
 	for _, change := range []func(*Request){
@@ -215,7 +215,7 @@
 	} {
 		changed := base
 		change(&changed)
-		if h.Of(base) == h.Of(changed) {
+		if h.Fingerprint(base) == h.Fingerprint(changed) {
 			t.Fatalf("%+v has the fingerprint of %+v", changed, base)
 		}
 	}
@@ -243,25 +243,25 @@
 
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	if _, counts := r.Broke(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
+	r, f := NewTracker(), printOf(1)
+	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.CrashCount(f) != 0 || !r.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
-	if _, counts := r.End(time.Second, "b"); counts {
+	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
-	told, counts := r.End(2*time.Second, "a")
-	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.Waits("a") {
+	told, counts := r.ConfirmEnd(2*time.Second, "a")
+	if !counts || told.Incarnation != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
-	if told, counts = r.Broke(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
+	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
 		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
 	}
-	if _, counts = r.End(2*time.Second, "a"); counts {
+	if _, counts = r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("a life counts twice")
 	}
-	r.Broke(3*time.Second, "c", f)
-	if _, counts = r.End(3*time.Second+proofWait+1, "c"); counts {
+	r.RecordFailure(3*time.Second, "c", f)
+	if _, counts = r.ConfirmEnd(3*time.Second+proofWait+1, "c"); counts {
 		t.Fatal("a proof long after counts")
 	}
 }
@@ -269,24 +269,24 @@
 // TestGoodEndsSpeakForARequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
 // is released.
 func TestGoodEndsSpeakForARequest(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	if r.EndedWell(time.Second, f) {
+	r, f := NewTracker(), printOf(1)
+	if r.RecordCompletion(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
-	r.Broke(2*time.Second, "a", f)
-	if _, counts := r.End(2*time.Second, "a"); counts {
+	r.RecordFailure(2*time.Second, "a", f)
+	if _, counts := r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
-	news := &News{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.Take(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
+	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
+	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(printOf(2)) != QuarantineThreshold {
 		t.Fatalf("%v is released", innocent)
 	}
-	if !r.EndedWell(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
+	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.CrashCount(printOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + innocenceKept + 1
-	r.Take(later, news)
-	if r.Lives(f) != Held {
+	r.ApplyUpdate(later, news)
+	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatal("an old good end speaks for a request")
 	}
 }
@@ -296,24 +296,24 @@
 // in which there could be none counted.
 func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
 	const away = 6 * time.Second
-	r, f := NewRecord(), printOf(1)
-	r.EndedWell(time.Second, f)
+	r, f := NewTracker(), printOf(1)
+	r.RecordCompletion(time.Second, f)
 	back := 2*time.Second + away
-	r.Idled(back, away)
+	r.RecordIdle(back, away)
 	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(back, life, f)
-		r.End(back, life)
+		r.RecordFailure(back, life, f)
+		r.ConfirmEnd(back, life)
 	}
-	if lives := r.Lives(f); lives != 0 {
+	if lives := r.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
 	later := time.Second + away + innocenceKept + 1
-	r.Broke(later, "d", f)
-	if _, counts := r.End(later, "d"); !counts {
+	r.RecordFailure(later, "d", f)
+	if _, counts := r.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
-	r.EndedWell(later, f)
-	r.Idled(later+time.Second, time.Hour)
+	r.RecordCompletion(later, f)
+	r.RecordIdle(later+time.Second, time.Hour)
 	if r.endedWell(later+time.Second+innocenceKept+1, f) {
 		t.Fatal("a good end lies ahead")
 	}
@@ -321,33 +321,33 @@
 
 // TestOwnLivesAddToToldOnes: each life counts once, and what control has had time to count is forgotten.
 func TestOwnLivesAddToToldOnes(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
+	r, f := NewTracker(), printOf(1)
 	for _, life := range []string{"a", "b"} {
-		r.Broke(time.Second, life, f)
-		r.End(time.Second, life)
+		r.RecordFailure(time.Second, life, f)
+		r.ConfirmEnd(time.Second, life)
 	}
-	if r.Empty() || r.Lives(f) != 2 {
-		t.Fatalf("%d lives", r.Lives(f))
+	if r.IsEmpty() || r.CrashCount(f) != 2 {
+		t.Fatalf("%d lives", r.CrashCount(f))
 	}
-	r.Take(time.Second, &News{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
-	if told, held := r.Suspects(); r.Lives(f) != 3 || told != 1 || held != 0 {
-		t.Fatalf("%d lives, %d told, %d held", r.Lives(f), told, held)
+	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
+	if told, held := r.SuspectCounts(); r.CrashCount(f) != 3 || told != 1 || held != 0 {
+		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), told, held)
 	}
-	r.Take(2*time.Second, &News{Version: 2})
+	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + ownKept + 1)
-	if !r.Empty() || r.Version() != 2 {
-		t.Fatalf("%d lives are left", r.Lives(f))
+	if !r.IsEmpty() || r.Version() != 2 {
+		t.Fatalf("%d lives are left", r.CrashCount(f))
 	}
 }
 
 // TestRecordIsBounded: whatever breaks off, and however much ends well.
 func TestRecordIsBounded(t *testing.T) {
-	r := NewRecord()
+	r := NewTracker()
 	for n := range 3 * wellMost {
-		r.Broke(time.Second, fmt.Sprint("life-", n), printOf(n))
-		r.End(time.Second, fmt.Sprint("life-", n))
-		r.Broke(time.Second, "one", printOf(n))
-		r.EndedWell(time.Second, printOf(3*wellMost+n%(wellMost+7)))
+		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
+		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
+		r.RecordFailure(time.Second, "one", printOf(n))
+		r.RecordCompletion(time.Second, printOf(3*wellMost+n%(wellMost+7)))
 	}
 	if len(r.breaks) > breaksMost || len(r.breaks["one"].runs) > runsMost || len(r.own) > ownMost || len(r.well) > wellMost {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.own), len(r.well))
@@ -366,7 +366,7 @@
 			again := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.Of(again)
+				h.Fingerprint(again)
 			}
 		})
 	}
@@ -375,29 +375,29 @@
 // TestReleasesElsewhereCountHere: a process that proved three lives itself follows control once that has taken them: a good end at another
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleasesElsewhereCountHere(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	var told []Ended
+	r, f := NewTracker(), printOf(1)
+	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(time.Second, life, f)
-		ended, _ := r.End(time.Second, life)
+		r.RecordFailure(time.Second, life, f)
+		ended, _ := r.ConfirmEnd(time.Second, life)
 		told = append(told, ended)
 	}
-	r.Take(time.Second, &News{Version: 1})
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before control has taken them", r.Lives(f))
+	r.ApplyUpdate(time.Second, &Update{Version: 1})
+	if r.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d lives before control has taken them", r.CrashCount(f))
 	}
-	r.Taken(told)
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before the news", r.Lives(f))
+	r.Acknowledge(told)
+	if r.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d lives before the news", r.CrashCount(f))
 	}
-	r.Take(time.Second, &News{Version: 3})
-	if r.Lives(f) != 0 {
-		t.Fatalf("%d lives of a request that was released", r.Lives(f))
+	r.ApplyUpdate(time.Second, &Update{Version: 3})
+	if r.CrashCount(f) != 0 {
+		t.Fatalf("%d lives of a request that was released", r.CrashCount(f))
 	}
-	r.Broke(2*time.Second, "d", f)
-	r.End(2*time.Second, "d")
-	r.Take(2*time.Second, &News{Version: 4})
-	if r.Lives(f) != 1 {
-		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
+	r.RecordFailure(2*time.Second, "d", f)
+	r.ConfirmEnd(2*time.Second, "d")
+	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
+	if r.CrashCount(f) != 1 {
+		t.Fatalf("%d lives after one more that control hasn't taken", r.CrashCount(f))
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -136,13 +136,13 @@
 		return said, a.event(core.AttemptBroken)
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
-	rest := min(body.RetryAfterMS, pushback.LongestRest.Milliseconds()) // so that no figure is too long for a duration
-	said.Said = pushback.Said{Rest: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
+	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
+	said.Said = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.Well = !said.Said.Nothing()
+	event.Well = !said.Said.IsEmpty()
 	return said, event
 }
 
@@ -155,13 +155,13 @@
 	if named == nil || *named < 0 {
 		return pushback.Limit{}
 	}
-	return pushback.Limit{Named: true, Rate: *named}
+	return pushback.Limit{Advertised: true, Rate: *named}
 }
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Said{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
@@ -194,7 +194,7 @@
 
 // hear passes on and logs what a back end said of itself.
 func (s *Server) hear(a *attemptRun, told core.EventSaid, status int) {
-	if told.Said.Nothing() {
+	if told.Said.IsEmpty() {
 		return
 	}
 	s.post(told)
@@ -203,11 +203,11 @@
 		return
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Said.Limit; limit.Named {
+	if limit := told.Said.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
 	}
-	if told.Said.Rest > 0 || told.Said.Leaving {
-		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Said.Rest), zap.Bool("leaving", told.Said.Leaving))...)
+	if told.Said.Backoff > 0 || told.Said.Draining {
+		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
 	}
 }
 
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -29,11 +29,11 @@
 
 // newReporter returns what this router does about requests that end their back ends.
 func (s *Server) newReporter() *reporter.Reporter {
-	return reporter.New(reporter.Ways{
-		Tell:    s.group.Quarantine,
-		Refuses: reporter.Refuses(&net.Dialer{}),
-		Note:    func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
-		Now:     s.now,
+	return reporter.New(reporter.Config{
+		Submit:             s.group.Quarantine,
+		RefusesConnections: reporter.RefusesTCP(&net.Dialer{}),
+		Log:                func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
+		Now:                s.now,
 	})
 }
 
@@ -44,20 +44,20 @@
 
 // lives returns how many lives of back ends ended under a request, as far as this router knows.
 func (s *Server) lives(run *exchange) int {
-	if s.quarantine.Quiet() {
+	if s.quarantine.IsEmpty() {
 		return 0
 	}
 	f, ok := s.quarantine.Fingerprint(run.again)
 	if !ok {
 		return 0
 	}
-	return s.quarantine.Lives(f)
+	return s.quarantine.CrashCount(f)
 }
 
 // heldBack answers a request that ends whoever runs it.
 func (s *Server) heldBack(run *exchange, r *http.Request) bool {
 	lives := s.lives(run)
-	if lives < quarantine.Held {
+	if lives < quarantine.QuarantineThreshold {
 		return false
 	}
 	f, _ := s.quarantine.Fingerprint(run.again) // there is one, or it would have no lives
@@ -71,7 +71,7 @@
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
 func (s *Server) barred(run *exchange) bool {
 	lives := s.lives(run)
-	return lives >= quarantine.Held || run.mayHaveRun() && lives >= quarantine.Suspected
+	return lives >= quarantine.QuarantineThreshold || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
 }
 
 // mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
@@ -89,7 +89,7 @@
 		return
 	}
 	if f, ok := s.quarantine.Fingerprint(a.run.again); ok {
-		s.quarantine.Broke(a.life(), a.action.Address, f)
+		s.quarantine.RecordFailure(a.life(), a.action.Address, f)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (s *Server) noteFailure(ctx context.Context, a *attemptRun, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.quarantine.Ended(reporter.Refused, a.life())
+		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.life())
 	case !neverSent(err):
 		s.brokeOff(ctx, a)
 	}
@@ -106,6 +106,6 @@
 // endedWell notes that a back end ran a request to a good end.
 func (s *Server) endedWell(run *exchange) {
 	if f, ok := s.quarantine.Fingerprint(run.again); ok {
-		s.quarantine.EndedWell(f)
+		s.quarantine.RecordCompletion(f)
 	}
 }
