--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// RanksMost is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
+	// PriorityLevels is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
 	// more urgent in first.
-	RanksMost = 10
+	PriorityLevels = 10
 	// ratioStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
 	ratioStep = 0.03
 	ratioMost = 16.0
@@ -43,19 +43,19 @@
 	rememberedMost = 20_000
 )
 
-// Wish is a request whose placement is known.
-type Wish struct {
-	Key       string        // names the request when it comes back; "" nobody knows it again
-	Rank      int           // 0 is the most urgent
-	Queue     time.Duration // predicted wait before it is read
-	Objective time.Duration // 0: it is never turned away
-	Chance    float64       // drawn from 0 to 1
+// Request is a request whose placement is known.
+type Request struct {
+	Key           string        // names the request when it comes back; "" nobody knows it again
+	Priority      int           // 0 is the most urgent
+	PredictedWait time.Duration // predicted wait before it is read
+	Objective     time.Duration // 0: it is never turned away
+	Random        float64       // drawn from 0 to 1
 }
 
-// Judge keeps what is learnt of one service. Its zero value has learnt nothing.
-type Judge struct {
-	ratios  [RanksMost]float64 // of seen to predicted waits, their median; 0 before the first
-	stands  [RanksMost]standing
+// Controller keeps what is learnt of one service. Its zero value has learnt nothing.
+type Controller struct {
+	ratios  [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
+	stands  [PriorityLevels]standing
 	refused map[string]time.Duration
 }
 
@@ -72,8 +72,8 @@
 	return min(max((s.load-standsFrom)/(standsTo-standsFrom), 0), 1)
 }
 
-// Learn takes what a request of a rank waited, against what was predicted for it.
-func (j *Judge) Learn(rank int, predicted, seen time.Duration) {
+// ObserveWait takes what a request of a rank waited, against what was predicted for it.
+func (j *Controller) ObserveWait(rank int, predicted, seen time.Duration) {
 	if predicted < learnFrom {
 		return
 	}
@@ -89,8 +89,8 @@
 	*at = min(max(*at, 1/ratioMost), ratioMost)
 }
 
-// Expected returns the wait of a rank that a prediction stands for.
-func (j *Judge) Expected(rank int, predicted time.Duration) time.Duration {
+// ExpectedWait returns the wait of a rank that a prediction stands for.
+func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
 	ratio := j.ratios[clampRank(rank)]
 	if ratio == 0 || predicted < learnFrom {
 		return predicted
@@ -98,33 +98,33 @@
 	return time.Duration(ratio * float64(predicted))
 }
 
-func clampRank(rank int) int { return min(max(rank, 0), RanksMost-1) }
+func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
 
-// Refuse reports whether a request is to be turned away, and when it should come back: when the queue will have become as
+// Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Judge) Refuse(now time.Duration, wish Wish) (comeBack time.Duration, refuse bool) {
+func (j *Controller) Decide(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
 	if wish.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.Expected(wish.Rank, wish.Queue)
+	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
-	slid := j.stands[clampRank(wish.Rank)].note(now, load)
+	slid := j.stands[clampRank(wish.Priority)].note(now, load)
 	from, to := lateFrom+slid*(earlyFrom-lateFrom), lateTo+slid*(earlyTo-lateTo)
 	if at, came := j.refused[wish.Key]; came && now < at+remembered {
 		load /= returnedBand
 	}
-	if wish.Chance >= (load-from)/(to-from) {
+	if wish.Random >= (load-from)/(to-from) {
 		delete(j.refused, wish.Key)
 		return 0, false
 	}
-	j.Remember(now, wish.Key)
+	j.RecordRejection(now, wish.Key)
 	wait := max(comeBackLeast, expected-time.Duration(from*float64(wish.Objective)))
-	wait += time.Duration(comeBackSpread * wish.Chance * float64(wait))
+	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
 	return min(wait, comeBackMost), true
 }
 
-// Remember notes a refusal, of this judge or of another one, so that the request is known when it comes back.
-func (j *Judge) Remember(now time.Duration, key string) {
+// RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
+func (j *Controller) RecordRejection(now time.Duration, key string) {
 	if key == "" {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // Sweep forgets refusals that are long past.
-func (j *Judge) Sweep(now time.Duration) {
+func (j *Controller) Sweep(now time.Duration) {
 	for key, at := range j.refused {
 		if now >= at+remembered {
 			delete(j.refused, key)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,20 +8,20 @@
 
 const objective = 800 * time.Millisecond
 
-func wishOf(key string, queue time.Duration, chance float64) Wish {
-	return Wish{Key: key, Rank: 1, Queue: queue, Objective: objective, Chance: chance}
+func wishOf(key string, queue time.Duration, chance float64) Request {
+	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Random: chance}
 }
 
 // refusals returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
 func refusals(queue time.Duration, stands bool) int {
 	refused := 0
 	for chance := range 100 {
-		j, now := &Judge{}, time.Duration(0)
+		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
 			now += standsMemory / 20
-			j.Refuse(now, wishOf("", queue, 1))
+			j.Decide(now, wishOf("", queue, 1))
 		}
-		if _, refuse := j.Refuse(now, wishOf("", queue, float64(chance)/100)); refuse {
+		if _, refuse := j.Decide(now, wishOf("", queue, float64(chance)/100)); refuse {
 			refused++
 		}
 	}
@@ -47,20 +47,20 @@
 			before = refused
 		}
 	}
-	if _, refuse := (&Judge{}).Refuse(0, Wish{Queue: time.Hour}); refuse {
+	if _, refuse := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); refuse {
 		t.Fatal("refused without an objective")
 	}
 }
 
 // TestOneQueueIsNoStandingOne: where requests are few, a single one that meets a queue slides nothing.
 func TestOneQueueIsNoStandingOne(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for i := range 20 {
 		queue := time.Duration(0)
 		if i%10 == 9 {
 			queue = objective * 6 / 10
 		}
-		if _, refuse := j.Refuse(time.Duration(i)*time.Second, wishOf("", queue, 0)); refuse {
+		if _, refuse := j.Decide(time.Duration(i)*time.Second, wishOf("", queue, 0)); refuse {
 			t.Fatalf("number %d is refused", i)
 		}
 	}
@@ -68,45 +68,45 @@
 
 // TestErrorOfPredictionsIsLearnt for each rank by itself: what the urgent wait less than was predicted lets them in.
 func TestErrorOfPredictionsIsLearnt(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for range 200 {
-		j.Learn(0, 1500*time.Millisecond, 150*time.Millisecond)
-		j.Learn(1, 400*time.Millisecond, 1200*time.Millisecond)
-		j.Learn(0, learnFrom-1, time.Hour) // teaches nothing
+		j.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
+		j.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
+		j.ObserveWait(0, learnFrom-1, time.Hour) // teaches nothing
 	}
-	urgent, other := j.Expected(0, 1500*time.Millisecond), j.Expected(1, 400*time.Millisecond)
+	urgent, other := j.ExpectedWait(0, 1500*time.Millisecond), j.ExpectedWait(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
-	if _, refuse := j.Refuse(0, Wish{Rank: 0, Queue: 1500 * time.Millisecond, Objective: objective}); refuse {
+	if _, refuse := j.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
-		j.Learn(5, time.Second, 0)
+		j.ObserveWait(5, time.Second, 0)
 	}
-	if least := j.Expected(5, time.Second); least < time.Second/(ratioMost+1) {
+	if least := j.ExpectedWait(5, time.Second); least < time.Second/(ratioMost+1) {
 		t.Fatalf("%v is expected", least)
 	}
 }
 
 // TestWhoComesBackGoesFirst: at a queue at which new ones are refused, and only for a while.
 func TestWhoComesBackGoesFirst(t *testing.T) {
-	j := &Judge{}
-	if _, refuse := j.Refuse(0, wishOf("a", time.Second, 0.5)); !refuse {
+	j := &Controller{}
+	if _, refuse := j.Decide(0, wishOf("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
 	j.stands[1] = standing{at: time.Second}
-	if _, refuse := j.Refuse(time.Second, wishOf("b", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("b", queue, 0.3)); !refuse {
 		t.Fatal("a new one is let in")
 	}
-	if _, refuse := j.Refuse(time.Second, wishOf("a", queue, 0.3)); refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); refuse {
 		t.Fatal("one that comes back is refused")
 	}
-	if _, refuse := j.Refuse(time.Second, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := j.Refuse(time.Second+remembered, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second+remembered, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it is remembered for ever")
 	}
 }
@@ -114,7 +114,7 @@
 // TestAdviceFollowsTheQueue and is spread.
 func TestAdviceFollowsTheQueue(t *testing.T) {
 	advice := func(queue time.Duration, chance float64) time.Duration {
-		wait, refuse := (&Judge{}).Refuse(0, wishOf("", queue, chance))
+		wait, refuse := (&Controller{}).Decide(0, wishOf("", queue, chance))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
@@ -133,9 +133,9 @@
 
 // TestRefusalsThatAreRememberedAreBounded.
 func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
-	j := &Judge{}
+	j := &Controller{}
 	for i := range rememberedMost + 100 {
-		j.Refuse(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
+		j.Decide(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
 	}
 	if len(j.refused) > rememberedMost {
 		t.Fatalf("%d are remembered", len(j.refused))
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-var testLimit = Limit{Rate: 1000, Burst: 500, Room: 1000}
+var testLimit = Limit{Rate: 1000, Burst: 500, Slack: 1000}
 
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
 // fullLender returns a lender whose account is full, and the time.
-func fullLender() (*Lender, time.Duration) {
-	l := NewLender(1)
-	l.Use(0, limitsOf(testLimit))
+func fullLender() (*Allocator, time.Duration) {
+	l := NewAllocator(1)
+	l.SetLimits(0, limitsOf(testLimit))
 	return l, time.Minute
 }
 
-func askOne(l *Lender, now time.Duration, b *Borrower, amount float64) (Hold, time.Duration) {
-	wants := []Want{{Name: resource, Amount: amount}}
-	got := b.Granted(now, now, wants, l.Take(now, b.Ask(now, wants)))[0]
-	return got.Hold, got.Wait
+func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
+	wants := []Demand{{Name: resource, Amount: amount}}
+	got := b.ApplyReply(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
+	return got.Lease, got.RetryAfter
 }
 
-func newTestBorrower() *Borrower {
-	b := NewBorrower("b", testTrust)
-	b.Use(limitsOf(testLimit))
+func newTestBorrower() *Client {
+	b := NewClient("b", testTrust)
+	b.SetLimits(limitsOf(testLimit))
 	return b
 }
 
 // TestNewLenderLendsNothingOfTheLastOne: it begins empty, and only what comes in after it began is lent.
 func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
-	l := NewLender(2)
-	l.Use(time.Minute, limitsOf(testLimit))
+	l := NewAllocator(2)
+	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	hold, wait := askOne(l, time.Minute, b, 100)
 	if hold.Amount != 0 || wait != 100*time.Millisecond {
@@ -47,16 +47,16 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
-	if !hold.Valid(now+Lease) || hold.Valid(now+Lease+1) {
+	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", hold)
 	}
-	b.Put(now, hold)
-	if _, ok := b.Take(now+Lease+1, resource, 100); ok {
+	b.Release(now, hold)
+	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
-	wants := []Want{{Name: resource, Amount: 100}}
-	late := l.Take(now, b.Ask(now, wants))
-	if got := b.Granted(now+Lease+1, now, wants, late); got[0].Hold.Amount != 0 {
+	wants := []Demand{{Name: resource, Amount: 100}}
+	late := l.Allocate(now, b.NewRequest(now, wants))
+	if got := b.ApplyReply(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
@@ -65,20 +65,20 @@
 func TestAnswersCountOnce(t *testing.T) {
 	l, now := fullLender()
 	b := newTestBorrower()
-	wants := []Want{{Name: resource, Amount: 100}}
-	answer := l.Take(now, b.Ask(now, wants))
-	if got := b.Granted(now, now, wants, answer); got[0].Hold.Amount != 100 {
+	wants := []Demand{{Name: resource, Amount: 100}}
+	answer := l.Allocate(now, b.NewRequest(now, wants))
+	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.Granted(now, now, wants, answer); got[0].Hold.Amount != 0 {
+	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
 	if _, ok := b.Take(now, resource, 100); ok {
 		t.Fatal("an answer counted twice")
 	}
-	older := NewLender(0)
-	older.Use(0, limitsOf(testLimit))
-	if got := b.Granted(now, now, wants, older.Take(now, b.Ask(now, wants))); got[0].Hold.Amount != 0 {
+	older := NewAllocator(0)
+	older.SetLimits(0, limitsOf(testLimit))
+	if got := b.ApplyReply(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
@@ -88,16 +88,16 @@
 	l, now := fullLender()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
-	b.Put(now, hold)
-	now += Lease - time.Millisecond
-	question := b.Ask(now, []Want{{Name: resource, Amount: 10}})
-	if len(question.Back) != 1 || question.Back[0].Amount != 100 {
-		t.Fatalf("%v goes back", question.Back)
+	b.Release(now, hold)
+	now += LeaseTTL - time.Millisecond
+	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
+	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
+		t.Fatalf("%v goes back", question.Returned)
 	}
 	l.Withhold(now, 1) // nothing else comes in
 	before := l.accounts[resource].level
-	l.Take(now, question)
-	l.Take(now, question)
+	l.Allocate(now, question)
+	l.Allocate(now, question)
 	after := l.accounts[resource].level
 	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
 		t.Fatalf("%v before, %v after", before, after)
@@ -111,11 +111,11 @@
 func TestAheadIsLentFromPlentyOnly(t *testing.T) {
 	l, now := fullLender()
 	capacity := testLimit.capacity()
-	answer := l.Take(now, Question{Borrower: "b", Sequence: 1, Asks: []Ask{{Name: resource, Amount: 100, Ahead: 10_000}}})
+	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := answer.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	answer = l.Take(now, Question{Borrower: "c", Sequence: 1, Asks: []Ask{{Name: resource, Amount: 100, Ahead: 100}}})
+	answer = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := answer.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
@@ -140,8 +140,8 @@
 
 // TestRefusedAreToldWhenTheirTurnComes: each after those that were refused before it.
 func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
-	l := NewLender(1)
-	l.Use(time.Minute, limitsOf(testLimit))
+	l := NewAllocator(1)
+	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	for i := range 3 {
 		if _, wait := askOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
@@ -152,18 +152,18 @@
 
 // TestYoungAccountsSaySo: a refusal of an account that has just begun is no sign of a caller beyond its limit.
 func TestYoungAccountsSaySo(t *testing.T) {
-	l := NewLender(1)
-	l.Use(time.Minute, limitsOf(testLimit))
-	asked := Question{Borrower: "b", Sequence: 1, Asks: []Ask{{Name: resource, Amount: 600}}}
-	if got := l.Take(time.Minute, asked).Grants[0]; !got.Young || got.Amount != 0 {
+	l := NewAllocator(1)
+	l.SetLimits(time.Minute, limitsOf(testLimit))
+	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
+	if got := l.Allocate(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
-	if states := l.States(time.Minute); states[0].Over {
+	if states := l.States(time.Minute); states[0].OverLimit {
 		t.Fatalf("a young account says that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
-	l.Take(now, asked)
-	if got := l.Take(now, asked).Grants[0]; got.Young || got.Amount != 0 {
+	l.Allocate(now, asked)
+	if got := l.Allocate(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -172,15 +172,15 @@
 func TestLowerLimitBindsAtOnce(t *testing.T) {
 	l, now := fullLender()
 	lower := Limit{Rate: 10, Burst: 10}
-	l.Use(now, limitsOf(lower))
+	l.SetLimits(now, limitsOf(lower))
 	if level := l.accounts[resource].level; level != 10 {
 		t.Fatalf("%v left", level)
 	}
-	l.Use(now, nil)
+	l.SetLimits(now, nil)
 	if hold, _ := askOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
 		t.Fatalf("%v of a limit that was taken away", hold)
 	}
-	l.Use(now, limitsOf(testLimit))
+	l.SetLimits(now, limitsOf(testLimit))
 	if level := l.accounts[resource].level; level != 0 {
 		t.Fatalf("%v left of a limit that was taken away", level)
 	}
@@ -190,30 +190,30 @@
 // what it knows no more.
 func TestOwnPartEnds(t *testing.T) {
 	b := newTestBorrower()
-	b.Touch(time.Minute, 10)
-	if _, ok := b.TakeOwn(time.Minute, resource, testLimit.reserve()/10+1); ok {
+	b.RecordContact(time.Minute, 10)
+	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
 		t.Fatal("more than its part of the reserve")
 	}
 	now := time.Minute + time.Second
 	part := testLimit.reserve()/10 + testLimit.Rate/10
-	if hold, ok := b.TakeOwn(now, resource, part); !ok || !hold.Valid(now) {
+	if hold, ok := b.TakeFallback(now, resource, part); !ok || !hold.Valid(now) {
 		t.Fatal("its part is refused")
 	}
-	if _, ok := b.TakeOwn(now, resource, 1); ok {
+	if _, ok := b.TakeFallback(now, resource, 1); ok {
 		t.Fatal("more than its part")
 	}
-	if _, ok := b.TakeOwn(time.Minute+testTrust+1, resource, 1); ok {
+	if _, ok := b.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
 		t.Fatal("out of trust")
 	}
-	if _, ok := newTestBorrower().TakeOwn(time.Minute, resource, 1); ok {
+	if _, ok := newTestBorrower().TakeFallback(time.Minute, resource, 1); ok {
 		t.Fatal("never in touch")
 	}
 }
 
 // TestWithheldPartsComeInForNobody until they are lent again.
 func TestWithheldPartsComeInForNobody(t *testing.T) {
-	l := NewLender(1)
-	l.Use(0, limitsOf(testLimit))
+	l := NewAllocator(1)
+	l.SetLimits(0, limitsOf(testLimit))
 	l.Withhold(0, 0.75)
 	l.Withhold(400*time.Millisecond, 0)
 	if states := l.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
@@ -225,7 +225,7 @@
 // second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
 func TestRoomIsNotGivenTwice(t *testing.T) {
 	const silence, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
-	given := toleranceShare + debtShare + reserveShare + Lease.Seconds() + silence*silent
+	given := toleranceShare + debtShare + reserveShare + LeaseTTL.Seconds() + silence*silent
 	if given > 0.9 {
 		t.Fatalf("%.2f of the room is given", given)
 	}
@@ -235,7 +235,7 @@
 func TestFractionsAreTakenWhole(t *testing.T) {
 	b := newTestBorrower()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Put(time.Minute, Hold{Name: resource, Amount: amount, Until: time.Minute + Lease})
+		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
 	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -25,26 +25,26 @@
 func running() time.Duration { return time.Minute + time.Since(started) }
 
 // openDesk runs a desk over a lender whose account is full.
-func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Lender) Lend) *Desk {
+func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	return openDeskBy(t, clock, limit, lend)
 }
 
-func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Lender) Lend) *Desk {
+func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	lender := allowance.NewLender(1)
+	lender := allowance.NewAllocator(1)
 	filling := limit
 	filling.Rate = 1e6
-	lender.Use(0, map[string]allowance.Limit{resource: filling})
-	lender.Use(clock(), map[string]allowance.Limit{resource: limit})
+	lender.SetLimits(0, map[string]allowance.Limit{resource: filling})
+	lender.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
 	over := lend(lender)
-	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Question) (allowance.Answer, error) {
+	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return over(ctx, asked)
 	})
-	d.Use(map[string]allowance.Limit{resource: limit})
+	d.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
 	threads.Go(func() { d.Run(ctx) })
@@ -52,9 +52,9 @@
 	return d
 }
 
-func direct(l *allowance.Lender) Lend {
-	return func(_ context.Context, asked allowance.Question) (allowance.Answer, error) {
-		return l.Take(clock(), asked), nil
+func direct(l *allowance.Allocator) RequestFunc {
+	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
+		return l.Allocate(clock(), asked), nil
 	}
 }
 
@@ -65,10 +65,10 @@
 	var callers sync.WaitGroup
 	for range 200 {
 		callers.Go(func() {
-			switch result := d.Take(t.Context(), resource, 2, time.Second); result.Outcome {
+			switch result := d.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
 			case Granted:
 				granted.Add(1)
-			case Over:
+			case LimitReached:
 				over.Add(1)
 			}
 		})
@@ -77,7 +77,7 @@
 	if granted.Load() != 50 || over.Load() != 150 {
 		t.Fatalf("%d granted, %d refused", granted.Load(), over.Load())
 	}
-	if asked, failed := d.Questions(); asked > 200 || failed != 0 {
+	if asked, failed := d.RequestCounts(); asked > 200 || failed != 0 {
 		t.Fatalf("%d questions, %d failed", asked, failed)
 	}
 }
@@ -85,7 +85,7 @@
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
 	d := openDesk(t, allowance.Limit{Rate: 1}, direct)
-	if result := d.Take(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Hold.Amount != 0 {
+	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
 }
@@ -93,16 +93,16 @@
 // TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Room: 100}, func(*allowance.Lender) Lend {
-		return func(context.Context, allowance.Question) (allowance.Answer, error) {
-			return allowance.Answer{}, errNobody
+	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
+		return func(context.Context, allowance.Request) (allowance.Reply, error) {
+			return allowance.Reply{}, errNobody
 		}
 	})
-	d.Touch(clock(), 1)
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	d.RecordContact(clock(), 1)
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Unknown {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 }
@@ -111,35 +111,35 @@
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Question) (allowance.Answer, error) {
+	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
-			return l.Take(clock(), asked), nil
+			return l.Allocate(clock(), asked), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan Result)
-	go func() { left <- d.Take(ctx, resource, 100, time.Second) }()
+	go func() { left <- d.Acquire(ctx, resource, 100, time.Second) }()
 	<-asking
 	cancel()
-	if result := <-left; result.Outcome != Unknown {
+	if result := <-left; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 	close(goOn)
-	if result := d.Take(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Hold.Amount != 100 {
+	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
 		t.Fatalf("%v", result)
 	}
 }
 
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Question) (allowance.Answer, error) {
-			return l.Take(running(), asked), nil
+	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
+			return l.Allocate(running(), asked), nil
 		}
 	})
 	for range 5 {
-		if result := d.Take(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
+		if result := d.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
 			t.Fatalf("%v", result)
 		}
 	}
@@ -152,15 +152,15 @@
 	for _, c := range []struct {
 		patience time.Duration
 		wanted   Outcome
-	}{{0, Over}, {time.Minute, Granted}} {
-		young := allowance.NewLender(1)
-		young.Use(running(), map[string]allowance.Limit{resource: limit})
-		d := openDeskBy(t, running, limit, func(*allowance.Lender) Lend {
-			return func(_ context.Context, asked allowance.Question) (allowance.Answer, error) {
-				return young.Take(running(), asked), nil
+	}{{0, LimitReached}, {time.Minute, Granted}} {
+		young := allowance.NewAllocator(1)
+		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
+		d := openDeskBy(t, running, limit, func(*allowance.Allocator) RequestFunc {
+			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
+				return young.Allocate(running(), asked), nil
 			}
 		})
-		if result := d.Take(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
+		if result := d.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
 			t.Fatalf("patience %v: %+v", c.patience, result)
 		}
 	}
@@ -168,19 +168,19 @@
 
 // TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
-	limit := allowance.Limit{Rate: 1, Burst: 100, Room: 100}
-	young := allowance.NewLender(1)
-	young.Use(clock(), map[string]allowance.Limit{resource: limit})
-	d := openDesk(t, limit, func(*allowance.Lender) Lend {
-		return func(_ context.Context, asked allowance.Question) (allowance.Answer, error) {
-			return young.Take(clock(), asked), nil
+	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
+	young := allowance.NewAllocator(1)
+	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
+	d := openDesk(t, limit, func(*allowance.Allocator) RequestFunc {
+		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
+			return young.Allocate(clock(), asked), nil
 		}
 	})
-	d.Touch(clock(), 1)
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Hold.Amount != 15 {
+	d.RecordContact(clock(), 1)
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
-	if result := d.Take(t.Context(), resource, 15, 0); result.Outcome != Over {
+	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
 		t.Fatalf("%+v", result)
 	}
 }
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -15,9 +15,9 @@
 
 import "time"
 
-// Lease is how long an amount may be used after it was asked for: some times what a question takes, and short beside the
+// LeaseTTL is how long an amount may be used after it was asked for: some times what a question takes, and short beside the
 // windows that limits are judged in, since what was lent before a window may be used in it.
-const Lease = 200 * time.Millisecond
+const LeaseTTL = 200 * time.Millisecond
 
 const (
 	// toleranceShare of a limit's room may be lent at once beside the burst, so that a caller just inside its limit is not
@@ -36,49 +36,49 @@
 type Limit struct {
 	Rate  float64 `json:"rate"`  // units a second; a limit has one above 0
 	Burst float64 `json:"burst"` // units at once
-	Room  float64 `json:"room"`  // units beyond both that a window may hold, for what cannot be counted exactly
+	Slack float64 `json:"room"`  // units beyond both that a window may hold, for what cannot be counted exactly
 }
 
 // capacity is the most that may be lent at once.
-func (l Limit) capacity() float64 { return l.Burst + toleranceShare*l.Room }
+func (l Limit) capacity() float64 { return l.Burst + toleranceShare*l.Slack }
 
 // largest is the largest amount that is ever lent at once.
-func (l Limit) largest() float64 { return l.capacity() + debtShare*l.Room }
+func (l Limit) largest() float64 { return l.capacity() + debtShare*l.Slack }
 
 // reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
-func (l Limit) reserve() float64 { return reserveShare * l.Room }
+func (l Limit) reserve() float64 { return reserveShare * l.Slack }
 
-// Ask is a question for an amount of a resource.
-type Ask struct {
-	Name   string  `json:"n"`
-	Amount float64 `json:"a"`           // that is needed now; it is lent whole or not at all
-	Ahead  float64 `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
-	Named  *Named  `json:"l,omitempty"` // the resource names its limit itself; nil the lender knows it
+// RequestItem is a question for an amount of a resource.
+type RequestItem struct {
+	Name       string           `json:"n"`
+	Amount     float64          `json:"a"`           // that is needed now; it is lent whole or not at all
+	Prefetch   float64          `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
+	Advertised *AdvertisedLimit `json:"l,omitempty"` // the resource names its limit itself; nil the lender knows it
 }
 
 // Grant answers an Ask.
 type Grant struct {
-	Name   string        `json:"n"`
-	Amount float64       `json:"a"`           // lent; 0 where the limit is reached
-	Wait   time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
-	// Young tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
+	Name       string        `json:"n"`
+	Amount     float64       `json:"a"`           // lent; 0 where the limit is reached
+	RetryAfter time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
+	// WarmingUp tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
 	// waiting for.
-	Young bool `json:"y,omitempty"`
-	// Counted tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
+	WarmingUp bool `json:"y,omitempty"`
+	// Enforced tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
 	// resource whose limit was taken away; its grants are not used.
-	Counted bool `json:"c,omitempty"`
+	Enforced bool `json:"c,omitempty"`
 }
 
-// Question is what a borrower asks a lender: it gives amounts back and asks for others.
-type Question struct {
-	Borrower string  `json:"b"`
-	Sequence uint64  `json:"s"` // rises with each question of a borrower's life
-	Back     []Grant `json:"k,omitempty"`
-	Asks     []Ask   `json:"q"`
+// Request is what a borrower asks a lender: it gives amounts back and asks for others.
+type Request struct {
+	Client   string        `json:"b"`
+	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
+	Returned []Grant       `json:"k,omitempty"`
+	Items    []RequestItem `json:"q"`
 }
 
-// Answer is what a lender answers; Grants stand in the order of the asks.
-type Answer struct {
+// Reply is what a lender answers; Grants stand in the order of the asks.
+type Reply struct {
 	Term     uint64  `json:"t"` // rises with each lender
 	Sequence uint64  `json:"s"` // of the question
 	Grants   []Grant `json:"g"`
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -17,8 +17,8 @@
 // overFor is how long after its last refusal a resource still counts as over its limit.
 const overFor = time.Second
 
-// Lender keeps the whole of each limited resource.
-type Lender struct {
+// Allocator keeps the whole of each limited resource.
+type Allocator struct {
 	term      uint64
 	accounts  map[string]*account
 	named     map[string]*namedAccount // of resources that name their limits
@@ -38,14 +38,14 @@
 	over    time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
 }
 
-// NewLender returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
-func NewLender(term uint64) *Lender {
-	return &Lender{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+// NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
+func NewAllocator(term uint64) *Allocator {
+	return &Allocator{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
-// Use replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
+// SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
 // new capacity.
-func (l *Lender) Use(now time.Duration, limits map[string]Limit) {
+func (l *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
 		a := l.accounts[name]
 		if a == nil {
@@ -60,7 +60,7 @@
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
-func (l *Lender) Withhold(now time.Duration, part float64) {
+func (l *Allocator) Withhold(now time.Duration, part float64) {
 	if part == l.withheld {
 		return
 	}
@@ -73,21 +73,21 @@
 	l.withheld = part
 }
 
-// Take answers a question.
-func (l *Lender) Take(now time.Duration, asked Question) Answer {
-	if asked.Sequence > l.sequences[asked.Borrower] {
-		l.sequences[asked.Borrower] = asked.Sequence
-		l.takeBack(now, asked.Back)
+// Allocate answers a question.
+func (l *Allocator) Allocate(now time.Duration, asked Request) Reply {
+	if asked.Sequence > l.sequences[asked.Client] {
+		l.sequences[asked.Client] = asked.Sequence
+		l.takeBack(now, asked.Returned)
 	}
-	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Asks))}
-	for _, ask := range asked.Asks {
+	answer := Reply{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
+	for _, ask := range asked.Items {
 		answer.Grants = append(answer.Grants, l.lend(now, ask))
 	}
 	return answer
 }
 
 // takeBack adds what a borrower gives back.
-func (l *Lender) takeBack(now time.Duration, back []Grant) {
+func (l *Allocator) takeBack(now time.Duration, back []Grant) {
 	for _, returned := range back {
 		a := l.accounts[returned.Name]
 		if named := l.named[returned.Name]; named != nil {
@@ -104,8 +104,8 @@
 }
 
 // lend lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Lender) lend(now time.Duration, ask Ask) Grant {
-	if ask.Named != nil {
+func (l *Allocator) lend(now time.Duration, ask RequestItem) Grant {
+	if ask.Advertised != nil {
 		return l.lendNamed(now, ask)
 	}
 	a := l.accounts[ask.Name]
@@ -115,9 +115,9 @@
 	a.refill(now, l.withheld)
 	capacity := a.limit.capacity()
 	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.largest() {
-		return Grant{Name: ask.Name, Wait: a.refuse(now, ask.Amount), Young: a.young(now)}
+		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.young(now)}
 	}
-	amount := ask.Amount + max(0, min(ask.Ahead, a.level-ask.Amount-aheadShare*capacity))
+	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*capacity))
 	a.level -= amount
 	a.lent += amount
 	a.queue = max(0, a.queue-ask.Amount)
@@ -154,23 +154,23 @@
 
 // State is what a lender can tell of one resource.
 type State struct {
-	Name     string  `json:"name"`
-	Limit    Limit   `json:"limit"`
-	Level    float64 `json:"level"`    // that may be lent now
-	Lent     float64 `json:"lent"`     // since the lender began
-	Refused  float64 `json:"refused"`  // since the lender began
-	Over     bool    `json:"over"`     // something was refused a moment ago
-	Withheld float64 `json:"withheld"` // part of the rate that is kept back
+	Name      string  `json:"name"`
+	Limit     Limit   `json:"limit"`
+	Level     float64 `json:"level"`    // that may be lent now
+	Granted   float64 `json:"lent"`     // since the lender began
+	Refused   float64 `json:"refused"`  // since the lender began
+	OverLimit bool    `json:"over"`     // something was refused a moment ago
+	Withheld  float64 `json:"withheld"` // part of the rate that is kept back
 }
 
 // States returns all resources, rising by name.
-func (l *Lender) States(now time.Duration) []State {
+func (l *Allocator) States(now time.Duration) []State {
 	states := make([]State, 0, len(l.accounts))
 	for name, a := range l.accounts {
 		a.refill(now, l.withheld)
 		states = append(states, State{
-			Name: name, Limit: a.limit, Level: a.level, Lent: a.lent, Refused: a.refused, Withheld: l.withheld,
-			Over: a.over > 0 && now < a.over+overFor,
+			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
+			OverLimit: a.over > 0 && now < a.over+overFor,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -26,16 +26,16 @@
 	namedKept = 10 * time.Second
 )
 
-// Named is a limit that a resource names itself, as a borrower heard it.
-type Named struct {
+// AdvertisedLimit is a limit that a resource names itself, as a borrower heard it.
+type AdvertisedLimit struct {
 	Rate float64       `json:"r"` // units a second
 	Age  time.Duration `json:"g"` // since it was last heard
 }
 
 // limit returns what may be used of a resource that names a rate.
-func (n Named) limit() Limit {
-	rate := min(max(n.Rate, pushback.LeastRate), namedMost)
-	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Room: 1 + namedRoom*rate}
+func (n AdvertisedLimit) limit() Limit {
+	rate := min(max(n.Rate, pushback.MinRate), namedMost)
+	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Slack: 1 + namedRoom*rate}
 }
 
 // namedAccount is a resource that names its limit. It begins with nothing when it is first asked for.
@@ -49,31 +49,31 @@
 
 // lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Lender) lendNamed(now time.Duration, ask Ask) Grant {
+func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.named[ask.Name]
 	if a == nil {
-		a = &namedAccount{account: account{began: now, at: now, limit: ask.Named.limit()}}
-		a.newest, a.newestAt = a.limit, now-ask.Named.Age
+		a = &namedAccount{account: account{began: now, at: now, limit: ask.Advertised.limit()}}
+		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
 		l.named[ask.Name] = a
 	}
 	a.refill(now, l.withheld)
-	a.hear(now, *ask.Named)
+	a.hear(now, *ask.Advertised)
 	a.askedAt = now
 	if ask.Amount > a.level {
 		a.refused += ask.Amount
 		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
-		return Grant{Name: ask.Name, Wait: min(wait, longestAdvice), Counted: true}
+		return Grant{Name: ask.Name, RetryAfter: min(wait, longestAdvice), Enforced: true}
 	}
-	ahead := math.Floor(max(0, min(ask.Ahead, a.level-ask.Amount-aheadShare*a.limit.capacity()))) // whole units: a part of one is of no use
+	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*a.limit.capacity()))) // whole units: a part of one is of no use
 	amount := ask.Amount + ahead
 	a.level -= amount
 	a.lent += amount
-	return Grant{Name: ask.Name, Amount: amount, Counted: true}
+	return Grant{Name: ask.Name, Amount: amount, Enforced: true}
 }
 
 // hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
-func (a *namedAccount) hear(now time.Duration, told Named) {
+func (a *namedAccount) hear(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
 	if heard >= a.newestAt {
 		a.newest, a.newestAt = limit, heard
@@ -102,17 +102,17 @@
 	a.level = min(a.level, limit.capacity())
 }
 
-// Forget drops the accounts of resources that name their limits and that nobody has asked for lately.
-func (l *Lender) Forget(now time.Duration) {
+// SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
+func (l *Allocator) SweepAdvertised(now time.Duration) {
 	maps.DeleteFunc(l.named, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
 }
 
-// Named returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
-func (l *Lender) Named(now time.Duration, most int) []State {
+// AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
+func (l *Allocator) AdvertisedStates(now time.Duration, most int) []State {
 	states := make([]State, 0, len(l.named))
 	for name, a := range l.named {
 		a.refill(now, l.withheld)
-		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Lent: a.lent, Refused: a.refused, Withheld: l.withheld})
+		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Name, y.Name)) })
 	states = states[:min(len(states), most)]
@@ -126,8 +126,8 @@
 	at    time.Duration // when it was last asked for
 }
 
-// Name notes the limit that a resource names, before an amount of it is taken.
-func (b *Borrower) Name(now time.Duration, name string, named Named) {
+// SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
+func (b *Client) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
 	b.named[name] = heardLimit{named.limit(), now}
 	if now < b.namedSwept+namedKept {
 		return
@@ -142,7 +142,7 @@
 }
 
 // limit returns the limit of a resource.
-func (b *Borrower) limit(name string) (limit Limit, limited bool) {
+func (b *Client) limit(name string) (limit Limit, limited bool) {
 	if limit, limited = b.limits[name]; limited {
 		return limit, true
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -23,7 +23,9 @@
 	at   time.Duration
 }
 
-func (w word) told(now time.Duration) Named { return Named{Rate: w.rate, Age: now - w.at} }
+func (w word) told(now time.Duration) AdvertisedLimit {
+	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
+}
 
 // newNamedFleet is a fleet that shares a resource which names its limit.
 func newNamedFleet(rate float64, size int, seed uint64) *fleet {
@@ -109,14 +111,14 @@
 }
 
 // ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
-func ask(l *Lender, now time.Duration, rate float64, age time.Duration) Grant {
-	return l.Take(now, Question{Borrower: "b", Sequence: uint64(now), Asks: []Ask{{Name: resource, Amount: 1, Named: &Named{Rate: rate, Age: age}}}}).Grants[0]
+func ask(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
+	return l.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
 // TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
 // words the later counts.
 func TestTheLowestLimitOfAWindowBinds(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	second := time.Second
 	inForce := func(wanted float64) {
 		t.Helper()
@@ -148,48 +150,48 @@
 // TestNamedAccountsStandApart: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
 // doesn't know of them lends nothing that counts.
 func TestNamedAccountsStandApart(t *testing.T) {
-	l := NewLender(1)
+	l := NewAllocator(1)
 	ask(l, time.Second, 4, 0)
-	l.Use(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
+	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
 	for _, wanted := range []float64{1, 1, 0} { // what came in since it began, and no more
 		if got := ask(l, 3*time.Second, 4, 0).Amount; got != wanted {
 			t.Fatalf("the account is not as it was: %v lent", got)
 		}
 	}
-	if states := l.Named(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Lent != 2 || states[0].Refused != 2 {
+	if states := l.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
 		t.Fatalf("%+v", states)
 	}
-	if states := l.Named(3*time.Second, 0); len(states) != 0 {
+	if states := l.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
 		t.Fatalf("%+v", states)
 	}
-	l.Forget(3*time.Second + namedKept)
+	l.SweepAdvertised(3*time.Second + namedKept)
 	if len(l.named) != 1 {
 		t.Fatal("forgotten too soon")
 	}
-	if l.Forget(4*time.Second + namedKept); len(l.named) != 0 {
+	if l.SweepAdvertised(4*time.Second + namedKept); len(l.named) != 0 {
 		t.Fatal("not forgotten")
 	}
-	b := NewBorrower("b", testTrust)
-	named := Named{Rate: 4}
-	b.Name(time.Second, resource, named)
-	wants := []Want{{Name: resource, Amount: 1, Named: &named}}
-	question := b.Ask(time.Second, wants)
-	older := Answer{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
-	if got := b.Granted(time.Second, time.Second, wants, older)[0]; got.Hold.Amount > 0 || !got.Uncounted {
+	b := NewClient("b", testTrust)
+	named := AdvertisedLimit{Rate: 4}
+	b.SetAdvertisedLimit(time.Second, resource, named)
+	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
+	question := b.NewRequest(time.Second, wants)
+	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
+	if got := b.ApplyReply(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
 }
 
 // TestBorrowersForgetNamedLimits: those that nobody asks for, not those of a document.
 func TestBorrowersForgetNamedLimits(t *testing.T) {
-	b := NewBorrower("b", testTrust)
-	b.Name(time.Second, "x", Named{Rate: 1})
-	b.Use(map[string]Limit{"tenant/a": {Rate: 1}})
-	if !b.Limited("x") || !b.Limited("tenant/a") {
+	b := NewClient("b", testTrust)
+	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
+	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
+	if !b.IsLimited("x") || !b.IsLimited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
-	b.Name(time.Second+2*namedKept, "y", Named{Rate: 1})
-	if b.Limited("x") || !b.Limited("y") || !b.Limited("tenant/a") {
+	b.SetAdvertisedLimit(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
+	if b.IsLimited("x") || !b.IsLimited("y") || !b.IsLimited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
 }
@@ -201,11 +203,11 @@
 	for i := range names {
 		names[i] = fmt.Sprint("back-end/i-", i)
 	}
-	l, now := NewLender(1), time.Second
+	l, now := NewAllocator(1), time.Second
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
-		asks := []Ask{{Name: names[i%backEnds], Amount: 1, Named: &Named{Rate: 4}}}
-		l.Take(now, Question{Borrower: "b", Sequence: uint64(i), Asks: asks})
+		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
+		l.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
 	}
 }
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -65,7 +65,7 @@
 		{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}, {Fence: true},
 		{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 1}}}},
 		{WeightsCommandTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {MaxHashWeights: map[string]uint64{"engine": 9}},
-		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Ended: []quarantine.Ended{{Life: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
+		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Crashes: []quarantine.Crash{{Incarnation: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
 	} {
 		command.UnixMS = testWallStart + int64(i)
 		machine.catalog.Apply(command)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -55,8 +55,8 @@
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
 	status.Limits = r.lead.lending.lender.States(now)
-	status.Named = r.lead.lending.lender.Named(now, namedTold)
-	status.Suspects = r.machine.catalog.Quarantine().News().Entries
+	status.Named = r.lead.lending.lender.AdvertisedStates(now, namedTold)
+	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -93,7 +93,7 @@
 	atRest   time.Duration   // what was left of a rest of the back end when the request was sent
 	asked    time.Duration   // rest that the back end asked for in its answer
 	limited  pushback.Limit  // that the back end had named when the request was sent
-	hold     allowance.Hold  // of that limit, until the request is sent
+	hold     allowance.Lease // of that limit, until the request is sent
 	looked   <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
@@ -138,13 +138,13 @@
 		_ = wire.Close()
 		return result{kind: resultUnreached, cause: bar}
 	}
-	a.hold = allowance.Hold{} // used up
+	a.hold = allowance.Lease{} // used up
 	x.sent++
 	a.cover, x.cover = x.cover, cover{}
 	a.begin()
 	defer a.end()
 	a.watchSilence(a.patience())
-	a.watchLimit()
+	a.watchStartDeadline()
 	a.send()
 	ended := a.receive()
 	if a.silence != nil {
@@ -170,9 +170,9 @@
 func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, running belief.Load) {
 	made := send{
 		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
-		Uncached: placed.uncached, Saved: placed.save != "", Move: placed.move,
+		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
 	}
-	g.table.noteHeld(now, made)
+	g.table.recordOwnSend(now, made)
 	g.spread.own(made)
 }
 
@@ -181,8 +181,8 @@
 	x := a.exchange
 	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
-		x.gateway.table.notePace(a.row, a.plan.alone, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, rank(x.tenant, x.route), a.plan.queue, a.uncached, a.first(), x.gateway.now()-a.began)
+		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
+		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
 		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
 	}
 }
@@ -191,7 +191,7 @@
 func (a *attempt) unreached(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.quarantine.Ended(reporter.Refused, a.row.entry.ID)
+		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.noWay = true
 	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
@@ -232,7 +232,7 @@
 		return reasonUntrusted
 	case !x.covered():
 		return reasonUncounted
-	case x.lives() >= quarantine.Held:
+	case x.lives() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
 	}
 	x.gateway.table.mutex.Lock()
@@ -243,7 +243,7 @@
 	if a.row.entry.Loading {
 		return "loading" // its order may come before the request, which control doesn't see yet
 	}
-	if x.gateway.beginsTooLate(now, &a.plan, x.service, x.call.Model) {
+	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeOutdated
 	}
 	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
@@ -256,7 +256,7 @@
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
 func (a *attempt) withPart(now time.Duration, bar string) string {
 	switch {
-	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.pushed.Limit(a.row.life).Named:
+	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.life).Advertised:
 		return bar
 	case a.hold.Valid(now):
 		return ""
@@ -288,7 +288,7 @@
 // anybody can tell: the next back end may turn the stream away, and the caller's answer would be cut.
 func (a *attempt) silent() {
 	t := a.exchange.gateway.table
-	if t.loads(a.row) || a.begun.Load() && t.heard(a.row) {
+	if t.weightsLoading(a.row) || a.begun.Load() && t.hasHeartbeat(a.row) {
 		a.silence.Reset(patienceMinimum)
 		return
 	}
@@ -326,8 +326,8 @@
 		sending.LastEvent = x.lastEvent
 	}
 	if sending.Engine {
-		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, rank(x.tenant, x.route)
-		sending.FetchFrom, sending.SaveTo = a.plan.fetch, a.plan.save
+		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
+		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
 	x.gateway.dialect.Write(header, sending)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -10,48 +10,48 @@
 	"kitetiller/internal/prefix"
 )
 
-// kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) KeptPart {
-	return KeptPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
+// cached is a part that an engine says it keeps so many tokens of.
+func cached(id string, tokens int) CachedPart {
+	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// TestEnginesWordPutsBeliefsRight: parts that gave way are no longer counted on, parts held in part count as far as they go,
+// TestReportCorrectsEstimate: parts that gave way are no longer counted on, parts held in part count as far as they go,
 // and what the engine never confirms is given up.
-func TestEnginesWordPutsBeliefsRight(t *testing.T) {
-	h := NewHoldings(100_000)
+func TestReportCorrectsEstimate(t *testing.T) {
+	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
-	h.Use(time.Second, "w1", prompt)
+	h.RecordUse(time.Second, "w1", prompt)
 	shared := prefix.SharedParts(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send %d tokens", got)
 	}
-	if differ := h.Tell(1100*time.Millisecond, []KeptPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
+	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(differ) > 0 {
 		t.Fatalf("what all believe is told again: %v", differ)
 	}
-	differ := h.Tell(1200*time.Millisecond, []KeptPart{kept("b", 64), kept("own", 0)}, false)
-	if len(differ) != 1 || differ[0] != kept("b", 64) {
+	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
+	if len(differ) != 1 || differ[0] != cached("b", 64) {
 		t.Fatalf("told: %v", differ)
 	}
 	if got := h.Cached("w1", shared); got != 164 {
 		t.Fatalf("with a part held in part %d tokens", got)
 	}
-	h.Use(2*time.Second, "w1", prompt)
-	h.Tell(3*time.Second, nil, false)
+	h.RecordUse(2*time.Second, "w1", prompt)
+	h.ApplyReport(3*time.Second, nil, false)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("a moment after another send %d tokens", got)
 	}
-	differ = h.Tell(2*time.Second+unsureFor+time.Millisecond, nil, false)
-	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != kept("b", 0) {
+	differ = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
+	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != cached("b", 0) {
 		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
 	}
 }
 
-// TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
-func TestListReplacesWhatWasTold(t *testing.T) {
-	h := NewHoldings(100_000)
-	h.Tell(0, []KeptPart{kept("a", 10), kept("b", 10)}, false)
-	h.Use(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
-	h.Tell(1100*time.Millisecond, []KeptPart{kept("b", 10)}, true)
+// TestWholeListReplacesReportedEntries: what a list does not name is gone, but for what was sent since.
+func TestWholeListReplacesReportedEntries(t *testing.T) {
+	h := NewCacheEstimate(100_000)
+	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
+	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
+	h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
 			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
@@ -62,12 +62,12 @@
 // engineCache is an engine's cache as the oracle of the tests below sees it.
 type engineCache map[string]int
 
-// TestBeliefsFollowAnEngine: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
+// TestEstimateMatchesEngineCache: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
 // everything believes what the engine keeps, and so does one that is only told of what the reader believed otherwise.
-func TestBeliefsFollowAnEngine(t *testing.T) {
+func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engine, pending := engineCache{}, []KeptPart{}
-		reader, other := NewHoldings(1000), NewHoldings(1000)
+		engine, pending := engineCache{}, []CachedPart{}
+		reader, other := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
 		tell := func(whole bool) {
@@ -75,13 +75,13 @@
 			if whole {
 				news = nil
 				for id, tokens := range engine {
-					news = append(news, kept(id, tokens))
+					news = append(news, cached(id, tokens))
 				}
 			}
 			pending = nil
-			other.Hear(now) // others are told every second that the engine is read
-			for _, p := range reader.Tell(now, news, whole) {
-				other.Keep(now, p.Salt, []prefix.Part{p.Part})
+			other.RecordReport(now) // others are told every second that the engine is read
+			for _, p := range reader.ApplyReport(now, news, whole) {
+				other.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -89,10 +89,10 @@
 				now += time.Millisecond
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
 				parts := []prefix.Part{{ID: id, Tokens: 100}, {ID: fmt.Sprint("own", now), Tokens: 10}}
-				reader.Use(now, "w1", parts)
-				other.Use(now, "w1", parts)
+				reader.RecordUse(now, "w1", parts)
+				other.RecordUse(now, "w1", parts)
 				engine[id] = 100
-				pending = append(pending, kept(id, 100))
+				pending = append(pending, cached(id, 100))
 			},
 			"give way": func(t *rapid.T) {
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
@@ -104,14 +104,14 @@
 				if left == 0 {
 					delete(engine, id)
 				}
-				pending = append(pending, kept(id, left))
+				pending = append(pending, cached(id, left))
 			},
 			"lose": func(*rapid.T) { pending, lost = nil, true },
 			"read": func(*rapid.T) { now += 100 * time.Millisecond; tell(lost); lost = false },
 		})
-		now += unsureFor + time.Second
+		now += unconfirmedTTL + time.Second
 		tell(lost)
-		now += unsureFor + time.Second
+		now += unconfirmedTTL + time.Second
 		tell(true)
 		for i := range 10 {
 			id := fmt.Sprint("p", i)
@@ -126,17 +126,17 @@
 	})
 }
 
-// TestHoldingsAgreeWithASimpleCache: against an oracle that keeps the order of use, whatever is sent.
-func TestHoldingsAgreeWithASimpleCache(t *testing.T) {
+// TestEstimateMatchesLRUCache: against an oracle that keeps the order of use, whatever is sent.
+func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewHoldings(1000) // 750 tokens
-		var order []prefix.Part   // oldest first
+		held := NewCacheEstimate(1000) // 750 tokens
+		var order []prefix.Part        // oldest first
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now += time.Millisecond
 			id := rapid.IntRange(0, 12).Draw(t, "part")
 			part := prefix.Part{ID: fmt.Sprint(id), Tokens: 50 + 20*id}
-			held.Use(now, "w1", []prefix.Part{part})
+			held.RecordUse(now, "w1", []prefix.Part{part})
 			for i, known := range order {
 				if known.ID == part.ID {
 					order = append(order[:i], order[i+1:]...)
@@ -162,10 +162,10 @@
 	})
 }
 
-// TestPartsCountOnlyBehindAllBeforeThem: a part is of use only after the same parts as before.
-func TestPartsCountOnlyBehindAllBeforeThem(t *testing.T) {
-	held := NewHoldings(10_000)
-	held.Use(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
+// TestCachedStopsAtFirstMissingPart: a part is of use only after the same parts as before.
+func TestCachedStopsAtFirstMissingPart(t *testing.T) {
+	held := NewCacheEstimate(10_000)
+	held.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
 	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
 		t.Fatalf("%d tokens behind a part that is not held", got)
 	}
--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// toldCounts is how long what another gateway told of its requests counts; each change is told, and no request is longer.
-const toldCounts = 12 * time.Second
+// peerLoadTTL is how long what another gateway told of its requests counts; each change is told, and no request is longer.
+const peerLoadTTL = 12 * time.Second
 
 // Load is what runs at one back end.
 type Load struct {
@@ -21,8 +21,8 @@
 	return Load{Running: l.Running - other.Running, Tokens: l.Tokens - other.Tokens}
 }
 
-// toldLoad is what another gateway has running, as of a time of this process's clock.
-type toldLoad struct {
+// peerLoad is what another gateway has running, as of a time of this process's clock.
+type peerLoad struct {
 	Load
 	at time.Duration
 }
@@ -30,59 +30,59 @@
 // Occupancy adds up what all gateways have running at one back end. Each gateway tells whole figures, not differences, so
 // that a lost message is made good by the next one.
 type Occupancy struct {
-	Own    Load                // of this gateway's callers
-	Placed Load                // that this gateway placed for others
-	told   map[string]toldLoad // by gateway
-	sum    Load                // of told
+	Own       Load                // of this gateway's callers
+	Placed    Load                // that this gateway placed for others
+	peers     map[string]peerLoad // by gateway
+	peerTotal Load                // of told
 }
 
 // Total is what all gateways have running.
-func (o *Occupancy) Total() Load { return o.Here().Plus(o.sum) }
+func (o *Occupancy) Total() Load { return o.Local().Plus(o.peerTotal) }
 
-// Here is what this gateway has running or placed, as it tells others.
-func (o *Occupancy) Here() Load { return o.Own.Plus(o.Placed) }
+// Local is what this gateway has running or placed, as it tells others.
+func (o *Occupancy) Local() Load { return o.Own.Plus(o.Placed) }
 
-// Note takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
-func (o *Occupancy) Note(from string, at time.Duration, l Load) {
-	before := o.told[from]
+// RecordPeer takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
+func (o *Occupancy) RecordPeer(from string, at time.Duration, l Load) {
+	before := o.peers[from]
 	if at < before.at {
 		return
 	}
-	if o.told == nil {
-		o.told = map[string]toldLoad{}
+	if o.peers == nil {
+		o.peers = map[string]peerLoad{}
 	}
-	o.told[from] = toldLoad{Load: l, at: at}
-	o.sum = o.sum.Plus(l).Minus(before.Load)
+	o.peers[from] = peerLoad{Load: l, at: at}
+	o.peerTotal = o.peerTotal.Plus(l).Minus(before.Load)
 }
 
 // Sweep forgets what was told long ago.
 func (o *Occupancy) Sweep(now time.Duration) {
-	for from, l := range o.told {
-		if now-l.at > toldCounts {
-			o.sum = o.sum.Minus(l.Load)
-			delete(o.told, from)
+	for from, l := range o.peers {
+		if now-l.at > peerLoadTTL {
+			o.peerTotal = o.peerTotal.Minus(l.Load)
+			delete(o.peers, from)
 		}
 	}
 }
 
 const (
-	// StayFirst is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
+	// InitialMeanDuration is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
 	// newest one.
-	StayFirst     = 1000.0
-	staySmoothing = 0.05
+	InitialMeanDuration = 1000.0
+	durationSmoothing   = 0.05
 )
 
-// Stays is the smoothed time that requests stay at the back ends of a service, in milliseconds.
-type Stays float64
+// MeanDuration is the smoothed time that requests stay at the back ends of a service, in milliseconds.
+type MeanDuration float64
 
-// Next takes the stay of one more request.
-func (s Stays) Next(length time.Duration) Stays {
-	return s + staySmoothing*(Stays(length)/Stays(time.Millisecond)-s)
+// Observe takes the stay of one more request.
+func (s MeanDuration) Observe(length time.Duration) MeanDuration {
+	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
-// Crowding predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
+// CapacityWait predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
 // come free evenly over the time that requests stay.
-func Crowding(held Load, slots, memory, tokens int, stay Stays) float64 {
+func CapacityWait(held Load, slots, memory, tokens int, stay MeanDuration) float64 {
 	wait := 0.0
 	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
 		wait = float64(stay) * float64(over) / float64(slots)
--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOccupancyFollowsEveryGateway: messages may be lost, come twice or overtake each other; once the newest one of each
+// TestOccupancyTotalWithLostOrReorderedMessages: messages may be lost, come twice or overtake each other; once the newest one of each
 // gateway has come, the sum is right, and what is told no more is forgotten.
-func TestOccupancyFollowsEveryGateway(t *testing.T) {
+func TestOccupancyTotalWithLostOrReorderedMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Occupancy
 		type message struct {
@@ -28,25 +28,25 @@
 			sent, newest[m.from] = append(sent, m), m
 			if back := rapid.IntRange(0, min(5, len(sent)-1)).Draw(t, "overtaken"); rapid.Bool().Draw(t, "arrives") {
 				late := sent[len(sent)-1-back]
-				o.Note(late.from, late.at, late.load)
+				o.RecordPeer(late.from, late.at, late.load)
 			}
 		}
-		var wanted Load
+		var want Load
 		for _, m := range newest {
-			o.Note(m.from, m.at, m.load)
-			wanted = wanted.Plus(m.load)
+			o.RecordPeer(m.from, m.at, m.load)
+			want = want.Plus(m.load)
 		}
-		if o.Total() != wanted {
-			t.Fatalf("total %+v, wanted %+v", o.Total(), wanted)
+		if o.Total() != want {
+			t.Fatalf("total %+v, wanted %+v", o.Total(), want)
 		}
-		if o.Sweep(time.Second + toldCounts); o.Total() != (Load{}) || len(o.told) > 0 {
+		if o.Sweep(time.Second + peerLoadTTL); o.Total() != (Load{}) || len(o.peers) > 0 {
 			t.Fatalf("after a long silence: %+v", o)
 		}
 	})
 }
 
-// TestCrowdingStartsWhereSlotsOrMemoryEnd: nothing while there is room; more with each request that has to go first.
-func TestCrowdingStartsWhereSlotsOrMemoryEnd(t *testing.T) {
+// TestCapacityWaitStartsAtSlotOrMemoryLimit: nothing while there is room; more with each request that has to go first.
+func TestCapacityWaitStartsAtSlotOrMemoryLimit(t *testing.T) {
 	const slots, memory, stay = 16, 80_000, 2000
 	for _, c := range []struct {
 		held   Load
@@ -56,11 +56,11 @@
 		{Load{15, 70_000}, 10_000, 0}, {Load{16, 0}, 10, 125}, {Load{23, 0}, 10, 1000}, {Load{8, 80_000}, 20_000, 500},
 		{Load{0, 0}, 90_000, 0}, {Load{31, 80_000}, 20_000, 2000},
 	} {
-		if got := Crowding(c.held, slots, memory, c.tokens, stay); got != c.wanted {
+		if got := CapacityWait(c.held, slots, memory, c.tokens, stay); got != c.wanted {
 			t.Errorf("%+v and %d Tokens: %.0f ms, wanted %.0f", c.held, c.tokens, got, c.wanted)
 		}
 	}
-	if got := Crowding(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
+	if got := CapacityWait(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
 		t.Errorf("unknown limits give %.0f ms", got)
 	}
 }
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -70,16 +70,16 @@
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.lives()))
 	}
 	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetch),
+		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetchFrom),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.reread > 0 {
-			fields = append(fields, zap.Int(events.FieldReread, x.plan.reread), zap.String(events.FieldRereadWhy, string(x.plan.why)))
+		if x.plan.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldReread, x.plan.recomputed), zap.String(events.FieldRereadWhy, string(x.plan.recomputeReason)))
 		}
 	}
 	if x.atRest > 0 {
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, x.atRest))
 	}
-	if x.limited.Named {
+	if x.limited.Advertised {
 		fields = append(fields, zap.Float64(events.FieldLimit, x.limited.Rate))
 	}
 	if x.served != "" {
@@ -115,7 +115,7 @@
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
 	}
 	if failed.cause == causeOutdated {
-		fields = append(fields, sent.outdated()...)
+		fields = append(fields, sent.outdatedFields()...)
 	}
 	x.gateway.log.note(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,7 +21,7 @@
 		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
-			g.near.failed()
+			g.near.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
 				g.log.lost()
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.near.use(response.Watch.Near)
+	g.near.update(response.Watch.Near)
 	g.group.Use(response.Watch.Replicas)
 	return true
 }
@@ -98,7 +98,7 @@
 // hold is how long a question may be held. While a back end drains for new weights, control is to see soon that its
 // requests have ended.
 func (g *Gateway) hold() time.Duration {
-	if g.table.drains() {
+	if g.table.weightsDraining() {
 		return drainHold
 	}
 	return watchHold
@@ -106,19 +106,19 @@
 
 // take puts news in force. A document is only ever replaced by a newer one.
 func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
-	g.quarantine.Idled(g.untrustedFor(g.now()))
+	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
-		g.quarantine.Take(reply.Quarantine)
+		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.Use(quota.Limits(reply.Document, g.settings.Quota))
+		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
-		g.quarantine.Ended(reporter.Replaced, replaced(changes)...)
+		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
 		for _, change := range changes {
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
@@ -126,17 +126,17 @@
 		g.log.note(events.RosterTaken, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
-	for _, n := range g.table.takeNews(g.now(), asked, reply) {
+	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
 		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
-			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Told.Seconds()))
+			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
-	g.watchLimits()
-	g.desk.Touch(asked, reply.Gateways)
+	g.watchStartDeadlines()
+	g.desk.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
-	g.near.use(reply.Near)
+	g.near.update(reply.Near)
 	g.spread.use(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
-	g.table.setHome(reply.Reads)
+	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
 		g.confirm.Store(int64(asked))
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -9,30 +9,30 @@
 	"kitetiller/internal/events"
 )
 
-// weightsSeen is what an answer tells of a back end's weights, beside what was believed of them.
-type weightsSeen struct {
-	believed uint64        // now
-	answered uint64        // 0 unknown
-	named    time.Duration // when the oldest version was named that the weights lack
-	lacks    bool          // there is such a version
+// versionComparison is what an answer tells of a back end's weights, beside what was believed of them.
+type versionComparison struct {
+	believed     uint64        // now
+	answered     uint64        // 0 unknown
+	missingSince time.Duration // when the oldest version was named that the weights lack
+	outdated     bool          // there is such a version
 }
 
-// seeWeights compares the weights of an answer, or the believed ones where it names none, with what was named.
-func (g *Gateway) seeWeights(row *endpoint, model string, answered uint64) weightsSeen {
+// compareVersions compares the weights of an answer, or the believed ones where it names none, with what was named.
+func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := weightsSeen{believed: row.entry.Versions[model], answered: answered}
+	seen := versionComparison{believed: row.entry.Versions[model], answered: answered}
 	held := answered
 	if held == 0 {
 		held = seen.believed
 	}
-	seen.named, seen.lacks = g.table.named.Since(model, held)
+	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, held)
 	return seen
 }
 
-// noteWeights logs that an answer names other weights than were expected or believed, or that a request began on weights that
+// logVersionMismatch logs that an answer names other weights than were expected or believed, or that a request began on weights that
 // lack a named version: whether it was allowed to can't be told later without the limits that held.
-func (a *attempt) noteWeights(status int, verdict Verdict) {
+func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
 	x := a.exchange
 	begun := status < http.StatusMultipleChoices && verdict.Signed
 	refused := verdict.NotRun && verdict.Version > 0
@@ -40,10 +40,10 @@
 		return
 	}
 	g := x.gateway
-	seen := g.seeWeights(a.row, x.call.Model, verdict.Version)
+	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
 	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.believed)
-	if !differs && !(begun && seen.lacks) {
+	if !differs && !(begun && seen.outdated) {
 		return
 	}
 	now := g.now()
@@ -56,15 +56,15 @@
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
 		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.limitFields(now, seen.named, seen.lacks)...)...)
+	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
-// limitFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
+// deadlineFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
 // place was chosen, and the one that holds now.
-func (a *attempt) limitFields(now, named time.Duration, lacks bool) []zap.Field {
+func (a *attempt) deadlineFields(now, named time.Duration, lacks bool) []zap.Field {
 	var fields []zap.Field
-	if a.plan.beginBy > 0 {
-		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.beginBy-now))
+	if a.plan.startDeadline > 0 {
+		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
 	}
 	if lacks {
 		left := named + a.exchange.gateway.settings.VersionLimit - now
@@ -73,10 +73,10 @@
 	return fields
 }
 
-// outdated returns the limits of an attempt that was ended for them.
-func (a *attempt) outdated() []zap.Field {
+// outdatedFields returns the limits of an attempt that was ended for them.
+func (a *attempt) outdatedFields() []zap.Field {
 	x := a.exchange
-	seen := x.gateway.seeWeights(a.row, x.call.Model, 0)
+	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
 	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
-	return append(fields, a.limitFields(x.gateway.now(), seen.named, seen.lacks)...)
+	return append(fields, a.deadlineFields(x.gateway.now(), seen.missingSince, seen.outdated)...)
 }
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -17,47 +17,49 @@
 	"kitetiller/internal/node"
 )
 
-// name tells a gateway that a version of the model m was named so long before now.
-func name(g *Gateway, version uint64, age time.Duration) {
-	g.table.takeNews(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
+// publishVersion tells a gateway that a version of the model m was named so long before now.
+func publishVersion(g *Gateway, version uint64, age time.Duration) {
+	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
 
-// asking returns a request for the model m.
-func asking(g *Gateway) *exchange {
+// newModelRequest returns a request for the model m.
+func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
 		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: cover{covered: true},
 	}
 }
 
-// placedAt returns an attempt of a request that a gateway has chosen to send to its one back end.
-func placedAt(g *Gateway) *attempt {
-	x := asking(g)
-	return x.newAttempt(g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}))
+// chosenAttempt returns an attempt of a request that a gateway has chosen to send to its one back end.
+func chosenAttempt(g *Gateway) *attempt {
+	x := newModelRequest(g)
+	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
 
-// placedOn returns an attempt at a back end.
-func placedOn(g *Gateway, row *endpoint) *attempt { return asking(g).newAttempt(&candidate{row: row}) }
+// attemptAt returns an attempt at a back end.
+func attemptAt(g *Gateway, row *endpoint) *attempt {
+	return newModelRequest(g).newAttempt(&candidate{row: row})
+}
 
-// TestAnswersOnOtherWeightsAreTold: what was expected, believed and answered, with both limits, once a second for each back
+// TestVersionMismatchIsLogged: what was expected, believed and answered, with both limits, once a second for each back
 // end; an answer on the weights that were wanted leaves no line.
-func TestAnswersOnOtherWeightsAreTold(t *testing.T) {
+func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	chosen := placedAt(g)
-	chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+	chosen := chosenAttempt(g)
+	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	if lines.Len() != 0 {
 		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
 	}
-	name(g, 2, 10*time.Second)
+	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
-		chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+		chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	}
 	now += node.SparseEach
-	chosen.noteWeights(421, Verdict{NotRun: true, Version: 3})
+	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
 	got := lines.FilterMessage(events.WeightsDiffer).All()
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("lines %v", lines.All())
@@ -78,7 +80,7 @@
 // asked for the back end's state only, so that a request chosen 10 s before a limit was still sent 0.1 s before it, or after a version
 // was named whose time had passed. Back ends whose weights nobody knew had no limit at all. And an attempt was ended at its limit to the
 // millisecond, though it is over only once the close has reached the back end, and a timer may fire late.
-func TestLimitOfOldWeightsHoldsWhenSent(t *testing.T) {
+func TestStartDeadlineIsCheckedBeforeSend(t *testing.T) {
 	// fresh returns a gateway with one engine on version 1, and its clock. Nothing may begin a minute after a newer version was named.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
@@ -86,24 +88,24 @@
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
-	wish := func(g *Gateway) need {
-		return need{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
+	input := func(g *Gateway) selectionInput {
+		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
 	t.Run("a version is named after the choice", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
 		}
 	})
 	t.Run("the limit comes near while the connection comes up", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
-		chosen := placedAt(g)
+		publishVersion(g, 2, 50*time.Second)
+		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
@@ -111,10 +113,10 @@
 	})
 	t.Run("a scheduler has chosen", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
-		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish(g))
+		chosen := chosenAttempt(g)
+		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
 			t.Fatal("it is sent")
 		}
@@ -122,30 +124,30 @@
 	t.Run("the weights are not known", func(t *testing.T) {
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
-		name(g, 2, 10*time.Second)
-		if g.choose(g.now(), wish(g)) == nil {
+		publishVersion(g, 2, 10*time.Second)
+		if g.choose(g.now(), input(g)) == nil {
 			t.Fatal("nothing is sent although there is time")
 		}
 		*now += 50 * time.Second
-		if g.choose(g.now(), wish(g)) != nil {
+		if g.choose(g.now(), input(g)) != nil {
 			t.Fatal("it is sent")
 		}
-		plain := need{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
+		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
 		if g.choose(g.now(), plain) == nil {
 			t.Fatal("a service without weights gets nothing")
 		}
 	})
 	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
-		waits, begun := placedAt(g), placedAt(g)
+		publishVersion(g, 2, 50*time.Second)
+		waits, begun := chosenAttempt(g), chosenAttempt(g)
 		for _, sent := range []*attempt{waits, begun} {
 			g.table.begin(g.now(), sent)
 		}
-		g.table.spoke(g.now(), begun)
+		g.table.recordBytes(g.now(), begun)
 		*now += 9900 * time.Millisecond
-		waits.watchLimit()
-		begun.watchLimit()
+		waits.watchStartDeadline()
+		begun.watchStartDeadline()
 		if context.Cause(waits.ctx) != errOutdated {
 			t.Error("it waits on")
 		}
@@ -155,18 +157,18 @@
 	})
 }
 
-// TestTimerTakesAWaitingRequestBack: without any news after the one that gave the limit; a limit that moved meanwhile counts.
-func TestTimerTakesAWaitingRequestBack(t *testing.T) {
+// TestDeadlineTimerCancelsWaitingRequest: without any news after the one that gave the limit; a limit that moved meanwhile counts.
+func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
 	g := scheduler(1)
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
-	sent := placedAt(g)
+	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
-	sent.watchLimit()
+	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
-	name(g, 2, g.settings.VersionLimit-left)
-	g.watchLimits()
+	publishVersion(g, 2, g.settings.VersionLimit-left)
+	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
 		t.Fatal("taken back too early")
 	}
@@ -177,9 +179,9 @@
 	}
 }
 
-// TestWaitingRequestsFollowTheNews: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
+// TestOnlyWaitingRequestsPastDeadlineAreCanceled: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
 // taken back that waited when the limit of their back end's weights, as it stood then, was near.
-func TestWaitingRequestsFollowTheNews(t *testing.T) {
+func TestOnlyWaitingRequestsPastDeadlineAreCanceled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 3
 		var clock atomic.Int64
@@ -205,13 +207,13 @@
 			id := fmt.Sprint("i-", rapid.IntRange(0, engines-1).Draw(t, "engine"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				made := placedOn(g, rows[id])
+				made := attemptAt(g, rows[id])
 				g.table.begin(g.now(), made)
 				sent, waits[made] = append(sent, made), true
 			case 2:
 				if len(sent) > 0 {
 					begun := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
-					g.table.spoke(g.now(), begun)
+					g.table.recordBytes(g.now(), begun)
 					delete(waits, begun)
 				}
 			case 3:
@@ -230,14 +232,14 @@
 						reply.Wanted = append(reply.Wanted, control.WantedVersion{Model: "m", Version: version, Age: age})
 					}
 				}
-				g.table.takeNews(g.now(), g.now(), reply)
+				g.table.applyWatchReply(g.now(), g.now(), reply)
 			case 5:
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
-				g.table.learnVersion(g.now(), rows[id], "m", version)
+				g.table.recordVersion(g.now(), rows[id], "m", version)
 				versions[id] = max(versions[id], version)
 				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
-			g.watchLimits()
+			g.watchStartDeadlines()
 			for _, one := range sent {
 				if waits[one] && isLate(one.row.entry.ID) {
 					late[one] = true
--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -6,26 +6,26 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// pace returns the learnt pace of a service's engines. The caller holds the mutex.
-func (t *table) pace(service string) belief.Pace {
-	if known, learnt := t.paces[service]; learnt {
+// prefillEstimate returns the learnt prefillEstimate of a service's engines. The caller holds the mutex.
+func (t *table) prefillEstimate(service string) belief.PrefillEstimate {
+	if known, learnt := t.prefillEstimates[service]; learnt {
 		return known
 	}
-	return belief.FirstPace()
+	return belief.DefaultPrefillEstimate()
 }
 
-// notePace learns from a request that was placed so, and whose first event came after a time.
-func (t *table) notePace(row *endpoint, alone bool, uncached int, first time.Duration) {
+// observePrefill learns from a request that was placed so, and whose first event came after a time.
+func (t *table) observePrefill(row *endpoint, alone bool, uncached int, first time.Duration) {
 	if !alone || first <= 0 {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := row.entry.Service
-	t.paces[service] = t.pace(service).Next(uncached, first)
+	t.prefillEstimates[service] = t.prefillEstimate(service).Observe(uncached, first)
 }
 
-// read notes that an engine has so many more prompt tokens to read. The caller holds the mutex.
-func (t *table) read(now time.Duration, row *endpoint, tokens int) {
-	row.busyTo = max(now, row.busyTo) + t.pace(row.entry.Service).Reading(tokens)
+// addPrefill notes that an engine has so many more prompt tokens to addPrefill. The caller holds the mutex.
+func (t *table) addPrefill(now time.Duration, row *endpoint, tokens int) {
+	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.prefillEstimate(row.entry.Service).PrefillTime(tokens)
 }
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestWhyPartsAreRead: each way in which nobody's copy of shared parts serves.
-func TestWhyPartsAreRead(t *testing.T) {
+// TestExplainRecompute: each way in which nobody's copy of shared parts serves.
+func TestExplainRecompute(t *testing.T) {
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
 	for _, row := range []struct {
@@ -18,30 +18,30 @@
 		sources []source
 		met     time.Duration // ago; 0 never
 		holders []*endpoint
-		wanted  rereadCause
+		wanted  recomputeCause
 	}{
-		{"nobody read them", candidate{version: version, reread: 1000}, nil, 0, nil, rereadFirst},
-		{"long ago", candidate{version: version, reread: 1000}, nil, 2 * metKept, nil, rereadFirst},
-		{"who did is gone", candidate{version: version, reread: 1000}, nil, time.Second, nil, rereadLost},
-		{"who did can't be asked", candidate{version: version, reread: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
-		{"with other weights", candidate{version: version, reread: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, rereadOther},
-		{"others hold no more", candidate{version: version, reread: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, rereadLost},
-		{"a copy is dearer", candidate{version: version, reread: 1000, dearer: true}, nil, time.Second, nil, rereadDearer},
-		{"weights unknown", candidate{reread: 1000}, nil, time.Second, nil, rereadUntrusted},
+		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
+		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
+		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
+		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
+		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
+		{"others hold no more", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
+		{"a copy is dearer", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
+		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, recomputeWeightsUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			now := time.Hour
 			g := &Gateway{table: newTable(mechanism.Set{})}
 			if row.met > 0 {
-				g.table.meet(now-row.met, shared)
+				g.table.recordSent(now-row.met, shared)
 			}
 			if row.holders != nil {
 				g.table.holders["b"] = row.holders
 			}
-			if got := g.whyReread(now, &row.chosen, shared, row.sources); got != row.wanted {
+			if got := g.explainRecompute(now, &row.chosen, shared, row.sources); got != row.wanted {
 				t.Fatalf("%s, wanted %s", got, row.wanted)
 			}
-			if g.table.forgetMet(now); row.met > metKept && len(g.table.met) > 0 {
+			if g.table.sweepLastSent(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
 				t.Fatal("what was long ago is remembered")
 			}
 		})
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -88,8 +88,8 @@
 				counts[r.instance]++
 			}
 			for id, row := range g.table.rows {
-				if row.occupied.Total().Running != counts[id] || row.occupied.Total().Tokens != counts[id]*loadOf(&Call{Parts: partsOf("x")}).Tokens {
-					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupied.Total(), counts[id])
+				if row.occupancy.Total().Running != counts[id] || row.occupancy.Total().Tokens != counts[id]*loadOf(&Call{Parts: partsOf("x")}).Tokens {
+					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupancy.Total(), counts[id])
 				}
 			}
 		}
@@ -136,11 +136,11 @@
 	for i := range 5 {
 		report(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
-	if row.avoidTo > 0 {
+	if row.avoidUntil > 0 {
 		t.Fatal("five reports of one gateway turned everybody away")
 	}
 	report(1100*time.Millisecond, "b", "t9")
-	if row.avoidTo == 0 {
+	if row.avoidUntil == 0 {
 		t.Fatal("reports of two gateways turned nobody away")
 	}
 }
@@ -159,14 +159,14 @@
 	for i := range 5 {
 		broke(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
-	if row.avoidTo > 0 || row.failures > 0 {
+	if row.avoidUntil > 0 || row.failures > 0 {
 		t.Fatal("one gateway turned everybody away")
 	}
-	if row.failing == 0 {
+	if row.failureRate == 0 {
 		t.Fatal("its word costs nothing")
 	}
 	broke(1100*time.Millisecond, "b", "t9")
-	if row.avoidTo == 0 {
+	if row.avoidUntil == 0 {
 		t.Fatal("two gateways turned nobody away")
 	}
 }
@@ -206,7 +206,7 @@
 	defer func() { _ = server.Close(context.Background()) }()
 	g := scheduler(3)
 	g.schedulers.use([]string{"127.0.0.1:17391"})
-	g.table.rows["i-0"].avoidTo = time.Hour
+	g.table.rows["i-0"].avoidUntil = time.Hour
 	x := &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
 		request: &http.Request{}, call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour, tried: []*endpoint{g.table.rows["i-1"]},
@@ -216,12 +216,12 @@
 	if chosen == nil || chosen.scheduled == nil || chosen.row.entry.ID != "i-2" || chosen.salt != "w1/t" {
 		t.Fatalf("chosen %+v", chosen)
 	}
-	if n := s.table.rows["i-2"].occupied.Placed.Running; n != 1 {
+	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 1 {
 		t.Fatalf("%d requests counted", n)
 	}
 	x.newAttempt(chosen).settle()
 	<-ended
-	if n := s.table.rows["i-2"].occupied.Placed.Running; n != 0 {
+	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 0 {
 		t.Fatalf("%d requests counted after the end", n)
 	}
 	if _, err := mechanism.Without(string(mechanism.Schedulers)); err != nil {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -22,28 +22,28 @@
 	"kitetiller/internal/quota"
 )
 
-// TestBudgetNeverExceedsTheRatio: over any run of requests and repeats on several gateways, repeats in every window stay
+// TestRetryBudgetNeverExceedsRatio: over any run of requests and repeats on several gateways, repeats in every window stay
 // below the fleet's allowance for the requests of that window.
-func TestBudgetNeverExceedsTheRatio(t *testing.T) {
+func TestRetryBudgetNeverExceedsRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
-		borrowers := make([]*allowance.Borrower, gateways)
+		borrowers := make([]*allowance.Client, gateways)
 		terms := quota.Policy{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
-		lender := allowance.NewLender(1)
-		lender.Use(0, limits)
+		lender := allowance.NewAllocator(1)
+		lender.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
-			borrowers[i] = allowance.NewBorrower(fmt.Sprint("g", i), time.Second)
-			borrowers[i].Use(limits)
+			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
+			borrowers[i].SetLimits(limits)
 		}
-		lent := func(b *allowance.Borrower, now time.Duration) bool {
-			wants := []allowance.Want{{Name: quota.ServiceRetries("s"), Amount: 1}}
+		lent := func(b *allowance.Client, now time.Duration) bool {
+			wants := []allowance.Demand{{Name: quota.ServiceRetries("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
-				hold = b.Granted(now, now, wants, lender.Take(now, b.Ask(now, wants)))[0].Hold
+				hold = b.ApplyReply(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
@@ -88,8 +88,8 @@
 	})
 }
 
-// rowsOf returns engines in zones, all ready.
-func rowsOf(zones ...string) []*endpoint {
+// endpointsIn returns engines in zones, all ready.
+func endpointsIn(zones ...string) []*endpoint {
 	var rows []*endpoint
 	for i, zone := range zones {
 		rows = append(rows, &endpoint{hash: uint64(i * 7919), entry: control.RosterEntry{Instance: catalog.Instance{
@@ -99,20 +99,20 @@
 	return rows
 }
 
-// TestLanesLeaveBothKindsAnEngine: whatever the demand, each zone with two engines serves both kinds.
-func TestLanesLeaveBothKindsAnEngine(t *testing.T) {
+// TestLanesGiveEachKindAnEngine: whatever the demand, each zone with two engines serves both kinds.
+func TestLanesGiveEachKindAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rows := rowsOf("a", "a", "a", "b", "b", "c", "c", "c", "c")
+		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
 		held := &lanes{}
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 100).Draw(t, "sends") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
-			held.note(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
+			held.recordDemand(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
 		}
 		held.divide(rows)
 		long, short := map[string]int{}, map[string]int{}
 		for _, row := range rows {
-			if row.long {
+			if row.longLane {
 				long[row.entry.Zone]++
 			} else {
 				short[row.entry.Zone]++
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestSplitHoldsItsWeights: over any run of requests each target has its share to within one request.
-func TestSplitHoldsItsWeights(t *testing.T) {
+// TestSplitFollowsWeights: over any run of requests each target has its share to within one request.
+func TestSplitFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &catalog.Route{Name: "r"}
 		total := 0
@@ -152,9 +152,9 @@
 	})
 }
 
-// TestSplitHoldsItsWeightsOverManyGateways: where each of many gateways sees a few requests only, the fleet's shares hold
+// TestSplitFollowsWeightsAcrossGateways: where each of many gateways sees a few requests only, the fleet's shares hold
 // as well; all of them starting with the heaviest target would leave the others without any.
-func TestSplitHoldsItsWeightsOverManyGateways(t *testing.T) {
+func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	light := 0
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestMostSpecificRouteWins: the longest prefix of the host, never another host's.
-func TestMostSpecificRouteWins(t *testing.T) {
+// TestLongestPathPrefixWins: the longest prefix of the host, never another host's.
+func TestLongestPathPrefixWins(t *testing.T) {
 	held := newView(&catalog.Document{Routes: []catalog.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "o", PathPrefix: "/"},
 	}})
@@ -215,8 +215,8 @@
 	})
 }
 
-// TestLaterComparesNumbers: ids rise as numbers do, not as texts.
-func TestLaterComparesNumbers(t *testing.T) {
+// TestLaterComparesIDsAsNumbers: ids rise as numbers do, not as texts.
+func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
 		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
 			t.Errorf("%q and %q", pair[0], pair[1])
@@ -224,20 +224,20 @@
 	}
 }
 
-// TestLanesGoWhereSlotsAreScarce: they count in full while slots are free, not at all from half of them on, and as they did where
+// TestLaneWeightFallsWithUtilization: they count in full while slots are free, not at all from half of them on, and as they did where
 // slots are not known.
-func TestLanesGoWhereSlotsAreScarce(t *testing.T) {
+func TestLaneWeightFallsWithUtilization(t *testing.T) {
 	for _, c := range []struct {
 		slots, running int
 		wanted         float64
 	}{{16, 0, 1}, {16, 4, 0.5}, {16, 8, 0}, {16, 40, 0}, {0, 40, 1}} {
-		rows := rowsOf("a", "b", "c")
+		rows := endpointsIn("a", "b", "c")
 		for _, row := range rows {
 			row.entry.Slots = c.slots
-			row.occupied.Own.Running = c.running
+			row.occupancy.Own.Running = c.running
 		}
 		held := &lanes{}
-		if held.measure(time.Second, rows); held.weight() != c.wanted {
+		if held.measureUtilization(time.Second, rows); held.weight() != c.wanted {
 			t.Errorf("%d of %d slots: weight %v, wanted %v", c.running, c.slots, held.weight(), c.wanted)
 		}
 	}
@@ -246,10 +246,10 @@
 // BenchmarkDecision chooses among engines, half of which hold the prompt's shared parts.
 func BenchmarkDecision(b *testing.B) { benchmarkDecision(b, 0) }
 
-// BenchmarkDecisionInNeed does so where half of the engines name a limit, and of half of these nothing can be had.
-func BenchmarkDecisionInNeed(b *testing.B) { benchmarkDecision(b, 0.5) }
+// BenchmarkDecisionWithLimits does so where half of the engines name a limit, and of half of these nothing can be had.
+func BenchmarkDecisionWithLimits(b *testing.B) { benchmarkDecision(b, 0.5) }
 
-func benchmarkDecision(b *testing.B, inNeed float64) {
+func benchmarkDecision(b *testing.B, limitedFraction float64) {
 	for _, engines := range []int{18, 320, 3100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			g := &Gateway{settings: Settings{Zone: "z0", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
@@ -264,19 +264,19 @@
 			}
 			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
-				g.table.noteHeld(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
+				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
-			for i := range int(inNeed * float64(engines)) {
+			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.pushed.NoteLimit(0, row.life, pushback.Limit{Named: true, Rate: 4})
+				g.table.signals.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
-					row.dryTo = time.Hour
+					row.limitExhaustedUntil = time.Hour
 				}
 			}
-			wish := need{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
+			in := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
 			b.ReportAllocs()
 			for b.Loop() {
-				if g.choose(time.Millisecond, wish) == nil {
+				if g.choose(time.Millisecond, in) == nil {
 					b.Fatal("no choice")
 				}
 			}
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestSendsTravelUnchanged: whatever is told arrives as it was, older by the time that it waited.
-func TestSendsTravelUnchanged(t *testing.T) {
+// TestSendSurvivesWireRoundTrip: whatever is told arrives as it was, older by the time that it waited.
+func TestSendSurvivesWireRoundTrip(t *testing.T) {
 	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
@@ -297,8 +297,8 @@
 	}
 }
 
-// TestStoresShareTheParts: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
-func TestStoresShareTheParts(t *testing.T) {
+// TestPartsAreSpreadOverStores: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
+func TestPartsAreSpreadOverStores(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
 		{Name: "a", StoreAddress: "10.0.0.1:1"}, {Name: "b", StoreAddress: "10.0.0.2:1"}, {Name: "c", StoreAddress: "10.0.0.3:1"}, {Name: "d"},
 	}}
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestDeepestHolderIsFound: where every engine holds the first part of a prompt, the one that also holds the next is found,
+// TestSourcesPreferDeepestHolder: where every engine holds the first part of a prompt, the one that also holds the next is found,
 // however long ago that was.
-func TestDeepestHolderIsFound(t *testing.T) {
+func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
 	news := &control.RosterNews{Whole: true}
@@ -343,11 +343,11 @@
 		if i == 0 {
 			parts[1] = dossier
 		}
-		g.table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
+		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
-	wish := need{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
-	found := g.sources(time.Second, wish)
-	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maximumHolders {
+	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
+	found := g.sources(time.Second, in)
+	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maxSources {
 		t.Fatalf("%d sources, the first %+v", len(found), found)
 	}
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -9,33 +9,33 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// beginLimit returns until when requests may begin on a back end's weights, if newer ones were named. The time counts
+// startDeadline returns until when requests may begin on a back end's weights, if newer ones were named. The time counts
 // from when the oldest version that it lacks was named, not the newest. The caller holds the table's mutex, and asks again
 // whenever it acts: news move the limit.
-func (g *Gateway) beginLimit(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
-	namedAt, lacks := g.lacksSince(row, service, model)
+func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
+	namedAt, lacks := g.missingSince(row, service, model)
 	return namedAt + g.settings.VersionLimit, lacks
 }
 
-// lacksSince returns when the oldest version that a back end lacks was named, if there is one. An engine whose weights are
+// missingSince returns when the oldest version that a back end lacks was named, if there is one. An engine whose weights are
 // not known may have any old ones, so it counts as lacking all; a plain service has none to lack.
-func (g *Gateway) lacksSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
+func (g *Gateway) missingSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	held, holds := row.entry.Versions[model]
 	if !holds && !service.Engine {
 		return 0, false
 	}
-	return g.table.named.Since(model, held)
+	return g.table.published.OldestMissing(model, held)
 }
 
-// sendLimit is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
+// placementDeadline is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
 // them may believe others than this gateway does now, so the oldest version counts that either lack. One that expects none begins on
 // whatever is there. The caller holds the table's mutex.
-func (g *Gateway) sendLimit(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
-	limit, limited := g.beginLimit(placed.row, service, model)
+func (g *Gateway) placementDeadline(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
+	limit, limited := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return limit, limited
 	}
-	namedAt, lacks := g.table.named.Since(model, placed.version)
+	namedAt, lacks := g.table.published.OldestMissing(model, placed.version)
 	if !lacks {
 		return limit, limited
 	}
@@ -46,47 +46,47 @@
 	return min(limit, expected), true
 }
 
-// beginsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
+// startsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
 // holds the table's mutex.
-func (g *Gateway) beginsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
-	limit, limited := g.sendLimit(placed, service, model)
-	return limited && placed.beginsAfter(now, limit)
+func (g *Gateway) startsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
+	limit, limited := g.placementDeadline(placed, service, model)
+	return limited && placed.startsAfter(now, limit)
 }
 
-// chosenTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
-func (g *Gateway) chosenTooLate(now time.Duration, scored *candidate, wish need) bool {
-	limit, limited := g.sendLimit(scored, wish.service, wish.call.Model)
+// scoredTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
+func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, in selectionInput) bool {
+	limit, limited := g.placementDeadline(scored, in.service, in.call.Model)
 	if !limited {
 		return false
 	}
-	scored.beginBy = limit
-	return scored.beginsAfter(now, limit)
+	scored.startDeadline = limit
+	return scored.startsAfter(now, limit)
 }
 
-// beginsAfter reports whether a request that is sent now would likely begin after a limit.
-func (c *candidate) beginsAfter(now, limit time.Duration) bool {
+// startsAfter reports whether a request that is sent now would likely begin after a limit.
+func (c *candidate) startsAfter(now, limit time.Duration) bool {
 	return now+belief.FromMilliseconds(beginFactor*c.wait) >= limit-beginMargin
 }
 
-// watchLimit ends the attempt if it has not begun when the limit for its back end's weights nears, and looks again then.
-func (a *attempt) watchLimit() {
+// watchStartDeadline ends the attempt if it has not begun when the limit for its back end's weights nears, and looks again then.
+func (a *attempt) watchStartDeadline() {
 	g := a.exchange.gateway
 	g.table.mutex.Lock()
-	late := a.armLimit(g.now())
+	late := a.armDeadlineTimer(g.now())
 	g.table.mutex.Unlock()
 	if late {
 		a.cancel(errOutdated)
 	}
 }
 
-// watchLimits sets the watch of all attempts that wait to the limits that hold now: news may have brought one forward, or the
+// watchStartDeadlines sets the watch of all attempts that wait to the limits that hold now: news may have brought one forward, or the
 // first one.
-func (g *Gateway) watchLimits() {
+func (g *Gateway) watchStartDeadlines() {
 	var late []*attempt
 	g.table.mutex.Lock()
 	now := g.now()
 	for sent := range g.table.waiting {
-		if sent.armLimit(now) {
+		if sent.armDeadlineTimer(now) {
 			late = append(late, sent)
 		}
 	}
@@ -96,14 +96,14 @@
 	}
 }
 
-// armLimit sets the attempt's watch to the limit that holds now, and reports whether it must be taken back at once. A limit
+// armDeadlineTimer sets the attempt's watch to the limit that holds now, and reports whether it must be taken back at once. A limit
 // that moved later, or is gone, is seen when the timer fires. The caller holds the table's mutex.
-func (a *attempt) armLimit(now time.Duration) (late bool) {
+func (a *attempt) armDeadlineTimer(now time.Duration) (late bool) {
 	x := a.exchange
 	if _, waits := a.row.waiting[a]; !waits {
 		return false
 	}
-	limit, limited := x.gateway.beginLimit(a.row, x.service, x.call.Model)
+	limit, limited := x.gateway.startDeadline(a.row, x.service, x.call.Model)
 	left := limit - takeBackMargin - now
 	switch {
 	case !limited:
@@ -111,19 +111,19 @@
 	case left <= 0:
 		return true
 	case a.limit == nil:
-		a.limit = time.AfterFunc(left, a.watchLimit)
+		a.limit = time.AfterFunc(left, a.watchStartDeadline)
 	default:
 		a.limit.Reset(left)
 	}
 	return false
 }
 
-// salt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
+// cacheSalt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
 // shares nothing.
-func salt(version uint64, owner *catalog.Tenant) string {
+func cacheSalt(version uint64, tenant *catalog.Tenant) string {
 	name := "w" + formatVersion(version)
-	if owner != nil && owner.Isolated {
-		name += "/" + owner.Name
+	if tenant != nil && tenant.Isolated {
+		name += "/" + tenant.Name
 	}
 	return name
 }
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -41,9 +41,9 @@
 	case now < n.from || now >= n.until:
 		return pushback.Limit{}
 	case now < (n.from+n.until)/2:
-		return pushback.Limit{Named: true, Rate: n.rate}
+		return pushback.Limit{Advertised: true, Rate: n.rate}
 	}
-	return pushback.Limit{Named: true, Rate: n.later}
+	return pushback.Limit{Advertised: true, Rate: n.later}
 }
 
 // highest returns the highest limit that was named between two times.
@@ -121,7 +121,7 @@
 // sendsLimited checks a request at the moment it is sent to a back end.
 func (o *oracle) sendsLimited(p pair, n need) {
 	now := o.w.now()
-	if !n.limit(now).Named {
+	if !n.limit(now).Advertised {
 		return
 	}
 	life := o.limits.of(p.backend, n)
@@ -137,34 +137,34 @@
 
 // permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
 func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
-	limit, heard := g.pushed.LimitHeard(catalog.ParseInstanceID(entry.ID))
-	if !limit.Named || !g.w.guards.On(guard.LimitCheck) {
+	limit, heard := g.pushed.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
+	if !limit.Advertised || !g.w.guards.On(guard.LimitCheck) {
 		return true
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
-	named := allowance.Named{Rate: limit.Rate, Age: now - heard}
-	g.borrower.Name(now, name, named)
+	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
+	g.borrower.SetAdvertisedLimit(now, name, named)
 	if hold, ok := g.borrower.Take(now, name, 1); ok {
 		return hold.Valid(now)
 	}
 	if !g.asking {
-		g.askPermit(entry, []allowance.Want{{Name: name, Amount: 1, Named: &named}})
+		g.askPermit(entry, []allowance.Demand{{Name: name, Amount: 1, Advertised: &named}})
 	}
 	return false
 }
 
 // askPermit asks the leader for a part of a back end's limit, and sends there if there is one.
-func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Want) {
+func (g *fleetGateway) askPermit(entry control.RosterEntry, wants []allowance.Demand) {
 	asked := g.clock()
-	question := g.borrower.Ask(asked, wants)
+	question := g.borrower.NewRequest(asked, wants)
 	g.asking = true
 	g.lender.once(control.Request{Borrow: &question}, permitTimeout, func(response control.Response, answered bool) {
 		g.asking = false
-		var hold allowance.Hold
+		var hold allowance.Lease
 		if answered && response.Lent != nil {
-			hold = g.borrower.Granted(g.clock(), asked, wants, *response.Lent)[0].Hold
+			hold = g.borrower.ApplyReply(g.clock(), asked, wants, *response.Lent)[0].Lease
 		} else {
-			hold, _ = g.borrower.TakeOwn(g.clock(), wants[0].Name, 1)
+			hold, _ = g.borrower.TakeFallback(g.clock(), wants[0].Name, 1)
 		}
 		at := slices.IndexFunc(g.roster, func(e control.RosterEntry) bool { return e.ID == entry.ID })
 		if hold.Valid(g.clock()) && at >= 0 && g.maySendTo(g.roster[at]) {
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -33,9 +33,9 @@
 		Members: []control.MemberStatus{{Member: consensus.Member{ID: "control-1-aa", Name: "control-1", Address: "10.0.0.1:9000"}, Match: 91},
 			{Member: consensus.Member{ID: "control-2-bb", Name: "control-2", Address: "10.0.0.2:9000", Learner: true}, Match: 60, Silent: 1500 * time.Millisecond}},
 		Engines:  []control.EngineStatus{{EngineReport: control.EngineReport{Name: "llm-1", Weights: "w1", Loading: true}, Wanted: "w2"}},
-		Limits:   []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Lent: 90_000, Refused: 4000, Over: true, Withheld: 0.25}},
-		Named:    []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Lent: 310, Refused: 92}},
-		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Lives: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Lives: []string{"i-2", "i-4"}}},
+		Limits:   []allowance.State{{Name: "tenant/north", Limit: allowance.Limit{Rate: 1000, Burst: 500}, Level: 12, Granted: 90_000, Refused: 4000, OverLimit: true, Withheld: 0.25}},
+		Named:    []allowance.State{{Name: "back-end/llm-1", Limit: allowance.Limit{Rate: 3.8, Burst: 2}, Level: 0.4, Granted: 310, Refused: 92}},
+		Suspects: []quarantine.Entry{{Request: quarantine.Fingerprint{1}, Incarnations: []string{"i-1", "i-2", "i-3"}}, {Request: quarantine.Fingerprint{2}, Incarnations: []string{"i-2", "i-4"}}},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+control.PathAdmin, func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 		case request.Read != nil:
 			response.Read = &control.ReadReply{Version: 7, InForce: 6, Tree: tree, History: []settings.HistoryEntry{{Version: 7, OperationID: "op", Author: "lea", Edits: []settings.Edit{edit}}}}
 		case request.Catalog != nil:
-			if released := request.Catalog.Quarantine.Released; len(released) != 1 || released[0].Why != quarantine.Operator || len(released[0].Requests) != 2 {
+			if released := request.Catalog.Quarantine.Releases; len(released) != 1 || released[0].Reason != quarantine.ReasonOperator || len(released[0].Requests) != 2 {
 				t.Errorf("released %+v", released)
 			}
 		case request.Change != nil:
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -9,26 +9,26 @@
 
 // Limit is what an answer says of the requests that its back end takes from all machines together, for as long as it names that.
 type Limit struct {
-	Named bool    // it names a limit
-	Over  bool    // it names none any more; never together with Named
-	Rate  float64 // requests a second where it names one; finite, 0 or more
+	Advertised bool    // it names a limit
+	Withdrawn  bool    // it names none any more; never together with Named
+	Rate       float64 // requests a second where it names one; finite, 0 or more
 }
 
-// LeastRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
+// MinRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
 // nothing never hears that a limit is over. One request in the longest window in which limits are judged.
-const LeastRate = 0.25
+const MinRate = 0.25
 
-// Nothing reports whether nothing is said of a limit.
-func (l Limit) Nothing() bool { return !l.Named && !l.Over }
+// IsEmpty reports whether nothing is said of a limit.
+func (l Limit) IsEmpty() bool { return !l.Advertised && !l.Withdrawn }
 
-// NoteLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
+// ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (b *Book) NoteLimit(at time.Duration, life catalog.Incarnation, limit Limit) (news bool) {
-	if limit.Nothing() {
+func (b *Tracker) ObserveLimit(at time.Duration, life catalog.Incarnation, limit Limit) (news bool) {
+	if limit.IsEmpty() {
 		return false
 	}
 	known := b.Limit(life)
-	if limit.Over && !known.Named {
+	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
 	w := b.word(life)
@@ -36,29 +36,29 @@
 		return false
 	}
 	w.limit, w.limitAt, w.newest = limit, at, max(w.newest, at)
-	return known.Named != limit.Named || known.Rate != limit.Rate
+	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
-// Unlimited takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
+// ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (b *Book) Unlimited(now, sent time.Duration, life catalog.Incarnation) (over bool) {
+func (b *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Incarnation) (over bool) {
 	at := slices.IndexFunc(b.words[life.Name], func(w word) bool { return w.life == life })
 	if at < 0 || b.words[life.Name][at].limitAt >= sent {
 		return false
 	}
-	return b.NoteLimit(now, life, Limit{Over: true})
+	return b.ObserveLimit(now, life, Limit{Withdrawn: true})
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
-func (b *Book) Limit(life catalog.Incarnation) Limit {
-	limit, _ := b.LimitHeard(life)
+func (b *Tracker) Limit(life catalog.Incarnation) Limit {
+	limit, _ := b.LimitObservedAt(life)
 	return limit
 }
 
-// LimitHeard returns the limit that a life names, and when that was last heard.
-func (b *Book) LimitHeard(life catalog.Incarnation) (limit Limit, heard time.Duration) {
+// LimitObservedAt returns the limit that a life names, and when that was last heard.
+func (b *Tracker) LimitObservedAt(life catalog.Incarnation) (limit Limit, heard time.Duration) {
 	for _, w := range b.words[life.Name] {
-		if w.life == life && w.limit.Named {
+		if w.life == life && w.limit.Advertised {
 			return w.limit, w.limitAt
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // word returns the word of a life, made when it first says something.
-func (b *Book) word(life catalog.Incarnation) *word {
+func (b *Tracker) word(life catalog.Incarnation) *word {
 	words := b.words[life.Name]
 	at := slices.IndexFunc(words, func(w word) bool { return w.life == life })
 	if at < 0 {
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -13,14 +13,14 @@
 type heard struct {
 	at   time.Duration
 	life catalog.Incarnation
-	said Said
+	said Signals
 }
 
 // TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
 // a life before it was heard to ask for, unless it began clearly later.
 func TestBookAgreesWithAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, now, began := NewBook(), time.Duration(0), time.UnixMilli(1_000_000)
+		book, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var list []heard
 		life := rapid.Custom(func(t *rapid.T) catalog.Incarnation {
 			made := catalog.Incarnation{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
@@ -33,30 +33,30 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := heard{now, life.Draw(t, "speaker"), Said{
-					Rest:    time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
-					Leaving: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
+				word := heard{now, life.Draw(t, "speaker"), Signals{
+					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
+					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
-				book.Note(now, began.Add(now), word.life, word.said, 0)
+				book.Observe(now, began.Add(now), word.life, word.said, 0)
 			case 1:
 				book.Sweep(now, func(catalog.Incarnation) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
-			wanted := Bar{}
+			wanted := Restriction{}
 			for _, word := range list {
-				until := word.at + word.said.Rest
+				until := word.at + word.said.Backoff
 				earlier := word.life.Name == asked.Name && word.life.StartedMS < asked.StartedMS && asked.StartedMS <= began.Add(word.at+birthSlack).UnixMilli()
-				if word.life == asked && word.said.Leaving {
-					wanted.Leaving = true
+				if word.life == asked && word.said.Draining {
+					wanted.Draining = true
 				}
-				if (word.life == asked || earlier) && word.said.Rest > 0 && until > now {
-					wanted.Until = max(wanted.Until, until)
+				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
+					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
-			got := book.At(now, asked)
-			if got.Leaving != wanted.Leaving || got.Until < wanted.Until {
+			got := book.Restriction(now, asked)
+			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
 				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
 			}
 			if asked.Name == "b" && got != wanted {
@@ -74,17 +74,17 @@
 			at    time.Duration
 			limit Limit
 		}
-		book, now := NewBook(), time.Minute
+		book, now := NewTracker(), time.Minute
 		latest := map[catalog.Incarnation]told{}
 		lives := []catalog.Incarnation{{Name: "a", StartedMS: 1}, {Name: "a", StartedMS: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Incarnation, limit Limit) {
 			before := latest[life]
-			news := book.NoteLimit(at, life, limit)
-			if at < before.at || limit.Over && !before.limit.Named {
+			news := book.ObserveLimit(at, life, limit)
+			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
 			latest[life] = told{at, limit}
-			if changed := before.limit.Named != limit.Named || before.limit.Rate != limit.Rate; news != changed {
+			if changed := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != changed {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
 		}
@@ -94,36 +94,36 @@
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				said := Said{Limit: Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
+				said := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
 				if before := latest[life]; now >= before.at {
 					latest[life] = told{now, said.Limit}
 				}
-				book.Note(now, time.Time{}, life, said, 0)
+				book.Observe(now, time.Time{}, life, said, 0)
 			case 1:
-				hear(now-age, life, Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
+				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
-				hear(now-age, life, Limit{Over: true})
+				hear(now-age, life, Limit{Withdrawn: true})
 			case 3:
 				before := latest[life]
-				if over := book.Unlimited(now, now-age, life); over != (before.limit.Named && before.at < now-age) {
+				if over := book.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
-					latest[life] = told{now, Limit{Over: true}}
+					latest[life] = told{now, Limit{Withdrawn: true}}
 				}
 			case 4:
 				book.Sweep(now, func(catalog.Incarnation) bool { return true })
 				for life, last := range latest {
-					if last.limit.Over {
+					if last.limit.Withdrawn {
 						delete(latest, life) // nothing is left of it
 					}
 				}
 			}
 			for _, life := range lives {
 				last := latest[life]
-				if got := book.Limit(life); got.Named != last.limit.Named || got.Named && got != last.limit {
+				if got := book.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
 				}
-				if bar := book.At(now, life); bar.Limit != book.Limit(life) {
+				if bar := book.Restriction(now, life); bar.Limit != book.Limit(life) {
 					t.Fatalf("%+v bars, %+v is named", bar.Limit, book.Limit(life))
 				}
 			}
@@ -134,8 +134,8 @@
 // TestRestIsOfALife: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
 func TestRestIsOfALife(t *testing.T) {
 	day := time.UnixMilli(50_000)
-	book := NewBook()
-	book.Note(0, day, catalog.Incarnation{Name: "a", StartedMS: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
+	book := NewTracker()
+	book.Observe(0, day, catalog.Incarnation{Name: "a", StartedMS: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Incarnation
 		rests, leaving bool
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Incarnation{Name: "a", StartedMS: 52_000}, false, false},
 		"another back end":                {catalog.Incarnation{Name: "b", StartedMS: 10_000}, false, false},
 	} {
-		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Leaving != step.leaving {
+		if bar := book.Restriction(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
 		}
 	}
@@ -156,17 +156,17 @@
 // than the bound.
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Incarnation{Name: "a"}, time.UnixMilli(0)
-	book := NewBook()
-	if bar := book.Note(time.Second, day, a, Said{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
+	book := NewTracker()
+	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Note(2*time.Second, day, a, Said{Rest: time.Second}, 0); bar.Until < 4*time.Second {
+	if bar := book.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
-	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
+	if bar := book.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Note(5*time.Second, day, a, Said{Rest: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
+	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
@@ -174,11 +174,11 @@
 // TestWordsAreForgotten: a rest with its time; that a life leaves once nobody has named it for long.
 func TestWordsAreForgotten(t *testing.T) {
 	leaver, rester, day := catalog.Incarnation{Name: "l"}, catalog.Incarnation{Name: "r"}, time.UnixMilli(0)
-	book := NewBook()
-	book.Note(0, day, leaver, Said{Leaving: true}, 0)
-	book.Note(0, day, rester, Said{Rest: time.Second}, 0)
+	book := NewTracker()
+	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
+	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*leavingKept, func(catalog.Incarnation) bool { return true })
-	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
+	if len(book.words) != 1 || !book.Restriction(2*leavingKept, leaver).Draining {
 		t.Fatalf("%+v", book.words)
 	}
 	book.Sweep(2*leavingKept, func(catalog.Incarnation) bool { return false })
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -34,22 +34,22 @@
 
 // Proofs.
 const (
-	Refused  Proof = "refused"  // its address refuses connections
-	Replaced Proof = "replaced" // control names another life at its address
+	ConnectionRefused Proof = "refused"  // its address refuses connections
+	Replaced          Proof = "replaced" // control names another life at its address
 )
 
-// Ways are how a reporter reaches the outside.
-type Ways struct {
-	// Tell has control make a change; an error says that it may not have been made.
-	Tell func(ctx context.Context, change quarantine.Change) error
-	// Refuses reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
-	Refuses func(ctx context.Context, address string) bool
-	Note    func(event string, fields ...zap.Field)
-	Now     func() time.Duration // counts the time a machine was suspended
+// Config are how a reporter reaches the outside.
+type Config struct {
+	// Submit has control make a change; an error says that it may not have been made.
+	Submit func(ctx context.Context, change quarantine.Change) error
+	// RefusesConnections reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
+	RefusesConnections func(ctx context.Context, address string) bool
+	Log                func(event string, fields ...zap.Field)
+	Now                func() time.Duration // counts the time a machine was suspended
 }
 
-// Refuses asks by connecting. A connection that comes up says that somebody listens there.
-func Refuses(dialer *net.Dialer) func(ctx context.Context, address string) bool {
+// RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
+func RefusesTCP(dialer *net.Dialer) func(ctx context.Context, address string) bool {
 	return func(ctx context.Context, address string) bool {
 		made, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
@@ -61,14 +61,14 @@
 
 // Reporter is safe for concurrent use.
 type Reporter struct {
-	ways Ways
+	ways Config
 	wake chan struct{} // has an item when something waits; room for one
 
 	mu     sync.Mutex
-	record *quarantine.Record       // guarded by mu
+	record *quarantine.Tracker      // guarded by mu
 	hasher *quarantine.Hasher       // nil before the first news; guarded by mu
 	looks  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	ended  []quarantine.Ended       // to be told; at most endedMost; guarded by mu
+	ended  []quarantine.Crash       // to be told; at most endedMost; guarded by mu
 	well   []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
@@ -76,8 +76,8 @@
 type look struct{ done chan struct{} }
 
 // New returns a reporter that knows nothing.
-func New(ways Ways) *Reporter {
-	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewRecord(), looks: map[string]*look{}}
+func New(ways Config) *Reporter {
+	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
@@ -87,8 +87,8 @@
 	return r.record.Version()
 }
 
-// Take takes control's news up.
-func (r *Reporter) Take(news *quarantine.News) {
+// ApplyUpdate takes control's news up.
+func (r *Reporter) ApplyUpdate(news *quarantine.Update) {
 	hasher, err := quarantine.NewHasher(news.Seed)
 	if err != nil {
 		hasher = nil // control has planted none yet
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.record.Take(r.ways.Now(), news)...)
+	r.release(r.record.ApplyUpdate(r.ways.Now(), news)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
@@ -107,42 +107,42 @@
 	if hasher == nil {
 		return f, false
 	}
-	return hasher.Of(request), true
+	return hasher.Fingerprint(request), true
 }
 
-// Quiet reports whether no request has anything against it, so that none needs a fingerprint to be judged.
-func (r *Reporter) Quiet() bool {
+// IsEmpty reports whether no request has anything against it, so that none needs a fingerprint to be judged.
+func (r *Reporter) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Empty()
+	return r.record.IsEmpty()
 }
 
-// Lives returns how many lives ended under a request; from quarantine.Held on it must not be sent.
-func (r *Reporter) Lives(f quarantine.Fingerprint) int {
+// CrashCount returns how many lives ended under a request; from quarantine.Held on it must not be sent.
+func (r *Reporter) CrashCount(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Lives(f)
+	return r.record.CrashCount(f)
 }
 
-// Suspects returns how many requests control tells of, and how many of these are held back.
-func (r *Reporter) Suspects() (told, held int) {
+// SuspectCounts returns how many requests control tells of, and how many of these are held back.
+func (r *Reporter) SuspectCounts() (told, held int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Suspects()
+	return r.record.SuspectCounts()
 }
 
-// Broke notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
-func (r *Reporter) Broke(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
+// RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
+func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.record.Broke(r.ways.Now(), life, f); counts {
-		r.tell(told, Refused)
+	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
+		r.tell(told, ConnectionRefused)
 	}
 	if running := r.looks[life]; running != nil {
 		return running.done
 	}
 	made := &look{done: make(chan struct{})}
-	if !r.record.Waits(life) {
+	if !r.record.AwaitsConfirmation(life) {
 		close(made.done)
 		return made.done
 	}
@@ -157,19 +157,19 @@
 // look asks an address whether anything listens there.
 func (r *Reporter) look(life, address string, made *look) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
-	refuses := r.ways.Refuses(ctx, address)
+	refuses := r.ways.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if refuses {
-		r.end(life, Refused)
+		r.end(life, ConnectionRefused)
 	}
 	delete(r.looks, life)
 	close(made.done)
 }
 
-// Ended notes the proof that lives ended.
-func (r *Reporter) Ended(proof Proof, lives ...string) {
+// ConfirmEnds notes the proof that lives ended.
+func (r *Reporter) ConfirmEnds(proof Proof, lives ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, life := range lives {
@@ -179,41 +179,41 @@
 
 // end counts a life that ended. The caller holds mu.
 func (r *Reporter) end(life string, proof Proof) {
-	if told, counts := r.record.End(r.ways.Now(), life); counts {
+	if told, counts := r.record.ConfirmEnd(r.ways.Now(), life); counts {
 		r.tell(told, proof)
 	}
 }
 
 // tell lets control be told of an ended life. The caller holds mu.
-func (r *Reporter) tell(ended quarantine.Ended, proof Proof) {
+func (r *Reporter) tell(ended quarantine.Crash, proof Proof) {
 	shown := make([]string, 0, shownMost)
 	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
 		shown = append(shown, f.String())
 	}
-	r.ways.Note(events.EndedUnder, zap.String(events.FieldInstance, ended.Life), zap.String("proof", string(proof)),
+	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= endedMost {
-		r.ways.Note(events.EndNotTold, zap.String(events.FieldInstance, ended.Life), zap.Int("waiting", len(r.ended)))
+		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
 	r.ended = append(r.ended, ended)
 	r.ring()
 }
 
-// EndedWell notes that a back end ran a request to a good end.
-func (r *Reporter) EndedWell(f quarantine.Fingerprint) {
+// RecordCompletion notes that a back end ran a request to a good end.
+func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.EndedWell(r.ways.Now(), f) {
+	if r.record.RecordCompletion(r.ways.Now(), f) {
 		r.release(f)
 	}
 }
 
-// Idled notes that this process could send nothing for so long until now.
-func (r *Reporter) Idled(length time.Duration) {
+// RecordIdle notes that this process could send nothing for so long until now.
+func (r *Reporter) RecordIdle(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Idled(r.ways.Now(), length)
+	r.record.RecordIdle(r.ways.Now(), length)
 }
 
 // release lets control be told of requests that ended well. The caller holds mu.
@@ -267,9 +267,9 @@
 func (r *Reporter) next() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change.Ended = r.ended
+	change.Crashes = r.ended
 	if len(r.well) > 0 {
-		change.Released = []quarantine.Release{{Requests: r.well, Why: quarantine.EndedWell}}
+		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.ReasonCompleted}}
 	}
 	r.ended, r.well = nil, nil
 	return change
@@ -277,16 +277,16 @@
 
 // told tells control once, and reports whether nothing is left to tell of a change.
 func (r *Reporter) told(ctx context.Context, change quarantine.Change) bool {
-	if len(change.Ended)+len(change.Released) == 0 {
+	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
 	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	if r.ways.Tell(attempt, change) != nil {
+	if r.ways.Submit(attempt, change) != nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Taken(change.Ended)
+	r.record.Acknowledge(change.Crashes)
 	return true
 }
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -25,9 +25,9 @@
 	at      time.Duration
 }
 
-func (o *outside) ways() Ways {
-	return Ways{
-		Tell: func(_ context.Context, change quarantine.Change) error {
+func (o *outside) ways() Config {
+	return Config{
+		Submit: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			if o.fails > 0 {
@@ -37,14 +37,14 @@
 			o.told = append(o.told, change)
 			return nil
 		},
-		Refuses: func(_ context.Context, address string) bool {
+		RefusesConnections: func(_ context.Context, address string) bool {
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			o.looks++
 			return o.refuses[address]
 		},
-		Note: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
-		Now:  func() time.Duration { return o.at },
+		Log: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
+		Now: func() time.Duration { return o.at },
 	}
 }
 
@@ -54,8 +54,8 @@
 	defer o.mu.Unlock()
 	var lives []string
 	for _, change := range o.told {
-		for _, ended := range change.Ended {
-			lives = append(lives, ended.Life)
+		for _, ended := range change.Crashes {
+			lives = append(lives, ended.Incarnation)
 		}
 	}
 	return lives
@@ -65,7 +65,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, change := range o.told {
-		for _, r := range change.Released {
+		for _, r := range change.Releases {
 			released = append(released, r.Requests...)
 		}
 	}
@@ -103,20 +103,20 @@
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
 	o := &outside{fails: 2, refuses: map[string]bool{"dead": true}}
 	r := run(t, o)
-	<-r.Broke("life-1", "dead", one)
-	<-r.Broke("life-1", "dead", two)
-	<-r.Broke("life-2", "alive", one)
-	if r.Lives(one) != 1 || r.Lives(two) != 1 || r.Quiet() {
-		t.Fatalf("%d and %d lives", r.Lives(one), r.Lives(two))
+	<-r.RecordFailure("life-1", "dead", one)
+	<-r.RecordFailure("life-1", "dead", two)
+	<-r.RecordFailure("life-2", "alive", one)
+	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
+		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
 	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
 	if o.looks != 2 {
 		t.Fatalf("%d looks at two addresses", o.looks)
 	}
-	r.Ended(Replaced, "life-2", "life-3")
+	r.ConfirmEnds(Replaced, "life-2", "life-3")
 	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
-	if r.Lives(one) != 2 || slices.Contains(o.lives(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.Lives(one), o.lives())
+	if r.CrashCount(one) != 2 || slices.Contains(o.lives(), "life-3") {
+		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.lives())
 	}
 }
 
@@ -127,18 +127,18 @@
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
 		t.Fatal("a fingerprint without a seed")
 	}
-	r.EndedWell(one)
+	r.RecordCompletion(one)
 	lives := []string{"a", "b", "c"}
-	r.Take(&quarantine.News{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
-	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.Lives(one) != 0 {
+	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: lives}, {Request: two, Incarnations: lives}}})
+	if told, held := r.SuspectCounts(); r.Version() != 3 || told != 1 || held != 1 || r.CrashCount(one) != 0 {
 		t.Fatalf("version %d, %d told, %d held back", r.Version(), told, held)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
 		t.Fatal("no fingerprint under a seed")
 	}
-	r.EndedWell(two)
+	r.RecordCompletion(two)
 	waitFor(t, func() bool { return slices.Equal(o.released(), []quarantine.Fingerprint{one, two}) })
-	if !r.Quiet() {
+	if !r.IsEmpty() {
 		t.Fatal("something is held against a request that ended well")
 	}
 }
@@ -151,7 +151,7 @@
 		o.at += time.Minute // so that earlier lives make room
 		life := time.Duration(n).String()
 		r.mu.Lock()
-		r.record.Broke(o.at, life, one)
+		r.record.RecordFailure(o.at, life, one)
 		r.end(life, Replaced)
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
