--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -7,7 +7,7 @@
 	GatewayStarted  = "gateway started"
 	GatewayStopping = "gateway stopping"
 	GatewayStopped  = "gateway stopped"
-	DocumentTaken   = "document taken"
+	DocumentApplied = "document taken"
 	RosterTaken     = "roster taken"
 	InstanceJoined  = "instance joined"
 	InstanceLeaving = "instance leaving"
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -114,7 +114,7 @@
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
 		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
-		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
+		g.log.note(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
