--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -8,7 +8,7 @@
 	GatewayStopping = "gateway stopping"
 	GatewayStopped  = "gateway stopped"
 	DocumentApplied = "document taken"
-	RosterTaken     = "roster taken"
+	RosterApplied   = "roster taken"
 	InstanceJoined  = "instance joined"
 	InstanceLeaving = "instance leaving"
 	InstanceGone    = "instance gone"
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -123,7 +123,7 @@
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
-		g.log.note(events.RosterTaken, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
+		g.log.note(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
