--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -4,15 +4,15 @@
 
 // Events of a gateway.
 const (
-	GatewayStarted  = "gateway started"
-	GatewayStopping = "gateway stopping"
-	GatewayStopped  = "gateway stopped"
-	DocumentApplied = "document taken"
-	RosterApplied   = "roster taken"
-	InstanceJoined  = "instance joined"
-	InstanceLeaving = "instance leaving"
-	InstanceGone    = "instance gone"
-	InstanceRests   = "instance asks for rest" // in an answer
+	GatewayStarted           = "gateway started"
+	GatewayStopping          = "gateway stopping"
+	GatewayStopped           = "gateway stopped"
+	DocumentApplied          = "document taken"
+	RosterApplied            = "roster taken"
+	InstanceJoined           = "instance joined"
+	InstanceLeaving          = "instance leaving"
+	InstanceGone             = "instance gone"
+	InstanceBackoffRequested = "instance asks for rest" // in an answer
 	// InstanceLimits and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
 	InstanceLimits    = "instance names limit"
 	InstanceUnlimited = "instance names no limit"
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -29,7 +29,7 @@
 		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
 	}
 	attemptAt(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
-	got := lines.FilterMessage(events.InstanceRests).All()
+	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
 	}
