--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -52,7 +52,7 @@
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
 	case news.Advertised:
-		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
+		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
 	case news.Withdrawn:
 		g.log.note(events.InstanceUnlimited, fields...)
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimits, append(fields, zap.String(events.FieldUnread, unread), zap.Int("held", held))...)
+		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnread, unread), zap.Int("held", held))...)
 	}
 }
 
