--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -15,7 +15,7 @@
 	InstanceBackoffRequested = "instance asks for rest" // in an answer
 	// InstanceLimitAdvertised and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
 	InstanceLimitAdvertised = "instance names limit"
-	InstanceUnlimited       = "instance names no limit"
+	InstanceLimitWithdrawn  = "instance names no limit"
 	WordUnknown             = "unknown word of back end" // a header of its own that nothing reads
 	WeightsLearnt           = "weights learnt"
 	WeightsDiffer           = "other weights answered" // than were expected or believed, or older ones than were named
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -54,7 +54,7 @@
 	case news.Advertised:
 		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
 	case news.Withdrawn:
-		g.log.note(events.InstanceUnlimited, fields...)
+		g.log.note(events.InstanceLimitWithdrawn, fields...)
 	}
 	if unread == "" {
 		return
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
 	sent.hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
-	if len(lines.FilterMessage(events.InstanceUnlimited).All()) > 0 {
+	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
@@ -58,7 +58,7 @@
 		t.Fatal("another request's answer ended the limit")
 	}
 	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
-	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
+	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
 }
