--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -16,7 +16,7 @@
 	// InstanceLimitAdvertised and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
 	InstanceLimitAdvertised = "instance names limit"
 	InstanceLimitWithdrawn  = "instance names no limit"
-	WordUnknown             = "unknown word of back end" // a header of its own that nothing reads
+	UnknownBackendHeader    = "unknown word of back end" // a header of its own that nothing reads
 	WeightsLearnt           = "weights learnt"
 	WeightsDiffer           = "other weights answered" // than were expected or believed, or older ones than were named
 	NamingYounger           = "naming told younger"    // control tells that a version was named later than known
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -40,7 +40,7 @@
 		got[2].ContextMap()[events.FieldUnread] != "3,8" {
 		t.Fatalf("lines %v", got)
 	}
-	if strange := lines.FilterMessage(events.WordUnknown).All(); len(strange) != 1 {
+	if strange := lines.FilterMessage(events.UnknownBackendHeader).All(); len(strange) != 1 {
 		t.Errorf("lines of words that nothing reads: %v", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
