--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -17,7 +17,7 @@
 	InstanceLimitAdvertised = "instance names limit"
 	InstanceLimitWithdrawn  = "instance names no limit"
 	UnknownBackendHeader    = "unknown word of back end" // a header of its own that nothing reads
-	WeightsLearnt           = "weights learnt"
+	WeightsDiscovered       = "weights learnt"
 	WeightsDiffer           = "other weights answered" // than were expected or believed, or older ones than were named
 	NamingYounger           = "naming told younger"    // control tells that a version was named later than known
 	CacheUnread             = "cache not read"
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -32,7 +32,7 @@
 	switch {
 	case verdict.NotRun:
 		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
-			x.gateway.log.note(events.WeightsLearnt, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
+			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
 		}
 		return a.turnedAway(answer, verdict)
 	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
