--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -18,7 +18,7 @@
 	InstanceLimitWithdrawn  = "instance names no limit"
 	UnknownBackendHeader    = "unknown word of back end" // a header of its own that nothing reads
 	WeightsDiscovered       = "weights learnt"
-	WeightsDiffer           = "other weights answered" // than were expected or believed, or older ones than were named
+	WeightsMismatch         = "other weights answered" // than were expected or believed, or older ones than were named
 	NamingYounger           = "naming told younger"    // control tells that a version was named later than known
 	CacheUnread             = "cache not read"
 	SchedulerSilent         = "scheduler silent" // a scheduler did not answer a question for a placement in time
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -56,7 +56,7 @@
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
 		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
+	g.log.note(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
 // deadlineFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -60,7 +60,7 @@
 	}
 	now += node.SparseEach
 	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
-	got := lines.FilterMessage(events.WeightsDiffer).All()
+	got := lines.FilterMessage(events.WeightsMismatch).All()
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("lines %v", lines.All())
 	}
