--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -14,22 +14,22 @@
 	InstanceGone             = "instance gone"
 	InstanceBackoffRequested = "instance asks for rest" // in an answer
 	// InstanceLimitAdvertised and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
-	InstanceLimitAdvertised = "instance names limit"
-	InstanceLimitWithdrawn  = "instance names no limit"
-	UnknownBackendHeader    = "unknown word of back end" // a header of its own that nothing reads
-	WeightsDiscovered       = "weights learnt"
-	WeightsMismatch         = "other weights answered" // than were expected or believed, or older ones than were named
-	NamingYounger           = "naming told younger"    // control tells that a version was named later than known
-	CacheUnread             = "cache not read"
-	SchedulerSilent         = "scheduler silent" // a scheduler did not answer a question for a placement in time
-	ControlLost             = "control lost"
-	ControlRegained         = "control regained"
-	AttemptFailed           = "attempt failed"
-	EndedUnder              = "back end ended under requests" // runs broke off there, and its end is proved
-	EndNotTold              = "ended back end not told"       // too many wait for control
-	RequestAnswered         = "request answered"
-	RequestRefused          = "request refused"
-	LinesDropped            = "log lines dropped"
+	InstanceLimitAdvertised  = "instance names limit"
+	InstanceLimitWithdrawn   = "instance names no limit"
+	UnknownBackendHeader     = "unknown word of back end" // a header of its own that nothing reads
+	WeightsDiscovered        = "weights learnt"
+	WeightsMismatch          = "other weights answered" // than were expected or believed, or older ones than were named
+	PublicationAgeRegression = "naming told younger"    // control tells that a version was named later than known
+	CacheUnread              = "cache not read"
+	SchedulerSilent          = "scheduler silent" // a scheduler did not answer a question for a placement in time
+	ControlLost              = "control lost"
+	ControlRegained          = "control regained"
+	AttemptFailed            = "attempt failed"
+	EndedUnder               = "back end ended under requests" // runs broke off there, and its end is proved
+	EndNotTold               = "ended back end not told"       // too many wait for control
+	RequestAnswered          = "request answered"
+	RequestRefused           = "request refused"
+	LinesDropped             = "log lines dropped"
 )
 
 // Events of a control replica.
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -127,7 +127,7 @@
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
-		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
+		g.log.note(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
