--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -20,7 +20,7 @@
 	WeightsDiscovered        = "weights learnt"
 	WeightsMismatch          = "other weights answered" // than were expected or believed, or older ones than were named
 	PublicationAgeRegression = "naming told younger"    // control tells that a version was named later than known
-	CacheUnread              = "cache not read"
+	CacheReadFailed          = "cache not read"
 	SchedulerSilent          = "scheduler silent" // a scheduler did not answer a question for a placement in time
 	ControlLost              = "control lost"
 	ControlRegained          = "control regained"
