--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -22,7 +22,7 @@
 	PublicationAgeRegression = "naming told younger"    // control tells that a version was named later than known
 	CacheReadFailed          = "cache not read"
 	SchedulerTimeout         = "scheduler silent" // a scheduler did not answer a question for a placement in time
-	ControlLost              = "control lost"
+	ControlDisconnected      = "control lost"
 	ControlRegained          = "control regained"
 	AttemptFailed            = "attempt failed"
 	EndedUnder               = "back end ended under requests" // runs broke off there, and its end is proved
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -23,7 +23,7 @@
 // lost notes once that the view is no longer confirmed.
 func (l *decisionLog) lost() {
 	if l.cutOff.CompareAndSwap(false, true) {
-		l.note(events.ControlLost)
+		l.note(events.ControlDisconnected)
 	}
 }
 
