--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -23,7 +23,7 @@
 	CacheReadFailed          = "cache not read"
 	SchedulerTimeout         = "scheduler silent" // a scheduler did not answer a question for a placement in time
 	ControlDisconnected      = "control lost"
-	ControlRegained          = "control regained"
+	ControlReconnected       = "control regained"
 	AttemptFailed            = "attempt failed"
 	EndedUnder               = "back end ended under requests" // runs broke off there, and its end is proved
 	EndNotTold               = "ended back end not told"       // too many wait for control
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -30,6 +30,6 @@
 // regained notes once that the view is confirmed again.
 func (l *decisionLog) regained() {
 	if l.cutOff.CompareAndSwap(true, false) {
-		l.note(events.ControlRegained)
+		l.note(events.ControlReconnected)
 	}
 }
--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -34,7 +34,7 @@
 
 // nodeEvents tell what happened to a process as a whole.
 var nodeEvents = []string{
-	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlRegained,
+	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
 	events.LinesDropped,
 }
 
