--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -25,7 +25,7 @@
 	ControlDisconnected      = "control lost"
 	ControlReconnected       = "control regained"
 	AttemptFailed            = "attempt failed"
-	EndedUnder               = "back end ended under requests" // runs broke off there, and its end is proved
+	BackendCrashed           = "back end ended under requests" // runs broke off there, and its end is proved
 	EndNotTold               = "ended back end not told"       // too many wait for control
 	RequestAnswered          = "request answered"
 	RequestRefused           = "request refused"
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -190,7 +190,7 @@
 	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
 		shown = append(shown, f.String())
 	}
-	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
+	r.ways.Log(events.BackendCrashed, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= endedMost {
 		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
