--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -26,7 +26,7 @@
 	ControlReconnected       = "control regained"
 	AttemptFailed            = "attempt failed"
 	BackendCrashed           = "back end ended under requests" // runs broke off there, and its end is proved
-	EndNotTold               = "ended back end not told"       // too many wait for control
+	CrashNotReported         = "ended back end not told"       // too many wait for control
 	RequestAnswered          = "request answered"
 	RequestRefused           = "request refused"
 	LinesDropped             = "log lines dropped"
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -193,7 +193,7 @@
 	r.ways.Log(events.BackendCrashed, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= endedMost {
-		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
+		r.ways.Log(events.CrashNotReported, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
 	r.ended = append(r.ended, ended)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -159,7 +159,7 @@
 	if len(r.ended) != endedMost || len(r.well) != wellMost {
 		t.Fatalf("%d ends and %d good ends wait", len(r.ended), len(r.well))
 	}
-	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.BackendCrashed) {
+	if !slices.Contains(o.lines, events.CrashNotReported) || !slices.Contains(o.lines, events.BackendCrashed) {
 		t.Fatalf("lines %v", o.lines[len(o.lines)-3:])
 	}
 }
