--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -28,7 +28,7 @@
 	BackendCrashed           = "back end ended under requests" // runs broke off there, and its end is proved
 	CrashNotReported         = "ended back end not told"       // too many wait for control
 	RequestAnswered          = "request answered"
-	RequestRefused           = "request refused"
+	RequestRejected          = "request refused"
 	LinesDropped             = "log lines dropped"
 )
 
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -14,7 +14,7 @@
 // giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
 	if x.relayed {
-		x.logEnd(events.RequestRefused, reasonBroken, 0)
+		x.logEnd(events.RequestRejected, reasonBroken, 0)
 		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
 	}
 	switch {
@@ -29,7 +29,7 @@
 
 // abandon ends a request whose caller has left.
 func (x *exchange) abandon() {
-	x.logEnd(events.RequestRefused, reasonCallerGone, 0)
+	x.logEnd(events.RequestRejected, reasonCallerGone, 0)
 	panic(http.ErrAbortHandler)
 }
 
@@ -40,7 +40,7 @@
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	x.logEnd(events.RequestRefused, reason, status)
+	x.logEnd(events.RequestRejected, reason, status)
 	x.writer.WriteHeader(status)
 	_, _ = io.WriteString(x.writer, `{"type":"urn:kitetiller:`+reason+`","status":`+strconv.Itoa(status)+`}`)
 }
--- a/internal/lab/account/lines.go
+++ b/internal/lab/account/lines.go
@@ -89,7 +89,7 @@
 // event returns what a line tells of a request that lost something.
 func (l *logLine) event() (Event, bool) {
 	switch {
-	case l.Msg == events.RequestRefused:
+	case l.Msg == events.RequestRejected:
 		return Event{Outcome: Refused, Mechanism: l.Reason}, true
 	case l.Msg == events.RequestAnswered && l.Status >= 500:
 		return Event{Outcome: Failed, Mechanism: "status " + strconv.Itoa(l.Status)}, true
