--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -29,7 +29,7 @@
 	CrashNotReported         = "ended back end not told"       // too many wait for control
 	RequestAnswered          = "request answered"
 	RequestRejected          = "request refused"
-	LinesDropped             = "log lines dropped"
+	LogLinesDropped          = "log lines dropped"
 )
 
 // Events of a control replica.
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -51,7 +51,7 @@
 	encoder.TimeKey = "time"
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), ring, level)
 	log := &Log{Logger: zap.New(rankedCore{core, ring}).With(zap.String("node", name)), ring: ring}
-	go ring.run(func(count uint64) { log.Warn(events.LinesDropped, zap.Uint64("count", count)) })
+	go ring.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
 	return log
 }
 
--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -35,7 +35,7 @@
 // nodeEvents tell what happened to a process as a whole.
 var nodeEvents = []string{
 	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
-	events.LinesDropped,
+	events.LogLinesDropped,
 }
 
 // groupEvents tell what happened to the control group, which concerns everybody.
