--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -164,5 +164,5 @@
 		return
 	}
 	s.replica = replica
-	s.log.Info(events.GroupFounded)
+	s.log.Info(events.GroupCreated)
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -36,7 +36,7 @@
 const (
 	ReplicaStarted   = "control replica started"
 	ReplicaStopped   = "control replica stopped"
-	GroupFounded     = "control group founded"
+	GroupCreated     = "control group founded"
 	GroupJoined      = "control group joined"
 	LeadershipWon    = "leadership won"
 	LevelRaised      = "level raised"
