--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -349,7 +349,7 @@
 	}
 	s.relayLost = lost
 	if lost {
-		s.log.Info(events.RelayLost, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
+		s.log.Info(events.RelayUnavailable, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
 		return
 	}
 	s.log.Info(events.RelayFound, zap.String("leader", ended.leader))
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -41,7 +41,7 @@
 	LeadershipWon    = "leadership won"
 	LevelRaised      = "level raised"
 	LeadershipLost   = "leadership lost"
-	RelayLost        = "leader gives no answers for gateways"
+	RelayUnavailable = "leader gives no answers for gateways"
 	RelayFound       = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
 	DocumentRefused  = "document refused"
