--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -352,7 +352,7 @@
 		s.log.Info(events.RelayUnavailable, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
 		return
 	}
-	s.log.Info(events.RelayFound, zap.String("leader", ended.leader))
+	s.log.Info(events.RelayAvailable, zap.String("leader", ended.leader))
 }
 
 // work persists and sends until the replica has nothing more to do.
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -42,7 +42,7 @@
 	LevelRaised      = "level raised"
 	LeadershipLost   = "leadership lost"
 	RelayUnavailable = "leader gives no answers for gateways"
-	RelayFound       = "leader answers for gateways again"
+	RelayAvailable   = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
 	DocumentRefused  = "document refused"
 	// RegistrationRefused tells of a heartbeat that can't be read in full: it names no back end to use.
