--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -44,7 +44,7 @@
 	RelayUnavailable = "leader gives no answers for gateways"
 	RelayAvailable   = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
-	DocumentRefused  = "document refused"
+	DocumentRejected = "document refused"
 	// RegistrationRefused tells of a heartbeat that can't be read in full: it names no back end to use.
 	RegistrationRefused = "registration refused"
 	WeightsNamed        = "weights named"
