--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -45,16 +45,16 @@
 	RelayAvailable   = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
 	DocumentRejected = "document refused"
-	// RegistrationRefused tells of a heartbeat that can't be read in full: it names no back end to use.
-	RegistrationRefused = "registration refused"
-	WeightsNamed        = "weights named"
-	WeightsCalled       = "weights call"
-	LimitReached        = "limit reached"     // a limit over the fleet turns requests away
-	LimitLeft           = "limit left"        // it has turned none away for a while
-	RequestHeldBack     = "request held back" // enough back ends ended under it; no gateway sends it any more
-	RequestReleased     = "request released"  // it is held back no longer
-	SettingsReloaded    = "settings reloaded"
-	SettingsFaulty      = "settings not reloaded"
+	// RegistrationRejected tells of a heartbeat that can't be read in full: it names no back end to use.
+	RegistrationRejected = "registration refused"
+	WeightsNamed         = "weights named"
+	WeightsCalled        = "weights call"
+	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
+	LimitLeft            = "limit left"        // it has turned none away for a while
+	RequestHeldBack      = "request held back" // enough back ends ended under it; no gateway sends it any more
+	RequestReleased      = "request released"  // it is held back no longer
+	SettingsReloaded     = "settings reloaded"
+	SettingsFaulty       = "settings not reloaded"
 )
 
 // IsRoutine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
