--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -47,7 +47,7 @@
 	DocumentRejected = "document refused"
 	// RegistrationRejected tells of a heartbeat that can't be read in full: it names no back end to use.
 	RegistrationRejected = "registration refused"
-	WeightsNamed         = "weights named"
+	WeightsPublished     = "weights named"
 	WeightsCalled        = "weights call"
 	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
 	LimitLeft            = "limit left"        // it has turned none away for a while
