--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -48,7 +48,7 @@
 	// RegistrationRejected tells of a heartbeat that can't be read in full: it names no back end to use.
 	RegistrationRejected = "registration refused"
 	WeightsPublished     = "weights named"
-	WeightsCalled        = "weights call"
+	WeightsCommandSent   = "weights call"
 	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
 	LimitLeft            = "limit left"        // it has turned none away for a while
 	RequestHeldBack      = "request held back" // enough back ends ended under it; no gateway sends it any more
