--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -123,7 +123,7 @@
 		if state.OverLimit == s.over.reached[state.Name] {
 			continue
 		}
-		event := events.LimitLeft
+		event := events.LimitCleared
 		if state.OverLimit {
 			event = events.LimitReached
 		}
