--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -142,7 +142,7 @@
 		at, known := s.held.since[e.Request]
 		if !known {
 			at = now
-			s.log.Info(events.RequestHeldBack, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Incarnations))
+			s.log.Info(events.RequestQuarantined, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Incarnations))
 		}
 		since[e.Request] = at
 	}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -51,7 +51,7 @@
 	WeightsCommandSent   = "weights call"
 	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
 	LimitCleared         = "limit left"        // it has turned none away for a while
-	RequestHeldBack      = "request held back" // enough back ends ended under it; no gateway sends it any more
+	RequestQuarantined   = "request held back" // enough back ends ended under it; no gateway sends it any more
 	RequestReleased      = "request released"  // it is held back no longer
 	SettingsReloaded     = "settings reloaded"
 	SettingsFaulty       = "settings not reloaded"
