--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -54,7 +54,7 @@
 	RequestQuarantined   = "request held back" // enough back ends ended under it; no gateway sends it any more
 	RequestReleased      = "request released"  // it is held back no longer
 	SettingsReloaded     = "settings reloaded"
-	SettingsFaulty       = "settings not reloaded"
+	SettingsReloadFailed = "settings not reloaded"
 )
 
 // IsRoutine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
