--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -69,7 +69,7 @@
 	FieldRevision = "revision" // of the routing document that decided
 	FieldRoute    = "route"
 	FieldStatus   = "status"
-	FieldSent     = "sent" // back ends that got the request so far
+	FieldAttempts = "sent" // back ends that got the request so far
 	FieldTook     = "took" // seconds since the request arrived
 	FieldCause    = "cause"
 	FieldWithout  = "without" // mechanisms that this process was started without
