--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -70,7 +70,7 @@
 	FieldRoute    = "route"
 	FieldStatus   = "status"
 	FieldAttempts = "sent" // back ends that got the request so far
-	FieldTook     = "took" // seconds since the request arrived
+	FieldElapsed  = "took" // seconds since the request arrived
 	FieldCause    = "cause"
 	FieldWithout  = "without" // mechanisms that this process was started without
 	// FieldPredicted is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -49,7 +49,7 @@
 func (x *exchange) logEnd(event, reason string, status int) {
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sent),
-		zap.Duration(events.FieldTook, x.gateway.now()-x.arrived),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-x.arrived),
 	}
 	if reason != "" {
 		fields = append(fields, zap.String(events.FieldReason, reason))
@@ -103,7 +103,7 @@
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
 		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sent),
-		zap.Duration(events.FieldTook, x.gateway.now()-sent.began),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
 	}
 	if sent.looked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print))
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -54,7 +54,7 @@
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
-		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
+		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldElapsed, now-a.began), zap.Int("held", held),
 	}
 	g.log.note(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
