--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -170,7 +170,7 @@
 	if s.replica.Node().LastIndex() == 0 {
 		threads.Go(func() { s.enterGroup(run) })
 	}
-	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldWithout, s.config.Mechanisms.Off()))
+	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 	case err = <-s.failed:
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -63,16 +63,16 @@
 
 // Names of fields that several events share.
 const (
-	FieldRequest  = "request"  // the caller's request id
-	FieldInstance = "instance" // one life of a back end
-	FieldReason   = "reason"
-	FieldRevision = "revision" // of the routing document that decided
-	FieldRoute    = "route"
-	FieldStatus   = "status"
-	FieldAttempts = "sent" // back ends that got the request so far
-	FieldElapsed  = "took" // seconds since the request arrived
-	FieldCause    = "cause"
-	FieldWithout  = "without" // mechanisms that this process was started without
+	FieldRequest            = "request"  // the caller's request id
+	FieldInstance           = "instance" // one life of a back end
+	FieldReason             = "reason"
+	FieldRevision           = "revision" // of the routing document that decided
+	FieldRoute              = "route"
+	FieldStatus             = "status"
+	FieldAttempts           = "sent" // back ends that got the request so far
+	FieldElapsed            = "took" // seconds since the request arrived
+	FieldCause              = "cause"
+	FieldDisabledMechanisms = "without" // mechanisms that this process was started without
 	// FieldPredicted is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
 	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
 	FieldPredicted = "predicted"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 			failed <- err
 		}
 	}()
-	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldWithout, g.settings.Mechanisms.Off()))
+	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
