--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -73,10 +73,10 @@
 	FieldElapsed            = "took" // seconds since the request arrived
 	FieldCause              = "cause"
 	FieldDisabledMechanisms = "without" // mechanisms that this process was started without
-	// FieldPredicted is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
+	// FieldPredictedWait is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
 	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
-	FieldPredicted = "predicted"
-	FieldUncached  = "uncached"
+	FieldPredictedWait = "predicted"
+	FieldUncached      = "uncached"
 	// FieldReread is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
 	FieldReread    = "reread"
 	FieldRereadWhy = "reread_why"
