--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -75,8 +75,8 @@
 	FieldDisabledMechanisms = "without" // mechanisms that this process was started without
 	// FieldPredictedWait is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
 	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
-	FieldPredictedWait = "predicted"
-	FieldUncached      = "uncached"
+	FieldPredictedWait  = "predicted"
+	FieldUncachedTokens = "uncached"
 	// FieldReread is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
 	FieldReread    = "reread"
 	FieldRereadWhy = "reread_why"
