--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -77,12 +77,12 @@
 	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
 	FieldPredictedWait  = "predicted"
 	FieldUncachedTokens = "uncached"
-	// FieldReread is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
-	FieldReread          = "reread"
-	FieldRecomputeReason = "reread_why"
-	FieldFrom            = "from"
-	FieldScheduled       = "scheduled"
-	FieldResource        = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
+	// FieldRecomputedTokens is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
+	FieldRecomputedTokens = "reread"
+	FieldRecomputeReason  = "reread_why"
+	FieldFrom             = "from"
+	FieldScheduled        = "scheduled"
+	FieldResource         = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
 	// FieldFingerprint names a request by what stays when it comes again.
 	FieldFingerprint = "fingerprint"
 	FieldLives       = "lives" // of back ends that ended under a request
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -73,7 +73,7 @@
 		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetchFrom),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
 		if x.plan.recomputed > 0 {
-			fields = append(fields, zap.Int(events.FieldReread, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
+			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
 		}
 	}
 	if x.atRest > 0 {
