--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -80,7 +80,7 @@
 	// FieldRecomputedTokens is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
 	FieldRecomputedTokens = "reread"
 	FieldRecomputeReason  = "reread_why"
-	FieldFrom             = "from"
+	FieldCacheSource      = "from"
 	FieldScheduled        = "scheduled"
 	FieldResource         = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
 	// FieldFingerprint names a request by what stays when it comes again.
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -70,7 +70,7 @@
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.lives()))
 	}
 	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetchFrom),
+		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldCacheSource, x.plan.fetchFrom),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
 		if x.plan.recomputed > 0 {
 			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
