--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -148,7 +148,7 @@
 	}
 	for f, at := range s.held.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldLives, ledger.CrashCount(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
 		}
 	}
 	s.held.since = since
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -84,8 +84,8 @@
 	FieldScheduled        = "scheduled"
 	FieldResource         = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
 	// FieldFingerprint names a request by what stays when it comes again.
-	FieldFingerprint = "fingerprint"
-	FieldLives       = "lives" // of back ends that ended under a request
+	FieldFingerprint  = "fingerprint"
+	FieldIncarnations = "lives" // of back ends that ended under a request
 	// FieldLacked is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
 	// until nothing may begin on them any more, below 0 once that has passed; FieldLimitChosen the same by the limit that was known
 	// when the place was chosen.
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -62,7 +62,7 @@
 	}
 	f, _ := s.quarantine.Fingerprint(run.again) // there is one, or it would have no lives
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, run.name), zap.String(events.FieldReason, string(core.ReasonHeldBack)),
-		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldLives, lives))
+		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, lives))
 	status, title := api.Describe(core.ReasonHeldBack)
 	s.refuse(run.writer, r, run.name, &callerError{core.ReasonHeldBack, status, title, ""})
 	return true
