--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -86,10 +86,10 @@
 	// FieldFingerprint names a request by what stays when it comes again.
 	FieldFingerprint  = "fingerprint"
 	FieldIncarnations = "lives" // of back ends that ended under a request
-	// FieldLacked is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
+	// FieldOutdatedFor is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
 	// until nothing may begin on them any more, below 0 once that has passed; FieldLimitChosen the same by the limit that was known
 	// when the place was chosen.
-	FieldLacked      = "lacked"
+	FieldOutdatedFor = "lacked"
 	FieldLimitLeft   = "limit_left"
 	FieldLimitChosen = "limit_chosen"
 	FieldLate        = "late" // true where the answer missed the route's objective
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -65,7 +65,7 @@
 		t.Fatalf("lines %v", lines.All())
 	}
 	begun, refused := got[0].ContextMap(), got[1].ContextMap()
-	if begun[events.FieldLacked] != 10*time.Second || begun[events.FieldLimitLeft] != 50*time.Second || begun["expected"] != uint64(1) {
+	if begun[events.FieldOutdatedFor] != 10*time.Second || begun[events.FieldLimitLeft] != 50*time.Second || begun["expected"] != uint64(1) {
 		t.Errorf("begun on old weights: %v", begun)
 	}
 	if _, known := begun[events.FieldLimitChosen]; known {
