--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -68,7 +68,7 @@
 	}
 	if lacks {
 		left := named + a.exchange.gateway.settings.VersionLimit - now
-		fields = append(fields, zap.Duration(events.FieldOutdatedFor, now-named), zap.Duration(events.FieldLimitLeft, left))
+		fields = append(fields, zap.Duration(events.FieldOutdatedFor, now-named), zap.Duration(events.FieldStartDeadline, left))
 	}
 	return fields
 }
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -65,13 +65,13 @@
 		t.Fatalf("lines %v", lines.All())
 	}
 	begun, refused := got[0].ContextMap(), got[1].ContextMap()
-	if begun[events.FieldOutdatedFor] != 10*time.Second || begun[events.FieldLimitLeft] != 50*time.Second || begun["expected"] != uint64(1) {
+	if begun[events.FieldOutdatedFor] != 10*time.Second || begun[events.FieldStartDeadline] != 50*time.Second || begun["expected"] != uint64(1) {
 		t.Errorf("begun on old weights: %v", begun)
 	}
 	if _, known := begun[events.FieldLimitChosen]; known {
 		t.Errorf("a limit at the choice, when none was named: %v", begun)
 	}
-	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldLimitLeft] != nil {
+	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldStartDeadline] != nil {
 		t.Errorf("refused on newer weights: %v", refused)
 	}
 }
