--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -89,10 +89,10 @@
 	// FieldOutdatedFor is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
 	// until nothing may begin on them any more, below 0 once that has passed; FieldLimitChosen the same by the limit that was known
 	// when the place was chosen.
-	FieldOutdatedFor   = "lacked"
-	FieldStartDeadline = "limit_left"
-	FieldLimitChosen   = "limit_chosen"
-	FieldLate          = "late" // true where the answer missed the route's objective
+	FieldOutdatedFor       = "lacked"
+	FieldStartDeadline     = "limit_left"
+	FieldPlacementDeadline = "limit_chosen"
+	FieldLate              = "late" // true where the answer missed the route's objective
 	// FieldRest is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
 	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
 	FieldRest       = "rest"
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -64,7 +64,7 @@
 func (a *attempt) deadlineFields(now, named time.Duration, lacks bool) []zap.Field {
 	var fields []zap.Field
 	if a.plan.startDeadline > 0 {
-		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
+		fields = append(fields, zap.Duration(events.FieldPlacementDeadline, a.plan.startDeadline-now))
 	}
 	if lacks {
 		left := named + a.exchange.gateway.settings.VersionLimit - now
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -68,7 +68,7 @@
 	if begun[events.FieldOutdatedFor] != 10*time.Second || begun[events.FieldStartDeadline] != 50*time.Second || begun["expected"] != uint64(1) {
 		t.Errorf("begun on old weights: %v", begun)
 	}
-	if _, known := begun[events.FieldLimitChosen]; known {
+	if _, known := begun[events.FieldPlacementDeadline]; known {
 		t.Errorf("a limit at the choice, when none was named: %v", begun)
 	}
 	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldStartDeadline] != nil {
