--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -92,7 +92,7 @@
 	FieldOutdatedFor       = "lacked"
 	FieldStartDeadline     = "limit_left"
 	FieldPlacementDeadline = "limit_chosen"
-	FieldLate              = "late" // true where the answer missed the route's objective
+	FieldObjectiveMissed   = "late" // true where the answer missed the route's objective
 	// FieldRest is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
 	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
 	FieldRest       = "rest"
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -61,7 +61,7 @@
 		fields = append(fields, zap.Duration("first", x.firstAt-x.arrived), zap.Duration("pause", x.pause))
 	}
 	if event == events.RequestAnswered && x.late() {
-		fields = append(fields, zap.Bool(events.FieldLate, true))
+		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
 	if reason == reasonUntrusted {
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
