--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -34,10 +34,10 @@
 		t.Fatalf("lines %v", lines.All())
 	}
 	asked, unread := got[0].ContextMap(), got[1].ContextMap()
-	if asked[events.FieldRest] != 3*time.Second || asked[events.FieldRestLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
+	if asked[events.FieldRest] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
 		t.Errorf("asked for rest: %v", asked)
 	}
-	if unread[events.FieldUnread] != "soon" || unread[events.FieldRestLeft] != time.Duration(0) {
+	if unread[events.FieldUnread] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
 		t.Errorf("a wish that can't be read: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
