--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -93,9 +93,9 @@
 	FieldStartDeadline     = "limit_left"
 	FieldPlacementDeadline = "limit_chosen"
 	FieldObjectiveMissed   = "late" // true where the answer missed the route's objective
-	// FieldRest is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
+	// FieldBackoff is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
 	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
-	FieldRest        = "rest"
+	FieldBackoff     = "rest"
 	FieldBackoffLeft = "rest_left"
 	FieldSentAtRest  = "sent_at_rest"
 	FieldUnread      = "unread"
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -109,7 +109,7 @@
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print))
 	}
 	if sent.asked > 0 {
-		fields = append(fields, zap.Duration(events.FieldRest, sent.asked))
+		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
 	}
 	if sent.atRest > 0 {
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("lines %v", lines.All())
 	}
 	asked, unread := got[0].ContextMap(), got[1].ContextMap()
-	if asked[events.FieldRest] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
+	if asked[events.FieldBackoff] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
 		t.Errorf("asked for rest: %v", asked)
 	}
 	if unread[events.FieldUnread] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -207,7 +207,7 @@
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
 	}
 	if told.Said.Backoff > 0 || told.Said.Draining {
-		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldRest, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
+		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
 	}
 }
 
