--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -95,10 +95,10 @@
 	FieldObjectiveMissed   = "late" // true where the answer missed the route's objective
 	// FieldBackoff is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
 	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
-	FieldBackoff     = "rest"
-	FieldBackoffLeft = "rest_left"
-	FieldSentAtRest  = "sent_at_rest"
-	FieldUnread      = "unread"
+	FieldBackoff           = "rest"
+	FieldBackoffLeft       = "rest_left"
+	FieldBackoffLeftAtSend = "sent_at_rest"
+	FieldUnread            = "unread"
 	// FieldLimit is what a back end had named as its limit, in requests a second.
 	FieldLimit = "limit"
 )
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if x.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldSentAtRest, x.atRest))
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.atRest))
 	}
 	if x.limited.Advertised {
 		fields = append(fields, zap.Float64(events.FieldLimit, x.limited.Rate))
@@ -112,7 +112,7 @@
 		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
 	}
 	if sent.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.atRest))
 	}
 	if failed.cause == causeOutdated {
 		fields = append(fields, sent.outdatedFields()...)
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -44,7 +44,7 @@
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
-	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldSentAtRest].(time.Duration) < 2*time.Second {
+	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldBackoffLeftAtSend].(time.Duration) < 2*time.Second {
 		t.Errorf("sent at rest: %v", failed)
 	}
 	if n := g.table.resting(now)["s"]; n != 1 {
