--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -98,7 +98,7 @@
 	FieldBackoff           = "rest"
 	FieldBackoffLeft       = "rest_left"
 	FieldBackoffLeftAtSend = "sent_at_rest"
-	FieldUnread            = "unread"
+	FieldUnparsedValue     = "unread"
 	// FieldLimit is what a back end had named as its limit, in requests a second.
 	FieldLimit = "limit"
 )
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnread, unread), zap.Int("held", held))...)
+		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -68,7 +68,7 @@
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
 		g.log.note(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
-			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
+			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, told.unread), zap.Int("held", held))...)
 	}
 }
 
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -37,7 +37,7 @@
 	if asked[events.FieldBackoff] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
 		t.Errorf("asked for rest: %v", asked)
 	}
-	if unread[events.FieldUnread] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
+	if unread[events.FieldUnparsedValue] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
 		t.Errorf("a wish that can't be read: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
