--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -99,6 +99,6 @@
 	FieldBackoffLeft       = "rest_left"
 	FieldBackoffLeftAtSend = "sent_at_rest"
 	FieldUnparsedValue     = "unread"
-	// FieldLimit is what a back end had named as its limit, in requests a second.
-	FieldLimit = "limit"
+	// FieldAdvertisedLimit is what a back end had named as its limit, in requests a second.
+	FieldAdvertisedLimit = "limit"
 )
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -80,7 +80,7 @@
 		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.atRest))
 	}
 	if x.limited.Advertised {
-		fields = append(fields, zap.Float64(events.FieldLimit, x.limited.Rate))
+		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
 	}
 	if x.served != "" {
 		fields = append(fields, zap.String(events.FieldInstance, x.served))
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -52,7 +52,7 @@
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
 	case news.Advertised:
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
+		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
 	case news.Withdrawn:
 		g.log.note(events.InstanceLimitWithdrawn, fields...)
 	}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -36,7 +36,7 @@
 	}
 	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
-	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
+	if len(got) != 3 || got[0].ContextMap()[events.FieldAdvertisedLimit] != 4.0 || got[1].ContextMap()[events.FieldAdvertisedLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
 		t.Fatalf("lines %v", got)
 	}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -204,7 +204,7 @@
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
 	if limit := told.Said.Limit; limit.Advertised {
-		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
+		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
 	if told.Said.Backoff > 0 || told.Said.Draining {
 		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
