--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -26,7 +26,7 @@
 
 // rests returns how long a back end still wants nothing from this router.
 func (c *Core) rests(row *backend) time.Duration {
-	if !c.config.Guards.On(guard.RestCheck) {
+	if !c.config.Guards.On(guard.BackoffCheck) {
 		return 0
 	}
 	return max(0, c.pushed.Restriction(c.now, lifeOf(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -24,7 +24,7 @@
 	NotRunProof         Guard = "not-run-proof"         // not-run is said only when it can be proved
 	LeavingCheck        Guard = "leaving-check"         // leaving back ends get no new work
 	LeavingSelfReported Guard = "leaving-heard"         // a back end that says itself that it leaves does, whatever control tells
-	RestCheck           Guard = "rest-check"            // back ends that asked for rest get none
+	BackoffCheck        Guard = "rest-check"            // back ends that asked for rest get none
 	LimitCheck          Guard = "limit-check"           // back ends that name a limit get no more from all together
 	DrainBeforeExit     Guard = "drain-before-exit"     // a planned stop waits for running streams
 	VersionMonotonic    Guard = "settings-never-revert" // a router keeps the newest version it acknowledged
@@ -51,7 +51,7 @@
 	return []Guard{
 		FenceCheck, ClaimBeforeRun, TenantInHash, WeightsInHash, IncarnationCheck, SyncBeforeAck,
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
-		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, RestCheck, LimitCheck, DrainBeforeExit,
+		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, LimitCheck, DrainBeforeExit,
 		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
 		ConfirmedView, DrainCommitted, TurnAwayFirst, OrderPause, LateCalls, HighestRevision, HeldBack, SuspensionCounts,
 		RelayConfirmed, RelayReported, RelayApplied, NamingAgreed, NamingKeptOlder,
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -106,7 +106,7 @@
 // barred reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) barred(entry control.RosterEntry) bool {
 	bar, now := g.pushed.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
-	return bar.IsBackingOff(now) && g.w.guards.On(guard.RestCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
+	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
 // hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
