--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -52,7 +52,7 @@
 
 // limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
 func (c *Core) limited(row *backend) time.Duration {
-	if !c.config.Guards.On(guard.LimitCheck) {
+	if !c.config.Guards.On(guard.AdvertisedLimitCheck) {
 		return 0
 	}
 	life := lifeOf(row.machine.Name, row.incarnation)
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -138,7 +138,7 @@
 // permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
 func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
 	limit, heard := g.pushed.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
-	if !limit.Advertised || !g.w.guards.On(guard.LimitCheck) {
+	if !limit.Advertised || !g.w.guards.On(guard.AdvertisedLimitCheck) {
 		return true
 	}
 	name, now := quota.Backend(entry.ID), g.clock()
