--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -248,7 +248,7 @@
 // longer than it may trust its view sends nothing any more; those of an earlier leader's time have had to ask this one.
 func (r *Replica) rosterTaken(now time.Duration) uint64 {
 	taken := uint64(math.MaxUint64)
-	if !r.config.Guards.On(guard.TurnAwayFirst) {
+	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
 		return taken
 	}
 	for _, report := range r.lead.usage {
