--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -93,7 +93,7 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orders[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
+	return now <= r.orders[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
@@ -111,7 +111,7 @@
 // younger than its announcement.
 func (r *Replica) handedOver(now time.Duration, id string) bool {
 	at, ordered := r.orderedElsewhere(id)
-	return !ordered || now >= at+orderLeft+r.config.OrderWait || !r.config.Guards.On(guard.OrderPause)
+	return !ordered || now >= at+orderLeft+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
 // writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
@@ -177,7 +177,7 @@
 // gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
 func (r *Replica) gatewaysFollow(now time.Duration) bool {
-	if now >= r.lead.since+r.trustEnd() || !r.config.Guards.On(guard.OrderPause) {
+	if now >= r.lead.since+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
