--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -312,7 +312,7 @@
 // dropLateCalls forgets calls that were decided before a sync which took so long that this replica may lead no more, and orders that would
 // follow their announcements too late; the roll-out makes them again.
 func (r *Replica) dropLateCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
-	if len(calls) == 0 || !r.config.Guards.On(guard.LateCalls) {
+	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateCommands) {
 		return calls
 	}
 	if r.lead == nil || !r.mayOrder(now) {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -35,7 +35,7 @@
 	DrainCommitted           Guard = "drain-committed"       // draining is acknowledged once a majority holds it
 	DrainBeforeWeightsChange Guard = "turn-away-first"       // weights are ordered once gateways send nothing more there
 	WeightsCommandDelay      Guard = "order-pause"           // a new leader waits before its first order for weights
-	LateCalls                Guard = "late-calls-dropped"    // an order decided before a long sync is not given after it
+	DropLateCommands         Guard = "late-calls-dropped"    // an order decided before a long sync is not given after it
 	HighestRevision          Guard = "highest-revision"      // a document replaces only an older one
 	HeldBack                 Guard = "held-back"             // a request that ends whoever runs it is sent no more
 	SuspensionCounts         Guard = "suspension-counts"     // clocks count the time that a machine was suspended
@@ -53,7 +53,7 @@
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
 		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
-		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, LateCalls, HighestRevision, HeldBack, SuspensionCounts,
+		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, HeldBack, SuspensionCounts,
 		RelayConfirmed, RelayReported, RelayApplied, NamingAgreed, NamingKeptOlder,
 	}
 }
