--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -37,7 +37,7 @@
 	WeightsCommandDelay      Guard = "order-pause"           // a new leader waits before its first order for weights
 	DropLateCommands         Guard = "late-calls-dropped"    // an order decided before a long sync is not given after it
 	HighestRevision          Guard = "highest-revision"      // a document replaces only an older one
-	HeldBack                 Guard = "held-back"             // a request that ends whoever runs it is sent no more
+	QuarantineCheck          Guard = "held-back"             // a request that ends whoever runs it is sent no more
 	SuspensionCounts         Guard = "suspension-counts"     // clocks count the time that a machine was suspended
 	RelayConfirmed           Guard = "relay-confirmed"       // a replica answers a gateway once the leader has confirmed its question
 	RelayReported            Guard = "relay-reported"        // the leader counts the gateways that other replicas answer
@@ -53,7 +53,7 @@
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
 		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
-		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, HeldBack, SuspensionCounts,
+		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspensionCounts,
 		RelayConfirmed, RelayReported, RelayApplied, NamingAgreed, NamingKeptOlder,
 	}
 }
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -46,7 +46,7 @@
 
 // sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
 func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
-	if !g.mayBeSent() || g.w.guards.On(guard.HeldBack) && g.record.CrashCount(f) >= quarantine.QuarantineThreshold {
+	if !g.mayBeSent() || g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
 	entry := pick(g.w, g.roster)
@@ -141,7 +141,7 @@
 	if !g.mayBeSent() {
 		return
 	}
-	if g.w.guards.On(guard.HeldBack) && g.record.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
+	if g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
 		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.CrashCount(hotRequest))
 	}
 	if g.record.RecordCompletion(g.clock(), hotRequest) {
