--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -38,7 +38,7 @@
 	DropLateCommands         Guard = "late-calls-dropped"    // an order decided before a long sync is not given after it
 	HighestRevision          Guard = "highest-revision"      // a document replaces only an older one
 	QuarantineCheck          Guard = "held-back"             // a request that ends whoever runs it is sent no more
-	SuspensionCounts         Guard = "suspension-counts"     // clocks count the time that a machine was suspended
+	SuspendAwareClock        Guard = "suspension-counts"     // clocks count the time that a machine was suspended
 	RelayConfirmed           Guard = "relay-confirmed"       // a replica answers a gateway once the leader has confirmed its question
 	RelayReported            Guard = "relay-reported"        // the leader counts the gateways that other replicas answer
 	RelayApplied             Guard = "relay-applied"         // a replica answers once it has applied what the leader had
@@ -53,7 +53,7 @@
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
 		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
-		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspensionCounts,
+		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspendAwareClock,
 		RelayConfirmed, RelayReported, RelayApplied, NamingAgreed, NamingKeptOlder,
 	}
 }
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -34,7 +34,7 @@
 
 // uncounted returns how much of this life the clock doesn't count.
 func (p *process) uncounted() time.Duration {
-	if p.w.guards.On(guard.SuspensionCounts) {
+	if p.w.guards.On(guard.SuspendAwareClock) {
 		return 0
 	}
 	return p.lost
