--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -24,7 +24,7 @@
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
 func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) datedNaming {
 	dated := datedNaming{version: naming.Version, at: now}
-	if r.unixMS > 0 && r.config.Guards.On(guard.NamingAgreed) {
+	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
 		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
 	}
 	return dated
