--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -49,7 +49,7 @@
 // Update takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
 // than was known, once each. term is of the leader that confirmed the answer.
 func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
-	if !n.guards.On(guard.NamingKeptOlder) {
+	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
 	}
 	var regressions []AgeRegression
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -43,7 +43,7 @@
 	RelayReported            Guard = "relay-reported"        // the leader counts the gateways that other replicas answer
 	RelayApplied             Guard = "relay-applied"         // a replica answers once it has applied what the leader had
 	PublicationTimeFromLog   Guard = "naming-agreed"         // weights are as old as the log tells, not as this replica's knowledge of them
-	NamingKeptOlder          Guard = "naming-kept-older"     // a gateway takes no naming to be younger than an earlier leader told
+	PublicationAgeMonotonic  Guard = "naming-kept-older"     // a gateway takes no naming to be younger than an earlier leader told
 )
 
 // All lists every guard in a fixed order.
@@ -54,7 +54,7 @@
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
 		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
 		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspendAwareClock,
-		RelayConfirmed, RelayReported, RelayApplied, PublicationTimeFromLog, NamingKeptOlder,
+		RelayConfirmed, RelayReported, RelayApplied, PublicationTimeFromLog, PublicationAgeMonotonic,
 	}
 }
 
