--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -51,7 +51,7 @@
 }
 
 func (c *Core) observeSettings(event EventSettings) {
-	if c.hasTree && event.Version < c.version && c.config.Guards.On(guard.VersionMonotonic) {
+	if c.hasTree && event.Version < c.version && c.config.Guards.On(guard.SettingsMonotonic) {
 		return
 	}
 	c.tree, c.version, c.hasTree = event.Tree, event.Version, true
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -27,7 +27,7 @@
 	BackoffCheck             Guard = "rest-check"            // back ends that asked for rest get none
 	AdvertisedLimitCheck     Guard = "limit-check"           // back ends that name a limit get no more from all together
 	DrainBeforeExit          Guard = "drain-before-exit"     // a planned stop waits for running streams
-	VersionMonotonic         Guard = "settings-never-revert" // a router keeps the newest version it acknowledged
+	SettingsMonotonic        Guard = "settings-never-revert" // a router keeps the newest version it acknowledged
 	PersistedSettings        Guard = "settings-synced-copy"  // a router restarts from its synced settings
 	LeaseMargin              Guard = "lease-margin"          // control counts a lease longer than the router does
 	AmbiguousNotResent       Guard = "ambiguous-not-resent"  // a non-repeatable attempt with unknown result is not tried again
@@ -52,7 +52,7 @@
 		FenceCheck, ClaimBeforeRun, TenantInHash, WeightsInHash, IncarnationCheck, SyncBeforeAck,
 		LearnerBeforeVote, LeaseAtDispatch, VersionCheck, OperationCheck, StreamIndexCheck,
 		EndOfStreamCheck, AttemptCheck, NotRunProof, LeavingCheck, LeavingSelfReported, BackoffCheck, AdvertisedLimitCheck, DrainBeforeExit,
-		VersionMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
+		SettingsMonotonic, PersistedSettings, LeaseMargin, AmbiguousNotResent,
 		ConfirmedView, DrainCommitted, DrainBeforeWeightsChange, WeightsCommandDelay, DropLateCommands, HighestRevision, QuarantineCheck, SuspendAwareClock,
 		RelayConfirmed, RelayReported, RelayApplied, PublicationTimeFromLog, PublicationAgeMonotonic,
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -124,7 +124,7 @@
 // next returns the tree of the reply's version, or why the reply cannot be used.
 func (m *Machine) next(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
 	switch {
-	case reply.Version < m.held.Version && m.guards.On(guard.VersionMonotonic):
+	case reply.Version < m.held.Version && m.guards.On(guard.SettingsMonotonic):
 		return tree, false, fmt.Sprintf("version %d offered, %d is held", reply.Version, m.held.Version)
 	case reply.Version == m.held.Version && m.held.Version > 0:
 		return m.held.Tree, false, ""
