--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -15,7 +15,7 @@
 // Mechanisms of gateways.
 const (
 	Lanes        Name = "lanes"         // long and short requests keep to engines of their own
-	Mesh         Name = "mesh"          // gateways tell each other of their requests
+	GatewayMesh  Name = "mesh"          // gateways tell each other of their requests
 	Occupancy    Name = "occupancy"     // slots and memory in use count
 	Suspicion    Name = "suspicion"     // others' reports of unreachable back ends count
 	Store        Name = "store"         // shared parts are saved in and taken from stores
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, Mesh, Occupancy, Suspicion, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, Patience, Avoidance,
+		Lanes, GatewayMesh, Occupancy, Suspicion, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, Patience, Avoidance,
 		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("off %v, error %v", set.Off(), err)
 	}
 	for _, name := range All() {
-		if set.On(name) != (name != Lanes && name != Mesh) || !none.On(name) {
+		if set.On(name) != (name != Lanes && name != GatewayMesh) || !none.On(name) {
 			t.Errorf("%s is on: %v", name, set.On(name))
 		}
 	}
