--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -72,7 +72,7 @@
 
 // suspect takes another gateway's report, where such reports count. The caller holds the mutex.
 func (t *table) suspect(at time.Duration, row *endpoint, from string) {
-	if t.mechanisms.On(mechanism.Suspicion) {
+	if t.mechanisms.On(mechanism.PeerFailureReports) {
 		row.suspect(at, from)
 	}
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -14,24 +14,24 @@
 
 // Mechanisms of gateways.
 const (
-	Lanes        Name = "lanes"         // long and short requests keep to engines of their own
-	GatewayMesh  Name = "mesh"          // gateways tell each other of their requests
-	Occupancy    Name = "occupancy"     // slots and memory in use count
-	Suspicion    Name = "suspicion"     // others' reports of unreachable back ends count
-	Store        Name = "store"         // shared parts are saved in and taken from stores
-	Copies       Name = "copies"        // shared parts are taken from other engines
-	Displacement Name = "displacement"  // a copy costs what it displaces
-	Links        Name = "links"         // moves from one engine or store wait for each other
-	Owner        Name = "owner"         // requests meet at one engine while nobody holds their prompt
-	StrayCost    Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
-	CacheEvents  Name = "cache-events"  // what engines keep is read from them
-	Patience     Name = "patience"      // a repeatable request leaves a silent back end
-	Avoidance    Name = "avoidance"     // back ends that failed are avoided for a while
-	ViewWait     Name = "view-wait"     // a request waits for control that is expected
-	ZoneCost     Name = "zone-cost"     // back ends of other zones cost more
-	Interference Name = "interference"  // reading a prompt costs for each request that runs beside it
-	Refusal      Name = "refusal"       // a request that would wait too long is turned away at once
-	RereadWeight Name = "reread-weight" // reading shared parts again costs more than its time
+	Lanes              Name = "lanes"         // long and short requests keep to engines of their own
+	GatewayMesh        Name = "mesh"          // gateways tell each other of their requests
+	Occupancy          Name = "occupancy"     // slots and memory in use count
+	PeerFailureReports Name = "suspicion"     // others' reports of unreachable back ends count
+	Store              Name = "store"         // shared parts are saved in and taken from stores
+	Copies             Name = "copies"        // shared parts are taken from other engines
+	Displacement       Name = "displacement"  // a copy costs what it displaces
+	Links              Name = "links"         // moves from one engine or store wait for each other
+	Owner              Name = "owner"         // requests meet at one engine while nobody holds their prompt
+	StrayCost          Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
+	CacheEvents        Name = "cache-events"  // what engines keep is read from them
+	Patience           Name = "patience"      // a repeatable request leaves a silent back end
+	Avoidance          Name = "avoidance"     // back ends that failed are avoided for a while
+	ViewWait           Name = "view-wait"     // a request waits for control that is expected
+	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
+	Interference       Name = "interference"  // reading a prompt costs for each request that runs beside it
+	Refusal            Name = "refusal"       // a request that would wait too long is turned away at once
+	RereadWeight       Name = "reread-weight" // reading shared parts again costs more than its time
 )
 
 // Mechanisms of control replicas.
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, Suspicion, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, Patience, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, Patience, Avoidance,
 		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
