--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -267,7 +267,7 @@
 // patience is how long the back end may stay silent; 0 leaves it all the time there is.
 func (a *attempt) patience() time.Duration {
 	x := a.exchange
-	if !x.route.Retryable() || x.sent >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.Patience) {
+	if !x.route.Retryable() || x.sent >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
 		return 0
 	}
 	if x.service.Engine {
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -25,7 +25,7 @@
 	Owner              Name = "owner"         // requests meet at one engine while nobody holds their prompt
 	StrayCost          Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
 	CacheEvents        Name = "cache-events"  // what engines keep is read from them
-	Patience           Name = "patience"      // a repeatable request leaves a silent back end
+	SilenceTimeout     Name = "patience"      // a repeatable request leaves a silent back end
 	Avoidance          Name = "avoidance"     // back ends that failed are avoided for a while
 	ViewWait           Name = "view-wait"     // a request waits for control that is expected
 	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, Patience, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
