--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -146,7 +146,7 @@
 // owner returns the back end on which requests with the same shared prompt meet while nobody is believed to hold it: the
 // highest random weight among those that may be used (rendezvous hashing), so that all gateways agree without a word.
 func (g *Gateway) owner(now time.Duration, rows []*endpoint, in selectionInput) *endpoint {
-	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.Owner) {
+	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.AffinityOwner) {
 		return nil
 	}
 	key := xxhash.Sum64String(prefix.AffinityKey(in.call.Parts))
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -22,7 +22,7 @@
 	Copies             Name = "copies"        // shared parts are taken from other engines
 	Displacement       Name = "displacement"  // a copy costs what it displaces
 	Links              Name = "links"         // moves from one engine or store wait for each other
-	Owner              Name = "owner"         // requests meet at one engine while nobody holds their prompt
+	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
 	StrayCost          Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
 	CacheEvents        Name = "cache-events"  // what engines keep is read from them
 	SilenceTimeout     Name = "patience"      // a repeatable request leaves a silent back end
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, Owner, StrayCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, StrayCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
