--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -231,7 +231,7 @@
 	if g.on(mechanism.Interference) {
 		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(held.Running)
 	}
-	if !owner && g.on(mechanism.StrayCost) {
+	if !owner && g.on(mechanism.AffinityMissCost) {
 		scored.cost += nonOwnerWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -23,7 +23,7 @@
 	Displacement       Name = "displacement"  // a copy costs what it displaces
 	Links              Name = "links"         // moves from one engine or store wait for each other
 	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
-	StrayCost          Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
+	AffinityMissCost   Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
 	CacheEvents        Name = "cache-events"  // what engines keep is read from them
 	SilenceTimeout     Name = "patience"      // a repeatable request leaves a silent back end
 	Avoidance          Name = "avoidance"     // back ends that failed are avoided for a while
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, StrayCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
