--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -47,7 +47,7 @@
 	if got := g.placeFor(now, question("no objective", 1)); got.BackMS > 0 {
 		t.Fatalf("no objective: %+v", got)
 	}
-	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
+	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.EarlyRejection))
 	if got := g.placeFor(now, judged("off", true)); got.BackMS > 0 {
 		t.Fatalf("without the mechanism: %+v", got)
 	}
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -30,7 +30,7 @@
 	ViewWait           Name = "view-wait"     // a request waits for control that is expected
 	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
 	Interference       Name = "interference"  // reading a prompt costs for each request that runs beside it
-	Refusal            Name = "refusal"       // a request that would wait too long is turned away at once
+	EarlyRejection     Name = "refusal"       // a request that would wait too long is turned away at once
 	RereadWeight       Name = "reread-weight" // reading shared parts again costs more than its time
 )
 
@@ -45,7 +45,7 @@
 func All() []Name {
 	return []Name{
 		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
-		ViewWait, ZoneCost, RereadWeight, Interference, Refusal, Schedulers, WeightsDrain, HeldWeights,
+		ViewWait, ZoneCost, RereadWeight, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
 
