--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -224,7 +224,7 @@
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
 	scored.cost += g.offLaneCost(row, scored.uncached)
-	if g.on(mechanism.RereadWeight) {
+	if g.on(mechanism.RecomputeCost) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 	scored.cost += runningCost * float64(held.Running)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -31,7 +31,7 @@
 	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
 	Interference       Name = "interference"  // reading a prompt costs for each request that runs beside it
 	EarlyRejection     Name = "refusal"       // a request that would wait too long is turned away at once
-	RereadWeight       Name = "reread-weight" // reading shared parts again costs more than its time
+	RecomputeCost      Name = "reread-weight" // reading shared parts again costs more than its time
 )
 
 // Mechanisms of control replicas.
@@ -45,7 +45,7 @@
 func All() []Name {
 	return []Name{
 		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
-		ViewWait, ZoneCost, RereadWeight, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
+		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
 
