--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -161,7 +161,7 @@
 func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
 	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
-	if g.on(mechanism.Displacement) {
+	if g.on(mechanism.EvictionCost) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
 	}
 	if g.on(mechanism.Links) {
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -20,7 +20,7 @@
 	PeerFailureReports Name = "suspicion"     // others' reports of unreachable back ends count
 	Store              Name = "store"         // shared parts are saved in and taken from stores
 	Copies             Name = "copies"        // shared parts are taken from other engines
-	Displacement       Name = "displacement"  // a copy costs what it displaces
+	EvictionCost       Name = "displacement"  // a copy costs what it displaces
 	Links              Name = "links"         // moves from one engine or store wait for each other
 	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
 	AffinityMissCost   Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, Displacement, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, EvictionCost, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
