--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -164,7 +164,7 @@
 	if g.on(mechanism.EvictionCost) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
 	}
-	if g.on(mechanism.Links) {
+	if g.on(mechanism.LinkQueueing) {
 		plan.cost += belief.Milliseconds(g.table.links.Wait(now, from))
 	}
 	return plan
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -21,7 +21,7 @@
 	Store              Name = "store"         // shared parts are saved in and taken from stores
 	Copies             Name = "copies"        // shared parts are taken from other engines
 	EvictionCost       Name = "displacement"  // a copy costs what it displaces
-	Links              Name = "links"         // moves from one engine or store wait for each other
+	LinkQueueing       Name = "links"         // moves from one engine or store wait for each other
 	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
 	AffinityMissCost   Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
 	CacheEvents        Name = "cache-events"  // what engines keep is read from them
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, EvictionCost, Links, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
