--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -108,7 +108,7 @@
 	sharedTokens := prefix.PartTokens(shared)
 	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
-	if g.on(mechanism.Copies) {
+	if g.on(mechanism.EngineTransfers) {
 		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -19,7 +19,7 @@
 	Occupancy          Name = "occupancy"     // slots and memory in use count
 	PeerFailureReports Name = "suspicion"     // others' reports of unreachable back ends count
 	Store              Name = "store"         // shared parts are saved in and taken from stores
-	Copies             Name = "copies"        // shared parts are taken from other engines
+	EngineTransfers    Name = "copies"        // shared parts are taken from other engines
 	EvictionCost       Name = "displacement"  // a copy costs what it displaces
 	LinkQueueing       Name = "links"         // moves from one engine or store wait for each other
 	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, Copies, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
