--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -18,7 +18,7 @@
 	GatewayMesh        Name = "mesh"          // gateways tell each other of their requests
 	Occupancy          Name = "occupancy"     // slots and memory in use count
 	PeerFailureReports Name = "suspicion"     // others' reports of unreachable back ends count
-	Store              Name = "store"         // shared parts are saved in and taken from stores
+	StoreTransfers     Name = "store"         // shared parts are saved in and taken from stores
 	EngineTransfers    Name = "copies"        // shared parts are taken from other engines
 	EvictionCost       Name = "displacement"  // a copy costs what it displaces
 	LinkQueueing       Name = "links"         // moves from one engine or store wait for each other
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, Store, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, StoreTransfers, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
 		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
