--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -239,7 +239,7 @@
 // healthPenalty is what speaks against a back end, in milliseconds.
 func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
 	cost := failingCost * row.failureRate
-	if g.on(mechanism.Avoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
+	if g.on(mechanism.FailureAvoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
 		cost += avoidCost
 	}
 	if row.entry.Silent {
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -26,7 +26,7 @@
 	AffinityMissCost   Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
 	CacheEvents        Name = "cache-events"  // what engines keep is read from them
 	SilenceTimeout     Name = "patience"      // a repeatable request leaves a silent back end
-	Avoidance          Name = "avoidance"     // back ends that failed are avoided for a while
+	FailureAvoidance   Name = "avoidance"     // back ends that failed are avoided for a while
 	ViewWait           Name = "view-wait"     // a request waits for control that is expected
 	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
 	Interference       Name = "interference"  // reading a prompt costs for each request that runs beside it
@@ -44,7 +44,7 @@
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
-		Lanes, GatewayMesh, Occupancy, PeerFailureReports, StoreTransfers, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, Avoidance,
+		Lanes, GatewayMesh, Occupancy, PeerFailureReports, StoreTransfers, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, FailureAvoidance,
 		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
 	}
 }
