--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -158,7 +158,7 @@
 	state := r.lead.fleet[id]
 	if state == nil {
 		state = &memberState{id: id, heardAt: now, versions: map[string]uint64{}}
-		if r.config.Mechanisms.On(mechanism.HeldWeights) {
+		if r.config.Mechanisms.On(mechanism.LoggedWeights) {
 			maps.Copy(state.versions, r.machine.catalog.Held(id)) // until its first heartbeat to this leader
 		}
 		r.lead.fleet[id] = state
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -36,16 +36,16 @@
 
 // Mechanisms of control replicas.
 const (
-	Schedulers   Name = "schedulers"    // a few gateways of each zone of a large fleet place requests for all
-	WeightsDrain Name = "weights-drain" // running requests end before weights are replaced
-	HeldWeights  Name = "held-weights"  // a new leader knows from the log which weights engines hold
+	Schedulers    Name = "schedulers"    // a few gateways of each zone of a large fleet place requests for all
+	WeightsDrain  Name = "weights-drain" // running requests end before weights are replaced
+	LoggedWeights Name = "held-weights"  // a new leader knows from the log which weights engines hold
 )
 
 // All lists every mechanism in a fixed order.
 func All() []Name {
 	return []Name{
 		Lanes, GatewayMesh, Occupancy, PeerFailureReports, StoreTransfers, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, FailureAvoidance,
-		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, HeldWeights,
+		ViewWait, ZoneCost, RecomputeCost, Interference, EarlyRejection, Schedulers, WeightsDrain, LoggedWeights,
 	}
 }
 
