--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -112,7 +112,7 @@
 
 // Validate returns everything that is wrong with a document.
 func (d *Document) Validate() []Problem {
-	check := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keys: map[string]string{}}
+	check := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keyOwners: map[string]string{}}
 	if d.Revision == 0 {
 		check.report("document", "its revision must be 1 or more")
 	}
@@ -133,7 +133,7 @@
 	problems       []Problem
 	services       map[string]bool
 	routesByPrefix map[string]string // route by host and prefix
-	keys           map[string]string // tenant by key
+	keyOwners      map[string]string // tenant by key
 }
 
 func (c *validator) report(where, message string) {
@@ -196,10 +196,10 @@
 		c.report(where, "has a limit below 0")
 	}
 	for _, key := range tenant.Keys {
-		if owner, taken := c.keys[key]; taken && owner != tenant.Name {
+		if owner, taken := c.keyOwners[key]; taken && owner != tenant.Name {
 			c.report(where, fmt.Sprintf("shares an API key with tenant %q", owner))
 		}
-		c.keys[key] = tenant.Name
+		c.keyOwners[key] = tenant.Name
 	}
 }
 
