--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -153,11 +153,11 @@
 
 func (c *validator) route(route *Route) {
 	where := fmt.Sprintf("route %q", route.Name)
-	place := route.Host + route.PathPrefix
-	if other, taken := c.routesByPrefix[place]; taken {
+	hostAndPrefix := route.Host + route.PathPrefix
+	if other, taken := c.routesByPrefix[hostAndPrefix]; taken {
 		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
 	}
-	c.routesByPrefix[place] = route.Name
+	c.routesByPrefix[hostAndPrefix] = route.Name
 	if route.Host == "" || !hasOuterSlashes(route.PathPrefix) {
 		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
 	}
