--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -203,7 +203,7 @@
 	case command.Expire != "":
 		m.forget(command.Expire)
 	case len(command.Loaded) > 0:
-		m.hold(command.Loaded)
+		m.recordLoaded(command.Loaded)
 	case len(command.WeightsCommandTargets) > 0:
 		m.order(command.WeightsCommandTargets)
 	case len(command.ReplaceGateways) > 0:
@@ -318,8 +318,8 @@
 	m.gateways = slices.Sorted(maps.Keys(m.gatewaySet))
 }
 
-// hold notes what registered instances hold.
-func (m *Machine) hold(seen []LoadedWeights) {
+// recordLoaded notes what registered instances recordLoaded.
+func (m *Machine) recordLoaded(seen []LoadedWeights) {
 	for _, w := range seen {
 		if _, known := m.instances[w.Instance]; !known {
 			continue
