--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -207,7 +207,7 @@
 	case len(command.WeightsCommandTargets) > 0:
 		m.order(command.WeightsCommandTargets)
 	case len(command.ReplaceGateways) > 0:
-		m.list(command.ReplaceGateways)
+		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
 		m.relist(command.AddGateways, command.RemoveGateways)
 	case len(command.MaxHashWeights) > 0:
@@ -298,8 +298,8 @@
 	}
 }
 
-// list replaces the gateways; names rise.
-func (m *Machine) list(names []string) {
+// setGateways replaces the gateways; names rise.
+func (m *Machine) setGateways(names []string) {
 	m.gateways = names
 	clear(m.gatewaySet)
 	for _, name := range names {
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -48,7 +48,7 @@
 	for id := range form.Ordered {
 		m.ordered[id] = true
 	}
-	m.list(form.Gateways)
+	m.setGateways(form.Gateways)
 	maps.Copy(m.bounds, form.Bounds)
 	if form.Quarantine != nil {
 		m.quarantine = form.Quarantine
