--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -209,7 +209,7 @@
 	case len(command.ReplaceGateways) > 0:
 		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
-		m.relist(command.AddGateways, command.RemoveGateways)
+		m.updateGateways(command.AddGateways, command.RemoveGateways)
 	case len(command.MaxHashWeights) > 0:
 		maps.Copy(m.bounds, command.MaxHashWeights)
 	case command.Quarantine != nil:
@@ -307,8 +307,8 @@
 	}
 }
 
-// relist takes gateways that came and that left up.
-func (m *Machine) relist(came, left []string) {
+// updateGateways takes gateways that came and that left up.
+func (m *Machine) updateGateways(came, left []string) {
 	for _, name := range came {
 		m.gatewaySet[name] = true
 	}
