--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -257,12 +257,12 @@
 	if before, taken := m.addresses[instance.Address]; taken && before != instance.ID {
 		m.drop(before)
 	}
-	m.put(instance)
+	m.upsert(instance)
 	return Outcome{Revision: m.document.Revision}
 }
 
-// put notes an instance, at an address that no other one has.
-func (m *Machine) put(instance Instance) {
+// upsert notes an instance, at an address that no other one has.
+func (m *Machine) upsert(instance Instance) {
 	held, known := m.instances[instance.ID]
 	if !known {
 		m.ids = nil
@@ -337,5 +337,5 @@
 		return
 	}
 	instance.State = StateDraining
-	m.put(instance)
+	m.upsert(instance)
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -43,7 +43,7 @@
 	m.Guards = guards
 	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
 	for _, instance := range form.Instances {
-		m.put(instance)
+		m.upsert(instance)
 	}
 	for id := range form.Ordered {
 		m.ordered[id] = true
