--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -8,7 +8,7 @@
 		m.expiredIDs = append(m.expiredIDs, id)
 		m.expiredIDs = slices.Delete(m.expiredIDs, 0, max(0, len(m.expiredIDs)-maxDepartedIDs))
 	}
-	m.drop(id)
+	m.delete(id)
 }
 
 // ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
@@ -32,7 +32,7 @@
 // remove ends an instance for good.
 func (m *Machine) remove(id string) {
 	id = m.ResolveInstanceID(id)
-	m.drop(id)
+	m.delete(id)
 	if m.departed[id] {
 		return
 	}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -243,7 +243,7 @@
 	}
 	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
 		ordered := m.ordered[last.ID]
-		m.drop(last.ID)
+		m.delete(last.ID)
 		if ordered {
 			m.ordered[instance.ID] = true // an order that is on its way names the back end, not its life
 		}
@@ -255,7 +255,7 @@
 		delete(m.addresses, held.Address)
 	}
 	if before, taken := m.addresses[instance.Address]; taken && before != instance.ID {
-		m.drop(before)
+		m.delete(before)
 	}
 	m.upsert(instance)
 	return Outcome{Revision: m.document.Revision}
@@ -276,8 +276,8 @@
 	m.addresses[instance.Address] = instance.ID
 }
 
-// drop forgets an instance and what it held.
-func (m *Machine) drop(id string) {
+// delete forgets an instance and what it held.
+func (m *Machine) delete(id string) {
 	held, known := m.instances[id]
 	if known {
 		delete(m.addresses, held.Address)
