--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// machineForm is the snapshot form of a machine.
-type machineForm struct {
+// machineSnapshot is the snapshot form of a machine.
+type machineSnapshot struct {
 	Document   Document            `json:"document"`
 	Instances  map[string]Instance `json:"instances"`
 	Tombstones []string            `json:"tombstones"`
@@ -29,12 +29,12 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
 func (m *Machine) UnmarshalJSON(data []byte) error {
-	var form machineForm
+	var form machineSnapshot
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
