--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -29,8 +29,8 @@
 	return id
 }
 
-// remove ends an instance for good.
-func (m *Machine) remove(id string) {
+// deregister ends an instance for good.
+func (m *Machine) deregister(id string) {
 	id = m.ResolveInstanceID(id)
 	m.delete(id)
 	if m.departed[id] {
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -199,7 +199,7 @@
 	case command.Drain != "":
 		m.drain(command.Drain)
 	case command.Deregister != "":
-		m.remove(command.Deregister)
+		m.deregister(command.Deregister)
 	case command.Expire != "":
 		m.forget(command.Expire)
 	case len(command.Loaded) > 0:
