--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
-func (m *Machine) forget(id string) {
+// expire drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
+func (m *Machine) expire(id string) {
 	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
 		m.expiredIDs = append(m.expiredIDs, id)
 		m.expiredIDs = slices.Delete(m.expiredIDs, 0, max(0, len(m.expiredIDs)-maxDepartedIDs))
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -201,7 +201,7 @@
 	case command.Deregister != "":
 		m.deregister(command.Deregister)
 	case command.Expire != "":
-		m.forget(command.Expire)
+		m.expire(command.Expire)
 	case len(command.Loaded) > 0:
 		m.recordLoaded(command.Loaded)
 	case len(command.WeightsCommandTargets) > 0:
