--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// drop forgets a registered instance.
-func (l *incarnations) drop(instance Instance) {
+// remove forgets a registered instance.
+func (l *incarnations) remove(instance Instance) {
 	life := ParseInstanceID(instance.ID)
 	if life.StartedMS == 0 {
 		return
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -268,7 +268,7 @@
 		m.ids = nil
 	}
 	if known {
-		m.lives.drop(held)
+		m.lives.remove(held)
 	}
 	m.lives.add(instance)
 	m.changed[instance.ID] = true
@@ -281,7 +281,7 @@
 	held, known := m.instances[id]
 	if known {
 		delete(m.addresses, held.Address)
-		m.lives.drop(held)
+		m.lives.remove(held)
 		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
