--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -41,7 +41,7 @@
 	m.departedIDs = append(m.departedIDs, id)
 	if len(m.departedIDs) > maxDepartedIDs {
 		delete(m.departed, m.departedIDs[0])
-		m.lives.forget(m.departedIDs[0])
+		m.lives.forgetDeparted(m.departedIDs[0])
 		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *incarnations) forget(id string) {
+func (l *incarnations) forgetDeparted(id string) {
 	life := ParseInstanceID(id)
 	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
