--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -37,7 +37,7 @@
 		return
 	}
 	m.departed[id] = true
-	m.lives.end(id)
+	m.lives.recordDeparted(id)
 	m.departedIDs = append(m.departedIDs, id)
 	if len(m.departedIDs) > maxDepartedIDs {
 		delete(m.departed, m.departedIDs[0])
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// end remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
+// recordDeparted remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
-func (l *incarnations) end(id string) {
+func (l *incarnations) recordDeparted(id string) {
 	if life := ParseInstanceID(id); life.StartedMS > 0 {
 		l.ended[life.Name] = append(l.ended[life.Name], life.StartedMS)
 	}
