--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -48,12 +48,12 @@
 // incarnations tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
 type incarnations struct {
 	registered    map[string]string  // by name: id of the registered life
-	ended         map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
+	departed      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
 	withStartTime map[string]int     // by service: registered lives; none is 0
 }
 
 func newIncarnations() incarnations {
-	return incarnations{registered: map[string]string{}, ended: map[string][]int64{}, withStartTime: map[string]int{}}
+	return incarnations{registered: map[string]string{}, departed: map[string][]int64{}, withStartTime: map[string]int{}}
 }
 
 // add notes a registered instance.
@@ -82,24 +82,24 @@
 // whether the others were forgotten or never known.
 func (l *incarnations) recordDeparted(id string) {
 	if life := ParseInstanceID(id); life.StartedMS > 0 {
-		l.ended[life.Name] = append(l.ended[life.Name], life.StartedMS)
+		l.departed[life.Name] = append(l.departed[life.Name], life.StartedMS)
 	}
 }
 
 func (l *incarnations) forgetDeparted(id string) {
 	life := ParseInstanceID(id)
-	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.StartedMS })
+	left := slices.DeleteFunc(l.departed[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
-		delete(l.ended, life.Name)
+		delete(l.departed, life.Name)
 		return
 	}
-	l.ended[life.Name] = left
+	l.departed[life.Name] = left
 }
 
 // isSuperseded reports whether a later life is registered, or has left.
 func (l *incarnations) isSuperseded(life Incarnation) bool {
 	later := func(born int64) bool { return life.StartedMS < born }
-	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.ended[life.Name], later)
+	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.departed[life.Name], later)
 }
 
 // currentID returns the id of the registered life of the back end of a name, if it has one that tells its start.
