--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -7,54 +7,56 @@
 )
 
 const (
-	// cacheMemoryFraction is the part of an engine's memory that is taken to hold cached parts where nobody reads what it keeps;
-	// running requests need the rest.
+	// cacheMemoryFraction is the fraction of an engine's memory assumed to hold cached parts when its cache events
+	// are not read. Running requests need the rest.
 	cacheMemoryFraction = 0.75
-	// reportTTL is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
-	// tells decides, but for parts up to toldLimit times its memory.
+	// reportTTL is how long after a report from the engine its entries are removed only by further reports. Until
+	// then the estimate is bounded by reportedMemoryFactor times the engine's memory.
 	reportTTL            = 4 * time.Second
 	reportedMemoryFactor = 2.0
-	// unconfirmedTTL is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
-	// often that is looked at.
+	// unconfirmedTTL is how long a part that was sent but not reported stays in the estimate of an engine that
+	// reports its cache. Such parts are checked every unconfirmedCheckInterval.
 	unconfirmedTTL           = 4 * time.Second
 	unconfirmedCheckInterval = 500 * time.Millisecond
-	// defaultCacheTokens is assumed where an engine's memory is not known, in tokens.
+	// defaultCacheTokens is the assumed memory of an engine, in tokens, if it is unknown.
 	defaultCacheTokens = 100_000
-	// storedTTL is how long a part is taken to stay in the store.
+	// storedTTL is how long a saved part is assumed to stay in the store.
 	storedTTL = 60 * time.Second
 )
 
-// CachedPart is a part of a prompt and how many of its tokens an engine keeps now; 0 says that it is gone.
+// CachedPart is a prompt part and how many of its tokens an engine has cached; 0 means that it was evicted.
 type CachedPart struct {
 	Salt string
 	prefix.Part
 }
 
-// cacheEntry is one belief: an engine holds a part, or the first tokens of it.
+// cacheEntry is an estimated cache entry: a part, or its leading tokens, cached by an engine.
 type cacheEntry struct {
-	tokens    int // tokens that are held; above 0
+	tokens    int // cached tokens; above 0
 	usedAt    time.Duration
-	private   bool // it was the last part of a prompt, which is of use to no other
-	confirmed bool // the engine said so; else it follows from a send
+	private   bool // the last part of a prompt, which no other request shares
+	confirmed bool // reported by the engine; otherwise derived from a request that was sent
 }
 
-// partKey names a part under a salt: parts of other weights or of a tenant that shares nothing never meet.
+// partKey identifies a part under a salt. Parts computed with other weights, or of an isolated tenant, have other
+// salts.
 type partKey struct{ salt, id string }
 
-// CacheEstimate is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
-// nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
+// CacheEstimate estimates the contents of one engine's prefix cache from the requests sent to it, corrected by the
+// engine's own reports. Without reports, the least recently used parts are evicted when the memory is full, as the
+// engine does.
 type CacheEstimate struct {
 	parts                map[partKey]cacheEntry
-	saltCounts           map[string]int // under which each id is held, counted
-	total                int            // sum of the kept tokens
-	limit                int
-	memory               int           // of the engine, in tokens
-	reported             bool          // the engine's own word was heard
-	reportedAt           time.Duration // newest word
-	unconfirmedCheckedAt time.Duration // when parts that were only sent were looked through
+	saltCounts           map[string]int // number of salts under which each part ID is cached
+	total                int            // sum of the cached tokens
+	limit                int            // maximum of total while there are no recent reports
+	memory               int            // of the engine, in tokens
+	reported             bool           // the engine has reported its cache
+	reportedAt           time.Duration  // newest report
+	unconfirmedCheckedAt time.Duration  // last check for unconfirmed parts
 }
 
-// NewCacheEstimate returns the beliefs about an engine whose memory has room for so many tokens.
+// NewCacheEstimate returns an empty estimate for an engine with memory for the given number of tokens.
 func NewCacheEstimate(memory int) *CacheEstimate {
 	if memory <= 0 {
 		memory = defaultCacheTokens
@@ -62,7 +64,7 @@
 	return &CacheEstimate{parts: map[partKey]cacheEntry{}, saltCounts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
-// set notes that so many tokens of a part are held; 0 forgets it.
+// set stores an entry and keeps the counts; an entry without tokens is deleted.
 func (h *CacheEstimate) set(key partKey, next cacheEntry) {
 	before, known := h.parts[key]
 	h.total += next.tokens - before.tokens
@@ -80,7 +82,7 @@
 	}
 }
 
-// RecordUse notes that a request with these parts was sent.
+// RecordUse records that a request with these parts was sent.
 func (h *CacheEstimate) RecordUse(now time.Duration, salt string, parts []prefix.Part) {
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
@@ -108,12 +110,12 @@
 	h.set(oldest, cacheEntry{})
 }
 
-// RecordReport notes that the engine's own word was heard.
+// RecordReport records that the engine reported its cache.
 func (h *CacheEstimate) RecordReport(now time.Duration) {
 	h.reported, h.reportedAt = true, max(h.reportedAt, now)
 }
 
-// ApplyPeerReport takes up what another gateway read of the engine's own word.
+// ApplyPeerReport applies what another gateway read from the engine.
 func (h *CacheEstimate) ApplyPeerReport(now time.Duration, salt string, parts []prefix.Part) {
 	h.RecordReport(now)
 	for _, part := range parts {
@@ -121,7 +123,8 @@
 	}
 }
 
-// update notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
+// update sets the reported tokens of a part, and reports whether they differ from the estimate and the part can be
+// shared by other requests.
 func (h *CacheEstimate) update(now time.Duration, key partKey, tokens int) bool {
 	before := h.parts[key]
 	next := cacheEntry{tokens: max(0, tokens), usedAt: now, private: before.private, confirmed: true}
@@ -132,8 +135,8 @@
 	return before.tokens != next.tokens && !before.private
 }
 
-// ApplyReport takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
-// that were believed otherwise.
+// ApplyReport applies a report of the engine, which lists either its whole cache or the changes, and returns the
+// shareable parts for which the estimate was wrong.
 func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.RecordReport(now)
 	var corrections []CachedPart
@@ -148,8 +151,8 @@
 	return append(corrections, h.expire(now, listed, whole)...)
 }
 
-// expire forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
-// also those that it had told of before.
+// expire removes parts that were sent longer than unconfirmedTTL ago and never reported and, after a whole list,
+// confirmed parts that it does not name.
 func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
 		return nil
@@ -169,18 +172,18 @@
 	return removed
 }
 
-// Clear forgets everything: the engine's weights were replaced.
+// Clear removes all entries, for use when the engine's weights were replaced.
 func (h *CacheEstimate) Clear() {
 	clear(h.parts)
 	clear(h.saltCounts)
 	h.total = 0
 }
 
-// Holds reports whether a part is held under any salt.
+// Holds reports whether a part is cached under any salt.
 func (h *CacheEstimate) Holds(id string) bool { return h.saltCounts[id] > 0 }
 
-// Cached returns the leading tokens that are believed to be held; a part is of use only behind all parts before it, and
-// what follows one that is held in part is of none.
+// Cached returns the number of leading prompt tokens that are estimated to be cached. It stops at the first part
+// that is not cached completely, since an engine can use a part only after all parts before it.
 func (h *CacheEstimate) Cached(salt string, parts []prefix.Part) int {
 	tokens := 0
 	for _, part := range parts {
@@ -193,22 +196,22 @@
 	return tokens
 }
 
-// StoredParts remembers which parts were sent to a store, and when.
+// StoredParts records which parts were sent to a cache store, and when.
 type StoredParts struct {
 	parts map[partKey]time.Duration
 }
 
-// NewStoredParts returns the beliefs about stores.
+// NewStoredParts returns an empty record.
 func NewStoredParts() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
 
-// Record remembers that parts are being saved.
+// Record records that parts are being saved.
 func (s *StoredParts) Record(now time.Duration, salt string, parts []prefix.Part) {
 	for _, part := range parts {
 		s.parts[partKey{salt, part.ID}] = now
 	}
 }
 
-// Holds reports whether all parts were saved lately.
+// Holds reports whether all parts were saved within storedTTL.
 func (s *StoredParts) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
 	for _, part := range parts {
 		at, known := s.parts[partKey{salt, part.ID}]
@@ -219,7 +222,7 @@
 	return true
 }
 
-// Sweep forgets what was saved long ago.
+// Sweep removes parts saved longer than storedTTL ago.
 func (s *StoredParts) Sweep(now time.Duration) {
 	for key, at := range s.parts {
 		if now-at > storedTTL {
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -10,43 +10,42 @@
 	"kitetiller/internal/prefix"
 )
 
-// cached is a part that an engine says it keeps so many tokens of.
+// cached returns a part of which the engine reports the given number of cached tokens.
 func cached(id string, tokens int) CachedPart {
 	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// TestReportCorrectsEstimate: parts that gave way are no longer counted on, parts held in part count as far as they go,
-// and what the engine never confirms is given up.
+// Guards against counting on parts that the engine evicted, wholly or partly, or never reported.
 func TestReportCorrectsEstimate(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
 	h.RecordUse(time.Second, "w1", prompt)
 	shared := prefix.Shared(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
-		t.Fatalf("after the send %d tokens", got)
+		t.Fatalf("after the send: cached tokens = %d, want 300", got)
 	}
 	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(differ) > 0 {
-		t.Fatalf("what all believe is told again: %v", differ)
+		t.Fatalf("report that matches the estimate returned corrections: %v", differ)
 	}
 	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
 	if len(differ) != 1 || differ[0] != cached("b", 64) {
-		t.Fatalf("told: %v", differ)
+		t.Fatalf("corrections after a partial eviction: %v", differ)
 	}
 	if got := h.Cached("w1", shared); got != 164 {
-		t.Fatalf("with a part held in part %d tokens", got)
+		t.Fatalf("with a partly cached part: cached tokens = %d, want 164", got)
 	}
 	h.RecordUse(2*time.Second, "w1", prompt)
 	h.ApplyReport(3*time.Second, nil, false)
 	if got := h.Cached("w1", shared); got != 300 {
-		t.Fatalf("a moment after another send %d tokens", got)
+		t.Fatalf("before unconfirmedTTL of another send: cached tokens = %d, want 300", got)
 	}
 	differ = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
 	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != cached("b", 0) {
-		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
+		t.Fatalf("after unconfirmedTTL without a report: cached tokens = %d, want 100; corrections %v", got, differ)
 	}
 }
 
-// TestWholeListReplacesReportedEntries: what a list does not name is gone, but for what was sent since.
+// A whole list removes the entries that it does not name, except those sent since.
 func TestWholeListReplacesReportedEntries(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
@@ -54,16 +53,16 @@
 	h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("b", 10)}, true)
 	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
 		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
-			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
+			t.Errorf("part %s: cached tokens = %d, want %d", id, got, wanted)
 		}
 	}
 }
 
-// engineCache is an engine's cache as the oracle of the tests below sees it.
+// engineCache is the reference model of an engine's cache: cached tokens by part.
 type engineCache map[string]int
 
-// TestEstimateMatchesEngineCache: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
-// everything believes what the engine keeps, and so does one that is only told of what the reader believed otherwise.
+// After any sequence of sends, evictions, lost events and whole lists, the estimate of a gateway that reads the
+// engine equals the engine's cache, and so does that of a gateway that gets only the corrections.
 func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine, pending := engineCache{}, []CachedPart{}
@@ -79,7 +78,7 @@
 				}
 			}
 			pending = nil
-			other.RecordReport(now) // others are told every second that the engine is read
+			other.RecordReport(now) // peers are notified every second that the engine is being read
 			for _, p := range reader.ApplyReport(now, news, whole) {
 				other.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
@@ -117,16 +116,16 @@
 			id := fmt.Sprint("p", i)
 			part := []prefix.Part{{ID: id, Tokens: 100}}
 			if got := reader.Cached("w1", part); got != engine[id] {
-				t.Fatalf("the reader believes %d tokens of %s, the engine keeps %d", got, id, engine[id])
+				t.Fatalf("reader's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
 			if got := other.Cached("w1", part); got != engine[id] {
-				t.Fatalf("another gateway believes %d tokens of %s, the engine keeps %d", got, id, engine[id])
+				t.Fatalf("peer's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
 		}
 	})
 }
 
-// TestEstimateMatchesLRUCache: against an oracle that keeps the order of use, whatever is sent.
+// Without reports, the estimate equals an LRU cache.
 func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := NewCacheEstimate(1000) // 750 tokens
@@ -149,27 +148,27 @@
 			}
 			for _, known := range order {
 				if held.Cached("w1", []prefix.Part{known}) != known.Tokens {
-					t.Fatalf("part %s is not held", known.ID)
+					t.Fatalf("part %s is not cached", known.ID)
 				}
 				if held.Cached("w2", []prefix.Part{known}) != 0 {
-					t.Fatalf("part %s is held under another salt", known.ID)
+					t.Fatalf("part %s is cached under another salt", known.ID)
 				}
 			}
 			if held.total != prefix.PartTokens(order) {
-				t.Fatalf("%d tokens held, %d expected", held.total, prefix.PartTokens(order))
+				t.Fatalf("total cached tokens = %d, want %d", held.total, prefix.PartTokens(order))
 			}
 		}
 	})
 }
 
-// TestCachedStopsAtFirstMissingPart: a part is of use only after the same parts as before.
+// Cached counts a part only if all parts before it are cached.
 func TestCachedStopsAtFirstMissingPart(t *testing.T) {
 	held := NewCacheEstimate(10_000)
 	held.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
 	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
-		t.Fatalf("%d tokens behind a part that is not held", got)
+		t.Fatalf("%d tokens counted behind a part that is not cached, want 0", got)
 	}
 	if got := held.Cached("w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "x", Tokens: 9}, {ID: "c", Tokens: 7}}); got != 5 {
-		t.Fatalf("%d tokens, 5 expected", got)
+		t.Fatalf("cached tokens = %d, want 5", got)
 	}
 }
--- a/internal/gateway/belief/links.go
+++ b/internal/gateway/belief/links.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Transfer is cached tokens on their way from one place to another, as the others are told of it.
+// Transfer is a copy of cached tokens over the network, as announced to other gateways.
 type Transfer struct {
-	From string        // address of the engine or store whose link carries it, or "" of none
-	Time time.Duration // that it takes there
+	From string        // address of the engine or store whose link carries it, or ""
+	Time time.Duration // duration of the transfer
 }
 
-// Links tells until when the link of each engine or store is taken to be busy with moves, by address: moves over one link
-// run one after another, so a store that many engines ask keeps each waiting.
+// Links holds, by address, until when the link of each engine or store is estimated to be busy. Transfers over one
+// link are assumed to run one after another.
 type Links map[string]time.Duration
 
-// Wait is how long a move from an address would wait for its turn.
+// Wait returns how long a transfer from an address would wait for its link.
 func (l Links) Wait(now time.Duration, address string) time.Duration {
 	return max(0, l[address]-now)
 }
 
-// Record adds a move.
+// Record adds a transfer to the link that carries it.
 func (l Links) Record(now time.Duration, m Transfer) {
 	if m.From != "" && m.Time > 0 {
 		l[m.From] = max(now, l[m.From]) + m.Time
 	}
 }
 
-// sweep forgets links that are free.
+// Sweep removes idle links.
 func (l Links) Sweep(now time.Duration) {
 	for address, busyTo := range l {
 		if busyTo < now {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Milliseconds returns a time as the decision counts it.
+// Milliseconds returns a duration in milliseconds, the unit of costs.
 func Milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
-// FromMilliseconds is the reverse.
+// FromMilliseconds returns a number of milliseconds as a duration.
 func FromMilliseconds(t float64) time.Duration { return time.Duration(t * float64(time.Millisecond)) }
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -11,43 +11,43 @@
 	"kitetiller/internal/guard"
 )
 
-// ageTolerance is by how much a naming must be told younger than known to be told of: an answer may take so long that its age is out of
-// date by about as much (650 ms of a gateway's patience with control).
+// ageTolerance is how much smaller than known a reported age must be to count as a regression. The delay of an
+// answer, up to 650 ms, makes its ages inexact by about as much.
 const ageTolerance = 700 * time.Millisecond
 
-// AgeRegression is a naming that control tells to be younger than was known.
+// AgeRegression is a version whose age, as reported by control, is smaller than the known one.
 type AgeRegression struct {
 	Model           string
 	Version         uint64
-	Known, Reported time.Duration // since it was named
+	Known, Reported time.Duration // since it was published
 }
 
-// PublishTimes are when versions of models' weights were named, as control told. A version never grows younger by a new leader's word, and
-// none is forgotten for that one doesn't tell of it.
+// PublishTimes records when versions of models' weights were published, as reported by control. Reports of a new
+// leader never make a known version younger, and a version missing from a report is kept.
 type PublishTimes struct {
 	guards guard.Set
-	models map[string][]publication // rising by version; at most catalog.NamingsKept, as control tells
+	models map[string][]publication // ascending by version; at most catalog.NamingsKept each
 }
 
-// publication is a version that was named. All times are of this process's clock.
+// publication is a published version. All times are of this process's clock.
 type publication struct {
 	version            uint64
-	term               uint64        // of the leader that told of it last
-	at                 time.Duration // when it was named at the earliest by that leader's word; each leader tells of one time
-	before             time.Duration // the earliest time by any other leader's word
-	regressionReported bool          // that it was told younger
+	term               uint64        // of the leader that reported it last
+	at                 time.Duration // latest estimate from that leader's reports; a leader always reports the same time
+	before             time.Duration // earliest time reported by any other leader
+	regressionReported bool          // a regression was already returned
 }
 
-// publishedAt returns the earliest time that was told.
+// publishedAt returns the earliest reported time.
 func (n *publication) publishedAt() time.Duration { return min(n.at, n.before) }
 
-// NewPublishTimes returns none.
+// NewPublishTimes returns an empty record.
 func NewPublishTimes(guards guard.Set) *PublishTimes {
 	return &PublishTimes{guards: guards, models: map[string][]publication{}}
 }
 
-// Update takes up what an answer of control tells, the question for which was asked at a time, and returns what it tells to be younger
-// than was known, once each. term is of the leader that confirmed the answer.
+// Update applies an answer of control to a request sent at the time asked, and returns each version's first age
+// regression. term is that of the leader that confirmed the answer.
 func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
 	if !n.guards.On(guard.NamingKeptOlder) {
 		clear(n.models)
@@ -61,7 +61,7 @@
 			continue
 		}
 		if known.term == term {
-			known.at = max(known.at, reported) // the age may be as much younger than the question as that took
+			known.at = max(known.at, reported) // the delay of the answer makes the computed time too early by at most that delay
 			continue
 		}
 		known.before, known.at, known.term = known.publishedAt(), reported, term
@@ -73,14 +73,14 @@
 	return regressions
 }
 
-// add adds a version that isn't known yet.
+// add adds an unknown version.
 func (n *PublishTimes) add(model string, fresh publication) {
 	known := append(n.models[model], fresh)
 	slices.SortFunc(known, func(a, b publication) int { return cmp.Compare(a.version, b.version) })
 	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.NamingsKept))
 }
 
-// find returns what is known of a version, or nil.
+// find returns the record of a version, or nil.
 func (n *PublishTimes) find(model string, version uint64) *publication {
 	for i := range n.models[model] {
 		if known := &n.models[model][i]; known.version == version {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// OldestMissing returns when the oldest version was named that is newer than one that is held, if there is one. A newer version may be told to be
-// older, by another proposer's clock: it was named after all the same.
+// OldestMissing returns the earliest publish time of all versions newer than held, if there are any. It scans all
+// of them, since clock differences between proposers can make a newer version appear older.
 func (n *PublishTimes) OldestMissing(model string, held uint64) (time.Duration, bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for _, known := range slices.Backward(n.models[model]) {
--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// peerLoadTTL is how long what another gateway told of its requests counts; each change is told, and no request is longer.
+// peerLoadTTL is how long the load reported by another gateway counts. Every change is reported, and no request
+// runs longer.
 const peerLoadTTL = 12 * time.Second
 
-// Load is what runs at one back end.
+// Load is the work running at one back end.
 type Load struct {
 	Running int // requests
-	Tokens  int // memory that their prompts take
+	Tokens  int // memory used by their prompts
 }
 
-// Plus adds loads.
+// Plus returns the sum of two loads.
 func (l Load) Plus(other Load) Load {
 	return Load{Running: l.Running + other.Running, Tokens: l.Tokens + other.Tokens}
 }
 
-// Minus takes a load off.
+// Minus returns the difference of two loads.
 func (l Load) Minus(other Load) Load {
 	return Load{Running: l.Running - other.Running, Tokens: l.Tokens - other.Tokens}
 }
 
-// peerLoad is what another gateway has running, as of a time of this process's clock.
+// peerLoad is the load reported by another gateway, as of a time of this process's clock.
 type peerLoad struct {
 	Load
 	at time.Duration
 }
 
-// Occupancy adds up what all gateways have running at one back end. Each gateway tells whole figures, not differences, so
-// that a lost message is made good by the next one.
+// Occupancy sums the load of all gateways at one back end. Gateways report absolute loads rather than differences,
+// so that the next message corrects a lost one.
 type Occupancy struct {
-	Own       Load                // of this gateway's callers
-	Placed    Load                // that this gateway placed for others
+	Own       Load                // of requests of this gateway's clients
+	Placed    Load                // of requests that this gateway placed for other gateways
 	peers     map[string]peerLoad // by gateway
-	peerTotal Load                // of told
+	peerTotal Load                // sum of peers
 }
 
-// Total is what all gateways have running.
+// Total returns the load of all gateways.
 func (o *Occupancy) Total() Load { return o.Local().Plus(o.peerTotal) }
 
-// Local is what this gateway has running or placed, as it tells others.
+// Local returns the load that this gateway reports to the others.
 func (o *Occupancy) Local() Load { return o.Own.Plus(o.Placed) }
 
-// RecordPeer takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
+// RecordPeer records the load of another gateway at a time. A message older than the newest known one is ignored.
 func (o *Occupancy) RecordPeer(from string, at time.Duration, l Load) {
 	before := o.peers[from]
 	if at < before.at {
@@ -55,7 +56,7 @@
 	o.peerTotal = o.peerTotal.Plus(l).Minus(before.Load)
 }
 
-// Sweep forgets what was told long ago.
+// Sweep removes loads reported longer than peerLoadTTL ago.
 func (o *Occupancy) Sweep(now time.Duration) {
 	for from, l := range o.peers {
 		if now-l.at > peerLoadTTL {
@@ -66,22 +67,22 @@
 }
 
 const (
-	// InitialMeanDuration is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
-	// newest one.
+	// InitialMeanDuration is the mean duration of requests, in milliseconds, assumed before one has ended.
+	// durationSmoothing is the weight of the newest sample.
 	InitialMeanDuration = 1000.0
 	durationSmoothing   = 0.05
 )
 
-// MeanDuration is the smoothed time that requests stay at the back ends of a service, in milliseconds.
+// MeanDuration is the exponentially smoothed duration of requests at the back ends of a service, in milliseconds.
 type MeanDuration float64
 
-// Observe takes the stay of one more request.
+// Observe returns the mean updated by the duration of one request.
 func (s MeanDuration) Observe(length time.Duration) MeanDuration {
 	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
-// CapacityWait predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
-// come free evenly over the time that requests stay.
+// CapacityWait predicts how long a request with the given prompt tokens waits for a free slot or for memory, in
+// milliseconds. It assumes that slots and memory are released evenly over the mean duration of requests.
 func CapacityWait(held Load, slots, memory, tokens int, stay MeanDuration) float64 {
 	wait := 0.0
 	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOccupancyTotalWithLostOrReorderedMessages: messages may be lost, come twice or overtake each other; once the newest one of each
-// gateway has come, the sum is right, and what is told no more is forgotten.
+// Messages may be lost, duplicated or reordered. The total is right once each gateway's newest message has
+// arrived, and expired loads are removed.
 func TestOccupancyTotalWithLostOrReorderedMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Occupancy
@@ -37,15 +37,15 @@
 			want = want.Plus(m.load)
 		}
 		if o.Total() != want {
-			t.Fatalf("total %+v, wanted %+v", o.Total(), want)
+			t.Fatalf("total %+v, want %+v", o.Total(), want)
 		}
 		if o.Sweep(time.Second + peerLoadTTL); o.Total() != (Load{}) || len(o.peers) > 0 {
-			t.Fatalf("after a long silence: %+v", o)
+			t.Fatalf("after peerLoadTTL without messages: %+v", o)
 		}
 	})
 }
 
-// TestCapacityWaitStartsAtSlotOrMemoryLimit: nothing while there is room; more with each request that has to go first.
+// The wait is 0 while there are free slots and memory, and grows with each request beyond them.
 func TestCapacityWaitStartsAtSlotOrMemoryLimit(t *testing.T) {
 	const slots, memory, stay = 16, 80_000, 2000
 	for _, c := range []struct {
@@ -57,10 +57,10 @@
 		{Load{0, 0}, 90_000, 0}, {Load{31, 80_000}, 20_000, 2000},
 	} {
 		if got := CapacityWait(c.held, slots, memory, c.tokens, stay); got != c.wanted {
-			t.Errorf("%+v and %d Tokens: %.0f ms, wanted %.0f", c.held, c.tokens, got, c.wanted)
+			t.Errorf("load %+v and %d tokens: wait %.0f ms, want %.0f", c.held, c.tokens, got, c.wanted)
 		}
 	}
 	if got := CapacityWait(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
-		t.Errorf("unknown limits give %.0f ms", got)
+		t.Errorf("unknown capacity: wait %.0f ms, want 0", got)
 	}
 }
--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -3,37 +3,39 @@
 import "time"
 
 const (
-	// prefillQuantile of the requests that were taken to be alone at their engine are read at the learnt pace or faster: below the
-	// median, since some of them were not alone.
+	// prefillQuantile is the quantile of observed times that the estimate tracks. It is below the median because some
+	// requests taken to be alone at their engine were not.
 	prefillQuantile = 0.3
-	// tokenTimeStep is by how much one request moves the pace, as a part of it, and paceMost how far it may get from the first guess.
+	// tokenTimeStep is the relative change of the time per token by one request, and maxTokenTimeFactor bounds its
+	// ratio to the default.
 	tokenTimeStep      = 0.05
 	maxTokenTimeFactor = 4.0
-	// overheadStep is by how much one request moves the fixed time, in milliseconds, and fixedMost how long that may get: above a second it is no
-	// way there and back, but a queue.
+	// overheadStep is the change of the fixed overhead by one request, in milliseconds, and maxOverhead its maximum.
+	// A longer time indicates queueing.
 	overheadStep = 5.0
 	maxOverhead  = 1000.0
-	// overheadSampleTokens is how few tokens tell the fixed time, and longRead how many tell the pace: in between either hides the other.
+	// Requests below overheadSampleTokens update the fixed overhead, and those of at least tokenTimeSampleTokens the
+	// time per token. Those in between cannot tell the two apart.
 	overheadSampleTokens  = 512
 	tokenTimeSampleTokens = 1500
 )
 
-// PrefillRate is how many prompt tokens an engine is taken to read in a millisecond.
+// PrefillRate is the default prefill rate of an engine, in tokens per millisecond.
 const PrefillRate = 40.0
 
-// PrefillEstimate is how long an engine takes to read a prompt token beside the other work that it has, apart from the time that each request takes whatever it
-// reads: the way there and back, and the first step. Only the reading keeps the next prompt waiting. It is learnt from requests that were taken to
-// be alone there, and tells until when an engine is busy and how long a prompt takes there; what reading again weighs besides is a matter of its own
-// (PrefillRate).
+// PrefillEstimate estimates the prefill time per prompt token, under the engine's usual load, and the fixed
+// overhead of each request (network round trip and first decode step). Only the prefill delays the next prompt. It
+// is learned from requests that were alone at their engine. Cost weights use PrefillRate instead.
 type PrefillEstimate struct {
-	tokenTime float64 // milliseconds, from 1/paceMost of the first guess to paceMost times as long
-	overhead  float64 // milliseconds, from 0 to fixedMost
+	tokenTime float64 // milliseconds per token, within maxTokenTimeFactor of 1/PrefillRate
+	overhead  float64 // milliseconds, from 0 to maxOverhead
 }
 
-// DefaultPrefillEstimate is taken before anything was learnt.
+// DefaultPrefillEstimate returns the estimate used before any request was observed.
 func DefaultPrefillEstimate() PrefillEstimate { return PrefillEstimate{tokenTime: 1 / PrefillRate} }
 
-// Observe moves the pace towards its quantile by one request, of so many tokens to read, whose first event came after a time.
+// Observe returns the estimate updated by a request that had the given tokens to prefill and whose first event
+// came after a time.
 func (p PrefillEstimate) Observe(tokens int, first time.Duration) PrefillEstimate {
 	seen := Milliseconds(first)
 	switch {
@@ -47,7 +49,7 @@
 	return p
 }
 
-// quantileStep is which way one seen value moves an estimate of the quantile, and how far, in steps.
+// quantileStep returns the signed change, in steps, that an observed value causes to an estimate of the quantile.
 func quantileStep(estimate, seen float64) float64 {
 	if seen > estimate {
 		return prefillQuantile
@@ -55,12 +57,12 @@
 	return prefillQuantile - 1
 }
 
-// PrefillTime returns how long the tokens take, beside what each request takes.
+// PrefillTime returns how long the prefill of the tokens takes, without the fixed overhead.
 func (p PrefillEstimate) PrefillTime(tokens int) time.Duration {
 	return FromMilliseconds(p.tokenTime * float64(tokens))
 }
 
-// TimeToFirstEvent returns how long a request alone waits for its first event.
+// TimeToFirstEvent returns how long a request that is alone at its engine waits for its first event.
 func (p PrefillEstimate) TimeToFirstEvent(tokens int) time.Duration {
 	return p.PrefillTime(tokens) + FromMilliseconds(p.overhead)
 }
--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestPrefillEstimateConverges: from requests of which every fourth was not alone, and within bounds whatever is told.
+// The estimate converges although every fourth sample was delayed by other requests, and stays within its bounds.
 func TestPrefillEstimateConverges(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, rate := range []float64{15, 30, 57, 110} { // tokens a ms
+	for _, rate := range []float64{15, 30, 57, 110} { // tokens per ms
 		p := DefaultPrefillEstimate()
 		for i := range 400 {
 			tokens := 1500 + random.IntN(9000)
@@ -20,7 +20,7 @@
 			p = p.Observe(tokens, FromMilliseconds(first))
 		}
 		if got := 1 / p.tokenTime; got < 0.85*rate || got > 1.15*rate {
-			t.Errorf("%v tokens a ms are learnt as %.1f", rate, got)
+			t.Errorf("rate of %v tokens per ms was estimated as %.1f", rate, got)
 		}
 	}
 	slow, fast, late := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
@@ -28,19 +28,15 @@
 		slow, fast, late = slow.Observe(tokenTimeSampleTokens, time.Hour), fast.Observe(1<<40, time.Nanosecond), late.Observe(1, time.Hour)
 	}
 	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*maxTokenTimeFactor || fast.tokenTime < DefaultPrefillEstimate().tokenTime/maxTokenTimeFactor || late.overhead > maxOverhead {
-		t.Errorf("%v, %v and %v", slow, fast, late)
+		t.Errorf("estimates out of bounds: %v, %v and %v", slow, fast, late)
 	}
 }
 
-// TestPrefillTimeExcludesOverhead: each request takes 60 ms besides what it reads, of which the engine reads 110 tokens a ms. A queue of prompts is as
-// long as their reading; before, the 60 ms of each counted too, so that engines with little to do seemed crowded.
-//
-// Cause: the pace was the whole time divided by the tokens. On a deployment whose engines read 112 tokens a ms, from its lines:
-//
-//	predicted 1,048 to 2,128 ms: first event after 162, 228, 363 ms (quartiles); predicted 271 to 361 ms: after 134, 211, 435 ms
+// Guards against counting the fixed overhead of each request as prefill time, which overestimates the queue of an
+// engine.
 func TestPrefillTimeExcludesOverhead(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	for _, rate := range []float64{22, 38, 110} { // tokens a ms
+	for _, rate := range []float64{22, 38, 110} { // tokens per ms
 		p := DefaultPrefillEstimate()
 		for range 600 {
 			tokens := random.IntN(500)
@@ -51,10 +47,10 @@
 			p = p.Observe(tokens, FromMilliseconds(first))
 		}
 		if got, wanted := Milliseconds(p.PrefillTime(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
-			t.Errorf("2,890 tokens are taken to be read in %.0f ms, it takes %.0f", got, wanted)
+			t.Errorf("prefill time of 2,890 tokens = %.0f ms, want %.0f", got, wanted)
 		}
 		if got := Milliseconds(p.TimeToFirstEvent(300)); got < 50 || got > 75 {
-			t.Errorf("a short one is expected after %.0f ms", got)
+			t.Errorf("time to first event of a short prompt = %.0f ms, want 50 to 75", got)
 		}
 	}
 }
