--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -14,81 +14,82 @@
 )
 
 const (
-	// runningCost is what each running request adds to a request's time at an engine, in milliseconds.
+	// runningCost is the cost of each request running at an engine, in milliseconds.
 	runningCost = 0.6
-	// interferenceWeight is what the reading of a prompt costs for each request that runs there meanwhile, as a part of its time:
-	// between two pieces of it each of them gets one token.
+	// interferenceWeight is the cost of a prefill for each request running at the engine, as a fraction of the
+	// prefill time: between two prefill chunks each of them gets only one decode step.
 	interferenceWeight = 0.3
-	// plainRequestTime is the work of a typical request at a service without prompts, in milliseconds.
+	// plainRequestTime is the assumed duration of a request at a service without engines, in milliseconds.
 	plainRequestTime = 40.0
-	// crossZoneCost is what a back end in another zone costs, in milliseconds of waiting.
+	// crossZoneCost is the cost of a back end in another zone, in milliseconds.
 	crossZoneCost = 4.0
-	// avoidCost, silentCost and failingCost keep requests from back ends that are in doubt, in milliseconds.
+	// avoidCost, silentCost and failingCost are the costs of back ends that are avoided, send control no heartbeats,
+	// or fail requests, in milliseconds.
 	avoidCost   = 2000.0
 	silentCost  = 300.0
 	failingCost = 400.0
-	// assignedElsewhereCost is what an engine costs that another gateway of a large fleet samples, in milliseconds: what that one sends there
-	// in the next moment is not known yet.
+	// assignedElsewhereCost is the cost of an engine that another gateway of a large fleet samples, in milliseconds.
+	// It accounts for requests which that gateway is sending there and which are not known here yet.
 	assignedElsewhereCost = 15.0
-	// coldCost is what a back end that has just started costs, in milliseconds.
+	// coldCost is the cost of a back end that has just started, in milliseconds.
 	coldCost = 40.0
-	// recomputeWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
-	// to read them anywhere but at their owner. Weights of 0.5, 2 and 5 were played (design/015).
+	// recomputeWeight is the extra cost of recomputing shared parts, relative to their prefill time. nonOwnerWeight
+	// is the extra cost of doing so at an engine that is not their owner.
 	recomputeWeight = 2.0
 	nonOwnerWeight  = 0.3
 )
 
-// candidate is one back end as the decision sees it.
+// candidate is a back end that a decision considers, with what sending the request there would mean.
 type candidate struct {
 	row             *endpoint
 	cost            float64 // milliseconds
 	salt            string
-	version         uint64          // of its weights
-	wait            float64         // predicted time until the request begins, in milliseconds
-	queueWait       float64         // of it, the time until its prompt is read
-	startDeadline   time.Duration   // when it must have begun as far as the choice knew, or 0; only the log may rely on it
-	uncached        int             // prompt tokens to read
-	recomputed      int             // of them, tokens of shared parts
-	copyCostsMore   bool            // a copy of these is known, and costs more than to read them
-	recomputeReason recomputeCause  // of reread; "" where that is 0, and before the choice is made
-	engineIdle      bool            // nothing else is taken to be read there
-	fetchFrom       string          // address to take cached parts from, or ""
-	saveTo          string          // address of the store to keep the parts in, or ""
-	transfer        belief.Transfer // of cached parts that the placement causes
-	retryAfter      time.Duration   // the request is to be turned away, and to come back after this time; else 0
-	// scheduled names the placement where a scheduler made it; else this gateway did.
+	version         uint64          // of the weights expected there; 0 if unknown
+	wait            float64         // predicted time until the request starts, in milliseconds
+	queueWait       float64         // part of wait before the prefill starts
+	startDeadline   time.Duration   // time by which the request must start, as known at the decision, or 0; for logs only
+	uncached        int             // prompt tokens to prefill
+	recomputed      int             // tokens of shared parts among uncached
+	copyCostsMore   bool            // a copy of the shared parts exists, but costs more than recomputing them
+	recomputeReason recomputeCause  // set for the chosen candidate if recomputed > 0
+	engineIdle      bool            // no other prefill is estimated to be running or queued there
+	fetchFrom       string          // address of the engine or store to copy cached parts from, or ""
+	saveTo          string          // address of the store to save the parts in, or ""
+	transfer        belief.Transfer // of cached parts, caused by the placement
+	retryAfter      time.Duration   // if not 0, the request is to be rejected, and retried after this time
+	// scheduled is set if a scheduler made the placement, and nil if this gateway did.
 	scheduled *scheduled
 }
 
-// selectionInput is what a decision depends on.
+// selectionInput describes the request for which a back end is selected.
 type selectionInput struct {
 	service       *catalog.Service
-	store         *catalog.Service // of kept caches, or nil
+	store         *catalog.Service // cache store of the prompt, or nil
 	tenant        *catalog.Tenant
 	call          *Call
-	tried         []*endpoint
-	trusted       bool                // the view is confirmed, so what it says of weights holds
-	memory        int                 // tokens that the prompt takes of an engine's memory; set by choose
-	meanDuration  belief.MeanDuration // how long requests stay at the service's back ends; set by choose
+	tried         []*endpoint         // back ends that the request was sent to already
+	trusted       bool                // the view was confirmed recently, so its weight versions are valid
+	memory        int                 // tokens of engine memory that the prompt uses; set by choose
+	meanDuration  belief.MeanDuration // of the service's requests; set by choose
 	firstAttempt  bool                // no back end was sent the request yet
-	priority      int                 // of urgency, 0 the most
+	priority      int                 // as of enginePriority
 	latencyTarget time.Duration       // the route's objective
-	// sentByPeer says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
-	// its own.
+	// sentByPeer means that another gateway sends the request. A back end that asked only this gateway to back off
+	// remains eligible then.
 	sentByPeer bool
 }
 
-// promptTokens is the number of prompt tokens.
+// promptTokens returns the number of prompt tokens.
 func (w *selectionInput) promptTokens() int {
 	return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts))
 }
 
-// maxUncached is how many prompt tokens have to be read where nothing but the shared parts is held.
+// maxUncached returns the prompt tokens to prefill at an engine that has all the shared parts cached.
 func (w *selectionInput) maxUncached() int {
 	return w.promptTokens() - prefix.PartTokens(prefix.Shared(w.call.Parts))
 }
 
-// choose filters, scores and picks the back end of least cost, or returns nil.
+// choose returns the eligible back end of least cost, or nil if there is none.
 func (g *Gateway) choose(now time.Duration, in selectionInput) *candidate {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
@@ -115,9 +116,9 @@
 	return &best
 }
 
-// cheapest scores the back ends of a list that may get a request and returns the one of least cost.
+// cheapest returns the eligible back end of a list that has the least cost.
 func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, in selectionInput) (best candidate, found bool) {
-	first := rand.IntN(max(1, len(listed))) // so that gateways which see the same don't all take the same one of equals
+	first := rand.IntN(max(1, len(listed))) // a random start, so that gateways with equal knowledge do not all pick the same of equals
 	for i := range listed {
 		row := listed[(first+i)%len(listed)]
 		if !g.eligible(now, row, in) {
@@ -134,7 +135,7 @@
 	return best, found
 }
 
-// eligible reports whether a back end may get a new request at all.
+// eligible reports whether a back end may get a new request.
 func (g *Gateway) eligible(now time.Duration, row *endpoint, in selectionInput) bool {
 	if !row.open() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
 		return false
@@ -143,8 +144,8 @@
 	return !limited || now < limit-beginMargin
 }
 
-// owner returns the back end on which requests with the same shared prompt meet while nobody is believed to hold it: the
-// highest random weight among those that may be used (rendezvous hashing), so that all gateways agree without a word.
+// owner returns the engine that computes a shared prompt which no engine is known to have cached. It uses
+// rendezvous hashing over the eligible engines, so that all gateways agree without communicating.
 func (g *Gateway) owner(now time.Duration, rows []*endpoint, in selectionInput) *endpoint {
 	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.Owner) {
 		return nil
@@ -159,7 +160,7 @@
 			continue
 		}
 		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Advertised {
-			continue // one with a limit is open and closed in turn: the prompt would be read in two places
+			continue // one with an advertised limit is eligible only at times, so the prompt would be computed in two places
 		}
 		best, highest = row, weight
 	}
@@ -173,7 +174,7 @@
 	return x ^ x>>31
 }
 
-// score predicts the time to the first event at a back end, in milliseconds, with what speaks against it.
+// score predicts the time to the first event at a back end, in milliseconds, plus penalties.
 func (g *Gateway) score(now time.Duration, row *endpoint, in selectionInput, owner bool, sources []source) candidate {
 	scored := candidate{row: row}
 	if in.service.Engine {
@@ -196,8 +197,8 @@
 	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[in.service.Name]) > maxScoreAll
 }
 
-// scoreEngine adds up the queue of prompts, what is read, and what is copied from elsewhere. Reading shared parts again
-// costs more than its time, since it is work that the fleet has done already.
+// scoreEngine adds the cost of queueing, prefill and copying at an engine. Recomputing shared parts costs more
+// than its time, since the fleet has done that work already.
 func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, in selectionInput, owner bool, sources []source) {
 	row := scored.row
 	scored.version = row.entry.Versions[in.call.Model]
@@ -211,7 +212,7 @@
 	if cached < sharedTokens && scored.version > 0 {
 		cached = g.planFetch(now, scored, in, cached, sources)
 	} else if scored.version > 0 && sharedTokens > 0 && in.store != nil {
-		scored.fetchFrom = in.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
+		scored.fetchFrom = in.store.Store // the engine may have evicted the parts, and asking the store is cheap
 	}
 	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
@@ -236,7 +237,7 @@
 	}
 }
 
-// healthPenalty is what speaks against a back end, in milliseconds.
+// healthPenalty returns the cost of signs that a back end is unhealthy or overloaded, in milliseconds.
 func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
 	cost := failingCost * row.failureRate
 	if g.on(mechanism.Avoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
@@ -246,7 +247,7 @@
 		cost += silentCost
 	}
 	if row.entry.Silent && row.failures > 0 {
-		cost += avoidCost // neither control nor this gateway has heard it since
+		cost += avoidCost // neither control nor this gateway has heard from it since
 	}
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
@@ -257,7 +258,8 @@
 	return cost
 }
 
-// enginePriority is the priority of a request at an engine: the tenant's comes first.
+// enginePriority returns a request's priority at an engine, 0 being the highest. The tenant's priority takes
+// precedence over the route's.
 func enginePriority(tenant *catalog.Tenant, route *catalog.Route) int {
 	tenantPriority := 0
 	if tenant != nil {
