--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -16,58 +16,59 @@
 )
 
 const (
-	// silenceTimeout is how long a back end may leave a request without a word, while it says nothing else either, before it is
-	// avoided.
+	// silenceTimeout is how long a back end may leave a request without a response, and send no bytes of any other
+	// response, before it is avoided.
 	silenceTimeout = 1200 * time.Millisecond
-	// outdatedAvoidance is how long a back end is avoided that holds older weights than believed: about a period of its heartbeats.
+	// outdatedAvoidance is how long a back end that holds older weights than expected is avoided; it is about one
+	// heartbeat interval.
 	outdatedAvoidance = time.Second
 )
 
-// endpoint is a row of the back end table.
+// endpoint is an entry of the back end table.
 type endpoint struct {
-	life                catalog.Life        // never changes
-	entry               control.RosterEntry // with the newest weights that control or the back end itself told of
-	controlVersions     map[string]uint64   // weights by model, as control last told them
-	entryAt             time.Duration       // when the entry came
+	life                catalog.Life        // immutable
+	entry               control.RosterEntry // with the newest weight versions reported by control or by the back end
+	controlVersions     map[string]uint64   // weight versions by model, as last reported by control
+	entryAt             time.Duration       // when the entry was received
 	occupancy           belief.Occupancy
-	prefillBusyUntil    time.Duration         // when the prompts sent so far, by any gateway, are taken to be read
-	cache               *belief.CacheEstimate // cached parts that it is believed to hold
-	hash                uint64                // of its address
-	longLane            bool                  // it serves long requests rather than short ones
+	prefillBusyUntil    time.Duration         // estimated end of the prefills of all gateways' requests sent so far
+	cache               *belief.CacheEstimate // estimate of the cached parts
+	hash                uint64                // of the address
+	longLane            bool                  // assigned to long requests rather than short ones
 	waiting             map[*attempt]time.Duration
-	lastByteAt          time.Duration // newest bytes of any answer
-	failures            int           // in a row
-	failureRate         float64       // share of failures, smoothed
+	lastByteAt          time.Duration // when the last bytes of any response arrived
+	failures            int           // consecutive
+	failureRate         float64       // smoothed
 	avoidUntil          time.Duration
-	limitExhaustedUntil time.Duration // nothing of its limit can be had until then, as the lender says
-	limitPacedUntil     time.Duration // no more of its limit is placed for other gateways until then
-	reports             suspicion     // of other gateways
+	limitExhaustedUntil time.Duration // until then no lease on its advertised limit can be had, according to the allocator
+	limitPacedUntil     time.Duration // until then no more requests of other gateways are placed under its advertised limit
+	reports             suspicion     // by other gateways that it is unreachable
 	gone                bool
 	assigned            bool // this gateway reads its cache events
 }
 
-// table holds the back ends of the newest roster.
+// table holds the back ends of the current roster, and state shared by requests.
 type table struct {
-	mechanisms       mechanism.Set // that are on
+	mechanisms       mechanism.Set // enabled ones
 	mutex            sync.Mutex
 	rows             map[string]*endpoint
 	services         map[string][]*endpoint
-	published        *belief.PublishTimes              // of weights
+	published        *belief.PublishTimes              // versions of weights
 	stored           *belief.StoredParts               // parts that were sent to a store
 	lanes            map[string]*lanes                 // by service
 	meanDurations    map[string]belief.MeanDuration    // by service
-	placed           map[string]placement              // for other gateways, by ticket
+	placed           map[string]placement              // placements for other gateways, by ticket
 	links            belief.Links                      // of engines and stores
 	prefillEstimates map[string]belief.PrefillEstimate // by service
-	lastSent         map[string]time.Duration          // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
+	lastSent         map[string]time.Duration          // when a prompt's shared parts were last sent, by the ID of the last of them; at most maxLastSent
 	admission        map[string]*admission.Controller  // by service
-	assignedCount    int                               // rows that are home
-	holders          map[string][]*endpoint            // that hold a shared part, under any salt, by its id
-	signals          *pushback.Tracker                 // what back ends said of themselves
-	leaseRetryAt     time.Duration                     // until then nobody is asked for a part of a limit: the lender gave no answer
-	lastRetryAt      map[string]time.Duration          // by service: when the caller that was told last may come back that found all at their limits
-	rosterChanged    *bell                             // rings with each roster
-	waiting          map[*attempt]struct{}             // all that wait at any row, also at those that are gone
+	assignedCount    int                               // number of assigned rows
+	holders          map[string][]*endpoint            // back ends that have a shared part cached under any salt, by part ID
+	signals          *pushback.Tracker                 // load and limit signals of back ends
+	leaseRetryAt     time.Duration                     // no lease on a limit is requested until then, since the allocator did not answer
+	lastRetryAt      map[string]time.Duration          // by service: the latest retry time given to a request rejected because all back ends were at their limits
+	rosterChanged    *bell                             // signals each new roster
+	waiting          map[*attempt]struct{}             // attempts awaiting a response, including those at removed back ends
 }
 
 func newTable(mechanisms mechanism.Set) *table {
@@ -79,8 +80,9 @@
 	}
 }
 
-// recordVersion notes the weights that a back end itself told of when it turned a request away, and reports whether they are news. Where they are
-// older than believed it is left alone for a while: control hears of it with the next heartbeat.
+// recordVersion records the weight version that a back end reported when it rejected a request, and reports
+// whether it is newer than the known one. A back end with older weights than known is avoided until control has
+// received its next heartbeat.
 func (t *table) recordVersion(now time.Duration, row *endpoint, model string, version uint64) (newer bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -95,14 +97,15 @@
 	return true
 }
 
-// applyWatchReply notes what every answer of control carries, and returns the versions of weights that it tells to be younger than known.
+// applyWatchReply applies the part of a watch reply that every reply carries, and returns the versions whose age
+// regressed.
 func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.published.Update(now, asked, reply.Version.Term, reply.Wanted)
 }
 
-// setAssigned notes which back ends this gateway reads.
+// setAssigned sets the back ends whose cache events this gateway reads.
 func (t *table) setAssigned(ids []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -115,7 +118,7 @@
 	}
 }
 
-// usage returns the own requests by instance.
+// usage returns the number of this gateway's running requests by instance.
 func (t *table) usage() map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -135,14 +138,15 @@
 	return row.entry.Loading && !row.gone
 }
 
-// hasHeartbeat reports whether control hears a back end's heartbeats.
+// hasHeartbeat reports whether control receives a back end's heartbeats.
 func (t *table) hasHeartbeat(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && !row.entry.Silent
 }
 
-// weightsDraining reports whether own requests run on a back end that gets no new ones, since its weights are to be replaced.
+// weightsDraining reports whether own requests run on a back end that gets no new ones because its weights are to
+// be replaced.
 func (t *table) weightsDraining() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -154,7 +158,7 @@
 	return false
 }
 
-// begin notes that an attempt is sent, and returns what this gateway now has running there.
+// begin records that an attempt is sent, and returns this gateway's load at its back end.
 func (t *table) begin(now time.Duration, sent *attempt) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -170,7 +174,7 @@
 	return sent.row.occupancy.Local()
 }
 
-// recordBytes notes bytes of an answer; the first ones end the wait.
+// recordBytes records bytes of a response; the first ones end the attempt's wait.
 func (t *table) recordBytes(now time.Duration, sent *attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -178,7 +182,8 @@
 	t.endWait(sent)
 }
 
-// endWait notes that an attempt waits no longer, and ends the watch of its limit. The caller holds the mutex.
+// endWait removes an attempt from those awaiting a response, and stops its start deadline timer. The caller holds
+// the mutex.
 func (t *table) endWait(sent *attempt) {
 	delete(sent.row.waiting, sent)
 	delete(t.waiting, sent)
@@ -187,7 +192,7 @@
 	}
 }
 
-// end notes that an attempt is over, and how it went. It returns what this gateway still has running there.
+// end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
 func (t *table) end(now time.Duration, sent *attempt, grade outcomeGrade) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -201,13 +206,13 @@
 	return sent.row.occupancy.Local()
 }
 
-// recordDuration learns how long a request stayed at a back end. The caller holds the mutex.
+// recordDuration updates the mean request duration of a back end's service. The caller holds the mutex.
 func (t *table) recordDuration(row *endpoint, length time.Duration) {
 	service := row.entry.Service
 	t.meanDurations[service] = t.meanDuration(service).Observe(length)
 }
 
-// meanDuration returns how long requests meanDuration at the back ends of a service.
+// meanDuration returns the mean request duration at the back ends of a service.
 func (t *table) meanDuration(service string) belief.MeanDuration {
 	if known, measured := t.meanDurations[service]; measured {
 		return known
@@ -215,7 +220,7 @@
 	return belief.InitialMeanDuration
 }
 
-// applySends notes what other gateways sent, and returns what is news of what back ends said of themselves.
+// applySends applies announcements of other gateways, and returns the new signals of back ends among them.
 func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -246,7 +251,7 @@
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
 		if sent.Salt == "" {
-			continue // it tells of no prompt
+			continue // no prompt is described
 		}
 		t.addPrefill(at, row, sent.Uncached)
 		t.recordCached(at, row, sent)
@@ -255,7 +260,7 @@
 	return updates
 }
 
-// lanesOf returns the lanes of a service, made when it is first named.
+// lanesOf returns the lanes of a service, creating them on first use.
 func (t *table) lanesOf(service string) *lanes {
 	found := t.lanes[service]
 	if found == nil {
@@ -265,7 +270,7 @@
 	return found
 }
 
-// sweep forgets what is long past.
+// sweep removes expired state.
 func (t *table) sweep(now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -283,7 +288,8 @@
 	}
 }
 
-// unresponsive reports whether a back end leaves requests without a word.
+// unresponsive reports whether a back end has left a request without a response for longer than silenceTimeout and
+// sent no other bytes meanwhile.
 func (e *endpoint) unresponsive(now time.Duration) bool {
 	if len(e.waiting) == 0 || now-e.lastByteAt < silenceTimeout {
 		return false
