--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// longPromptTokens is how many prompt tokens an engine has to read for a request to count as long. While it reads them, the
-	// streams that run there get their tokens late.
+	// longPromptTokens is the number of prompt tokens to prefill from which a request counts as long. Its prefill
+	// delays the tokens of the streams running at the engine.
 	longPromptTokens = 1500
-	// demandDecayTime is how fast the measured demand of long and short requests is forgotten.
+	// demandDecayTime is the time constant of the decaying demand of long and short requests.
 	demandDecayTime = 6 * time.Second
-	// baseDemand is the demand, in prompt tokens, that both are taken to have from the start.
+	// baseDemand is the initial demand of each kind, in prompt tokens.
 	baseDemand = 4000.0
-	// minSlotDemand: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
-	// Where slots are few, the time that it keeps one of them counts as reading.
+	// minSlotDemand is the minimum demand, in prompt tokens, added to a short request for the slot it occupies while
+	// it generates. If slots are few, its time in a slot counts instead.
 	minSlotDemand = 250.0
-	// lanesOffUtilization is the share of a service's slots in use from which on there are no lanes: where slots are scarce, those that a
-	// lane keeps free for one kind are missing to the other. Below it they count the less the more slots are in use, looked at each
-	// roomEach.
+	// lanesOffUtilization is the slot utilization from which on lanes are ignored, since slots that a lane keeps free
+	// for one kind of request would be missing for the other. Below it their weight falls linearly. Utilization is
+	// computed every utilizationInterval.
 	lanesOffUtilization = 0.5
-	utilizationInterval = 50 * time.Millisecond
-	// longOffLaneCost and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
+	utilizationInterval = 50 * time.Millisecond // fraction of slots in use
+	// longOffLaneCost and shortOffLaneCost are the costs of a request at an engine of the other lane, in
+	// milliseconds.
 	longOffLaneCost  = 120.0
 	shortOffLaneCost = 60.0
 )
 
-// lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
-// see alike, so that long prompts stay out of the short requests' way.
+// lanes divides the engines of a service between long and short requests in proportion to their demand, so that
+// long prefills do not delay short requests. All gateways see about the same demand.
 type lanes struct {
 	long, short   float64 // decaying sums of demand, in prompt tokens
 	at            time.Duration
-	longFraction  float64        // of the engines that serve long requests, when they were divided last
-	divided       []*endpoint    // as they were then
-	members       [2][]*endpoint // of divided: those for short requests, and those for long ones
+	longFraction  float64        // fraction of the engines for long requests at the last division
+	divided       []*endpoint    // engines at the last division
+	members       [2][]*endpoint // engines of the short lane and of the long lane
 	utilization   float64        // share of the slots that are in use
-	utilizationAt time.Duration  // when that was looked at
+	utilizationAt time.Duration  // when utilization was computed
 }
 
-// measureUtilization looks how many of the slots are in use. Where slots are not known, none count as in use.
+// measureUtilization computes the slot utilization; it is 0 if the slots are not known.
 func (l *lanes) measureUtilization(now time.Duration, rows []*endpoint) {
 	if now < l.utilizationAt+utilizationInterval && l.utilizationAt > 0 {
 		return
@@ -59,10 +60,11 @@
 	}
 }
 
-// weight is how much lanes count, from 0 to 1.
+// weight returns the factor applied to off-lane costs, from 0 to 1.
 func (l *lanes) weight() float64 { return min(max(1-l.utilization/lanesOffUtilization, 0), 1) }
 
-// recordDemand adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
+// recordDemand adds the demand of a request. slotTime is how long it occupies a slot, divided by the engine's
+// slots, in milliseconds.
 func (l *lanes) recordDemand(now time.Duration, uncached int, slotTime float64) {
 	l.decay(now)
 	if uncached >= longPromptTokens {
@@ -80,13 +82,13 @@
 	l.long, l.short, l.at = l.long*factor, l.short*factor, now
 }
 
-// longDemandFraction returns the share of the engines for long requests.
+// longDemandFraction returns the fraction of the demand that is of long requests.
 func (l *lanes) longDemandFraction() float64 {
 	return (l.long + baseDemand) / (l.long + l.short + 2*baseDemand)
 }
 
-// divide marks the engines of each zone for long requests: the first by hash, at least one of each kind where there are
-// two or more. An engine changes sides only when the share has moved by more than half of one.
+// divide assigns the engines of each zone, ordered by hash, to the long and short lanes, with at least one in each
+// if the zone has two. It changes the fraction only by more than half an engine.
 func (l *lanes) divide(rows []*endpoint) {
 	share := l.longDemandFraction()
 	moved := math.Abs(share-l.longFraction)*float64(len(rows)) > 0.5
@@ -115,7 +117,7 @@
 	}
 }
 
-// of returns the engines for requests that read so many tokens, as they were divided last.
+// of returns the engines for requests with the given tokens to prefill.
 func (l *lanes) of(uncached int) []*endpoint {
 	return l.members[laneIndex(uncached >= longPromptTokens)]
 }
@@ -127,7 +129,8 @@
 	return 0
 }
 
-// offLaneCost is what a request costs on an engine of the other lane, in milliseconds, where lanes are on.
+// offLaneCost returns the cost of a request at an engine of the other lane, in milliseconds, scaled by the weight
+// of the service's lanes, or 0 if lanes are disabled.
 func (g *Gateway) offLaneCost(e *endpoint, uncached int) float64 {
 	if !g.on(mechanism.Lanes) {
 		return 0
