--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// indexHolder makes a back end be found by parts that it holds.
+// indexHolder adds a back end to the holders of the parts that it has cached. The caller holds the mutex.
 func (t *table) indexHolder(row *endpoint, parts []prefix.Part) {
 	for _, part := range parts {
 		if row.cache.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
@@ -18,7 +18,8 @@
 	}
 }
 
-// cacheAddress returns where a back end may be asked what it keeps. One that wants rest isn't asked that either.
+// cacheAddress returns the address at which a back end's cache may be read. A back end that asked this gateway to
+// back off is not read.
 func (t *table) cacheAddress(now time.Duration, id string) (string, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -29,7 +30,8 @@
 	return row.entry.Address, true
 }
 
-// applyCacheReport takes up what a back end tells that it keeps, and returns what was believed otherwise, as sends that say so.
+// applyCacheReport applies a back end's report of its cache, and returns the differences from the estimate as
+// announcements for other gateways.
 func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, whole bool) []send {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -49,12 +51,15 @@
 	return corrections
 }
 
-// recordDemand notes what an engine was sent to read, for the lanes of its service. The caller holds the mutex.
+// recordDemand records the demand of a request sent to an engine, for the lanes of its service. The caller holds
+// the mutex.
 func (t *table) recordDemand(now time.Duration, row *endpoint, uncached int) {
 	slotTime := float64(t.meanDuration(row.entry.Service)) / float64(max(1, row.entry.Slots))
 	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
 
+// recordCached records the parts that a request leaves in the caches of its engine and of the store. The caller
+// holds the mutex.
 func (t *table) recordCached(at time.Duration, row *endpoint, sent send) {
 	row.cache.RecordUse(at, sent.Salt, sent.Parts)
 	t.recordSent(at, prefix.Shared(sent.Parts))
@@ -65,7 +70,7 @@
 	}
 }
 
-// recordOwnSend notes which parts an own send leaves where.
+// recordOwnSend records the demand and the cached parts of a request that this gateway placed.
 func (t *table) recordOwnSend(now time.Duration, sent send) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -75,7 +80,8 @@
 	}
 }
 
-// sweepHolders drops back ends that are gone, and parts that nobody holds any more, from the holders.
+// sweepHolders removes back ends that are gone or have evicted a part from its holders. The caller holds the
+// mutex.
 func (t *table) sweepHolders() {
 	for id, rows := range t.holders {
 		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.cache.Holds(id) })
