--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	// minTransferTime is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
+	// minTransferTime is the minimum duration of a copy, in milliseconds; crossZoneFactor multiplies that of copies
+	// between zones.
 	minTransferTime = 4.0
 	crossZoneFactor = 2.0
-	// displacementWeight is what each copied token costs besides, as a part of the time of reading one.
+	// displacementWeight is the cost of each copied token for evicting others, as a fraction of the prefill time of a
+	// token.
 	displacementWeight = 0.8
-	// maxSaveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
+	// maxSaveWait is how long a store's link may be busy for parts to be saved there; copies that requests wait for
+	// take precedence.
 	maxSaveWait           = 60 * time.Millisecond
 	bitsPerByte           = 8
 	bitsPerMegabit        = 1e6
 	millisecondsPerSecond = 1e3
 )
 
-// source is a back end that is believed to hold leading parts of a prompt.
+// source is a back end that is estimated to have leading parts of a prompt cached.
 type source struct {
 	row     *endpoint
 	version uint64
 	tokens  int
 }
 
-// sources returns back ends that hold leading shared parts of the prompt, each under the salt of its own weights, the
-// deepest first, at most maximumHolders. Of the many that hold a common part a random sample is looked at, so that deciders
-// which know the same don't all choose among the same few.
+// sources returns up to maxSources back ends that have leading shared parts of the prompt cached, each under the
+// salt of its own weights, those with the most tokens first. Of the many holders of a common part a random sample
+// is checked, so that gateways with equal knowledge do not all choose among the same few.
 func (g *Gateway) sources(now time.Duration, in selectionInput) []source {
 	shared := prefix.Shared(in.call.Parts)
 	if !in.service.Engine || len(shared) == 0 || !in.trusted {
@@ -56,7 +59,7 @@
 	return found
 }
 
-// sampled returns all of a few rows, and as many at random of more; a row may come twice then.
+// sampled returns all rows if there are at most count, else count random ones with replacement.
 func sampled(rows []*endpoint, count int) []*endpoint {
 	if len(rows) <= count {
 		return rows
@@ -68,7 +71,7 @@
 	return picked
 }
 
-// saltCache keeps the salt of the weights that came last: few versions are about at a time, mostly one.
+// saltCache caches the last computed salt; most back ends have the same version.
 type saltCache struct {
 	version uint64
 	name    string
@@ -82,7 +85,7 @@
 	return k.name
 }
 
-// sourceFrom returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
+// sourceFrom returns what a back end has cached of a prompt's shared parts under its own weights.
 func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, in selectionInput, salts *saltCache) (source, bool) {
 	version := row.entry.Versions[in.call.Model]
 	if version == 0 || row.entry.Service != in.service.Name || now < row.avoidUntil || row.entry.Loading {
@@ -92,17 +95,17 @@
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
-// copyPlan is one way to have missing shared parts at an engine.
+// copyPlan is a way to get missing shared parts to an engine.
 type copyPlan struct {
 	from   string  // address, or ""
-	tokens int     // held there from the first part on
-	time   float64 // milliseconds that the move takes
-	cost   float64 // milliseconds, with the wait for its turn and what it displaces
+	tokens int     // leading tokens cached there
+	time   float64 // duration of the transfer, in milliseconds
+	cost   float64 // milliseconds, including the wait for the link and displacement
 }
 
-// planFetch chooses how the engine gets the missing shared parts, and returns the tokens that need not be read. Reading them
-// again is one of the ways: a copy that waits long for its turn is worth less than that. Where nobody is known to hold more,
-// the store is asked: a miss costs next to nothing.
+// planFetch decides how the engine gets the missing shared parts, and returns the tokens that it need not prefill.
+// They are copied from another engine or the store if that costs less than recomputing them. If no other holder is
+// known, the store is asked anyway, since a miss costs little.
 func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
 	shared := prefix.Shared(in.call.Parts)
 	sharedTokens := prefix.PartTokens(shared)
@@ -125,18 +128,18 @@
 		return best.tokens
 	case !stored && in.store != nil && g.table.links.Wait(now, in.store.Store) < maxSaveWait:
 		scored.fetchFrom, scored.saveTo = in.store.Store, in.store.Store
-		saved := g.storeCopy(now, scored, in, sharedTokens, cached) // the way there takes as long as the way back
+		saved := g.storeCopy(now, scored, in, sharedTokens, cached) // saving takes as long as fetching
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
 }
 
-// netCost is what a way costs more than to read the parts, in milliseconds; below 0 it is the better one.
+// netCost returns the cost of a copy minus that of recomputing the parts, in milliseconds.
 func (p copyPlan) netCost(cached int) float64 {
 	return p.cost - (1+recomputeWeight)*float64(p.tokens-cached)/belief.PrefillRate
 }
 
-// bestEngineCopy returns the copy from an engine that costs least against reading.
+// bestEngineCopy returns the copy from an engine with the least net cost.
 func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) (best copyPlan, found bool) {
 	for _, other := range sources {
 		if other.row == scored.row || other.version != scored.version || other.tokens <= cached {
@@ -151,13 +154,13 @@
 	return best, found
 }
 
-// storeCopy returns what a copy between the store and the engine costs.
+// storeCopy returns the cost of a copy between the store and the engine.
 func (g *Gateway) storeCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
 	crossZone := in.store.Zone != scored.row.entry.Zone
 	return g.copyPlan(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
 }
 
-// copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
+// copyPlan returns the cost of copying the tokens beyond the cached ones over a link of the given Mbit/s.
 func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
 	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
@@ -170,7 +173,7 @@
 	return plan
 }
 
-// transferTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
+// transferTime returns how long copying cached tokens over the slower of two links takes, in milliseconds.
 func transferTime(service *catalog.Service, linkMbps float64, tokens int, crossZone bool) float64 {
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
 		return minTransferTime
