--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// maxScoreAll is the number of a service's back ends up to which all are scored; beyond it a shortlist is.
+	// maxScoreAll is the number of back ends of a service up to which all are scored; above it only a shortlist is.
 	maxScoreAll = 64
-	// maxSources and holdersSampled bound the back ends that are looked at as sources of copies: in all, and of those that hold
-	// the same part.
+	// maxSources bounds the back ends considered as sources of copies, and holderSample those checked for one part.
 	maxSources   = 24
 	holderSample = 24
-	// Of a large service few back ends are scored: several gateways decide at once and know of each other 20 ms late, so that the
-	// best of many would be the same one for all of them. maxHoldersScored of those that hold the whole shared prompt are, as many of
-	// those that hold a part of it, homeSample of those that this gateway reads, and sampleSize of all. Samples of 24 and 12, 8 and
-	// 6, 4 and 4 were played (design/015).
+	// Few back ends of a large service are scored, since the concurrent decisions of several gateways would else all
+	// pick the same best one. Scored are up to maxHoldersScored back ends that have the whole shared prompt cached,
+	// as many that have a part of it, assignedSample of those assigned to this gateway, and serviceSample of all.
 	maxHoldersScored = 4
 	assignedSample   = 4
 	serviceSample    = 2
-	// plainSample back ends of a service without engines are scored where schedulers place: two choices do nearly as well as all,
-	// and three allow for one that is slow.
+	// plainSample is the number of back ends scored for a service without engines where schedulers place requests.
+	// Two random choices are nearly as good as scoring all; the third allows for a slow one.
 	plainSample = 3
-	// maxSampleTries is how often a random back end is drawn to find some that may get the request; a third of them may be loading.
+	// maxSampleTries bounds the random draws that look for eligible back ends, of which a third may be loading
+	// weights.
 	maxSampleTries = 24
 )
 
-// shortlist returns the back ends worth scoring: all of a small service, else the owner, those that hold parts of the
-// prompt, and a random sample of those that are meant for requests as long as this one.
+// shortlist returns the back ends to score: all of a small service, else the owner, holders of the prompt's parts,
+// and a random sample of the lane of the request.
 func (g *Gateway) shortlist(now time.Duration, rows []*endpoint, owner *endpoint, sources []source, in selectionInput) []*endpoint {
 	switch {
 	case !in.service.Engine && g.table.assignedCount > 0:
@@ -47,7 +46,8 @@
 	return append(picked, g.sample(now, g.laneMembers(rows, in), in)...)
 }
 
-// sampleHolders returns a few back ends that hold all shared tokens of the prompt, and a few of those that hold less, at random.
+// sampleHolders returns a few back ends that have all shared tokens of the prompt cached, and a few random ones of
+// those that have fewer.
 func sampleHolders(sources []source, shared int) []*endpoint {
 	var picked, partial []*endpoint
 	for _, held := range sources {
@@ -60,7 +60,7 @@
 	return append(picked, sampled(partial, maxHoldersScored)...)
 }
 
-// laneMembers returns the back ends that serve requests as long as this one, or all where there are no lanes.
+// laneMembers returns the back ends of the request's lane, or all if lanes are not used.
 func (g *Gateway) laneMembers(rows []*endpoint, in selectionInput) []*endpoint {
 	if !in.service.Engine || !g.on(mechanism.Lanes) {
 		return rows
@@ -72,8 +72,8 @@
 	return rows
 }
 
-// sample returns a few back ends at random that may get the request: of those that this gateway reads, which are few and which
-// nobody else samples, and of all.
+// sample returns a few random eligible back ends: first some assigned to this gateway, which no other gateway
+// samples, then any.
 func (g *Gateway) sample(now time.Duration, rows []*endpoint, in selectionInput) []*endpoint {
 	var home []*endpoint
 	for _, row := range rows {
@@ -85,8 +85,8 @@
 	return g.pickRandom(now, picked, rows, assignedSample+serviceSample, in)
 }
 
-// scanEligible returns a few back ends that may get the request, in order from a random one on: where most of a service want rest or load, a sample may
-// hold none of the others.
+// scanEligible returns a few eligible back ends, scanning from a random one on. It is used if the shortlist has
+// none, as may be when most back ends of a service are backing off or overloaded.
 func (g *Gateway) scanEligible(now time.Duration, rows []*endpoint, in selectionInput) []*endpoint {
 	var found []*endpoint
 	first := rand.IntN(len(rows))
@@ -98,7 +98,7 @@
 	return found
 }
 
-// pickRandom adds back ends at random that may get the request, until there are so many.
+// pickRandom adds random eligible back ends until there are count.
 func (g *Gateway) pickRandom(now time.Duration, picked, rows []*endpoint, count int, in selectionInput) []*endpoint {
 	for tries := 0; tries < maxSampleTries && len(picked) < count && len(rows) > 0; tries++ {
 		if row := rows[rand.IntN(len(rows))]; g.eligible(now, row, in) && !slices.Contains(picked, row) {
