--- a/internal/gateway/near.go
+++ b/internal/gateway/near.go
@@ -7,18 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// nearbyReplicas are the control replicas of the own zone that answer for the leader, the one to ask first. A zone's gateways spread over them, and each
-// stays with its own while that answers. It is used by the thread that follows control only.
+// nearbyReplicas is the list of control replicas in the gateway's zone that answer on behalf of the leader, the
+// one to ask first in front. Gateways spread over them, and each stays with its replica while that answers. It is
+// used only by the goroutine that follows control.
 type nearbyReplicas struct {
-	gatewayHash uint64   // weight of the gateway
-	addresses   []string // in the order of this gateway; empty where the leader answers
+	gatewayHash uint64   // hash of the gateway's name
+	addresses   []string // in this gateway's order of preference; empty if only the leader answers
 }
 
 func newNearbyReplicas(name string) *nearbyReplicas {
 	return &nearbyReplicas{gatewayHash: xxhash.Sum64String(name)}
 }
 
-// update takes the replicas up that control names. Those that stay keep their order, so that one that failed is not asked again at once.
+// update applies the replicas that control lists. Known ones keep their order, so that one that failed is not
+// asked first again.
 func (n *nearbyReplicas) update(addresses []string) {
 	known := slices.DeleteFunc(slices.Clone(n.addresses), func(a string) bool { return !slices.Contains(addresses, a) })
 	added := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(known, a) })
@@ -35,7 +37,7 @@
 	return n.addresses[0], true
 }
 
-// demoteFirst puts the first one last.
+// demoteFirst moves the first replica to the end after it failed to answer.
 func (n *nearbyReplicas) demoteFirst() {
 	if len(n.addresses) > 1 {
 		n.addresses = append(n.addresses[1:], n.addresses[0])
