--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -7,10 +7,10 @@
 	"kitetiller/internal/catalog"
 )
 
-// maxPhase bounds the random part of a cycle that a split starts after.
+// maxPhase bounds the random number of rounds that a new split skips.
 const maxPhase = 1000
 
-// splits spreads the requests of a route over its targets by weight.
+// splits distributes the requests of a route over its targets by weight.
 type splits struct {
 	mu      sync.Mutex
 	rng     *rand.Rand                    // guarded by mu
@@ -21,8 +21,9 @@
 	return &splits{rng: rng, credits: map[string]map[string]float64{}}
 }
 
-// next returns the target that is owed most (smooth weighted round robin), so that shares hold over short spans. Each
-// gateway starts at a random place of the cycle, so that they also hold over many gateways with few requests each.
+// next returns the target with the most credit (smooth weighted round robin), so that the shares hold over few
+// requests. Each gateway starts at a random round, so that they also hold over many gateways with few requests
+// each.
 func (s *splits) next(route *catalog.Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -40,7 +41,7 @@
 	return advance(credits, route)
 }
 
-// advance pays each target its weight, and takes the round's total from the one that is owed most.
+// advance credits each target with its weight, and charges the total weight to the one with the most credit.
 func advance(credits map[string]float64, route *catalog.Route) string {
 	best := ""
 	for _, t := range route.Targets {
