--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -9,16 +9,17 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// startDeadline returns until when requests may begin on a back end's weights, if newer ones were named. The time counts
-// from when the oldest version that it lacks was named, not the newest. The caller holds the table's mutex, and asks again
-// whenever it acts: news move the limit.
+// startDeadline returns the time by which requests must start on a back end's weights, if newer versions were
+// published. It counts from the oldest version that the back end lacks. The caller holds the table's mutex, and
+// must not keep the result, since updates change it.
 func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	namedAt, lacks := g.missingSince(row, service, model)
 	return namedAt + g.settings.VersionLimit, lacks
 }
 
-// missingSince returns when the oldest version that a back end lacks was named, if there is one. An engine whose weights are
-// not known may have any old ones, so it counts as lacking all; a plain service has none to lack.
+// missingSince returns when the oldest version that a back end lacks was published, if there is one. An engine
+// with unknown weights counts as lacking all versions; a back end of a service without engines lacks none unless
+// it has reported one.
 func (g *Gateway) missingSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	held, holds := row.entry.Versions[model]
 	if !holds && !service.Engine {
@@ -27,9 +28,9 @@
 	return g.table.published.OldestMissing(model, held)
 }
 
-// placementDeadline is beginLimit for a place that was chosen. A request begins on the weights that it expects or nowhere, and whoever chose
-// them may believe others than this gateway does now, so the oldest version counts that either lack. One that expects none begins on
-// whatever is there. The caller holds the table's mutex.
+// placementDeadline returns the start deadline of a request placed by a decision that may have expected older
+// weights than are known now. The request starts only on the weights that it expects, so the oldest version that
+// either lacks counts. A request that expects none starts on any. The caller holds the table's mutex.
 func (g *Gateway) placementDeadline(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
 	limit, limited := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
@@ -46,14 +47,14 @@
 	return min(limit, expected), true
 }
 
-// startsTooLate reports whether a request would likely begin after the limit that holds now at a place that was chosen. The caller
-// holds the table's mutex.
+// startsTooLate reports whether a placed request would likely start after its current deadline. The caller holds
+// the table's mutex.
 func (g *Gateway) startsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
 	limit, limited := g.placementDeadline(placed, service, model)
 	return limited && placed.startsAfter(now, limit)
 }
 
-// scoredTooLate is beginsTooLate for a place that was just scored, and notes the limit with it.
+// scoredTooLate is startsTooLate for a candidate that was just scored, and stores the deadline in it.
 func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, in selectionInput) bool {
 	limit, limited := g.placementDeadline(scored, in.service, in.call.Model)
 	if !limited {
@@ -63,12 +64,13 @@
 	return scored.startsAfter(now, limit)
 }
 
-// startsAfter reports whether a request that is sent now would likely begin after a limit.
+// startsAfter reports whether a request sent now would likely start after a deadline.
 func (c *candidate) startsAfter(now, limit time.Duration) bool {
 	return now+belief.FromMilliseconds(beginFactor*c.wait) >= limit-beginMargin
 }
 
-// watchStartDeadline ends the attempt if it has not begun when the limit for its back end's weights nears, and looks again then.
+// watchStartDeadline cancels the attempt if it has not started shortly before its start deadline, and otherwise
+// sets a timer to check again.
 func (a *attempt) watchStartDeadline() {
 	g := a.exchange.gateway
 	g.table.mutex.Lock()
@@ -79,8 +81,8 @@
 	}
 }
 
-// watchStartDeadlines sets the watch of all attempts that wait to the limits that hold now: news may have brought one forward, or the
-// first one.
+// watchStartDeadlines updates the deadline timers of all waiting attempts, for use when published versions have
+// changed.
 func (g *Gateway) watchStartDeadlines() {
 	var late []*attempt
 	g.table.mutex.Lock()
@@ -96,8 +98,9 @@
 	}
 }
 
-// armDeadlineTimer sets the attempt's watch to the limit that holds now, and reports whether it must be taken back at once. A limit
-// that moved later, or is gone, is seen when the timer fires. The caller holds the table's mutex.
+// armDeadlineTimer sets the attempt's timer to its current start deadline, and reports whether the attempt must be
+// canceled at once. A deadline that has moved later is noticed when the timer fires. The caller holds the table's
+// mutex.
 func (a *attempt) armDeadlineTimer(now time.Duration) (late bool) {
 	x := a.exchange
 	if _, waits := a.row.waiting[a]; !waits {
@@ -118,8 +121,8 @@
 	return false
 }
 
-// cacheSalt names the cached parts that a request may share: those of the same weights, and of the same tenant where it
-// shares nothing.
+// cacheSalt returns the namespace of cached parts that a request may share: those of the same weights, and of the
+// same tenant if it is isolated.
 func cacheSalt(version uint64, tenant *catalog.Tenant) string {
 	name := "w" + formatVersion(version)
 	if tenant != nil && tenant.Isolated {
@@ -128,7 +131,7 @@
 	return name
 }
 
-// uniqueSalt names cached parts that nobody shares, for where it is not known which weights made them.
+// uniqueSalt returns a namespace that no other request shares, for use when the weights are unknown.
 func uniqueSalt() string { return "u" + strconv.FormatUint(rand.Uint64(), saltBase) }
 
 const saltBase = 36
