--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -9,15 +9,16 @@
 	"kitetiller/internal/events"
 )
 
-// versionComparison is what an answer tells of a back end's weights, beside what was believed of them.
+// versionComparison is the weight version that a response reports, compared with what is known.
 type versionComparison struct {
-	believed     uint64        // now
-	answered     uint64        // 0 unknown
-	missingSince time.Duration // when the oldest version was named that the weights lack
-	outdated     bool          // there is such a version
+	believed     uint64        // known version
+	answered     uint64        // version in the response, or 0
+	missingSince time.Duration // when the oldest version that the back end lacks was published
+	outdated     bool          // the back end lacks a version
 }
 
-// compareVersions compares the weights of an answer, or the believed ones where it names none, with what was named.
+// compareVersions compares the version of a response, or the known one if it reports none, with the published
+// versions.
 func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
@@ -30,8 +31,8 @@
 	return seen
 }
 
-// logVersionMismatch logs that an answer names other weights than were expected or believed, or that a request began on weights that
-// lack a named version: whether it was allowed to can't be told later without the limits that held.
+// logVersionMismatch logs that a response reports other weights than expected or known, or that a request started
+// on outdated weights, with the deadlines in force.
 func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
 	x := a.exchange
 	begun := status < http.StatusMultipleChoices && verdict.Signed
@@ -59,8 +60,7 @@
 	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
-// deadlineFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
-// place was chosen, and the one that holds now.
+// deadlineFields returns the log fields for the start deadline known at the decision and the current one.
 func (a *attempt) deadlineFields(now, named time.Duration, lacks bool) []zap.Field {
 	var fields []zap.Field
 	if a.plan.startDeadline > 0 {
@@ -73,7 +73,7 @@
 	return fields
 }
 
-// outdatedFields returns the limits of an attempt that was ended for them.
+// outdatedFields returns the log fields of an attempt that was canceled at its start deadline.
 func (a *attempt) outdatedFields() []zap.Field {
 	x := a.exchange
 	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
