--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -6,25 +6,26 @@
 	"kitetiller/internal/prefix"
 )
 
-// recomputeCause tells why an engine is expected to read shared parts.
+// recomputeCause is the reason why an engine is expected to recompute shared parts.
 type recomputeCause string
 
 const (
-	recomputeFirst          recomputeCause = "first"           // nobody was known to have read them lately
-	recomputeLost           recomputeCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
-	recomputeOtherWeights   recomputeCause = "other-weights"   // who holds them has made them with other weights
-	recomputeHolderBarred   recomputeCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
+	recomputeFirst          recomputeCause = "first"           // not sent anywhere recently
+	recomputeLost           recomputeCause = "lost"            // sent recently, but no known holder remains: it ended, or evicted them
+	recomputeOtherWeights   recomputeCause = "other-weights"   // the holders computed them with other weights
+	recomputeHolderBarred   recomputeCause = "holder-barred"   // the holders are avoided, are loading weights, or have them under another salt
 	recomputeCheaper        recomputeCause = "dearer"          // a copy would cost more
-	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
+	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the engine's weights are unknown
 )
 
 const (
-	// lastSentTTL is how long a shared part that was sent somewhere counts as read lately, and metMost how many are remembered.
+	// lastSentTTL is how long a shared part that was sent counts as sent recently, and maxLastSent bounds the parts
+	// remembered.
 	lastSentTTL = 20 * time.Second
 	maxLastSent = 20_000
 )
 
-// recordSent notes that shared parts are sent to a back end. The caller holds the mutex.
+// recordSent records that shared parts are sent to a back end. The caller holds the mutex.
 func (t *table) recordSent(at time.Duration, shared []prefix.Part) {
 	if len(shared) == 0 {
 		return
@@ -35,7 +36,7 @@
 	}
 }
 
-// sweepLastSent forgets what was sent long ago. The caller holds the mutex.
+// sweepLastSent removes parts sent longer than lastSentTTL ago. The caller holds the mutex.
 func (t *table) sweepLastSent(now time.Duration) {
 	for id, at := range t.lastSent {
 		if now-at > lastSentTTL {
@@ -44,7 +45,7 @@
 	}
 }
 
-// explainRecompute tells why a chosen engine is to read shared parts. The caller holds the table's mutex.
+// explainRecompute returns why the chosen engine recomputes shared parts. The caller holds the table's mutex.
 func (g *Gateway) explainRecompute(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
 	switch {
 	case chosen.version == 0:
