--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -6,7 +6,7 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// prefillEstimate returns the learnt prefillEstimate of a service's engines. The caller holds the mutex.
+// prefillEstimate returns the prefill estimate of a service's engines. The caller holds the mutex.
 func (t *table) prefillEstimate(service string) belief.PrefillEstimate {
 	if known, learnt := t.prefillEstimates[service]; learnt {
 		return known
@@ -14,7 +14,8 @@
 	return belief.DefaultPrefillEstimate()
 }
 
-// observePrefill learns from a request that was placed so, and whose first event came after a time.
+// observePrefill updates the estimate with a request's time to the first event. Only requests placed at an idle
+// engine count.
 func (t *table) observePrefill(row *endpoint, alone bool, uncached int, first time.Duration) {
 	if !alone || first <= 0 {
 		return
@@ -25,7 +26,7 @@
 	t.prefillEstimates[service] = t.prefillEstimate(service).Observe(uncached, first)
 }
 
-// addPrefill notes that an engine has so many more prompt tokens to addPrefill. The caller holds the mutex.
+// addPrefill adds prompt tokens to the prefill queue of an engine. The caller holds the mutex.
 func (t *table) addPrefill(now time.Duration, row *endpoint, tokens int) {
 	row.prefillBusyUntil = max(now, row.prefillBusyUntil) + t.prefillEstimate(row.entry.Service).PrefillTime(tokens)
 }
