--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -135,7 +135,7 @@
 	return before.tokens != next.tokens && !before.private
 }
 
-// ApplyReport applies a report of the engine, which lists either its whole cache or the changes, and returns the
+// ApplyReport applies a report of the engine, which lists either its full contents or the changes, and returns the
 // shareable parts for which the estimate was wrong.
 func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
 	h.RecordReport(now)
@@ -151,8 +151,8 @@
 	return append(corrections, h.expire(now, listed, whole)...)
 }
 
-// expire removes parts that were sent longer than unconfirmedTTL ago and never reported and, after a whole list,
-// confirmed parts that it does not name.
+// expire removes parts that were sent longer than unconfirmedTTL ago and never reported. If the report is a full
+// list, it also removes confirmed parts that are not listed.
 func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, whole bool) []CachedPart {
 	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
 		return nil
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A whole list removes the entries that it does not name, except those sent since.
+// A full list removes the entries that it does not name, except those sent since.
 func TestWholeListReplacesReportedEntries(t *testing.T) {
 	h := NewCacheEstimate(100_000)
 	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
@@ -61,7 +61,7 @@
 // engineCache is the reference model of an engine's cache: cached tokens by part.
 type engineCache map[string]int
 
-// After any sequence of sends, evictions, lost events and whole lists, the estimate of a gateway that reads the
+// After any sequence of sends, evictions, lost events and full lists, the estimate of a gateway that reads the
 // engine equals the engine's cache, and so does that of a gateway that gets only the corrections.
 func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -25,7 +25,7 @@
 	// for one kind of request would be missing for the other. Below it their weight falls linearly. Utilization is
 	// computed every utilizationInterval.
 	lanesOffUtilization = 0.5
-	utilizationInterval = 50 * time.Millisecond // fraction of slots in use
+	utilizationInterval = 50 * time.Millisecond
 	// longOffLaneCost and shortOffLaneCost are the costs of a request at an engine of the other lane, in
 	// milliseconds.
 	longOffLaneCost  = 120.0
@@ -40,7 +40,7 @@
 	longFraction  float64        // fraction of the engines for long requests at the last division
 	divided       []*endpoint    // engines at the last division
 	members       [2][]*endpoint // engines of the short lane and of the long lane
-	utilization   float64        // share of the slots that are in use
+	utilization   float64        // fraction of slots in use
 	utilizationAt time.Duration  // when utilization was computed
 }
 
