--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -151,7 +151,7 @@
 		return nil
 	}
 	key := xxhash.Sum64String(prefix.AffinityKey(in.call.Parts))
-	longest := in.maxUncached()
+	uncached := in.maxUncached()
 	var best *endpoint
 	var highest uint64
 	for _, row := range rows {
@@ -159,7 +159,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, longest) > 0 || g.table.signals.Limit(row.life).Advertised {
+		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, uncached) > 0 || g.table.signals.Limit(row.life).Advertised {
 			continue // one with an advertised limit is eligible only at times, so the prompt would be computed in two places
 		}
 		best, highest = row, weight
