--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -216,11 +216,11 @@
 	}
 	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
-	held := row.occupancy.Total()
+	load := row.occupancy.Total()
 	reading := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + reading
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.CapacityWait(held, row.entry.Slots, in.service.CacheLimit, in.memory, in.meanDuration)
+		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheLimit, in.memory, in.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - reading
@@ -228,9 +228,9 @@
 	if g.on(mechanism.RereadWeight) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
-	scored.cost += runningCost * float64(held.Running)
+	scored.cost += runningCost * float64(load.Running)
 	if g.on(mechanism.Interference) {
-		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(held.Running)
+		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(load.Running)
 	}
 	if !owner && g.on(mechanism.StrayCost) {
 		scored.cost += nonOwnerWeight * float64(sharedTokens-cached) / belief.PrefillRate
