--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -217,13 +217,13 @@
 	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
 	load := row.occupancy.Total()
-	reading := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
-	scored.cost += belief.Milliseconds(queue) + reading
+	prefillTime := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
+	scored.cost += belief.Milliseconds(queue) + prefillTime
 	if g.on(mechanism.Occupancy) {
 		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheLimit, in.memory, in.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
-	scored.queueWait = scored.wait - reading
+	scored.queueWait = scored.wait - prefillTime
 	scored.cost += g.offLaneCost(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
