--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -140,8 +140,8 @@
 	if !row.open() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
 		return false
 	}
-	limit, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
-	return !hasDeadline || now < limit-beginMargin
+	deadline, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
+	return !hasDeadline || now < deadline-beginMargin
 }
 
 // owner returns the engine that computes a shared prompt which no engine is known to have cached. It uses
