--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -252,8 +252,8 @@
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.signals.LimitObservedAt(row.life); limit.Advertised {
-		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
+	if limit, observedAt := g.table.signals.LimitObservedAt(row.life); limit.Advertised {
+		cost += permitCost - staleGain*min(now-observedAt, staleMost).Seconds()
 	}
 	return cost
 }
