--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -86,8 +86,8 @@
 func (t *table) recordVersion(now time.Duration, row *endpoint, model string, version uint64) (newer bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if believed := row.entry.Versions[model]; version <= believed {
-		if version > 0 && version < believed {
+	if known := row.entry.Versions[model]; version <= known {
+		if version > 0 && version < known {
 			row.avoidUntil = max(row.avoidUntil, now+outdatedAvoidance)
 		}
 		return false
