--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -276,8 +276,8 @@
 	defer t.mutex.Unlock()
 	t.stored.Sweep(now)
 	t.sweepPlacements(now)
-	for _, judge := range t.admission {
-		judge.Sweep(now)
+	for _, controller := range t.admission {
+		controller.Sweep(now)
 	}
 	t.links.Sweep(now)
 	t.sweepHolders()
