--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -90,13 +90,13 @@
 // divide assigns the engines of each zone, ordered by hash, to the long and short lanes, with at least one in each
 // if the zone has two. It changes the fraction only by more than half an engine.
 func (l *lanes) divide(rows []*endpoint) {
-	share := l.longDemandFraction()
-	moved := math.Abs(share-l.longFraction)*float64(len(rows)) > 0.5
+	fraction := l.longDemandFraction()
+	moved := math.Abs(fraction-l.longFraction)*float64(len(rows)) > 0.5
 	if !moved && slices.Equal(l.divided, rows) {
 		return
 	}
 	if moved {
-		l.longFraction = share
+		l.longFraction = fraction
 	}
 	l.divided = rows
 	zones := map[string][]*endpoint{}
