--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -32,7 +32,7 @@
 
 // applyCacheReport applies a back end's report of its cache, and returns the differences from the estimate as
 // announcements for other gateways.
-func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, whole bool) []send {
+func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, full bool) []send {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
@@ -40,7 +40,7 @@
 		return nil
 	}
 	bySalt := map[string][]prefix.Part{}
-	for _, p := range row.cache.ApplyReport(now, parts, whole) {
+	for _, p := range row.cache.ApplyReport(now, parts, full) {
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
 		t.indexHolder(row, []prefix.Part{p.Part})
 	}
