--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -137,7 +137,7 @@
 
 // ApplyReport applies a report of the engine, which lists either its full contents or the changes, and returns the
 // shareable parts for which the estimate was wrong.
-func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, whole bool) []CachedPart {
+func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, full bool) []CachedPart {
 	h.RecordReport(now)
 	var corrections []CachedPart
 	listed := map[partKey]bool{}
@@ -148,7 +148,7 @@
 			corrections = append(corrections, p)
 		}
 	}
-	return append(corrections, h.expire(now, listed, whole)...)
+	return append(corrections, h.expire(now, listed, full)...)
 }
 
 // expire removes parts that were sent longer than unconfirmedTTL ago and never reported. If the report is a full
