--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -102,8 +102,8 @@
 func (h *CacheEstimate) evictOldest() {
 	var oldest partKey
 	first := true
-	for key, held := range h.parts {
-		if first || held.usedAt < h.parts[oldest].usedAt {
+	for key, entry := range h.parts {
+		if first || entry.usedAt < h.parts[oldest].usedAt {
 			oldest, first = key, false
 		}
 	}
