--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -159,13 +159,13 @@
 	}
 	h.unconfirmedCheckedAt = now
 	var removed []CachedPart
-	for key, held := range h.parts {
-		stale := !held.confirmed && now > held.usedAt+unconfirmedTTL || whole && held.confirmed && !listed[key]
+	for key, entry := range h.parts {
+		stale := !entry.confirmed && now > entry.usedAt+unconfirmedTTL || whole && entry.confirmed && !listed[key]
 		if !stale {
 			continue
 		}
 		h.set(key, cacheEntry{})
-		if !held.private {
+		if !entry.private {
 			removed = append(removed, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
 	}
