--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -50,8 +50,8 @@
 			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
-			if held, holds := g.sourceFrom(now, row, in, &salts); holds {
-				found = append(found, held)
+			if cached, holds := g.sourceFrom(now, row, in, &salts); holds {
+				found = append(found, cached)
 			}
 		}
 	}
