--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -50,7 +50,7 @@
 			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
-			if cached, holds := g.sourceFrom(now, row, in, &salts); holds {
+			if cached, ok := g.sourceFrom(now, row, in, &salts); ok {
 				found = append(found, cached)
 			}
 		}
