--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		crossZone := other.row.entry.Zone != scored.row.entry.Zone
-		plan := g.copyPlan(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, crossZone)
+		plan := g.planCopy(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, crossZone)
 		if !found || plan.netCost(cached) < best.netCost(cached) {
 			best, found = plan, true
 		}
@@ -157,11 +157,11 @@
 // storeCopy returns the cost of a copy between the store and the engine.
 func (g *Gateway) storeCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
 	crossZone := in.store.Zone != scored.row.entry.Zone
-	return g.copyPlan(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
+	return g.planCopy(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
 }
 
-// copyPlan returns the cost of copying the tokens beyond the cached ones over a link of the given Mbit/s.
-func (g *Gateway) copyPlan(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
+// planCopy returns the cost of copying the tokens beyond the cached ones over a link of the given Mbit/s.
+func (g *Gateway) planCopy(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
 	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
 	if g.on(mechanism.Displacement) {
