--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -115,7 +115,7 @@
 		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
-		fromStore := g.storeCopy(now, scored, in, sharedTokens, cached)
+		fromStore := g.planStoreCopy(now, scored, in, sharedTokens, cached)
 		if !found || fromStore.netCost(cached) < best.netCost(cached) {
 			best, found = fromStore, true
 		}
@@ -128,7 +128,7 @@
 		return best.tokens
 	case !stored && in.store != nil && g.table.links.Wait(now, in.store.Store) < maxSaveWait:
 		scored.fetchFrom, scored.saveTo = in.store.Store, in.store.Store
-		saved := g.storeCopy(now, scored, in, sharedTokens, cached) // saving takes as long as fetching
+		saved := g.planStoreCopy(now, scored, in, sharedTokens, cached) // saving takes as long as fetching
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
@@ -154,8 +154,8 @@
 	return best, found
 }
 
-// storeCopy returns the cost of a copy between the store and the engine.
-func (g *Gateway) storeCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
+// planStoreCopy returns the cost of a copy between the store and the engine.
+func (g *Gateway) planStoreCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
 	crossZone := in.store.Zone != scored.row.entry.Zone
 	return g.planCopy(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
 }
