--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -75,13 +75,13 @@
 // sample returns a few random eligible back ends: first some assigned to this gateway, which no other gateway
 // samples, then any.
 func (g *Gateway) sample(now time.Duration, rows []*endpoint, in selectionInput) []*endpoint {
-	var home []*endpoint
+	var assigned []*endpoint
 	for _, row := range rows {
 		if row.assigned {
-			home = append(home, row)
+			assigned = append(assigned, row)
 		}
 	}
-	picked := g.pickRandom(now, nil, home, assignedSample, in)
+	picked := g.pickRandom(now, nil, assigned, assignedSample, in)
 	return g.pickRandom(now, picked, rows, assignedSample+serviceSample, in)
 }
 
