--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -50,11 +50,11 @@
 // those that have fewer.
 func sampleHolders(sources []source, shared int) []*endpoint {
 	var picked, partial []*endpoint
-	for _, held := range sources {
-		if held.tokens == shared && len(picked) < maxHoldersScored {
-			picked = append(picked, held.row)
+	for _, holder := range sources {
+		if holder.tokens == shared && len(picked) < maxHoldersScored {
+			picked = append(picked, holder.row)
 		} else {
-			partial = append(partial, held.row)
+			partial = append(partial, holder.row)
 		}
 	}
 	return append(picked, sampled(partial, maxHoldersScored)...)
