--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -13,8 +13,8 @@
 // published. It counts from the oldest version that the back end lacks. The caller holds the table's mutex, and
 // must not keep the result, since updates change it.
 func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
-	publishedAt, lacks := g.missingSince(row, service, model)
-	return publishedAt + g.settings.VersionLimit, lacks
+	publishedAt, outdated := g.missingSince(row, service, model)
+	return publishedAt + g.settings.VersionLimit, outdated
 }
 
 // missingSince returns when the oldest version that a back end lacks was published, if there is one. An engine
