--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -32,16 +32,16 @@
 // weights than are known now. The request starts only on the weights that it expects, so the oldest version that
 // either lacks counts. A request that expects none starts on any. The caller holds the table's mutex.
 func (g *Gateway) placementDeadline(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
-	limit, limited := g.startDeadline(placed.row, service, model)
+	limit, hasDeadline := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
-		return limit, limited
+		return limit, hasDeadline
 	}
 	namedAt, lacks := g.table.published.OldestMissing(model, placed.version)
 	if !lacks {
-		return limit, limited
+		return limit, hasDeadline
 	}
 	expected := namedAt + g.settings.VersionLimit
-	if !limited {
+	if !hasDeadline {
 		return expected, true
 	}
 	return min(limit, expected), true
