--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -32,19 +32,19 @@
 // weights than are known now. The request starts only on the weights that it expects, so the oldest version that
 // either lacks counts. A request that expects none starts on any. The caller holds the table's mutex.
 func (g *Gateway) placementDeadline(placed *candidate, service *catalog.Service, model string) (time.Duration, bool) {
-	limit, hasDeadline := g.startDeadline(placed.row, service, model)
+	deadline, hasDeadline := g.startDeadline(placed.row, service, model)
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
-		return limit, hasDeadline
+		return deadline, hasDeadline
 	}
 	namedAt, lacks := g.table.published.OldestMissing(model, placed.version)
 	if !lacks {
-		return limit, hasDeadline
+		return deadline, hasDeadline
 	}
 	expected := namedAt + g.settings.VersionLimit
 	if !hasDeadline {
 		return expected, true
 	}
-	return min(limit, expected), true
+	return min(deadline, expected), true
 }
 
 // startsTooLate reports whether a placed request would likely start after its current deadline. The caller holds
