--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -36,11 +36,11 @@
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return deadline, hasDeadline
 	}
-	namedAt, lacks := g.table.published.OldestMissing(model, placed.version)
+	publishedAt, lacks := g.table.published.OldestMissing(model, placed.version)
 	if !lacks {
 		return deadline, hasDeadline
 	}
-	expected := namedAt + g.settings.VersionLimit
+	expected := publishedAt + g.settings.VersionLimit
 	if !hasDeadline {
 		return expected, true
 	}
