--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -36,8 +36,8 @@
 	if placed.version == 0 || placed.version >= placed.row.entry.Versions[model] {
 		return deadline, hasDeadline
 	}
-	publishedAt, lacks := g.table.published.OldestMissing(model, placed.version)
-	if !lacks {
+	publishedAt, outdated := g.table.published.OldestMissing(model, placed.version)
+	if !outdated {
 		return deadline, hasDeadline
 	}
 	expected := publishedAt + g.settings.VersionLimit
