--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -50,8 +50,8 @@
 // startsTooLate reports whether a placed request would likely start after its current deadline. The caller holds
 // the table's mutex.
 func (g *Gateway) startsTooLate(now time.Duration, placed *candidate, service *catalog.Service, model string) bool {
-	limit, hasDeadline := g.placementDeadline(placed, service, model)
-	return hasDeadline && placed.startsAfter(now, limit)
+	deadline, hasDeadline := g.placementDeadline(placed, service, model)
+	return hasDeadline && placed.startsAfter(now, deadline)
 }
 
 // scoredTooLate is startsTooLate for a candidate that was just scored, and stores the deadline in it.
