--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -56,8 +56,8 @@
 
 // scoredTooLate is startsTooLate for a candidate that was just scored, and stores the deadline in it.
 func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, in selectionInput) bool {
-	limit, limited := g.placementDeadline(scored, in.service, in.call.Model)
-	if !limited {
+	limit, hasDeadline := g.placementDeadline(scored, in.service, in.call.Model)
+	if !hasDeadline {
 		return false
 	}
 	scored.startDeadline = limit
