--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -56,12 +56,12 @@
 
 // scoredTooLate is startsTooLate for a candidate that was just scored, and stores the deadline in it.
 func (g *Gateway) scoredTooLate(now time.Duration, scored *candidate, in selectionInput) bool {
-	limit, hasDeadline := g.placementDeadline(scored, in.service, in.call.Model)
+	deadline, hasDeadline := g.placementDeadline(scored, in.service, in.call.Model)
 	if !hasDeadline {
 		return false
 	}
-	scored.startDeadline = limit
-	return scored.startsAfter(now, limit)
+	scored.startDeadline = deadline
+	return scored.startsAfter(now, deadline)
 }
 
 // startsAfter reports whether a request sent now would likely start after a deadline.
