--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -106,10 +106,10 @@
 	if _, waits := a.row.waiting[a]; !waits {
 		return false
 	}
-	limit, limited := x.gateway.startDeadline(a.row, x.service, x.call.Model)
+	limit, hasDeadline := x.gateway.startDeadline(a.row, x.service, x.call.Model)
 	left := limit - takeBackMargin - now
 	switch {
-	case !limited:
+	case !hasDeadline:
 		return false
 	case left <= 0:
 		return true
