--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -106,8 +106,8 @@
 	if _, waits := a.row.waiting[a]; !waits {
 		return false
 	}
-	limit, hasDeadline := x.gateway.startDeadline(a.row, x.service, x.call.Model)
-	left := limit - takeBackMargin - now
+	deadline, hasDeadline := x.gateway.startDeadline(a.row, x.service, x.call.Model)
+	left := deadline - takeBackMargin - now
 	switch {
 	case !hasDeadline:
 		return false
