--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -21,8 +21,8 @@
 // with unknown weights counts as lacking all versions; a back end of a service without engines lacks none unless
 // it has reported one.
 func (g *Gateway) missingSince(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
-	held, holds := row.entry.Versions[model]
-	if !holds && !service.Engine {
+	held, known := row.entry.Versions[model]
+	if !known && !service.Engine {
 		return 0, false
 	}
 	return g.table.published.OldestMissing(model, held)
