--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -11,7 +11,7 @@
 
 // versionComparison is the weight version that a response reports, compared with what is known.
 type versionComparison struct {
-	believed     uint64        // known version
+	known        uint64        // known version
 	answered     uint64        // version in the response, or 0
 	missingSince time.Duration // when the oldest version that the back end lacks was published
 	outdated     bool          // the back end lacks a version
@@ -22,10 +22,10 @@
 func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := versionComparison{believed: row.entry.Versions[model], answered: answered}
+	seen := versionComparison{known: row.entry.Versions[model], answered: answered}
 	held := answered
 	if held == 0 {
-		held = seen.believed
+		held = seen.known
 	}
 	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, held)
 	return seen
@@ -43,7 +43,7 @@
 	g := x.gateway
 	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
-	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.believed)
+	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.known)
 	if !differs && !(begun && seen.outdated) {
 		return
 	}
@@ -54,7 +54,7 @@
 	}
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
-		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
+		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
 		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
 	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
@@ -77,6 +77,6 @@
 func (a *attempt) outdatedFields() []zap.Field {
 	x := a.exchange
 	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
-	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
+	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.known)}
 	return append(fields, a.deadlineFields(x.gateway.now(), seen.missingSince, seen.outdated)...)
 }
