--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -12,7 +12,7 @@
 // versionComparison is the weight version that a response reports, compared with what is known.
 type versionComparison struct {
 	known        uint64        // known version
-	answered     uint64        // version in the response, or 0
+	reported     uint64        // version in the response, or 0
 	missingSince time.Duration // when the oldest version that the back end lacks was published
 	outdated     bool          // the back end lacks a version
 }
@@ -22,7 +22,7 @@
 func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := versionComparison{known: row.entry.Versions[model], answered: answered}
+	seen := versionComparison{known: row.entry.Versions[model], reported: answered}
 	held := answered
 	if held == 0 {
 		held = seen.known
@@ -43,7 +43,7 @@
 	g := x.gateway
 	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
-	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.known)
+	differs := seen.reported > 0 && (expected > 0 && seen.reported != expected || seen.reported != seen.known)
 	if !differs && !(begun && seen.outdated) {
 		return
 	}
@@ -55,7 +55,7 @@
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
-		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
+		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
 	}
 	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
