--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -19,11 +19,11 @@
 
 // compareVersions compares the version of a response, or the known one if it reports none, with the published
 // versions.
-func (g *Gateway) compareVersions(row *endpoint, model string, answered uint64) versionComparison {
+func (g *Gateway) compareVersions(row *endpoint, model string, reported uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := versionComparison{known: row.entry.Versions[model], reported: answered}
-	held := answered
+	seen := versionComparison{known: row.entry.Versions[model], reported: reported}
+	held := reported
 	if held == 0 {
 		held = seen.known
 	}
