--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -23,11 +23,11 @@
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	seen := versionComparison{known: row.entry.Versions[model], reported: reported}
-	held := reported
-	if held == 0 {
-		held = seen.known
+	version := reported
+	if version == 0 {
+		version = seen.known
 	}
-	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, held)
+	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, version)
 	return seen
 }
 
