--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -48,14 +48,14 @@
 		return
 	}
 	now := g.now()
-	held, due := g.oldWeights.Due(now, a.row.entry.ID)
+	suppressed, due := g.oldWeights.Due(now, a.row.entry.ID)
 	if !due {
 		return
 	}
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
-		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
+		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", suppressed),
 	}
 	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
