--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -35,16 +35,16 @@
 // on outdated weights, with the deadlines in force.
 func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
 	x := a.exchange
-	begun := status < http.StatusMultipleChoices && verdict.Signed
+	started := status < http.StatusMultipleChoices && verdict.Signed
 	refused := verdict.NotRun && verdict.Version > 0
-	if !x.service.Engine || !begun && !refused {
+	if !x.service.Engine || !started && !refused {
 		return
 	}
 	g := x.gateway
 	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
 	expected := a.plan.version
 	differs := seen.reported > 0 && (expected > 0 && seen.reported != expected || seen.reported != seen.known)
-	if !differs && !(begun && seen.outdated) {
+	if !differs && !(started && seen.outdated) {
 		return
 	}
 	now := g.now()
