--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -36,8 +36,8 @@
 func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
 	x := a.exchange
 	started := status < http.StatusMultipleChoices && verdict.Signed
-	refused := verdict.NotRun && verdict.Version > 0
-	if !x.service.Engine || !started && !refused {
+	rejected := verdict.NotRun && verdict.Version > 0
+	if !x.service.Engine || !started && !rejected {
 		return
 	}
 	g := x.gateway
