--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -61,12 +61,12 @@
 }
 
 // deadlineFields returns the log fields for the start deadline known at the decision and the current one.
-func (a *attempt) deadlineFields(now, publishedAt time.Duration, lacks bool) []zap.Field {
+func (a *attempt) deadlineFields(now, publishedAt time.Duration, outdated bool) []zap.Field {
 	var fields []zap.Field
 	if a.plan.startDeadline > 0 {
 		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
 	}
-	if lacks {
+	if outdated {
 		left := publishedAt + a.exchange.gateway.settings.VersionLimit - now
 		fields = append(fields, zap.Duration(events.FieldLacked, now-publishedAt), zap.Duration(events.FieldLimitLeft, left))
 	}
