--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -60,7 +60,7 @@
 		}
 	}
 	last := shared[len(shared)-1].ID
-	if at, met := g.table.lastSent[last]; !met || now-at > lastSentTTL {
+	if at, known := g.table.lastSent[last]; !known || now-at > lastSentTTL {
 		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
