--- a/internal/gateway/pace.go
+++ b/internal/gateway/pace.go
@@ -16,8 +16,8 @@
 
 // observePrefill updates the estimate with a request's time to the first event. Only requests placed at an idle
 // engine count.
-func (t *table) observePrefill(row *endpoint, alone bool, uncached int, first time.Duration) {
-	if !alone || first <= 0 {
+func (t *table) observePrefill(row *endpoint, engineIdle bool, uncached int, first time.Duration) {
+	if !engineIdle || first <= 0 {
 		return
 	}
 	t.mutex.Lock()
