--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -83,12 +83,12 @@
 
 // CapacityWait predicts how long a request with the given prompt tokens waits for a free slot or for memory, in
 // milliseconds. It assumes that slots and memory are released evenly over the mean duration of requests.
-func CapacityWait(held Load, slots, memory, tokens int, meanDuration MeanDuration) float64 {
+func CapacityWait(load Load, slots, memory, tokens int, meanDuration MeanDuration) float64 {
 	wait := 0.0
-	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
+	if over := load.Running + 1 - slots; slots > 0 && over > 0 {
 		wait = float64(meanDuration) * float64(over) / float64(slots)
 	}
-	if over := held.Tokens + tokens - memory; memory > 0 && over > 0 && held.Running > 0 {
+	if over := load.Tokens + tokens - memory; memory > 0 && over > 0 && load.Running > 0 {
 		wait = max(wait, float64(meanDuration)*float64(over)/float64(memory))
 	}
 	return wait
