--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -50,8 +50,8 @@
 }
 
 // quantileStep returns the signed change, in steps, that an observed value causes to an estimate of the quantile.
-func quantileStep(estimate, seen float64) float64 {
-	if seen > estimate {
+func quantileStep(estimate, observed float64) float64 {
+	if observed > estimate {
 		return prefillQuantile
 	}
 	return prefillQuantile - 1
