--- a/internal/gateway/belief/pace.go
+++ b/internal/gateway/belief/pace.go
@@ -37,13 +37,13 @@
 // Observe returns the estimate updated by a request that had the given tokens to prefill and whose first event
 // came after a time.
 func (p PrefillEstimate) Observe(tokens int, first time.Duration) PrefillEstimate {
-	seen := Milliseconds(first)
+	elapsed := Milliseconds(first)
 	switch {
 	case tokens < overheadSampleTokens:
-		p.overhead += quantileStep(p.overhead, seen-p.tokenTime*float64(tokens)) * overheadStep
+		p.overhead += quantileStep(p.overhead, elapsed-p.tokenTime*float64(tokens)) * overheadStep
 		p.overhead = min(max(p.overhead, 0), maxOverhead)
 	case tokens >= tokenTimeSampleTokens:
-		p.tokenTime += quantileStep(p.tokenTime, (seen-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
+		p.tokenTime += quantileStep(p.tokenTime, (elapsed-p.overhead)/float64(tokens)) * tokenTimeStep * p.tokenTime
 		p.tokenTime = min(max(p.tokenTime, 1/PrefillRate/maxTokenTimeFactor), maxTokenTimeFactor/PrefillRate)
 	}
 	return p
