--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -24,8 +24,8 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send: cached tokens = %d, want 300", got)
 	}
-	if differ := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(differ) > 0 {
-		t.Fatalf("report that matches the estimate returned corrections: %v", differ)
+	if corrections := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(corrections) > 0 {
+		t.Fatalf("report that matches the estimate returned corrections: %v", corrections)
 	}
 	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
 	if len(differ) != 1 || differ[0] != cached("b", 64) {
