--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -27,9 +27,9 @@
 	if corrections := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(corrections) > 0 {
 		t.Fatalf("report that matches the estimate returned corrections: %v", corrections)
 	}
-	differ := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
-	if len(differ) != 1 || differ[0] != cached("b", 64) {
-		t.Fatalf("corrections after a partial eviction: %v", differ)
+	corrections := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
+	if len(corrections) != 1 || corrections[0] != cached("b", 64) {
+		t.Fatalf("corrections after a partial eviction: %v", corrections)
 	}
 	if got := h.Cached("w1", shared); got != 164 {
 		t.Fatalf("with a partly cached part: cached tokens = %d, want 164", got)
@@ -39,9 +39,9 @@
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("before unconfirmedTTL of another send: cached tokens = %d, want 300", got)
 	}
-	differ = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
-	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != cached("b", 0) {
-		t.Fatalf("after unconfirmedTTL without a report: cached tokens = %d, want 100; corrections %v", got, differ)
+	corrections = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
+	if got := h.Cached("w1", shared); got != 100 || len(corrections) != 1 || corrections[0] != cached("b", 0) {
+		t.Fatalf("after unconfirmedTTL without a report: cached tokens = %d, want 100; corrections %v", got, corrections)
 	}
 }
 
