--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -66,7 +66,7 @@
 func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine, pending := engineCache{}, []CachedPart{}
-		reader, other := NewCacheEstimate(1000), NewCacheEstimate(1000)
+		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
 		tell := func(whole bool) {
@@ -78,9 +78,9 @@
 				}
 			}
 			pending = nil
-			other.RecordReport(now) // peers are notified every second that the engine is being read
+			peer.RecordReport(now) // peers are notified every second that the engine is being read
 			for _, p := range reader.ApplyReport(now, news, whole) {
-				other.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
+				peer.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -89,7 +89,7 @@
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
 				parts := []prefix.Part{{ID: id, Tokens: 100}, {ID: fmt.Sprint("own", now), Tokens: 10}}
 				reader.RecordUse(now, "w1", parts)
-				other.RecordUse(now, "w1", parts)
+				peer.RecordUse(now, "w1", parts)
 				engine[id] = 100
 				pending = append(pending, cached(id, 100))
 			},
@@ -118,7 +118,7 @@
 			if got := reader.Cached("w1", part); got != engine[id] {
 				t.Fatalf("reader's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
-			if got := other.Cached("w1", part); got != engine[id] {
+			if got := peer.Cached("w1", part); got != engine[id] {
 				t.Fatalf("peer's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
 		}
