--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -69,7 +69,7 @@
 		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
-		tell := func(whole bool) {
+		report := func(whole bool) {
 			news := pending
 			if whole {
 				news = nil
@@ -106,12 +106,12 @@
 				pending = append(pending, cached(id, left))
 			},
 			"lose": func(*rapid.T) { pending, lost = nil, true },
-			"read": func(*rapid.T) { now += 100 * time.Millisecond; tell(lost); lost = false },
+			"read": func(*rapid.T) { now += 100 * time.Millisecond; report(lost); lost = false },
 		})
 		now += unconfirmedTTL + time.Second
-		tell(lost)
+		report(lost)
 		now += unconfirmedTTL + time.Second
-		tell(true)
+		report(true)
 		for i := range 10 {
 			id := fmt.Sprint("p", i)
 			part := []prefix.Part{{ID: id, Tokens: 100}}
