--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -153,14 +153,14 @@
 
 // expire removes parts that were sent longer than unconfirmedTTL ago and never reported. If the report is a full
 // list, it also removes confirmed parts that are not listed.
-func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, whole bool) []CachedPart {
-	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !whole {
+func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, full bool) []CachedPart {
+	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !full {
 		return nil
 	}
 	h.unconfirmedCheckedAt = now
 	var removed []CachedPart
 	for key, entry := range h.parts {
-		stale := !entry.confirmed && now > entry.usedAt+unconfirmedTTL || whole && entry.confirmed && !listed[key]
+		stale := !entry.confirmed && now > entry.usedAt+unconfirmedTTL || full && entry.confirmed && !listed[key]
 		if !stale {
 			continue
 		}
