--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -13,12 +13,12 @@
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
 	for _, row := range []struct {
-		name    string
-		chosen  candidate
-		sources []source
-		met     time.Duration // ago; 0 never
-		holders []*endpoint
-		wanted  recomputeCause
+		name      string
+		chosen    candidate
+		sources   []source
+		sinceSent time.Duration // ago; 0 never
+		holders   []*endpoint
+		wanted    recomputeCause
 	}{
 		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
 		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
@@ -32,8 +32,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			now := time.Hour
 			g := &Gateway{table: newTable(mechanism.Set{})}
-			if row.met > 0 {
-				g.table.recordSent(now-row.met, shared)
+			if row.sinceSent > 0 {
+				g.table.recordSent(now-row.sinceSent, shared)
 			}
 			if row.holders != nil {
 				g.table.holders["b"] = row.holders
@@ -41,7 +41,7 @@
 			if got := g.explainRecompute(now, &row.chosen, shared, row.sources); got != row.wanted {
 				t.Fatalf("%s, wanted %s", got, row.wanted)
 			}
-			if g.table.sweepLastSent(now); row.met > lastSentTTL && len(g.table.lastSent) > 0 {
+			if g.table.sweepLastSent(now); row.sinceSent > lastSentTTL && len(g.table.lastSent) > 0 {
 				t.Fatal("what was long ago is remembered")
 			}
 		})
