--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -140,15 +140,15 @@
 	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
-		waits, begun := chosenAttempt(g), chosenAttempt(g)
-		for _, sent := range []*attempt{waits, begun} {
+		waiting, begun := chosenAttempt(g), chosenAttempt(g)
+		for _, sent := range []*attempt{waiting, begun} {
 			g.table.begin(g.now(), sent)
 		}
 		g.table.recordBytes(g.now(), begun)
 		*now += 9900 * time.Millisecond
-		waits.watchStartDeadline()
+		waiting.watchStartDeadline()
 		begun.watchStartDeadline()
-		if context.Cause(waits.ctx) != errOutdated {
+		if context.Cause(waiting.ctx) != errOutdated {
 			t.Error("it waits on")
 		}
 		if begun.ctx.Err() != nil {
