--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -140,18 +140,18 @@
 	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
-		waiting, begun := chosenAttempt(g), chosenAttempt(g)
-		for _, sent := range []*attempt{waiting, begun} {
+		waiting, started := chosenAttempt(g), chosenAttempt(g)
+		for _, sent := range []*attempt{waiting, started} {
 			g.table.begin(g.now(), sent)
 		}
-		g.table.recordBytes(g.now(), begun)
+		g.table.recordBytes(g.now(), started)
 		*now += 9900 * time.Millisecond
 		waiting.watchStartDeadline()
-		begun.watchStartDeadline()
+		started.watchStartDeadline()
 		if context.Cause(waiting.ctx) != errOutdated {
 			t.Error("it waits on")
 		}
-		if begun.ctx.Err() != nil {
+		if started.ctx.Err() != nil {
 			t.Error("one that has begun is cut")
 		}
 	})
