--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -188,7 +188,7 @@
 		clock.Store(int64(10 * time.Minute))
 		g := scheduler(engines)
 		g.now = func() time.Duration { return time.Duration(clock.Load()) }
-		versions, waits, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
+		versions, waiting, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
 		rows := map[string]*endpoint{}
 		for id, row := range g.table.rows {
 			versions[id], rows[id] = 1, row
@@ -209,12 +209,12 @@
 			case 0, 1:
 				made := attemptAt(g, rows[id])
 				g.table.begin(g.now(), made)
-				sent, waits[made] = append(sent, made), true
+				sent, waiting[made] = append(sent, made), true
 			case 2:
 				if len(sent) > 0 {
 					begun := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
 					g.table.recordBytes(g.now(), begun)
-					delete(waits, begun)
+					delete(waiting, begun)
 				}
 			case 3:
 				clock.Add(int64(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second))
@@ -241,7 +241,7 @@
 			}
 			g.watchStartDeadlines()
 			for _, one := range sent {
-				if waits[one] && isLate(one.row.entry.ID) {
+				if waiting[one] && isLate(one.row.entry.ID) {
 					late[one] = true
 				}
 				if ended := context.Cause(one.ctx) == errOutdated; ended != late[one] {
