--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -212,9 +212,9 @@
 				sent, waiting[made] = append(sent, made), true
 			case 2:
 				if len(sent) > 0 {
-					begun := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
-					g.table.recordBytes(g.now(), begun)
-					delete(waiting, begun)
+					started := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
+					g.table.recordBytes(g.now(), started)
+					delete(waiting, started)
 				}
 			case 3:
 				clock.Add(int64(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second))
