--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -64,12 +64,12 @@
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("lines %v", lines.All())
 	}
-	begun, refused := got[0].ContextMap(), got[1].ContextMap()
-	if begun[events.FieldLacked] != 10*time.Second || begun[events.FieldLimitLeft] != 50*time.Second || begun["expected"] != uint64(1) {
-		t.Errorf("begun on old weights: %v", begun)
+	started, refused := got[0].ContextMap(), got[1].ContextMap()
+	if started[events.FieldLacked] != 10*time.Second || started[events.FieldLimitLeft] != 50*time.Second || started["expected"] != uint64(1) {
+		t.Errorf("begun on old weights: %v", started)
 	}
-	if _, known := begun[events.FieldLimitChosen]; known {
-		t.Errorf("a limit at the choice, when none was named: %v", begun)
+	if _, known := started[events.FieldLimitChosen]; known {
+		t.Errorf("a limit at the choice, when none was named: %v", started)
 	}
 	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldLimitLeft] != nil {
 		t.Errorf("refused on newer weights: %v", refused)
