--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -64,15 +64,15 @@
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("lines %v", lines.All())
 	}
-	started, refused := got[0].ContextMap(), got[1].ContextMap()
+	started, rejected := got[0].ContextMap(), got[1].ContextMap()
 	if started[events.FieldLacked] != 10*time.Second || started[events.FieldLimitLeft] != 50*time.Second || started["expected"] != uint64(1) {
 		t.Errorf("begun on old weights: %v", started)
 	}
 	if _, known := started[events.FieldLimitChosen]; known {
 		t.Errorf("a limit at the choice, when none was named: %v", started)
 	}
-	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldLimitLeft] != nil {
-		t.Errorf("refused on newer weights: %v", refused)
+	if rejected["answered"] != uint64(3) || rejected["believed"] != uint64(1) || rejected["held"] != int64(2) || rejected[events.FieldLimitLeft] != nil {
+		t.Errorf("refused on newer weights: %v", rejected)
 	}
 }
 
