--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -17,7 +17,7 @@
 	"kitetiller/internal/node"
 )
 
-// publishVersion tells a gateway that a version of the model m was named so long before now.
+// publishVersion reports to a gateway that a version of the model m was published an age ago.
 func publishVersion(g *Gateway, version uint64, age time.Duration) {
 	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
@@ -30,7 +30,7 @@
 	}
 }
 
-// chosenAttempt returns an attempt of a request that a gateway has chosen to send to its one back end.
+// chosenAttempt returns an attempt at the back end that the gateway chooses.
 func chosenAttempt(g *Gateway) *attempt {
 	x := newModelRequest(g)
 	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
@@ -41,8 +41,8 @@
 	return newModelRequest(g).newAttempt(&candidate{row: row})
 }
 
-// TestVersionMismatchIsLogged: what was expected, believed and answered, with both limits, once a second for each back
-// end; an answer on the weights that were wanted leaves no line.
+// A mismatch is logged with all versions and deadlines, at most once a second for each back end; a response on the
+// expected weights is not logged.
 func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
 	g := scheduler(1)
@@ -52,7 +52,7 @@
 	chosen := chosenAttempt(g)
 	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	if lines.Len() != 0 {
-		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
+		t.Fatalf("response on the expected weights was logged: %v", lines.All())
 	}
 	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
@@ -62,26 +62,25 @@
 	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
 	got := lines.FilterMessage(events.WeightsDiffer).All()
 	if len(got) != 2 || lines.Len() != 2 {
-		t.Fatalf("lines %v", lines.All())
+		t.Fatalf("unexpected log lines: %v", lines.All())
 	}
 	started, rejected := got[0].ContextMap(), got[1].ContextMap()
 	if started[events.FieldLacked] != 10*time.Second || started[events.FieldLimitLeft] != 50*time.Second || started["expected"] != uint64(1) {
-		t.Errorf("begun on old weights: %v", started)
+		t.Errorf("start on outdated weights: %v", started)
 	}
 	if _, known := started[events.FieldLimitChosen]; known {
-		t.Errorf("a limit at the choice, when none was named: %v", started)
+		t.Errorf("deadline at the decision logged, want none: %v", started)
 	}
 	if rejected["answered"] != uint64(3) || rejected["believed"] != uint64(1) || rejected["held"] != int64(2) || rejected[events.FieldLimitLeft] != nil {
-		t.Errorf("refused on newer weights: %v", rejected)
+		t.Errorf("rejection on newer weights: %v", rejected)
 	}
 }
 
-// Between the choice of a place and the send a connection has to come up, and news of versions may come; the last look before the send
-// asked for the back end's state only, so that a request chosen 10 s before a limit was still sent 0.1 s before it, or after a version
-// was named whose time had passed. Back ends whose weights nobody knew had no limit at all. And an attempt was ended at its limit to the
-// millisecond, though it is over only once the close has reached the back end, and a timer may fire late.
+// Guards against sending a request whose start deadline is near, was set after the decision or belongs to unknown
+// weights, and against canceling one too late for the close to reach the back end in time.
 func TestStartDeadlineIsCheckedBeforeSend(t *testing.T) {
-	// fresh returns a gateway with one engine on version 1, and its clock. Nothing may begin a minute after a newer version was named.
+	// fresh returns a gateway with one engine on version 1, and its clock. Requests must start within a minute of the
+	// publication of a newer version.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
 		g := scheduler(1)
@@ -91,53 +90,53 @@
 	input := func(g *Gateway) selectionInput {
 		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
-	t.Run("a version is named after the choice", func(t *testing.T) {
+	t.Run("version published after the decision", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
-			t.Fatalf("barred before: %s", bar)
+			t.Fatalf("barred before publication: %s", bar)
 		}
 		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("the limit comes near while the connection comes up", func(t *testing.T) {
+	t.Run("deadline nears during the connection setup", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
 		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("a scheduler has chosen", func(t *testing.T) {
+	t.Run("placed by a scheduler", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
 		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("the weights are not known", func(t *testing.T) {
+	t.Run("unknown weights", func(t *testing.T) {
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
 		publishVersion(g, 2, 10*time.Second)
 		if g.choose(g.now(), input(g)) == nil {
-			t.Fatal("nothing is sent although there is time")
+			t.Fatal("no back end chosen before the deadline")
 		}
 		*now += 50 * time.Second
 		if g.choose(g.now(), input(g)) != nil {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
 		if g.choose(g.now(), plain) == nil {
-			t.Fatal("a service without weights gets nothing")
+			t.Fatal("no back end chosen for a service without weights")
 		}
 	})
-	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
+	t.Run("canceled before the deadline", func(t *testing.T) {
 		g, now := fresh()
 		publishVersion(g, 2, 50*time.Second)
 		waiting, started := chosenAttempt(g), chosenAttempt(g)
@@ -149,15 +148,15 @@
 		waiting.watchStartDeadline()
 		started.watchStartDeadline()
 		if context.Cause(waiting.ctx) != errOutdated {
-			t.Error("it waits on")
+			t.Error("waiting attempt was not canceled")
 		}
 		if started.ctx.Err() != nil {
-			t.Error("one that has begun is cut")
+			t.Error("started attempt was canceled")
 		}
 	})
 }
 
-// TestDeadlineTimerCancelsWaitingRequest: without any news after the one that gave the limit; a limit that moved meanwhile counts.
+// The timer cancels a waiting attempt without further updates, at the deadline that is current when it fires.
 func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
@@ -170,17 +169,17 @@
 	publishVersion(g, 2, g.settings.VersionLimit-left)
 	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
-		t.Fatal("taken back too early")
+		t.Fatal("canceled too early")
 	}
 	now.Add(int64(time.Millisecond))
 	<-sent.ctx.Done()
 	if cause := context.Cause(sent.ctx); cause != errOutdated {
-		t.Fatalf("ended for %v", cause)
+		t.Fatalf("cause of cancellation = %v", cause)
 	}
 }
 
-// TestOnlyWaitingRequestsPastDeadlineAreCanceled: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
-// taken back that waited when the limit of their back end's weights, as it stood then, was near.
+// Under any sequence of events, exactly those attempts are canceled that were waiting when the current start
+// deadline of their back end's weights was near.
 func TestOnlyWaitingRequestsPastDeadlineAreCanceled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 3
@@ -219,7 +218,7 @@
 			case 3:
 				clock.Add(int64(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second))
 			case 4:
-				term++ // each answer is another leader's word: of one version the oldest time counts, and none is forgotten
+				term++ // each reply is from another leader: the earliest time of a version counts, and none is forgotten
 				reply := &control.WatchReply{Version: control.RosterVersion{Term: term}}
 				for version := uint64(2); version <= 4; version++ {
 					if rapid.Bool().Draw(t, "named") {
@@ -245,7 +244,7 @@
 					late[one] = true
 				}
 				if ended := context.Cause(one.ctx) == errOutdated; ended != late[one] {
-					t.Fatalf("at %s, %v named, %v held: taken back %v, wanted %v", one.row.entry.ID, namedAt, versions, ended, late[one])
+					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", one.row.entry.ID, namedAt, versions, ended, late[one])
 				}
 			}
 		}
@@ -253,7 +252,7 @@
 			g.table.end(g.now(), one, gradeGood)
 		}
 		if len(g.table.waiting) > 0 {
-			t.Fatalf("%d are kept as waiting", len(g.table.waiting))
+			t.Fatalf("%d attempts still waiting after their end", len(g.table.waiting))
 		}
 	})
 }
