--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -8,7 +8,7 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestExplainRecompute: each way in which nobody's copy of shared parts serves.
+// Covers each reason why no cached copy of shared parts is used.
 func TestExplainRecompute(t *testing.T) {
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
@@ -16,17 +16,17 @@
 		name      string
 		chosen    candidate
 		sources   []source
-		sinceSent time.Duration // ago; 0 never
+		sinceSent time.Duration // time since the last send; 0 never
 		holders   []*endpoint
 		wanted    recomputeCause
 	}{
-		{"nobody read them", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
-		{"long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
-		{"who did is gone", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
-		{"who did can't be asked", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
-		{"with other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
-		{"others hold no more", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
-		{"a copy is dearer", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
+		{"never sent", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
+		{"sent long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
+		{"no holder left", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
+		{"holder barred", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
+		{"holder has other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
+		{"others have no more tokens", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
+		{"copy costs more", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
 		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, recomputeWeightsUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -39,10 +39,10 @@
 				g.table.holders["b"] = row.holders
 			}
 			if got := g.explainRecompute(now, &row.chosen, shared, row.sources); got != row.wanted {
-				t.Fatalf("%s, wanted %s", got, row.wanted)
+				t.Fatalf("cause %s, want %s", got, row.wanted)
 			}
 			if g.table.sweepLastSent(now); row.sinceSent > lastSentTTL && len(g.table.lastSent) > 0 {
-				t.Fatal("what was long ago is remembered")
+				t.Fatal("expired entry was not removed")
 			}
 		})
 	}
