--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -22,8 +22,8 @@
 	"kitetiller/internal/quota"
 )
 
-// TestRetryBudgetNeverExceedsRatio: over any run of requests and repeats on several gateways, repeats in every window stay
-// below the fleet's allowance for the requests of that window.
+// Over any sequence of requests and retries at several gateways, the retries in every window stay within the
+// fleet's allowance for the requests of that window.
 func TestRetryBudgetNeverExceedsRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
@@ -82,13 +82,13 @@
 				}
 			}
 			if allowed := ratio*math.Max(requests, before) + slack; repeats > allowed {
-				t.Fatalf("%v repeats in a window of %v requests (%v before), %v allowed", repeats, requests, before, allowed)
+				t.Fatalf("%v retries in a window of %v requests (%v before), want at most %v", repeats, requests, before, allowed)
 			}
 		}
 	})
 }
 
-// endpointsIn returns engines in zones, all ready.
+// endpointsIn returns one ready engine in each of the given zones.
 func endpointsIn(zones ...string) []*endpoint {
 	var rows []*endpoint
 	for i, zone := range zones {
@@ -99,7 +99,7 @@
 	return rows
 }
 
-// TestLanesGiveEachKindAnEngine: whatever the demand, each zone with two engines serves both kinds.
+// Under any demand, each zone with at least two engines has one in each lane.
 func TestLanesGiveEachKindAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
@@ -120,13 +120,13 @@
 		}
 		for _, zone := range []string{"a", "b", "c"} {
 			if long[zone] == 0 || short[zone] == 0 {
-				t.Fatalf("zone %s: %d long, %d short", zone, long[zone], short[zone])
+				t.Fatalf("zone %s: %d engines in the long lane, %d in the short one", zone, long[zone], short[zone])
 			}
 		}
 	})
 }
 
-// TestSplitFollowsWeights: over any run of requests each target has its share to within one request.
+// After any number of requests each target has its share, give or take two requests.
 func TestSplitFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &catalog.Route{Name: "r"}
@@ -145,15 +145,14 @@
 			for _, target := range route.Targets {
 				owed := float64(n*target.Weight) / float64(total)
 				if math.Abs(owed-float64(sent[target.Service])) > 2 {
-					t.Fatalf("after %d requests %s has %d of %.1f", n, target.Service, sent[target.Service], owed)
+					t.Fatalf("after %d requests %s got %d, want %.1f", n, target.Service, sent[target.Service], owed)
 				}
 			}
 		}
 	})
 }
 
-// TestSplitFollowsWeightsAcrossGateways: where each of many gateways sees a few requests only, the fleet's shares hold
-// as well; all of them starting with the heaviest target would leave the others without any.
+// Guards against all gateways starting with the target of greatest weight, which starves the others when each gateway has few requests.
 func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
@@ -167,11 +166,11 @@
 		}
 	}
 	if got := float64(light) / (gateways * each); math.Abs(got-0.1) > tolerance {
-		t.Fatalf("share of the light target %.3f, wanted 0.1", got)
+		t.Fatalf("share of the target of least weight = %.3f, want 0.1", got)
 	}
 }
 
-// TestLongestPathPrefixWins: the longest prefix of the host, never another host's.
+// The longest path prefix of the request's host wins, never another host's route.
 func TestLongestPathPrefixWins(t *testing.T) {
 	held := newView(&catalog.Document{Routes: []catalog.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "o", PathPrefix: "/"},
@@ -182,13 +181,13 @@
 			name = route.Name
 		}
 		if name != wanted {
-			t.Errorf("%s: route %q, wanted %q", path, name, wanted)
+			t.Errorf("%s: route %q, want %q", path, name, wanted)
 		}
 	}
 }
 
-// FuzzEventReader: whatever comes, the events passed on are a prefix of it that ends with an empty line, and a clean end
-// is told only between two events.
+// The events passed on are a prefix of the input that ends with an empty line, and io.EOF is returned only between
+// two events.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\n\n")
 	f.Add("id: 1\r\ndata: x\r\n\r\nid")
@@ -200,7 +199,7 @@
 			event, err := events.next()
 			if err == io.EOF {
 				if passed.String() != text {
-					t.Fatalf("clean end after %q of %q", passed.String(), text)
+					t.Fatalf("io.EOF after %q of %q", passed.String(), text)
 				}
 				return
 			}
@@ -210,22 +209,21 @@
 			passed.Write(event)
 		}
 		if !strings.HasPrefix(text, passed.String()) || passed.String() == text {
-			t.Fatalf("broken off after %q of %q", passed.String(), text)
+			t.Fatalf("error after %q of %q", passed.String(), text)
 		}
 	})
 }
 
-// TestLaterComparesIDsAsNumbers: ids rise as numbers do, not as texts.
+// IDs are compared as numbers, not as strings.
 func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
 		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
-			t.Errorf("%q and %q", pair[0], pair[1])
+			t.Errorf("later is wrong for %q and %q", pair[0], pair[1])
 		}
 	}
 }
 
-// TestLaneWeightFallsWithUtilization: they count in full while slots are free, not at all from half of them on, and as they did where
-// slots are not known.
+// Lanes have full weight while slots are free or unknown, and none from a utilization of one half on.
 func TestLaneWeightFallsWithUtilization(t *testing.T) {
 	for _, c := range []struct {
 		slots, running int
@@ -238,15 +236,15 @@
 		}
 		held := &lanes{}
 		if held.measureUtilization(time.Second, rows); held.weight() != c.wanted {
-			t.Errorf("%d of %d slots: weight %v, wanted %v", c.running, c.slots, held.weight(), c.wanted)
+			t.Errorf("%d of %d slots: weight %v, want %v", c.running, c.slots, held.weight(), c.wanted)
 		}
 	}
 }
 
-// BenchmarkDecision chooses among engines, half of which hold the prompt's shared parts.
+// BenchmarkDecision chooses among engines, half of which have the prompt's shared parts cached.
 func BenchmarkDecision(b *testing.B) { benchmarkDecision(b, 0) }
 
-// BenchmarkDecisionWithLimits does so where half of the engines name a limit, and of half of these nothing can be had.
+// BenchmarkDecisionWithLimits does so with half of the engines advertising a limit, half of them exhausted.
 func BenchmarkDecisionWithLimits(b *testing.B) { benchmarkDecision(b, 0.5) }
 
 func benchmarkDecision(b *testing.B, limitedFraction float64) {
@@ -277,27 +275,27 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if g.choose(time.Millisecond, in) == nil {
-					b.Fatal("no choice")
+					b.Fatal("no back end chosen")
 				}
 			}
 		})
 	}
 }
 
-// TestSendSurvivesWireRoundTrip: whatever is told arrives as it was, older by the time that it waited.
+// An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
 func TestSendSurvivesWireRoundTrip(t *testing.T) {
 	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
-		t.Fatalf("got %+v, wanted %+v", got, made)
+		t.Fatalf("got %+v, want %+v", got, made)
 	}
 	if odd := (wireSend{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); odd.Uncached != 0 || odd.Age != 0 || len(odd.Parts) != 0 {
-		t.Fatalf("broken message gives %+v", odd)
+		t.Fatalf("invalid message was decoded as %+v", odd)
 	}
 }
 
-// TestPartsAreSpreadOverStores: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
+// All gateways choose the same store for a part, and removing a store moves only its own parts.
 func TestPartsAreSpreadOverStores(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
 		{Name: "a", Store: "10.0.0.1:1"}, {Name: "b", Store: "10.0.0.2:1"}, {Name: "c", Store: "10.0.0.3:1"}, {Name: "d"},
@@ -316,16 +314,16 @@
 	}
 	for name, n := range count {
 		if n < parts/3-50 || n > parts/3+50 {
-			t.Errorf("store %s has %d of %d parts", name, n, parts)
+			t.Errorf("store %s has %d of %d parts, want about a third", name, n, parts)
 		}
 	}
 	if got := newView(&catalog.Document{}).storeOf(nil); got != nil {
-		t.Errorf("store %v where there is none", got)
+		t.Errorf("store %v, want none", got)
 	}
 }
 
-// TestSourcesPreferDeepestHolder: where every engine holds the first part of a prompt, the one that also holds the next is found,
-// however long ago that was.
+// Where every engine has the first part of a prompt cached, the one that also has the next is found, even if it is
+// the least recent.
 func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
@@ -348,6 +346,6 @@
 	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, in)
 	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maxSources {
-		t.Fatalf("%d sources, the first %+v", len(found), found)
+		t.Fatalf("%d sources, the first is %+v", len(found), found)
 	}
 }
