--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -11,8 +11,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestConcurrentSchedulersSpreadRequests: fifteen schedulers that place a request each at the same moment, of the same preamble, which
-// all engines hold, choose nearly as many engines.
+// Schedulers that each place a request with the same cached preamble at the same moment choose mostly different
+// engines.
 func TestConcurrentSchedulersSpreadRequests(t *testing.T) {
 	const schedulers, engines, rounds = 15, 240, 20
 	fleet := make([]*Gateway, schedulers)
@@ -26,7 +26,7 @@
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
 			fleet[d].table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
-			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i} // the shortest are the same for all
+			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i} // the shortest queues are the same for all
 			fleet[d].table.applySends(time.Second, []send{queued})
 		}
 	}
@@ -41,14 +41,14 @@
 		}
 		collisions += schedulers - len(used)
 	}
-	t.Logf("%d of %d met another", collisions, rounds*schedulers)
+	t.Logf("%d of %d requests collided", collisions, rounds*schedulers)
 	if collisions > 5*rounds/2 {
-		t.Fatalf("%d of %d requests met another one of the same moment", collisions, rounds*schedulers)
+		t.Fatalf("%d of %d concurrent requests were placed at the engine of another", collisions, rounds*schedulers)
 	}
 }
 
-// TestBusyStoreLinkPreventsCopy: a copy from a store is taken while its link is free, and not once many others are on their way;
-// the parts are read then.
+// A copy from a store is used while the store's link is free, but the parts are recomputed once many transfers are
+// queued.
 func TestBusyStoreLinkPreventsCopy(t *testing.T) {
 	g := scheduler(1)
 	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
@@ -58,36 +58,35 @@
 	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, in)
 	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
-		t.Fatalf("over a free link: %+v", free)
+		t.Fatalf("with a free link: %+v", free)
 	}
 	for range 40 {
 		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
 	}
 	if busy := g.choose(time.Second, in); busy.fetchFrom != "" || busy.uncached != 9190 {
-		t.Fatalf("over a busy link: %+v", busy)
+		t.Fatalf("with a busy link: %+v", busy)
 	}
 	g.table.sweep(5 * time.Second)
 	if len(g.table.links) > 0 {
-		t.Fatalf("links %v are remembered", g.table.links)
+		t.Fatalf("idle links were not removed: %v", g.table.links)
 	}
 }
 
-// TestObservedPrefillRateSetsQueueTime: the same reading keeps an engine busy for longer where engines are slower.
+// The queue time of an engine follows from the observed prefill rate of its service.
 func TestObservedPrefillRateSetsQueueTime(t *testing.T) {
 	g := scheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
-		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 a ms
-		g.table.observePrefill(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
+		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 tokens per ms
+		g.table.observePrefill(row, false, 8000, 4000*time.Millisecond) // not alone at its engine, so ignored
 	}
 	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
 	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
-		t.Fatalf("8000 tokens keep the engine busy for %v", busy)
+		t.Fatalf("estimated prefill time of 8000 tokens = %v, want 400 ms", busy)
 	}
 }
 
-// TestLaneDemandCountsSlotTime: where short requests keep slots for long, as many engines are theirs as that needs, although
-// they read little.
+// The short lane gets engines for the slots that short requests occupy, although these have few prompt tokens.
 func TestLaneDemandCountsSlotTime(t *testing.T) {
 	share := func(slotTime float64) float64 {
 		l := &lanes{}
@@ -99,12 +98,12 @@
 		return l.longDemandFraction()
 	}
 	if tokens, slots := share(0), share(60); tokens < 0.85 || slots > 0.75 {
-		t.Fatalf("shares of long requests: %.2f by tokens, %.2f with slots of 60 ms", tokens, slots)
+		t.Fatalf("long fraction: %.2f by tokens, %.2f with a slot time of 60 ms", tokens, slots)
 	}
 }
 
-// TestScheduledPlainRequestsAreSpread: requests of a service without engines that a scheduler places count at once, and are told to the others
-// like those of engines; what is told of other gateways counts as well.
+// Requests that a scheduler places for a service without engines count at once and are spread, and the load that
+// other gateways report counts as well.
 func TestScheduledPlainRequestsAreSpread(t *testing.T) {
 	g := scheduler(1)
 	g.table.setAssigned([]string{"i-0"})
@@ -123,7 +122,7 @@
 	}
 	for id, n := range used {
 		if id == "" || id == "p-0" || n > 9 {
-			t.Errorf("%d of 42 requests at %q: %v", n, id, used)
+			t.Errorf("%d of 42 requests at %q, want at most 9 and none at p-0: %v", n, id, used)
 		}
 	}
 	if len(g.table.lanes) > 0 && g.table.lanes["plain"] != nil {
