--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -10,7 +10,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestMessageSizes: every begin and end goes to every gateway, and every change of a back end too.
+// Announcements go to every gateway for every request, and roster entries for every change of a back end, so both
+// must be small.
 func TestMessageSizes(t *testing.T) {
 	begin := send{Gateway: "4x7k2m9q", Load: belief.Load{Running: 3, Tokens: 21000}, Instance: "i-80cd531cfc", Salt: "w3", Uncached: 2890, Age: 12e6,
 		Parts: []prefix.Part{{ID: "5c1e07a2", Tokens: 2520}, {ID: "91bd3f06", Tokens: 3780}, {ID: "e4402b7d", Tokens: 2890}}}
@@ -23,7 +24,7 @@
 	}{"begin": {begin.wire(0), 160}, "end": {end.wire(0), 80}, "roster entry": {entry, 220}} {
 		data, err := json.Marshal(c.message)
 		if err != nil || len(data) > c.limit {
-			t.Errorf("%s takes %d bytes, wanted at most %d (%v): %s", name, len(data), c.limit, err, data)
+			t.Errorf("%s takes %d bytes, want at most %d (%v): %s", name, len(data), c.limit, err, data)
 		}
 		t.Logf("%s: %d bytes", name, len(data))
 	}
