--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -69,9 +69,9 @@
 		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
-		report := func(whole bool) {
+		report := func(full bool) {
 			news := pending
-			if whole {
+			if full {
 				news = nil
 				for id, tokens := range engine {
 					news = append(news, cached(id, tokens))
@@ -79,7 +79,7 @@
 			}
 			pending = nil
 			peer.RecordReport(now) // peers are notified every second that the engine is being read
-			for _, p := range reader.ApplyReport(now, news, whole) {
+			for _, p := range reader.ApplyReport(now, news, full) {
 				peer.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
