--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -70,16 +70,16 @@
 		now := time.Duration(0)
 		lost := false
 		report := func(full bool) {
-			news := pending
+			changes := pending
 			if full {
-				news = nil
+				changes = nil
 				for id, tokens := range engine {
-					news = append(news, cached(id, tokens))
+					changes = append(changes, cached(id, tokens))
 				}
 			}
 			pending = nil
 			peer.RecordReport(now) // peers are notified every second that the engine is being read
-			for _, p := range reader.ApplyReport(now, news, full) {
+			for _, p := range reader.ApplyReport(now, changes, full) {
 				peer.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
