--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -65,19 +65,19 @@
 // engine equals the engine's cache, and so does that of a gateway that gets only the corrections.
 func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engine, pending := engineCache{}, []CachedPart{}
+		engine, unread := engineCache{}, []CachedPart{}
 		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
 		lost := false
 		report := func(full bool) {
-			changes := pending
+			changes := unread
 			if full {
 				changes = nil
 				for id, tokens := range engine {
 					changes = append(changes, cached(id, tokens))
 				}
 			}
-			pending = nil
+			unread = nil
 			peer.RecordReport(now) // peers are notified every second that the engine is being read
 			for _, p := range reader.ApplyReport(now, changes, full) {
 				peer.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
@@ -91,7 +91,7 @@
 				reader.RecordUse(now, "w1", parts)
 				peer.RecordUse(now, "w1", parts)
 				engine[id] = 100
-				pending = append(pending, cached(id, 100))
+				unread = append(unread, cached(id, 100))
 			},
 			"give way": func(t *rapid.T) {
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
@@ -103,9 +103,9 @@
 				if left == 0 {
 					delete(engine, id)
 				}
-				pending = append(pending, cached(id, left))
+				unread = append(unread, cached(id, left))
 			},
-			"lose": func(*rapid.T) { pending, lost = nil, true },
+			"lose": func(*rapid.T) { unread, lost = nil, true },
 			"read": func(*rapid.T) { now += 100 * time.Millisecond; report(lost); lost = false },
 		})
 		now += unconfirmedTTL + time.Second
