--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -68,7 +68,7 @@
 		engine, unread := engineCache{}, []CachedPart{}
 		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
-		lost := false
+		eventsLost := false
 		report := func(full bool) {
 			changes := unread
 			if full {
@@ -105,11 +105,11 @@
 				}
 				unread = append(unread, cached(id, left))
 			},
-			"lose": func(*rapid.T) { unread, lost = nil, true },
-			"read": func(*rapid.T) { now += 100 * time.Millisecond; report(lost); lost = false },
+			"lose": func(*rapid.T) { unread, eventsLost = nil, true },
+			"read": func(*rapid.T) { now += 100 * time.Millisecond; report(eventsLost); eventsLost = false },
 		})
 		now += unconfirmedTTL + time.Second
-		report(lost)
+		report(eventsLost)
 		now += unconfirmedTTL + time.Second
 		report(true)
 		for i := range 10 {
