--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -128,14 +128,14 @@
 // Without reports, the estimate equals an LRU cache.
 func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewCacheEstimate(1000) // 750 tokens
-		var order []prefix.Part        // oldest first
+		estimate := NewCacheEstimate(1000) // 750 tokens
+		var order []prefix.Part            // oldest first
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now += time.Millisecond
 			id := rapid.IntRange(0, 12).Draw(t, "part")
 			part := prefix.Part{ID: fmt.Sprint(id), Tokens: 50 + 20*id}
-			held.RecordUse(now, "w1", []prefix.Part{part})
+			estimate.RecordUse(now, "w1", []prefix.Part{part})
 			for i, known := range order {
 				if known.ID == part.ID {
 					order = append(order[:i], order[i+1:]...)
@@ -143,19 +143,19 @@
 				}
 			}
 			order = append(order, part)
-			for prefix.PartTokens(order) > held.limit {
+			for prefix.PartTokens(order) > estimate.limit {
 				order = order[1:]
 			}
 			for _, known := range order {
-				if held.Cached("w1", []prefix.Part{known}) != known.Tokens {
+				if estimate.Cached("w1", []prefix.Part{known}) != known.Tokens {
 					t.Fatalf("part %s is not cached", known.ID)
 				}
-				if held.Cached("w2", []prefix.Part{known}) != 0 {
+				if estimate.Cached("w2", []prefix.Part{known}) != 0 {
 					t.Fatalf("part %s is cached under another salt", known.ID)
 				}
 			}
-			if held.total != prefix.PartTokens(order) {
-				t.Fatalf("total cached tokens = %d, want %d", held.total, prefix.PartTokens(order))
+			if estimate.total != prefix.PartTokens(order) {
+				t.Fatalf("total cached tokens = %d, want %d", estimate.total, prefix.PartTokens(order))
 			}
 		}
 	})
