--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -163,12 +163,12 @@
 
 // Cached counts a part only if all parts before it are cached.
 func TestCachedStopsAtFirstMissingPart(t *testing.T) {
-	held := NewCacheEstimate(10_000)
-	held.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
-	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
+	estimate := NewCacheEstimate(10_000)
+	estimate.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
+	if got := estimate.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
 		t.Fatalf("%d tokens counted behind a part that is not cached, want 0", got)
 	}
-	if got := held.Cached("w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "x", Tokens: 9}, {ID: "c", Tokens: 7}}); got != 5 {
+	if got := estimate.Cached("w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "x", Tokens: 9}, {ID: "c", Tokens: 7}}); got != 5 {
 		t.Fatalf("cached tokens = %d, want 5", got)
 	}
 }
