--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -129,24 +129,24 @@
 func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimate := NewCacheEstimate(1000) // 750 tokens
-		var order []prefix.Part            // oldest first
+		var lru []prefix.Part              // oldest first
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now += time.Millisecond
 			id := rapid.IntRange(0, 12).Draw(t, "part")
 			part := prefix.Part{ID: fmt.Sprint(id), Tokens: 50 + 20*id}
 			estimate.RecordUse(now, "w1", []prefix.Part{part})
-			for i, known := range order {
+			for i, known := range lru {
 				if known.ID == part.ID {
-					order = append(order[:i], order[i+1:]...)
+					lru = append(lru[:i], lru[i+1:]...)
 					break
 				}
 			}
-			order = append(order, part)
-			for prefix.PartTokens(order) > estimate.limit {
-				order = order[1:]
+			lru = append(lru, part)
+			for prefix.PartTokens(lru) > estimate.limit {
+				lru = lru[1:]
 			}
-			for _, known := range order {
+			for _, known := range lru {
 				if estimate.Cached("w1", []prefix.Part{known}) != known.Tokens {
 					t.Fatalf("part %s is not cached", known.ID)
 				}
@@ -154,8 +154,8 @@
 					t.Fatalf("part %s is cached under another salt", known.ID)
 				}
 			}
-			if estimate.total != prefix.PartTokens(order) {
-				t.Fatalf("total cached tokens = %d, want %d", estimate.total, prefix.PartTokens(order))
+			if estimate.total != prefix.PartTokens(lru) {
+				t.Fatalf("total cached tokens = %d, want %d", estimate.total, prefix.PartTokens(lru))
 			}
 		}
 	})
