--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -51,9 +51,9 @@
 	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
 	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
 	h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("b", 10)}, true)
-	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
-		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
-			t.Errorf("part %s: cached tokens = %d, want %d", id, got, wanted)
+	for id, want := range map[string]int{"a": 0, "b": 10, "c": 10} {
+		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != want {
+			t.Errorf("part %s: cached tokens = %d, want %d", id, got, want)
 		}
 	}
 }
