--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -16,7 +16,7 @@
 // Guards against a new leader with a later record or a slower clock moving the deadline for old weights later
 // while requests wait for it.
 func TestPublishTimeNeverMovesLater(t *testing.T) {
-	at := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
+	checkOldest := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
 		t.Helper()
 		if got, lacks := n.OldestMissing("m", held); !lacks || got != want {
 			t.Fatalf("oldest version above %d: published at %v (known: %t), want %v", held, got, lacks, want)
@@ -26,7 +26,7 @@
 		n := NewPublishTimes(guard.Set{})
 		n.Update(10*time.Second, 10*time.Second, 1, wantedVersion(2, 4*time.Second))
 		regressions := n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, time.Second))
-		at(t, n, 1, 6*time.Second)
+		checkOldest(t, n, 1, 6*time.Second)
 		if len(regressions) != 1 || regressions[0].Known != 6*time.Second || regressions[0].Reported != time.Second {
 			t.Fatalf("regressions %+v", regressions)
 		}
@@ -38,15 +38,15 @@
 		n := NewPublishTimes(guard.Set{})
 		n.Update(10*time.Second, 10*time.Second, 1, wantedVersion(2, time.Second))
 		n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, 9*time.Second))
-		at(t, n, 1, 3*time.Second)
+		checkOldest(t, n, 1, 3*time.Second)
 	})
 	// A leader that knows only the newest version must not hide an older one that a back end lacks too.
 	t.Run("new leader reports fewer versions", func(t *testing.T) {
 		n := NewPublishTimes(guard.Set{})
 		n.Update(10*time.Second, 10*time.Second, 1, append(wantedVersion(2, 5*time.Second), wantedVersion(3, time.Second)...))
 		n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(3, 3*time.Second))
-		at(t, n, 1, 5*time.Second)
-		at(t, n, 2, 9*time.Second)
+		checkOldest(t, n, 1, 5*time.Second)
+		checkOldest(t, n, 2, 9*time.Second)
 	})
 	// A delayed answer yields too early a time, which the next answer of the same leader corrects. Otherwise a
 	// suspended gateway would exclude back ends too early for good.
@@ -54,7 +54,7 @@
 		n := NewPublishTimes(guard.Set{})
 		n.Update(18*time.Second, 10*time.Second, 1, wantedVersion(2, 8*time.Second))
 		n.Update(19*time.Second, 19*time.Second, 1, wantedVersion(2, 9*time.Second))
-		at(t, n, 1, 10*time.Second)
+		checkOldest(t, n, 1, 10*time.Second)
 	})
 	// A gateway that switches replicas hears from a leader, its successor and the first again.
 	t.Run("alternating leaders", func(t *testing.T) {
@@ -62,7 +62,7 @@
 		n.Update(10*time.Second, 10*time.Second, 2, wantedVersion(2, 4*time.Second))
 		n.Update(11*time.Second, 11*time.Second, 1, wantedVersion(2, time.Second))
 		n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, time.Second))
-		at(t, n, 1, 6*time.Second)
+		checkOldest(t, n, 1, 6*time.Second)
 	})
 	t.Run("at most NamingsKept versions", func(t *testing.T) {
 		n := NewPublishTimes(guard.Set{})
@@ -72,6 +72,6 @@
 		if kept := len(n.models["m"]); kept > catalog.NamingsKept {
 			t.Fatalf("%d versions are kept", kept)
 		}
-		at(t, n, 99, time.Second)
+		checkOldest(t, n, 99, time.Second)
 	})
 }
