--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -18,8 +18,8 @@
 func TestPublishTimeNeverMovesLater(t *testing.T) {
 	checkOldest := func(t *testing.T, n *PublishTimes, held uint64, want time.Duration) {
 		t.Helper()
-		if got, lacks := n.OldestMissing("m", held); !lacks || got != want {
-			t.Fatalf("oldest version above %d: published at %v (known: %t), want %v", held, got, lacks, want)
+		if got, ok := n.OldestMissing("m", held); !ok || got != want {
+			t.Fatalf("oldest version above %d: published at %v (known: %t), want %v", held, got, ok, want)
 		}
 	}
 	t.Run("new leader reports a smaller age", func(t *testing.T) {
