--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -51,13 +51,13 @@
 	for _, c := range []struct {
 		load   Load
 		tokens int
-		wanted float64
+		want   float64
 	}{
 		{Load{15, 70_000}, 10_000, 0}, {Load{16, 0}, 10, 125}, {Load{23, 0}, 10, 1000}, {Load{8, 80_000}, 20_000, 500},
 		{Load{0, 0}, 90_000, 0}, {Load{31, 80_000}, 20_000, 2000},
 	} {
-		if got := CapacityWait(c.load, slots, memory, c.tokens, stay); got != c.wanted {
-			t.Errorf("load %+v and %d tokens: wait %.0f ms, want %.0f", c.load, c.tokens, got, c.wanted)
+		if got := CapacityWait(c.load, slots, memory, c.tokens, stay); got != c.want {
+			t.Errorf("load %+v and %d tokens: wait %.0f ms, want %.0f", c.load, c.tokens, got, c.want)
 		}
 	}
 	if got := CapacityWait(Load{Running: 50, Tokens: 1e9}, 0, 0, 10, stay); got != 0 {
