--- a/internal/gateway/belief/occupancy_test.go
+++ b/internal/gateway/belief/occupancy_test.go
@@ -26,8 +26,8 @@
 				load: Load{Running: rapid.IntRange(0, 20).Draw(t, "running"), Tokens: rapid.IntRange(0, 9000).Draw(t, "tokens")},
 			}
 			sent, newest[m.from] = append(sent, m), m
-			if back := rapid.IntRange(0, min(5, len(sent)-1)).Draw(t, "overtaken"); rapid.Bool().Draw(t, "arrives") {
-				late := sent[len(sent)-1-back]
+			if overtakenBy := rapid.IntRange(0, min(5, len(sent)-1)).Draw(t, "overtaken"); rapid.Bool().Draw(t, "arrives") {
+				late := sent[len(sent)-1-overtakenBy]
 				o.RecordPeer(late.from, late.at, late.load)
 			}
 		}
