--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -23,12 +23,12 @@
 			t.Errorf("rate of %v tokens per ms was estimated as %.1f", rate, got)
 		}
 	}
-	slow, fast, late := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
+	slow, fast, overloaded := DefaultPrefillEstimate(), DefaultPrefillEstimate(), DefaultPrefillEstimate()
 	for range 1000 {
-		slow, fast, late = slow.Observe(tokenTimeSampleTokens, time.Hour), fast.Observe(1<<40, time.Nanosecond), late.Observe(1, time.Hour)
+		slow, fast, overloaded = slow.Observe(tokenTimeSampleTokens, time.Hour), fast.Observe(1<<40, time.Nanosecond), overloaded.Observe(1, time.Hour)
 	}
-	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*maxTokenTimeFactor || fast.tokenTime < DefaultPrefillEstimate().tokenTime/maxTokenTimeFactor || late.overhead > maxOverhead {
-		t.Errorf("estimates out of bounds: %v, %v and %v", slow, fast, late)
+	if slow.tokenTime > DefaultPrefillEstimate().tokenTime*maxTokenTimeFactor || fast.tokenTime < DefaultPrefillEstimate().tokenTime/maxTokenTimeFactor || overloaded.overhead > maxOverhead {
+		t.Errorf("estimates out of bounds: %v, %v and %v", slow, fast, overloaded)
 	}
 }
 
