--- a/internal/gateway/belief/pace_test.go
+++ b/internal/gateway/belief/pace_test.go
@@ -46,8 +46,8 @@
 			first := 60 + float64(tokens)/rate*(0.95+0.1*random.Float64())
 			p = p.Observe(tokens, FromMilliseconds(first))
 		}
-		if got, wanted := Milliseconds(p.PrefillTime(2890)), 2890/rate; got < 0.8*wanted || got > 1.2*wanted {
-			t.Errorf("prefill time of 2,890 tokens = %.0f ms, want %.0f", got, wanted)
+		if got, want := Milliseconds(p.PrefillTime(2890)), 2890/rate; got < 0.8*want || got > 1.2*want {
+			t.Errorf("prefill time of 2,890 tokens = %.0f ms, want %.0f", got, want)
 		}
 		if got := Milliseconds(p.TimeToFirstEvent(300)); got < 50 || got > 75 {
 			t.Errorf("time to first event of a short prompt = %.0f ms, want 50 to 75", got)
