--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -32,8 +32,8 @@
 		borrowers := make([]*allowance.Client, gateways)
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
-		lender := allowance.NewAllocator(1)
-		lender.SetLimits(0, limits)
+		allocator := allowance.NewAllocator(1)
+		allocator.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
 			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
@@ -43,7 +43,7 @@
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
-				hold = b.ApplyReply(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
+				hold = b.ApplyReply(now, now, wants, allocator.Allocate(now, b.NewRequest(now, wants)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
