--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -39,7 +39,7 @@
 			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
 			borrowers[i].SetLimits(limits)
 		}
-		lent := func(b *allowance.Client, now time.Duration) bool {
+		leased := func(b *allowance.Client, now time.Duration) bool {
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
 			hold, ok := b.Take(now, wants[0].Name, 1)
 			if !ok {
@@ -59,7 +59,7 @@
 			budget := fleet[at]
 			budget.request("s", now)
 			seen = append(seen, counted{now, false})
-			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || lent(borrowers[at], now)) {
+			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(borrowers[at], now)) {
 				seen = append(seen, counted{now, true})
 			}
 		}
