--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -29,15 +29,15 @@
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
-		borrowers := make([]*allowance.Client, gateways)
+		clients := make([]*allowance.Client, gateways)
 		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
 		allocator := allowance.NewAllocator(1)
 		allocator.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
-			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
-			borrowers[i].SetLimits(limits)
+			clients[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
+			clients[i].SetLimits(limits)
 		}
 		leased := func(b *allowance.Client, now time.Duration) bool {
 			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
@@ -59,7 +59,7 @@
 			budget := fleet[at]
 			budget.request("s", now)
 			seen = append(seen, counted{now, false})
-			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(borrowers[at], now)) {
+			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(clients[at], now)) {
 				seen = append(seen, counted{now, true})
 			}
 		}
