--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -40,10 +40,10 @@
 			clients[i].SetLimits(limits)
 		}
 		leased := func(b *allowance.Client, now time.Duration) bool {
-			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
-			hold, ok := b.Take(now, wants[0].Name, 1)
+			demands := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
+			hold, ok := b.Take(now, demands[0].Name, 1)
 			if !ok {
-				hold = b.ApplyReply(now, now, wants, allocator.Allocate(now, b.NewRequest(now, wants)))[0].Lease
+				hold = b.ApplyReply(now, now, demands, allocator.Allocate(now, b.NewRequest(now, demands)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
