--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -103,13 +103,13 @@
 func TestLanesGiveEachKindAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
-		held := &lanes{}
+		l := &lanes{}
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 100).Draw(t, "sends") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
-			held.recordDemand(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
+			l.recordDemand(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
 		}
-		held.divide(rows)
+		l.divide(rows)
 		long, short := map[string]int{}, map[string]int{}
 		for _, row := range rows {
 			if row.longLane {
