--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -143,9 +143,9 @@
 		for n := 1; n <= 300; n++ {
 			sent[splits.next(route)]++
 			for _, target := range route.Targets {
-				owed := float64(n*target.Weight) / float64(total)
-				if math.Abs(owed-float64(sent[target.Service])) > 2 {
-					t.Fatalf("after %d requests %s got %d, want %.1f", n, target.Service, sent[target.Service], owed)
+				want := float64(n*target.Weight) / float64(total)
+				if math.Abs(want-float64(sent[target.Service])) > 2 {
+					t.Fatalf("after %d requests %s got %d, want %.1f", n, target.Service, sent[target.Service], want)
 				}
 			}
 		}
