--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -156,16 +156,16 @@
 func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
-	light := 0
+	lightCount := 0
 	for seed := range uint64(gateways) {
 		s := newSplits(rand.New(rand.NewPCG(seed, 1)))
 		for range each {
 			if s.next(route) == "b" {
-				light++
+				lightCount++
 			}
 		}
 	}
-	if got := float64(light) / (gateways * each); math.Abs(got-0.1) > tolerance {
+	if got := float64(lightCount) / (gateways * each); math.Abs(got-0.1) > tolerance {
 		t.Fatalf("share of the target of least weight = %.3f, want 0.1", got)
 	}
 }
