--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -172,12 +172,12 @@
 
 // The longest path prefix of the request's host wins, never another host's route.
 func TestLongestPathPrefixWins(t *testing.T) {
-	held := newView(&catalog.Document{Routes: []catalog.Route{
+	view := newView(&catalog.Document{Routes: []catalog.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "o", PathPrefix: "/"},
 	}})
 	for path, wanted := range map[string]string{"/a/x": "short", "/a/b/x": "long", "/a/bx": "short", "/x": "", "/a": ""} {
 		name := ""
-		if route := held.route("h", path); route != nil {
+		if route := view.route("h", path); route != nil {
 			name = route.Name
 		}
 		if name != wanted {
