--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -234,9 +234,9 @@
 			row.entry.Slots = c.slots
 			row.occupancy.Own.Running = c.running
 		}
-		held := &lanes{}
-		if held.measureUtilization(time.Second, rows); held.weight() != c.wanted {
-			t.Errorf("%d of %d slots: weight %v, want %v", c.running, c.slots, held.weight(), c.wanted)
+		l := &lanes{}
+		if l.measureUtilization(time.Second, rows); l.weight() != c.wanted {
+			t.Errorf("%d of %d slots: weight %v, want %v", c.running, c.slots, l.weight(), c.wanted)
 		}
 	}
 }
