--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -306,10 +306,10 @@
 	count := map[string]int{}
 	for i := range parts {
 		prompt := []prefix.Part{{ID: "preamble", Tokens: 9}, {ID: fmt.Sprint(i), Tokens: 9}, {ID: "own", Tokens: 1}}
-		before, after := whole.storeOf(prompt).Name, fewer.storeOf(prompt).Name
-		count[before]++
-		if before != "a" && after != before {
-			t.Fatalf("part %d moved from %s to %s", i, before, after)
+		assigned, after := whole.storeOf(prompt).Name, fewer.storeOf(prompt).Name
+		count[assigned]++
+		if assigned != "a" && after != assigned {
+			t.Fatalf("part %d moved from %s to %s", i, assigned, after)
 		}
 	}
 	for name, n := range count {
