--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -206,9 +206,9 @@
 			id := fmt.Sprint("i-", rapid.IntRange(0, engines-1).Draw(t, "engine"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				made := attemptAt(g, rows[id])
-				g.table.begin(g.now(), made)
-				sent, waiting[made] = append(sent, made), true
+				added := attemptAt(g, rows[id])
+				g.table.begin(g.now(), added)
+				sent, waiting[added] = append(sent, added), true
 			case 2:
 				if len(sent) > 0 {
 					started := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
