--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -239,12 +239,12 @@
 				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
 			g.watchStartDeadlines()
-			for _, one := range sent {
-				if waiting[one] && isLate(one.row.entry.ID) {
-					late[one] = true
+			for _, attempted := range sent {
+				if waiting[attempted] && isLate(attempted.row.entry.ID) {
+					late[attempted] = true
 				}
-				if ended := context.Cause(one.ctx) == errOutdated; ended != late[one] {
-					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", one.row.entry.ID, namedAt, versions, ended, late[one])
+				if ended := context.Cause(attempted.ctx) == errOutdated; ended != late[attempted] {
+					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, namedAt, versions, ended, late[attempted])
 				}
 			}
 		}
