--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -248,8 +248,8 @@
 				}
 			}
 		}
-		for _, one := range sent {
-			g.table.end(g.now(), one, gradeGood)
+		for _, attempted := range sent {
+			g.table.end(g.now(), attempted, gradeGood)
 		}
 		if len(g.table.waiting) > 0 {
 			t.Fatalf("%d attempts still waiting after their end", len(g.table.waiting))
