--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -12,7 +12,7 @@
 func TestExplainRecompute(t *testing.T) {
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
-	for _, row := range []struct {
+	for _, c := range []struct {
 		name      string
 		chosen    candidate
 		sources   []source
@@ -29,19 +29,19 @@
 		{"copy costs more", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
 		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, recomputeWeightsUnknown},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			g := &Gateway{table: newTable(mechanism.Set{})}
-			if row.sinceSent > 0 {
-				g.table.recordSent(now-row.sinceSent, shared)
+			if c.sinceSent > 0 {
+				g.table.recordSent(now-c.sinceSent, shared)
 			}
-			if row.holders != nil {
-				g.table.holders["b"] = row.holders
+			if c.holders != nil {
+				g.table.holders["b"] = c.holders
 			}
-			if got := g.explainRecompute(now, &row.chosen, shared, row.sources); got != row.wanted {
-				t.Fatalf("cause %s, want %s", got, row.wanted)
+			if got := g.explainRecompute(now, &c.chosen, shared, c.sources); got != c.wanted {
+				t.Fatalf("cause %s, want %s", got, c.wanted)
 			}
-			if g.table.sweepLastSent(now); row.sinceSent > lastSentTTL && len(g.table.lastSent) > 0 {
+			if g.table.sweepLastSent(now); c.sinceSent > lastSentTTL && len(g.table.lastSent) > 0 {
 				t.Fatal("expired entry was not removed")
 			}
 		})
