--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -4,25 +4,25 @@
 
 // forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
 func (m *Machine) forget(id string) {
-	if _, known := m.instances[id]; known && LifeOf(id).Born > 0 {
-		m.forgotten = append(m.forgotten, id)
-		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-tombstonesKept))
+	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
+		m.expiredIDs = append(m.expiredIDs, id)
+		m.expiredIDs = slices.Delete(m.expiredIDs, 0, max(0, len(m.expiredIDs)-maxDepartedIDs))
 	}
 	m.drop(id)
 }
 
-// Meant returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
+// ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
 // forgotten.
-func (m *Machine) Meant(id string) string {
-	life := LifeOf(id)
-	if _, known := m.instances[id]; known || life.Born > 0 {
+func (m *Machine) ResolveInstanceID(id string) string {
+	life := ParseInstanceID(id)
+	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.lives.standing(life.Name); tells {
+	if standing, tells := m.lives.currentID(life.Name); tells {
 		return standing
 	}
-	for _, last := range slices.Backward(m.forgotten) {
-		if LifeOf(last).Name == life.Name {
+	for _, last := range slices.Backward(m.expiredIDs) {
+		if ParseInstanceID(last).Name == life.Name {
 			return last
 		}
 	}
@@ -31,17 +31,17 @@
 
 // remove ends an instance for good.
 func (m *Machine) remove(id string) {
-	id = m.Meant(id)
+	id = m.ResolveInstanceID(id)
 	m.drop(id)
-	if m.ended[id] {
+	if m.departed[id] {
 		return
 	}
-	m.ended[id] = true
+	m.departed[id] = true
 	m.lives.end(id)
-	m.tombstones = append(m.tombstones, id)
-	if len(m.tombstones) > tombstonesKept {
-		delete(m.ended, m.tombstones[0])
-		m.lives.forget(m.tombstones[0])
-		m.tombstones = slices.Delete(m.tombstones, 0, 1)
+	m.departedIDs = append(m.departedIDs, id)
+	if len(m.departedIDs) > maxDepartedIDs {
+		delete(m.departed, m.departedIDs[0])
+		m.lives.forget(m.departedIDs[0])
+		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -54,17 +54,17 @@
 			},
 			"remove": func(t *rapid.T) {
 				id := instance()
-				machine.Apply(Command{Remove: id})
+				machine.Apply(Command{Deregister: id})
 				expected.left[id] = true
 			},
 			"forget": func(t *rapid.T) {
 				id := instance()
-				machine.Apply(Command{Forget: id})
+				machine.Apply(Command{Expire: id})
 				delete(expected.draining, id)
 			},
 			"version": func(t *rapid.T) {
 				version := rapid.Uint64Range(1, 9).Draw(t, "version")
-				machine.Apply(Command{Version: &NamedWeight{Model: "m", Version: version}})
+				machine.Apply(Command{PublishWeights: &WeightsVersion{Model: "m", Version: version}})
 				expected.versions["m"] = max(expected.versions["m"], version)
 			},
 			"fence": func(t *rapid.T) {
@@ -83,7 +83,7 @@
 				if err := json.Unmarshal(data, restored); err != nil {
 					t.Fatal(err)
 				}
-				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.ended, machine.ended) {
+				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.departed, machine.departed) {
 					t.Fatalf("restored %+v, was %+v", restored, machine)
 				}
 				machine = restored
@@ -97,8 +97,8 @@
 	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
 		t.Fatalf("document %+v, expected revision %d %q", machine.Document(), o.revision, o.content)
 	}
-	if machine.Versions()["m"] != o.versions["m"] {
-		t.Fatalf("version %d, expected %d", machine.Versions()["m"], o.versions["m"])
+	if machine.LatestVersions()["m"] != o.versions["m"] {
+		t.Fatalf("version %d, expected %d", machine.LatestVersions()["m"], o.versions["m"])
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
@@ -124,7 +124,7 @@
 // TestCheckNamesWhatIsWrong: each fault is found and its place is named.
 func TestCheckNamesWhatIsWrong(t *testing.T) {
 	good := goodDocument()
-	if problems := good.Check(); len(problems) > 0 {
+	if problems := good.Validate(); len(problems) > 0 {
 		t.Fatalf("problems %v", problems)
 	}
 	faults := map[string]func(*Document){
@@ -141,7 +141,7 @@
 	for wanted, spoil := range faults {
 		document := goodDocument()
 		spoil(&document)
-		problems := document.Check()
+		problems := document.Validate()
 		found := false
 		for _, problem := range problems {
 			found = found || strings.HasPrefix(problem.String(), wanted)
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -15,18 +15,18 @@
 		applied, restored := NewMachine(), NewMachine()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
 			command := Command{
-				Version: &NamedWeight{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
-				UnixMS:  rapid.Int64Range(1, 1000).Draw(t, "time"),
+				PublishWeights: &WeightsVersion{Model: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), Version: rapid.Uint64Range(1, 100).Draw(t, "version")},
+				UnixMS:         rapid.Int64Range(1, 1000).Draw(t, "time"),
 			}
-			before := len(applied.Namings(command.Version.Model))
-			newer := command.Version.Version > applied.Versions()[command.Version.Model]
+			before := len(applied.Publications(command.PublishWeights.Model))
+			newer := command.PublishWeights.Version > applied.LatestVersions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
-			namings := applied.Namings(command.Version.Model)
-			if last := namings[len(namings)-1]; newer && last != (Naming{command.Version.Version, command.UnixMS}) {
+			namings := applied.Publications(command.PublishWeights.Model)
+			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
-			if !newer && len(namings) != before || len(namings) > NamingsKept {
+			if !newer && len(namings) != before || len(namings) > MaxPublications {
 				t.Fatalf("%d namings after %d", len(namings), before)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
@@ -40,10 +40,10 @@
 				}
 			}
 		}
-		if !reflect.DeepEqual(applied.namings, restored.namings) {
-			t.Fatalf("namings %+v and, through snapshots, %+v", applied.namings, restored.namings)
+		if !reflect.DeepEqual(applied.publications, restored.publications) {
+			t.Fatalf("namings %+v and, through snapshots, %+v", applied.publications, restored.publications)
 		}
-		for model, namings := range applied.namings {
+		for model, namings := range applied.publications {
 			for i := range namings[1:] {
 				if namings[i].Version >= namings[i+1].Version {
 					t.Fatalf("namings of %s: %+v", model, namings)
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -37,12 +37,12 @@
 // noteOrdering remembers that a leader is about to order back ends.
 func (r *Replica) noteOrdering(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
-		name := catalog.LifeOf(id).Name
+		name := catalog.ParseInstanceID(id).Name
 		mark, known := r.orders[name]
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAt = true, mark.at
 		}
-		if !known && r.machine.catalog.Ordered(id) {
+		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
 		mark.term, mark.at, mark.renewTo = term, now, 0
@@ -54,18 +54,18 @@
 // never applied here.
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
-		if r.machine.catalog.Ordered(id) {
-			r.orders[catalog.LifeOf(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
+		if r.machine.catalog.MayHaveWeightsCommand(id) {
+			r.orders[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
 }
 
 // orderedElsewhere returns when another leader was last about to order a back end, if one may have been.
 func (r *Replica) orderedElsewhere(id string) (time.Duration, bool) {
-	mark, known := r.orders[catalog.LifeOf(id).Name]
+	mark, known := r.orders[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
-		return 0, r.machine.catalog.Ordered(id)
+		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
 	case mark.term != r.node.Term():
 		return mark.at, true
 	}
@@ -75,7 +75,7 @@
 // mayOrderBackend reports whether a back end may be ordered now: this leader's intent is in the log, has been for a moment only, and the back
 // end was handed over.
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
-	name := catalog.LifeOf(id).Name
+	name := catalog.ParseInstanceID(id).Name
 	mark := r.orders[name]
 	if mark.term != r.node.Term() || !r.handedOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
@@ -93,7 +93,7 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orders[catalog.LifeOf(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
+	return now <= r.orders[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
@@ -124,7 +124,7 @@
 	}
 	ids := r.lead.ordering
 	r.lead.ordering = nil
-	r.propose(now, 0, Command{Catalog: &catalog.Command{Ordering: ids}})
+	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsCommandTargets: ids}})
 }
 
 const (
@@ -139,7 +139,7 @@
 // unlisted reports whether the log doesn't hold a gateway yet, so that the next leader wouldn't wait for it: its view isn't confirmed. One
 // that closes is written no more.
 func (r *Replica) unlisted(watch Watch) bool {
-	return !r.machine.catalog.Listed(watch.Gateway) && !watch.Closing
+	return !r.machine.catalog.HasGateway(watch.Gateway) && !watch.Closing
 }
 
 // noteGateways writes which gateways may trust this leader's views.
@@ -154,7 +154,7 @@
 	r.lead.gatewaysAt, r.lead.unlisted = now, false
 	var came, left []string
 	for name, report := range r.lead.usage {
-		if now-report.at <= r.trustEnd() && !r.machine.catalog.Listed(name) {
+		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
 			came = append(came, name)
 		}
 	}
@@ -170,7 +170,7 @@
 		left = nil // all at once: nobody is left to mislead, and they come back soon
 	}
 	if len(came)+len(left) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Came: came, Left: left}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: came, RemoveGateways: left}})
 	}
 }
 
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -28,7 +28,7 @@
 	SnapshotEvery uint64        // applied entries between snapshots
 	OrderWait     time.Duration // how long a new leader waits before its first order for weights
 	GatewayTrust  time.Duration // how long a gateway may use a view that is not confirmed
-	Quota         quota.Terms   // how limits over the fleet are judged
+	Quota         quota.Policy  // how limits over the fleet are judged
 	Guards        guard.Set
 	Mechanisms    mechanism.Set // parts of the decision that are on
 	Level         level.Level   // of this build
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 	}
-	if err := config.Level.Knows(replica.machine.highestLevel(restored.Entries)); err != nil {
+	if err := config.Level.CheckSupports(replica.machine.highestLevel(restored.Entries)); err != nil {
 		return nil, err
 	}
 	replica.applied = restored.Snapshot.Meta.Index
@@ -291,7 +291,7 @@
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
 	}
-	if r.ended = r.config.Level.Knows(r.machine.level); r.ended != nil {
+	if r.ended = r.config.Level.CheckSupports(r.machine.level); r.ended != nil {
 		return Effects{}
 	}
 	if r.lead != nil && r.lead.listedNews {
@@ -340,7 +340,7 @@
 	if entry.Kind == consensus.EntryCommand {
 		command := decodeCommand(entry.Data)
 		if command.Catalog != nil {
-			r.noteOrdering(now, entry.Term, command.Catalog.Ordering)
+			r.noteOrdering(now, entry.Term, command.Catalog.WeightsCommandTargets)
 			command.Catalog.UnixMS = command.UnixMS
 			result.Catalog = r.applyCatalog(now, *command.Catalog)
 		} else {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -119,7 +119,7 @@
 	defer a.cancel(nil)
 	defer a.settle()
 	rest := idleOnce
-	if x.route.MayRepeat() {
+	if x.route.Retryable() {
 		rest = idleRepeatable
 	}
 	if !a.permit() {
@@ -208,7 +208,7 @@
 // memoryOf is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
 // that run with them; they count half.
 func memoryOf(call *Call) int {
-	shared := prefix.PartTokens(prefix.Shared(call.Parts))
+	shared := prefix.PartTokens(prefix.SharedParts(call.Parts))
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
 
@@ -267,7 +267,7 @@
 // patience is how long the back end may stay silent; 0 leaves it all the time there is.
 func (a *attempt) patience() time.Duration {
 	x := a.exchange
-	if !x.route.MayRepeat() || x.sent >= max(1, x.route.Attempts) || !x.gateway.on(mechanism.Patience) {
+	if !x.route.Retryable() || x.sent >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.Patience) {
 		return 0
 	}
 	if x.service.Engine {
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -20,7 +20,7 @@
 	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
 	h.RecordUse(time.Second, "w1", prompt)
-	shared := prefix.Shared(prompt)
+	shared := prefix.SharedParts(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
 		t.Fatalf("after the send: cached tokens = %d, want 300", got)
 	}
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -77,7 +77,7 @@
 func (n *PublishTimes) add(model string, fresh publication) {
 	known := append(n.models[model], fresh)
 	slices.SortFunc(known, func(a, b publication) int { return cmp.Compare(a.version, b.version) })
-	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.NamingsKept))
+	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.MaxPublications))
 }
 
 // find returns the record of a version, or nil.
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -69,7 +69,7 @@
 		for version := range uint64(100) {
 			n.Update(time.Second, time.Second, 1, wantedVersion(version+1, 0))
 		}
-		if kept := len(n.models["m"]); kept > catalog.NamingsKept {
+		if kept := len(n.models["m"]); kept > catalog.MaxPublications {
 			t.Fatalf("%d versions are kept", kept)
 		}
 		checkOldest(t, n, 99, time.Second)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -86,7 +86,7 @@
 
 // maxUncached returns the prompt tokens to prefill at an engine that has all the shared parts cached.
 func (w *selectionInput) maxUncached() int {
-	return w.promptTokens() - prefix.PartTokens(prefix.Shared(w.call.Parts))
+	return w.promptTokens() - prefix.PartTokens(prefix.SharedParts(w.call.Parts))
 }
 
 // choose returns the eligible back end of least cost, or nil if there is none.
@@ -111,7 +111,7 @@
 		return nil
 	}
 	if best.recomputed > 0 {
-		best.recomputeReason = g.explainRecompute(now, &best, prefix.Shared(in.call.Parts), sources)
+		best.recomputeReason = g.explainRecompute(now, &best, prefix.SharedParts(in.call.Parts), sources)
 	}
 	return &best
 }
@@ -206,13 +206,13 @@
 	if scored.version == 0 || !in.trusted {
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
-	shared := prefix.Shared(in.call.Parts)
+	shared := prefix.SharedParts(in.call.Parts)
 	cached := row.cache.Cached(scored.salt, shared)
 	sharedTokens := prefix.PartTokens(shared)
 	if cached < sharedTokens && scored.version > 0 {
 		cached = g.planFetch(now, scored, in, cached, sources)
 	} else if scored.version > 0 && sharedTokens > 0 && in.store != nil {
-		scored.fetchFrom = in.store.Store // the engine may have evicted the parts, and asking the store is cheap
+		scored.fetchFrom = in.store.StoreAddress // the engine may have evicted the parts, and asking the store is cheap
 	}
 	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
 	queue := max(0, row.prefillBusyUntil-now)
@@ -220,7 +220,7 @@
 	prefillTime := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + prefillTime
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheLimit, in.memory, in.meanDuration)
+		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheTokens, in.memory, in.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - prefillTime
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -39,7 +39,7 @@
 // salt of its own weights, those with the most tokens first. Of the many holders of a common part a random sample
 // is checked, so that gateways with equal knowledge do not all choose among the same few.
 func (g *Gateway) sources(now time.Duration, in selectionInput) []source {
-	shared := prefix.Shared(in.call.Parts)
+	shared := prefix.SharedParts(in.call.Parts)
 	if !in.service.Engine || len(shared) == 0 || !in.trusted {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	if version == 0 || row.entry.Service != in.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
 	}
-	tokens := row.cache.Cached(salts.of(version, in.tenant), prefix.Shared(in.call.Parts))
+	tokens := row.cache.Cached(salts.of(version, in.tenant), prefix.SharedParts(in.call.Parts))
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
@@ -107,7 +107,7 @@
 // They are copied from another engine or the store if that costs less than recomputing them. If the store is not
 // known to have them and its link is free, it is asked nevertheless, since a miss costs little, and they are saved there.
 func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
-	shared := prefix.Shared(in.call.Parts)
+	shared := prefix.SharedParts(in.call.Parts)
 	sharedTokens := prefix.PartTokens(shared)
 	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
@@ -126,8 +126,8 @@
 		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
 		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
-	case !stored && in.store != nil && g.table.links.Wait(now, in.store.Store) < maxSaveWait:
-		scored.fetchFrom, scored.saveTo = in.store.Store, in.store.Store
+	case !stored && in.store != nil && g.table.links.Wait(now, in.store.StoreAddress) < maxSaveWait:
+		scored.fetchFrom, scored.saveTo = in.store.StoreAddress, in.store.StoreAddress
 		saved := g.planStoreCopy(now, scored, in, sharedTokens, cached) // saving takes as long as fetching
 		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
@@ -157,7 +157,7 @@
 // planStoreCopy returns the cost of a copy between the store and the engine.
 func (g *Gateway) planStoreCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
 	crossZone := in.store.Zone != scored.row.entry.Zone
-	return g.planCopy(now, in, in.store.Store, in.store.LinkMbps, tokens, cached, crossZone)
+	return g.planCopy(now, in, in.store.StoreAddress, in.store.LinkMbps, tokens, cached, crossZone)
 }
 
 // planCopy returns the cost of copying the tokens beyond the cached ones over a link of the given Mbit/s.
@@ -178,7 +178,7 @@
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
 		return minTransferTime
 	}
-	bits := float64(tokens) * service.TokenBytes * bitsPerByte
+	bits := float64(tokens) * service.KVBytesPerToken * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
 	if crossZone {
 		time *= crossZoneFactor
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -26,7 +26,7 @@
 
 // endpoint is an entry of the back end table.
 type endpoint struct {
-	life                catalog.Life        // immutable
+	life                catalog.Incarnation // immutable
 	entry               control.RosterEntry // with the newest weight versions reported by control or by the back end
 	controlVersions     map[string]uint64   // weight versions by model, as last reported by control
 	entryAt             time.Duration       // when the entry was received
@@ -282,7 +282,7 @@
 	t.links.Sweep(now)
 	t.sweepHolders()
 	t.sweepLastSent(now)
-	t.signals.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
+	t.signals.Sweep(now, func(life catalog.Incarnation) bool { return t.rows[life.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupancy.Sweep(now)
 	}
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -62,11 +62,11 @@
 // holds the mutex.
 func (t *table) recordCached(at time.Duration, row *endpoint, sent send) {
 	row.cache.RecordUse(at, sent.Salt, sent.Parts)
-	t.recordSent(at, prefix.Shared(sent.Parts))
+	t.recordSent(at, prefix.SharedParts(sent.Parts))
 	t.links.Record(at, sent.Move)
-	t.indexHolder(row, prefix.Shared(sent.Parts))
+	t.indexHolder(row, prefix.SharedParts(sent.Parts))
 	if sent.Saved {
-		t.stored.Record(at, sent.Salt, prefix.Shared(sent.Parts))
+		t.stored.Record(at, sent.Salt, prefix.SharedParts(sent.Parts))
 	}
 }
 
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -51,13 +51,13 @@
 // queued.
 func TestBusyStoreLinkPreventsCopy(t *testing.T) {
 	g := scheduler(1)
-	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
-	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
+	store := &catalog.Service{Name: "k", StoreAddress: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
+	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
 	parts := partsOf("own")
-	g.table.stored.Record(time.Second, "w1", prefix.Shared(parts))
+	g.table.stored.Record(time.Second, "w1", prefix.SharedParts(parts))
 	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, in)
-	if free == nil || free.fetchFrom != store.Store || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
+	if free == nil || free.fetchFrom != store.StoreAddress || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
 		t.Fatalf("with a free link: %+v", free)
 	}
 	for range 40 {
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -42,7 +42,7 @@
 	if owner != nil {
 		picked = append(picked, owner)
 	}
-	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.Shared(in.call.Parts)))...)
+	picked = append(picked, sampleHolders(sources, prefix.PartTokens(prefix.SharedParts(in.call.Parts)))...)
 	return append(picked, g.sample(now, g.laneMembers(rows, in), in)...)
 }
 
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -30,7 +30,7 @@
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
 		clients := make([]*allowance.Client, gateways)
-		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
+		terms := quota.Policy{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
 		allocator := allowance.NewAllocator(1)
 		allocator.SetLimits(0, limits)
@@ -40,7 +40,7 @@
 			clients[i].SetLimits(limits)
 		}
 		leased := func(b *allowance.Client, now time.Duration) bool {
-			demands := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
+			demands := []allowance.Demand{{Name: quota.ServiceRetries("s"), Amount: 1}}
 			hold, ok := b.Take(now, demands[0].Name, 1)
 			if !ok {
 				hold = b.ApplyReply(now, now, demands, allocator.Allocate(now, b.NewRequest(now, demands)))[0].Lease
@@ -298,7 +298,7 @@
 // All gateways choose the same store for a part, and removing a store moves only its own parts.
 func TestPartsAreSpreadOverStores(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
-		{Name: "a", Store: "10.0.0.1:1"}, {Name: "b", Store: "10.0.0.2:1"}, {Name: "c", Store: "10.0.0.3:1"}, {Name: "d"},
+		{Name: "a", StoreAddress: "10.0.0.1:1"}, {Name: "b", StoreAddress: "10.0.0.2:1"}, {Name: "c", StoreAddress: "10.0.0.3:1"}, {Name: "d"},
 	}}
 	whole := newView(document)
 	fewer := newView(&catalog.Document{Services: document.Services[1:]})
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -91,7 +91,7 @@
 func (o *fleetOperator) nameWeightsNow() {
 	version := o.w.oracle.fleet.named + 1
 	o.w.oracle.nameSent(version)
-	request := control.Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: fleetModel, Version: version}}}
+	request := control.Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: fleetModel, Version: version}}}
 	o.asker.ask(request, o.w.now()+20*time.Second, func(_ control.Response, decided bool) {
 		if decided {
 			o.w.oracle.nameAcknowledged(version)
@@ -134,14 +134,14 @@
 // nextID returns the id of the life that begins: the back end's own name and its start, or, in every other run, a name of each life.
 func (b *fleetBackend) nextID() string {
 	if b.w.tellsLives {
-		return catalog.Life{Name: b.process.name, Born: b.w.today().UnixMilli()}.ID()
+		return catalog.Incarnation{Name: b.process.name, StartedMS: b.w.today().UnixMilli()}.ID()
 	}
 	return fmt.Sprintf("%s-%d", b.process.name, b.lives)
 }
 
 // isMeant reports whether a call that expects a life reaches this one: a back end knows its name alone.
 func (b *fleetBackend) isMeant(id string) bool {
-	return catalog.LifeOf(id).Name == catalog.LifeOf(b.id).Name
+	return catalog.ParseInstanceID(id).Name == catalog.ParseInstanceID(b.id).Name
 }
 
 func (b *fleetBackend) instance() catalog.Instance {
@@ -206,7 +206,7 @@
 			b.w.oracle.fleet.leaving[id] = b.w.now()
 		}
 		b.after(fleetDrain, func() {
-			leave := &control.Beat{Instance: catalog.Instance{ID: catalog.LifeOf(id).Name}, Leaves: true}
+			leave := &control.Beat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaves: true}
 			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -50,7 +50,7 @@
 
 // word is what one life said.
 type word struct {
-	life    catalog.Life
+	life    catalog.Incarnation
 	until   time.Duration // end of the rest
 	heardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
 	leaving bool
@@ -69,7 +69,7 @@
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Incarnation, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
 		return b.Restriction(now, life)
 	}
@@ -90,7 +90,7 @@
 
 // Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
+func (b *Tracker) Restriction(now time.Duration, life catalog.Incarnation) Restriction {
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.life == life {
@@ -109,12 +109,12 @@
 }
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
-func (w *word) mayBe(later catalog.Life) bool {
-	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(birthSlack).UnixMilli()
+func (w *word) mayBe(later catalog.Incarnation) bool {
+	return !w.heardAt.IsZero() && w.life.StartedBefore(later) && later.StartedMS <= w.heardAt.Add(birthSlack).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
+func (b *Tracker) Sweep(now time.Duration, named func(catalog.Incarnation) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
 			lasting := w.leaving || w.limit.Advertised
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// Terms are how limits are judged. They are settings of the whole fleet.
-type Terms struct {
+// Policy are how limits are judged. They are settings of the whole fleet.
+type Policy struct {
 	Window      time.Duration // that a tenant's use is added up in
 	Overage     float64       // share by which use in a window may exceed a tenant's limit
 	Slack       float64       // units by which it may besides
@@ -26,8 +26,8 @@
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// Filled returns the terms with defaults where nothing is set.
-func (t Terms) Filled() Terms {
+// WithDefaults returns the terms with defaults where nothing is set.
+func (t Policy) WithDefaults() Policy {
 	if t.Window == 0 {
 		t.Window = DefaultWindow
 	}
@@ -56,14 +56,14 @@
 // Tenant names the resource of a tenant.
 func Tenant(name string) string { return tenantPrefix + name }
 
-// Repeats names the resource of a service's repeats.
-func Repeats(service string) string { return retryPrefix + service }
+// ServiceRetries names the resource of a service's repeats.
+func ServiceRetries(service string) string { return retryPrefix + service }
 
-// BackEnd names the resource of a life of a back end, which names its limit itself.
-func BackEnd(id string) string { return backPrefix + id }
+// Backend names the resource of a life of a back end, which names its limit itself.
+func Backend(id string) string { return backPrefix + id }
 
 // Limits returns the limits that a document and terms set, by resource.
-func Limits(document *catalog.Document, terms Terms) map[string]allowance.Limit {
+func Limits(document *catalog.Document, terms Policy) map[string]allowance.Limit {
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
 		if tenant.Quota.Limited() {
@@ -74,19 +74,19 @@
 		return limits
 	}
 	for _, service := range document.Services {
-		if service.Store == "" {
-			limits[Repeats(service.Name)] = terms.repeats()
+		if service.StoreAddress == "" {
+			limits[ServiceRetries(service.Name)] = terms.repeats()
 		}
 	}
 	return limits
 }
 
-func (t Terms) tenant(quota catalog.Quota) allowance.Limit {
+func (t Policy) tenant(quota catalog.Quota) allowance.Limit {
 	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
 
-func (t Terms) repeats() allowance.Limit {
+func (t Policy) repeats() allowance.Limit {
 	return allowance.Limit{
 		Rate: retryRateShare * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
 	}
