--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -256,7 +256,7 @@
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
 func (a *attempt) withPart(now time.Duration, bar string) string {
 	switch {
-	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.life).Advertised:
+	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
 		return bar
 	case a.hold.Valid(now):
 		return ""
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -159,7 +159,7 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, uncached) > 0 || g.table.signals.Limit(row.life).Advertised {
+		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, uncached) > 0 || g.table.signals.Limit(row.incarnation).Advertised {
 			continue // one with an advertised limit is eligible only at times, so the prompt would be computed in two places
 		}
 		best, highest = row, weight
@@ -252,7 +252,7 @@
 	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, observedAt := g.table.signals.LimitObservedAt(row.life); limit.Advertised {
+	if limit, observedAt := g.table.signals.LimitObservedAt(row.incarnation); limit.Advertised {
 		cost += permitCost - staleGain*min(now-observedAt, staleMost).Seconds()
 	}
 	return cost
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -26,7 +26,7 @@
 
 // endpoint is an entry of the back end table.
 type endpoint struct {
-	life                catalog.Incarnation // immutable
+	incarnation         catalog.Incarnation // immutable
 	entry               control.RosterEntry // with the newest weight versions reported by control or by the back end
 	controlVersions     map[string]uint64   // weight versions by model, as last reported by control
 	entryAt             time.Duration       // when the entry was received
@@ -167,8 +167,8 @@
 	if sent.plan.scheduled == nil {
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.signals.Restriction(now, sent.row.life).BackoffUntil-now)
-	sent.limited = t.signals.Limit(sent.row.life)
+	sent.atRest = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
+	sent.limited = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
 	return sent.row.occupancy.Local()
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -86,7 +86,7 @@
 func (t *table) remains(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.life).Draining
+	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
 }
 
 // replaced returns the lives that are gone since another one stands at their address.
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -22,7 +22,7 @@
 func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.signals.ObserveNoLimit(now, sent, row.life)
+	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
@@ -40,7 +40,7 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
+	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
@@ -138,7 +138,7 @@
 func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.signals.LimitObservedAt(row.life)
+	named, heard := t.signals.LimitObservedAt(row.incarnation)
 	if !named.Advertised {
 		return nil, false
 	}
@@ -170,7 +170,7 @@
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
-	if limit := t.signals.Limit(row.life); limit.Advertised {
+	if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
@@ -183,7 +183,7 @@
 	sum := 0.0
 	for _, row := range t.services[service] {
 		if row.open() {
-			sum += t.signals.Limit(row.life).Rate
+			sum += t.signals.Limit(row.incarnation).Rate
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
@@ -198,7 +198,7 @@
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
 	for _, row := range t.rows {
-		if limit := t.signals.Limit(row.life); limit.Advertised {
+		if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 			counts[row.entry.Service]++
 			sums[row.entry.Service] += limit.Rate
 		}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -30,7 +30,7 @@
 
 // hearAside takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
 func (g *Gateway) hearAside(id string, news CacheNews) {
-	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.life.StartedMS) {
+	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
 		g.hear(row, heard{said: news.Said})
 	}
 }
@@ -83,12 +83,12 @@
 func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	before := t.signals.Restriction(now, row.life)
-	limit, heard := t.signals.LimitObservedAt(row.life)
-	made.bar = t.signals.Observe(now, time.Now(), row.life, said, rand.Float64())
+	before := t.signals.Restriction(now, row.incarnation)
+	limit, heard := t.signals.LimitObservedAt(row.incarnation)
+	made.bar = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
 	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
-	if t.signals.Limit(row.life) != limit {
+	if t.signals.Limit(row.incarnation) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
 	if said.Limit.Advertised && now >= heard+retellEach {
@@ -112,12 +112,12 @@
 // limit; a wish for rest is between the two. The caller holds the mutex.
 func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
 	t.makeDearer(at, row, said.Backoff)
-	if t.signals.ObserveLimit(at, row.life, said.Limit) {
+	if t.signals.ObserveLimit(at, row.incarnation, said.Limit) {
 		news.Limit = said.Limit
 	}
-	if said.Draining && !t.signals.Restriction(now, row.life).Draining {
+	if said.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
 		news.Draining = true
-		t.signals.Observe(now, time.Now(), row.life, news, 0)
+		t.signals.Observe(now, time.Now(), row.incarnation, news, 0)
 	}
 	return news
 }
@@ -128,7 +128,7 @@
 // bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
 func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
-	bar := t.signals.Restriction(now, row.life)
+	bar := t.signals.Restriction(now, row.incarnation)
 	switch {
 	case bar.Draining:
 		return causeLeaving
@@ -146,7 +146,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.signals.Restriction(now, row.life)
+		bar := t.signals.Restriction(now, row.incarnation)
 		if !row.open() || bar.Draining {
 			continue
 		}
@@ -207,7 +207,7 @@
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for _, row := range t.rows {
-		if t.signals.Restriction(now, row.life).IsBackingOff(now) {
+		if t.signals.Restriction(now, row.incarnation).IsBackingOff(now) {
 			counts[row.entry.Service]++
 		}
 	}
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -34,7 +34,7 @@
 	for _, entry := range news.Entries {
 		row := t.rows[entry.ID]
 		if row == nil {
-			row = &endpoint{life: catalog.ParseInstanceID(entry.ID), waiting: map[*attempt]time.Duration{}, lastByteAt: now, hash: xxhash.Sum64String(entry.Address)}
+			row = &endpoint{incarnation: catalog.ParseInstanceID(entry.ID), waiting: map[*attempt]time.Duration{}, lastByteAt: now, hash: xxhash.Sum64String(entry.Address)}
 			row.cache = belief.NewCacheEstimate(cacheLimits[entry.Service])
 			changes = append(changes, rosterChange{events.InstanceJoined, entry})
 		}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -266,7 +266,7 @@
 			}
 			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.signals.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
+				g.table.signals.ObserveLimit(0, row.incarnation, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
 					row.limitExhaustedUntil = time.Hour
 				}
