--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -282,7 +282,7 @@
 	t.links.Sweep(now)
 	t.sweepHolders()
 	t.sweepLastSent(now)
-	t.signals.Sweep(now, func(life catalog.Incarnation) bool { return t.rows[life.ID()] != nil })
+	t.signals.Sweep(now, func(incarnation catalog.Incarnation) bool { return t.rows[incarnation.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupancy.Sweep(now)
 	}
