--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -26,7 +26,7 @@
 // leader never make a known version younger, and a version missing from a report is kept.
 type PublishTimes struct {
 	guards guard.Set
-	models map[string][]publication // ascending by version; at most catalog.NamingsKept each
+	models map[string][]publication // ascending by version; at most catalog.MaxPublications each
 }
 
 // publication is a published version. All times are of this process's clock.
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -64,13 +64,13 @@
 		n.Update(12*time.Second, 12*time.Second, 2, wantedVersion(2, time.Second))
 		checkOldest(t, n, 1, 6*time.Second)
 	})
-	t.Run("at most NamingsKept versions", func(t *testing.T) {
+	t.Run("at most MaxPublications versions", func(t *testing.T) {
 		n := NewPublishTimes(guard.Set{})
 		for version := range uint64(100) {
 			n.Update(time.Second, time.Second, 1, wantedVersion(version+1, 0))
 		}
 		if kept := len(n.models["m"]); kept > catalog.MaxPublications {
-			t.Fatalf("%d versions are kept", kept)
+			t.Fatalf("%d publications are kept", kept)
 		}
 		checkOldest(t, n, 99, time.Second)
 	})
