--- a/internal/gateway/belief/links.go
+++ b/internal/gateway/belief/links.go
@@ -26,8 +26,8 @@
 
 // Sweep removes idle links.
 func (l Links) Sweep(now time.Duration) {
-	for address, busyTo := range l {
-		if busyTo < now {
+	for address, busyUntil := range l {
+		if busyUntil < now {
 			delete(l, address)
 		}
 	}
