--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -74,8 +74,8 @@
 }
 
 // add adds an unknown version.
-func (n *PublishTimes) add(model string, fresh publication) {
-	known := append(n.models[model], fresh)
+func (n *PublishTimes) add(model string, added publication) {
+	known := append(n.models[model], added)
 	slices.SortFunc(known, func(a, b publication) int { return cmp.Compare(a.version, b.version) })
 	n.models[model] = slices.Delete(known, 0, max(0, len(known)-catalog.MaxPublications))
 }
