--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -118,7 +118,7 @@
 
 // cheapest returns the eligible back end of a list that has the least cost.
 func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, in selectionInput) (best candidate, found bool) {
-	first := rand.IntN(max(1, len(listed))) // a random start, so that gateways with equal knowledge do not all pick the same of equals
+	first := rand.IntN(max(1, len(listed))) // so that gateways with equal knowledge pick different ones of equals
 	for i := range listed {
 		row := listed[(first+i)%len(listed)]
 		if !g.eligible(now, row, in) {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -105,7 +105,8 @@
 
 // planFetch decides how the engine gets the missing shared parts, and returns the tokens that it need not prefill.
 // They are copied from another engine or the store if that costs less than recomputing them. If the store is not
-// known to have them and its link is free, it is asked nevertheless, since a miss costs little, and they are saved there.
+// known to have them and its link is free, it is asked anyway, since a miss costs little, and they are saved
+// there.
 func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
 	shared := prefix.SharedParts(in.call.Parts)
 	sharedTokens := prefix.PartTokens(shared)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -40,8 +40,8 @@
 	failures            int           // consecutive
 	failureRate         float64       // smoothed
 	avoidUntil          time.Duration
-	limitExhaustedUntil time.Duration // until then no lease on its advertised limit can be had, according to the allocator
-	limitPacedUntil     time.Duration // until then no more requests of other gateways are placed under its advertised limit
+	limitExhaustedUntil time.Duration // no lease on its advertised limit is available until then
+	limitPacedUntil     time.Duration // no more requests of other gateways are placed under its limit until then
 	reports             suspicion     // by other gateways that it is unreachable
 	gone                bool
 	assigned            bool // this gateway reads its cache events
@@ -60,15 +60,15 @@
 	placed           map[string]placement              // placements for other gateways, by ticket
 	links            belief.Links                      // of engines and stores
 	prefillEstimates map[string]belief.PrefillEstimate // by service
-	lastSent         map[string]time.Duration          // when a prompt's shared parts were last sent, by the ID of the last of them; at most maxLastSent
+	lastSent         map[string]time.Duration          // of shared parts, by the ID of a prompt's last one; at most maxLastSent
 	admission        map[string]*admission.Controller  // by service
 	assignedCount    int                               // number of assigned rows
-	holders          map[string][]*endpoint            // back ends that have a shared part cached under any salt, by part ID
+	holders          map[string][]*endpoint            // with a shared part cached under any salt, by part ID
 	signals          *pushback.Tracker                 // load and limit signals of back ends
-	leaseRetryAt     time.Duration                     // no lease on a limit is requested until then, since the allocator did not answer
-	lastRetryAt      map[string]time.Duration          // by service: the latest retry time given to a request rejected because all back ends were at their limits
+	leaseRetryAt     time.Duration                     // no lease is requested until then, since the allocator did not answer
+	lastRetryAt      map[string]time.Duration          // by service: latest retry time given while all were at their limits
 	rosterChanged    *bell                             // signals each new roster
-	waiting          map[*attempt]struct{}             // attempts awaiting a response, including those at removed back ends
+	waiting          map[*attempt]struct{}             // awaiting a response, also at removed back ends
 }
 
 func newTable(mechanisms mechanism.Set) *table {
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -26,7 +26,8 @@
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
 			fleet[d].table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
-			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i} // the shortest queues are the same for all
+			// the shortest queues are the same for all schedulers
+			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i}
 			fleet[d].table.applySends(time.Second, []send{queued})
 		}
 	}
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -11,9 +11,9 @@
 
 const (
 	recomputeFirst          recomputeCause = "first"           // not sent anywhere recently
-	recomputeLost           recomputeCause = "lost"            // sent recently, but no known holder remains: it ended, or evicted them
+	recomputeLost           recomputeCause = "lost"            // sent recently, but all known holders ended or evicted them
 	recomputeOtherWeights   recomputeCause = "other-weights"   // the holders computed them with other weights
-	recomputeHolderBarred   recomputeCause = "holder-barred"   // the holders are avoided, are loading weights, or have them under another salt
+	recomputeHolderBarred   recomputeCause = "holder-barred"   // the holders are avoided, loading weights, or use another salt
 	recomputeCheaper        recomputeCause = "dearer"          // a copy would cost more
 	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the engine's weights are unknown
 )
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -152,7 +152,8 @@
 	})
 }
 
-// Guards against all gateways starting with the target of greatest weight, which starves the others when each gateway has few requests.
+// Guards against all gateways starting with the target of greatest weight, which starves the others when each
+// gateway has few requests.
 func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
