--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -15,9 +15,9 @@
 	// PriorityLevels is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
 	// more urgent in first.
 	PriorityLevels = 10
-	// ratioStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
-	ratioStep = 0.03
-	ratioMost = 16.0
+	// correctionStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
+	correctionStep = 0.03
+	ratioMost      = 16.0
 	// learnFrom is the least predicted wait that teaches something: below it the time of a token weighs more.
 	learnFrom = 60 * time.Millisecond
 	// A band of waits, as shares of the objective: below it everything is sent, beyond it nothing is, and between its ends the
@@ -82,9 +82,9 @@
 		*at = 1
 	}
 	if float64(seen) > *at*float64(predicted) {
-		*at *= 1 + ratioStep
+		*at *= 1 + correctionStep
 	} else {
-		*at /= 1 + ratioStep
+		*at /= 1 + correctionStep
 	}
 	*at = min(max(*at, 1/ratioMost), ratioMost)
 }
