--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -17,7 +17,7 @@
 	PriorityLevels = 10
 	// correctionStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
 	correctionStep = 0.03
-	ratioMost      = 16.0
+	maxCorrection  = 16.0
 	// learnFrom is the least predicted wait that teaches something: below it the time of a token weighs more.
 	learnFrom = 60 * time.Millisecond
 	// A band of waits, as shares of the objective: below it everything is sent, beyond it nothing is, and between its ends the
@@ -86,7 +86,7 @@
 	} else {
 		*at /= 1 + correctionStep
 	}
-	*at = min(max(*at, 1/ratioMost), ratioMost)
+	*at = min(max(*at, 1/maxCorrection), maxCorrection)
 }
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -84,7 +84,7 @@
 	for range 10_000 {
 		j.ObserveWait(5, time.Second, 0)
 	}
-	if least := j.ExpectedWait(5, time.Second); least < time.Second/(ratioMost+1) {
+	if least := j.ExpectedWait(5, time.Second); least < time.Second/(maxCorrection+1) {
 		t.Fatalf("%v is expected", least)
 	}
 }
