--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -18,8 +18,8 @@
 	// correctionStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
 	correctionStep = 0.03
 	maxCorrection  = 16.0
-	// learnFrom is the least predicted wait that teaches something: below it the time of a token weighs more.
-	learnFrom = 60 * time.Millisecond
+	// minObservedPrediction is the least predicted wait that teaches something: below it the time of a token weighs more.
+	minObservedPrediction = 60 * time.Millisecond
 	// A band of waits, as shares of the objective: below it everything is sent, beyond it nothing is, and between its ends the
 	// more is turned away the longer the wait is, so that deciders which see the same don't all turn away at once. A wait that
 	// passes may use the objective up; one that stands is kept short, since it only makes everybody wait: the band slides from
@@ -74,7 +74,7 @@
 
 // ObserveWait takes what a request of a rank waited, against what was predicted for it.
 func (j *Controller) ObserveWait(rank int, predicted, seen time.Duration) {
-	if predicted < learnFrom {
+	if predicted < minObservedPrediction {
 		return
 	}
 	at := &j.ratios[clampRank(rank)]
@@ -92,7 +92,7 @@
 // ExpectedWait returns the wait of a rank that a prediction stands for.
 func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
 	ratio := j.ratios[clampRank(rank)]
-	if ratio == 0 || predicted < learnFrom {
+	if ratio == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
 	return time.Duration(ratio * float64(predicted))
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -72,7 +72,7 @@
 	for range 200 {
 		j.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
 		j.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
-		j.ObserveWait(0, learnFrom-1, time.Hour) // teaches nothing
+		j.ObserveWait(0, minObservedPrediction-1, time.Hour) // teaches nothing
 	}
 	urgent, other := j.ExpectedWait(0, 1500*time.Millisecond), j.ExpectedWait(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
