--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -25,7 +25,7 @@
 	// passes may use the objective up; one that stands is kept short, since it only makes everybody wait: the band slides from
 	// the late one to the early one as the smoothed wait rises from standsFrom to standsTo.
 	transientBandStart, transientBandEnd = 0.7, 1.0
-	standingBandStart, earlyTo           = 0.1, 0.4
+	standingBandStart, standingBandEnd   = 0.1, 0.4
 	standsFrom, standsTo                 = 0.15, 0.4
 	standsMemory                         = 500 * time.Millisecond
 	// standsEach is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
@@ -109,7 +109,7 @@
 	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
 	slid := j.stands[clampRank(wish.Priority)].note(now, load)
-	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(earlyTo-transientBandEnd)
+	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
 	if at, came := j.refused[wish.Key]; came && now < at+remembered {
 		load /= returnedBand
 	}
