--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -26,7 +26,7 @@
 	// the late one to the early one as the smoothed wait rises from standsFrom to standsTo.
 	transientBandStart, transientBandEnd = 0.7, 1.0
 	standingBandStart, standingBandEnd   = 0.1, 0.4
-	standingLoadLow, standsTo            = 0.15, 0.4
+	standingLoadLow, standingLoadHigh    = 0.15, 0.4
 	standsMemory                         = 500 * time.Millisecond
 	// standsEach is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
 	// stands.
@@ -69,7 +69,7 @@
 func (s *standing) note(now time.Duration, load float64) float64 {
 	weight := min(1-math.Exp(-float64(now-s.at)/float64(standsMemory)), standsEach)
 	s.load, s.at = s.load+weight*(load-s.load), now
-	return min(max((s.load-standingLoadLow)/(standsTo-standingLoadLow), 0), 1)
+	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
 
 // ObserveWait takes what a request of a rank waited, against what was predicted for it.
