--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,7 +27,7 @@
 	transientBandStart, transientBandEnd = 0.7, 1.0
 	standingBandStart, standingBandEnd   = 0.1, 0.4
 	standingLoadLow, standingLoadHigh    = 0.15, 0.4
-	standsMemory                         = 500 * time.Millisecond
+	loadTimeConstant                     = 500 * time.Millisecond
 	// standsEach is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
 	// stands.
 	standsEach = 0.15
@@ -67,7 +67,7 @@
 
 // note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
 func (s *standing) note(now time.Duration, load float64) float64 {
-	weight := min(1-math.Exp(-float64(now-s.at)/float64(standsMemory)), standsEach)
+	weight := min(1-math.Exp(-float64(now-s.at)/float64(loadTimeConstant)), standsEach)
 	s.load, s.at = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -18,7 +18,7 @@
 	for chance := range 100 {
 		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
-			now += standsMemory / 20
+			now += loadTimeConstant / 20
 			j.Decide(now, wishOf("", queue, 1))
 		}
 		if _, refuse := j.Decide(now, wishOf("", queue, float64(chance)/100)); refuse {
