--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,9 +28,9 @@
 	standingBandStart, standingBandEnd   = 0.1, 0.4
 	standingLoadLow, standingLoadHigh    = 0.15, 0.4
 	loadTimeConstant                     = 500 * time.Millisecond
-	// standsEach is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
+	// maxLoadWeight is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
 	// stands.
-	standsEach = 0.15
+	maxLoadWeight = 0.15
 	// returnedBand is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
 	// those that come back would make everybody late.
 	returnedBand = 1.6
@@ -67,7 +67,7 @@
 
 // note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
 func (s *standing) note(now time.Duration, load float64) float64 {
-	weight := min(1-math.Exp(-float64(now-s.at)/float64(loadTimeConstant)), standsEach)
+	weight := min(1-math.Exp(-float64(now-s.at)/float64(loadTimeConstant)), maxLoadWeight)
 	s.load, s.at = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
