--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -31,9 +31,9 @@
 	// maxLoadWeight is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
 	// stands.
 	maxLoadWeight = 0.15
-	// returnedBand is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
+	// retryLoadDivisor is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
 	// those that come back would make everybody late.
-	returnedBand = 1.6
+	retryLoadDivisor = 1.6
 	// comeBackLeast and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
 	comeBackLeast  = 200 * time.Millisecond
 	comeBackMost   = 3 * time.Second
@@ -111,7 +111,7 @@
 	slid := j.stands[clampRank(wish.Priority)].note(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
 	if at, came := j.refused[wish.Key]; came && now < at+remembered {
-		load /= returnedBand
+		load /= retryLoadDivisor
 	}
 	if wish.Random >= (load-from)/(to-from) {
 		delete(j.refused, wish.Key)
