--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -34,8 +34,8 @@
 	// retryLoadDivisor is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
 	// those that come back would make everybody late.
 	retryLoadDivisor = 1.6
-	// comeBackLeast and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
-	comeBackLeast  = 200 * time.Millisecond
+	// minRetryAfter and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
+	minRetryAfter  = 200 * time.Millisecond
 	comeBackMost   = 3 * time.Second
 	comeBackSpread = 0.6
 	// remembered is how long a refusal is known, and rememberedMost how many are.
@@ -118,7 +118,7 @@
 		return 0, false
 	}
 	j.RecordRejection(now, wish.Key)
-	wait := max(comeBackLeast, expected-time.Duration(from*float64(wish.Objective)))
+	wait := max(minRetryAfter, expected-time.Duration(from*float64(wish.Objective)))
 	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
 	return min(wait, comeBackMost), true
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -120,7 +120,7 @@
 		}
 		return wait
 	}
-	if short, long := advice(900*time.Millisecond, 0), advice(2*time.Second, 0); short >= long || short < comeBackLeast {
+	if short, long := advice(900*time.Millisecond, 0), advice(2*time.Second, 0); short >= long || short < minRetryAfter {
 		t.Fatalf("%v and %v", short, long)
 	}
 	if first, last := advice(2*time.Second, 0), advice(2*time.Second, 0.9); last <= first {
