--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -36,7 +36,7 @@
 	retryLoadDivisor = 1.6
 	// minRetryAfter and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
 	minRetryAfter  = 200 * time.Millisecond
-	comeBackMost   = 3 * time.Second
+	maxRetryAfter  = 3 * time.Second
 	comeBackSpread = 0.6
 	// remembered is how long a refusal is known, and rememberedMost how many are.
 	remembered     = 6 * time.Second
@@ -120,7 +120,7 @@
 	j.RecordRejection(now, wish.Key)
 	wait := max(minRetryAfter, expected-time.Duration(from*float64(wish.Objective)))
 	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
-	return min(wait, comeBackMost), true
+	return min(wait, maxRetryAfter), true
 }
 
 // RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -126,7 +126,7 @@
 	if first, last := advice(2*time.Second, 0), advice(2*time.Second, 0.9); last <= first {
 		t.Fatalf("%v and %v", first, last)
 	}
-	if most := advice(time.Hour, 0.9); most > comeBackMost {
+	if most := advice(time.Hour, 0.9); most > maxRetryAfter {
 		t.Fatalf("%v", most)
 	}
 }
