--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -35,9 +35,9 @@
 	// those that come back would make everybody late.
 	retryLoadDivisor = 1.6
 	// minRetryAfter and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
-	minRetryAfter  = 200 * time.Millisecond
-	maxRetryAfter  = 3 * time.Second
-	comeBackSpread = 0.6
+	minRetryAfter    = 200 * time.Millisecond
+	maxRetryAfter    = 3 * time.Second
+	retryAfterJitter = 0.6
 	// remembered is how long a refusal is known, and rememberedMost how many are.
 	remembered     = 6 * time.Second
 	rememberedMost = 20_000
@@ -119,7 +119,7 @@
 	}
 	j.RecordRejection(now, wish.Key)
 	wait := max(minRetryAfter, expected-time.Duration(from*float64(wish.Objective)))
-	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
+	wait += time.Duration(retryAfterJitter * wish.Random * float64(wait))
 	return min(wait, maxRetryAfter), true
 }
 
