--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -38,8 +38,8 @@
 	minRetryAfter    = 200 * time.Millisecond
 	maxRetryAfter    = 3 * time.Second
 	retryAfterJitter = 0.6
-	// remembered is how long a refusal is known, and rememberedMost how many are.
-	remembered     = 6 * time.Second
+	// rejectionTTL is how long a refusal is known, and rememberedMost how many are.
+	rejectionTTL   = 6 * time.Second
 	rememberedMost = 20_000
 )
 
@@ -110,7 +110,7 @@
 	load := float64(expected) / float64(wish.Objective)
 	slid := j.stands[clampRank(wish.Priority)].note(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
-	if at, came := j.refused[wish.Key]; came && now < at+remembered {
+	if at, came := j.refused[wish.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
 	if wish.Random >= (load-from)/(to-from) {
@@ -142,7 +142,7 @@
 // Sweep forgets refusals that are long past.
 func (j *Controller) Sweep(now time.Duration) {
 	for key, at := range j.refused {
-		if now >= at+remembered {
+		if now >= at+rejectionTTL {
 			delete(j.refused, key)
 		}
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -106,7 +106,7 @@
 	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := j.Decide(time.Second+remembered, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second+rejectionTTL, wishOf("a", queue, 0.3)); !refuse {
 		t.Fatal("it is remembered for ever")
 	}
 }
