--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -39,8 +39,8 @@
 	maxRetryAfter    = 3 * time.Second
 	retryAfterJitter = 0.6
 	// rejectionTTL is how long a refusal is known, and rememberedMost how many are.
-	rejectionTTL   = 6 * time.Second
-	rememberedMost = 20_000
+	rejectionTTL  = 6 * time.Second
+	maxRejections = 20_000
 )
 
 // Request is a request whose placement is known.
@@ -131,10 +131,10 @@
 	if j.refused == nil {
 		j.refused = map[string]time.Duration{}
 	}
-	if len(j.refused) >= rememberedMost {
+	if len(j.refused) >= maxRejections {
 		j.Sweep(now)
 	}
-	if len(j.refused) < rememberedMost {
+	if len(j.refused) < maxRejections {
 		j.refused[key] = now
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -134,10 +134,10 @@
 // TestRefusalsThatAreRememberedAreBounded.
 func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
 	j := &Controller{}
-	for i := range rememberedMost + 100 {
+	for i := range maxRejections + 100 {
 		j.Decide(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
 	}
-	if len(j.refused) > rememberedMost {
+	if len(j.refused) > maxRejections {
 		t.Fatalf("%d are remembered", len(j.refused))
 	}
 	j.Sweep(time.Hour)
