--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -54,9 +54,9 @@
 
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
 type Controller struct {
-	ratios  [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
-	stands  [PriorityLevels]standing
-	refused map[string]time.Duration
+	corrections [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
+	stands      [PriorityLevels]standing
+	refused     map[string]time.Duration
 }
 
 // standing is the smoothed wait of a rank, as a share of the objective.
@@ -77,7 +77,7 @@
 	if predicted < minObservedPrediction {
 		return
 	}
-	at := &j.ratios[clampRank(rank)]
+	at := &j.corrections[clampRank(rank)]
 	if *at == 0 {
 		*at = 1
 	}
@@ -91,7 +91,7 @@
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
 func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
-	ratio := j.ratios[clampRank(rank)]
+	ratio := j.corrections[clampRank(rank)]
 	if ratio == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
