--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -55,7 +55,7 @@
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
 type Controller struct {
 	corrections [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
-	stands      [PriorityLevels]standing
+	loads       [PriorityLevels]standing
 	refused     map[string]time.Duration
 }
 
@@ -108,7 +108,7 @@
 	}
 	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
-	slid := j.stands[clampRank(wish.Priority)].note(now, load)
+	slid := j.loads[clampRank(wish.Priority)].note(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
 	if at, came := j.refused[wish.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
