--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -56,7 +56,7 @@
 type Controller struct {
 	corrections [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
 	loads       [PriorityLevels]standing
-	refused     map[string]time.Duration
+	rejectedAt  map[string]time.Duration
 }
 
 // standing is the smoothed wait of a rank, as a share of the objective.
@@ -110,11 +110,11 @@
 	load := float64(expected) / float64(wish.Objective)
 	slid := j.loads[clampRank(wish.Priority)].note(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
-	if at, came := j.refused[wish.Key]; came && now < at+rejectionTTL {
+	if at, came := j.rejectedAt[wish.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
 	if wish.Random >= (load-from)/(to-from) {
-		delete(j.refused, wish.Key)
+		delete(j.rejectedAt, wish.Key)
 		return 0, false
 	}
 	j.RecordRejection(now, wish.Key)
@@ -128,22 +128,22 @@
 	if key == "" {
 		return
 	}
-	if j.refused == nil {
-		j.refused = map[string]time.Duration{}
+	if j.rejectedAt == nil {
+		j.rejectedAt = map[string]time.Duration{}
 	}
-	if len(j.refused) >= maxRejections {
+	if len(j.rejectedAt) >= maxRejections {
 		j.Sweep(now)
 	}
-	if len(j.refused) < maxRejections {
-		j.refused[key] = now
+	if len(j.rejectedAt) < maxRejections {
+		j.rejectedAt[key] = now
 	}
 }
 
 // Sweep forgets refusals that are long past.
 func (j *Controller) Sweep(now time.Duration) {
-	for key, at := range j.refused {
+	for key, at := range j.rejectedAt {
 		if now >= at+rejectionTTL {
-			delete(j.refused, key)
+			delete(j.rejectedAt, key)
 		}
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -137,11 +137,11 @@
 	for i := range maxRejections + 100 {
 		j.Decide(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
 	}
-	if len(j.refused) > maxRejections {
-		t.Fatalf("%d are remembered", len(j.refused))
+	if len(j.rejectedAt) > maxRejections {
+		t.Fatalf("%d are remembered", len(j.rejectedAt))
 	}
 	j.Sweep(time.Hour)
-	if len(j.refused) > 0 {
-		t.Fatalf("%d are remembered after an hour", len(j.refused))
+	if len(j.rejectedAt) > 0 {
+		t.Fatalf("%d are remembered after an hour", len(j.rejectedAt))
 	}
 }
