--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -55,18 +55,18 @@
 // Controller keeps what is learnt of one service. Its zero value has learnt nothing.
 type Controller struct {
 	corrections [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
-	loads       [PriorityLevels]standing
+	loads       [PriorityLevels]smoothedLoad
 	rejectedAt  map[string]time.Duration
 }
 
-// standing is the smoothed wait of a rank, as a share of the objective.
-type standing struct {
+// smoothedLoad is the smoothed wait of a rank, as a share of the objective.
+type smoothedLoad struct {
 	load float64
 	at   time.Duration
 }
 
 // note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
-func (s *standing) note(now time.Duration, load float64) float64 {
+func (s *smoothedLoad) note(now time.Duration, load float64) float64 {
 	weight := min(1-math.Exp(-float64(now-s.at)/float64(loadTimeConstant)), maxLoadWeight)
 	s.load, s.at = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
