--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -61,14 +61,14 @@
 
 // smoothedLoad is the smoothed wait of a rank, as a share of the objective.
 type smoothedLoad struct {
-	load float64
-	at   time.Duration
+	load      float64
+	updatedAt time.Duration
 }
 
 // note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
 func (s *smoothedLoad) note(now time.Duration, load float64) float64 {
-	weight := min(1-math.Exp(-float64(now-s.at)/float64(loadTimeConstant)), maxLoadWeight)
-	s.load, s.at = s.load+weight*(load-s.load), now
+	weight := min(1-math.Exp(-float64(now-s.updatedAt)/float64(loadTimeConstant)), maxLoadWeight)
+	s.load, s.updatedAt = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -96,7 +96,7 @@
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
-	j.loads[1] = smoothedLoad{at: time.Second}
+	j.loads[1] = smoothedLoad{updatedAt: time.Second}
 	if _, refuse := j.Decide(time.Second, wishOf("b", queue, 0.3)); !refuse {
 		t.Fatal("a new one is let in")
 	}
