--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -65,8 +65,8 @@
 	updatedAt time.Duration
 }
 
-// note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
-func (s *smoothedLoad) note(now time.Duration, load float64) float64 {
+// observe takes the load that one request sees and returns how far the band has slid, from 0 to 1.
+func (s *smoothedLoad) observe(now time.Duration, load float64) float64 {
 	weight := min(1-math.Exp(-float64(now-s.updatedAt)/float64(loadTimeConstant)), maxLoadWeight)
 	s.load, s.updatedAt = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
@@ -108,7 +108,7 @@
 	}
 	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
-	slid := j.loads[clampRank(wish.Priority)].note(now, load)
+	slid := j.loads[clampRank(wish.Priority)].observe(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
 	if at, came := j.rejectedAt[wish.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
