--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -73,11 +73,11 @@
 }
 
 // ObserveWait takes what a request of a rank waited, against what was predicted for it.
-func (j *Controller) ObserveWait(rank int, predicted, seen time.Duration) {
+func (j *Controller) ObserveWait(priority int, predicted, seen time.Duration) {
 	if predicted < minObservedPrediction {
 		return
 	}
-	at := &j.corrections[clampRank(rank)]
+	at := &j.corrections[clampRank(priority)]
 	if *at == 0 {
 		*at = 1
 	}
