--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -73,7 +73,7 @@
 }
 
 // ObserveWait takes what a request of a rank waited, against what was predicted for it.
-func (j *Controller) ObserveWait(priority int, predicted, seen time.Duration) {
+func (j *Controller) ObserveWait(priority int, predicted, actual time.Duration) {
 	if predicted < minObservedPrediction {
 		return
 	}
@@ -81,7 +81,7 @@
 	if *at == 0 {
 		*at = 1
 	}
-	if float64(seen) > *at*float64(predicted) {
+	if float64(actual) > *at*float64(predicted) {
 		*at *= 1 + correctionStep
 	} else {
 		*at /= 1 + correctionStep
