--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -77,16 +77,16 @@
 	if predicted < minObservedPrediction {
 		return
 	}
-	at := &j.corrections[clampRank(priority)]
-	if *at == 0 {
-		*at = 1
+	correction := &j.corrections[clampRank(priority)]
+	if *correction == 0 {
+		*correction = 1
 	}
-	if float64(actual) > *at*float64(predicted) {
-		*at *= 1 + correctionStep
+	if float64(actual) > *correction*float64(predicted) {
+		*correction *= 1 + correctionStep
 	} else {
-		*at /= 1 + correctionStep
+		*correction /= 1 + correctionStep
 	}
-	*at = min(max(*at, 1/maxCorrection), maxCorrection)
+	*correction = min(max(*correction, 1/maxCorrection), maxCorrection)
 }
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
