--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -90,8 +90,8 @@
 }
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
-func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
-	ratio := j.corrections[clampRank(rank)]
+func (j *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
+	ratio := j.corrections[clampRank(priority)]
 	if ratio == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
