--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -91,11 +91,11 @@
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
 func (j *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
-	ratio := j.corrections[clampRank(priority)]
-	if ratio == 0 || predicted < minObservedPrediction {
+	correction := j.corrections[clampRank(priority)]
+	if correction == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
-	return time.Duration(ratio * float64(predicted))
+	return time.Duration(correction * float64(predicted))
 }
 
 func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
