--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -77,7 +77,7 @@
 	if predicted < minObservedPrediction {
 		return
 	}
-	correction := &j.corrections[clampRank(priority)]
+	correction := &j.corrections[clampPriority(priority)]
 	if *correction == 0 {
 		*correction = 1
 	}
@@ -91,14 +91,14 @@
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
 func (j *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
-	correction := j.corrections[clampRank(priority)]
+	correction := j.corrections[clampPriority(priority)]
 	if correction == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
 	return time.Duration(correction * float64(predicted))
 }
 
-func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
+func clampPriority(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
 
 // Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
@@ -108,7 +108,7 @@
 	}
 	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
 	load := float64(expected) / float64(wish.Objective)
-	slid := j.loads[clampRank(wish.Priority)].observe(now, load)
+	slid := j.loads[clampPriority(wish.Priority)].observe(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
 	if at, came := j.rejectedAt[wish.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
