--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -98,7 +98,7 @@
 	return time.Duration(correction * float64(predicted))
 }
 
-func clampPriority(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
+func clampPriority(priority int) int { return min(max(priority, 0), PriorityLevels-1) }
 
 // Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
