--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -102,24 +102,24 @@
 
 // Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Controller) Decide(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
-	if wish.Objective <= 0 {
+func (j *Controller) Decide(now time.Duration, request Request) (comeBack time.Duration, refuse bool) {
+	if request.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
-	load := float64(expected) / float64(wish.Objective)
-	slid := j.loads[clampPriority(wish.Priority)].observe(now, load)
+	expected := j.ExpectedWait(request.Priority, request.PredictedWait)
+	load := float64(expected) / float64(request.Objective)
+	slid := j.loads[clampPriority(request.Priority)].observe(now, load)
 	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
-	if at, came := j.rejectedAt[wish.Key]; came && now < at+rejectionTTL {
+	if at, came := j.rejectedAt[request.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
-	if wish.Random >= (load-from)/(to-from) {
-		delete(j.rejectedAt, wish.Key)
+	if request.Random >= (load-from)/(to-from) {
+		delete(j.rejectedAt, request.Key)
 		return 0, false
 	}
-	j.RecordRejection(now, wish.Key)
-	wait := max(minRetryAfter, expected-time.Duration(from*float64(wish.Objective)))
-	wait += time.Duration(retryAfterJitter * wish.Random * float64(wait))
+	j.RecordRejection(now, request.Key)
+	wait := max(minRetryAfter, expected-time.Duration(from*float64(request.Objective)))
+	wait += time.Duration(retryAfterJitter * request.Random * float64(wait))
 	return min(wait, maxRetryAfter), true
 }
 
