--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -102,7 +102,7 @@
 
 // Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, refuse bool) {
+func (j *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, reject bool) {
 	if request.Objective <= 0 {
 		return 0, false
 	}
