--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -108,8 +108,8 @@
 	}
 	expected := j.ExpectedWait(request.Priority, request.PredictedWait)
 	load := float64(expected) / float64(request.Objective)
-	slid := j.loads[clampPriority(request.Priority)].observe(now, load)
-	from, to := transientBandStart+slid*(standingBandStart-transientBandStart), transientBandEnd+slid*(standingBandEnd-transientBandEnd)
+	standingFraction := j.loads[clampPriority(request.Priority)].observe(now, load)
+	from, to := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
 	if at, came := j.rejectedAt[request.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
