--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -109,16 +109,16 @@
 	expected := j.ExpectedWait(request.Priority, request.PredictedWait)
 	load := float64(expected) / float64(request.Objective)
 	standingFraction := j.loads[clampPriority(request.Priority)].observe(now, load)
-	from, to := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
+	bandStart, to := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
 	if at, came := j.rejectedAt[request.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
-	if request.Random >= (load-from)/(to-from) {
+	if request.Random >= (load-bandStart)/(to-bandStart) {
 		delete(j.rejectedAt, request.Key)
 		return 0, false
 	}
 	j.RecordRejection(now, request.Key)
-	wait := max(minRetryAfter, expected-time.Duration(from*float64(request.Objective)))
+	wait := max(minRetryAfter, expected-time.Duration(bandStart*float64(request.Objective)))
 	wait += time.Duration(retryAfterJitter * request.Random * float64(wait))
 	return min(wait, maxRetryAfter), true
 }
