--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -109,11 +109,11 @@
 	expected := j.ExpectedWait(request.Priority, request.PredictedWait)
 	load := float64(expected) / float64(request.Objective)
 	standingFraction := j.loads[clampPriority(request.Priority)].observe(now, load)
-	bandStart, to := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
+	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
 	if at, came := j.rejectedAt[request.Key]; came && now < at+rejectionTTL {
 		load /= retryLoadDivisor
 	}
-	if request.Random >= (load-bandStart)/(to-bandStart) {
+	if request.Random >= (load-bandStart)/(bandEnd-bandStart) {
 		delete(j.rejectedAt, request.Key)
 		return 0, false
 	}
