--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -110,7 +110,7 @@
 	load := float64(expected) / float64(request.Objective)
 	standingFraction := j.loads[clampPriority(request.Priority)].observe(now, load)
 	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
-	if rejectedAt, came := j.rejectedAt[request.Key]; came && now < rejectedAt+rejectionTTL {
+	if rejectedAt, isRetry := j.rejectedAt[request.Key]; isRetry && now < rejectedAt+rejectionTTL {
 		load /= retryLoadDivisor
 	}
 	if request.Random >= (load-bandStart)/(bandEnd-bandStart) {
