--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -17,7 +17,7 @@
 	MaxBackoff = time.Hour
 	// jitterFraction of a time, spreadMost at most, is added to it at random, so that those which were refused together don't come back together.
 	jitterFraction = 0.1
-	spreadMost     = 250 * time.Millisecond
+	maxJitter      = 250 * time.Millisecond
 	// birthSlack is how far the clocks of a back end and of this machine may be apart before a life that began after it was heard that its
 	// name wants rest counts as one that may have said it.
 	birthSlack = time.Second
@@ -84,7 +84,7 @@
 
 // WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
 func WithJitter(after time.Duration, chance float64) time.Duration {
-	spread := min(time.Duration(jitterFraction*float64(after)), spreadMost)
+	spread := min(time.Duration(jitterFraction*float64(after)), maxJitter)
 	return after + time.Duration(chance*float64(spread))
 }
 
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -157,7 +157,7 @@
 func TestRestEnds(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewTracker()
-	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+spreadMost {
+	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("%+v", bar)
 	}
 	if bar := book.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
@@ -166,7 +166,7 @@
 	if bar := book.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+spreadMost {
+	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
