--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -18,9 +18,9 @@
 	// jitterFraction of a time, spreadMost at most, is added to it at random, so that those which were refused together don't come back together.
 	jitterFraction = 0.1
 	maxJitter      = 250 * time.Millisecond
-	// birthSlack is how far the clocks of a back end and of this machine may be apart before a life that began after it was heard that its
+	// maxClockSkew is how far the clocks of a back end and of this machine may be apart before a life that began after it was heard that its
 	// name wants rest counts as one that may have said it.
-	birthSlack = time.Second
+	maxClockSkew = time.Second
 	// leavingKept is how long a word without an end is kept, that a life leaves or its limit, once nobody names that life any more.
 	leavingKept = 10 * time.Minute
 )
@@ -110,7 +110,7 @@
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
 func (w *word) mayBe(later catalog.Life) bool {
-	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(birthSlack).UnixMilli()
+	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -46,7 +46,7 @@
 			wanted := Restriction{}
 			for _, word := range list {
 				until := word.at + word.said.Backoff
-				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
+				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
 				if word.life == asked && word.said.Draining {
 					wanted.Draining = true
 				}
