--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -21,8 +21,8 @@
 	// maxClockSkew is how far the clocks of a back end and of this machine may be apart before a life that began after it was heard that its
 	// name wants rest counts as one that may have said it.
 	maxClockSkew = time.Second
-	// leavingKept is how long a word without an end is kept, that a life leaves or its limit, once nobody names that life any more.
-	leavingKept = 10 * time.Minute
+	// untimedTTL is how long a word without an end is kept, that a life leaves or its limit, once nobody names that life any more.
+	untimedTTL = 10 * time.Minute
 )
 
 // Signals is what one answer of a back end says of itself.
@@ -118,7 +118,7 @@
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w word) bool {
 			lasting := w.leaving || w.limit.Advertised
-			return now >= w.until && (!lasting || now >= w.newest+leavingKept && !named(w.life))
+			return now >= w.until && (!lasting || now >= w.newest+untimedTTL && !named(w.life))
 		})
 		if len(left) == 0 {
 			delete(b.words, name)
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -177,11 +177,11 @@
 	book := NewTracker()
 	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
 	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
-	if len(book.words) != 1 || !book.Restriction(2*leavingKept, leaver).Draining {
+	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
+	if len(book.words) != 1 || !book.Restriction(2*untimedTTL, leaver).Draining {
 		t.Fatalf("%+v", book.words)
 	}
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return false })
+	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
 	if len(book.words) != 0 {
 		t.Fatalf("%+v", book.words)
 	}
