--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -48,8 +48,8 @@
 // IsBackingOff reports whether the life wants rest now.
 func (b Restriction) IsBackingOff(now time.Duration) bool { return now < b.BackoffUntil }
 
-// word is what one life said.
-type word struct {
+// incarnationState is what one life said.
+type incarnationState struct {
 	life    catalog.Life
 	until   time.Duration // end of the rest
 	heardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
@@ -61,11 +61,11 @@
 
 // Tracker holds the words of back ends that still count.
 type Tracker struct {
-	words map[string][]word // by name, one for each life; none is empty
+	words map[string][]incarnationState // by name, one for each life; none is empty
 }
 
 // NewTracker returns a book without a word.
-func NewTracker() *Tracker { return &Tracker{words: map[string][]word{}} }
+func NewTracker() *Tracker { return &Tracker{words: map[string][]incarnationState{}} }
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
@@ -109,14 +109,14 @@
 }
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
-func (w *word) mayBe(later catalog.Life) bool {
+func (w *incarnationState) mayBe(later catalog.Life) bool {
 	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
 func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, words := range b.words {
-		left := slices.DeleteFunc(words, func(w word) bool {
+		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.leaving || w.limit.Advertised
 			return now >= w.until && (!lasting || now >= w.newest+untimedTTL && !named(w.life))
 		})
