--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -50,13 +50,13 @@
 
 // incarnationState is what one life said.
 type incarnationState struct {
-	life    catalog.Life
-	until   time.Duration // end of the rest
-	heardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
-	leaving bool
-	limit   Limit
-	limitAt time.Duration // when that was last heard; 0 never
-	newest  time.Duration // when anything was last heard
+	incarnation catalog.Life
+	until       time.Duration // end of the rest
+	heardAt     time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
+	leaving     bool
+	limit       Limit
+	limitAt     time.Duration // when that was last heard; 0 never
+	newest      time.Duration // when anything was last heard
 }
 
 // Tracker holds the words of back ends that still count.
@@ -93,7 +93,7 @@
 func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
-		if w.life == life {
+		if w.incarnation == life {
 			bar.Draining = bar.Draining || w.leaving
 			if w.limit.Advertised {
 				bar.Limit = w.limit
@@ -110,7 +110,7 @@
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
 func (w *incarnationState) mayBe(later catalog.Life) bool {
-	return !w.heardAt.IsZero() && w.life.Precedes(later) && later.Born <= w.heardAt.Add(maxClockSkew).UnixMilli()
+	return !w.heardAt.IsZero() && w.incarnation.Precedes(later) && later.Born <= w.heardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
@@ -118,7 +118,7 @@
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.leaving || w.limit.Advertised
-			return now >= w.until && (!lasting || now >= w.newest+untimedTTL && !named(w.life))
+			return now >= w.until && (!lasting || now >= w.newest+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
 			delete(b.words, name)
