--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -50,13 +50,13 @@
 
 // incarnationState is what one life said.
 type incarnationState struct {
-	incarnation catalog.Life
-	until       time.Duration // end of the rest
-	heardAt     time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
-	leaving     bool
-	limit       Limit
-	limitAt     time.Duration // when that was last heard; 0 never
-	newest      time.Duration // when anything was last heard
+	incarnation  catalog.Life
+	backoffUntil time.Duration // end of the rest
+	heardAt      time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
+	leaving      bool
+	limit        Limit
+	limitAt      time.Duration // when that was last heard; 0 never
+	newest       time.Duration // when anything was last heard
 }
 
 // Tracker holds the words of back ends that still count.
@@ -76,7 +76,7 @@
 	w := b.word(life)
 	w.newest, w.leaving = now, w.leaving || said.Draining
 	if said.Backoff > 0 {
-		w.until, w.heardAt = max(w.until, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
+		w.backoffUntil, w.heardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
 	b.ObserveLimit(now, life, said.Limit)
 	return b.Restriction(now, life)
@@ -101,8 +101,8 @@
 		} else if !w.mayBe(life) {
 			continue
 		}
-		if now < w.until {
-			bar.BackoffUntil = max(bar.BackoffUntil, w.until)
+		if now < w.backoffUntil {
+			bar.BackoffUntil = max(bar.BackoffUntil, w.backoffUntil)
 		}
 	}
 	return bar
@@ -118,7 +118,7 @@
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.leaving || w.limit.Advertised
-			return now >= w.until && (!lasting || now >= w.newest+untimedTTL && !named(w.incarnation))
+			return now >= w.backoffUntil && (!lasting || now >= w.newest+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
 			delete(b.words, name)
