--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -50,13 +50,13 @@
 
 // incarnationState is what one life said.
 type incarnationState struct {
-	incarnation  catalog.Life
-	backoffUntil time.Duration // end of the rest
-	heardAt      time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
-	leaving      bool
-	limit        Limit
-	limitAt      time.Duration // when that was last heard; 0 never
-	newest       time.Duration // when anything was last heard
+	incarnation    catalog.Life
+	backoffUntil   time.Duration // end of the rest
+	backoffHeardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
+	leaving        bool
+	limit          Limit
+	limitAt        time.Duration // when that was last heard; 0 never
+	newest         time.Duration // when anything was last heard
 }
 
 // Tracker holds the words of back ends that still count.
@@ -76,7 +76,7 @@
 	w := b.word(life)
 	w.newest, w.leaving = now, w.leaving || said.Draining
 	if said.Backoff > 0 {
-		w.backoffUntil, w.heardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
+		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
 	b.ObserveLimit(now, life, said.Limit)
 	return b.Restriction(now, life)
@@ -110,7 +110,7 @@
 
 // mayBe reports whether a later life of the name had begun when the word was heard.
 func (w *incarnationState) mayBe(later catalog.Life) bool {
-	return !w.heardAt.IsZero() && w.incarnation.Precedes(later) && later.Born <= w.heardAt.Add(maxClockSkew).UnixMilli()
+	return !w.backoffHeardAt.IsZero() && w.incarnation.Precedes(later) && later.Born <= w.backoffHeardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
