--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -53,7 +53,7 @@
 	incarnation    catalog.Life
 	backoffUntil   time.Duration // end of the rest
 	backoffHeardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
-	leaving        bool
+	draining       bool
 	limit          Limit
 	limitAt        time.Duration // when that was last heard; 0 never
 	newest         time.Duration // when anything was last heard
@@ -74,7 +74,7 @@
 		return b.Restriction(now, life)
 	}
 	w := b.word(life)
-	w.newest, w.leaving = now, w.leaving || said.Draining
+	w.newest, w.draining = now, w.draining || said.Draining
 	if said.Backoff > 0 {
 		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
@@ -94,7 +94,7 @@
 	var bar Restriction
 	for _, w := range b.words[life.Name] {
 		if w.incarnation == life {
-			bar.Draining = bar.Draining || w.leaving
+			bar.Draining = bar.Draining || w.draining
 			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
@@ -117,7 +117,7 @@
 func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
-			lasting := w.leaving || w.limit.Advertised
+			lasting := w.draining || w.limit.Advertised
 			return now >= w.backoffUntil && (!lasting || now >= w.newest+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
