--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -35,7 +35,7 @@
 	if w.limitAt > at {
 		return false
 	}
-	w.limit, w.limitAt, w.newest = limit, at, max(w.newest, at)
+	w.limit, w.limitAt, w.updatedAt = limit, at, max(w.updatedAt, at)
 	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -56,7 +56,7 @@
 	draining       bool
 	limit          Limit
 	limitAt        time.Duration // when that was last heard; 0 never
-	newest         time.Duration // when anything was last heard
+	updatedAt      time.Duration // when anything was last heard
 }
 
 // Tracker holds the words of back ends that still count.
@@ -74,7 +74,7 @@
 		return b.Restriction(now, life)
 	}
 	w := b.word(life)
-	w.newest, w.draining = now, w.draining || said.Draining
+	w.updatedAt, w.draining = now, w.draining || said.Draining
 	if said.Backoff > 0 {
 		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
@@ -118,7 +118,7 @@
 	for name, words := range b.words {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.draining || w.limit.Advertised
-			return now >= w.backoffUntil && (!lasting || now >= w.newest+untimedTTL && !named(w.incarnation))
+			return now >= w.backoffUntil && (!lasting || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
 			delete(b.words, name)
