--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -42,8 +42,8 @@
 // ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
 func (b *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
-	at := slices.IndexFunc(b.words[life.Name], func(w incarnationState) bool { return w.incarnation == life })
-	if at < 0 || b.words[life.Name][at].limitAt >= sent {
+	at := slices.IndexFunc(b.states[life.Name], func(w incarnationState) bool { return w.incarnation == life })
+	if at < 0 || b.states[life.Name][at].limitAt >= sent {
 		return false
 	}
 	return b.ObserveLimit(now, life, Limit{Withdrawn: true})
@@ -57,7 +57,7 @@
 
 // LimitObservedAt returns the limit that a life names, and when that was last heard.
 func (b *Tracker) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
-	for _, w := range b.words[life.Name] {
+	for _, w := range b.states[life.Name] {
 		if w.incarnation == life && w.limit.Advertised {
 			return w.limit, w.limitAt
 		}
@@ -67,11 +67,11 @@
 
 // word returns the word of a life, made when it first says something.
 func (b *Tracker) word(life catalog.Life) *incarnationState {
-	words := b.words[life.Name]
+	words := b.states[life.Name]
 	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == life })
 	if at < 0 {
 		at, words = len(words), append(words, incarnationState{incarnation: life})
-		b.words[life.Name] = words
+		b.states[life.Name] = words
 	}
 	return &words[at]
 }
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -61,11 +61,11 @@
 
 // Tracker holds the words of back ends that still count.
 type Tracker struct {
-	words map[string][]incarnationState // by name, one for each life; none is empty
+	states map[string][]incarnationState // by name, one for each life; none is empty
 }
 
 // NewTracker returns a book without a word.
-func NewTracker() *Tracker { return &Tracker{words: map[string][]incarnationState{}} }
+func NewTracker() *Tracker { return &Tracker{states: map[string][]incarnationState{}} }
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
@@ -92,7 +92,7 @@
 // roster may have named the earlier one still.
 func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
 	var bar Restriction
-	for _, w := range b.words[life.Name] {
+	for _, w := range b.states[life.Name] {
 		if w.incarnation == life {
 			bar.Draining = bar.Draining || w.draining
 			if w.limit.Advertised {
@@ -115,15 +115,15 @@
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
 func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
-	for name, words := range b.words {
+	for name, words := range b.states {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.draining || w.limit.Advertised
 			return now >= w.backoffUntil && (!lasting || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
-			delete(b.words, name)
+			delete(b.states, name)
 			continue
 		}
-		b.words[name] = left
+		b.states[name] = left
 	}
 }
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -178,11 +178,11 @@
 	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
 	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
-	if len(book.words) != 1 || !book.Restriction(2*untimedTTL, leaver).Draining {
-		t.Fatalf("%+v", book.words)
+	if len(book.states) != 1 || !book.Restriction(2*untimedTTL, leaver).Draining {
+		t.Fatalf("%+v", book.states)
 	}
 	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
-	if len(book.words) != 0 {
-		t.Fatalf("%+v", book.words)
+	if len(book.states) != 0 {
+		t.Fatalf("%+v", book.states)
 	}
 }
