--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -31,7 +31,7 @@
 	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
-	w := b.word(life)
+	w := b.stateOf(life)
 	if w.limitAt > at {
 		return false
 	}
@@ -65,8 +65,8 @@
 	return Limit{}, 0
 }
 
-// word returns the word of a life, made when it first says something.
-func (b *Tracker) word(life catalog.Life) *incarnationState {
+// stateOf returns the stateOf of a life, made when it first says something.
+func (b *Tracker) stateOf(life catalog.Life) *incarnationState {
 	words := b.states[life.Name]
 	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == life })
 	if at < 0 {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -73,7 +73,7 @@
 	if said.IsEmpty() {
 		return b.Restriction(now, life)
 	}
-	w := b.word(life)
+	w := b.stateOf(life)
 	w.updatedAt, w.draining = now, w.draining || said.Draining
 	if said.Backoff > 0 {
 		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
