--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -98,7 +98,7 @@
 			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
-		} else if !w.mayBe(life) {
+		} else if !w.mayHaveRequested(life) {
 			continue
 		}
 		if now < w.backoffUntil {
@@ -108,8 +108,8 @@
 	return bar
 }
 
-// mayBe reports whether a later life of the name had begun when the word was heard.
-func (w *incarnationState) mayBe(later catalog.Life) bool {
+// mayHaveRequested reports whether a later life of the name had begun when the word was heard.
+func (w *incarnationState) mayHaveRequested(later catalog.Life) bool {
 	return !w.backoffHeardAt.IsZero() && w.incarnation.Precedes(later) && later.Born <= w.backoffHeardAt.Add(maxClockSkew).UnixMilli()
 }
 
