--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -23,15 +23,15 @@
 
 // ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (b *Tracker) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
+func (t *Tracker) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (news bool) {
 	if limit.IsEmpty() {
 		return false
 	}
-	known := b.Limit(life)
+	known := t.Limit(life)
 	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
-	w := b.stateOf(life)
+	w := t.stateOf(life)
 	if w.limitAt > at {
 		return false
 	}
@@ -41,23 +41,23 @@
 
 // ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (b *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
-	at := slices.IndexFunc(b.states[life.Name], func(w incarnationState) bool { return w.incarnation == life })
-	if at < 0 || b.states[life.Name][at].limitAt >= sent {
+func (t *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
+	at := slices.IndexFunc(t.states[life.Name], func(w incarnationState) bool { return w.incarnation == life })
+	if at < 0 || t.states[life.Name][at].limitAt >= sent {
 		return false
 	}
-	return b.ObserveLimit(now, life, Limit{Withdrawn: true})
+	return t.ObserveLimit(now, life, Limit{Withdrawn: true})
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
-func (b *Tracker) Limit(life catalog.Life) Limit {
-	limit, _ := b.LimitObservedAt(life)
+func (t *Tracker) Limit(life catalog.Life) Limit {
+	limit, _ := t.LimitObservedAt(life)
 	return limit
 }
 
 // LimitObservedAt returns the limit that a life names, and when that was last heard.
-func (b *Tracker) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
-	for _, w := range b.states[life.Name] {
+func (t *Tracker) LimitObservedAt(life catalog.Life) (limit Limit, heard time.Duration) {
+	for _, w := range t.states[life.Name] {
 		if w.incarnation == life && w.limit.Advertised {
 			return w.limit, w.limitAt
 		}
@@ -66,12 +66,12 @@
 }
 
 // stateOf returns the stateOf of a life, made when it first says something.
-func (b *Tracker) stateOf(life catalog.Life) *incarnationState {
-	words := b.states[life.Name]
+func (t *Tracker) stateOf(life catalog.Life) *incarnationState {
+	words := t.states[life.Name]
 	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == life })
 	if at < 0 {
 		at, words = len(words), append(words, incarnationState{incarnation: life})
-		b.states[life.Name] = words
+		t.states[life.Name] = words
 	}
 	return &words[at]
 }
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -69,17 +69,17 @@
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (b *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+func (t *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
-		return b.Restriction(now, life)
+		return t.Restriction(now, life)
 	}
-	w := b.stateOf(life)
+	w := t.stateOf(life)
 	w.updatedAt, w.draining = now, w.draining || said.Draining
 	if said.Backoff > 0 {
 		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
 	}
-	b.ObserveLimit(now, life, said.Limit)
-	return b.Restriction(now, life)
+	t.ObserveLimit(now, life, said.Limit)
+	return t.Restriction(now, life)
 }
 
 // WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
@@ -90,9 +90,9 @@
 
 // Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (b *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
+func (t *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
 	var bar Restriction
-	for _, w := range b.states[life.Name] {
+	for _, w := range t.states[life.Name] {
 		if w.incarnation == life {
 			bar.Draining = bar.Draining || w.draining
 			if w.limit.Advertised {
@@ -114,16 +114,16 @@
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (b *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
-	for name, words := range b.states {
+func (t *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
+	for name, words := range t.states {
 		left := slices.DeleteFunc(words, func(w incarnationState) bool {
 			lasting := w.draining || w.limit.Advertised
 			return now >= w.backoffUntil && (!lasting || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
-			delete(b.states, name)
+			delete(t.states, name)
 			continue
 		}
-		b.states[name] = left
+		t.states[name] = left
 	}
 }
