--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -43,10 +43,10 @@
 }
 
 // IsBlocked reports whether nothing may be sent now.
-func (b Restriction) IsBlocked(now time.Duration) bool { return b.Draining || b.IsBackingOff(now) }
+func (r Restriction) IsBlocked(now time.Duration) bool { return r.Draining || r.IsBackingOff(now) }
 
 // IsBackingOff reports whether the life wants rest now.
-func (b Restriction) IsBackingOff(now time.Duration) bool { return now < b.BackoffUntil }
+func (r Restriction) IsBackingOff(now time.Duration) bool { return now < r.BackoffUntil }
 
 // incarnationState is what one life said.
 type incarnationState struct {
