--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -69,14 +69,14 @@
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (t *Tracker) Observe(now time.Duration, day time.Time, life catalog.Life, said Signals, chance float64) Restriction {
+func (t *Tracker) Observe(now time.Duration, wallClock time.Time, life catalog.Life, said Signals, chance float64) Restriction {
 	if said.IsEmpty() {
 		return t.Restriction(now, life)
 	}
 	w := t.stateOf(life)
 	w.updatedAt, w.draining = now, w.draining || said.Draining
 	if said.Backoff > 0 {
-		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), day
+		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(said.Backoff, MaxBackoff), chance)), wallClock
 	}
 	t.ObserveLimit(now, life, said.Limit)
 	return t.Restriction(now, life)
