--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -69,14 +69,14 @@
 
 // Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
 // lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
-func (t *Tracker) Observe(now time.Duration, wallClock time.Time, incarnation catalog.Life, signals Signals, chance float64) Restriction {
+func (t *Tracker) Observe(now time.Duration, wallClock time.Time, incarnation catalog.Life, signals Signals, random float64) Restriction {
 	if signals.IsEmpty() {
 		return t.Restriction(now, incarnation)
 	}
 	w := t.stateOf(incarnation)
 	w.updatedAt, w.draining = now, w.draining || signals.Draining
 	if signals.Backoff > 0 {
-		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), chance)), wallClock
+		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), random)), wallClock
 	}
 	t.ObserveLimit(now, incarnation, signals.Limit)
 	return t.Restriction(now, incarnation)
