--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -84,8 +84,8 @@
 
 // WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
 func WithJitter(d time.Duration, random float64) time.Duration {
-	spread := min(time.Duration(jitterFraction*float64(d)), maxJitter)
-	return d + time.Duration(random*float64(spread))
+	maxAdded := min(time.Duration(jitterFraction*float64(d)), maxJitter)
+	return d + time.Duration(random*float64(maxAdded))
 }
 
 // Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
