--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -90,15 +90,15 @@
 
 // Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
-func (t *Tracker) Restriction(now time.Duration, life catalog.Life) Restriction {
+func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Life) Restriction {
 	var bar Restriction
-	for _, w := range t.states[life.Name] {
-		if w.incarnation == life {
+	for _, w := range t.states[incarnation.Name] {
+		if w.incarnation == incarnation {
 			bar.Draining = bar.Draining || w.draining
 			if w.limit.Advertised {
 				bar.Limit = w.limit
 			}
-		} else if !w.mayHaveRequested(life) {
+		} else if !w.mayHaveRequested(incarnation) {
 			continue
 		}
 		if now < w.backoffUntil {
