--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -91,21 +91,21 @@
 // Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
 // roster may have named the earlier one still.
 func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Life) Restriction {
-	var bar Restriction
+	var restriction Restriction
 	for _, w := range t.states[incarnation.Name] {
 		if w.incarnation == incarnation {
-			bar.Draining = bar.Draining || w.draining
+			restriction.Draining = restriction.Draining || w.draining
 			if w.limit.Advertised {
-				bar.Limit = w.limit
+				restriction.Limit = w.limit
 			}
 		} else if !w.mayHaveRequested(incarnation) {
 			continue
 		}
 		if now < w.backoffUntil {
-			bar.BackoffUntil = max(bar.BackoffUntil, w.backoffUntil)
+			restriction.BackoffUntil = max(restriction.BackoffUntil, w.backoffUntil)
 		}
 	}
-	return bar
+	return restriction
 }
 
 // mayHaveRequested reports whether a later life of the name had begun when the word was heard.
