--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -115,8 +115,8 @@
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
 func (t *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
-	for name, words := range t.states {
-		left := slices.DeleteFunc(words, func(w incarnationState) bool {
+	for name, states := range t.states {
+		left := slices.DeleteFunc(states, func(w incarnationState) bool {
 			lasting := w.draining || w.limit.Advertised
 			return now >= w.backoffUntil && (!lasting || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
