--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -117,8 +117,8 @@
 func (t *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, states := range t.states {
 		left := slices.DeleteFunc(states, func(w incarnationState) bool {
-			lasting := w.draining || w.limit.Advertised
-			return now >= w.backoffUntil && (!lasting || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
+			untimed := w.draining || w.limit.Advertised
+			return now >= w.backoffUntil && (!untimed || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
 		if len(left) == 0 {
 			delete(t.states, name)
