--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -116,14 +116,14 @@
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
 func (t *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
 	for name, states := range t.states {
-		left := slices.DeleteFunc(states, func(w incarnationState) bool {
+		kept := slices.DeleteFunc(states, func(w incarnationState) bool {
 			untimed := w.draining || w.limit.Advertised
 			return now >= w.backoffUntil && (!untimed || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
 		})
-		if len(left) == 0 {
+		if len(kept) == 0 {
 			delete(t.states, name)
 			continue
 		}
-		t.states[name] = left
+		t.states[name] = kept
 	}
 }
