--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -114,11 +114,11 @@
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
-func (t *Tracker) Sweep(now time.Duration, named func(catalog.Life) bool) {
+func (t *Tracker) Sweep(now time.Duration, isKnown func(catalog.Life) bool) {
 	for name, states := range t.states {
 		kept := slices.DeleteFunc(states, func(w incarnationState) bool {
 			untimed := w.draining || w.limit.Advertised
-			return now >= w.backoffUntil && (!untimed || now >= w.updatedAt+untimedTTL && !named(w.incarnation))
+			return now >= w.backoffUntil && (!untimed || now >= w.updatedAt+untimedTTL && !isKnown(w.incarnation))
 		})
 		if len(kept) == 0 {
 			delete(t.states, name)
