--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -23,15 +23,15 @@
 
 // ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
 // end says counts as of when it was said. It reports whether that is news.
-func (t *Tracker) ObserveLimit(at time.Duration, life catalog.Life, limit Limit) (changed bool) {
+func (t *Tracker) ObserveLimit(at time.Duration, incarnation catalog.Life, limit Limit) (changed bool) {
 	if limit.IsEmpty() {
 		return false
 	}
-	known := t.Limit(life)
+	known := t.Limit(incarnation)
 	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
-	w := t.stateOf(life)
+	w := t.stateOf(incarnation)
 	if w.limitAt > at {
 		return false
 	}
