--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -41,12 +41,12 @@
 
 // ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
-func (t *Tracker) ObserveNoLimit(now, sent time.Duration, life catalog.Life) (over bool) {
-	at := slices.IndexFunc(t.states[life.Name], func(w incarnationState) bool { return w.incarnation == life })
-	if at < 0 || t.states[life.Name][at].limitAt >= sent {
+func (t *Tracker) ObserveNoLimit(now, sent time.Duration, incarnation catalog.Life) (over bool) {
+	at := slices.IndexFunc(t.states[incarnation.Name], func(w incarnationState) bool { return w.incarnation == incarnation })
+	if at < 0 || t.states[incarnation.Name][at].limitAt >= sent {
 		return false
 	}
-	return t.ObserveLimit(now, life, Limit{Withdrawn: true})
+	return t.ObserveLimit(now, incarnation, Limit{Withdrawn: true})
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
