--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -56,7 +56,7 @@
 }
 
 // LimitObservedAt returns the limit that a life names, and when that was last heard.
-func (t *Tracker) LimitObservedAt(incarnation catalog.Life) (limit Limit, heard time.Duration) {
+func (t *Tracker) LimitObservedAt(incarnation catalog.Life) (limit Limit, observedAt time.Duration) {
 	for _, w := range t.states[incarnation.Name] {
 		if w.incarnation == incarnation && w.limit.Advertised {
 			return w.limit, w.limitAt
