--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -66,12 +66,12 @@
 }
 
 // stateOf returns the stateOf of a life, made when it first says something.
-func (t *Tracker) stateOf(life catalog.Life) *incarnationState {
-	words := t.states[life.Name]
-	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == life })
+func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
+	words := t.states[incarnation.Name]
+	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == incarnation })
 	if at < 0 {
-		at, words = len(words), append(words, incarnationState{incarnation: life})
-		t.states[life.Name] = words
+		at, words = len(words), append(words, incarnationState{incarnation: incarnation})
+		t.states[incarnation.Name] = words
 	}
 	return &words[at]
 }
