--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -68,10 +68,10 @@
 // stateOf returns the stateOf of a life, made when it first says something.
 func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
 	words := t.states[incarnation.Name]
-	at := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == incarnation })
-	if at < 0 {
-		at, words = len(words), append(words, incarnationState{incarnation: incarnation})
+	index := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == incarnation })
+	if index < 0 {
+		index, words = len(words), append(words, incarnationState{incarnation: incarnation})
 		t.states[incarnation.Name] = words
 	}
-	return &words[at]
+	return &words[index]
 }
