--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -67,11 +67,11 @@
 
 // stateOf returns the stateOf of a life, made when it first says something.
 func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
-	words := t.states[incarnation.Name]
-	index := slices.IndexFunc(words, func(w incarnationState) bool { return w.incarnation == incarnation })
+	states := t.states[incarnation.Name]
+	index := slices.IndexFunc(states, func(w incarnationState) bool { return w.incarnation == incarnation })
 	if index < 0 {
-		index, words = len(words), append(words, incarnationState{incarnation: incarnation})
-		t.states[incarnation.Name] = words
+		index, states = len(states), append(states, incarnationState{incarnation: incarnation})
+		t.states[incarnation.Name] = states
 	}
-	return &words[index]
+	return &states[index]
 }
