--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -17,8 +17,8 @@
 	// RetryAfter is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
 	// callers that repeat at once from doing so.
 	RetryAfter = time.Hour
-	// livesKept bounds the lives that are remembered of one request: enough to count, and to show an operator.
-	livesKept = 8
+	// maxIncarnations bounds the lives that are remembered of one request: enough to count, and to show an operator.
+	maxIncarnations = 8
 	// entriesMost bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
 	// run there; a request is pushed out only by so many others that took part in as many losses as it, or more.
 	entriesMost = 4096
@@ -133,7 +133,7 @@
 			e = &counted{}
 			l.entries[f] = e
 		}
-		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= livesKept {
+		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= maxIncarnations {
 			continue
 		}
 		l.order++
@@ -148,7 +148,7 @@
 func (l *Registry) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
-		if e == nil || !slices.Contains(e.lives, ended.Incarnation) && len(e.lives) < livesKept {
+		if e == nil || !slices.Contains(e.lives, ended.Incarnation) && len(e.lives) < maxIncarnations {
 			return false
 		}
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -71,7 +71,7 @@
 	m.ledger.Apply(Change{Crashes: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
-		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < livesKept {
+		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < maxIncarnations {
 			m.lives[f] = append(m.lives[f], ended.Incarnation)
 			changed = true
 		}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -144,7 +144,7 @@
 		r.own[f] = s
 	}
 	s.at, s.taken = now, false
-	if !slices.Contains(s.lives, life) && len(s.lives) < livesKept {
+	if !slices.Contains(s.lives, life) && len(s.lives) < maxIncarnations {
 		s.lives = append(s.lives, life)
 	}
 }
