--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -19,9 +19,9 @@
 	RetryAfter = time.Hour
 	// maxIncarnations bounds the lives that are remembered of one request: enough to count, and to show an operator.
 	maxIncarnations = 8
-	// entriesMost bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
+	// maxEntries bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
 	// run there; a request is pushed out only by so many others that took part in as many losses as it, or more.
-	entriesMost = 4096
+	maxEntries = 4096
 )
 
 // Crash says that a life of a back end ended while it ran requests.
@@ -157,7 +157,7 @@
 
 // makeRoom pushes out the request with the fewest lives, of these the one whose newest life is oldest.
 func (l *Registry) makeRoom() {
-	if len(l.entries) < entriesMost {
+	if len(l.entries) < maxEntries {
 		return
 	}
 	var last Fingerprint
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -166,16 +166,16 @@
 	for life := range QuarantineThreshold {
 		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
 	}
-	for n := range 3 * entriesMost {
+	for n := range 3 * maxEntries {
 		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
 	if got := l.CrashCount(printOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
 	}
-	if n := len(l.Fingerprints()); n != entriesMost {
-		t.Fatalf("%d requests are remembered, %d are the most", n, entriesMost)
+	if n := len(l.Fingerprints()); n != maxEntries {
+		t.Fatalf("%d requests are remembered, %d are the most", n, maxEntries)
 	}
-	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*entriesMost)) != 1 {
+	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*maxEntries)) != 1 {
 		t.Fatal("it is not the oldest that makes room")
 	}
 }
