--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -67,8 +67,8 @@
 	Entries []Entry `json:"entries,omitempty"` // with Suspected lives or more
 }
 
-// counted is what the ledger holds of one request.
-type counted struct {
+// entry is what the ledger holds of one request.
+type entry struct {
 	lives []string // distinct, oldest first; at most livesKept
 	order uint64   // of its newest life among all
 }
@@ -76,14 +76,14 @@
 // Registry is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
 type Registry struct {
 	seed    []byte
-	entries map[Fingerprint]*counted // at most entriesMost
+	entries map[Fingerprint]*entry // at most entriesMost
 	order   uint64
 	version uint64  // rises whenever News differ
 	news    *Update // of that version, or an older one; nil before somebody asked
 }
 
 // NewRegistry returns an empty ledger without a seed.
-func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*counted{}} }
+func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*entry{}} }
 
 // Apply makes one change: first lives are released, then new ones counted.
 func (l *Registry) Apply(c Change) {
@@ -130,7 +130,7 @@
 		e := l.entries[f]
 		if e == nil {
 			l.makeRoom()
-			e = &counted{}
+			e = &entry{}
 			l.entries[f] = e
 		}
 		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= maxIncarnations {
@@ -161,7 +161,7 @@
 		return
 	}
 	var last Fingerprint
-	var least *counted
+	var least *entry
 	for f, e := range l.entries {
 		if least == nil || cmp.Or(cmp.Compare(len(e.lives), len(least.lives)), cmp.Compare(e.order, least.order)) < 0 {
 			last, least = f, e
@@ -242,9 +242,9 @@
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
-	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
+	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*entry, len(form.Entries))}
 	for _, e := range form.Entries {
-		l.entries[e.Request] = &counted{lives: e.Incarnations, order: e.Order}
+		l.entries[e.Request] = &entry{lives: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
