--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -69,8 +69,8 @@
 
 // entry is what the ledger holds of one request.
 type entry struct {
-	lives []string // distinct, oldest first; at most livesKept
-	order uint64   // of its newest life among all
+	incarnations []string // distinct, oldest first; at most livesKept
+	order        uint64   // of its newest life among all
 }
 
 // Registry is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
@@ -133,12 +133,12 @@
 			e = &entry{}
 			l.entries[f] = e
 		}
-		if slices.Contains(e.lives, ended.Incarnation) || len(e.lives) >= maxIncarnations {
+		if slices.Contains(e.incarnations, ended.Incarnation) || len(e.incarnations) >= maxIncarnations {
 			continue
 		}
 		l.order++
-		e.lives, e.order = append(e.lives, ended.Incarnation), l.order
-		if len(e.lives) >= SuspectThreshold {
+		e.incarnations, e.order = append(e.incarnations, ended.Incarnation), l.order
+		if len(e.incarnations) >= SuspectThreshold {
 			l.version++
 		}
 	}
@@ -148,7 +148,7 @@
 func (l *Registry) knows(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
-		if e == nil || !slices.Contains(e.lives, ended.Incarnation) && len(e.lives) < maxIncarnations {
+		if e == nil || !slices.Contains(e.incarnations, ended.Incarnation) && len(e.incarnations) < maxIncarnations {
 			return false
 		}
 	}
@@ -163,7 +163,7 @@
 	var last Fingerprint
 	var least *entry
 	for f, e := range l.entries {
-		if least == nil || cmp.Or(cmp.Compare(len(e.lives), len(least.lives)), cmp.Compare(e.order, least.order)) < 0 {
+		if least == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(least.incarnations)), cmp.Compare(e.order, least.order)) < 0 {
 			last, least = f, e
 		}
 	}
@@ -173,23 +173,23 @@
 // drop forgets all but the newest lives of a request.
 func (l *Registry) drop(f Fingerprint, keep int) {
 	e := l.entries[f]
-	if e == nil || len(e.lives) <= keep {
+	if e == nil || len(e.incarnations) <= keep {
 		return
 	}
-	if len(e.lives) >= SuspectThreshold {
+	if len(e.incarnations) >= SuspectThreshold {
 		l.version++
 	}
 	if keep == 0 {
 		delete(l.entries, f)
 		return
 	}
-	e.lives = slices.Clone(e.lives[len(e.lives)-keep:])
+	e.incarnations = slices.Clone(e.incarnations[len(e.incarnations)-keep:])
 }
 
 // CrashCount returns how many lives ended under a request, as far as they are kept.
 func (l *Registry) CrashCount(f Fingerprint) int {
 	if e := l.entries[f]; e != nil {
-		return len(e.lives)
+		return len(e.incarnations)
 	}
 	return 0
 }
@@ -206,8 +206,8 @@
 	}
 	news := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.Fingerprints() {
-		if e := l.entries[f]; len(e.lives) >= SuspectThreshold {
-			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.lives)})
+		if e := l.entries[f]; len(e.incarnations) >= SuspectThreshold {
+			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
 		}
 	}
 	l.news = news
@@ -231,7 +231,7 @@
 func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
 	for _, f := range l.Fingerprints() {
-		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].lives}, Order: l.entries[f].order})
+		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].incarnations}, Order: l.entries[f].order})
 	}
 	return json.Marshal(form)
 }
@@ -244,7 +244,7 @@
 	}
 	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*entry, len(form.Entries))}
 	for _, e := range form.Entries {
-		l.entries[e.Request] = &entry{lives: e.Incarnations, order: e.Order}
+		l.entries[e.Request] = &entry{incarnations: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
