--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -79,7 +79,7 @@
 	entries map[Fingerprint]*entry // at most entriesMost
 	order   uint64
 	version uint64  // rises whenever News differ
-	news    *Update // of that version, or an older one; nil before somebody asked
+	update  *Update // of that version, or an older one; nil before somebody asked
 }
 
 // NewRegistry returns an empty ledger without a seed.
@@ -201,8 +201,8 @@
 
 // Update returns what processes are told; callers only read it.
 func (l *Registry) Update() *Update {
-	if l.news != nil && l.news.Version == l.version {
-		return l.news
+	if l.update != nil && l.update.Version == l.version {
+		return l.update
 	}
 	news := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.Fingerprints() {
@@ -210,7 +210,7 @@
 			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
 		}
 	}
-	l.news = news
+	l.update = news
 	return news
 }
 
