--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -87,7 +87,7 @@
 
 // Apply makes one change: first lives are released, then new ones counted.
 func (l *Registry) Apply(c Change) {
-	l.plant(c.Seed)
+	l.setSeed(c.Seed)
 	for _, released := range c.Releases {
 		for _, f := range released.Requests {
 			l.drop(f, max(0, released.Keep))
@@ -111,7 +111,7 @@
 	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.knows(ended) })
 }
 
-func (l *Registry) plant(seed []byte) {
+func (l *Registry) setSeed(seed []byte) {
 	if len(l.seed) == 0 && len(seed) == SeedBytes {
 		l.seed = seed
 		l.version++
