--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, ended := range c.Crashes {
-		l.note(ended)
+		l.recordCrash(ended)
 	}
 }
 
@@ -124,8 +124,8 @@
 // Version returns the version of the news.
 func (l *Registry) Version() uint64 { return l.version }
 
-// note counts an ended life for each request that it ran.
-func (l *Registry) note(ended Crash) {
+// recordCrash counts an ended life for each request that it ran.
+func (l *Registry) recordCrash(ended Crash) {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil {
