--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -108,7 +108,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.knows(ended) })
+	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.contains(ended) })
 }
 
 func (l *Registry) setSeed(seed []byte) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// knows reports whether noting a life would change nothing.
-func (l *Registry) knows(ended Crash) bool {
+// contains reports whether noting a life would change nothing.
+func (l *Registry) contains(ended Crash) bool {
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil || !slices.Contains(e.incarnations, ended.Incarnation) && len(e.incarnations) < maxIncarnations {
