--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -129,7 +129,7 @@
 	for _, f := range ended.Requests {
 		e := l.entries[f]
 		if e == nil {
-			l.makeRoom()
+			l.evict()
 			e = &entry{}
 			l.entries[f] = e
 		}
@@ -155,8 +155,8 @@
 	return true
 }
 
-// makeRoom pushes out the request with the fewest lives, of these the one whose newest life is oldest.
-func (l *Registry) makeRoom() {
+// evict pushes out the request with the fewest lives, of these the one whose newest life is oldest.
+func (l *Registry) evict() {
 	if len(l.entries) < maxEntries {
 		return
 	}
