--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -90,7 +90,7 @@
 	l.setSeed(c.Seed)
 	for _, released := range c.Releases {
 		for _, f := range released.Requests {
-			l.drop(f, max(0, released.Keep))
+			l.trim(f, max(0, released.Keep))
 		}
 	}
 	for _, ended := range c.Crashes {
@@ -167,11 +167,11 @@
 			last, least = f, e
 		}
 	}
-	l.drop(last, 0)
+	l.trim(last, 0)
 }
 
-// drop forgets all but the newest lives of a request.
-func (l *Registry) drop(f Fingerprint, keep int) {
+// trim forgets all but the newest lives of a request.
+func (l *Registry) trim(f Fingerprint, keep int) {
 	e := l.entries[f]
 	if e == nil || len(e.incarnations) <= keep {
 		return
