--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -214,8 +214,8 @@
 	return news
 }
 
-// ledgerForm is a ledger in a snapshot.
-type ledgerForm struct {
+// registryJSON is a ledger in a snapshot.
+type registryJSON struct {
 	Seed    []byte      `json:"seed,omitempty"`
 	Version uint64      `json:"version"`
 	Order   uint64      `json:"order"`
@@ -229,7 +229,7 @@
 
 // MarshalJSON writes the whole state.
 func (l *Registry) MarshalJSON() ([]byte, error) {
-	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
+	form := registryJSON{Seed: l.seed, Version: l.version, Order: l.order}
 	for _, f := range l.Fingerprints() {
 		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].incarnations}, Order: l.entries[f].order})
 	}
@@ -238,7 +238,7 @@
 
 // UnmarshalJSON replaces the whole state.
 func (l *Registry) UnmarshalJSON(data []byte) error {
-	var form ledgerForm
+	var form registryJSON
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
