--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -219,10 +219,10 @@
 	Seed    []byte      `json:"seed,omitempty"`
 	Version uint64      `json:"version"`
 	Order   uint64      `json:"order"`
-	Entries []entryForm `json:"entries,omitempty"`
+	Entries []entryJSON `json:"entries,omitempty"`
 }
 
-type entryForm struct {
+type entryJSON struct {
 	Entry
 	Order uint64 `json:"order"`
 }
@@ -231,7 +231,7 @@
 func (l *Registry) MarshalJSON() ([]byte, error) {
 	form := registryJSON{Seed: l.seed, Version: l.version, Order: l.order}
 	for _, f := range l.Fingerprints() {
-		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Incarnations: l.entries[f].incarnations}, Order: l.entries[f].order})
+		form.Entries = append(form.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: l.entries[f].incarnations}, Order: l.entries[f].order})
 	}
 	return json.Marshal(form)
 }
