--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -160,14 +160,14 @@
 	if len(l.entries) < maxEntries {
 		return
 	}
-	var last Fingerprint
+	var victim Fingerprint
 	var least *entry
 	for f, e := range l.entries {
 		if least == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(least.incarnations)), cmp.Compare(e.order, least.order)) < 0 {
-			last, least = f, e
+			victim, least = f, e
 		}
 	}
-	l.trim(last, 0)
+	l.trim(victim, 0)
 }
 
 // trim forgets all but the newest lives of a request.
