--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -161,10 +161,10 @@
 		return
 	}
 	var victim Fingerprint
-	var least *entry
+	var fewest *entry
 	for f, e := range l.entries {
-		if least == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(least.incarnations)), cmp.Compare(e.order, least.order)) < 0 {
-			victim, least = f, e
+		if fewest == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(fewest.incarnations)), cmp.Compare(e.order, fewest.order)) < 0 {
+			victim, fewest = f, e
 		}
 	}
 	l.trim(victim, 0)
