--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -204,14 +204,14 @@
 	if l.update != nil && l.update.Version == l.version {
 		return l.update
 	}
-	news := &Update{Version: l.version, Seed: l.seed}
+	update := &Update{Version: l.version, Seed: l.seed}
 	for _, f := range l.Fingerprints() {
 		if e := l.entries[f]; len(e.incarnations) >= SuspectThreshold {
-			news.Entries = append(news.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
+			update.Entries = append(update.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
 		}
 	}
-	l.update = news
-	return news
+	l.update = update
+	return update
 }
 
 // registryJSON is a ledger in a snapshot.
