--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -88,9 +88,9 @@
 // Apply makes one change: first lives are released, then new ones counted.
 func (l *Registry) Apply(c Change) {
 	l.setSeed(c.Seed)
-	for _, released := range c.Releases {
-		for _, f := range released.Requests {
-			l.trim(f, max(0, released.Keep))
+	for _, release := range c.Releases {
+		for _, f := range release.Requests {
+			l.trim(f, max(0, release.Keep))
 		}
 	}
 	for _, ended := range c.Crashes {
