--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -93,8 +93,8 @@
 			l.trim(f, max(0, release.Keep))
 		}
 	}
-	for _, ended := range c.Crashes {
-		l.recordCrash(ended)
+	for _, crash := range c.Crashes {
+		l.recordCrash(crash)
 	}
 }
 
