--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -125,19 +125,19 @@
 func (l *Registry) Version() uint64 { return l.version }
 
 // recordCrash counts an ended life for each request that it ran.
-func (l *Registry) recordCrash(ended Crash) {
-	for _, f := range ended.Requests {
+func (l *Registry) recordCrash(crash Crash) {
+	for _, f := range crash.Requests {
 		e := l.entries[f]
 		if e == nil {
 			l.evict()
 			e = &entry{}
 			l.entries[f] = e
 		}
-		if slices.Contains(e.incarnations, ended.Incarnation) || len(e.incarnations) >= maxIncarnations {
+		if slices.Contains(e.incarnations, crash.Incarnation) || len(e.incarnations) >= maxIncarnations {
 			continue
 		}
 		l.order++
-		e.incarnations, e.order = append(e.incarnations, ended.Incarnation), l.order
+		e.incarnations, e.order = append(e.incarnations, crash.Incarnation), l.order
 		if len(e.incarnations) >= SuspectThreshold {
 			l.version++
 		}
