--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -145,10 +145,10 @@
 }
 
 // contains reports whether noting a life would change nothing.
-func (l *Registry) contains(ended Crash) bool {
-	for _, f := range ended.Requests {
+func (l *Registry) contains(crash Crash) bool {
+	for _, f := range crash.Requests {
 		e := l.entries[f]
-		if e == nil || !slices.Contains(e.incarnations, ended.Incarnation) && len(e.incarnations) < maxIncarnations {
+		if e == nil || !slices.Contains(e.incarnations, crash.Incarnation) && len(e.incarnations) < maxIncarnations {
 			return false
 		}
 	}
