--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -261,7 +261,7 @@
 		t.Fatal("a life counts twice")
 	}
 	r.RecordFailure(3*time.Second, "c", f)
-	if _, counts = r.ConfirmEnd(3*time.Second+proofWait+1, "c"); counts {
+	if _, counts = r.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); counts {
 		t.Fatal("a proof long after counts")
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// proofWait is how long a broken run waits for the proof that its back end ended: control names another life at the address some
+	// confirmationTimeout is how long a broken run waits for the proof that its back end ended: control names another life at the address some
 	// seconds after the end, or forgets a silent one after twelve.
-	proofWait = 15 * time.Second
+	confirmationTimeout = 15 * time.Second
 	// innocenceKept is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
 	// it ended well, under other weights, is counted after that.
 	innocenceKept = 5 * time.Second
@@ -107,7 +107,7 @@
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
 func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
 	b := r.breaks[life]
-	if b == nil || now-b.at > proofWait {
+	if b == nil || now-b.at > confirmationTimeout {
 		return Crash{}, false
 	}
 	b.ended = true
@@ -233,7 +233,7 @@
 
 func (r *Tracker) sweepBreaks(now time.Duration) {
 	for life, b := range r.breaks {
-		if now-b.at > proofWait {
+		if now-b.at > confirmationTimeout {
 			delete(r.breaks, life)
 		}
 	}
