--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -284,7 +284,7 @@
 	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.CrashCount(printOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
-	later := 4*time.Second + innocenceKept + 1
+	later := 4*time.Second + completionTTL + 1
 	r.ApplyUpdate(later, news)
 	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatal("an old good end speaks for a request")
@@ -307,14 +307,14 @@
 	if lives := r.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
-	later := time.Second + away + innocenceKept + 1
+	later := time.Second + away + completionTTL + 1
 	r.RecordFailure(later, "d", f)
 	if _, counts := r.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
 	r.RecordCompletion(later, f)
 	r.RecordIdle(later+time.Second, time.Hour)
-	if r.endedWell(later+time.Second+innocenceKept+1, f) {
+	if r.endedWell(later+time.Second+completionTTL+1, f) {
 		t.Fatal("a good end lies ahead")
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -10,9 +10,9 @@
 	// confirmationTimeout is how long a broken run waits for the proof that its back end ended: control names another life at the address some
 	// seconds after the end, or forgets a silent one after twelve.
 	confirmationTimeout = 15 * time.Second
-	// innocenceKept is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
+	// completionTTL is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
 	// it ended well, under other weights, is counted after that.
-	innocenceKept = 5 * time.Second
+	completionTTL = 5 * time.Second
 	// ownKept is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
 	ownKept = 15 * time.Second
 	// breaksMost bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
@@ -192,7 +192,7 @@
 // endedWell reports whether a request ended well here a moment ago.
 func (r *Tracker) endedWell(now time.Duration, f Fingerprint) bool {
 	held, known := r.well[f]
-	return known && now-held.at <= innocenceKept
+	return known && now-held.at <= completionTTL
 }
 
 // CrashCount returns how many lives ended under a request, as far as this process knows.
