--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -334,7 +334,7 @@
 		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), told, held)
 	}
 	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
-	r.Sweep(time.Second + ownKept + 1)
+	r.Sweep(time.Second + localTTL + 1)
 	if !r.IsEmpty() || r.Version() != 2 {
 		t.Fatalf("%d lives are left", r.CrashCount(f))
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -13,8 +13,8 @@
 	// completionTTL is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
 	// it ended well, under other weights, is counted after that.
 	completionTTL = 5 * time.Second
-	// ownKept is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
-	ownKept = 15 * time.Second
+	// localTTL is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
+	localTTL = 15 * time.Second
 	// breaksMost bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
 	// end, and wellMost the good ends that are remembered.
 	breaksMost = 256
@@ -225,7 +225,7 @@
 func (r *Tracker) Sweep(now time.Duration) {
 	r.sweepBreaks(now)
 	for f, s := range r.own {
-		if now-s.at > ownKept {
+		if now-s.at > localTTL {
 			delete(r.own, f)
 		}
 	}
