--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -15,12 +15,12 @@
 	completionTTL = 5 * time.Second
 	// localTTL is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
 	localTTL = 15 * time.Second
-	// breaksMost bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
+	// maxFailedIncarnations bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
 	// end, and wellMost the good ends that are remembered.
-	breaksMost = 256
-	runsMost   = 256
-	ownMost    = 1024
-	wellMost   = 1024
+	maxFailedIncarnations = 256
+	runsMost              = 256
+	ownMost               = 1024
+	wellMost              = 1024
 )
 
 // Tracker is what one process knows of requests that end their back ends.
@@ -88,7 +88,7 @@
 	b := r.breaks[life]
 	if b == nil {
 		r.sweepBreaks(now)
-		if len(r.breaks) >= breaksMost {
+		if len(r.breaks) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
 		b = &broken{}
