--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -18,7 +18,7 @@
 	// maxFailedIncarnations bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
 	// end, and wellMost the good ends that are remembered.
 	maxFailedIncarnations = 256
-	runsMost              = 256
+	maxFailedRuns         = 256
 	ownMost               = 1024
 	wellMost              = 1024
 )
@@ -95,7 +95,7 @@
 		r.breaks[life] = b
 	}
 	b.at = now
-	if len(b.runs) < runsMost && !slices.Contains(b.runs, f) {
+	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
 		b.runs = append(b.runs, f)
 	}
 	if b.ended {
