--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -349,7 +349,7 @@
 		r.RecordFailure(time.Second, "one", printOf(n))
 		r.RecordCompletion(time.Second, printOf(3*wellMost+n%(wellMost+7)))
 	}
-	if len(r.breaks) > maxFailedIncarnations || len(r.breaks["one"].runs) > maxFailedRuns || len(r.own) > ownMost || len(r.well) > wellMost {
+	if len(r.breaks) > maxFailedIncarnations || len(r.breaks["one"].runs) > maxFailedRuns || len(r.own) > maxLocal || len(r.well) > wellMost {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.own), len(r.well))
 	}
 	for f, held := range r.well {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -19,7 +19,7 @@
 	// end, and wellMost the good ends that are remembered.
 	maxFailedIncarnations = 256
 	maxFailedRuns         = 256
-	ownMost               = 1024
+	maxLocal              = 1024
 	wellMost              = 1024
 )
 
@@ -137,7 +137,7 @@
 func (r *Tracker) addOwn(now time.Duration, life string, f Fingerprint) {
 	s := r.own[f]
 	if s == nil {
-		if len(r.own) >= ownMost {
+		if len(r.own) >= maxLocal {
 			return
 		}
 		s = &seen{}
