--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -343,13 +343,13 @@
 // TestRecordIsBounded: whatever breaks off, and however much ends well.
 func TestRecordIsBounded(t *testing.T) {
 	r := NewTracker()
-	for n := range 3 * wellMost {
+	for n := range 3 * maxCompletions {
 		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
 		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
 		r.RecordFailure(time.Second, "one", printOf(n))
-		r.RecordCompletion(time.Second, printOf(3*wellMost+n%(wellMost+7)))
+		r.RecordCompletion(time.Second, printOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
-	if len(r.breaks) > maxFailedIncarnations || len(r.breaks["one"].runs) > maxFailedRuns || len(r.own) > maxLocal || len(r.well) > wellMost {
+	if len(r.breaks) > maxFailedIncarnations || len(r.breaks["one"].runs) > maxFailedRuns || len(r.own) > maxLocal || len(r.well) > maxCompletions {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.own), len(r.well))
 	}
 	for f, held := range r.well {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -20,18 +20,18 @@
 	maxFailedIncarnations = 256
 	maxFailedRuns         = 256
 	maxLocal              = 1024
-	wellMost              = 1024
+	maxCompletions        = 1024
 )
 
 // Tracker is what one process knows of requests that end their back ends.
 type Tracker struct {
 	version uint64
-	told    map[Fingerprint][]string // by control: lives; with Suspected or more
-	own     map[Fingerprint]*seen    // what this process proved itself; at most ownMost
-	breaks  map[string]*broken       // by life; at most breaksMost
-	well    map[Fingerprint]goodEnd  // at most wellMost
-	ring    [wellMost]Fingerprint    // the places of well
-	next    int                      // place of the next good end
+	told    map[Fingerprint][]string    // by control: lives; with Suspected or more
+	own     map[Fingerprint]*seen       // what this process proved itself; at most ownMost
+	breaks  map[string]*broken          // by life; at most breaksMost
+	well    map[Fingerprint]goodEnd     // at most wellMost
+	ring    [maxCompletions]Fingerprint // the places of well
+	next    int                         // place of the next good end
 }
 
 // seen are lives that this process saw end under a request.
@@ -177,7 +177,7 @@
 		delete(r.well, oldest)
 	}
 	r.ring[r.next], r.well[f] = f, goodEnd{at: now, place: r.next}
-	r.next = (r.next + 1) % wellMost
+	r.next = (r.next + 1) % maxCompletions
 }
 
 // RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
