--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,13 +25,13 @@
 
 // Tracker is what one process knows of requests that end their back ends.
 type Tracker struct {
-	version uint64
-	told    map[Fingerprint][]string    // by control: lives; with Suspected or more
-	own     map[Fingerprint]*seen       // what this process proved itself; at most ownMost
-	breaks  map[string]*broken          // by life; at most breaksMost
-	well    map[Fingerprint]goodEnd     // at most wellMost
-	ring    [maxCompletions]Fingerprint // the places of well
-	next    int                         // place of the next good end
+	version  uint64
+	reported map[Fingerprint][]string    // by control: lives; with Suspected or more
+	own      map[Fingerprint]*seen       // what this process proved itself; at most ownMost
+	breaks   map[string]*broken          // by life; at most breaksMost
+	well     map[Fingerprint]goodEnd     // at most wellMost
+	ring     [maxCompletions]Fingerprint // the places of well
+	next     int                         // place of the next good end
 }
 
 // seen are lives that this process saw end under a request.
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		told: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
 	}
 }
 
@@ -68,14 +68,14 @@
 // before counts as the news say, so that what was released elsewhere is released here.
 func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
-	clear(r.told)
+	clear(r.reported)
 	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
 	for _, e := range news.Entries {
 		if r.endedWell(now, e.Request) {
 			innocent = append(innocent, e.Request)
 			continue
 		}
-		r.told[e.Request] = e.Incarnations
+		r.reported[e.Request] = e.Incarnations
 	}
 	return innocent
 }
@@ -163,9 +163,9 @@
 // RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
 func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	r.remember(now, f)
-	_, told := r.told[f]
+	_, told := r.reported[f]
 	_, own := r.own[f]
-	delete(r.told, f)
+	delete(r.reported, f)
 	delete(r.own, f)
 	return told || own
 }
@@ -197,10 +197,10 @@
 
 // CrashCount returns how many lives ended under a request, as far as this process knows.
 func (r *Tracker) CrashCount(f Fingerprint) int {
-	lives := len(r.told[f])
+	lives := len(r.reported[f])
 	if s := r.own[f]; s != nil {
 		for _, life := range s.lives {
-			if !slices.Contains(r.told[f], life) {
+			if !slices.Contains(r.reported[f], life) {
 				lives++
 			}
 		}
@@ -209,16 +209,16 @@
 }
 
 // IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
-func (r *Tracker) IsEmpty() bool { return len(r.told) == 0 && len(r.own) == 0 }
+func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.own) == 0 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
 func (r *Tracker) SuspectCounts() (told, held int) {
-	for _, lives := range r.told {
+	for _, lives := range r.reported {
 		if len(lives) >= QuarantineThreshold {
 			held++
 		}
 	}
-	return len(r.told), held
+	return len(r.reported), held
 }
 
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
