--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -27,7 +27,7 @@
 type Tracker struct {
 	version  uint64
 	reported map[Fingerprint][]string    // by control: lives; with Suspected or more
-	own      map[Fingerprint]*seen       // what this process proved itself; at most ownMost
+	local    map[Fingerprint]*seen       // what this process proved itself; at most ownMost
 	breaks   map[string]*broken          // by life; at most breaksMost
 	well     map[Fingerprint]goodEnd     // at most wellMost
 	ring     [maxCompletions]Fingerprint // the places of well
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
 	}
 }
 
@@ -69,7 +69,7 @@
 func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.reported)
-	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
+	maps.DeleteFunc(r.local, func(_ Fingerprint, s *seen) bool { return s.taken })
 	for _, e := range news.Entries {
 		if r.endedWell(now, e.Request) {
 			innocent = append(innocent, e.Request)
@@ -135,13 +135,13 @@
 
 // addOwn notes a life of a request. What doesn't fit is counted by control alone.
 func (r *Tracker) addOwn(now time.Duration, life string, f Fingerprint) {
-	s := r.own[f]
+	s := r.local[f]
 	if s == nil {
-		if len(r.own) >= maxLocal {
+		if len(r.local) >= maxLocal {
 			return
 		}
 		s = &seen{}
-		r.own[f] = s
+		r.local[f] = s
 	}
 	s.at, s.taken = now, false
 	if !slices.Contains(s.lives, life) && len(s.lives) < maxIncarnations {
@@ -153,7 +153,7 @@
 func (r *Tracker) Acknowledge(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
-			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Incarnation {
+			if s := r.local[f]; s != nil && s.lives[len(s.lives)-1] == ended.Incarnation {
 				s.taken = true
 			}
 		}
@@ -164,9 +164,9 @@
 func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	r.remember(now, f)
 	_, told := r.reported[f]
-	_, own := r.own[f]
+	_, own := r.local[f]
 	delete(r.reported, f)
-	delete(r.own, f)
+	delete(r.local, f)
 	return told || own
 }
 
@@ -198,7 +198,7 @@
 // CrashCount returns how many lives ended under a request, as far as this process knows.
 func (r *Tracker) CrashCount(f Fingerprint) int {
 	lives := len(r.reported[f])
-	if s := r.own[f]; s != nil {
+	if s := r.local[f]; s != nil {
 		for _, life := range s.lives {
 			if !slices.Contains(r.reported[f], life) {
 				lives++
@@ -209,7 +209,7 @@
 }
 
 // IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
-func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.own) == 0 }
+func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.local) == 0 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
 func (r *Tracker) SuspectCounts() (told, held int) {
@@ -224,9 +224,9 @@
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
 func (r *Tracker) Sweep(now time.Duration) {
 	r.sweepBreaks(now)
-	for f, s := range r.own {
+	for f, s := range r.local {
 		if now-s.at > localTTL {
-			delete(r.own, f)
+			delete(r.local, f)
 		}
 	}
 }
