--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -349,8 +349,8 @@
 		r.RecordFailure(time.Second, "one", printOf(n))
 		r.RecordCompletion(time.Second, printOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
-	if len(r.breaks) > maxFailedIncarnations || len(r.breaks["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.well) > maxCompletions {
-		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.local), len(r.well))
+	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.well) > maxCompletions {
+		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.well))
 	}
 	for f, held := range r.well {
 		if r.ring[held.place] != f {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -28,7 +28,7 @@
 	version  uint64
 	reported map[Fingerprint][]string    // by control: lives; with Suspected or more
 	local    map[Fingerprint]*seen       // what this process proved itself; at most ownMost
-	breaks   map[string]*broken          // by life; at most breaksMost
+	failures map[string]*broken          // by life; at most breaksMost
 	well     map[Fingerprint]goodEnd     // at most wellMost
 	ring     [maxCompletions]Fingerprint // the places of well
 	next     int                         // place of the next good end
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, failures: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
 	}
 }
 
@@ -85,14 +85,14 @@
 	if r.endedWell(now, f) {
 		return Crash{}, false
 	}
-	b := r.breaks[life]
+	b := r.failures[life]
 	if b == nil {
 		r.sweepBreaks(now)
-		if len(r.breaks) >= maxFailedIncarnations {
+		if len(r.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
 		b = &broken{}
-		r.breaks[life] = b
+		r.failures[life] = b
 	}
 	b.at = now
 	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
@@ -106,7 +106,7 @@
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
 func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
-	b := r.breaks[life]
+	b := r.failures[life]
 	if b == nil || now-b.at > confirmationTimeout {
 		return Crash{}, false
 	}
@@ -116,7 +116,7 @@
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
 func (r *Tracker) AwaitsConfirmation(life string) bool {
-	b := r.breaks[life]
+	b := r.failures[life]
 	return b != nil && !b.ended
 }
 
@@ -232,9 +232,9 @@
 }
 
 func (r *Tracker) sweepBreaks(now time.Duration) {
-	for life, b := range r.breaks {
+	for life, b := range r.failures {
 		if now-b.at > confirmationTimeout {
-			delete(r.breaks, life)
+			delete(r.failures, life)
 		}
 	}
 }
