--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -349,10 +349,10 @@
 		r.RecordFailure(time.Second, "one", printOf(n))
 		r.RecordCompletion(time.Second, printOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
-	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.well) > maxCompletions {
-		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.well))
+	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.completions) > maxCompletions {
+		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.completions))
 	}
-	for f, held := range r.well {
+	for f, held := range r.completions {
 		if r.ring[held.place] != f {
 			t.Fatal("a good end is not where it says")
 		}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,13 +25,13 @@
 
 // Tracker is what one process knows of requests that end their back ends.
 type Tracker struct {
-	version  uint64
-	reported map[Fingerprint][]string    // by control: lives; with Suspected or more
-	local    map[Fingerprint]*seen       // what this process proved itself; at most ownMost
-	failures map[string]*broken          // by life; at most breaksMost
-	well     map[Fingerprint]goodEnd     // at most wellMost
-	ring     [maxCompletions]Fingerprint // the places of well
-	next     int                         // place of the next good end
+	version     uint64
+	reported    map[Fingerprint][]string    // by control: lives; with Suspected or more
+	local       map[Fingerprint]*seen       // what this process proved itself; at most ownMost
+	failures    map[string]*broken          // by life; at most breaksMost
+	completions map[Fingerprint]goodEnd     // at most wellMost
+	ring        [maxCompletions]Fingerprint // the places of well
+	next        int                         // place of the next good end
 }
 
 // seen are lives that this process saw end under a request.
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, failures: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, failures: map[string]*broken{}, completions: map[Fingerprint]goodEnd{},
 	}
 }
 
@@ -173,25 +173,25 @@
 // remember keeps a good end, in the place of the oldest.
 func (r *Tracker) remember(now time.Duration, f Fingerprint) {
 	oldest := r.ring[r.next]
-	if held, known := r.well[oldest]; known && held.place == r.next {
-		delete(r.well, oldest)
+	if held, known := r.completions[oldest]; known && held.place == r.next {
+		delete(r.completions, oldest)
 	}
-	r.ring[r.next], r.well[f] = f, goodEnd{at: now, place: r.next}
+	r.ring[r.next], r.completions[f] = f, goodEnd{at: now, place: r.next}
 	r.next = (r.next + 1) % maxCompletions
 }
 
 // RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
 // it could not end well again meanwhile.
 func (r *Tracker) RecordIdle(now, length time.Duration) {
-	for f, held := range r.well {
+	for f, held := range r.completions {
 		held.at = min(now, held.at+max(0, length))
-		r.well[f] = held
+		r.completions[f] = held
 	}
 }
 
 // endedWell reports whether a request ended well here a moment ago.
 func (r *Tracker) endedWell(now time.Duration, f Fingerprint) bool {
-	held, known := r.well[f]
+	held, known := r.completions[f]
 	return known && now-held.at <= completionTTL
 }
 
