--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -31,7 +31,7 @@
 	failures    map[string]*broken          // by life; at most breaksMost
 	completions map[Fingerprint]goodEnd     // at most wellMost
 	ring        [maxCompletions]Fingerprint // the places of well
-	next        int                         // place of the next good end
+	nextSlot    int                         // place of the next good end
 }
 
 // seen are lives that this process saw end under a request.
@@ -172,12 +172,12 @@
 
 // remember keeps a good end, in the place of the oldest.
 func (r *Tracker) remember(now time.Duration, f Fingerprint) {
-	oldest := r.ring[r.next]
-	if held, known := r.completions[oldest]; known && held.place == r.next {
+	oldest := r.ring[r.nextSlot]
+	if held, known := r.completions[oldest]; known && held.place == r.nextSlot {
 		delete(r.completions, oldest)
 	}
-	r.ring[r.next], r.completions[f] = f, goodEnd{at: now, place: r.next}
-	r.next = (r.next + 1) % maxCompletions
+	r.ring[r.nextSlot], r.completions[f] = f, goodEnd{at: now, place: r.nextSlot}
+	r.nextSlot = (r.nextSlot + 1) % maxCompletions
 }
 
 // RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
