--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -26,16 +26,16 @@
 // Tracker is what one process knows of requests that end their back ends.
 type Tracker struct {
 	version     uint64
-	reported    map[Fingerprint][]string    // by control: lives; with Suspected or more
-	local       map[Fingerprint]*seen       // what this process proved itself; at most ownMost
-	failures    map[string]*broken          // by life; at most breaksMost
-	completions map[Fingerprint]goodEnd     // at most wellMost
-	ring        [maxCompletions]Fingerprint // the places of well
-	nextSlot    int                         // place of the next good end
+	reported    map[Fingerprint][]string      // by control: lives; with Suspected or more
+	local       map[Fingerprint]*localCrashes // what this process proved itself; at most ownMost
+	failures    map[string]*broken            // by life; at most breaksMost
+	completions map[Fingerprint]goodEnd       // at most wellMost
+	ring        [maxCompletions]Fingerprint   // the places of well
+	nextSlot    int                           // place of the next good end
 }
 
-// seen are lives that this process saw end under a request.
-type seen struct {
+// localCrashes are lives that this process saw end under a request.
+type localCrashes struct {
 	at    time.Duration // of the newest
 	lives []string      // distinct; at most livesKept
 	taken bool          // control has taken them all, so that its next news say what counts
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*seen{}, failures: map[string]*broken{}, completions: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*broken{}, completions: map[Fingerprint]goodEnd{},
 	}
 }
 
@@ -69,7 +69,7 @@
 func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.reported)
-	maps.DeleteFunc(r.local, func(_ Fingerprint, s *seen) bool { return s.taken })
+	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.taken })
 	for _, e := range news.Entries {
 		if r.endedWell(now, e.Request) {
 			innocent = append(innocent, e.Request)
@@ -140,7 +140,7 @@
 		if len(r.local) >= maxLocal {
 			return
 		}
-		s = &seen{}
+		s = &localCrashes{}
 		r.local[f] = s
 	}
 	s.at, s.taken = now, false
