--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -36,9 +36,9 @@
 
 // localCrashes are lives that this process saw end under a request.
 type localCrashes struct {
-	at    time.Duration // of the newest
-	lives []string      // distinct; at most livesKept
-	taken bool          // control has taken them all, so that its next news say what counts
+	at           time.Duration // of the newest
+	incarnations []string      // distinct; at most livesKept
+	taken        bool          // control has taken them all, so that its next news say what counts
 }
 
 // goodEnd is when a request last ended well, and its place in the ring.
@@ -144,8 +144,8 @@
 		r.local[f] = s
 	}
 	s.at, s.taken = now, false
-	if !slices.Contains(s.lives, life) && len(s.lives) < maxIncarnations {
-		s.lives = append(s.lives, life)
+	if !slices.Contains(s.incarnations, life) && len(s.incarnations) < maxIncarnations {
+		s.incarnations = append(s.incarnations, life)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (r *Tracker) Acknowledge(told []Crash) {
 	for _, ended := range told {
 		for _, f := range ended.Requests {
-			if s := r.local[f]; s != nil && s.lives[len(s.lives)-1] == ended.Incarnation {
+			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == ended.Incarnation {
 				s.taken = true
 			}
 		}
@@ -199,7 +199,7 @@
 func (r *Tracker) CrashCount(f Fingerprint) int {
 	lives := len(r.reported[f])
 	if s := r.local[f]; s != nil {
-		for _, life := range s.lives {
+		for _, life := range s.incarnations {
 			if !slices.Contains(r.reported[f], life) {
 				lives++
 			}
