--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -49,9 +49,9 @@
 
 // broken is what broke off at one life of a back end.
 type broken struct {
-	at    time.Duration // of the newest
-	ended bool          // the life's end is proved
-	runs  []Fingerprint // not counted yet; distinct; at most runsMost
+	lastAt time.Duration // of the newest
+	ended  bool          // the life's end is proved
+	runs   []Fingerprint // not counted yet; distinct; at most runsMost
 }
 
 // NewTracker returns a record that knows nothing.
@@ -94,7 +94,7 @@
 		b = &broken{}
 		r.failures[life] = b
 	}
-	b.at = now
+	b.lastAt = now
 	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
 		b.runs = append(b.runs, f)
 	}
@@ -107,7 +107,7 @@
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
 func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
 	b := r.failures[life]
-	if b == nil || now-b.at > confirmationTimeout {
+	if b == nil || now-b.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
 	b.ended = true
@@ -233,7 +233,7 @@
 
 func (r *Tracker) sweepBreaks(now time.Duration) {
 	for life, b := range r.failures {
-		if now-b.at > confirmationTimeout {
+		if now-b.lastAt > confirmationTimeout {
 			delete(r.failures, life)
 		}
 	}
