--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -38,7 +38,7 @@
 type localCrashes struct {
 	at           time.Duration // of the newest
 	incarnations []string      // distinct; at most livesKept
-	taken        bool          // control has taken them all, so that its next news say what counts
+	acknowledged bool          // control has taken them all, so that its next news say what counts
 }
 
 // goodEnd is when a request last ended well, and its place in the ring.
@@ -69,7 +69,7 @@
 func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
 	r.version = news.Version
 	clear(r.reported)
-	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.taken })
+	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
 	for _, e := range news.Entries {
 		if r.endedWell(now, e.Request) {
 			innocent = append(innocent, e.Request)
@@ -143,7 +143,7 @@
 		s = &localCrashes{}
 		r.local[f] = s
 	}
-	s.at, s.taken = now, false
+	s.at, s.acknowledged = now, false
 	if !slices.Contains(s.incarnations, life) && len(s.incarnations) < maxIncarnations {
 		s.incarnations = append(s.incarnations, life)
 	}
@@ -154,7 +154,7 @@
 	for _, ended := range told {
 		for _, f := range ended.Requests {
 			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == ended.Incarnation {
-				s.taken = true
+				s.acknowledged = true
 			}
 		}
 	}
