--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -29,7 +29,7 @@
 	reported    map[Fingerprint][]string      // by control: lives; with Suspected or more
 	local       map[Fingerprint]*localCrashes // what this process proved itself; at most ownMost
 	failures    map[string]*broken            // by life; at most breaksMost
-	completions map[Fingerprint]goodEnd       // at most wellMost
+	completions map[Fingerprint]completion    // at most wellMost
 	ring        [maxCompletions]Fingerprint   // the places of well
 	nextSlot    int                           // place of the next good end
 }
@@ -41,8 +41,8 @@
 	acknowledged bool          // control has taken them all, so that its next news say what counts
 }
 
-// goodEnd is when a request last ended well, and its place in the ring.
-type goodEnd struct {
+// completion is when a request last ended well, and its place in the ring.
+type completion struct {
 	at    time.Duration
 	place int
 }
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*broken{}, completions: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*broken{}, completions: map[Fingerprint]completion{},
 	}
 }
 
@@ -176,7 +176,7 @@
 	if held, known := r.completions[oldest]; known && held.place == r.nextSlot {
 		delete(r.completions, oldest)
 	}
-	r.ring[r.nextSlot], r.completions[f] = f, goodEnd{at: now, place: r.nextSlot}
+	r.ring[r.nextSlot], r.completions[f] = f, completion{at: now, place: r.nextSlot}
 	r.nextSlot = (r.nextSlot + 1) % maxCompletions
 }
 
