--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -353,7 +353,7 @@
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.completions))
 	}
 	for f, held := range r.completions {
-		if r.ring[held.place] != f {
+		if r.ring[held.slot] != f {
 			t.Fatal("a good end is not where it says")
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -43,8 +43,8 @@
 
 // completion is when a request last ended well, and its place in the ring.
 type completion struct {
-	at    time.Duration
-	place int
+	at   time.Duration
+	slot int
 }
 
 // broken is what broke off at one life of a back end.
@@ -173,10 +173,10 @@
 // remember keeps a good end, in the place of the oldest.
 func (r *Tracker) remember(now time.Duration, f Fingerprint) {
 	oldest := r.ring[r.nextSlot]
-	if held, known := r.completions[oldest]; known && held.place == r.nextSlot {
+	if held, known := r.completions[oldest]; known && held.slot == r.nextSlot {
 		delete(r.completions, oldest)
 	}
-	r.ring[r.nextSlot], r.completions[f] = f, completion{at: now, place: r.nextSlot}
+	r.ring[r.nextSlot], r.completions[f] = f, completion{at: now, slot: r.nextSlot}
 	r.nextSlot = (r.nextSlot + 1) % maxCompletions
 }
 
