--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -28,7 +28,7 @@
 	version     uint64
 	reported    map[Fingerprint][]string      // by control: lives; with Suspected or more
 	local       map[Fingerprint]*localCrashes // what this process proved itself; at most ownMost
-	failures    map[string]*broken            // by life; at most breaksMost
+	failures    map[string]*failedRuns        // by life; at most breaksMost
 	completions map[Fingerprint]completion    // at most wellMost
 	ring        [maxCompletions]Fingerprint   // the places of well
 	nextSlot    int                           // place of the next good end
@@ -47,8 +47,8 @@
 	slot int
 }
 
-// broken is what broke off at one life of a back end.
-type broken struct {
+// failedRuns is what broke off at one life of a back end.
+type failedRuns struct {
 	lastAt time.Duration // of the newest
 	ended  bool          // the life's end is proved
 	runs   []Fingerprint // not counted yet; distinct; at most runsMost
@@ -57,7 +57,7 @@
 // NewTracker returns a record that knows nothing.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*broken{}, completions: map[Fingerprint]completion{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
 	}
 }
 
@@ -91,7 +91,7 @@
 		if len(r.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
-		b = &broken{}
+		b = &failedRuns{}
 		r.failures[life] = b
 	}
 	b.lastAt = now
@@ -121,7 +121,7 @@
 }
 
 // count counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) count(now time.Duration, life string, b *broken) (told Crash, counts bool) {
+func (r *Tracker) count(now time.Duration, life string, b *failedRuns) (told Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
