--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -49,9 +49,9 @@
 
 // failedRuns is what broke off at one life of a back end.
 type failedRuns struct {
-	lastAt time.Duration // of the newest
-	ended  bool          // the life's end is proved
-	runs   []Fingerprint // not counted yet; distinct; at most runsMost
+	lastAt    time.Duration // of the newest
+	confirmed bool          // the life's end is proved
+	runs      []Fingerprint // not counted yet; distinct; at most runsMost
 }
 
 // NewTracker returns a record that knows nothing.
@@ -98,7 +98,7 @@
 	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
 		b.runs = append(b.runs, f)
 	}
-	if b.ended {
+	if b.confirmed {
 		return r.count(now, life, b)
 	}
 	return Crash{}, false
@@ -110,14 +110,14 @@
 	if b == nil || now-b.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
-	b.ended = true
+	b.confirmed = true
 	return r.count(now, life, b)
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
 func (r *Tracker) AwaitsConfirmation(life string) bool {
 	b := r.failures[life]
-	return b != nil && !b.ended
+	return b != nil && !b.confirmed
 }
 
 // count counts an ended life for the requests whose runs broke off there.
