--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -99,7 +99,7 @@
 		b.runs = append(b.runs, f)
 	}
 	if b.confirmed {
-		return r.count(now, life, b)
+		return r.countCrash(now, life, b)
 	}
 	return Crash{}, false
 }
@@ -111,7 +111,7 @@
 		return Crash{}, false
 	}
 	b.confirmed = true
-	return r.count(now, life, b)
+	return r.countCrash(now, life, b)
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
@@ -120,8 +120,8 @@
 	return b != nil && !b.confirmed
 }
 
-// count counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) count(now time.Duration, life string, b *failedRuns) (told Crash, counts bool) {
+// countCrash counts an ended life for the requests whose runs broke off there.
+func (r *Tracker) countCrash(now time.Duration, life string, b *failedRuns) (told Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
