--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -128,13 +128,13 @@
 	told = Crash{Incarnation: life, Requests: b.runs}
 	b.runs = nil
 	for _, f := range told.Requests {
-		r.addOwn(now, life, f)
+		r.addLocal(now, life, f)
 	}
 	return told, true
 }
 
-// addOwn notes a life of a request. What doesn't fit is counted by control alone.
-func (r *Tracker) addOwn(now time.Duration, life string, f Fingerprint) {
+// addLocal notes a life of a request. What doesn't fit is counted by control alone.
+func (r *Tracker) addLocal(now time.Duration, life string, f Fingerprint) {
 	s := r.local[f]
 	if s == nil {
 		if len(r.local) >= maxLocal {
