--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -162,7 +162,7 @@
 
 // RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
 func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
-	r.remember(now, f)
+	r.addCompletion(now, f)
 	_, told := r.reported[f]
 	_, own := r.local[f]
 	delete(r.reported, f)
@@ -170,8 +170,8 @@
 	return told || own
 }
 
-// remember keeps a good end, in the place of the oldest.
-func (r *Tracker) remember(now time.Duration, f Fingerprint) {
+// addCompletion keeps a good end, in the place of the oldest.
+func (r *Tracker) addCompletion(now time.Duration, f Fingerprint) {
 	oldest := r.ring[r.nextSlot]
 	if held, known := r.completions[oldest]; known && held.slot == r.nextSlot {
 		delete(r.completions, oldest)
