--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -314,7 +314,7 @@
 	}
 	r.RecordCompletion(later, f)
 	r.RecordIdle(later+time.Second, time.Hour)
-	if r.endedWell(later+time.Second+completionTTL+1, f) {
+	if r.recentlyCompleted(later+time.Second+completionTTL+1, f) {
 		t.Fatal("a good end lies ahead")
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -71,7 +71,7 @@
 	clear(r.reported)
 	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
 	for _, e := range news.Entries {
-		if r.endedWell(now, e.Request) {
+		if r.recentlyCompleted(now, e.Request) {
 			innocent = append(innocent, e.Request)
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
 func (r *Tracker) RecordFailure(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
-	if r.endedWell(now, f) {
+	if r.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
 	b := r.failures[life]
@@ -189,8 +189,8 @@
 	}
 }
 
-// endedWell reports whether a request ended well here a moment ago.
-func (r *Tracker) endedWell(now time.Duration, f Fingerprint) bool {
+// recentlyCompleted reports whether a request ended well here a moment ago.
+func (r *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
 	held, known := r.completions[f]
 	return known && now-held.at <= completionTTL
 }
