--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -87,7 +87,7 @@
 	}
 	b := r.failures[life]
 	if b == nil {
-		r.sweepBreaks(now)
+		r.sweepFailures(now)
 		if len(r.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
@@ -223,7 +223,7 @@
 
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
 func (r *Tracker) Sweep(now time.Duration) {
-	r.sweepBreaks(now)
+	r.sweepFailures(now)
 	for f, s := range r.local {
 		if now-s.at > localTTL {
 			delete(r.local, f)
@@ -231,7 +231,7 @@
 	}
 }
 
-func (r *Tracker) sweepBreaks(now time.Duration) {
+func (r *Tracker) sweepFailures(now time.Duration) {
 	for life, b := range r.failures {
 		if now-b.lastAt > confirmationTimeout {
 			delete(r.failures, life)
