--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -66,11 +66,11 @@
 
 // ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
-	r.version = news.Version
+func (r *Tracker) ApplyUpdate(now time.Duration, update *Update) (innocent []Fingerprint) {
+	r.version = update.Version
 	clear(r.reported)
 	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
-	for _, e := range news.Entries {
+	for _, e := range update.Entries {
 		if r.recentlyCompleted(now, e.Request) {
 			innocent = append(innocent, e.Request)
 			continue
