--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -66,18 +66,18 @@
 
 // ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Tracker) ApplyUpdate(now time.Duration, update *Update) (innocent []Fingerprint) {
+func (r *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
 	r.version = update.Version
 	clear(r.reported)
 	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
 	for _, e := range update.Entries {
 		if r.recentlyCompleted(now, e.Request) {
-			innocent = append(innocent, e.Request)
+			completed = append(completed, e.Request)
 			continue
 		}
 		r.reported[e.Request] = e.Incarnations
 	}
-	return innocent
+	return completed
 }
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
