--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -81,25 +81,25 @@
 }
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Tracker) RecordFailure(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
+func (r *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (told Crash, counts bool) {
 	if r.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
-	b := r.failures[life]
+	b := r.failures[incarnation]
 	if b == nil {
 		r.sweepFailures(now)
 		if len(r.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
 		b = &failedRuns{}
-		r.failures[life] = b
+		r.failures[incarnation] = b
 	}
 	b.lastAt = now
 	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
 		b.runs = append(b.runs, f)
 	}
 	if b.confirmed {
-		return r.countCrash(now, life, b)
+		return r.countCrash(now, incarnation, b)
 	}
 	return Crash{}, false
 }
