--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -81,7 +81,7 @@
 }
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (told Crash, counts bool) {
+func (r *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, counts bool) {
 	if r.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
