--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -105,13 +105,13 @@
 }
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
-	b := r.failures[life]
+func (r *Tracker) ConfirmEnd(now time.Duration, incarnation string) (told Crash, counts bool) {
+	b := r.failures[incarnation]
 	if b == nil || now-b.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
 	b.confirmed = true
-	return r.countCrash(now, life, b)
+	return r.countCrash(now, incarnation, b)
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
