--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -105,7 +105,7 @@
 }
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Tracker) ConfirmEnd(now time.Duration, incarnation string) (told Crash, counts bool) {
+func (r *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, counts bool) {
 	b := r.failures[incarnation]
 	if b == nil || now-b.lastAt > confirmationTimeout {
 		return Crash{}, false
