--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -115,8 +115,8 @@
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
-func (r *Tracker) AwaitsConfirmation(life string) bool {
-	b := r.failures[life]
+func (r *Tracker) AwaitsConfirmation(incarnation string) bool {
+	b := r.failures[incarnation]
 	return b != nil && !b.confirmed
 }
 
