--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -121,14 +121,14 @@
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) countCrash(now time.Duration, life string, b *failedRuns) (told Crash, counts bool) {
+func (r *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (told Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
-	told = Crash{Incarnation: life, Requests: b.runs}
+	told = Crash{Incarnation: incarnation, Requests: b.runs}
 	b.runs = nil
 	for _, f := range told.Requests {
-		r.addLocal(now, life, f)
+		r.addLocal(now, incarnation, f)
 	}
 	return told, true
 }
