--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -121,16 +121,16 @@
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (told Crash, counts bool) {
+func (r *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (crash Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
-	told = Crash{Incarnation: incarnation, Requests: b.runs}
+	crash = Crash{Incarnation: incarnation, Requests: b.runs}
 	b.runs = nil
-	for _, f := range told.Requests {
+	for _, f := range crash.Requests {
 		r.addLocal(now, incarnation, f)
 	}
-	return told, true
+	return crash, true
 }
 
 // addLocal notes a life of a request. What doesn't fit is counted by control alone.
