--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -134,7 +134,7 @@
 }
 
 // addLocal notes a life of a request. What doesn't fit is counted by control alone.
-func (r *Tracker) addLocal(now time.Duration, life string, f Fingerprint) {
+func (r *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
 	s := r.local[f]
 	if s == nil {
 		if len(r.local) >= maxLocal {
@@ -144,8 +144,8 @@
 		r.local[f] = s
 	}
 	s.at, s.acknowledged = now, false
-	if !slices.Contains(s.incarnations, life) && len(s.incarnations) < maxIncarnations {
-		s.incarnations = append(s.incarnations, life)
+	if !slices.Contains(s.incarnations, incarnation) && len(s.incarnations) < maxIncarnations {
+		s.incarnations = append(s.incarnations, incarnation)
 	}
 }
 
