--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -150,8 +150,8 @@
 }
 
 // Acknowledge notes that control has taken what it was told.
-func (r *Tracker) Acknowledge(told []Crash) {
-	for _, ended := range told {
+func (r *Tracker) Acknowledge(crashes []Crash) {
+	for _, ended := range crashes {
 		for _, f := range ended.Requests {
 			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == ended.Incarnation {
 				s.acknowledged = true
