--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -151,9 +151,9 @@
 
 // Acknowledge notes that control has taken what it was told.
 func (r *Tracker) Acknowledge(crashes []Crash) {
-	for _, ended := range crashes {
-		for _, f := range ended.Requests {
-			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == ended.Incarnation {
+	for _, crash := range crashes {
+		for _, f := range crash.Requests {
+			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
 				s.acknowledged = true
 			}
 		}
