--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -163,11 +163,11 @@
 // RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
 func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	r.addCompletion(now, f)
-	_, told := r.reported[f]
+	_, reported := r.reported[f]
 	_, own := r.local[f]
 	delete(r.reported, f)
 	delete(r.local, f)
-	return told || own
+	return reported || own
 }
 
 // addCompletion keeps a good end, in the place of the oldest.
