--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -164,10 +164,10 @@
 func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	r.addCompletion(now, f)
 	_, reported := r.reported[f]
-	_, own := r.local[f]
+	_, local := r.local[f]
 	delete(r.reported, f)
 	delete(r.local, f)
-	return reported || own
+	return reported || local
 }
 
 // addCompletion keeps a good end, in the place of the oldest.
