--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -173,7 +173,7 @@
 // addCompletion keeps a good end, in the place of the oldest.
 func (r *Tracker) addCompletion(now time.Duration, f Fingerprint) {
 	oldest := r.ring[r.nextSlot]
-	if held, known := r.completions[oldest]; known && held.slot == r.nextSlot {
+	if last, known := r.completions[oldest]; known && last.slot == r.nextSlot {
 		delete(r.completions, oldest)
 	}
 	r.ring[r.nextSlot], r.completions[f] = f, completion{at: now, slot: r.nextSlot}
