--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -183,9 +183,9 @@
 // RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
 // it could not end well again meanwhile.
 func (r *Tracker) RecordIdle(now, idle time.Duration) {
-	for f, held := range r.completions {
-		held.at = min(now, held.at+max(0, idle))
-		r.completions[f] = held
+	for f, last := range r.completions {
+		last.at = min(now, last.at+max(0, idle))
+		r.completions[f] = last
 	}
 }
 
