--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -191,8 +191,8 @@
 
 // recentlyCompleted reports whether a request ended well here a moment ago.
 func (r *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
-	held, known := r.completions[f]
-	return known && now-held.at <= completionTTL
+	last, known := r.completions[f]
+	return known && now-last.at <= completionTTL
 }
 
 // CrashCount returns how many lives ended under a request, as far as this process knows.
