--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -197,15 +197,15 @@
 
 // CrashCount returns how many lives ended under a request, as far as this process knows.
 func (r *Tracker) CrashCount(f Fingerprint) int {
-	lives := len(r.reported[f])
+	crashes := len(r.reported[f])
 	if s := r.local[f]; s != nil {
 		for _, life := range s.incarnations {
 			if !slices.Contains(r.reported[f], life) {
-				lives++
+				crashes++
 			}
 		}
 	}
-	return lives
+	return crashes
 }
 
 // IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
