--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -199,8 +199,8 @@
 func (r *Tracker) CrashCount(f Fingerprint) int {
 	crashes := len(r.reported[f])
 	if s := r.local[f]; s != nil {
-		for _, life := range s.incarnations {
-			if !slices.Contains(r.reported[f], life) {
+		for _, incarnation := range s.incarnations {
+			if !slices.Contains(r.reported[f], incarnation) {
 				crashes++
 			}
 		}
