--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -212,7 +212,7 @@
 func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.local) == 0 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Tracker) SuspectCounts() (told, held int) {
+func (r *Tracker) SuspectCounts() (suspects, held int) {
 	for _, lives := range r.reported {
 		if len(lives) >= QuarantineThreshold {
 			held++
