--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -212,13 +212,13 @@
 func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.local) == 0 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Tracker) SuspectCounts() (suspects, held int) {
+func (r *Tracker) SuspectCounts() (suspects, quarantined int) {
 	for _, lives := range r.reported {
 		if len(lives) >= QuarantineThreshold {
-			held++
+			quarantined++
 		}
 	}
-	return len(r.reported), held
+	return len(r.reported), quarantined
 }
 
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
