--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -213,8 +213,8 @@
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
 func (r *Tracker) SuspectCounts() (suspects, quarantined int) {
-	for _, lives := range r.reported {
-		if len(lives) >= QuarantineThreshold {
+	for _, incarnations := range r.reported {
+		if len(incarnations) >= QuarantineThreshold {
 			quarantined++
 		}
 	}
