--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -232,9 +232,9 @@
 }
 
 func (r *Tracker) sweepFailures(now time.Duration) {
-	for life, b := range r.failures {
+	for incarnation, b := range r.failures {
 		if now-b.lastAt > confirmationTimeout {
-			delete(r.failures, life)
+			delete(r.failures, incarnation)
 		}
 	}
 }
