--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// tellTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
-	tellTimeout = 2 * time.Second
-	tellPause   = 100 * time.Millisecond
+	// submitTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
+	submitTimeout = 2 * time.Second
+	tellPause     = 100 * time.Millisecond
 	// tellWait lets what breaks off with one back end be told in one message.
 	tellWait = 5 * time.Millisecond
 	// endedMost and wellMost bound what waits to be told: the losses of some minutes without control.
@@ -280,7 +280,7 @@
 	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
-	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
+	attempt, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if r.ways.Submit(attempt, change) != nil {
 		return false
