--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -19,7 +19,7 @@
 const (
 	// submitTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
 	submitTimeout = 2 * time.Second
-	tellPause     = 100 * time.Millisecond
+	retryInterval = 100 * time.Millisecond
 	// tellWait lets what breaks off with one back end be told in one message.
 	tellWait = 5 * time.Millisecond
 	// endedMost and wellMost bound what waits to be told: the losses of some minutes without control.
@@ -251,7 +251,7 @@
 		}
 		rest(ctx, tellWait)
 		for change := r.next(); ctx.Err() == nil && !r.told(ctx, change); {
-			rest(ctx, tellPause)
+			rest(ctx, retryInterval)
 		}
 	}
 }
