--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -20,8 +20,8 @@
 	// submitTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
 	submitTimeout = 2 * time.Second
 	retryInterval = 100 * time.Millisecond
-	// tellWait lets what breaks off with one back end be told in one message.
-	tellWait = 5 * time.Millisecond
+	// batchDelay lets what breaks off with one back end be told in one message.
+	batchDelay = 5 * time.Millisecond
 	// endedMost and wellMost bound what waits to be told: the losses of some minutes without control.
 	endedMost = 1024
 	wellMost  = 1024
@@ -249,7 +249,7 @@
 			return
 		case <-r.wake:
 		}
-		rest(ctx, tellWait)
+		rest(ctx, batchDelay)
 		for change := r.next(); ctx.Err() == nil && !r.told(ctx, change); {
 			rest(ctx, retryInterval)
 		}
