--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -22,9 +22,9 @@
 	retryInterval = 100 * time.Millisecond
 	// batchDelay lets what breaks off with one back end be told in one message.
 	batchDelay = 5 * time.Millisecond
-	// endedMost and wellMost bound what waits to be told: the losses of some minutes without control.
-	endedMost = 1024
-	wellMost  = 1024
+	// maxPendingCrashes and wellMost bound what waits to be told: the losses of some minutes without control.
+	maxPendingCrashes = 1024
+	wellMost          = 1024
 	// shownMost bounds the fingerprints of one log line.
 	shownMost = 8
 )
@@ -192,7 +192,7 @@
 	}
 	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
-	if len(r.ended) >= endedMost {
+	if len(r.ended) >= maxPendingCrashes {
 		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -147,7 +147,7 @@
 func TestWaitingNewsAreBounded(t *testing.T) {
 	o := &outside{}
 	r := New(o.ways())
-	for n := range endedMost + 5 {
+	for n := range maxPendingCrashes + 5 {
 		o.at += time.Minute // so that earlier lives make room
 		life := time.Duration(n).String()
 		r.mu.Lock()
@@ -156,7 +156,7 @@
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
-	if len(r.ended) != endedMost || len(r.well) != wellMost {
+	if len(r.ended) != maxPendingCrashes || len(r.well) != wellMost {
 		t.Fatalf("%d ends and %d good ends wait", len(r.ended), len(r.well))
 	}
 	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.EndedUnder) {
