--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -23,8 +23,8 @@
 	// batchDelay lets what breaks off with one back end be told in one message.
 	batchDelay = 5 * time.Millisecond
 	// maxPendingCrashes and wellMost bound what waits to be told: the losses of some minutes without control.
-	maxPendingCrashes = 1024
-	wellMost          = 1024
+	maxPendingCrashes     = 1024
+	maxPendingCompletions = 1024
 	// shownMost bounds the fingerprints of one log line.
 	shownMost = 8
 )
@@ -218,7 +218,7 @@
 
 // release lets control be told of requests that ended well. The caller holds mu.
 func (r *Reporter) release(well ...quarantine.Fingerprint) {
-	if room := wellMost - len(r.well); len(well) > room {
+	if room := maxPendingCompletions - len(r.well); len(well) > room {
 		well = well[:room] // the next good end tells again
 	}
 	if len(well) > 0 {
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -156,7 +156,7 @@
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
-	if len(r.ended) != maxPendingCrashes || len(r.well) != wellMost {
+	if len(r.ended) != maxPendingCrashes || len(r.well) != maxPendingCompletions {
 		t.Fatalf("%d ends and %d good ends wait", len(r.ended), len(r.well))
 	}
 	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.EndedUnder) {
