--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -25,8 +25,8 @@
 	// maxPendingCrashes and wellMost bound what waits to be told: the losses of some minutes without control.
 	maxPendingCrashes     = 1024
 	maxPendingCompletions = 1024
-	// shownMost bounds the fingerprints of one log line.
-	shownMost = 8
+	// maxLoggedFingerprints bounds the fingerprints of one log line.
+	maxLoggedFingerprints = 8
 )
 
 // Proof is how the end of a life was proved.
@@ -186,8 +186,8 @@
 
 // tell lets control be told of an ended life. The caller holds mu.
 func (r *Reporter) tell(ended quarantine.Crash, proof Proof) {
-	shown := make([]string, 0, shownMost)
-	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
+	shown := make([]string, 0, maxLoggedFingerprints)
+	for _, f := range ended.Requests[:min(len(ended.Requests), maxLoggedFingerprints)] {
 		shown = append(shown, f.String())
 	}
 	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
