--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -151,12 +151,12 @@
 	return made.done
 }
 
-// lookTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
-const lookTimeout = 300 * time.Millisecond
+// probeTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
+const probeTimeout = 300 * time.Millisecond
 
 // look asks an address whether anything listens there.
 func (r *Reporter) look(life, address string, made *look) {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refuses := r.ways.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
