--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -61,8 +61,8 @@
 
 // Reporter is safe for concurrent use.
 type Reporter struct {
-	ways Config
-	wake chan struct{} // has an item when something waits; room for one
+	config Config
+	wake   chan struct{} // has an item when something waits; room for one
 
 	mu     sync.Mutex
 	record *quarantine.Tracker      // guarded by mu
@@ -77,7 +77,7 @@
 
 // New returns a reporter that knows nothing.
 func New(ways Config) *Reporter {
-	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
+	return &Reporter{config: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.record.ApplyUpdate(r.ways.Now(), news)...)
+	r.release(r.record.ApplyUpdate(r.config.Now(), news)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
@@ -135,7 +135,7 @@
 func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
+	if told, counts := r.record.RecordFailure(r.config.Now(), life, f); counts {
 		r.tell(told, ConnectionRefused)
 	}
 	if running := r.looks[life]; running != nil {
@@ -157,7 +157,7 @@
 // look asks an address whether anything listens there.
 func (r *Reporter) look(life, address string, made *look) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-	refuses := r.ways.RefusesConnections(ctx, address)
+	refuses := r.config.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +179,7 @@
 
 // end counts a life that ended. The caller holds mu.
 func (r *Reporter) end(life string, proof Proof) {
-	if told, counts := r.record.ConfirmEnd(r.ways.Now(), life); counts {
+	if told, counts := r.record.ConfirmEnd(r.config.Now(), life); counts {
 		r.tell(told, proof)
 	}
 }
@@ -190,10 +190,10 @@
 	for _, f := range ended.Requests[:min(len(ended.Requests), maxLoggedFingerprints)] {
 		shown = append(shown, f.String())
 	}
-	r.ways.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
+	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.ended) >= maxPendingCrashes {
-		r.ways.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
+		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
 		return
 	}
 	r.ended = append(r.ended, ended)
@@ -204,7 +204,7 @@
 func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.RecordCompletion(r.ways.Now(), f) {
+	if r.record.RecordCompletion(r.config.Now(), f) {
 		r.release(f)
 	}
 }
@@ -213,7 +213,7 @@
 func (r *Reporter) RecordIdle(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.RecordIdle(r.ways.Now(), length)
+	r.record.RecordIdle(r.config.Now(), length)
 }
 
 // release lets control be told of requests that ended well. The caller holds mu.
@@ -238,7 +238,7 @@
 func (r *Reporter) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Sweep(r.ways.Now())
+	r.record.Sweep(r.config.Now())
 }
 
 // Run is the thread that tells control, until ctx ends.
@@ -282,7 +282,7 @@
 	}
 	attempt, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if r.ways.Submit(attempt, change) != nil {
+	if r.config.Submit(attempt, change) != nil {
 		return false
 	}
 	r.mu.Lock()
