--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -76,8 +76,8 @@
 type look struct{ done chan struct{} }
 
 // New returns a reporter that knows nothing.
-func New(ways Config) *Reporter {
-	return &Reporter{config: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
+func New(config Config) *Reporter {
+	return &Reporter{config: config, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
