--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -64,12 +64,12 @@
 	config Config
 	wake   chan struct{} // has an item when something waits; room for one
 
-	mu     sync.Mutex
-	record *quarantine.Tracker      // guarded by mu
-	hasher *quarantine.Hasher       // nil before the first news; guarded by mu
-	looks  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	ended  []quarantine.Crash       // to be told; at most endedMost; guarded by mu
-	well   []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
+	mu      sync.Mutex
+	tracker *quarantine.Tracker      // guarded by mu
+	hasher  *quarantine.Hasher       // nil before the first news; guarded by mu
+	looks   map[string]*look         // by life: a look whether it has ended; guarded by mu
+	ended   []quarantine.Crash       // to be told; at most endedMost; guarded by mu
+	well    []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
 // look is a look whether a life has ended.
@@ -77,14 +77,14 @@
 
 // New returns a reporter that knows nothing.
 func New(config Config) *Reporter {
-	return &Reporter{config: config, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
+	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), looks: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
 func (r *Reporter) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Version()
+	return r.tracker.Version()
 }
 
 // ApplyUpdate takes control's news up.
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.record.ApplyUpdate(r.config.Now(), news)...)
+	r.release(r.tracker.ApplyUpdate(r.config.Now(), news)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
@@ -114,35 +114,35 @@
 func (r *Reporter) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.IsEmpty()
+	return r.tracker.IsEmpty()
 }
 
 // CrashCount returns how many lives ended under a request; from quarantine.Held on it must not be sent.
 func (r *Reporter) CrashCount(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.CrashCount(f)
+	return r.tracker.CrashCount(f)
 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
 func (r *Reporter) SuspectCounts() (told, held int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.SuspectCounts()
+	return r.tracker.SuspectCounts()
 }
 
 // RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
 func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.record.RecordFailure(r.config.Now(), life, f); counts {
+	if told, counts := r.tracker.RecordFailure(r.config.Now(), life, f); counts {
 		r.tell(told, ConnectionRefused)
 	}
 	if running := r.looks[life]; running != nil {
 		return running.done
 	}
 	made := &look{done: make(chan struct{})}
-	if !r.record.AwaitsConfirmation(life) {
+	if !r.tracker.AwaitsConfirmation(life) {
 		close(made.done)
 		return made.done
 	}
@@ -179,7 +179,7 @@
 
 // end counts a life that ended. The caller holds mu.
 func (r *Reporter) end(life string, proof Proof) {
-	if told, counts := r.record.ConfirmEnd(r.config.Now(), life); counts {
+	if told, counts := r.tracker.ConfirmEnd(r.config.Now(), life); counts {
 		r.tell(told, proof)
 	}
 }
@@ -204,7 +204,7 @@
 func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.RecordCompletion(r.config.Now(), f) {
+	if r.tracker.RecordCompletion(r.config.Now(), f) {
 		r.release(f)
 	}
 }
@@ -213,7 +213,7 @@
 func (r *Reporter) RecordIdle(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.RecordIdle(r.config.Now(), length)
+	r.tracker.RecordIdle(r.config.Now(), length)
 }
 
 // release lets control be told of requests that ended well. The caller holds mu.
@@ -238,7 +238,7 @@
 func (r *Reporter) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Sweep(r.config.Now())
+	r.tracker.Sweep(r.config.Now())
 }
 
 // Run is the thread that tells control, until ctx ends.
@@ -287,6 +287,6 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Acknowledge(change.Crashes)
+	r.tracker.Acknowledge(change.Crashes)
 	return true
 }
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -151,7 +151,7 @@
 		o.at += time.Minute // so that earlier lives make room
 		life := time.Duration(n).String()
 		r.mu.Lock()
-		r.record.RecordFailure(o.at, life, one)
+		r.tracker.RecordFailure(o.at, life, one)
 		r.end(life, Replaced)
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
