--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -67,7 +67,7 @@
 	mu      sync.Mutex
 	tracker *quarantine.Tracker      // guarded by mu
 	hasher  *quarantine.Hasher       // nil before the first news; guarded by mu
-	looks   map[string]*look         // by life: a look whether it has ended; guarded by mu
+	probes  map[string]*look         // by life: a look whether it has ended; guarded by mu
 	ended   []quarantine.Crash       // to be told; at most endedMost; guarded by mu
 	well    []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
@@ -77,7 +77,7 @@
 
 // New returns a reporter that knows nothing.
 func New(config Config) *Reporter {
-	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), looks: map[string]*look{}}
+	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), probes: map[string]*look{}}
 }
 
 // Version returns that of the newest news.
@@ -138,7 +138,7 @@
 	if told, counts := r.tracker.RecordFailure(r.config.Now(), life, f); counts {
 		r.tell(told, ConnectionRefused)
 	}
-	if running := r.looks[life]; running != nil {
+	if running := r.probes[life]; running != nil {
 		return running.done
 	}
 	made := &look{done: make(chan struct{})}
@@ -146,7 +146,7 @@
 		close(made.done)
 		return made.done
 	}
-	r.looks[life] = made
+	r.probes[life] = made
 	go r.look(life, address, made)
 	return made.done
 }
@@ -164,7 +164,7 @@
 	if refuses {
 		r.end(life, ConnectionRefused)
 	}
-	delete(r.looks, life)
+	delete(r.probes, life)
 	close(made.done)
 }
 
