--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -68,7 +68,7 @@
 	tracker *quarantine.Tracker      // guarded by mu
 	hasher  *quarantine.Hasher       // nil before the first news; guarded by mu
 	probes  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	ended   []quarantine.Crash       // to be told; at most endedMost; guarded by mu
+	crashes []quarantine.Crash       // to be told; at most endedMost; guarded by mu
 	well    []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
@@ -192,11 +192,11 @@
 	}
 	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
-	if len(r.ended) >= maxPendingCrashes {
-		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
+	if len(r.crashes) >= maxPendingCrashes {
+		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.crashes)))
 		return
 	}
-	r.ended = append(r.ended, ended)
+	r.crashes = append(r.crashes, ended)
 	r.ring()
 }
 
@@ -267,11 +267,11 @@
 func (r *Reporter) next() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change.Crashes = r.ended
+	change.Crashes = r.crashes
 	if len(r.well) > 0 {
 		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.ReasonCompleted}}
 	}
-	r.ended, r.well = nil, nil
+	r.crashes, r.well = nil, nil
 	return change
 }
 
