--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -64,12 +64,12 @@
 	config Config
 	wake   chan struct{} // has an item when something waits; room for one
 
-	mu      sync.Mutex
-	tracker *quarantine.Tracker      // guarded by mu
-	hasher  *quarantine.Hasher       // nil before the first news; guarded by mu
-	probes  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	crashes []quarantine.Crash       // to be told; at most endedMost; guarded by mu
-	well    []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
+	mu          sync.Mutex
+	tracker     *quarantine.Tracker      // guarded by mu
+	hasher      *quarantine.Hasher       // nil before the first news; guarded by mu
+	probes      map[string]*look         // by life: a look whether it has ended; guarded by mu
+	crashes     []quarantine.Crash       // to be told; at most endedMost; guarded by mu
+	completions []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
 // look is a look whether a life has ended.
@@ -218,11 +218,11 @@
 
 // release lets control be told of requests that ended well. The caller holds mu.
 func (r *Reporter) release(well ...quarantine.Fingerprint) {
-	if room := maxPendingCompletions - len(r.well); len(well) > room {
+	if room := maxPendingCompletions - len(r.completions); len(well) > room {
 		well = well[:room] // the next good end tells again
 	}
 	if len(well) > 0 {
-		r.well = append(r.well, well...)
+		r.completions = append(r.completions, well...)
 		r.ring()
 	}
 }
@@ -268,10 +268,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change.Crashes = r.crashes
-	if len(r.well) > 0 {
-		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.ReasonCompleted}}
+	if len(r.completions) > 0 {
+		change.Releases = []quarantine.Release{{Requests: r.completions, Reason: quarantine.ReasonCompleted}}
 	}
-	r.crashes, r.well = nil, nil
+	r.crashes, r.completions = nil, nil
 	return change
 }
 
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -156,8 +156,8 @@
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
-	if len(r.crashes) != maxPendingCrashes || len(r.well) != maxPendingCompletions {
-		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.well))
+	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
+		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.completions))
 	}
 	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.EndedUnder) {
 		t.Fatalf("lines %v", o.lines[len(o.lines)-3:])
