--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -67,17 +67,17 @@
 	mu          sync.Mutex
 	tracker     *quarantine.Tracker      // guarded by mu
 	hasher      *quarantine.Hasher       // nil before the first news; guarded by mu
-	probes      map[string]*look         // by life: a look whether it has ended; guarded by mu
+	probes      map[string]*probe        // by life: a look whether it has ended; guarded by mu
 	crashes     []quarantine.Crash       // to be told; at most endedMost; guarded by mu
 	completions []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
 }
 
-// look is a look whether a life has ended.
-type look struct{ done chan struct{} }
+// probe is a probe whether a life has ended.
+type probe struct{ done chan struct{} }
 
 // New returns a reporter that knows nothing.
 func New(config Config) *Reporter {
-	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), probes: map[string]*look{}}
+	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), probes: map[string]*probe{}}
 }
 
 // Version returns that of the newest news.
@@ -141,7 +141,7 @@
 	if running := r.probes[life]; running != nil {
 		return running.done
 	}
-	made := &look{done: make(chan struct{})}
+	made := &probe{done: make(chan struct{})}
 	if !r.tracker.AwaitsConfirmation(life) {
 		close(made.done)
 		return made.done
@@ -155,7 +155,7 @@
 const probeTimeout = 300 * time.Millisecond
 
 // look asks an address whether anything listens there.
-func (r *Reporter) look(life, address string, made *look) {
+func (r *Reporter) look(life, address string, made *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refuses := r.config.RefusesConnections(ctx, address)
 	cancel()
