--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -147,15 +147,15 @@
 		return made.done
 	}
 	r.probes[life] = made
-	go r.look(life, address, made)
+	go r.probe(life, address, made)
 	return made.done
 }
 
 // probeTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
 const probeTimeout = 300 * time.Millisecond
 
-// look asks an address whether anything listens there.
-func (r *Reporter) look(life, address string, made *probe) {
+// probe asks an address whether anything listens there.
+func (r *Reporter) probe(life, address string, made *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refuses := r.config.RefusesConnections(ctx, address)
 	cancel()
