--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -162,7 +162,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if refuses {
-		r.end(life, ConnectionRefused)
+		r.confirmEnd(life, ConnectionRefused)
 	}
 	delete(r.probes, life)
 	close(made.done)
@@ -173,12 +173,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, life := range lives {
-		r.end(life, proof)
+		r.confirmEnd(life, proof)
 	}
 }
 
-// end counts a life that ended. The caller holds mu.
-func (r *Reporter) end(life string, proof Proof) {
+// confirmEnd counts a life that ended. The caller holds mu.
+func (r *Reporter) confirmEnd(life string, proof Proof) {
 	if told, counts := r.tracker.ConfirmEnd(r.config.Now(), life); counts {
 		r.tell(told, proof)
 	}
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -152,7 +152,7 @@
 		life := time.Duration(n).String()
 		r.mu.Lock()
 		r.tracker.RecordFailure(o.at, life, one)
-		r.end(life, Replaced)
+		r.confirmEnd(life, Replaced)
 		r.mu.Unlock()
 		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
