--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -136,7 +136,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if told, counts := r.tracker.RecordFailure(r.config.Now(), life, f); counts {
-		r.tell(told, ConnectionRefused)
+		r.enqueueCrash(told, ConnectionRefused)
 	}
 	if running := r.probes[life]; running != nil {
 		return running.done
@@ -180,12 +180,12 @@
 // confirmEnd counts a life that ended. The caller holds mu.
 func (r *Reporter) confirmEnd(life string, proof Proof) {
 	if told, counts := r.tracker.ConfirmEnd(r.config.Now(), life); counts {
-		r.tell(told, proof)
+		r.enqueueCrash(told, proof)
 	}
 }
 
-// tell lets control be told of an ended life. The caller holds mu.
-func (r *Reporter) tell(ended quarantine.Crash, proof Proof) {
+// enqueueCrash lets control be told of an ended life. The caller holds mu.
+func (r *Reporter) enqueueCrash(ended quarantine.Crash, proof Proof) {
 	shown := make([]string, 0, maxLoggedFingerprints)
 	for _, f := range ended.Requests[:min(len(ended.Requests), maxLoggedFingerprints)] {
 		shown = append(shown, f.String())
