--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -96,7 +96,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.tracker.ApplyUpdate(r.config.Now(), news)...)
+	r.enqueueCompletions(r.tracker.ApplyUpdate(r.config.Now(), news)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
@@ -205,7 +205,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.tracker.RecordCompletion(r.config.Now(), f) {
-		r.release(f)
+		r.enqueueCompletions(f)
 	}
 }
 
@@ -216,8 +216,8 @@
 	r.tracker.RecordIdle(r.config.Now(), length)
 }
 
-// release lets control be told of requests that ended well. The caller holds mu.
-func (r *Reporter) release(well ...quarantine.Fingerprint) {
+// enqueueCompletions lets control be told of requests that ended well. The caller holds mu.
+func (r *Reporter) enqueueCompletions(well ...quarantine.Fingerprint) {
 	if room := maxPendingCompletions - len(r.completions); len(well) > room {
 		well = well[:room] // the next good end tells again
 	}
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -154,7 +154,7 @@
 		r.tracker.RecordFailure(o.at, life, one)
 		r.confirmEnd(life, Replaced)
 		r.mu.Unlock()
-		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
+		r.enqueueCompletions(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
 	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
 		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.completions))
