--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -197,7 +197,7 @@
 		return
 	}
 	r.crashes = append(r.crashes, ended)
-	r.ring()
+	r.signal()
 }
 
 // RecordCompletion notes that a back end ran a request to a good end.
@@ -223,11 +223,11 @@
 	}
 	if len(well) > 0 {
 		r.completions = append(r.completions, well...)
-		r.ring()
+		r.signal()
 	}
 }
 
-func (r *Reporter) ring() {
+func (r *Reporter) signal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
