--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -249,14 +249,14 @@
 			return
 		case <-r.wake:
 		}
-		rest(ctx, batchDelay)
+		sleep(ctx, batchDelay)
 		for change := r.next(); ctx.Err() == nil && !r.told(ctx, change); {
-			rest(ctx, retryInterval)
+			sleep(ctx, retryInterval)
 		}
 	}
 }
 
-func rest(ctx context.Context, pause time.Duration) {
+func sleep(ctx context.Context, pause time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(pause):
