--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -250,7 +250,7 @@
 		case <-r.wake:
 		}
 		sleep(ctx, batchDelay)
-		for change := r.next(); ctx.Err() == nil && !r.told(ctx, change); {
+		for change := r.takePending(); ctx.Err() == nil && !r.told(ctx, change); {
 			sleep(ctx, retryInterval)
 		}
 	}
@@ -263,8 +263,8 @@
 	}
 }
 
-// next takes all that waits.
-func (r *Reporter) next() (change quarantine.Change) {
+// takePending takes all that waits.
+func (r *Reporter) takePending() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change.Crashes = r.crashes
