--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -250,7 +250,7 @@
 		case <-r.wake:
 		}
 		sleep(ctx, batchDelay)
-		for change := r.takePending(); ctx.Err() == nil && !r.told(ctx, change); {
+		for change := r.takePending(); ctx.Err() == nil && !r.submit(ctx, change); {
 			sleep(ctx, retryInterval)
 		}
 	}
@@ -275,8 +275,8 @@
 	return change
 }
 
-// told tells control once, and reports whether nothing is left to tell of a change.
-func (r *Reporter) told(ctx context.Context, change quarantine.Change) bool {
+// submit tells control once, and reports whether nothing is left to tell of a change.
+func (r *Reporter) submit(ctx context.Context, change quarantine.Change) bool {
 	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
