--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -88,15 +88,15 @@
 }
 
 // ApplyUpdate takes control's news up.
-func (r *Reporter) ApplyUpdate(news *quarantine.Update) {
-	hasher, err := quarantine.NewHasher(news.Seed)
+func (r *Reporter) ApplyUpdate(update *quarantine.Update) {
+	hasher, err := quarantine.NewHasher(update.Seed)
 	if err != nil {
 		hasher = nil // control has planted none yet
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.enqueueCompletions(r.tracker.ApplyUpdate(r.config.Now(), news)...)
+	r.enqueueCompletions(r.tracker.ApplyUpdate(r.config.Now(), update)...)
 }
 
 // Fingerprint returns a request's fingerprint; ok is false before control told the seed.
