--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -125,7 +125,7 @@
 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Reporter) SuspectCounts() (suspects, held int) {
+func (r *Reporter) SuspectCounts() (suspects, quarantined int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tracker.SuspectCounts()
