--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -132,22 +132,22 @@
 }
 
 // RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
-func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
+func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.tracker.RecordFailure(r.config.Now(), life, f); counts {
+	if told, counts := r.tracker.RecordFailure(r.config.Now(), incarnation, f); counts {
 		r.enqueueCrash(told, ConnectionRefused)
 	}
-	if running := r.probes[life]; running != nil {
+	if running := r.probes[incarnation]; running != nil {
 		return running.done
 	}
 	made := &probe{done: make(chan struct{})}
-	if !r.tracker.AwaitsConfirmation(life) {
+	if !r.tracker.AwaitsConfirmation(incarnation) {
 		close(made.done)
 		return made.done
 	}
-	r.probes[life] = made
-	go r.probe(life, address, made)
+	r.probes[incarnation] = made
+	go r.probe(incarnation, address, made)
 	return made.done
 }
 
