--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -132,7 +132,7 @@
 }
 
 // RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
-func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
+func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (probed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if told, counts := r.tracker.RecordFailure(r.config.Now(), incarnation, f); counts {
