--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -135,8 +135,8 @@
 func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (probed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.tracker.RecordFailure(r.config.Now(), incarnation, f); counts {
-		r.enqueueCrash(told, ConnectionRefused)
+	if crash, counts := r.tracker.RecordFailure(r.config.Now(), incarnation, f); counts {
+		r.enqueueCrash(crash, ConnectionRefused)
 	}
 	if running := r.probes[incarnation]; running != nil {
 		return running.done
