--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -141,14 +141,14 @@
 	if running := r.probes[incarnation]; running != nil {
 		return running.done
 	}
-	made := &probe{done: make(chan struct{})}
+	p := &probe{done: make(chan struct{})}
 	if !r.tracker.AwaitsConfirmation(incarnation) {
-		close(made.done)
-		return made.done
+		close(p.done)
+		return p.done
 	}
-	r.probes[incarnation] = made
-	go r.probe(incarnation, address, made)
-	return made.done
+	r.probes[incarnation] = p
+	go r.probe(incarnation, address, p)
+	return p.done
 }
 
 // probeTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
