--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -155,7 +155,7 @@
 const probeTimeout = 300 * time.Millisecond
 
 // probe asks an address whether anything listens there.
-func (r *Reporter) probe(life, address string, made *probe) {
+func (r *Reporter) probe(life, address string, p *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refuses := r.config.RefusesConnections(ctx, address)
 	cancel()
@@ -165,7 +165,7 @@
 		r.confirmEnd(life, ConnectionRefused)
 	}
 	delete(r.probes, life)
-	close(made.done)
+	close(p.done)
 }
 
 // ConfirmEnds notes the proof that lives ended.
