--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -51,9 +51,9 @@
 // RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
 func RefusesTCP(dialer *net.Dialer) func(ctx context.Context, address string) bool {
 	return func(ctx context.Context, address string) bool {
-		made, err := dialer.DialContext(ctx, "tcp", address)
+		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			_ = made.Close()
+			_ = conn.Close()
 		}
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
