--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -155,16 +155,16 @@
 const probeTimeout = 300 * time.Millisecond
 
 // probe asks an address whether anything listens there.
-func (r *Reporter) probe(life, address string, p *probe) {
+func (r *Reporter) probe(incarnation, address string, p *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refuses := r.config.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if refuses {
-		r.confirmEnd(life, ConnectionRefused)
+		r.confirmEnd(incarnation, ConnectionRefused)
 	}
-	delete(r.probes, life)
+	delete(r.probes, incarnation)
 	close(p.done)
 }
 
