--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -157,11 +157,11 @@
 // probe asks an address whether anything listens there.
 func (r *Reporter) probe(incarnation, address string, p *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-	refuses := r.config.RefusesConnections(ctx, address)
+	refused := r.config.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if refuses {
+	if refused {
 		r.confirmEnd(incarnation, ConnectionRefused)
 	}
 	delete(r.probes, incarnation)
