--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -169,10 +169,10 @@
 }
 
 // ConfirmEnds notes the proof that lives ended.
-func (r *Reporter) ConfirmEnds(proof Proof, lives ...string) {
+func (r *Reporter) ConfirmEnds(proof Proof, incarnations ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, life := range lives {
+	for _, life := range incarnations {
 		r.confirmEnd(life, proof)
 	}
 }
