--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -172,8 +172,8 @@
 func (r *Reporter) ConfirmEnds(proof Proof, incarnations ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, life := range incarnations {
-		r.confirmEnd(life, proof)
+	for _, incarnation := range incarnations {
+		r.confirmEnd(incarnation, proof)
 	}
 }
 
