--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -179,8 +179,8 @@
 
 // confirmEnd counts a life that ended. The caller holds mu.
 func (r *Reporter) confirmEnd(incarnation string, proof Proof) {
-	if told, counts := r.tracker.ConfirmEnd(r.config.Now(), incarnation); counts {
-		r.enqueueCrash(told, proof)
+	if crash, counts := r.tracker.ConfirmEnd(r.config.Now(), incarnation); counts {
+		r.enqueueCrash(crash, proof)
 	}
 }
 
