--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -185,18 +185,18 @@
 }
 
 // enqueueCrash lets control be told of an ended life. The caller holds mu.
-func (r *Reporter) enqueueCrash(ended quarantine.Crash, proof Proof) {
+func (r *Reporter) enqueueCrash(crash quarantine.Crash, proof Proof) {
 	shown := make([]string, 0, maxLoggedFingerprints)
-	for _, f := range ended.Requests[:min(len(ended.Requests), maxLoggedFingerprints)] {
+	for _, f := range crash.Requests[:min(len(crash.Requests), maxLoggedFingerprints)] {
 		shown = append(shown, f.String())
 	}
-	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
-		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
+	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, crash.Incarnation), zap.String("proof", string(proof)),
+		zap.Int("requests", len(crash.Requests)), zap.Strings("fingerprints", shown))
 	if len(r.crashes) >= maxPendingCrashes {
-		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.crashes)))
+		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, crash.Incarnation), zap.Int("waiting", len(r.crashes)))
 		return
 	}
-	r.crashes = append(r.crashes, ended)
+	r.crashes = append(r.crashes, crash)
 	r.signal()
 }
 
