--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -186,12 +186,12 @@
 
 // enqueueCrash lets control be told of an ended life. The caller holds mu.
 func (r *Reporter) enqueueCrash(crash quarantine.Crash, proof Proof) {
-	shown := make([]string, 0, maxLoggedFingerprints)
+	fingerprints := make([]string, 0, maxLoggedFingerprints)
 	for _, f := range crash.Requests[:min(len(crash.Requests), maxLoggedFingerprints)] {
-		shown = append(shown, f.String())
+		fingerprints = append(fingerprints, f.String())
 	}
 	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, crash.Incarnation), zap.String("proof", string(proof)),
-		zap.Int("requests", len(crash.Requests)), zap.Strings("fingerprints", shown))
+		zap.Int("requests", len(crash.Requests)), zap.Strings("fingerprints", fingerprints))
 	if len(r.crashes) >= maxPendingCrashes {
 		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, crash.Incarnation), zap.Int("waiting", len(r.crashes)))
 		return
