--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -210,10 +210,10 @@
 }
 
 // RecordIdle notes that this process could send nothing for so long until now.
-func (r *Reporter) RecordIdle(length time.Duration) {
+func (r *Reporter) RecordIdle(idle time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tracker.RecordIdle(r.config.Now(), length)
+	r.tracker.RecordIdle(r.config.Now(), idle)
 }
 
 // enqueueCompletions lets control be told of requests that ended well. The caller holds mu.
