--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -217,12 +217,12 @@
 }
 
 // enqueueCompletions lets control be told of requests that ended well. The caller holds mu.
-func (r *Reporter) enqueueCompletions(well ...quarantine.Fingerprint) {
-	if room := maxPendingCompletions - len(r.completions); len(well) > room {
-		well = well[:room] // the next good end tells again
+func (r *Reporter) enqueueCompletions(completed ...quarantine.Fingerprint) {
+	if room := maxPendingCompletions - len(r.completions); len(completed) > room {
+		completed = completed[:room] // the next good end tells again
 	}
-	if len(well) > 0 {
-		r.completions = append(r.completions, well...)
+	if len(completed) > 0 {
+		r.completions = append(r.completions, completed...)
 		r.signal()
 	}
 }
