--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -280,9 +280,9 @@
 	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
-	attempt, cancel := context.WithTimeout(ctx, submitTimeout)
+	submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if r.config.Submit(attempt, change) != nil {
+	if r.config.Submit(submitCtx, change) != nil {
 		return false
 	}
 	r.mu.Lock()
