--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -20,14 +20,14 @@
 const LeaseTTL = 200 * time.Millisecond
 
 const (
-	// toleranceShare of a limit's room may be lent at once beside the burst, so that a caller just inside its limit is not
+	// burstSlackFraction of a limit's room may be lent at once beside the burst, so that a caller just inside its limit is not
 	// turned away over when requests arrive; debtShare is how far one amount above that may exceed it. reserveShare is for
 	// borrowers out of touch, all together. The rest, 0.6, is for amounts that are lent and not used yet (the rate for a lease),
 	// and for the time until a lender notices a silence (the rate for that time, by the part that is silent): where the room is
 	// a second of the rate, as it mostly is, these are 0.2 and, with a third silent, 0.23.
-	toleranceShare = 0.1
-	debtShare      = 0.1
-	reserveShare   = 0.2
+	burstSlackFraction = 0.1
+	debtShare          = 0.1
+	reserveShare       = 0.2
 	// longestAdvice bounds how long a borrower is told to wait for an amount: what was refused long ago comes back no more.
 	longestAdvice = 8 * time.Second
 )
@@ -40,7 +40,7 @@
 }
 
 // capacity is the most that may be lent at once.
-func (l Limit) capacity() float64 { return l.Burst + toleranceShare*l.Slack }
+func (l Limit) capacity() float64 { return l.Burst + burstSlackFraction*l.Slack }
 
 // largest is the largest amount that is ever lent at once.
 func (l Limit) largest() float64 { return l.capacity() + debtShare*l.Slack }
