--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -25,9 +25,9 @@
 	// borrowers out of touch, all together. The rest, 0.6, is for amounts that are lent and not used yet (the rate for a lease),
 	// and for the time until a lender notices a silence (the rate for that time, by the part that is silent): where the room is
 	// a second of the rate, as it mostly is, these are 0.2 and, with a third silent, 0.23.
-	burstSlackFraction = 0.1
-	debtSlackFraction  = 0.1
-	reserveShare       = 0.2
+	burstSlackFraction   = 0.1
+	debtSlackFraction    = 0.1
+	reserveSlackFraction = 0.2
 	// longestAdvice bounds how long a borrower is told to wait for an amount: what was refused long ago comes back no more.
 	longestAdvice = 8 * time.Second
 )
@@ -46,7 +46,7 @@
 func (l Limit) largest() float64 { return l.capacity() + debtSlackFraction*l.Slack }
 
 // reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
-func (l Limit) reserve() float64 { return reserveShare * l.Slack }
+func (l Limit) reserve() float64 { return reserveSlackFraction * l.Slack }
 
 // RequestItem is a question for an amount of a resource.
 type RequestItem struct {
