--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -28,8 +28,8 @@
 	burstSlackFraction   = 0.1
 	debtSlackFraction    = 0.1
 	reserveSlackFraction = 0.2
-	// longestAdvice bounds how long a borrower is told to wait for an amount: what was refused long ago comes back no more.
-	longestAdvice = 8 * time.Second
+	// maxRetryAfter bounds how long a borrower is told to wait for an amount: what was refused long ago comes back no more.
+	maxRetryAfter = 8 * time.Second
 )
 
 // Limit bounds the use of one resource: in any window, the rate times the window, the burst and the room.
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -138,7 +138,7 @@
 	missing := min(amount, a.limit.capacity()) - a.level + a.queue
 	a.queue += amount
 	wait := time.Duration(missing / a.limit.Rate * float64(time.Second))
-	return min(max(wait, 0), longestAdvice)
+	return min(max(wait, 0), maxRetryAfter)
 }
 
 // refill adds what has come in since the account was last right.
@@ -149,7 +149,7 @@
 	}
 	a.at = now
 	a.level = min(a.limit.capacity(), a.level+passed*a.limit.Rate*(1-withheld))
-	a.queue = max(0, min(a.queue-passed*a.limit.Rate, a.limit.Rate*longestAdvice.Seconds()))
+	a.queue = max(0, min(a.queue-passed*a.limit.Rate, a.limit.Rate*maxRetryAfter.Seconds()))
 }
 
 // State is what a lender can tell of one resource.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -62,7 +62,7 @@
 	if ask.Amount > a.level {
 		a.refused += ask.Amount
 		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
-		return Grant{Name: ask.Name, RetryAfter: min(wait, longestAdvice), Enforced: true}
+		return Grant{Name: ask.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
 	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*a.limit.capacity()))) // whole units: a part of one is of no use
 	amount := ask.Amount + ahead
