--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -125,7 +125,7 @@
 func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
 	l, now := fullLender()
 	b := newTestBorrower()
-	if hold, _ := askOne(l, now, b, testLimit.largest()+1); hold.Amount != 0 {
+	if hold, _ := askOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
 		t.Fatalf("%v", hold)
 	}
 	l, now = fullLender()
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -42,8 +42,8 @@
 // capacity is the most that may be lent at once.
 func (l Limit) capacity() float64 { return l.Burst + burstSlackFraction*l.Slack }
 
-// largest is the largest amount that is ever lent at once.
-func (l Limit) largest() float64 { return l.capacity() + debtSlackFraction*l.Slack }
+// maxAmount is the maxAmount amount that is ever lent at once.
+func (l Limit) maxAmount() float64 { return l.capacity() + debtSlackFraction*l.Slack }
 
 // reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
 func (l Limit) reserve() float64 { return reserveSlackFraction * l.Slack }
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -114,7 +114,7 @@
 	}
 	a.refill(now, l.withheld)
 	capacity := a.limit.capacity()
-	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.largest() {
+	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.maxAmount() {
 		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.young(now)}
 	}
 	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*capacity))
