--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// aheadShare of the capacity stays in the account when amounts are lent ahead of their need.
-const aheadShare = 0.5
+// prefetchFloorFraction of the capacity stays in the account when amounts are lent ahead of their need.
+const prefetchFloorFraction = 0.5
 
 // youngFills is how many times an account must have had the time to fill before it counts as one that began long ago: calm callers
 // use about half of a limit.
@@ -117,7 +117,7 @@
 	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.maxAmount() {
 		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.young(now)}
 	}
-	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*capacity))
+	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*capacity))
 	a.level -= amount
 	a.lent += amount
 	a.queue = max(0, a.queue-ask.Amount)
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -64,7 +64,7 @@
 		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
 		return Grant{Name: ask.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
-	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-aheadShare*a.limit.capacity()))) // whole units: a part of one is of no use
+	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
 	amount := ask.Amount + ahead
 	a.level -= amount
 	a.lent += amount
