--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -10,9 +10,9 @@
 // prefetchFloorFraction of the capacity stays in the account when amounts are lent ahead of their need.
 const prefetchFloorFraction = 0.5
 
-// youngFills is how many times an account must have had the time to fill before it counts as one that began long ago: calm callers
+// warmUpFills is how many times an account must have had the time to fill before it counts as one that began long ago: calm callers
 // use about half of a limit.
-const youngFills = 2
+const warmUpFills = 2
 
 // overFor is how long after its last refusal a resource still counts as over its limit.
 const overFor = time.Second
@@ -126,7 +126,7 @@
 
 // young reports whether the account may lack what it would hold if it had not begun with nothing.
 func (a *account) young(now time.Duration) bool {
-	return (now-a.began).Seconds()*a.limit.Rate < youngFills*a.limit.capacity()
+	return (now-a.began).Seconds()*a.limit.Rate < warmUpFills*a.limit.capacity()
 }
 
 // refuse notes a refusal and returns when to come back: after those that were refused before.
