--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -14,8 +14,8 @@
 // use about half of a limit.
 const warmUpFills = 2
 
-// overFor is how long after its last refusal a resource still counts as over its limit.
-const overFor = time.Second
+// overLimitPeriod is how long after its last refusal a resource still counts as over its limit.
+const overLimitPeriod = time.Second
 
 // Allocator keeps the whole of each limited resource.
 type Allocator struct {
@@ -170,7 +170,7 @@
 		a.refill(now, l.withheld)
 		states = append(states, State{
 			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
-			OverLimit: a.over > 0 && now < a.over+overFor,
+			OverLimit: a.over > 0 && now < a.over+overLimitPeriod,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
