--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -95,15 +95,15 @@
 		t.Fatalf("%v goes back", question.Returned)
 	}
 	l.Withhold(now, 1) // nothing else comes in
-	before := l.accounts[resource].level
+	before := l.buckets[resource].level
 	l.Allocate(now, question)
 	l.Allocate(now, question)
-	after := l.accounts[resource].level
+	after := l.buckets[resource].level
 	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
 		t.Fatalf("%v before, %v after", before, after)
 	}
-	if l.accounts[resource].lent != 20 {
-		t.Fatalf("%v lent", l.accounts[resource].lent)
+	if l.buckets[resource].lent != 20 {
+		t.Fatalf("%v lent", l.buckets[resource].lent)
 	}
 }
 
@@ -173,7 +173,7 @@
 	l, now := fullLender()
 	lower := Limit{Rate: 10, Burst: 10}
 	l.SetLimits(now, limitsOf(lower))
-	if level := l.accounts[resource].level; level != 10 {
+	if level := l.buckets[resource].level; level != 10 {
 		t.Fatalf("%v left", level)
 	}
 	l.SetLimits(now, nil)
@@ -181,7 +181,7 @@
 		t.Fatalf("%v of a limit that was taken away", hold)
 	}
 	l.SetLimits(now, limitsOf(testLimit))
-	if level := l.accounts[resource].level; level != 0 {
+	if level := l.buckets[resource].level; level != 0 {
 		t.Fatalf("%v left of a limit that was taken away", level)
 	}
 }
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -20,7 +20,7 @@
 // Allocator keeps the whole of each limited resource.
 type Allocator struct {
 	term      uint64
-	accounts  map[string]*account
+	buckets   map[string]*account
 	named     map[string]*namedAccount // of resources that name their limits
 	withheld  float64                  // part of all rates that is kept back, 0 to 1
 	sequences map[string]uint64        // by borrower: of its newest question
@@ -40,23 +40,23 @@
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
 func NewAllocator(term uint64) *Allocator {
-	return &Allocator{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+	return &Allocator{term: term, buckets: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
 // SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
 // new capacity.
 func (l *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
-		a := l.accounts[name]
+		a := l.buckets[name]
 		if a == nil {
 			a = &account{began: now, at: now}
-			l.accounts[name] = a
+			l.buckets[name] = a
 		}
 		a.refill(now, l.withheld)
 		a.limit = limit
 		a.level = min(a.level, limit.capacity())
 	}
-	maps.DeleteFunc(l.accounts, func(name string, _ *account) bool { _, limited := limits[name]; return !limited })
+	maps.DeleteFunc(l.buckets, func(name string, _ *account) bool { _, limited := limits[name]; return !limited })
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
@@ -64,7 +64,7 @@
 	if part == l.withheld {
 		return
 	}
-	for _, a := range l.accounts {
+	for _, a := range l.buckets {
 		a.refill(now, l.withheld)
 	}
 	for _, a := range l.named {
@@ -89,7 +89,7 @@
 // takeBack adds what a borrower gives back.
 func (l *Allocator) takeBack(now time.Duration, back []Grant) {
 	for _, returned := range back {
-		a := l.accounts[returned.Name]
+		a := l.buckets[returned.Name]
 		if named := l.named[returned.Name]; named != nil {
 			a = &named.account
 		}
@@ -108,7 +108,7 @@
 	if ask.Advertised != nil {
 		return l.lendNamed(now, ask)
 	}
-	a := l.accounts[ask.Name]
+	a := l.buckets[ask.Name]
 	if a == nil {
 		return Grant{Name: ask.Name, Amount: ask.Amount} // the limit was taken away, which the borrower has not heard yet
 	}
@@ -165,8 +165,8 @@
 
 // States returns all resources, rising by name.
 func (l *Allocator) States(now time.Duration) []State {
-	states := make([]State, 0, len(l.accounts))
-	for name, a := range l.accounts {
+	states := make([]State, 0, len(l.buckets))
+	for name, a := range l.buckets {
 		a.refill(now, l.withheld)
 		states = append(states, State{
 			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
