--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -19,11 +19,11 @@
 
 // Allocator keeps the whole of each limited resource.
 type Allocator struct {
-	term      uint64
-	buckets   map[string]*account
-	named     map[string]*namedAccount // of resources that name their limits
-	withheld  float64                  // part of all rates that is kept back, 0 to 1
-	sequences map[string]uint64        // by borrower: of its newest question
+	term       uint64
+	buckets    map[string]*account
+	advertised map[string]*namedAccount // of resources that name their limits
+	withheld   float64                  // part of all rates that is kept back, 0 to 1
+	sequences  map[string]uint64        // by borrower: of its newest question
 }
 
 // account is one resource.
@@ -40,7 +40,7 @@
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
 func NewAllocator(term uint64) *Allocator {
-	return &Allocator{term: term, buckets: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+	return &Allocator{term: term, buckets: map[string]*account{}, advertised: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
 // SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
@@ -67,7 +67,7 @@
 	for _, a := range l.buckets {
 		a.refill(now, l.withheld)
 	}
-	for _, a := range l.named {
+	for _, a := range l.advertised {
 		a.refill(now, l.withheld)
 	}
 	l.withheld = part
@@ -90,7 +90,7 @@
 func (l *Allocator) takeBack(now time.Duration, back []Grant) {
 	for _, returned := range back {
 		a := l.buckets[returned.Name]
-		if named := l.named[returned.Name]; named != nil {
+		if named := l.advertised[returned.Name]; named != nil {
 			a = &named.account
 		}
 		if a == nil || returned.Amount <= 0 {
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -50,11 +50,11 @@
 // lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
 func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
-	a := l.named[ask.Name]
+	a := l.advertised[ask.Name]
 	if a == nil {
 		a = &namedAccount{account: account{began: now, at: now, limit: ask.Advertised.limit()}}
 		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
-		l.named[ask.Name] = a
+		l.advertised[ask.Name] = a
 	}
 	a.refill(now, l.withheld)
 	a.hear(now, *ask.Advertised)
@@ -104,13 +104,13 @@
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
 func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.named, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
+	maps.DeleteFunc(l.advertised, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
 func (l *Allocator) AdvertisedStates(now time.Duration, most int) []State {
-	states := make([]State, 0, len(l.named))
-	for name, a := range l.named {
+	states := make([]State, 0, len(l.advertised))
+	for name, a := range l.advertised {
 		a.refill(now, l.withheld)
 		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld})
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -122,7 +122,7 @@
 	second := time.Second
 	inForce := func(wanted float64) {
 		t.Helper()
-		if got := l.named[resource].limit.Rate; got != wanted {
+		if got := l.advertised[resource].limit.Rate; got != wanted {
 			t.Fatalf("%.1f in force, wanted %.1f", got, wanted)
 		}
 	}
@@ -165,10 +165,10 @@
 		t.Fatalf("%+v", states)
 	}
 	l.SweepAdvertised(3*time.Second + namedKept)
-	if len(l.named) != 1 {
+	if len(l.advertised) != 1 {
 		t.Fatal("forgotten too soon")
 	}
-	if l.SweepAdvertised(4*time.Second + namedKept); len(l.named) != 0 {
+	if l.SweepAdvertised(4*time.Second + namedKept); len(l.advertised) != 0 {
 		t.Fatal("not forgotten")
 	}
 	b := NewClient("b", testTrust)
