--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -20,14 +20,14 @@
 // Allocator keeps the whole of each limited resource.
 type Allocator struct {
 	term       uint64
-	buckets    map[string]*account
+	buckets    map[string]*bucket
 	advertised map[string]*namedAccount // of resources that name their limits
 	withheld   float64                  // part of all rates that is kept back, 0 to 1
 	sequences  map[string]uint64        // by borrower: of its newest question
 }
 
-// account is one resource.
-type account struct {
+// bucket is one resource.
+type bucket struct {
 	limit   Limit
 	level   float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
 	began   time.Duration // with nothing
@@ -40,7 +40,7 @@
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
 func NewAllocator(term uint64) *Allocator {
-	return &Allocator{term: term, buckets: map[string]*account{}, advertised: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+	return &Allocator{term: term, buckets: map[string]*bucket{}, advertised: map[string]*namedAccount{}, sequences: map[string]uint64{}}
 }
 
 // SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
@@ -49,14 +49,14 @@
 	for name, limit := range limits {
 		a := l.buckets[name]
 		if a == nil {
-			a = &account{began: now, at: now}
+			a = &bucket{began: now, at: now}
 			l.buckets[name] = a
 		}
 		a.refill(now, l.withheld)
 		a.limit = limit
 		a.level = min(a.level, limit.capacity())
 	}
-	maps.DeleteFunc(l.buckets, func(name string, _ *account) bool { _, limited := limits[name]; return !limited })
+	maps.DeleteFunc(l.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
@@ -91,7 +91,7 @@
 	for _, returned := range back {
 		a := l.buckets[returned.Name]
 		if named := l.advertised[returned.Name]; named != nil {
-			a = &named.account
+			a = &named.bucket
 		}
 		if a == nil || returned.Amount <= 0 {
 			continue
@@ -125,12 +125,12 @@
 }
 
 // young reports whether the account may lack what it would hold if it had not begun with nothing.
-func (a *account) young(now time.Duration) bool {
+func (a *bucket) young(now time.Duration) bool {
 	return (now-a.began).Seconds()*a.limit.Rate < warmUpFills*a.limit.capacity()
 }
 
 // refuse notes a refusal and returns when to come back: after those that were refused before.
-func (a *account) refuse(now time.Duration, amount float64) time.Duration {
+func (a *bucket) refuse(now time.Duration, amount float64) time.Duration {
 	a.refused += amount
 	if !a.young(now) {
 		a.over = now
@@ -142,7 +142,7 @@
 }
 
 // refill adds what has come in since the account was last right.
-func (a *account) refill(now time.Duration, withheld float64) {
+func (a *bucket) refill(now time.Duration, withheld float64) {
 	passed := (now - a.at).Seconds()
 	if passed <= 0 {
 		return
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -40,7 +40,7 @@
 
 // namedAccount is a resource that names its limit. It begins with nothing when it is first asked for.
 type namedAccount struct {
-	account
+	bucket
 	newest   Limit         // by the word that was heard last
 	newestAt time.Duration // when that was heard
 	raiseAt  time.Duration // when the newest counts although it is higher; 0 it counts
@@ -52,7 +52,7 @@
 func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.advertised[ask.Name]
 	if a == nil {
-		a = &namedAccount{account: account{began: now, at: now, limit: ask.Advertised.limit()}}
+		a = &namedAccount{bucket: bucket{began: now, at: now, limit: ask.Advertised.limit()}}
 		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
 		l.advertised[ask.Name] = a
 	}
