--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -28,14 +28,14 @@
 
 // bucket is one resource.
 type bucket struct {
-	limit   Limit
-	level   float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
-	began   time.Duration // with nothing
-	at      time.Duration // when level and queue were right
-	queue   float64       // refused and not come back yet, as far as that can be known
-	lent    float64       // since the lender began, less what was given back
-	refused float64
-	over    time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
+	limit     Limit
+	level     float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
+	createdAt time.Duration // with nothing
+	at        time.Duration // when level and queue were right
+	queue     float64       // refused and not come back yet, as far as that can be known
+	lent      float64       // since the lender began, less what was given back
+	refused   float64
+	over      time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
 }
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
@@ -49,7 +49,7 @@
 	for name, limit := range limits {
 		a := l.buckets[name]
 		if a == nil {
-			a = &bucket{began: now, at: now}
+			a = &bucket{createdAt: now, at: now}
 			l.buckets[name] = a
 		}
 		a.refill(now, l.withheld)
@@ -126,7 +126,7 @@
 
 // young reports whether the account may lack what it would hold if it had not begun with nothing.
 func (a *bucket) young(now time.Duration) bool {
-	return (now-a.began).Seconds()*a.limit.Rate < warmUpFills*a.limit.capacity()
+	return (now-a.createdAt).Seconds()*a.limit.Rate < warmUpFills*a.limit.capacity()
 }
 
 // refuse notes a refusal and returns when to come back: after those that were refused before.
