--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -31,7 +31,7 @@
 	limit     Limit
 	level     float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
 	createdAt time.Duration // with nothing
-	at        time.Duration // when level and queue were right
+	updatedAt time.Duration // when level and queue were right
 	queue     float64       // refused and not come back yet, as far as that can be known
 	lent      float64       // since the lender began, less what was given back
 	refused   float64
@@ -49,7 +49,7 @@
 	for name, limit := range limits {
 		a := l.buckets[name]
 		if a == nil {
-			a = &bucket{createdAt: now, at: now}
+			a = &bucket{createdAt: now, updatedAt: now}
 			l.buckets[name] = a
 		}
 		a.refill(now, l.withheld)
@@ -143,11 +143,11 @@
 
 // refill adds what has come in since the account was last right.
 func (a *bucket) refill(now time.Duration, withheld float64) {
-	passed := (now - a.at).Seconds()
+	passed := (now - a.updatedAt).Seconds()
 	if passed <= 0 {
 		return
 	}
-	a.at = now
+	a.updatedAt = now
 	a.level = min(a.limit.capacity(), a.level+passed*a.limit.Rate*(1-withheld))
 	a.queue = max(0, min(a.queue-passed*a.limit.Rate, a.limit.Rate*maxRetryAfter.Seconds()))
 }
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -52,7 +52,7 @@
 func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.advertised[ask.Name]
 	if a == nil {
-		a = &namedAccount{bucket: bucket{createdAt: now, at: now, limit: ask.Advertised.limit()}}
+		a = &namedAccount{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
 		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
 		l.advertised[ask.Name] = a
 	}
