--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -32,7 +32,7 @@
 	level     float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
 	createdAt time.Duration // with nothing
 	updatedAt time.Duration // when level and queue were right
-	queue     float64       // refused and not come back yet, as far as that can be known
+	backlog   float64       // refused and not come back yet, as far as that can be known
 	lent      float64       // since the lender began, less what was given back
 	refused   float64
 	over      time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
@@ -120,7 +120,7 @@
 	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*capacity))
 	a.level -= amount
 	a.lent += amount
-	a.queue = max(0, a.queue-ask.Amount)
+	a.backlog = max(0, a.backlog-ask.Amount)
 	return Grant{Name: ask.Name, Amount: amount}
 }
 
@@ -135,8 +135,8 @@
 	if !a.young(now) {
 		a.over = now
 	}
-	missing := min(amount, a.limit.capacity()) - a.level + a.queue
-	a.queue += amount
+	missing := min(amount, a.limit.capacity()) - a.level + a.backlog
+	a.backlog += amount
 	wait := time.Duration(missing / a.limit.Rate * float64(time.Second))
 	return min(max(wait, 0), maxRetryAfter)
 }
@@ -149,7 +149,7 @@
 	}
 	a.updatedAt = now
 	a.level = min(a.limit.capacity(), a.level+passed*a.limit.Rate*(1-withheld))
-	a.queue = max(0, min(a.queue-passed*a.limit.Rate, a.limit.Rate*maxRetryAfter.Seconds()))
+	a.backlog = max(0, min(a.backlog-passed*a.limit.Rate, a.limit.Rate*maxRetryAfter.Seconds()))
 }
 
 // State is what a lender can tell of one resource.
