--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -102,8 +102,8 @@
 	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
 		t.Fatalf("%v before, %v after", before, after)
 	}
-	if l.buckets[resource].lent != 20 {
-		t.Fatalf("%v lent", l.buckets[resource].lent)
+	if l.buckets[resource].granted != 20 {
+		t.Fatalf("%v lent", l.buckets[resource].granted)
 	}
 }
 
--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -33,7 +33,7 @@
 	createdAt time.Duration // with nothing
 	updatedAt time.Duration // when level and queue were right
 	backlog   float64       // refused and not come back yet, as far as that can be known
-	lent      float64       // since the lender began, less what was given back
+	granted   float64       // since the lender began, less what was given back
 	refused   float64
 	over      time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
 }
@@ -97,9 +97,9 @@
 			continue
 		}
 		a.refill(now, l.withheld)
-		amount := min(returned.Amount, a.lent) // a new lender takes nothing back that it never lent
+		amount := min(returned.Amount, a.granted) // a new lender takes nothing back that it never lent
 		a.level = min(a.limit.capacity(), a.level+amount)
-		a.lent -= amount
+		a.granted -= amount
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*capacity))
 	a.level -= amount
-	a.lent += amount
+	a.granted += amount
 	a.backlog = max(0, a.backlog-ask.Amount)
 	return Grant{Name: ask.Name, Amount: amount}
 }
@@ -169,7 +169,7 @@
 	for name, a := range l.buckets {
 		a.refill(now, l.withheld)
 		states = append(states, State{
-			Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld,
+			Name: name, Limit: a.limit, Level: a.level, Granted: a.granted, Refused: a.refused, Withheld: l.withheld,
 			OverLimit: a.over > 0 && now < a.over+overLimitPeriod,
 		})
 	}
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -67,7 +67,7 @@
 	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
 	amount := ask.Amount + ahead
 	a.level -= amount
-	a.lent += amount
+	a.granted += amount
 	return Grant{Name: ask.Name, Amount: amount, Enforced: true}
 }
 
@@ -112,7 +112,7 @@
 	states := make([]State, 0, len(l.advertised))
 	for name, a := range l.advertised {
 		a.refill(now, l.withheld)
-		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.lent, Refused: a.refused, Withheld: l.withheld})
+		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.granted, Refused: a.refused, Withheld: l.withheld})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Name, y.Name)) })
 	states = states[:min(len(states), most)]
