--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -35,7 +35,7 @@
 	backlog   float64       // refused and not come back yet, as far as that can be known
 	granted   float64       // since the lender began, less what was given back
 	refused   float64
-	over      time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
+	limitedAt time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
 }
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
@@ -133,7 +133,7 @@
 func (a *bucket) refuse(now time.Duration, amount float64) time.Duration {
 	a.refused += amount
 	if !a.young(now) {
-		a.over = now
+		a.limitedAt = now
 	}
 	missing := min(amount, a.limit.capacity()) - a.level + a.backlog
 	a.backlog += amount
@@ -170,7 +170,7 @@
 		a.refill(now, l.withheld)
 		states = append(states, State{
 			Name: name, Limit: a.limit, Level: a.level, Granted: a.granted, Refused: a.refused, Withheld: l.withheld,
-			OverLimit: a.over > 0 && now < a.over+overLimitPeriod,
+			OverLimit: a.limitedAt > 0 && now < a.limitedAt+overLimitPeriod,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
