--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -125,31 +125,31 @@
 }
 
 // young reports whether the account may lack what it would hold if it had not begun with nothing.
-func (a *bucket) young(now time.Duration) bool {
-	return (now-a.createdAt).Seconds()*a.limit.Rate < warmUpFills*a.limit.capacity()
+func (b *bucket) young(now time.Duration) bool {
+	return (now-b.createdAt).Seconds()*b.limit.Rate < warmUpFills*b.limit.capacity()
 }
 
 // refuse notes a refusal and returns when to come back: after those that were refused before.
-func (a *bucket) refuse(now time.Duration, amount float64) time.Duration {
-	a.refused += amount
-	if !a.young(now) {
-		a.limitedAt = now
+func (b *bucket) refuse(now time.Duration, amount float64) time.Duration {
+	b.refused += amount
+	if !b.young(now) {
+		b.limitedAt = now
 	}
-	missing := min(amount, a.limit.capacity()) - a.level + a.backlog
-	a.backlog += amount
-	wait := time.Duration(missing / a.limit.Rate * float64(time.Second))
+	missing := min(amount, b.limit.capacity()) - b.level + b.backlog
+	b.backlog += amount
+	wait := time.Duration(missing / b.limit.Rate * float64(time.Second))
 	return min(max(wait, 0), maxRetryAfter)
 }
 
 // refill adds what has come in since the account was last right.
-func (a *bucket) refill(now time.Duration, withheld float64) {
-	passed := (now - a.updatedAt).Seconds()
+func (b *bucket) refill(now time.Duration, withheld float64) {
+	passed := (now - b.updatedAt).Seconds()
 	if passed <= 0 {
 		return
 	}
-	a.updatedAt = now
-	a.level = min(a.limit.capacity(), a.level+passed*a.limit.Rate*(1-withheld))
-	a.backlog = max(0, min(a.backlog-passed*a.limit.Rate, a.limit.Rate*maxRetryAfter.Seconds()))
+	b.updatedAt = now
+	b.level = min(b.limit.capacity(), b.level+passed*b.limit.Rate*(1-withheld))
+	b.backlog = max(0, min(b.backlog-passed*b.limit.Rate, b.limit.Rate*maxRetryAfter.Seconds()))
 }
 
 // State is what a lender can tell of one resource.
