--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -115,7 +115,7 @@
 	a.refill(now, l.withheld)
 	capacity := a.limit.capacity()
 	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.maxAmount() {
-		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.young(now)}
+		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.warmingUp(now)}
 	}
 	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*capacity))
 	a.level -= amount
@@ -124,15 +124,15 @@
 	return Grant{Name: ask.Name, Amount: amount}
 }
 
-// young reports whether the account may lack what it would hold if it had not begun with nothing.
-func (b *bucket) young(now time.Duration) bool {
+// warmingUp reports whether the account may lack what it would hold if it had not begun with nothing.
+func (b *bucket) warmingUp(now time.Duration) bool {
 	return (now-b.createdAt).Seconds()*b.limit.Rate < warmUpFills*b.limit.capacity()
 }
 
 // refuse notes a refusal and returns when to come back: after those that were refused before.
 func (b *bucket) refuse(now time.Duration, amount float64) time.Duration {
 	b.refused += amount
-	if !b.young(now) {
+	if !b.warmingUp(now) {
 		b.limitedAt = now
 	}
 	missing := min(amount, b.limit.capacity()) - b.level + b.backlog
