--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -77,7 +77,7 @@
 func (l *Allocator) Allocate(now time.Duration, asked Request) Reply {
 	if asked.Sequence > l.sequences[asked.Client] {
 		l.sequences[asked.Client] = asked.Sequence
-		l.takeBack(now, asked.Returned)
+		l.reclaim(now, asked.Returned)
 	}
 	answer := Reply{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
 	for _, ask := range asked.Items {
@@ -86,8 +86,8 @@
 	return answer
 }
 
-// takeBack adds what a borrower gives back.
-func (l *Allocator) takeBack(now time.Duration, back []Grant) {
+// reclaim adds what a borrower gives back.
+func (l *Allocator) reclaim(now time.Duration, back []Grant) {
 	for _, returned := range back {
 		a := l.buckets[returned.Name]
 		if named := l.advertised[returned.Name]; named != nil {
