--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -81,7 +81,7 @@
 	}
 	answer := Reply{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
 	for _, ask := range asked.Items {
-		answer.Grants = append(answer.Grants, l.lend(now, ask))
+		answer.Grants = append(answer.Grants, l.grant(now, ask))
 	}
 	return answer
 }
@@ -103,8 +103,8 @@
 	}
 }
 
-// lend lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Allocator) lend(now time.Duration, ask RequestItem) Grant {
+// grant lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
+func (l *Allocator) grant(now time.Duration, ask RequestItem) Grant {
 	if ask.Advertised != nil {
 		return l.lendNamed(now, ask)
 	}
