--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -60,8 +60,8 @@
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
-func (l *Allocator) Withhold(now time.Duration, part float64) {
-	if part == l.withheld {
+func (l *Allocator) Withhold(now time.Duration, fraction float64) {
+	if fraction == l.withheld {
 		return
 	}
 	for _, a := range l.buckets {
@@ -70,7 +70,7 @@
 	for _, a := range l.advertised {
 		a.refill(now, l.withheld)
 	}
-	l.withheld = part
+	l.withheld = fraction
 }
 
 // Allocate answers a question.
