--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -74,13 +74,13 @@
 }
 
 // Allocate answers a question.
-func (l *Allocator) Allocate(now time.Duration, asked Request) Reply {
-	if asked.Sequence > l.sequences[asked.Client] {
-		l.sequences[asked.Client] = asked.Sequence
-		l.reclaim(now, asked.Returned)
+func (l *Allocator) Allocate(now time.Duration, request Request) Reply {
+	if request.Sequence > l.sequences[request.Client] {
+		l.sequences[request.Client] = request.Sequence
+		l.reclaim(now, request.Returned)
 	}
-	answer := Reply{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Items))}
-	for _, ask := range asked.Items {
+	answer := Reply{Term: l.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
+	for _, ask := range request.Items {
 		answer.Grants = append(answer.Grants, l.grant(now, ask))
 	}
 	return answer
