--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -79,11 +79,11 @@
 		l.sequences[request.Client] = request.Sequence
 		l.reclaim(now, request.Returned)
 	}
-	answer := Reply{Term: l.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
+	reply := Reply{Term: l.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
 	for _, ask := range request.Items {
-		answer.Grants = append(answer.Grants, l.grant(now, ask))
+		reply.Grants = append(reply.Grants, l.grant(now, ask))
 	}
-	return answer
+	return reply
 }
 
 // reclaim adds what a borrower gives back.
