--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -80,8 +80,8 @@
 		l.reclaim(now, request.Returned)
 	}
 	reply := Reply{Term: l.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
-	for _, ask := range request.Items {
-		reply.Grants = append(reply.Grants, l.grant(now, ask))
+	for _, item := range request.Items {
+		reply.Grants = append(reply.Grants, l.grant(now, item))
 	}
 	return reply
 }
