--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -87,8 +87,8 @@
 }
 
 // reclaim adds what a borrower gives back.
-func (l *Allocator) reclaim(now time.Duration, back []Grant) {
-	for _, returned := range back {
+func (l *Allocator) reclaim(now time.Duration, returned []Grant) {
+	for _, returned := range returned {
 		a := l.buckets[returned.Name]
 		if named := l.advertised[returned.Name]; named != nil {
 			a = &named.bucket
