--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -88,16 +88,16 @@
 
 // reclaim adds what a borrower gives back.
 func (l *Allocator) reclaim(now time.Duration, returned []Grant) {
-	for _, returned := range returned {
-		a := l.buckets[returned.Name]
-		if named := l.advertised[returned.Name]; named != nil {
+	for _, grant := range returned {
+		a := l.buckets[grant.Name]
+		if named := l.advertised[grant.Name]; named != nil {
 			a = &named.bucket
 		}
-		if a == nil || returned.Amount <= 0 {
+		if a == nil || grant.Amount <= 0 {
 			continue
 		}
 		a.refill(now, l.withheld)
-		amount := min(returned.Amount, a.granted) // a new lender takes nothing back that it never lent
+		amount := min(grant.Amount, a.granted) // a new lender takes nothing back that it never lent
 		a.level = min(a.limit.capacity(), a.level+amount)
 		a.granted -= amount
 	}
