--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -104,24 +104,24 @@
 }
 
 // grant lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Allocator) grant(now time.Duration, ask RequestItem) Grant {
-	if ask.Advertised != nil {
-		return l.lendNamed(now, ask)
+func (l *Allocator) grant(now time.Duration, item RequestItem) Grant {
+	if item.Advertised != nil {
+		return l.lendNamed(now, item)
 	}
-	a := l.buckets[ask.Name]
+	a := l.buckets[item.Name]
 	if a == nil {
-		return Grant{Name: ask.Name, Amount: ask.Amount} // the limit was taken away, which the borrower has not heard yet
+		return Grant{Name: item.Name, Amount: item.Amount} // the limit was taken away, which the borrower has not heard yet
 	}
 	a.refill(now, l.withheld)
 	capacity := a.limit.capacity()
-	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.maxAmount() {
-		return Grant{Name: ask.Name, RetryAfter: a.refuse(now, ask.Amount), WarmingUp: a.warmingUp(now)}
+	if item.Amount > a.level && a.level < capacity || item.Amount > a.limit.maxAmount() {
+		return Grant{Name: item.Name, RetryAfter: a.refuse(now, item.Amount), WarmingUp: a.warmingUp(now)}
 	}
-	amount := ask.Amount + max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*capacity))
+	amount := item.Amount + max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*capacity))
 	a.level -= amount
 	a.granted += amount
-	a.backlog = max(0, a.backlog-ask.Amount)
-	return Grant{Name: ask.Name, Amount: amount}
+	a.backlog = max(0, a.backlog-item.Amount)
+	return Grant{Name: item.Name, Amount: amount}
 }
 
 // warmingUp reports whether the account may lack what it would hold if it had not begun with nothing.
