--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -143,13 +143,13 @@
 
 // refill adds what has come in since the account was last right.
 func (b *bucket) refill(now time.Duration, withheld float64) {
-	passed := (now - b.updatedAt).Seconds()
-	if passed <= 0 {
+	elapsed := (now - b.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
 	b.updatedAt = now
-	b.level = min(b.limit.capacity(), b.level+passed*b.limit.Rate*(1-withheld))
-	b.backlog = max(0, min(b.backlog-passed*b.limit.Rate, b.limit.Rate*maxRetryAfter.Seconds()))
+	b.level = min(b.limit.capacity(), b.level+elapsed*b.limit.Rate*(1-withheld))
+	b.backlog = max(0, min(b.backlog-elapsed*b.limit.Rate, b.limit.Rate*maxRetryAfter.Seconds()))
 }
 
 // State is what a lender can tell of one resource.
