--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// namedWindow is the longest window that limits are judged in which resources name themselves. A lower one binds until no window holds
+	// advertisedWindow is the longest window that limits are judged in which resources name themselves. A lower one binds until no window holds
 	// anything of its time any more.
-	namedWindow = 4 * time.Second
+	advertisedWindow = 4 * time.Second
 	// namedMost bounds the rate, in units a second. pushback.LeastRate does from below: of a resource that takes less, or nothing, one unit in a
 	// window is lent all the same.
 	namedMost = 1e6
@@ -79,17 +79,17 @@
 		a.newest, a.newestAt = limit, heard
 	}
 	switch {
-	case limit.Rate < a.limit.Rate && now-heard < namedWindow:
+	case limit.Rate < a.limit.Rate && now-heard < advertisedWindow:
 		a.use(limit)
 		a.raiseAt = 0
 		if limit.Rate < a.newest.Rate {
-			a.raiseAt = now + namedWindow
+			a.raiseAt = now + advertisedWindow
 		}
 	case a.newest.Rate <= a.limit.Rate:
 		a.use(a.newest)
 		a.raiseAt = 0
 	case a.raiseAt == 0:
-		a.raiseAt = now + namedWindow
+		a.raiseAt = now + advertisedWindow
 	case now >= a.raiseAt:
 		a.use(a.newest)
 		a.raiseAt = 0
