--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -14,9 +14,9 @@
 	// advertisedWindow is the longest window that limits are judged in which resources name themselves. A lower one binds until no window holds
 	// anything of its time any more.
 	advertisedWindow = 4 * time.Second
-	// namedMost bounds the rate, in units a second. pushback.LeastRate does from below: of a resource that takes less, or nothing, one unit in a
+	// maxAdvertisedRate bounds the rate, in units a second. pushback.LeastRate does from below: of a resource that takes less, or nothing, one unit in a
 	// window is lent all the same.
-	namedMost = 1e6
+	maxAdvertisedRate = 1e6
 	// namedBurst is how much of the rate may be lent at once beside one unit, in seconds: without any, what comes in between two questions would
 	// be lost; with a quarter of a second a window holds 4.45 s of the rate and 1.3 units at the most, lent ahead included.
 	namedBurst = 0.25
@@ -34,7 +34,7 @@
 
 // limit returns what may be used of a resource that names a rate.
 func (n AdvertisedLimit) limit() Limit {
-	rate := min(max(n.Rate, pushback.MinRate), namedMost)
+	rate := min(max(n.Rate, pushback.MinRate), maxAdvertisedRate)
 	return Limit{Rate: rate, Burst: 1 + namedBurst*rate, Slack: 1 + namedRoom*rate}
 }
 
