--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -20,8 +20,8 @@
 	// advertisedBurst is how much of the rate may be lent at once beside one unit, in seconds: without any, what comes in between two questions would
 	// be lost; with a quarter of a second a window holds 4.45 s of the rate and 1.3 units at the most, lent ahead included.
 	advertisedBurst = 0.25
-	// namedRoom is how much of the rate, beside one unit, a window may hold beyond that for borrowers out of touch, in seconds.
-	namedRoom = 0.5
+	// advertisedSlack is how much of the rate, beside one unit, a window may hold beyond that for borrowers out of touch, in seconds.
+	advertisedSlack = 0.5
 	// namedKept is how long an account is kept that nobody asks for. A new one begins with nothing.
 	namedKept = 10 * time.Second
 )
@@ -35,7 +35,7 @@
 // limit returns what may be used of a resource that names a rate.
 func (n AdvertisedLimit) limit() Limit {
 	rate := min(max(n.Rate, pushback.MinRate), maxAdvertisedRate)
-	return Limit{Rate: rate, Burst: 1 + advertisedBurst*rate, Slack: 1 + namedRoom*rate}
+	return Limit{Rate: rate, Burst: 1 + advertisedBurst*rate, Slack: 1 + advertisedSlack*rate}
 }
 
 // namedAccount is a resource that names its limit. It begins with nothing when it is first asked for.
