--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -22,8 +22,8 @@
 	advertisedBurst = 0.25
 	// advertisedSlack is how much of the rate, beside one unit, a window may hold beyond that for borrowers out of touch, in seconds.
 	advertisedSlack = 0.5
-	// namedKept is how long an account is kept that nobody asks for. A new one begins with nothing.
-	namedKept = 10 * time.Second
+	// advertisedTTL is how long an account is kept that nobody asks for. A new one begins with nothing.
+	advertisedTTL = 10 * time.Second
 )
 
 // AdvertisedLimit is a limit that a resource names itself, as a borrower heard it.
@@ -104,7 +104,7 @@
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
 func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.advertised, func(_ string, a *namedAccount) bool { return now-a.askedAt > namedKept })
+	maps.DeleteFunc(l.advertised, func(_ string, a *namedAccount) bool { return now-a.askedAt > advertisedTTL })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
@@ -129,12 +129,12 @@
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
 func (b *Client) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
 	b.named[name] = heardLimit{named.limit(), now}
-	if now < b.namedSwept+namedKept {
+	if now < b.namedSwept+advertisedTTL {
 		return
 	}
 	b.namedSwept = now
 	for other, known := range b.named {
-		if now-known.at > namedKept {
+		if now-known.at > advertisedTTL {
 			delete(b.named, other)
 			delete(b.pockets, other)
 		}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -164,11 +164,11 @@
 	if states := l.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
 		t.Fatalf("%+v", states)
 	}
-	l.SweepAdvertised(3*time.Second + namedKept)
+	l.SweepAdvertised(3*time.Second + advertisedTTL)
 	if len(l.advertised) != 1 {
 		t.Fatal("forgotten too soon")
 	}
-	if l.SweepAdvertised(4*time.Second + namedKept); len(l.advertised) != 0 {
+	if l.SweepAdvertised(4*time.Second + advertisedTTL); len(l.advertised) != 0 {
 		t.Fatal("not forgotten")
 	}
 	b := NewClient("b", testTrust)
@@ -190,7 +190,7 @@
 	if !b.IsLimited("x") || !b.IsLimited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
-	b.SetAdvertisedLimit(time.Second+2*namedKept, "y", AdvertisedLimit{Rate: 1})
+	b.SetAdvertisedLimit(time.Second+2*advertisedTTL, "y", AdvertisedLimit{Rate: 1})
 	if b.IsLimited("x") || !b.IsLimited("y") || !b.IsLimited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
