--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -21,9 +21,9 @@
 type Allocator struct {
 	term       uint64
 	buckets    map[string]*bucket
-	advertised map[string]*namedAccount // of resources that name their limits
-	withheld   float64                  // part of all rates that is kept back, 0 to 1
-	sequences  map[string]uint64        // by borrower: of its newest question
+	advertised map[string]*advertisedBucket // of resources that name their limits
+	withheld   float64                      // part of all rates that is kept back, 0 to 1
+	sequences  map[string]uint64            // by borrower: of its newest question
 }
 
 // bucket is one resource.
@@ -40,7 +40,7 @@
 
 // NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
 func NewAllocator(term uint64) *Allocator {
-	return &Allocator{term: term, buckets: map[string]*bucket{}, advertised: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+	return &Allocator{term: term, buckets: map[string]*bucket{}, advertised: map[string]*advertisedBucket{}, sequences: map[string]uint64{}}
 }
 
 // SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -38,8 +38,8 @@
 	return Limit{Rate: rate, Burst: 1 + advertisedBurst*rate, Slack: 1 + advertisedSlack*rate}
 }
 
-// namedAccount is a resource that names its limit. It begins with nothing when it is first asked for.
-type namedAccount struct {
+// advertisedBucket is a resource that names its limit. It begins with nothing when it is first asked for.
+type advertisedBucket struct {
 	bucket
 	newest   Limit         // by the word that was heard last
 	newestAt time.Duration // when that was heard
@@ -52,7 +52,7 @@
 func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
 	a := l.advertised[ask.Name]
 	if a == nil {
-		a = &namedAccount{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
+		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
 		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
 		l.advertised[ask.Name] = a
 	}
@@ -73,7 +73,7 @@
 
 // hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
-func (a *namedAccount) hear(now time.Duration, told AdvertisedLimit) {
+func (a *advertisedBucket) hear(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
 	if heard >= a.newestAt {
 		a.newest, a.newestAt = limit, heard
@@ -97,14 +97,14 @@
 }
 
 // use puts a limit in force.
-func (a *namedAccount) use(limit Limit) {
+func (a *advertisedBucket) use(limit Limit) {
 	a.limit = limit
 	a.level = min(a.level, limit.capacity())
 }
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
 func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.advertised, func(_ string, a *namedAccount) bool { return now-a.askedAt > advertisedTTL })
+	maps.DeleteFunc(l.advertised, func(_ string, a *advertisedBucket) bool { return now-a.askedAt > advertisedTTL })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
