--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -42,7 +42,7 @@
 type advertisedBucket struct {
 	bucket
 	newest   Limit         // by the word that was heard last
-	newestAt time.Duration // when that was heard
+	latestAt time.Duration // when that was heard
 	raiseAt  time.Duration // when the newest counts although it is higher; 0 it counts
 	askedAt  time.Duration
 }
@@ -53,7 +53,7 @@
 	a := l.advertised[ask.Name]
 	if a == nil {
 		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
-		a.newest, a.newestAt = a.limit, now-ask.Advertised.Age
+		a.newest, a.latestAt = a.limit, now-ask.Advertised.Age
 		l.advertised[ask.Name] = a
 	}
 	a.refill(now, l.withheld)
@@ -75,8 +75,8 @@
 // hold something of, and a higher one once none does.
 func (a *advertisedBucket) hear(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
-	if heard >= a.newestAt {
-		a.newest, a.newestAt = limit, heard
+	if heard >= a.latestAt {
+		a.newest, a.latestAt = limit, heard
 	}
 	switch {
 	case limit.Rate < a.limit.Rate && now-heard < advertisedWindow:
