--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -41,7 +41,7 @@
 // advertisedBucket is a resource that names its limit. It begins with nothing when it is first asked for.
 type advertisedBucket struct {
 	bucket
-	newest   Limit         // by the word that was heard last
+	latest   Limit         // by the word that was heard last
 	latestAt time.Duration // when that was heard
 	raiseAt  time.Duration // when the newest counts although it is higher; 0 it counts
 	askedAt  time.Duration
@@ -53,7 +53,7 @@
 	a := l.advertised[ask.Name]
 	if a == nil {
 		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
-		a.newest, a.latestAt = a.limit, now-ask.Advertised.Age
+		a.latest, a.latestAt = a.limit, now-ask.Advertised.Age
 		l.advertised[ask.Name] = a
 	}
 	a.refill(now, l.withheld)
@@ -76,22 +76,22 @@
 func (a *advertisedBucket) hear(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
 	if heard >= a.latestAt {
-		a.newest, a.latestAt = limit, heard
+		a.latest, a.latestAt = limit, heard
 	}
 	switch {
 	case limit.Rate < a.limit.Rate && now-heard < advertisedWindow:
 		a.use(limit)
 		a.raiseAt = 0
-		if limit.Rate < a.newest.Rate {
+		if limit.Rate < a.latest.Rate {
 			a.raiseAt = now + advertisedWindow
 		}
-	case a.newest.Rate <= a.limit.Rate:
-		a.use(a.newest)
+	case a.latest.Rate <= a.limit.Rate:
+		a.use(a.latest)
 		a.raiseAt = 0
 	case a.raiseAt == 0:
 		a.raiseAt = now + advertisedWindow
 	case now >= a.raiseAt:
-		a.use(a.newest)
+		a.use(a.latest)
 		a.raiseAt = 0
 	}
 }
