--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -41,10 +41,10 @@
 // advertisedBucket is a resource that names its limit. It begins with nothing when it is first asked for.
 type advertisedBucket struct {
 	bucket
-	latest   Limit         // by the word that was heard last
-	latestAt time.Duration // when that was heard
-	raiseAt  time.Duration // when the newest counts although it is higher; 0 it counts
-	askedAt  time.Duration
+	latest      Limit         // by the word that was heard last
+	latestAt    time.Duration // when that was heard
+	raiseAt     time.Duration // when the newest counts although it is higher; 0 it counts
+	requestedAt time.Duration
 }
 
 // lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
@@ -58,7 +58,7 @@
 	}
 	a.refill(now, l.withheld)
 	a.hear(now, *ask.Advertised)
-	a.askedAt = now
+	a.requestedAt = now
 	if ask.Amount > a.level {
 		a.refused += ask.Amount
 		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
@@ -104,7 +104,7 @@
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
 func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.advertised, func(_ string, a *advertisedBucket) bool { return now-a.askedAt > advertisedTTL })
+	maps.DeleteFunc(l.advertised, func(_ string, a *advertisedBucket) bool { return now-a.requestedAt > advertisedTTL })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
