--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -106,7 +106,7 @@
 // grant lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
 func (l *Allocator) grant(now time.Duration, item RequestItem) Grant {
 	if item.Advertised != nil {
-		return l.lendNamed(now, item)
+		return l.grantAdvertised(now, item)
 	}
 	a := l.buckets[item.Name]
 	if a == nil {
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -47,9 +47,9 @@
 	requestedAt time.Duration
 }
 
-// lendNamed lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
+// grantAdvertised lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Allocator) lendNamed(now time.Duration, ask RequestItem) Grant {
+func (l *Allocator) grantAdvertised(now time.Duration, ask RequestItem) Grant {
 	a := l.advertised[ask.Name]
 	if a == nil {
 		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
