--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -49,26 +49,26 @@
 
 // grantAdvertised lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Allocator) grantAdvertised(now time.Duration, ask RequestItem) Grant {
-	a := l.advertised[ask.Name]
+func (l *Allocator) grantAdvertised(now time.Duration, item RequestItem) Grant {
+	a := l.advertised[item.Name]
 	if a == nil {
-		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: ask.Advertised.limit()}}
-		a.latest, a.latestAt = a.limit, now-ask.Advertised.Age
-		l.advertised[ask.Name] = a
+		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: item.Advertised.limit()}}
+		a.latest, a.latestAt = a.limit, now-item.Advertised.Age
+		l.advertised[item.Name] = a
 	}
 	a.refill(now, l.withheld)
-	a.hear(now, *ask.Advertised)
+	a.hear(now, *item.Advertised)
 	a.requestedAt = now
-	if ask.Amount > a.level {
-		a.refused += ask.Amount
-		wait := time.Duration((ask.Amount - a.level) / a.limit.Rate * float64(time.Second))
-		return Grant{Name: ask.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
+	if item.Amount > a.level {
+		a.refused += item.Amount
+		wait := time.Duration((item.Amount - a.level) / a.limit.Rate * float64(time.Second))
+		return Grant{Name: item.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
-	ahead := math.Floor(max(0, min(ask.Prefetch, a.level-ask.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
-	amount := ask.Amount + ahead
+	ahead := math.Floor(max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
+	amount := item.Amount + ahead
 	a.level -= amount
 	a.granted += amount
-	return Grant{Name: ask.Name, Amount: amount, Enforced: true}
+	return Grant{Name: item.Name, Amount: amount, Enforced: true}
 }
 
 // hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
