--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -64,8 +64,8 @@
 		wait := time.Duration((item.Amount - a.level) / a.limit.Rate * float64(time.Second))
 		return Grant{Name: item.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
-	ahead := math.Floor(max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
-	amount := item.Amount + ahead
+	prefetch := math.Floor(max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
+	amount := item.Amount + prefetch
 	a.level -= amount
 	a.granted += amount
 	return Grant{Name: item.Name, Amount: amount, Enforced: true}
