--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -57,7 +57,7 @@
 		l.advertised[item.Name] = a
 	}
 	a.refill(now, l.withheld)
-	a.hear(now, *item.Advertised)
+	a.observe(now, *item.Advertised)
 	a.requestedAt = now
 	if item.Amount > a.level {
 		a.refused += item.Amount
@@ -71,9 +71,9 @@
 	return Grant{Name: item.Name, Amount: amount, Enforced: true}
 }
 
-// hear takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
+// observe takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
-func (a *advertisedBucket) hear(now time.Duration, told AdvertisedLimit) {
+func (a *advertisedBucket) observe(now time.Duration, told AdvertisedLimit) {
 	heard, limit := now-told.Age, told.limit()
 	if heard >= a.latestAt {
 		a.latest, a.latestAt = limit, heard
