--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -74,12 +74,12 @@
 // observe takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
 func (a *advertisedBucket) observe(now time.Duration, advertised AdvertisedLimit) {
-	heard, limit := now-advertised.Age, advertised.limit()
-	if heard >= a.latestAt {
-		a.latest, a.latestAt = limit, heard
+	observedAt, limit := now-advertised.Age, advertised.limit()
+	if observedAt >= a.latestAt {
+		a.latest, a.latestAt = limit, observedAt
 	}
 	switch {
-	case limit.Rate < a.limit.Rate && now-heard < advertisedWindow:
+	case limit.Rate < a.limit.Rate && now-observedAt < advertisedWindow:
 		a.use(limit)
 		a.raiseAt = 0
 		if limit.Rate < a.latest.Rate {
