--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -80,24 +80,24 @@
 	}
 	switch {
 	case limit.Rate < a.limit.Rate && now-observedAt < advertisedWindow:
-		a.use(limit)
+		a.setLimit(limit)
 		a.raiseAt = 0
 		if limit.Rate < a.latest.Rate {
 			a.raiseAt = now + advertisedWindow
 		}
 	case a.latest.Rate <= a.limit.Rate:
-		a.use(a.latest)
+		a.setLimit(a.latest)
 		a.raiseAt = 0
 	case a.raiseAt == 0:
 		a.raiseAt = now + advertisedWindow
 	case now >= a.raiseAt:
-		a.use(a.latest)
+		a.setLimit(a.latest)
 		a.raiseAt = 0
 	}
 }
 
-// use puts a limit in force.
-func (a *advertisedBucket) use(limit Limit) {
+// setLimit puts a limit in force.
+func (a *advertisedBucket) setLimit(limit Limit) {
 	a.limit = limit
 	a.level = min(a.level, limit.capacity())
 }
