--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -120,15 +120,15 @@
 	return states
 }
 
-// heardLimit is what a borrower knows of a resource that names its limit.
-type heardLimit struct {
+// knownLimit is what a borrower knows of a resource that names its limit.
+type knownLimit struct {
 	limit Limit
 	at    time.Duration // when it was last asked for
 }
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
 func (b *Client) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
-	b.named[name] = heardLimit{named.limit(), now}
+	b.named[name] = knownLimit{named.limit(), now}
 	if now < b.namedSwept+advertisedTTL {
 		return
 	}
