--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -122,8 +122,8 @@
 
 // knownLimit is what a borrower knows of a resource that names its limit.
 type knownLimit struct {
-	limit Limit
-	at    time.Duration // when it was last asked for
+	limit  Limit
+	usedAt time.Duration // when it was last asked for
 }
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
@@ -134,7 +134,7 @@
 	}
 	b.namedSwept = now
 	for other, known := range b.named {
-		if now-known.at > advertisedTTL {
+		if now-known.usedAt > advertisedTTL {
 			delete(b.named, other)
 			delete(b.pockets, other)
 		}
