--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -127,8 +127,8 @@
 }
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
-func (b *Client) SetAdvertisedLimit(now time.Duration, name string, named AdvertisedLimit) {
-	b.named[name] = knownLimit{named.limit(), now}
+func (b *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
+	b.named[name] = knownLimit{advertised.limit(), now}
 	if now < b.namedSwept+advertisedTTL {
 		return
 	}
