--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// demandMemory is how fast measured demand is forgotten.
-	demandMemory = time.Second
+	// demandTimeConstant is how fast measured demand is forgotten.
+	demandTimeConstant = time.Second
 	// demandShare of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
 	// is needed now or more: else it would mostly end unused.
 	demandShare = 0.5
@@ -131,7 +131,7 @@
 
 // note counts a demand.
 func (p *pocket) note(now time.Duration, amount float64) {
-	p.demand = p.demand*math.Exp(-float64(now-p.takenAt)/float64(demandMemory)) + amount/demandMemory.Seconds()
+	p.demand = p.demand*math.Exp(-float64(now-p.takenAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
 	p.takenAt = now
 }
 
