--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -9,10 +9,10 @@
 const (
 	// demandTimeConstant is how fast measured demand is forgotten.
 	demandTimeConstant = time.Second
-	// demandShare of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
+	// prefetchFraction of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
 	// is needed now or more: else it would mostly end unused.
-	demandShare = 0.5
-	aheadLeast  = 2.0
+	prefetchFraction = 0.5
+	aheadLeast       = 2.0
 	// backAfter is how long before its end an amount that lies idle is given back with the next question.
 	backAfter = LeaseTTL / 2
 )
@@ -184,7 +184,7 @@
 	if needed < aheadLeast*amount {
 		return 0
 	}
-	return amount * math.Floor(demandShare*needed/amount)
+	return amount * math.Floor(prefetchFraction*needed/amount)
 }
 
 // idle takes out what ends soon and nobody has taken.
