--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -12,7 +12,7 @@
 	// prefetchFraction of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
 	// is needed now or more: else it would mostly end unused.
 	prefetchFraction = 0.5
-	aheadLeast       = 2.0
+	minPrefetchRatio = 2.0
 	// backAfter is how long before its end an amount that lies idle is given back with the next question.
 	backAfter = LeaseTTL / 2
 )
@@ -181,7 +181,7 @@
 // ahead returns how much more than an amount is worth asking for: so many more of the kind.
 func (p *pocket) ahead(amount float64) float64 {
 	needed := p.demand * LeaseTTL.Seconds()
-	if needed < aheadLeast*amount {
+	if needed < minPrefetchRatio*amount {
 		return 0
 	}
 	return amount * math.Floor(prefetchFraction*needed/amount)
