--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -13,8 +13,8 @@
 	// is needed now or more: else it would mostly end unused.
 	prefetchFraction = 0.5
 	minPrefetchRatio = 2.0
-	// backAfter is how long before its end an amount that lies idle is given back with the next question.
-	backAfter = LeaseTTL / 2
+	// returnMargin is how long before its end an amount that lies idle is given back with the next question.
+	returnMargin = LeaseTTL / 2
 )
 
 // Lease is an amount that may be used once, before its time.
@@ -192,7 +192,7 @@
 	p.expire(now)
 	amount := 0.0
 	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
-		ends := piece.ExpiresAt < now+backAfter
+		ends := piece.ExpiresAt < now+returnMargin
 		if ends {
 			amount += piece.Amount
 		}
