--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -22,7 +22,7 @@
 	Name      string
 	Amount    float64
 	ExpiresAt time.Duration // by the borrower's clock
-	own       bool          // from the own part, not lent
+	fallback  bool          // from the own part, not lent
 }
 
 // Valid reports whether the amount may still be used.
@@ -141,7 +141,7 @@
 		return
 	}
 	p := b.pocket(h.Name)
-	if h.own {
+	if h.fallback {
 		p.used = max(0, p.used-h.Amount)
 		return
 	}
@@ -257,7 +257,7 @@
 		return Lease{}, false
 	}
 	p.used += amount
-	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, own: true}, true
+	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
