--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -30,15 +30,15 @@
 
 // Client keeps what one process was lent.
 type Client struct {
-	name     string
-	sequence uint64 // of the newest question
-	answered uint64 // newest question that was answered
-	term     uint64 // newest lender heard of
-	touched  time.Duration
-	parts    float64       // borrowers that share the equal parts, at least 1
-	trust    time.Duration // how long a borrower out of touch may use its part
-	limits   map[string]Limit
-	pockets  map[string]*pocket
+	name            string
+	sequence        uint64 // of the newest question
+	repliedSequence uint64 // newest question that was answered
+	term            uint64 // newest lender heard of
+	touched         time.Duration
+	parts           float64       // borrowers that share the equal parts, at least 1
+	trust           time.Duration // how long a borrower out of touch may use its part
+	limits          map[string]Limit
+	pockets         map[string]*pocket
 
 	named      map[string]knownLimit // of resources that name their limits
 	namedSwept time.Duration         // when those were last looked through that nobody asks for
@@ -213,10 +213,10 @@
 // answer that comes twice, or from a lender before the newest one, gives nothing.
 func (b *Client) ApplyReply(now, asked time.Duration, wants []Demand, answer Reply) []Result {
 	results := make([]Result, len(wants))
-	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
+	if answer.Term < b.term || answer.Sequence != b.sequence || b.repliedSequence == b.sequence || len(answer.Grants) != len(wants) {
 		return results
 	}
-	b.term, b.answered = answer.Term, answer.Sequence
+	b.term, b.repliedSequence = answer.Term, answer.Sequence
 	b.touched = max(b.touched, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
