--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -34,7 +34,7 @@
 	sequence        uint64 // of the newest question
 	repliedSequence uint64 // newest question that was answered
 	term            uint64 // newest lender heard of
-	touched         time.Duration
+	lastContact     time.Duration
 	parts           float64       // borrowers that share the equal parts, at least 1
 	trust           time.Duration // how long a borrower out of touch may use its part
 	limits          map[string]Limit
@@ -74,7 +74,7 @@
 // RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
 func (b *Client) RecordContact(asked time.Duration, borrowers int) {
-	b.touched = max(b.touched, asked)
+	b.lastContact = max(b.lastContact, asked)
 	b.parts = max(1, float64(borrowers))
 }
 
@@ -217,7 +217,7 @@
 		return results
 	}
 	b.term, b.repliedSequence = answer.Term, answer.Sequence
-	b.touched = max(b.touched, asked)
+	b.lastContact = max(b.lastContact, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
@@ -236,7 +236,7 @@
 // TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
 func (b *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.takePart(now, name, amount, now-b.touched)
+	return b.takePart(now, name, amount, now-b.lastContact)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
@@ -247,7 +247,7 @@
 // takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
 func (b *Client) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
-	if !limited || now-b.touched > b.trust || b.touched == 0 {
+	if !limited || now-b.lastContact > b.trust || b.lastContact == 0 {
 		return Lease{}, false
 	}
 	p := b.pocket(name)
