--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -35,7 +35,7 @@
 	repliedSequence uint64 // newest question that was answered
 	term            uint64 // newest lender heard of
 	lastContact     time.Duration
-	parts           float64       // borrowers that share the equal parts, at least 1
+	clients         float64       // borrowers that share the equal parts, at least 1
 	trust           time.Duration // how long a borrower out of touch may use its part
 	limits          map[string]Limit
 	pockets         map[string]*pocket
@@ -55,7 +55,7 @@
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
 func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]knownLimit{}}
+	return &Client{name: name, trust: trust, clients: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
@@ -75,7 +75,7 @@
 // shared.
 func (b *Client) RecordContact(asked time.Duration, borrowers int) {
 	b.lastContact = max(b.lastContact, asked)
-	b.parts = max(1, float64(borrowers))
+	b.clients = max(1, float64(borrowers))
 }
 
 func (b *Client) pocket(name string) *pocket {
@@ -251,8 +251,8 @@
 		return Lease{}, false
 	}
 	p := b.pocket(name)
-	p.makeGood(now, limit.reserve()/b.parts)
-	part := limit.reserve()/b.parts + limit.Rate/b.parts*silence.Seconds()
+	p.makeGood(now, limit.reserve()/b.clients)
+	part := limit.reserve()/b.clients + limit.Rate/b.clients*silence.Seconds()
 	if p.used+amount > part {
 		return Lease{}, false
 	}
