--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -36,7 +36,7 @@
 	term            uint64 // newest lender heard of
 	lastContact     time.Duration
 	clients         float64       // borrowers that share the equal parts, at least 1
-	trust           time.Duration // how long a borrower out of touch may use its part
+	fallbackPeriod  time.Duration // how long a borrower out of touch may use its part
 	limits          map[string]Limit
 	pockets         map[string]*pocket
 
@@ -55,7 +55,7 @@
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
 func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, trust: trust, clients: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]knownLimit{}}
+	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
@@ -247,7 +247,7 @@
 // takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
 func (b *Client) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
-	if !limited || now-b.lastContact > b.trust || b.lastContact == 0 {
+	if !limited || now-b.lastContact > b.fallbackPeriod || b.lastContact == 0 {
 		return Lease{}, false
 	}
 	p := b.pocket(name)
