--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -38,7 +38,7 @@
 	clients         float64       // borrowers that share the equal parts, at least 1
 	fallbackPeriod  time.Duration // how long a borrower out of touch may use its part
 	limits          map[string]Limit
-	pockets         map[string]*pocket
+	balances        map[string]*pocket
 
 	named      map[string]knownLimit // of resources that name their limits
 	namedSwept time.Duration         // when those were last looked through that nobody asks for
@@ -55,15 +55,15 @@
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
 func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]knownLimit{}}
+	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*pocket{}, named: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
 func (b *Client) SetLimits(limits map[string]Limit) {
 	b.limits = limits
-	for name := range b.pockets {
+	for name := range b.balances {
 		if !b.IsLimited(name) {
-			delete(b.pockets, name)
+			delete(b.balances, name)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 }
 
 func (b *Client) pocket(name string) *pocket {
-	p := b.pockets[name]
+	p := b.balances[name]
 	if p == nil {
 		p = &pocket{}
-		b.pockets[name] = p
+		b.balances[name] = p
 	}
 	return p
 }
@@ -170,7 +170,7 @@
 		p := b.pocket(want.Name)
 		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
 	}
-	for name, p := range b.pockets {
+	for name, p := range b.balances {
 		if idle := p.idle(now); idle > 0 {
 			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
 		}
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -136,7 +136,7 @@
 	for other, known := range b.named {
 		if now-known.usedAt > advertisedTTL {
 			delete(b.named, other)
-			delete(b.pockets, other)
+			delete(b.balances, other)
 		}
 	}
 }
