--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -40,8 +40,8 @@
 	limits          map[string]Limit
 	balances        map[string]*pocket
 
-	named      map[string]knownLimit // of resources that name their limits
-	namedSwept time.Duration         // when those were last looked through that nobody asks for
+	named             map[string]knownLimit // of resources that name their limits
+	advertisedSweptAt time.Duration         // when those were last looked through that nobody asks for
 }
 
 // pocket is what is held of one resource.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -129,10 +129,10 @@
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
 func (b *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
 	b.named[name] = knownLimit{advertised.limit(), now}
-	if now < b.namedSwept+advertisedTTL {
+	if now < b.advertisedSweptAt+advertisedTTL {
 		return
 	}
-	b.namedSwept = now
+	b.advertisedSweptAt = now
 	for other, known := range b.named {
 		if now-known.usedAt > advertisedTTL {
 			delete(b.named, other)
