--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -40,7 +40,7 @@
 	limits          map[string]Limit
 	balances        map[string]*pocket
 
-	named             map[string]knownLimit // of resources that name their limits
+	advertised        map[string]knownLimit // of resources that name their limits
 	advertisedSweptAt time.Duration         // when those were last looked through that nobody asks for
 }
 
@@ -55,7 +55,7 @@
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
 func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*pocket{}, named: map[string]knownLimit{}}
+	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*pocket{}, advertised: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -128,14 +128,14 @@
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
 func (b *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
-	b.named[name] = knownLimit{advertised.limit(), now}
+	b.advertised[name] = knownLimit{advertised.limit(), now}
 	if now < b.advertisedSweptAt+advertisedTTL {
 		return
 	}
 	b.advertisedSweptAt = now
-	for other, known := range b.named {
+	for other, known := range b.advertised {
 		if now-known.usedAt > advertisedTTL {
-			delete(b.named, other)
+			delete(b.advertised, other)
 			delete(b.balances, other)
 		}
 	}
@@ -146,6 +146,6 @@
 	if limit, limited = b.limits[name]; limited {
 		return limit, true
 	}
-	known, limited := b.named[name]
+	known, limited := b.advertised[name]
 	return known.limit, limited
 }
