--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -38,14 +38,14 @@
 	clients         float64       // borrowers that share the equal parts, at least 1
 	fallbackPeriod  time.Duration // how long a borrower out of touch may use its part
 	limits          map[string]Limit
-	balances        map[string]*pocket
+	balances        map[string]*balance
 
 	advertised        map[string]knownLimit // of resources that name their limits
 	advertisedSweptAt time.Duration         // when those were last looked through that nobody asks for
 }
 
-// pocket is what is held of one resource.
-type pocket struct {
+// balance is what is held of one resource.
+type balance struct {
 	pieces  []Lease       // lent and not used, rising by time
 	used    float64       // of the reserve and the own part, not made good yet
 	usedAt  time.Duration // when used was right
@@ -55,7 +55,7 @@
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
 func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*pocket{}, advertised: map[string]knownLimit{}}
+	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
@@ -78,10 +78,10 @@
 	b.clients = max(1, float64(borrowers))
 }
 
-func (b *Client) pocket(name string) *pocket {
+func (b *Client) pocket(name string) *balance {
 	p := b.balances[name]
 	if p == nil {
-		p = &pocket{}
+		p = &balance{}
 		b.balances[name] = p
 	}
 	return p
@@ -99,7 +99,7 @@
 	return b.pocket(name).take(now, name, amount)
 }
 
-func (p *pocket) take(now time.Duration, name string, amount float64) (Lease, bool) {
+func (p *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p.expire(now)
 	held := 0.0
 	for _, piece := range p.pieces {
@@ -125,12 +125,12 @@
 }
 
 // expire drops what may be used no more.
-func (p *pocket) expire(now time.Duration) {
+func (p *balance) expire(now time.Duration) {
 	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
 // note counts a demand.
-func (p *pocket) note(now time.Duration, amount float64) {
+func (p *balance) note(now time.Duration, amount float64) {
 	p.demand = p.demand*math.Exp(-float64(now-p.takenAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
 	p.takenAt = now
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-func (p *pocket) add(piece Lease) {
+func (p *balance) add(piece Lease) {
 	at, _ := slices.BinarySearchFunc(p.pieces, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
 	p.pieces = slices.Insert(p.pieces, at, piece)
 }
@@ -179,7 +179,7 @@
 }
 
 // ahead returns how much more than an amount is worth asking for: so many more of the kind.
-func (p *pocket) ahead(amount float64) float64 {
+func (p *balance) ahead(amount float64) float64 {
 	needed := p.demand * LeaseTTL.Seconds()
 	if needed < minPrefetchRatio*amount {
 		return 0
@@ -188,7 +188,7 @@
 }
 
 // idle takes out what ends soon and nobody has taken.
-func (p *pocket) idle(now time.Duration) float64 {
+func (p *balance) idle(now time.Duration) float64 {
 	p.expire(now)
 	amount := 0.0
 	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
@@ -264,7 +264,7 @@
 const ownMemory = 10 * time.Second
 
 // makeGood lets what was used of the own part be forgotten, a whole reserve in ownMemory.
-func (p *pocket) makeGood(now time.Duration, reserve float64) {
+func (p *balance) makeGood(now time.Duration, reserve float64) {
 	passed := now - p.usedAt
 	p.usedAt = now
 	p.used = max(0, p.used-reserve*float64(passed)/float64(ownMemory))
