--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -46,7 +46,7 @@
 
 // balance is what is held of one resource.
 type balance struct {
-	pieces  []Lease       // lent and not used, rising by time
+	leases  []Lease       // lent and not used, rising by time
 	used    float64       // of the reserve and the own part, not made good yet
 	usedAt  time.Duration // when used was right
 	demand  float64       // units a second, of the last moments
@@ -102,15 +102,15 @@
 func (p *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p.expire(now)
 	held := 0.0
-	for _, piece := range p.pieces {
+	for _, piece := range p.leases {
 		held += piece.Amount
 	}
 	if held < amount {
 		return Lease{}, false
 	}
 	taken := Lease{Name: name, Amount: amount}
-	for left := amount; left > 0 && len(p.pieces) > 0; { // rounding may leave a trace of what the pieces add up to
-		piece := &p.pieces[0]
+	for left := amount; left > 0 && len(p.leases) > 0; { // rounding may leave a trace of what the pieces add up to
+		piece := &p.leases[0]
 		if taken.ExpiresAt == 0 {
 			taken.ExpiresAt = piece.ExpiresAt // the first piece ends first
 		}
@@ -118,7 +118,7 @@
 		left -= part
 		piece.Amount -= part
 		if piece.Amount <= 0 {
-			p.pieces = slices.Delete(p.pieces, 0, 1)
+			p.leases = slices.Delete(p.leases, 0, 1)
 		}
 	}
 	return taken, true
@@ -126,7 +126,7 @@
 
 // expire drops what may be used no more.
 func (p *balance) expire(now time.Duration) {
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool { return !piece.Valid(now) })
+	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
 // note counts a demand.
@@ -151,8 +151,8 @@
 }
 
 func (p *balance) add(piece Lease) {
-	at, _ := slices.BinarySearchFunc(p.pieces, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
-	p.pieces = slices.Insert(p.pieces, at, piece)
+	at, _ := slices.BinarySearchFunc(p.leases, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
+	p.leases = slices.Insert(p.leases, at, piece)
 }
 
 // Demand is an amount that is waited for.
@@ -191,7 +191,7 @@
 func (p *balance) idle(now time.Duration) float64 {
 	p.expire(now)
 	amount := 0.0
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Lease) bool {
+	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool {
 		ends := piece.ExpiresAt < now+returnMargin
 		if ends {
 			amount += piece.Amount
