--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -46,11 +46,11 @@
 
 // balance is what is held of one resource.
 type balance struct {
-	leases  []Lease       // lent and not used, rising by time
-	used    float64       // of the reserve and the own part, not made good yet
-	usedAt  time.Duration // when used was right
-	demand  float64       // units a second, of the last moments
-	takenAt time.Duration // when some was last taken
+	leases         []Lease       // lent and not used, rising by time
+	used           float64       // of the reserve and the own part, not made good yet
+	fallbackUsedAt time.Duration // when used was right
+	demand         float64       // units a second, of the last moments
+	takenAt        time.Duration // when some was last taken
 }
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
@@ -265,7 +265,7 @@
 
 // makeGood lets what was used of the own part be forgotten, a whole reserve in ownMemory.
 func (p *balance) makeGood(now time.Duration, reserve float64) {
-	passed := now - p.usedAt
-	p.usedAt = now
+	passed := now - p.fallbackUsedAt
+	p.fallbackUsedAt = now
 	p.used = max(0, p.used-reserve*float64(passed)/float64(ownMemory))
 }
