--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -47,7 +47,7 @@
 // balance is what is held of one resource.
 type balance struct {
 	leases         []Lease       // lent and not used, rising by time
-	used           float64       // of the reserve and the own part, not made good yet
+	fallbackUsed   float64       // of the reserve and the own part, not made good yet
 	fallbackUsedAt time.Duration // when used was right
 	demand         float64       // units a second, of the last moments
 	takenAt        time.Duration // when some was last taken
@@ -142,7 +142,7 @@
 	}
 	p := b.pocket(h.Name)
 	if h.fallback {
-		p.used = max(0, p.used-h.Amount)
+		p.fallbackUsed = max(0, p.fallbackUsed-h.Amount)
 		return
 	}
 	if h.Valid(now) {
@@ -253,10 +253,10 @@
 	p := b.pocket(name)
 	p.makeGood(now, limit.reserve()/b.clients)
 	part := limit.reserve()/b.clients + limit.Rate/b.clients*silence.Seconds()
-	if p.used+amount > part {
+	if p.fallbackUsed+amount > part {
 		return Lease{}, false
 	}
-	p.used += amount
+	p.fallbackUsed += amount
 	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
@@ -267,5 +267,5 @@
 func (p *balance) makeGood(now time.Duration, reserve float64) {
 	passed := now - p.fallbackUsedAt
 	p.fallbackUsedAt = now
-	p.used = max(0, p.used-reserve*float64(passed)/float64(ownMemory))
+	p.fallbackUsed = max(0, p.fallbackUsed-reserve*float64(passed)/float64(ownMemory))
 }
