--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -49,7 +49,7 @@
 	leases         []Lease       // lent and not used, rising by time
 	fallbackUsed   float64       // of the reserve and the own part, not made good yet
 	fallbackUsedAt time.Duration // when used was right
-	demand         float64       // units a second, of the last moments
+	demandRate     float64       // units a second, of the last moments
 	takenAt        time.Duration // when some was last taken
 }
 
@@ -131,7 +131,7 @@
 
 // note counts a demand.
 func (p *balance) note(now time.Duration, amount float64) {
-	p.demand = p.demand*math.Exp(-float64(now-p.takenAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
+	p.demandRate = p.demandRate*math.Exp(-float64(now-p.takenAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
 	p.takenAt = now
 }
 
@@ -180,7 +180,7 @@
 
 // ahead returns how much more than an amount is worth asking for: so many more of the kind.
 func (p *balance) ahead(amount float64) float64 {
-	needed := p.demand * LeaseTTL.Seconds()
+	needed := p.demandRate * LeaseTTL.Seconds()
 	if needed < minPrefetchRatio*amount {
 		return 0
 	}
