--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -50,7 +50,7 @@
 	fallbackUsed   float64       // of the reserve and the own part, not made good yet
 	fallbackUsedAt time.Duration // when used was right
 	demandRate     float64       // units a second, of the last moments
-	takenAt        time.Duration // when some was last taken
+	demandAt       time.Duration // when some was last taken
 }
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
@@ -131,8 +131,8 @@
 
 // note counts a demand.
 func (p *balance) note(now time.Duration, amount float64) {
-	p.demandRate = p.demandRate*math.Exp(-float64(now-p.takenAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
-	p.takenAt = now
+	p.demandRate = p.demandRate*math.Exp(-float64(now-p.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
+	p.demandAt = now
 }
 
 // Release gives back to the pocket what was taken and not used.
