--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -78,7 +78,7 @@
 	b.clients = max(1, float64(borrowers))
 }
 
-func (b *Client) pocket(name string) *balance {
+func (b *Client) balance(name string) *balance {
 	p := b.balances[name]
 	if p == nil {
 		p = &balance{}
@@ -89,14 +89,14 @@
 
 // Take takes an amount from what was lent.
 func (b *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
-	p := b.pocket(name)
+	p := b.balance(name)
 	p.note(now, amount)
 	return p.take(now, name, amount)
 }
 
 // RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
 func (b *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.pocket(name).take(now, name, amount)
+	return b.balance(name).take(now, name, amount)
 }
 
 func (p *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
@@ -140,7 +140,7 @@
 	if !b.IsLimited(h.Name) || h.Amount <= 0 {
 		return
 	}
-	p := b.pocket(h.Name)
+	p := b.balance(h.Name)
 	if h.fallback {
 		p.fallbackUsed = max(0, p.fallbackUsed-h.Amount)
 		return
@@ -167,7 +167,7 @@
 	b.sequence++
 	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
-		p := b.pocket(want.Name)
+		p := b.balance(want.Name)
 		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range b.balances {
@@ -226,7 +226,7 @@
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
 			continue
 		}
-		p := b.pocket(want.Name)
+		p := b.balance(want.Name)
 		p.add(piece)
 		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
 	}
@@ -250,7 +250,7 @@
 	if !limited || now-b.lastContact > b.fallbackPeriod || b.lastContact == 0 {
 		return Lease{}, false
 	}
-	p := b.pocket(name)
+	p := b.balance(name)
 	p.makeGood(now, limit.reserve()/b.clients)
 	part := limit.reserve()/b.clients + limit.Rate/b.clients*silence.Seconds()
 	if p.fallbackUsed+amount > part {
