--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -90,7 +90,7 @@
 // Take takes an amount from what was lent.
 func (b *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
 	p := b.balance(name)
-	p.note(now, amount)
+	p.observeDemand(now, amount)
 	return p.take(now, name, amount)
 }
 
@@ -129,8 +129,8 @@
 	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
-// note counts a demand.
-func (p *balance) note(now time.Duration, amount float64) {
+// observeDemand counts a demand.
+func (p *balance) observeDemand(now time.Duration, amount float64) {
 	p.demandRate = p.demandRate*math.Exp(-float64(now-p.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
 	p.demandAt = now
 }
