--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -168,7 +168,7 @@
 	asked := Request{Client: b.name, Sequence: b.sequence}
 	for _, want := range wants {
 		p := b.balance(want.Name)
-		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.ahead(want.Amount), Advertised: want.Advertised})
+		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range b.balances {
 		if idle := p.idle(now); idle > 0 {
@@ -178,8 +178,8 @@
 	return asked
 }
 
-// ahead returns how much more than an amount is worth asking for: so many more of the kind.
-func (p *balance) ahead(amount float64) float64 {
+// prefetch returns how much more than an amount is worth asking for: so many more of the kind.
+func (p *balance) prefetch(amount float64) float64 {
 	needed := p.demandRate * LeaseTTL.Seconds()
 	if needed < minPrefetchRatio*amount {
 		return 0
