--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -171,7 +171,7 @@
 		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range b.balances {
-		if idle := p.idle(now); idle > 0 {
+		if idle := p.takeExpiring(now); idle > 0 {
 			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
 		}
 	}
@@ -187,8 +187,8 @@
 	return amount * math.Floor(prefetchFraction*needed/amount)
 }
 
-// idle takes out what ends soon and nobody has taken.
-func (p *balance) idle(now time.Duration) float64 {
+// takeExpiring takes out what ends soon and nobody has taken.
+func (p *balance) takeExpiring(now time.Duration) float64 {
 	p.expire(now)
 	amount := 0.0
 	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool {
