--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -236,16 +236,16 @@
 // TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
 func (b *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.takePart(now, name, amount, now-b.lastContact)
+	return b.takeShare(now, name, amount, now-b.lastContact)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
 func (b *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.takePart(now, name, amount, 0)
+	return b.takeShare(now, name, amount, 0)
 }
 
-// takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Client) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
+// takeShare takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
+func (b *Client) takeShare(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := b.limit(name)
 	if !limited || now-b.lastContact > b.fallbackPeriod || b.lastContact == 0 {
 		return Lease{}, false
