--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -251,7 +251,7 @@
 		return Lease{}, false
 	}
 	p := b.balance(name)
-	p.makeGood(now, limit.reserve()/b.clients)
+	p.decayFallbackUse(now, limit.reserve()/b.clients)
 	part := limit.reserve()/b.clients + limit.Rate/b.clients*silence.Seconds()
 	if p.fallbackUsed+amount > part {
 		return Lease{}, false
@@ -263,8 +263,8 @@
 // ownMemory is how long use of the own part counts: the longest window that limits are judged in.
 const ownMemory = 10 * time.Second
 
-// makeGood lets what was used of the own part be forgotten, a whole reserve in ownMemory.
-func (p *balance) makeGood(now time.Duration, reserve float64) {
+// decayFallbackUse lets what was used of the own part be forgotten, a whole reserve in ownMemory.
+func (p *balance) decayFallbackUse(now time.Duration, reserve float64) {
 	passed := now - p.fallbackUsedAt
 	p.fallbackUsedAt = now
 	p.fallbackUsed = max(0, p.fallbackUsed-reserve*float64(passed)/float64(ownMemory))
