--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -260,12 +260,12 @@
 	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
-// ownMemory is how long use of the own part counts: the longest window that limits are judged in.
-const ownMemory = 10 * time.Second
+// fallbackRecoveryPeriod is how long use of the own part counts: the longest window that limits are judged in.
+const fallbackRecoveryPeriod = 10 * time.Second
 
 // decayFallbackUse lets what was used of the own part be forgotten, a whole reserve in ownMemory.
 func (p *balance) decayFallbackUse(now time.Duration, reserve float64) {
 	passed := now - p.fallbackUsedAt
 	p.fallbackUsedAt = now
-	p.fallbackUsed = max(0, p.fallbackUsed-reserve*float64(passed)/float64(ownMemory))
+	p.fallbackUsed = max(0, p.fallbackUsed-reserve*float64(passed)/float64(fallbackRecoveryPeriod))
 }
