--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -54,8 +54,8 @@
 }
 
 // NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
-func NewClient(name string, trust time.Duration) *Client {
-	return &Client{name: name, fallbackPeriod: trust, clients: 1, limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{}}
+func NewClient(name string, fallbackPeriod time.Duration) *Client {
+	return &Client{name: name, fallbackPeriod: fallbackPeriod, clients: 1, limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{}}
 }
 
 // SetLimits replaces the limits.
