--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -59,44 +59,44 @@
 }
 
 // SetLimits replaces the limits.
-func (b *Client) SetLimits(limits map[string]Limit) {
-	b.limits = limits
-	for name := range b.balances {
-		if !b.IsLimited(name) {
-			delete(b.balances, name)
+func (c *Client) SetLimits(limits map[string]Limit) {
+	c.limits = limits
+	for name := range c.balances {
+		if !c.IsLimited(name) {
+			delete(c.balances, name)
 		}
 	}
 }
 
 // IsLimited reports whether a resource is limited.
-func (b *Client) IsLimited(name string) bool { _, limited := b.limit(name); return limited }
+func (c *Client) IsLimited(name string) bool { _, limited := c.limit(name); return limited }
 
 // RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
-func (b *Client) RecordContact(asked time.Duration, borrowers int) {
-	b.lastContact = max(b.lastContact, asked)
-	b.clients = max(1, float64(borrowers))
+func (c *Client) RecordContact(asked time.Duration, borrowers int) {
+	c.lastContact = max(c.lastContact, asked)
+	c.clients = max(1, float64(borrowers))
 }
 
-func (b *Client) balance(name string) *balance {
-	p := b.balances[name]
+func (c *Client) balance(name string) *balance {
+	p := c.balances[name]
 	if p == nil {
 		p = &balance{}
-		b.balances[name] = p
+		c.balances[name] = p
 	}
 	return p
 }
 
 // Take takes an amount from what was lent.
-func (b *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
-	p := b.balance(name)
+func (c *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
+	p := c.balance(name)
 	p.observeDemand(now, amount)
 	return p.take(now, name, amount)
 }
 
 // RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.balance(name).take(now, name, amount)
+func (c *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.balance(name).take(now, name, amount)
 }
 
 func (p *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
@@ -136,11 +136,11 @@
 }
 
 // Release gives back to the pocket what was taken and not used.
-func (b *Client) Release(now time.Duration, h Lease) {
-	if !b.IsLimited(h.Name) || h.Amount <= 0 {
+func (c *Client) Release(now time.Duration, h Lease) {
+	if !c.IsLimited(h.Name) || h.Amount <= 0 {
 		return
 	}
-	p := b.balance(h.Name)
+	p := c.balance(h.Name)
 	if h.fallback {
 		p.fallbackUsed = max(0, p.fallbackUsed-h.Amount)
 		return
@@ -163,14 +163,14 @@
 }
 
 // NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Client) NewRequest(now time.Duration, wants []Demand) Request {
-	b.sequence++
-	asked := Request{Client: b.name, Sequence: b.sequence}
+func (c *Client) NewRequest(now time.Duration, wants []Demand) Request {
+	c.sequence++
+	asked := Request{Client: c.name, Sequence: c.sequence}
 	for _, want := range wants {
-		p := b.balance(want.Name)
+		p := c.balance(want.Name)
 		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
 	}
-	for name, p := range b.balances {
+	for name, p := range c.balances {
 		if idle := p.takeExpiring(now); idle > 0 {
 			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
 		}
@@ -211,13 +211,13 @@
 
 // ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Client) ApplyReply(now, asked time.Duration, wants []Demand, answer Reply) []Result {
+func (c *Client) ApplyReply(now, asked time.Duration, wants []Demand, answer Reply) []Result {
 	results := make([]Result, len(wants))
-	if answer.Term < b.term || answer.Sequence != b.sequence || b.repliedSequence == b.sequence || len(answer.Grants) != len(wants) {
+	if answer.Term < c.term || answer.Sequence != c.sequence || c.repliedSequence == c.sequence || len(answer.Grants) != len(wants) {
 		return results
 	}
-	b.term, b.repliedSequence = answer.Term, answer.Sequence
-	b.lastContact = max(b.lastContact, asked)
+	c.term, c.repliedSequence = answer.Term, answer.Sequence
+	c.lastContact = max(c.lastContact, asked)
 	for i, want := range wants {
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
@@ -226,7 +226,7 @@
 		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
 			continue
 		}
-		p := b.balance(want.Name)
+		p := c.balance(want.Name)
 		p.add(piece)
 		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
 	}
@@ -235,24 +235,24 @@
 
 // TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
 // rate since it was last in touch.
-func (b *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.takeShare(now, name, amount, now-b.lastContact)
+func (c *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.takeShare(now, name, amount, now-c.lastContact)
 }
 
 // TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
-func (b *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
-	return b.takeShare(now, name, amount, 0)
+func (c *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.takeShare(now, name, amount, 0)
 }
 
 // takeShare takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Client) takeShare(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
-	limit, limited := b.limit(name)
-	if !limited || now-b.lastContact > b.fallbackPeriod || b.lastContact == 0 {
+func (c *Client) takeShare(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
+	limit, limited := c.limit(name)
+	if !limited || now-c.lastContact > c.fallbackPeriod || c.lastContact == 0 {
 		return Lease{}, false
 	}
-	p := b.balance(name)
-	p.decayFallbackUse(now, limit.reserve()/b.clients)
-	part := limit.reserve()/b.clients + limit.Rate/b.clients*silence.Seconds()
+	p := c.balance(name)
+	p.decayFallbackUse(now, limit.reserve()/c.clients)
+	part := limit.reserve()/c.clients + limit.Rate/c.clients*silence.Seconds()
 	if p.fallbackUsed+amount > part {
 		return Lease{}, false
 	}
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -127,25 +127,25 @@
 }
 
 // SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
-func (b *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
-	b.advertised[name] = knownLimit{advertised.limit(), now}
-	if now < b.advertisedSweptAt+advertisedTTL {
+func (c *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
+	c.advertised[name] = knownLimit{advertised.limit(), now}
+	if now < c.advertisedSweptAt+advertisedTTL {
 		return
 	}
-	b.advertisedSweptAt = now
-	for other, known := range b.advertised {
+	c.advertisedSweptAt = now
+	for other, known := range c.advertised {
 		if now-known.usedAt > advertisedTTL {
-			delete(b.advertised, other)
-			delete(b.balances, other)
+			delete(c.advertised, other)
+			delete(c.balances, other)
 		}
 	}
 }
 
 // limit returns the limit of a resource.
-func (b *Client) limit(name string) (limit Limit, limited bool) {
-	if limit, limited = b.limits[name]; limited {
+func (c *Client) limit(name string) (limit Limit, limited bool) {
+	if limit, limited = c.limits[name]; limited {
 		return limit, true
 	}
-	known, limited := b.advertised[name]
+	known, limited := c.advertised[name]
 	return known.limit, limited
 }
