--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -79,12 +79,12 @@
 }
 
 func (c *Client) balance(name string) *balance {
-	p := c.balances[name]
-	if p == nil {
-		p = &balance{}
-		c.balances[name] = p
+	b := c.balances[name]
+	if b == nil {
+		b = &balance{}
+		c.balances[name] = b
 	}
-	return p
+	return b
 }
 
 // Take takes an amount from what was lent.
