--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -89,9 +89,9 @@
 
 // Take takes an amount from what was lent.
 func (c *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
-	p := c.balance(name)
-	p.observeDemand(now, amount)
-	return p.take(now, name, amount)
+	b := c.balance(name)
+	b.observeDemand(now, amount)
+	return b.take(now, name, amount)
 }
 
 // RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
