--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -99,18 +99,18 @@
 	return c.balance(name).take(now, name, amount)
 }
 
-func (p *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
-	p.expire(now)
+func (b *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
+	b.expire(now)
 	held := 0.0
-	for _, piece := range p.leases {
+	for _, piece := range b.leases {
 		held += piece.Amount
 	}
 	if held < amount {
 		return Lease{}, false
 	}
 	taken := Lease{Name: name, Amount: amount}
-	for left := amount; left > 0 && len(p.leases) > 0; { // rounding may leave a trace of what the pieces add up to
-		piece := &p.leases[0]
+	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a trace of what the pieces add up to
+		piece := &b.leases[0]
 		if taken.ExpiresAt == 0 {
 			taken.ExpiresAt = piece.ExpiresAt // the first piece ends first
 		}
@@ -118,21 +118,21 @@
 		left -= part
 		piece.Amount -= part
 		if piece.Amount <= 0 {
-			p.leases = slices.Delete(p.leases, 0, 1)
+			b.leases = slices.Delete(b.leases, 0, 1)
 		}
 	}
 	return taken, true
 }
 
 // expire drops what may be used no more.
-func (p *balance) expire(now time.Duration) {
-	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool { return !piece.Valid(now) })
+func (b *balance) expire(now time.Duration) {
+	b.leases = slices.DeleteFunc(b.leases, func(piece Lease) bool { return !piece.Valid(now) })
 }
 
 // observeDemand counts a demand.
-func (p *balance) observeDemand(now time.Duration, amount float64) {
-	p.demandRate = p.demandRate*math.Exp(-float64(now-p.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
-	p.demandAt = now
+func (b *balance) observeDemand(now time.Duration, amount float64) {
+	b.demandRate = b.demandRate*math.Exp(-float64(now-b.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
+	b.demandAt = now
 }
 
 // Release gives back to the pocket what was taken and not used.
@@ -150,9 +150,9 @@
 	}
 }
 
-func (p *balance) add(piece Lease) {
-	at, _ := slices.BinarySearchFunc(p.leases, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
-	p.leases = slices.Insert(p.leases, at, piece)
+func (b *balance) add(piece Lease) {
+	at, _ := slices.BinarySearchFunc(b.leases, piece.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
+	b.leases = slices.Insert(b.leases, at, piece)
 }
 
 // Demand is an amount that is waited for.
@@ -179,8 +179,8 @@
 }
 
 // prefetch returns how much more than an amount is worth asking for: so many more of the kind.
-func (p *balance) prefetch(amount float64) float64 {
-	needed := p.demandRate * LeaseTTL.Seconds()
+func (b *balance) prefetch(amount float64) float64 {
+	needed := b.demandRate * LeaseTTL.Seconds()
 	if needed < minPrefetchRatio*amount {
 		return 0
 	}
@@ -188,10 +188,10 @@
 }
 
 // takeExpiring takes out what ends soon and nobody has taken.
-func (p *balance) takeExpiring(now time.Duration) float64 {
-	p.expire(now)
+func (b *balance) takeExpiring(now time.Duration) float64 {
+	b.expire(now)
 	amount := 0.0
-	p.leases = slices.DeleteFunc(p.leases, func(piece Lease) bool {
+	b.leases = slices.DeleteFunc(b.leases, func(piece Lease) bool {
 		ends := piece.ExpiresAt < now+returnMargin
 		if ends {
 			amount += piece.Amount
@@ -264,8 +264,8 @@
 const fallbackRecoveryPeriod = 10 * time.Second
 
 // decayFallbackUse lets what was used of the own part be forgotten, a whole reserve in ownMemory.
-func (p *balance) decayFallbackUse(now time.Duration, reserve float64) {
-	passed := now - p.fallbackUsedAt
-	p.fallbackUsedAt = now
-	p.fallbackUsed = max(0, p.fallbackUsed-reserve*float64(passed)/float64(fallbackRecoveryPeriod))
+func (b *balance) decayFallbackUse(now time.Duration, reserve float64) {
+	passed := now - b.fallbackUsedAt
+	b.fallbackUsedAt = now
+	b.fallbackUsed = max(0, b.fallbackUsed-reserve*float64(passed)/float64(fallbackRecoveryPeriod))
 }
