--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -136,17 +136,17 @@
 }
 
 // Release gives back to the pocket what was taken and not used.
-func (c *Client) Release(now time.Duration, h Lease) {
-	if !c.IsLimited(h.Name) || h.Amount <= 0 {
+func (c *Client) Release(now time.Duration, lease Lease) {
+	if !c.IsLimited(lease.Name) || lease.Amount <= 0 {
 		return
 	}
-	p := c.balance(h.Name)
-	if h.fallback {
-		p.fallbackUsed = max(0, p.fallbackUsed-h.Amount)
+	p := c.balance(lease.Name)
+	if lease.fallback {
+		p.fallbackUsed = max(0, p.fallbackUsed-lease.Amount)
 		return
 	}
-	if h.Valid(now) {
-		p.add(h)
+	if lease.Valid(now) {
+		p.add(lease)
 	}
 }
 
