--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -26,7 +26,7 @@
 }
 
 // Valid reports whether the amount may still be used.
-func (h Lease) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.ExpiresAt }
+func (l Lease) Valid(now time.Duration) bool { return l.Amount > 0 && now <= l.ExpiresAt }
 
 // Client keeps what one process was lent.
 type Client struct {
