--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -102,8 +102,8 @@
 func (b *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
 	b.expire(now)
 	held := 0.0
-	for _, piece := range b.leases {
-		held += piece.Amount
+	for _, lease := range b.leases {
+		held += lease.Amount
 	}
 	if held < amount {
 		return Lease{}, false
