--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -110,14 +110,14 @@
 	}
 	taken := Lease{Name: name, Amount: amount}
 	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a trace of what the pieces add up to
-		piece := &b.leases[0]
+		lease := &b.leases[0]
 		if taken.ExpiresAt == 0 {
-			taken.ExpiresAt = piece.ExpiresAt // the first piece ends first
+			taken.ExpiresAt = lease.ExpiresAt // the first piece ends first
 		}
-		part := min(left, piece.Amount)
+		part := min(left, lease.Amount)
 		left -= part
-		piece.Amount -= part
-		if piece.Amount <= 0 {
+		lease.Amount -= part
+		if lease.Amount <= 0 {
 			b.leases = slices.Delete(b.leases, 0, 1)
 		}
 	}
