--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -126,7 +126,7 @@
 
 // expire drops what may be used no more.
 func (b *balance) expire(now time.Duration) {
-	b.leases = slices.DeleteFunc(b.leases, func(piece Lease) bool { return !piece.Valid(now) })
+	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool { return !lease.Valid(now) })
 }
 
 // observeDemand counts a demand.
