--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -191,10 +191,10 @@
 func (b *balance) takeExpiring(now time.Duration) float64 {
 	b.expire(now)
 	amount := 0.0
-	b.leases = slices.DeleteFunc(b.leases, func(piece Lease) bool {
-		ends := piece.ExpiresAt < now+returnMargin
+	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool {
+		ends := lease.ExpiresAt < now+returnMargin
 		if ends {
-			amount += piece.Amount
+			amount += lease.Amount
 		}
 		return ends
 	})
