--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -222,12 +222,12 @@
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
 		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
-		piece := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
-		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Unenforced {
+		lease := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: asked + LeaseTTL}
+		if granted.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
 			continue
 		}
 		p := c.balance(want.Name)
-		p.add(piece)
+		p.add(lease)
 		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
 	}
 	return results
