--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -108,11 +108,11 @@
 	if held < amount {
 		return Lease{}, false
 	}
-	taken := Lease{Name: name, Amount: amount}
+	result := Lease{Name: name, Amount: amount}
 	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a trace of what the pieces add up to
 		lease := &b.leases[0]
-		if taken.ExpiresAt == 0 {
-			taken.ExpiresAt = lease.ExpiresAt // the first piece ends first
+		if result.ExpiresAt == 0 {
+			result.ExpiresAt = lease.ExpiresAt // the first piece ends first
 		}
 		part := min(left, lease.Amount)
 		left -= part
@@ -121,7 +121,7 @@
 			b.leases = slices.Delete(b.leases, 0, 1)
 		}
 	}
-	return taken, true
+	return result, true
 }
 
 // expire drops what may be used no more.
