--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -73,9 +73,9 @@
 
 // RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
 // shared.
-func (c *Client) RecordContact(requestedAt time.Duration, borrowers int) {
+func (c *Client) RecordContact(requestedAt time.Duration, clients int) {
 	c.lastContact = max(c.lastContact, requestedAt)
-	c.clients = max(1, float64(borrowers))
+	c.clients = max(1, float64(clients))
 }
 
 func (c *Client) balance(name string) *balance {
