--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -163,10 +163,10 @@
 }
 
 // NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (c *Client) NewRequest(now time.Duration, wants []Demand) Request {
+func (c *Client) NewRequest(now time.Duration, demands []Demand) Request {
 	c.sequence++
 	asked := Request{Client: c.name, Sequence: c.sequence}
-	for _, want := range wants {
+	for _, want := range demands {
 		p := c.balance(want.Name)
 		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
 	}
