--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -165,17 +165,17 @@
 // NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
 func (c *Client) NewRequest(now time.Duration, demands []Demand) Request {
 	c.sequence++
-	asked := Request{Client: c.name, Sequence: c.sequence}
+	request := Request{Client: c.name, Sequence: c.sequence}
 	for _, want := range demands {
 		p := c.balance(want.Name)
-		asked.Items = append(asked.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
+		request.Items = append(request.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
 	}
 	for name, p := range c.balances {
 		if idle := p.takeExpiring(now); idle > 0 {
-			asked.Returned = append(asked.Returned, Grant{Name: name, Amount: idle})
+			request.Returned = append(request.Returned, Grant{Name: name, Amount: idle})
 		}
 	}
-	return asked
+	return request
 }
 
 // prefetch returns how much more than an amount is worth asking for: so many more of the kind.
