--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -166,9 +166,9 @@
 func (c *Client) NewRequest(now time.Duration, demands []Demand) Request {
 	c.sequence++
 	request := Request{Client: c.name, Sequence: c.sequence}
-	for _, want := range demands {
-		p := c.balance(want.Name)
-		request.Items = append(request.Items, RequestItem{Name: want.Name, Amount: want.Amount, Prefetch: p.prefetch(want.Amount), Advertised: want.Advertised})
+	for _, demand := range demands {
+		p := c.balance(demand.Name)
+		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: p.prefetch(demand.Amount), Advertised: demand.Advertised})
 	}
 	for name, p := range c.balances {
 		if idle := p.takeExpiring(now); idle > 0 {
