--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -171,8 +171,8 @@
 		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: p.prefetch(demand.Amount), Advertised: demand.Advertised})
 	}
 	for name, p := range c.balances {
-		if idle := p.takeExpiring(now); idle > 0 {
-			request.Returned = append(request.Returned, Grant{Name: name, Amount: idle})
+		if expiring := p.takeExpiring(now); expiring > 0 {
+			request.Returned = append(request.Returned, Grant{Name: name, Amount: expiring})
 		}
 	}
 	return request
