--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -192,11 +192,11 @@
 	b.expire(now)
 	amount := 0.0
 	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool {
-		ends := lease.ExpiresAt < now+returnMargin
-		if ends {
+		expiring := lease.ExpiresAt < now+returnMargin
+		if expiring {
 			amount += lease.Amount
 		}
-		return ends
+		return expiring
 	})
 	return amount
 }
