--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -211,14 +211,14 @@
 
 // ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (c *Client) ApplyReply(now, requestedAt time.Duration, wants []Demand, answer Reply) []Result {
-	results := make([]Result, len(wants))
-	if answer.Term < c.term || answer.Sequence != c.sequence || c.repliedSequence == c.sequence || len(answer.Grants) != len(wants) {
+func (c *Client) ApplyReply(now, requestedAt time.Duration, demands []Demand, answer Reply) []Result {
+	results := make([]Result, len(demands))
+	if answer.Term < c.term || answer.Sequence != c.sequence || c.repliedSequence == c.sequence || len(answer.Grants) != len(demands) {
 		return results
 	}
 	c.term, c.repliedSequence = answer.Term, answer.Sequence
 	c.lastContact = max(c.lastContact, requestedAt)
-	for i, want := range wants {
+	for i, want := range demands {
 		granted := answer.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
 		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
