--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -211,15 +211,15 @@
 
 // ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
 // answer that comes twice, or from a lender before the newest one, gives nothing.
-func (c *Client) ApplyReply(now, requestedAt time.Duration, demands []Demand, answer Reply) []Result {
+func (c *Client) ApplyReply(now, requestedAt time.Duration, demands []Demand, reply Reply) []Result {
 	results := make([]Result, len(demands))
-	if answer.Term < c.term || answer.Sequence != c.sequence || c.repliedSequence == c.sequence || len(answer.Grants) != len(demands) {
+	if reply.Term < c.term || reply.Sequence != c.sequence || c.repliedSequence == c.sequence || len(reply.Grants) != len(demands) {
 		return results
 	}
-	c.term, c.repliedSequence = answer.Term, answer.Sequence
+	c.term, c.repliedSequence = reply.Term, reply.Sequence
 	c.lastContact = max(c.lastContact, requestedAt)
 	for i, want := range demands {
-		granted := answer.Grants[i]
+		granted := reply.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
 		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
 		lease := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: requestedAt + LeaseTTL}
