--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -218,17 +218,17 @@
 	}
 	c.term, c.repliedSequence = reply.Term, reply.Sequence
 	c.lastContact = max(c.lastContact, requestedAt)
-	for i, want := range demands {
+	for i, demand := range demands {
 		granted := reply.Grants[i]
 		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
-		results[i].Unenforced = want.Advertised != nil && !granted.Enforced
-		lease := Lease{Name: want.Name, Amount: granted.Amount, ExpiresAt: requestedAt + LeaseTTL}
+		results[i].Unenforced = demand.Advertised != nil && !granted.Enforced
+		lease := Lease{Name: demand.Name, Amount: granted.Amount, ExpiresAt: requestedAt + LeaseTTL}
 		if granted.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
 			continue
 		}
-		p := c.balance(want.Name)
+		p := c.balance(demand.Name)
 		p.add(lease)
-		results[i].Lease, _ = p.take(now, want.Name, want.Amount)
+		results[i].Lease, _ = p.take(now, demand.Name, demand.Amount)
 	}
 	return results
 }
