--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -219,11 +219,11 @@
 	c.term, c.repliedSequence = reply.Term, reply.Sequence
 	c.lastContact = max(c.lastContact, requestedAt)
 	for i, demand := range demands {
-		granted := reply.Grants[i]
-		results[i].RetryAfter, results[i].WarmingUp = granted.RetryAfter, granted.WarmingUp
-		results[i].Unenforced = demand.Advertised != nil && !granted.Enforced
-		lease := Lease{Name: demand.Name, Amount: granted.Amount, ExpiresAt: requestedAt + LeaseTTL}
-		if granted.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
+		grant := reply.Grants[i]
+		results[i].RetryAfter, results[i].WarmingUp = grant.RetryAfter, grant.WarmingUp
+		results[i].Unenforced = demand.Advertised != nil && !grant.Enforced
+		lease := Lease{Name: demand.Name, Amount: grant.Amount, ExpiresAt: requestedAt + LeaseTTL}
+		if grant.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
 			continue
 		}
 		p := c.balance(demand.Name)
