--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -252,8 +252,8 @@
 	}
 	p := c.balance(name)
 	p.decayFallbackUse(now, limit.reserve()/c.clients)
-	part := limit.reserve()/c.clients + limit.Rate/c.clients*silence.Seconds()
-	if p.fallbackUsed+amount > part {
+	share := limit.reserve()/c.clients + limit.Rate/c.clients*silence.Seconds()
+	if p.fallbackUsed+amount > share {
 		return Lease{}, false
 	}
 	p.fallbackUsed += amount
