--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -265,7 +265,7 @@
 
 // decayFallbackUse lets what was used of the own part be forgotten, a whole reserve in ownMemory.
 func (b *balance) decayFallbackUse(now time.Duration, reserve float64) {
-	passed := now - b.fallbackUsedAt
+	elapsed := now - b.fallbackUsedAt
 	b.fallbackUsedAt = now
-	b.fallbackUsed = max(0, b.fallbackUsed-reserve*float64(passed)/float64(fallbackRecoveryPeriod))
+	b.fallbackUsed = max(0, b.fallbackUsed-reserve*float64(elapsed)/float64(fallbackRecoveryPeriod))
 }
