--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// askTimeout is how long the lender may take: some times the way to the furthest region and back.
-	askTimeout = 150 * time.Millisecond
+	// requestTimeout is how long the lender may take: some times the way to the furthest region and back.
+	requestTimeout = 150 * time.Millisecond
 	// askPause is the pause after a question without an answer.
 	askPause = 25 * time.Millisecond
 	// shortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
@@ -183,7 +183,7 @@
 	batch, wants, question := d.batch()
 	if len(batch) > 0 {
 		asked := d.now()
-		attempt, cancel := context.WithTimeout(ctx, askTimeout)
+		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
 		answer, err := d.lend(attempt, question)
 		cancel()
 		if err != nil {
