--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -14,8 +14,8 @@
 const (
 	// requestTimeout is how long the lender may take: some times the way to the furthest region and back.
 	requestTimeout = 150 * time.Millisecond
-	// askPause is the pause after a question without an answer.
-	askPause = 25 * time.Millisecond
+	// retryInterval is the pause after a question without an answer.
+	retryInterval = 25 * time.Millisecond
 	// shortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
 	// objective.
 	shortWait = 40 * time.Millisecond
@@ -188,7 +188,7 @@
 		cancel()
 		if err != nil {
 			d.unanswered(batch)
-			pause = askPause
+			pause = retryInterval
 		} else {
 			d.answered(asked, batch, wants, answer)
 		}
