--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -16,9 +16,9 @@
 	requestTimeout = 150 * time.Millisecond
 	// retryInterval is the pause after a question without an answer.
 	retryInterval = 25 * time.Millisecond
-	// shortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
+	// maxShortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
 	// objective.
-	shortWait = 40 * time.Millisecond
+	maxShortWait = 40 * time.Millisecond
 	// waitingMost bounds the requests that wait for an answer.
 	waitingMost = 4096
 )
@@ -253,9 +253,9 @@
 			d.finish(w, Result{Lease: got.Lease})
 		case got.Unenforced:
 			d.finish(w, Result{Outcome: Unavailable})
-		case w.Advertised == nil && (got.RetryAfter <= shortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
+		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
 			w.after = now + got.RetryAfter
-			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, shortWait)})
+			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
 		default:
 			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
 		}
