--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -19,8 +19,8 @@
 	// maxShortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
 	// objective.
 	maxShortWait = 40 * time.Millisecond
-	// waitingMost bounds the requests that wait for an answer.
-	waitingMost = 4096
+	// maxWaiting bounds the requests that wait for an answer.
+	maxWaiting = 4096
 )
 
 // Outcome tells what became of a wish.
@@ -138,7 +138,7 @@
 	if hold, ok := d.borrower.Take(now, want.Name, want.Amount); ok {
 		return nil, Result{Lease: hold}
 	}
-	if len(d.waiting) >= waitingMost {
+	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
 	wanted := &wish{Demand: want, until: now + patience, done: make(chan Result, 1)}
