--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -45,9 +45,9 @@
 
 // LeasePool is safe for concurrent use.
 type LeasePool struct {
-	lend RequestFunc
-	now  func() time.Duration // steady
-	wake chan struct{}        // has an item when something waits; room for one
+	request RequestFunc
+	now     func() time.Duration // steady
+	wake    chan struct{}        // has an item when something waits; room for one
 
 	mu       sync.Mutex
 	borrower *allowance.Client // guarded by mu
@@ -66,7 +66,7 @@
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
 func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *LeasePool {
-	return &LeasePool{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
+	return &LeasePool{request: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
 }
 
 // SetLimits replaces the limits.
@@ -184,7 +184,7 @@
 	if len(batch) > 0 {
 		asked := d.now()
 		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
-		answer, err := d.lend(attempt, question)
+		answer, err := d.request(attempt, question)
 		cancel()
 		if err != nil {
 			d.unanswered(batch)
