--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -49,11 +49,11 @@
 	now     func() time.Duration // steady
 	wake    chan struct{}        // has an item when something waits; room for one
 
-	mu       sync.Mutex
-	borrower *allowance.Client // guarded by mu
-	waiting  []*wish           // guarded by mu; at most waitingMost
-	failed   uint64            // questions without an answer; guarded by mu
-	asked    uint64            // questions; guarded by mu
+	mu      sync.Mutex
+	client  *allowance.Client // guarded by mu
+	waiting []*wish           // guarded by mu; at most waitingMost
+	failed  uint64            // questions without an answer; guarded by mu
+	asked   uint64            // questions; guarded by mu
 }
 
 // wish is an amount that a request waits for.
@@ -66,28 +66,28 @@
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
 func New(name string, trust time.Duration, now func() time.Duration, lend RequestFunc) *LeasePool {
-	return &LeasePool{request: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewClient(name, trust)}
+	return &LeasePool{request: lend, now: now, wake: make(chan struct{}, 1), client: allowance.NewClient(name, trust)}
 }
 
 // SetLimits replaces the limits.
 func (d *LeasePool) SetLimits(limits map[string]allowance.Limit) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.SetLimits(limits)
+	d.client.SetLimits(limits)
 }
 
 // RecordContact notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
 func (d *LeasePool) RecordContact(asked time.Duration, borrowers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.RecordContact(asked, borrowers)
+	d.client.RecordContact(asked, borrowers)
 }
 
 // Release gives back what was taken and not used.
 func (d *LeasePool) Release(h allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.borrower.Release(d.now(), h)
+	d.client.Release(d.now(), h)
 }
 
 // RequestCounts returns how many questions were asked, and how many of them got no answer.
@@ -105,7 +105,7 @@
 // AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
 func (d *LeasePool) AcquireAdvertised(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
-	d.borrower.SetAdvertisedLimit(d.now(), name, named)
+	d.client.SetAdvertisedLimit(d.now(), name, named)
 	d.mu.Unlock()
 	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
 }
@@ -131,11 +131,11 @@
 func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.borrower.IsLimited(want.Name) {
+	if !d.client.IsLimited(want.Name) {
 		return nil, Result{}
 	}
 	now := d.now()
-	if hold, ok := d.borrower.Take(now, want.Name, want.Amount); ok {
+	if hold, ok := d.client.Take(now, want.Name, want.Amount); ok {
 		return nil, Result{Lease: hold}
 	}
 	if len(d.waiting) >= maxWaiting {
@@ -153,7 +153,7 @@
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
 	select {
 	case result := <-wanted.done:
-		d.borrower.Release(d.now(), result.Lease)
+		d.client.Release(d.now(), result.Lease)
 	default:
 		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
@@ -205,7 +205,7 @@
 		if now < w.after {
 			return false
 		}
-		if hold, ok := d.borrower.RetryTake(now, w.Name, w.Amount); ok {
+		if hold, ok := d.client.RetryTake(now, w.Name, w.Amount); ok {
 			w.done <- Result{Lease: hold}
 			return true
 		}
@@ -217,7 +217,7 @@
 		return nil, nil, question
 	}
 	d.asked++
-	return batch, wants, d.borrower.NewRequest(now, wants)
+	return batch, wants, d.client.NewRequest(now, wants)
 }
 
 // unanswered serves from the own part; the rest waits on, as long as it may.
@@ -227,7 +227,7 @@
 	d.failed++
 	now := d.now()
 	for _, w := range batch {
-		if hold, ok := d.borrower.TakeFallback(now, w.Name, w.Amount); ok {
+		if hold, ok := d.client.TakeFallback(now, w.Name, w.Amount); ok {
 			d.finish(w, Result{Lease: hold})
 			continue
 		}
@@ -240,13 +240,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for i, got := range d.borrower.ApplyReply(now, asked, wants, answer) {
+	for i, got := range d.client.ApplyReply(now, asked, wants, answer) {
 		w := batch[i]
 		if got.Lease.Amount == 0 {
-			got.Lease, _ = d.borrower.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
+			got.Lease, _ = d.client.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
 		if got.Lease.Amount == 0 && got.WarmingUp {
-			got.Lease, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
+			got.Lease, _ = d.client.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
 		case got.Lease.Amount > 0 || w.Amount == 0:
@@ -274,7 +274,7 @@
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
 func (d *LeasePool) finish(w *wish, result Result) {
 	if w.until == 0 {
-		d.borrower.Release(d.now(), result.Lease)
+		d.client.Release(d.now(), result.Lease)
 		return
 	}
 	w.done <- result
