--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -51,13 +51,13 @@
 
 	mu      sync.Mutex
 	client  *allowance.Client // guarded by mu
-	waiting []*wish           // guarded by mu; at most waitingMost
+	waiting []*waiter         // guarded by mu; at most waitingMost
 	failed  uint64            // questions without an answer; guarded by mu
 	asked   uint64            // questions; guarded by mu
 }
 
-// wish is an amount that a request waits for.
-type wish struct {
+// waiter is an amount that a request waits for.
+type waiter struct {
 	allowance.Demand
 	after time.Duration // not to be asked for before
 	until time.Duration // the request waits no longer
@@ -128,7 +128,7 @@
 }
 
 // begin takes from what is held, or lets a wish wait.
-func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*wish, Result) {
+func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*waiter, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.client.IsLimited(want.Name) {
@@ -141,16 +141,16 @@
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &wish{Demand: want, until: now + patience, done: make(chan Result, 1)}
+	wanted := &waiter{Demand: want, until: now + patience, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
 
 // leave ends a wish whose request is over; what it got meanwhile goes back.
-func (d *LeasePool) leave(wanted *wish) Result {
+func (d *LeasePool) leave(wanted *waiter) Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
+	d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == wanted })
 	select {
 	case result := <-wanted.done:
 		d.client.Release(d.now(), result.Lease)
@@ -197,11 +197,11 @@
 }
 
 // batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *LeasePool) batch() (batch []*wish, wants []allowance.Demand, question allowance.Request) {
+func (d *LeasePool) batch() (batch []*waiter, wants []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *wish) bool {
+	d.waiting = slices.DeleteFunc(d.waiting, func(w *waiter) bool {
 		if now < w.after {
 			return false
 		}
@@ -221,7 +221,7 @@
 }
 
 // unanswered serves from the own part; the rest waits on, as long as it may.
-func (d *LeasePool) unanswered(batch []*wish) {
+func (d *LeasePool) unanswered(batch []*waiter) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failed++
@@ -236,7 +236,7 @@
 }
 
 // answered passes on what was lent.
-func (d *LeasePool) answered(asked time.Duration, batch []*wish, wants []allowance.Demand, answer allowance.Reply) {
+func (d *LeasePool) answered(asked time.Duration, batch []*waiter, wants []allowance.Demand, answer allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -263,7 +263,7 @@
 }
 
 // waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
-func (d *LeasePool) waitOn(now time.Duration, w *wish, otherwise Result) {
+func (d *LeasePool) waitOn(now time.Duration, w *waiter, otherwise Result) {
 	if now >= w.until {
 		d.finish(w, otherwise)
 		return
@@ -272,7 +272,7 @@
 }
 
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
-func (d *LeasePool) finish(w *wish, result Result) {
+func (d *LeasePool) finish(w *waiter, result Result) {
 	if w.until == 0 {
 		d.client.Release(d.now(), result.Lease)
 		return
