--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -59,9 +59,9 @@
 // waiter is an amount that a request waits for.
 type waiter struct {
 	allowance.Demand
-	after time.Duration // not to be asked for before
-	until time.Duration // the request waits no longer
-	done  chan Result   // has room for the one result
+	notBefore time.Duration // not to be asked for before
+	until     time.Duration // the request waits no longer
+	done      chan Result   // has room for the one result
 }
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
@@ -202,7 +202,7 @@
 	defer d.mu.Unlock()
 	now := d.now()
 	d.waiting = slices.DeleteFunc(d.waiting, func(w *waiter) bool {
-		if now < w.after {
+		if now < w.notBefore {
 			return false
 		}
 		if hold, ok := d.client.RetryTake(now, w.Name, w.Amount); ok {
@@ -254,7 +254,7 @@
 		case got.Unenforced:
 			d.finish(w, Result{Outcome: Unavailable})
 		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
-			w.after = now + got.RetryAfter
+			w.notBefore = now + got.RetryAfter
 			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
 		default:
 			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
@@ -287,9 +287,9 @@
 	if len(d.waiting) == 0 {
 		return 0, false
 	}
-	soonest := d.waiting[0].after
+	soonest := d.waiting[0].notBefore
 	for _, w := range d.waiting[1:] {
-		soonest = min(soonest, w.after)
+		soonest = min(soonest, w.notBefore)
 	}
 	return max(pause, soonest-d.now(), 0), true
 }
