--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -60,7 +60,7 @@
 type waiter struct {
 	allowance.Demand
 	notBefore time.Duration // not to be asked for before
-	until     time.Duration // the request waits no longer
+	deadline  time.Duration // the request waits no longer
 	done      chan Result   // has room for the one result
 }
 
@@ -141,7 +141,7 @@
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &waiter{Demand: want, until: now + patience, done: make(chan Result, 1)}
+	wanted := &waiter{Demand: want, deadline: now + patience, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
@@ -155,7 +155,7 @@
 	case result := <-wanted.done:
 		d.client.Release(d.now(), result.Lease)
 	default:
-		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
+		wanted.deadline = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
 	return Result{Outcome: Unavailable}
 }
@@ -253,7 +253,7 @@
 			d.finish(w, Result{Lease: got.Lease})
 		case got.Unenforced:
 			d.finish(w, Result{Outcome: Unavailable})
-		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.until):
+		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.deadline):
 			w.notBefore = now + got.RetryAfter
 			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
 		default:
@@ -264,7 +264,7 @@
 
 // waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
 func (d *LeasePool) waitOn(now time.Duration, w *waiter, otherwise Result) {
-	if now >= w.until {
+	if now >= w.deadline {
 		d.finish(w, otherwise)
 		return
 	}
@@ -273,7 +273,7 @@
 
 // finish gives a wish its result; one that was left gives it back. The caller holds mu.
 func (d *LeasePool) finish(w *waiter, result Result) {
-	if w.until == 0 {
+	if w.deadline == 0 {
 		d.client.Release(d.now(), result.Lease)
 		return
 	}
