--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -49,11 +49,11 @@
 	now     func() time.Duration // steady
 	wake    chan struct{}        // has an item when something waits; room for one
 
-	mu      sync.Mutex
-	client  *allowance.Client // guarded by mu
-	waiting []*waiter         // guarded by mu; at most waitingMost
-	failed  uint64            // questions without an answer; guarded by mu
-	asked   uint64            // questions; guarded by mu
+	mu       sync.Mutex
+	client   *allowance.Client // guarded by mu
+	waiting  []*waiter         // guarded by mu; at most waitingMost
+	failed   uint64            // questions without an answer; guarded by mu
+	requests uint64            // questions; guarded by mu
 }
 
 // waiter is an amount that a request waits for.
@@ -94,7 +94,7 @@
 func (d *LeasePool) RequestCounts() (asked, failed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked, d.failed
+	return d.requests, d.failed
 }
 
 // Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
@@ -216,7 +216,7 @@
 	if len(batch) == 0 {
 		return nil, nil, question
 	}
-	d.asked++
+	d.requests++
 	return batch, wants, d.client.NewRequest(now, wants)
 }
 
