--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -111,7 +111,7 @@
 }
 
 func (d *LeasePool) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
-	wanted, result := d.begin(want, patience)
+	wanted, result := d.takeOrEnqueue(want, patience)
 	if wanted == nil {
 		return result
 	}
@@ -127,8 +127,8 @@
 	return result
 }
 
-// begin takes from what is held, or lets a wish wait.
-func (d *LeasePool) begin(want allowance.Demand, patience time.Duration) (*waiter, Result) {
+// takeOrEnqueue takes from what is held, or lets a wish wait.
+func (d *LeasePool) takeOrEnqueue(want allowance.Demand, patience time.Duration) (*waiter, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.client.IsLimited(want.Name) {
