--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -122,7 +122,7 @@
 	select {
 	case result = <-wanted.done:
 	case <-ctx.Done():
-		result = d.leave(wanted)
+		result = d.cancel(wanted)
 	}
 	return result
 }
@@ -146,8 +146,8 @@
 	return wanted, Result{}
 }
 
-// leave ends a wish whose request is over; what it got meanwhile goes back.
-func (d *LeasePool) leave(wanted *waiter) Result {
+// cancel ends a wish whose request is over; what it got meanwhile goes back.
+func (d *LeasePool) cancel(wanted *waiter) Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == wanted })
