--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -168,7 +168,7 @@
 			return
 		case <-d.wake:
 		}
-		for pause, more := d.round(ctx); more; pause, more = d.round(ctx) {
+		for pause, more := d.requestOnce(ctx); more; pause, more = d.requestOnce(ctx) {
 			select {
 			case <-ctx.Done():
 				return
@@ -178,8 +178,8 @@
 	}
 }
 
-// round asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *LeasePool) round(ctx context.Context) (pause time.Duration, more bool) {
+// requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
+func (d *LeasePool) requestOnce(ctx context.Context) (pause time.Duration, more bool) {
 	batch, wants, question := d.batch()
 	if len(batch) > 0 {
 		asked := d.now()
