--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -180,7 +180,7 @@
 
 // requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
 func (d *LeasePool) requestOnce(ctx context.Context) (pause time.Duration, more bool) {
-	batch, wants, question := d.batch()
+	batch, wants, question := d.nextBatch()
 	if len(batch) > 0 {
 		asked := d.now()
 		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -196,8 +196,8 @@
 	return d.next(pause)
 }
 
-// batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *LeasePool) batch() (batch []*waiter, wants []allowance.Demand, question allowance.Request) {
+// nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
+func (d *LeasePool) nextBatch() (batch []*waiter, wants []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
