--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -187,7 +187,7 @@
 		answer, err := d.request(attempt, question)
 		cancel()
 		if err != nil {
-			d.unanswered(batch)
+			d.handleFailure(batch)
 			pause = retryInterval
 		} else {
 			d.answered(asked, batch, wants, answer)
@@ -220,8 +220,8 @@
 	return batch, wants, d.client.NewRequest(now, wants)
 }
 
-// unanswered serves from the own part; the rest waits on, as long as it may.
-func (d *LeasePool) unanswered(batch []*waiter) {
+// handleFailure serves from the own part; the rest waits on, as long as it may.
+func (d *LeasePool) handleFailure(batch []*waiter) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failed++
