--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -190,7 +190,7 @@
 			d.handleFailure(batch)
 			pause = retryInterval
 		} else {
-			d.answered(asked, batch, wants, answer)
+			d.handleReply(asked, batch, wants, answer)
 		}
 	}
 	return d.next(pause)
@@ -235,8 +235,8 @@
 	}
 }
 
-// answered passes on what was lent.
-func (d *LeasePool) answered(asked time.Duration, batch []*waiter, wants []allowance.Demand, answer allowance.Reply) {
+// handleReply passes on what was lent.
+func (d *LeasePool) handleReply(asked time.Duration, batch []*waiter, wants []allowance.Demand, answer allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
