--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -231,7 +231,7 @@
 			d.finish(w, Result{Lease: hold})
 			continue
 		}
-		d.waitOn(now, w, Result{Outcome: Unavailable})
+		d.requeue(now, w, Result{Outcome: Unavailable})
 	}
 }
 
@@ -255,15 +255,15 @@
 			d.finish(w, Result{Outcome: Unavailable})
 		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.deadline):
 			w.notBefore = now + got.RetryAfter
-			d.waitOn(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
+			d.requeue(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
 		default:
 			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
 		}
 	}
 }
 
-// waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
-func (d *LeasePool) waitOn(now time.Duration, w *waiter, otherwise Result) {
+// requeue lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
+func (d *LeasePool) requeue(now time.Duration, w *waiter, otherwise Result) {
 	if now >= w.deadline {
 		d.finish(w, otherwise)
 		return
