--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -193,7 +193,7 @@
 			d.handleReply(asked, batch, wants, answer)
 		}
 	}
-	return d.next(pause)
+	return d.nextDelay(pause)
 }
 
 // nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
@@ -280,8 +280,8 @@
 	w.done <- result
 }
 
-// next returns how long to wait until somebody has to be asked for again.
-func (d *LeasePool) next(pause time.Duration) (time.Duration, bool) {
+// nextDelay returns how long to wait until somebody has to be asked for again.
+func (d *LeasePool) nextDelay(pause time.Duration) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) == 0 {
