--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -65,8 +65,8 @@
 }
 
 // New returns the desk of a process. trust is how long the process may act on what a lender told it last.
-func New(name string, fallbackPeriod time.Duration, now func() time.Duration, lend RequestFunc) *LeasePool {
-	return &LeasePool{request: lend, now: now, wake: make(chan struct{}, 1), client: allowance.NewClient(name, fallbackPeriod)}
+func New(name string, fallbackPeriod time.Duration, now func() time.Duration, request RequestFunc) *LeasePool {
+	return &LeasePool{request: request, now: now, wake: make(chan struct{}, 1), client: allowance.NewClient(name, fallbackPeriod)}
 }
 
 // SetLimits replaces the limits.
