--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -77,10 +77,10 @@
 }
 
 // RecordContact notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
-func (d *LeasePool) RecordContact(requestedAt time.Duration, borrowers int) {
+func (d *LeasePool) RecordContact(requestedAt time.Duration, clients int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.client.RecordContact(requestedAt, borrowers)
+	d.client.RecordContact(requestedAt, clients)
 }
 
 // Release gives back what was taken and not used.
