--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -84,10 +84,10 @@
 }
 
 // Release gives back what was taken and not used.
-func (d *LeasePool) Release(h allowance.Lease) {
+func (d *LeasePool) Release(lease allowance.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.client.Release(d.now(), h)
+	d.client.Release(d.now(), lease)
 }
 
 // RequestCounts returns how many questions were asked, and how many of them got no answer.
