--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -91,7 +91,7 @@
 }
 
 // RequestCounts returns how many questions were asked, and how many of them got no answer.
-func (d *LeasePool) RequestCounts() (asked, failed uint64) {
+func (d *LeasePool) RequestCounts() (requests, failed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.requests, d.failed
