--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -98,8 +98,8 @@
 }
 
 // Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
-func (d *LeasePool) Acquire(ctx context.Context, name string, amount float64, patience time.Duration) Result {
-	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, patience)
+func (d *LeasePool) Acquire(ctx context.Context, name string, amount float64, maxWait time.Duration) Result {
+	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, maxWait)
 }
 
 // AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
