--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -103,11 +103,11 @@
 }
 
 // AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
-func (d *LeasePool) AcquireAdvertised(ctx context.Context, name string, named allowance.AdvertisedLimit) Result {
+func (d *LeasePool) AcquireAdvertised(ctx context.Context, name string, advertised allowance.AdvertisedLimit) Result {
 	d.mu.Lock()
-	d.client.SetAdvertisedLimit(d.now(), name, named)
+	d.client.SetAdvertisedLimit(d.now(), name, advertised)
 	d.mu.Unlock()
-	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &named}, 0)
+	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
 }
 
 func (d *LeasePool) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
