--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -110,8 +110,8 @@
 	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
 }
 
-func (d *LeasePool) take(ctx context.Context, want allowance.Demand, patience time.Duration) Result {
-	wanted, result := d.takeOrEnqueue(want, patience)
+func (d *LeasePool) take(ctx context.Context, want allowance.Demand, maxWait time.Duration) Result {
+	wanted, result := d.takeOrEnqueue(want, maxWait)
 	if wanted == nil {
 		return result
 	}
