--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -99,7 +99,7 @@
 
 // Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
 func (d *LeasePool) Acquire(ctx context.Context, name string, amount float64, maxWait time.Duration) Result {
-	return d.take(ctx, allowance.Demand{Name: name, Amount: amount}, maxWait)
+	return d.acquire(ctx, allowance.Demand{Name: name, Amount: amount}, maxWait)
 }
 
 // AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
@@ -107,10 +107,10 @@
 	d.mu.Lock()
 	d.client.SetAdvertisedLimit(d.now(), name, advertised)
 	d.mu.Unlock()
-	return d.take(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
+	return d.acquire(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
 }
 
-func (d *LeasePool) take(ctx context.Context, want allowance.Demand, maxWait time.Duration) Result {
+func (d *LeasePool) acquire(ctx context.Context, want allowance.Demand, maxWait time.Duration) Result {
 	wanted, result := d.takeOrEnqueue(want, maxWait)
 	if wanted == nil {
 		return result
