--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -110,8 +110,8 @@
 	return d.acquire(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
 }
 
-func (d *LeasePool) acquire(ctx context.Context, want allowance.Demand, maxWait time.Duration) Result {
-	wanted, result := d.takeOrEnqueue(want, maxWait)
+func (d *LeasePool) acquire(ctx context.Context, demand allowance.Demand, maxWait time.Duration) Result {
+	wanted, result := d.takeOrEnqueue(demand, maxWait)
 	if wanted == nil {
 		return result
 	}
