--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -111,8 +111,8 @@
 }
 
 func (d *LeasePool) acquire(ctx context.Context, demand allowance.Demand, maxWait time.Duration) Result {
-	wanted, result := d.takeOrEnqueue(demand, maxWait)
-	if wanted == nil {
+	w, result := d.takeOrEnqueue(demand, maxWait)
+	if w == nil {
 		return result
 	}
 	select {
@@ -120,9 +120,9 @@
 	default:
 	}
 	select {
-	case result = <-wanted.done:
+	case result = <-w.done:
 	case <-ctx.Done():
-		result = d.cancel(wanted)
+		result = d.cancel(w)
 	}
 	return result
 }
