--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -128,7 +128,7 @@
 }
 
 // takeOrEnqueue takes from what is held, or lets a wish wait.
-func (d *LeasePool) takeOrEnqueue(want allowance.Demand, patience time.Duration) (*waiter, Result) {
+func (d *LeasePool) takeOrEnqueue(want allowance.Demand, maxWait time.Duration) (*waiter, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.client.IsLimited(want.Name) {
@@ -141,7 +141,7 @@
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &waiter{Demand: want, deadline: now + patience, done: make(chan Result, 1)}
+	wanted := &waiter{Demand: want, deadline: now + maxWait, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
