--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -128,20 +128,20 @@
 }
 
 // takeOrEnqueue takes from what is held, or lets a wish wait.
-func (d *LeasePool) takeOrEnqueue(want allowance.Demand, maxWait time.Duration) (*waiter, Result) {
+func (d *LeasePool) takeOrEnqueue(demand allowance.Demand, maxWait time.Duration) (*waiter, Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.client.IsLimited(want.Name) {
+	if !d.client.IsLimited(demand.Name) {
 		return nil, Result{}
 	}
 	now := d.now()
-	if hold, ok := d.client.Take(now, want.Name, want.Amount); ok {
+	if hold, ok := d.client.Take(now, demand.Name, demand.Amount); ok {
 		return nil, Result{Lease: hold}
 	}
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &waiter{Demand: want, deadline: now + maxWait, done: make(chan Result, 1)}
+	wanted := &waiter{Demand: demand, deadline: now + maxWait, done: make(chan Result, 1)}
 	d.waiting = append(d.waiting, wanted)
 	return wanted, Result{}
 }
