--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -135,8 +135,8 @@
 		return nil, Result{}
 	}
 	now := d.now()
-	if hold, ok := d.client.Take(now, demand.Name, demand.Amount); ok {
-		return nil, Result{Lease: hold}
+	if lease, ok := d.client.Take(now, demand.Name, demand.Amount); ok {
+		return nil, Result{Lease: lease}
 	}
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
