--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -141,9 +141,9 @@
 	if len(d.waiting) >= maxWaiting {
 		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &waiter{Demand: demand, deadline: now + maxWait, done: make(chan Result, 1)}
-	d.waiting = append(d.waiting, wanted)
-	return wanted, Result{}
+	w := &waiter{Demand: demand, deadline: now + maxWait, done: make(chan Result, 1)}
+	d.waiting = append(d.waiting, w)
+	return w, Result{}
 }
 
 // cancel ends a wish whose request is over; what it got meanwhile goes back.
