--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -147,15 +147,15 @@
 }
 
 // cancel ends a wish whose request is over; what it got meanwhile goes back.
-func (d *LeasePool) cancel(wanted *waiter) Result {
+func (d *LeasePool) cancel(w *waiter) Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == wanted })
+	d.waiting = slices.DeleteFunc(d.waiting, func(other *waiter) bool { return other == w })
 	select {
-	case result := <-wanted.done:
+	case result := <-w.done:
 		d.client.Release(d.now(), result.Lease)
 	default:
-		wanted.deadline = 0 // a question may be on its way for it; what that brings stays in the pocket
+		w.deadline = 0 // a question may be on its way for it; what that brings stays in the pocket
 	}
 	return Result{Outcome: Unavailable}
 }
