--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -179,7 +179,7 @@
 }
 
 // requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *LeasePool) requestOnce(ctx context.Context) (pause time.Duration, more bool) {
+func (d *LeasePool) requestOnce(ctx context.Context) (pause time.Duration, waiting bool) {
 	batch, wants, question := d.nextBatch()
 	if len(batch) > 0 {
 		asked := d.now()
