--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -179,7 +179,7 @@
 }
 
 // requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *LeasePool) requestOnce(ctx context.Context) (pause time.Duration, waiting bool) {
+func (d *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
 	batch, wants, question := d.nextBatch()
 	if len(batch) > 0 {
 		asked := d.now()
@@ -188,12 +188,12 @@
 		cancel()
 		if err != nil {
 			d.handleFailure(batch)
-			pause = retryInterval
+			delay = retryInterval
 		} else {
 			d.handleReply(asked, batch, wants, answer)
 		}
 	}
-	return d.nextDelay(pause)
+	return d.nextDelay(delay)
 }
 
 // nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
