--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -168,7 +168,7 @@
 			return
 		case <-d.wake:
 		}
-		for pause, more := d.requestOnce(ctx); more; pause, more = d.requestOnce(ctx) {
+		for pause, waiting := d.requestOnce(ctx); waiting; pause, waiting = d.requestOnce(ctx) {
 			select {
 			case <-ctx.Done():
 				return
