--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -168,11 +168,11 @@
 			return
 		case <-d.wake:
 		}
-		for pause, waiting := d.requestOnce(ctx); waiting; pause, waiting = d.requestOnce(ctx) {
+		for delay, waiting := d.requestOnce(ctx); waiting; delay, waiting = d.requestOnce(ctx) {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 		}
 	}
