--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -180,7 +180,7 @@
 
 // requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
 func (d *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
-	batch, wants, question := d.nextBatch()
+	batch, demands, question := d.nextBatch()
 	if len(batch) > 0 {
 		asked := d.now()
 		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -190,7 +190,7 @@
 			d.handleFailure(batch)
 			delay = retryInterval
 		} else {
-			d.handleReply(asked, batch, wants, answer)
+			d.handleReply(asked, batch, demands, answer)
 		}
 	}
 	return d.nextDelay(delay)
