--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -180,11 +180,11 @@
 
 // requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
 func (d *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
-	batch, demands, question := d.nextBatch()
+	batch, demands, request := d.nextBatch()
 	if len(batch) > 0 {
 		asked := d.now()
 		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
-		answer, err := d.request(attempt, question)
+		answer, err := d.request(attempt, request)
 		cancel()
 		if err != nil {
 			d.handleFailure(batch)
