--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -182,7 +182,7 @@
 func (d *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
 	batch, demands, request := d.nextBatch()
 	if len(batch) > 0 {
-		asked := d.now()
+		requestedAt := d.now()
 		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
 		answer, err := d.request(attempt, request)
 		cancel()
@@ -190,7 +190,7 @@
 			d.handleFailure(batch)
 			delay = retryInterval
 		} else {
-			d.handleReply(asked, batch, demands, answer)
+			d.handleReply(requestedAt, batch, demands, answer)
 		}
 	}
 	return d.nextDelay(delay)
