--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -183,8 +183,8 @@
 	batch, demands, request := d.nextBatch()
 	if len(batch) > 0 {
 		requestedAt := d.now()
-		attempt, cancel := context.WithTimeout(ctx, requestTimeout)
-		answer, err := d.request(attempt, request)
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		answer, err := d.request(requestCtx, request)
 		cancel()
 		if err != nil {
 			d.handleFailure(batch)
