--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -184,13 +184,13 @@
 	if len(batch) > 0 {
 		requestedAt := d.now()
 		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
-		answer, err := d.request(requestCtx, request)
+		reply, err := d.request(requestCtx, request)
 		cancel()
 		if err != nil {
 			d.handleFailure(batch)
 			delay = retryInterval
 		} else {
-			d.handleReply(requestedAt, batch, demands, answer)
+			d.handleReply(requestedAt, batch, demands, reply)
 		}
 	}
 	return d.nextDelay(delay)
