--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -197,7 +197,7 @@
 }
 
 // nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *LeasePool) nextBatch() (batch []*waiter, wants []allowance.Demand, question allowance.Request) {
+func (d *LeasePool) nextBatch() (batch []*waiter, demands []allowance.Demand, question allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -210,14 +210,14 @@
 			return true
 		}
 		batch = append(batch, w)
-		wants = append(wants, w.Demand)
+		demands = append(demands, w.Demand)
 		return true
 	})
 	if len(batch) == 0 {
 		return nil, nil, question
 	}
 	d.requests++
-	return batch, wants, d.client.NewRequest(now, wants)
+	return batch, demands, d.client.NewRequest(now, demands)
 }
 
 // handleFailure serves from the own part; the rest waits on, as long as it may.
