--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -197,7 +197,7 @@
 }
 
 // nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *LeasePool) nextBatch() (batch []*waiter, demands []allowance.Demand, question allowance.Request) {
+func (d *LeasePool) nextBatch() (batch []*waiter, demands []allowance.Demand, request allowance.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -214,7 +214,7 @@
 		return true
 	})
 	if len(batch) == 0 {
-		return nil, nil, question
+		return nil, nil, request
 	}
 	d.requests++
 	return batch, demands, d.client.NewRequest(now, demands)
