--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -205,8 +205,8 @@
 		if now < w.notBefore {
 			return false
 		}
-		if hold, ok := d.client.RetryTake(now, w.Name, w.Amount); ok {
-			w.done <- Result{Lease: hold}
+		if lease, ok := d.client.RetryTake(now, w.Name, w.Amount); ok {
+			w.done <- Result{Lease: lease}
 			return true
 		}
 		batch = append(batch, w)
