--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -227,8 +227,8 @@
 	d.failed++
 	now := d.now()
 	for _, w := range batch {
-		if hold, ok := d.client.TakeFallback(now, w.Name, w.Amount); ok {
-			d.finish(w, Result{Lease: hold})
+		if lease, ok := d.client.TakeFallback(now, w.Name, w.Amount); ok {
+			d.finish(w, Result{Lease: lease})
 			continue
 		}
 		d.requeue(now, w, Result{Outcome: Unavailable})
