--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -236,11 +236,11 @@
 }
 
 // handleReply passes on what was lent.
-func (d *LeasePool) handleReply(requestedAt time.Duration, batch []*waiter, demands []allowance.Demand, answer allowance.Reply) {
+func (d *LeasePool) handleReply(requestedAt time.Duration, batch []*waiter, demands []allowance.Demand, reply allowance.Reply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for i, got := range d.client.ApplyReply(now, requestedAt, demands, answer) {
+	for i, got := range d.client.ApplyReply(now, requestedAt, demands, reply) {
 		w := batch[i]
 		if got.Lease.Amount == 0 {
 			got.Lease, _ = d.client.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
