--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -240,24 +240,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for i, got := range d.client.ApplyReply(now, requestedAt, demands, reply) {
+	for i, result := range d.client.ApplyReply(now, requestedAt, demands, reply) {
 		w := batch[i]
-		if got.Lease.Amount == 0 {
-			got.Lease, _ = d.client.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
+		if result.Lease.Amount == 0 {
+			result.Lease, _ = d.client.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
 		}
-		if got.Lease.Amount == 0 && got.WarmingUp {
-			got.Lease, _ = d.client.TakeReserve(now, w.Name, w.Amount)
+		if result.Lease.Amount == 0 && result.WarmingUp {
+			result.Lease, _ = d.client.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
-		case got.Lease.Amount > 0 || w.Amount == 0:
-			d.finish(w, Result{Lease: got.Lease})
-		case got.Unenforced:
+		case result.Lease.Amount > 0 || w.Amount == 0:
+			d.finish(w, Result{Lease: result.Lease})
+		case result.Unenforced:
 			d.finish(w, Result{Outcome: Unavailable})
-		case w.Advertised == nil && (got.RetryAfter <= maxShortWait || got.WarmingUp && now+got.RetryAfter <= w.deadline):
-			w.notBefore = now + got.RetryAfter
-			d.requeue(now, w, Result{Outcome: LimitReached, RetryAfter: max(got.RetryAfter, maxShortWait)})
+		case w.Advertised == nil && (result.RetryAfter <= maxShortWait || result.WarmingUp && now+result.RetryAfter <= w.deadline):
+			w.notBefore = now + result.RetryAfter
+			d.requeue(now, w, Result{Outcome: LimitReached, RetryAfter: max(result.RetryAfter, maxShortWait)})
 		default:
-			d.finish(w, Result{Outcome: LimitReached, RetryAfter: got.RetryAfter})
+			d.finish(w, Result{Outcome: LimitReached, RetryAfter: result.RetryAfter})
 		}
 	}
 }
