--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -281,7 +281,7 @@
 }
 
 // nextDelay returns how long to wait until somebody has to be asked for again.
-func (d *LeasePool) nextDelay(pause time.Duration) (time.Duration, bool) {
+func (d *LeasePool) nextDelay(minDelay time.Duration) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) == 0 {
@@ -291,5 +291,5 @@
 	for _, w := range d.waiting[1:] {
 		soonest = min(soonest, w.notBefore)
 	}
-	return max(pause, soonest-d.now(), 0), true
+	return max(minDelay, soonest-d.now(), 0), true
 }
