--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -287,9 +287,9 @@
 	if len(d.waiting) == 0 {
 		return 0, false
 	}
-	soonest := d.waiting[0].notBefore
+	earliest := d.waiting[0].notBefore
 	for _, w := range d.waiting[1:] {
-		soonest = min(soonest, w.notBefore)
+		earliest = min(earliest, w.notBefore)
 	}
-	return max(minDelay, soonest-d.now(), 0), true
+	return max(minDelay, earliest-d.now(), 0), true
 }
