--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -50,8 +50,8 @@
 }
 
 // Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
-func (t *Tracker) Limit(life catalog.Life) Limit {
-	limit, _ := t.LimitObservedAt(life)
+func (t *Tracker) Limit(incarnation catalog.Life) Limit {
+	limit, _ := t.LimitObservedAt(incarnation)
 	return limit
 }
 
