--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -36,7 +36,7 @@
 
 // localCrashes are lives that this process saw end under a request.
 type localCrashes struct {
-	at           time.Duration // of the newest
+	lastAt       time.Duration // of the newest
 	incarnations []string      // distinct; at most livesKept
 	acknowledged bool          // control has taken them all, so that its next news say what counts
 }
@@ -143,7 +143,7 @@
 		s = &localCrashes{}
 		r.local[f] = s
 	}
-	s.at, s.acknowledged = now, false
+	s.lastAt, s.acknowledged = now, false
 	if !slices.Contains(s.incarnations, incarnation) && len(s.incarnations) < maxIncarnations {
 		s.incarnations = append(s.incarnations, incarnation)
 	}
@@ -225,7 +225,7 @@
 func (r *Tracker) Sweep(now time.Duration) {
 	r.sweepFailures(now)
 	for f, s := range r.local {
-		if now-s.at > localTTL {
+		if now-s.lastAt > localTTL {
 			delete(r.local, f)
 		}
 	}
