--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -73,11 +73,11 @@
 }
 
 // ObserveWait takes what a request of a rank waited, against what was predicted for it.
-func (j *Controller) ObserveWait(priority int, predicted, actual time.Duration) {
+func (c *Controller) ObserveWait(priority int, predicted, actual time.Duration) {
 	if predicted < minObservedPrediction {
 		return
 	}
-	correction := &j.corrections[clampPriority(priority)]
+	correction := &c.corrections[clampPriority(priority)]
 	if *correction == 0 {
 		*correction = 1
 	}
@@ -90,8 +90,8 @@
 }
 
 // ExpectedWait returns the wait of a rank that a prediction stands for.
-func (j *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
-	correction := j.corrections[clampPriority(priority)]
+func (c *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
+	correction := c.corrections[clampPriority(priority)]
 	if correction == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
@@ -102,48 +102,48 @@
 
 // Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
 // short as is wanted, if nothing else came.
-func (j *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, reject bool) {
+func (c *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, reject bool) {
 	if request.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.ExpectedWait(request.Priority, request.PredictedWait)
+	expected := c.ExpectedWait(request.Priority, request.PredictedWait)
 	load := float64(expected) / float64(request.Objective)
-	standingFraction := j.loads[clampPriority(request.Priority)].observe(now, load)
+	standingFraction := c.loads[clampPriority(request.Priority)].observe(now, load)
 	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
-	if rejectedAt, isRetry := j.rejectedAt[request.Key]; isRetry && now < rejectedAt+rejectionTTL {
+	if rejectedAt, isRetry := c.rejectedAt[request.Key]; isRetry && now < rejectedAt+rejectionTTL {
 		load /= retryLoadDivisor
 	}
 	if request.Random >= (load-bandStart)/(bandEnd-bandStart) {
-		delete(j.rejectedAt, request.Key)
+		delete(c.rejectedAt, request.Key)
 		return 0, false
 	}
-	j.RecordRejection(now, request.Key)
+	c.RecordRejection(now, request.Key)
 	wait := max(minRetryAfter, expected-time.Duration(bandStart*float64(request.Objective)))
 	wait += time.Duration(retryAfterJitter * request.Random * float64(wait))
 	return min(wait, maxRetryAfter), true
 }
 
 // RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
-func (j *Controller) RecordRejection(now time.Duration, key string) {
+func (c *Controller) RecordRejection(now time.Duration, key string) {
 	if key == "" {
 		return
 	}
-	if j.rejectedAt == nil {
-		j.rejectedAt = map[string]time.Duration{}
+	if c.rejectedAt == nil {
+		c.rejectedAt = map[string]time.Duration{}
 	}
-	if len(j.rejectedAt) >= maxRejections {
-		j.Sweep(now)
+	if len(c.rejectedAt) >= maxRejections {
+		c.Sweep(now)
 	}
-	if len(j.rejectedAt) < maxRejections {
-		j.rejectedAt[key] = now
+	if len(c.rejectedAt) < maxRejections {
+		c.rejectedAt[key] = now
 	}
 }
 
 // Sweep forgets refusals that are long past.
-func (j *Controller) Sweep(now time.Duration) {
-	for key, at := range j.rejectedAt {
+func (c *Controller) Sweep(now time.Duration) {
+	for key, at := range c.rejectedAt {
 		if now >= at+rejectionTTL {
-			delete(j.rejectedAt, key)
+			delete(c.rejectedAt, key)
 		}
 	}
 }
