--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 
 const objective = 800 * time.Millisecond
 
-func wishOf(key string, queue time.Duration, chance float64) Request {
+func newRequest(key string, queue time.Duration, chance float64) Request {
 	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Random: chance}
 }
 
@@ -19,9 +19,9 @@
 		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
 			now += loadTimeConstant / 20
-			j.Decide(now, wishOf("", queue, 1))
+			j.Decide(now, newRequest("", queue, 1))
 		}
-		if _, refuse := j.Decide(now, wishOf("", queue, float64(chance)/100)); refuse {
+		if _, refuse := j.Decide(now, newRequest("", queue, float64(chance)/100)); refuse {
 			refused++
 		}
 	}
@@ -60,7 +60,7 @@
 		if i%10 == 9 {
 			queue = objective * 6 / 10
 		}
-		if _, refuse := j.Decide(time.Duration(i)*time.Second, wishOf("", queue, 0)); refuse {
+		if _, refuse := j.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); refuse {
 			t.Fatalf("number %d is refused", i)
 		}
 	}
@@ -92,21 +92,21 @@
 // TestWhoComesBackGoesFirst: at a queue at which new ones are refused, and only for a while.
 func TestWhoComesBackGoesFirst(t *testing.T) {
 	j := &Controller{}
-	if _, refuse := j.Decide(0, wishOf("a", time.Second, 0.5)); !refuse {
+	if _, refuse := j.Decide(0, newRequest("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
 	j.loads[1] = smoothedLoad{updatedAt: time.Second}
-	if _, refuse := j.Decide(time.Second, wishOf("b", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, newRequest("b", queue, 0.3)); !refuse {
 		t.Fatal("a new one is let in")
 	}
-	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); refuse {
+	if _, refuse := j.Decide(time.Second, newRequest("a", queue, 0.3)); refuse {
 		t.Fatal("one that comes back is refused")
 	}
-	if _, refuse := j.Decide(time.Second, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second, newRequest("a", queue, 0.3)); !refuse {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := j.Decide(time.Second+rejectionTTL, wishOf("a", queue, 0.3)); !refuse {
+	if _, refuse := j.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !refuse {
 		t.Fatal("it is remembered for ever")
 	}
 }
@@ -114,7 +114,7 @@
 // TestAdviceFollowsTheQueue and is spread.
 func TestAdviceFollowsTheQueue(t *testing.T) {
 	advice := func(queue time.Duration, chance float64) time.Duration {
-		wait, refuse := (&Controller{}).Decide(0, wishOf("", queue, chance))
+		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, chance))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
@@ -135,7 +135,7 @@
 func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
 	j := &Controller{}
 	for i := range maxRejections + 100 {
-		j.Decide(time.Duration(i), wishOf(fmt.Sprint(i), time.Hour, 0))
+		j.Decide(time.Duration(i), newRequest(fmt.Sprint(i), time.Hour, 0))
 	}
 	if len(j.rejectedAt) > maxRejections {
 		t.Fatalf("%d are remembered", len(j.rejectedAt))
