--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,8 +12,8 @@
 	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Random: chance}
 }
 
-// refusals returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
-func refusals(queue time.Duration, stands bool) int {
+// rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
+func rejections(queue time.Duration, stands bool) int {
 	refused := 0
 	for chance := range 100 {
 		j, now := &Controller{}, time.Duration(0)
@@ -40,7 +40,7 @@
 		before := 0
 		for percent := range 120 {
 			queue := objective * time.Duration(percent) / 100
-			refused := refusals(queue, c.stands)
+			refused := rejections(queue, c.stands)
 			if queue <= c.nothing && refused > 0 || queue >= c.everybody && refused < 100 || refused < before {
 				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.stands, refused, queue, before)
 			}
