--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,7 +14,7 @@
 
 // rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
 func rejections(queue time.Duration, stands bool) int {
-	refused := 0
+	rejected := 0
 	for chance := range 100 {
 		j, now := &Controller{}, time.Duration(0)
 		for i := 0; stands && i < 100; i++ {
@@ -22,10 +22,10 @@
 			j.Decide(now, newRequest("", queue, 1))
 		}
 		if _, refuse := j.Decide(now, newRequest("", queue, float64(chance)/100)); refuse {
-			refused++
+			rejected++
 		}
 	}
-	return refused
+	return rejected
 }
 
 // TestRefusalsRiseWithTheQueue: one that has just come may use the objective up, one that stands is kept short, and nothing is
