--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,11 +13,11 @@
 }
 
 // rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
-func rejections(queue time.Duration, stands bool) int {
+func rejections(queue time.Duration, standing bool) int {
 	rejected := 0
 	for chance := range 100 {
 		j, now := &Controller{}, time.Duration(0)
-		for i := 0; stands && i < 100; i++ {
+		for i := 0; standing && i < 100; i++ {
 			now += loadTimeConstant / 20
 			j.Decide(now, newRequest("", queue, 1))
 		}
