--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,12 +16,12 @@
 func rejections(queue time.Duration, standing bool) int {
 	rejected := 0
 	for chance := range 100 {
-		j, now := &Controller{}, time.Duration(0)
+		c, now := &Controller{}, time.Duration(0)
 		for i := 0; standing && i < 100; i++ {
 			now += loadTimeConstant / 20
-			j.Decide(now, newRequest("", queue, 1))
+			c.Decide(now, newRequest("", queue, 1))
 		}
-		if _, refuse := j.Decide(now, newRequest("", queue, float64(chance)/100)); refuse {
+		if _, refuse := c.Decide(now, newRequest("", queue, float64(chance)/100)); refuse {
 			rejected++
 		}
 	}
