--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 			now += loadTimeConstant / 20
 			c.Decide(now, newRequest("", queue, 1))
 		}
-		if _, refuse := c.Decide(now, newRequest("", queue, float64(chance)/100)); refuse {
+		if _, reject := c.Decide(now, newRequest("", queue, float64(chance)/100)); reject {
 			rejected++
 		}
 	}
