--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,13 +15,13 @@
 // rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
 func rejections(queue time.Duration, standing bool) int {
 	rejected := 0
-	for chance := range 100 {
+	for random := range 100 {
 		c, now := &Controller{}, time.Duration(0)
 		for i := 0; standing && i < 100; i++ {
 			now += loadTimeConstant / 20
 			c.Decide(now, newRequest("", queue, 1))
 		}
-		if _, reject := c.Decide(now, newRequest("", queue, float64(chance)/100)); reject {
+		if _, reject := c.Decide(now, newRequest("", queue, float64(random)/100)); reject {
 			rejected++
 		}
 	}
