--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -32,7 +32,7 @@
 // refused for want of a queue.
 func TestRefusalsRiseWithTheQueue(t *testing.T) {
 	for _, c := range []struct {
-		stands             bool
+		standing           bool
 		nothing, everybody time.Duration // shares of the objective up to which nobody, and from which everybody, is refused
 	}{
 		{false, objective * 7 / 10, objective}, {true, objective * 15 / 100, objective * 45 / 100},
@@ -40,9 +40,9 @@
 		before := 0
 		for percent := range 120 {
 			queue := objective * time.Duration(percent) / 100
-			refused := rejections(queue, c.stands)
+			refused := rejections(queue, c.standing)
 			if queue <= c.nothing && refused > 0 || queue >= c.everybody && refused < 100 || refused < before {
-				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.stands, refused, queue, before)
+				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.standing, refused, queue, before)
 			}
 			before = refused
 		}
