--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -40,11 +40,11 @@
 		before := 0
 		for percent := range 120 {
 			queue := objective * time.Duration(percent) / 100
-			refused := rejections(queue, c.standing)
-			if queue <= c.noneUpTo && refused > 0 || queue >= c.allFrom && refused < 100 || refused < before {
-				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.standing, refused, queue, before)
+			rejected := rejections(queue, c.standing)
+			if queue <= c.noneUpTo && rejected > 0 || queue >= c.allFrom && rejected < 100 || rejected < before {
+				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.standing, rejected, queue, before)
 			}
-			before = refused
+			before = rejected
 		}
 	}
 	if _, refuse := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); refuse {
