--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -28,9 +28,9 @@
 	return rejected
 }
 
-// TestRefusalsRiseWithTheQueue: one that has just come may use the objective up, one that stands is kept short, and nothing is
+// TestRejectionRateRisesWithPredictedWait: one that has just come may use the objective up, one that stands is kept short, and nothing is
 // refused for want of a queue.
-func TestRefusalsRiseWithTheQueue(t *testing.T) {
+func TestRejectionRateRisesWithPredictedWait(t *testing.T) {
 	for _, c := range []struct {
 		standing          bool
 		noneUpTo, allFrom time.Duration // shares of the objective up to which nobody, and from which everybody, is refused
