--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestOneQueueIsNoStandingOne: where requests are few, a single one that meets a queue slides nothing.
-func TestOneQueueIsNoStandingOne(t *testing.T) {
+// TestSingleQueuedRequestIsNotStandingQueue: where requests are few, a single one that meets a queue slides nothing.
+func TestSingleQueuedRequestIsNotStandingQueue(t *testing.T) {
 	j := &Controller{}
 	for i := range 20 {
 		queue := time.Duration(0)
