--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestErrorOfPredictionsIsLearnt for each rank by itself: what the urgent wait less than was predicted lets them in.
-func TestErrorOfPredictionsIsLearnt(t *testing.T) {
+// TestPredictionErrorIsCorrectedPerPriority for each rank by itself: what the urgent wait less than was predicted lets them in.
+func TestPredictionErrorIsCorrectedPerPriority(t *testing.T) {
 	j := &Controller{}
 	for range 200 {
 		j.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
