--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestWhoComesBackGoesFirst: at a queue at which new ones are refused, and only for a while.
-func TestWhoComesBackGoesFirst(t *testing.T) {
+// TestRetriedRequestIsPreferred: at a queue at which new ones are refused, and only for a while.
+func TestRetriedRequestIsPreferred(t *testing.T) {
 	j := &Controller{}
 	if _, refuse := j.Decide(0, newRequest("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
