--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestAdviceFollowsTheQueue and is spread.
-func TestAdviceFollowsTheQueue(t *testing.T) {
+// TestRetryAfterGrowsWithPredictedWait and is spread.
+func TestRetryAfterGrowsWithPredictedWait(t *testing.T) {
 	advice := func(queue time.Duration, chance float64) time.Duration {
 		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, chance))
 		if !refuse {
