--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestRefusalsThatAreRememberedAreBounded.
-func TestRefusalsThatAreRememberedAreBounded(t *testing.T) {
+// TestRecordedRejectionsAreBounded.
+func TestRecordedRejectionsAreBounded(t *testing.T) {
 	j := &Controller{}
 	for i := range maxRejections + 100 {
 		j.Decide(time.Duration(i), newRequest(fmt.Sprint(i), time.Hour, 0))
