--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -113,20 +113,20 @@
 
 // TestRetryAfterGrowsWithPredictedWait and is spread.
 func TestRetryAfterGrowsWithPredictedWait(t *testing.T) {
-	advice := func(queue time.Duration, chance float64) time.Duration {
+	retryAfter := func(queue time.Duration, chance float64) time.Duration {
 		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, chance))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
 		return wait
 	}
-	if short, long := advice(900*time.Millisecond, 0), advice(2*time.Second, 0); short >= long || short < minRetryAfter {
+	if short, long := retryAfter(900*time.Millisecond, 0), retryAfter(2*time.Second, 0); short >= long || short < minRetryAfter {
 		t.Fatalf("%v and %v", short, long)
 	}
-	if first, last := advice(2*time.Second, 0), advice(2*time.Second, 0.9); last <= first {
+	if first, last := retryAfter(2*time.Second, 0), retryAfter(2*time.Second, 0.9); last <= first {
 		t.Fatalf("%v and %v", first, last)
 	}
-	if most := advice(time.Hour, 0.9); most > maxRetryAfter {
+	if most := retryAfter(time.Hour, 0.9); most > maxRetryAfter {
 		t.Fatalf("%v", most)
 	}
 }
