--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -113,8 +113,8 @@
 
 // TestRetryAfterGrowsWithPredictedWait and is spread.
 func TestRetryAfterGrowsWithPredictedWait(t *testing.T) {
-	retryAfter := func(queue time.Duration, chance float64) time.Duration {
-		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, chance))
+	retryAfter := func(queue time.Duration, random float64) time.Duration {
+		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, random))
 		if !refuse {
 			t.Fatalf("not refused at %v", queue)
 		}
