--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,8 +8,8 @@
 
 const objective = 800 * time.Millisecond
 
-func newRequest(key string, queue time.Duration, random float64) Request {
-	return Request{Key: key, Priority: 1, PredictedWait: queue, Objective: objective, Random: random}
+func newRequest(key string, predictedWait time.Duration, random float64) Request {
+	return Request{Key: key, Priority: 1, PredictedWait: predictedWait, Objective: objective, Random: random}
 }
 
 // rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
