--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -114,8 +114,8 @@
 // TestRetryAfterGrowsWithPredictedWait and is spread.
 func TestRetryAfterGrowsWithPredictedWait(t *testing.T) {
 	retryAfter := func(queue time.Duration, random float64) time.Duration {
-		wait, refuse := (&Controller{}).Decide(0, newRequest("", queue, random))
-		if !refuse {
+		wait, reject := (&Controller{}).Decide(0, newRequest("", queue, random))
+		if !reject {
 			t.Fatalf("not refused at %v", queue)
 		}
 		return wait
