--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -84,8 +84,8 @@
 	for range 10_000 {
 		j.ObserveWait(5, time.Second, 0)
 	}
-	if least := j.ExpectedWait(5, time.Second); least < time.Second/(maxCorrection+1) {
-		t.Fatalf("%v is expected", least)
+	if lowest := j.ExpectedWait(5, time.Second); lowest < time.Second/(maxCorrection+1) {
+		t.Fatalf("%v is expected", lowest)
 	}
 }
 
