--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -126,8 +126,8 @@
 	if first, last := retryAfter(2*time.Second, 0), retryAfter(2*time.Second, 0.9); last <= first {
 		t.Fatalf("%v and %v", first, last)
 	}
-	if most := retryAfter(time.Hour, 0.9); most > maxRetryAfter {
-		t.Fatalf("%v", most)
+	if longest := retryAfter(time.Hour, 0.9); longest > maxRetryAfter {
+		t.Fatalf("%v", longest)
 	}
 }
 
