--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -31,11 +31,11 @@
 	if limit.Withdrawn && !known.Advertised {
 		return false
 	}
-	w := t.stateOf(incarnation)
-	if w.limitAt > at {
+	s := t.stateOf(incarnation)
+	if s.limitAt > at {
 		return false
 	}
-	w.limit, w.limitAt, w.updatedAt = limit, at, max(w.updatedAt, at)
+	s.limit, s.limitAt, s.updatedAt = limit, at, max(s.updatedAt, at)
 	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
