--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -73,10 +73,10 @@
 	if signals.IsEmpty() {
 		return t.Restriction(now, incarnation)
 	}
-	w := t.stateOf(incarnation)
-	w.updatedAt, w.draining = now, w.draining || signals.Draining
+	s := t.stateOf(incarnation)
+	s.updatedAt, s.draining = now, s.draining || signals.Draining
 	if signals.Backoff > 0 {
-		w.backoffUntil, w.backoffHeardAt = max(w.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), random)), wallClock
+		s.backoffUntil, s.backoffHeardAt = max(s.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), random)), wallClock
 	}
 	t.ObserveLimit(now, incarnation, signals.Limit)
 	return t.Restriction(now, incarnation)
