--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -109,8 +109,8 @@
 }
 
 // mayHaveRequested reports whether a later life of the name had begun when the word was heard.
-func (w *incarnationState) mayHaveRequested(later catalog.Life) bool {
-	return !w.backoffHeardAt.IsZero() && w.incarnation.Precedes(later) && later.Born <= w.backoffHeardAt.Add(maxClockSkew).UnixMilli()
+func (s *incarnationState) mayHaveRequested(later catalog.Life) bool {
+	return !s.backoffHeardAt.IsZero() && s.incarnation.Precedes(later) && later.Born <= s.backoffHeardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
