--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -92,17 +92,17 @@
 // roster may have named the earlier one still.
 func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Life) Restriction {
 	var restriction Restriction
-	for _, w := range t.states[incarnation.Name] {
-		if w.incarnation == incarnation {
-			restriction.Draining = restriction.Draining || w.draining
-			if w.limit.Advertised {
-				restriction.Limit = w.limit
+	for _, s := range t.states[incarnation.Name] {
+		if s.incarnation == incarnation {
+			restriction.Draining = restriction.Draining || s.draining
+			if s.limit.Advertised {
+				restriction.Limit = s.limit
 			}
-		} else if !w.mayHaveRequested(incarnation) {
+		} else if !s.mayHaveRequested(incarnation) {
 			continue
 		}
-		if now < w.backoffUntil {
-			restriction.BackoffUntil = max(restriction.BackoffUntil, w.backoffUntil)
+		if now < s.backoffUntil {
+			restriction.BackoffUntil = max(restriction.BackoffUntil, s.backoffUntil)
 		}
 	}
 	return restriction
