--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -116,9 +116,9 @@
 // Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
 func (t *Tracker) Sweep(now time.Duration, isKnown func(catalog.Life) bool) {
 	for name, states := range t.states {
-		kept := slices.DeleteFunc(states, func(w incarnationState) bool {
-			untimed := w.draining || w.limit.Advertised
-			return now >= w.backoffUntil && (!untimed || now >= w.updatedAt+untimedTTL && !isKnown(w.incarnation))
+		kept := slices.DeleteFunc(states, func(s incarnationState) bool {
+			untimed := s.draining || s.limit.Advertised
+			return now >= s.backoffUntil && (!untimed || now >= s.updatedAt+untimedTTL && !isKnown(s.incarnation))
 		})
 		if len(kept) == 0 {
 			delete(t.states, name)
