--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -57,9 +57,9 @@
 
 // LimitObservedAt returns the limit that a life names, and when that was last heard.
 func (t *Tracker) LimitObservedAt(incarnation catalog.Life) (limit Limit, observedAt time.Duration) {
-	for _, w := range t.states[incarnation.Name] {
-		if w.incarnation == incarnation && w.limit.Advertised {
-			return w.limit, w.limitAt
+	for _, s := range t.states[incarnation.Name] {
+		if s.incarnation == incarnation && s.limit.Advertised {
+			return s.limit, s.limitAt
 		}
 	}
 	return Limit{}, 0
