--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -42,7 +42,7 @@
 // ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
 // and nothing of one that was heard since, which may have been named after the answer.
 func (t *Tracker) ObserveNoLimit(now, sent time.Duration, incarnation catalog.Life) (withdrawn bool) {
-	index := slices.IndexFunc(t.states[incarnation.Name], func(w incarnationState) bool { return w.incarnation == incarnation })
+	index := slices.IndexFunc(t.states[incarnation.Name], func(s incarnationState) bool { return s.incarnation == incarnation })
 	if index < 0 || t.states[incarnation.Name][index].limitAt >= sent {
 		return false
 	}
