--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -68,7 +68,7 @@
 // stateOf returns the stateOf of a life, made when it first says something.
 func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
 	states := t.states[incarnation.Name]
-	index := slices.IndexFunc(states, func(w incarnationState) bool { return w.incarnation == incarnation })
+	index := slices.IndexFunc(states, func(s incarnationState) bool { return s.incarnation == incarnation })
 	if index < 0 {
 		index, states = len(states), append(states, incarnationState{incarnation: incarnation})
 		t.states[incarnation.Name] = states
