--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// heard is a word as the oracle keeps it: all of them, in a list.
-type heard struct {
+// observation is a word as the oracle keeps it: all of them, in a list.
+type observation struct {
 	at   time.Duration
 	life catalog.Life
 	said Signals
@@ -21,7 +21,7 @@
 func TestBookAgreesWithAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		book, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
-		var list []heard
+		var list []observation
 		life := rapid.Custom(func(t *rapid.T) catalog.Life {
 			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if made.Name == "a" {
@@ -33,7 +33,7 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := heard{now, life.Draw(t, "speaker"), Signals{
+				word := observation{now, life.Draw(t, "speaker"), Signals{
 					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
