--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -11,9 +11,9 @@
 
 // observation is a word as the oracle keeps it: all of them, in a list.
 type observation struct {
-	at   time.Duration
-	life catalog.Life
-	said Signals
+	at          time.Duration
+	incarnation catalog.Life
+	said        Signals
 }
 
 // TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
@@ -38,7 +38,7 @@
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
-				book.Observe(now, began.Add(now), word.life, word.said, 0)
+				book.Observe(now, began.Add(now), word.incarnation, word.said, 0)
 			case 1:
 				book.Sweep(now, func(catalog.Life) bool { return true })
 			}
@@ -46,11 +46,11 @@
 			wanted := Restriction{}
 			for _, word := range list {
 				until := word.at + word.said.Backoff
-				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
-				if word.life == asked && word.said.Draining {
+				earlier := word.incarnation.Name == asked.Name && word.incarnation.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
+				if word.incarnation == asked && word.said.Draining {
 					wanted.Draining = true
 				}
-				if (word.life == asked || earlier) && word.said.Backoff > 0 && until > now {
+				if (word.incarnation == asked || earlier) && word.said.Backoff > 0 && until > now {
 					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
