--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -13,7 +13,7 @@
 type observation struct {
 	at          time.Duration
 	incarnation catalog.Life
-	said        Signals
+	signals     Signals
 }
 
 // TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
@@ -38,19 +38,19 @@
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
-				book.Observe(now, began.Add(now), word.incarnation, word.said, 0)
+				book.Observe(now, began.Add(now), word.incarnation, word.signals, 0)
 			case 1:
 				book.Sweep(now, func(catalog.Life) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
 			wanted := Restriction{}
 			for _, word := range list {
-				until := word.at + word.said.Backoff
+				until := word.at + word.signals.Backoff
 				earlier := word.incarnation.Name == asked.Name && word.incarnation.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
-				if word.incarnation == asked && word.said.Draining {
+				if word.incarnation == asked && word.signals.Draining {
 					wanted.Draining = true
 				}
-				if (word.incarnation == asked || earlier) && word.said.Backoff > 0 && until > now {
+				if (word.incarnation == asked || earlier) && word.signals.Backoff > 0 && until > now {
 					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
