--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -16,9 +16,9 @@
 	signals     Signals
 }
 
-// TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
+// TestTrackerMatchesModel: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
 // a life before it was heard to ask for, unless it began clearly later.
-func TestBookAgreesWithAList(t *testing.T) {
+func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		book, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var list []observation
