--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestLimitsAgreeWithAList: whatever is heard, in whatever order, told by others with its age, ended or swept, a life's limit is that of the latest
+// TestLimitsMatchModel: whatever is heard, in whatever order, told by others with its age, ended or swept, a life's limit is that of the latest
 // word; an answer without one ends only what was heard before its request was sent.
-func TestLimitsAgreeWithAList(t *testing.T) {
+func TestLimitsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type told struct {
 			at    time.Duration
