--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -131,8 +131,8 @@
 	})
 }
 
-// TestRestIsOfALife: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
-func TestRestIsOfALife(t *testing.T) {
+// TestBackoffBelongsToIncarnation: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
+func TestBackoffBelongsToIncarnation(t *testing.T) {
 	day := time.UnixMilli(50_000)
 	book := NewTracker()
 	book.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
