--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestRestEnds: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
+// TestBackoffExpires: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
 // than the bound.
-func TestRestEnds(t *testing.T) {
+func TestBackoffExpires(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	book := NewTracker()
 	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+maxJitter {
