--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestWordsAreForgotten: a rest with its time; that a life leaves once nobody has named it for long.
-func TestWordsAreForgotten(t *testing.T) {
+// TestSweepRemovesExpiredState: a rest with its time; that a life leaves once nobody has named it for long.
+func TestSweepRemovesExpiredState(t *testing.T) {
 	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewTracker()
 	book.Observe(0, day, leaver, Signals{Draining: true}, 0)
