--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -20,7 +20,7 @@
 // a life before it was heard to ask for, unless it began clearly later.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
+		tracker, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var list []observation
 		life := rapid.Custom(func(t *rapid.T) catalog.Life {
 			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
@@ -38,9 +38,9 @@
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				list = append(list, word)
-				book.Observe(now, began.Add(now), word.incarnation, word.signals, 0)
+				tracker.Observe(now, began.Add(now), word.incarnation, word.signals, 0)
 			case 1:
-				book.Sweep(now, func(catalog.Life) bool { return true })
+				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
 			wanted := Restriction{}
@@ -55,7 +55,7 @@
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
-			got := book.Restriction(now, asked)
+			got := tracker.Restriction(now, asked)
 			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
 				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
 			}
