--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -21,7 +21,7 @@
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
-		var list []observation
+		var observations []observation
 		life := rapid.Custom(func(t *rapid.T) catalog.Life {
 			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if made.Name == "a" {
@@ -37,14 +37,14 @@
 					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
-				list = append(list, word)
+				observations = append(observations, word)
 				tracker.Observe(now, began.Add(now), word.incarnation, word.signals, 0)
 			case 1:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
 			asked := life.Draw(t, "asked")
 			wanted := Restriction{}
-			for _, word := range list {
+			for _, word := range observations {
 				until := word.at + word.signals.Backoff
 				earlier := word.incarnation.Name == asked.Name && word.incarnation.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
 				if word.incarnation == asked && word.signals.Draining {
