--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var observations []observation
-		life := rapid.Custom(func(t *rapid.T) catalog.Life {
+		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Life {
 			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if made.Name == "a" {
 				made.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
@@ -33,7 +33,7 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := observation{now, life.Draw(t, "speaker"), Signals{
+				word := observation{now, anyIncarnation.Draw(t, "speaker"), Signals{
 					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
@@ -42,7 +42,7 @@
 			case 1:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
-			asked := life.Draw(t, "asked")
+			asked := anyIncarnation.Draw(t, "asked")
 			wanted := Restriction{}
 			for _, word := range observations {
 				until := word.at + word.signals.Backoff
