--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -23,11 +23,11 @@
 		tracker, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var observations []observation
 		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Life {
-			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
-			if made.Name == "a" {
-				made.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
+			incarnation := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
+			if incarnation.Name == "a" {
+				incarnation.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
-			return made
+			return incarnation
 		})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
