--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -33,12 +33,12 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := observation{now, anyIncarnation.Draw(t, "speaker"), Signals{
+				o := observation{now, anyIncarnation.Draw(t, "speaker"), Signals{
 					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
-				observations = append(observations, word)
-				tracker.Observe(now, began.Add(now), word.incarnation, word.signals, 0)
+				observations = append(observations, o)
+				tracker.Observe(now, began.Add(now), o.incarnation, o.signals, 0)
 			case 1:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
