--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -44,13 +44,13 @@
 			}
 			asked := anyIncarnation.Draw(t, "asked")
 			wanted := Restriction{}
-			for _, word := range observations {
-				until := word.at + word.signals.Backoff
-				earlier := word.incarnation.Name == asked.Name && word.incarnation.Born < asked.Born && asked.Born <= began.Add(word.at+maxClockSkew).UnixMilli()
-				if word.incarnation == asked && word.signals.Draining {
+			for _, o := range observations {
+				until := o.at + o.signals.Backoff
+				earlier := o.incarnation.Name == asked.Name && o.incarnation.Born < asked.Born && asked.Born <= began.Add(o.at+maxClockSkew).UnixMilli()
+				if o.incarnation == asked && o.signals.Draining {
 					wanted.Draining = true
 				}
-				if (word.incarnation == asked || earlier) && word.signals.Backoff > 0 && until > now {
+				if (o.incarnation == asked || earlier) && o.signals.Backoff > 0 && until > now {
 					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
