--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -42,25 +42,25 @@
 			case 1:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
-			asked := anyIncarnation.Draw(t, "asked")
+			queried := anyIncarnation.Draw(t, "asked")
 			wanted := Restriction{}
 			for _, o := range observations {
 				until := o.at + o.signals.Backoff
-				earlier := o.incarnation.Name == asked.Name && o.incarnation.Born < asked.Born && asked.Born <= began.Add(o.at+maxClockSkew).UnixMilli()
-				if o.incarnation == asked && o.signals.Draining {
+				earlier := o.incarnation.Name == queried.Name && o.incarnation.Born < queried.Born && queried.Born <= began.Add(o.at+maxClockSkew).UnixMilli()
+				if o.incarnation == queried && o.signals.Draining {
 					wanted.Draining = true
 				}
-				if (o.incarnation == asked || earlier) && o.signals.Backoff > 0 && until > now {
+				if (o.incarnation == queried || earlier) && o.signals.Backoff > 0 && until > now {
 					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
-			got := tracker.Restriction(now, asked)
+			got := tracker.Restriction(now, queried)
 			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
-				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
+				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, wanted)
 			}
-			if asked.Name == "b" && got != wanted {
-				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
+			if queried.Name == "b" && got != wanted {
+				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, wanted)
 			}
 		}
 	})
