--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -43,24 +43,24 @@
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
 			queried := anyIncarnation.Draw(t, "asked")
-			wanted := Restriction{}
+			want := Restriction{}
 			for _, o := range observations {
 				until := o.at + o.signals.Backoff
 				earlier := o.incarnation.Name == queried.Name && o.incarnation.Born < queried.Born && queried.Born <= began.Add(o.at+maxClockSkew).UnixMilli()
 				if o.incarnation == queried && o.signals.Draining {
-					wanted.Draining = true
+					want.Draining = true
 				}
 				if (o.incarnation == queried || earlier) && o.signals.Backoff > 0 && until > now {
-					wanted.BackoffUntil = max(wanted.BackoffUntil, until)
+					want.BackoffUntil = max(want.BackoffUntil, until)
 				}
 			}
 			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
 			got := tracker.Restriction(now, queried)
-			if got.Draining != wanted.Draining || got.BackoffUntil < wanted.BackoffUntil {
-				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, wanted)
+			if got.Draining != want.Draining || got.BackoffUntil < want.BackoffUntil {
+				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, want)
 			}
-			if queried.Name == "b" && got != wanted {
-				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, wanted)
+			if queried.Name == "b" && got != want {
+				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, want)
 			}
 		}
 	})
