--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -70,12 +70,12 @@
 // word; an answer without one ends only what was heard before its request was sent.
 func TestLimitsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type told struct {
+		type observed struct {
 			at    time.Duration
 			limit Limit
 		}
 		book, now := NewTracker(), time.Minute
-		latest := map[catalog.Life]told{}
+		latest := map[catalog.Life]observed{}
 		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
@@ -83,7 +83,7 @@
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
-			latest[life] = told{at, limit}
+			latest[life] = observed{at, limit}
 			if changed := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != changed {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
@@ -96,7 +96,7 @@
 			case 0:
 				said := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
 				if before := latest[life]; now >= before.at {
-					latest[life] = told{now, said.Limit}
+					latest[life] = observed{now, said.Limit}
 				}
 				book.Observe(now, time.Time{}, life, said, 0)
 			case 1:
@@ -108,7 +108,7 @@
 				if over := book.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
-					latest[life] = told{now, Limit{Withdrawn: true}}
+					latest[life] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
 				book.Sweep(now, func(catalog.Life) bool { return true })
