--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -74,12 +74,12 @@
 			at    time.Duration
 			limit Limit
 		}
-		book, now := NewTracker(), time.Minute
+		tracker, now := NewTracker(), time.Minute
 		latest := map[catalog.Life]observed{}
 		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
-			news := book.ObserveLimit(at, life, limit)
+			news := tracker.ObserveLimit(at, life, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
@@ -98,20 +98,20 @@
 				if before := latest[life]; now >= before.at {
 					latest[life] = observed{now, said.Limit}
 				}
-				book.Observe(now, time.Time{}, life, said, 0)
+				tracker.Observe(now, time.Time{}, life, said, 0)
 			case 1:
 				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
 				hear(now-age, life, Limit{Withdrawn: true})
 			case 3:
 				before := latest[life]
-				if over := book.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
+				if over := tracker.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
 					latest[life] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
-				book.Sweep(now, func(catalog.Life) bool { return true })
+				tracker.Sweep(now, func(catalog.Life) bool { return true })
 				for life, last := range latest {
 					if last.limit.Withdrawn {
 						delete(latest, life) // nothing is left of it
@@ -120,11 +120,11 @@
 			}
 			for _, life := range lives {
 				last := latest[life]
-				if got := book.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
+				if got := tracker.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
 				}
-				if bar := book.Restriction(now, life); bar.Limit != book.Limit(life) {
-					t.Fatalf("%+v bars, %+v is named", bar.Limit, book.Limit(life))
+				if bar := tracker.Restriction(now, life); bar.Limit != tracker.Limit(life) {
+					t.Fatalf("%+v bars, %+v is named", bar.Limit, tracker.Limit(life))
 				}
 			}
 		}
