--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -76,7 +76,7 @@
 		}
 		tracker, now := NewTracker(), time.Minute
 		latest := map[catalog.Life]observed{}
-		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
+		incarnations := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		hear := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
 			news := tracker.ObserveLimit(at, life, limit)
@@ -90,7 +90,7 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "pause")) * time.Millisecond
-			life := rapid.SampledFrom(lives).Draw(t, "life")
+			life := rapid.SampledFrom(incarnations).Draw(t, "life")
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
@@ -118,7 +118,7 @@
 					}
 				}
 			}
-			for _, life := range lives {
+			for _, life := range incarnations {
 				last := latest[life]
 				if got := tracker.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
