--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -77,7 +77,7 @@
 		tracker, now := NewTracker(), time.Minute
 		latest := map[catalog.Life]observed{}
 		incarnations := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
-		hear := func(at time.Duration, life catalog.Life, limit Limit) {
+		observe := func(at time.Duration, life catalog.Life, limit Limit) {
 			before := latest[life]
 			news := tracker.ObserveLimit(at, life, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
@@ -100,9 +100,9 @@
 				}
 				tracker.Observe(now, time.Time{}, life, said, 0)
 			case 1:
-				hear(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
+				observe(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
-				hear(now-age, life, Limit{Withdrawn: true})
+				observe(now-age, life, Limit{Withdrawn: true})
 			case 3:
 				before := latest[life]
 				if over := tracker.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
