--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -84,7 +84,7 @@
 				return
 			}
 			latest[life] = observed{at, limit}
-			if changed := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != changed {
+			if wantChanged := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != wantChanged {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
 		}
