--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -77,13 +77,13 @@
 		tracker, now := NewTracker(), time.Minute
 		latest := map[catalog.Life]observed{}
 		incarnations := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
-		observe := func(at time.Duration, life catalog.Life, limit Limit) {
-			before := latest[life]
-			news := tracker.ObserveLimit(at, life, limit)
+		observe := func(at time.Duration, incarnation catalog.Life, limit Limit) {
+			before := latest[incarnation]
+			news := tracker.ObserveLimit(at, incarnation, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
-			latest[life] = observed{at, limit}
+			latest[incarnation] = observed{at, limit}
 			if wantChanged := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != wantChanged {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
