--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -90,25 +90,25 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "pause")) * time.Millisecond
-			life := rapid.SampledFrom(incarnations).Draw(t, "life")
+			incarnation := rapid.SampledFrom(incarnations).Draw(t, "life")
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				said := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
-				if before := latest[life]; now >= before.at {
-					latest[life] = observed{now, said.Limit}
+				if before := latest[incarnation]; now >= before.at {
+					latest[incarnation] = observed{now, said.Limit}
 				}
-				tracker.Observe(now, time.Time{}, life, said, 0)
+				tracker.Observe(now, time.Time{}, incarnation, said, 0)
 			case 1:
-				observe(now-age, life, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
+				observe(now-age, incarnation, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
-				observe(now-age, life, Limit{Withdrawn: true})
+				observe(now-age, incarnation, Limit{Withdrawn: true})
 			case 3:
-				before := latest[life]
-				if over := tracker.ObserveNoLimit(now, now-age, life); over != (before.limit.Advertised && before.at < now-age) {
+				before := latest[incarnation]
+				if over := tracker.ObserveNoLimit(now, now-age, incarnation); over != (before.limit.Advertised && before.at < now-age) {
 					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
 				} else if over {
-					latest[life] = observed{now, Limit{Withdrawn: true}}
+					latest[incarnation] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
