--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -94,11 +94,11 @@
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				said := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
+				signals := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
 				if before := latest[incarnation]; now >= before.at {
-					latest[incarnation] = observed{now, said.Limit}
+					latest[incarnation] = observed{now, signals.Limit}
 				}
-				tracker.Observe(now, time.Time{}, incarnation, said, 0)
+				tracker.Observe(now, time.Time{}, incarnation, signals, 0)
 			case 1:
 				observe(now-age, incarnation, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
