--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -105,9 +105,9 @@
 				observe(now-age, incarnation, Limit{Withdrawn: true})
 			case 3:
 				before := latest[incarnation]
-				if over := tracker.ObserveNoLimit(now, now-age, incarnation); over != (before.limit.Advertised && before.at < now-age) {
-					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
-				} else if over {
+				if withdrawn := tracker.ObserveNoLimit(now, now-age, incarnation); withdrawn != (before.limit.Advertised && before.at < now-age) {
+					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, withdrawn)
+				} else if withdrawn {
 					latest[incarnation] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
