--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -112,9 +112,9 @@
 				}
 			case 4:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
-				for life, last := range latest {
+				for incarnation, last := range latest {
 					if last.limit.Withdrawn {
-						delete(latest, life) // nothing is left of it
+						delete(latest, incarnation) // nothing is left of it
 					}
 				}
 			}
