--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -118,13 +118,13 @@
 					}
 				}
 			}
-			for _, life := range incarnations {
-				last := latest[life]
-				if got := tracker.Limit(life); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
-					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
+			for _, incarnation := range incarnations {
+				last := latest[incarnation]
+				if got := tracker.Limit(incarnation); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
+					t.Fatalf("%v at %v: %+v, the list says %+v", incarnation, now, got, last)
 				}
-				if bar := tracker.Restriction(now, life); bar.Limit != tracker.Limit(life) {
-					t.Fatalf("%+v bars, %+v is named", bar.Limit, tracker.Limit(life))
+				if bar := tracker.Restriction(now, incarnation); bar.Limit != tracker.Limit(incarnation) {
+					t.Fatalf("%+v bars, %+v is named", bar.Limit, tracker.Limit(incarnation))
 				}
 			}
 		}
