--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -123,8 +123,8 @@
 				if got := tracker.Limit(incarnation); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
 					t.Fatalf("%v at %v: %+v, the list says %+v", incarnation, now, got, last)
 				}
-				if bar := tracker.Restriction(now, incarnation); bar.Limit != tracker.Limit(incarnation) {
-					t.Fatalf("%+v bars, %+v is named", bar.Limit, tracker.Limit(incarnation))
+				if restriction := tracker.Restriction(now, incarnation); restriction.Limit != tracker.Limit(incarnation) {
+					t.Fatalf("%+v bars, %+v is named", restriction.Limit, tracker.Limit(incarnation))
 				}
 			}
 		}
