--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -134,8 +134,8 @@
 // TestBackoffBelongsToIncarnation: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
 func TestBackoffBelongsToIncarnation(t *testing.T) {
 	day := time.UnixMilli(50_000)
-	book := NewTracker()
-	book.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
+	tracker := NewTracker()
+	tracker.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for what, step := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := book.Restriction(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
+		if bar := tracker.Restriction(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
 			t.Errorf("%s: %+v", what, bar)
 		}
 	}
