--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -136,7 +136,7 @@
 	day := time.UnixMilli(50_000)
 	tracker := NewTracker()
 	tracker.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
-	for name, step := range map[string]struct {
+	for name, c := range map[string]struct {
 		life           catalog.Life
 		rests, leaving bool
 	}{
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := tracker.Restriction(time.Second, step.life); bar.IsBackingOff(time.Second) != step.rests || bar.Draining != step.leaving {
+		if bar := tracker.Restriction(time.Second, c.life); bar.IsBackingOff(time.Second) != c.rests || bar.Draining != c.leaving {
 			t.Errorf("%s: %+v", name, bar)
 		}
 	}
