--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -137,8 +137,8 @@
 	tracker := NewTracker()
 	tracker.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for name, c := range map[string]struct {
-		incarnation         catalog.Life
-		backingOff, leaving bool
+		incarnation          catalog.Life
+		backingOff, draining bool
 	}{
 		"itself":                          {catalog.Life{Name: "a", Born: 10_000}, true, true},
 		"a life that had begun by then":   {catalog.Life{Name: "a", Born: 49_000}, true, false},
@@ -146,7 +146,7 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := tracker.Restriction(time.Second, c.incarnation); bar.IsBackingOff(time.Second) != c.backingOff || bar.Draining != c.leaving {
+		if bar := tracker.Restriction(time.Second, c.incarnation); bar.IsBackingOff(time.Second) != c.backingOff || bar.Draining != c.draining {
 			t.Errorf("%s: %+v", name, bar)
 		}
 	}
