--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -146,8 +146,8 @@
 		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
 		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
-		if bar := tracker.Restriction(time.Second, c.incarnation); bar.IsBackingOff(time.Second) != c.backingOff || bar.Draining != c.draining {
-			t.Errorf("%s: %+v", name, bar)
+		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff || restriction.Draining != c.draining {
+			t.Errorf("%s: %+v", name, restriction)
 		}
 	}
 }
