--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -156,17 +156,17 @@
 // than the bound.
 func TestBackoffExpires(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
-	book := NewTracker()
-	if bar := book.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+maxJitter {
+	tracker := NewTracker()
+	if bar := tracker.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("%+v", bar)
 	}
-	if bar := book.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
+	if bar := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
 	}
-	if bar := book.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
+	if bar := tracker.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
 	}
-	if bar := book.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
+	if bar := tracker.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
 		t.Fatalf("without a bound: %+v", bar)
 	}
 }
