--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -157,8 +157,8 @@
 func TestBackoffExpires(t *testing.T) {
 	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	tracker := NewTracker()
-	if bar := tracker.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); bar.BackoffUntil < 4*time.Second || bar.BackoffUntil > 4*time.Second+maxJitter {
-		t.Fatalf("%+v", bar)
+	if restriction := tracker.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
+		t.Fatalf("%+v", restriction)
 	}
 	if bar := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", bar)
