--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -160,8 +160,8 @@
 	if restriction := tracker.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("%+v", restriction)
 	}
-	if bar := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); bar.BackoffUntil < 4*time.Second {
-		t.Fatalf("shortened: %+v", bar)
+	if restriction := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
+		t.Fatalf("shortened: %+v", restriction)
 	}
 	if bar := tracker.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", bar)
