--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -163,8 +163,8 @@
 	if restriction := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", restriction)
 	}
-	if bar := tracker.Restriction(5*time.Second, a); bar.IsBlocked(5 * time.Second) {
-		t.Fatalf("after its end: %+v", bar)
+	if restriction := tracker.Restriction(5*time.Second, a); restriction.IsBlocked(5 * time.Second) {
+		t.Fatalf("after its end: %+v", restriction)
 	}
 	if bar := tracker.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
 		t.Fatalf("without a bound: %+v", bar)
