--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -166,8 +166,8 @@
 	if restriction := tracker.Restriction(5*time.Second, a); restriction.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", restriction)
 	}
-	if bar := tracker.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); bar.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
-		t.Fatalf("without a bound: %+v", bar)
+	if restriction := tracker.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); restriction.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
+		t.Fatalf("without a bound: %+v", restriction)
 	}
 }
 
