--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -173,10 +173,10 @@
 
 // TestSweepRemovesExpiredState: a rest with its time; that a life leaves once nobody has named it for long.
 func TestSweepRemovesExpiredState(t *testing.T) {
-	draining, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
+	draining, backingOff, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	book := NewTracker()
 	book.Observe(0, day, draining, Signals{Draining: true}, 0)
-	book.Observe(0, day, rester, Signals{Backoff: time.Second}, 0)
+	book.Observe(0, day, backingOff, Signals{Backoff: time.Second}, 0)
 	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
 	if len(book.states) != 1 || !book.Restriction(2*untimedTTL, draining).Draining {
 		t.Fatalf("%+v", book.states)
