--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -174,15 +174,15 @@
 // TestSweepRemovesExpiredState: a rest with its time; that a life leaves once nobody has named it for long.
 func TestSweepRemovesExpiredState(t *testing.T) {
 	draining, backingOff, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
-	book := NewTracker()
-	book.Observe(0, day, draining, Signals{Draining: true}, 0)
-	book.Observe(0, day, backingOff, Signals{Backoff: time.Second}, 0)
-	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
-	if len(book.states) != 1 || !book.Restriction(2*untimedTTL, draining).Draining {
-		t.Fatalf("%+v", book.states)
+	tracker := NewTracker()
+	tracker.Observe(0, day, draining, Signals{Draining: true}, 0)
+	tracker.Observe(0, day, backingOff, Signals{Backoff: time.Second}, 0)
+	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
+	if len(tracker.states) != 1 || !tracker.Restriction(2*untimedTTL, draining).Draining {
+		t.Fatalf("%+v", tracker.states)
 	}
-	book.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
-	if len(book.states) != 0 {
-		t.Fatalf("%+v", book.states)
+	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
+	if len(tracker.states) != 0 {
+		t.Fatalf("%+v", tracker.states)
 	}
 }
