--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -133,9 +133,9 @@
 
 // TestBackoffBelongsToIncarnation: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
 func TestBackoffBelongsToIncarnation(t *testing.T) {
-	day := time.UnixMilli(50_000)
+	wallClock := time.UnixMilli(50_000)
 	tracker := NewTracker()
-	tracker.Observe(0, day, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
+	tracker.Observe(0, wallClock, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for name, c := range map[string]struct {
 		incarnation          catalog.Life
 		backingOff, draining bool
