--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -155,18 +155,18 @@
 // TestBackoffExpires: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
 // than the bound.
 func TestBackoffExpires(t *testing.T) {
-	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
+	a, wallClock := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	tracker := NewTracker()
-	if restriction := tracker.Observe(time.Second, day, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
+	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("%+v", restriction)
 	}
-	if restriction := tracker.Observe(2*time.Second, day, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
+	if restriction := tracker.Observe(2*time.Second, wallClock, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
 		t.Fatalf("shortened: %+v", restriction)
 	}
 	if restriction := tracker.Restriction(5*time.Second, a); restriction.IsBlocked(5 * time.Second) {
 		t.Fatalf("after its end: %+v", restriction)
 	}
-	if restriction := tracker.Observe(5*time.Second, day, a, Signals{Backoff: 1000 * time.Hour}, 0); restriction.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
+	if restriction := tracker.Observe(5*time.Second, wallClock, a, Signals{Backoff: 1000 * time.Hour}, 0); restriction.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
 		t.Fatalf("without a bound: %+v", restriction)
 	}
 }
