--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -173,10 +173,10 @@
 
 // TestSweepRemovesExpiredState: a rest with its time; that a life leaves once nobody has named it for long.
 func TestSweepRemovesExpiredState(t *testing.T) {
-	draining, backingOff, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
+	draining, backingOff, wallClock := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	tracker := NewTracker()
-	tracker.Observe(0, day, draining, Signals{Draining: true}, 0)
-	tracker.Observe(0, day, backingOff, Signals{Backoff: time.Second}, 0)
+	tracker.Observe(0, wallClock, draining, Signals{Draining: true}, 0)
+	tracker.Observe(0, wallClock, backingOff, Signals{Backoff: time.Second}, 0)
 	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
 	if len(tracker.states) != 1 || !tracker.Restriction(2*untimedTTL, draining).Draining {
 		t.Fatalf("%+v", tracker.states)
