--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -47,14 +47,14 @@
 // new capacity.
 func (l *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
-		a := l.buckets[name]
-		if a == nil {
-			a = &bucket{createdAt: now, updatedAt: now}
-			l.buckets[name] = a
+		b := l.buckets[name]
+		if b == nil {
+			b = &bucket{createdAt: now, updatedAt: now}
+			l.buckets[name] = b
 		}
-		a.refill(now, l.withheld)
-		a.limit = limit
-		a.level = min(a.level, limit.capacity())
+		b.refill(now, l.withheld)
+		b.limit = limit
+		b.level = min(b.level, limit.capacity())
 	}
 	maps.DeleteFunc(l.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
 }
