--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -64,8 +64,8 @@
 	if fraction == l.withheld {
 		return
 	}
-	for _, a := range l.buckets {
-		a.refill(now, l.withheld)
+	for _, b := range l.buckets {
+		b.refill(now, l.withheld)
 	}
 	for _, a := range l.advertised {
 		a.refill(now, l.withheld)
