--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -67,8 +67,8 @@
 	for _, b := range l.buckets {
 		b.refill(now, l.withheld)
 	}
-	for _, a := range l.advertised {
-		a.refill(now, l.withheld)
+	for _, b := range l.advertised {
+		b.refill(now, l.withheld)
 	}
 	l.withheld = fraction
 }
