--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -89,17 +89,17 @@
 // reclaim adds what a borrower gives back.
 func (l *Allocator) reclaim(now time.Duration, returned []Grant) {
 	for _, grant := range returned {
-		a := l.buckets[grant.Name]
+		b := l.buckets[grant.Name]
 		if named := l.advertised[grant.Name]; named != nil {
-			a = &named.bucket
+			b = &named.bucket
 		}
-		if a == nil || grant.Amount <= 0 {
+		if b == nil || grant.Amount <= 0 {
 			continue
 		}
-		a.refill(now, l.withheld)
-		amount := min(grant.Amount, a.granted) // a new lender takes nothing back that it never lent
-		a.level = min(a.limit.capacity(), a.level+amount)
-		a.granted -= amount
+		b.refill(now, l.withheld)
+		amount := min(grant.Amount, b.granted) // a new lender takes nothing back that it never lent
+		b.level = min(b.limit.capacity(), b.level+amount)
+		b.granted -= amount
 	}
 }
 
