--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -108,19 +108,19 @@
 	if item.Advertised != nil {
 		return l.grantAdvertised(now, item)
 	}
-	a := l.buckets[item.Name]
-	if a == nil {
+	b := l.buckets[item.Name]
+	if b == nil {
 		return Grant{Name: item.Name, Amount: item.Amount} // the limit was taken away, which the borrower has not heard yet
 	}
-	a.refill(now, l.withheld)
-	capacity := a.limit.capacity()
-	if item.Amount > a.level && a.level < capacity || item.Amount > a.limit.maxAmount() {
-		return Grant{Name: item.Name, RetryAfter: a.refuse(now, item.Amount), WarmingUp: a.warmingUp(now)}
+	b.refill(now, l.withheld)
+	capacity := b.limit.capacity()
+	if item.Amount > b.level && b.level < capacity || item.Amount > b.limit.maxAmount() {
+		return Grant{Name: item.Name, RetryAfter: b.refuse(now, item.Amount), WarmingUp: b.warmingUp(now)}
 	}
-	amount := item.Amount + max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*capacity))
-	a.level -= amount
-	a.granted += amount
-	a.backlog = max(0, a.backlog-item.Amount)
+	amount := item.Amount + max(0, min(item.Prefetch, b.level-item.Amount-prefetchFloorFraction*capacity))
+	b.level -= amount
+	b.granted += amount
+	b.backlog = max(0, b.backlog-item.Amount)
 	return Grant{Name: item.Name, Amount: amount}
 }
 
