--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -166,11 +166,11 @@
 // States returns all resources, rising by name.
 func (l *Allocator) States(now time.Duration) []State {
 	states := make([]State, 0, len(l.buckets))
-	for name, a := range l.buckets {
-		a.refill(now, l.withheld)
+	for name, b := range l.buckets {
+		b.refill(now, l.withheld)
 		states = append(states, State{
-			Name: name, Limit: a.limit, Level: a.level, Granted: a.granted, Refused: a.refused, Withheld: l.withheld,
-			OverLimit: a.limitedAt > 0 && now < a.limitedAt+overLimitPeriod,
+			Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: l.withheld,
+			OverLimit: b.limitedAt > 0 && now < b.limitedAt+overLimitPeriod,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
