--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -50,24 +50,24 @@
 // grantAdvertised lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
 func (l *Allocator) grantAdvertised(now time.Duration, item RequestItem) Grant {
-	a := l.advertised[item.Name]
-	if a == nil {
-		a = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: item.Advertised.limit()}}
-		a.latest, a.latestAt = a.limit, now-item.Advertised.Age
-		l.advertised[item.Name] = a
+	b := l.advertised[item.Name]
+	if b == nil {
+		b = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: item.Advertised.limit()}}
+		b.latest, b.latestAt = b.limit, now-item.Advertised.Age
+		l.advertised[item.Name] = b
 	}
-	a.refill(now, l.withheld)
-	a.observe(now, *item.Advertised)
-	a.requestedAt = now
-	if item.Amount > a.level {
-		a.refused += item.Amount
-		wait := time.Duration((item.Amount - a.level) / a.limit.Rate * float64(time.Second))
+	b.refill(now, l.withheld)
+	b.observe(now, *item.Advertised)
+	b.requestedAt = now
+	if item.Amount > b.level {
+		b.refused += item.Amount
+		wait := time.Duration((item.Amount - b.level) / b.limit.Rate * float64(time.Second))
 		return Grant{Name: item.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
-	prefetch := math.Floor(max(0, min(item.Prefetch, a.level-item.Amount-prefetchFloorFraction*a.limit.capacity()))) // whole units: a part of one is of no use
+	prefetch := math.Floor(max(0, min(item.Prefetch, b.level-item.Amount-prefetchFloorFraction*b.limit.capacity()))) // whole units: a part of one is of no use
 	amount := item.Amount + prefetch
-	a.level -= amount
-	a.granted += amount
+	b.level -= amount
+	b.granted += amount
 	return Grant{Name: item.Name, Amount: amount, Enforced: true}
 }
 
