--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -110,9 +110,9 @@
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
 func (l *Allocator) AdvertisedStates(now time.Duration, limit int) []State {
 	states := make([]State, 0, len(l.advertised))
-	for name, a := range l.advertised {
-		a.refill(now, l.withheld)
-		states = append(states, State{Name: name, Limit: a.limit, Level: a.level, Granted: a.granted, Refused: a.refused, Withheld: l.withheld})
+	for name, b := range l.advertised {
+		b.refill(now, l.withheld)
+		states = append(states, State{Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: l.withheld})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Name, y.Name)) })
 	states = states[:min(len(states), limit)]
