--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -73,33 +73,33 @@
 
 // observe takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
 // hold something of, and a higher one once none does.
-func (a *advertisedBucket) observe(now time.Duration, advertised AdvertisedLimit) {
+func (b *advertisedBucket) observe(now time.Duration, advertised AdvertisedLimit) {
 	observedAt, limit := now-advertised.Age, advertised.limit()
-	if observedAt >= a.latestAt {
-		a.latest, a.latestAt = limit, observedAt
+	if observedAt >= b.latestAt {
+		b.latest, b.latestAt = limit, observedAt
 	}
 	switch {
-	case limit.Rate < a.limit.Rate && now-observedAt < advertisedWindow:
-		a.setLimit(limit)
-		a.raiseAt = 0
-		if limit.Rate < a.latest.Rate {
-			a.raiseAt = now + advertisedWindow
+	case limit.Rate < b.limit.Rate && now-observedAt < advertisedWindow:
+		b.setLimit(limit)
+		b.raiseAt = 0
+		if limit.Rate < b.latest.Rate {
+			b.raiseAt = now + advertisedWindow
 		}
-	case a.latest.Rate <= a.limit.Rate:
-		a.setLimit(a.latest)
-		a.raiseAt = 0
-	case a.raiseAt == 0:
-		a.raiseAt = now + advertisedWindow
-	case now >= a.raiseAt:
-		a.setLimit(a.latest)
-		a.raiseAt = 0
+	case b.latest.Rate <= b.limit.Rate:
+		b.setLimit(b.latest)
+		b.raiseAt = 0
+	case b.raiseAt == 0:
+		b.raiseAt = now + advertisedWindow
+	case now >= b.raiseAt:
+		b.setLimit(b.latest)
+		b.raiseAt = 0
 	}
 }
 
 // setLimit puts a limit in force.
-func (a *advertisedBucket) setLimit(limit Limit) {
-	a.limit = limit
-	a.level = min(a.level, limit.capacity())
+func (b *advertisedBucket) setLimit(limit Limit) {
+	b.limit = limit
+	b.level = min(b.level, limit.capacity())
 }
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
