--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -104,7 +104,7 @@
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
 func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.advertised, func(_ string, a *advertisedBucket) bool { return now-a.requestedAt > advertisedTTL })
+	maps.DeleteFunc(l.advertised, func(_ string, b *advertisedBucket) bool { return now-b.requestedAt > advertisedTTL })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
