--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -33,8 +33,8 @@
 }
 
 // limit returns what may be used of a resource that names a rate.
-func (n AdvertisedLimit) limit() Limit {
-	rate := min(max(n.Rate, pushback.MinRate), maxAdvertisedRate)
+func (a AdvertisedLimit) limit() Limit {
+	rate := min(max(a.Rate, pushback.MinRate), maxAdvertisedRate)
 	return Limit{Rate: rate, Burst: 1 + advertisedBurst*rate, Slack: 1 + advertisedSlack*rate}
 }
 
