--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -45,58 +45,58 @@
 
 // SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
 // new capacity.
-func (l *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
+func (a *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
-		b := l.buckets[name]
+		b := a.buckets[name]
 		if b == nil {
 			b = &bucket{createdAt: now, updatedAt: now}
-			l.buckets[name] = b
+			a.buckets[name] = b
 		}
-		b.refill(now, l.withheld)
+		b.refill(now, a.withheld)
 		b.limit = limit
 		b.level = min(b.level, limit.capacity())
 	}
-	maps.DeleteFunc(l.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
+	maps.DeleteFunc(a.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
 }
 
 // Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
-func (l *Allocator) Withhold(now time.Duration, fraction float64) {
-	if fraction == l.withheld {
+func (a *Allocator) Withhold(now time.Duration, fraction float64) {
+	if fraction == a.withheld {
 		return
 	}
-	for _, b := range l.buckets {
-		b.refill(now, l.withheld)
+	for _, b := range a.buckets {
+		b.refill(now, a.withheld)
 	}
-	for _, b := range l.advertised {
-		b.refill(now, l.withheld)
+	for _, b := range a.advertised {
+		b.refill(now, a.withheld)
 	}
-	l.withheld = fraction
+	a.withheld = fraction
 }
 
 // Allocate answers a question.
-func (l *Allocator) Allocate(now time.Duration, request Request) Reply {
-	if request.Sequence > l.sequences[request.Client] {
-		l.sequences[request.Client] = request.Sequence
-		l.reclaim(now, request.Returned)
+func (a *Allocator) Allocate(now time.Duration, request Request) Reply {
+	if request.Sequence > a.sequences[request.Client] {
+		a.sequences[request.Client] = request.Sequence
+		a.reclaim(now, request.Returned)
 	}
-	reply := Reply{Term: l.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
+	reply := Reply{Term: a.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
 	for _, item := range request.Items {
-		reply.Grants = append(reply.Grants, l.grant(now, item))
+		reply.Grants = append(reply.Grants, a.grant(now, item))
 	}
 	return reply
 }
 
 // reclaim adds what a borrower gives back.
-func (l *Allocator) reclaim(now time.Duration, returned []Grant) {
+func (a *Allocator) reclaim(now time.Duration, returned []Grant) {
 	for _, grant := range returned {
-		b := l.buckets[grant.Name]
-		if named := l.advertised[grant.Name]; named != nil {
+		b := a.buckets[grant.Name]
+		if named := a.advertised[grant.Name]; named != nil {
 			b = &named.bucket
 		}
 		if b == nil || grant.Amount <= 0 {
 			continue
 		}
-		b.refill(now, l.withheld)
+		b.refill(now, a.withheld)
 		amount := min(grant.Amount, b.granted) // a new lender takes nothing back that it never lent
 		b.level = min(b.limit.capacity(), b.level+amount)
 		b.granted -= amount
@@ -104,15 +104,15 @@
 }
 
 // grant lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Allocator) grant(now time.Duration, item RequestItem) Grant {
+func (a *Allocator) grant(now time.Duration, item RequestItem) Grant {
 	if item.Advertised != nil {
-		return l.grantAdvertised(now, item)
+		return a.grantAdvertised(now, item)
 	}
-	b := l.buckets[item.Name]
+	b := a.buckets[item.Name]
 	if b == nil {
 		return Grant{Name: item.Name, Amount: item.Amount} // the limit was taken away, which the borrower has not heard yet
 	}
-	b.refill(now, l.withheld)
+	b.refill(now, a.withheld)
 	capacity := b.limit.capacity()
 	if item.Amount > b.level && b.level < capacity || item.Amount > b.limit.maxAmount() {
 		return Grant{Name: item.Name, RetryAfter: b.refuse(now, item.Amount), WarmingUp: b.warmingUp(now)}
@@ -164,12 +164,12 @@
 }
 
 // States returns all resources, rising by name.
-func (l *Allocator) States(now time.Duration) []State {
-	states := make([]State, 0, len(l.buckets))
-	for name, b := range l.buckets {
-		b.refill(now, l.withheld)
+func (a *Allocator) States(now time.Duration) []State {
+	states := make([]State, 0, len(a.buckets))
+	for name, b := range a.buckets {
+		b.refill(now, a.withheld)
 		states = append(states, State{
-			Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: l.withheld,
+			Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: a.withheld,
 			OverLimit: b.limitedAt > 0 && now < b.limitedAt+overLimitPeriod,
 		})
 	}
--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -49,14 +49,14 @@
 
 // grantAdvertised lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
 // it, and the time to wait is that until the next amount.
-func (l *Allocator) grantAdvertised(now time.Duration, item RequestItem) Grant {
-	b := l.advertised[item.Name]
+func (a *Allocator) grantAdvertised(now time.Duration, item RequestItem) Grant {
+	b := a.advertised[item.Name]
 	if b == nil {
 		b = &advertisedBucket{bucket: bucket{createdAt: now, updatedAt: now, limit: item.Advertised.limit()}}
 		b.latest, b.latestAt = b.limit, now-item.Advertised.Age
-		l.advertised[item.Name] = b
+		a.advertised[item.Name] = b
 	}
-	b.refill(now, l.withheld)
+	b.refill(now, a.withheld)
 	b.observe(now, *item.Advertised)
 	b.requestedAt = now
 	if item.Amount > b.level {
@@ -103,16 +103,16 @@
 }
 
 // SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
-func (l *Allocator) SweepAdvertised(now time.Duration) {
-	maps.DeleteFunc(l.advertised, func(_ string, b *advertisedBucket) bool { return now-b.requestedAt > advertisedTTL })
+func (a *Allocator) SweepAdvertised(now time.Duration) {
+	maps.DeleteFunc(a.advertised, func(_ string, b *advertisedBucket) bool { return now-b.requestedAt > advertisedTTL })
 }
 
 // AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
-func (l *Allocator) AdvertisedStates(now time.Duration, limit int) []State {
-	states := make([]State, 0, len(l.advertised))
-	for name, b := range l.advertised {
-		b.refill(now, l.withheld)
-		states = append(states, State{Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: l.withheld})
+func (a *Allocator) AdvertisedStates(now time.Duration, limit int) []State {
+	states := make([]State, 0, len(a.advertised))
+	for name, b := range a.advertised {
+		b.refill(now, a.withheld)
+		states = append(states, State{Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: a.withheld})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Name, y.Name)) })
 	states = states[:min(len(states), limit)]
