--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -140,13 +140,13 @@
 	if !c.IsLimited(lease.Name) || lease.Amount <= 0 {
 		return
 	}
-	p := c.balance(lease.Name)
+	b := c.balance(lease.Name)
 	if lease.fallback {
-		p.fallbackUsed = max(0, p.fallbackUsed-lease.Amount)
+		b.fallbackUsed = max(0, b.fallbackUsed-lease.Amount)
 		return
 	}
 	if lease.Valid(now) {
-		p.add(lease)
+		b.add(lease)
 	}
 }
 
