--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -167,8 +167,8 @@
 	c.sequence++
 	request := Request{Client: c.name, Sequence: c.sequence}
 	for _, demand := range demands {
-		p := c.balance(demand.Name)
-		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: p.prefetch(demand.Amount), Advertised: demand.Advertised})
+		b := c.balance(demand.Name)
+		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: b.prefetch(demand.Amount), Advertised: demand.Advertised})
 	}
 	for name, p := range c.balances {
 		if expiring := p.takeExpiring(now); expiring > 0 {
