--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -170,8 +170,8 @@
 		b := c.balance(demand.Name)
 		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: b.prefetch(demand.Amount), Advertised: demand.Advertised})
 	}
-	for name, p := range c.balances {
-		if expiring := p.takeExpiring(now); expiring > 0 {
+	for name, b := range c.balances {
+		if expiring := b.takeExpiring(now); expiring > 0 {
 			request.Returned = append(request.Returned, Grant{Name: name, Amount: expiring})
 		}
 	}
