--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -226,9 +226,9 @@
 		if grant.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
 			continue
 		}
-		p := c.balance(demand.Name)
-		p.add(lease)
-		results[i].Lease, _ = p.take(now, demand.Name, demand.Amount)
+		b := c.balance(demand.Name)
+		b.add(lease)
+		results[i].Lease, _ = b.take(now, demand.Name, demand.Amount)
 	}
 	return results
 }
