--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -250,13 +250,13 @@
 	if !limited || now-c.lastContact > c.fallbackPeriod || c.lastContact == 0 {
 		return Lease{}, false
 	}
-	p := c.balance(name)
-	p.decayFallbackUse(now, limit.reserve()/c.clients)
+	b := c.balance(name)
+	b.decayFallbackUse(now, limit.reserve()/c.clients)
 	share := limit.reserve()/c.clients + limit.Rate/c.clients*silence.Seconds()
-	if p.fallbackUsed+amount > share {
+	if b.fallbackUsed+amount > share {
 		return Lease{}, false
 	}
-	p.fallbackUsed += amount
+	b.fallbackUsed += amount
 	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
