--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -151,8 +151,8 @@
 }
 
 func (b *balance) add(lease Lease) {
-	at, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
-	b.leases = slices.Insert(b.leases, at, lease)
+	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
+	b.leases = slices.Insert(b.leases, index, lease)
 }
 
 // Demand is an amount that is waited for.
