--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -151,7 +151,7 @@
 }
 
 func (b *balance) add(lease Lease) {
-	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, until time.Duration) int { return int(other.ExpiresAt - until) })
+	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, expiresAt time.Duration) int { return int(other.ExpiresAt - expiresAt) })
 	b.leases = slices.Insert(b.leases, index, lease)
 }
 
