--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -86,68 +86,68 @@
 func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*entry{}} }
 
 // Apply makes one change: first lives are released, then new ones counted.
-func (l *Registry) Apply(c Change) {
-	l.setSeed(c.Seed)
+func (r *Registry) Apply(c Change) {
+	r.setSeed(c.Seed)
 	for _, release := range c.Releases {
 		for _, f := range release.Requests {
-			l.trim(f, max(0, release.Keep))
+			r.trim(f, max(0, release.Keep))
 		}
 	}
 	for _, crash := range c.Crashes {
-		l.recordCrash(crash)
+		r.recordCrash(crash)
 	}
 }
 
 // WouldChange reports whether a change would change anything.
-func (l *Registry) WouldChange(c Change) bool {
-	if len(c.Seed) > 0 && !l.HasSeed() {
+func (r *Registry) WouldChange(c Change) bool {
+	if len(c.Seed) > 0 && !r.HasSeed() {
 		return true
 	}
 	for _, released := range c.Releases {
-		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.CrashCount(f) > released.Keep }) {
+		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return r.CrashCount(f) > released.Keep }) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !l.contains(ended) })
+	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !r.contains(ended) })
 }
 
-func (l *Registry) setSeed(seed []byte) {
-	if len(l.seed) == 0 && len(seed) == SeedBytes {
-		l.seed = seed
-		l.version++
+func (r *Registry) setSeed(seed []byte) {
+	if len(r.seed) == 0 && len(seed) == SeedBytes {
+		r.seed = seed
+		r.version++
 	}
 }
 
 // HasSeed reports whether there is a seed.
-func (l *Registry) HasSeed() bool { return len(l.seed) > 0 }
+func (r *Registry) HasSeed() bool { return len(r.seed) > 0 }
 
 // Version returns the version of the news.
-func (l *Registry) Version() uint64 { return l.version }
+func (r *Registry) Version() uint64 { return r.version }
 
 // recordCrash counts an ended life for each request that it ran.
-func (l *Registry) recordCrash(crash Crash) {
+func (r *Registry) recordCrash(crash Crash) {
 	for _, f := range crash.Requests {
-		e := l.entries[f]
+		e := r.entries[f]
 		if e == nil {
-			l.evict()
+			r.evict()
 			e = &entry{}
-			l.entries[f] = e
+			r.entries[f] = e
 		}
 		if slices.Contains(e.incarnations, crash.Incarnation) || len(e.incarnations) >= maxIncarnations {
 			continue
 		}
-		l.order++
-		e.incarnations, e.order = append(e.incarnations, crash.Incarnation), l.order
+		r.order++
+		e.incarnations, e.order = append(e.incarnations, crash.Incarnation), r.order
 		if len(e.incarnations) >= SuspectThreshold {
-			l.version++
+			r.version++
 		}
 	}
 }
 
 // contains reports whether noting a life would change nothing.
-func (l *Registry) contains(crash Crash) bool {
+func (r *Registry) contains(crash Crash) bool {
 	for _, f := range crash.Requests {
-		e := l.entries[f]
+		e := r.entries[f]
 		if e == nil || !slices.Contains(e.incarnations, crash.Incarnation) && len(e.incarnations) < maxIncarnations {
 			return false
 		}
@@ -156,61 +156,61 @@
 }
 
 // evict pushes out the request with the fewest lives, of these the one whose newest life is oldest.
-func (l *Registry) evict() {
-	if len(l.entries) < maxEntries {
+func (r *Registry) evict() {
+	if len(r.entries) < maxEntries {
 		return
 	}
 	var victim Fingerprint
 	var fewest *entry
-	for f, e := range l.entries {
+	for f, e := range r.entries {
 		if fewest == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(fewest.incarnations)), cmp.Compare(e.order, fewest.order)) < 0 {
 			victim, fewest = f, e
 		}
 	}
-	l.trim(victim, 0)
+	r.trim(victim, 0)
 }
 
 // trim forgets all but the newest lives of a request.
-func (l *Registry) trim(f Fingerprint, keep int) {
-	e := l.entries[f]
+func (r *Registry) trim(f Fingerprint, keep int) {
+	e := r.entries[f]
 	if e == nil || len(e.incarnations) <= keep {
 		return
 	}
 	if len(e.incarnations) >= SuspectThreshold {
-		l.version++
+		r.version++
 	}
 	if keep == 0 {
-		delete(l.entries, f)
+		delete(r.entries, f)
 		return
 	}
 	e.incarnations = slices.Clone(e.incarnations[len(e.incarnations)-keep:])
 }
 
 // CrashCount returns how many lives ended under a request, as far as they are kept.
-func (l *Registry) CrashCount(f Fingerprint) int {
-	if e := l.entries[f]; e != nil {
+func (r *Registry) CrashCount(f Fingerprint) int {
+	if e := r.entries[f]; e != nil {
 		return len(e.incarnations)
 	}
 	return 0
 }
 
 // Fingerprints returns every request in a fixed order.
-func (l *Registry) Fingerprints() []Fingerprint {
-	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
+func (r *Registry) Fingerprints() []Fingerprint {
+	return slices.SortedFunc(maps.Keys(r.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
 // Update returns what processes are told; callers only read it.
-func (l *Registry) Update() *Update {
-	if l.update != nil && l.update.Version == l.version {
-		return l.update
+func (r *Registry) Update() *Update {
+	if r.update != nil && r.update.Version == r.version {
+		return r.update
 	}
-	update := &Update{Version: l.version, Seed: l.seed}
-	for _, f := range l.Fingerprints() {
-		if e := l.entries[f]; len(e.incarnations) >= SuspectThreshold {
+	update := &Update{Version: r.version, Seed: r.seed}
+	for _, f := range r.Fingerprints() {
+		if e := r.entries[f]; len(e.incarnations) >= SuspectThreshold {
 			update.Entries = append(update.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
 		}
 	}
-	l.update = update
+	r.update = update
 	return update
 }
 
@@ -228,23 +228,23 @@
 }
 
 // MarshalJSON writes the whole state.
-func (l *Registry) MarshalJSON() ([]byte, error) {
-	form := registryJSON{Seed: l.seed, Version: l.version, Order: l.order}
-	for _, f := range l.Fingerprints() {
-		form.Entries = append(form.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: l.entries[f].incarnations}, Order: l.entries[f].order})
+func (r *Registry) MarshalJSON() ([]byte, error) {
+	form := registryJSON{Seed: r.seed, Version: r.version, Order: r.order}
+	for _, f := range r.Fingerprints() {
+		form.Entries = append(form.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: r.entries[f].incarnations}, Order: r.entries[f].order})
 	}
 	return json.Marshal(form)
 }
 
 // UnmarshalJSON replaces the whole state.
-func (l *Registry) UnmarshalJSON(data []byte) error {
+func (r *Registry) UnmarshalJSON(data []byte) error {
 	var form registryJSON
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
-	*l = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*entry, len(form.Entries))}
+	*r = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*entry, len(form.Entries))}
 	for _, e := range form.Entries {
-		l.entries[e.Request] = &entry{incarnations: e.Incarnations, order: e.Order}
+		r.entries[e.Request] = &entry{incarnations: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
