--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -103,8 +103,8 @@
 	if len(c.Seed) > 0 && !r.HasSeed() {
 		return true
 	}
-	for _, released := range c.Releases {
-		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return r.CrashCount(f) > released.Keep }) {
+	for _, release := range c.Releases {
+		if slices.ContainsFunc(release.Requests, func(f Fingerprint) bool { return r.CrashCount(f) > release.Keep }) {
 			return true
 		}
 	}
