--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -108,7 +108,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Crashes, func(ended Crash) bool { return !r.contains(ended) })
+	return slices.ContainsFunc(c.Crashes, func(crash Crash) bool { return !r.contains(crash) })
 }
 
 func (r *Registry) setSeed(seed []byte) {
