--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -229,11 +229,11 @@
 
 // MarshalJSON writes the whole state.
 func (r *Registry) MarshalJSON() ([]byte, error) {
-	form := registryJSON{Seed: r.seed, Version: r.version, Order: r.order}
+	state := registryJSON{Seed: r.seed, Version: r.version, Order: r.order}
 	for _, f := range r.Fingerprints() {
-		form.Entries = append(form.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: r.entries[f].incarnations}, Order: r.entries[f].order})
+		state.Entries = append(state.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: r.entries[f].incarnations}, Order: r.entries[f].order})
 	}
-	return json.Marshal(form)
+	return json.Marshal(state)
 }
 
 // UnmarshalJSON replaces the whole state.
