--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -238,12 +238,12 @@
 
 // UnmarshalJSON replaces the whole state.
 func (r *Registry) UnmarshalJSON(data []byte) error {
-	var form registryJSON
-	if err := json.Unmarshal(data, &form); err != nil {
+	var state registryJSON
+	if err := json.Unmarshal(data, &state); err != nil {
 		return err
 	}
-	*r = Registry{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*entry, len(form.Entries))}
-	for _, e := range form.Entries {
+	*r = Registry{seed: state.Seed, version: state.Version, order: state.Order, entries: make(map[Fingerprint]*entry, len(state.Entries))}
+	for _, e := range state.Entries {
 		r.entries[e.Request] = &entry{incarnations: e.Incarnations, order: e.Order}
 	}
 	return nil
