--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -62,86 +62,86 @@
 }
 
 // Version returns that of the newest news.
-func (r *Tracker) Version() uint64 { return r.version }
+func (t *Tracker) Version() uint64 { return t.version }
 
 // ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
 // before counts as the news say, so that what was released elsewhere is released here.
-func (r *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
-	r.version = update.Version
-	clear(r.reported)
-	maps.DeleteFunc(r.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
+func (t *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
+	t.version = update.Version
+	clear(t.reported)
+	maps.DeleteFunc(t.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
 	for _, e := range update.Entries {
-		if r.recentlyCompleted(now, e.Request) {
+		if t.recentlyCompleted(now, e.Request) {
 			completed = append(completed, e.Request)
 			continue
 		}
-		r.reported[e.Request] = e.Incarnations
+		t.reported[e.Request] = e.Incarnations
 	}
 	return completed
 }
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, counts bool) {
-	if r.recentlyCompleted(now, f) {
+func (t *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, counts bool) {
+	if t.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
-	b := r.failures[incarnation]
+	b := t.failures[incarnation]
 	if b == nil {
-		r.sweepFailures(now)
-		if len(r.failures) >= maxFailedIncarnations {
+		t.sweepFailures(now)
+		if len(t.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
 		b = &failedRuns{}
-		r.failures[incarnation] = b
+		t.failures[incarnation] = b
 	}
 	b.lastAt = now
 	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
 		b.runs = append(b.runs, f)
 	}
 	if b.confirmed {
-		return r.countCrash(now, incarnation, b)
+		return t.countCrash(now, incarnation, b)
 	}
 	return Crash{}, false
 }
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, counts bool) {
-	b := r.failures[incarnation]
+func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, counts bool) {
+	b := t.failures[incarnation]
 	if b == nil || now-b.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
 	b.confirmed = true
-	return r.countCrash(now, incarnation, b)
+	return t.countCrash(now, incarnation, b)
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
-func (r *Tracker) AwaitsConfirmation(incarnation string) bool {
-	b := r.failures[incarnation]
+func (t *Tracker) AwaitsConfirmation(incarnation string) bool {
+	b := t.failures[incarnation]
 	return b != nil && !b.confirmed
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (crash Crash, counts bool) {
+func (t *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (crash Crash, counts bool) {
 	if len(b.runs) == 0 {
 		return Crash{}, false
 	}
 	crash = Crash{Incarnation: incarnation, Requests: b.runs}
 	b.runs = nil
 	for _, f := range crash.Requests {
-		r.addLocal(now, incarnation, f)
+		t.addLocal(now, incarnation, f)
 	}
 	return crash, true
 }
 
 // addLocal notes a life of a request. What doesn't fit is counted by control alone.
-func (r *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
-	s := r.local[f]
+func (t *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
+	s := t.local[f]
 	if s == nil {
-		if len(r.local) >= maxLocal {
+		if len(t.local) >= maxLocal {
 			return
 		}
 		s = &localCrashes{}
-		r.local[f] = s
+		t.local[f] = s
 	}
 	s.lastAt, s.acknowledged = now, false
 	if !slices.Contains(s.incarnations, incarnation) && len(s.incarnations) < maxIncarnations {
@@ -150,10 +150,10 @@
 }
 
 // Acknowledge notes that control has taken what it was told.
-func (r *Tracker) Acknowledge(crashes []Crash) {
+func (t *Tracker) Acknowledge(crashes []Crash) {
 	for _, crash := range crashes {
 		for _, f := range crash.Requests {
-			if s := r.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
+			if s := t.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
 				s.acknowledged = true
 			}
 		}
@@ -161,46 +161,46 @@
 }
 
 // RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
-func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
-	r.addCompletion(now, f)
-	_, reported := r.reported[f]
-	_, local := r.local[f]
-	delete(r.reported, f)
-	delete(r.local, f)
+func (t *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
+	t.addCompletion(now, f)
+	_, reported := t.reported[f]
+	_, local := t.local[f]
+	delete(t.reported, f)
+	delete(t.local, f)
 	return reported || local
 }
 
 // addCompletion keeps a good end, in the place of the oldest.
-func (r *Tracker) addCompletion(now time.Duration, f Fingerprint) {
-	oldest := r.ring[r.nextSlot]
-	if last, known := r.completions[oldest]; known && last.slot == r.nextSlot {
-		delete(r.completions, oldest)
+func (t *Tracker) addCompletion(now time.Duration, f Fingerprint) {
+	oldest := t.ring[t.nextSlot]
+	if last, known := t.completions[oldest]; known && last.slot == t.nextSlot {
+		delete(t.completions, oldest)
 	}
-	r.ring[r.nextSlot], r.completions[f] = f, completion{at: now, slot: r.nextSlot}
-	r.nextSlot = (r.nextSlot + 1) % maxCompletions
+	t.ring[t.nextSlot], t.completions[f] = f, completion{at: now, slot: t.nextSlot}
+	t.nextSlot = (t.nextSlot + 1) % maxCompletions
 }
 
 // RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
 // it could not end well again meanwhile.
-func (r *Tracker) RecordIdle(now, idle time.Duration) {
-	for f, last := range r.completions {
+func (t *Tracker) RecordIdle(now, idle time.Duration) {
+	for f, last := range t.completions {
 		last.at = min(now, last.at+max(0, idle))
-		r.completions[f] = last
+		t.completions[f] = last
 	}
 }
 
 // recentlyCompleted reports whether a request ended well here a moment ago.
-func (r *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
-	last, known := r.completions[f]
+func (t *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
+	last, known := t.completions[f]
 	return known && now-last.at <= completionTTL
 }
 
 // CrashCount returns how many lives ended under a request, as far as this process knows.
-func (r *Tracker) CrashCount(f Fingerprint) int {
-	crashes := len(r.reported[f])
-	if s := r.local[f]; s != nil {
+func (t *Tracker) CrashCount(f Fingerprint) int {
+	crashes := len(t.reported[f])
+	if s := t.local[f]; s != nil {
 		for _, incarnation := range s.incarnations {
-			if !slices.Contains(r.reported[f], incarnation) {
+			if !slices.Contains(t.reported[f], incarnation) {
 				crashes++
 			}
 		}
@@ -209,32 +209,32 @@
 }
 
 // IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
-func (r *Tracker) IsEmpty() bool { return len(r.reported) == 0 && len(r.local) == 0 }
+func (t *Tracker) IsEmpty() bool { return len(t.reported) == 0 && len(t.local) == 0 }
 
 // SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Tracker) SuspectCounts() (suspects, quarantined int) {
-	for _, incarnations := range r.reported {
+func (t *Tracker) SuspectCounts() (suspects, quarantined int) {
+	for _, incarnations := range t.reported {
 		if len(incarnations) >= QuarantineThreshold {
 			quarantined++
 		}
 	}
-	return len(r.reported), quarantined
+	return len(t.reported), quarantined
 }
 
 // Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
-func (r *Tracker) Sweep(now time.Duration) {
-	r.sweepFailures(now)
-	for f, s := range r.local {
+func (t *Tracker) Sweep(now time.Duration) {
+	t.sweepFailures(now)
+	for f, s := range t.local {
 		if now-s.lastAt > localTTL {
-			delete(r.local, f)
+			delete(t.local, f)
 		}
 	}
 }
 
-func (r *Tracker) sweepFailures(now time.Duration) {
-	for incarnation, b := range r.failures {
+func (t *Tracker) sweepFailures(now time.Duration) {
+	for incarnation, b := range t.failures {
 		if now-b.lastAt > confirmationTimeout {
-			delete(r.failures, incarnation)
+			delete(t.failures, incarnation)
 		}
 	}
 }
