--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -85,21 +85,21 @@
 	if t.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
-	b := t.failures[incarnation]
-	if b == nil {
+	failed := t.failures[incarnation]
+	if failed == nil {
 		t.sweepFailures(now)
 		if len(t.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
-		b = &failedRuns{}
-		t.failures[incarnation] = b
+		failed = &failedRuns{}
+		t.failures[incarnation] = failed
 	}
-	b.lastAt = now
-	if len(b.runs) < maxFailedRuns && !slices.Contains(b.runs, f) {
-		b.runs = append(b.runs, f)
+	failed.lastAt = now
+	if len(failed.runs) < maxFailedRuns && !slices.Contains(failed.runs, f) {
+		failed.runs = append(failed.runs, f)
 	}
-	if b.confirmed {
-		return t.countCrash(now, incarnation, b)
+	if failed.confirmed {
+		return t.countCrash(now, incarnation, failed)
 	}
 	return Crash{}, false
 }
