--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -121,12 +121,12 @@
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
-func (t *Tracker) countCrash(now time.Duration, incarnation string, b *failedRuns) (crash Crash, counts bool) {
-	if len(b.runs) == 0 {
+func (t *Tracker) countCrash(now time.Duration, incarnation string, failed *failedRuns) (crash Crash, counts bool) {
+	if len(failed.runs) == 0 {
 		return Crash{}, false
 	}
-	crash = Crash{Incarnation: incarnation, Requests: b.runs}
-	b.runs = nil
+	crash = Crash{Incarnation: incarnation, Requests: failed.runs}
+	failed.runs = nil
 	for _, f := range crash.Requests {
 		t.addLocal(now, incarnation, f)
 	}
