--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -106,12 +106,12 @@
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
 func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, counts bool) {
-	b := t.failures[incarnation]
-	if b == nil || now-b.lastAt > confirmationTimeout {
+	failed := t.failures[incarnation]
+	if failed == nil || now-failed.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
-	b.confirmed = true
-	return t.countCrash(now, incarnation, b)
+	failed.confirmed = true
+	return t.countCrash(now, incarnation, failed)
 }
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
