--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -116,8 +116,8 @@
 
 // AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
 func (t *Tracker) AwaitsConfirmation(incarnation string) bool {
-	b := t.failures[incarnation]
-	return b != nil && !b.confirmed
+	failed := t.failures[incarnation]
+	return failed != nil && !failed.confirmed
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
