--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -232,8 +232,8 @@
 }
 
 func (t *Tracker) sweepFailures(now time.Duration) {
-	for incarnation, b := range t.failures {
-		if now-b.lastAt > confirmationTimeout {
+	for incarnation, failed := range t.failures {
+		if now-failed.lastAt > confirmationTimeout {
 			delete(t.failures, incarnation)
 		}
 	}
