--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -135,17 +135,17 @@
 
 // addLocal notes a life of a request. What doesn't fit is counted by control alone.
 func (t *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
-	s := t.local[f]
-	if s == nil {
+	local := t.local[f]
+	if local == nil {
 		if len(t.local) >= maxLocal {
 			return
 		}
-		s = &localCrashes{}
-		t.local[f] = s
+		local = &localCrashes{}
+		t.local[f] = local
 	}
-	s.lastAt, s.acknowledged = now, false
-	if !slices.Contains(s.incarnations, incarnation) && len(s.incarnations) < maxIncarnations {
-		s.incarnations = append(s.incarnations, incarnation)
+	local.lastAt, local.acknowledged = now, false
+	if !slices.Contains(local.incarnations, incarnation) && len(local.incarnations) < maxIncarnations {
+		local.incarnations = append(local.incarnations, incarnation)
 	}
 }
 
