--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -81,7 +81,7 @@
 }
 
 // RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (t *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, counts bool) {
+func (t *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, ok bool) {
 	if t.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
