--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -105,7 +105,7 @@
 }
 
 // ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, counts bool) {
+func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, ok bool) {
 	failed := t.failures[incarnation]
 	if failed == nil || now-failed.lastAt > confirmationTimeout {
 		return Crash{}, false
