--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -121,7 +121,7 @@
 }
 
 // countCrash counts an ended life for the requests whose runs broke off there.
-func (t *Tracker) countCrash(now time.Duration, incarnation string, failed *failedRuns) (crash Crash, counts bool) {
+func (t *Tracker) countCrash(now time.Duration, incarnation string, failed *failedRuns) (crash Crash, ok bool) {
 	if len(failed.runs) == 0 {
 		return Crash{}, false
 	}
