--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -135,7 +135,7 @@
 func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (probed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if crash, counts := r.tracker.RecordFailure(r.config.Now(), incarnation, f); counts {
+	if crash, ok := r.tracker.RecordFailure(r.config.Now(), incarnation, f); ok {
 		r.enqueueCrash(crash, ConnectionRefused)
 	}
 	if running := r.probes[incarnation]; running != nil {
