--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -179,7 +179,7 @@
 
 // confirmEnd counts a life that ended. The caller holds mu.
 func (r *Reporter) confirmEnd(incarnation string, proof Proof) {
-	if crash, counts := r.tracker.ConfirmEnd(r.config.Now(), incarnation); counts {
+	if crash, ok := r.tracker.ConfirmEnd(r.config.Now(), incarnation); ok {
 		r.enqueueCrash(crash, proof)
 	}
 }
