--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -41,7 +41,7 @@
 }
 
 // RequestFunc asks the lender once.
-type RequestFunc func(ctx context.Context, asked allowance.Request) (allowance.Reply, error)
+type RequestFunc func(ctx context.Context, request allowance.Request) (allowance.Reply, error)
 
 // LeasePool is safe for concurrent use.
 type LeasePool struct {
