--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -256,10 +256,10 @@
 	}
 }
 
-func sleep(ctx context.Context, pause time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(d):
 	}
 }
 
