--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -9,8 +9,8 @@
 
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
-// fullLender returns a lender whose account is full, and the time.
-func fullLender() (*Allocator, time.Duration) {
+// fullAllocator returns a lender whose account is full, and the time.
+func fullAllocator() (*Allocator, time.Duration) {
 	l := NewAllocator(1)
 	l.SetLimits(0, limitsOf(testLimit))
 	return l, time.Minute
@@ -44,7 +44,7 @@
 
 // TestAmountsEndWithTheirLease: by the clock of who asked, from the moment when it asked, whatever was waited for.
 func TestAmountsEndWithTheirLease(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
 	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
@@ -63,7 +63,7 @@
 
 // TestAnswersCountOnce: one that comes twice, or from an older lender, gives nothing.
 func TestAnswersCountOnce(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	b := newTestBorrower()
 	wants := []Demand{{Name: resource, Amount: 100}}
 	answer := l.Allocate(now, b.NewRequest(now, wants))
@@ -85,7 +85,7 @@
 
 // TestIdleAmountsGoBackOnce: what nobody took comes back to the lender, once however often the question arrives.
 func TestIdleAmountsGoBackOnce(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	b := newTestBorrower()
 	hold, _ := askOne(l, now, b, 100)
 	b.Release(now, hold)
@@ -109,7 +109,7 @@
 
 // TestAheadIsLentFromPlentyOnly: it is counted, and half of the capacity stays for others.
 func TestAheadIsLentFromPlentyOnly(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	capacity := testLimit.capacity()
 	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := answer.Grants[0].Amount; got != capacity/2 {
@@ -123,12 +123,12 @@
 
 // TestAmountAboveTheCapacityIsLentFromAFullAccount, which is in debt then: nobody inside the limit is turned away for ever.
 func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	b := newTestBorrower()
 	if hold, _ := askOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
 		t.Fatalf("%v", hold)
 	}
-	l, now = fullLender()
+	l, now = fullAllocator()
 	b = newTestBorrower()
 	if hold, _ := askOne(l, now, b, 700); hold.Amount != 700 {
 		t.Fatalf("%v", hold)
@@ -170,7 +170,7 @@
 
 // TestLowerLimitBindsAtOnce: what had come together under the older one is gone.
 func TestLowerLimitBindsAtOnce(t *testing.T) {
-	l, now := fullLender()
+	l, now := fullAllocator()
 	lower := Limit{Rate: 10, Burst: 10}
 	l.SetLimits(now, limitsOf(lower))
 	if level := l.buckets[resource].level; level != 10 {
