--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -16,7 +16,7 @@
 	return l, time.Minute
 }
 
-func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
+func requestOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
 	wants := []Demand{{Name: resource, Amount: amount}}
 	got := b.ApplyReply(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
 	return got.Lease, got.RetryAfter
@@ -33,11 +33,11 @@
 	l := NewAllocator(2)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
-	hold, wait := askOne(l, time.Minute, b, 100)
+	hold, wait := requestOne(l, time.Minute, b, 100)
 	if hold.Amount != 0 || wait != 100*time.Millisecond {
 		t.Fatalf("lent %v, wait %v", hold, wait)
 	}
-	if hold, _ = askOne(l, time.Minute+wait, b, 100); hold.Amount != 100 {
+	if hold, _ = requestOne(l, time.Minute+wait, b, 100); hold.Amount != 100 {
 		t.Fatalf("after the wait: %v", hold)
 	}
 }
@@ -46,7 +46,7 @@
 func TestAmountsEndWithTheirLease(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestBorrower()
-	hold, _ := askOne(l, now, b, 100)
+	hold, _ := requestOne(l, now, b, 100)
 	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", hold)
 	}
@@ -87,7 +87,7 @@
 func TestIdleAmountsGoBackOnce(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestBorrower()
-	hold, _ := askOne(l, now, b, 100)
+	hold, _ := requestOne(l, now, b, 100)
 	b.Release(now, hold)
 	now += LeaseTTL - time.Millisecond
 	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
@@ -125,15 +125,15 @@
 func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestBorrower()
-	if hold, _ := askOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
+	if hold, _ := requestOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
 		t.Fatalf("%v", hold)
 	}
 	l, now = fullAllocator()
 	b = newTestBorrower()
-	if hold, _ := askOne(l, now, b, 700); hold.Amount != 700 {
+	if hold, _ := requestOne(l, now, b, 700); hold.Amount != 700 {
 		t.Fatalf("%v", hold)
 	}
-	if hold, wait := askOne(l, now, b, 100); hold.Amount != 0 || wait != 200*time.Millisecond {
+	if hold, wait := requestOne(l, now, b, 100); hold.Amount != 0 || wait != 200*time.Millisecond {
 		t.Fatalf("%v after %v", hold, wait)
 	}
 }
@@ -144,7 +144,7 @@
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestBorrower()
 	for i := range 3 {
-		if _, wait := askOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
+		if _, wait := requestOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
 			t.Fatalf("number %d waits %v", i, wait)
 		}
 	}
@@ -177,7 +177,7 @@
 		t.Fatalf("%v left", level)
 	}
 	l.SetLimits(now, nil)
-	if hold, _ := askOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
+	if hold, _ := requestOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
 		t.Fatalf("%v of a limit that was taken away", hold)
 	}
 	l.SetLimits(now, limitsOf(testLimit))
