--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -22,7 +22,7 @@
 	return got.Lease, got.RetryAfter
 }
 
-func newTestBorrower() *Client {
+func newTestClient() *Client {
 	b := NewClient("b", testTrust)
 	b.SetLimits(limitsOf(testLimit))
 	return b
@@ -32,7 +32,7 @@
 func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
 	l := NewAllocator(2)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestBorrower()
+	b := newTestClient()
 	hold, wait := requestOne(l, time.Minute, b, 100)
 	if hold.Amount != 0 || wait != 100*time.Millisecond {
 		t.Fatalf("lent %v, wait %v", hold, wait)
@@ -45,7 +45,7 @@
 // TestAmountsEndWithTheirLease: by the clock of who asked, from the moment when it asked, whatever was waited for.
 func TestAmountsEndWithTheirLease(t *testing.T) {
 	l, now := fullAllocator()
-	b := newTestBorrower()
+	b := newTestClient()
 	hold, _ := requestOne(l, now, b, 100)
 	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", hold)
@@ -64,7 +64,7 @@
 // TestAnswersCountOnce: one that comes twice, or from an older lender, gives nothing.
 func TestAnswersCountOnce(t *testing.T) {
 	l, now := fullAllocator()
-	b := newTestBorrower()
+	b := newTestClient()
 	wants := []Demand{{Name: resource, Amount: 100}}
 	answer := l.Allocate(now, b.NewRequest(now, wants))
 	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 100 {
@@ -86,7 +86,7 @@
 // TestIdleAmountsGoBackOnce: what nobody took comes back to the lender, once however often the question arrives.
 func TestIdleAmountsGoBackOnce(t *testing.T) {
 	l, now := fullAllocator()
-	b := newTestBorrower()
+	b := newTestClient()
 	hold, _ := requestOne(l, now, b, 100)
 	b.Release(now, hold)
 	now += LeaseTTL - time.Millisecond
@@ -124,12 +124,12 @@
 // TestAmountAboveTheCapacityIsLentFromAFullAccount, which is in debt then: nobody inside the limit is turned away for ever.
 func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
 	l, now := fullAllocator()
-	b := newTestBorrower()
+	b := newTestClient()
 	if hold, _ := requestOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
 		t.Fatalf("%v", hold)
 	}
 	l, now = fullAllocator()
-	b = newTestBorrower()
+	b = newTestClient()
 	if hold, _ := requestOne(l, now, b, 700); hold.Amount != 700 {
 		t.Fatalf("%v", hold)
 	}
@@ -142,7 +142,7 @@
 func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestBorrower()
+	b := newTestClient()
 	for i := range 3 {
 		if _, wait := requestOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
 			t.Fatalf("number %d waits %v", i, wait)
@@ -177,7 +177,7 @@
 		t.Fatalf("%v left", level)
 	}
 	l.SetLimits(now, nil)
-	if hold, _ := requestOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
+	if hold, _ := requestOne(l, now, newTestClient(), 1e6); hold.Amount != 1e6 {
 		t.Fatalf("%v of a limit that was taken away", hold)
 	}
 	l.SetLimits(now, limitsOf(testLimit))
@@ -189,7 +189,7 @@
 // TestOwnPartEnds: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
 // what it knows no more.
 func TestOwnPartEnds(t *testing.T) {
-	b := newTestBorrower()
+	b := newTestClient()
 	b.RecordContact(time.Minute, 10)
 	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
 		t.Fatal("more than its part of the reserve")
@@ -205,7 +205,7 @@
 	if _, ok := b.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
 		t.Fatal("out of trust")
 	}
-	if _, ok := newTestBorrower().TakeFallback(time.Minute, resource, 1); ok {
+	if _, ok := newTestClient().TakeFallback(time.Minute, resource, 1); ok {
 		t.Fatal("never in touch")
 	}
 }
@@ -233,7 +233,7 @@
 
 // TestFractionsAreTakenWhole: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
 func TestFractionsAreTakenWhole(t *testing.T) {
-	b := newTestBorrower()
+	b := newTestClient()
 	for _, amount := range []float64{0.1, 0.2} {
 		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
