--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-// TestNewLenderLendsNothingOfTheLastOne: it begins empty, and only what comes in after it began is lent.
-func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
+// TestNewAllocatorStartsEmpty: it begins empty, and only what comes in after it began is lent.
+func TestNewAllocatorStartsEmpty(t *testing.T) {
 	l := NewAllocator(2)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestClient()
