--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestAmountsEndWithTheirLease: by the clock of who asked, from the moment when it asked, whatever was waited for.
-func TestAmountsEndWithTheirLease(t *testing.T) {
+// TestLeasesExpire: by the clock of who asked, from the moment when it asked, whatever was waited for.
+func TestLeasesExpire(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
 	hold, _ := requestOne(l, now, b, 100)
