--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestAnswersCountOnce: one that comes twice, or from an older lender, gives nothing.
-func TestAnswersCountOnce(t *testing.T) {
+// TestRepliesAreAppliedOnce: one that comes twice, or from an older lender, gives nothing.
+func TestRepliesAreAppliedOnce(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
 	wants := []Demand{{Name: resource, Amount: 100}}
