--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestIdleAmountsGoBackOnce: what nobody took comes back to the lender, once however often the question arrives.
-func TestIdleAmountsGoBackOnce(t *testing.T) {
+// TestUnusedLeasesAreReturnedOnce: what nobody took comes back to the lender, once however often the question arrives.
+func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
 	hold, _ := requestOne(l, now, b, 100)
