--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestAheadIsLentFromPlentyOnly: it is counted, and half of the capacity stays for others.
-func TestAheadIsLentFromPlentyOnly(t *testing.T) {
+// TestPrefetchLeavesHalfTheCapacity: it is counted, and half of the capacity stays for others.
+func TestPrefetchLeavesHalfTheCapacity(t *testing.T) {
 	l, now := fullAllocator()
 	capacity := testLimit.capacity()
 	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
