--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestAmountAboveTheCapacityIsLentFromAFullAccount, which is in debt then: nobody inside the limit is turned away for ever.
-func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
+// TestAmountAboveCapacityNeedsFullBucket, which is in debt then: nobody inside the limit is turned away for ever.
+func TestAmountAboveCapacityNeedsFullBucket(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
 	if hold, _ := requestOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
