--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestRefusedAreToldWhenTheirTurnComes: each after those that were refused before it.
-func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
+// TestRetryAfterCountsEarlierRefusals: each after those that were refused before it.
+func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestClient()
