--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestYoungAccountsSaySo: a refusal of an account that has just begun is no sign of a caller beyond its limit.
-func TestYoungAccountsSaySo(t *testing.T) {
+// TestNewBucketsReportWarmingUp: a refusal of an account that has just begun is no sign of a caller beyond its limit.
+func TestNewBucketsReportWarmingUp(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
