--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestLowerLimitBindsAtOnce: what had come together under the older one is gone.
-func TestLowerLimitBindsAtOnce(t *testing.T) {
+// TestLoweredLimitAppliesImmediately: what had come together under the older one is gone.
+func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	l, now := fullAllocator()
 	lower := Limit{Rate: 10, Burst: 10}
 	l.SetLimits(now, limitsOf(lower))
