--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestOwnPartEnds: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
+// TestFallbackShareIsBounded: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
 // what it knows no more.
-func TestOwnPartEnds(t *testing.T) {
+func TestFallbackShareIsBounded(t *testing.T) {
 	b := newTestClient()
 	b.RecordContact(time.Minute, 10)
 	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
