--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestWithheldPartsComeInForNobody until they are lent again.
-func TestWithheldPartsComeInForNobody(t *testing.T) {
+// TestWithheldRateIsNotGranted until they are lent again.
+func TestWithheldRateIsNotGranted(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(0, limitsOf(testLimit))
 	l.Withhold(0, 0.75)
