--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestRoomIsNotGivenTwice: what may be used beyond a limit at its worst moment, with a third of the borrowers silent and a room of a
+// TestSlackIsNotOvercommitted: what may be used beyond a limit at its worst moment, with a third of the borrowers silent and a room of a
 // second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
-func TestRoomIsNotGivenTwice(t *testing.T) {
+func TestSlackIsNotOvercommitted(t *testing.T) {
 	const silence, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
 	given := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + silence*silent
 	if given > 0.9 {
