--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -231,8 +231,8 @@
 	}
 }
 
-// TestFractionsAreTakenWhole: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
-func TestFractionsAreTakenWhole(t *testing.T) {
+// TestTakeToleratesRounding: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
+func TestTakeToleratesRounding(t *testing.T) {
 	b := newTestClient()
 	for _, amount := range []float64{0.1, 0.2} {
 		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
