--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -17,8 +17,8 @@
 }
 
 func requestOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
-	wants := []Demand{{Name: resource, Amount: amount}}
-	got := b.ApplyReply(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
+	demands := []Demand{{Name: resource, Amount: amount}}
+	got := b.ApplyReply(now, now, demands, l.Allocate(now, b.NewRequest(now, demands)))[0]
 	return got.Lease, got.RetryAfter
 }
 
