--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -54,9 +54,9 @@
 	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
-	wants := []Demand{{Name: resource, Amount: 100}}
-	late := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.ApplyReply(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
+	demands := []Demand{{Name: resource, Amount: 100}}
+	late := l.Allocate(now, b.NewRequest(now, demands))
+	if got := b.ApplyReply(now+LeaseTTL+1, now, demands, late); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
