--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -65,12 +65,12 @@
 func TestRepliesAreAppliedOnce(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
-	wants := []Demand{{Name: resource, Amount: 100}}
-	answer := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 100 {
+	demands := []Demand{{Name: resource, Amount: 100}}
+	answer := l.Allocate(now, b.NewRequest(now, demands))
+	if got := b.ApplyReply(now, now, demands, answer); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now, now, demands, answer); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
 	if _, ok := b.Take(now, resource, 100); ok {
@@ -78,7 +78,7 @@
 	}
 	older := NewAllocator(0)
 	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.ApplyReply(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now, now, demands, older.Allocate(now, b.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
