--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -33,12 +33,12 @@
 	l := NewAllocator(2)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestClient()
-	hold, wait := requestOne(l, time.Minute, b, 100)
-	if hold.Amount != 0 || wait != 100*time.Millisecond {
-		t.Fatalf("lent %v, wait %v", hold, wait)
+	lease, wait := requestOne(l, time.Minute, b, 100)
+	if lease.Amount != 0 || wait != 100*time.Millisecond {
+		t.Fatalf("lent %v, wait %v", lease, wait)
 	}
-	if hold, _ = requestOne(l, time.Minute+wait, b, 100); hold.Amount != 100 {
-		t.Fatalf("after the wait: %v", hold)
+	if lease, _ = requestOne(l, time.Minute+wait, b, 100); lease.Amount != 100 {
+		t.Fatalf("after the wait: %v", lease)
 	}
 }
 
