--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -46,11 +46,11 @@
 func TestLeasesExpire(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
-	hold, _ := requestOne(l, now, b, 100)
-	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
-		t.Fatalf("%v", hold)
+	lease, _ := requestOne(l, now, b, 100)
+	if !lease.Valid(now+LeaseTTL) || lease.Valid(now+LeaseTTL+1) {
+		t.Fatalf("%v", lease)
 	}
-	b.Release(now, hold)
+	b.Release(now, lease)
 	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
