--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -87,8 +87,8 @@
 func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
-	hold, _ := requestOne(l, now, b, 100)
-	b.Release(now, hold)
+	lease, _ := requestOne(l, now, b, 100)
+	b.Release(now, lease)
 	now += LeaseTTL - time.Millisecond
 	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
 	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
