--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -125,8 +125,8 @@
 func TestAmountAboveCapacityNeedsFullBucket(t *testing.T) {
 	l, now := fullAllocator()
 	b := newTestClient()
-	if hold, _ := requestOne(l, now, b, testLimit.maxAmount()+1); hold.Amount != 0 {
-		t.Fatalf("%v", hold)
+	if lease, _ := requestOne(l, now, b, testLimit.maxAmount()+1); lease.Amount != 0 {
+		t.Fatalf("%v", lease)
 	}
 	l, now = fullAllocator()
 	b = newTestClient()
