--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -130,8 +130,8 @@
 	}
 	l, now = fullAllocator()
 	b = newTestClient()
-	if hold, _ := requestOne(l, now, b, 700); hold.Amount != 700 {
-		t.Fatalf("%v", hold)
+	if lease, _ := requestOne(l, now, b, 700); lease.Amount != 700 {
+		t.Fatalf("%v", lease)
 	}
 	if hold, wait := requestOne(l, now, b, 100); hold.Amount != 0 || wait != 200*time.Millisecond {
 		t.Fatalf("%v after %v", hold, wait)
