--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -177,8 +177,8 @@
 		t.Fatalf("%v left", level)
 	}
 	l.SetLimits(now, nil)
-	if hold, _ := requestOne(l, now, newTestClient(), 1e6); hold.Amount != 1e6 {
-		t.Fatalf("%v of a limit that was taken away", hold)
+	if lease, _ := requestOne(l, now, newTestClient(), 1e6); lease.Amount != 1e6 {
+		t.Fatalf("%v of a limit that was taken away", lease)
 	}
 	l.SetLimits(now, limitsOf(testLimit))
 	if level := l.buckets[resource].level; level != 0 {
