--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -133,8 +133,8 @@
 	if lease, _ := requestOne(l, now, b, 700); lease.Amount != 700 {
 		t.Fatalf("%v", lease)
 	}
-	if hold, wait := requestOne(l, now, b, 100); hold.Amount != 0 || wait != 200*time.Millisecond {
-		t.Fatalf("%v after %v", hold, wait)
+	if lease, wait := requestOne(l, now, b, 100); lease.Amount != 0 || wait != 200*time.Millisecond {
+		t.Fatalf("%v after %v", lease, wait)
 	}
 }
 
