--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -196,7 +196,7 @@
 	}
 	now := time.Minute + time.Second
 	part := testLimit.reserve()/10 + testLimit.Rate/10
-	if hold, ok := b.TakeFallback(now, resource, part); !ok || !hold.Valid(now) {
+	if lease, ok := b.TakeFallback(now, resource, part); !ok || !lease.Valid(now) {
 		t.Fatal("its part is refused")
 	}
 	if _, ok := b.TakeFallback(now, resource, 1); ok {
