--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -238,8 +238,8 @@
 		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
-	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
-		t.Fatalf("%v", hold)
+	if lease, ok := b.Take(time.Minute, resource, first+second); !ok || lease.Amount != first+second {
+		t.Fatalf("%v", lease)
 	}
 	if _, ok := b.Take(time.Minute, resource, 0.01); ok {
 		t.Fatal("something is left")
