--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -90,14 +90,14 @@
 	lease, _ := requestOne(l, now, b, 100)
 	b.Release(now, lease)
 	now += LeaseTTL - time.Millisecond
-	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
-	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
-		t.Fatalf("%v goes back", question.Returned)
+	request := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
+	if len(request.Returned) != 1 || request.Returned[0].Amount != 100 {
+		t.Fatalf("%v goes back", request.Returned)
 	}
 	l.Withhold(now, 1) // nothing else comes in
 	before := l.buckets[resource].level
-	l.Allocate(now, question)
-	l.Allocate(now, question)
+	l.Allocate(now, request)
+	l.Allocate(now, request)
 	after := l.buckets[resource].level
 	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
 		t.Fatalf("%v before, %v after", before, after)
