--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -154,16 +154,16 @@
 func TestNewBucketsReportWarmingUp(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
-	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
-	if got := l.Allocate(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
+	request := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
+	if got := l.Allocate(time.Minute, request).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 	if states := l.States(time.Minute); states[0].OverLimit {
 		t.Fatalf("a young account says that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
-	l.Allocate(now, asked)
-	if got := l.Allocate(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
+	l.Allocate(now, request)
+	if got := l.Allocate(now, request).Grants[0]; got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
