--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -66,11 +66,11 @@
 	l, now := fullAllocator()
 	b := newTestClient()
 	demands := []Demand{{Name: resource, Amount: 100}}
-	answer := l.Allocate(now, b.NewRequest(now, demands))
-	if got := b.ApplyReply(now, now, demands, answer); got[0].Lease.Amount != 100 {
+	reply := l.Allocate(now, b.NewRequest(now, demands))
+	if got := b.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.ApplyReply(now, now, demands, answer); got[0].Lease.Amount != 0 {
+	if got := b.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
 	if _, ok := b.Take(now, resource, 100); ok {
