--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -111,12 +111,12 @@
 func TestPrefetchLeavesHalfTheCapacity(t *testing.T) {
 	l, now := fullAllocator()
 	capacity := testLimit.capacity()
-	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
-	if got := answer.Grants[0].Amount; got != capacity/2 {
+	reply := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
+	if got := reply.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	answer = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
-	if got := answer.Grants[0].Amount; got != 100 {
+	reply = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
+	if got := reply.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
 }
