--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -55,8 +55,8 @@
 		t.Fatal("taken after its time")
 	}
 	demands := []Demand{{Name: resource, Amount: 100}}
-	late := l.Allocate(now, b.NewRequest(now, demands))
-	if got := b.ApplyReply(now+LeaseTTL+1, now, demands, late); got[0].Lease.Amount != 0 {
+	lateReply := l.Allocate(now, b.NewRequest(now, demands))
+	if got := b.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
