--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -76,9 +76,9 @@
 	if _, ok := b.Take(now, resource, 100); ok {
 		t.Fatal("an answer counted twice")
 	}
-	older := NewAllocator(0)
-	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.ApplyReply(now, now, demands, older.Allocate(now, b.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
+	olderAllocator := NewAllocator(0)
+	olderAllocator.SetLimits(0, limitsOf(testLimit))
+	if got := b.ApplyReply(now, now, demands, olderAllocator.Allocate(now, b.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
