--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -99,7 +99,7 @@
 	l.Allocate(now, request)
 	l.Allocate(now, request)
 	after := l.buckets[resource].level
-	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
+	if granted := 2 * 10.0; after > before+100-granted && after > testLimit.capacity()-granted {
 		t.Fatalf("%v before, %v after", before, after)
 	}
 	if l.buckets[resource].granted != 20 {
