--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -225,9 +225,9 @@
 // second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
 func TestSlackIsNotOvercommitted(t *testing.T) {
 	const silence, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
-	given := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + silence*silent
-	if given > 0.9 {
-		t.Fatalf("%.2f of the room is given", given)
+	committed := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + silence*silent
+	if committed > 0.9 {
+		t.Fatalf("%.2f of the room is given", committed)
 	}
 }
 
