--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -195,8 +195,8 @@
 		t.Fatal("more than its part of the reserve")
 	}
 	now := time.Minute + time.Second
-	part := testLimit.reserve()/10 + testLimit.Rate/10
-	if lease, ok := b.TakeFallback(now, resource, part); !ok || !lease.Valid(now) {
+	share := testLimit.reserve()/10 + testLimit.Rate/10
+	if lease, ok := b.TakeFallback(now, resource, share); !ok || !lease.Valid(now) {
 		t.Fatal("its part is refused")
 	}
 	if _, ok := b.TakeFallback(now, resource, 1); ok {
