--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	testTrust  = 3 * time.Second
-	testWindow = 8 * time.Second
-	testSilent = time.Second
+	testTrust        = 3 * time.Second
+	testWindow       = 8 * time.Second
+	testSilenceLimit = time.Second
 )
 
 // use is an amount that a borrower used at a time.
@@ -89,7 +89,7 @@
 	silent := 0
 	for _, at := range f.heard {
 		byThis := at >= f.since
-		if byThis && f.now-at > testSilent && f.now-at < testTrust || !byThis && f.now-f.since < testTrust {
+		if byThis && f.now-at > testSilenceLimit && f.now-at < testTrust || !byThis && f.now-f.since < testTrust {
 			silent++
 		}
 	}
