--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -15,8 +15,8 @@
 	testSilenceLimit = time.Second
 )
 
-// use is an amount that a borrower used at a time.
-type use struct {
+// usage is an amount that a borrower used at a time.
+type usage struct {
 	at     time.Duration
 	amount float64
 }
@@ -50,7 +50,7 @@
 	cut       []time.Duration // until when each reaches no lender
 	held      [][]Lease       // taken and not used yet
 	letters   []letter
-	uses      []use
+	uses      []usage
 	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
@@ -166,7 +166,7 @@
 		case f.happens(0.05):
 			f.borrowers[i].Release(f.now, hold)
 		case hold.Valid(f.now):
-			f.uses = append(f.uses, use{at: f.now, amount: hold.Amount})
+			f.uses = append(f.uses, usage{at: f.now, amount: hold.Amount})
 		}
 	}
 	f.held[i] = nil
