--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -21,8 +21,8 @@
 	amount float64
 }
 
-// letter is an answer on its way.
-type letter struct {
+// message is an answer on its way.
+type message struct {
 	to     int
 	asked  time.Duration
 	due    time.Duration
@@ -49,7 +49,7 @@
 	paused    []time.Duration // until when each stands still
 	cut       []time.Duration // until when each reaches no lender
 	held      [][]Lease       // taken and not used yet
-	letters   []letter
+	letters   []message
 	uses      []usage
 	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
@@ -124,7 +124,7 @@
 	if f.happens(f.weather.repeated) {
 		f.lender.Allocate(f.now, question)
 	}
-	sent := letter{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
+	sent := message{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
 	if f.happens(f.weather.late) {
 		sent.due += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
@@ -138,7 +138,7 @@
 
 // deliver brings the letters that are due to those that run.
 func (f *fleet) deliver() {
-	var later []letter
+	var later []message
 	for _, l := range f.letters {
 		if f.now < l.due || f.now < f.paused[l.to] {
 			later = append(later, l)
