--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -23,11 +23,11 @@
 
 // message is an answer on its way.
 type message struct {
-	to     int
-	asked  time.Duration
-	due    time.Duration
-	wants  []Demand
-	answer Reply
+	to          int
+	requestedAt time.Duration
+	due         time.Duration
+	wants       []Demand
+	answer      Reply
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
@@ -124,7 +124,7 @@
 	if f.happens(f.weather.repeated) {
 		f.lender.Allocate(f.now, question)
 	}
-	sent := message{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
+	sent := message{to: i, requestedAt: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
 	if f.happens(f.weather.late) {
 		sent.due += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
@@ -145,8 +145,8 @@
 			continue
 		}
 		b := f.borrowers[l.to]
-		got := b.ApplyReply(f.now, l.asked, l.wants, l.answer)
-		b.RecordContact(l.asked, len(f.borrowers))
+		got := b.ApplyReply(f.now, l.requestedAt, l.wants, l.answer)
+		b.RecordContact(l.requestedAt, len(f.borrowers))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
 				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
