--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -25,7 +25,7 @@
 type message struct {
 	to          int
 	requestedAt time.Duration
-	due         time.Duration
+	deliverAt   time.Duration
 	wants       []Demand
 	answer      Reply
 }
@@ -124,9 +124,9 @@
 	if f.happens(f.weather.repeated) {
 		f.lender.Allocate(f.now, question)
 	}
-	sent := message{to: i, requestedAt: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
+	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, wants: wants, answer: answer}
 	if f.happens(f.weather.late) {
-		sent.due += time.Duration(f.chance.Int64N(int64(time.Second)))
+		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
 	if !f.happens(f.weather.lost) {
 		f.letters = append(f.letters, sent)
@@ -140,7 +140,7 @@
 func (f *fleet) deliver() {
 	var later []message
 	for _, l := range f.letters {
-		if f.now < l.due || f.now < f.paused[l.to] {
+		if f.now < l.deliverAt || f.now < f.paused[l.to] {
 			later = append(later, l)
 			continue
 		}
