--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -26,7 +26,7 @@
 	to          int
 	requestedAt time.Duration
 	deliverAt   time.Duration
-	wants       []Demand
+	demands     []Demand
 	answer      Reply
 }
 
@@ -124,7 +124,7 @@
 	if f.happens(f.weather.repeated) {
 		f.lender.Allocate(f.now, question)
 	}
-	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, wants: wants, answer: answer}
+	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, answer: answer}
 	if f.happens(f.weather.late) {
 		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
@@ -145,11 +145,11 @@
 			continue
 		}
 		b := f.borrowers[l.to]
-		got := b.ApplyReply(f.now, l.requestedAt, l.wants, l.answer)
+		got := b.ApplyReply(f.now, l.requestedAt, l.demands, l.answer)
 		b.RecordContact(l.requestedAt, len(f.borrowers))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
-				result.Lease, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
+				result.Lease, _ = b.TakeReserve(f.now, resource, l.demands[0].Amount)
 			}
 			if result.Lease.Amount > 0 {
 				f.held[l.to] = append(f.held[l.to], result.Lease)
