--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -27,7 +27,7 @@
 	requestedAt time.Duration
 	deliverAt   time.Duration
 	demands     []Demand
-	answer      Reply
+	reply       Reply
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
@@ -124,7 +124,7 @@
 	if f.happens(f.weather.repeated) {
 		f.lender.Allocate(f.now, question)
 	}
-	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, answer: answer}
+	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
 	if f.happens(f.weather.late) {
 		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
@@ -145,7 +145,7 @@
 			continue
 		}
 		b := f.borrowers[l.to]
-		got := b.ApplyReply(f.now, l.requestedAt, l.demands, l.answer)
+		got := b.ApplyReply(f.now, l.requestedAt, l.demands, l.reply)
 		b.RecordContact(l.requestedAt, len(f.borrowers))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
