--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -31,13 +31,13 @@
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
-type weather struct{ lost, repeated, late float64 }
+type faultRates struct{ lost, repeated, late float64 }
 
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
 type fleet struct {
 	chance    *rand.Rand
-	weather   weather
+	weather   faultRates
 	now       time.Duration
 	limit     Limit
 	largest   float64
@@ -234,7 +234,7 @@
 		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
-		f.weather = weather{
+		f.weather = faultRates{
 			lost: rapid.Float64Range(0, 0.2).Draw(t, "lost"), repeated: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
