--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -31,7 +31,7 @@
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
-type faultRates struct{ lost, repeated, late float64 }
+type faultRates struct{ loss, repeated, late float64 }
 
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
@@ -113,7 +113,7 @@
 		return
 	}
 	question := b.NewRequest(f.now, wants)
-	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.lost) {
+	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
@@ -128,7 +128,7 @@
 	if f.happens(f.weather.late) {
 		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
-	if !f.happens(f.weather.lost) {
+	if !f.happens(f.weather.loss) {
 		f.letters = append(f.letters, sent)
 	}
 	if f.happens(f.weather.repeated) {
@@ -235,7 +235,7 @@
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.weather = faultRates{
-			lost: rapid.Float64Range(0, 0.2).Draw(t, "lost"), repeated: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
+			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), repeated: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
 		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
