--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -31,7 +31,7 @@
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
-type faultRates struct{ loss, repeated, late float64 }
+type faultRates struct{ loss, duplication, late float64 }
 
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
@@ -121,7 +121,7 @@
 	}
 	f.heard[i] = f.now
 	answer := f.lender.Allocate(f.now, question)
-	if f.happens(f.weather.repeated) {
+	if f.happens(f.weather.duplication) {
 		f.lender.Allocate(f.now, question)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
@@ -131,7 +131,7 @@
 	if !f.happens(f.weather.loss) {
 		f.letters = append(f.letters, sent)
 	}
-	if f.happens(f.weather.repeated) {
+	if f.happens(f.weather.duplication) {
 		f.letters = append(f.letters, sent)
 	}
 }
@@ -235,7 +235,7 @@
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.weather = faultRates{
-			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), repeated: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
+			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
 		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
