--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -31,7 +31,7 @@
 }
 
 // Shares of what goes wrong on a link, drawn for each run.
-type faultRates struct{ loss, duplication, late float64 }
+type faultRates struct{ loss, duplication, delay float64 }
 
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
@@ -125,7 +125,7 @@
 		f.lender.Allocate(f.now, question)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
-	if f.happens(f.weather.late) {
+	if f.happens(f.weather.delay) {
 		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
 	}
 	if !f.happens(f.weather.loss) {
@@ -236,7 +236,7 @@
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.weather = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
-			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
+			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
 		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
 		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -65,7 +65,7 @@
 		f := newNamedFleet(rate, rapid.SampledFrom([]int{1, 2, 7, 30, 100}).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.weather = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
-			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
+			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
 		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
 		from := f.now
