--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -36,7 +36,7 @@
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
 type fleet struct {
-	chance    *rand.Rand
+	rng       *rand.Rand
 	weather   faultRates
 	now       time.Duration
 	limit     Limit
@@ -58,7 +58,7 @@
 
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
-		chance: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
+		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
 		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Client, size),
 	}
 	for i := range size {
@@ -96,11 +96,11 @@
 	f.lender.Withhold(f.now, float64(silent)/float64(len(f.heard)))
 }
 
-func (f *fleet) happens(share float64) bool { return f.chance.Float64() < share }
+func (f *fleet) happens(share float64) bool { return f.rng.Float64() < share }
 
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
-	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.chance.Float64())
+	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.rng.Float64())
 	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
@@ -126,7 +126,7 @@
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
 	if f.happens(f.weather.delay) {
-		sent.deliverAt += time.Duration(f.chance.Int64N(int64(time.Second)))
+		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
 	if !f.happens(f.weather.loss) {
 		f.letters = append(f.letters, sent)
