--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -37,7 +37,7 @@
 // chances come from one seed.
 type fleet struct {
 	rng       *rand.Rand
-	weather   faultRates
+	faults    faultRates
 	now       time.Duration
 	limit     Limit
 	largest   float64
@@ -113,7 +113,7 @@
 		return
 	}
 	question := b.NewRequest(f.now, wants)
-	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.loss) {
+	if f.lender == nil || f.now < f.cut[i] || f.happens(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
@@ -121,17 +121,17 @@
 	}
 	f.heard[i] = f.now
 	answer := f.lender.Allocate(f.now, question)
-	if f.happens(f.weather.duplication) {
+	if f.happens(f.faults.duplication) {
 		f.lender.Allocate(f.now, question)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
-	if f.happens(f.weather.delay) {
+	if f.happens(f.faults.delay) {
 		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
-	if !f.happens(f.weather.loss) {
+	if !f.happens(f.faults.loss) {
 		f.letters = append(f.letters, sent)
 	}
-	if f.happens(f.weather.duplication) {
+	if f.happens(f.faults.duplication) {
 		f.letters = append(f.letters, sent)
 	}
 }
@@ -234,7 +234,7 @@
 		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
-		f.weather = faultRates{
+		f.faults = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 30).Draw(t, "rate")
 		f := newNamedFleet(rate, rapid.SampledFrom([]int{1, 2, 7, 30, 100}).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
-		f.weather = faultRates{
+		f.faults = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
