--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -40,7 +40,7 @@
 	faults    faultRates
 	now       time.Duration
 	limit     Limit
-	largest   float64
+	maxAmount float64
 	lender    *Allocator // nil while nobody leads
 	term      uint64
 	since     time.Duration
@@ -100,7 +100,7 @@
 
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
-	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.rng.Float64())
+	b, amount := f.borrowers[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
@@ -233,7 +233,7 @@
 		limit := Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 2).Draw(t, "burst")}
 		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
-		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
+		f.maxAmount = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
 		f.faults = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
