--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -41,7 +41,7 @@
 	now       time.Duration
 	limit     Limit
 	maxAmount float64
-	lender    *Allocator // nil while nobody leads
+	allocator *Allocator // nil while nobody leads
 	term      uint64
 	since     time.Duration
 	borrowers []*Client
@@ -77,9 +77,9 @@
 
 func (f *fleet) elect() {
 	f.term++
-	f.lender, f.since = NewAllocator(f.term), f.now
+	f.allocator, f.since = NewAllocator(f.term), f.now
 	if f.words == nil {
-		f.lender.SetLimits(f.now, map[string]Limit{resource: f.limit})
+		f.allocator.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
 	f.withhold()
 }
@@ -93,7 +93,7 @@
 			silent++
 		}
 	}
-	f.lender.Withhold(f.now, float64(silent)/float64(len(f.heard)))
+	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.heard)))
 }
 
 func (f *fleet) happens(share float64) bool { return f.rng.Float64() < share }
@@ -113,16 +113,16 @@
 		return
 	}
 	question := b.NewRequest(f.now, wants)
-	if f.lender == nil || f.now < f.cut[i] || f.happens(f.faults.loss) {
+	if f.allocator == nil || f.now < f.cut[i] || f.happens(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
 		return
 	}
 	f.heard[i] = f.now
-	answer := f.lender.Allocate(f.now, question)
+	answer := f.allocator.Allocate(f.now, question)
 	if f.happens(f.faults.duplication) {
-		f.lender.Allocate(f.now, question)
+		f.allocator.Allocate(f.now, question)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
 	if f.happens(f.faults.delay) {
@@ -175,7 +175,7 @@
 // step lets ten milliseconds pass, in which every borrower that runs wants something as often as given.
 func (f *fleet) step(eagerness float64) {
 	f.now += 10 * time.Millisecond
-	if f.lender != nil {
+	if f.allocator != nil {
 		f.withhold()
 	}
 	f.deliver()
@@ -207,7 +207,7 @@
 	}
 	switch kind {
 	case "fall":
-		f.lender = nil
+		f.allocator = nil
 	case "elect":
 		f.elect()
 	}
