--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -43,7 +43,7 @@
 	maxAmount float64
 	allocator *Allocator // nil while nobody leads
 	term      uint64
-	since     time.Duration
+	electedAt time.Duration
 	borrowers []*Client
 	heard     []time.Duration // when a lender last heard each
 	paused    []time.Duration // until when each stands still
@@ -77,7 +77,7 @@
 
 func (f *fleet) elect() {
 	f.term++
-	f.allocator, f.since = NewAllocator(f.term), f.now
+	f.allocator, f.electedAt = NewAllocator(f.term), f.now
 	if f.words == nil {
 		f.allocator.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
@@ -88,8 +88,8 @@
 func (f *fleet) withhold() {
 	silent := 0
 	for _, at := range f.heard {
-		byThis := at >= f.since
-		if byThis && f.now-at > testSilenceLimit && f.now-at < testTrust || !byThis && f.now-f.since < testTrust {
+		byThis := at >= f.electedAt
+		if byThis && f.now-at > testSilenceLimit && f.now-at < testTrust || !byThis && f.now-f.electedAt < testTrust {
 			silent++
 		}
 	}
