--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -44,7 +44,7 @@
 	allocator *Allocator // nil while nobody leads
 	term      uint64
 	electedAt time.Duration
-	borrowers []*Client
+	clients   []*Client
 	heard     []time.Duration // when a lender last heard each
 	paused    []time.Duration // until when each stands still
 	cut       []time.Duration // until when each reaches no lender
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), borrowers: make([]*Client, size),
+		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
@@ -69,9 +69,9 @@
 }
 
 func (f *fleet) start(i int) {
-	f.borrowers[i], f.held[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
+	f.clients[i], f.held[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
 	if f.words == nil {
-		f.borrowers[i].SetLimits(map[string]Limit{resource: f.limit})
+		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
 }
 
@@ -100,7 +100,7 @@
 
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
-	b, amount := f.borrowers[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
+	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.words != nil {
 		named := f.words[i].told(f.now)
@@ -144,9 +144,9 @@
 			later = append(later, l)
 			continue
 		}
-		b := f.borrowers[l.to]
+		b := f.clients[l.to]
 		got := b.ApplyReply(f.now, l.requestedAt, l.demands, l.reply)
-		b.RecordContact(l.requestedAt, len(f.borrowers))
+		b.RecordContact(l.requestedAt, len(f.clients))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
 				result.Lease, _ = b.TakeReserve(f.now, resource, l.demands[0].Amount)
@@ -164,7 +164,7 @@
 	for _, hold := range f.held[i] {
 		switch {
 		case f.happens(0.05):
-			f.borrowers[i].Release(f.now, hold)
+			f.clients[i].Release(f.now, hold)
 		case hold.Valid(f.now):
 			f.uses = append(f.uses, usage{at: f.now, amount: hold.Amount})
 		}
@@ -179,7 +179,7 @@
 		f.withhold()
 	}
 	f.deliver()
-	for i := range f.borrowers {
+	for i := range f.clients {
 		if f.now < f.paused[i] {
 			continue
 		}
@@ -192,7 +192,7 @@
 
 // trouble makes one thing go wrong.
 func (f *fleet) trouble(kind string, length time.Duration, share float64) {
-	for i := range f.borrowers {
+	for i := range f.clients {
 		if !f.happens(share) {
 			continue
 		}
