--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -36,29 +36,29 @@
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
 type fleet struct {
-	rng       *rand.Rand
-	faults    faultRates
-	now       time.Duration
-	limit     Limit
-	maxAmount float64
-	allocator *Allocator // nil while nobody leads
-	term      uint64
-	electedAt time.Duration
-	clients   []*Client
-	heard     []time.Duration // when a lender last heard each
-	paused    []time.Duration // until when each stands still
-	cut       []time.Duration // until when each reaches no lender
-	held      [][]Lease       // taken and not used yet
-	letters   []message
-	uses      []usage
-	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	rng         *rand.Rand
+	faults      faultRates
+	now         time.Duration
+	limit       Limit
+	maxAmount   float64
+	allocator   *Allocator // nil while nobody leads
+	term        uint64
+	electedAt   time.Duration
+	clients     []*Client
+	lastContact []time.Duration // when a lender last heard each
+	paused      []time.Duration // until when each stands still
+	cut         []time.Duration // until when each reaches no lender
+	held        [][]Lease       // taken and not used yet
+	letters     []message
+	uses        []usage
+	words       []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
 const resource = "r"
 
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
+		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, size),
 		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
@@ -87,13 +87,13 @@
 // withhold keeps back the parts of borrowers that are silent and may still trust what they know.
 func (f *fleet) withhold() {
 	silent := 0
-	for _, at := range f.heard {
+	for _, at := range f.lastContact {
 		byThis := at >= f.electedAt
 		if byThis && f.now-at > testSilenceLimit && f.now-at < testTrust || !byThis && f.now-f.electedAt < testTrust {
 			silent++
 		}
 	}
-	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.heard)))
+	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.lastContact)))
 }
 
 func (f *fleet) happens(share float64) bool { return f.rng.Float64() < share }
@@ -119,7 +119,7 @@
 		}
 		return
 	}
-	f.heard[i] = f.now
+	f.lastContact[i] = f.now
 	answer := f.allocator.Allocate(f.now, question)
 	if f.happens(f.faults.duplication) {
 		f.allocator.Allocate(f.now, question)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -97,8 +97,8 @@
 		for _, size := range []int{1, 7, 100} {
 			f := newNamedFleet(rate, size, 1)
 			for range 12000 {
-				for i := range f.heard {
-					f.heard[i] = f.now // all are in touch, also those that ask for nothing
+				for i := range f.lastContact {
+					f.lastContact[i] = f.now // all are in touch, also those that ask for nothing
 				}
 				f.step(min(1, 4*rate/float64(size)/100)) // four times the limit, a hundred steps a second
 			}
