--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -46,7 +46,7 @@
 	electedAt   time.Duration
 	clients     []*Client
 	lastContact []time.Duration // when a lender last heard each
-	paused      []time.Duration // until when each stands still
+	pausedUntil []time.Duration // until when each stands still
 	cut         []time.Duration // until when each reaches no lender
 	held        [][]Lease       // taken and not used yet
 	letters     []message
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
+		pausedUntil: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
@@ -140,7 +140,7 @@
 func (f *fleet) deliver() {
 	var later []message
 	for _, l := range f.letters {
-		if f.now < l.deliverAt || f.now < f.paused[l.to] {
+		if f.now < l.deliverAt || f.now < f.pausedUntil[l.to] {
 			later = append(later, l)
 			continue
 		}
@@ -180,7 +180,7 @@
 	}
 	f.deliver()
 	for i := range f.clients {
-		if f.now < f.paused[i] {
+		if f.now < f.pausedUntil[i] {
 			continue
 		}
 		f.spend(i)
@@ -198,7 +198,7 @@
 		}
 		switch kind {
 		case "pause":
-			f.paused[i] = f.now + length
+			f.pausedUntil[i] = f.now + length
 		case "cut":
 			f.cut[i] = f.now + length
 		case "restart":
