--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -36,22 +36,22 @@
 // fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
 // chances come from one seed.
 type fleet struct {
-	rng         *rand.Rand
-	faults      faultRates
-	now         time.Duration
-	limit       Limit
-	maxAmount   float64
-	allocator   *Allocator // nil while nobody leads
-	term        uint64
-	electedAt   time.Duration
-	clients     []*Client
-	lastContact []time.Duration // when a lender last heard each
-	pausedUntil []time.Duration // until when each stands still
-	cut         []time.Duration // until when each reaches no lender
-	held        [][]Lease       // taken and not used yet
-	letters     []message
-	uses        []usage
-	words       []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	rng              *rand.Rand
+	faults           faultRates
+	now              time.Duration
+	limit            Limit
+	maxAmount        float64
+	allocator        *Allocator // nil while nobody leads
+	term             uint64
+	electedAt        time.Duration
+	clients          []*Client
+	lastContact      []time.Duration // when a lender last heard each
+	pausedUntil      []time.Duration // until when each stands still
+	partitionedUntil []time.Duration // until when each reaches no lender
+	held             [][]Lease       // taken and not used yet
+	letters          []message
+	uses             []usage
+	words            []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
 const resource = "r"
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, size),
-		pausedUntil: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
+		pausedUntil: make([]time.Duration, size), partitionedUntil: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
@@ -113,7 +113,7 @@
 		return
 	}
 	question := b.NewRequest(f.now, wants)
-	if f.allocator == nil || f.now < f.cut[i] || f.happens(f.faults.loss) {
+	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.happens(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.held[i] = append(f.held[i], hold)
 		}
@@ -200,7 +200,7 @@
 		case "pause":
 			f.pausedUntil[i] = f.now + length
 		case "cut":
-			f.cut[i] = f.now + length
+			f.partitionedUntil[i] = f.now + length
 		case "restart":
 			f.start(i)
 		}
