--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -48,7 +48,7 @@
 	lastContact      []time.Duration // when a lender last heard each
 	pausedUntil      []time.Duration // until when each stands still
 	partitionedUntil []time.Duration // until when each reaches no lender
-	held             [][]Lease       // taken and not used yet
+	leases           [][]Lease       // taken and not used yet
 	letters          []message
 	uses             []usage
 	words            []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
@@ -59,7 +59,7 @@
 func newFleet(limit Limit, size int, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, size),
-		pausedUntil: make([]time.Duration, size), partitionedUntil: make([]time.Duration, size), held: make([][]Lease, size), clients: make([]*Client, size),
+		pausedUntil: make([]time.Duration, size), partitionedUntil: make([]time.Duration, size), leases: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
 		f.start(i)
@@ -69,7 +69,7 @@
 }
 
 func (f *fleet) start(i int) {
-	f.clients[i], f.held[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
+	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
 	if f.words == nil {
 		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
@@ -109,13 +109,13 @@
 		b.SetAdvertisedLimit(f.now, resource, named)
 	}
 	if hold, ok := b.Take(f.now, resource, amount); ok {
-		f.held[i] = append(f.held[i], hold)
+		f.leases[i] = append(f.leases[i], hold)
 		return
 	}
 	question := b.NewRequest(f.now, wants)
 	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.happens(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
-			f.held[i] = append(f.held[i], hold)
+			f.leases[i] = append(f.leases[i], hold)
 		}
 		return
 	}
@@ -152,7 +152,7 @@
 				result.Lease, _ = b.TakeReserve(f.now, resource, l.demands[0].Amount)
 			}
 			if result.Lease.Amount > 0 {
-				f.held[l.to] = append(f.held[l.to], result.Lease)
+				f.leases[l.to] = append(f.leases[l.to], result.Lease)
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 
 // spend uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
 func (f *fleet) spend(i int) {
-	for _, hold := range f.held[i] {
+	for _, hold := range f.leases[i] {
 		switch {
 		case f.happens(0.05):
 			f.clients[i].Release(f.now, hold)
@@ -169,7 +169,7 @@
 			f.uses = append(f.uses, usage{at: f.now, amount: hold.Amount})
 		}
 	}
-	f.held[i] = nil
+	f.leases[i] = nil
 }
 
 // step lets ten milliseconds pass, in which every borrower that runs wants something as often as given.
