--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -49,7 +49,7 @@
 	pausedUntil      []time.Duration // until when each stands still
 	partitionedUntil []time.Duration // until when each reaches no lender
 	leases           [][]Lease       // taken and not used yet
-	letters          []message
+	inFlight         []message
 	uses             []usage
 	words            []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
@@ -129,17 +129,17 @@
 		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
 	if !f.happens(f.faults.loss) {
-		f.letters = append(f.letters, sent)
+		f.inFlight = append(f.inFlight, sent)
 	}
 	if f.happens(f.faults.duplication) {
-		f.letters = append(f.letters, sent)
+		f.inFlight = append(f.inFlight, sent)
 	}
 }
 
 // deliver brings the letters that are due to those that run.
 func (f *fleet) deliver() {
 	var later []message
-	for _, l := range f.letters {
+	for _, l := range f.inFlight {
 		if f.now < l.deliverAt || f.now < f.pausedUntil[l.to] {
 			later = append(later, l)
 			continue
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	f.letters = later
+	f.inFlight = later
 }
 
 // spend uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
