--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -50,7 +50,7 @@
 	partitionedUntil []time.Duration // until when each reaches no lender
 	leases           [][]Lease       // taken and not used yet
 	inFlight         []message
-	uses             []usage
+	usages           []usage
 	words            []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
@@ -166,7 +166,7 @@
 		case f.happens(0.05):
 			f.clients[i].Release(f.now, hold)
 		case hold.Valid(f.now):
-			f.uses = append(f.uses, usage{at: f.now, amount: hold.Amount})
+			f.usages = append(f.usages, usage{at: f.now, amount: hold.Amount})
 		}
 	}
 	f.leases[i] = nil
@@ -216,9 +216,9 @@
 // worst returns the most that was used in any window.
 func (f *fleet) worst() float64 {
 	most, sum, first := 0.0, 0.0, 0
-	for _, u := range f.uses {
-		for sum += u.amount; f.uses[first].at < u.at-testWindow; first++ {
-			sum -= f.uses[first].amount
+	for _, u := range f.usages {
+		for sum += u.amount; f.usages[first].at < u.at-testWindow; first++ {
+			sum -= f.usages[first].amount
 		}
 		most = max(most, sum)
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -49,7 +49,7 @@
 // fullest returns the most that was used in any window that begins after a time.
 func (f *fleet) fullest(after time.Duration) int {
 	var used []time.Duration
-	for _, u := range f.uses {
+	for _, u := range f.usages {
 		if u.at >= after {
 			used = append(used, u.at)
 		}
@@ -103,7 +103,7 @@
 				f.step(min(1, 4*rate/float64(size)/100)) // four times the limit, a hundred steps a second
 			}
 			length := 120.0
-			if used := float64(len(f.uses)) / length; used < namedUsed*min(rate, 100*float64(size)) {
+			if used := float64(len(f.usages)) / length; used < namedUsed*min(rate, 100*float64(size)) {
 				t.Errorf("%d borrowers: %.2f a second used of %.2f", size, used, rate)
 			}
 		}
