--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -51,7 +51,7 @@
 	leases           [][]Lease       // taken and not used yet
 	inFlight         []message
 	usages           []usage
-	words            []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	advertised       []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
 const resource = "r"
@@ -70,7 +70,7 @@
 
 func (f *fleet) start(i int) {
 	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
-	if f.words == nil {
+	if f.advertised == nil {
 		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
 }
@@ -78,7 +78,7 @@
 func (f *fleet) elect() {
 	f.term++
 	f.allocator, f.electedAt = NewAllocator(f.term), f.now
-	if f.words == nil {
+	if f.advertised == nil {
 		f.allocator.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
 	f.withhold()
@@ -102,8 +102,8 @@
 func (f *fleet) want(i int) {
 	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	wants := []Demand{{Name: resource, Amount: amount}}
-	if f.words != nil {
-		named := f.words[i].told(f.now)
+	if f.advertised != nil {
+		named := f.advertised[i].told(f.now)
 		wants[0].Amount, wants[0].Advertised = 1, &named
 		amount = 1
 		b.SetAdvertisedLimit(f.now, resource, named)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -30,7 +30,7 @@
 // newNamedFleet is a fleet that shares a resource which names its limit.
 func newNamedFleet(rate float64, size int, seed uint64) *fleet {
 	f := newFleet(Limit{}, size, seed)
-	f.words = make([]word, size)
+	f.advertised = make([]word, size)
 	f.tell(rate)
 	for i := range size {
 		f.start(i)
@@ -41,8 +41,8 @@
 
 // tell lets all borrowers hear a limit.
 func (f *fleet) tell(rate float64) {
-	for i := range f.words {
-		f.words[i] = word{rate, f.now}
+	for i := range f.advertised {
+		f.advertised[i] = word{rate, f.now}
 	}
 }
 
