--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -62,13 +62,13 @@
 		pausedUntil: make([]time.Duration, size), partitionedUntil: make([]time.Duration, size), leases: make([][]Lease, size), clients: make([]*Client, size),
 	}
 	for i := range size {
-		f.start(i)
+		f.startClient(i)
 	}
 	f.elect()
 	return f
 }
 
-func (f *fleet) start(i int) {
+func (f *fleet) startClient(i int) {
 	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
 	if f.advertised == nil {
 		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
@@ -202,7 +202,7 @@
 		case "cut":
 			f.partitionedUntil[i] = f.now + length
 		case "restart":
-			f.start(i)
+			f.startClient(i)
 		}
 	}
 	switch kind {
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -33,7 +33,7 @@
 	f.advertised = make([]word, size)
 	f.tell(rate)
 	for i := range size {
-		f.start(i)
+		f.startClient(i)
 	}
 	f.elect()
 	return f
