--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -96,7 +96,7 @@
 	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.lastContact)))
 }
 
-func (f *fleet) happens(share float64) bool { return f.rng.Float64() < share }
+func (f *fleet) draw(share float64) bool { return f.rng.Float64() < share }
 
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
@@ -113,7 +113,7 @@
 		return
 	}
 	question := b.NewRequest(f.now, wants)
-	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.happens(f.faults.loss) {
+	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.leases[i] = append(f.leases[i], hold)
 		}
@@ -121,17 +121,17 @@
 	}
 	f.lastContact[i] = f.now
 	answer := f.allocator.Allocate(f.now, question)
-	if f.happens(f.faults.duplication) {
+	if f.draw(f.faults.duplication) {
 		f.allocator.Allocate(f.now, question)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
-	if f.happens(f.faults.delay) {
+	if f.draw(f.faults.delay) {
 		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
-	if !f.happens(f.faults.loss) {
+	if !f.draw(f.faults.loss) {
 		f.inFlight = append(f.inFlight, sent)
 	}
-	if f.happens(f.faults.duplication) {
+	if f.draw(f.faults.duplication) {
 		f.inFlight = append(f.inFlight, sent)
 	}
 }
@@ -163,7 +163,7 @@
 func (f *fleet) spend(i int) {
 	for _, hold := range f.leases[i] {
 		switch {
-		case f.happens(0.05):
+		case f.draw(0.05):
 			f.clients[i].Release(f.now, hold)
 		case hold.Valid(f.now):
 			f.usages = append(f.usages, usage{at: f.now, amount: hold.Amount})
@@ -184,7 +184,7 @@
 			continue
 		}
 		f.spend(i)
-		if f.happens(eagerness) {
+		if f.draw(eagerness) {
 			f.want(i)
 		}
 	}
@@ -193,7 +193,7 @@
 // trouble makes one thing go wrong.
 func (f *fleet) trouble(kind string, length time.Duration, share float64) {
 	for i := range f.clients {
-		if !f.happens(share) {
+		if !f.draw(share) {
 			continue
 		}
 		switch kind {
