--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -96,7 +96,7 @@
 	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.lastContact)))
 }
 
-func (f *fleet) draw(share float64) bool { return f.rng.Float64() < share }
+func (f *fleet) draw(probability float64) bool { return f.rng.Float64() < probability }
 
 // want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) want(i int) {
