--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -98,8 +98,8 @@
 
 func (f *fleet) draw(probability float64) bool { return f.rng.Float64() < probability }
 
-// want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
-func (f *fleet) want(i int) {
+// request makes a borrower request an amount: what it holds, what the lender lends in a moment, or its own part.
+func (f *fleet) request(i int) {
 	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	wants := []Demand{{Name: resource, Amount: amount}}
 	if f.advertised != nil {
@@ -185,7 +185,7 @@
 		}
 		f.spend(i)
 		if f.draw(eagerness) {
-			f.want(i)
+			f.request(i)
 		}
 	}
 }
