--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -159,8 +159,8 @@
 	f.inFlight = later
 }
 
-// spend uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
-func (f *fleet) spend(i int) {
+// use uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
+func (f *fleet) use(i int) {
 	for _, hold := range f.leases[i] {
 		switch {
 		case f.draw(0.05):
@@ -183,7 +183,7 @@
 		if f.now < f.pausedUntil[i] {
 			continue
 		}
-		f.spend(i)
+		f.use(i)
 		if f.draw(eagerness) {
 			f.request(i)
 		}
