--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// trouble makes one thing go wrong.
-func (f *fleet) trouble(kind string, length time.Duration, share float64) {
+// inject makes one thing go wrong.
+func (f *fleet) inject(kind string, length time.Duration, share float64) {
 	for i := range f.clients {
 		if !f.draw(share) {
 			continue
@@ -244,7 +244,7 @@
 				f.step(eagerness)
 			}
 			kind := rapid.SampledFrom([]string{"pause", "cut", "restart", "fall", "elect"}).Draw(t, "kind")
-			f.trouble(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
+			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
 		}
 		for range 300 {
 			f.step(eagerness)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -80,7 +80,7 @@
 				from = f.now + namedSettle
 				continue
 			}
-			f.trouble(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
+			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
 		}
 		for range 500 {
 			f.step(eagerness)
