--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// worst returns the most that was used in any window.
-func (f *fleet) worst() float64 {
+// maxWindowUsage returns the most that was used in any window.
+func (f *fleet) maxWindowUsage() float64 {
 	most, sum, first := 0.0, 0.0, 0
 	for _, u := range f.usages {
 		for sum += u.amount; f.usages[first].at < u.at-testWindow; first++ {
@@ -249,7 +249,7 @@
 		for range 300 {
 			f.step(eagerness)
 		}
-		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
+		if used, allowed := f.maxWindowUsage(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
 			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
 		}
 	})
