--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -173,7 +173,7 @@
 }
 
 // step lets ten milliseconds pass, in which every borrower that runs wants something as often as given.
-func (f *fleet) step(eagerness float64) {
+func (f *fleet) step(demandProbability float64) {
 	f.now += 10 * time.Millisecond
 	if f.allocator != nil {
 		f.withhold()
@@ -184,7 +184,7 @@
 			continue
 		}
 		f.use(i)
-		if f.draw(eagerness) {
+		if f.draw(demandProbability) {
 			f.request(i)
 		}
 	}
