--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -191,16 +191,16 @@
 }
 
 // inject makes one thing go wrong.
-func (f *fleet) inject(kind string, length time.Duration, share float64) {
+func (f *fleet) inject(kind string, duration time.Duration, share float64) {
 	for i := range f.clients {
 		if !f.draw(share) {
 			continue
 		}
 		switch kind {
 		case "pause":
-			f.pausedUntil[i] = f.now + length
+			f.pausedUntil[i] = f.now + duration
 		case "cut":
-			f.partitionedUntil[i] = f.now + length
+			f.partitionedUntil[i] = f.now + duration
 		case "restart":
 			f.startClient(i)
 		}
