--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -191,9 +191,9 @@
 }
 
 // inject makes one thing go wrong.
-func (f *fleet) inject(kind string, duration time.Duration, share float64) {
+func (f *fleet) inject(kind string, duration time.Duration, fraction float64) {
 	for i := range f.clients {
-		if !f.draw(share) {
+		if !f.draw(fraction) {
 			continue
 		}
 		switch kind {
