--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -215,14 +215,14 @@
 
 // maxWindowUsage returns the most that was used in any window.
 func (f *fleet) maxWindowUsage() float64 {
-	most, sum, first := 0.0, 0.0, 0
+	maxUsed, sum, first := 0.0, 0.0, 0
 	for _, u := range f.usages {
 		for sum += u.amount; f.usages[first].at < u.at-testWindow; first++ {
 			sum -= f.usages[first].amount
 		}
-		most = max(most, sum)
+		maxUsed = max(maxUsed, sum)
 	}
-	return most
+	return maxUsed
 }
 
 // TestWindowsStayWithinTheLimit: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no
