--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -238,16 +238,16 @@
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
-		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
+		demandProbability := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
 		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
 			for range rapid.IntRange(1, 400).Draw(t, "steps") {
-				f.step(eagerness)
+				f.step(demandProbability)
 			}
 			kind := rapid.SampledFrom([]string{"pause", "cut", "restart", "fall", "elect"}).Draw(t, "kind")
 			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
 		}
 		for range 300 {
-			f.step(eagerness)
+			f.step(demandProbability)
 		}
 		if used, allowed := f.maxWindowUsage(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
 			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
