--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -88,8 +88,8 @@
 func (f *fleet) withhold() {
 	silent := 0
 	for _, at := range f.lastContact {
-		byThis := at >= f.electedAt
-		if byThis && f.now-at > testSilenceLimit && f.now-at < testTrust || !byThis && f.now-f.electedAt < testTrust {
+		currentTerm := at >= f.electedAt
+		if currentTerm && f.now-at > testSilenceLimit && f.now-at < testTrust || !currentTerm && f.now-f.electedAt < testTrust {
 			silent++
 		}
 	}
