--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -101,10 +101,10 @@
 // request makes a borrower request an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) request(i int) {
 	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
-	wants := []Demand{{Name: resource, Amount: amount}}
+	demands := []Demand{{Name: resource, Amount: amount}}
 	if f.advertised != nil {
 		named := f.advertised[i].told(f.now)
-		wants[0].Amount, wants[0].Advertised = 1, &named
+		demands[0].Amount, demands[0].Advertised = 1, &named
 		amount = 1
 		b.SetAdvertisedLimit(f.now, resource, named)
 	}
@@ -112,7 +112,7 @@
 		f.leases[i] = append(f.leases[i], hold)
 		return
 	}
-	question := b.NewRequest(f.now, wants)
+	question := b.NewRequest(f.now, demands)
 	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.leases[i] = append(f.leases[i], hold)
@@ -124,7 +124,7 @@
 	if f.draw(f.faults.duplication) {
 		f.allocator.Allocate(f.now, question)
 	}
-	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: wants, reply: answer}
+	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: answer}
 	if f.draw(f.faults.delay) {
 		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
