--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -103,10 +103,10 @@
 	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	demands := []Demand{{Name: resource, Amount: amount}}
 	if f.advertised != nil {
-		named := f.advertised[i].told(f.now)
-		demands[0].Amount, demands[0].Advertised = 1, &named
+		limit := f.advertised[i].told(f.now)
+		demands[0].Amount, demands[0].Advertised = 1, &limit
 		amount = 1
-		b.SetAdvertisedLimit(f.now, resource, named)
+		b.SetAdvertisedLimit(f.now, resource, limit)
 	}
 	if hold, ok := b.Take(f.now, resource, amount); ok {
 		f.leases[i] = append(f.leases[i], hold)
