--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -108,8 +108,8 @@
 		amount = 1
 		b.SetAdvertisedLimit(f.now, resource, limit)
 	}
-	if hold, ok := b.Take(f.now, resource, amount); ok {
-		f.leases[i] = append(f.leases[i], hold)
+	if lease, ok := b.Take(f.now, resource, amount); ok {
+		f.leases[i] = append(f.leases[i], lease)
 		return
 	}
 	question := b.NewRequest(f.now, demands)
