--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -112,7 +112,7 @@
 		f.leases[i] = append(f.leases[i], lease)
 		return
 	}
-	question := b.NewRequest(f.now, demands)
+	request := b.NewRequest(f.now, demands)
 	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
 		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
 			f.leases[i] = append(f.leases[i], hold)
@@ -120,9 +120,9 @@
 		return
 	}
 	f.lastContact[i] = f.now
-	answer := f.allocator.Allocate(f.now, question)
+	answer := f.allocator.Allocate(f.now, request)
 	if f.draw(f.faults.duplication) {
-		f.allocator.Allocate(f.now, question)
+		f.allocator.Allocate(f.now, request)
 	}
 	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: answer}
 	if f.draw(f.faults.delay) {
