--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -114,8 +114,8 @@
 	}
 	request := b.NewRequest(f.now, demands)
 	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
-		if hold, ok := b.TakeFallback(f.now, resource, amount); ok {
-			f.leases[i] = append(f.leases[i], hold)
+		if lease, ok := b.TakeFallback(f.now, resource, amount); ok {
+			f.leases[i] = append(f.leases[i], lease)
 		}
 		return
 	}
