--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -120,11 +120,11 @@
 		return
 	}
 	f.lastContact[i] = f.now
-	answer := f.allocator.Allocate(f.now, request)
+	reply := f.allocator.Allocate(f.now, request)
 	if f.draw(f.faults.duplication) {
 		f.allocator.Allocate(f.now, request)
 	}
-	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: answer}
+	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: reply}
 	if f.draw(f.faults.delay) {
 		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
