--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -124,15 +124,15 @@
 	if f.draw(f.faults.duplication) {
 		f.allocator.Allocate(f.now, request)
 	}
-	sent := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: reply}
+	m := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: reply}
 	if f.draw(f.faults.delay) {
-		sent.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
+		m.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
 	if !f.draw(f.faults.loss) {
-		f.inFlight = append(f.inFlight, sent)
+		f.inFlight = append(f.inFlight, m)
 	}
 	if f.draw(f.faults.duplication) {
-		f.inFlight = append(f.inFlight, sent)
+		f.inFlight = append(f.inFlight, m)
 	}
 }
 
