--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -138,10 +138,10 @@
 
 // deliver brings the letters that are due to those that run.
 func (f *fleet) deliver() {
-	var later []message
+	var undelivered []message
 	for _, l := range f.inFlight {
 		if f.now < l.deliverAt || f.now < f.pausedUntil[l.to] {
-			later = append(later, l)
+			undelivered = append(undelivered, l)
 			continue
 		}
 		b := f.clients[l.to]
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	f.inFlight = later
+	f.inFlight = undelivered
 }
 
 // use uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
