--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -139,20 +139,20 @@
 // deliver brings the letters that are due to those that run.
 func (f *fleet) deliver() {
 	var undelivered []message
-	for _, l := range f.inFlight {
-		if f.now < l.deliverAt || f.now < f.pausedUntil[l.to] {
-			undelivered = append(undelivered, l)
+	for _, m := range f.inFlight {
+		if f.now < m.deliverAt || f.now < f.pausedUntil[m.to] {
+			undelivered = append(undelivered, m)
 			continue
 		}
-		b := f.clients[l.to]
-		got := b.ApplyReply(f.now, l.requestedAt, l.demands, l.reply)
-		b.RecordContact(l.requestedAt, len(f.clients))
+		b := f.clients[m.to]
+		got := b.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
+		b.RecordContact(m.requestedAt, len(f.clients))
 		for _, result := range got {
 			if result.WarmingUp && result.Lease.Amount == 0 {
-				result.Lease, _ = b.TakeReserve(f.now, resource, l.demands[0].Amount)
+				result.Lease, _ = b.TakeReserve(f.now, resource, m.demands[0].Amount)
 			}
 			if result.Lease.Amount > 0 {
-				f.leases[l.to] = append(f.leases[l.to], result.Lease)
+				f.leases[m.to] = append(f.leases[m.to], result.Lease)
 			}
 		}
 	}
