--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -145,9 +145,9 @@
 			continue
 		}
 		b := f.clients[m.to]
-		got := b.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
+		results := b.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
 		b.RecordContact(m.requestedAt, len(f.clients))
-		for _, result := range got {
+		for _, result := range results {
 			if result.WarmingUp && result.Lease.Amount == 0 {
 				result.Lease, _ = b.TakeReserve(f.now, resource, m.demands[0].Amount)
 			}
