--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -161,12 +161,12 @@
 
 // use uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
 func (f *fleet) use(i int) {
-	for _, hold := range f.leases[i] {
+	for _, lease := range f.leases[i] {
 		switch {
 		case f.draw(0.05):
-			f.clients[i].Release(f.now, hold)
-		case hold.Valid(f.now):
-			f.usages = append(f.usages, usage{at: f.now, amount: hold.Amount})
+			f.clients[i].Release(f.now, lease)
+		case lease.Valid(f.now):
+			f.usages = append(f.usages, usage{at: f.now, amount: lease.Amount})
 		}
 	}
 	f.leases[i] = nil
