--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -225,9 +225,9 @@
 	return maxUsed
 }
 
-// TestWindowsStayWithinTheLimit: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no
+// TestUseInAnyWindowStaysWithinLimit: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no
 // more in any window than the limit allows, however much is wanted.
-func TestWindowsStayWithinTheLimit(t *testing.T) {
+func TestUseInAnyWindowStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := 1000.0
 		limit := Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 2).Draw(t, "burst")}
