--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -56,12 +56,12 @@
 
 const resource = "r"
 
-func newFleet(limit Limit, size int, seed uint64) *fleet {
+func newFleet(limit Limit, clients int, seed uint64) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, size),
-		pausedUntil: make([]time.Duration, size), partitionedUntil: make([]time.Duration, size), leases: make([][]Lease, size), clients: make([]*Client, size),
+		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, clients),
+		pausedUntil: make([]time.Duration, clients), partitionedUntil: make([]time.Duration, clients), leases: make([][]Lease, clients), clients: make([]*Client, clients),
 	}
-	for i := range size {
+	for i := range clients {
 		f.startClient(i)
 	}
 	f.elect()
