--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// namedSettle is how long after a lower limit was heard something of before may still come.
-	namedSettle = 500 * time.Millisecond
+	// settlingTime is how long after a lower limit was heard something of before may still come.
+	settlingTime = 500 * time.Millisecond
 	// namedUsed is the share of a limit that is to be used where more is asked and nothing is wrong.
 	namedUsed = 0.8
 )
@@ -77,7 +77,7 @@
 			if kind == "lower" {
 				rate *= rapid.Float64Range(0, 1).Draw(t, "by")
 				f.tell(rate)
-				from = f.now + namedSettle
+				from = f.now + settlingTime
 				continue
 			}
 			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
