--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -13,8 +13,8 @@
 const (
 	// settlingTime is how long after a lower limit was heard something of before may still come.
 	settlingTime = 500 * time.Millisecond
-	// namedUsed is the share of a limit that is to be used where more is asked and nothing is wrong.
-	namedUsed = 0.8
+	// minUsedFraction is the share of a limit that is to be used where more is asked and nothing is wrong.
+	minUsedFraction = 0.8
 )
 
 // word is what a borrower heard of a resource's limit.
@@ -103,7 +103,7 @@
 				f.step(min(1, 4*rate/float64(size)/100)) // four times the limit, a hundred steps a second
 			}
 			length := 120.0
-			if used := float64(len(f.usages)) / length; used < namedUsed*min(rate, 100*float64(size)) {
+			if used := float64(len(f.usages)) / length; used < minUsedFraction*min(rate, 100*float64(size)) {
 				t.Errorf("%d borrowers: %.2f a second used of %.2f", size, used, rate)
 			}
 		}
