--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -51,7 +51,7 @@
 	leases           [][]Lease       // taken and not used yet
 	inFlight         []message
 	usages           []usage
-	advertised       []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	advertised       []advertisement // what each borrower heard of the limit that the resource names; nil where the lender knows it
 }
 
 const resource = "r"
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -17,20 +17,20 @@
 	minUsedFraction = 0.8
 )
 
-// word is what a borrower heard of a resource's limit.
-type word struct {
+// advertisement is what a borrower heard of a resource's limit.
+type advertisement struct {
 	rate float64
 	at   time.Duration
 }
 
-func (w word) told(now time.Duration) AdvertisedLimit {
+func (w advertisement) told(now time.Duration) AdvertisedLimit {
 	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
 }
 
 // newNamedFleet is a fleet that shares a resource which names its limit.
 func newNamedFleet(rate float64, size int, seed uint64) *fleet {
 	f := newFleet(Limit{}, size, seed)
-	f.advertised = make([]word, size)
+	f.advertised = make([]advertisement, size)
 	f.tell(rate)
 	for i := range size {
 		f.startClient(i)
@@ -42,7 +42,7 @@
 // tell lets all borrowers hear a limit.
 func (f *fleet) tell(rate float64) {
 	for i := range f.advertised {
-		f.advertised[i] = word{rate, f.now}
+		f.advertised[i] = advertisement{rate, f.now}
 	}
 }
 
