--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -103,7 +103,7 @@
 	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	demands := []Demand{{Name: resource, Amount: amount}}
 	if f.advertised != nil {
-		limit := f.advertised[i].told(f.now)
+		limit := f.advertised[i].limit(f.now)
 		demands[0].Amount, demands[0].Advertised = 1, &limit
 		amount = 1
 		b.SetAdvertisedLimit(f.now, resource, limit)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -23,7 +23,7 @@
 	at   time.Duration
 }
 
-func (w advertisement) told(now time.Duration) AdvertisedLimit {
+func (w advertisement) limit(now time.Duration) AdvertisedLimit {
 	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
 }
 
