--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -27,8 +27,8 @@
 	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
 }
 
-// newNamedFleet is a fleet that shares a resource which names its limit.
-func newNamedFleet(rate float64, size int, seed uint64) *fleet {
+// newAdvertisedFleet is a fleet that shares a resource which names its limit.
+func newAdvertisedFleet(rate float64, size int, seed uint64) *fleet {
 	f := newFleet(Limit{}, size, seed)
 	f.advertised = make([]advertisement, size)
 	f.tell(rate)
@@ -62,7 +62,7 @@
 func TestNamedLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 30).Draw(t, "rate")
-		f := newNamedFleet(rate, rapid.SampledFrom([]int{1, 2, 7, 30, 100}).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
+		f := newAdvertisedFleet(rate, rapid.SampledFrom([]int{1, 2, 7, 30, 100}).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
 		f.faults = faultRates{
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
@@ -95,7 +95,7 @@
 func TestNamedLimitsAreUsed(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3.8, 12, 60} {
 		for _, size := range []int{1, 7, 100} {
-			f := newNamedFleet(rate, size, 1)
+			f := newAdvertisedFleet(rate, size, 1)
 			for range 12000 {
 				for i := range f.lastContact {
 					f.lastContact[i] = f.now // all are in touch, also those that ask for nothing
