--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -31,7 +31,7 @@
 func newAdvertisedFleet(rate float64, size int, seed uint64) *fleet {
 	f := newFleet(Limit{}, size, seed)
 	f.advertised = make([]advertisement, size)
-	f.tell(rate)
+	f.advertise(rate)
 	for i := range size {
 		f.startClient(i)
 	}
@@ -39,8 +39,8 @@
 	return f
 }
 
-// tell lets all borrowers hear a limit.
-func (f *fleet) tell(rate float64) {
+// advertise lets all borrowers hear a limit.
+func (f *fleet) advertise(rate float64) {
 	for i := range f.advertised {
 		f.advertised[i] = advertisement{rate, f.now}
 	}
@@ -76,7 +76,7 @@
 			kind := rapid.SampledFrom([]string{"pause", "cut", "restart", "fall", "elect", "lower"}).Draw(t, "kind")
 			if kind == "lower" {
 				rate *= rapid.Float64Range(0, 1).Draw(t, "by")
-				f.tell(rate)
+				f.advertise(rate)
 				from = f.now + settlingTime
 				continue
 			}
