--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// fullest returns the most that was used in any window that begins after a time.
-func (f *fleet) fullest(after time.Duration) int {
+// fullestWindow returns the most that was used in any window that begins after a time.
+func (f *fleet) fullestWindow(after time.Duration) int {
 	var used []time.Duration
 	for _, u := range f.usages {
 		if u.at >= after {
@@ -85,7 +85,7 @@
 		for range 500 {
 			f.step(eagerness)
 		}
-		if used, allowed := float64(f.fullest(from)), window.Allowed(rate); used > allowed {
+		if used, allowed := float64(f.fullestWindow(from)), window.Allowed(rate); used > allowed {
 			t.Fatalf("%.0f used in a window, %.0f allowed at %.2f a second", used, allowed, rate)
 		}
 	})
