--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// ask lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
-func ask(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
+// requestUnit lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
+func requestUnit(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
 	return l.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
@@ -126,24 +126,24 @@
 			t.Fatalf("%.1f in force, wanted %.1f", got, wanted)
 		}
 	}
-	ask(l, 10*second, 4, 0)
+	requestUnit(l, 10*second, 4, 0)
 	inForce(4)
-	ask(l, 11*second, 2, 0)
+	requestUnit(l, 11*second, 2, 0)
 	inForce(2)
-	ask(l, 12*second, 8, 0) // higher, from now on in four seconds
-	ask(l, 13*second, 4, 3*second)
+	requestUnit(l, 12*second, 8, 0) // higher, from now on in four seconds
+	requestUnit(l, 13*second, 4, 3*second)
 	inForce(2) // what was heard before the newest word changes nothing
-	ask(l, 15900*time.Millisecond, 8, 0)
+	requestUnit(l, 15900*time.Millisecond, 8, 0)
 	inForce(2)
-	ask(l, 16*second, 8, 4*second)
+	requestUnit(l, 16*second, 8, 4*second)
 	inForce(8)
-	ask(l, 17*second, 3, 2*second) // heard before the newest word, in a window that may still hold something of that time
+	requestUnit(l, 17*second, 3, 2*second) // heard before the newest word, in a window that may still hold something of that time
 	inForce(3)
-	ask(l, 18*second, 8, second)
+	requestUnit(l, 18*second, 8, second)
 	inForce(3)
-	ask(l, 21*second, 8, 0)
+	requestUnit(l, 21*second, 8, 0)
 	inForce(8)
-	ask(l, 22*second, 1, 9*second)
+	requestUnit(l, 22*second, 1, 9*second)
 	inForce(8)
 }
 
@@ -151,10 +151,10 @@
 // doesn't know of them lends nothing that counts.
 func TestNamedAccountsStandApart(t *testing.T) {
 	l := NewAllocator(1)
-	ask(l, time.Second, 4, 0)
+	requestUnit(l, time.Second, 4, 0)
 	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
 	for _, wanted := range []float64{1, 1, 0} { // what came in since it began, and no more
-		if got := ask(l, 3*time.Second, 4, 0).Amount; got != wanted {
+		if got := requestUnit(l, 3*time.Second, 4, 0).Amount; got != wanted {
 			t.Fatalf("the account is not as it was: %v lent", got)
 		}
 	}
