--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -67,11 +67,11 @@
 			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
-		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
+		demandProbability := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
 		from := f.now
 		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
 			for range rapid.IntRange(1, 400).Draw(t, "steps") {
-				f.step(eagerness)
+				f.step(demandProbability)
 			}
 			kind := rapid.SampledFrom([]string{"pause", "cut", "restart", "fall", "elect", "lower"}).Draw(t, "kind")
 			if kind == "lower" {
@@ -83,7 +83,7 @@
 			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
 		}
 		for range 500 {
-			f.step(eagerness)
+			f.step(demandProbability)
 		}
 		if used, allowed := float64(f.fullestWindow(from)), window.Allowed(rate); used > allowed {
 			t.Fatalf("%.0f used in a window, %.0f allowed at %.2f a second", used, allowed, rate)
