--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -120,31 +120,31 @@
 func TestTheLowestLimitOfAWindowBinds(t *testing.T) {
 	l := NewAllocator(1)
 	second := time.Second
-	inForce := func(wanted float64) {
+	expectRate := func(wanted float64) {
 		t.Helper()
 		if got := l.advertised[resource].limit.Rate; got != wanted {
 			t.Fatalf("%.1f in force, wanted %.1f", got, wanted)
 		}
 	}
 	requestUnit(l, 10*second, 4, 0)
-	inForce(4)
+	expectRate(4)
 	requestUnit(l, 11*second, 2, 0)
-	inForce(2)
+	expectRate(2)
 	requestUnit(l, 12*second, 8, 0) // higher, from now on in four seconds
 	requestUnit(l, 13*second, 4, 3*second)
-	inForce(2) // what was heard before the newest word changes nothing
+	expectRate(2) // what was heard before the newest word changes nothing
 	requestUnit(l, 15900*time.Millisecond, 8, 0)
-	inForce(2)
+	expectRate(2)
 	requestUnit(l, 16*second, 8, 4*second)
-	inForce(8)
+	expectRate(8)
 	requestUnit(l, 17*second, 3, 2*second) // heard before the newest word, in a window that may still hold something of that time
-	inForce(3)
+	expectRate(3)
 	requestUnit(l, 18*second, 8, second)
-	inForce(3)
+	expectRate(3)
 	requestUnit(l, 21*second, 8, 0)
-	inForce(8)
+	expectRate(8)
 	requestUnit(l, 22*second, 1, 9*second)
-	inForce(8)
+	expectRate(8)
 }
 
 // TestNamedAccountsStandApart: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
