--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -120,10 +120,10 @@
 func TestTheLowestLimitOfAWindowBinds(t *testing.T) {
 	l := NewAllocator(1)
 	second := time.Second
-	expectRate := func(wanted float64) {
+	expectRate := func(want float64) {
 		t.Helper()
-		if got := l.advertised[resource].limit.Rate; got != wanted {
-			t.Fatalf("%.1f in force, wanted %.1f", got, wanted)
+		if got := l.advertised[resource].limit.Rate; got != want {
+			t.Fatalf("%.1f in force, wanted %.1f", got, want)
 		}
 	}
 	requestUnit(l, 10*second, 4, 0)
