--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -153,8 +153,8 @@
 	l := NewAllocator(1)
 	requestUnit(l, time.Second, 4, 0)
 	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
-	for _, wanted := range []float64{1, 1, 0} { // what came in since it began, and no more
-		if got := requestUnit(l, 3*time.Second, 4, 0).Amount; got != wanted {
+	for _, want := range []float64{1, 1, 0} { // what came in since it began, and no more
+		if got := requestUnit(l, 3*time.Second, 4, 0).Amount; got != want {
 			t.Fatalf("the account is not as it was: %v lent", got)
 		}
 	}
