--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -172,9 +172,9 @@
 		t.Fatal("not forgotten")
 	}
 	b := NewClient("b", testTrust)
-	named := AdvertisedLimit{Rate: 4}
-	b.SetAdvertisedLimit(time.Second, resource, named)
-	wants := []Demand{{Name: resource, Amount: 1, Advertised: &named}}
+	limit := AdvertisedLimit{Rate: 4}
+	b.SetAdvertisedLimit(time.Second, resource, limit)
+	wants := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
 	question := b.NewRequest(time.Second, wants)
 	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
 	if got := b.ApplyReply(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
