--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -174,10 +174,10 @@
 	b := NewClient("b", testTrust)
 	limit := AdvertisedLimit{Rate: 4}
 	b.SetAdvertisedLimit(time.Second, resource, limit)
-	wants := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
-	question := b.NewRequest(time.Second, wants)
+	demands := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
+	question := b.NewRequest(time.Second, demands)
 	older := Reply{Term: 1, Sequence: question.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
-	if got := b.ApplyReply(time.Second, time.Second, wants, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
+	if got := b.ApplyReply(time.Second, time.Second, demands, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
 }
