--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -176,8 +176,8 @@
 	b.SetAdvertisedLimit(time.Second, resource, limit)
 	demands := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
 	request := b.NewRequest(time.Second, demands)
-	older := Reply{Term: 1, Sequence: request.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
-	if got := b.ApplyReply(time.Second, time.Second, demands, older)[0]; got.Lease.Amount > 0 || !got.Unenforced {
+	reply := Reply{Term: 1, Sequence: request.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
+	if got := b.ApplyReply(time.Second, time.Second, demands, reply)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
 }
