--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -28,11 +28,11 @@
 }
 
 // newAdvertisedFleet is a fleet that shares a resource which names its limit.
-func newAdvertisedFleet(rate float64, size int, seed uint64) *fleet {
-	f := newFleet(Limit{}, size, seed)
-	f.advertised = make([]advertisement, size)
+func newAdvertisedFleet(rate float64, clients int, seed uint64) *fleet {
+	f := newFleet(Limit{}, clients, seed)
+	f.advertised = make([]advertisement, clients)
 	f.advertise(rate)
-	for i := range size {
+	for i := range clients {
 		f.startClient(i)
 	}
 	f.elect()
