--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -102,8 +102,8 @@
 				}
 				f.step(min(1, 4*rate/float64(size)/100)) // four times the limit, a hundred steps a second
 			}
-			length := 120.0
-			if used := float64(len(f.usages)) / length; used < minUsedFraction*min(rate, 100*float64(size)) {
+			seconds := 120.0
+			if used := float64(len(f.usages)) / seconds; used < minUsedFraction*min(rate, 100*float64(size)) {
 				t.Errorf("%d borrowers: %.2f a second used of %.2f", size, used, rate)
 			}
 		}
