--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -57,9 +57,9 @@
 	return window.Fullest(used, after)
 }
 
-// TestNamedLimitsHold: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no more in any window than the
+// TestAdvertisedLimitsHold: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no more in any window than the
 // limit allows that the resource names, however much is wanted; a lower limit binds from a moment after it was heard.
-func TestNamedLimitsHold(t *testing.T) {
+func TestAdvertisedLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 30).Draw(t, "rate")
 		f := newAdvertisedFleet(rate, rapid.SampledFrom([]int{1, 2, 7, 30, 100}).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
