--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestNamedLimitsAreUsed: where more is asked and nothing is wrong, four fifths of a limit are used, by one borrower or by many.
-func TestNamedLimitsAreUsed(t *testing.T) {
+// TestAdvertisedLimitsAreUsed: where more is asked and nothing is wrong, four fifths of a limit are used, by one borrower or by many.
+func TestAdvertisedLimitsAreUsed(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3.8, 12, 60} {
 		for _, size := range []int{1, 7, 100} {
 			f := newAdvertisedFleet(rate, size, 1)
