--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -115,9 +115,9 @@
 	return l.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
-// TestTheLowestLimitOfAWindowBinds: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
+// TestLowestLimitInWindowApplies: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
 // words the later counts.
-func TestTheLowestLimitOfAWindowBinds(t *testing.T) {
+func TestLowestLimitInWindowApplies(t *testing.T) {
 	l := NewAllocator(1)
 	second := time.Second
 	expectRate := func(want float64) {
