--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -147,9 +147,9 @@
 	expectRate(8)
 }
 
-// TestNamedAccountsStandApart: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
+// TestAdvertisedBucketsAreIndependent: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
 // doesn't know of them lends nothing that counts.
-func TestNamedAccountsStandApart(t *testing.T) {
+func TestAdvertisedBucketsAreIndependent(t *testing.T) {
 	l := NewAllocator(1)
 	requestUnit(l, time.Second, 4, 0)
 	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
