--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestBorrowersForgetNamedLimits: those that nobody asks for, not those of a document.
-func TestBorrowersForgetNamedLimits(t *testing.T) {
+// TestClientsForgetAdvertisedLimits: those that nobody asks for, not those of a document.
+func TestClientsForgetAdvertisedLimits(t *testing.T) {
 	b := NewClient("b", testTrust)
 	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
