--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// BenchmarkLendNamed asks for parts of the limits of a fleet all of whose back ends are in need.
-func BenchmarkLendNamed(b *testing.B) {
+// BenchmarkGrantAdvertised asks for parts of the limits of a fleet all of whose back ends are in need.
+func BenchmarkGrantAdvertised(b *testing.B) {
 	const backEnds = 9675
 	names := make([]string, backEnds)
 	for i := range names {
