--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -14,8 +14,8 @@
 const resource = "r"
 
 var (
-	errNobody = errors.New("nobody")
-	started   = time.Now()
+	errUnreachable = errors.New("nobody")
+	started        = time.Now()
 )
 
 // clock is a clock that stands still, so that nothing depends on how fast a test runs.
@@ -95,7 +95,7 @@
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
 	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
-			return allowance.Reply{}, errNobody
+			return allowance.Reply{}, errUnreachable
 		}
 	})
 	d.RecordContact(clock(), 1)
