--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -15,14 +15,14 @@
 
 var (
 	errUnreachable = errors.New("nobody")
-	started        = time.Now()
+	startTime      = time.Now()
 )
 
 // clock is a clock that stands still, so that nothing depends on how fast a test runs.
 func clock() time.Duration { return time.Minute }
 
 // running is a clock that goes.
-func running() time.Duration { return time.Minute + time.Since(started) }
+func running() time.Duration { return time.Minute + time.Since(startTime) }
 
 // openDesk runs a desk over a lender whose account is full.
 func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
