--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -18,8 +18,8 @@
 	startTime      = time.Now()
 )
 
-// clock is a clock that stands still, so that nothing depends on how fast a test runs.
-func clock() time.Duration { return time.Minute }
+// fixedClock is a fixedClock that stands still, so that nothing depends on how fast a test runs.
+func fixedClock() time.Duration { return time.Minute }
 
 // running is a clock that goes.
 func running() time.Duration { return time.Minute + time.Since(startTime) }
@@ -27,7 +27,7 @@
 // openDesk runs a desk over a lender whose account is full.
 func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	return openDeskBy(t, clock, limit, lend)
+	return openDeskBy(t, fixedClock, limit, lend)
 }
 
 func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
@@ -54,7 +54,7 @@
 
 func direct(l *allowance.Allocator) RequestFunc {
 	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-		return l.Allocate(clock(), asked), nil
+		return l.Allocate(fixedClock(), asked), nil
 	}
 }
 
@@ -98,7 +98,7 @@
 			return allowance.Reply{}, errUnreachable
 		}
 	})
-	d.RecordContact(clock(), 1)
+	d.RecordContact(fixedClock(), 1)
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
@@ -114,7 +114,7 @@
 	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
-			return l.Allocate(clock(), asked), nil
+			return l.Allocate(fixedClock(), asked), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -170,13 +170,13 @@
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewAllocator(1)
-	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
+	young.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
 	d := openDesk(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return young.Allocate(clock(), asked), nil
+			return young.Allocate(fixedClock(), asked), nil
 		}
 	})
-	d.RecordContact(clock(), 1)
+	d.RecordContact(fixedClock(), 1)
 	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
