--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -21,8 +21,8 @@
 // fixedClock is a fixedClock that stands still, so that nothing depends on how fast a test runs.
 func fixedClock() time.Duration { return time.Minute }
 
-// running is a clock that goes.
-func running() time.Duration { return time.Minute + time.Since(startTime) }
+// movingClock is a clock that goes.
+func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
 
 // openDesk runs a desk over a lender whose account is full.
 func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
@@ -133,9 +133,9 @@
 
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	d := openDeskBy(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return l.Allocate(running(), asked), nil
+			return l.Allocate(movingClock(), asked), nil
 		}
 	})
 	for range 5 {
@@ -154,10 +154,10 @@
 		wanted   Outcome
 	}{{0, LimitReached}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
-		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
-		d := openDeskBy(t, running, limit, func(*allowance.Allocator) RequestFunc {
+		young.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
+		d := openDeskBy(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-				return young.Allocate(running(), asked), nil
+				return young.Allocate(movingClock(), asked), nil
 			}
 		})
 		if result := d.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
