--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -24,8 +24,8 @@
 // movingClock is a clock that goes.
 func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
 
-// openDesk runs a desk over a lender whose account is full.
-func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+// newPool runs a desk over a lender whose account is full.
+func newPool(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	return openDeskBy(t, fixedClock, limit, lend)
 }
@@ -60,7 +60,7 @@
 
 // TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
 func TestManyTakeNoMoreThanThereIs(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, direct)
+	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, direct)
 	var granted, over atomic.Int64
 	var callers sync.WaitGroup
 	for range 200 {
@@ -84,7 +84,7 @@
 
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 1}, direct)
+	d := newPool(t, allowance.Limit{Rate: 1}, direct)
 	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
@@ -93,7 +93,7 @@
 // TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
+	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
 			return allowance.Reply{}, errUnreachable
 		}
@@ -111,7 +111,7 @@
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
 			return l.Allocate(fixedClock(), asked), nil
@@ -171,7 +171,7 @@
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewAllocator(1)
 	young.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
-	d := openDesk(t, limit, func(*allowance.Allocator) RequestFunc {
+	d := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return young.Allocate(fixedClock(), asked), nil
 		}
