--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -27,10 +27,10 @@
 // newPool runs a desk over a lender whose account is full.
 func newPool(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	return openDeskBy(t, fixedClock, limit, lend)
+	return newPoolWithClock(t, fixedClock, limit, lend)
 }
 
-func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	lender := allowance.NewAllocator(1)
 	filling := limit
@@ -133,7 +133,7 @@
 
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := openDeskBy(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	d := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 			return l.Allocate(movingClock(), asked), nil
 		}
@@ -155,7 +155,7 @@
 	}{{0, LimitReached}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
 		young.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
-		d := openDeskBy(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
+		d := newPoolWithClock(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
 			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 				return young.Allocate(movingClock(), asked), nil
 			}
