--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -25,9 +25,9 @@
 func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
 
 // newPool runs a desk over a lender whose account is full.
-func newPool(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+func newPool(t *testing.T, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	return newPoolWithClock(t, fixedClock, limit, lend)
+	return newPoolWithClock(t, fixedClock, limit, newRequestFunc)
 }
 
 func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
