--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -30,7 +30,7 @@
 	return newPoolWithClock(t, fixedClock, limit, newRequestFunc)
 }
 
-func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	lender := allowance.NewAllocator(1)
 	filling := limit
@@ -38,7 +38,7 @@
 	lender.SetLimits(0, map[string]allowance.Limit{resource: filling})
 	lender.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
-	over := lend(lender)
+	over := newRequestFunc(lender)
 	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
