--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -52,7 +52,7 @@
 	return d
 }
 
-func direct(l *allowance.Allocator) RequestFunc {
+func callDirectly(l *allowance.Allocator) RequestFunc {
 	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
 		return l.Allocate(fixedClock(), asked), nil
 	}
@@ -60,7 +60,7 @@
 
 // TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
 func TestManyTakeNoMoreThanThereIs(t *testing.T) {
-	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, direct)
+	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
 	var granted, over atomic.Int64
 	var callers sync.WaitGroup
 	for range 200 {
@@ -84,7 +84,7 @@
 
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
-	d := newPool(t, allowance.Limit{Rate: 1}, direct)
+	d := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
 	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
