--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -32,13 +32,13 @@
 
 func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	lender := allowance.NewAllocator(1)
+	allocator := allowance.NewAllocator(1)
 	filling := limit
 	filling.Rate = 1e6
-	lender.SetLimits(0, map[string]allowance.Limit{resource: filling})
-	lender.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
+	allocator.SetLimits(0, map[string]allowance.Limit{resource: filling})
+	allocator.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
-	over := newRequestFunc(lender)
+	over := newRequestFunc(allocator)
 	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
