--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -38,11 +38,11 @@
 	allocator.SetLimits(0, map[string]allowance.Limit{resource: filling})
 	allocator.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
-	over := newRequestFunc(allocator)
+	send := newRequestFunc(allocator)
 	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		return over(ctx, asked)
+		return send(ctx, asked)
 	})
 	d.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
