--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -39,10 +39,10 @@
 	allocator.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
 	send := newRequestFunc(allocator)
-	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
+	d := New("b", 3*time.Second, clock, func(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		return send(ctx, asked)
+		return send(ctx, request)
 	})
 	d.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
