--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -53,8 +53,8 @@
 }
 
 func callDirectly(l *allowance.Allocator) RequestFunc {
-	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-		return l.Allocate(fixedClock(), asked), nil
+	return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+		return l.Allocate(fixedClock(), request), nil
 	}
 }
 
