--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -112,9 +112,9 @@
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
-			return l.Allocate(fixedClock(), asked), nil
+			return l.Allocate(fixedClock(), request), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
