--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -134,8 +134,8 @@
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
 	d := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return l.Allocate(movingClock(), asked), nil
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+			return l.Allocate(movingClock(), request), nil
 		}
 	})
 	for range 5 {
