--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -172,8 +172,8 @@
 	young := allowance.NewAllocator(1)
 	young.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
 	d := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return young.Allocate(fixedClock(), asked), nil
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+			return young.Allocate(fixedClock(), request), nil
 		}
 	})
 	d.RecordContact(fixedClock(), 1)
