--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -39,17 +39,17 @@
 	allocator.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
 	send := newRequestFunc(allocator)
-	d := New("b", 3*time.Second, clock, func(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
+	p := New("b", 3*time.Second, clock, func(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return send(ctx, request)
 	})
-	d.SetLimits(map[string]allowance.Limit{resource: limit})
+	p.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
-	threads.Go(func() { d.Run(ctx) })
+	threads.Go(func() { p.Run(ctx) })
 	t.Cleanup(func() { cancel(); threads.Wait() })
-	return d
+	return p
 }
 
 func callDirectly(l *allowance.Allocator) RequestFunc {
