--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -60,12 +60,12 @@
 
 // TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
 func TestManyTakeNoMoreThanThereIs(t *testing.T) {
-	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
 	var granted, over atomic.Int64
 	var callers sync.WaitGroup
 	for range 200 {
 		callers.Go(func() {
-			switch result := d.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
+			switch result := p.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
 			case Granted:
 				granted.Add(1)
 			case LimitReached:
@@ -77,7 +77,7 @@
 	if granted.Load() != 50 || over.Load() != 150 {
 		t.Fatalf("%d granted, %d refused", granted.Load(), over.Load())
 	}
-	if asked, failed := d.RequestCounts(); asked > 200 || failed != 0 {
+	if asked, failed := p.RequestCounts(); asked > 200 || failed != 0 {
 		t.Fatalf("%d questions, %d failed", asked, failed)
 	}
 }
