--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -84,8 +84,8 @@
 
 // TestUnlimitedIsGranted without a question.
 func TestUnlimitedIsGranted(t *testing.T) {
-	d := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
-	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
+	p := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
+	if result := p.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
 	}
 }
