--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -93,16 +93,16 @@
 // TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
 func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
 			return allowance.Reply{}, errUnreachable
 		}
 	})
-	d.RecordContact(fixedClock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
+	p.RecordContact(fixedClock(), 1)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 }
