--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -111,7 +111,7 @@
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
 	asking, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	d := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(asking); <-goOn })
 			return l.Allocate(fixedClock(), request), nil
@@ -119,14 +119,14 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan Result)
-	go func() { left <- d.Acquire(ctx, resource, 100, time.Second) }()
+	go func() { left <- p.Acquire(ctx, resource, 100, time.Second) }()
 	<-asking
 	cancel()
 	if result := <-left; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 	close(goOn)
-	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
+	if result := p.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
 		t.Fatalf("%v", result)
 	}
 }
