--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -133,13 +133,13 @@
 
 // TestAmountThatComesInSoonIsWaitedFor rather than refused.
 func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	p := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			return l.Allocate(movingClock(), request), nil
 		}
 	})
 	for range 5 {
-		if result := d.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
+		if result := p.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
 			t.Fatalf("%v", result)
 		}
 	}
