--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -155,12 +155,12 @@
 	}{{0, LimitReached}, {time.Minute, Granted}} {
 		young := allowance.NewAllocator(1)
 		young.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
-		d := newPoolWithClock(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
+		p := newPoolWithClock(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
 			return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 				return young.Allocate(movingClock(), request), nil
 			}
 		})
-		if result := d.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
+		if result := p.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
 			t.Fatalf("patience %v: %+v", c.patience, result)
 		}
 	}
