--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -171,16 +171,16 @@
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	young := allowance.NewAllocator(1)
 	young.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
-	d := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
+	p := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			return young.Allocate(fixedClock(), request), nil
 		}
 	})
-	d.RecordContact(fixedClock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
+	p.RecordContact(fixedClock(), 1)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
 		t.Fatalf("%+v", result)
 	}
 }
