--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -153,11 +153,11 @@
 		patience time.Duration
 		wanted   Outcome
 	}{{0, LimitReached}, {time.Minute, Granted}} {
-		young := allowance.NewAllocator(1)
-		young.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
+		warming := allowance.NewAllocator(1)
+		warming.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
 		p := newPoolWithClock(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
 			return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-				return young.Allocate(movingClock(), request), nil
+				return warming.Allocate(movingClock(), request), nil
 			}
 		})
 		if result := p.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
