--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -169,11 +169,11 @@
 // TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
 func TestYoungAccountLeavesTheReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
-	young := allowance.NewAllocator(1)
-	young.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
+	warming := allowance.NewAllocator(1)
+	warming.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
 	p := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-			return young.Allocate(fixedClock(), request), nil
+			return warming.Allocate(fixedClock(), request), nil
 		}
 	})
 	p.RecordContact(fixedClock(), 1)
