--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -150,8 +150,8 @@
 func TestYoungAccountIsWaitedFor(t *testing.T) {
 	limit := allowance.Limit{Rate: 1000, Burst: 200}
 	for _, c := range []struct {
-		patience time.Duration
-		wanted   Outcome
+		maxWait time.Duration
+		wanted  Outcome
 	}{{0, LimitReached}, {time.Minute, Granted}} {
 		warming := allowance.NewAllocator(1)
 		warming.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
@@ -160,8 +160,8 @@
 				return warming.Allocate(movingClock(), request), nil
 			}
 		})
-		if result := p.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
-			t.Fatalf("patience %v: %+v", c.patience, result)
+		if result := p.Acquire(t.Context(), resource, 150, c.maxWait); result.Outcome != c.wanted {
+			t.Fatalf("patience %v: %+v", c.maxWait, result)
 		}
 	}
 }
