--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -151,7 +151,7 @@
 	limit := allowance.Limit{Rate: 1000, Burst: 200}
 	for _, c := range []struct {
 		maxWait time.Duration
-		wanted  Outcome
+		want    Outcome
 	}{{0, LimitReached}, {time.Minute, Granted}} {
 		warming := allowance.NewAllocator(1)
 		warming.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
@@ -160,7 +160,7 @@
 				return warming.Allocate(movingClock(), request), nil
 			}
 		})
-		if result := p.Acquire(t.Context(), resource, 150, c.maxWait); result.Outcome != c.wanted {
+		if result := p.Acquire(t.Context(), resource, 150, c.maxWait); result.Outcome != c.want {
 			t.Fatalf("patience %v: %+v", c.maxWait, result)
 		}
 	}
