--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -109,18 +109,18 @@
 
 // TestRequestThatLeavesTakesNothing: what comes for it afterwards is there for the next one.
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
-	asking, goOn := make(chan struct{}), make(chan struct{})
+	sent, goOn := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-			once.Do(func() { close(asking); <-goOn })
+			once.Do(func() { close(sent); <-goOn })
 			return l.Allocate(fixedClock(), request), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	left := make(chan Result)
 	go func() { left <- p.Acquire(ctx, resource, 100, time.Second) }()
-	<-asking
+	<-sent
 	cancel()
 	if result := <-left; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
