--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -109,11 +109,11 @@
 
 // TestRequestThatLeavesTakesNothing: what comes for it afterwards is there for the next one.
 func TestRequestThatLeavesTakesNothing(t *testing.T) {
-	sent, goOn := make(chan struct{}), make(chan struct{})
+	sent, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-			once.Do(func() { close(sent); <-goOn })
+			once.Do(func() { close(sent); <-resume })
 			return l.Allocate(fixedClock(), request), nil
 		}
 	})
@@ -125,7 +125,7 @@
 	if result := <-left; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
-	close(goOn)
+	close(resume)
 	if result := p.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
 		t.Fatalf("%v", result)
 	}
