--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -118,11 +118,11 @@
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	left := make(chan Result)
-	go func() { left <- p.Acquire(ctx, resource, 100, time.Second) }()
+	canceled := make(chan Result)
+	go func() { canceled <- p.Acquire(ctx, resource, 100, time.Second) }()
 	<-sent
 	cancel()
-	if result := <-left; result.Outcome != Unavailable {
+	if result := <-canceled; result.Outcome != Unavailable {
 		t.Fatalf("%v", result)
 	}
 	close(resume)
