--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -61,7 +61,7 @@
 // TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
 func TestManyTakeNoMoreThanThereIs(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
-	var granted, over atomic.Int64
+	var granted, limitReached atomic.Int64
 	var callers sync.WaitGroup
 	for range 200 {
 		callers.Go(func() {
@@ -69,13 +69,13 @@
 			case Granted:
 				granted.Add(1)
 			case LimitReached:
-				over.Add(1)
+				limitReached.Add(1)
 			}
 		})
 	}
 	callers.Wait()
-	if granted.Load() != 50 || over.Load() != 150 {
-		t.Fatalf("%d granted, %d refused", granted.Load(), over.Load())
+	if granted.Load() != 50 || limitReached.Load() != 150 {
+		t.Fatalf("%d granted, %d refused", granted.Load(), limitReached.Load())
 	}
 	if asked, failed := p.RequestCounts(); asked > 200 || failed != 0 {
 		t.Fatalf("%d questions, %d failed", asked, failed)
