--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -77,8 +77,8 @@
 	if granted.Load() != 50 || limitReached.Load() != 150 {
 		t.Fatalf("%d granted, %d refused", granted.Load(), limitReached.Load())
 	}
-	if asked, failed := p.RequestCounts(); asked > 200 || failed != 0 {
-		t.Fatalf("%d questions, %d failed", asked, failed)
+	if requests, failed := p.RequestCounts(); requests > 200 || failed != 0 {
+		t.Fatalf("%d questions, %d failed", requests, failed)
 	}
 }
 
