--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
-func TestManyTakeNoMoreThanThereIs(t *testing.T) {
+// TestConcurrentAcquiresStayWithinBucket: requests that come together get whole amounts, and no more than the account holds.
+func TestConcurrentAcquiresStayWithinBucket(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
 	var granted, limitReached atomic.Int64
 	var callers sync.WaitGroup
