--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestUnlimitedIsGranted without a question.
-func TestUnlimitedIsGranted(t *testing.T) {
+// TestUnlimitedResourceIsGranted without a question.
+func TestUnlimitedResourceIsGranted(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
 	if result := p.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
 		t.Fatalf("%v", result)
