--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
+// TestUnreachableAllocatorLeavesFallbackShare: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
 // over the limit.
-func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
+func TestUnreachableAllocatorLeavesFallbackShare(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
 			return allowance.Reply{}, errUnreachable
