--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestRequestThatLeavesTakesNothing: what comes for it afterwards is there for the next one.
-func TestRequestThatLeavesTakesNothing(t *testing.T) {
+// TestCanceledAcquireConsumesNothing: what comes for it afterwards is there for the next one.
+func TestCanceledAcquireConsumesNothing(t *testing.T) {
 	sent, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
