--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestYoungAccountIsWaitedFor: after a change of the lender a caller inside its limit waits a moment rather than being turned
+// TestAcquireWaitsForWarmUp: after a change of the lender a caller inside its limit waits a moment rather than being turned
 // away.
-func TestYoungAccountIsWaitedFor(t *testing.T) {
+func TestAcquireWaitsForWarmUp(t *testing.T) {
 	limit := allowance.Limit{Rate: 1000, Burst: 200}
 	for _, c := range []struct {
 		maxWait time.Duration
