--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
-func TestYoungAccountLeavesTheReserve(t *testing.T) {
+// TestWarmUpUsesReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
+func TestWarmUpUsesReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	warming := allowance.NewAllocator(1)
 	warming.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
