--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,15 +12,15 @@
 	"pgregory.net/rapid"
 )
 
-// printOf returns a fingerprint for tests.
-func printOf(number int) Fingerprint {
+// fingerprintOf returns a fingerprint for tests.
+func fingerprintOf(number int) Fingerprint {
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
 func endedOf(life string, numbers ...int) Crash {
 	ended := Crash{Incarnation: life}
 	for _, n := range numbers {
-		ended.Requests = append(ended.Requests, printOf(n))
+		ended.Requests = append(ended.Requests, fingerprintOf(n))
 	}
 	return ended
 }
@@ -85,7 +85,7 @@
 func (m *ledgerModel) Release(t *rapid.T) {
 	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
-		released.Requests = append(released.Requests, printOf(n))
+		released.Requests = append(released.Requests, fingerprintOf(n))
 	}
 	before, version := m.told(), m.ledger.Version()
 	m.ledger.Apply(Change{Releases: []Release{released}})
@@ -169,13 +169,13 @@
 	for n := range 3 * maxEntries {
 		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.CrashCount(printOf(1)); got != QuarantineThreshold {
+	if got := l.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
 	}
 	if n := len(l.Fingerprints()); n != maxEntries {
 		t.Fatalf("%d requests are remembered, %d are the most", n, maxEntries)
 	}
-	if l.CrashCount(printOf(2)) != 0 || l.CrashCount(printOf(1+3*maxEntries)) != 1 {
+	if l.CrashCount(fingerprintOf(2)) != 0 || l.CrashCount(fingerprintOf(1+3*maxEntries)) != 1 {
 		t.Fatal("it is not the oldest that makes room")
 	}
 }
@@ -226,7 +226,7 @@
 
 // FuzzFingerprintText: what a reader takes is written again as it was.
 func FuzzFingerprintText(f *testing.F) {
-	f.Add(printOf(7).String())
+	f.Add(fingerprintOf(7).String())
 	f.Add("")
 	f.Add("not a fingerprint at all")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -243,7 +243,7 @@
 
 // TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyAProvedEndCounts(t *testing.T) {
-	r, f := NewTracker(), printOf(1)
+	r, f := NewTracker(), fingerprintOf(1)
 	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.CrashCount(f) != 0 || !r.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
@@ -254,7 +254,7 @@
 	if !counts || told.Incarnation != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", told, counts)
 	}
-	if told, counts = r.RecordFailure(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
+	if told, counts = r.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{fingerprintOf(2)}) {
 		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
 	}
 	if _, counts = r.ConfirmEnd(2*time.Second, "a"); counts {
@@ -269,7 +269,7 @@
 // TestGoodEndsSpeakForARequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
 // is released.
 func TestGoodEndsSpeakForARequest(t *testing.T) {
-	r, f := NewTracker(), printOf(1)
+	r, f := NewTracker(), fingerprintOf(1)
 	if r.RecordCompletion(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
@@ -277,11 +277,11 @@
 	if _, counts := r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
-	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(printOf(2)) != QuarantineThreshold {
+	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
+	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
 		t.Fatalf("%v is released", innocent)
 	}
-	if !r.RecordCompletion(4*time.Second, printOf(2)) || r.CrashCount(printOf(2)) != 0 {
+	if !r.RecordCompletion(4*time.Second, fingerprintOf(2)) || r.CrashCount(fingerprintOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + completionTTL + 1
@@ -296,7 +296,7 @@
 // in which there could be none counted.
 func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
 	const away = 6 * time.Second
-	r, f := NewTracker(), printOf(1)
+	r, f := NewTracker(), fingerprintOf(1)
 	r.RecordCompletion(time.Second, f)
 	back := 2*time.Second + away
 	r.RecordIdle(back, away)
@@ -321,7 +321,7 @@
 
 // TestOwnLivesAddToToldOnes: each life counts once, and what control has had time to count is forgotten.
 func TestOwnLivesAddToToldOnes(t *testing.T) {
-	r, f := NewTracker(), printOf(1)
+	r, f := NewTracker(), fingerprintOf(1)
 	for _, life := range []string{"a", "b"} {
 		r.RecordFailure(time.Second, life, f)
 		r.ConfirmEnd(time.Second, life)
@@ -344,10 +344,10 @@
 func TestRecordIsBounded(t *testing.T) {
 	r := NewTracker()
 	for n := range 3 * maxCompletions {
-		r.RecordFailure(time.Second, fmt.Sprint("life-", n), printOf(n))
+		r.RecordFailure(time.Second, fmt.Sprint("life-", n), fingerprintOf(n))
 		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
-		r.RecordFailure(time.Second, "one", printOf(n))
-		r.RecordCompletion(time.Second, printOf(3*maxCompletions+n%(maxCompletions+7)))
+		r.RecordFailure(time.Second, "one", fingerprintOf(n))
+		r.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
 	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.completions) > maxCompletions {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.completions))
@@ -375,7 +375,7 @@
 // TestReleasesElsewhereCountHere: a process that proved three lives itself follows control once that has taken them: a good end at another
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleasesElsewhereCountHere(t *testing.T) {
-	r, f := NewTracker(), printOf(1)
+	r, f := NewTracker(), fingerprintOf(1)
 	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(time.Second, life, f)
