--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,7 +17,7 @@
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-func endedOf(life string, numbers ...int) Crash {
+func crashOf(life string, numbers ...int) Crash {
 	ended := Crash{Incarnation: life}
 	for _, n := range numbers {
 		ended.Requests = append(ended.Requests, fingerprintOf(n))
@@ -29,7 +29,7 @@
 func TestLivesAreASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
-			return endedOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
+			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
 		wanted := map[Fingerprint]map[string]bool{}
 		for _, ended := range told {
@@ -65,7 +65,7 @@
 }
 
 func (m *ledgerModel) Ended(t *rapid.T) {
-	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
+	ended := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
 	changes := m.ledger.WouldChange(Change{Crashes: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
 	m.ledger.Apply(Change{Crashes: []Crash{ended}})
@@ -164,10 +164,10 @@
 func TestFloodPushesNoCulpritOut(t *testing.T) {
 	l := NewRegistry()
 	for life := range QuarantineThreshold {
-		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("life-", life), 1)}})
+		l.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * maxEntries {
-		l.Apply(Change{Crashes: []Crash{endedOf(fmt.Sprint("other-", n), 2+n)}})
+		l.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
 	}
 	if got := l.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
