--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,8 +17,8 @@
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-func crashOf(life string, numbers ...int) Crash {
-	ended := Crash{Incarnation: life}
+func crashOf(incarnation string, numbers ...int) Crash {
+	ended := Crash{Incarnation: incarnation}
 	for _, n := range numbers {
 		ended.Requests = append(ended.Requests, fingerprintOf(n))
 	}
