--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -18,11 +18,11 @@
 }
 
 func crashOf(incarnation string, numbers ...int) Crash {
-	ended := Crash{Incarnation: incarnation}
+	crash := Crash{Incarnation: incarnation}
 	for _, n := range numbers {
-		ended.Requests = append(ended.Requests, fingerprintOf(n))
+		crash.Requests = append(crash.Requests, fingerprintOf(n))
 	}
-	return ended
+	return crash
 }
 
 // TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
