--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -28,11 +28,11 @@
 // TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
 func TestLivesAreASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
+		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
 		wanted := map[Fingerprint]map[string]bool{}
-		for _, ended := range told {
+		for _, ended := range crashes {
 			for _, f := range ended.Requests {
 				if wanted[f] == nil {
 					wanted[f] = map[string]bool{}
@@ -41,17 +41,17 @@
 			}
 		}
 		one, other := NewRegistry(), NewRegistry()
-		for _, ended := range told {
+		for _, ended := range crashes {
 			one.Apply(Change{Crashes: []Crash{ended}})
 		}
-		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
+		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
 		other.Apply(Change{Crashes: shuffled})
 		for f, lives := range wanted {
 			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
 				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
 			}
 		}
-		if one.WouldChange(Change{Crashes: told}) {
+		if one.WouldChange(Change{Crashes: crashes}) {
 			t.Fatal("what is known counts as news")
 		}
 	})
