--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -31,13 +31,13 @@
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
-		wanted := map[Fingerprint]map[string]bool{}
+		want := map[Fingerprint]map[string]bool{}
 		for _, ended := range crashes {
 			for _, f := range ended.Requests {
-				if wanted[f] == nil {
-					wanted[f] = map[string]bool{}
+				if want[f] == nil {
+					want[f] = map[string]bool{}
 				}
-				wanted[f][ended.Incarnation] = true
+				want[f][ended.Incarnation] = true
 			}
 		}
 		one, other := NewRegistry(), NewRegistry()
@@ -46,7 +46,7 @@
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
 		other.Apply(Change{Crashes: shuffled})
-		for f, lives := range wanted {
+		for f, lives := range want {
 			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
 				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
 			}
