--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -32,12 +32,12 @@
 			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
 		want := map[Fingerprint]map[string]bool{}
-		for _, ended := range crashes {
-			for _, f := range ended.Requests {
+		for _, crash := range crashes {
+			for _, f := range crash.Requests {
 				if want[f] == nil {
 					want[f] = map[string]bool{}
 				}
-				want[f][ended.Incarnation] = true
+				want[f][crash.Incarnation] = true
 			}
 		}
 		one, other := NewRegistry(), NewRegistry()
