--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -41,8 +41,8 @@
 			}
 		}
 		one, other := NewRegistry(), NewRegistry()
-		for _, ended := range crashes {
-			one.Apply(Change{Crashes: []Crash{ended}})
+		for _, crash := range crashes {
+			one.Apply(Change{Crashes: []Crash{crash}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
 		other.Apply(Change{Crashes: shuffled})
