--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -57,14 +57,14 @@
 	})
 }
 
-// ledgerModel compares a ledger with the plainest account of what it was told.
-type ledgerModel struct {
+// registryModel compares a ledger with the plainest account of what it was told.
+type registryModel struct {
 	ledger *Registry
 	lives  map[Fingerprint][]string
 	seed   []byte
 }
 
-func (m *ledgerModel) Ended(t *rapid.T) {
+func (m *registryModel) Ended(t *rapid.T) {
 	ended := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
 	changes := m.ledger.WouldChange(Change{Crashes: []Crash{ended}})
 	before, version := m.told(), m.ledger.Version()
@@ -82,7 +82,7 @@
 	m.versionMoved(t, before, version)
 }
 
-func (m *ledgerModel) Release(t *rapid.T) {
+func (m *registryModel) Release(t *rapid.T) {
 	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		released.Requests = append(released.Requests, fingerprintOf(n))
@@ -100,7 +100,7 @@
 	m.versionMoved(t, before, version)
 }
 
-func (m *ledgerModel) Plant(t *rapid.T) {
+func (m *registryModel) Plant(t *rapid.T) {
 	seed := rapid.SliceOfN(rapid.Byte(), SeedBytes, SeedBytes).Draw(t, "seed")
 	m.ledger.Apply(Change{Seed: seed})
 	if m.seed == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (m *ledgerModel) Restore(t *rapid.T) {
+func (m *registryModel) Restore(t *rapid.T) {
 	data, err := json.Marshal(m.ledger)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 }
 
 // told returns what processes are to be told, by the model.
-func (m *ledgerModel) told() map[Fingerprint][]string {
+func (m *registryModel) told() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
 	for f, lives := range m.lives {
 		if len(lives) >= SuspectThreshold {
@@ -135,13 +135,13 @@
 }
 
 // versionMoved checks that processes hear of every difference.
-func (m *ledgerModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
+func (m *registryModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
 	if !maps.EqualFunc(before, m.told(), slices.Equal) && m.ledger.Version() <= version {
 		t.Fatal("news differ under one version")
 	}
 }
 
-func (m *ledgerModel) Check(t *rapid.T) {
+func (m *registryModel) Check(t *rapid.T) {
 	news := m.ledger.Update()
 	told := map[Fingerprint][]string{}
 	for _, e := range news.Entries {
@@ -155,7 +155,7 @@
 // TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
 func TestLedgerTellsWhatItWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{ledger: NewRegistry(), lives: map[Fingerprint][]string{}}
+		m := &registryModel{ledger: NewRegistry(), lives: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
