--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -59,16 +59,16 @@
 
 // registryModel compares a ledger with the plainest account of what it was told.
 type registryModel struct {
-	ledger *Registry
-	lives  map[Fingerprint][]string
-	seed   []byte
+	registry *Registry
+	lives    map[Fingerprint][]string
+	seed     []byte
 }
 
 func (m *registryModel) Ended(t *rapid.T) {
 	ended := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.WouldChange(Change{Crashes: []Crash{ended}})
-	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Crashes: []Crash{ended}})
+	changes := m.registry.WouldChange(Change{Crashes: []Crash{ended}})
+	before, version := m.told(), m.registry.Version()
+	m.registry.Apply(Change{Crashes: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
 		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < maxIncarnations {
@@ -87,8 +87,8 @@
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		released.Requests = append(released.Requests, fingerprintOf(n))
 	}
-	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Releases: []Release{released}})
+	before, version := m.told(), m.registry.Version()
+	m.registry.Apply(Change{Releases: []Release{released}})
 	for _, f := range released.Requests {
 		if len(m.lives[f]) > released.Keep {
 			m.lives[f] = m.lives[f][len(m.lives[f])-released.Keep:]
@@ -102,14 +102,14 @@
 
 func (m *registryModel) Plant(t *rapid.T) {
 	seed := rapid.SliceOfN(rapid.Byte(), SeedBytes, SeedBytes).Draw(t, "seed")
-	m.ledger.Apply(Change{Seed: seed})
+	m.registry.Apply(Change{Seed: seed})
 	if m.seed == nil {
 		m.seed = seed
 	}
 }
 
 func (m *registryModel) Restore(t *rapid.T) {
-	data, err := json.Marshal(m.ledger)
+	data, err := json.Marshal(m.registry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,10 +117,10 @@
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(restored.Update(), m.ledger.Update()) {
-		t.Fatalf("restored %+v from %+v", restored.Update(), m.ledger.Update())
+	if !reflect.DeepEqual(restored.Update(), m.registry.Update()) {
+		t.Fatalf("restored %+v from %+v", restored.Update(), m.registry.Update())
 	}
-	m.ledger = restored
+	m.registry = restored
 }
 
 // told returns what processes are to be told, by the model.
@@ -136,13 +136,13 @@
 
 // versionMoved checks that processes hear of every difference.
 func (m *registryModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
-	if !maps.EqualFunc(before, m.told(), slices.Equal) && m.ledger.Version() <= version {
+	if !maps.EqualFunc(before, m.told(), slices.Equal) && m.registry.Version() <= version {
 		t.Fatal("news differ under one version")
 	}
 }
 
 func (m *registryModel) Check(t *rapid.T) {
-	news := m.ledger.Update()
+	news := m.registry.Update()
 	told := map[Fingerprint][]string{}
 	for _, e := range news.Entries {
 		told[e.Request] = e.Incarnations
@@ -155,7 +155,7 @@
 // TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
 func TestLedgerTellsWhatItWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &registryModel{ledger: NewRegistry(), lives: map[Fingerprint][]string{}}
+		m := &registryModel{registry: NewRegistry(), lives: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
