--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -59,9 +59,9 @@
 
 // registryModel compares a ledger with the plainest account of what it was told.
 type registryModel struct {
-	registry *Registry
-	lives    map[Fingerprint][]string
-	seed     []byte
+	registry     *Registry
+	incarnations map[Fingerprint][]string
+	seed         []byte
 }
 
 func (m *registryModel) Ended(t *rapid.T) {
@@ -71,8 +71,8 @@
 	m.registry.Apply(Change{Crashes: []Crash{ended}})
 	changed := false
 	for _, f := range ended.Requests {
-		if !slices.Contains(m.lives[f], ended.Incarnation) && len(m.lives[f]) < maxIncarnations {
-			m.lives[f] = append(m.lives[f], ended.Incarnation)
+		if !slices.Contains(m.incarnations[f], ended.Incarnation) && len(m.incarnations[f]) < maxIncarnations {
+			m.incarnations[f] = append(m.incarnations[f], ended.Incarnation)
 			changed = true
 		}
 	}
@@ -90,11 +90,11 @@
 	before, version := m.told(), m.registry.Version()
 	m.registry.Apply(Change{Releases: []Release{released}})
 	for _, f := range released.Requests {
-		if len(m.lives[f]) > released.Keep {
-			m.lives[f] = m.lives[f][len(m.lives[f])-released.Keep:]
+		if len(m.incarnations[f]) > released.Keep {
+			m.incarnations[f] = m.incarnations[f][len(m.incarnations[f])-released.Keep:]
 		}
-		if len(m.lives[f]) == 0 {
-			delete(m.lives, f)
+		if len(m.incarnations[f]) == 0 {
+			delete(m.incarnations, f)
 		}
 	}
 	m.versionMoved(t, before, version)
@@ -126,7 +126,7 @@
 // told returns what processes are to be told, by the model.
 func (m *registryModel) told() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
-	for f, lives := range m.lives {
+	for f, lives := range m.incarnations {
 		if len(lives) >= SuspectThreshold {
 			told[f] = slices.Clone(lives)
 		}
@@ -155,7 +155,7 @@
 // TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
 func TestLedgerTellsWhatItWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &registryModel{registry: NewRegistry(), lives: map[Fingerprint][]string{}}
+		m := &registryModel{registry: NewRegistry(), incarnations: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
