--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -65,14 +65,14 @@
 }
 
 func (m *registryModel) Ended(t *rapid.T) {
-	ended := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.registry.WouldChange(Change{Crashes: []Crash{ended}})
+	crash := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
+	changes := m.registry.WouldChange(Change{Crashes: []Crash{crash}})
 	before, version := m.told(), m.registry.Version()
-	m.registry.Apply(Change{Crashes: []Crash{ended}})
+	m.registry.Apply(Change{Crashes: []Crash{crash}})
 	changed := false
-	for _, f := range ended.Requests {
-		if !slices.Contains(m.incarnations[f], ended.Incarnation) && len(m.incarnations[f]) < maxIncarnations {
-			m.incarnations[f] = append(m.incarnations[f], ended.Incarnation)
+	for _, f := range crash.Requests {
+		if !slices.Contains(m.incarnations[f], crash.Incarnation) && len(m.incarnations[f]) < maxIncarnations {
+			m.incarnations[f] = append(m.incarnations[f], crash.Incarnation)
 			changed = true
 		}
 	}
