--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -83,15 +83,15 @@
 }
 
 func (m *registryModel) Release(t *rapid.T) {
-	released := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
+	release := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
-		released.Requests = append(released.Requests, fingerprintOf(n))
+		release.Requests = append(release.Requests, fingerprintOf(n))
 	}
 	before, version := m.told(), m.registry.Version()
-	m.registry.Apply(Change{Releases: []Release{released}})
-	for _, f := range released.Requests {
-		if len(m.incarnations[f]) > released.Keep {
-			m.incarnations[f] = m.incarnations[f][len(m.incarnations[f])-released.Keep:]
+	m.registry.Apply(Change{Releases: []Release{release}})
+	for _, f := range release.Requests {
+		if len(m.incarnations[f]) > release.Keep {
+			m.incarnations[f] = m.incarnations[f][len(m.incarnations[f])-release.Keep:]
 		}
 		if len(m.incarnations[f]) == 0 {
 			delete(m.incarnations, f)
