--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -67,7 +67,7 @@
 func (m *registryModel) Ended(t *rapid.T) {
 	crash := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
 	changes := m.registry.WouldChange(Change{Crashes: []Crash{crash}})
-	before, version := m.told(), m.registry.Version()
+	before, version := m.suspects(), m.registry.Version()
 	m.registry.Apply(Change{Crashes: []Crash{crash}})
 	changed := false
 	for _, f := range crash.Requests {
@@ -87,7 +87,7 @@
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
 		release.Requests = append(release.Requests, fingerprintOf(n))
 	}
-	before, version := m.told(), m.registry.Version()
+	before, version := m.suspects(), m.registry.Version()
 	m.registry.Apply(Change{Releases: []Release{release}})
 	for _, f := range release.Requests {
 		if len(m.incarnations[f]) > release.Keep {
@@ -123,8 +123,8 @@
 	m.registry = restored
 }
 
-// told returns what processes are to be told, by the model.
-func (m *registryModel) told() map[Fingerprint][]string {
+// suspects returns what processes are to be suspects, by the model.
+func (m *registryModel) suspects() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
 	for f, lives := range m.incarnations {
 		if len(lives) >= SuspectThreshold {
@@ -136,7 +136,7 @@
 
 // versionMoved checks that processes hear of every difference.
 func (m *registryModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
-	if !maps.EqualFunc(before, m.told(), slices.Equal) && m.registry.Version() <= version {
+	if !maps.EqualFunc(before, m.suspects(), slices.Equal) && m.registry.Version() <= version {
 		t.Fatal("news differ under one version")
 	}
 }
@@ -147,8 +147,8 @@
 	for _, e := range news.Entries {
 		told[e.Request] = e.Incarnations
 	}
-	if !maps.EqualFunc(told, m.told(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
-		t.Fatalf("news %+v, wanted %v under seed %v", news, m.told(), m.seed)
+	if !maps.EqualFunc(told, m.suspects(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
+		t.Fatalf("news %+v, wanted %v under seed %v", news, m.suspects(), m.seed)
 	}
 }
 
