--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -79,7 +79,7 @@
 	if changes != changed {
 		t.Fatalf("told to change: %t, changed: %t", changes, changed)
 	}
-	m.versionMoved(t, before, version)
+	m.checkVersion(t, before, version)
 }
 
 func (m *registryModel) Release(t *rapid.T) {
@@ -97,7 +97,7 @@
 			delete(m.incarnations, f)
 		}
 	}
-	m.versionMoved(t, before, version)
+	m.checkVersion(t, before, version)
 }
 
 func (m *registryModel) Plant(t *rapid.T) {
@@ -134,8 +134,8 @@
 	return told
 }
 
-// versionMoved checks that processes hear of every difference.
-func (m *registryModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
+// checkVersion checks that processes hear of every difference.
+func (m *registryModel) checkVersion(t *rapid.T, before map[Fingerprint][]string, version uint64) {
 	if !maps.EqualFunc(before, m.suspects(), slices.Equal) && m.registry.Version() <= version {
 		t.Fatal("news differ under one version")
 	}
