--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -142,13 +142,13 @@
 }
 
 func (m *registryModel) Check(t *rapid.T) {
-	news := m.registry.Update()
+	update := m.registry.Update()
 	told := map[Fingerprint][]string{}
-	for _, e := range news.Entries {
+	for _, e := range update.Entries {
 		told[e.Request] = e.Incarnations
 	}
-	if !maps.EqualFunc(told, m.suspects(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
-		t.Fatalf("news %+v, wanted %v under seed %v", news, m.suspects(), m.seed)
+	if !maps.EqualFunc(told, m.suspects(), slices.Equal) || !slices.Equal(update.Seed, m.seed) {
+		t.Fatalf("news %+v, wanted %v under seed %v", update, m.suspects(), m.seed)
 	}
 }
 
