--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -25,8 +25,8 @@
 	return crash
 }
 
-// TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
-func TestLivesAreASet(t *testing.T) {
+// TestCrashesAreCountedOncePerIncarnation: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
+func TestCrashesAreCountedOncePerIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
