--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
-func TestLedgerTellsWhatItWasTold(t *testing.T) {
+// TestRegistryMatchesModel: after any changes, and restored from a snapshot between them.
+func TestRegistryMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &registryModel{registry: NewRegistry(), incarnations: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
