--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -160,8 +160,8 @@
 	})
 }
 
-// TestFloodPushesNoCulpritOut: however many other requests are told of, one with more lives against it stays.
-func TestFloodPushesNoCulpritOut(t *testing.T) {
+// TestFloodDoesNotEvictQuarantinedRequest: however many other requests are told of, one with more lives against it stays.
+func TestFloodDoesNotEvictQuarantinedRequest(t *testing.T) {
 	l := NewRegistry()
 	for life := range QuarantineThreshold {
 		l.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", life), 1)}})
