--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestSeedStays: the first one is everybody's.
-func TestSeedStays(t *testing.T) {
+// TestFirstSeedIsKept: the first one is everybody's.
+func TestFirstSeedIsKept(t *testing.T) {
 	l, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
 	l.Apply(Change{Seed: first[:5]})
