--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestFingerprints: what stays of a request makes it, and nothing else; no two requests run together into one.
-func TestFingerprints(t *testing.T) {
+// TestFingerprintCoversRequestFields: what stays of a request makes it, and nothing else; no two requests run together into one.
+func TestFingerprintCoversRequestFields(t *testing.T) {
 	h, err := NewHasher(make([]byte, SeedBytes))
 	if err != nil {
 		t.Fatal(err)
