--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -241,8 +241,8 @@
 	})
 }
 
-// TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
-func TestOnlyAProvedEndCounts(t *testing.T) {
+// TestOnlyConfirmedCrashCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
+func TestOnlyConfirmedCrashCounts(t *testing.T) {
 	r, f := NewTracker(), fingerprintOf(1)
 	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.CrashCount(f) != 0 || !r.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
