--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// TestGoodEndsSpeakForARequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
+// TestCompletionClearsRequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
 // is released.
-func TestGoodEndsSpeakForARequest(t *testing.T) {
+func TestCompletionClearsRequest(t *testing.T) {
 	r, f := NewTracker(), fingerprintOf(1)
 	if r.RecordCompletion(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
