--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -294,7 +294,7 @@
 // Control was away for 6 s, so nothing was sent and nothing could end well. Then three back ends ended within 50 ms under another request, and
 // the one that ran beside it everywhere, and ended well every second before, was held back for 3 lives: a good end spoke for 5 s, and the time
 // in which there could be none counted.
-func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
+func TestCompletionOutlastsIdleTime(t *testing.T) {
 	const away = 6 * time.Second
 	r, f := NewTracker(), fingerprintOf(1)
 	r.RecordCompletion(time.Second, f)
