--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -319,8 +319,8 @@
 	}
 }
 
-// TestOwnLivesAddToToldOnes: each life counts once, and what control has had time to count is forgotten.
-func TestOwnLivesAddToToldOnes(t *testing.T) {
+// TestLocalCrashesAddToReportedOnes: each life counts once, and what control has had time to count is forgotten.
+func TestLocalCrashesAddToReportedOnes(t *testing.T) {
 	r, f := NewTracker(), fingerprintOf(1)
 	for _, life := range []string{"a", "b"} {
 		r.RecordFailure(time.Second, life, f)
