--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -340,8 +340,8 @@
 	}
 }
 
-// TestRecordIsBounded: whatever breaks off, and however much ends well.
-func TestRecordIsBounded(t *testing.T) {
+// TestTrackerIsBounded: whatever breaks off, and however much ends well.
+func TestTrackerIsBounded(t *testing.T) {
 	r := NewTracker()
 	for n := range 3 * maxCompletions {
 		r.RecordFailure(time.Second, fmt.Sprint("life-", n), fingerprintOf(n))
