--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -372,9 +372,9 @@
 	}
 }
 
-// TestReleasesElsewhereCountHere: a process that proved three lives itself follows control once that has taken them: a good end at another
+// TestReleaseElsewhereAppliesAfterAcknowledgement: a process that proved three lives itself follows control once that has taken them: a good end at another
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
-func TestReleasesElsewhereCountHere(t *testing.T) {
+func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
 	r, f := NewTracker(), fingerprintOf(1)
 	var told []Crash
 	for _, life := range []string{"a", "b", "c"} {
