--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -250,12 +250,12 @@
 	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
-	told, counts := r.ConfirmEnd(2*time.Second, "a")
-	if !counts || told.Incarnation != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
-		t.Fatalf("%+v, %t", told, counts)
+	crash, counts := r.ConfirmEnd(2*time.Second, "a")
+	if !counts || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
+		t.Fatalf("%+v, %t", crash, counts)
 	}
-	if told, counts = r.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{fingerprintOf(2)}) {
-		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
+	if crash, counts = r.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
+		t.Fatalf("a run that breaks off after the proof: %+v, %t", crash, counts)
 	}
 	if _, counts = r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("a life counts twice")
