--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -277,15 +277,15 @@
 	if _, counts := r.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
-	news := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.ApplyUpdate(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
+	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
+	if innocent := r.ApplyUpdate(3*time.Second, update); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
 		t.Fatalf("%v is released", innocent)
 	}
 	if !r.RecordCompletion(4*time.Second, fingerprintOf(2)) || r.CrashCount(fingerprintOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + completionTTL + 1
-	r.ApplyUpdate(later, news)
+	r.ApplyUpdate(later, update)
 	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatal("an old good end speaks for a request")
 	}
