--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -278,8 +278,8 @@
 		t.Fatal("counted right after a good end")
 	}
 	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.ApplyUpdate(3*time.Second, update); !slices.Equal(innocent, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
-		t.Fatalf("%v is released", innocent)
+	if completed := r.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
+		t.Fatalf("%v is released", completed)
 	}
 	if !r.RecordCompletion(4*time.Second, fingerprintOf(2)) || r.CrashCount(fingerprintOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
