--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -295,11 +295,11 @@
 // the one that ran beside it everywhere, and ended well every second before, was held back for 3 lives: a good end spoke for 5 s, and the time
 // in which there could be none counted.
 func TestCompletionOutlastsIdleTime(t *testing.T) {
-	const away = 6 * time.Second
+	const idle = 6 * time.Second
 	r, f := NewTracker(), fingerprintOf(1)
 	r.RecordCompletion(time.Second, f)
-	back := 2*time.Second + away
-	r.RecordIdle(back, away)
+	back := 2*time.Second + idle
+	r.RecordIdle(back, idle)
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(back, life, f)
 		r.ConfirmEnd(back, life)
@@ -307,7 +307,7 @@
 	if lives := r.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
-	later := time.Second + away + completionTTL + 1
+	later := time.Second + idle + completionTTL + 1
 	r.RecordFailure(later, "d", f)
 	if _, counts := r.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
