--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -330,8 +330,8 @@
 		t.Fatalf("%d lives", r.CrashCount(f))
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
-	if suspects, held := r.SuspectCounts(); r.CrashCount(f) != 3 || suspects != 1 || held != 0 {
-		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), suspects, held)
+	if suspects, quarantined := r.SuspectCounts(); r.CrashCount(f) != 3 || suspects != 1 || quarantined != 0 {
+		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), suspects, quarantined)
 	}
 	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	r.Sweep(time.Second + localTTL + 1)
