--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -352,8 +352,8 @@
 	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.completions) > maxCompletions {
 		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.completions))
 	}
-	for f, held := range r.completions {
-		if r.ring[held.slot] != f {
+	for f, c := range r.completions {
+		if r.ring[c.slot] != f {
 			t.Fatal("a good end is not where it says")
 		}
 	}
