--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -376,17 +376,17 @@
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
 	r, f := NewTracker(), fingerprintOf(1)
-	var told []Crash
+	var crashes []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(time.Second, life, f)
 		ended, _ := r.ConfirmEnd(time.Second, life)
-		told = append(told, ended)
+		crashes = append(crashes, ended)
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1})
 	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatalf("%d lives before control has taken them", r.CrashCount(f))
 	}
-	r.Acknowledge(told)
+	r.Acknowledge(crashes)
 	if r.CrashCount(f) != QuarantineThreshold {
 		t.Fatalf("%d lives before the news", r.CrashCount(f))
 	}
