--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -379,8 +379,8 @@
 	var crashes []Crash
 	for _, life := range []string{"a", "b", "c"} {
 		r.RecordFailure(time.Second, life, f)
-		ended, _ := r.ConfirmEnd(time.Second, life)
-		crashes = append(crashes, ended)
+		crash, _ := r.ConfirmEnd(time.Second, life)
+		crashes = append(crashes, crash)
 	}
 	r.ApplyUpdate(time.Second, &Update{Version: 1})
 	if r.CrashCount(f) != QuarantineThreshold {
