--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// outside is control and the addresses of back ends, as a test has them.
-type outside struct {
+// fakeEnvironment is control and the addresses of back ends, as a test has them.
+type fakeEnvironment struct {
 	mu      sync.Mutex
 	fails   int // questions that control doesn't take
 	told    []quarantine.Change
@@ -25,7 +25,7 @@
 	at      time.Duration
 }
 
-func (o *outside) ways() Config {
+func (o *fakeEnvironment) ways() Config {
 	return Config{
 		Submit: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
@@ -49,7 +49,7 @@
 }
 
 // lives returns the lives that control was told of, in order.
-func (o *outside) lives() []string {
+func (o *fakeEnvironment) lives() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var lives []string
@@ -61,7 +61,7 @@
 	return lives
 }
 
-func (o *outside) released() (released []quarantine.Fingerprint) {
+func (o *fakeEnvironment) released() (released []quarantine.Fingerprint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, change := range o.told {
@@ -73,7 +73,7 @@
 }
 
 // run runs a reporter for the rest of a test.
-func run(t *testing.T, o *outside) *Reporter {
+func run(t *testing.T, o *fakeEnvironment) *Reporter {
 	t.Helper()
 	r := New(o.ways())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +101,7 @@
 
 // TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
-	o := &outside{fails: 2, refuses: map[string]bool{"dead": true}}
+	o := &fakeEnvironment{fails: 2, refuses: map[string]bool{"dead": true}}
 	r := run(t, o)
 	<-r.RecordFailure("life-1", "dead", one)
 	<-r.RecordFailure("life-1", "dead", two)
@@ -122,7 +122,7 @@
 
 // TestGoodEndReleases: what control tells of and ends well, or ended well a moment ago, is to be released.
 func TestGoodEndReleases(t *testing.T) {
-	o := &outside{}
+	o := &fakeEnvironment{}
 	r := run(t, o)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
 		t.Fatal("a fingerprint without a seed")
@@ -145,7 +145,7 @@
 
 // TestWaitingNewsAreBounded: while control takes nothing; what is lost leaves a line.
 func TestWaitingNewsAreBounded(t *testing.T) {
-	o := &outside{}
+	o := &fakeEnvironment{}
 	r := New(o.ways())
 	for n := range maxPendingCrashes + 5 {
 		o.at += time.Minute // so that earlier lives make room
