--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -25,7 +25,7 @@
 	at      time.Duration
 }
 
-func (o *fakeEnvironment) ways() Config {
+func (o *fakeEnvironment) config() Config {
 	return Config{
 		Submit: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
@@ -75,7 +75,7 @@
 // run runs a reporter for the rest of a test.
 func run(t *testing.T, o *fakeEnvironment) *Reporter {
 	t.Helper()
-	r := New(o.ways())
+	r := New(o.config())
 	ctx, cancel := context.WithCancel(context.Background())
 	var thread sync.WaitGroup
 	thread.Go(func() { r.Run(ctx) })
@@ -146,7 +146,7 @@
 // TestWaitingNewsAreBounded: while control takes nothing; what is lost leaves a line.
 func TestWaitingNewsAreBounded(t *testing.T) {
 	o := &fakeEnvironment{}
-	r := New(o.ways())
+	r := New(o.config())
 	for n := range maxPendingCrashes + 5 {
 		o.at += time.Minute // so that earlier lives make room
 		life := time.Duration(n).String()
