--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -16,13 +16,13 @@
 
 // fakeEnvironment is control and the addresses of back ends, as a test has them.
 type fakeEnvironment struct {
-	mu      sync.Mutex
-	fails   int // questions that control doesn't take
-	told    []quarantine.Change
-	refuses map[string]bool
-	looks   int
-	lines   []string
-	at      time.Duration
+	mu             sync.Mutex
+	submitFailures int // questions that control doesn't take
+	told           []quarantine.Change
+	refuses        map[string]bool
+	looks          int
+	lines          []string
+	at             time.Duration
 }
 
 func (o *fakeEnvironment) config() Config {
@@ -30,8 +30,8 @@
 		Submit: func(_ context.Context, change quarantine.Change) error {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			if o.fails > 0 {
-				o.fails--
+			if o.submitFailures > 0 {
+				o.submitFailures--
 				return errors.New("no leader")
 			}
 			o.told = append(o.told, change)
@@ -101,7 +101,7 @@
 
 // TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
-	o := &fakeEnvironment{fails: 2, refuses: map[string]bool{"dead": true}}
+	o := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
 	r := run(t, o)
 	<-r.RecordFailure("life-1", "dead", one)
 	<-r.RecordFailure("life-1", "dead", two)
