--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -18,7 +18,7 @@
 type fakeEnvironment struct {
 	mu             sync.Mutex
 	submitFailures int // questions that control doesn't take
-	told           []quarantine.Change
+	submitted      []quarantine.Change
 	refuses        map[string]bool
 	looks          int
 	lines          []string
@@ -34,7 +34,7 @@
 				o.submitFailures--
 				return errors.New("no leader")
 			}
-			o.told = append(o.told, change)
+			o.submitted = append(o.submitted, change)
 			return nil
 		},
 		RefusesConnections: func(_ context.Context, address string) bool {
@@ -53,7 +53,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var lives []string
-	for _, change := range o.told {
+	for _, change := range o.submitted {
 		for _, ended := range change.Crashes {
 			lives = append(lives, ended.Incarnation)
 		}
@@ -64,7 +64,7 @@
 func (o *fakeEnvironment) released() (released []quarantine.Fingerprint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, change := range o.told {
+	for _, change := range o.submitted {
 		for _, r := range change.Releases {
 			released = append(released, r.Requests...)
 		}
