--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -20,7 +20,7 @@
 	submitFailures int // questions that control doesn't take
 	submitted      []quarantine.Change
 	refuses        map[string]bool
-	looks          int
+	probes         int
 	lines          []string
 	at             time.Duration
 }
@@ -40,7 +40,7 @@
 		RefusesConnections: func(_ context.Context, address string) bool {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			o.looks++
+			o.probes++
 			return o.refuses[address]
 		},
 		Log: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
@@ -110,8 +110,8 @@
 		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
 	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
-	if o.looks != 2 {
-		t.Fatalf("%d looks at two addresses", o.looks)
+	if o.probes != 2 {
+		t.Fatalf("%d looks at two addresses", o.probes)
 	}
 	r.ConfirmEnds(Replaced, "life-2", "life-3")
 	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
