--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -21,7 +21,7 @@
 	submitted      []quarantine.Change
 	refuses        map[string]bool
 	probes         int
-	lines          []string
+	events         []string
 	at             time.Duration
 }
 
@@ -43,7 +43,7 @@
 			o.probes++
 			return o.refuses[address]
 		},
-		Log: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
+		Log: func(event string, _ ...zap.Field) { o.events = append(o.events, event) },
 		Now: func() time.Duration { return o.at },
 	}
 }
@@ -159,7 +159,7 @@
 	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
 		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.completions))
 	}
-	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.EndedUnder) {
-		t.Fatalf("lines %v", o.lines[len(o.lines)-3:])
+	if !slices.Contains(o.events, events.EndNotTold) || !slices.Contains(o.events, events.EndedUnder) {
+		t.Fatalf("lines %v", o.events[len(o.events)-3:])
 	}
 }
