--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// lives returns the lives that control was told of, in order.
-func (o *fakeEnvironment) lives() []string {
+// crashedIncarnations returns the crashedIncarnations that control was told of, in order.
+func (o *fakeEnvironment) crashedIncarnations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var lives []string
@@ -109,14 +109,14 @@
 	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
 		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
-	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
+	waitFor(t, func() bool { return slices.Equal(o.crashedIncarnations(), []string{"life-1", "life-1"}) })
 	if o.probes != 2 {
 		t.Fatalf("%d looks at two addresses", o.probes)
 	}
 	r.ConfirmEnds(Replaced, "life-2", "life-3")
-	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
-	if r.CrashCount(one) != 2 || slices.Contains(o.lives(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.lives())
+	waitFor(t, func() bool { return slices.Contains(o.crashedIncarnations(), "life-2") })
+	if r.CrashCount(one) != 2 || slices.Contains(o.crashedIncarnations(), "life-3") {
+		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.crashedIncarnations())
 	}
 }
 
