--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -72,8 +72,8 @@
 	return released
 }
 
-// run runs a reporter for the rest of a test.
-func run(t *testing.T, o *fakeEnvironment) *Reporter {
+// startReporter runs a reporter for the rest of a test.
+func startReporter(t *testing.T, o *fakeEnvironment) *Reporter {
 	t.Helper()
 	r := New(o.config())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 // TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
 	o := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
-	r := run(t, o)
+	r := startReporter(t, o)
 	<-r.RecordFailure("life-1", "dead", one)
 	<-r.RecordFailure("life-1", "dead", two)
 	<-r.RecordFailure("life-2", "alive", one)
@@ -123,7 +123,7 @@
 // TestGoodEndReleases: what control tells of and ends well, or ended well a moment ago, is to be released.
 func TestGoodEndReleases(t *testing.T) {
 	o := &fakeEnvironment{}
-	r := run(t, o)
+	r := startReporter(t, o)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
 		t.Fatal("a fingerprint without a seed")
 	}
