--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -54,8 +54,8 @@
 	defer o.mu.Unlock()
 	var lives []string
 	for _, change := range o.submitted {
-		for _, ended := range change.Crashes {
-			lives = append(lives, ended.Incarnation)
+		for _, crash := range change.Crashes {
+			lives = append(lives, crash.Incarnation)
 		}
 	}
 	return lives
