--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -52,13 +52,13 @@
 func (o *fakeEnvironment) crashedIncarnations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var lives []string
+	var incarnations []string
 	for _, change := range o.submitted {
 		for _, crash := range change.Crashes {
-			lives = append(lives, crash.Incarnation)
+			incarnations = append(incarnations, crash.Incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
 func (o *fakeEnvironment) released() (released []quarantine.Fingerprint) {
