--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -25,35 +25,35 @@
 	at             time.Duration
 }
 
-func (o *fakeEnvironment) config() Config {
+func (env *fakeEnvironment) config() Config {
 	return Config{
 		Submit: func(_ context.Context, change quarantine.Change) error {
-			o.mu.Lock()
-			defer o.mu.Unlock()
-			if o.submitFailures > 0 {
-				o.submitFailures--
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			if env.submitFailures > 0 {
+				env.submitFailures--
 				return errors.New("no leader")
 			}
-			o.submitted = append(o.submitted, change)
+			env.submitted = append(env.submitted, change)
 			return nil
 		},
 		RefusesConnections: func(_ context.Context, address string) bool {
-			o.mu.Lock()
-			defer o.mu.Unlock()
-			o.probes++
-			return o.refuses[address]
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			env.probes++
+			return env.refuses[address]
 		},
-		Log: func(event string, _ ...zap.Field) { o.events = append(o.events, event) },
-		Now: func() time.Duration { return o.at },
+		Log: func(event string, _ ...zap.Field) { env.events = append(env.events, event) },
+		Now: func() time.Duration { return env.at },
 	}
 }
 
 // crashedIncarnations returns the crashedIncarnations that control was told of, in order.
-func (o *fakeEnvironment) crashedIncarnations() []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (env *fakeEnvironment) crashedIncarnations() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var incarnations []string
-	for _, change := range o.submitted {
+	for _, change := range env.submitted {
 		for _, crash := range change.Crashes {
 			incarnations = append(incarnations, crash.Incarnation)
 		}
@@ -61,10 +61,10 @@
 	return incarnations
 }
 
-func (o *fakeEnvironment) released() (released []quarantine.Fingerprint) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, change := range o.submitted {
+func (env *fakeEnvironment) released() (released []quarantine.Fingerprint) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, change := range env.submitted {
 		for _, r := range change.Releases {
 			released = append(released, r.Requests...)
 		}
