--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -73,9 +73,9 @@
 }
 
 // startReporter runs a reporter for the rest of a test.
-func startReporter(t *testing.T, o *fakeEnvironment) *Reporter {
+func startReporter(t *testing.T, env *fakeEnvironment) *Reporter {
 	t.Helper()
-	r := New(o.config())
+	r := New(env.config())
 	ctx, cancel := context.WithCancel(context.Background())
 	var thread sync.WaitGroup
 	thread.Go(func() { r.Run(ctx) })
