--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -101,22 +101,22 @@
 
 // TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
 func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
-	o := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
-	r := startReporter(t, o)
+	env := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
+	r := startReporter(t, env)
 	<-r.RecordFailure("life-1", "dead", one)
 	<-r.RecordFailure("life-1", "dead", two)
 	<-r.RecordFailure("life-2", "alive", one)
 	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
 		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
 	}
-	waitFor(t, func() bool { return slices.Equal(o.crashedIncarnations(), []string{"life-1", "life-1"}) })
-	if o.probes != 2 {
-		t.Fatalf("%d looks at two addresses", o.probes)
+	waitFor(t, func() bool { return slices.Equal(env.crashedIncarnations(), []string{"life-1", "life-1"}) })
+	if env.probes != 2 {
+		t.Fatalf("%d looks at two addresses", env.probes)
 	}
 	r.ConfirmEnds(Replaced, "life-2", "life-3")
-	waitFor(t, func() bool { return slices.Contains(o.crashedIncarnations(), "life-2") })
-	if r.CrashCount(one) != 2 || slices.Contains(o.crashedIncarnations(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.CrashCount(one), o.crashedIncarnations())
+	waitFor(t, func() bool { return slices.Contains(env.crashedIncarnations(), "life-2") })
+	if r.CrashCount(one) != 2 || slices.Contains(env.crashedIncarnations(), "life-3") {
+		t.Fatalf("%d lives, told %v", r.CrashCount(one), env.crashedIncarnations())
 	}
 }
 
