--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -122,8 +122,8 @@
 
 // TestGoodEndReleases: what control tells of and ends well, or ended well a moment ago, is to be released.
 func TestGoodEndReleases(t *testing.T) {
-	o := &fakeEnvironment{}
-	r := startReporter(t, o)
+	env := &fakeEnvironment{}
+	r := startReporter(t, env)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
 		t.Fatal("a fingerprint without a seed")
 	}
@@ -137,7 +137,7 @@
 		t.Fatal("no fingerprint under a seed")
 	}
 	r.RecordCompletion(two)
-	waitFor(t, func() bool { return slices.Equal(o.released(), []quarantine.Fingerprint{one, two}) })
+	waitFor(t, func() bool { return slices.Equal(env.released(), []quarantine.Fingerprint{one, two}) })
 	if !r.IsEmpty() {
 		t.Fatal("something is held against a request that ended well")
 	}
