--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -145,13 +145,13 @@
 
 // TestWaitingNewsAreBounded: while control takes nothing; what is lost leaves a line.
 func TestWaitingNewsAreBounded(t *testing.T) {
-	o := &fakeEnvironment{}
-	r := New(o.config())
+	env := &fakeEnvironment{}
+	r := New(env.config())
 	for n := range maxPendingCrashes + 5 {
-		o.at += time.Minute // so that earlier lives make room
+		env.at += time.Minute // so that earlier lives make room
 		life := time.Duration(n).String()
 		r.mu.Lock()
-		r.tracker.RecordFailure(o.at, life, one)
+		r.tracker.RecordFailure(env.at, life, one)
 		r.confirmEnd(life, Replaced)
 		r.mu.Unlock()
 		r.enqueueCompletions(quarantine.Fingerprint{byte(n), byte(n >> 8)})
@@ -159,7 +159,7 @@
 	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
 		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.completions))
 	}
-	if !slices.Contains(o.events, events.EndNotTold) || !slices.Contains(o.events, events.EndedUnder) {
-		t.Fatalf("lines %v", o.events[len(o.events)-3:])
+	if !slices.Contains(env.events, events.EndNotTold) || !slices.Contains(env.events, events.EndedUnder) {
+		t.Fatalf("lines %v", env.events[len(env.events)-3:])
 	}
 }
