--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -86,10 +86,10 @@
 	return r
 }
 
-func waitFor(t *testing.T, holds func() bool) {
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(time.Millisecond)
