--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -130,8 +130,8 @@
 	r.RecordCompletion(one)
 	lives := []string{"a", "b", "c"}
 	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: lives}, {Request: two, Incarnations: lives}}})
-	if suspects, held := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || held != 1 || r.CrashCount(one) != 0 {
-		t.Fatalf("version %d, %d told, %d held back", r.Version(), suspects, held)
+	if suspects, quarantined := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || quarantined != 1 || r.CrashCount(one) != 0 {
+		t.Fatalf("version %d, %d told, %d held back", r.Version(), suspects, quarantined)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
 		t.Fatal("no fingerprint under a seed")
