--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -149,10 +149,10 @@
 	r := New(env.config())
 	for n := range maxPendingCrashes + 5 {
 		env.at += time.Minute // so that earlier lives make room
-		life := time.Duration(n).String()
+		incarnation := time.Duration(n).String()
 		r.mu.Lock()
-		r.tracker.RecordFailure(env.at, life, one)
-		r.confirmEnd(life, Replaced)
+		r.tracker.RecordFailure(env.at, incarnation, one)
+		r.confirmEnd(incarnation, Replaced)
 		r.mu.Unlock()
 		r.enqueueCompletions(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
