--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -128,8 +128,8 @@
 		t.Fatal("a fingerprint without a seed")
 	}
 	r.RecordCompletion(one)
-	lives := []string{"a", "b", "c"}
-	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: lives}, {Request: two, Incarnations: lives}}})
+	incarnations := []string{"a", "b", "c"}
+	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: incarnations}, {Request: two, Incarnations: incarnations}}})
 	if suspects, quarantined := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || quarantined != 1 || r.CrashCount(one) != 0 {
 		t.Fatalf("version %d, %d told, %d held back", r.Version(), suspects, quarantined)
 	}
