--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -99,8 +99,8 @@
 
 var one, two = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
-// TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
-func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
+// TestConfirmedCrashIsSubmittedUntilAccepted: only where its address refuses connections, or control says so; one look for all that breaks off there.
+func TestConfirmedCrashIsSubmittedUntilAccepted(t *testing.T) {
 	env := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
 	r := startReporter(t, env)
 	<-r.RecordFailure("life-1", "dead", one)
