--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestGoodEndReleases: what control tells of and ends well, or ended well a moment ago, is to be released.
-func TestGoodEndReleases(t *testing.T) {
+// TestCompletionReleasesRequest: what control tells of and ends well, or ended well a moment ago, is to be released.
+func TestCompletionReleasesRequest(t *testing.T) {
 	env := &fakeEnvironment{}
 	r := startReporter(t, env)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
