--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestWaitingNewsAreBounded: while control takes nothing; what is lost leaves a line.
-func TestWaitingNewsAreBounded(t *testing.T) {
+// TestPendingChangesAreBounded: while control takes nothing; what is lost leaves a line.
+func TestPendingChangesAreBounded(t *testing.T) {
 	env := &fakeEnvironment{}
 	r := New(env.config())
 	for n := range maxPendingCrashes + 5 {
