--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides whether a request is sent to a back end or turned away at once, from the wait that its placement
-// predicts. It is a piece of the decision: without I/O, lock, clock or randomness of its own.
+// Package admission decides, from the wait predicted for a request's placement, whether the request is sent to a back
+// end or rejected at once. It uses no I/O, locks, clock or randomness of its own.
 //
-// To send what will come late helps nobody: it keeps memory and slots from requests that could still be in time, and their
-// cached parts are displaced and read again. What is turned away at once can come back in its time. Judged is the wait in the
-// queue alone: a long prompt takes long to read wherever it runs, and would never be let in if that counted.
+// A request that would miss its objective anyway occupies memory and slots that others could still use in time, and
+// evicts their cached prefixes. Rejected at once, it can be retried when it can be served. Only the queueing wait is
+// judged, not the time to read the prompt: a long prompt takes long on any back end and would always be rejected.
 package admission
 
 import (
@@ -12,67 +12,72 @@
 )
 
 const (
-	// PriorityLevels is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
-	// more urgent in first.
+	// PriorityLevels is the number of priorities. Prediction errors are tracked for each, since engines serve higher
+	// priorities first.
 	PriorityLevels = 10
-	// correctionStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
+	// correctionStep is the relative change of a correction factor for one request; maxCorrection bounds the factor,
+	// and its reciprocal bounds it from below.
 	correctionStep = 0.03
 	maxCorrection  = 16.0
-	// minObservedPrediction is the least predicted wait that teaches something: below it the time of a token weighs more.
+	// minObservedPrediction is the shortest predicted wait that updates a correction: below it, the time of a single
+	// decode step dominates.
 	minObservedPrediction = 60 * time.Millisecond
-	// A band of waits, as shares of the objective: below it everything is sent, beyond it nothing is, and between its ends the
-	// more is turned away the longer the wait is, so that deciders which see the same don't all turn away at once. A wait that
-	// passes may use the objective up; one that stands is kept short, since it only makes everybody wait: the band slides from
-	// the late one to the early one as the smoothed wait rises from standsFrom to standsTo.
+	// Below the start of a band, given as fractions of the objective, every request is admitted; above its end, every
+	// request is rejected. In between, the probability of rejection rises linearly, so that controllers with the same
+	// view don't all reject at once. A transient queue may use the whole objective; a standing queue only delays
+	// every request and is kept short. The band moves from transient to standing as the smoothed load rises from
+	// standingLoadLow to standingLoadHigh.
 	transientBandStart, transientBandEnd = 0.7, 1.0
 	standingBandStart, standingBandEnd   = 0.1, 0.4
 	standingLoadLow, standingLoadHigh    = 0.15, 0.4
 	loadTimeConstant                     = 500 * time.Millisecond
-	// maxLoadWeight is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
-	// stands.
+	// maxLoadWeight bounds the weight of one request in the smoothed load, so that at a low request rate a single
+	// queued request does not count as a standing queue.
 	maxLoadWeight = 0.15
-	// retryLoadDivisor is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
-	// those that come back would make everybody late.
+	// retryLoadDivisor reduces the load seen by a retried request, so that it is preferred over new ones. A larger
+	// value would let retries exceed the objective.
 	retryLoadDivisor = 1.6
-	// minRetryAfter and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
+	// minRetryAfter and maxRetryAfter bound the retry delay; retryAfterJitter is the largest fraction added at
+	// random.
 	minRetryAfter    = 200 * time.Millisecond
 	maxRetryAfter    = 3 * time.Second
 	retryAfterJitter = 0.6
-	// rejectionTTL is how long a refusal is known, and rememberedMost how many are.
+	// rejectionTTL is how long a rejection is remembered, and maxRejections how many are.
 	rejectionTTL  = 6 * time.Second
 	maxRejections = 20_000
 )
 
-// Request is a request whose placement is known.
+// Request is a request with a chosen placement.
 type Request struct {
-	Key           string        // names the request when it comes back; "" nobody knows it again
+	Key           string        // identifies the request when it is retried; "" if it cannot be recognized
 	Priority      int           // 0 is the most urgent
-	PredictedWait time.Duration // predicted wait before it is read
-	Objective     time.Duration // 0: it is never turned away
-	Random        float64       // drawn from 0 to 1
+	PredictedWait time.Duration // from arrival until the prompt is read
+	Objective     time.Duration // for the wait; 0 never rejects the request
+	Random        float64       // uniform in [0, 1)
 }
 
-// Controller keeps what is learnt of one service. Its zero value has learnt nothing.
+// Controller holds the admission state of one service. The zero value is ready to use.
 type Controller struct {
-	corrections [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
+	corrections [PriorityLevels]float64 // median ratio of actual to predicted wait; 0 before the first observation
 	loads       [PriorityLevels]smoothedLoad
 	rejectedAt  map[string]time.Duration
 }
 
-// smoothedLoad is the smoothed wait of a rank, as a share of the objective.
+// smoothedLoad is an exponential moving average of the expected wait of one priority, as a fraction of the objective.
 type smoothedLoad struct {
 	load      float64
 	updatedAt time.Duration
 }
 
-// observe takes the load that one request sees and returns how far the band has slid, from 0 to 1.
+// observe adds the load seen by one request and returns how far the band has moved towards the standing queue's, from
+// 0 to 1.
 func (s *smoothedLoad) observe(now time.Duration, load float64) float64 {
 	weight := min(1-math.Exp(-float64(now-s.updatedAt)/float64(loadTimeConstant)), maxLoadWeight)
 	s.load, s.updatedAt = s.load+weight*(load-s.load), now
 	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
 
-// ObserveWait takes what a request of a rank waited, against what was predicted for it.
+// ObserveWait records how long a request of the given priority waited and which wait was predicted for it.
 func (c *Controller) ObserveWait(priority int, predicted, actual time.Duration) {
 	if predicted < minObservedPrediction {
 		return
@@ -89,7 +94,7 @@
 	*correction = min(max(*correction, 1/maxCorrection), maxCorrection)
 }
 
-// ExpectedWait returns the wait of a rank that a prediction stands for.
+// ExpectedWait returns the predicted wait multiplied by the correction factor of the priority.
 func (c *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
 	correction := c.corrections[clampPriority(priority)]
 	if correction == 0 || predicted < minObservedPrediction {
@@ -100,8 +105,8 @@
 
 func clampPriority(priority int) int { return min(max(priority, 0), PriorityLevels-1) }
 
-// Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
-// short as is wanted, if nothing else came.
+// Decide reports whether to reject a request, and after which delay it should be retried: when the queue will be
+// short enough if no further requests arrive.
 func (c *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, reject bool) {
 	if request.Objective <= 0 {
 		return 0, false
@@ -109,7 +114,8 @@
 	expected := c.ExpectedWait(request.Priority, request.PredictedWait)
 	load := float64(expected) / float64(request.Objective)
 	standingFraction := c.loads[clampPriority(request.Priority)].observe(now, load)
-	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart), transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
+	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart),
+		transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
 	if rejectedAt, isRetry := c.rejectedAt[request.Key]; isRetry && now < rejectedAt+rejectionTTL {
 		load /= retryLoadDivisor
 	}
@@ -123,7 +129,7 @@
 	return min(wait, maxRetryAfter), true
 }
 
-// RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
+// RecordRejection records a rejection by this or another controller, so that the retried request is recognized.
 func (c *Controller) RecordRejection(now time.Duration, key string) {
 	if key == "" {
 		return
@@ -139,7 +145,7 @@
 	}
 }
 
-// Sweep forgets refusals that are long past.
+// Sweep removes expired rejections.
 func (c *Controller) Sweep(now time.Duration) {
 	for key, at := range c.rejectedAt {
 		if now >= at+rejectionTTL {
