--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -1,8 +1,11 @@
-// Package pushback keeps what back ends say of themselves in their answers: that they want nothing from this process for a while, that
-// they leave, or how many requests a second they take from all machines together. Such a word is of one life of a back end and holds whatever control tells: it outlives a roster, a row that left and came
-// back, and an address that changed. It ends with its time, or with the life.
+// Package pushback tracks the back-pressure that back ends signal in their responses: that this process should back
+// off for a while, that they are draining, or how many requests per second they accept from all machines together. A
+// signal belongs to one incarnation of a back end and is independent of what the control plane reports: it survives
+// roster updates, endpoints that are removed and added again, and changes of address. It is dropped when it expires
+// or the incarnation ends.
 //
-// Whoever decides asks a Book whether a life may be sent to now, and asks again right before the send. A Book is not safe for concurrent use.
+// Callers check the Restriction of an incarnation when they choose it and again right before they send. A Tracker is
+// not safe for concurrent use.
 package pushback
 
 import (
@@ -13,62 +16,63 @@
 )
 
 const (
-	// MaxBackoff bounds what is believed of a wish for rest: a figure beyond it is taken for it.
+	// MaxBackoff caps the backoff that a back end can request.
 	MaxBackoff = time.Hour
-	// jitterFraction of a time, spreadMost at most, is added to it at random, so that those which were refused together don't come back together.
+	// jitterFraction of a backoff, at most maxJitter, is added at random, so that requests refused together are not
+	// retried together.
 	jitterFraction = 0.1
 	maxJitter      = 250 * time.Millisecond
-	// maxClockSkew is how far the clocks of a back end and of this machine may be apart before a life that began after it was heard that its
-	// name wants rest counts as one that may have said it.
+	// maxClockSkew is the assumed difference between the clocks of a back end and this machine. It decides whether a
+	// later incarnation of the same name may be the one that requested a backoff.
 	maxClockSkew = time.Second
-	// untimedTTL is how long a word without an end is kept, that a life leaves or its limit, once nobody names that life any more.
+	// untimedTTL is how long draining and limits, which have no expiry of their own, are kept for incarnations that
+	// are no longer known.
 	untimedTTL = 10 * time.Minute
 )
 
-// Signals is what one answer of a back end says of itself.
+// Signals is the back-pressure in one response of a back end.
 type Signals struct {
-	Backoff  time.Duration // it wants nothing from this process for so long; 0 says nothing of it
-	Draining bool          // it ends soon and wants nothing new
-	Limit    Limit         // of the requests that it takes
+	Backoff  time.Duration // requested from this process; 0 if none
+	Draining bool          // it shuts down soon and accepts no new requests
+	Limit    Limit         // on the requests that it accepts
 }
 
-// IsEmpty reports whether an answer says nothing of its back end.
+// IsEmpty reports whether the response carries no signal.
 func (s Signals) IsEmpty() bool { return s.Backoff <= 0 && !s.Draining && s.Limit.IsEmpty() }
 
-// Restriction is what keeps requests from a life.
+// Restriction is what currently limits requests to an incarnation.
 type Restriction struct {
-	Draining     bool          // until its end
-	BackoffUntil time.Duration // end of its rest, by the clock of the book's owner; 0 it asked for none
-	Limit        Limit         // that it names now; it bars what has no part of it
+	Draining     bool          // until the incarnation ends
+	BackoffUntil time.Duration // by the tracker's clock; 0 if no backoff applies
+	Limit        Limit         // the advertised limit; requests beyond it may not be sent
 }
 
-// IsBlocked reports whether nothing may be sent now.
+// IsBlocked reports whether no request may be sent now.
 func (r Restriction) IsBlocked(now time.Duration) bool { return r.Draining || r.IsBackingOff(now) }
 
-// IsBackingOff reports whether the life wants rest now.
+// IsBackingOff reports whether a requested backoff is in effect.
 func (r Restriction) IsBackingOff(now time.Duration) bool { return now < r.BackoffUntil }
 
-// incarnationState is what one life said.
+// incarnationState is the last known back-pressure of one incarnation.
 type incarnationState struct {
 	incarnation    catalog.Life
-	backoffUntil   time.Duration // end of the rest
-	backoffHeardAt time.Time     // time of day at which it was last heard that it wants rest; zero where lives don't tell their start
+	backoffUntil   time.Duration
+	backoffHeardAt time.Time // wall-clock time of the last backoff request; zero if incarnations have no start time
 	draining       bool
 	limit          Limit
-	limitAt        time.Duration // when that was last heard; 0 never
-	updatedAt      time.Duration // when anything was last heard
+	limitAt        time.Duration // when the limit was last observed; 0 if never
+	updatedAt      time.Duration // when any signal was last observed
 }
 
-// Tracker holds the words of back ends that still count.
+// Tracker holds the signals that are in effect.
 type Tracker struct {
-	states map[string][]incarnationState // by name, one for each life; none is empty
+	states map[string][]incarnationState // by name, one for each incarnation; never empty
 }
 
-// NewTracker returns a book without a word.
 func NewTracker() *Tracker { return &Tracker{states: map[string][]incarnationState{}} }
 
-// Observe takes up what an answer says that came from a life, and returns what now keeps requests from it. day is the time of day, or zero where
-// lives don't tell when they began; chance lies in [0, 1) and spreads the ends of rests.
+// Observe applies the signals of a response from an incarnation and returns its current restriction. wallClock is
+// zero if incarnations have no start time. random is uniform in [0, 1) and spreads the ends of backoffs.
 func (t *Tracker) Observe(now time.Duration, wallClock time.Time, incarnation catalog.Life, signals Signals, random float64) Restriction {
 	if signals.IsEmpty() {
 		return t.Restriction(now, incarnation)
@@ -82,14 +86,14 @@
 	return t.Restriction(now, incarnation)
 }
 
-// WithJitter returns a time with a part of the spread on top; chance lies in [0, 1).
+// WithJitter adds a random fraction of the jitter to a duration; random is uniform in [0, 1).
 func WithJitter(d time.Duration, random float64) time.Duration {
 	maxAdded := min(time.Duration(jitterFraction*float64(d)), maxJitter)
 	return d + time.Duration(random*float64(maxAdded))
 }
 
-// Restriction returns what keeps requests from a life. A rest binds a later life of that name as well if it may be the one that asked for it: the
-// roster may have named the earlier one still.
+// Restriction returns what currently limits requests to an incarnation. A backoff also applies to a later incarnation
+// of the same name that may have been the one to request it, since the roster may still have listed the earlier one.
 func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Life) Restriction {
 	var restriction Restriction
 	for _, s := range t.states[incarnation.Name] {
@@ -108,12 +112,12 @@
 	return restriction
 }
 
-// mayHaveRequested reports whether a later life of the name had begun when the word was heard.
+// mayHaveRequested reports whether a later incarnation had started by the time the backoff was requested.
 func (s *incarnationState) mayHaveRequested(later catalog.Life) bool {
 	return !s.backoffHeardAt.IsZero() && s.incarnation.Precedes(later) && later.Born <= s.backoffHeardAt.Add(maxClockSkew).UnixMilli()
 }
 
-// Sweep forgets words that count no longer; named reports whether a life is one that may still be chosen.
+// Sweep removes state that is no longer in effect. isKnown reports whether an incarnation may still be chosen.
 func (t *Tracker) Sweep(now time.Duration, isKnown func(catalog.Life) bool) {
 	for name, states := range t.states {
 		kept := slices.DeleteFunc(states, func(s incarnationState) bool {
