--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -7,22 +7,24 @@
 	"kitetiller/internal/catalog"
 )
 
-// Limit is what an answer says of the requests that its back end takes from all machines together, for as long as it names that.
+// Limit is the request rate that a back end advertises for all machines together. It applies until it is replaced or
+// withdrawn.
 type Limit struct {
-	Advertised bool    // it names a limit
-	Withdrawn  bool    // it names none any more; never together with Named
-	Rate       float64 // requests a second where it names one; finite, 0 or more
+	Advertised bool    // the response contains a limit
+	Withdrawn  bool    // an earlier limit no longer applies; never set together with Advertised
+	Rate       float64 // requests per second if Advertised; finite and not negative
 }
 
-// MinRate is the least rate, in requests a second, that all machines together send to a back end that names a lower one, or 0: whoever sends
-// nothing never hears that a limit is over. One request in the longest window in which limits are judged.
+// MinRate is the lowest rate, in requests per second, at which all machines together send to a back end that
+// advertises less: without requests they would never learn that the limit was raised. It allows one request in the
+// longest window in which limits are checked.
 const MinRate = 0.25
 
-// IsEmpty reports whether nothing is said of a limit.
+// IsEmpty reports whether the response says nothing about a limit.
 func (l Limit) IsEmpty() bool { return !l.Advertised && !l.Withdrawn }
 
-// ObserveLimit takes up what was heard of a life's limit at a time, which may lie before what is known: then it changes nothing, since what a back
-// end says counts as of when it was said. It reports whether that is news.
+// ObserveLimit records a limit that an incarnation advertised at the given time and reports whether the known limit
+// changed. Observations older than the known one are ignored.
 func (t *Tracker) ObserveLimit(at time.Duration, incarnation catalog.Life, limit Limit) (changed bool) {
 	if limit.IsEmpty() {
 		return false
@@ -39,8 +41,9 @@
 	return known.Advertised != limit.Advertised || known.Rate != limit.Rate
 }
 
-// ObserveNoLimit takes up an answer that names no limit, to a request that was sent at a time: it tells that a limit is over that was heard before,
-// and nothing of one that was heard since, which may have been named after the answer.
+// ObserveNoLimit records a response without a limit to a request sent at the given time. It withdraws a limit
+// observed before the request was sent. One observed later is kept, since it may have been advertised after this
+// response.
 func (t *Tracker) ObserveNoLimit(now, sent time.Duration, incarnation catalog.Life) (withdrawn bool) {
 	index := slices.IndexFunc(t.states[incarnation.Name], func(s incarnationState) bool { return s.incarnation == incarnation })
 	if index < 0 || t.states[incarnation.Name][index].limitAt >= sent {
@@ -49,13 +52,14 @@
 	return t.ObserveLimit(now, incarnation, Limit{Withdrawn: true})
 }
 
-// Limit returns the limit that a life names. It is of this life alone: the next one says in its first answer what it takes.
+// Limit returns the limit that an incarnation advertises. Limits don't carry over to the next incarnation, whose
+// first response states its own.
 func (t *Tracker) Limit(incarnation catalog.Life) Limit {
 	limit, _ := t.LimitObservedAt(incarnation)
 	return limit
 }
 
-// LimitObservedAt returns the limit that a life names, and when that was last heard.
+// LimitObservedAt returns the limit that an incarnation advertises and when it was last observed.
 func (t *Tracker) LimitObservedAt(incarnation catalog.Life) (limit Limit, observedAt time.Duration) {
 	for _, s := range t.states[incarnation.Name] {
 		if s.incarnation == incarnation && s.limit.Advertised {
@@ -65,7 +69,7 @@
 	return Limit{}, 0
 }
 
-// stateOf returns the stateOf of a life, made when it first says something.
+// stateOf returns the state of an incarnation and creates it if necessary.
 func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
 	states := t.states[incarnation.Name]
 	index := slices.IndexFunc(states, func(s incarnationState) bool { return s.incarnation == incarnation })
