--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -1,85 +1,89 @@
-// Package allowance shares limited resources among processes that work apart, so that all of them together stay within each
-// resource's limit. One Lender keeps the whole and lends amounts of it; a Borrower in each process uses what it was lent.
+// Package allowance shares rate-limited resources among processes that don't coordinate directly, so that all of them
+// together stay within each resource's limit. One Allocator tracks the total and leases amounts of it; a Client in
+// each process spends what was leased to it.
 //
-// What keeps the whole:
-//   - An amount is taken off the whole when it is lent, and is of no use a lease after it was asked for, by the borrower's
-//     own clock. One that never arrives is lost, not doubled.
-//   - A lender begins with nothing. What an earlier one lent is therefore never lent again, and a new lender needs to know
-//     nothing of it. Until its accounts had the time to fill, borrowers may use their equal parts of the reserve.
-//   - A borrower out of touch may use its equal part of the rate, and its equal part of a reserve beyond the limit. The lender
-//     keeps back the parts of the borrowers that it does not hear.
+// The limit holds because:
+//   - An amount is deducted when it is granted, and expires at the client LeaseTTL after the client requested it,
+//     by the client's own clock. A grant that is lost in transit is lost, not duplicated.
+//   - An Allocator starts with empty buckets, so it needs to know nothing of its predecessor's grants. Until the
+//     buckets had time to fill, clients may use their equal shares of the reserve.
+//   - A client that cannot reach the allocator may use its equal share of the rate and of a reserve on top of the
+//     limit. The allocator withholds the shares of clients it has not heard from.
 //
-// Amounts are of any unit. The package has no I/O, no lock and no clock: callers pass the time, which must not run backwards,
-// and serialize their calls.
+// Amounts may be of any unit. The package uses no I/O, locks or clock: callers pass the time, which must not run
+// backwards, and serialize their calls.
 package allowance
 
 import "time"
 
-// LeaseTTL is how long an amount may be used after it was asked for: some times what a question takes, and short beside the
-// windows that limits are judged in, since what was lent before a window may be used in it.
+// LeaseTTL is how long a leased amount may be used after it was requested. It covers several round trips, and is
+// short compared with the windows in which limits are checked, since an amount granted before a window may be used in
+// it.
 const LeaseTTL = 200 * time.Millisecond
 
 const (
-	// burstSlackFraction of a limit's room may be lent at once beside the burst, so that a caller just inside its limit is not
-	// turned away over when requests arrive; debtShare is how far one amount above that may exceed it. reserveShare is for
-	// borrowers out of touch, all together. The rest, 0.6, is for amounts that are lent and not used yet (the rate for a lease),
-	// and for the time until a lender notices a silence (the rate for that time, by the part that is silent): where the room is
-	// a second of the rate, as it mostly is, these are 0.2 and, with a third silent, 0.23.
+	// burstSlackFraction of a limit's slack may be granted at once on top of the burst, so that a caller just within
+	// its limit is not refused because of arrival jitter. A single amount may exceed that by debtSlackFraction.
+	// reserveSlackFraction is for all clients that cannot reach the allocator. The remaining 0.6 covers amounts
+	// granted but not used yet (the rate during LeaseTTL) and the time until the allocator notices that a client is
+	// silent (the silent clients' share of the rate during that time). With a slack of one second of the rate, these
+	// take 0.2 and, with a third of the clients silent, 0.23.
 	burstSlackFraction   = 0.1
 	debtSlackFraction    = 0.1
 	reserveSlackFraction = 0.2
-	// maxRetryAfter bounds how long a borrower is told to wait for an amount: what was refused long ago comes back no more.
+	// maxRetryAfter bounds the retry delay returned to clients: requests refused longer ago are assumed not to be
+	// retried.
 	maxRetryAfter = 8 * time.Second
 )
 
-// Limit bounds the use of one resource: in any window, the rate times the window, the burst and the room.
+// Limit bounds the use of one resource: in any window, to the rate times the window, plus the burst and the slack.
 type Limit struct {
-	Rate  float64 `json:"rate"`  // units a second; a limit has one above 0
+	Rate  float64 `json:"rate"`  // units per second; above 0
 	Burst float64 `json:"burst"` // units at once
-	Slack float64 `json:"room"`  // units beyond both that a window may hold, for what cannot be counted exactly
+	Slack float64 `json:"room"`  // further units per window, for what cannot be counted exactly
 }
 
-// capacity is the most that may be lent at once.
+// capacity is the most that may be granted at once.
 func (l Limit) capacity() float64 { return l.Burst + burstSlackFraction*l.Slack }
 
-// maxAmount is the maxAmount amount that is ever lent at once.
+// maxAmount is the largest single amount that is ever granted.
 func (l Limit) maxAmount() float64 { return l.capacity() + debtSlackFraction*l.Slack }
 
-// reserve is what borrowers out of touch may use beyond their parts of the rate, all together.
+// reserve is what all clients that cannot reach the allocator may use on top of their shares of the rate.
 func (l Limit) reserve() float64 { return reserveSlackFraction * l.Slack }
 
-// RequestItem is a question for an amount of a resource.
+// RequestItem requests an amount of one resource.
 type RequestItem struct {
 	Name       string           `json:"n"`
-	Amount     float64          `json:"a"`           // that is needed now; it is lent whole or not at all
-	Prefetch   float64          `json:"h,omitempty"` // that would be of use within a lease; lent where there is plenty
-	Advertised *AdvertisedLimit `json:"l,omitempty"` // the resource names its limit itself; nil the lender knows it
+	Amount     float64          `json:"a"`           // needed now; granted in full or not at all
+	Prefetch   float64          `json:"h,omitempty"` // expected within a lease; granted if plenty is left
+	Advertised *AdvertisedLimit `json:"l,omitempty"` // set if the resource states its limit
 }
 
-// Grant answers an Ask.
+// Grant answers a RequestItem.
 type Grant struct {
 	Name       string        `json:"n"`
-	Amount     float64       `json:"a"`           // lent; 0 where the limit is reached
-	RetryAfter time.Duration `json:"w,omitempty"` // until the amount can be had, with what was refused before it; where nothing is lent
-	// WarmingUp tells that nothing is lent since the account began a moment ago, not since the limit is reached: the amount is worth
-	// waiting for.
+	Amount     float64       `json:"a"`           // 0 if the limit is reached
+	RetryAfter time.Duration `json:"w,omitempty"` // when the amount will be available
+	// WarmingUp reports that nothing was granted because the bucket was created recently, not because the limit is
+	// reached: the amount is worth waiting for.
 	WarmingUp bool `json:"y,omitempty"`
-	// Enforced tells that the lender counts resources that name their limits. One that doesn't know of these lends whatever is asked for, as of a
-	// resource whose limit was taken away; its grants are not used.
+	// Enforced reports that the allocator enforces advertised limits. One without support for them grants any amount,
+	// as for a resource without a limit; the client discards such grants.
 	Enforced bool `json:"c,omitempty"`
 }
 
-// Request is what a borrower asks a lender: it gives amounts back and asks for others.
+// Request is sent by a client to return amounts and to request others.
 type Request struct {
 	Client   string        `json:"b"`
-	Sequence uint64        `json:"s"` // rises with each question of a borrower's life
+	Sequence uint64        `json:"s"` // increases with each request during the lifetime of a client
 	Returned []Grant       `json:"k,omitempty"`
 	Items    []RequestItem `json:"q"`
 }
 
-// Reply is what a lender answers; Grants stand in the order of the asks.
+// Reply is the allocator's answer to a Request. Grants are in the order of the request's items.
 type Reply struct {
-	Term     uint64  `json:"t"` // rises with each lender
-	Sequence uint64  `json:"s"` // of the question
+	Term     uint64  `json:"t"` // increases with each allocator
+	Sequence uint64  `json:"s"` // of the request
 	Grants   []Grant `json:"g"`
 }
