--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// demandTimeConstant is how fast measured demand is forgotten.
+	// demandTimeConstant is the time constant of the measured demand's exponential decay.
 	demandTimeConstant = time.Second
-	// prefetchFraction of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
-	// is needed now or more: else it would mostly end unused.
+	// prefetchFraction of the demand expected during a lease is prefetched if that demand is at least
+	// minPrefetchRatio times the amount needed now; otherwise most of it would expire unused.
 	prefetchFraction = 0.5
 	minPrefetchRatio = 2.0
-	// returnMargin is how long before its end an amount that lies idle is given back with the next question.
+	// returnMargin is the remaining lifetime below which unused leases are returned with the next request.
 	returnMargin = LeaseTTL / 2
 )
 
-// Lease is an amount that may be used once, before its time.
+// Lease is an amount that may be used once before it expires.
 type Lease struct {
 	Name      string
 	Amount    float64
-	ExpiresAt time.Duration // by the borrower's clock
-	fallback  bool          // from the own part, not lent
+	ExpiresAt time.Duration // by the client's clock
+	fallback  bool          // taken from the fallback share, not granted by the allocator
 }
 
 // Valid reports whether the amount may still be used.
 func (l Lease) Valid(now time.Duration) bool { return l.Amount > 0 && now <= l.ExpiresAt }
 
-// Client keeps what one process was lent.
+// Client tracks the amounts leased to one process.
 type Client struct {
 	name            string
-	sequence        uint64 // of the newest question
-	repliedSequence uint64 // newest question that was answered
-	term            uint64 // newest lender heard of
+	sequence        uint64 // of the newest request
+	repliedSequence uint64 // of the newest request that was answered
+	term            uint64 // highest term seen in a reply
 	lastContact     time.Duration
-	clients         float64       // borrowers that share the equal parts, at least 1
-	fallbackPeriod  time.Duration // how long a borrower out of touch may use its part
+	clients         float64       // number of clients that share the reserve and the rate equally, at least 1
+	fallbackPeriod  time.Duration // how long the fallback share may be used without contact to the allocator
 	limits          map[string]Limit
 	balances        map[string]*balance
 
-	advertised        map[string]knownLimit // of resources that name their limits
-	advertisedSweptAt time.Duration         // when those were last looked through that nobody asks for
+	advertised        map[string]knownLimit // resources that advertise their limits
+	advertisedSweptAt time.Duration         // when unused advertised limits were last removed
 }
 
-// balance is what is held of one resource.
+// balance is what a client holds of one resource.
 type balance struct {
-	leases         []Lease       // lent and not used, rising by time
-	fallbackUsed   float64       // of the reserve and the own part, not made good yet
-	fallbackUsedAt time.Duration // when used was right
-	demandRate     float64       // units a second, of the last moments
-	demandAt       time.Duration // when some was last taken
+	leases         []Lease       // unused, by ascending expiry
+	fallbackUsed   float64       // used of the fallback share, decaying over time
+	fallbackUsedAt time.Duration // when fallbackUsed was last updated
+	demandRate     float64       // units per second, exponentially decayed
+	demandAt       time.Duration // when demandRate was last updated
 }
 
-// NewClient returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
+// NewClient returns a client without leases. fallbackPeriod is how long it may use its fallback share without contact
+// to the allocator.
 func NewClient(name string, fallbackPeriod time.Duration) *Client {
 	return &Client{name: name, fallbackPeriod: fallbackPeriod, clients: 1, limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{}}
 }
 
-// SetLimits replaces the limits.
+// SetLimits replaces the configured limits.
 func (c *Client) SetLimits(limits map[string]Limit) {
 	c.limits = limits
 	for name := range c.balances {
@@ -68,11 +69,11 @@
 	}
 }
 
-// IsLimited reports whether a resource is limited.
+// IsLimited reports whether a resource has a limit.
 func (c *Client) IsLimited(name string) bool { _, limited := c.limit(name); return limited }
 
-// RecordContact notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
-// shared.
+// RecordContact records that a request made at the given time was answered, and the number of clients that share the
+// fallback amounts.
 func (c *Client) RecordContact(requestedAt time.Duration, clients int) {
 	c.lastContact = max(c.lastContact, requestedAt)
 	c.clients = max(1, float64(clients))
@@ -87,14 +88,14 @@
 	return b
 }
 
-// Take takes an amount from what was lent.
+// Take takes an amount from the leases and counts it as demand.
 func (c *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
 	b := c.balance(name)
 	b.observeDemand(now, amount)
 	return b.take(now, name, amount)
 }
 
-// RetryTake takes an amount that was wanted before, so that it is not counted as demand once more.
+// RetryTake takes an amount whose demand was already counted.
 func (c *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
 	return c.balance(name).take(now, name, amount)
 }
@@ -109,10 +110,10 @@
 		return Lease{}, false
 	}
 	result := Lease{Name: name, Amount: amount}
-	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a trace of what the pieces add up to
+	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a remainder
 		lease := &b.leases[0]
 		if result.ExpiresAt == 0 {
-			result.ExpiresAt = lease.ExpiresAt // the first piece ends first
+			result.ExpiresAt = lease.ExpiresAt // leases are sorted by expiry
 		}
 		part := min(left, lease.Amount)
 		left -= part
@@ -124,18 +125,18 @@
 	return result, true
 }
 
-// expire drops what may be used no more.
+// expire drops expired leases.
 func (b *balance) expire(now time.Duration) {
 	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool { return !lease.Valid(now) })
 }
 
-// observeDemand counts a demand.
+// observeDemand adds an amount to the measured demand.
 func (b *balance) observeDemand(now time.Duration, amount float64) {
 	b.demandRate = b.demandRate*math.Exp(-float64(now-b.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
 	b.demandAt = now
 }
 
-// Release gives back to the pocket what was taken and not used.
+// Release returns an unused lease to the client's balance.
 func (c *Client) Release(now time.Duration, lease Lease) {
 	if !c.IsLimited(lease.Name) || lease.Amount <= 0 {
 		return
@@ -155,14 +156,15 @@
 	b.leases = slices.Insert(b.leases, index, lease)
 }
 
-// Demand is an amount that is waited for.
+// Demand is an amount that a caller is waiting for.
 type Demand struct {
 	Name       string
 	Amount     float64
-	Advertised *AdvertisedLimit // where the resource names its limit itself, else nil
+	Advertised *AdvertisedLimit // set if the resource advertises its own limit
 }
 
-// NewRequest returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
+// NewRequest returns a request for the given demands, to be sent once. It also returns unused leases that expire
+// soon.
 func (c *Client) NewRequest(now time.Duration, demands []Demand) Request {
 	c.sequence++
 	request := Request{Client: c.name, Sequence: c.sequence}
@@ -178,7 +180,7 @@
 	return request
 }
 
-// prefetch returns how much more than an amount is worth asking for: so many more of the kind.
+// prefetch returns how much to request in addition to an amount, as a multiple of it.
 func (b *balance) prefetch(amount float64) float64 {
 	needed := b.demandRate * LeaseTTL.Seconds()
 	if needed < minPrefetchRatio*amount {
@@ -187,7 +189,7 @@
 	return amount * math.Floor(prefetchFraction*needed/amount)
 }
 
-// takeExpiring takes out what ends soon and nobody has taken.
+// takeExpiring removes the leases that expire soon and returns their sum.
 func (b *balance) takeExpiring(now time.Duration) float64 {
 	b.expire(now)
 	amount := 0.0
@@ -201,16 +203,16 @@
 	return amount
 }
 
-// Result is what became of a want: a hold, or what the lender said instead.
+// Result is the outcome of a demand: a lease, or the reason why there is none.
 type Result struct {
 	Lease      Lease
 	RetryAfter time.Duration
 	WarmingUp  bool
-	Unenforced bool // the lender doesn't count resources that name their limits
+	Unenforced bool // the allocator does not enforce advertised limits
 }
 
-// ApplyReply takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
-// answer that comes twice, or from a lender before the newest one, gives nothing.
+// ApplyReply applies the reply to the newest request, which was made at requestedAt, and returns the outcome of each
+// demand. Duplicate replies and replies of earlier allocators yield nothing.
 func (c *Client) ApplyReply(now, requestedAt time.Duration, demands []Demand, reply Reply) []Result {
 	results := make([]Result, len(demands))
 	if reply.Term < c.term || reply.Sequence != c.sequence || c.repliedSequence == c.sequence || len(reply.Grants) != len(demands) {
@@ -233,18 +235,18 @@
 	return results
 }
 
-// TakeFallback takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
-// rate since it was last in touch.
+// TakeFallback takes an amount from the fallback share, for a client that gets no reply: its equal share of the
+// reserve, and of the rate since the last contact.
 func (c *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
 	return c.takeShare(now, name, amount, now-c.lastContact)
 }
 
-// TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
+// TakeReserve takes an amount from the equal share of the reserve, for a client whose allocator is warming up.
 func (c *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
 	return c.takeShare(now, name, amount, 0)
 }
 
-// takeShare takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
+// takeShare takes an amount from the client's share of the reserve and of the rate during a silence.
 func (c *Client) takeShare(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
 	limit, limited := c.limit(name)
 	if !limited || now-c.lastContact > c.fallbackPeriod || c.lastContact == 0 {
@@ -260,10 +262,11 @@
 	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
-// fallbackRecoveryPeriod is how long use of the own part counts: the longest window that limits are judged in.
+// fallbackRecoveryPeriod is how long a fully used reserve takes to recover: the longest window in which limits are
+// checked.
 const fallbackRecoveryPeriod = 10 * time.Second
 
-// decayFallbackUse lets what was used of the own part be forgotten, a whole reserve in ownMemory.
+// decayFallbackUse reduces the recorded use by a whole reserve per fallbackRecoveryPeriod.
 func (b *balance) decayFallbackUse(now time.Duration, reserve float64) {
 	elapsed := now - b.fallbackUsedAt
 	b.fallbackUsedAt = now
