--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// prefetchFloorFraction of the capacity stays in the account when amounts are lent ahead of their need.
+// prefetchFloorFraction of the capacity is left in the bucket when amounts are prefetched.
 const prefetchFloorFraction = 0.5
 
-// warmUpFills is how many times an account must have had the time to fill before it counts as one that began long ago: calm callers
-// use about half of a limit.
+// warmUpFills is how many times a bucket must have had time to fill before it counts as warmed up, assuming that
+// callers use about half of the limit.
 const warmUpFills = 2
 
-// overLimitPeriod is how long after its last refusal a resource still counts as over its limit.
+// overLimitPeriod is how long after a refusal a resource is reported as over its limit.
 const overLimitPeriod = time.Second
 
-// Allocator keeps the whole of each limited resource.
+// Allocator tracks the total of each limited resource in a token bucket.
 type Allocator struct {
 	term       uint64
 	buckets    map[string]*bucket
-	advertised map[string]*advertisedBucket // of resources that name their limits
-	withheld   float64                      // part of all rates that is kept back, 0 to 1
-	sequences  map[string]uint64            // by borrower: of its newest question
+	advertised map[string]*advertisedBucket // resources that advertise their limits
+	withheld   float64                      // fraction of all rates, 0 to 1
+	sequences  map[string]uint64            // newest request, by client
 }
 
-// bucket is one resource.
+// bucket is the token bucket of one resource.
 type bucket struct {
 	limit     Limit
-	level     float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
-	createdAt time.Duration // with nothing
-	updatedAt time.Duration // when level and queue were right
-	backlog   float64       // refused and not come back yet, as far as that can be known
-	granted   float64       // since the lender began, less what was given back
+	level     float64       // units available; negative after an amount above the capacity
+	createdAt time.Duration // empty
+	updatedAt time.Duration // when level and backlog were last updated
+	backlog   float64       // estimate of what was refused and has not been retried yet
+	granted   float64       // since the allocator was created, less returned amounts
 	refused   float64
-	limitedAt time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
+	limitedAt time.Duration // newest refusal caused by the limit, not by the warm-up; 0 if none
 }
 
-// NewAllocator returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
+// NewAllocator returns an allocator without resources. Each leader term has its own; only one may grant amounts at a
+// time.
 func NewAllocator(term uint64) *Allocator {
 	return &Allocator{term: term, buckets: map[string]*bucket{}, advertised: map[string]*advertisedBucket{}, sequences: map[string]uint64{}}
 }
 
-// SetLimits replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
-// new capacity.
+// SetLimits replaces the limits. Buckets of new resources start empty; a lowered limit caps the level at the new
+// capacity.
 func (a *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
 		b := a.buckets[name]
@@ -59,7 +60,7 @@
 	maps.DeleteFunc(a.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
 }
 
-// Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
+// Withhold sets the fraction of all rates to withhold for clients that are out of contact.
 func (a *Allocator) Withhold(now time.Duration, fraction float64) {
 	if fraction == a.withheld {
 		return
@@ -73,7 +74,7 @@
 	a.withheld = fraction
 }
 
-// Allocate answers a question.
+// Allocate answers a request.
 func (a *Allocator) Allocate(now time.Duration, request Request) Reply {
 	if request.Sequence > a.sequences[request.Client] {
 		a.sequences[request.Client] = request.Sequence
@@ -86,7 +87,7 @@
 	return reply
 }
 
-// reclaim adds what a borrower gives back.
+// reclaim adds returned amounts to their buckets.
 func (a *Allocator) reclaim(now time.Duration, returned []Grant) {
 	for _, grant := range returned {
 		b := a.buckets[grant.Name]
@@ -97,20 +98,21 @@
 			continue
 		}
 		b.refill(now, a.withheld)
-		amount := min(grant.Amount, b.granted) // a new lender takes nothing back that it never lent
+		amount := min(grant.Amount, b.granted) // amounts granted by an earlier allocator don't count
 		b.level = min(b.limit.capacity(), b.level+amount)
 		b.granted -= amount
 	}
 }
 
-// grant lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
+// grant grants an amount in full or not at all. One slightly above the capacity is granted from a full bucket, whose
+// level then becomes negative.
 func (a *Allocator) grant(now time.Duration, item RequestItem) Grant {
 	if item.Advertised != nil {
 		return a.grantAdvertised(now, item)
 	}
 	b := a.buckets[item.Name]
 	if b == nil {
-		return Grant{Name: item.Name, Amount: item.Amount} // the limit was taken away, which the borrower has not heard yet
+		return Grant{Name: item.Name, Amount: item.Amount} // the limit was removed; the client has not been told yet
 	}
 	b.refill(now, a.withheld)
 	capacity := b.limit.capacity()
@@ -124,12 +126,12 @@
 	return Grant{Name: item.Name, Amount: amount}
 }
 
-// warmingUp reports whether the account may lack what it would hold if it had not begun with nothing.
+// warmingUp reports whether the level may be low only because the bucket started empty.
 func (b *bucket) warmingUp(now time.Duration) bool {
 	return (now-b.createdAt).Seconds()*b.limit.Rate < warmUpFills*b.limit.capacity()
 }
 
-// refuse notes a refusal and returns when to come back: after those that were refused before.
+// refuse records a refusal and returns the retry delay, which accounts for earlier refusals.
 func (b *bucket) refuse(now time.Duration, amount float64) time.Duration {
 	b.refused += amount
 	if !b.warmingUp(now) {
@@ -141,7 +143,7 @@
 	return min(max(wait, 0), maxRetryAfter)
 }
 
-// refill adds what has come in since the account was last right.
+// refill adds the tokens that accumulated since the last update.
 func (b *bucket) refill(now time.Duration, withheld float64) {
 	elapsed := (now - b.updatedAt).Seconds()
 	if elapsed <= 0 {
@@ -152,18 +154,18 @@
 	b.backlog = max(0, min(b.backlog-elapsed*b.limit.Rate, b.limit.Rate*maxRetryAfter.Seconds()))
 }
 
-// State is what a lender can tell of one resource.
+// State describes one resource of an allocator.
 type State struct {
 	Name      string  `json:"name"`
 	Limit     Limit   `json:"limit"`
-	Level     float64 `json:"level"`    // that may be lent now
-	Granted   float64 `json:"lent"`     // since the lender began
-	Refused   float64 `json:"refused"`  // since the lender began
-	OverLimit bool    `json:"over"`     // something was refused a moment ago
-	Withheld  float64 `json:"withheld"` // part of the rate that is kept back
+	Level     float64 `json:"level"`    // available now
+	Granted   float64 `json:"lent"`     // since the allocator was created
+	Refused   float64 `json:"refused"`  // since the allocator was created
+	OverLimit bool    `json:"over"`     // an amount was refused recently
+	Withheld  float64 `json:"withheld"` // fraction of the rate
 }
 
-// States returns all resources, rising by name.
+// States returns the state of all resources, sorted by name.
 func (a *Allocator) States(now time.Duration) []State {
 	states := make([]State, 0, len(a.buckets))
 	for name, b := range a.buckets {
