--- a/internal/allowance/named.go
+++ b/internal/allowance/named.go
@@ -11,44 +11,47 @@
 )
 
 const (
-	// advertisedWindow is the longest window that limits are judged in which resources name themselves. A lower one binds until no window holds
-	// anything of its time any more.
+	// advertisedWindow is the longest window in which advertised limits are checked. A lowered limit applies until no
+	// window includes the time at which it was in force.
 	advertisedWindow = 4 * time.Second
-	// maxAdvertisedRate bounds the rate, in units a second. pushback.LeastRate does from below: of a resource that takes less, or nothing, one unit in a
-	// window is lent all the same.
+	// maxAdvertisedRate caps advertised rates, in units per second. pushback.MinRate is the lower bound: a resource
+	// that accepts less, or nothing, still gets one unit per window.
 	maxAdvertisedRate = 1e6
-	// advertisedBurst is how much of the rate may be lent at once beside one unit, in seconds: without any, what comes in between two questions would
-	// be lost; with a quarter of a second a window holds 4.45 s of the rate and 1.3 units at the most, lent ahead included.
+	// advertisedBurst is how much of the rate, in seconds, may be granted at once in addition to one unit. Without
+	// it, tokens that accumulate between two requests would be lost; with it, a window holds at most 4.45 s of the
+	// rate and 1.3 units, including prefetched amounts.
 	advertisedBurst = 0.25
-	// advertisedSlack is how much of the rate, beside one unit, a window may hold beyond that for borrowers out of touch, in seconds.
+	// advertisedSlack is how much of the rate, in seconds, a window may further hold, in addition to one unit, for
+	// clients that cannot reach the allocator.
 	advertisedSlack = 0.5
-	// advertisedTTL is how long an account is kept that nobody asks for. A new one begins with nothing.
+	// advertisedTTL is how long an unused bucket is kept. A new bucket starts empty.
 	advertisedTTL = 10 * time.Second
 )
 
-// AdvertisedLimit is a limit that a resource names itself, as a borrower heard it.
+// AdvertisedLimit is a limit that a resource states itself, as observed by a client.
 type AdvertisedLimit struct {
-	Rate float64       `json:"r"` // units a second
-	Age  time.Duration `json:"g"` // since it was last heard
+	Rate float64       `json:"r"` // units per second
+	Age  time.Duration `json:"g"` // since it was last observed
 }
 
-// limit returns what may be used of a resource that names a rate.
+// limit returns the limit to enforce for an advertised rate.
 func (a AdvertisedLimit) limit() Limit {
 	rate := min(max(a.Rate, pushback.MinRate), maxAdvertisedRate)
 	return Limit{Rate: rate, Burst: 1 + advertisedBurst*rate, Slack: 1 + advertisedSlack*rate}
 }
 
-// advertisedBucket is a resource that names its limit. It begins with nothing when it is first asked for.
+// advertisedBucket is the bucket of a resource that advertises its limit. It is created, empty, with the first
+// request.
 type advertisedBucket struct {
 	bucket
-	latest      Limit         // by the word that was heard last
-	latestAt    time.Duration // when that was heard
-	raiseAt     time.Duration // when the newest counts although it is higher; 0 it counts
+	latest      Limit         // most recently observed limit
+	latestAt    time.Duration // when it was observed
+	raiseAt     time.Duration // when latest takes effect if it is higher; 0 if no raise is pending
 	requestedAt time.Duration
 }
 
-// grantAdvertised lends an amount of a resource that names its limit, whole or not at all. What is refused goes elsewhere, so that nothing is kept for
-// it, and the time to wait is that until the next amount.
+// grantAdvertised grants an amount in full or not at all. Refused requests go to another resource, so they are not
+// added to the backlog, and the retry delay is the time until the amount is available.
 func (a *Allocator) grantAdvertised(now time.Duration, item RequestItem) Grant {
 	b := a.advertised[item.Name]
 	if b == nil {
@@ -64,15 +67,17 @@
 		wait := time.Duration((item.Amount - b.level) / b.limit.Rate * float64(time.Second))
 		return Grant{Name: item.Name, RetryAfter: min(wait, maxRetryAfter), Enforced: true}
 	}
-	prefetch := math.Floor(max(0, min(item.Prefetch, b.level-item.Amount-prefetchFloorFraction*b.limit.capacity()))) // whole units: a part of one is of no use
+	// Only whole units can be used.
+	prefetch := math.Floor(max(0, min(item.Prefetch, b.level-item.Amount-prefetchFloorFraction*b.limit.capacity())))
 	amount := item.Amount + prefetch
 	b.level -= amount
 	b.granted += amount
 	return Grant{Name: item.Name, Amount: amount, Enforced: true}
 }
 
-// observe takes up what a borrower heard. Of two words the later counts; a lower limit counts at once, also an earlier one that a window may still
-// hold something of, and a higher one once none does.
+// observe applies a limit observed by a client. The latest observation wins. A lower limit applies at once, even if
+// observed earlier, as long as a window may include that time; a higher one applies once no window includes the time
+// of the lower one.
 func (b *advertisedBucket) observe(now time.Duration, advertised AdvertisedLimit) {
 	observedAt, limit := now-advertised.Age, advertised.limit()
 	if observedAt >= b.latestAt {
@@ -96,18 +101,19 @@
 	}
 }
 
-// setLimit puts a limit in force.
+// setLimit makes a limit effective.
 func (b *advertisedBucket) setLimit(limit Limit) {
 	b.limit = limit
 	b.level = min(b.level, limit.capacity())
 }
 
-// SweepAdvertised drops the accounts of resources that name their limits and that nobody has asked for lately.
+// SweepAdvertised removes the unused buckets of resources that advertise their limits.
 func (a *Allocator) SweepAdvertised(now time.Duration) {
 	maps.DeleteFunc(a.advertised, func(_ string, b *advertisedBucket) bool { return now-b.requestedAt > advertisedTTL })
 }
 
-// AdvertisedStates returns the resources that name their limits and were asked for lately: those of which most was refused, rising by name, so many at most.
+// AdvertisedStates returns the states of at most limit resources that advertise their limits, those with the largest
+// refused amounts, sorted by name.
 func (a *Allocator) AdvertisedStates(now time.Duration, limit int) []State {
 	states := make([]State, 0, len(a.advertised))
 	for name, b := range a.advertised {
@@ -120,13 +126,13 @@
 	return states
 }
 
-// knownLimit is what a borrower knows of a resource that names its limit.
+// knownLimit is an advertised limit known to a client.
 type knownLimit struct {
 	limit  Limit
-	usedAt time.Duration // when it was last asked for
+	usedAt time.Duration // when it was last set
 }
 
-// SetAdvertisedLimit notes the limit that a resource names, before an amount of it is taken.
+// SetAdvertisedLimit records the limit that a resource advertises, to be called before an amount of it is taken.
 func (c *Client) SetAdvertisedLimit(now time.Duration, name string, advertised AdvertisedLimit) {
 	c.advertised[name] = knownLimit{advertised.limit(), now}
 	if now < c.advertisedSweptAt+advertisedTTL {
@@ -141,7 +147,7 @@
 	}
 }
 
-// limit returns the limit of a resource.
+// limit returns the configured or advertised limit of a resource.
 func (c *Client) limit(name string) (limit Limit, limited bool) {
 	if limit, limited = c.limits[name]; limited {
 		return limit, true
