--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -1,5 +1,5 @@
-// Package desk lets the requests of one process take amounts of limited resources: from what the process holds, else with one
-// question to the lender for all that wait. One thread asks.
+// Package desk lets the requests of one process acquire amounts of limited resources: from the leases that the
+// process holds, or else by requests to the allocator, which one goroutine sends for all waiting callers.
 package desk
 
 import (
@@ -12,97 +12,99 @@
 )
 
 const (
-	// requestTimeout is how long the lender may take: some times the way to the furthest region and back.
+	// requestTimeout bounds one request to the allocator: several round trips to the furthest region.
 	requestTimeout = 150 * time.Millisecond
-	// retryInterval is the pause after a question without an answer.
+	// retryInterval is the delay after a failed request.
 	retryInterval = 25 * time.Millisecond
-	// maxShortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
-	// objective.
+	// maxShortWait is how long a caller waits for an amount that is available soon, instead of being refused.
 	maxShortWait = 40 * time.Millisecond
-	// maxWaiting bounds the requests that wait for an answer.
+	// maxWaiting bounds the number of waiting callers.
 	maxWaiting = 4096
 )
 
-// Outcome tells what became of a wish.
+// Outcome is the result of an attempt to acquire an amount.
 type Outcome uint8
 
-// Outcomes.
 const (
-	Granted      Outcome = iota // the hold may be used once; where the resource is not limited it is empty
-	LimitReached                // the limit is reached; Wait tells when to come back
-	Unavailable                 // nobody could be asked, and the own part is used up
+	Granted      Outcome = iota // the lease may be used once; it is empty if the resource has no limit
+	LimitReached                // RetryAfter tells when to try again
+	Unavailable                 // the allocator could not be reached and the fallback share is used up
 )
 
-// Result is an outcome and what belongs to it.
+// Result is an outcome with the lease or the retry delay that belongs to it.
 type Result struct {
 	Outcome    Outcome
 	Lease      allowance.Lease
 	RetryAfter time.Duration
 }
 
-// RequestFunc asks the lender once.
+// RequestFunc sends one request to the allocator.
 type RequestFunc func(ctx context.Context, request allowance.Request) (allowance.Reply, error)
 
-// LeasePool is safe for concurrent use.
+// LeasePool holds the leases of one process. It is safe for concurrent use.
 type LeasePool struct {
 	request RequestFunc
-	now     func() time.Duration // steady
-	wake    chan struct{}        // has an item when something waits; room for one
+	now     func() time.Duration // monotonic
+	wake    chan struct{}        // buffered; signals that callers are waiting
 
 	mu       sync.Mutex
 	client   *allowance.Client // guarded by mu
-	waiting  []*waiter         // guarded by mu; at most waitingMost
-	failed   uint64            // questions without an answer; guarded by mu
-	requests uint64            // questions; guarded by mu
+	waiting  []*waiter         // guarded by mu; at most maxWaiting
+	failed   uint64            // requests without a reply; guarded by mu
+	requests uint64            // guarded by mu
 }
 
-// waiter is an amount that a request waits for.
+// waiter is a caller that waits for an amount.
 type waiter struct {
 	allowance.Demand
-	notBefore time.Duration // not to be asked for before
-	deadline  time.Duration // the request waits no longer
-	done      chan Result   // has room for the one result
+	notBefore time.Duration // earliest time of the next request for it
+	deadline  time.Duration // when the caller stops waiting; 0 if it was canceled
+	done      chan Result   // buffered for the one result
 }
 
-// New returns the desk of a process. trust is how long the process may act on what a lender told it last.
+// New returns a pool. fallbackPeriod is how long the process may use its fallback shares without contact to the
+// allocator.
 func New(name string, fallbackPeriod time.Duration, now func() time.Duration, request RequestFunc) *LeasePool {
 	return &LeasePool{request: request, now: now, wake: make(chan struct{}, 1), client: allowance.NewClient(name, fallbackPeriod)}
 }
 
-// SetLimits replaces the limits.
+// SetLimits replaces the configured limits.
 func (p *LeasePool) SetLimits(limits map[string]allowance.Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.client.SetLimits(limits)
 }
 
-// RecordContact notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
+// RecordContact records that the allocator's process answered a request made at the given time, and the number of
+// clients that share the fallback amounts.
 func (p *LeasePool) RecordContact(requestedAt time.Duration, clients int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.client.RecordContact(requestedAt, clients)
 }
 
-// Release gives back what was taken and not used.
+// Release returns an unused lease.
 func (p *LeasePool) Release(lease allowance.Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.client.Release(p.now(), lease)
 }
 
-// RequestCounts returns how many questions were asked, and how many of them got no answer.
+// RequestCounts returns how many requests were sent and how many of them got no reply.
 func (p *LeasePool) RequestCounts() (requests, failed uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.requests, p.failed
 }
 
-// Acquire takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
+// Acquire acquires an amount of a resource. It waits for the allocator's reply; if there is none, it waits at most
+// maxWait.
 func (p *LeasePool) Acquire(ctx context.Context, name string, amount float64, maxWait time.Duration) Result {
 	return p.acquire(ctx, allowance.Demand{Name: name, Amount: amount}, maxWait)
 }
 
-// AcquireAdvertised takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
+// AcquireAdvertised acquires one unit of a resource that advertises its limit. It waits for the allocator's reply,
+// but not for units that become available later.
 func (p *LeasePool) AcquireAdvertised(ctx context.Context, name string, advertised allowance.AdvertisedLimit) Result {
 	p.mu.Lock()
 	p.client.SetAdvertisedLimit(p.now(), name, advertised)
@@ -127,7 +129,7 @@
 	return result
 }
 
-// takeOrEnqueue takes from what is held, or lets a wish wait.
+// takeOrEnqueue takes an amount from the leases held, or enqueues a waiter.
 func (p *LeasePool) takeOrEnqueue(demand allowance.Demand, maxWait time.Duration) (*waiter, Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +148,7 @@
 	return w, Result{}
 }
 
-// cancel ends a wish whose request is over; what it got meanwhile goes back.
+// cancel removes a waiter whose caller is gone and releases what it was granted in the meantime.
 func (p *LeasePool) cancel(w *waiter) Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,12 +157,12 @@
 	case result := <-w.done:
 		p.client.Release(p.now(), result.Lease)
 	default:
-		w.deadline = 0 // a question may be on its way for it; what that brings stays in the pocket
+		w.deadline = 0 // if a request for it is in flight, finish releases what it grants
 	}
 	return Result{Outcome: Unavailable}
 }
 
-// Run is the thread that asks the lender, until ctx ends.
+// Run sends requests to the allocator until ctx ends.
 func (p *LeasePool) Run(ctx context.Context) {
 	for {
 		select {
@@ -178,7 +180,8 @@
 	}
 }
 
-// requestOnce asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
+// requestOnce sends one request for all waiters that are due. waiting reports whether some are left, to be served
+// after delay.
 func (p *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
 	batch, demands, request := p.nextBatch()
 	if len(batch) > 0 {
@@ -196,7 +199,7 @@
 	return p.nextDelay(delay)
 }
 
-// nextBatch takes the wishes whose time has come and that the pocket does not hold by now.
+// nextBatch removes the waiters that are due and returns those that cannot be served from the leases held by now.
 func (p *LeasePool) nextBatch() (batch []*waiter, demands []allowance.Demand, request allowance.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +223,7 @@
 	return batch, demands, p.client.NewRequest(now, demands)
 }
 
-// handleFailure serves from the own part; the rest waits on, as long as it may.
+// handleFailure serves waiters from the fallback share and requeues the others until their deadlines.
 func (p *LeasePool) handleFailure(batch []*waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,7 +238,7 @@
 	}
 }
 
-// handleReply passes on what was lent.
+// handleReply distributes the granted amounts.
 func (p *LeasePool) handleReply(requestedAt time.Duration, batch []*waiter, demands []allowance.Demand, reply allowance.Reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,7 +246,7 @@
 	for i, result := range p.client.ApplyReply(now, requestedAt, demands, reply) {
 		w := batch[i]
 		if result.Lease.Amount == 0 {
-			result.Lease, _ = p.client.RetryTake(now, w.Name, w.Amount) // of what was lent ahead for another
+			result.Lease, _ = p.client.RetryTake(now, w.Name, w.Amount) // from amounts prefetched for others
 		}
 		if result.Lease.Amount == 0 && result.WarmingUp {
 			result.Lease, _ = p.client.TakeReserve(now, w.Name, w.Amount)
@@ -262,7 +265,8 @@
 	}
 }
 
-// requeue lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
+// requeue enqueues a waiter for the next request, or finishes it with the given result if its deadline has passed.
+// The caller holds mu.
 func (p *LeasePool) requeue(now time.Duration, w *waiter, otherwise Result) {
 	if now >= w.deadline {
 		p.finish(w, otherwise)
@@ -271,7 +275,7 @@
 	p.waiting = append(p.waiting, w)
 }
 
-// finish gives a wish its result; one that was left gives it back. The caller holds mu.
+// finish passes a result to a waiter; if the waiter was canceled, the lease is released. The caller holds mu.
 func (p *LeasePool) finish(w *waiter, result Result) {
 	if w.deadline == 0 {
 		p.client.Release(p.now(), result.Lease)
@@ -280,7 +284,7 @@
 	w.done <- result
 }
 
-// nextDelay returns how long to wait until somebody has to be asked for again.
+// nextDelay returns how long to wait until the next waiter is due, and whether there is any.
 func (p *LeasePool) nextDelay(minDelay time.Duration) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
