--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -54,13 +54,13 @@
 
 // TestSingleQueuedRequestIsNotStandingQueue: where requests are few, a single one that meets a queue slides nothing.
 func TestSingleQueuedRequestIsNotStandingQueue(t *testing.T) {
-	j := &Controller{}
+	c := &Controller{}
 	for i := range 20 {
 		queue := time.Duration(0)
 		if i%10 == 9 {
 			queue = objective * 6 / 10
 		}
-		if _, refuse := j.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); refuse {
+		if _, refuse := c.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); refuse {
 			t.Fatalf("number %d is refused", i)
 		}
 	}
