--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -68,23 +68,23 @@
 
 // TestPredictionErrorIsCorrectedPerPriority for each rank by itself: what the urgent wait less than was predicted lets them in.
 func TestPredictionErrorIsCorrectedPerPriority(t *testing.T) {
-	j := &Controller{}
+	c := &Controller{}
 	for range 200 {
-		j.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
-		j.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
-		j.ObserveWait(0, minObservedPrediction-1, time.Hour) // teaches nothing
+		c.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
+		c.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
+		c.ObserveWait(0, minObservedPrediction-1, time.Hour) // teaches nothing
 	}
-	urgent, other := j.ExpectedWait(0, 1500*time.Millisecond), j.ExpectedWait(1, 400*time.Millisecond)
+	urgent, other := c.ExpectedWait(0, 1500*time.Millisecond), c.ExpectedWait(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
-	if _, refuse := j.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
+	if _, refuse := c.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
-		j.ObserveWait(5, time.Second, 0)
+		c.ObserveWait(5, time.Second, 0)
 	}
-	if lowest := j.ExpectedWait(5, time.Second); lowest < time.Second/(maxCorrection+1) {
+	if lowest := c.ExpectedWait(5, time.Second); lowest < time.Second/(maxCorrection+1) {
 		t.Fatalf("%v is expected", lowest)
 	}
 }
