--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -91,22 +91,22 @@
 
 // TestRetriedRequestIsPreferred: at a queue at which new ones are refused, and only for a while.
 func TestRetriedRequestIsPreferred(t *testing.T) {
-	j := &Controller{}
-	if _, refuse := j.Decide(0, newRequest("a", time.Second, 0.5)); !refuse {
+	c := &Controller{}
+	if _, refuse := c.Decide(0, newRequest("a", time.Second, 0.5)); !refuse {
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
-	j.loads[1] = smoothedLoad{updatedAt: time.Second}
-	if _, refuse := j.Decide(time.Second, newRequest("b", queue, 0.3)); !refuse {
+	c.loads[1] = smoothedLoad{updatedAt: time.Second}
+	if _, refuse := c.Decide(time.Second, newRequest("b", queue, 0.3)); !refuse {
 		t.Fatal("a new one is let in")
 	}
-	if _, refuse := j.Decide(time.Second, newRequest("a", queue, 0.3)); refuse {
+	if _, refuse := c.Decide(time.Second, newRequest("a", queue, 0.3)); refuse {
 		t.Fatal("one that comes back is refused")
 	}
-	if _, refuse := j.Decide(time.Second, newRequest("a", queue, 0.3)); !refuse {
+	if _, refuse := c.Decide(time.Second, newRequest("a", queue, 0.3)); !refuse {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := j.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !refuse {
+	if _, refuse := c.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !refuse {
 		t.Fatal("it is remembered for ever")
 	}
 }
