--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -133,15 +133,15 @@
 
 // TestRecordedRejectionsAreBounded.
 func TestRecordedRejectionsAreBounded(t *testing.T) {
-	j := &Controller{}
+	c := &Controller{}
 	for i := range maxRejections + 100 {
-		j.Decide(time.Duration(i), newRequest(fmt.Sprint(i), time.Hour, 0))
+		c.Decide(time.Duration(i), newRequest(fmt.Sprint(i), time.Hour, 0))
 	}
-	if len(j.rejectedAt) > maxRejections {
-		t.Fatalf("%d are remembered", len(j.rejectedAt))
+	if len(c.rejectedAt) > maxRejections {
+		t.Fatalf("%d are remembered", len(c.rejectedAt))
 	}
-	j.Sweep(time.Hour)
-	if len(j.rejectedAt) > 0 {
-		t.Fatalf("%d are remembered after an hour", len(j.rejectedAt))
+	c.Sweep(time.Hour)
+	if len(c.rejectedAt) > 0 {
+		t.Fatalf("%d are remembered after an hour", len(c.rejectedAt))
 	}
 }
