--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,7 +47,7 @@
 			before = rejected
 		}
 	}
-	if _, refuse := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); refuse {
+	if _, reject := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); reject {
 		t.Fatal("refused without an objective")
 	}
 }
