--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -60,7 +60,7 @@
 		if i%10 == 9 {
 			queue = objective * 6 / 10
 		}
-		if _, refuse := c.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); refuse {
+		if _, reject := c.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); reject {
 			t.Fatalf("number %d is refused", i)
 		}
 	}
