--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -78,7 +78,7 @@
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
 		t.Fatalf("%v and %v are expected", urgent, other)
 	}
-	if _, refuse := c.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); refuse {
+	if _, reject := c.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); reject {
 		t.Fatal("an urgent request is refused for others' queue")
 	}
 	for range 10_000 {
