--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -92,7 +92,7 @@
 // TestRetriedRequestIsPreferred: at a queue at which new ones are refused, and only for a while.
 func TestRetriedRequestIsPreferred(t *testing.T) {
 	c := &Controller{}
-	if _, refuse := c.Decide(0, newRequest("a", time.Second, 0.5)); !refuse {
+	if _, reject := c.Decide(0, newRequest("a", time.Second, 0.5)); !reject {
 		t.Fatal("not refused")
 	}
 	queue := 720 * time.Millisecond
