--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -97,7 +97,7 @@
 	}
 	queue := 720 * time.Millisecond
 	c.loads[1] = smoothedLoad{updatedAt: time.Second}
-	if _, refuse := c.Decide(time.Second, newRequest("b", queue, 0.3)); !refuse {
+	if _, reject := c.Decide(time.Second, newRequest("b", queue, 0.3)); !reject {
 		t.Fatal("a new one is let in")
 	}
 	if _, refuse := c.Decide(time.Second, newRequest("a", queue, 0.3)); refuse {
