--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -100,7 +100,7 @@
 	if _, reject := c.Decide(time.Second, newRequest("b", queue, 0.3)); !reject {
 		t.Fatal("a new one is let in")
 	}
-	if _, refuse := c.Decide(time.Second, newRequest("a", queue, 0.3)); refuse {
+	if _, reject := c.Decide(time.Second, newRequest("a", queue, 0.3)); reject {
 		t.Fatal("one that comes back is refused")
 	}
 	if _, refuse := c.Decide(time.Second, newRequest("a", queue, 0.3)); !refuse {
