--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -106,7 +106,7 @@
 	if _, reject := c.Decide(time.Second, newRequest("a", queue, 0.3)); !reject {
 		t.Fatal("it goes first twice")
 	}
-	if _, refuse := c.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !refuse {
+	if _, reject := c.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !reject {
 		t.Fatal("it is remembered for ever")
 	}
 }
