--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -84,7 +84,7 @@
 				return
 			}
 			latest[incarnation] = observed{at, limit}
-			if wantChanged := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != wantChanged {
+			if expected := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != expected {
 				t.Fatalf("%+v after %+v: news %v", limit, before, news)
 			}
 		}
