--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -79,13 +79,13 @@
 		incarnations := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
 		observe := func(at time.Duration, incarnation catalog.Life, limit Limit) {
 			before := latest[incarnation]
-			news := tracker.ObserveLimit(at, incarnation, limit)
+			changed := tracker.ObserveLimit(at, incarnation, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
 			latest[incarnation] = observed{at, limit}
-			if expected := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; news != expected {
-				t.Fatalf("%+v after %+v: news %v", limit, before, news)
+			if expected := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; changed != expected {
+				t.Fatalf("%+v after %+v: news %v", limit, before, changed)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
