--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -20,12 +20,12 @@
 // a life before it was heard to ask for, unless it began clearly later.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tracker, now, began := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
+		tracker, now, epoch := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var observations []observation
 		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Life {
 			incarnation := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if incarnation.Name == "a" {
-				incarnation.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
+				incarnation.Born = epoch.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
 			return incarnation
 		})
@@ -38,7 +38,7 @@
 					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
 				observations = append(observations, o)
-				tracker.Observe(now, began.Add(now), o.incarnation, o.signals, 0)
+				tracker.Observe(now, epoch.Add(now), o.incarnation, o.signals, 0)
 			case 1:
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 			}
@@ -46,7 +46,7 @@
 			want := Restriction{}
 			for _, o := range observations {
 				until := o.at + o.signals.Backoff
-				earlier := o.incarnation.Name == queried.Name && o.incarnation.Born < queried.Born && queried.Born <= began.Add(o.at+maxClockSkew).UnixMilli()
+				earlier := o.incarnation.Name == queried.Name && o.incarnation.Born < queried.Born && queried.Born <= epoch.Add(o.at+maxClockSkew).UnixMilli()
 				if o.incarnation == queried && o.signals.Draining {
 					want.Draining = true
 				}
