--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,7 +12,7 @@
 	return Request{Key: key, Priority: 1, PredictedWait: predictedWait, Objective: objective, Random: random}
 }
 
-// rejections returns how many of 100 requests are refused at a queue, where it has just come or stands for long.
+// rejections returns how many of 100 requests are rejected at a predicted wait, with a transient or a standing queue.
 func rejections(queue time.Duration, standing bool) int {
 	rejected := 0
 	for random := range 100 {
@@ -28,12 +28,12 @@
 	return rejected
 }
 
-// TestRejectionRateRisesWithPredictedWait: one that has just come may use the objective up, one that stands is kept short, and nothing is
-// refused for want of a queue.
+// A transient queue may use the whole objective, a standing queue is kept short, and without an objective nothing is
+// rejected.
 func TestRejectionRateRisesWithPredictedWait(t *testing.T) {
 	for _, c := range []struct {
 		standing          bool
-		noneUpTo, allFrom time.Duration // shares of the objective up to which nobody, and from which everybody, is refused
+		noneUpTo, allFrom time.Duration // predicted waits up to which none, and from which all, are rejected
 	}{
 		{false, objective * 7 / 10, objective}, {true, objective * 15 / 100, objective * 45 / 100},
 	} {
@@ -42,17 +42,17 @@
 			queue := objective * time.Duration(percent) / 100
 			rejected := rejections(queue, c.standing)
 			if queue <= c.noneUpTo && rejected > 0 || queue >= c.allFrom && rejected < 100 || rejected < before {
-				t.Fatalf("stands %t: %d of 100 are refused at a queue of %v, %d before", c.standing, rejected, queue, before)
+				t.Fatalf("standing queue %t: %d of 100 requests rejected at a predicted wait of %v, %d at the shorter wait before", c.standing, rejected, queue, before)
 			}
 			before = rejected
 		}
 	}
 	if _, reject := (&Controller{}).Decide(0, Request{PredictedWait: time.Hour}); reject {
-		t.Fatal("refused without an objective")
+		t.Fatal("request without an objective was rejected")
 	}
 }
 
-// TestSingleQueuedRequestIsNotStandingQueue: where requests are few, a single one that meets a queue slides nothing.
+// At a low request rate, single queued requests must not move the band.
 func TestSingleQueuedRequestIsNotStandingQueue(t *testing.T) {
 	c := &Controller{}
 	for i := range 20 {
@@ -61,87 +61,86 @@
 			queue = objective * 6 / 10
 		}
 		if _, reject := c.Decide(time.Duration(i)*time.Second, newRequest("", queue, 0)); reject {
-			t.Fatalf("number %d is refused", i)
+			t.Fatalf("request %d was rejected", i)
 		}
 	}
 }
 
-// TestPredictionErrorIsCorrectedPerPriority for each rank by itself: what the urgent wait less than was predicted lets them in.
+// Corrections are kept per priority, so urgent requests are admitted if they wait less than predicted.
 func TestPredictionErrorIsCorrectedPerPriority(t *testing.T) {
 	c := &Controller{}
 	for range 200 {
 		c.ObserveWait(0, 1500*time.Millisecond, 150*time.Millisecond)
 		c.ObserveWait(1, 400*time.Millisecond, 1200*time.Millisecond)
-		c.ObserveWait(0, minObservedPrediction-1, time.Hour) // teaches nothing
+		c.ObserveWait(0, minObservedPrediction-1, time.Hour) // too short to be recorded
 	}
 	urgent, other := c.ExpectedWait(0, 1500*time.Millisecond), c.ExpectedWait(1, 400*time.Millisecond)
 	if urgent < 130*time.Millisecond || urgent > 170*time.Millisecond || other < 1100*time.Millisecond || other > 1300*time.Millisecond {
-		t.Fatalf("%v and %v are expected", urgent, other)
+		t.Fatalf("expected waits of priorities 0 and 1 are %v and %v", urgent, other)
 	}
 	if _, reject := c.Decide(0, Request{Priority: 0, PredictedWait: 1500 * time.Millisecond, Objective: objective}); reject {
-		t.Fatal("an urgent request is refused for others' queue")
+		t.Fatal("urgent request was rejected although it waits less than predicted")
 	}
 	for range 10_000 {
 		c.ObserveWait(5, time.Second, 0)
 	}
 	if lowest := c.ExpectedWait(5, time.Second); lowest < time.Second/(maxCorrection+1) {
-		t.Fatalf("%v is expected", lowest)
+		t.Fatalf("expected wait is %v, below the bound of the correction", lowest)
 	}
 }
 
-// TestRetriedRequestIsPreferred: at a queue at which new ones are refused, and only for a while.
+// A retry is admitted at a load at which new requests are rejected, once, and only until the rejection expires.
 func TestRetriedRequestIsPreferred(t *testing.T) {
 	c := &Controller{}
 	if _, reject := c.Decide(0, newRequest("a", time.Second, 0.5)); !reject {
-		t.Fatal("not refused")
+		t.Fatal("request beyond the objective was admitted")
 	}
 	queue := 720 * time.Millisecond
 	c.loads[1] = smoothedLoad{updatedAt: time.Second}
 	if _, reject := c.Decide(time.Second, newRequest("b", queue, 0.3)); !reject {
-		t.Fatal("a new one is let in")
+		t.Fatal("new request was admitted")
 	}
 	if _, reject := c.Decide(time.Second, newRequest("a", queue, 0.3)); reject {
-		t.Fatal("one that comes back is refused")
+		t.Fatal("retried request was rejected")
 	}
 	if _, reject := c.Decide(time.Second, newRequest("a", queue, 0.3)); !reject {
-		t.Fatal("it goes first twice")
+		t.Fatal("request was preferred twice")
 	}
 	if _, reject := c.Decide(time.Second+rejectionTTL, newRequest("a", queue, 0.3)); !reject {
-		t.Fatal("it is remembered for ever")
+		t.Fatal("retry was preferred after its rejection expired")
 	}
 }
 
-// TestRetryAfterGrowsWithPredictedWait and is spread.
+// The retry delay grows with the predicted wait, is jittered and bounded.
 func TestRetryAfterGrowsWithPredictedWait(t *testing.T) {
 	retryAfter := func(queue time.Duration, random float64) time.Duration {
 		wait, reject := (&Controller{}).Decide(0, newRequest("", queue, random))
 		if !reject {
-			t.Fatalf("not refused at %v", queue)
+			t.Fatalf("request was admitted at a predicted wait of %v", queue)
 		}
 		return wait
 	}
 	if short, long := retryAfter(900*time.Millisecond, 0), retryAfter(2*time.Second, 0); short >= long || short < minRetryAfter {
-		t.Fatalf("%v and %v", short, long)
+		t.Fatalf("retry delays are %v at a short wait and %v at a long one", short, long)
 	}
 	if first, last := retryAfter(2*time.Second, 0), retryAfter(2*time.Second, 0.9); last <= first {
-		t.Fatalf("%v and %v", first, last)
+		t.Fatalf("retry delays are %v without jitter and %v with jitter", first, last)
 	}
 	if longest := retryAfter(time.Hour, 0.9); longest > maxRetryAfter {
-		t.Fatalf("%v", longest)
+		t.Fatalf("retry delay %v exceeds the maximum", longest)
 	}
 }
 
-// TestRecordedRejectionsAreBounded.
 func TestRecordedRejectionsAreBounded(t *testing.T) {
 	c := &Controller{}
 	for i := range maxRejections + 100 {
 		c.Decide(time.Duration(i), newRequest(fmt.Sprint(i), time.Hour, 0))
 	}
 	if len(c.rejectedAt) > maxRejections {
-		t.Fatalf("%d are remembered", len(c.rejectedAt))
+		t.Fatalf("%d rejections recorded, more than the maximum", len(c.rejectedAt))
 	}
 	c.Sweep(time.Hour)
 	if len(c.rejectedAt) > 0 {
-		t.Fatalf("%d are remembered after an hour", len(c.rejectedAt))
+		t.Fatalf("%d rejections left after an hour", len(c.rejectedAt))
 	}
 }
