--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -9,15 +9,15 @@
 	"kitetiller/internal/catalog"
 )
 
-// observation is a word as the oracle keeps it: all of them, in a list.
+// observation is one entry of the model, which keeps all signals in a list.
 type observation struct {
 	at          time.Duration
 	incarnation catalog.Life
 	signals     Signals
 }
 
-// TestTrackerMatchesModel: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
-// a life before it was heard to ask for, unless it began clearly later.
+// An incarnation is restricted while one of its own signals is in effect, or a backoff of an earlier incarnation that
+// it may have requested itself.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now, epoch := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
@@ -54,20 +54,21 @@
 					want.BackoffUntil = max(want.BackoffUntil, until)
 				}
 			}
-			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
+			// The tracker keeps one state per incarnation: its newest backoff decides which later incarnations may
+			// have requested it, so it may restrict longer than the model.
 			got := tracker.Restriction(now, queried)
 			if got.Draining != want.Draining || got.BackoffUntil < want.BackoffUntil {
-				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, want)
+				t.Fatalf("%v at %v: got %+v, want %+v", queried, now, got, want)
 			}
 			if queried.Name == "b" && got != want {
-				t.Fatalf("%v at %v: %+v, the list says %+v", queried, now, got, want)
+				t.Fatalf("%v at %v: got %+v, want %+v", queried, now, got, want)
 			}
 		}
 	})
 }
 
-// TestLimitsMatchModel: whatever is heard, in whatever order, told by others with its age, ended or swept, a life's limit is that of the latest
-// word; an answer without one ends only what was heard before its request was sent.
+// The limit of an incarnation is the latest one observed, in whatever order observations arrive. A response without a
+// limit withdraws only a limit observed before its request was sent.
 func TestLimitsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type observed struct {
@@ -85,7 +86,7 @@
 			}
 			latest[incarnation] = observed{at, limit}
 			if wantChanged := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; changed != wantChanged {
-				t.Fatalf("%+v after %+v: news %v", limit, before, changed)
+				t.Fatalf("%+v after %+v: ObserveLimit reported changed = %v", limit, before, changed)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -106,7 +107,7 @@
 			case 3:
 				before := latest[incarnation]
 				if withdrawn := tracker.ObserveNoLimit(now, now-age, incarnation); withdrawn != (before.limit.Advertised && before.at < now-age) {
-					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, withdrawn)
+					t.Fatalf("request sent %v ago, known limit %+v, now %v: withdrawn = %v", age, before, now, withdrawn)
 				} else if withdrawn {
 					latest[incarnation] = observed{now, Limit{Withdrawn: true}}
 				}
@@ -114,24 +115,24 @@
 				tracker.Sweep(now, func(catalog.Life) bool { return true })
 				for incarnation, last := range latest {
 					if last.limit.Withdrawn {
-						delete(latest, incarnation) // nothing is left of it
+						delete(latest, incarnation) // the tracker may have removed it
 					}
 				}
 			}
 			for _, incarnation := range incarnations {
 				last := latest[incarnation]
 				if got := tracker.Limit(incarnation); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
-					t.Fatalf("%v at %v: %+v, the list says %+v", incarnation, now, got, last)
+					t.Fatalf("%v at %v: got %+v, want %+v", incarnation, now, got, last)
 				}
 				if restriction := tracker.Restriction(now, incarnation); restriction.Limit != tracker.Limit(incarnation) {
-					t.Fatalf("%+v bars, %+v is named", restriction.Limit, tracker.Limit(incarnation))
+					t.Fatalf("Restriction has limit %+v, Limit returns %+v", restriction.Limit, tracker.Limit(incarnation))
 				}
 			}
 		}
 	})
 }
 
-// TestBackoffBelongsToIncarnation: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
+// A backoff applies to a later incarnation only if that may have requested it.
 func TestBackoffBelongsToIncarnation(t *testing.T) {
 	wallClock := time.UnixMilli(50_000)
 	tracker := NewTracker()
@@ -140,11 +141,11 @@
 		incarnation          catalog.Life
 		backingOff, draining bool
 	}{
-		"itself":                          {catalog.Life{Name: "a", Born: 10_000}, true, true},
-		"a life that had begun by then":   {catalog.Life{Name: "a", Born: 49_000}, true, false},
-		"one that began as it was heard":  {catalog.Life{Name: "a", Born: 50_500}, true, false},
-		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
-		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
+		"the same incarnation":                               {catalog.Life{Name: "a", Born: 10_000}, true, true},
+		"a later incarnation started before the observation": {catalog.Life{Name: "a", Born: 49_000}, true, false},
+		"a later incarnation started within the clock skew":  {catalog.Life{Name: "a", Born: 50_500}, true, false},
+		"a later incarnation started after the clock skew":   {catalog.Life{Name: "a", Born: 52_000}, false, false},
+		"another back end":                                   {catalog.Life{Name: "b", Born: 10_000}, false, false},
 	} {
 		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff || restriction.Draining != c.draining {
 			t.Errorf("%s: %+v", name, restriction)
@@ -152,26 +153,26 @@
 	}
 }
 
-// TestBackoffExpires: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
-// than the bound.
+// A backoff ends after its duration plus jitter, never earlier. A shorter one doesn't shorten it, and MaxBackoff caps
+// it.
 func TestBackoffExpires(t *testing.T) {
 	a, wallClock := catalog.Life{Name: "a"}, time.UnixMilli(0)
 	tracker := NewTracker()
 	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
-		t.Fatalf("%+v", restriction)
+		t.Fatalf("backoff of 3s with full jitter: got %+v", restriction)
 	}
 	if restriction := tracker.Observe(2*time.Second, wallClock, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
-		t.Fatalf("shortened: %+v", restriction)
+		t.Fatalf("a shorter backoff shortened the earlier one: %+v", restriction)
 	}
 	if restriction := tracker.Restriction(5*time.Second, a); restriction.IsBlocked(5 * time.Second) {
-		t.Fatalf("after its end: %+v", restriction)
+		t.Fatalf("still blocked after the backoff ended: %+v", restriction)
 	}
 	if restriction := tracker.Observe(5*time.Second, wallClock, a, Signals{Backoff: 1000 * time.Hour}, 0); restriction.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
-		t.Fatalf("without a bound: %+v", restriction)
+		t.Fatalf("backoff exceeds MaxBackoff: %+v", restriction)
 	}
 }
 
-// TestSweepRemovesExpiredState: a rest with its time; that a life leaves once nobody has named it for long.
+// A backoff is removed once it expired, draining once the incarnation has been unknown for untimedTTL.
 func TestSweepRemovesExpiredState(t *testing.T) {
 	draining, backingOff, wallClock := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
 	tracker := NewTracker()
@@ -179,10 +180,10 @@
 	tracker.Observe(0, wallClock, backingOff, Signals{Backoff: time.Second}, 0)
 	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
 	if len(tracker.states) != 1 || !tracker.Restriction(2*untimedTTL, draining).Draining {
-		t.Fatalf("%+v", tracker.states)
+		t.Fatalf("draining incarnation removed or expired backoff kept: %+v", tracker.states)
 	}
 	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
 	if len(tracker.states) != 0 {
-		t.Fatalf("%+v", tracker.states)
+		t.Fatalf("state left of unknown incarnations: %+v", tracker.states)
 	}
 }
