--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,21 @@
-// Package quarantine remembers requests under which back ends ended, so that one which ends whoever runs it is held back.
+// Package quarantine tracks requests under which back ends crashed, so that a request that crashes any back end that
+// runs it is quarantined.
 //
-// What counts: a life of a back end that ended while it ran the request. A process that sees a run break off keeps the run until there is
-// proof that the life ended: its address refuses connections, or control names another life there. A cut, a reset connection, a failure of a
-// back end that lives on, a planned stop and a timeout of our own are no proof and count for nothing.
+// What counts: an incarnation of a back end that ended while it ran the request. A process that sees a run fail
+// records it until the end of the incarnation is confirmed: its address refuses connections, or the control plane
+// lists another incarnation there. A dropped or reset connection, a failure of a back end that stays up, a planned
+// stop and a timeout on our side confirm nothing and don't count.
 //
-// Who counts: control's Ledger, replicated, so that one count is the whole fleet's and outlives every process. Lives are a set: telling of one
-// twice changes nothing, and order doesn't matter. Processes are told of every request with Suspected lives or more, and add what they saw
-// themselves; from Held lives on, a request is refused before it is sent.
+// Who counts: the control plane's Registry, which is replicated, so that the count covers the whole fleet and
+// survives every process. Incarnations form a set: reporting one twice changes nothing, and the order is irrelevant.
+// Processes receive every request with SuspectThreshold crashes or more and add the crashes they saw themselves. From
+// QuarantineThreshold on, a request is refused before it is sent.
 //
-// Who is innocent: a request that some back end has run to a good end is no culprit. Whoever sees one says so, and the count begins anew. What
-// ended well a moment ago isn't counted at all: a request that many callers send at once runs on several back ends when these end together.
+// What clears a request: a run that completed. The process that sees it reports the completion, and the count
+// restarts. Crashes shortly after a completion don't count at all: a request that many callers send at once runs on
+// several back ends when these crash together for another reason.
 //
-// Ledger and Record have no I/O, no lock and no clock: callers pass the time, which counts the time a machine was suspended, and serialize
-// their calls. Package reporter is the thread of one process that asks for proof and tells control.
+// Registry and Tracker use no I/O, locks or clock: callers serialize their calls and pass the time, which must
+// include the time that the machine was suspended. Package reporter confirms crashes and reports to the control plane
+// for one process.
 package quarantine
