--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// SuspectThreshold is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
+	// SuspectThreshold is the number of crashes from which processes are told of a request: unrelated crashes rarely
+	// hit one request twice.
 	SuspectThreshold = 2
-	// QuarantineThreshold is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
-	// third is for the users' rules to say, and they allow three more.
+	// QuarantineThreshold is the number of crashes from which a request is quarantined. Two may be a coincidence when
+	// many back ends crash.
 	QuarantineThreshold = 3
-	// RetryAfter is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
-	// callers that repeat at once from doing so.
+	// RetryAfter is the retry delay sent to callers of quarantined requests. Only an operator, or a day without
+	// crashes, releases them; the delay discourages immediate retries.
 	RetryAfter = time.Hour
-	// maxIncarnations bounds the lives that are remembered of one request: enough to count, and to show an operator.
+	// maxIncarnations bounds the incarnations kept for one request.
 	maxIncarnations = 8
-	// maxEntries bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
-	// run there; a request is pushed out only by so many others that took part in as many losses as it, or more.
+	// maxEntries bounds the requests kept, at about 90 bytes each in a snapshot. The crash of one back end adds all
+	// requests that ran there. A request is evicted only by as many others with at least as many crashes.
 	maxEntries = 4096
 )
 
-// Crash says that a life of a back end ended while it ran requests.
+// Crash reports that an incarnation of a back end ended while it ran requests.
 type Crash struct {
 	Incarnation string        `json:"life"`
 	Requests    []Fingerprint `json:"requests"`
 }
 
-// Change is one change of the ledger.
+// Change is one change of the registry.
 type Change struct {
-	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
+	Seed     []byte    `json:"seed,omitempty"` // ignored if the registry has one
 	Crashes  []Crash   `json:"ended,omitempty"`
 	Releases []Release `json:"released,omitempty"`
 }
 
-// Release says that requests are no longer held against lives that ended: all, or all but the newest few.
+// Release removes crashes from requests: all, or all but the newest Keep.
 type Release struct {
 	Requests []Fingerprint `json:"requests"`
 	Keep     int           `json:"keep,omitempty"`
@@ -47,45 +48,46 @@
 // Reason tells why requests are released.
 type Reason string
 
-// Reasons of a release.
+// Reasons for a release.
 const (
-	ReasonCompleted Reason = "ended-well" // a back end ran one to a good end
+	ReasonCompleted Reason = "ended-well" // a back end completed the request
 	ReasonOperator  Reason = "operator"
-	ReasonExpired   Reason = "age" // nothing ended under it for long
+	ReasonExpired   Reason = "age" // no crash for a long time
 )
 
-// Entry is a request and the lives that ended under it, oldest first.
+// Entry is a request with the incarnations that crashed under it, oldest first.
 type Entry struct {
 	Request      Fingerprint `json:"request"`
 	Incarnations []string    `json:"lives"`
 }
 
-// Update is all that a process is told.
+// Update is the state sent to processes.
 type Update struct {
 	Version uint64  `json:"version"`
 	Seed    []byte  `json:"seed"`
-	Entries []Entry `json:"entries,omitempty"` // with Suspected lives or more
+	Entries []Entry `json:"entries,omitempty"` // with SuspectThreshold crashes or more
 }
 
-// entry is what the ledger holds of one request.
+// entry is the registry's state of one request.
 type entry struct {
-	incarnations []string // distinct, oldest first; at most livesKept
-	order        uint64   // of its newest life among all
+	incarnations []string // distinct, oldest first; at most maxIncarnations
+	order        uint64   // of the newest crash among all requests
 }
 
-// Registry is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
+// Registry counts crashes for the whole fleet. It is a deterministic state machine: replicas that apply the same
+// changes in the same order hold the same state.
 type Registry struct {
 	seed    []byte
-	entries map[Fingerprint]*entry // at most entriesMost
+	entries map[Fingerprint]*entry // at most maxEntries
 	order   uint64
-	version uint64  // rises whenever News differ
-	update  *Update // of that version, or an older one; nil before somebody asked
+	version uint64  // increases whenever Update changes
+	update  *Update // cached; may be of an older version, or nil
 }
 
-// NewRegistry returns an empty ledger without a seed.
+// NewRegistry returns an empty registry without a seed.
 func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*entry{}} }
 
-// Apply makes one change: first lives are released, then new ones counted.
+// Apply applies a change: first its releases, then its crashes.
 func (r *Registry) Apply(c Change) {
 	r.setSeed(c.Seed)
 	for _, release := range c.Releases {
@@ -98,7 +100,7 @@
 	}
 }
 
-// WouldChange reports whether a change would change anything.
+// WouldChange reports whether applying a change would have an effect.
 func (r *Registry) WouldChange(c Change) bool {
 	if len(c.Seed) > 0 && !r.HasSeed() {
 		return true
@@ -118,13 +120,13 @@
 	}
 }
 
-// HasSeed reports whether there is a seed.
+// HasSeed reports whether a seed is set.
 func (r *Registry) HasSeed() bool { return len(r.seed) > 0 }
 
-// Version returns the version of the news.
+// Version returns the version of the current Update.
 func (r *Registry) Version() uint64 { return r.version }
 
-// recordCrash counts an ended life for each request that it ran.
+// recordCrash adds an incarnation to each request that it ran.
 func (r *Registry) recordCrash(crash Crash) {
 	for _, f := range crash.Requests {
 		e := r.entries[f]
@@ -144,7 +146,7 @@
 	}
 }
 
-// contains reports whether noting a life would change nothing.
+// contains reports whether recording a crash would change nothing.
 func (r *Registry) contains(crash Crash) bool {
 	for _, f := range crash.Requests {
 		e := r.entries[f]
@@ -155,7 +157,8 @@
 	return true
 }
 
-// evict pushes out the request with the fewest lives, of these the one whose newest life is oldest.
+// evict makes room for an entry by removing the one with the fewest crashes, of these the one whose newest crash is
+// oldest.
 func (r *Registry) evict() {
 	if len(r.entries) < maxEntries {
 		return
@@ -170,7 +173,7 @@
 	r.trim(victim, 0)
 }
 
-// trim forgets all but the newest lives of a request.
+// trim removes all but the newest crashes of a request.
 func (r *Registry) trim(f Fingerprint, keep int) {
 	e := r.entries[f]
 	if e == nil || len(e.incarnations) <= keep {
@@ -186,7 +189,7 @@
 	e.incarnations = slices.Clone(e.incarnations[len(e.incarnations)-keep:])
 }
 
-// CrashCount returns how many lives ended under a request, as far as they are kept.
+// CrashCount returns the number of crashes kept for a request.
 func (r *Registry) CrashCount(f Fingerprint) int {
 	if e := r.entries[f]; e != nil {
 		return len(e.incarnations)
@@ -194,12 +197,12 @@
 	return 0
 }
 
-// Fingerprints returns every request in a fixed order.
+// Fingerprints returns the fingerprints of all requests, sorted.
 func (r *Registry) Fingerprints() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(r.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// Update returns what processes are told; callers only read it.
+// Update returns the state to send to processes. Callers must not modify it.
 func (r *Registry) Update() *Update {
 	if r.update != nil && r.update.Version == r.version {
 		return r.update
@@ -214,7 +217,7 @@
 	return update
 }
 
-// registryJSON is a ledger in a snapshot.
+// registryJSON is the snapshot format of a Registry.
 type registryJSON struct {
 	Seed    []byte      `json:"seed,omitempty"`
 	Version uint64      `json:"version"`
@@ -227,7 +230,7 @@
 	Order uint64 `json:"order"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON encodes the whole state.
 func (r *Registry) MarshalJSON() ([]byte, error) {
 	state := registryJSON{Seed: r.seed, Version: r.version, Order: r.order}
 	for _, f := range r.Fingerprints() {
