--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,65 +7,67 @@
 )
 
 const (
-	// confirmationTimeout is how long a broken run waits for the proof that its back end ended: control names another life at the address some
-	// seconds after the end, or forgets a silent one after twelve.
+	// confirmationTimeout is how long a failed run waits for confirmation that its back end ended. The control plane
+	// lists a new incarnation some seconds after the end, or removes a silent back end after twelve seconds.
 	confirmationTimeout = 15 * time.Second
-	// completionTTL is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
-	// it ended well, under other weights, is counted after that.
+	// completionTTL is how long a completion protects a request: several times the delay with which updates spread.
+	// If the request crashes back ends only later, for example under other weights, those crashes count.
 	completionTTL = 5 * time.Second
-	// localTTL is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
+	// localTTL is how long crashes seen by this process count without an update from the control plane, which does
+	// not send requests with a single crash.
 	localTTL = 15 * time.Second
-	// maxFailedIncarnations bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
-	// end, and wellMost the good ends that are remembered.
+	// maxFailedIncarnations bounds the incarnations with failed runs, maxFailedRuns the failed runs of each, maxLocal
+	// the requests with crashes seen by this process, and maxCompletions the completions kept.
 	maxFailedIncarnations = 256
 	maxFailedRuns         = 256
 	maxLocal              = 1024
 	maxCompletions        = 1024
 )
 
-// Tracker is what one process knows of requests that end their back ends.
+// Tracker is one process's view of requests under which back ends crashed.
 type Tracker struct {
 	version     uint64
-	reported    map[Fingerprint][]string      // by control: lives; with Suspected or more
-	local       map[Fingerprint]*localCrashes // what this process proved itself; at most ownMost
-	failures    map[string]*failedRuns        // by life; at most breaksMost
-	completions map[Fingerprint]completion    // at most wellMost
-	ring        [maxCompletions]Fingerprint   // the places of well
-	nextSlot    int                           // place of the next good end
+	reported    map[Fingerprint][]string      // incarnations, as sent by the control plane
+	local       map[Fingerprint]*localCrashes // seen by this process; at most maxLocal
+	failures    map[string]*failedRuns        // by incarnation; at most maxFailedIncarnations
+	completions map[Fingerprint]completion    // at most maxCompletions
+	ring        [maxCompletions]Fingerprint   // completions by slot
+	nextSlot    int                           // of the next completion
 }
 
-// localCrashes are lives that this process saw end under a request.
+// localCrashes are crashes under one request seen by this process.
 type localCrashes struct {
-	lastAt       time.Duration // of the newest
-	incarnations []string      // distinct; at most livesKept
-	acknowledged bool          // control has taken them all, so that its next news say what counts
+	lastAt       time.Duration // newest crash
+	incarnations []string      // distinct; at most maxIncarnations
+	acknowledged bool          // the control plane recorded all of them, so its next update supersedes them
 }
 
-// completion is when a request last ended well, and its place in the ring.
+// completion is the last completion of a request and its slot in the ring.
 type completion struct {
 	at   time.Duration
 	slot int
 }
 
-// failedRuns is what broke off at one life of a back end.
+// failedRuns are the runs that failed on one incarnation.
 type failedRuns struct {
-	lastAt    time.Duration // of the newest
-	confirmed bool          // the life's end is proved
-	runs      []Fingerprint // not counted yet; distinct; at most runsMost
+	lastAt    time.Duration // newest failure
+	confirmed bool          // the incarnation has ended
+	runs      []Fingerprint // not counted yet; distinct; at most maxFailedRuns
 }
 
-// NewTracker returns a record that knows nothing.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
 	}
 }
 
-// Version returns that of the newest news.
+// Version returns the version of the last update.
 func (t *Tracker) Version() uint64 { return t.version }
 
-// ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
-// before counts as the news say, so that what was released elsewhere is released here.
+// ApplyUpdate replaces the reported crashes and returns the requests among them that completed here recently, which
+// are to be released. Acknowledged local crashes are dropped, so that a release requested elsewhere takes effect
+// here.
 func (t *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
 	t.version = update.Version
 	clear(t.reported)
@@ -80,7 +82,8 @@
 	return completed
 }
 
-// RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
+// RecordFailure records a failed run on an incarnation. If the incarnation is known to have ended, it returns the
+// crash to report.
 func (t *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, ok bool) {
 	if t.recentlyCompleted(now, f) {
 		return Crash{}, false
@@ -104,7 +107,7 @@
 	return Crash{}, false
 }
 
-// ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
+// ConfirmEnd records that an incarnation ended and returns the crash to report if runs failed there.
 func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, ok bool) {
 	failed := t.failures[incarnation]
 	if failed == nil || now-failed.lastAt > confirmationTimeout {
@@ -114,13 +117,13 @@
 	return t.countCrash(now, incarnation, failed)
 }
 
-// AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
+// AwaitsConfirmation reports whether failed runs on an incarnation wait for confirmation of its end.
 func (t *Tracker) AwaitsConfirmation(incarnation string) bool {
 	failed := t.failures[incarnation]
 	return failed != nil && !failed.confirmed
 }
 
-// countCrash counts an ended life for the requests whose runs broke off there.
+// countCrash counts a crash for the requests whose runs failed on the incarnation.
 func (t *Tracker) countCrash(now time.Duration, incarnation string, failed *failedRuns) (crash Crash, ok bool) {
 	if len(failed.runs) == 0 {
 		return Crash{}, false
@@ -133,7 +136,7 @@
 	return crash, true
 }
 
-// addLocal notes a life of a request. What doesn't fit is counted by control alone.
+// addLocal adds a crash to a request. Beyond the bounds, only the control plane counts it.
 func (t *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
 	local := t.local[f]
 	if local == nil {
@@ -149,7 +152,7 @@
 	}
 }
 
-// Acknowledge notes that control has taken what it was told.
+// Acknowledge records that the control plane accepted the reported crashes.
 func (t *Tracker) Acknowledge(crashes []Crash) {
 	for _, crash := range crashes {
 		for _, f := range crash.Requests {
@@ -160,7 +163,8 @@
 	}
 }
 
-// RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
+// RecordCompletion records that a back end completed a request, and reports whether the request has crashes to be
+// released.
 func (t *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
 	t.addCompletion(now, f)
 	_, reported := t.reported[f]
@@ -170,7 +174,7 @@
 	return reported || local
 }
 
-// addCompletion keeps a good end, in the place of the oldest.
+// addCompletion stores a completion in place of the oldest.
 func (t *Tracker) addCompletion(now time.Duration, f Fingerprint) {
 	oldest := t.ring[t.nextSlot]
 	if last, known := t.completions[oldest]; known && last.slot == t.nextSlot {
@@ -180,8 +184,8 @@
 	t.nextSlot = (t.nextSlot + 1) % maxCompletions
 }
 
-// RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
-// it could not end well again meanwhile.
+// RecordIdle records that this process could send nothing for a duration until now. Completions remain valid for as
+// much longer, since no request could complete in that time.
 func (t *Tracker) RecordIdle(now, idle time.Duration) {
 	for f, last := range t.completions {
 		last.at = min(now, last.at+max(0, idle))
@@ -189,13 +193,13 @@
 	}
 }
 
-// recentlyCompleted reports whether a request ended well here a moment ago.
+// recentlyCompleted reports whether a request completed here within completionTTL.
 func (t *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
 	last, known := t.completions[f]
 	return known && now-last.at <= completionTTL
 }
 
-// CrashCount returns how many lives ended under a request, as far as this process knows.
+// CrashCount returns the number of crashes under a request known to this process.
 func (t *Tracker) CrashCount(f Fingerprint) int {
 	crashes := len(t.reported[f])
 	if s := t.local[f]; s != nil {
@@ -208,10 +212,10 @@
 	return crashes
 }
 
-// IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
+// IsEmpty reports whether no request has any crashes, so that fingerprints need not be computed.
 func (t *Tracker) IsEmpty() bool { return len(t.reported) == 0 && len(t.local) == 0 }
 
-// SuspectCounts returns how many requests control tells of, and how many of these are held back.
+// SuspectCounts returns the number of requests reported by the control plane, and how many of them are quarantined.
 func (t *Tracker) SuspectCounts() (suspects, quarantined int) {
 	for _, incarnations := range t.reported {
 		if len(incarnations) >= QuarantineThreshold {
@@ -221,7 +225,7 @@
 	return len(t.reported), quarantined
 }
 
-// Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
+// Sweep removes failures that were not confirmed in time and local crashes that expired.
 func (t *Tracker) Sweep(now time.Duration) {
 	t.sweepFailures(now)
 	for f, s := range t.local {
