--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -1,5 +1,6 @@
-// Package reporter is what one process does about requests that end their back ends: it looks whether a back end under which a run broke off
-// has ended, tells control, and answers whether a request is held back. One thread tells.
+// Package reporter applies the quarantine in one process: it checks whether a back end on which a run failed has
+// ended, reports crashes and completions to the control plane, and answers whether a request is quarantined. One
+// goroutine sends the reports.
 package reporter
 
 import (
@@ -17,38 +18,41 @@
 )
 
 const (
-	// submitTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
+	// submitTimeout is how long the control plane may take to commit a change, including an election. Changes that
+	// were not accepted are submitted again after retryInterval.
 	submitTimeout = 2 * time.Second
 	retryInterval = 100 * time.Millisecond
-	// batchDelay lets what breaks off with one back end be told in one message.
+	// batchDelay lets the failures caused by one crash be submitted in one change.
 	batchDelay = 5 * time.Millisecond
-	// maxPendingCrashes and wellMost bound what waits to be told: the losses of some minutes without control.
+	// maxPendingCrashes and maxPendingCompletions bound the reports waiting to be submitted: some minutes' worth
+	// without a control plane.
 	maxPendingCrashes     = 1024
 	maxPendingCompletions = 1024
-	// maxLoggedFingerprints bounds the fingerprints of one log line.
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
 	maxLoggedFingerprints = 8
 )
 
-// Proof is how the end of a life was proved.
+// Proof tells how the end of an incarnation was confirmed.
 type Proof string
 
-// Proofs.
+// Possible proofs.
 const (
 	ConnectionRefused Proof = "refused"  // its address refuses connections
-	Replaced          Proof = "replaced" // control names another life at its address
+	Replaced          Proof = "replaced" // the control plane lists another incarnation at its address
 )
 
-// Config are how a reporter reaches the outside.
+// Config connects a reporter to its environment.
 type Config struct {
-	// Submit has control make a change; an error says that it may not have been made.
+	// Submit asks the control plane to apply a change. After an error, it may or may not have been applied.
 	Submit func(ctx context.Context, change quarantine.Change) error
-	// RefusesConnections reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
+	// RefusesConnections reports whether an address refuses connections because nothing listens there. It returns
+	// false if there is no answer.
 	RefusesConnections func(ctx context.Context, address string) bool
 	Log                func(event string, fields ...zap.Field)
-	Now                func() time.Duration // counts the time a machine was suspended
+	Now                func() time.Duration // must include the time that the machine was suspended
 }
 
-// RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
+// RefusesTCP returns a check that connects to the address over TCP.
 func RefusesTCP(dialer *net.Dialer) func(ctx context.Context, address string) bool {
 	return func(ctx context.Context, address string) bool {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -62,36 +66,36 @@
 // Reporter is safe for concurrent use.
 type Reporter struct {
 	config Config
-	wake   chan struct{} // has an item when something waits; room for one
+	wake   chan struct{} // buffered; signals that reports are pending
 
 	mu          sync.Mutex
 	tracker     *quarantine.Tracker      // guarded by mu
-	hasher      *quarantine.Hasher       // nil before the first news; guarded by mu
-	probes      map[string]*probe        // by life: a look whether it has ended; guarded by mu
-	crashes     []quarantine.Crash       // to be told; at most endedMost; guarded by mu
-	completions []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
+	hasher      *quarantine.Hasher       // nil before the first update with a seed; guarded by mu
+	probes      map[string]*probe        // running, by incarnation; guarded by mu
+	crashes     []quarantine.Crash       // pending; at most maxPendingCrashes; guarded by mu
+	completions []quarantine.Fingerprint // pending; at most maxPendingCompletions; guarded by mu
 }
 
-// probe is a probe whether a life has ended.
+// probe is a running check whether an incarnation has ended.
 type probe struct{ done chan struct{} }
 
-// New returns a reporter that knows nothing.
+// New returns a reporter without state.
 func New(config Config) *Reporter {
 	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), probes: map[string]*probe{}}
 }
 
-// Version returns that of the newest news.
+// Version returns the version of the last update.
 func (r *Reporter) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tracker.Version()
 }
 
-// ApplyUpdate takes control's news up.
+// ApplyUpdate applies an update of the control plane.
 func (r *Reporter) ApplyUpdate(update *quarantine.Update) {
 	hasher, err := quarantine.NewHasher(update.Seed)
 	if err != nil {
-		hasher = nil // control has planted none yet
+		hasher = nil // no seed has been set yet
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +103,7 @@
 	r.enqueueCompletions(r.tracker.ApplyUpdate(r.config.Now(), update)...)
 }
 
-// Fingerprint returns a request's fingerprint; ok is false before control told the seed.
+// Fingerprint returns the fingerprint of a request; ok is false while the seed is unknown.
 func (r *Reporter) Fingerprint(request quarantine.Request) (f quarantine.Fingerprint, ok bool) {
 	r.mu.Lock()
 	hasher := r.hasher
@@ -110,28 +114,30 @@
 	return hasher.Fingerprint(request), true
 }
 
-// IsEmpty reports whether no request has anything against it, so that none needs a fingerprint to be judged.
+// IsEmpty reports whether no request has any crashes, so that fingerprints need not be computed.
 func (r *Reporter) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tracker.IsEmpty()
 }
 
-// CrashCount returns how many lives ended under a request; from quarantine.Held on it must not be sent.
+// CrashCount returns the number of crashes under a request. From quarantine.QuarantineThreshold on, it must not be
+// sent.
 func (r *Reporter) CrashCount(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tracker.CrashCount(f)
 }
 
-// SuspectCounts returns how many requests control tells of, and how many of these are held back.
+// SuspectCounts returns the number of requests reported by the control plane, and how many of them are quarantined.
 func (r *Reporter) SuspectCounts() (suspects, quarantined int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tracker.SuspectCounts()
 }
 
-// RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
+// RecordFailure records a failed run on an incarnation and probes whether that has ended. The returned channel is
+// closed when the probe is done or none is needed.
 func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (probed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,10 +157,10 @@
 	return p.done
 }
 
-// probeTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
+// probeTimeout is how long to wait for a connection to be accepted or refused. A timeout confirms nothing.
 const probeTimeout = 300 * time.Millisecond
 
-// probe asks an address whether anything listens there.
+// probe checks whether anything listens at an address.
 func (r *Reporter) probe(incarnation, address string, p *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	refused := r.config.RefusesConnections(ctx, address)
@@ -168,7 +174,7 @@
 	close(p.done)
 }
 
-// ConfirmEnds notes the proof that lives ended.
+// ConfirmEnds records that incarnations have ended.
 func (r *Reporter) ConfirmEnds(proof Proof, incarnations ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,14 +183,14 @@
 	}
 }
 
-// confirmEnd counts a life that ended. The caller holds mu.
+// confirmEnd records that an incarnation has ended. The caller holds mu.
 func (r *Reporter) confirmEnd(incarnation string, proof Proof) {
 	if crash, ok := r.tracker.ConfirmEnd(r.config.Now(), incarnation); ok {
 		r.enqueueCrash(crash, proof)
 	}
 }
 
-// enqueueCrash lets control be told of an ended life. The caller holds mu.
+// enqueueCrash logs a crash and enqueues it for submission. The caller holds mu.
 func (r *Reporter) enqueueCrash(crash quarantine.Crash, proof Proof) {
 	fingerprints := make([]string, 0, maxLoggedFingerprints)
 	for _, f := range crash.Requests[:min(len(crash.Requests), maxLoggedFingerprints)] {
@@ -200,7 +206,7 @@
 	r.signal()
 }
 
-// RecordCompletion notes that a back end ran a request to a good end.
+// RecordCompletion records that a back end completed a request.
 func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,17 +215,17 @@
 	}
 }
 
-// RecordIdle notes that this process could send nothing for so long until now.
+// RecordIdle records that this process could send nothing for a duration until now.
 func (r *Reporter) RecordIdle(idle time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tracker.RecordIdle(r.config.Now(), idle)
 }
 
-// enqueueCompletions lets control be told of requests that ended well. The caller holds mu.
+// enqueueCompletions enqueues requests to be released. The caller holds mu.
 func (r *Reporter) enqueueCompletions(completed ...quarantine.Fingerprint) {
 	if room := maxPendingCompletions - len(r.completions); len(completed) > room {
-		completed = completed[:room] // the next good end tells again
+		completed = completed[:room] // the next completion reports it again
 	}
 	if len(completed) > 0 {
 		r.completions = append(r.completions, completed...)
@@ -234,14 +240,14 @@
 	}
 }
 
-// Sweep forgets what is long past.
+// Sweep removes expired state.
 func (r *Reporter) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tracker.Sweep(r.config.Now())
 }
 
-// Run is the thread that tells control, until ctx ends.
+// Run submits pending reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	for {
 		select {
@@ -263,7 +269,7 @@
 	}
 }
 
-// takePending takes all that waits.
+// takePending removes all pending reports and returns them as one change.
 func (r *Reporter) takePending() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,7 +281,7 @@
 	return change
 }
 
-// submit tells control once, and reports whether nothing is left to tell of a change.
+// submit submits a change once and reports whether it is done.
 func (r *Reporter) submit(ctx context.Context, change quarantine.Change) bool {
 	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
