--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -69,6 +69,7 @@
 	states map[string][]incarnationState // by name, one for each incarnation; never empty
 }
 
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{states: map[string][]incarnationState{}} }
 
 // Observe applies the signals of a response from an incarnation and returns its current restriction. wallClock is
