--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -25,6 +25,7 @@
 // Outcome is the result of an attempt to acquire an amount.
 type Outcome uint8
 
+// Possible outcomes.
 const (
 	Granted      Outcome = iota // the lease may be used once; it is empty if the resource has no limit
 	LimitReached                // RetryAfter tells when to try again
