--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -16,9 +16,9 @@
 	return l, time.Minute
 }
 
-func requestOne(a *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
+func requestOne(a *Allocator, now time.Duration, c *Client, amount float64) (Lease, time.Duration) {
 	demands := []Demand{{Name: resource, Amount: amount}}
-	got := b.ApplyReply(now, now, demands, a.Allocate(now, b.NewRequest(now, demands)))[0]
+	got := c.ApplyReply(now, now, demands, a.Allocate(now, c.NewRequest(now, demands)))[0]
 	return got.Lease, got.RetryAfter
 }
 
