--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -11,9 +11,9 @@
 
 // fullAllocator returns a lender whose account is full, and the time.
 func fullAllocator() (*Allocator, time.Duration) {
-	l := NewAllocator(1)
-	l.SetLimits(0, limitsOf(testLimit))
-	return l, time.Minute
+	a := NewAllocator(1)
+	a.SetLimits(0, limitsOf(testLimit))
+	return a, time.Minute
 }
 
 func requestOne(a *Allocator, now time.Duration, c *Client, amount float64) (Lease, time.Duration) {
