--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -23,9 +23,9 @@
 }
 
 func newTestClient() *Client {
-	b := NewClient("b", testTrust)
-	b.SetLimits(limitsOf(testLimit))
-	return b
+	c := NewClient("b", testTrust)
+	c.SetLimits(limitsOf(testLimit))
+	return c
 }
 
 // TestNewAllocatorStartsEmpty: it begins empty, and only what comes in after it began is lent.
