--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -30,14 +30,14 @@
 
 // TestNewAllocatorStartsEmpty: it begins empty, and only what comes in after it began is lent.
 func TestNewAllocatorStartsEmpty(t *testing.T) {
-	l := NewAllocator(2)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
+	a := NewAllocator(2)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
 	b := newTestClient()
-	lease, wait := requestOne(l, time.Minute, b, 100)
+	lease, wait := requestOne(a, time.Minute, b, 100)
 	if lease.Amount != 0 || wait != 100*time.Millisecond {
 		t.Fatalf("lent %v, wait %v", lease, wait)
 	}
-	if lease, _ = requestOne(l, time.Minute+wait, b, 100); lease.Amount != 100 {
+	if lease, _ = requestOne(a, time.Minute+wait, b, 100); lease.Amount != 100 {
 		t.Fatalf("after the wait: %v", lease)
 	}
 }
