--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -32,12 +32,12 @@
 func TestNewAllocatorStartsEmpty(t *testing.T) {
 	a := NewAllocator(2)
 	a.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestClient()
-	lease, wait := requestOne(a, time.Minute, b, 100)
+	c := newTestClient()
+	lease, wait := requestOne(a, time.Minute, c, 100)
 	if lease.Amount != 0 || wait != 100*time.Millisecond {
 		t.Fatalf("lent %v, wait %v", lease, wait)
 	}
-	if lease, _ = requestOne(a, time.Minute+wait, b, 100); lease.Amount != 100 {
+	if lease, _ = requestOne(a, time.Minute+wait, c, 100); lease.Amount != 100 {
 		t.Fatalf("after the wait: %v", lease)
 	}
 }
