--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -44,9 +44,9 @@
 
 // TestLeasesExpire: by the clock of who asked, from the moment when it asked, whatever was waited for.
 func TestLeasesExpire(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	b := newTestClient()
-	lease, _ := requestOne(l, now, b, 100)
+	lease, _ := requestOne(a, now, b, 100)
 	if !lease.Valid(now+LeaseTTL) || lease.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", lease)
 	}
@@ -55,7 +55,7 @@
 		t.Fatal("taken after its time")
 	}
 	demands := []Demand{{Name: resource, Amount: 100}}
-	lateReply := l.Allocate(now, b.NewRequest(now, demands))
+	lateReply := a.Allocate(now, b.NewRequest(now, demands))
 	if got := b.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
