--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -45,18 +45,18 @@
 // TestLeasesExpire: by the clock of who asked, from the moment when it asked, whatever was waited for.
 func TestLeasesExpire(t *testing.T) {
 	a, now := fullAllocator()
-	b := newTestClient()
-	lease, _ := requestOne(a, now, b, 100)
+	c := newTestClient()
+	lease, _ := requestOne(a, now, c, 100)
 	if !lease.Valid(now+LeaseTTL) || lease.Valid(now+LeaseTTL+1) {
 		t.Fatalf("%v", lease)
 	}
-	b.Release(now, lease)
-	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
+	c.Release(now, lease)
+	if _, ok := c.Take(now+LeaseTTL+1, resource, 100); ok {
 		t.Fatal("taken after its time")
 	}
 	demands := []Demand{{Name: resource, Amount: 100}}
-	lateReply := a.Allocate(now, b.NewRequest(now, demands))
-	if got := b.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
+	lateReply := a.Allocate(now, c.NewRequest(now, demands))
+	if got := c.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
 		t.Fatal("a late answer gave something")
 	}
 }
