--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -63,10 +63,10 @@
 
 // TestRepliesAreAppliedOnce: one that comes twice, or from an older lender, gives nothing.
 func TestRepliesAreAppliedOnce(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	b := newTestClient()
 	demands := []Demand{{Name: resource, Amount: 100}}
-	reply := l.Allocate(now, b.NewRequest(now, demands))
+	reply := a.Allocate(now, b.NewRequest(now, demands))
 	if got := b.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
