--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -64,21 +64,21 @@
 // TestRepliesAreAppliedOnce: one that comes twice, or from an older lender, gives nothing.
 func TestRepliesAreAppliedOnce(t *testing.T) {
 	a, now := fullAllocator()
-	b := newTestClient()
+	c := newTestClient()
 	demands := []Demand{{Name: resource, Amount: 100}}
-	reply := a.Allocate(now, b.NewRequest(now, demands))
-	if got := b.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
+	reply := a.Allocate(now, c.NewRequest(now, demands))
+	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
 		t.Fatal("nothing lent")
 	}
-	if got := b.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 0 {
+	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 0 {
 		t.Fatal("an answer counted twice")
 	}
-	if _, ok := b.Take(now, resource, 100); ok {
+	if _, ok := c.Take(now, resource, 100); ok {
 		t.Fatal("an answer counted twice")
 	}
 	olderAllocator := NewAllocator(0)
 	olderAllocator.SetLimits(0, limitsOf(testLimit))
-	if got := b.ApplyReply(now, now, demands, olderAllocator.Allocate(now, b.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
+	if got := c.ApplyReply(now, now, demands, olderAllocator.Allocate(now, c.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
 		t.Fatal("an older lender's answer counted")
 	}
 }
