--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -85,25 +85,25 @@
 
 // TestUnusedLeasesAreReturnedOnce: what nobody took comes back to the lender, once however often the question arrives.
 func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	b := newTestClient()
-	lease, _ := requestOne(l, now, b, 100)
+	lease, _ := requestOne(a, now, b, 100)
 	b.Release(now, lease)
 	now += LeaseTTL - time.Millisecond
 	request := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
 	if len(request.Returned) != 1 || request.Returned[0].Amount != 100 {
 		t.Fatalf("%v goes back", request.Returned)
 	}
-	l.Withhold(now, 1) // nothing else comes in
-	before := l.buckets[resource].level
-	l.Allocate(now, request)
-	l.Allocate(now, request)
-	after := l.buckets[resource].level
+	a.Withhold(now, 1) // nothing else comes in
+	before := a.buckets[resource].level
+	a.Allocate(now, request)
+	a.Allocate(now, request)
+	after := a.buckets[resource].level
 	if granted := 2 * 10.0; after > before+100-granted && after > testLimit.capacity()-granted {
 		t.Fatalf("%v before, %v after", before, after)
 	}
-	if l.buckets[resource].granted != 20 {
-		t.Fatalf("%v lent", l.buckets[resource].granted)
+	if a.buckets[resource].granted != 20 {
+		t.Fatalf("%v lent", a.buckets[resource].granted)
 	}
 }
 
