--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -86,11 +86,11 @@
 // TestUnusedLeasesAreReturnedOnce: what nobody took comes back to the lender, once however often the question arrives.
 func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
 	a, now := fullAllocator()
-	b := newTestClient()
-	lease, _ := requestOne(a, now, b, 100)
-	b.Release(now, lease)
+	c := newTestClient()
+	lease, _ := requestOne(a, now, c, 100)
+	c.Release(now, lease)
 	now += LeaseTTL - time.Millisecond
-	request := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
+	request := c.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
 	if len(request.Returned) != 1 || request.Returned[0].Amount != 100 {
 		t.Fatalf("%v goes back", request.Returned)
 	}
