--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -109,13 +109,13 @@
 
 // TestPrefetchLeavesHalfTheCapacity: it is counted, and half of the capacity stays for others.
 func TestPrefetchLeavesHalfTheCapacity(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	capacity := testLimit.capacity()
-	reply := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
+	reply := a.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := reply.Grants[0].Amount; got != capacity/2 {
 		t.Fatalf("%v lent of %v", got, capacity)
 	}
-	reply = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
+	reply = a.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := reply.Grants[0].Amount; got != 100 {
 		t.Fatalf("%v lent", got)
 	}
