--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -123,17 +123,17 @@
 
 // TestAmountAboveCapacityNeedsFullBucket, which is in debt then: nobody inside the limit is turned away for ever.
 func TestAmountAboveCapacityNeedsFullBucket(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	c := newTestClient()
-	if lease, _ := requestOne(l, now, c, testLimit.maxAmount()+1); lease.Amount != 0 {
+	if lease, _ := requestOne(a, now, c, testLimit.maxAmount()+1); lease.Amount != 0 {
 		t.Fatalf("%v", lease)
 	}
-	l, now = fullAllocator()
+	a, now = fullAllocator()
 	c = newTestClient()
-	if lease, _ := requestOne(l, now, c, 700); lease.Amount != 700 {
+	if lease, _ := requestOne(a, now, c, 700); lease.Amount != 700 {
 		t.Fatalf("%v", lease)
 	}
-	if lease, wait := requestOne(l, now, c, 100); lease.Amount != 0 || wait != 200*time.Millisecond {
+	if lease, wait := requestOne(a, now, c, 100); lease.Amount != 0 || wait != 200*time.Millisecond {
 		t.Fatalf("%v after %v", lease, wait)
 	}
 }
