--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -142,9 +142,9 @@
 func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
 	l := NewAllocator(1)
 	l.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestClient()
+	c := newTestClient()
 	for i := range 3 {
-		if _, wait := requestOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
+		if _, wait := requestOne(l, time.Minute, c, 100); wait != time.Duration(i+1)*100*time.Millisecond {
 			t.Fatalf("number %d waits %v", i, wait)
 		}
 	}
