--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -140,11 +140,11 @@
 
 // TestRetryAfterCountsEarlierRefusals: each after those that were refused before it.
 func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
+	a := NewAllocator(1)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
 	c := newTestClient()
 	for i := range 3 {
-		if _, wait := requestOne(l, time.Minute, c, 100); wait != time.Duration(i+1)*100*time.Millisecond {
+		if _, wait := requestOne(a, time.Minute, c, 100); wait != time.Duration(i+1)*100*time.Millisecond {
 			t.Fatalf("number %d waits %v", i, wait)
 		}
 	}
