--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -189,20 +189,20 @@
 // TestFallbackShareIsBounded: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
 // what it knows no more.
 func TestFallbackShareIsBounded(t *testing.T) {
-	b := newTestClient()
-	b.RecordContact(time.Minute, 10)
-	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
+	c := newTestClient()
+	c.RecordContact(time.Minute, 10)
+	if _, ok := c.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
 		t.Fatal("more than its part of the reserve")
 	}
 	now := time.Minute + time.Second
 	share := testLimit.reserve()/10 + testLimit.Rate/10
-	if lease, ok := b.TakeFallback(now, resource, share); !ok || !lease.Valid(now) {
+	if lease, ok := c.TakeFallback(now, resource, share); !ok || !lease.Valid(now) {
 		t.Fatal("its part is refused")
 	}
-	if _, ok := b.TakeFallback(now, resource, 1); ok {
+	if _, ok := c.TakeFallback(now, resource, 1); ok {
 		t.Fatal("more than its part")
 	}
-	if _, ok := b.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
+	if _, ok := c.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
 		t.Fatal("out of trust")
 	}
 	if _, ok := newTestClient().TakeFallback(time.Minute, resource, 1); ok {
