--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -152,18 +152,18 @@
 
 // TestNewBucketsReportWarmingUp: a refusal of an account that has just begun is no sign of a caller beyond its limit.
 func TestNewBucketsReportWarmingUp(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
+	a := NewAllocator(1)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
 	request := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
-	if got := l.Allocate(time.Minute, request).Grants[0]; !got.WarmingUp || got.Amount != 0 {
+	if got := a.Allocate(time.Minute, request).Grants[0]; !got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
-	if states := l.States(time.Minute); states[0].OverLimit {
+	if states := a.States(time.Minute); states[0].OverLimit {
 		t.Fatalf("a young account says that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
-	l.Allocate(now, request)
-	if got := l.Allocate(now, request).Grants[0]; got.WarmingUp || got.Amount != 0 {
+	a.Allocate(now, request)
+	if got := a.Allocate(now, request).Grants[0]; got.WarmingUp || got.Amount != 0 {
 		t.Fatalf("%+v", got)
 	}
 }
