--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -233,15 +233,15 @@
 
 // TestTakeToleratesRounding: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
 func TestTakeToleratesRounding(t *testing.T) {
-	b := newTestClient()
+	c := newTestClient()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
+		c.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
-	if lease, ok := b.Take(time.Minute, resource, first+second); !ok || lease.Amount != first+second {
+	if lease, ok := c.Take(time.Minute, resource, first+second); !ok || lease.Amount != first+second {
 		t.Fatalf("%v", lease)
 	}
-	if _, ok := b.Take(time.Minute, resource, 0.01); ok {
+	if _, ok := c.Take(time.Minute, resource, 0.01); ok {
 		t.Fatal("something is left")
 	}
 }
