--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -170,18 +170,18 @@
 
 // TestLoweredLimitAppliesImmediately: what had come together under the older one is gone.
 func TestLoweredLimitAppliesImmediately(t *testing.T) {
-	l, now := fullAllocator()
+	a, now := fullAllocator()
 	lower := Limit{Rate: 10, Burst: 10}
-	l.SetLimits(now, limitsOf(lower))
-	if level := l.buckets[resource].level; level != 10 {
+	a.SetLimits(now, limitsOf(lower))
+	if level := a.buckets[resource].level; level != 10 {
 		t.Fatalf("%v left", level)
 	}
-	l.SetLimits(now, nil)
-	if lease, _ := requestOne(l, now, newTestClient(), 1e6); lease.Amount != 1e6 {
+	a.SetLimits(now, nil)
+	if lease, _ := requestOne(a, now, newTestClient(), 1e6); lease.Amount != 1e6 {
 		t.Fatalf("%v of a limit that was taken away", lease)
 	}
-	l.SetLimits(now, limitsOf(testLimit))
-	if level := l.buckets[resource].level; level != 0 {
+	a.SetLimits(now, limitsOf(testLimit))
+	if level := a.buckets[resource].level; level != 0 {
 		t.Fatalf("%v left of a limit that was taken away", level)
 	}
 }
