--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -212,11 +212,11 @@
 
 // TestWithheldRateIsNotGranted until they are lent again.
 func TestWithheldRateIsNotGranted(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(0, limitsOf(testLimit))
-	l.Withhold(0, 0.75)
-	l.Withhold(400*time.Millisecond, 0)
-	if states := l.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
+	a := NewAllocator(1)
+	a.SetLimits(0, limitsOf(testLimit))
+	a.Withhold(0, 0.75)
+	a.Withhold(400*time.Millisecond, 0)
+	if states := a.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
 		t.Fatalf("%v", states)
 	}
 }
