--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -224,8 +224,8 @@
 // TestSlackIsNotOvercommitted: what may be used beyond a limit at its worst moment, with a third of the borrowers silent and a room of a
 // second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
 func TestSlackIsNotOvercommitted(t *testing.T) {
-	const detectionDelay, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
-	committed := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + detectionDelay*silent
+	const detectionDelay, silentFraction = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
+	committed := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + detectionDelay*silentFraction
 	if committed > 0.9 {
 		t.Fatalf("%.2f of the room is given", committed)
 	}
