--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -23,7 +23,7 @@
 }
 
 func newTestClient() *Client {
-	c := NewClient("b", testTrust)
+	c := NewClient("b", testFallbackPeriod)
 	c.SetLimits(limitsOf(testLimit))
 	return c
 }
@@ -202,7 +202,7 @@
 	if _, ok := c.TakeFallback(now, resource, 1); ok {
 		t.Fatal("more than its part")
 	}
-	if _, ok := c.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
+	if _, ok := c.TakeFallback(time.Minute+testFallbackPeriod+1, resource, 1); ok {
 		t.Fatal("out of trust")
 	}
 	if _, ok := newTestClient().TakeFallback(time.Minute, resource, 1); ok {
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	testTrust        = 3 * time.Second
-	testWindow       = 8 * time.Second
-	testSilenceLimit = time.Second
+	testFallbackPeriod = 3 * time.Second
+	testWindow         = 8 * time.Second
+	testSilenceLimit   = time.Second
 )
 
 // usage is an amount that a borrower used at a time.
@@ -69,7 +69,7 @@
 }
 
 func (f *fleet) startClient(i int) {
-	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testTrust), nil
+	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testFallbackPeriod), nil
 	if f.advertised == nil {
 		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
@@ -89,7 +89,7 @@
 	silent := 0
 	for _, at := range f.lastContact {
 		currentTerm := at >= f.electedAt
-		if currentTerm && f.now-at > testSilenceLimit && f.now-at < testTrust || !currentTerm && f.now-f.electedAt < testTrust {
+		if currentTerm && f.now-at > testSilenceLimit && f.now-at < testFallbackPeriod || !currentTerm && f.now-f.electedAt < testFallbackPeriod {
 			silent++
 		}
 	}
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -171,7 +171,7 @@
 	if l.SweepAdvertised(4*time.Second + advertisedTTL); len(l.advertised) != 0 {
 		t.Fatal("not forgotten")
 	}
-	b := NewClient("b", testTrust)
+	b := NewClient("b", testFallbackPeriod)
 	limit := AdvertisedLimit{Rate: 4}
 	b.SetAdvertisedLimit(time.Second, resource, limit)
 	demands := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
@@ -184,7 +184,7 @@
 
 // TestClientsForgetAdvertisedLimits: those that nobody asks for, not those of a document.
 func TestClientsForgetAdvertisedLimits(t *testing.T) {
-	b := NewClient("b", testTrust)
+	b := NewClient("b", testFallbackPeriod)
 	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
 	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
 	if !b.IsLimited("x") || !b.IsLimited("tenant/a") {
