--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -12,7 +12,7 @@
 const (
 	testFallbackPeriod = 3 * time.Second
 	testWindow         = 8 * time.Second
-	testSilenceLimit   = time.Second
+	testSilenceTimeout = time.Second
 )
 
 // usage is an amount that a borrower used at a time.
@@ -89,7 +89,7 @@
 	silent := 0
 	for _, at := range f.lastContact {
 		currentTerm := at >= f.electedAt
-		if currentTerm && f.now-at > testSilenceLimit && f.now-at < testFallbackPeriod || !currentTerm && f.now-f.electedAt < testFallbackPeriod {
+		if currentTerm && f.now-at > testSilenceTimeout && f.now-at < testFallbackPeriod || !currentTerm && f.now-f.electedAt < testFallbackPeriod {
 			silent++
 		}
 	}
