--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -100,21 +100,21 @@
 
 // request makes a borrower request an amount: what it holds, what the lender lends in a moment, or its own part.
 func (f *fleet) request(i int) {
-	b, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
+	c, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	demands := []Demand{{Name: resource, Amount: amount}}
 	if f.advertised != nil {
 		limit := f.advertised[i].limit(f.now)
 		demands[0].Amount, demands[0].Advertised = 1, &limit
 		amount = 1
-		b.SetAdvertisedLimit(f.now, resource, limit)
+		c.SetAdvertisedLimit(f.now, resource, limit)
 	}
-	if lease, ok := b.Take(f.now, resource, amount); ok {
+	if lease, ok := c.Take(f.now, resource, amount); ok {
 		f.leases[i] = append(f.leases[i], lease)
 		return
 	}
-	request := b.NewRequest(f.now, demands)
+	request := c.NewRequest(f.now, demands)
 	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
-		if lease, ok := b.TakeFallback(f.now, resource, amount); ok {
+		if lease, ok := c.TakeFallback(f.now, resource, amount); ok {
 			f.leases[i] = append(f.leases[i], lease)
 		}
 		return
