--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -144,12 +144,12 @@
 			undelivered = append(undelivered, m)
 			continue
 		}
-		b := f.clients[m.to]
-		results := b.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
-		b.RecordContact(m.requestedAt, len(f.clients))
+		c := f.clients[m.to]
+		results := c.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
+		c.RecordContact(m.requestedAt, len(f.clients))
 		for _, result := range results {
 			if result.WarmingUp && result.Lease.Amount == 0 {
-				result.Lease, _ = b.TakeReserve(f.now, resource, m.demands[0].Amount)
+				result.Lease, _ = c.TakeReserve(f.now, resource, m.demands[0].Amount)
 			}
 			if result.Lease.Amount > 0 {
 				f.leases[m.to] = append(f.leases[m.to], result.Lease)
