--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -94,17 +94,17 @@
 // TestAdvertisedLimitsAreUsed: where more is asked and nothing is wrong, four fifths of a limit are used, by one borrower or by many.
 func TestAdvertisedLimitsAreUsed(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3.8, 12, 60} {
-		for _, size := range []int{1, 7, 100} {
-			f := newAdvertisedFleet(rate, size, 1)
+		for _, clients := range []int{1, 7, 100} {
+			f := newAdvertisedFleet(rate, clients, 1)
 			for range 12000 {
 				for i := range f.lastContact {
 					f.lastContact[i] = f.now // all are in touch, also those that ask for nothing
 				}
-				f.step(min(1, 4*rate/float64(size)/100)) // four times the limit, a hundred steps a second
+				f.step(min(1, 4*rate/float64(clients)/100)) // four times the limit, a hundred steps a second
 			}
 			seconds := 120.0
-			if used := float64(len(f.usages)) / seconds; used < minUsedFraction*min(rate, 100*float64(size)) {
-				t.Errorf("%d borrowers: %.2f a second used of %.2f", size, used, rate)
+			if used := float64(len(f.usages)) / seconds; used < minUsedFraction*min(rate, 100*float64(clients)) {
+				t.Errorf("%d borrowers: %.2f a second used of %.2f", clients, used, rate)
 			}
 		}
 	}
