--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -111,8 +111,8 @@
 }
 
 // requestUnit lets a lender answer one question for a unit, by a borrower that heard a limit some time ago.
-func requestUnit(l *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
-	return l.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
+func requestUnit(a *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
+	return a.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
 }
 
 // TestLowestLimitInWindowApplies: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
