--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -118,32 +118,32 @@
 // TestLowestLimitInWindowApplies: a higher one counts once no window holds anything of the lower one's time, whoever hears of it first; of two
 // words the later counts.
 func TestLowestLimitInWindowApplies(t *testing.T) {
-	l := NewAllocator(1)
+	a := NewAllocator(1)
 	second := time.Second
 	expectRate := func(want float64) {
 		t.Helper()
-		if got := l.advertised[resource].limit.Rate; got != want {
+		if got := a.advertised[resource].limit.Rate; got != want {
 			t.Fatalf("%.1f in force, wanted %.1f", got, want)
 		}
 	}
-	requestUnit(l, 10*second, 4, 0)
+	requestUnit(a, 10*second, 4, 0)
 	expectRate(4)
-	requestUnit(l, 11*second, 2, 0)
+	requestUnit(a, 11*second, 2, 0)
 	expectRate(2)
-	requestUnit(l, 12*second, 8, 0) // higher, from now on in four seconds
-	requestUnit(l, 13*second, 4, 3*second)
+	requestUnit(a, 12*second, 8, 0) // higher, from now on in four seconds
+	requestUnit(a, 13*second, 4, 3*second)
 	expectRate(2) // what was heard before the newest word changes nothing
-	requestUnit(l, 15900*time.Millisecond, 8, 0)
+	requestUnit(a, 15900*time.Millisecond, 8, 0)
 	expectRate(2)
-	requestUnit(l, 16*second, 8, 4*second)
+	requestUnit(a, 16*second, 8, 4*second)
 	expectRate(8)
-	requestUnit(l, 17*second, 3, 2*second) // heard before the newest word, in a window that may still hold something of that time
+	requestUnit(a, 17*second, 3, 2*second) // heard before the newest word, in a window that may still hold something of that time
 	expectRate(3)
-	requestUnit(l, 18*second, 8, second)
+	requestUnit(a, 18*second, 8, second)
 	expectRate(3)
-	requestUnit(l, 21*second, 8, 0)
+	requestUnit(a, 21*second, 8, 0)
 	expectRate(8)
-	requestUnit(l, 22*second, 1, 9*second)
+	requestUnit(a, 22*second, 1, 9*second)
 	expectRate(8)
 }
 
