--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -150,25 +150,25 @@
 // TestAdvertisedBucketsAreIndependent: the limits of a document replace each other and leave them as they are; nobody's are forgotten; a lender that
 // doesn't know of them lends nothing that counts.
 func TestAdvertisedBucketsAreIndependent(t *testing.T) {
-	l := NewAllocator(1)
-	requestUnit(l, time.Second, 4, 0)
-	l.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
+	a := NewAllocator(1)
+	requestUnit(a, time.Second, 4, 0)
+	a.SetLimits(2*time.Second, map[string]Limit{"tenant/a": {Rate: 1}})
 	for _, want := range []float64{1, 1, 0} { // what came in since it began, and no more
-		if got := requestUnit(l, 3*time.Second, 4, 0).Amount; got != want {
+		if got := requestUnit(a, 3*time.Second, 4, 0).Amount; got != want {
 			t.Fatalf("the account is not as it was: %v lent", got)
 		}
 	}
-	if states := l.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
+	if states := a.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
 		t.Fatalf("%+v", states)
 	}
-	if states := l.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
+	if states := a.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
 		t.Fatalf("%+v", states)
 	}
-	l.SweepAdvertised(3*time.Second + advertisedTTL)
-	if len(l.advertised) != 1 {
+	a.SweepAdvertised(3*time.Second + advertisedTTL)
+	if len(a.advertised) != 1 {
 		t.Fatal("forgotten too soon")
 	}
-	if l.SweepAdvertised(4*time.Second + advertisedTTL); len(l.advertised) != 0 {
+	if a.SweepAdvertised(4*time.Second + advertisedTTL); len(a.advertised) != 0 {
 		t.Fatal("not forgotten")
 	}
 	b := NewClient("b", testFallbackPeriod)
