--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -203,11 +203,11 @@
 	for i := range names {
 		names[i] = fmt.Sprint("back-end/i-", i)
 	}
-	l, now := NewAllocator(1), time.Second
+	a, now := NewAllocator(1), time.Second
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
 		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
-		l.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
+		a.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
 	}
 }
