--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -171,13 +171,13 @@
 	if a.SweepAdvertised(4*time.Second + advertisedTTL); len(a.advertised) != 0 {
 		t.Fatal("not forgotten")
 	}
-	b := NewClient("b", testFallbackPeriod)
+	c := NewClient("b", testFallbackPeriod)
 	limit := AdvertisedLimit{Rate: 4}
-	b.SetAdvertisedLimit(time.Second, resource, limit)
+	c.SetAdvertisedLimit(time.Second, resource, limit)
 	demands := []Demand{{Name: resource, Amount: 1, Advertised: &limit}}
-	request := b.NewRequest(time.Second, demands)
+	request := c.NewRequest(time.Second, demands)
 	reply := Reply{Term: 1, Sequence: request.Sequence, Grants: []Grant{{Name: resource, Amount: 1}}}
-	if got := b.ApplyReply(time.Second, time.Second, demands, reply)[0]; got.Lease.Amount > 0 || !got.Unenforced {
+	if got := c.ApplyReply(time.Second, time.Second, demands, reply)[0]; got.Lease.Amount > 0 || !got.Unenforced {
 		t.Fatalf("of a lender that counts nothing: %+v", got)
 	}
 }
