--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -184,14 +184,14 @@
 
 // TestClientsForgetAdvertisedLimits: those that nobody asks for, not those of a document.
 func TestClientsForgetAdvertisedLimits(t *testing.T) {
-	b := NewClient("b", testFallbackPeriod)
-	b.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
-	b.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
-	if !b.IsLimited("x") || !b.IsLimited("tenant/a") {
+	c := NewClient("b", testFallbackPeriod)
+	c.SetAdvertisedLimit(time.Second, "x", AdvertisedLimit{Rate: 1})
+	c.SetLimits(map[string]Limit{"tenant/a": {Rate: 1}})
+	if !c.IsLimited("x") || !c.IsLimited("tenant/a") {
 		t.Fatal("a document replaced what a resource named")
 	}
-	b.SetAdvertisedLimit(time.Second+2*advertisedTTL, "y", AdvertisedLimit{Rate: 1})
-	if b.IsLimited("x") || !b.IsLimited("y") || !b.IsLimited("tenant/a") {
+	c.SetAdvertisedLimit(time.Second+2*advertisedTTL, "y", AdvertisedLimit{Rate: 1})
+	if c.IsLimited("x") || !c.IsLimited("y") || !c.IsLimited("tenant/a") {
 		t.Fatal("not forgotten, or too much")
 	}
 }
