--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -23,8 +23,8 @@
 	at   time.Duration
 }
 
-func (w advertisement) limit(now time.Duration) AdvertisedLimit {
-	return AdvertisedLimit{Rate: w.rate, Age: now - w.at}
+func (a advertisement) limit(now time.Duration) AdvertisedLimit {
+	return AdvertisedLimit{Rate: a.rate, Age: now - a.at}
 }
 
 // newAdvertisedFleet is a fleet that shares a resource which names its limit.
