--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -207,7 +207,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
-		asks := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
-		a.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: asks})
+		items := []RequestItem{{Name: names[i%backEnds], Amount: 1, Advertised: &AdvertisedLimit{Rate: 4}}}
+		a.Allocate(now, Request{Client: "b", Sequence: uint64(i), Items: items})
 	}
 }
