--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -68,7 +68,7 @@
 			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
 		demandProbability := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
-		from := f.now
+		checkFrom := f.now
 		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
 			for range rapid.IntRange(1, 400).Draw(t, "steps") {
 				f.step(demandProbability)
@@ -77,7 +77,7 @@
 			if kind == "lower" {
 				rate *= rapid.Float64Range(0, 1).Draw(t, "by")
 				f.advertise(rate)
-				from = f.now + settlingTime
+				checkFrom = f.now + settlingTime
 				continue
 			}
 			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
@@ -85,7 +85,7 @@
 		for range 500 {
 			f.step(demandProbability)
 		}
-		if used, allowed := float64(f.fullestWindow(from)), window.Allowed(rate); used > allowed {
+		if used, allowed := float64(f.fullestWindow(checkFrom)), window.Allowed(rate); used > allowed {
 			t.Fatalf("%.0f used in a window, %.0f allowed at %.2f a second", used, allowed, rate)
 		}
 	})
