--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -52,9 +52,9 @@
 	return p
 }
 
-func callDirectly(l *allowance.Allocator) RequestFunc {
+func callDirectly(a *allowance.Allocator) RequestFunc {
 	return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-		return l.Allocate(fixedClock(), request), nil
+		return a.Allocate(fixedClock(), request), nil
 	}
 }
 
