--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -111,10 +111,10 @@
 func TestCanceledAcquireConsumesNothing(t *testing.T) {
 	sent, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(sent); <-resume })
-			return l.Allocate(fixedClock(), request), nil
+			return a.Allocate(fixedClock(), request), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
