--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -133,9 +133,9 @@
 
 // TestAcquireWaitsForImminentRefill rather than refused.
 func TestAcquireWaitsForImminentRefill(t *testing.T) {
-	p := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
+	p := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-			return l.Allocate(movingClock(), request), nil
+			return a.Allocate(movingClock(), request), nil
 		}
 	})
 	for range 5 {
