--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -18,8 +18,8 @@
 	startTime      = time.Now()
 )
 
-// fixedClock is a fixedClock that stands still, so that nothing depends on how fast a test runs.
-func fixedClock() time.Duration { return time.Minute }
+// frozenClock is a frozenClock that stands still, so that nothing depends on how fast a test runs.
+func frozenClock() time.Duration { return time.Minute }
 
 // movingClock is a clock that goes.
 func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
@@ -27,7 +27,7 @@
 // newPool runs a desk over a lender whose account is full.
 func newPool(t *testing.T, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	return newPoolWithClock(t, fixedClock, limit, newRequestFunc)
+	return newPoolWithClock(t, frozenClock, limit, newRequestFunc)
 }
 
 func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
@@ -54,7 +54,7 @@
 
 func callDirectly(a *allowance.Allocator) RequestFunc {
 	return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-		return a.Allocate(fixedClock(), request), nil
+		return a.Allocate(frozenClock(), request), nil
 	}
 }
 
@@ -98,7 +98,7 @@
 			return allowance.Reply{}, errUnreachable
 		}
 	})
-	p.RecordContact(fixedClock(), 1)
+	p.RecordContact(frozenClock(), 1)
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%v", result)
 	}
@@ -114,7 +114,7 @@
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
 			once.Do(func() { close(sent); <-resume })
-			return a.Allocate(fixedClock(), request), nil
+			return a.Allocate(frozenClock(), request), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -170,13 +170,13 @@
 func TestWarmUpUsesReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	warming := allowance.NewAllocator(1)
-	warming.SetLimits(fixedClock(), map[string]allowance.Limit{resource: limit})
+	warming.SetLimits(frozenClock(), map[string]allowance.Limit{resource: limit})
 	p := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
-			return warming.Allocate(fixedClock(), request), nil
+			return warming.Allocate(frozenClock(), request), nil
 		}
 	})
-	p.RecordContact(fixedClock(), 1)
+	p.RecordContact(frozenClock(), 1)
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
 		t.Fatalf("%+v", result)
 	}
