--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -40,18 +40,18 @@
 				want[f][crash.Incarnation] = true
 			}
 		}
-		one, other := NewRegistry(), NewRegistry()
+		inOrder, other := NewRegistry(), NewRegistry()
 		for _, crash := range crashes {
-			one.Apply(Change{Crashes: []Crash{crash}})
+			inOrder.Apply(Change{Crashes: []Crash{crash}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
 		other.Apply(Change{Crashes: shuffled})
 		for f, lives := range want {
-			if one.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.CrashCount(f), other.CrashCount(f), len(lives))
+			if inOrder.CrashCount(f) != len(lives) || other.CrashCount(f) != len(lives) {
+				t.Fatalf("%v has %d and %d lives, wanted %d", f, inOrder.CrashCount(f), other.CrashCount(f), len(lives))
 			}
 		}
-		if one.WouldChange(Change{Crashes: crashes}) {
+		if inOrder.WouldChange(Change{Crashes: crashes}) {
 			t.Fatal("what is known counts as news")
 		}
 	})
