--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -162,20 +162,20 @@
 
 // TestFloodDoesNotEvictQuarantinedRequest: however many other requests are told of, one with more lives against it stays.
 func TestFloodDoesNotEvictQuarantinedRequest(t *testing.T) {
-	l := NewRegistry()
+	r := NewRegistry()
 	for life := range QuarantineThreshold {
-		l.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", life), 1)}})
+		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", life), 1)}})
 	}
 	for n := range 3 * maxEntries {
-		l.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
+		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
+	if got := r.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
 		t.Fatalf("%d lives are left", got)
 	}
-	if n := len(l.Fingerprints()); n != maxEntries {
+	if n := len(r.Fingerprints()); n != maxEntries {
 		t.Fatalf("%d requests are remembered, %d are the most", n, maxEntries)
 	}
-	if l.CrashCount(fingerprintOf(2)) != 0 || l.CrashCount(fingerprintOf(1+3*maxEntries)) != 1 {
+	if r.CrashCount(fingerprintOf(2)) != 0 || r.CrashCount(fingerprintOf(1+3*maxEntries)) != 1 {
 		t.Fatal("it is not the oldest that makes room")
 	}
 }
