--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -182,15 +182,15 @@
 
 // TestFirstSeedIsKept: the first one is everybody's.
 func TestFirstSeedIsKept(t *testing.T) {
-	l, first := NewRegistry(), make([]byte, SeedBytes)
+	r, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
-	l.Apply(Change{Seed: first[:5]})
-	if l.HasSeed() {
+	r.Apply(Change{Seed: first[:5]})
+	if r.HasSeed() {
 		t.Fatal("a short seed is taken")
 	}
-	l.Apply(Change{Seed: first})
-	l.Apply(Change{Seed: make([]byte, SeedBytes)})
-	if got := l.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
+	r.Apply(Change{Seed: first})
+	r.Apply(Change{Seed: make([]byte, SeedBytes)})
+	if got := r.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
 		t.Fatalf("%+v", got)
 	}
 }
