--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -243,25 +243,25 @@
 
 // TestOnlyConfirmedCrashCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyConfirmedCrashCounts(t *testing.T) {
-	r, f := NewTracker(), fingerprintOf(1)
-	if _, counts := r.RecordFailure(time.Second, "a", f); counts || r.CrashCount(f) != 0 || !r.AwaitsConfirmation("a") {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	if _, counts := tracker.RecordFailure(time.Second, "a", f); counts || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
-	if _, counts := r.ConfirmEnd(time.Second, "b"); counts {
+	if _, counts := tracker.ConfirmEnd(time.Second, "b"); counts {
 		t.Fatal("a life without broken runs counts")
 	}
-	crash, counts := r.ConfirmEnd(2*time.Second, "a")
-	if !counts || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || r.CrashCount(f) != 1 || r.AwaitsConfirmation("a") {
+	crash, counts := tracker.ConfirmEnd(2*time.Second, "a")
+	if !counts || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
 		t.Fatalf("%+v, %t", crash, counts)
 	}
-	if crash, counts = r.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
+	if crash, counts = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
 		t.Fatalf("a run that breaks off after the proof: %+v, %t", crash, counts)
 	}
-	if _, counts = r.ConfirmEnd(2*time.Second, "a"); counts {
+	if _, counts = tracker.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("a life counts twice")
 	}
-	r.RecordFailure(3*time.Second, "c", f)
-	if _, counts = r.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); counts {
+	tracker.RecordFailure(3*time.Second, "c", f)
+	if _, counts = tracker.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); counts {
 		t.Fatal("a proof long after counts")
 	}
 }
