--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -269,24 +269,24 @@
 // TestCompletionClearsRequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
 // is released.
 func TestCompletionClearsRequest(t *testing.T) {
-	r, f := NewTracker(), fingerprintOf(1)
-	if r.RecordCompletion(time.Second, f) {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	if tracker.RecordCompletion(time.Second, f) {
 		t.Fatal("released though nothing is known of it")
 	}
-	r.RecordFailure(2*time.Second, "a", f)
-	if _, counts := r.ConfirmEnd(2*time.Second, "a"); counts {
+	tracker.RecordFailure(2*time.Second, "a", f)
+	if _, counts := tracker.ConfirmEnd(2*time.Second, "a"); counts {
 		t.Fatal("counted right after a good end")
 	}
 	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
-	if completed := r.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) || r.CrashCount(f) != 0 || r.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
+	if completed := tracker.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) || tracker.CrashCount(f) != 0 || tracker.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
 		t.Fatalf("%v is released", completed)
 	}
-	if !r.RecordCompletion(4*time.Second, fingerprintOf(2)) || r.CrashCount(fingerprintOf(2)) != 0 {
+	if !tracker.RecordCompletion(4*time.Second, fingerprintOf(2)) || tracker.CrashCount(fingerprintOf(2)) != 0 {
 		t.Fatal("a good end releases nothing")
 	}
 	later := 4*time.Second + completionTTL + 1
-	r.ApplyUpdate(later, update)
-	if r.CrashCount(f) != QuarantineThreshold {
+	tracker.ApplyUpdate(later, update)
+	if tracker.CrashCount(f) != QuarantineThreshold {
 		t.Fatal("an old good end speaks for a request")
 	}
 }
