--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -296,25 +296,25 @@
 // in which there could be none counted.
 func TestCompletionOutlastsIdleTime(t *testing.T) {
 	const idle = 6 * time.Second
-	r, f := NewTracker(), fingerprintOf(1)
-	r.RecordCompletion(time.Second, f)
+	tracker, f := NewTracker(), fingerprintOf(1)
+	tracker.RecordCompletion(time.Second, f)
 	back := 2*time.Second + idle
-	r.RecordIdle(back, idle)
+	tracker.RecordIdle(back, idle)
 	for _, life := range []string{"a", "b", "c"} {
-		r.RecordFailure(back, life, f)
-		r.ConfirmEnd(back, life)
+		tracker.RecordFailure(back, life, f)
+		tracker.ConfirmEnd(back, life)
 	}
-	if lives := r.CrashCount(f); lives != 0 {
+	if lives := tracker.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
 	}
 	later := time.Second + idle + completionTTL + 1
-	r.RecordFailure(later, "d", f)
-	if _, counts := r.ConfirmEnd(later, "d"); !counts {
+	tracker.RecordFailure(later, "d", f)
+	if _, counts := tracker.ConfirmEnd(later, "d"); !counts {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
-	r.RecordCompletion(later, f)
-	r.RecordIdle(later+time.Second, time.Hour)
-	if r.recentlyCompleted(later+time.Second+completionTTL+1, f) {
+	tracker.RecordCompletion(later, f)
+	tracker.RecordIdle(later+time.Second, time.Hour)
+	if tracker.recentlyCompleted(later+time.Second+completionTTL+1, f) {
 		t.Fatal("a good end lies ahead")
 	}
 }
