--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -321,22 +321,22 @@
 
 // TestLocalCrashesAddToReportedOnes: each life counts once, and what control has had time to count is forgotten.
 func TestLocalCrashesAddToReportedOnes(t *testing.T) {
-	r, f := NewTracker(), fingerprintOf(1)
+	tracker, f := NewTracker(), fingerprintOf(1)
 	for _, life := range []string{"a", "b"} {
-		r.RecordFailure(time.Second, life, f)
-		r.ConfirmEnd(time.Second, life)
+		tracker.RecordFailure(time.Second, life, f)
+		tracker.ConfirmEnd(time.Second, life)
 	}
-	if r.IsEmpty() || r.CrashCount(f) != 2 {
-		t.Fatalf("%d lives", r.CrashCount(f))
+	if tracker.IsEmpty() || tracker.CrashCount(f) != 2 {
+		t.Fatalf("%d lives", tracker.CrashCount(f))
 	}
-	r.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
-	if suspects, quarantined := r.SuspectCounts(); r.CrashCount(f) != 3 || suspects != 1 || quarantined != 0 {
-		t.Fatalf("%d lives, %d told, %d held", r.CrashCount(f), suspects, quarantined)
+	tracker.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
+	if suspects, quarantined := tracker.SuspectCounts(); tracker.CrashCount(f) != 3 || suspects != 1 || quarantined != 0 {
+		t.Fatalf("%d lives, %d told, %d held", tracker.CrashCount(f), suspects, quarantined)
 	}
-	r.ApplyUpdate(2*time.Second, &Update{Version: 2})
-	r.Sweep(time.Second + localTTL + 1)
-	if !r.IsEmpty() || r.Version() != 2 {
-		t.Fatalf("%d lives are left", r.CrashCount(f))
+	tracker.ApplyUpdate(2*time.Second, &Update{Version: 2})
+	tracker.Sweep(time.Second + localTTL + 1)
+	if !tracker.IsEmpty() || tracker.Version() != 2 {
+		t.Fatalf("%d lives are left", tracker.CrashCount(f))
 	}
 }
 
