--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -375,29 +375,29 @@
 // TestReleaseElsewhereAppliesAfterAcknowledgement: a process that proved three lives itself follows control once that has taken them: a good end at another
 // process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
 func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
-	r, f := NewTracker(), fingerprintOf(1)
+	tracker, f := NewTracker(), fingerprintOf(1)
 	var crashes []Crash
 	for _, life := range []string{"a", "b", "c"} {
-		r.RecordFailure(time.Second, life, f)
-		crash, _ := r.ConfirmEnd(time.Second, life)
+		tracker.RecordFailure(time.Second, life, f)
+		crash, _ := tracker.ConfirmEnd(time.Second, life)
 		crashes = append(crashes, crash)
 	}
-	r.ApplyUpdate(time.Second, &Update{Version: 1})
-	if r.CrashCount(f) != QuarantineThreshold {
-		t.Fatalf("%d lives before control has taken them", r.CrashCount(f))
+	tracker.ApplyUpdate(time.Second, &Update{Version: 1})
+	if tracker.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d lives before control has taken them", tracker.CrashCount(f))
 	}
-	r.Acknowledge(crashes)
-	if r.CrashCount(f) != QuarantineThreshold {
-		t.Fatalf("%d lives before the news", r.CrashCount(f))
+	tracker.Acknowledge(crashes)
+	if tracker.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d lives before the news", tracker.CrashCount(f))
 	}
-	r.ApplyUpdate(time.Second, &Update{Version: 3})
-	if r.CrashCount(f) != 0 {
-		t.Fatalf("%d lives of a request that was released", r.CrashCount(f))
+	tracker.ApplyUpdate(time.Second, &Update{Version: 3})
+	if tracker.CrashCount(f) != 0 {
+		t.Fatalf("%d lives of a request that was released", tracker.CrashCount(f))
 	}
-	r.RecordFailure(2*time.Second, "d", f)
-	r.ConfirmEnd(2*time.Second, "d")
-	r.ApplyUpdate(2*time.Second, &Update{Version: 4})
-	if r.CrashCount(f) != 1 {
-		t.Fatalf("%d lives after one more that control hasn't taken", r.CrashCount(f))
+	tracker.RecordFailure(2*time.Second, "d", f)
+	tracker.ConfirmEnd(2*time.Second, "d")
+	tracker.ApplyUpdate(2*time.Second, &Update{Version: 4})
+	if tracker.CrashCount(f) != 1 {
+		t.Fatalf("%d lives after one more that control hasn't taken", tracker.CrashCount(f))
 	}
 }
