--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -342,18 +342,18 @@
 
 // TestTrackerIsBounded: whatever breaks off, and however much ends well.
 func TestTrackerIsBounded(t *testing.T) {
-	r := NewTracker()
+	tracker := NewTracker()
 	for n := range 3 * maxCompletions {
-		r.RecordFailure(time.Second, fmt.Sprint("life-", n), fingerprintOf(n))
-		r.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
-		r.RecordFailure(time.Second, "one", fingerprintOf(n))
-		r.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
+		tracker.RecordFailure(time.Second, fmt.Sprint("life-", n), fingerprintOf(n))
+		tracker.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
+		tracker.RecordFailure(time.Second, "one", fingerprintOf(n))
+		tracker.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
-	if len(r.failures) > maxFailedIncarnations || len(r.failures["one"].runs) > maxFailedRuns || len(r.local) > maxLocal || len(r.completions) > maxCompletions {
-		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.failures), len(r.failures["one"].runs), len(r.local), len(r.completions))
+	if len(tracker.failures) > maxFailedIncarnations || len(tracker.failures["one"].runs) > maxFailedRuns || len(tracker.local) > maxLocal || len(tracker.completions) > maxCompletions {
+		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
 	}
-	for f, c := range r.completions {
-		if r.ring[c.slot] != f {
+	for f, c := range tracker.completions {
+		if tracker.ring[c.slot] != f {
 			t.Fatal("a good end is not where it says")
 		}
 	}
