--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -244,7 +244,7 @@
 // TestOnlyConfirmedCrashCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
 func TestOnlyConfirmedCrashCounts(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
-	if _, counts := tracker.RecordFailure(time.Second, "a", f); counts || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
+	if _, ok := tracker.RecordFailure(time.Second, "a", f); ok || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
 	if _, counts := tracker.ConfirmEnd(time.Second, "b"); counts {
