--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -247,7 +247,7 @@
 	if _, ok := tracker.RecordFailure(time.Second, "a", f); ok || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
 		t.Fatal("a broken run counts without proof")
 	}
-	if _, counts := tracker.ConfirmEnd(time.Second, "b"); counts {
+	if _, ok := tracker.ConfirmEnd(time.Second, "b"); ok {
 		t.Fatal("a life without broken runs counts")
 	}
 	crash, counts := tracker.ConfirmEnd(2*time.Second, "a")
