--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -250,18 +250,18 @@
 	if _, ok := tracker.ConfirmEnd(time.Second, "b"); ok {
 		t.Fatal("a life without broken runs counts")
 	}
-	crash, counts := tracker.ConfirmEnd(2*time.Second, "a")
-	if !counts || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
-		t.Fatalf("%+v, %t", crash, counts)
+	crash, ok := tracker.ConfirmEnd(2*time.Second, "a")
+	if !ok || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
+		t.Fatalf("%+v, %t", crash, ok)
 	}
-	if crash, counts = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !counts || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
-		t.Fatalf("a run that breaks off after the proof: %+v, %t", crash, counts)
+	if crash, ok = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !ok || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
+		t.Fatalf("a run that breaks off after the proof: %+v, %t", crash, ok)
 	}
-	if _, counts = tracker.ConfirmEnd(2*time.Second, "a"); counts {
+	if _, ok = tracker.ConfirmEnd(2*time.Second, "a"); ok {
 		t.Fatal("a life counts twice")
 	}
 	tracker.RecordFailure(3*time.Second, "c", f)
-	if _, counts = tracker.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); counts {
+	if _, ok = tracker.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); ok {
 		t.Fatal("a proof long after counts")
 	}
 }
