--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -274,7 +274,7 @@
 		t.Fatal("released though nothing is known of it")
 	}
 	tracker.RecordFailure(2*time.Second, "a", f)
-	if _, counts := tracker.ConfirmEnd(2*time.Second, "a"); counts {
+	if _, ok := tracker.ConfirmEnd(2*time.Second, "a"); ok {
 		t.Fatal("counted right after a good end")
 	}
 	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
