--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -309,7 +309,7 @@
 	}
 	later := time.Second + idle + completionTTL + 1
 	tracker.RecordFailure(later, "d", f)
-	if _, counts := tracker.ConfirmEnd(later, "d"); !counts {
+	if _, ok := tracker.ConfirmEnd(later, "d"); !ok {
 		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
 	}
 	tracker.RecordCompletion(later, f)
