--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -298,11 +298,11 @@
 	const idle = 6 * time.Second
 	tracker, f := NewTracker(), fingerprintOf(1)
 	tracker.RecordCompletion(time.Second, f)
-	back := 2*time.Second + idle
-	tracker.RecordIdle(back, idle)
+	resumed := 2*time.Second + idle
+	tracker.RecordIdle(resumed, idle)
 	for _, life := range []string{"a", "b", "c"} {
-		tracker.RecordFailure(back, life, f)
-		tracker.ConfirmEnd(back, life)
+		tracker.RecordFailure(resumed, life, f)
+		tracker.ConfirmEnd(resumed, life)
 	}
 	if lives := tracker.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
