--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -300,9 +300,9 @@
 	tracker.RecordCompletion(time.Second, f)
 	resumed := 2*time.Second + idle
 	tracker.RecordIdle(resumed, idle)
-	for _, life := range []string{"a", "b", "c"} {
-		tracker.RecordFailure(resumed, life, f)
-		tracker.ConfirmEnd(resumed, life)
+	for _, incarnation := range []string{"a", "b", "c"} {
+		tracker.RecordFailure(resumed, incarnation, f)
+		tracker.ConfirmEnd(resumed, incarnation)
 	}
 	if lives := tracker.CrashCount(f); lives != 0 {
 		t.Fatalf("%d lives count", lives)
