--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -322,9 +322,9 @@
 // TestLocalCrashesAddToReportedOnes: each life counts once, and what control has had time to count is forgotten.
 func TestLocalCrashesAddToReportedOnes(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
-	for _, life := range []string{"a", "b"} {
-		tracker.RecordFailure(time.Second, life, f)
-		tracker.ConfirmEnd(time.Second, life)
+	for _, incarnation := range []string{"a", "b"} {
+		tracker.RecordFailure(time.Second, incarnation, f)
+		tracker.ConfirmEnd(time.Second, incarnation)
 	}
 	if tracker.IsEmpty() || tracker.CrashCount(f) != 2 {
 		t.Fatalf("%d lives", tracker.CrashCount(f))
