--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -377,9 +377,9 @@
 func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
 	var crashes []Crash
-	for _, life := range []string{"a", "b", "c"} {
-		tracker.RecordFailure(time.Second, life, f)
-		crash, _ := tracker.ConfirmEnd(time.Second, life)
+	for _, incarnation := range []string{"a", "b", "c"} {
+		tracker.RecordFailure(time.Second, incarnation, f)
+		crash, _ := tracker.ConfirmEnd(time.Second, incarnation)
 		crashes = append(crashes, crash)
 	}
 	tracker.ApplyUpdate(time.Second, &Update{Version: 1})
