--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -363,10 +363,10 @@
 	h, _ := NewHasher(make([]byte, SeedBytes))
 	for _, size := range []int{0, 800, 30 << 10, 90 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			again := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
+			request := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.Fingerprint(again)
+				h.Fingerprint(request)
 			}
 		})
 	}
