--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -40,15 +40,15 @@
 				want[f][crash.Incarnation] = true
 			}
 		}
-		inOrder, shuffledCopy := NewRegistry(), NewRegistry()
+		inOrder, shuffledOrder := NewRegistry(), NewRegistry()
 		for _, crash := range crashes {
 			inOrder.Apply(Change{Crashes: []Crash{crash}})
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
-		shuffledCopy.Apply(Change{Crashes: shuffled})
+		shuffledOrder.Apply(Change{Crashes: shuffled})
 		for f, lives := range want {
-			if inOrder.CrashCount(f) != len(lives) || shuffledCopy.CrashCount(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, inOrder.CrashCount(f), shuffledCopy.CrashCount(f), len(lives))
+			if inOrder.CrashCount(f) != len(lives) || shuffledOrder.CrashCount(f) != len(lives) {
+				t.Fatalf("%v has %d and %d lives, wanted %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(lives))
 			}
 		}
 		if inOrder.WouldChange(Change{Crashes: crashes}) {
