--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -9,7 +9,7 @@
 
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
-// fullAllocator returns a lender whose account is full, and the time.
+// fullAllocator returns an allocator with a full bucket, and the current time.
 func fullAllocator() (*Allocator, time.Duration) {
 	a := NewAllocator(1)
 	a.SetLimits(0, limitsOf(testLimit))
@@ -28,62 +28,62 @@
 	return c
 }
 
-// TestNewAllocatorStartsEmpty: it begins empty, and only what comes in after it began is lent.
+// A new allocator grants only what accumulated since it was created.
 func TestNewAllocatorStartsEmpty(t *testing.T) {
 	a := NewAllocator(2)
 	a.SetLimits(time.Minute, limitsOf(testLimit))
 	c := newTestClient()
 	lease, wait := requestOne(a, time.Minute, c, 100)
 	if lease.Amount != 0 || wait != 100*time.Millisecond {
-		t.Fatalf("lent %v, wait %v", lease, wait)
+		t.Fatalf("granted %v, retry after %v", lease, wait)
 	}
 	if lease, _ = requestOne(a, time.Minute+wait, c, 100); lease.Amount != 100 {
-		t.Fatalf("after the wait: %v", lease)
+		t.Fatalf("after the retry delay: got %v, want an amount of 100", lease)
 	}
 }
 
-// TestLeasesExpire: by the clock of who asked, from the moment when it asked, whatever was waited for.
+// Leases expire by the client's clock, LeaseTTL after the request was made, however late the reply arrives.
 func TestLeasesExpire(t *testing.T) {
 	a, now := fullAllocator()
 	c := newTestClient()
 	lease, _ := requestOne(a, now, c, 100)
 	if !lease.Valid(now+LeaseTTL) || lease.Valid(now+LeaseTTL+1) {
-		t.Fatalf("%v", lease)
+		t.Fatalf("lease is not valid for LeaseTTL exactly: %v", lease)
 	}
 	c.Release(now, lease)
 	if _, ok := c.Take(now+LeaseTTL+1, resource, 100); ok {
-		t.Fatal("taken after its time")
+		t.Fatal("took an expired lease")
 	}
 	demands := []Demand{{Name: resource, Amount: 100}}
 	lateReply := a.Allocate(now, c.NewRequest(now, demands))
 	if got := c.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
-		t.Fatal("a late answer gave something")
+		t.Fatal("reply received after LeaseTTL yielded a lease")
 	}
 }
 
-// TestRepliesAreAppliedOnce: one that comes twice, or from an older lender, gives nothing.
+// Duplicate replies and replies of earlier allocators must not yield leases.
 func TestRepliesAreAppliedOnce(t *testing.T) {
 	a, now := fullAllocator()
 	c := newTestClient()
 	demands := []Demand{{Name: resource, Amount: 100}}
 	reply := a.Allocate(now, c.NewRequest(now, demands))
 	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
-		t.Fatal("nothing lent")
+		t.Fatal("nothing granted")
 	}
 	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 0 {
-		t.Fatal("an answer counted twice")
+		t.Fatal("duplicate reply yielded a lease")
 	}
 	if _, ok := c.Take(now, resource, 100); ok {
-		t.Fatal("an answer counted twice")
+		t.Fatal("duplicate reply added to the leases")
 	}
 	olderAllocator := NewAllocator(0)
 	olderAllocator.SetLimits(0, limitsOf(testLimit))
 	if got := c.ApplyReply(now, now, demands, olderAllocator.Allocate(now, c.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
-		t.Fatal("an older lender's answer counted")
+		t.Fatal("reply of an earlier allocator yielded a lease")
 	}
 }
 
-// TestUnusedLeasesAreReturnedOnce: what nobody took comes back to the lender, once however often the question arrives.
+// Returned amounts are added once, also if the request arrives twice.
 func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
 	a, now := fullAllocator()
 	c := newTestClient()
@@ -92,146 +92,148 @@
 	now += LeaseTTL - time.Millisecond
 	request := c.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
 	if len(request.Returned) != 1 || request.Returned[0].Amount != 100 {
-		t.Fatalf("%v goes back", request.Returned)
+		t.Fatalf("returned amounts: got %v, want one of 100", request.Returned)
 	}
-	a.Withhold(now, 1) // nothing else comes in
+	a.Withhold(now, 1) // no refill
 	before := a.buckets[resource].level
 	a.Allocate(now, request)
 	a.Allocate(now, request)
 	after := a.buckets[resource].level
 	if granted := 2 * 10.0; after > before+100-granted && after > testLimit.capacity()-granted {
-		t.Fatalf("%v before, %v after", before, after)
+		t.Fatalf("level was %v before and %v after the return", before, after)
 	}
 	if a.buckets[resource].granted != 20 {
-		t.Fatalf("%v lent", a.buckets[resource].granted)
+		t.Fatalf("granted %v", a.buckets[resource].granted)
 	}
 }
 
-// TestPrefetchLeavesHalfTheCapacity: it is counted, and half of the capacity stays for others.
+// Prefetched amounts are deducted, and half the capacity is left for other clients.
 func TestPrefetchLeavesHalfTheCapacity(t *testing.T) {
 	a, now := fullAllocator()
 	capacity := testLimit.capacity()
 	reply := a.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
 	if got := reply.Grants[0].Amount; got != capacity/2 {
-		t.Fatalf("%v lent of %v", got, capacity)
+		t.Fatalf("granted %v of a capacity of %v", got, capacity)
 	}
 	reply = a.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
 	if got := reply.Grants[0].Amount; got != 100 {
-		t.Fatalf("%v lent", got)
+		t.Fatalf("granted %v", got)
 	}
 }
 
-// TestAmountAboveCapacityNeedsFullBucket, which is in debt then: nobody inside the limit is turned away for ever.
+// An amount slightly above the capacity is granted from a full bucket, so that callers within the limit are not
+// refused forever.
 func TestAmountAboveCapacityNeedsFullBucket(t *testing.T) {
 	a, now := fullAllocator()
 	c := newTestClient()
 	if lease, _ := requestOne(a, now, c, testLimit.maxAmount()+1); lease.Amount != 0 {
-		t.Fatalf("%v", lease)
+		t.Fatalf("amount above maxAmount was granted: %v", lease)
 	}
 	a, now = fullAllocator()
 	c = newTestClient()
 	if lease, _ := requestOne(a, now, c, 700); lease.Amount != 700 {
-		t.Fatalf("%v", lease)
+		t.Fatalf("amount slightly above the capacity: got %v", lease)
 	}
 	if lease, wait := requestOne(a, now, c, 100); lease.Amount != 0 || wait != 200*time.Millisecond {
-		t.Fatalf("%v after %v", lease, wait)
+		t.Fatalf("got %v, retry after %v", lease, wait)
 	}
 }
 
-// TestRetryAfterCountsEarlierRefusals: each after those that were refused before it.
+// Each refused request is told to retry after those refused before it.
 func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
 	a := NewAllocator(1)
 	a.SetLimits(time.Minute, limitsOf(testLimit))
 	c := newTestClient()
 	for i := range 3 {
 		if _, wait := requestOne(a, time.Minute, c, 100); wait != time.Duration(i+1)*100*time.Millisecond {
-			t.Fatalf("number %d waits %v", i, wait)
+			t.Fatalf("request %d: retry after %v", i, wait)
 		}
 	}
 }
 
-// TestNewBucketsReportWarmingUp: a refusal of an account that has just begun is no sign of a caller beyond its limit.
+// A refusal by a new bucket must not be reported as a caller over its limit.
 func TestNewBucketsReportWarmingUp(t *testing.T) {
 	a := NewAllocator(1)
 	a.SetLimits(time.Minute, limitsOf(testLimit))
 	request := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
 	if got := a.Allocate(time.Minute, request).Grants[0]; !got.WarmingUp || got.Amount != 0 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("refusal of a new bucket: got %+v", got)
 	}
 	if states := a.States(time.Minute); states[0].OverLimit {
-		t.Fatalf("a young account says that its limit is reached: %+v", states)
+		t.Fatalf("new bucket reports that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
 	a.Allocate(now, request)
 	if got := a.Allocate(now, request).Grants[0]; got.WarmingUp || got.Amount != 0 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("refusal of a warmed-up bucket: got %+v", got)
 	}
 }
 
-// TestLoweredLimitAppliesImmediately: what had come together under the older one is gone.
+// Amounts accumulated under a higher limit are dropped.
 func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	a, now := fullAllocator()
 	lower := Limit{Rate: 10, Burst: 10}
 	a.SetLimits(now, limitsOf(lower))
 	if level := a.buckets[resource].level; level != 10 {
-		t.Fatalf("%v left", level)
+		t.Fatalf("level is %v after the limit was lowered", level)
 	}
 	a.SetLimits(now, nil)
 	if lease, _ := requestOne(a, now, newTestClient(), 1e6); lease.Amount != 1e6 {
-		t.Fatalf("%v of a limit that was taken away", lease)
+		t.Fatalf("got %v although the limit was removed", lease)
 	}
 	a.SetLimits(now, limitsOf(testLimit))
 	if level := a.buckets[resource].level; level != 0 {
-		t.Fatalf("%v left of a limit that was taken away", level)
+		t.Fatalf("level is %v after the limit was removed and restored", level)
 	}
 }
 
-// TestFallbackShareIsBounded: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
-// what it knows no more.
+// Without contact, a client may use its equal share of the reserve and of the rate, and nothing after the fallback
+// period.
 func TestFallbackShareIsBounded(t *testing.T) {
 	c := newTestClient()
 	c.RecordContact(time.Minute, 10)
 	if _, ok := c.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
-		t.Fatal("more than its part of the reserve")
+		t.Fatal("took more than the share of the reserve")
 	}
 	now := time.Minute + time.Second
 	share := testLimit.reserve()/10 + testLimit.Rate/10
 	if lease, ok := c.TakeFallback(now, resource, share); !ok || !lease.Valid(now) {
-		t.Fatal("its part is refused")
+		t.Fatal("share of the reserve and the rate was refused")
 	}
 	if _, ok := c.TakeFallback(now, resource, 1); ok {
-		t.Fatal("more than its part")
+		t.Fatal("took more than the fallback share")
 	}
 	if _, ok := c.TakeFallback(time.Minute+testFallbackPeriod+1, resource, 1); ok {
-		t.Fatal("out of trust")
+		t.Fatal("took an amount after the fallback period")
 	}
 	if _, ok := newTestClient().TakeFallback(time.Minute, resource, 1); ok {
-		t.Fatal("never in touch")
+		t.Fatal("took an amount without ever having had contact")
 	}
 }
 
-// TestWithheldRateIsNotGranted until they are lent again.
+// A withheld fraction of the rate does not accumulate.
 func TestWithheldRateIsNotGranted(t *testing.T) {
 	a := NewAllocator(1)
 	a.SetLimits(0, limitsOf(testLimit))
 	a.Withhold(0, 0.75)
 	a.Withhold(400*time.Millisecond, 0)
 	if states := a.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
-		t.Fatalf("%v", states)
+		t.Fatalf("level after withholding 0.75 for 400 ms of 500 ms: %v", states)
 	}
 }
 
-// TestSlackIsNotOvercommitted: what may be used beyond a limit at its worst moment, with a third of the borrowers silent and a room of a
-// second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
+// The worst case of use beyond a limit, with a third of the clients silent and a slack of one second of the rate,
+// must stay within the slack.
 func TestSlackIsNotOvercommitted(t *testing.T) {
-	const detectionDelay, silentFraction = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
+	// Seconds until a silent client is noticed, and the fraction of silent clients.
+	const detectionDelay, silentFraction = 0.7, 1.0 / 3
 	committed := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + detectionDelay*silentFraction
 	if committed > 0.9 {
-		t.Fatalf("%.2f of the room is given", committed)
+		t.Fatalf("%.2f of the slack is committed, at most 0.90 is allowed", committed)
 	}
 }
 
-// TestTakeToleratesRounding: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
+// Leases whose sum equals an amount only up to rounding can be taken in full.
 func TestTakeToleratesRounding(t *testing.T) {
 	c := newTestClient()
 	for _, amount := range []float64{0.1, 0.2} {
@@ -239,9 +241,9 @@
 	}
 	first, second := 0.1, 0.2
 	if lease, ok := c.Take(time.Minute, resource, first+second); !ok || lease.Amount != first+second {
-		t.Fatalf("%v", lease)
+		t.Fatalf("sum of two leases: got %v", lease)
 	}
 	if _, ok := c.Take(time.Minute, resource, 0.01); ok {
-		t.Fatal("something is left")
+		t.Fatal("leases are left after their sum was taken")
 	}
 }
