--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -15,13 +15,13 @@
 	testSilenceTimeout = time.Second
 )
 
-// usage is an amount that a borrower used at a time.
+// usage is an amount used by a client.
 type usage struct {
 	at     time.Duration
 	amount float64
 }
 
-// message is an answer on its way.
+// message is a reply in flight.
 type message struct {
 	to          int
 	requestedAt time.Duration
@@ -30,28 +30,28 @@
 	reply       Reply
 }
 
-// Shares of what goes wrong on a link, drawn for each run.
+// faultRates are the probabilities of network faults.
 type faultRates struct{ loss, duplication, delay float64 }
 
-// fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
-// chances come from one seed.
+// fleet simulates an allocator and its clients over a network that loses, delays and duplicates messages, and records
+// all use. All randomness comes from one seed.
 type fleet struct {
 	rng              *rand.Rand
 	faults           faultRates
 	now              time.Duration
 	limit            Limit
 	maxAmount        float64
-	allocator        *Allocator // nil while nobody leads
+	allocator        *Allocator // nil while there is no leader
 	term             uint64
 	electedAt        time.Duration
 	clients          []*Client
-	lastContact      []time.Duration // when a lender last heard each
-	pausedUntil      []time.Duration // until when each stands still
-	partitionedUntil []time.Duration // until when each reaches no lender
+	lastContact      []time.Duration // when an allocator last heard from each client
+	pausedUntil      []time.Duration
+	partitionedUntil []time.Duration // until when each client cannot reach the allocator
 	leases           [][]Lease       // taken and not used yet
 	inFlight         []message
 	usages           []usage
-	advertised       []advertisement // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	advertised       []advertisement // the limit known to each client; nil if the limit is configured
 }
 
 const resource = "r"
@@ -84,7 +84,7 @@
 	f.withhold()
 }
 
-// withhold keeps back the parts of borrowers that are silent and may still trust what they know.
+// withhold withholds the shares of silent clients that may still use their fallback shares.
 func (f *fleet) withhold() {
 	silent := 0
 	for _, at := range f.lastContact {
@@ -98,7 +98,7 @@
 
 func (f *fleet) draw(probability float64) bool { return f.rng.Float64() < probability }
 
-// request makes a borrower request an amount: what it holds, what the lender lends in a moment, or its own part.
+// request makes a client acquire an amount from its leases, from the allocator or from its fallback share.
 func (f *fleet) request(i int) {
 	c, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
 	demands := []Demand{{Name: resource, Amount: amount}}
@@ -136,7 +136,7 @@
 	}
 }
 
-// deliver brings the letters that are due to those that run.
+// deliver applies the replies that are due at clients that are not paused.
 func (f *fleet) deliver() {
 	var undelivered []message
 	for _, m := range f.inFlight {
@@ -159,7 +159,7 @@
 	f.inFlight = undelivered
 }
 
-// use uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
+// use spends the leases that a client took and that are still valid, or releases them.
 func (f *fleet) use(i int) {
 	for _, lease := range f.leases[i] {
 		switch {
@@ -172,7 +172,7 @@
 	f.leases[i] = nil
 }
 
-// step lets ten milliseconds pass, in which every borrower that runs wants something as often as given.
+// step advances the time by 10 ms; each running client requests an amount with the given probability.
 func (f *fleet) step(demandProbability float64) {
 	f.now += 10 * time.Millisecond
 	if f.allocator != nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-// inject makes one thing go wrong.
+// inject injects a fault.
 func (f *fleet) inject(kind string, duration time.Duration, fraction float64) {
 	for i := range f.clients {
 		if !f.draw(fraction) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// maxWindowUsage returns the most that was used in any window.
+// maxWindowUsage returns the largest amount used in any window.
 func (f *fleet) maxWindowUsage() float64 {
 	maxUsed, sum, first := 0.0, 0.0, 0
 	for _, u := range f.usages {
@@ -225,8 +225,8 @@
 	return maxUsed
 }
 
-// TestUseInAnyWindowStaysWithinLimit: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no
-// more in any window than the limit allows, however much is wanted.
+// Whatever is lost, delayed, duplicated, paused, partitioned or newly elected, all clients together stay within the
+// limit in every window.
 func TestUseInAnyWindowStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := 1000.0
@@ -250,7 +250,7 @@
 			f.step(demandProbability)
 		}
 		if used, allowed := f.maxWindowUsage(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
-			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
+			t.Fatalf("used %.0f in a window, %.0f allowed", used, allowed)
 		}
 	})
 }
