--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -14,17 +14,17 @@
 const resource = "r"
 
 var (
-	errUnreachable = errors.New("nobody")
+	errUnreachable = errors.New("allocator unreachable")
 	startTime      = time.Now()
 )
 
-// frozenClock is a frozenClock that stands still, so that nothing depends on how fast a test runs.
+// frozenClock does not advance, so that results don't depend on the speed of the test.
 func frozenClock() time.Duration { return time.Minute }
 
-// movingClock is a clock that goes.
+// movingClock advances with real time.
 func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
 
-// newPool runs a desk over a lender whose account is full.
+// newPool runs a pool over an allocator with a full bucket.
 func newPool(t *testing.T, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
 	return newPoolWithClock(t, frozenClock, limit, newRequestFunc)
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestConcurrentAcquiresStayWithinBucket: requests that come together get whole amounts, and no more than the account holds.
+// Concurrent requests get amounts in full and together no more than the bucket holds.
 func TestConcurrentAcquiresStayWithinBucket(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
 	var granted, limitReached atomic.Int64
@@ -75,23 +75,22 @@
 	}
 	callers.Wait()
 	if granted.Load() != 50 || limitReached.Load() != 150 {
-		t.Fatalf("%d granted, %d refused", granted.Load(), limitReached.Load())
+		t.Fatalf("granted %d, refused %d", granted.Load(), limitReached.Load())
 	}
 	if requests, failed := p.RequestCounts(); requests > 200 || failed != 0 {
-		t.Fatalf("%d questions, %d failed", requests, failed)
+		t.Fatalf("%d requests sent, %d failed", requests, failed)
 	}
 }
 
-// TestUnlimitedResourceIsGranted without a question.
+// A resource without a limit is granted without a request.
 func TestUnlimitedResourceIsGranted(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
 	if result := p.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
-		t.Fatalf("%v", result)
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestUnreachableAllocatorLeavesFallbackShare: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
-// over the limit.
+// Without a reply, the fallback share is used; beyond it the outcome is Unavailable, not LimitReached.
 func TestUnreachableAllocatorLeavesFallbackShare(t *testing.T) {
 	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
@@ -100,14 +99,14 @@
 	})
 	p.RecordContact(frozenClock(), 1)
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
-		t.Fatalf("%v", result)
+		t.Fatalf("unexpected result %v", result)
 	}
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
-		t.Fatalf("%v", result)
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestCanceledAcquireConsumesNothing: what comes for it afterwards is there for the next one.
+// An amount granted to a caller that has left is available to the next one.
 func TestCanceledAcquireConsumesNothing(t *testing.T) {
 	sent, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -123,15 +122,15 @@
 	<-sent
 	cancel()
 	if result := <-canceled; result.Outcome != Unavailable {
-		t.Fatalf("%v", result)
+		t.Fatalf("unexpected result %v", result)
 	}
 	close(resume)
 	if result := p.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
-		t.Fatalf("%v", result)
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestAcquireWaitsForImminentRefill rather than refused.
+// An amount that is available soon is waited for.
 func TestAcquireWaitsForImminentRefill(t *testing.T) {
 	p := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
 		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
@@ -140,13 +139,12 @@
 	})
 	for range 5 {
 		if result := p.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
-			t.Fatalf("%v", result)
+			t.Fatalf("unexpected result %v", result)
 		}
 	}
 }
 
-// TestAcquireWaitsForWarmUp: after a change of the lender a caller inside its limit waits a moment rather than being turned
-// away.
+// After a change of the allocator, a caller within its limit waits for the bucket to fill.
 func TestAcquireWaitsForWarmUp(t *testing.T) {
 	limit := allowance.Limit{Rate: 1000, Burst: 200}
 	for _, c := range []struct {
@@ -161,12 +159,12 @@
 			}
 		})
 		if result := p.Acquire(t.Context(), resource, 150, c.maxWait); result.Outcome != c.want {
-			t.Fatalf("patience %v: %+v", c.maxWait, result)
+			t.Fatalf("maxWait %v: got %+v", c.maxWait, result)
 		}
 	}
 }
 
-// TestWarmUpUsesReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
+// A caller that cannot wait for the bucket to fill uses the reserve, up to its share.
 func TestWarmUpUsesReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
 	warming := allowance.NewAllocator(1)
@@ -178,9 +176,9 @@
 	})
 	p.RecordContact(frozenClock(), 1)
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
-		t.Fatalf("%+v", result)
+		t.Fatalf("unexpected result %+v", result)
 	}
 	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
-		t.Fatalf("%+v", result)
+		t.Fatalf("unexpected result %+v", result)
 	}
 }
