--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,7 +12,6 @@
 	"pgregory.net/rapid"
 )
 
-// fingerprintOf returns a fingerprint for tests.
 func fingerprintOf(number int) Fingerprint {
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
@@ -25,7 +24,8 @@
 	return crash
 }
 
-// TestCrashesAreCountedOncePerIncarnation: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
+// The count of a request is the number of distinct incarnations, in whatever order and however often crashes are
+// reported.
 func TestCrashesAreCountedOncePerIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
@@ -48,16 +48,16 @@
 		shuffledOrder.Apply(Change{Crashes: shuffled})
 		for f, lives := range want {
 			if inOrder.CrashCount(f) != len(lives) || shuffledOrder.CrashCount(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(lives))
+				t.Fatalf("%v: got %d crashes in order and %d shuffled, want %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(lives))
 			}
 		}
 		if inOrder.WouldChange(Change{Crashes: crashes}) {
-			t.Fatal("what is known counts as news")
+			t.Fatal("WouldChange is true for known crashes")
 		}
 	})
 }
 
-// registryModel compares a ledger with the plainest account of what it was told.
+// registryModel compares a registry with a plain list of incarnations per request.
 type registryModel struct {
 	registry     *Registry
 	incarnations map[Fingerprint][]string
@@ -77,7 +77,7 @@
 		}
 	}
 	if changes != changed {
-		t.Fatalf("told to change: %t, changed: %t", changes, changed)
+		t.Fatalf("WouldChange returned %t, model changed: %t", changes, changed)
 	}
 	m.checkVersion(t, before, version)
 }
@@ -118,12 +118,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(restored.Update(), m.registry.Update()) {
-		t.Fatalf("restored %+v from %+v", restored.Update(), m.registry.Update())
+		t.Fatalf("restored update is %+v, want %+v", restored.Update(), m.registry.Update())
 	}
 	m.registry = restored
 }
 
-// suspects returns what processes are to be suspects, by the model.
+// suspects returns the entries expected in the update.
 func (m *registryModel) suspects() map[Fingerprint][]string {
 	told := map[Fingerprint][]string{}
 	for f, lives := range m.incarnations {
@@ -134,10 +134,10 @@
 	return told
 }
 
-// checkVersion checks that processes hear of every difference.
+// checkVersion checks that the version increases whenever the update changes.
 func (m *registryModel) checkVersion(t *rapid.T, before map[Fingerprint][]string, version uint64) {
 	if !maps.EqualFunc(before, m.suspects(), slices.Equal) && m.registry.Version() <= version {
-		t.Fatal("news differ under one version")
+		t.Fatal("update changed without a new version")
 	}
 }
 
@@ -148,11 +148,11 @@
 		told[e.Request] = e.Incarnations
 	}
 	if !maps.EqualFunc(told, m.suspects(), slices.Equal) || !slices.Equal(update.Seed, m.seed) {
-		t.Fatalf("news %+v, wanted %v under seed %v", update, m.suspects(), m.seed)
+		t.Fatalf("got update %+v, want entries %v with seed %v", update, m.suspects(), m.seed)
 	}
 }
 
-// TestRegistryMatchesModel: after any changes, and restored from a snapshot between them.
+// The update reflects all changes, also after the registry is restored from a snapshot.
 func TestRegistryMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &registryModel{registry: NewRegistry(), incarnations: map[Fingerprint][]string{}}
@@ -160,7 +160,7 @@
 	})
 }
 
-// TestFloodDoesNotEvictQuarantinedRequest: however many other requests are told of, one with more lives against it stays.
+// Requests with fewer crashes, however many, must not evict one with more.
 func TestFloodDoesNotEvictQuarantinedRequest(t *testing.T) {
 	r := NewRegistry()
 	for life := range QuarantineThreshold {
@@ -170,32 +170,32 @@
 		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
 	}
 	if got := r.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
-		t.Fatalf("%d lives are left", got)
+		t.Fatalf("crash count is %d", got)
 	}
 	if n := len(r.Fingerprints()); n != maxEntries {
-		t.Fatalf("%d requests are remembered, %d are the most", n, maxEntries)
+		t.Fatalf("%d requests kept, want %d", n, maxEntries)
 	}
 	if r.CrashCount(fingerprintOf(2)) != 0 || r.CrashCount(fingerprintOf(1+3*maxEntries)) != 1 {
-		t.Fatal("it is not the oldest that makes room")
+		t.Fatal("evicted another request than the oldest")
 	}
 }
 
-// TestFirstSeedIsKept: the first one is everybody's.
+// A later seed must not replace the first one.
 func TestFirstSeedIsKept(t *testing.T) {
 	r, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
 	r.Apply(Change{Seed: first[:5]})
 	if r.HasSeed() {
-		t.Fatal("a short seed is taken")
+		t.Fatal("a short seed was accepted")
 	}
 	r.Apply(Change{Seed: first})
 	r.Apply(Change{Seed: make([]byte, SeedBytes)})
 	if got := r.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("want the first seed and version 1, got %+v", got)
 	}
 }
 
-// TestFingerprintCoversRequestFields: what stays of a request makes it, and nothing else; no two requests run together into one.
+// Every field changes the fingerprint, nothing else does, and fields cannot run into each other.
 func TestFingerprintCoversRequestFields(t *testing.T) {
 	h, err := NewHasher(make([]byte, SeedBytes))
 	if err != nil {
@@ -206,7 +206,7 @@
 	same := base
 	same.Body = slices.Clone(base.Body)
 	if h.Fingerprint(base) != h.Fingerprint(same) || h.Fingerprint(base) == other.Fingerprint(base) {
-		t.Fatal("a fingerprint depends on something else, or not on the seed")
+		t.Fatal("fingerprint differs for equal requests, or does not depend on the seed")
 	}
 	for _, change := range []func(*Request){
 		func(r *Request) { r.Method = "PUT" }, func(r *Request) { r.Host = "g" }, func(r *Request) { r.Path = "/a/b?d" },
@@ -216,15 +216,15 @@
 		changed := base
 		change(&changed)
 		if h.Fingerprint(base) == h.Fingerprint(changed) {
-			t.Fatalf("%+v has the fingerprint of %+v", changed, base)
+			t.Fatalf("%+v and %+v have the same fingerprint", changed, base)
 		}
 	}
 	if _, err := NewHasher([]byte("short")); err == nil {
-		t.Fatal("a short seed is taken")
+		t.Fatal("a short seed was accepted")
 	}
 }
 
-// FuzzFingerprintText: what a reader takes is written again as it was.
+// A text that can be decoded is encoded to the same text.
 func FuzzFingerprintText(f *testing.F) {
 	f.Add(fingerprintOf(7).String())
 	f.Add("")
@@ -236,64 +236,63 @@
 		}
 		again := Fingerprint{}
 		if err := again.UnmarshalText([]byte(read.String())); err != nil || again != read {
-			t.Fatalf("%q becomes %v, then %v: %v", text, read, again, err)
+			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, read, again, err)
 		}
 	})
 }
 
-// TestOnlyConfirmedCrashCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
+// A failed run counts once the end of its back end is confirmed, before or after the failure, and only within
+// confirmationTimeout.
 func TestOnlyConfirmedCrashCounts(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
 	if _, ok := tracker.RecordFailure(time.Second, "a", f); ok || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
-		t.Fatal("a broken run counts without proof")
+		t.Fatal("a failed run counts without confirmation")
 	}
 	if _, ok := tracker.ConfirmEnd(time.Second, "b"); ok {
-		t.Fatal("a life without broken runs counts")
+		t.Fatal("an incarnation without failed runs counts")
 	}
 	crash, ok := tracker.ConfirmEnd(2*time.Second, "a")
 	if !ok || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
-		t.Fatalf("%+v, %t", crash, ok)
+		t.Fatalf("crash after confirmation: got %+v, %t", crash, ok)
 	}
 	if crash, ok = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !ok || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
-		t.Fatalf("a run that breaks off after the proof: %+v, %t", crash, ok)
+		t.Fatalf("run that failed after the confirmation: got %+v, %t", crash, ok)
 	}
 	if _, ok = tracker.ConfirmEnd(2*time.Second, "a"); ok {
-		t.Fatal("a life counts twice")
+		t.Fatal("a confirmed end was reported twice")
 	}
 	tracker.RecordFailure(3*time.Second, "c", f)
 	if _, ok = tracker.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); ok {
-		t.Fatal("a proof long after counts")
+		t.Fatal("a confirmation after confirmationTimeout counts")
 	}
 }
 
-// TestCompletionClearsRequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
-// is released.
+// Crashes right after a completion don't count, locally or if reported, and a completion releases the request.
 func TestCompletionClearsRequest(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
 	if tracker.RecordCompletion(time.Second, f) {
-		t.Fatal("released though nothing is known of it")
+		t.Fatal("completion of a request without crashes requests a release")
 	}
 	tracker.RecordFailure(2*time.Second, "a", f)
 	if _, ok := tracker.ConfirmEnd(2*time.Second, "a"); ok {
-		t.Fatal("counted right after a good end")
+		t.Fatal("crash right after a completion counts")
 	}
 	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
 	if completed := tracker.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) || tracker.CrashCount(f) != 0 || tracker.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
-		t.Fatalf("%v is released", completed)
+		t.Fatalf("requests to release: got %v", completed)
 	}
 	if !tracker.RecordCompletion(4*time.Second, fingerprintOf(2)) || tracker.CrashCount(fingerprintOf(2)) != 0 {
-		t.Fatal("a good end releases nothing")
+		t.Fatal("completion did not release the request")
 	}
 	later := 4*time.Second + completionTTL + 1
 	tracker.ApplyUpdate(later, update)
 	if tracker.CrashCount(f) != QuarantineThreshold {
-		t.Fatal("an old good end speaks for a request")
+		t.Fatal("expired completion still clears the request")
 	}
 }
 
-// Control was away for 6 s, so nothing was sent and nothing could end well. Then three back ends ended within 50 ms under another request, and
-// the one that ran beside it everywhere, and ended well every second before, was held back for 3 lives: a good end spoke for 5 s, and the time
-// in which there could be none counted.
+// While nothing can be sent, no request can complete. Idle time must not expire completions, or an innocent request
+// that runs beside a crashing one is quarantined after an outage.
 func TestCompletionOutlastsIdleTime(t *testing.T) {
 	const idle = 6 * time.Second
 	tracker, f := NewTracker(), fingerprintOf(1)
@@ -305,21 +304,21 @@
 		tracker.ConfirmEnd(resumed, incarnation)
 	}
 	if lives := tracker.CrashCount(f); lives != 0 {
-		t.Fatalf("%d lives count", lives)
+		t.Fatalf("%d crashes count after idle time", lives)
 	}
 	later := time.Second + idle + completionTTL + 1
 	tracker.RecordFailure(later, "d", f)
 	if _, ok := tracker.ConfirmEnd(later, "d"); !ok {
-		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
+		t.Fatal("completion was extended by more than the idle time")
 	}
 	tracker.RecordCompletion(later, f)
 	tracker.RecordIdle(later+time.Second, time.Hour)
 	if tracker.recentlyCompleted(later+time.Second+completionTTL+1, f) {
-		t.Fatal("a good end lies ahead")
+		t.Fatal("completion was extended into the future")
 	}
 }
 
-// TestLocalCrashesAddToReportedOnes: each life counts once, and what control has had time to count is forgotten.
+// Each incarnation counts once, whether seen locally or reported, and local crashes expire.
 func TestLocalCrashesAddToReportedOnes(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
 	for _, incarnation := range []string{"a", "b"} {
@@ -327,20 +326,20 @@
 		tracker.ConfirmEnd(time.Second, incarnation)
 	}
 	if tracker.IsEmpty() || tracker.CrashCount(f) != 2 {
-		t.Fatalf("%d lives", tracker.CrashCount(f))
+		t.Fatalf("got %d crashes, want 2", tracker.CrashCount(f))
 	}
 	tracker.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
 	if suspects, quarantined := tracker.SuspectCounts(); tracker.CrashCount(f) != 3 || suspects != 1 || quarantined != 0 {
-		t.Fatalf("%d lives, %d told, %d held", tracker.CrashCount(f), suspects, quarantined)
+		t.Fatalf("got %d crashes, %d suspects, %d quarantined", tracker.CrashCount(f), suspects, quarantined)
 	}
 	tracker.ApplyUpdate(2*time.Second, &Update{Version: 2})
 	tracker.Sweep(time.Second + localTTL + 1)
 	if !tracker.IsEmpty() || tracker.Version() != 2 {
-		t.Fatalf("%d lives are left", tracker.CrashCount(f))
+		t.Fatalf("crash count is %d", tracker.CrashCount(f))
 	}
 }
 
-// TestTrackerIsBounded: whatever breaks off, and however much ends well.
+// The state stays bounded for any number of failures and completions.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker := NewTracker()
 	for n := range 3 * maxCompletions {
@@ -350,11 +349,11 @@
 		tracker.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
 	if len(tracker.failures) > maxFailedIncarnations || len(tracker.failures["one"].runs) > maxFailedRuns || len(tracker.local) > maxLocal || len(tracker.completions) > maxCompletions {
-		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
+		t.Fatalf("state exceeds its bounds: %d failed incarnations, %d failed runs, %d local, %d completions", len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
 	}
 	for f, c := range tracker.completions {
 		if tracker.ring[c.slot] != f {
-			t.Fatal("a good end is not where it says")
+			t.Fatal("completion is not in its slot of the ring")
 		}
 	}
 }
@@ -372,8 +371,7 @@
 	}
 }
 
-// TestReleaseElsewhereAppliesAfterAcknowledgement: a process that proved three lives itself follows control once that has taken them: a good end at another
-// process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
+// Once the control plane has accepted local crashes, a release requested by another process must apply here too.
 func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
 	tracker, f := NewTracker(), fingerprintOf(1)
 	var crashes []Crash
@@ -384,20 +382,20 @@
 	}
 	tracker.ApplyUpdate(time.Second, &Update{Version: 1})
 	if tracker.CrashCount(f) != QuarantineThreshold {
-		t.Fatalf("%d lives before control has taken them", tracker.CrashCount(f))
+		t.Fatalf("%d crashes before the acknowledgement", tracker.CrashCount(f))
 	}
 	tracker.Acknowledge(crashes)
 	if tracker.CrashCount(f) != QuarantineThreshold {
-		t.Fatalf("%d lives before the news", tracker.CrashCount(f))
+		t.Fatalf("%d crashes before the next update", tracker.CrashCount(f))
 	}
 	tracker.ApplyUpdate(time.Second, &Update{Version: 3})
 	if tracker.CrashCount(f) != 0 {
-		t.Fatalf("%d lives of a request that was released", tracker.CrashCount(f))
+		t.Fatalf("%d crashes after the release", tracker.CrashCount(f))
 	}
 	tracker.RecordFailure(2*time.Second, "d", f)
 	tracker.ConfirmEnd(2*time.Second, "d")
 	tracker.ApplyUpdate(2*time.Second, &Update{Version: 4})
 	if tracker.CrashCount(f) != 1 {
-		t.Fatalf("%d lives after one more that control hasn't taken", tracker.CrashCount(f))
+		t.Fatalf("%d crashes after another one that is not acknowledged", tracker.CrashCount(f))
 	}
 }
