--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -14,10 +14,10 @@
 	"kitetiller/internal/quarantine"
 )
 
-// fakeEnvironment is control and the addresses of back ends, as a test has them.
+// fakeEnvironment simulates the control plane and the addresses of back ends.
 type fakeEnvironment struct {
 	mu             sync.Mutex
-	submitFailures int // questions that control doesn't take
+	submitFailures int // number of changes to fail
 	submitted      []quarantine.Change
 	refuses        map[string]bool
 	probes         int
@@ -48,7 +48,7 @@
 	}
 }
 
-// crashedIncarnations returns the crashedIncarnations that control was told of, in order.
+// crashedIncarnations returns the incarnations reported to the control plane, in order.
 func (env *fakeEnvironment) crashedIncarnations() []string {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -72,7 +72,7 @@
 	return released
 }
 
-// startReporter runs a reporter for the rest of a test.
+// startReporter runs a reporter until the test ends.
 func startReporter(t *testing.T, env *fakeEnvironment) *Reporter {
 	t.Helper()
 	r := New(env.config())
@@ -94,12 +94,13 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("did not come to hold")
+	t.Fatal("condition not met within 2000 polls")
 }
 
 var one, two = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
-// TestConfirmedCrashIsSubmittedUntilAccepted: only where its address refuses connections, or control says so; one look for all that breaks off there.
+// A crash is reported only if the address refuses connections or the control plane lists another incarnation there.
+// One probe serves all runs that fail on an incarnation.
 func TestConfirmedCrashIsSubmittedUntilAccepted(t *testing.T) {
 	env := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
 	r := startReporter(t, env)
@@ -107,48 +108,48 @@
 	<-r.RecordFailure("life-1", "dead", two)
 	<-r.RecordFailure("life-2", "alive", one)
 	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
-		t.Fatalf("%d and %d lives", r.CrashCount(one), r.CrashCount(two))
+		t.Fatalf("crash counts are %d and %d", r.CrashCount(one), r.CrashCount(two))
 	}
 	waitFor(t, func() bool { return slices.Equal(env.crashedIncarnations(), []string{"life-1", "life-1"}) })
 	if env.probes != 2 {
-		t.Fatalf("%d looks at two addresses", env.probes)
+		t.Fatalf("%d probes of two addresses", env.probes)
 	}
 	r.ConfirmEnds(Replaced, "life-2", "life-3")
 	waitFor(t, func() bool { return slices.Contains(env.crashedIncarnations(), "life-2") })
 	if r.CrashCount(one) != 2 || slices.Contains(env.crashedIncarnations(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.CrashCount(one), env.crashedIncarnations())
+		t.Fatalf("%d crashes, reported incarnations %v", r.CrashCount(one), env.crashedIncarnations())
 	}
 }
 
-// TestCompletionReleasesRequest: what control tells of and ends well, or ended well a moment ago, is to be released.
+// Reported requests are released if they complete, or did so recently.
 func TestCompletionReleasesRequest(t *testing.T) {
 	env := &fakeEnvironment{}
 	r := startReporter(t, env)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
-		t.Fatal("a fingerprint without a seed")
+		t.Fatal("got a fingerprint without a seed")
 	}
 	r.RecordCompletion(one)
 	incarnations := []string{"a", "b", "c"}
 	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: incarnations}, {Request: two, Incarnations: incarnations}}})
 	if suspects, quarantined := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || quarantined != 1 || r.CrashCount(one) != 0 {
-		t.Fatalf("version %d, %d told, %d held back", r.Version(), suspects, quarantined)
+		t.Fatalf("version %d, %d suspects, %d quarantined", r.Version(), suspects, quarantined)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
-		t.Fatal("no fingerprint under a seed")
+		t.Fatal("got no fingerprint although the seed is set")
 	}
 	r.RecordCompletion(two)
 	waitFor(t, func() bool { return slices.Equal(env.released(), []quarantine.Fingerprint{one, two}) })
 	if !r.IsEmpty() {
-		t.Fatal("something is held against a request that ended well")
+		t.Fatal("completed requests still have crashes")
 	}
 }
 
-// TestPendingChangesAreBounded: while control takes nothing; what is lost leaves a line.
+// Pending reports are bounded while the control plane accepts none; a dropped crash is logged.
 func TestPendingChangesAreBounded(t *testing.T) {
 	env := &fakeEnvironment{}
 	r := New(env.config())
 	for n := range maxPendingCrashes + 5 {
-		env.at += time.Minute // so that earlier lives make room
+		env.at += time.Minute // so that earlier failures expire
 		incarnation := time.Duration(n).String()
 		r.mu.Lock()
 		r.tracker.RecordFailure(env.at, incarnation, one)
@@ -157,9 +158,9 @@
 		r.enqueueCompletions(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
 	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
-		t.Fatalf("%d ends and %d good ends wait", len(r.crashes), len(r.completions))
+		t.Fatalf("%d crashes and %d completions pending", len(r.crashes), len(r.completions))
 	}
 	if !slices.Contains(env.events, events.EndNotTold) || !slices.Contains(env.events, events.EndedUnder) {
-		t.Fatalf("lines %v", env.events[len(env.events)-3:])
+		t.Fatalf("logged events %v", env.events[len(env.events)-3:])
 	}
 }
