--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -46,9 +46,9 @@
 		}
 		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
 		shuffledOrder.Apply(Change{Crashes: shuffled})
-		for f, lives := range want {
-			if inOrder.CrashCount(f) != len(lives) || shuffledOrder.CrashCount(f) != len(lives) {
-				t.Fatalf("%v: got %d crashes in order and %d shuffled, want %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(lives))
+		for f, incarnations := range want {
+			if inOrder.CrashCount(f) != len(incarnations) || shuffledOrder.CrashCount(f) != len(incarnations) {
+				t.Fatalf("%v: got %d crashes in order and %d shuffled, want %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(incarnations))
 			}
 		}
 		if inOrder.WouldChange(Change{Crashes: crashes}) {
