--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -66,7 +66,7 @@
 
 func (m *registryModel) Ended(t *rapid.T) {
 	crash := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.registry.WouldChange(Change{Crashes: []Crash{crash}})
+	wouldChange := m.registry.WouldChange(Change{Crashes: []Crash{crash}})
 	before, version := m.suspects(), m.registry.Version()
 	m.registry.Apply(Change{Crashes: []Crash{crash}})
 	changed := false
@@ -76,8 +76,8 @@
 			changed = true
 		}
 	}
-	if changes != changed {
-		t.Fatalf("WouldChange returned %t, model changed: %t", changes, changed)
+	if wouldChange != changed {
+		t.Fatalf("WouldChange returned %t, model changed: %t", wouldChange, changed)
 	}
 	m.checkVersion(t, before, version)
 }
