--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -125,13 +125,13 @@
 
 // suspects returns the entries expected in the update.
 func (m *registryModel) suspects() map[Fingerprint][]string {
-	told := map[Fingerprint][]string{}
+	suspects := map[Fingerprint][]string{}
 	for f, lives := range m.incarnations {
 		if len(lives) >= SuspectThreshold {
-			told[f] = slices.Clone(lives)
+			suspects[f] = slices.Clone(lives)
 		}
 	}
-	return told
+	return suspects
 }
 
 // checkVersion checks that the version increases whenever the update changes.
