--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -126,9 +126,9 @@
 // suspects returns the entries expected in the update.
 func (m *registryModel) suspects() map[Fingerprint][]string {
 	suspects := map[Fingerprint][]string{}
-	for f, lives := range m.incarnations {
-		if len(lives) >= SuspectThreshold {
-			suspects[f] = slices.Clone(lives)
+	for f, incarnations := range m.incarnations {
+		if len(incarnations) >= SuspectThreshold {
+			suspects[f] = slices.Clone(incarnations)
 		}
 	}
 	return suspects
