--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -143,11 +143,11 @@
 
 func (m *registryModel) Check(t *rapid.T) {
 	update := m.registry.Update()
-	told := map[Fingerprint][]string{}
+	reported := map[Fingerprint][]string{}
 	for _, e := range update.Entries {
-		told[e.Request] = e.Incarnations
+		reported[e.Request] = e.Incarnations
 	}
-	if !maps.EqualFunc(told, m.suspects(), slices.Equal) || !slices.Equal(update.Seed, m.seed) {
+	if !maps.EqualFunc(reported, m.suspects(), slices.Equal) || !slices.Equal(update.Seed, m.seed) {
 		t.Fatalf("got update %+v, want entries %v with seed %v", update, m.suspects(), m.seed)
 	}
 }
