--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -163,8 +163,8 @@
 // Requests with fewer crashes, however many, must not evict one with more.
 func TestFloodDoesNotEvictQuarantinedRequest(t *testing.T) {
 	r := NewRegistry()
-	for life := range QuarantineThreshold {
-		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", life), 1)}})
+	for i := range QuarantineThreshold {
+		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", i), 1)}})
 	}
 	for n := range 3 * maxEntries {
 		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
