--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -230,13 +230,13 @@
 	f.Add("")
 	f.Add("not a fingerprint at all")
 	f.Fuzz(func(t *testing.T, text string) {
-		var read Fingerprint
-		if read.UnmarshalText([]byte(text)) != nil {
+		var decoded Fingerprint
+		if decoded.UnmarshalText([]byte(text)) != nil {
 			return
 		}
 		again := Fingerprint{}
-		if err := again.UnmarshalText([]byte(read.String())); err != nil || again != read {
-			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, read, again, err)
+		if err := again.UnmarshalText([]byte(decoded.String())); err != nil || again != decoded {
+			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, decoded, again, err)
 		}
 	})
 }
