--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -234,9 +234,9 @@
 		if decoded.UnmarshalText([]byte(text)) != nil {
 			return
 		}
-		again := Fingerprint{}
-		if err := again.UnmarshalText([]byte(decoded.String())); err != nil || again != decoded {
-			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, decoded, again, err)
+		redecoded := Fingerprint{}
+		if err := redecoded.UnmarshalText([]byte(decoded.String())); err != nil || redecoded != decoded {
+			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, decoded, redecoded, err)
 		}
 	})
 }
