--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -303,8 +303,8 @@
 		tracker.RecordFailure(resumed, incarnation, f)
 		tracker.ConfirmEnd(resumed, incarnation)
 	}
-	if lives := tracker.CrashCount(f); lives != 0 {
-		t.Fatalf("%d crashes count after idle time", lives)
+	if crashes := tracker.CrashCount(f); crashes != 0 {
+		t.Fatalf("%d crashes count after idle time", crashes)
 	}
 	later := time.Second + idle + completionTTL + 1
 	tracker.RecordFailure(later, "d", f)
