--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,15 +13,15 @@
 }
 
 // rejections returns how many of 100 requests are rejected at a predicted wait, with a transient or a standing queue.
-func rejections(queue time.Duration, standing bool) int {
+func rejections(predictedWait time.Duration, standing bool) int {
 	rejected := 0
 	for random := range 100 {
 		c, now := &Controller{}, time.Duration(0)
 		for i := 0; standing && i < 100; i++ {
 			now += loadTimeConstant / 20
-			c.Decide(now, newRequest("", queue, 1))
+			c.Decide(now, newRequest("", predictedWait, 1))
 		}
-		if _, reject := c.Decide(now, newRequest("", queue, float64(random)/100)); reject {
+		if _, reject := c.Decide(now, newRequest("", predictedWait, float64(random)/100)); reject {
 			rejected++
 		}
 	}
