--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -48,13 +48,13 @@
 
 // fullestWindow returns the largest number of uses in any window that begins after the given time.
 func (f *fleet) fullestWindow(after time.Duration) int {
-	var used []time.Duration
+	var usedAt []time.Duration
 	for _, u := range f.usages {
 		if u.at >= after {
-			used = append(used, u.at)
+			usedAt = append(usedAt, u.at)
 		}
 	}
-	return window.Fullest(used, after)
+	return window.Fullest(usedAt, after)
 }
 
 // Whatever is lost, delayed, duplicated, paused, partitioned or newly elected, all clients together stay within the
