--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -25,23 +25,23 @@
 
 // Route sends the requests of a host and path prefix to services.
 type Route struct {
-	Name       string        `json:"name"`
-	Host       string        `json:"host"`
-	PathPrefix string        `json:"path_prefix"` // begins and ends with a slash; the longest that fits wins
-	Targets    []Target      `json:"targets"`
-	Timeout    time.Duration `json:"timeout_ns"` // longest time until the final answer
-	Objective  time.Duration `json:"objective_ns"`
-	Pause      time.Duration `json:"pause_ns"` // longest pause between events that is still in time
-	Attempts   int           `json:"attempts"` // back ends that one request may be sent to
-	Priority   int           `json:"priority"` // 0 is the most urgent
-	Repeatable bool          `json:"repeatable"`
-	Streaming  bool          `json:"streaming"`
-	Resumable  bool          `json:"resumable"` // a broken stream may go on at another back end
-	Open       bool          `json:"open"`      // needs no API key
-}
-
-// MayRepeat reports whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool { return r.Repeatable || (r.Streaming && r.Resumable) }
+	Name           string        `json:"name"`
+	Host           string        `json:"host"`
+	PathPrefix     string        `json:"path_prefix"` // begins and ends with a slash; the longest that fits wins
+	Targets        []Target      `json:"targets"`
+	Timeout        time.Duration `json:"timeout_ns"` // longest time until the final answer
+	Objective      time.Duration `json:"objective_ns"`
+	MaxEventGap    time.Duration `json:"pause_ns"` // longest pause between events that is still in time
+	MaxAttempts    int           `json:"attempts"` // back ends that one request may be sent to
+	Priority       int           `json:"priority"` // 0 is the most urgent
+	Repeatable     bool          `json:"repeatable"`
+	Streaming      bool          `json:"streaming"`
+	Resumable      bool          `json:"resumable"` // a broken stream may go on at another back end
+	AllowAnonymous bool          `json:"open"`      // needs no API key
+}
+
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool { return r.Repeatable || (r.Streaming && r.Resumable) }
 
 // Target is a service and its share of a route's requests.
 type Target struct {
@@ -51,15 +51,15 @@
 
 // Service is a set of back ends that serve the same requests.
 type Service struct {
-	Name       string  `json:"name"`
-	HealthPath string  `json:"health_path"`
-	Engine     bool    `json:"engine"`         // keeps prompt caches and takes orders
-	Slots      int     `json:"slots"`          // requests at once at one back end; 0 unknown
-	CacheLimit int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
-	TokenBytes float64 `json:"token_bytes"`    // of a cached token; 0 unknown
-	LinkMbps   float64 `json:"link_mbps"`      // of one back end or of the store; 0 unknown
-	Store      string  `json:"store"`          // address, when the service is a store of kept caches
-	Zone       string  `json:"zone,omitempty"` // of the store
+	Name            string  `json:"name"`
+	HealthPath      string  `json:"health_path"`
+	Engine          bool    `json:"engine"`         // keeps prompt caches and takes orders
+	Slots           int     `json:"slots"`          // requests at once at one back end; 0 unknown
+	CacheTokens     int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
+	KVBytesPerToken float64 `json:"token_bytes"`    // of a cached token; 0 unknown
+	LinkMbps        float64 `json:"link_mbps"`      // of one back end or of the store; 0 unknown
+	StoreAddress    string  `json:"store"`          // address, when the service is a store of kept caches
+	Zone            string  `json:"zone,omitempty"` // of the store
 }
 
 // Tenant owns API keys.
@@ -73,10 +73,10 @@
 
 // Quota bounds what all of a tenant's requests may use, over the whole fleet.
 type Quota struct {
-	Rate        float64 `json:"rate"`                   // units a second; 0 is no limit
-	Burst       float64 `json:"burst,omitempty"`        // units at once on top
-	Tokens      bool    `json:"tokens,omitempty"`       // units are prompt and output tokens; else requests
-	PlainTokens float64 `json:"plain_tokens,omitempty"` // of a request that doesn't tell its tokens
+	Rate          float64 `json:"rate"`                   // units a second; 0 is no limit
+	Burst         float64 `json:"burst,omitempty"`        // units at once on top
+	Tokens        bool    `json:"tokens,omitempty"`       // units are prompt and output tokens; else requests
+	DefaultTokens float64 `json:"plain_tokens,omitempty"` // of a request that doesn't tell its tokens
 }
 
 // Limited reports whether there is a limit.
@@ -88,7 +88,7 @@
 	case !q.Tokens:
 		return 1
 	case !counted:
-		return q.PlainTokens
+		return q.DefaultTokens
 	}
 	return float64(tokens)
 }
@@ -110,11 +110,11 @@
 // String returns the problem in one line.
 func (p Problem) String() string { return p.Where + ": " + p.Message }
 
-// Check returns everything that is wrong with a document.
-func (d *Document) Check() []Problem {
-	check := &checker{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
+// Validate returns everything that is wrong with a document.
+func (d *Document) Validate() []Problem {
+	check := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keys: map[string]string{}}
 	if d.Revision == 0 {
-		check.fault("document", "its revision must be 1 or more")
+		check.report("document", "its revision must be 1 or more")
 	}
 	for _, service := range d.Services {
 		check.service(service)
@@ -128,76 +128,76 @@
 	return check.problems
 }
 
-// checker collects the problems of a document.
-type checker struct {
-	problems []Problem
-	services map[string]bool
-	places   map[string]string // route by host and prefix
-	keys     map[string]string // tenant by key
+// validator collects the problems of a document.
+type validator struct {
+	problems       []Problem
+	services       map[string]bool
+	routesByPrefix map[string]string // route by host and prefix
+	keys           map[string]string // tenant by key
 }
 
-func (c *checker) fault(where, message string) {
+func (c *validator) report(where, message string) {
 	c.problems = append(c.problems, Problem{Where: where, Message: message})
 }
 
-func (c *checker) service(service Service) {
+func (c *validator) service(service Service) {
 	where := fmt.Sprintf("service %q", service.Name)
 	if service.Name == "" {
-		c.fault(where, "has no name")
+		c.report(where, "has no name")
 	}
 	if c.services[service.Name] {
-		c.fault(where, "stands there twice")
+		c.report(where, "stands there twice")
 	}
 	c.services[service.Name] = true
 }
 
-func (c *checker) route(route *Route) {
+func (c *validator) route(route *Route) {
 	where := fmt.Sprintf("route %q", route.Name)
 	place := route.Host + route.PathPrefix
-	if other, taken := c.places[place]; taken {
-		c.fault(where, fmt.Sprintf("has the host and path prefix of route %q", other))
+	if other, taken := c.routesByPrefix[place]; taken {
+		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
 	}
-	c.places[place] = route.Name
-	if route.Host == "" || !slashed(route.PathPrefix) {
-		c.fault(where, "needs a host, and a path prefix that begins and ends with a slash")
+	c.routesByPrefix[place] = route.Name
+	if route.Host == "" || !hasOuterSlashes(route.PathPrefix) {
+		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
 	}
 	if route.Timeout <= 0 {
-		c.fault(where, "its time limit must be above 0")
+		c.report(where, "its time limit must be above 0")
 	}
 	c.targets(where, route.Targets)
 }
 
-func slashed(prefix string) bool {
+func hasOuterSlashes(prefix string) bool {
 	return len(prefix) > 0 && prefix[0] == '/' && prefix[len(prefix)-1] == '/'
 }
 
-func (c *checker) targets(where string, targets []Target) {
+func (c *validator) targets(where string, targets []Target) {
 	sum := 0
 	for _, target := range targets {
 		if !c.services[target.Service] {
-			c.fault(where, fmt.Sprintf("names the unknown service %q", target.Service))
+			c.report(where, fmt.Sprintf("names the unknown service %q", target.Service))
 		}
 		if target.Weight < 0 {
-			c.fault(where, "has a weight below 0")
+			c.report(where, "has a weight below 0")
 		}
 		sum += target.Weight
 	}
 	if sum <= 0 {
-		c.fault(where, "its weights sum to 0")
+		c.report(where, "its weights sum to 0")
 	}
 }
 
-func (c *checker) tenant(tenant Tenant) {
+func (c *validator) tenant(tenant Tenant) {
 	where := fmt.Sprintf("tenant %q", tenant.Name)
 	if tenant.Name == "" {
-		c.fault(where, "has no name")
+		c.report(where, "has no name")
 	}
-	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.PlainTokens < 0 {
-		c.fault(where, "has a limit below 0")
+	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.DefaultTokens < 0 {
+		c.report(where, "has a limit below 0")
 	}
 	for _, key := range tenant.Keys {
 		if owner, taken := c.keys[key]; taken && owner != tenant.Name {
-			c.fault(where, fmt.Sprintf("shares an API key with tenant %q", owner))
+			c.report(where, fmt.Sprintf("shares an API key with tenant %q", owner))
 		}
 		c.keys[key] = tenant.Name
 	}
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -28,25 +28,25 @@
 	State   State  `json:"state"`
 }
 
-// tombstonesKept bounds the ended instances that are remembered, so that a late heartbeat revives none of them.
-const tombstonesKept = 2000
+// maxDepartedIDs bounds the ended instances that are remembered, so that a late heartbeat revives none of them.
+const maxDepartedIDs = 2000
 
 // Command is one change of the replicated state. Exactly one field is set, beside UnixMS.
 type Command struct {
-	Replace  *Document         `json:"replace,omitempty"`
-	Register *Instance         `json:"register,omitempty"`
-	Joined   []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
-	Drain    string            `json:"drain,omitempty"`   // instance
-	Remove   string            `json:"remove,omitempty"`  // instance that said that it leaves
-	Forget   string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
-	Version  *NamedWeight      `json:"version,omitempty"` // newest weights of a model
-	Fence    bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Held     []HeldWeight      `json:"held,omitempty"`    // weights that instances were seen to hold
-	Ordering []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
-	Gateways []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
-	Bounds   map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
-	Came     []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
-	Left     []string          `json:"left,omitempty"`    // gateways that no longer do
+	Replace               *Document         `json:"replace,omitempty"`
+	Register              *Instance         `json:"register,omitempty"`
+	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
+	Drain                 string            `json:"drain,omitempty"`   // instance
+	Deregister            string            `json:"remove,omitempty"`  // instance that said that it leaves
+	Expire                string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
+	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
+	Fence                 bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
+	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
+	WeightsCommandTargets []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
+	ReplaceGateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
+	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
+	AddGateways           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
+	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that no longer do
 
 	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests under which back ends ended
 
@@ -54,53 +54,53 @@
 	UnixMS int64 `json:"-"`
 }
 
-// HeldWeight is a version of a model's weights that an instance was seen to hold.
-type HeldWeight struct {
+// LoadedWeights is a version of a model's weights that an instance was seen to hold.
+type LoadedWeights struct {
 	Instance string `json:"instance"`
-	NamedWeight
+	WeightsVersion
 }
 
-// NamedWeight is a version of a model's weights.
-type NamedWeight struct {
+// WeightsVersion is a version of a model's weights.
+type WeightsVersion struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
 // Outcome is what a command did.
 type Outcome struct {
-	Revision uint64 `json:"revision"`        // of the document in force
-	Fence    uint64 `json:"fence,omitempty"` // given to a new holder
-	Gone     bool   `json:"gone,omitempty"`  // the instance had ended already
+	Revision        uint64 `json:"revision"`        // of the document in force
+	Fence           uint64 `json:"fence,omitempty"` // given to a new holder
+	AlreadyDeparted bool   `json:"gone,omitempty"`  // the instance had ended already
 }
 
 // Machine is the replicated state.
 type Machine struct {
-	Guards     guard.Set `json:"-"`
-	document   Document
-	instances  map[string]Instance
-	addresses  map[string]string // the one instance at each address
-	ids        []string          // of instances, rising; nil when they have changed
-	tombstones []string
-	ended      map[string]bool
-	forgotten  []string // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	lives      lives    // of instances and tombstones
-	versions   map[string]uint64
-	namings    map[string][]Naming          // by model, rising; the newest is of the version in versions
-	held       map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
-	ordered    map[string]bool              // registered instances that, or whose last life, were ever to be given an order
-	gateways   []string                     // that asked the last leader that wrote them, rising
-	listed     map[string]bool              // the same
-	bounds     map[string]uint64            // by service; of those that don't use all their back ends
-	touched    map[string]bool              // instances that changed since Touched was last called
-	fence      uint64
-	quarantine *quarantine.Registry
+	Guards       guard.Set `json:"-"`
+	document     Document
+	instances    map[string]Instance
+	addresses    map[string]string // the one instance at each address
+	ids          []string          // of instances, rising; nil when they have changed
+	departedIDs  []string
+	departed     map[string]bool
+	expiredIDs   []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
+	lives        incarnations // of instances and tombstones
+	versions     map[string]uint64
+	publications map[string][]Publication     // by model, rising; the newest is of the version in versions
+	held         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
+	ordered      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
+	gateways     []string                     // that asked the last leader that wrote them, rising
+	gatewaySet   map[string]bool              // the same
+	bounds       map[string]uint64            // by service; of those that don't use all their back ends
+	changed      map[string]bool              // instances that changed since Touched was last called
+	fence        uint64
+	quarantine   *quarantine.Registry
 }
 
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, ended: map[string]bool{}, lives: newLives(), versions: map[string]uint64{}, namings: map[string][]Naming{}, held: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, listed: map[string]bool{}, bounds: map[string]uint64{}, touched: map[string]bool{}, quarantine: quarantine.NewRegistry(),
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, held: map[string]map[string]uint64{},
+		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -118,67 +118,67 @@
 	return m.ids
 }
 
-// Takes reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
+// Accepts reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
 // life where others of its service do. What doesn't is somebody else's word.
-func (m *Machine) Takes(instance Instance) bool {
-	life := LifeOf(instance.ID)
-	untold := life.Born == 0 && m.lives.telling[instance.Service] > 0
-	return !m.ended[instance.ID] && !m.lives.outlived(life) && !untold
+func (m *Machine) Accepts(instance Instance) bool {
+	life := ParseInstanceID(instance.ID)
+	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
+	return !m.departed[instance.ID] && !m.lives.isSuperseded(life) && !untold
 }
 
-// At returns the instance that is registered at an address, if there is one.
-func (m *Machine) At(address string) (Instance, bool) {
+// InstanceAt returns the instance that is registered at an address, if there is one.
+func (m *Machine) InstanceAt(address string) (Instance, bool) {
 	instance, known := m.instances[m.addresses[address]]
 	return instance, known
 }
 
-// Named returns the registered life of the back end that has a name, if there is one.
-func (m *Machine) Named(name string) (Instance, bool) {
-	id, tells := m.lives.standing(name)
+// InstanceByName returns the registered life of the back end that has a name, if there is one.
+func (m *Machine) InstanceByName(name string) (Instance, bool) {
+	id, tells := m.lives.currentID(name)
 	if !tells {
-		id = Life{Name: name}.ID()
+		id = Incarnation{Name: name}.ID()
 	}
 	instance, known := m.instances[id]
 	return instance, known
 }
 
-// Versions returns the newest weights version by model; callers only read it.
-func (m *Machine) Versions() map[string]uint64 { return m.versions }
+// LatestVersions returns the newest weights version by model; callers only read it.
+func (m *Machine) LatestVersions() map[string]uint64 { return m.versions }
 
 // Held returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
 // or older ones where a late order was carried out.
 func (m *Machine) Held(id string) map[string]uint64 { return m.held[id] }
 
-// Ordered reports whether an instance, or the life that it followed, may ever have been given an order.
-func (m *Machine) Ordered(id string) bool { return m.ordered[id] }
+// MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
+func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.ordered[id] }
 
 // Gateways returns the gateways that were written last, rising; callers only read it.
 func (m *Machine) Gateways() []string { return m.gateways }
 
-// Listed reports whether a gateway is among them.
-func (m *Machine) Listed(gateway string) bool { return m.listed[gateway] }
+// HasGateway reports whether a gateway is among them.
+func (m *Machine) HasGateway(gateway string) bool { return m.gatewaySet[gateway] }
 
-// Bound returns the highest weight of the back ends of a service that are in use.
-func (m *Machine) Bound(service string) uint64 {
+// MaxHashWeight returns the highest weight of the back ends of a service that are in use.
+func (m *Machine) MaxHashWeight(service string) uint64 {
 	if bound, known := m.bounds[service]; known {
 		return bound
 	}
 	return math.MaxUint64
 }
 
-// Bounded reports whether it was ever decided which back ends of a service are in use.
-func (m *Machine) Bounded(service string) bool {
+// HasMaxHashWeight reports whether it was ever decided which back ends of a service are in use.
+func (m *Machine) HasMaxHashWeight(service string) bool {
 	_, known := m.bounds[service]
 	return known
 }
 
-// Touched returns the instances that changed since the last call, in no order.
-func (m *Machine) Touched() []string {
-	if len(m.touched) == 0 {
+// TakeChanged returns the instances that changed since the last call, in no order.
+func (m *Machine) TakeChanged() []string {
+	if len(m.changed) == 0 {
 		return nil
 	}
-	ids := slices.Collect(maps.Keys(m.touched))
-	clear(m.touched)
+	ids := slices.Collect(maps.Keys(m.changed))
+	clear(m.changed)
 	return ids
 }
 
@@ -192,30 +192,30 @@
 		m.replace(*command.Replace)
 	case command.Register != nil:
 		return m.register(*command.Register)
-	case len(command.Joined) > 0:
-		for _, instance := range command.Joined {
+	case len(command.RegisterBatch) > 0:
+		for _, instance := range command.RegisterBatch {
 			m.register(instance)
 		}
 	case command.Drain != "":
 		m.drain(command.Drain)
-	case command.Remove != "":
-		m.remove(command.Remove)
-	case command.Forget != "":
-		m.forget(command.Forget)
-	case len(command.Held) > 0:
-		m.hold(command.Held)
-	case len(command.Ordering) > 0:
-		m.order(command.Ordering)
-	case len(command.Gateways) > 0:
-		m.list(command.Gateways)
-	case len(command.Came)+len(command.Left) > 0:
-		m.relist(command.Came, command.Left)
-	case len(command.Bounds) > 0:
-		maps.Copy(m.bounds, command.Bounds)
+	case command.Deregister != "":
+		m.remove(command.Deregister)
+	case command.Expire != "":
+		m.forget(command.Expire)
+	case len(command.Loaded) > 0:
+		m.hold(command.Loaded)
+	case len(command.WeightsCommandTargets) > 0:
+		m.order(command.WeightsCommandTargets)
+	case len(command.ReplaceGateways) > 0:
+		m.list(command.ReplaceGateways)
+	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
+		m.relist(command.AddGateways, command.RemoveGateways)
+	case len(command.MaxHashWeights) > 0:
+		maps.Copy(m.bounds, command.MaxHashWeights)
 	case command.Quarantine != nil:
 		m.quarantine.Apply(*command.Quarantine)
-	case command.Version != nil:
-		m.name(*command.Version, command.UnixMS)
+	case command.PublishWeights != nil:
+		m.publish(*command.PublishWeights, command.UnixMS)
 	case command.Fence:
 		m.fence++
 		return Outcome{Revision: m.document.Revision, Fence: m.fence}
@@ -235,13 +235,13 @@
 // sender has ended.
 func (m *Machine) register(instance Instance) Outcome {
 	held, known := m.instances[instance.ID]
-	if !known && !m.Takes(instance) {
-		return Outcome{Revision: m.document.Revision, Gone: true}
+	if !known && !m.Accepts(instance) {
+		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if other, taken := m.At(instance.Address); taken && LifeOf(instance.ID).Precedes(LifeOf(other.ID)) {
-		return Outcome{Revision: m.document.Revision, Gone: true}
+	if other, taken := m.InstanceAt(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
+		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if last, stands := m.Named(LifeOf(instance.ID).Name); stands && last.ID != instance.ID {
+	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
 		ordered := m.ordered[last.ID]
 		m.drop(last.ID)
 		if ordered {
@@ -271,7 +271,7 @@
 		m.lives.drop(held)
 	}
 	m.lives.add(instance)
-	m.touched[instance.ID] = true
+	m.changed[instance.ID] = true
 	m.instances[instance.ID] = instance
 	m.addresses[instance.Address] = instance.ID
 }
@@ -282,7 +282,7 @@
 	if known {
 		delete(m.addresses, held.Address)
 		m.lives.drop(held)
-		m.ids, m.touched[id] = nil, true
+		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
 	delete(m.held, id)
@@ -301,25 +301,25 @@
 // list replaces the gateways; names rise.
 func (m *Machine) list(names []string) {
 	m.gateways = names
-	clear(m.listed)
+	clear(m.gatewaySet)
 	for _, name := range names {
-		m.listed[name] = true
+		m.gatewaySet[name] = true
 	}
 }
 
 // relist takes gateways that came and that left up.
 func (m *Machine) relist(came, left []string) {
 	for _, name := range came {
-		m.listed[name] = true
+		m.gatewaySet[name] = true
 	}
 	for _, name := range left {
-		delete(m.listed, name)
+		delete(m.gatewaySet, name)
 	}
-	m.gateways = slices.Sorted(maps.Keys(m.listed))
+	m.gateways = slices.Sorted(maps.Keys(m.gatewaySet))
 }
 
 // hold notes what registered instances hold.
-func (m *Machine) hold(seen []HeldWeight) {
+func (m *Machine) hold(seen []LoadedWeights) {
 	for _, w := range seen {
 		if _, known := m.instances[w.Instance]; !known {
 			continue
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -22,14 +22,14 @@
 
 	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
-	Namings map[string][]Naming `json:"namings,omitempty"`
+	Namings map[string][]Publication `json:"namings,omitempty"`
 
 	Forgotten []string `json:"forgotten,omitempty"`
 }
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.tombstones, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.namings, m.forgotten})
+	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -41,7 +41,7 @@
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.tombstones, m.fence, m.forgotten = form.Document, form.Tombstones, form.Fence, form.Forgotten
+	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
 	for _, instance := range form.Instances {
 		m.put(instance)
 	}
@@ -58,10 +58,10 @@
 	}
 	for model, version := range form.Versions {
 		m.versions[model] = version
-		m.restoreNamings(model, form.Namings[model])
+		m.restorePublications(model, form.Namings[model])
 	}
 	for _, id := range form.Tombstones {
-		m.ended[id] = true
+		m.departed[id] = true
 		m.lives.end(id)
 	}
 	return nil
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -67,9 +67,9 @@
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
 	case beat.Leaves && r.mayMeanLastLife(now, id):
-		r.propose(now, client, Command{Catalog: &catalog.Command{Forget: r.machine.catalog.Meant(id)}})
+		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
-		r.propose(now, client, Command{Catalog: &catalog.Command{Remove: id}})
+		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
 	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
 	case known && !r.mayReplace(held, beat.Instance):
@@ -175,7 +175,7 @@
 		return
 	}
 	r.lead.heldAt = now
-	var seen []catalog.HeldWeight
+	var seen []catalog.LoadedWeights
 	for _, id := range sortedKeys(r.lead.unlogged) {
 		fresh := r.unloggedWeights(id)
 		if _, known := r.machine.catalog.Instances()[id]; len(fresh) == 0 && known {
@@ -184,21 +184,21 @@
 		seen = append(seen, fresh...)
 	}
 	if len(seen) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Held: seen}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Loaded: seen}})
 	}
 }
 
 // unloggedWeights returns what a registered back end holds that the log doesn't tell.
-func (r *Replica) unloggedWeights(id string) []catalog.HeldWeight {
+func (r *Replica) unloggedWeights(id string) []catalog.LoadedWeights {
 	state := r.lead.fleet[id]
 	if _, known := r.machine.catalog.Instances()[id]; !known || state == nil {
 		return nil
 	}
-	var fresh []catalog.HeldWeight
+	var fresh []catalog.LoadedWeights
 	logged := r.machine.catalog.Held(id)
 	for _, model := range sortedKeys(state.versions) {
 		if version := state.versions[model]; version > logged[model] {
-			fresh = append(fresh, catalog.HeldWeight{Instance: id, NamedWeight: catalog.NamedWeight{Model: model, Version: version}})
+			fresh = append(fresh, catalog.LoadedWeights{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
 		}
 	}
 	return fresh
@@ -218,7 +218,7 @@
 			r.lead.rosterChanged(id)
 		}
 		if silence > forgetAfter {
-			r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: id}})
+			r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: id}})
 			state.heardAt = now
 		}
 	}
@@ -230,7 +230,7 @@
 	instances := r.machine.catalog.Instances()
 	if len(r.orders) > len(instances) {
 		for name, mark := range r.orders {
-			if _, known := r.machine.catalog.Named(name); !known && now > mark.at+forgetAfter {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+forgetAfter {
 				delete(r.orders, name)
 			}
 		}
@@ -248,28 +248,28 @@
 
 // applyCatalog applies a command of the catalog and tells watchers of it.
 func (r *Replica) applyCatalog(now time.Duration, command catalog.Command) *catalog.Outcome {
-	before := command.Version != nil && r.machine.catalog.Versions()[command.Version.Model] < command.Version.Version
+	before := command.PublishWeights != nil && r.machine.catalog.LatestVersions()[command.PublishWeights.Model] < command.PublishWeights.Version
 	bounds := map[string]uint64{}
-	for service := range command.Bounds {
-		bounds[service] = r.machine.catalog.Bound(service)
+	for service := range command.MaxHashWeights {
+		bounds[service] = r.machine.catalog.MaxHashWeight(service)
 	}
 	outcome := r.machine.catalog.Apply(command)
 	if command.Quarantine != nil {
 		r.noteQuarantined(now, *command.Quarantine)
 	}
 	if before {
-		r.noteNaming(now, command.Version.Model)
+		r.noteNaming(now, command.PublishWeights.Model)
 	}
-	touched := r.machine.catalog.Touched()
+	touched := r.machine.catalog.TakeChanged()
 	if r.lead == nil {
 		return &outcome
 	}
-	listed := len(command.Gateways)+len(command.Came)+len(command.Left) > 0
+	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
 	r.lead.listedNews = r.lead.listedNews || listed
-	if len(command.Bounds) > 0 {
+	if len(command.MaxHashWeights) > 0 {
 		r.noteBounds(now, bounds)
 	}
-	quiet := len(command.Held)+len(command.Ordering) > 0 || listed || command.Quarantine != nil // no roster tells of these
+	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
 		r.lead.rosterChanged(touched...)
 	}
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -52,7 +52,7 @@
 		{OpenSession: &Session{Router: "r1", Incarnation: 1, Zone: "z1", Address: "10.0.0.9:80"}},
 		{Change: &settings.Change{OperationID: "o1", Author: "lea", Edits: []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("7")}}}},
 		{Claim: &ledger.Claim{Key: key, Digest: 5, ClaimID: "c1", Holder: holder, RetentionMS: time.Hour.Milliseconds()}},
-		{End: &ledger.End{Key: key, ClaimID: "c1", Kind: ledger.EndFinished, Answer: &ledger.Answer{Status: 200, ContentType: "text/plain", Body: []byte("ok")}}},
+		{End: &ledger.End{Key: key, ClaimID: "c1", Kind: ledger.EndFinished, Answer: &ledger.Response{Status: 200, ContentType: "text/plain", Body: []byte("ok")}}},
 		{Order: &Order{Engine: "e1", Incarnation: 2, Weights: "w1"}},
 	} {
 		command.UnixMS = testWallStart
@@ -60,11 +60,11 @@
 	}
 	for i, command := range []catalog.Command{
 		{Replace: &catalog.Document{Revision: 3, Services: []catalog.Service{{Name: "engine", Engine: true}}, Source: json.RawMessage("{}")}},
-		{Register: ptr(instance("i-1"))}, {Joined: []catalog.Instance{instance("i-2"), instance("i-3")}},
-		{Drain: "i-2"}, {Remove: "i-3"},
-		{Version: &catalog.NamedWeight{Model: "m", Version: 2}}, {Fence: true},
-		{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 1}}}},
-		{Ordering: []string{"i-1"}}, {Gateways: []string{"g1", "g2"}}, {Bounds: map[string]uint64{"engine": 9}},
+		{Register: ptr(instance("i-1"))}, {RegisterBatch: []catalog.Instance{instance("i-2"), instance("i-3")}},
+		{Drain: "i-2"}, {Deregister: "i-3"},
+		{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}, {Fence: true},
+		{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 1}}}},
+		{WeightsCommandTargets: []string{"i-1"}}, {ReplaceGateways: []string{"g1", "g2"}}, {MaxHashWeights: map[string]uint64{"engine": 9}},
 		{Quarantine: &quarantine.Change{Seed: make([]byte, quarantine.SeedBytes), Crashes: []quarantine.Crash{{Incarnation: "i-1", Requests: []quarantine.Fingerprint{{1}}}}}},
 	} {
 		command.UnixMS = testWallStart + int64(i)
--- a/internal/gateway/belief/holdings_test.go
+++ b/internal/gateway/belief/holdings_test.go
@@ -10,78 +10,77 @@
 	"kitetiller/internal/prefix"
 )
 
-// kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) KeptPart {
-	return KeptPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
+// cached returns a part of which the engine reports the given number of cached tokens.
+func cached(id string, tokens int) CachedPart {
+	return CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// TestEnginesWordPutsBeliefsRight: parts that gave way are no longer counted on, parts held in part count as far as they go,
-// and what the engine never confirms is given up.
-func TestEnginesWordPutsBeliefsRight(t *testing.T) {
-	h := NewHoldings(100_000)
+// Guards against counting on parts that the engine evicted, wholly or partly, or never reported.
+func TestReportCorrectsEstimate(t *testing.T) {
+	h := NewCacheEstimate(100_000)
 	prompt := []prefix.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}
-	h.Use(time.Second, "w1", prompt)
-	shared := prefix.Shared(prompt)
+	h.RecordUse(time.Second, "w1", prompt)
+	shared := prefix.SharedParts(prompt)
 	if got := h.Cached("w1", shared); got != 300 {
-		t.Fatalf("after the send %d tokens", got)
+		t.Fatalf("after the send: cached tokens = %d, want 300", got)
 	}
-	if differ := h.Tell(1100*time.Millisecond, []KeptPart{kept("a", 100), kept("b", 200), kept("own", 50)}, false); len(differ) > 0 {
-		t.Fatalf("what all believe is told again: %v", differ)
+	if corrections := h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("a", 100), cached("b", 200), cached("own", 50)}, false); len(corrections) > 0 {
+		t.Fatalf("report that matches the estimate returned corrections: %v", corrections)
 	}
-	differ := h.Tell(1200*time.Millisecond, []KeptPart{kept("b", 64), kept("own", 0)}, false)
-	if len(differ) != 1 || differ[0] != kept("b", 64) {
-		t.Fatalf("told: %v", differ)
+	corrections := h.ApplyReport(1200*time.Millisecond, []CachedPart{cached("b", 64), cached("own", 0)}, false)
+	if len(corrections) != 1 || corrections[0] != cached("b", 64) {
+		t.Fatalf("corrections after a partial eviction: %v", corrections)
 	}
 	if got := h.Cached("w1", shared); got != 164 {
-		t.Fatalf("with a part held in part %d tokens", got)
+		t.Fatalf("with a partly cached part: cached tokens = %d, want 164", got)
 	}
-	h.Use(2*time.Second, "w1", prompt)
-	h.Tell(3*time.Second, nil, false)
+	h.RecordUse(2*time.Second, "w1", prompt)
+	h.ApplyReport(3*time.Second, nil, false)
 	if got := h.Cached("w1", shared); got != 300 {
-		t.Fatalf("a moment after another send %d tokens", got)
+		t.Fatalf("before unconfirmedTTL of another send: cached tokens = %d, want 300", got)
 	}
-	differ = h.Tell(2*time.Second+unsureFor+time.Millisecond, nil, false)
-	if got := h.Cached("w1", shared); got != 100 || len(differ) != 1 || differ[0] != kept("b", 0) {
-		t.Fatalf("never confirmed: %d tokens, told %v", got, differ)
+	corrections = h.ApplyReport(2*time.Second+unconfirmedTTL+time.Millisecond, nil, false)
+	if got := h.Cached("w1", shared); got != 100 || len(corrections) != 1 || corrections[0] != cached("b", 0) {
+		t.Fatalf("after unconfirmedTTL without a report: cached tokens = %d, want 100; corrections %v", got, corrections)
 	}
 }
 
-// TestListReplacesWhatWasTold: what a list does not name is gone, but for what was sent since.
-func TestListReplacesWhatWasTold(t *testing.T) {
-	h := NewHoldings(100_000)
-	h.Tell(0, []KeptPart{kept("a", 10), kept("b", 10)}, false)
-	h.Use(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
-	h.Tell(1100*time.Millisecond, []KeptPart{kept("b", 10)}, true)
-	for id, wanted := range map[string]int{"a": 0, "b": 10, "c": 10} {
-		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != wanted {
-			t.Errorf("%s: %d tokens, wanted %d", id, got, wanted)
+// A full list removes the entries that it does not name, except those sent since.
+func TestWholeListReplacesReportedEntries(t *testing.T) {
+	h := NewCacheEstimate(100_000)
+	h.ApplyReport(0, []CachedPart{cached("a", 10), cached("b", 10)}, false)
+	h.RecordUse(time.Second, "w1", []prefix.Part{{ID: "c", Tokens: 10}, {ID: "own", Tokens: 1}})
+	h.ApplyReport(1100*time.Millisecond, []CachedPart{cached("b", 10)}, true)
+	for id, want := range map[string]int{"a": 0, "b": 10, "c": 10} {
+		if got := h.Cached("w1", []prefix.Part{{ID: id, Tokens: 10}}); got != want {
+			t.Errorf("part %s: cached tokens = %d, want %d", id, got, want)
 		}
 	}
 }
 
-// engineCache is an engine's cache as the oracle of the tests below sees it.
+// engineCache is the reference model of an engine's cache: cached tokens by part.
 type engineCache map[string]int
 
-// TestBeliefsFollowAnEngine: whatever is sent and gives way, with events lost and lists after a gap, a reader that has heard
-// everything believes what the engine keeps, and so does one that is only told of what the reader believed otherwise.
-func TestBeliefsFollowAnEngine(t *testing.T) {
+// After any sequence of sends, evictions, lost events and full lists, the estimate of a gateway that reads the
+// engine equals the engine's cache, and so does that of a gateway that gets only the corrections.
+func TestEstimateMatchesEngineCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engine, pending := engineCache{}, []KeptPart{}
-		reader, other := NewHoldings(1000), NewHoldings(1000)
+		engine, unread := engineCache{}, []CachedPart{}
+		reader, peer := NewCacheEstimate(1000), NewCacheEstimate(1000)
 		now := time.Duration(0)
-		lost := false
-		tell := func(whole bool) {
-			news := pending
-			if whole {
-				news = nil
+		eventsLost := false
+		report := func(full bool) {
+			changes := unread
+			if full {
+				changes = nil
 				for id, tokens := range engine {
-					news = append(news, kept(id, tokens))
+					changes = append(changes, cached(id, tokens))
 				}
 			}
-			pending = nil
-			other.Hear(now) // others are told every second that the engine is read
-			for _, p := range reader.Tell(now, news, whole) {
-				other.Keep(now, p.Salt, []prefix.Part{p.Part})
+			unread = nil
+			peer.RecordReport(now) // peers are notified every second that the engine is being read
+			for _, p := range reader.ApplyReport(now, changes, full) {
+				peer.ApplyPeerReport(now, p.Salt, []prefix.Part{p.Part})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -89,10 +88,10 @@
 				now += time.Millisecond
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
 				parts := []prefix.Part{{ID: id, Tokens: 100}, {ID: fmt.Sprint("own", now), Tokens: 10}}
-				reader.Use(now, "w1", parts)
-				other.Use(now, "w1", parts)
+				reader.RecordUse(now, "w1", parts)
+				peer.RecordUse(now, "w1", parts)
 				engine[id] = 100
-				pending = append(pending, kept(id, 100))
+				unread = append(unread, cached(id, 100))
 			},
 			"give way": func(t *rapid.T) {
 				id := fmt.Sprint("p", rapid.IntRange(0, 9).Draw(t, "part"))
@@ -104,72 +103,72 @@
 				if left == 0 {
 					delete(engine, id)
 				}
-				pending = append(pending, kept(id, left))
+				unread = append(unread, cached(id, left))
 			},
-			"lose": func(*rapid.T) { pending, lost = nil, true },
-			"read": func(*rapid.T) { now += 100 * time.Millisecond; tell(lost); lost = false },
+			"lose": func(*rapid.T) { unread, eventsLost = nil, true },
+			"read": func(*rapid.T) { now += 100 * time.Millisecond; report(eventsLost); eventsLost = false },
 		})
-		now += unsureFor + time.Second
-		tell(lost)
-		now += unsureFor + time.Second
-		tell(true)
+		now += unconfirmedTTL + time.Second
+		report(eventsLost)
+		now += unconfirmedTTL + time.Second
+		report(true)
 		for i := range 10 {
 			id := fmt.Sprint("p", i)
 			part := []prefix.Part{{ID: id, Tokens: 100}}
 			if got := reader.Cached("w1", part); got != engine[id] {
-				t.Fatalf("the reader believes %d tokens of %s, the engine keeps %d", got, id, engine[id])
+				t.Fatalf("reader's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
-			if got := other.Cached("w1", part); got != engine[id] {
-				t.Fatalf("another gateway believes %d tokens of %s, the engine keeps %d", got, id, engine[id])
+			if got := peer.Cached("w1", part); got != engine[id] {
+				t.Fatalf("peer's estimate: %d tokens of %s, engine has %d", got, id, engine[id])
 			}
 		}
 	})
 }
 
-// TestHoldingsAgreeWithASimpleCache: against an oracle that keeps the order of use, whatever is sent.
-func TestHoldingsAgreeWithASimpleCache(t *testing.T) {
+// Without reports, the estimate equals an LRU cache.
+func TestEstimateMatchesLRUCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewHoldings(1000) // 750 tokens
-		var order []prefix.Part   // oldest first
+		estimate := NewCacheEstimate(1000) // 750 tokens
+		var lru []prefix.Part              // oldest first
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "sends") {
 			now += time.Millisecond
 			id := rapid.IntRange(0, 12).Draw(t, "part")
 			part := prefix.Part{ID: fmt.Sprint(id), Tokens: 50 + 20*id}
-			held.Use(now, "w1", []prefix.Part{part})
-			for i, known := range order {
+			estimate.RecordUse(now, "w1", []prefix.Part{part})
+			for i, known := range lru {
 				if known.ID == part.ID {
-					order = append(order[:i], order[i+1:]...)
+					lru = append(lru[:i], lru[i+1:]...)
 					break
 				}
 			}
-			order = append(order, part)
-			for prefix.PartTokens(order) > held.limit {
-				order = order[1:]
+			lru = append(lru, part)
+			for prefix.PartTokens(lru) > estimate.limit {
+				lru = lru[1:]
 			}
-			for _, known := range order {
-				if held.Cached("w1", []prefix.Part{known}) != known.Tokens {
-					t.Fatalf("part %s is not held", known.ID)
+			for _, known := range lru {
+				if estimate.Cached("w1", []prefix.Part{known}) != known.Tokens {
+					t.Fatalf("part %s is not cached", known.ID)
 				}
-				if held.Cached("w2", []prefix.Part{known}) != 0 {
-					t.Fatalf("part %s is held under another salt", known.ID)
+				if estimate.Cached("w2", []prefix.Part{known}) != 0 {
+					t.Fatalf("part %s is cached under another salt", known.ID)
 				}
 			}
-			if held.total != prefix.PartTokens(order) {
-				t.Fatalf("%d tokens held, %d expected", held.total, prefix.PartTokens(order))
+			if estimate.total != prefix.PartTokens(lru) {
+				t.Fatalf("total cached tokens = %d, want %d", estimate.total, prefix.PartTokens(lru))
 			}
 		}
 	})
 }
 
-// TestPartsCountOnlyBehindAllBeforeThem: a part is of use only after the same parts as before.
-func TestPartsCountOnlyBehindAllBeforeThem(t *testing.T) {
-	held := NewHoldings(10_000)
-	held.Use(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
-	if got := held.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
-		t.Fatalf("%d tokens behind a part that is not held", got)
+// Cached counts a part only if all parts before it are cached.
+func TestCachedStopsAtFirstMissingPart(t *testing.T) {
+	estimate := NewCacheEstimate(10_000)
+	estimate.RecordUse(0, "w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "c", Tokens: 7}})
+	if got := estimate.Cached("w", []prefix.Part{{ID: "a", Tokens: 3}, {ID: "b", Tokens: 5}}); got != 0 {
+		t.Fatalf("%d tokens counted behind a part that is not cached, want 0", got)
 	}
-	if got := held.Cached("w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "x", Tokens: 9}, {ID: "c", Tokens: 7}}); got != 5 {
-		t.Fatalf("%d tokens, 5 expected", got)
+	if got := estimate.Cached("w", []prefix.Part{{ID: "b", Tokens: 5}, {ID: "x", Tokens: 9}, {ID: "c", Tokens: 7}}); got != 5 {
+		t.Fatalf("cached tokens = %d, want 5", got)
 	}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -14,115 +14,118 @@
 )
 
 const (
-	// runningCost is what each running request adds to a request's time at an engine, in milliseconds.
+	// runningCost is the cost of each request running at an engine, in milliseconds.
 	runningCost = 0.6
-	// interferenceWeight is what the reading of a prompt costs for each request that runs there meanwhile, as a part of its time:
-	// between two pieces of it each of them gets one token.
+	// interferenceWeight is the cost of a prefill for each request running at the engine, as a fraction of the
+	// prefill time: between two prefill chunks each of them gets only one decode step.
 	interferenceWeight = 0.3
-	// slotTime is the work of a typical request at a service without prompts, in milliseconds.
-	slotTime = 40.0
-	// zoneCost is what a back end in another zone costs, in milliseconds of waiting.
-	zoneCost = 4.0
-	// avoidCost, silentCost and failingCost keep requests from back ends that are in doubt, in milliseconds.
+	// plainRequestTime is the assumed duration of a request at a service without engines, in milliseconds.
+	plainRequestTime = 40.0
+	// crossZoneCost is the cost of a back end in another zone, in milliseconds.
+	crossZoneCost = 4.0
+	// avoidCost, silentCost and failingCost are the costs of back ends that are avoided, send control no heartbeats,
+	// or fail requests, in milliseconds.
 	avoidCost   = 2000.0
 	silentCost  = 300.0
 	failingCost = 400.0
-	// foreignCost is what an engine costs that another gateway of a large fleet samples, in milliseconds: what that one sends there
-	// in the next moment is not known yet.
-	foreignCost = 15.0
-	// coldCost is what a back end that has just started costs, in milliseconds.
+	// assignedElsewhereCost is the cost of an engine that another gateway of a large fleet samples, in milliseconds.
+	// It accounts for requests which that gateway is sending there and which are not known here yet.
+	assignedElsewhereCost = 15.0
+	// coldCost is the cost of a back end that has just started, in milliseconds.
 	coldCost = 40.0
-	// rereadWeight is how much more than its time the reading of shared parts counts, and strayCost what it costs besides
-	// to read them anywhere but at their owner. Weights of 0.5, 2 and 5 were played (design/015).
-	rereadWeight = 2.0
-	strayCost    = 0.3
+	// recomputeWeight is the extra cost of recomputing shared parts, relative to their prefill time. nonOwnerWeight
+	// is the extra cost of doing so at an engine that is not their owner.
+	recomputeWeight = 2.0
+	nonOwnerWeight  = 0.3
 )
 
-// candidate is one back end as the decision sees it.
+// candidate is a back end that a decision considers, with what sending the request there would mean.
 type candidate struct {
-	row      *endpoint
-	cost     float64 // milliseconds
-	salt     string
-	version  uint64        // of its weights
-	wait     float64       // predicted time until the request begins, in milliseconds
-	queue    float64       // of it, the time until its prompt is read
-	beginBy  time.Duration // when it must have begun as far as the choice knew, or 0; only the log may rely on it
-	uncached int           // prompt tokens to read
-	reread   int           // of them, tokens of shared parts
-	dearer   bool          // a copy of these is known, and costs more than to read them
-	why      rereadCause   // of reread; "" where that is 0, and before the choice is made
-	alone    bool          // nothing else is taken to be read there
-	fetch    string        // address to take cached parts from, or ""
-	save     string        // address of the store to keep the parts in, or ""
-	move     belief.Move   // of cached parts that the placement causes
-	back     time.Duration // the request is to be turned away, and to come back after this time; else 0
-	// scheduled names the placement where a scheduler made it; else this gateway did.
+	row             *endpoint
+	cost            float64 // milliseconds
+	salt            string
+	version         uint64          // of the weights expected there; 0 if unknown
+	wait            float64         // predicted time until the request starts, in milliseconds
+	queueWait       float64         // part of wait before the prefill starts
+	startDeadline   time.Duration   // time by which the request must start, as known at the decision, or 0; for logs only
+	uncached        int             // prompt tokens to prefill
+	recomputed      int             // tokens of shared parts among uncached
+	copyCostsMore   bool            // a copy of the shared parts exists, but costs more than recomputing them
+	recomputeReason recomputeCause  // set for the chosen candidate if recomputed > 0
+	engineIdle      bool            // no other prefill is estimated to be running or queued there
+	fetchFrom       string          // address of the engine or store to copy cached parts from, or ""
+	saveTo          string          // address of the store to save the parts in, or ""
+	transfer        belief.Transfer // of cached parts, caused by the placement
+	retryAfter      time.Duration   // if not 0, the request is to be rejected, and retried after this time
+	// scheduled is set if a scheduler made the placement, and nil if this gateway did.
 	scheduled *scheduled
 }
 
-// need is what a decision depends on.
-type need struct {
-	service *catalog.Service
-	store   *catalog.Service // of kept caches, or nil
-	tenant  *catalog.Tenant
-	call    *Call
-	tried   []*endpoint
-	trusted bool          // the view is confirmed, so what it says of weights holds
-	memory  int           // tokens that the prompt takes of an engine's memory; set by choose
-	stay    belief.Stays  // how long requests stay at the service's back ends; set by choose
-	first   bool          // no back end was sent the request yet
-	rank    int           // of urgency, 0 the most
-	target  time.Duration // the route's objective
-	// elsewhere says that another gateway sends the request: a rest that a back end asked this one for doesn't bind that one, which names
-	// its own.
-	elsewhere bool
+// selectionInput describes the request for which a back end is selected.
+type selectionInput struct {
+	service       *catalog.Service
+	store         *catalog.Service // cache store of the prompt, or nil
+	tenant        *catalog.Tenant
+	call          *Call
+	tried         []*endpoint         // back ends that the request was sent to already
+	trusted       bool                // the view was confirmed recently, so its weight versions are valid
+	memory        int                 // tokens of engine memory that the prompt uses; set by choose
+	meanDuration  belief.MeanDuration // of the service's requests; set by choose
+	firstAttempt  bool                // no back end was sent the request yet
+	priority      int                 // as of enginePriority
+	latencyTarget time.Duration       // the route's objective
+	// sentByPeer means that another gateway sends the request. A back end that asked only this gateway to back off
+	// remains eligible then.
+	sentByPeer bool
 }
 
-// total is the number of prompt tokens.
-func (w *need) total() int { return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts)) }
+// promptTokens returns the number of prompt tokens.
+func (w *selectionInput) promptTokens() int {
+	return max(w.call.PromptTokens, prefix.PartTokens(w.call.Parts))
+}
 
-// longest is how many prompt tokens have to be read where nothing but the shared parts is held.
-func (w *need) longest() int {
-	return w.total() - prefix.PartTokens(prefix.Shared(w.call.Parts))
+// maxUncached returns the prompt tokens to prefill at an engine that has all the shared parts cached.
+func (w *selectionInput) maxUncached() int {
+	return w.promptTokens() - prefix.PartTokens(prefix.SharedParts(w.call.Parts))
 }
 
-// choose filters, scores and picks the back end of least cost, or returns nil.
-func (g *Gateway) choose(now time.Duration, wish need) *candidate {
+// choose returns the eligible back end of least cost, or nil if there is none.
+func (g *Gateway) choose(now time.Duration, in selectionInput) *candidate {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	rows := g.table.services[wish.service.Name]
-	if wish.service.Engine {
-		lanes := g.table.lane(wish.service.Name)
+	rows := g.table.services[in.service.Name]
+	if in.service.Engine {
+		lanes := g.table.lanesOf(in.service.Name)
 		lanes.divide(rows)
-		lanes.measure(now, rows)
-		wish.memory, wish.stay = memoryOf(wish.call), g.table.stay(wish.service.Name)
+		lanes.measureUtilization(now, rows)
+		in.memory, in.meanDuration = memoryOf(in.call), g.table.meanDuration(in.service.Name)
 	}
-	owner := g.owner(now, rows, wish)
-	sources := g.sources(now, wish)
-	listed := g.shortlist(now, rows, owner, sources, wish)
-	best, found := g.cheapest(now, listed, owner, sources, wish)
+	owner := g.owner(now, rows, in)
+	sources := g.sources(now, in)
+	listed := g.shortlist(now, rows, owner, sources, in)
+	best, found := g.cheapest(now, listed, owner, sources, in)
 	if !found && len(listed) < len(rows) {
-		best, found = g.cheapest(now, g.anyOf(now, rows, wish), owner, sources, wish)
+		best, found = g.cheapest(now, g.scanEligible(now, rows, in), owner, sources, in)
 	}
 	if !found {
 		return nil
 	}
-	if best.reread > 0 {
-		best.why = g.whyReread(now, &best, prefix.Shared(wish.call.Parts), sources)
+	if best.recomputed > 0 {
+		best.recomputeReason = g.explainRecompute(now, &best, prefix.SharedParts(in.call.Parts), sources)
 	}
 	return &best
 }
 
-// cheapest scores the back ends of a list that may get a request and returns the one of least cost.
-func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, wish need) (best candidate, found bool) {
-	first := rand.IntN(max(1, len(listed))) // so that gateways which see the same don't all take the same one of equals
+// cheapest returns the eligible back end of a list that has the least cost.
+func (g *Gateway) cheapest(now time.Duration, listed []*endpoint, owner *endpoint, sources []source, in selectionInput) (best candidate, found bool) {
+	first := rand.IntN(max(1, len(listed))) // a random start, so that gateways with equal knowledge do not all pick the same of equals
 	for i := range listed {
 		row := listed[(first+i)%len(listed)]
-		if !g.eligible(now, row, wish) {
+		if !g.eligible(now, row, in) {
 			continue
 		}
-		scored := g.score(now, row, wish, row == owner, sources)
-		if g.chosenTooLate(now, &scored, wish) {
+		scored := g.score(now, row, in, row == owner, sources)
+		if g.scoredTooLate(now, &scored, in) {
 			continue
 		}
 		if !found || scored.cost < best.cost {
@@ -132,23 +135,23 @@
 	return best, found
 }
 
-// eligible reports whether a back end may get a new request at all.
-func (g *Gateway) eligible(now time.Duration, row *endpoint, wish need) bool {
-	if !row.open() || slices.Contains(wish.tried, row) || g.table.bar(now, row, wish.elsewhere) != "" {
+// eligible reports whether a back end may get a new request.
+func (g *Gateway) eligible(now time.Duration, row *endpoint, in selectionInput) bool {
+	if !row.open() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
 		return false
 	}
-	limit, limited := g.beginLimit(row, wish.service, wish.call.Model)
-	return !limited || now < limit-beginMargin
+	deadline, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
+	return !hasDeadline || now < deadline-beginMargin
 }
 
-// owner returns the back end on which requests with the same shared prompt meet while nobody is believed to hold it: the
-// highest random weight among those that may be used (rendezvous hashing), so that all gateways agree without a word.
-func (g *Gateway) owner(now time.Duration, rows []*endpoint, wish need) *endpoint {
-	if !wish.service.Engine || len(wish.call.Parts) == 0 || !g.on(mechanism.Owner) {
+// owner returns the engine that computes a shared prompt which no engine is known to have cached. It uses
+// rendezvous hashing over the eligible engines, so that all gateways agree without communicating.
+func (g *Gateway) owner(now time.Duration, rows []*endpoint, in selectionInput) *endpoint {
+	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.Owner) {
 		return nil
 	}
-	key := xxhash.Sum64String(prefix.AffinityKey(wish.call.Parts))
-	longest := wish.longest()
+	key := xxhash.Sum64String(prefix.AffinityKey(in.call.Parts))
+	uncached := in.maxUncached()
 	var best *endpoint
 	var highest uint64
 	for _, row := range rows {
@@ -156,8 +159,8 @@
 		if best != nil && weight <= highest {
 			continue
 		}
-		if !g.eligible(now, row, wish) || now < row.avoidTo || g.astray(row, longest) > 0 || g.table.pushed.Limit(row.life).Advertised {
-			continue // one with a limit is open and closed in turn: the prompt would be read in two places
+		if !g.eligible(now, row, in) || now < row.avoidUntil || g.offLaneCost(row, uncached) > 0 || g.table.signals.Limit(row.life).Advertised {
+			continue // one with an advertised limit is eligible only at times, so the prompt would be computed in two places
 		}
 		best, highest = row, weight
 	}
@@ -171,100 +174,101 @@
 	return x ^ x>>31
 }
 
-// score predicts the time to the first event at a back end, in milliseconds, with what speaks against it.
-func (g *Gateway) score(now time.Duration, row *endpoint, wish need, owner bool, sources []source) candidate {
+// score predicts the time to the first event at a back end, in milliseconds, plus penalties.
+func (g *Gateway) score(now time.Duration, row *endpoint, in selectionInput, owner bool, sources []source) candidate {
 	scored := candidate{row: row}
-	if wish.service.Engine {
-		g.scoreEngine(now, &scored, wish, owner, sources)
+	if in.service.Engine {
+		g.scoreEngine(now, &scored, in, owner, sources)
 	} else {
-		scored.cost = slotTime * float64(row.occupied.Total().Running) / float64(max(1, row.entry.Slots))
+		scored.cost = plainRequestTime * float64(row.occupancy.Total().Running) / float64(max(1, row.entry.Slots))
 	}
 	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
-		scored.cost += zoneCost
+		scored.cost += crossZoneCost
 	}
-	scored.cost += g.doubt(now, row)
-	if g.foreign(row, wish) {
-		scored.cost += foreignCost
+	scored.cost += g.healthPenalty(now, row)
+	if g.assignedElsewhere(row, in) {
+		scored.cost += assignedElsewhereCost
 	}
 	return scored
 }
 
-// foreign reports whether another gateway samples a back end of a large service.
-func (g *Gateway) foreign(row *endpoint, wish need) bool {
-	return !row.home && g.table.homes > 0 && len(g.table.services[wish.service.Name]) > scoreAllUpTo
+// assignedElsewhere reports whether another gateway samples a back end of a large service.
+func (g *Gateway) assignedElsewhere(row *endpoint, in selectionInput) bool {
+	return !row.assigned && g.table.assignedCount > 0 && len(g.table.services[in.service.Name]) > maxScoreAll
 }
 
-// scoreEngine adds up the queue of prompts, what is read, and what is copied from elsewhere. Reading shared parts again
-// costs more than its time, since it is work that the fleet has done already.
-func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, wish need, owner bool, sources []source) {
+// scoreEngine adds the cost of queueing, prefill and copying at an engine. Recomputing shared parts costs more
+// than its time, since the fleet has done that work already.
+func (g *Gateway) scoreEngine(now time.Duration, scored *candidate, in selectionInput, owner bool, sources []source) {
 	row := scored.row
-	scored.version = row.entry.Versions[wish.call.Model]
-	scored.salt = salt(scored.version, wish.tenant)
-	if scored.version == 0 || !wish.trusted {
+	scored.version = row.entry.Versions[in.call.Model]
+	scored.salt = cacheSalt(scored.version, in.tenant)
+	if scored.version == 0 || !in.trusted {
 		scored.version, scored.salt = 0, uniqueSalt()
 	}
-	shared := prefix.Shared(wish.call.Parts)
-	cached := row.held.Cached(scored.salt, shared)
+	shared := prefix.SharedParts(in.call.Parts)
+	cached := row.cache.Cached(scored.salt, shared)
 	sharedTokens := prefix.PartTokens(shared)
 	if cached < sharedTokens && scored.version > 0 {
-		cached = g.planFetch(now, scored, wish, cached, sources)
-	} else if scored.version > 0 && sharedTokens > 0 && wish.store != nil {
-		scored.fetch = wish.store.Store // the engine may have given up what it is believed to hold; a needless question costs nothing
+		cached = g.planFetch(now, scored, in, cached, sources)
+	} else if scored.version > 0 && sharedTokens > 0 && in.store != nil {
+		scored.fetchFrom = in.store.StoreAddress // the engine may have evicted the parts, and asking the store is cheap
 	}
-	scored.uncached, scored.reread = wish.total()-cached, max(0, sharedTokens-cached)
-	queue := max(0, row.busyTo-now)
-	held := row.occupied.Total()
-	reading := belief.Milliseconds(g.table.pace(wish.service.Name).Reading(scored.uncached))
-	scored.cost += belief.Milliseconds(queue) + reading
+	scored.uncached, scored.recomputed = in.promptTokens()-cached, max(0, sharedTokens-cached)
+	queue := max(0, row.prefillBusyUntil-now)
+	load := row.occupancy.Total()
+	prefillTime := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
+	scored.cost += belief.Milliseconds(queue) + prefillTime
 	if g.on(mechanism.Occupancy) {
-		scored.cost += belief.Crowding(held, row.entry.Slots, wish.service.CacheLimit, wish.memory, wish.stay)
+		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheTokens, in.memory, in.meanDuration)
 	}
-	scored.wait, scored.alone = scored.cost, queue == 0
-	scored.queue = scored.wait - reading
-	scored.cost += g.astray(row, scored.uncached)
+	scored.wait, scored.engineIdle = scored.cost, queue == 0
+	scored.queueWait = scored.wait - prefillTime
+	scored.cost += g.offLaneCost(row, scored.uncached)
 	if g.on(mechanism.RereadWeight) {
-		scored.cost += rereadWeight * float64(sharedTokens-cached) / belief.PrefillRate
+		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
-	scored.cost += runningCost * float64(held.Running)
+	scored.cost += runningCost * float64(load.Running)
 	if g.on(mechanism.Interference) {
-		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(held.Running)
+		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(load.Running)
 	}
 	if !owner && g.on(mechanism.StrayCost) {
-		scored.cost += strayCost * float64(sharedTokens-cached) / belief.PrefillRate
+		scored.cost += nonOwnerWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 }
 
-// doubt is what speaks against a back end, in milliseconds.
-func (g *Gateway) doubt(now time.Duration, row *endpoint) float64 {
-	cost := failingCost * row.failing
-	if g.on(mechanism.Avoidance) && (now < row.avoidTo || row.mute(now)) {
+// healthPenalty returns the cost of signs that a back end is unhealthy or overloaded, in milliseconds.
+func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
+	cost := failingCost * row.failureRate
+	if g.on(mechanism.Avoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
 		cost += avoidCost
 	}
 	if row.entry.Silent {
 		cost += silentCost
 	}
 	if row.entry.Silent && row.failures > 0 {
-		cost += avoidCost // neither control nor this gateway has heard it since
+		cost += avoidCost // neither control nor this gateway has heard from it since
 	}
-	if now < row.heardAt+row.entry.ColdLeft {
+	if now < row.entryAt+row.entry.ColdLeft {
 		cost += coldCost
 	}
-	if limit, heard := g.table.pushed.LimitObservedAt(row.life); limit.Advertised {
-		cost += permitCost - staleGain*min(now-heard, staleMost).Seconds()
+	if limit, observedAt := g.table.signals.LimitObservedAt(row.life); limit.Advertised {
+		cost += permitCost - staleGain*min(now-observedAt, staleMost).Seconds()
 	}
 	return cost
 }
 
-// rank is the priority of a request at an engine: the tenant's comes first.
-func rank(owner *catalog.Tenant, route *catalog.Route) int {
-	tenant := 0
-	if owner != nil {
-		tenant = owner.Priority
+// enginePriority returns a request's priority at an engine, 0 being the highest. The tenant's priority takes
+// precedence over the route's.
+func enginePriority(tenant *catalog.Tenant, route *catalog.Route) int {
+	tenantPriority := 0
+	if tenant != nil {
+		tenantPriority = tenant.Priority
 	}
-	return min(lowestRank, tenant*rankStep+route.Priority)
+	return min(lowestPriority, tenantPriority*tenantPriorityStep+route.Priority)
 }
 
 const (
-	lowestRank = 9
-	rankStep   = 3
+	lowestPriority     = 9
+	tenantPriorityStep = 3
 )
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -70,10 +70,10 @@
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.lives()))
 	}
 	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetch),
+		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetchFrom),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.reread > 0 {
-			fields = append(fields, zap.Int(events.FieldReread, x.plan.reread), zap.String(events.FieldRereadWhy, string(x.plan.why)))
+		if x.plan.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldReread, x.plan.recomputed), zap.String(events.FieldRereadWhy, string(x.plan.recomputeReason)))
 		}
 	}
 	if x.atRest > 0 {
@@ -95,7 +95,7 @@
 	if x.firstAt > 0 {
 		took = x.firstAt - x.arrived
 	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.Pause > 0 && x.pause > x.route.Pause
+	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
 }
 
 func (x *exchange) logFailure(sent *attempt, failed result) {
@@ -115,7 +115,7 @@
 		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
 	}
 	if failed.cause == causeOutdated {
-		fields = append(fields, sent.outdated()...)
+		fields = append(fields, sent.outdatedFields()...)
 	}
 	x.gateway.log.note(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -22,7 +22,7 @@
 func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.pushed.ObserveNoLimit(now, sent, row.life)
+	over := g.table.signals.ObserveNoLimit(now, sent, row.life)
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
@@ -40,7 +40,7 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.pushed.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
+	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
@@ -107,7 +107,7 @@
 	if dry {
 		return false
 	}
-	taken := g.desk.AcquireAdvertised(a.ctx, quota.BackEnd(a.row.entry.ID), *limit)
+	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
@@ -138,7 +138,7 @@
 func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.pushed.LimitObservedAt(row.life)
+	named, heard := t.signals.LimitObservedAt(row.life)
 	if !named.Advertised {
 		return nil, false
 	}
@@ -149,29 +149,29 @@
 // holds the mutex.
 func (t *table) dry(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
 	if elsewhere {
-		return max(0, row.pacedTo-now) // that one asks for itself; this only spreads what is placed
+		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
-	return max(0, row.dryTo-now, t.unlentTo-now)
+	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
 // setDry notes until when nothing can be had of a back end's limit.
 func (t *table) setDry(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	row.dryTo = max(row.dryTo, until)
+	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
 // setUnlent notes until when nobody is asked for a part of any limit.
 func (t *table) setUnlent(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.unlentTo = max(t.unlentTo, until)
+	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
-	if limit := t.pushed.Limit(row.life); limit.Advertised {
-		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
+	if limit := t.signals.Limit(row.life); limit.Advertised {
+		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
 
@@ -183,12 +183,12 @@
 	sum := 0.0
 	for _, row := range t.services[service] {
 		if row.open() {
-			sum += t.pushed.Limit(row.life).Rate
+			sum += t.signals.Limit(row.life).Rate
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
-	at := min(max(now+first, t.turns[service]+step), now+longestTurn)
-	t.turns[service] = at
+	at := min(max(now+first, t.lastRetryAt[service]+step), now+longestTurn)
+	t.lastRetryAt[service] = at
 	return at - now
 }
 
@@ -198,7 +198,7 @@
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
 	for _, row := range t.rows {
-		if limit := t.pushed.Limit(row.life); limit.Advertised {
+		if limit := t.signals.Limit(row.life); limit.Advertised {
 			counts[row.entry.Service]++
 			sums[row.entry.Service] += limit.Rate
 		}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -30,11 +30,11 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	sent := placedOn(g, g.table.rows["i-0"])
+	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
 		sent.hear(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
-	placedOn(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
+	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnread] != "3,8" {
@@ -53,11 +53,11 @@
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
 	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
@@ -82,8 +82,8 @@
 
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
-	x := asking(g)
-	if chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}); chosen != nil {
+	x := newModelRequest(g)
+	if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		return chosen.row.entry.ID
 	}
 	return ""
@@ -95,7 +95,7 @@
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
-	chosen := placedAt(g)
+	chosen := chosenAttempt(g)
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
@@ -162,7 +162,7 @@
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
 	g := scheduler(2)
 	call := (&wireQuestion{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
-	held := need{service: g.view.Load().services["s"], call: &call, trusted: true}
+	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	names(g, owner.entry.ID, 4)
 	if next := g.owner(0, g.table.services["s"], held); next == nil || next == owner {
@@ -181,7 +181,7 @@
 		names(g, id, 4)
 		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
@@ -230,7 +230,7 @@
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
 		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
-		g.table.takeSends(now, []send{heard.wire(0).send()})
+		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
@@ -254,10 +254,10 @@
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
 		}
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	limit := 3.5
 	placed := &wirePlacement{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
-	g.scheduledCandidate(placed, scheduled{}, need{service: x.service, call: &x.call, trusted: true})
+	g.scheduledCandidate(placed, scheduled{}, selectionInput{service: x.service, call: &x.call, trusted: true})
 	if rate() != 3.5 {
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
@@ -270,7 +270,7 @@
 // TestRequestGoesOnFromALimit: it may come back to that back end, which is full for a moment only, and gives up after a few.
 func TestRequestGoesOnFromALimit(t *testing.T) {
 	g := scheduler(1)
-	x := asking(g)
+	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -17,176 +17,177 @@
 	"kitetiller/internal/node"
 )
 
-// name tells a gateway that a version of the model m was named so long before now.
-func name(g *Gateway, version uint64, age time.Duration) {
-	g.table.takeNews(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
+// publishVersion reports to a gateway that a version of the model m was published an age ago.
+func publishVersion(g *Gateway, version uint64, age time.Duration) {
+	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WantedVersion{{Model: "m", Version: version, Age: age}}})
 }
 
-// asking returns a request for the model m.
-func asking(g *Gateway) *exchange {
+// newModelRequest returns a request for the model m.
+func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
 		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: cover{covered: true},
 	}
 }
 
-// placedAt returns an attempt of a request that a gateway has chosen to send to its one back end.
-func placedAt(g *Gateway) *attempt {
-	x := asking(g)
-	return x.newAttempt(g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}))
+// chosenAttempt returns an attempt at the back end that the gateway chooses.
+func chosenAttempt(g *Gateway) *attempt {
+	x := newModelRequest(g)
+	return x.newAttempt(g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}))
 }
 
-// placedOn returns an attempt at a back end.
-func placedOn(g *Gateway, row *endpoint) *attempt { return asking(g).newAttempt(&candidate{row: row}) }
+// attemptAt returns an attempt at a back end.
+func attemptAt(g *Gateway, row *endpoint) *attempt {
+	return newModelRequest(g).newAttempt(&candidate{row: row})
+}
 
-// TestAnswersOnOtherWeightsAreTold: what was expected, believed and answered, with both limits, once a second for each back
-// end; an answer on the weights that were wanted leaves no line.
-func TestAnswersOnOtherWeightsAreTold(t *testing.T) {
+// A mismatch is logged with all versions and deadlines, at most once a second for each back end; a response on the
+// expected weights is not logged.
+func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	chosen := placedAt(g)
-	chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+	chosen := chosenAttempt(g)
+	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	if lines.Len() != 0 {
-		t.Fatalf("a line of the weights that were wanted: %v", lines.All())
+		t.Fatalf("response on the expected weights was logged: %v", lines.All())
 	}
-	name(g, 2, 10*time.Second)
+	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
-		chosen.noteWeights(200, Verdict{Signed: true, Version: 1})
+		chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
 	}
 	now += node.SparseEach
-	chosen.noteWeights(421, Verdict{NotRun: true, Version: 3})
+	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
 	got := lines.FilterMessage(events.WeightsDiffer).All()
 	if len(got) != 2 || lines.Len() != 2 {
-		t.Fatalf("lines %v", lines.All())
+		t.Fatalf("unexpected log lines: %v", lines.All())
 	}
-	begun, refused := got[0].ContextMap(), got[1].ContextMap()
-	if begun[events.FieldLacked] != 10*time.Second || begun[events.FieldLimitLeft] != 50*time.Second || begun["expected"] != uint64(1) {
-		t.Errorf("begun on old weights: %v", begun)
+	started, rejected := got[0].ContextMap(), got[1].ContextMap()
+	if started[events.FieldLacked] != 10*time.Second || started[events.FieldLimitLeft] != 50*time.Second || started["expected"] != uint64(1) {
+		t.Errorf("start on outdated weights: %v", started)
 	}
-	if _, known := begun[events.FieldLimitChosen]; known {
-		t.Errorf("a limit at the choice, when none was named: %v", begun)
+	if _, known := started[events.FieldLimitChosen]; known {
+		t.Errorf("deadline at the decision logged, want none: %v", started)
 	}
-	if refused["answered"] != uint64(3) || refused["believed"] != uint64(1) || refused["held"] != int64(2) || refused[events.FieldLimitLeft] != nil {
-		t.Errorf("refused on newer weights: %v", refused)
+	if rejected["answered"] != uint64(3) || rejected["believed"] != uint64(1) || rejected["held"] != int64(2) || rejected[events.FieldLimitLeft] != nil {
+		t.Errorf("rejection on newer weights: %v", rejected)
 	}
 }
 
-// Between the choice of a place and the send a connection has to come up, and news of versions may come; the last look before the send
-// asked for the back end's state only, so that a request chosen 10 s before a limit was still sent 0.1 s before it, or after a version
-// was named whose time had passed. Back ends whose weights nobody knew had no limit at all. And an attempt was ended at its limit to the
-// millisecond, though it is over only once the close has reached the back end, and a timer may fire late.
-func TestLimitOfOldWeightsHoldsWhenSent(t *testing.T) {
-	// fresh returns a gateway with one engine on version 1, and its clock. Nothing may begin a minute after a newer version was named.
+// Guards against sending a request whose start deadline is near, was set after the decision or belongs to unknown
+// weights, and against canceling one too late for the close to reach the back end in time.
+func TestStartDeadlineIsCheckedBeforeSend(t *testing.T) {
+	// fresh returns a gateway with one engine on version 1, and its clock. Requests must start within a minute of the
+	// publication of a newer version.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
 		g := scheduler(1)
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
-	wish := func(g *Gateway) need {
-		return need{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
+	input := func(g *Gateway) selectionInput {
+		return selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 	}
-	t.Run("a version is named after the choice", func(t *testing.T) {
+	t.Run("version published after the decision", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
-			t.Fatalf("barred before: %s", bar)
+			t.Fatalf("barred before publication: %s", bar)
 		}
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("the limit comes near while the connection comes up", func(t *testing.T) {
+	t.Run("deadline nears during the connection setup", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
-		chosen := placedAt(g)
+		publishVersion(g, 2, 50*time.Second)
+		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("a scheduler has chosen", func(t *testing.T) {
+	t.Run("placed by a scheduler", func(t *testing.T) {
 		g, _ := fresh()
-		chosen := placedAt(g)
-		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish(g))
+		chosen := chosenAttempt(g)
+		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
-		name(g, 2, time.Minute)
+		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
-			t.Fatal("it is sent")
+			t.Fatal("the request may still be sent")
 		}
 	})
-	t.Run("the weights are not known", func(t *testing.T) {
+	t.Run("unknown weights", func(t *testing.T) {
 		g, now := fresh()
 		g.table.rows["i-0"].entry.Versions = nil
-		name(g, 2, 10*time.Second)
-		if g.choose(g.now(), wish(g)) == nil {
-			t.Fatal("nothing is sent although there is time")
+		publishVersion(g, 2, 10*time.Second)
+		if g.choose(g.now(), input(g)) == nil {
+			t.Fatal("no back end chosen before the deadline")
 		}
 		*now += 50 * time.Second
-		if g.choose(g.now(), wish(g)) != nil {
-			t.Fatal("it is sent")
+		if g.choose(g.now(), input(g)) != nil {
+			t.Fatal("the request may still be sent")
 		}
-		plain := need{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
+		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
 		if g.choose(g.now(), plain) == nil {
-			t.Fatal("a service without weights gets nothing")
+			t.Fatal("no back end chosen for a service without weights")
 		}
 	})
-	t.Run("it is taken back in time for the close to arrive", func(t *testing.T) {
+	t.Run("canceled before the deadline", func(t *testing.T) {
 		g, now := fresh()
-		name(g, 2, 50*time.Second)
-		waits, begun := placedAt(g), placedAt(g)
-		for _, sent := range []*attempt{waits, begun} {
+		publishVersion(g, 2, 50*time.Second)
+		waiting, started := chosenAttempt(g), chosenAttempt(g)
+		for _, sent := range []*attempt{waiting, started} {
 			g.table.begin(g.now(), sent)
 		}
-		g.table.spoke(g.now(), begun)
+		g.table.recordBytes(g.now(), started)
 		*now += 9900 * time.Millisecond
-		waits.watchLimit()
-		begun.watchLimit()
-		if context.Cause(waits.ctx) != errOutdated {
-			t.Error("it waits on")
+		waiting.watchStartDeadline()
+		started.watchStartDeadline()
+		if context.Cause(waiting.ctx) != errOutdated {
+			t.Error("waiting attempt was not canceled")
 		}
-		if begun.ctx.Err() != nil {
-			t.Error("one that has begun is cut")
+		if started.ctx.Err() != nil {
+			t.Error("started attempt was canceled")
 		}
 	})
 }
 
-// TestTimerTakesAWaitingRequestBack: without any news after the one that gave the limit; a limit that moved meanwhile counts.
-func TestTimerTakesAWaitingRequestBack(t *testing.T) {
+// The timer cancels a waiting attempt without further updates, at the deadline that is current when it fires.
+func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
 	g := scheduler(1)
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
-	sent := placedAt(g)
+	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
-	sent.watchLimit()
+	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
-	name(g, 2, g.settings.VersionLimit-left)
-	g.watchLimits()
+	publishVersion(g, 2, g.settings.VersionLimit-left)
+	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
-		t.Fatal("taken back too early")
+		t.Fatal("canceled too early")
 	}
 	now.Add(int64(time.Millisecond))
 	<-sent.ctx.Done()
 	if cause := context.Cause(sent.ctx); cause != errOutdated {
-		t.Fatalf("ended for %v", cause)
+		t.Fatalf("cause of cancellation = %v", cause)
 	}
 }
 
-// TestWaitingRequestsFollowTheNews: whatever is named, learnt, taken off the roster, begun and ended, just those requests are
-// taken back that waited when the limit of their back end's weights, as it stood then, was near.
-func TestWaitingRequestsFollowTheNews(t *testing.T) {
+// Under any sequence of events, exactly those attempts are canceled that were waiting when the current start
+// deadline of their back end's weights was near.
+func TestOnlyWaitingRequestsPastDeadlineAreCanceled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 3
 		var clock atomic.Int64
 		clock.Store(int64(10 * time.Minute))
 		g := scheduler(engines)
 		g.now = func() time.Duration { return time.Duration(clock.Load()) }
-		versions, waits, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
+		versions, waiting, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
 		rows := map[string]*endpoint{}
 		for id, row := range g.table.rows {
 			versions[id], rows[id] = 1, row
@@ -205,19 +206,19 @@
 			id := fmt.Sprint("i-", rapid.IntRange(0, engines-1).Draw(t, "engine"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				made := placedOn(g, rows[id])
-				g.table.begin(g.now(), made)
-				sent, waits[made] = append(sent, made), true
+				added := attemptAt(g, rows[id])
+				g.table.begin(g.now(), added)
+				sent, waiting[added] = append(sent, added), true
 			case 2:
 				if len(sent) > 0 {
-					begun := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
-					g.table.spoke(g.now(), begun)
-					delete(waits, begun)
+					started := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "begun")]
+					g.table.recordBytes(g.now(), started)
+					delete(waiting, started)
 				}
 			case 3:
 				clock.Add(int64(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second))
 			case 4:
-				term++ // each answer is another leader's word: of one version the oldest time counts, and none is forgotten
+				term++ // each reply is from another leader: the earliest time of a version counts, and none is forgotten
 				reply := &control.WatchReply{Version: control.RosterVersion{Term: term}}
 				for version := uint64(2); version <= 4; version++ {
 					if rapid.Bool().Draw(t, "named") {
@@ -230,28 +231,28 @@
 						reply.Wanted = append(reply.Wanted, control.WantedVersion{Model: "m", Version: version, Age: age})
 					}
 				}
-				g.table.takeNews(g.now(), g.now(), reply)
+				g.table.applyWatchReply(g.now(), g.now(), reply)
 			case 5:
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
-				g.table.learnVersion(g.now(), rows[id], "m", version)
+				g.table.recordVersion(g.now(), rows[id], "m", version)
 				versions[id] = max(versions[id], version)
 				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
-			g.watchLimits()
-			for _, one := range sent {
-				if waits[one] && isLate(one.row.entry.ID) {
-					late[one] = true
+			g.watchStartDeadlines()
+			for _, attempted := range sent {
+				if waiting[attempted] && isLate(attempted.row.entry.ID) {
+					late[attempted] = true
 				}
-				if ended := context.Cause(one.ctx) == errOutdated; ended != late[one] {
-					t.Fatalf("at %s, %v named, %v held: taken back %v, wanted %v", one.row.entry.ID, namedAt, versions, ended, late[one])
+				if ended := context.Cause(attempted.ctx) == errOutdated; ended != late[attempted] {
+					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, namedAt, versions, ended, late[attempted])
 				}
 			}
 		}
-		for _, one := range sent {
-			g.table.end(g.now(), one, gradeGood)
+		for _, attempted := range sent {
+			g.table.end(g.now(), attempted, gradeGood)
 		}
 		if len(g.table.waiting) > 0 {
-			t.Fatalf("%d are kept as waiting", len(g.table.waiting))
+			t.Fatalf("%d attempts still waiting after their end", len(g.table.waiting))
 		}
 	})
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -24,11 +24,11 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	sent := placedOn(g, g.table.rows["i-0"])
+	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
 		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	placedOn(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
@@ -40,7 +40,7 @@
 	if unread[events.FieldUnread] != "soon" || unread[events.FieldRestLeft] != time.Duration(0) {
 		t.Errorf("a wish that can't be read: %v", unread)
 	}
-	again := placedOn(g, g.table.rows["i-0"])
+	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
@@ -75,7 +75,7 @@
 		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := scheduler(1)
-		chosen := placedAt(g)
+		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
@@ -90,8 +90,8 @@
 // life of that name is another one, unless it may be the one that asked.
 func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
-	first, later := catalog.Life{Name: "e", Born: born}, catalog.Life{Name: "e", Born: time.Now().Add(time.Hour).UnixMilli()}
-	tell := func(g *Gateway, life catalog.Life, address string) {
+	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
+	tell := func(g *Gateway, life catalog.Incarnation, address string) {
 		g.table.takeRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
 			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
@@ -117,8 +117,8 @@
 			say(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
-			x := asking(g)
-			if chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}); (chosen != nil) != step.open {
+			x := newModelRequest(g)
+			if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); (chosen != nil) != step.open {
 				t.Errorf("%s, %s: chosen %v", kind, what, chosen)
 			}
 		}
@@ -133,18 +133,18 @@
 	if placed := s.placeFor(s.now(), question("t1", 0)); placed.Instance != "i-0" {
 		t.Fatalf("placed %+v", placed)
 	}
-	x := asking(s)
-	if chosen := s.choose(s.now(), need{service: x.service, call: &x.call, trusted: true}); chosen != nil {
+	x := newModelRequest(s)
+	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
 	if without := s.table.unwanted(s.now(), "s", nil); len(without) != 1 {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
-	wish := need{service: x.service, call: &x.call, trusted: true}
-	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); chosen != nil {
+	in := selectionInput{service: x.service, call: &x.call, trusted: true}
+	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
-	if avoided := s.table.rows["i-0"].avoidTo - s.now(); avoided < restHint-time.Second || avoided > restHint {
+	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
 		t.Fatalf("dearer to others for %v", avoided)
 	}
 	if !s.table.remains(s.table.rows["i-0"]) {
@@ -168,9 +168,9 @@
 			asks(g, id, time.Minute)
 		}
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	for range 50 {
-		chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true})
+		chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true})
 		if chosen == nil || chosen.row.entry.ID != "i-7" && chosen.row.entry.ID != "i-311" {
 			t.Fatalf("chosen %+v", chosen)
 		}
@@ -180,7 +180,7 @@
 // TestTurnedAwayCallersComeBackWhenItHelps: at once while another back end takes requests, else when the first does again, each a little apart.
 func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
 	g := scheduler(2)
-	x := asking(g)
+	x := newModelRequest(g)
 	asks(g, "i-0", 10*time.Second)
 	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
@@ -231,26 +231,26 @@
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
-		g.table.takeSends(g.now(), []send{heard.wire(0).send()})
+		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
-		x := asking(g)
+		x := newModelRequest(g)
 		for range 20 {
-			chosen[g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}).row.entry.ID]++
+			chosen[g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}).row.entry.ID]++
 		}
 		return g, chosen
 	}
 	g, chosen := told(pushback.Signals{Backoff: time.Second})
-	if chosen["i-0"] > 0 || placedOn(g, g.table.rows["i-0"]).barred() != "" {
+	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
-	if avoided := g.table.rows["i-0"].avoidTo - g.now(); avoided > time.Second {
+	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidTo-g.now() > restHint {
-		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidTo-g.now())
+	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > restHint {
+		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Signals{Draining: true})
-	if bar := placedOn(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
+	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -99,13 +99,13 @@
 		if err != nil {
 			return a.failed(err)
 		}
-		x.gateway.table.spoke(x.gateway.now(), a)
+		x.gateway.table.recordBytes(x.gateway.now(), a)
 		if stream.id != "" && !later(stream.id, x.lastEvent) {
 			return a.broken("event out of order")
 		}
 		a.begun.Store(true)
 		if a.silence != nil {
-			a.silence.Reset(max(resumeMinimum, resumePauses*x.route.Pause))
+			a.silence.Reset(max(resumeMinimum, resumePauses*x.route.MaxEventGap))
 		}
 		if !x.passEvent(controller, answer, event) {
 			a.cancel(nil)
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -22,28 +22,28 @@
 	"kitetiller/internal/quota"
 )
 
-// TestBudgetNeverExceedsTheRatio: over any run of requests and repeats on several gateways, repeats in every window stay
-// below the fleet's allowance for the requests of that window.
-func TestBudgetNeverExceedsTheRatio(t *testing.T) {
+// Over any sequence of requests and retries at several gateways, the retries in every window stay within the
+// fleet's allowance for the requests of that window.
+func TestRetryBudgetNeverExceedsRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, ratio, slack = 10 * time.Second, 0.2, 54.0
 		gateways := rapid.IntRange(1, 8).Draw(t, "gateways")
 		fleet := make([]*retryBudget, gateways)
-		borrowers := make([]*allowance.Client, gateways)
-		terms := quota.Terms{RetryWindow: window, RetrySlack: slack}
+		clients := make([]*allowance.Client, gateways)
+		terms := quota.Policy{RetryWindow: window, RetrySlack: slack}
 		limits := quota.Limits(&catalog.Document{Services: []catalog.Service{{Name: "s"}}}, terms)
-		lender := allowance.NewAllocator(1)
-		lender.SetLimits(0, limits)
+		allocator := allowance.NewAllocator(1)
+		allocator.SetLimits(0, limits)
 		for i := range fleet {
 			fleet[i] = newRetryBudget(Settings{Quota: terms, RetryRatio: ratio})
-			borrowers[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
-			borrowers[i].SetLimits(limits)
+			clients[i] = allowance.NewClient(fmt.Sprint("g", i), time.Second)
+			clients[i].SetLimits(limits)
 		}
-		lent := func(b *allowance.Client, now time.Duration) bool {
-			wants := []allowance.Demand{{Name: quota.Repeats("s"), Amount: 1}}
-			hold, ok := b.Take(now, wants[0].Name, 1)
+		leased := func(b *allowance.Client, now time.Duration) bool {
+			demands := []allowance.Demand{{Name: quota.ServiceRetries("s"), Amount: 1}}
+			hold, ok := b.Take(now, demands[0].Name, 1)
 			if !ok {
-				hold = b.ApplyReply(now, now, wants, lender.Allocate(now, b.NewRequest(now, wants)))[0].Lease
+				hold = b.ApplyReply(now, now, demands, allocator.Allocate(now, b.NewRequest(now, demands)))[0].Lease
 			}
 			return hold.Valid(now)
 		}
@@ -59,7 +59,7 @@
 			budget := fleet[at]
 			budget.request("s", now)
 			seen = append(seen, counted{now, false})
-			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || lent(borrowers[at], now)) {
+			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(clients[at], now)) {
 				seen = append(seen, counted{now, true})
 			}
 		}
@@ -82,14 +82,14 @@
 				}
 			}
 			if allowed := ratio*math.Max(requests, before) + slack; repeats > allowed {
-				t.Fatalf("%v repeats in a window of %v requests (%v before), %v allowed", repeats, requests, before, allowed)
+				t.Fatalf("%v retries in a window of %v requests (%v before), want at most %v", repeats, requests, before, allowed)
 			}
 		}
 	})
 }
 
-// rowsOf returns engines in zones, all ready.
-func rowsOf(zones ...string) []*endpoint {
+// endpointsIn returns one ready engine in each of the given zones.
+func endpointsIn(zones ...string) []*endpoint {
 	var rows []*endpoint
 	for i, zone := range zones {
 		rows = append(rows, &endpoint{hash: uint64(i * 7919), entry: control.RosterEntry{Instance: catalog.Instance{
@@ -99,20 +99,20 @@
 	return rows
 }
 
-// TestLanesLeaveBothKindsAnEngine: whatever the demand, each zone with two engines serves both kinds.
-func TestLanesLeaveBothKindsAnEngine(t *testing.T) {
+// Under any demand, each zone with at least two engines has one in each lane.
+func TestLanesGiveEachKindAnEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rows := rowsOf("a", "a", "a", "b", "b", "c", "c", "c", "c")
-		held := &lanes{}
+		rows := endpointsIn("a", "a", "a", "b", "b", "c", "c", "c", "c")
+		l := &lanes{}
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 100).Draw(t, "sends") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
-			held.note(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
+			l.recordDemand(now, rapid.IntRange(0, 60_000).Draw(t, "tokens"), 0)
 		}
-		held.divide(rows)
+		l.divide(rows)
 		long, short := map[string]int{}, map[string]int{}
 		for _, row := range rows {
-			if row.long {
+			if row.longLane {
 				long[row.entry.Zone]++
 			} else {
 				short[row.entry.Zone]++
@@ -120,14 +120,14 @@
 		}
 		for _, zone := range []string{"a", "b", "c"} {
 			if long[zone] == 0 || short[zone] == 0 {
-				t.Fatalf("zone %s: %d long, %d short", zone, long[zone], short[zone])
+				t.Fatalf("zone %s: %d engines in the long lane, %d in the short one", zone, long[zone], short[zone])
 			}
 		}
 	})
 }
 
-// TestSplitHoldsItsWeights: over any run of requests each target has its share to within one request.
-func TestSplitHoldsItsWeights(t *testing.T) {
+// After any number of requests each target has its share, give or take two requests.
+func TestSplitFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &catalog.Route{Name: "r"}
 		total := 0
@@ -143,52 +143,51 @@
 		for n := 1; n <= 300; n++ {
 			sent[splits.next(route)]++
 			for _, target := range route.Targets {
-				owed := float64(n*target.Weight) / float64(total)
-				if math.Abs(owed-float64(sent[target.Service])) > 2 {
-					t.Fatalf("after %d requests %s has %d of %.1f", n, target.Service, sent[target.Service], owed)
+				want := float64(n*target.Weight) / float64(total)
+				if math.Abs(want-float64(sent[target.Service])) > 2 {
+					t.Fatalf("after %d requests %s got %d, want %.1f", n, target.Service, sent[target.Service], want)
 				}
 			}
 		}
 	})
 }
 
-// TestSplitHoldsItsWeightsOverManyGateways: where each of many gateways sees a few requests only, the fleet's shares hold
-// as well; all of them starting with the heaviest target would leave the others without any.
-func TestSplitHoldsItsWeightsOverManyGateways(t *testing.T) {
+// Guards against all gateways starting with the target of greatest weight, which starves the others when each gateway has few requests.
+func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
-	light := 0
+	lightCount := 0
 	for seed := range uint64(gateways) {
 		s := newSplits(rand.New(rand.NewPCG(seed, 1)))
 		for range each {
 			if s.next(route) == "b" {
-				light++
+				lightCount++
 			}
 		}
 	}
-	if got := float64(light) / (gateways * each); math.Abs(got-0.1) > tolerance {
-		t.Fatalf("share of the light target %.3f, wanted 0.1", got)
+	if got := float64(lightCount) / (gateways * each); math.Abs(got-0.1) > tolerance {
+		t.Fatalf("share of the target of least weight = %.3f, want 0.1", got)
 	}
 }
 
-// TestMostSpecificRouteWins: the longest prefix of the host, never another host's.
-func TestMostSpecificRouteWins(t *testing.T) {
-	held := newView(&catalog.Document{Routes: []catalog.Route{
+// The longest path prefix of the request's host wins, never another host's route.
+func TestLongestPathPrefixWins(t *testing.T) {
+	view := newView(&catalog.Document{Routes: []catalog.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"}, {Name: "long", Host: "h", PathPrefix: "/a/b/"}, {Name: "other", Host: "o", PathPrefix: "/"},
 	}})
 	for path, wanted := range map[string]string{"/a/x": "short", "/a/b/x": "long", "/a/bx": "short", "/x": "", "/a": ""} {
 		name := ""
-		if route := held.route("h", path); route != nil {
+		if route := view.route("h", path); route != nil {
 			name = route.Name
 		}
 		if name != wanted {
-			t.Errorf("%s: route %q, wanted %q", path, name, wanted)
+			t.Errorf("%s: route %q, want %q", path, name, wanted)
 		}
 	}
 }
 
-// FuzzEventReader: whatever comes, the events passed on are a prefix of it that ends with an empty line, and a clean end
-// is told only between two events.
+// The events passed on are a prefix of the input that ends with an empty line, and io.EOF is returned only between
+// two events.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\n\n")
 	f.Add("id: 1\r\ndata: x\r\n\r\nid")
@@ -200,7 +199,7 @@
 			event, err := events.next()
 			if err == io.EOF {
 				if passed.String() != text {
-					t.Fatalf("clean end after %q of %q", passed.String(), text)
+					t.Fatalf("io.EOF after %q of %q", passed.String(), text)
 				}
 				return
 			}
@@ -210,46 +209,45 @@
 			passed.Write(event)
 		}
 		if !strings.HasPrefix(text, passed.String()) || passed.String() == text {
-			t.Fatalf("broken off after %q of %q", passed.String(), text)
+			t.Fatalf("error after %q of %q", passed.String(), text)
 		}
 	})
 }
 
-// TestLaterComparesNumbers: ids rise as numbers do, not as texts.
-func TestLaterComparesNumbers(t *testing.T) {
+// IDs are compared as numbers, not as strings.
+func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
 		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
-			t.Errorf("%q and %q", pair[0], pair[1])
+			t.Errorf("later is wrong for %q and %q", pair[0], pair[1])
 		}
 	}
 }
 
-// TestLanesGoWhereSlotsAreScarce: they count in full while slots are free, not at all from half of them on, and as they did where
-// slots are not known.
-func TestLanesGoWhereSlotsAreScarce(t *testing.T) {
+// Lanes have full weight while slots are free or unknown, and none from a utilization of one half on.
+func TestLaneWeightFallsWithUtilization(t *testing.T) {
 	for _, c := range []struct {
 		slots, running int
 		wanted         float64
 	}{{16, 0, 1}, {16, 4, 0.5}, {16, 8, 0}, {16, 40, 0}, {0, 40, 1}} {
-		rows := rowsOf("a", "b", "c")
+		rows := endpointsIn("a", "b", "c")
 		for _, row := range rows {
 			row.entry.Slots = c.slots
-			row.occupied.Own.Running = c.running
+			row.occupancy.Own.Running = c.running
 		}
-		held := &lanes{}
-		if held.measure(time.Second, rows); held.weight() != c.wanted {
-			t.Errorf("%d of %d slots: weight %v, wanted %v", c.running, c.slots, held.weight(), c.wanted)
+		l := &lanes{}
+		if l.measureUtilization(time.Second, rows); l.weight() != c.wanted {
+			t.Errorf("%d of %d slots: weight %v, want %v", c.running, c.slots, l.weight(), c.wanted)
 		}
 	}
 }
 
-// BenchmarkDecision chooses among engines, half of which hold the prompt's shared parts.
+// BenchmarkDecision chooses among engines, half of which have the prompt's shared parts cached.
 func BenchmarkDecision(b *testing.B) { benchmarkDecision(b, 0) }
 
-// BenchmarkDecisionInNeed does so where half of the engines name a limit, and of half of these nothing can be had.
-func BenchmarkDecisionInNeed(b *testing.B) { benchmarkDecision(b, 0.5) }
+// BenchmarkDecisionWithLimits does so with half of the engines advertising a limit, half of them exhausted.
+func BenchmarkDecisionWithLimits(b *testing.B) { benchmarkDecision(b, 0.5) }
 
-func benchmarkDecision(b *testing.B, inNeed float64) {
+func benchmarkDecision(b *testing.B, limitedFraction float64) {
 	for _, engines := range []int{18, 320, 3100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			g := &Gateway{settings: Settings{Zone: "z0", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
@@ -264,43 +262,43 @@
 			}
 			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
-				g.table.noteHeld(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
+				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
-			for i := range int(inNeed * float64(engines)) {
+			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.pushed.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
+				g.table.signals.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
-					row.dryTo = time.Hour
+					row.limitExhaustedUntil = time.Hour
 				}
 			}
-			wish := need{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
+			in := selectionInput{service: &catalog.Service{Name: "engine", Engine: true}, call: &Call{Model: "m", Parts: parts}, trusted: true}
 			b.ReportAllocs()
 			for b.Loop() {
-				if g.choose(time.Millisecond, wish) == nil {
-					b.Fatal("no choice")
+				if g.choose(time.Millisecond, in) == nil {
+					b.Fatal("no back end chosen")
 				}
 			}
 		})
 	}
 }
 
-// TestSendsTravelUnchanged: whatever is told arrives as it was, older by the time that it waited.
-func TestSendsTravelUnchanged(t *testing.T) {
+// An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
+func TestSendSurvivesWireRoundTrip(t *testing.T) {
 	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
-		t.Fatalf("got %+v, wanted %+v", got, made)
+		t.Fatalf("got %+v, want %+v", got, made)
 	}
-	if odd := (wireSend{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); odd.Uncached != 0 || odd.Age != 0 || len(odd.Parts) != 0 {
-		t.Fatalf("broken message gives %+v", odd)
+	if invalid := (wireSend{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); invalid.Uncached != 0 || invalid.Age != 0 || len(invalid.Parts) != 0 {
+		t.Fatalf("invalid message was decoded as %+v", invalid)
 	}
 }
 
-// TestStoresShareTheParts: each part has one store, whatever gateway asks, and a store that leaves moves its own parts only.
-func TestStoresShareTheParts(t *testing.T) {
+// All gateways choose the same store for a part, and removing a store moves only its own parts.
+func TestPartsAreSpreadOverStores(t *testing.T) {
 	document := &catalog.Document{Services: []catalog.Service{
-		{Name: "a", Store: "10.0.0.1:1"}, {Name: "b", Store: "10.0.0.2:1"}, {Name: "c", Store: "10.0.0.3:1"}, {Name: "d"},
+		{Name: "a", StoreAddress: "10.0.0.1:1"}, {Name: "b", StoreAddress: "10.0.0.2:1"}, {Name: "c", StoreAddress: "10.0.0.3:1"}, {Name: "d"},
 	}}
 	whole := newView(document)
 	fewer := newView(&catalog.Document{Services: document.Services[1:]})
@@ -308,25 +306,25 @@
 	count := map[string]int{}
 	for i := range parts {
 		prompt := []prefix.Part{{ID: "preamble", Tokens: 9}, {ID: fmt.Sprint(i), Tokens: 9}, {ID: "own", Tokens: 1}}
-		before, after := whole.storeOf(prompt).Name, fewer.storeOf(prompt).Name
-		count[before]++
-		if before != "a" && after != before {
-			t.Fatalf("part %d moved from %s to %s", i, before, after)
+		assigned, after := whole.storeOf(prompt).Name, fewer.storeOf(prompt).Name
+		count[assigned]++
+		if assigned != "a" && after != assigned {
+			t.Fatalf("part %d moved from %s to %s", i, assigned, after)
 		}
 	}
 	for name, n := range count {
 		if n < parts/3-50 || n > parts/3+50 {
-			t.Errorf("store %s has %d of %d parts", name, n, parts)
+			t.Errorf("store %s has %d of %d parts, want about a third", name, n, parts)
 		}
 	}
 	if got := newView(&catalog.Document{}).storeOf(nil); got != nil {
-		t.Errorf("store %v where there is none", got)
+		t.Errorf("store %v, want none", got)
 	}
 }
 
-// TestDeepestHolderIsFound: where every engine holds the first part of a prompt, the one that also holds the next is found,
-// however long ago that was.
-func TestDeepestHolderIsFound(t *testing.T) {
+// Where every engine has the first part of a prompt cached, the one that also has the next is found, even if it is
+// the least recent.
+func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
 	news := &control.RosterNews{Whole: true}
@@ -343,11 +341,11 @@
 		if i == 0 {
 			parts[1] = dossier
 		}
-		g.table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
+		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
-	wish := need{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
-	found := g.sources(time.Second, wish)
-	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maximumHolders {
-		t.Fatalf("%d sources, the first %+v", len(found), found)
+	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
+	found := g.sources(time.Second, in)
+	if len(found) == 0 || found[0].row.entry.ID != "0" || found[0].tokens != 6300 || len(found) > maxSources {
+		t.Fatalf("%d sources, the first is %+v", len(found), found)
 	}
 }
--- a/internal/lab/sim/named.go
+++ b/internal/lab/sim/named.go
@@ -137,11 +137,11 @@
 
 // permitted reports whether a gateway may send to a back end now for the limit that this names; else it asks for a part of it, and sends then.
 func (g *fleetGateway) permitted(entry control.RosterEntry) bool {
-	limit, heard := g.pushed.LimitObservedAt(catalog.LifeOf(entry.ID))
+	limit, heard := g.pushed.LimitObservedAt(catalog.ParseInstanceID(entry.ID))
 	if !limit.Advertised || !g.w.guards.On(guard.LimitCheck) {
 		return true
 	}
-	name, now := quota.BackEnd(entry.ID), g.clock()
+	name, now := quota.Backend(entry.ID), g.clock()
 	named := allowance.AdvertisedLimit{Rate: limit.Rate, Age: now - heard}
 	g.borrower.SetAdvertisedLimit(now, name, named)
 	if hold, ok := g.borrower.Take(now, name, 1); ok {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -100,7 +100,7 @@
 	beat := r.session.Heartbeat()
 	r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
-			r.after(session.EagerPeriod, r.beat)
+			r.after(session.FastHeartbeatInterval, r.beat)
 			return
 		}
 		reply := *response.Heartbeat
@@ -113,24 +113,24 @@
 
 // take syncs new settings before they are used and acknowledged.
 func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
-	step := r.session.Take(sent, reply)
-	if step.Problem != "" || step.Save == nil {
-		if step.Problem == "" {
+	step := r.session.HandleReply(sent, reply)
+	if step.RejectReason != "" || step.ToSync == nil {
+		if step.RejectReason == "" {
 			r.post(r.renewed(step)...)
 		}
-		done(step.Pause)
+		done(step.NextHeartbeatIn)
 		return
 	}
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
-		r.saved = *step.Save
-		r.session.Saved(*step.Save)
-		r.post(append([]core.Event{core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree}}, r.renewed(step)...)...)
-		done(step.Pause)
+		r.saved = *step.ToSync
+		r.session.MarkSynced(*step.ToSync)
+		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.renewed(step)...)...)
+		done(step.NextHeartbeatIn)
 	})
 }
 
 // renewed is what a renewed session tells the core beside settings.
-func (r *routerNode) renewed(step session.Step) []core.Event {
+func (r *routerNode) renewed(step session.ReplyActions) []core.Event {
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
@@ -156,7 +156,7 @@
 		e.advance()
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
-			cursor.Take(&report)
+			cursor.Advance(&report)
 			r.post(core.EventBackend{Name: e.name, AskedAt: asked, Report: &report})
 			again()
 		})
@@ -334,7 +334,7 @@
 			return
 		}
 		r.w.oracle.routerStopped(r)
-		beat := r.session.Closing()
+		beat := r.session.ClosingHeartbeat()
 		r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(control.Response, bool) {})
 		r.after(drainCheck, func() {
 			r.kill(false)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// expiredFactor is how many retention times an expired key is still refused, without its answer.
-	expiredFactor = 30
-	// maxAnswerBytes bounds a stored answer; a longer one is stored as finished without its body.
-	maxAnswerBytes = 256 << 10
+	// expiredRetentionFactor is how many retention times an expired key is still refused, without its answer.
+	expiredRetentionFactor = 30
+	// maxResponseBytes bounds a stored answer; a longer one is stored as finished without its body.
+	maxResponseBytes = 256 << 10
 )
 
 // State is where the run of a key stands.
@@ -45,8 +45,8 @@
 	Epoch  uint64 `json:"epoch"`
 }
 
-// Answer is what the back end returned.
-type Answer struct {
+// Response is what the back end returned.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -64,10 +64,10 @@
 
 // End reports how a claim ended.
 type End struct {
-	Key     Key     `json:"key"`
-	ClaimID string  `json:"claim_id"`
-	Kind    EndKind `json:"kind"`
-	Answer  *Answer `json:"answer,omitempty"` // with EndFinished
+	Key     Key       `json:"key"`
+	ClaimID string    `json:"claim_id"`
+	Kind    EndKind   `json:"kind"`
+	Answer  *Response `json:"answer,omitempty"` // with EndFinished
 }
 
 // EndKind is how a claim ended.
@@ -98,19 +98,19 @@
 // Outcome is the answer to a claim.
 type Outcome struct {
 	Kind   OutcomeKind `json:"kind"`
-	Answer *Answer     `json:"answer,omitempty"`
+	Answer *Response   `json:"answer,omitempty"`
 }
 
 // record is the state of one key.
 type record struct {
-	Key       Key     `json:"key"`
-	Digest    uint64  `json:"digest"`
-	State     State   `json:"state"`
-	ClaimID   string  `json:"claim_id"`
-	Holder    Holder  `json:"holder"`
-	Answer    *Answer `json:"answer,omitempty"`
-	Retention int64   `json:"retention_ms"`
-	ExpiresMS int64   `json:"expires_ms"`
+	Key       Key       `json:"key"`
+	Digest    uint64    `json:"digest"`
+	State     State     `json:"state"`
+	ClaimID   string    `json:"claim_id"`
+	Holder    Holder    `json:"holder"`
+	Answer    *Response `json:"answer,omitempty"`
+	Retention int64     `json:"retention_ms"`
+	ExpiresMS int64     `json:"expires_ms"`
 }
 
 // withdrawal remembers a released claim id, so that a late copy of the claim is not granted.
@@ -127,8 +127,8 @@
 	withdrawals []withdrawal // in order of time
 }
 
-// withdrawalMS is how long a released claim id is remembered; no message is delayed longer.
-const withdrawalMS = 10 * 60 * 1000
+// withdrawalTTLMS is how long a released claim id is remembered; no message is delayed longer.
+const withdrawalTTLMS = 10 * 60 * 1000
 
 // New returns an empty ledger.
 func New() *Ledger {
@@ -145,7 +145,7 @@
 		return Outcome{Kind: Withdrawn}
 	}
 	if held, found := l.records[claim.Key]; found {
-		return held.answer(claim, sessionOpen)
+		return held.decide(claim, sessionOpen)
 	}
 	if !sessionOpen {
 		return Outcome{Kind: SessionClosed}
@@ -159,8 +159,8 @@
 	return Outcome{Kind: Granted}
 }
 
-// answer decides a claim for a key that is held already.
-func (r *record) answer(claim Claim, sessionOpen bool) Outcome {
+// decide decides a claim for a key that is held already.
+func (r *record) decide(claim Claim, sessionOpen bool) Outcome {
 	if r.State == StateExpired {
 		return Outcome{Kind: KeyExpired}
 	}
@@ -204,21 +204,21 @@
 	}
 	// A late answer replaces "unknown": it is the truth, and the key stays spent either way.
 	held.State = StateFinished
-	held.Answer = boundedAnswer(end.Answer)
+	held.Answer = truncateResponse(end.Answer)
 }
 
-func boundedAnswer(answer *Answer) *Answer {
-	if answer == nil || len(answer.Body) <= maxAnswerBytes {
+func truncateResponse(answer *Response) *Response {
+	if answer == nil || len(answer.Body) <= maxResponseBytes {
 		return answer
 	}
-	return &Answer{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
+	return &Response{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
 }
 
 func (l *Ledger) withdraw(claimID string, nowMS int64) {
 	if _, known := l.withdrawn[claimID]; known {
 		return
 	}
-	item := withdrawal{ClaimID: claimID, ExpiresMS: nowMS + withdrawalMS}
+	item := withdrawal{ClaimID: claimID, ExpiresMS: nowMS + withdrawalTTLMS}
 	l.withdrawn[claimID] = item.ExpiresMS
 	l.withdrawals = append(l.withdrawals, item)
 }
@@ -255,22 +255,22 @@
 	}
 	held.State = StateExpired
 	held.Answer = nil
-	held.ExpiresMS = nowMS + expiredFactor*held.Retention
+	held.ExpiresMS = nowMS + expiredRetentionFactor*held.Retention
 	heap.Push(&l.expiry, expiryItem{key: held.Key, at: held.ExpiresMS})
 }
 
 // Digest identifies a request body.
 func Digest(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// snapshotForm is the JSON form of a ledger.
-type snapshotForm struct {
+// ledgerSnapshot is the JSON form of a ledger.
+type ledgerSnapshot struct {
 	Records     []*record    `json:"records"`
 	Withdrawals []withdrawal `json:"withdrawals"`
 }
 
 // MarshalJSON writes the whole state for a snapshot.
 func (l *Ledger) MarshalJSON() ([]byte, error) {
-	form := snapshotForm{Withdrawals: l.withdrawals}
+	form := ledgerSnapshot{Withdrawals: l.withdrawals}
 	for _, held := range l.records {
 		form.Records = append(form.Records, held)
 	}
@@ -279,7 +279,7 @@
 
 // UnmarshalJSON restores a state written by MarshalJSON.
 func (l *Ledger) UnmarshalJSON(data []byte) error {
-	var form snapshotForm
+	var form ledgerSnapshot
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -15,19 +15,19 @@
 type Level uint64
 
 const (
-	// Untold is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
-	Untold Level = 0
-	// Told is that of builds that tell theirs, and refuse what is above it.
-	Told Level = 1
-	// Own is that of this build.
-	Own = Told
+	// Unannounced is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
+	Unannounced Level = 0
+	// Announced is that of builds that tell theirs, and refuse what is above it.
+	Announced Level = 1
+	// Current is that of this build.
+	Current = Announced
 )
 
 // ErrTooOld says that a build met records of a higher level than its own. A caller can tell it with errors.Is.
 var ErrTooOld = eris.New("this program is too old for the control group")
 
-// Knows returns ErrTooOld if a build doesn't know all that is written while a level is in force.
-func (l Level) Knows(inForce Level) error {
+// CheckSupports returns ErrTooOld if a build doesn't know all that is written while a level is in force.
+func (l Level) CheckSupports(inForce Level) error {
 	if inForce <= l {
 		return nil
 	}
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -20,28 +20,28 @@
 )
 
 const (
-	noNode         = 0
-	clockUnit      = 10 * time.Millisecond // grain of the times kept with beliefs
-	evictionSample = 8                     // beliefs looked at to find one to drop when the index is full
+	noNode             = 0
+	tickPeriod         = 10 * time.Millisecond // grain of the times kept with beliefs
+	evictionSampleSize = 8                     // beliefs looked at to find one to drop when the index is full
 )
 
 // node is one belief: an engine holds a block. Nodes of one block form a list. 36 bytes.
 type node struct {
-	hash   Hash
-	engine EngineID
-	life   uint32
-	heard  uint32 // in clockUnit
-	next   uint32
-	used   bool
-	source Source
+	hash     Hash
+	engine   EngineID
+	life     uint32
+	lastSeen uint32 // in clockUnit
+	next     uint32
+	used     bool
+	source   Source
 }
 
-// engineLife is what the index knows about an engine as a whole.
-type engineLife struct {
+// engineState is what the index knows about an engine as a whole.
+type engineState struct {
 	life        uint32
 	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
-	doubtBefore uint32 // beliefs older than this were heard before a gap in the engine's events
-	beliefs     int
+	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
+	entries     int
 }
 
 // Index maps blocks to the engines believed to hold them. Its size is bounded; it is not safe for
@@ -50,13 +50,13 @@
 // Invariant: a belief counts only while its life equals the engine's, so that Forget voids all beliefs
 // about an engine in constant time.
 type Index struct {
-	heads   map[Hash]uint32
-	nodes   []node
-	free    uint32
-	engines []engineLife
-	limit   int
-	hand    uint32
-	live    int
+	heads     map[Hash]uint32
+	nodes     []node
+	free      uint32
+	engines   []engineState
+	limit     int
+	clockHand uint32
+	live      int
 }
 
 // NewIndex returns an index of at most limit beliefs.
@@ -67,29 +67,29 @@
 // Len returns the number of beliefs held, dead ones that were not yet swept included.
 func (x *Index) Len() int { return x.live }
 
-// EngineBeliefs returns how many live beliefs are held about an engine.
-func (x *Index) EngineBeliefs(engine EngineID) int { return x.engine(engine).beliefs }
+// EngineEntries returns how many live beliefs are held about an engine.
+func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).entries }
 
-func (x *Index) engine(id EngineID) *engineLife {
+func (x *Index) engine(id EngineID) *engineState {
 	for int(id) >= len(x.engines) {
-		x.engines = append(x.engines, engineLife{maxAge: math.MaxUint32})
+		x.engines = append(x.engines, engineState{maxAge: math.MaxUint32})
 	}
 	return &x.engines[id]
 }
 
-func ticks(t time.Duration) uint32 { return uint32(t / clockUnit) }
+func ticks(t time.Duration) uint32 { return uint32(t / tickPeriod) }
 
-// Forget voids every belief about an engine: it restarted, died, or changed its weights.
-func (x *Index) Forget(engine EngineID) {
+// InvalidateEngine voids every belief about an engine: it restarted, died, or changed its weights.
+func (x *Index) InvalidateEngine(engine EngineID) {
 	state := x.engine(engine)
 	state.life++
-	state.beliefs = 0
-	state.doubtBefore = 0
+	state.entries = 0
+	state.staleBefore = 0
 }
 
-// Doubt marks everything heard so far about an engine as doubtful, after a gap in its events.
-func (x *Index) Doubt(engine EngineID, now time.Duration) {
-	x.engine(engine).doubtBefore = ticks(now)
+// MarkStale marks everything heard so far about an engine as doubtful, after a gap in its events.
+func (x *Index) MarkStale(engine EngineID, now time.Duration) {
+	x.engine(engine).staleBefore = ticks(now)
 }
 
 // SetMaxAge sets how long unused blocks stay on an engine, as measured there; 0 is unknown.
@@ -106,14 +106,14 @@
 	state := x.engine(engine)
 	for _, hash := range chain {
 		if found := x.find(hash, engine, state.life); found != noNode {
-			x.nodes[found].heard = ticks(now)
+			x.nodes[found].lastSeen = ticks(now)
 			if source != SourceDispatch { // a send does not confirm what the engine itself has said
 				x.nodes[found].source = source
 			}
 			continue
 		}
 		x.insert(hash, engine, state.life, ticks(now), source)
-		state.beliefs++
+		state.entries++
 	}
 }
 
@@ -122,7 +122,7 @@
 	state := x.engine(engine)
 	for _, hash := range hashes {
 		if found := x.find(hash, engine, state.life); found != noNode {
-			x.drop(found)
+			x.freeNode(found)
 		}
 	}
 }
@@ -148,18 +148,18 @@
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
 	}
-	x.nodes[at] = node{hash: hash, engine: engine, life: life, heard: heard, next: x.heads[hash], used: true, source: source}
+	x.nodes[at] = node{hash: hash, engine: engine, life: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
 	x.heads[hash] = at
 	x.live++
 }
 
-// drop unlinks a belief and frees its node.
-func (x *Index) drop(at uint32) {
+// freeNode unlinks a belief and frees its node.
+func (x *Index) freeNode(at uint32) {
 	dropped := &x.nodes[at]
 	x.unlink(dropped.hash, at)
 	state := x.engine(dropped.engine)
 	if dropped.life == state.life {
-		state.beliefs--
+		state.entries--
 	}
 	*dropped = node{next: x.free}
 	x.free = at
@@ -185,16 +185,16 @@
 	}
 }
 
-// believed reports whether a node still counts, and whether it is doubtful.
-func (x *Index) believed(at uint32, now uint32) (believed, doubtful bool) {
+// isValid reports whether a node still counts, and whether it is doubtful.
+func (x *Index) isValid(at uint32, now uint32) (believed, doubtful bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
 	if held.life != state.life {
 		return false, false
 	}
-	doubtful = held.heard < state.doubtBefore
+	doubtful = held.lastSeen < state.staleBefore
 	confirmed := held.source != SourceDispatch && !doubtful
-	if !confirmed && now-min(now, held.heard) > state.maxAge {
+	if !confirmed && now-min(now, held.lastSeen) > state.maxAge {
 		return false, false
 	}
 	return true, doubtful
@@ -203,71 +203,71 @@
 // evictOne drops a dead belief, or the oldest of a few.
 func (x *Index) evictOne() {
 	oldest := uint32(noNode)
-	for looked := 0; looked < evictionSample; {
-		x.hand++
-		if int(x.hand) >= len(x.nodes) {
-			x.hand = 1
+	for looked := 0; looked < evictionSampleSize; {
+		x.clockHand++
+		if int(x.clockHand) >= len(x.nodes) {
+			x.clockHand = 1
 		}
-		if !x.nodes[x.hand].used {
+		if !x.nodes[x.clockHand].used {
 			continue
 		}
 		looked++
-		if x.nodes[x.hand].life != x.engines[x.nodes[x.hand].engine].life {
-			oldest = x.hand
+		if x.nodes[x.clockHand].life != x.engines[x.nodes[x.clockHand].engine].life {
+			oldest = x.clockHand
 			break
 		}
-		if oldest == noNode || x.nodes[x.hand].heard < x.nodes[oldest].heard {
-			oldest = x.hand
+		if oldest == noNode || x.nodes[x.clockHand].lastSeen < x.nodes[oldest].lastSeen {
+			oldest = x.clockHand
 		}
 	}
-	x.drop(oldest)
+	x.freeNode(oldest)
 }
 
 // Sweep looks at up to count nodes and drops those that no longer count.
 func (x *Index) Sweep(now time.Duration, count int) {
 	for range min(count, len(x.nodes)-1) {
-		x.hand++
-		if int(x.hand) >= len(x.nodes) {
-			x.hand = 1
+		x.clockHand++
+		if int(x.clockHand) >= len(x.nodes) {
+			x.clockHand = 1
 		}
-		if !x.nodes[x.hand].used {
+		if !x.nodes[x.clockHand].used {
 			continue
 		}
-		if counts, _ := x.believed(x.hand, ticks(now)); !counts {
-			x.drop(x.hand)
+		if counts, _ := x.isValid(x.clockHand, ticks(now)); !counts {
+			x.freeNode(x.clockHand)
 		}
 	}
 }
 
 // Match is an engine that is believed to hold the first Blocks blocks of a chain.
 type Match struct {
-	Engine   EngineID
-	Blocks   int
-	Doubtful bool
+	Engine EngineID
+	Blocks int
+	Stale  bool
 }
 
-// probeShares are the depths, as shares of the deepest known block, at which shallower holders are looked
+// probeFractions are the depths, as shares of the deepest known block, at which shallower holders are looked
 // for. Engines evict the end of a chain first, so a holder of block i holds all blocks before it.
-var probeShares = [...]float64{1, 0.75, 0.5, 0.25, 0}
+var probeFractions = [...]float64{1, 0.75, 0.5, 0.25, 0}
 
 // Lookup appends to matches the engines that hold a prefix of the chain, deepest first, each once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
-	deepest := x.deepest(chain, ticks(now))
-	if deepest == 0 {
+	longestHeldPrefix := x.deepest(chain, ticks(now))
+	if longestHeldPrefix == 0 {
 		return matches
 	}
 	start := len(matches)
 	last := -1
-	for _, share := range probeShares {
-		position := int(share * float64(deepest-1))
+	for _, share := range probeFractions {
+		position := int(share * float64(longestHeldPrefix-1))
 		if position == last {
 			continue
 		}
 		last = position
 		for at := x.heads[chain[position]]; at != noNode; at = x.nodes[at].next {
-			counts, doubtful := x.believed(at, ticks(now))
+			counts, doubtful := x.isValid(at, ticks(now))
 			if counts && !containsEngine(matches[start:], x.nodes[at].engine) {
-				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Doubtful: doubtful})
+				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Stale: doubtful})
 			}
 		}
 	}
@@ -283,7 +283,7 @@
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
-		if x.anyHolder(chain[middle], now) {
+		if x.hasHolder(chain[middle], now) {
 			low = middle + 1
 		} else {
 			high = middle
@@ -292,9 +292,9 @@
 	return low
 }
 
-func (x *Index) anyHolder(hash Hash, now uint32) bool {
+func (x *Index) hasHolder(hash Hash, now uint32) bool {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
-		if counts, _ := x.believed(at, now); counts {
+		if counts, _ := x.isValid(at, now); counts {
 			return true
 		}
 	}
--- a/internal/pushback/limit.go
+++ b/internal/pushback/limit.go
@@ -25,7 +25,7 @@
 
 // ObserveLimit records a limit that an incarnation advertised at the given time and reports whether the known limit
 // changed. Observations older than the known one are ignored.
-func (t *Tracker) ObserveLimit(at time.Duration, incarnation catalog.Life, limit Limit) (changed bool) {
+func (t *Tracker) ObserveLimit(at time.Duration, incarnation catalog.Incarnation, limit Limit) (changed bool) {
 	if limit.IsEmpty() {
 		return false
 	}
@@ -44,7 +44,7 @@
 // ObserveNoLimit records a response without a limit to a request sent at the given time. It withdraws a limit
 // observed before the request was sent. One observed later is kept, since it may have been advertised after this
 // response.
-func (t *Tracker) ObserveNoLimit(now, sent time.Duration, incarnation catalog.Life) (withdrawn bool) {
+func (t *Tracker) ObserveNoLimit(now, sent time.Duration, incarnation catalog.Incarnation) (withdrawn bool) {
 	index := slices.IndexFunc(t.states[incarnation.Name], func(s incarnationState) bool { return s.incarnation == incarnation })
 	if index < 0 || t.states[incarnation.Name][index].limitAt >= sent {
 		return false
@@ -54,13 +54,13 @@
 
 // Limit returns the limit that an incarnation advertises. Limits don't carry over to the next incarnation, whose
 // first response states its own.
-func (t *Tracker) Limit(incarnation catalog.Life) Limit {
+func (t *Tracker) Limit(incarnation catalog.Incarnation) Limit {
 	limit, _ := t.LimitObservedAt(incarnation)
 	return limit
 }
 
 // LimitObservedAt returns the limit that an incarnation advertises and when it was last observed.
-func (t *Tracker) LimitObservedAt(incarnation catalog.Life) (limit Limit, observedAt time.Duration) {
+func (t *Tracker) LimitObservedAt(incarnation catalog.Incarnation) (limit Limit, observedAt time.Duration) {
 	for _, s := range t.states[incarnation.Name] {
 		if s.incarnation == incarnation && s.limit.Advertised {
 			return s.limit, s.limitAt
@@ -70,7 +70,7 @@
 }
 
 // stateOf returns the state of an incarnation and creates it if necessary.
-func (t *Tracker) stateOf(incarnation catalog.Life) *incarnationState {
+func (t *Tracker) stateOf(incarnation catalog.Incarnation) *incarnationState {
 	states := t.states[incarnation.Name]
 	index := slices.IndexFunc(states, func(s incarnationState) bool { return s.incarnation == incarnation })
 	if index < 0 {
--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -55,7 +55,7 @@
 
 // incarnationState is the last known back-pressure of one incarnation.
 type incarnationState struct {
-	incarnation    catalog.Life
+	incarnation    catalog.Incarnation
 	backoffUntil   time.Duration
 	backoffHeardAt time.Time // wall-clock time of the last backoff request; zero if incarnations have no start time
 	draining       bool
@@ -74,7 +74,7 @@
 
 // Observe applies the signals of a response from an incarnation and returns its current restriction. wallClock is
 // zero if incarnations have no start time. random is uniform in [0, 1) and spreads the ends of backoffs.
-func (t *Tracker) Observe(now time.Duration, wallClock time.Time, incarnation catalog.Life, signals Signals, random float64) Restriction {
+func (t *Tracker) Observe(now time.Duration, wallClock time.Time, incarnation catalog.Incarnation, signals Signals, random float64) Restriction {
 	if signals.IsEmpty() {
 		return t.Restriction(now, incarnation)
 	}
@@ -95,7 +95,7 @@
 
 // Restriction returns what currently limits requests to an incarnation. A backoff also applies to a later incarnation
 // of the same name that may have been the one to request it, since the roster may still have listed the earlier one.
-func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Life) Restriction {
+func (t *Tracker) Restriction(now time.Duration, incarnation catalog.Incarnation) Restriction {
 	var restriction Restriction
 	for _, s := range t.states[incarnation.Name] {
 		if s.incarnation == incarnation {
@@ -114,12 +114,12 @@
 }
 
 // mayHaveRequested reports whether a later incarnation had started by the time the backoff was requested.
-func (s *incarnationState) mayHaveRequested(later catalog.Life) bool {
-	return !s.backoffHeardAt.IsZero() && s.incarnation.Precedes(later) && later.Born <= s.backoffHeardAt.Add(maxClockSkew).UnixMilli()
+func (s *incarnationState) mayHaveRequested(later catalog.Incarnation) bool {
+	return !s.backoffHeardAt.IsZero() && s.incarnation.StartedBefore(later) && later.StartedMS <= s.backoffHeardAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep removes state that is no longer in effect. isKnown reports whether an incarnation may still be chosen.
-func (t *Tracker) Sweep(now time.Duration, isKnown func(catalog.Life) bool) {
+func (t *Tracker) Sweep(now time.Duration, isKnown func(catalog.Incarnation) bool) {
 	for name, states := range t.states {
 		kept := slices.DeleteFunc(states, func(s incarnationState) bool {
 			untimed := s.draining || s.limit.Advertised
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -12,7 +12,7 @@
 // observation is one entry of the model, which keeps all signals in a list.
 type observation struct {
 	at          time.Duration
-	incarnation catalog.Life
+	incarnation catalog.Incarnation
 	signals     Signals
 }
 
@@ -22,10 +22,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now, epoch := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
 		var observations []observation
-		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Life {
-			incarnation := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
+		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Incarnation {
+			incarnation := catalog.Incarnation{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
 			if incarnation.Name == "a" {
-				incarnation.Born = epoch.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
+				incarnation.StartedMS = epoch.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
 			return incarnation
 		})
@@ -40,13 +40,13 @@
 				observations = append(observations, o)
 				tracker.Observe(now, epoch.Add(now), o.incarnation, o.signals, 0)
 			case 1:
-				tracker.Sweep(now, func(catalog.Life) bool { return true })
+				tracker.Sweep(now, func(catalog.Incarnation) bool { return true })
 			}
 			queried := anyIncarnation.Draw(t, "asked")
 			want := Restriction{}
 			for _, o := range observations {
 				until := o.at + o.signals.Backoff
-				earlier := o.incarnation.Name == queried.Name && o.incarnation.Born < queried.Born && queried.Born <= epoch.Add(o.at+maxClockSkew).UnixMilli()
+				earlier := o.incarnation.Name == queried.Name && o.incarnation.StartedMS < queried.StartedMS && queried.StartedMS <= epoch.Add(o.at+maxClockSkew).UnixMilli()
 				if o.incarnation == queried && o.signals.Draining {
 					want.Draining = true
 				}
@@ -76,9 +76,9 @@
 			limit Limit
 		}
 		tracker, now := NewTracker(), time.Minute
-		latest := map[catalog.Life]observed{}
-		incarnations := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
-		observe := func(at time.Duration, incarnation catalog.Life, limit Limit) {
+		latest := map[catalog.Incarnation]observed{}
+		incarnations := []catalog.Incarnation{{Name: "a", StartedMS: 1}, {Name: "a", StartedMS: 2}, {Name: "b"}}
+		observe := func(at time.Duration, incarnation catalog.Incarnation, limit Limit) {
 			before := latest[incarnation]
 			changed := tracker.ObserveLimit(at, incarnation, limit)
 			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
@@ -112,7 +112,7 @@
 					latest[incarnation] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
-				tracker.Sweep(now, func(catalog.Life) bool { return true })
+				tracker.Sweep(now, func(catalog.Incarnation) bool { return true })
 				for incarnation, last := range latest {
 					if last.limit.Withdrawn {
 						delete(latest, incarnation) // the tracker may have removed it
@@ -136,16 +136,16 @@
 func TestBackoffBelongsToIncarnation(t *testing.T) {
 	wallClock := time.UnixMilli(50_000)
 	tracker := NewTracker()
-	tracker.Observe(0, wallClock, catalog.Life{Name: "a", Born: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
+	tracker.Observe(0, wallClock, catalog.Incarnation{Name: "a", StartedMS: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
 	for name, c := range map[string]struct {
-		incarnation          catalog.Life
+		incarnation          catalog.Incarnation
 		backingOff, draining bool
 	}{
-		"the same incarnation":                               {catalog.Life{Name: "a", Born: 10_000}, true, true},
-		"a later incarnation started before the observation": {catalog.Life{Name: "a", Born: 49_000}, true, false},
-		"a later incarnation started within the clock skew":  {catalog.Life{Name: "a", Born: 50_500}, true, false},
-		"a later incarnation started after the clock skew":   {catalog.Life{Name: "a", Born: 52_000}, false, false},
-		"another back end":                                   {catalog.Life{Name: "b", Born: 10_000}, false, false},
+		"the same incarnation":                               {catalog.Incarnation{Name: "a", StartedMS: 10_000}, true, true},
+		"a later incarnation started before the observation": {catalog.Incarnation{Name: "a", StartedMS: 49_000}, true, false},
+		"a later incarnation started within the clock skew":  {catalog.Incarnation{Name: "a", StartedMS: 50_500}, true, false},
+		"a later incarnation started after the clock skew":   {catalog.Incarnation{Name: "a", StartedMS: 52_000}, false, false},
+		"another back end":                                   {catalog.Incarnation{Name: "b", StartedMS: 10_000}, false, false},
 	} {
 		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff || restriction.Draining != c.draining {
 			t.Errorf("%s: %+v", name, restriction)
@@ -156,7 +156,7 @@
 // A backoff ends after its duration plus jitter, never earlier. A shorter one doesn't shorten it, and MaxBackoff caps
 // it.
 func TestBackoffExpires(t *testing.T) {
-	a, wallClock := catalog.Life{Name: "a"}, time.UnixMilli(0)
+	a, wallClock := catalog.Incarnation{Name: "a"}, time.UnixMilli(0)
 	tracker := NewTracker()
 	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("backoff of 3s with full jitter: got %+v", restriction)
@@ -174,15 +174,15 @@
 
 // A backoff is removed once it expired, draining once the incarnation has been unknown for untimedTTL.
 func TestSweepRemovesExpiredState(t *testing.T) {
-	draining, backingOff, wallClock := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
+	draining, backingOff, wallClock := catalog.Incarnation{Name: "l"}, catalog.Incarnation{Name: "r"}, time.UnixMilli(0)
 	tracker := NewTracker()
 	tracker.Observe(0, wallClock, draining, Signals{Draining: true}, 0)
 	tracker.Observe(0, wallClock, backingOff, Signals{Backoff: time.Second}, 0)
-	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return true })
+	tracker.Sweep(2*untimedTTL, func(catalog.Incarnation) bool { return true })
 	if len(tracker.states) != 1 || !tracker.Restriction(2*untimedTTL, draining).Draining {
 		t.Fatalf("draining incarnation removed or expired backoff kept: %+v", tracker.states)
 	}
-	tracker.Sweep(2*untimedTTL, func(catalog.Life) bool { return false })
+	tracker.Sweep(2*untimedTTL, func(catalog.Incarnation) bool { return false })
 	if len(tracker.states) != 0 {
 		t.Fatalf("state left of unknown incarnations: %+v", tracker.states)
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/settings"
 )
 
-// EagerPeriod is the pause between heartbeats until the first lease, and while a version waits to be acknowledged.
-const EagerPeriod = 20 * time.Millisecond
+// FastHeartbeatInterval is the pause between heartbeats until the first lease, and while a version waits to be acknowledged.
+const FastHeartbeatInterval = 20 * time.Millisecond
 
 // Settings is the newest version that a router synced.
 type Settings struct {
@@ -59,39 +59,39 @@
 	}
 }
 
-// Closing returns the message that ends the session at a planned stop.
-func (m *Machine) Closing() control.Heartbeat {
+// ClosingHeartbeat returns the message that ends the session at a planned stop.
+func (m *Machine) ClosingHeartbeat() control.Heartbeat {
 	beat := m.Heartbeat()
 	beat.Closing = true
 	return beat
 }
 
-// Step is what to do with a reply.
-type Step struct {
-	Save    *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
-	Lease   core.EventLease // for the core, after Save
-	Peers   []control.Peer  // the other routers, when they changed; never nil then
-	Pause   time.Duration   // until the next heartbeat
-	Problem string          // why the reply was not used, or ""
+// ReplyActions is what to do with a reply.
+type ReplyActions struct {
+	ToSync          *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
+	Lease           core.EventLease // for the core, after Save
+	Peers           []control.Peer  // the other routers, when they changed; never nil then
+	NextHeartbeatIn time.Duration   // until the next heartbeat
+	RejectReason    string          // why the reply was not used, or ""
 }
 
-// Take decides on a reply to the heartbeat that was sent at the given time of the router's clock.
-func (m *Machine) Take(sent time.Duration, reply control.HeartbeatReply) Step {
+// HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
+func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) ReplyActions {
 	next, changed, problem := m.next(reply)
 	if problem != "" {
-		return Step{Pause: EagerPeriod, Problem: problem}
+		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
 	m.epoch = reply.Epoch
-	step := Step{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, Pause: m.period}
+	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
 		step.Peers = m.others()
 	}
 	if changed {
-		step.Save = &Settings{Version: reply.Version, Tree: next}
+		step.ToSync = &Settings{Version: reply.Version, Tree: next}
 	}
 	if changed || reply.Lease == 0 {
-		step.Pause = EagerPeriod
+		step.NextHeartbeatIn = FastHeartbeatInterval
 	}
 	return step
 }
@@ -115,11 +115,11 @@
 	return 1
 }
 
-// Saved records that a version is synced, so that the next heartbeat acknowledges it.
-func (m *Machine) Saved(saved Settings) { m.held = saved }
+// MarkSynced records that a version is synced, so that the next heartbeat acknowledges it.
+func (m *Machine) MarkSynced(saved Settings) { m.held = saved }
 
-// Held returns the newest synced version.
-func (m *Machine) Held() Settings { return m.held }
+// Synced returns the newest synced version.
+func (m *Machine) Synced() Settings { return m.held }
 
 // next returns the tree of the reply's version, or why the reply cannot be used.
 func (m *Machine) next(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
