--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,234 +7,238 @@
 )
 
 const (
-	// proofWait is how long a broken run waits for the proof that its back end ended: control names another life at the address some
-	// seconds after the end, or forgets a silent one after twelve.
-	proofWait = 15 * time.Second
-	// innocenceKept is how long a good end speaks for a request: some times what news take through the fleet. One that turns deadly after
-	// it ended well, under other weights, is counted after that.
-	innocenceKept = 5 * time.Second
-	// ownKept is how long a process counts by itself what it proved, where no news of it come: one life is told to nobody.
-	ownKept = 15 * time.Second
-	// breaksMost bounds the lives with broken runs, runsMost the runs of each, ownMost the requests under which this process saw lives
-	// end, and wellMost the good ends that are remembered.
-	breaksMost = 256
-	runsMost   = 256
-	ownMost    = 1024
-	wellMost   = 1024
+	// confirmationTimeout is how long a failed run waits for confirmation that its back end ended. The control plane
+	// lists a new incarnation some seconds after the end, or removes a silent back end after twelve seconds.
+	confirmationTimeout = 15 * time.Second
+	// completionTTL is how long a completion protects a request: several times the delay with which updates spread.
+	// If the request crashes back ends only later, for example under other weights, those crashes count.
+	completionTTL = 5 * time.Second
+	// localTTL is how long crashes seen by this process count without an update from the control plane, which does
+	// not send requests with a single crash.
+	localTTL = 15 * time.Second
+	// maxFailedIncarnations bounds the incarnations with failed runs, maxFailedRuns the failed runs of each, maxLocal
+	// the requests with crashes seen by this process, and maxCompletions the completions kept.
+	maxFailedIncarnations = 256
+	maxFailedRuns         = 256
+	maxLocal              = 1024
+	maxCompletions        = 1024
 )
 
-// Tracker is what one process knows of requests that end their back ends.
+// Tracker is one process's view of requests under which back ends crashed.
 type Tracker struct {
-	version uint64
-	told    map[Fingerprint][]string // by control: lives; with Suspected or more
-	own     map[Fingerprint]*seen    // what this process proved itself; at most ownMost
-	breaks  map[string]*broken       // by life; at most breaksMost
-	well    map[Fingerprint]goodEnd  // at most wellMost
-	ring    [wellMost]Fingerprint    // the places of well
-	next    int                      // place of the next good end
+	version     uint64
+	reported    map[Fingerprint][]string      // incarnations, as sent by the control plane
+	local       map[Fingerprint]*localCrashes // seen by this process; at most maxLocal
+	failures    map[string]*failedRuns        // by incarnation; at most maxFailedIncarnations
+	completions map[Fingerprint]completion    // at most maxCompletions
+	ring        [maxCompletions]Fingerprint   // completions by slot
+	nextSlot    int                           // of the next completion
 }
 
-// seen are lives that this process saw end under a request.
-type seen struct {
-	at    time.Duration // of the newest
-	lives []string      // distinct; at most livesKept
-	taken bool          // control has taken them all, so that its next news say what counts
+// localCrashes are crashes under one request seen by this process.
+type localCrashes struct {
+	lastAt       time.Duration // newest crash
+	incarnations []string      // distinct; at most maxIncarnations
+	acknowledged bool          // the control plane recorded all of them, so its next update supersedes them
 }
 
-// goodEnd is when a request last ended well, and its place in the ring.
-type goodEnd struct {
-	at    time.Duration
-	place int
+// completion is the last completion of a request and its slot in the ring.
+type completion struct {
+	at   time.Duration
+	slot int
 }
 
-// broken is what broke off at one life of a back end.
-type broken struct {
-	at    time.Duration // of the newest
-	ended bool          // the life's end is proved
-	runs  []Fingerprint // not counted yet; distinct; at most runsMost
+// failedRuns are the runs that failed on one incarnation.
+type failedRuns struct {
+	lastAt    time.Duration // newest failure
+	confirmed bool          // the incarnation has ended
+	runs      []Fingerprint // not counted yet; distinct; at most maxFailedRuns
 }
 
-// NewTracker returns a record that knows nothing.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
-		told: map[Fingerprint][]string{}, own: map[Fingerprint]*seen{}, breaks: map[string]*broken{}, well: map[Fingerprint]goodEnd{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
 	}
 }
 
-// Version returns that of the newest news.
-func (r *Tracker) Version() uint64 { return r.version }
+// Version returns the version of the last update.
+func (t *Tracker) Version() uint64 { return t.version }
 
-// ApplyUpdate takes news up, and returns the requests among them that ended well here a moment ago: they are to be released. What control had taken
-// before counts as the news say, so that what was released elsewhere is released here.
-func (r *Tracker) ApplyUpdate(now time.Duration, news *Update) (innocent []Fingerprint) {
-	r.version = news.Version
-	clear(r.told)
-	maps.DeleteFunc(r.own, func(_ Fingerprint, s *seen) bool { return s.taken })
-	for _, e := range news.Entries {
-		if r.endedWell(now, e.Request) {
-			innocent = append(innocent, e.Request)
+// ApplyUpdate replaces the reported crashes and returns the requests among them that completed here recently, which
+// are to be released. Acknowledged local crashes are dropped, so that a release requested elsewhere takes effect
+// here.
+func (t *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
+	t.version = update.Version
+	clear(t.reported)
+	maps.DeleteFunc(t.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
+	for _, e := range update.Entries {
+		if t.recentlyCompleted(now, e.Request) {
+			completed = append(completed, e.Request)
 			continue
 		}
-		r.told[e.Request] = e.Incarnations
+		t.reported[e.Request] = e.Incarnations
 	}
-	return innocent
+	return completed
 }
 
-// RecordFailure notes a run that broke off at a life. It returns what is to be told when that life is known to have ended.
-func (r *Tracker) RecordFailure(now time.Duration, life string, f Fingerprint) (told Crash, counts bool) {
-	if r.endedWell(now, f) {
+// RecordFailure records a failed run on an incarnation. If the incarnation is known to have ended, it returns the
+// crash to report.
+func (t *Tracker) RecordFailure(now time.Duration, incarnation string, f Fingerprint) (crash Crash, ok bool) {
+	if t.recentlyCompleted(now, f) {
 		return Crash{}, false
 	}
-	b := r.breaks[life]
-	if b == nil {
-		r.sweepBreaks(now)
-		if len(r.breaks) >= breaksMost {
+	failed := t.failures[incarnation]
+	if failed == nil {
+		t.sweepFailures(now)
+		if len(t.failures) >= maxFailedIncarnations {
 			return Crash{}, false
 		}
-		b = &broken{}
-		r.breaks[life] = b
+		failed = &failedRuns{}
+		t.failures[incarnation] = failed
 	}
-	b.at = now
-	if len(b.runs) < runsMost && !slices.Contains(b.runs, f) {
-		b.runs = append(b.runs, f)
+	failed.lastAt = now
+	if len(failed.runs) < maxFailedRuns && !slices.Contains(failed.runs, f) {
+		failed.runs = append(failed.runs, f)
 	}
-	if b.ended {
-		return r.count(now, life, b)
+	if failed.confirmed {
+		return t.countCrash(now, incarnation, failed)
 	}
 	return Crash{}, false
 }
 
-// ConfirmEnd notes the proof that a life ended, and returns what is to be told if runs broke off there.
-func (r *Tracker) ConfirmEnd(now time.Duration, life string) (told Crash, counts bool) {
-	b := r.breaks[life]
-	if b == nil || now-b.at > proofWait {
+// ConfirmEnd records that an incarnation ended and returns the crash to report if runs failed there.
+func (t *Tracker) ConfirmEnd(now time.Duration, incarnation string) (crash Crash, ok bool) {
+	failed := t.failures[incarnation]
+	if failed == nil || now-failed.lastAt > confirmationTimeout {
 		return Crash{}, false
 	}
-	b.ended = true
-	return r.count(now, life, b)
+	failed.confirmed = true
+	return t.countCrash(now, incarnation, failed)
 }
 
-// AwaitsConfirmation reports whether runs that broke off at a life wait for the proof of its end.
-func (r *Tracker) AwaitsConfirmation(life string) bool {
-	b := r.breaks[life]
-	return b != nil && !b.ended
+// AwaitsConfirmation reports whether failed runs on an incarnation wait for confirmation of its end.
+func (t *Tracker) AwaitsConfirmation(incarnation string) bool {
+	failed := t.failures[incarnation]
+	return failed != nil && !failed.confirmed
 }
 
-// count counts an ended life for the requests whose runs broke off there.
-func (r *Tracker) count(now time.Duration, life string, b *broken) (told Crash, counts bool) {
-	if len(b.runs) == 0 {
+// countCrash counts a crash for the requests whose runs failed on the incarnation.
+func (t *Tracker) countCrash(now time.Duration, incarnation string, failed *failedRuns) (crash Crash, ok bool) {
+	if len(failed.runs) == 0 {
 		return Crash{}, false
 	}
-	told = Crash{Incarnation: life, Requests: b.runs}
-	b.runs = nil
-	for _, f := range told.Requests {
-		r.addOwn(now, life, f)
+	crash = Crash{Incarnation: incarnation, Requests: failed.runs}
+	failed.runs = nil
+	for _, f := range crash.Requests {
+		t.addLocal(now, incarnation, f)
 	}
-	return told, true
+	return crash, true
 }
 
-// addOwn notes a life of a request. What doesn't fit is counted by control alone.
-func (r *Tracker) addOwn(now time.Duration, life string, f Fingerprint) {
-	s := r.own[f]
-	if s == nil {
-		if len(r.own) >= ownMost {
+// addLocal adds a crash to a request. Beyond the bounds, only the control plane counts it.
+func (t *Tracker) addLocal(now time.Duration, incarnation string, f Fingerprint) {
+	local := t.local[f]
+	if local == nil {
+		if len(t.local) >= maxLocal {
 			return
 		}
-		s = &seen{}
-		r.own[f] = s
+		local = &localCrashes{}
+		t.local[f] = local
 	}
-	s.at, s.taken = now, false
-	if !slices.Contains(s.lives, life) && len(s.lives) < livesKept {
-		s.lives = append(s.lives, life)
+	local.lastAt, local.acknowledged = now, false
+	if !slices.Contains(local.incarnations, incarnation) && len(local.incarnations) < maxIncarnations {
+		local.incarnations = append(local.incarnations, incarnation)
 	}
 }
 
-// Acknowledge notes that control has taken what it was told.
-func (r *Tracker) Acknowledge(told []Crash) {
-	for _, ended := range told {
-		for _, f := range ended.Requests {
-			if s := r.own[f]; s != nil && s.lives[len(s.lives)-1] == ended.Incarnation {
-				s.taken = true
+// Acknowledge records that the control plane accepted the reported crashes.
+func (t *Tracker) Acknowledge(crashes []Crash) {
+	for _, crash := range crashes {
+		for _, f := range crash.Requests {
+			if s := t.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
+				s.acknowledged = true
 			}
 		}
 	}
 }
 
-// RecordCompletion notes that a back end ran a request to a good end, and reports whether control is to be told so.
-func (r *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
-	r.remember(now, f)
-	_, told := r.told[f]
-	_, own := r.own[f]
-	delete(r.told, f)
-	delete(r.own, f)
-	return told || own
+// RecordCompletion records that a back end completed a request, and reports whether the request has crashes to be
+// released.
+func (t *Tracker) RecordCompletion(now time.Duration, f Fingerprint) (release bool) {
+	t.addCompletion(now, f)
+	_, reported := t.reported[f]
+	_, local := t.local[f]
+	delete(t.reported, f)
+	delete(t.local, f)
+	return reported || local
 }
 
-// remember keeps a good end, in the place of the oldest.
-func (r *Tracker) remember(now time.Duration, f Fingerprint) {
-	oldest := r.ring[r.next]
-	if held, known := r.well[oldest]; known && held.place == r.next {
-		delete(r.well, oldest)
+// addCompletion stores a completion in place of the oldest.
+func (t *Tracker) addCompletion(now time.Duration, f Fingerprint) {
+	oldest := t.ring[t.nextSlot]
+	if last, known := t.completions[oldest]; known && last.slot == t.nextSlot {
+		delete(t.completions, oldest)
 	}
-	r.ring[r.next], r.well[f] = f, goodEnd{at: now, place: r.next}
-	r.next = (r.next + 1) % wellMost
+	t.ring[t.nextSlot], t.completions[f] = f, completion{at: now, slot: t.nextSlot}
+	t.nextSlot = (t.nextSlot + 1) % maxCompletions
 }
 
-// RecordIdle notes that this process could send nothing for so long until now: what ended well before speaks for its request as much longer, since
-// it could not end well again meanwhile.
-func (r *Tracker) RecordIdle(now, length time.Duration) {
-	for f, held := range r.well {
-		held.at = min(now, held.at+max(0, length))
-		r.well[f] = held
+// RecordIdle records that this process could send nothing for a duration until now. Completions remain valid for as
+// much longer, since no request could complete in that time.
+func (t *Tracker) RecordIdle(now, idle time.Duration) {
+	for f, last := range t.completions {
+		last.at = min(now, last.at+max(0, idle))
+		t.completions[f] = last
 	}
 }
 
-// endedWell reports whether a request ended well here a moment ago.
-func (r *Tracker) endedWell(now time.Duration, f Fingerprint) bool {
-	held, known := r.well[f]
-	return known && now-held.at <= innocenceKept
+// recentlyCompleted reports whether a request completed here within completionTTL.
+func (t *Tracker) recentlyCompleted(now time.Duration, f Fingerprint) bool {
+	last, known := t.completions[f]
+	return known && now-last.at <= completionTTL
 }
 
-// CrashCount returns how many lives ended under a request, as far as this process knows.
-func (r *Tracker) CrashCount(f Fingerprint) int {
-	lives := len(r.told[f])
-	if s := r.own[f]; s != nil {
-		for _, life := range s.lives {
-			if !slices.Contains(r.told[f], life) {
-				lives++
+// CrashCount returns the number of crashes under a request known to this process.
+func (t *Tracker) CrashCount(f Fingerprint) int {
+	crashes := len(t.reported[f])
+	if s := t.local[f]; s != nil {
+		for _, incarnation := range s.incarnations {
+			if !slices.Contains(t.reported[f], incarnation) {
+				crashes++
 			}
 		}
 	}
-	return lives
+	return crashes
 }
 
-// IsEmpty reports whether no request has any life against it, so that none needs to be looked up.
-func (r *Tracker) IsEmpty() bool { return len(r.told) == 0 && len(r.own) == 0 }
+// IsEmpty reports whether no request has any crashes, so that fingerprints need not be computed.
+func (t *Tracker) IsEmpty() bool { return len(t.reported) == 0 && len(t.local) == 0 }
 
-// SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Tracker) SuspectCounts() (told, held int) {
-	for _, lives := range r.told {
-		if len(lives) >= QuarantineThreshold {
-			held++
+// SuspectCounts returns the number of requests reported by the control plane, and how many of them are quarantined.
+func (t *Tracker) SuspectCounts() (suspects, quarantined int) {
+	for _, incarnations := range t.reported {
+		if len(incarnations) >= QuarantineThreshold {
+			quarantined++
 		}
 	}
-	return len(r.told), held
+	return len(t.reported), quarantined
 }
 
-// Sweep forgets runs that wait for a proof that comes no more, and lives that control counts by now.
-func (r *Tracker) Sweep(now time.Duration) {
-	r.sweepBreaks(now)
-	for f, s := range r.own {
-		if now-s.at > ownKept {
-			delete(r.own, f)
+// Sweep removes failures that were not confirmed in time and local crashes that expired.
+func (t *Tracker) Sweep(now time.Duration) {
+	t.sweepFailures(now)
+	for f, s := range t.local {
+		if now-s.lastAt > localTTL {
+			delete(t.local, f)
 		}
 	}
 }
 
-func (r *Tracker) sweepBreaks(now time.Duration) {
-	for life, b := range r.breaks {
-		if now-b.at > proofWait {
-			delete(r.breaks, life)
+func (t *Tracker) sweepFailures(now time.Duration) {
+	for incarnation, failed := range t.failures {
+		if now-failed.lastAt > confirmationTimeout {
+			delete(t.failures, incarnation)
 		}
 	}
 }
