--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -129,7 +129,7 @@
 		}
 		*now += 50 * time.Second
 		if g.choose(g.now(), input(g)) != nil {
-			t.Fatal("the request may still be sent")
+			t.Fatal("a back end was chosen after the deadline")
 		}
 		plain := selectionInput{service: &catalog.Service{Name: "s"}, call: &Call{Model: "m"}, trusted: true}
 		if g.choose(g.now(), plain) == nil {
