--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -193,9 +193,9 @@
 			versions[id], rows[id] = 1, row
 		}
 		var sent []*attempt
-		namedAt, term := map[uint64]time.Duration{}, uint64(0)
+		publishedAt, term := map[uint64]time.Duration{}, uint64(0)
 		isLate := func(id string) bool {
-			for version, at := range namedAt {
+			for version, at := range publishedAt {
 				if version > versions[id] && g.now() >= at+g.settings.VersionLimit-takeBackMargin {
 					return true
 				}
@@ -223,10 +223,10 @@
 				for version := uint64(2); version <= 4; version++ {
 					if rapid.Bool().Draw(t, "named") {
 						age := time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Second
-						at, known := namedAt[version]
-						namedAt[version] = g.now() - age
+						at, known := publishedAt[version]
+						publishedAt[version] = g.now() - age
 						if known {
-							namedAt[version] = min(namedAt[version], at)
+							publishedAt[version] = min(publishedAt[version], at)
 						}
 						reply.Wanted = append(reply.Wanted, control.WantedVersion{Model: "m", Version: version, Age: age})
 					}
@@ -244,7 +244,7 @@
 					late[attempted] = true
 				}
 				if ended := context.Cause(attempted.ctx) == errOutdated; ended != late[attempted] {
-					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, namedAt, versions, ended, late[attempted])
+					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, publishedAt, versions, ended, late[attempted])
 				}
 			}
 		}
