--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -18,11 +18,11 @@
 	fleet := make([]*Gateway, schedulers)
 	for d := range fleet {
 		fleet[d] = scheduler(engines)
-		var home []string
+		var assigned []string
 		for i := d; i < engines; i += schedulers {
-			home = append(home, fmt.Sprint("i-", i))
+			assigned = append(assigned, fmt.Sprint("i-", i))
 		}
-		fleet[d].table.setAssigned(home)
+		fleet[d].table.setAssigned(assigned)
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
 			fleet[d].table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
