--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -20,21 +20,21 @@
 // about the request.
 type Fingerprint [fingerprintBytes]byte
 
-// textForm encodes fingerprints in messages and logs.
-var textForm = base64.RawURLEncoding
+// textEncoding encodes fingerprints in messages and logs.
+var textEncoding = base64.RawURLEncoding
 
 // String returns the fingerprint in its text form.
-func (f Fingerprint) String() string { return textForm.EncodeToString(f[:]) }
+func (f Fingerprint) String() string { return textEncoding.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
-	if len(text) != textForm.EncodedLen(fingerprintBytes) {
-		return eris.Errorf("invalid fingerprint %q: want %d letters, digits, - or _", text, textForm.EncodedLen(fingerprintBytes))
+	if len(text) != textEncoding.EncodedLen(fingerprintBytes) {
+		return eris.Errorf("invalid fingerprint %q: want %d letters, digits, - or _", text, textEncoding.EncodedLen(fingerprintBytes))
 	}
-	_, err := textForm.Decode(f[:], text)
+	_, err := textEncoding.Decode(f[:], text)
 	return eris.Wrapf(err, "invalid fingerprint %q", text)
 }
 
