--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -73,7 +73,7 @@
 	}
 	_, _ = hasher.Write(r.Body)
 	var full [32]byte
-	var made Fingerprint
-	copy(made[:], hasher.Sum(full[:0]))
-	return made
+	var fingerprint Fingerprint
+	copy(fingerprint[:], hasher.Sum(full[:0]))
+	return fingerprint
 }
