--- a/internal/pushback/pushback.go
+++ b/internal/pushback/pushback.go
@@ -55,13 +55,13 @@
 
 // incarnationState is the last known back-pressure of one incarnation.
 type incarnationState struct {
-	incarnation    catalog.Incarnation
-	backoffUntil   time.Duration
-	backoffHeardAt time.Time // wall-clock time of the last backoff request; zero if incarnations have no start time
-	draining       bool
-	limit          Limit
-	limitAt        time.Duration // when the limit was last observed; 0 if never
-	updatedAt      time.Duration // when any signal was last observed
+	incarnation       catalog.Incarnation
+	backoffUntil      time.Duration
+	backoffObservedAt time.Time // wall-clock time of the last backoff request; zero if incarnations have no start time
+	draining          bool
+	limit             Limit
+	limitAt           time.Duration // when the limit was last observed; 0 if never
+	updatedAt         time.Duration // when any signal was last observed
 }
 
 // Tracker holds the signals that are in effect.
@@ -81,7 +81,7 @@
 	s := t.stateOf(incarnation)
 	s.updatedAt, s.draining = now, s.draining || signals.Draining
 	if signals.Backoff > 0 {
-		s.backoffUntil, s.backoffHeardAt = max(s.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), random)), wallClock
+		s.backoffUntil, s.backoffObservedAt = max(s.backoffUntil, now+WithJitter(min(signals.Backoff, MaxBackoff), random)), wallClock
 	}
 	t.ObserveLimit(now, incarnation, signals.Limit)
 	return t.Restriction(now, incarnation)
@@ -115,7 +115,7 @@
 
 // mayHaveRequested reports whether a later incarnation had started by the time the backoff was requested.
 func (s *incarnationState) mayHaveRequested(later catalog.Incarnation) bool {
-	return !s.backoffHeardAt.IsZero() && s.incarnation.StartedBefore(later) && later.StartedMS <= s.backoffHeardAt.Add(maxClockSkew).UnixMilli()
+	return !s.backoffObservedAt.IsZero() && s.incarnation.StartedBefore(later) && later.StartedMS <= s.backoffObservedAt.Add(maxClockSkew).UnixMilli()
 }
 
 // Sweep removes state that is no longer in effect. isKnown reports whether an incarnation may still be chosen.
