--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -91,8 +91,8 @@
 func (a *Allocator) reclaim(now time.Duration, returned []Grant) {
 	for _, grant := range returned {
 		b := a.buckets[grant.Name]
-		if named := a.advertised[grant.Name]; named != nil {
-			b = &named.bucket
+		if advertised := a.advertised[grant.Name]; advertised != nil {
+			b = &advertised.bucket
 		}
 		if b == nil || grant.Amount <= 0 {
 			continue
