--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -268,9 +268,9 @@
 
 // requeue enqueues a waiter for the next request, or finishes it with the given result if its deadline has passed.
 // The caller holds mu.
-func (p *LeasePool) requeue(now time.Duration, w *waiter, otherwise Result) {
+func (p *LeasePool) requeue(now time.Duration, w *waiter, result Result) {
 	if now >= w.deadline {
-		p.finish(w, otherwise)
+		p.finish(w, result)
 		return
 	}
 	p.waiting = append(p.waiting, w)
