--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -156,8 +156,8 @@
 func (t *Tracker) Acknowledge(crashes []Crash) {
 	for _, crash := range crashes {
 		for _, f := range crash.Requests {
-			if s := t.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
-				s.acknowledged = true
+			if local := t.local[f]; local != nil && local.incarnations[len(local.incarnations)-1] == crash.Incarnation {
+				local.acknowledged = true
 			}
 		}
 	}
