--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -202,8 +202,8 @@
 // CrashCount returns the number of crashes under a request known to this process.
 func (t *Tracker) CrashCount(f Fingerprint) int {
 	crashes := len(t.reported[f])
-	if s := t.local[f]; s != nil {
-		for _, incarnation := range s.incarnations {
+	if local := t.local[f]; local != nil {
+		for _, incarnation := range local.incarnations {
 			if !slices.Contains(t.reported[f], incarnation) {
 				crashes++
 			}
