--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -228,8 +228,8 @@
 // Sweep removes failures that were not confirmed in time and local crashes that expired.
 func (t *Tracker) Sweep(now time.Duration) {
 	t.sweepFailures(now)
-	for f, s := range t.local {
-		if now-s.lastAt > localTTL {
+	for f, local := range t.local {
+		if now-local.lastAt > localTTL {
 			delete(t.local, f)
 		}
 	}
