--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -71,7 +71,7 @@
 func (t *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
 	t.version = update.Version
 	clear(t.reported)
-	maps.DeleteFunc(t.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
+	maps.DeleteFunc(t.local, func(_ Fingerprint, local *localCrashes) bool { return local.acknowledged })
 	for _, e := range update.Entries {
 		if t.recentlyCompleted(now, e.Request) {
 			completed = append(completed, e.Request)
