--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -42,7 +42,8 @@
 			queue := objective * time.Duration(percent) / 100
 			rejected := rejections(queue, c.standing)
 			if queue <= c.noneUpTo && rejected > 0 || queue >= c.allFrom && rejected < 100 || rejected < before {
-				t.Fatalf("standing queue %t: %d of 100 requests rejected at a predicted wait of %v, %d at the shorter wait before", c.standing, rejected, queue, before)
+				t.Fatalf("standing queue %t: %d of 100 requests rejected at a predicted wait of %v, %d at the shorter wait before",
+					c.standing, rejected, queue, before)
 			}
 			before = rejected
 		}
--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -56,7 +56,10 @@
 // NewClient returns a client without leases. fallbackPeriod is how long it may use its fallback share without contact
 // to the allocator.
 func NewClient(name string, fallbackPeriod time.Duration) *Client {
-	return &Client{name: name, fallbackPeriod: fallbackPeriod, clients: 1, limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{}}
+	return &Client{
+		name: name, fallbackPeriod: fallbackPeriod, clients: 1,
+		limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{},
+	}
 }
 
 // SetLimits replaces the configured limits.
@@ -152,7 +155,9 @@
 }
 
 func (b *balance) add(lease Lease) {
-	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, expiresAt time.Duration) int { return int(other.ExpiresAt - expiresAt) })
+	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, expiresAt time.Duration) int {
+		return int(other.ExpiresAt - expiresAt)
+	})
 	b.leases = slices.Insert(b.leases, index, lease)
 }
 
@@ -170,7 +175,9 @@
 	request := Request{Client: c.name, Sequence: c.sequence}
 	for _, demand := range demands {
 		b := c.balance(demand.Name)
-		request.Items = append(request.Items, RequestItem{Name: demand.Name, Amount: demand.Amount, Prefetch: b.prefetch(demand.Amount), Advertised: demand.Advertised})
+		request.Items = append(request.Items, RequestItem{
+			Name: demand.Name, Amount: demand.Amount, Prefetch: b.prefetch(demand.Amount), Advertised: demand.Advertised,
+		})
 	}
 	for name, b := range c.balances {
 		if expiring := b.takeExpiring(now); expiring > 0 {
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -59,7 +59,8 @@
 func newFleet(limit Limit, clients int, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, clients),
-		pausedUntil: make([]time.Duration, clients), partitionedUntil: make([]time.Duration, clients), leases: make([][]Lease, clients), clients: make([]*Client, clients),
+		pausedUntil: make([]time.Duration, clients), partitionedUntil: make([]time.Duration, clients),
+		leases: make([][]Lease, clients), clients: make([]*Client, clients),
 	}
 	for i := range clients {
 		f.startClient(i)
--- a/internal/allowance/named_test.go
+++ b/internal/allowance/named_test.go
@@ -112,7 +112,9 @@
 
 // requestUnit requests one unit for a client that observed a limit some time ago.
 func requestUnit(a *Allocator, now time.Duration, rate float64, age time.Duration) Grant {
-	return a.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}}}}).Grants[0]
+	return a.Allocate(now, Request{Client: "b", Sequence: uint64(now), Items: []RequestItem{
+		{Name: resource, Amount: 1, Advertised: &AdvertisedLimit{Rate: rate, Age: age}},
+	}}).Grants[0]
 }
 
 // A higher limit applies only once no window includes the time of the lower one, whichever client observes it first.
@@ -158,7 +160,8 @@
 			t.Fatalf("SetLimits changed an advertised bucket: granted %v", got)
 		}
 	}
-	if states := a.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 || states[0].Granted != 2 || states[0].Refused != 2 {
+	if states := a.AdvertisedStates(3*time.Second, 5); len(states) != 1 || states[0].Limit.Rate != 4 ||
+		states[0].Granted != 2 || states[0].Refused != 2 {
 		t.Fatalf("state of the advertised bucket: got %+v", states)
 	}
 	if states := a.AdvertisedStates(3*time.Second, 0); len(states) != 0 {
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -46,7 +46,8 @@
 			want := Restriction{}
 			for _, o := range observations {
 				until := o.at + o.signals.Backoff
-				earlier := o.incarnation.Name == queried.Name && o.incarnation.StartedMS < queried.StartedMS && queried.StartedMS <= epoch.Add(o.at+maxClockSkew).UnixMilli()
+				earlier := o.incarnation.Name == queried.Name && o.incarnation.StartedMS < queried.StartedMS &&
+					queried.StartedMS <= epoch.Add(o.at+maxClockSkew).UnixMilli()
 				if o.incarnation == queried && o.signals.Draining {
 					want.Draining = true
 				}
@@ -147,7 +148,8 @@
 		"a later incarnation started after the clock skew":   {catalog.Incarnation{Name: "a", StartedMS: 52_000}, false, false},
 		"another back end":                                   {catalog.Incarnation{Name: "b", StartedMS: 10_000}, false, false},
 	} {
-		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff || restriction.Draining != c.draining {
+		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff ||
+			restriction.Draining != c.draining {
 			t.Errorf("%s: %+v", name, restriction)
 		}
 	}
@@ -158,7 +160,8 @@
 func TestBackoffExpires(t *testing.T) {
 	a, wallClock := catalog.Incarnation{Name: "a"}, time.UnixMilli(0)
 	tracker := NewTracker()
-	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second || restriction.BackoffUntil > 4*time.Second+maxJitter {
+	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second ||
+		restriction.BackoffUntil > 4*time.Second+maxJitter {
 		t.Fatalf("backoff of 3s with full jitter: got %+v", restriction)
 	}
 	if restriction := tracker.Observe(2*time.Second, wallClock, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -157,8 +157,8 @@
 	return true
 }
 
-// evict makes room for an entry by removing the one with the fewest crashes, of these the one whose newest crash is
-// oldest.
+// evict removes an entry if the registry is full: the one with the fewest crashes, of these the one whose newest crash
+// is oldest.
 func (r *Registry) evict() {
 	if len(r.entries) < maxEntries {
 		return
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -252,7 +252,8 @@
 		t.Fatal("an incarnation without failed runs counts")
 	}
 	crash, ok := tracker.ConfirmEnd(2*time.Second, "a")
-	if !ok || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) || tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
+	if !ok || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) ||
+		tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
 		t.Fatalf("crash after confirmation: got %+v, %t", crash, ok)
 	}
 	if crash, ok = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !ok || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
@@ -278,7 +279,8 @@
 		t.Fatal("crash right after a completion counts")
 	}
 	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
-	if completed := tracker.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) || tracker.CrashCount(f) != 0 || tracker.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
+	if completed := tracker.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) ||
+		tracker.CrashCount(f) != 0 || tracker.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
 		t.Fatalf("requests to release: got %v", completed)
 	}
 	if !tracker.RecordCompletion(4*time.Second, fingerprintOf(2)) || tracker.CrashCount(fingerprintOf(2)) != 0 {
@@ -348,8 +350,10 @@
 		tracker.RecordFailure(time.Second, "one", fingerprintOf(n))
 		tracker.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
 	}
-	if len(tracker.failures) > maxFailedIncarnations || len(tracker.failures["one"].runs) > maxFailedRuns || len(tracker.local) > maxLocal || len(tracker.completions) > maxCompletions {
-		t.Fatalf("state exceeds its bounds: %d failed incarnations, %d failed runs, %d local, %d completions", len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
+	if len(tracker.failures) > maxFailedIncarnations || len(tracker.failures["one"].runs) > maxFailedRuns ||
+		len(tracker.local) > maxLocal || len(tracker.completions) > maxCompletions {
+		t.Fatalf("state exceeds its bounds: %d failed incarnations, %d failed runs, %d local, %d completions",
+			len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
 	}
 	for f, c := range tracker.completions {
 		if tracker.ring[c.slot] != f {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -58,7 +58,8 @@
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{},
+		failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
 	}
 }
 
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -130,7 +130,9 @@
 	}
 	r.RecordCompletion(one)
 	incarnations := []string{"a", "b", "c"}
-	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Incarnations: incarnations}, {Request: two, Incarnations: incarnations}}})
+	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{
+		{Request: one, Incarnations: incarnations}, {Request: two, Incarnations: incarnations},
+	}})
 	if suspects, quarantined := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || quarantined != 1 || r.CrashCount(one) != 0 {
 		t.Fatalf("version %d, %d suspects, %d quarantined", r.Version(), suspects, quarantined)
 	}
