--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -26,7 +26,7 @@
 
 // endpoint is an entry of the back end table.
 type endpoint struct {
-	life                catalog.Incarnation // immutable
+	incarnation         catalog.Incarnation // immutable
 	entry               control.RosterEntry // with the newest weight versions reported by control or by the back end
 	controlVersions     map[string]uint64   // weight versions by model, as last reported by control
 	entryAt             time.Duration       // when the entry was received
@@ -40,8 +40,8 @@
 	failures            int           // consecutive
 	failureRate         float64       // smoothed
 	avoidUntil          time.Duration
-	limitExhaustedUntil time.Duration // until then no lease on its advertised limit can be had, according to the allocator
-	limitPacedUntil     time.Duration // until then no more requests of other gateways are placed under its advertised limit
+	limitExhaustedUntil time.Duration // no lease on its advertised limit is available until then
+	limitPacedUntil     time.Duration // no more requests of other gateways are placed under its limit until then
 	reports             suspicion     // by other gateways that it is unreachable
 	gone                bool
 	assigned            bool // this gateway reads its cache events
@@ -60,15 +60,15 @@
 	placed           map[string]placement              // placements for other gateways, by ticket
 	links            belief.Links                      // of engines and stores
 	prefillEstimates map[string]belief.PrefillEstimate // by service
-	lastSent         map[string]time.Duration          // when a prompt's shared parts were last sent, by the ID of the last of them; at most maxLastSent
+	lastSent         map[string]time.Duration          // of shared parts, by the ID of a prompt's last one; at most maxLastSent
 	admission        map[string]*admission.Controller  // by service
 	assignedCount    int                               // number of assigned rows
-	holders          map[string][]*endpoint            // back ends that have a shared part cached under any salt, by part ID
+	holders          map[string][]*endpoint            // with a shared part cached under any salt, by part ID
 	signals          *pushback.Tracker                 // load and limit signals of back ends
-	leaseRetryAt     time.Duration                     // no lease on a limit is requested until then, since the allocator did not answer
-	lastRetryAt      map[string]time.Duration          // by service: the latest retry time given to a request rejected because all back ends were at their limits
+	leaseRetryAt     time.Duration                     // no lease is requested until then, since the allocator did not answer
+	lastRetryAt      map[string]time.Duration          // by service: latest retry time given while all were at their limits
 	rosterChanged    *bell                             // signals each new roster
-	waiting          map[*attempt]struct{}             // attempts awaiting a response, including those at removed back ends
+	waiting          map[*attempt]struct{}             // awaiting a response, also at removed back ends
 }
 
 func newTable(mechanisms mechanism.Set) *table {
@@ -167,8 +167,8 @@
 	if sent.plan.scheduled == nil {
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.signals.Restriction(now, sent.row.life).BackoffUntil-now)
-	sent.limited = t.signals.Limit(sent.row.life)
+	sent.atRest = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
+	sent.limited = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
 	return sent.row.occupancy.Local()
@@ -282,7 +282,7 @@
 	t.links.Sweep(now)
 	t.sweepHolders()
 	t.sweepLastSent(now)
-	t.signals.Sweep(now, func(life catalog.Incarnation) bool { return t.rows[life.ID()] != nil })
+	t.signals.Sweep(now, func(incarnation catalog.Incarnation) bool { return t.rows[incarnation.ID()] != nil })
 	for _, row := range t.rows {
 		row.occupancy.Sweep(now)
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -152,7 +152,8 @@
 	})
 }
 
-// Guards against all gateways starting with the target of greatest weight, which starves the others when each gateway has few requests.
+// Guards against all gateways starting with the target of greatest weight, which starves the others when each
+// gateway has few requests.
 func TestSplitFollowsWeightsAcrossGateways(t *testing.T) {
 	const gateways, each, tolerance = 200, 4, 0.06
 	route := &catalog.Route{Name: "r", Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
@@ -266,7 +267,7 @@
 			}
 			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
-				g.table.signals.ObserveLimit(0, row.life, pushback.Limit{Advertised: true, Rate: 4})
+				g.table.signals.ObserveLimit(0, row.incarnation, pushback.Limit{Advertised: true, Rate: 4})
 				if i%2 == 0 {
 					row.limitExhaustedUntil = time.Hour
 				}
