--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -20,21 +20,21 @@
 // about the request.
 type Fingerprint [fingerprintBytes]byte
 
-// textForm encodes fingerprints in messages and logs.
-var textForm = base64.RawURLEncoding
+// textEncoding encodes fingerprints in messages and logs.
+var textEncoding = base64.RawURLEncoding
 
 // String returns the fingerprint in its text form.
-func (f Fingerprint) String() string { return textForm.EncodeToString(f[:]) }
+func (f Fingerprint) String() string { return textEncoding.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
-	if len(text) != textForm.EncodedLen(fingerprintBytes) {
-		return eris.Errorf("invalid fingerprint %q: want %d letters, digits, - or _", text, textForm.EncodedLen(fingerprintBytes))
+	if len(text) != textEncoding.EncodedLen(fingerprintBytes) {
+		return eris.Errorf("invalid fingerprint %q: want %d letters, digits, - or _", text, textEncoding.EncodedLen(fingerprintBytes))
 	}
-	_, err := textForm.Decode(f[:], text)
+	_, err := textEncoding.Decode(f[:], text)
 	return eris.Wrapf(err, "invalid fingerprint %q", text)
 }
 
@@ -73,7 +73,7 @@
 	}
 	_, _ = hasher.Write(r.Body)
 	var full [32]byte
-	var made Fingerprint
-	copy(made[:], hasher.Sum(full[:0]))
-	return made
+	var fingerprint Fingerprint
+	copy(fingerprint[:], hasher.Sum(full[:0]))
+	return fingerprint
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -58,7 +58,8 @@
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
-		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{}, failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
+		reported: map[Fingerprint][]string{}, local: map[Fingerprint]*localCrashes{},
+		failures: map[string]*failedRuns{}, completions: map[Fingerprint]completion{},
 	}
 }
 
@@ -71,7 +72,7 @@
 func (t *Tracker) ApplyUpdate(now time.Duration, update *Update) (completed []Fingerprint) {
 	t.version = update.Version
 	clear(t.reported)
-	maps.DeleteFunc(t.local, func(_ Fingerprint, s *localCrashes) bool { return s.acknowledged })
+	maps.DeleteFunc(t.local, func(_ Fingerprint, local *localCrashes) bool { return local.acknowledged })
 	for _, e := range update.Entries {
 		if t.recentlyCompleted(now, e.Request) {
 			completed = append(completed, e.Request)
@@ -156,8 +157,8 @@
 func (t *Tracker) Acknowledge(crashes []Crash) {
 	for _, crash := range crashes {
 		for _, f := range crash.Requests {
-			if s := t.local[f]; s != nil && s.incarnations[len(s.incarnations)-1] == crash.Incarnation {
-				s.acknowledged = true
+			if local := t.local[f]; local != nil && local.incarnations[len(local.incarnations)-1] == crash.Incarnation {
+				local.acknowledged = true
 			}
 		}
 	}
@@ -202,8 +203,8 @@
 // CrashCount returns the number of crashes under a request known to this process.
 func (t *Tracker) CrashCount(f Fingerprint) int {
 	crashes := len(t.reported[f])
-	if s := t.local[f]; s != nil {
-		for _, incarnation := range s.incarnations {
+	if local := t.local[f]; local != nil {
+		for _, incarnation := range local.incarnations {
 			if !slices.Contains(t.reported[f], incarnation) {
 				crashes++
 			}
@@ -228,8 +229,8 @@
 // Sweep removes failures that were not confirmed in time and local crashes that expired.
 func (t *Tracker) Sweep(now time.Duration) {
 	t.sweepFailures(now)
-	for f, s := range t.local {
-		if now-s.lastAt > localTTL {
+	for f, local := range t.local {
+		if now-local.lastAt > localTTL {
 			delete(t.local, f)
 		}
 	}
