--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides whether a request is sent to a back end or turned away at once, from the wait that its placement
-// predicts. It is a piece of the decision: without I/O, lock, clock or randomness of its own.
+// Package admission decides, from the wait predicted for a request's placement, whether the request is sent to a back
+// end or rejected at once. It uses no I/O, locks, clock or randomness of its own.
 //
-// To send what will come late helps nobody: it keeps memory and slots from requests that could still be in time, and their
-// cached parts are displaced and read again. What is turned away at once can come back in its time. Judged is the wait in the
-// queue alone: a long prompt takes long to read wherever it runs, and would never be let in if that counted.
+// A request that would miss its objective anyway occupies memory and slots that others could still use in time, and
+// evicts their cached prefixes. Rejected at once, it can be retried when it can be served. Only the queueing wait is
+// judged, not the time to read the prompt: a long prompt takes long on any back end and would always be rejected.
 package admission
 
 import (
@@ -12,138 +12,144 @@
 )
 
 const (
-	// PriorityLevels is how many ranks of urgency are told apart; the error of predictions is learnt for each, since engines let the
-	// more urgent in first.
+	// PriorityLevels is the number of priorities. Prediction errors are tracked for each, since engines serve higher
+	// priorities first.
 	PriorityLevels = 10
-	// ratioStep is by how much one request moves what is learnt, and ratioMost how far that may get from 1, either way.
-	ratioStep = 0.03
-	ratioMost = 16.0
-	// learnFrom is the least predicted wait that teaches something: below it the time of a token weighs more.
-	learnFrom = 60 * time.Millisecond
-	// A band of waits, as shares of the objective: below it everything is sent, beyond it nothing is, and between its ends the
-	// more is turned away the longer the wait is, so that deciders which see the same don't all turn away at once. A wait that
-	// passes may use the objective up; one that stands is kept short, since it only makes everybody wait: the band slides from
-	// the late one to the early one as the smoothed wait rises from standsFrom to standsTo.
-	lateFrom, lateTo     = 0.7, 1.0
-	earlyFrom, earlyTo   = 0.1, 0.4
-	standsFrom, standsTo = 0.15, 0.4
-	standsMemory         = 500 * time.Millisecond
-	// standsEach is the most that one request moves the smoothed wait: where few come, one that met a queue is no sign that it
-	// stands.
-	standsEach = 0.15
-	// returnedBand is how much more wait one that comes back is sent with, so that it goes before new ones; not much more, else
-	// those that come back would make everybody late.
-	returnedBand = 1.6
-	// comeBackLeast and comeBackMost bound the advice when to come back; comeBackSpread is the share by which it differs.
-	comeBackLeast  = 200 * time.Millisecond
-	comeBackMost   = 3 * time.Second
-	comeBackSpread = 0.6
-	// remembered is how long a refusal is known, and rememberedMost how many are.
-	remembered     = 6 * time.Second
-	rememberedMost = 20_000
+	// correctionStep is the relative change of a correction factor for one request; maxCorrection bounds the factor,
+	// and its reciprocal bounds it from below.
+	correctionStep = 0.03
+	maxCorrection  = 16.0
+	// minObservedPrediction is the shortest predicted wait that updates a correction: below it, the time of a single
+	// decode step dominates.
+	minObservedPrediction = 60 * time.Millisecond
+	// Below the start of a band, given as fractions of the objective, every request is admitted; above its end, every
+	// request is rejected. In between, the probability of rejection rises linearly, so that controllers with the same
+	// view don't all reject at once. A transient queue may use the whole objective; a standing queue only delays
+	// every request and is kept short. The band moves from transient to standing as the smoothed load rises from
+	// standingLoadLow to standingLoadHigh.
+	transientBandStart, transientBandEnd = 0.7, 1.0
+	standingBandStart, standingBandEnd   = 0.1, 0.4
+	standingLoadLow, standingLoadHigh    = 0.15, 0.4
+	loadTimeConstant                     = 500 * time.Millisecond
+	// maxLoadWeight bounds the weight of one request in the smoothed load, so that at a low request rate a single
+	// queued request does not count as a standing queue.
+	maxLoadWeight = 0.15
+	// retryLoadDivisor reduces the load seen by a retried request, so that it is preferred over new ones. A larger
+	// value would let retries exceed the objective.
+	retryLoadDivisor = 1.6
+	// minRetryAfter and maxRetryAfter bound the retry delay; retryAfterJitter is the largest fraction added at
+	// random.
+	minRetryAfter    = 200 * time.Millisecond
+	maxRetryAfter    = 3 * time.Second
+	retryAfterJitter = 0.6
+	// rejectionTTL is how long a rejection is remembered, and maxRejections how many are.
+	rejectionTTL  = 6 * time.Second
+	maxRejections = 20_000
 )
 
-// Request is a request whose placement is known.
+// Request is a request with a chosen placement.
 type Request struct {
-	Key           string        // names the request when it comes back; "" nobody knows it again
+	Key           string        // identifies the request when it is retried; "" if it cannot be recognized
 	Priority      int           // 0 is the most urgent
-	PredictedWait time.Duration // predicted wait before it is read
-	Objective     time.Duration // 0: it is never turned away
-	Random        float64       // drawn from 0 to 1
+	PredictedWait time.Duration // from arrival until the prompt is read
+	Objective     time.Duration // for the wait; 0 never rejects the request
+	Random        float64       // uniform in [0, 1)
 }
 
-// Controller keeps what is learnt of one service. Its zero value has learnt nothing.
+// Controller holds the admission state of one service. The zero value is ready to use.
 type Controller struct {
-	ratios  [PriorityLevels]float64 // of seen to predicted waits, their median; 0 before the first
-	stands  [PriorityLevels]standing
-	refused map[string]time.Duration
+	corrections [PriorityLevels]float64 // median ratio of actual to predicted wait; 0 before the first observation
+	loads       [PriorityLevels]smoothedLoad
+	rejectedAt  map[string]time.Duration
 }
 
-// standing is the smoothed wait of a rank, as a share of the objective.
-type standing struct {
-	load float64
-	at   time.Duration
+// smoothedLoad is an exponential moving average of the expected wait of one priority, as a fraction of the objective.
+type smoothedLoad struct {
+	load      float64
+	updatedAt time.Duration
 }
 
-// note takes the load that one request sees and returns how far the band has slid, from 0 to 1.
-func (s *standing) note(now time.Duration, load float64) float64 {
-	weight := min(1-math.Exp(-float64(now-s.at)/float64(standsMemory)), standsEach)
-	s.load, s.at = s.load+weight*(load-s.load), now
-	return min(max((s.load-standsFrom)/(standsTo-standsFrom), 0), 1)
+// observe adds the load seen by one request and returns how far the band has moved towards the standing queue's, from
+// 0 to 1.
+func (s *smoothedLoad) observe(now time.Duration, load float64) float64 {
+	weight := min(1-math.Exp(-float64(now-s.updatedAt)/float64(loadTimeConstant)), maxLoadWeight)
+	s.load, s.updatedAt = s.load+weight*(load-s.load), now
+	return min(max((s.load-standingLoadLow)/(standingLoadHigh-standingLoadLow), 0), 1)
 }
 
-// ObserveWait takes what a request of a rank waited, against what was predicted for it.
-func (j *Controller) ObserveWait(rank int, predicted, seen time.Duration) {
-	if predicted < learnFrom {
+// ObserveWait records how long a request of the given priority waited and which wait was predicted for it.
+func (c *Controller) ObserveWait(priority int, predicted, actual time.Duration) {
+	if predicted < minObservedPrediction {
 		return
 	}
-	at := &j.ratios[clampRank(rank)]
-	if *at == 0 {
-		*at = 1
+	correction := &c.corrections[clampPriority(priority)]
+	if *correction == 0 {
+		*correction = 1
 	}
-	if float64(seen) > *at*float64(predicted) {
-		*at *= 1 + ratioStep
+	if float64(actual) > *correction*float64(predicted) {
+		*correction *= 1 + correctionStep
 	} else {
-		*at /= 1 + ratioStep
+		*correction /= 1 + correctionStep
 	}
-	*at = min(max(*at, 1/ratioMost), ratioMost)
+	*correction = min(max(*correction, 1/maxCorrection), maxCorrection)
 }
 
-// ExpectedWait returns the wait of a rank that a prediction stands for.
-func (j *Controller) ExpectedWait(rank int, predicted time.Duration) time.Duration {
-	ratio := j.ratios[clampRank(rank)]
-	if ratio == 0 || predicted < learnFrom {
+// ExpectedWait returns the predicted wait multiplied by the correction factor of the priority.
+func (c *Controller) ExpectedWait(priority int, predicted time.Duration) time.Duration {
+	correction := c.corrections[clampPriority(priority)]
+	if correction == 0 || predicted < minObservedPrediction {
 		return predicted
 	}
-	return time.Duration(ratio * float64(predicted))
+	return time.Duration(correction * float64(predicted))
 }
 
-func clampRank(rank int) int { return min(max(rank, 0), PriorityLevels-1) }
+func clampPriority(priority int) int { return min(max(priority, 0), PriorityLevels-1) }
 
-// Decide reports whether a request is to be turned away, and when it should come back: when the queue will have become as
-// short as is wanted, if nothing else came.
-func (j *Controller) Decide(now time.Duration, wish Request) (comeBack time.Duration, refuse bool) {
-	if wish.Objective <= 0 {
+// Decide reports whether to reject a request, and after which delay it should be retried: when the queue will be
+// short enough if no further requests arrive.
+func (c *Controller) Decide(now time.Duration, request Request) (retryAfter time.Duration, reject bool) {
+	if request.Objective <= 0 {
 		return 0, false
 	}
-	expected := j.ExpectedWait(wish.Priority, wish.PredictedWait)
-	load := float64(expected) / float64(wish.Objective)
-	slid := j.stands[clampRank(wish.Priority)].note(now, load)
-	from, to := lateFrom+slid*(earlyFrom-lateFrom), lateTo+slid*(earlyTo-lateTo)
-	if at, came := j.refused[wish.Key]; came && now < at+remembered {
-		load /= returnedBand
+	expected := c.ExpectedWait(request.Priority, request.PredictedWait)
+	load := float64(expected) / float64(request.Objective)
+	standingFraction := c.loads[clampPriority(request.Priority)].observe(now, load)
+	bandStart, bandEnd := transientBandStart+standingFraction*(standingBandStart-transientBandStart),
+		transientBandEnd+standingFraction*(standingBandEnd-transientBandEnd)
+	if rejectedAt, isRetry := c.rejectedAt[request.Key]; isRetry && now < rejectedAt+rejectionTTL {
+		load /= retryLoadDivisor
 	}
-	if wish.Random >= (load-from)/(to-from) {
-		delete(j.refused, wish.Key)
+	if request.Random >= (load-bandStart)/(bandEnd-bandStart) {
+		delete(c.rejectedAt, request.Key)
 		return 0, false
 	}
-	j.RecordRejection(now, wish.Key)
-	wait := max(comeBackLeast, expected-time.Duration(from*float64(wish.Objective)))
-	wait += time.Duration(comeBackSpread * wish.Random * float64(wait))
-	return min(wait, comeBackMost), true
+	c.RecordRejection(now, request.Key)
+	wait := max(minRetryAfter, expected-time.Duration(bandStart*float64(request.Objective)))
+	wait += time.Duration(retryAfterJitter * request.Random * float64(wait))
+	return min(wait, maxRetryAfter), true
 }
 
-// RecordRejection notes a refusal, of this judge or of another one, so that the request is known when it comes back.
-func (j *Controller) RecordRejection(now time.Duration, key string) {
+// RecordRejection records a rejection by this or another controller, so that the retried request is recognized.
+func (c *Controller) RecordRejection(now time.Duration, key string) {
 	if key == "" {
 		return
 	}
-	if j.refused == nil {
-		j.refused = map[string]time.Duration{}
+	if c.rejectedAt == nil {
+		c.rejectedAt = map[string]time.Duration{}
 	}
-	if len(j.refused) >= rememberedMost {
-		j.Sweep(now)
+	if len(c.rejectedAt) >= maxRejections {
+		c.Sweep(now)
 	}
-	if len(j.refused) < rememberedMost {
-		j.refused[key] = now
+	if len(c.rejectedAt) < maxRejections {
+		c.rejectedAt[key] = now
 	}
 }
 
-// Sweep forgets refusals that are long past.
-func (j *Controller) Sweep(now time.Duration) {
-	for key, at := range j.refused {
-		if now >= at+remembered {
-			delete(j.refused, key)
+// Sweep removes expired rejections.
+func (c *Controller) Sweep(now time.Duration) {
+	for key, at := range c.rejectedAt {
+		if now >= at+rejectionTTL {
+			delete(c.rejectedAt, key)
 		}
 	}
 }
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -9,239 +9,241 @@
 
 func limitsOf(limit Limit) map[string]Limit { return map[string]Limit{resource: limit} }
 
-// fullLender returns a lender whose account is full, and the time.
-func fullLender() (*Allocator, time.Duration) {
-	l := NewAllocator(1)
-	l.SetLimits(0, limitsOf(testLimit))
-	return l, time.Minute
+// fullAllocator returns an allocator with a full bucket, and the current time.
+func fullAllocator() (*Allocator, time.Duration) {
+	a := NewAllocator(1)
+	a.SetLimits(0, limitsOf(testLimit))
+	return a, time.Minute
 }
 
-func askOne(l *Allocator, now time.Duration, b *Client, amount float64) (Lease, time.Duration) {
-	wants := []Demand{{Name: resource, Amount: amount}}
-	got := b.ApplyReply(now, now, wants, l.Allocate(now, b.NewRequest(now, wants)))[0]
+func requestOne(a *Allocator, now time.Duration, c *Client, amount float64) (Lease, time.Duration) {
+	demands := []Demand{{Name: resource, Amount: amount}}
+	got := c.ApplyReply(now, now, demands, a.Allocate(now, c.NewRequest(now, demands)))[0]
 	return got.Lease, got.RetryAfter
 }
 
-func newTestBorrower() *Client {
-	b := NewClient("b", testTrust)
-	b.SetLimits(limitsOf(testLimit))
-	return b
+func newTestClient() *Client {
+	c := NewClient("b", testFallbackPeriod)
+	c.SetLimits(limitsOf(testLimit))
+	return c
 }
 
-// TestNewLenderLendsNothingOfTheLastOne: it begins empty, and only what comes in after it began is lent.
-func TestNewLenderLendsNothingOfTheLastOne(t *testing.T) {
-	l := NewAllocator(2)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestBorrower()
-	hold, wait := askOne(l, time.Minute, b, 100)
-	if hold.Amount != 0 || wait != 100*time.Millisecond {
-		t.Fatalf("lent %v, wait %v", hold, wait)
+// A new allocator grants only what accumulated since it was created.
+func TestNewAllocatorStartsEmpty(t *testing.T) {
+	a := NewAllocator(2)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
+	c := newTestClient()
+	lease, wait := requestOne(a, time.Minute, c, 100)
+	if lease.Amount != 0 || wait != 100*time.Millisecond {
+		t.Fatalf("granted %v, retry after %v", lease, wait)
 	}
-	if hold, _ = askOne(l, time.Minute+wait, b, 100); hold.Amount != 100 {
-		t.Fatalf("after the wait: %v", hold)
+	if lease, _ = requestOne(a, time.Minute+wait, c, 100); lease.Amount != 100 {
+		t.Fatalf("after the retry delay: got %v, want an amount of 100", lease)
 	}
 }
 
-// TestAmountsEndWithTheirLease: by the clock of who asked, from the moment when it asked, whatever was waited for.
-func TestAmountsEndWithTheirLease(t *testing.T) {
-	l, now := fullLender()
-	b := newTestBorrower()
-	hold, _ := askOne(l, now, b, 100)
-	if !hold.Valid(now+LeaseTTL) || hold.Valid(now+LeaseTTL+1) {
-		t.Fatalf("%v", hold)
+// Leases expire by the client's clock, LeaseTTL after the request was made, however late the reply arrives.
+func TestLeasesExpire(t *testing.T) {
+	a, now := fullAllocator()
+	c := newTestClient()
+	lease, _ := requestOne(a, now, c, 100)
+	if !lease.Valid(now+LeaseTTL) || lease.Valid(now+LeaseTTL+1) {
+		t.Fatalf("lease is not valid for LeaseTTL exactly: %v", lease)
 	}
-	b.Release(now, hold)
-	if _, ok := b.Take(now+LeaseTTL+1, resource, 100); ok {
-		t.Fatal("taken after its time")
+	c.Release(now, lease)
+	if _, ok := c.Take(now+LeaseTTL+1, resource, 100); ok {
+		t.Fatal("took an expired lease")
 	}
-	wants := []Demand{{Name: resource, Amount: 100}}
-	late := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.ApplyReply(now+LeaseTTL+1, now, wants, late); got[0].Lease.Amount != 0 {
-		t.Fatal("a late answer gave something")
+	demands := []Demand{{Name: resource, Amount: 100}}
+	lateReply := a.Allocate(now, c.NewRequest(now, demands))
+	if got := c.ApplyReply(now+LeaseTTL+1, now, demands, lateReply); got[0].Lease.Amount != 0 {
+		t.Fatal("reply received after LeaseTTL yielded a lease")
 	}
 }
 
-// TestAnswersCountOnce: one that comes twice, or from an older lender, gives nothing.
-func TestAnswersCountOnce(t *testing.T) {
-	l, now := fullLender()
-	b := newTestBorrower()
-	wants := []Demand{{Name: resource, Amount: 100}}
-	answer := l.Allocate(now, b.NewRequest(now, wants))
-	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 100 {
-		t.Fatal("nothing lent")
+// Duplicate replies and replies of earlier allocators must not yield leases.
+func TestRepliesAreAppliedOnce(t *testing.T) {
+	a, now := fullAllocator()
+	c := newTestClient()
+	demands := []Demand{{Name: resource, Amount: 100}}
+	reply := a.Allocate(now, c.NewRequest(now, demands))
+	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 100 {
+		t.Fatal("nothing granted")
 	}
-	if got := b.ApplyReply(now, now, wants, answer); got[0].Lease.Amount != 0 {
-		t.Fatal("an answer counted twice")
+	if got := c.ApplyReply(now, now, demands, reply); got[0].Lease.Amount != 0 {
+		t.Fatal("duplicate reply yielded a lease")
 	}
-	if _, ok := b.Take(now, resource, 100); ok {
-		t.Fatal("an answer counted twice")
+	if _, ok := c.Take(now, resource, 100); ok {
+		t.Fatal("duplicate reply added to the leases")
 	}
-	older := NewAllocator(0)
-	older.SetLimits(0, limitsOf(testLimit))
-	if got := b.ApplyReply(now, now, wants, older.Allocate(now, b.NewRequest(now, wants))); got[0].Lease.Amount != 0 {
-		t.Fatal("an older lender's answer counted")
+	olderAllocator := NewAllocator(0)
+	olderAllocator.SetLimits(0, limitsOf(testLimit))
+	if got := c.ApplyReply(now, now, demands, olderAllocator.Allocate(now, c.NewRequest(now, demands))); got[0].Lease.Amount != 0 {
+		t.Fatal("reply of an earlier allocator yielded a lease")
 	}
 }
 
-// TestIdleAmountsGoBackOnce: what nobody took comes back to the lender, once however often the question arrives.
-func TestIdleAmountsGoBackOnce(t *testing.T) {
-	l, now := fullLender()
-	b := newTestBorrower()
-	hold, _ := askOne(l, now, b, 100)
-	b.Release(now, hold)
+// Returned amounts are added once, also if the request arrives twice.
+func TestUnusedLeasesAreReturnedOnce(t *testing.T) {
+	a, now := fullAllocator()
+	c := newTestClient()
+	lease, _ := requestOne(a, now, c, 100)
+	c.Release(now, lease)
 	now += LeaseTTL - time.Millisecond
-	question := b.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
-	if len(question.Returned) != 1 || question.Returned[0].Amount != 100 {
-		t.Fatalf("%v goes back", question.Returned)
+	request := c.NewRequest(now, []Demand{{Name: resource, Amount: 10}})
+	if len(request.Returned) != 1 || request.Returned[0].Amount != 100 {
+		t.Fatalf("returned amounts: got %v, want one of 100", request.Returned)
 	}
-	l.Withhold(now, 1) // nothing else comes in
-	before := l.accounts[resource].level
-	l.Allocate(now, question)
-	l.Allocate(now, question)
-	after := l.accounts[resource].level
-	if lent := 2 * 10.0; after > before+100-lent && after > testLimit.capacity()-lent {
-		t.Fatalf("%v before, %v after", before, after)
+	a.Withhold(now, 1) // no refill
+	before := a.buckets[resource].level
+	a.Allocate(now, request)
+	a.Allocate(now, request)
+	after := a.buckets[resource].level
+	if granted := 2 * 10.0; after > before+100-granted && after > testLimit.capacity()-granted {
+		t.Fatalf("level was %v before and %v after the return", before, after)
 	}
-	if l.accounts[resource].lent != 20 {
-		t.Fatalf("%v lent", l.accounts[resource].lent)
+	if a.buckets[resource].granted != 20 {
+		t.Fatalf("granted %v", a.buckets[resource].granted)
 	}
 }
 
-// TestAheadIsLentFromPlentyOnly: it is counted, and half of the capacity stays for others.
-func TestAheadIsLentFromPlentyOnly(t *testing.T) {
-	l, now := fullLender()
+// Prefetched amounts are deducted, and half the capacity is left for other clients.
+func TestPrefetchLeavesHalfTheCapacity(t *testing.T) {
+	a, now := fullAllocator()
 	capacity := testLimit.capacity()
-	answer := l.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
-	if got := answer.Grants[0].Amount; got != capacity/2 {
-		t.Fatalf("%v lent of %v", got, capacity)
+	reply := a.Allocate(now, Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 10_000}}})
+	if got := reply.Grants[0].Amount; got != capacity/2 {
+		t.Fatalf("granted %v of a capacity of %v", got, capacity)
 	}
-	answer = l.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
-	if got := answer.Grants[0].Amount; got != 100 {
-		t.Fatalf("%v lent", got)
+	reply = a.Allocate(now, Request{Client: "c", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 100, Prefetch: 100}}})
+	if got := reply.Grants[0].Amount; got != 100 {
+		t.Fatalf("granted %v", got)
 	}
 }
 
-// TestAmountAboveTheCapacityIsLentFromAFullAccount, which is in debt then: nobody inside the limit is turned away for ever.
-func TestAmountAboveTheCapacityIsLentFromAFullAccount(t *testing.T) {
-	l, now := fullLender()
-	b := newTestBorrower()
-	if hold, _ := askOne(l, now, b, testLimit.largest()+1); hold.Amount != 0 {
-		t.Fatalf("%v", hold)
+// An amount slightly above the capacity is granted from a full bucket, so that callers within the limit are not
+// refused forever.
+func TestAmountAboveCapacityNeedsFullBucket(t *testing.T) {
+	a, now := fullAllocator()
+	c := newTestClient()
+	if lease, _ := requestOne(a, now, c, testLimit.maxAmount()+1); lease.Amount != 0 {
+		t.Fatalf("amount above maxAmount was granted: %v", lease)
 	}
-	l, now = fullLender()
-	b = newTestBorrower()
-	if hold, _ := askOne(l, now, b, 700); hold.Amount != 700 {
-		t.Fatalf("%v", hold)
+	a, now = fullAllocator()
+	c = newTestClient()
+	if lease, _ := requestOne(a, now, c, 700); lease.Amount != 700 {
+		t.Fatalf("amount slightly above the capacity: got %v", lease)
 	}
-	if hold, wait := askOne(l, now, b, 100); hold.Amount != 0 || wait != 200*time.Millisecond {
-		t.Fatalf("%v after %v", hold, wait)
+	if lease, wait := requestOne(a, now, c, 100); lease.Amount != 0 || wait != 200*time.Millisecond {
+		t.Fatalf("got %v, retry after %v", lease, wait)
 	}
 }
 
-// TestRefusedAreToldWhenTheirTurnComes: each after those that were refused before it.
-func TestRefusedAreToldWhenTheirTurnComes(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
-	b := newTestBorrower()
+// Each refused request is told to retry after those refused before it.
+func TestRetryAfterCountsEarlierRefusals(t *testing.T) {
+	a := NewAllocator(1)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
+	c := newTestClient()
 	for i := range 3 {
-		if _, wait := askOne(l, time.Minute, b, 100); wait != time.Duration(i+1)*100*time.Millisecond {
-			t.Fatalf("number %d waits %v", i, wait)
+		if _, wait := requestOne(a, time.Minute, c, 100); wait != time.Duration(i+1)*100*time.Millisecond {
+			t.Fatalf("request %d: retry after %v", i, wait)
 		}
 	}
 }
 
-// TestYoungAccountsSaySo: a refusal of an account that has just begun is no sign of a caller beyond its limit.
-func TestYoungAccountsSaySo(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(time.Minute, limitsOf(testLimit))
-	asked := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
-	if got := l.Allocate(time.Minute, asked).Grants[0]; !got.WarmingUp || got.Amount != 0 {
-		t.Fatalf("%+v", got)
+// A refusal by a new bucket must not be reported as a caller over its limit.
+func TestNewBucketsReportWarmingUp(t *testing.T) {
+	a := NewAllocator(1)
+	a.SetLimits(time.Minute, limitsOf(testLimit))
+	request := Request{Client: "b", Sequence: 1, Items: []RequestItem{{Name: resource, Amount: 600}}}
+	if got := a.Allocate(time.Minute, request).Grants[0]; !got.WarmingUp || got.Amount != 0 {
+		t.Fatalf("refusal of a new bucket: got %+v", got)
 	}
-	if states := l.States(time.Minute); states[0].OverLimit {
-		t.Fatalf("a young account says that its limit is reached: %+v", states)
+	if states := a.States(time.Minute); states[0].OverLimit {
+		t.Fatalf("new bucket reports that its limit is reached: %+v", states)
 	}
 	now := time.Minute + 2*time.Second
-	l.Allocate(now, asked)
-	if got := l.Allocate(now, asked).Grants[0]; got.WarmingUp || got.Amount != 0 {
-		t.Fatalf("%+v", got)
+	a.Allocate(now, request)
+	if got := a.Allocate(now, request).Grants[0]; got.WarmingUp || got.Amount != 0 {
+		t.Fatalf("refusal of a warmed-up bucket: got %+v", got)
 	}
 }
 
-// TestLowerLimitBindsAtOnce: what had come together under the older one is gone.
-func TestLowerLimitBindsAtOnce(t *testing.T) {
-	l, now := fullLender()
+// Amounts accumulated under a higher limit are dropped.
+func TestLoweredLimitAppliesImmediately(t *testing.T) {
+	a, now := fullAllocator()
 	lower := Limit{Rate: 10, Burst: 10}
-	l.SetLimits(now, limitsOf(lower))
-	if level := l.accounts[resource].level; level != 10 {
-		t.Fatalf("%v left", level)
+	a.SetLimits(now, limitsOf(lower))
+	if level := a.buckets[resource].level; level != 10 {
+		t.Fatalf("level is %v after the limit was lowered", level)
 	}
-	l.SetLimits(now, nil)
-	if hold, _ := askOne(l, now, newTestBorrower(), 1e6); hold.Amount != 1e6 {
-		t.Fatalf("%v of a limit that was taken away", hold)
+	a.SetLimits(now, nil)
+	if lease, _ := requestOne(a, now, newTestClient(), 1e6); lease.Amount != 1e6 {
+		t.Fatalf("got %v although the limit was removed", lease)
 	}
-	l.SetLimits(now, limitsOf(testLimit))
-	if level := l.accounts[resource].level; level != 0 {
-		t.Fatalf("%v left of a limit that was taken away", level)
+	a.SetLimits(now, limitsOf(testLimit))
+	if level := a.buckets[resource].level; level != 0 {
+		t.Fatalf("level is %v after the limit was removed and restored", level)
 	}
 }
 
-// TestOwnPartEnds: out of touch a borrower uses its equal part of the reserve and of the rate, and nothing once it may trust
-// what it knows no more.
-func TestOwnPartEnds(t *testing.T) {
-	b := newTestBorrower()
-	b.RecordContact(time.Minute, 10)
-	if _, ok := b.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
-		t.Fatal("more than its part of the reserve")
+// Without contact, a client may use its equal share of the reserve and of the rate, and nothing after the fallback
+// period.
+func TestFallbackShareIsBounded(t *testing.T) {
+	c := newTestClient()
+	c.RecordContact(time.Minute, 10)
+	if _, ok := c.TakeFallback(time.Minute, resource, testLimit.reserve()/10+1); ok {
+		t.Fatal("took more than the share of the reserve")
 	}
 	now := time.Minute + time.Second
-	part := testLimit.reserve()/10 + testLimit.Rate/10
-	if hold, ok := b.TakeFallback(now, resource, part); !ok || !hold.Valid(now) {
-		t.Fatal("its part is refused")
+	share := testLimit.reserve()/10 + testLimit.Rate/10
+	if lease, ok := c.TakeFallback(now, resource, share); !ok || !lease.Valid(now) {
+		t.Fatal("share of the reserve and the rate was refused")
 	}
-	if _, ok := b.TakeFallback(now, resource, 1); ok {
-		t.Fatal("more than its part")
+	if _, ok := c.TakeFallback(now, resource, 1); ok {
+		t.Fatal("took more than the fallback share")
 	}
-	if _, ok := b.TakeFallback(time.Minute+testTrust+1, resource, 1); ok {
-		t.Fatal("out of trust")
+	if _, ok := c.TakeFallback(time.Minute+testFallbackPeriod+1, resource, 1); ok {
+		t.Fatal("took an amount after the fallback period")
 	}
-	if _, ok := newTestBorrower().TakeFallback(time.Minute, resource, 1); ok {
-		t.Fatal("never in touch")
+	if _, ok := newTestClient().TakeFallback(time.Minute, resource, 1); ok {
+		t.Fatal("took an amount without ever having had contact")
 	}
 }
 
-// TestWithheldPartsComeInForNobody until they are lent again.
-func TestWithheldPartsComeInForNobody(t *testing.T) {
-	l := NewAllocator(1)
-	l.SetLimits(0, limitsOf(testLimit))
-	l.Withhold(0, 0.75)
-	l.Withhold(400*time.Millisecond, 0)
-	if states := l.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
-		t.Fatalf("%v", states)
+// A withheld fraction of the rate does not accumulate.
+func TestWithheldRateIsNotGranted(t *testing.T) {
+	a := NewAllocator(1)
+	a.SetLimits(0, limitsOf(testLimit))
+	a.Withhold(0, 0.75)
+	a.Withhold(400*time.Millisecond, 0)
+	if states := a.States(500 * time.Millisecond); states[0].Level < 199 || states[0].Level > 201 {
+		t.Fatalf("level after withholding 0.75 for 400 ms of 500 ms: %v", states)
 	}
 }
 
-// TestRoomIsNotGivenTwice: what may be used beyond a limit at its worst moment, with a third of the borrowers silent and a room of a
-// second of the rate, stays within that room (the soak's kept plan: 120,343 units where 120,000 were allowed).
-func TestRoomIsNotGivenTwice(t *testing.T) {
-	const silence, silent = 0.7, 1.0 / 3 // seconds until a lender notices a silence, and the part that is silent
-	given := toleranceShare + debtShare + reserveShare + LeaseTTL.Seconds() + silence*silent
-	if given > 0.9 {
-		t.Fatalf("%.2f of the room is given", given)
+// The worst case of use beyond a limit, with a third of the clients silent and a slack of one second of the rate,
+// must stay within the slack.
+func TestSlackIsNotOvercommitted(t *testing.T) {
+	// Seconds until a silent client is noticed, and the fraction of silent clients.
+	const detectionDelay, silentFraction = 0.7, 1.0 / 3
+	committed := burstSlackFraction + debtSlackFraction + reserveSlackFraction + LeaseTTL.Seconds() + detectionDelay*silentFraction
+	if committed > 0.9 {
+		t.Fatalf("%.2f of the slack is committed, at most 0.90 is allowed", committed)
 	}
 }
 
-// TestFractionsAreTakenWhole: pieces whose sum is the amount only by rounding are taken, without a remainder to look for.
-func TestFractionsAreTakenWhole(t *testing.T) {
-	b := newTestBorrower()
+// Leases whose sum equals an amount only up to rounding can be taken in full.
+func TestTakeToleratesRounding(t *testing.T) {
+	c := newTestClient()
 	for _, amount := range []float64{0.1, 0.2} {
-		b.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
+		c.Release(time.Minute, Lease{Name: resource, Amount: amount, ExpiresAt: time.Minute + LeaseTTL})
 	}
 	first, second := 0.1, 0.2
-	if hold, ok := b.Take(time.Minute, resource, first+second); !ok || hold.Amount != first+second {
-		t.Fatalf("%v", hold)
+	if lease, ok := c.Take(time.Minute, resource, first+second); !ok || lease.Amount != first+second {
+		t.Fatalf("sum of two leases: got %v", lease)
 	}
-	if _, ok := b.Take(time.Minute, resource, 0.01); ok {
-		t.Fatal("something is left")
+	if _, ok := c.Take(time.Minute, resource, 0.01); ok {
+		t.Fatal("leases are left after their sum was taken")
 	}
 }
--- a/internal/allowance/desk/desk_test.go
+++ b/internal/allowance/desk/desk_test.go
@@ -14,173 +14,171 @@
 const resource = "r"
 
 var (
-	errNobody = errors.New("nobody")
-	started   = time.Now()
+	errUnreachable = errors.New("allocator unreachable")
+	startTime      = time.Now()
 )
 
-// clock is a clock that stands still, so that nothing depends on how fast a test runs.
-func clock() time.Duration { return time.Minute }
+// frozenClock does not advance, so that results don't depend on the speed of the test.
+func frozenClock() time.Duration { return time.Minute }
 
-// running is a clock that goes.
-func running() time.Duration { return time.Minute + time.Since(started) }
+// movingClock advances with real time.
+func movingClock() time.Duration { return time.Minute + time.Since(startTime) }
 
-// openDesk runs a desk over a lender whose account is full.
-func openDesk(t *testing.T, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+// newPool runs a pool over an allocator with a full bucket.
+func newPool(t *testing.T, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	return openDeskBy(t, clock, limit, lend)
+	return newPoolWithClock(t, frozenClock, limit, newRequestFunc)
 }
 
-func openDeskBy(t *testing.T, clock func() time.Duration, limit allowance.Limit, lend func(*allowance.Allocator) RequestFunc) *LeasePool {
+func newPoolWithClock(t *testing.T, clock func() time.Duration, limit allowance.Limit, newRequestFunc func(*allowance.Allocator) RequestFunc) *LeasePool {
 	t.Helper()
-	lender := allowance.NewAllocator(1)
+	allocator := allowance.NewAllocator(1)
 	filling := limit
 	filling.Rate = 1e6
-	lender.SetLimits(0, map[string]allowance.Limit{resource: filling})
-	lender.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
+	allocator.SetLimits(0, map[string]allowance.Limit{resource: filling})
+	allocator.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
 	var mu sync.Mutex
-	over := lend(lender)
-	d := New("b", 3*time.Second, clock, func(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
+	send := newRequestFunc(allocator)
+	p := New("b", 3*time.Second, clock, func(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		return over(ctx, asked)
+		return send(ctx, request)
 	})
-	d.SetLimits(map[string]allowance.Limit{resource: limit})
+	p.SetLimits(map[string]allowance.Limit{resource: limit})
 	ctx, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
-	threads.Go(func() { d.Run(ctx) })
+	threads.Go(func() { p.Run(ctx) })
 	t.Cleanup(func() { cancel(); threads.Wait() })
-	return d
+	return p
 }
 
-func direct(l *allowance.Allocator) RequestFunc {
-	return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-		return l.Allocate(clock(), asked), nil
+func callDirectly(a *allowance.Allocator) RequestFunc {
+	return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+		return a.Allocate(frozenClock(), request), nil
 	}
 }
 
-// TestManyTakeNoMoreThanThereIs: requests that come together get whole amounts, and no more than the account holds.
-func TestManyTakeNoMoreThanThereIs(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, direct)
-	var granted, over atomic.Int64
+// Concurrent requests get amounts in full and together no more than the bucket holds.
+func TestConcurrentAcquiresStayWithinBucket(t *testing.T) {
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, callDirectly)
+	var granted, limitReached atomic.Int64
 	var callers sync.WaitGroup
 	for range 200 {
 		callers.Go(func() {
-			switch result := d.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
+			switch result := p.Acquire(t.Context(), resource, 2, time.Second); result.Outcome {
 			case Granted:
 				granted.Add(1)
 			case LimitReached:
-				over.Add(1)
+				limitReached.Add(1)
 			}
 		})
 	}
 	callers.Wait()
-	if granted.Load() != 50 || over.Load() != 150 {
-		t.Fatalf("%d granted, %d refused", granted.Load(), over.Load())
+	if granted.Load() != 50 || limitReached.Load() != 150 {
+		t.Fatalf("granted %d, refused %d", granted.Load(), limitReached.Load())
 	}
-	if asked, failed := d.RequestCounts(); asked > 200 || failed != 0 {
-		t.Fatalf("%d questions, %d failed", asked, failed)
+	if requests, failed := p.RequestCounts(); requests > 200 || failed != 0 {
+		t.Fatalf("%d requests sent, %d failed", requests, failed)
 	}
 }
 
-// TestUnlimitedIsGranted without a question.
-func TestUnlimitedIsGranted(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 1}, direct)
-	if result := d.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
-		t.Fatalf("%v", result)
+// A resource without a limit is granted without a request.
+func TestUnlimitedResourceIsGranted(t *testing.T) {
+	p := newPool(t, allowance.Limit{Rate: 1}, callDirectly)
+	if result := p.Acquire(t.Context(), "other", 1e9, 0); result.Outcome != Granted || result.Lease.Amount != 0 {
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestSilentLenderLeavesTheOwnPart: without an answer the own part serves, and what it doesn't hold ends as unknown, not as
-// over the limit.
-func TestSilentLenderLeavesTheOwnPart(t *testing.T) {
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
+// Without a reply, the fallback share is used; beyond it the outcome is Unavailable, not LimitReached.
+func TestUnreachableAllocatorLeavesFallbackShare(t *testing.T) {
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100, Slack: 100}, func(*allowance.Allocator) RequestFunc {
 		return func(context.Context, allowance.Request) (allowance.Reply, error) {
-			return allowance.Reply{}, errNobody
+			return allowance.Reply{}, errUnreachable
 		}
 	})
-	d.RecordContact(clock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
-		t.Fatalf("%v", result)
+	p.RecordContact(frozenClock(), 1)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
+		t.Fatalf("unexpected result %v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
-		t.Fatalf("%v", result)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Unavailable {
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestRequestThatLeavesTakesNothing: what comes for it afterwards is there for the next one.
-func TestRequestThatLeavesTakesNothing(t *testing.T) {
-	asking, goOn := make(chan struct{}), make(chan struct{})
+// An amount granted to a caller that has left is available to the next one.
+func TestCanceledAcquireConsumesNothing(t *testing.T) {
+	sent, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	d := openDesk(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			once.Do(func() { close(asking); <-goOn })
-			return l.Allocate(clock(), asked), nil
+	p := newPool(t, allowance.Limit{Rate: 0.001, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+			once.Do(func() { close(sent); <-resume })
+			return a.Allocate(frozenClock(), request), nil
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	left := make(chan Result)
-	go func() { left <- d.Acquire(ctx, resource, 100, time.Second) }()
-	<-asking
+	canceled := make(chan Result)
+	go func() { canceled <- p.Acquire(ctx, resource, 100, time.Second) }()
+	<-sent
 	cancel()
-	if result := <-left; result.Outcome != Unavailable {
-		t.Fatalf("%v", result)
+	if result := <-canceled; result.Outcome != Unavailable {
+		t.Fatalf("unexpected result %v", result)
 	}
-	close(goOn)
-	if result := d.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
-		t.Fatalf("%v", result)
+	close(resume)
+	if result := p.Acquire(t.Context(), resource, 100, time.Second); result.Outcome != Granted || result.Lease.Amount != 100 {
+		t.Fatalf("unexpected result %v", result)
 	}
 }
 
-// TestAmountThatComesInSoonIsWaitedFor rather than refused.
-func TestAmountThatComesInSoonIsWaitedFor(t *testing.T) {
-	d := openDeskBy(t, running, allowance.Limit{Rate: 10_000, Burst: 100}, func(l *allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return l.Allocate(running(), asked), nil
+// An amount that is available soon is waited for.
+func TestAcquireWaitsForImminentRefill(t *testing.T) {
+	p := newPoolWithClock(t, movingClock, allowance.Limit{Rate: 10_000, Burst: 100}, func(a *allowance.Allocator) RequestFunc {
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+			return a.Allocate(movingClock(), request), nil
 		}
 	})
 	for range 5 {
-		if result := d.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
-			t.Fatalf("%v", result)
+		if result := p.Acquire(t.Context(), resource, 100, time.Minute); result.Outcome != Granted {
+			t.Fatalf("unexpected result %v", result)
 		}
 	}
 }
 
-// TestYoungAccountIsWaitedFor: after a change of the lender a caller inside its limit waits a moment rather than being turned
-// away.
-func TestYoungAccountIsWaitedFor(t *testing.T) {
+// After a change of the allocator, a caller within its limit waits for the bucket to fill.
+func TestAcquireWaitsForWarmUp(t *testing.T) {
 	limit := allowance.Limit{Rate: 1000, Burst: 200}
 	for _, c := range []struct {
-		patience time.Duration
-		wanted   Outcome
+		maxWait time.Duration
+		want    Outcome
 	}{{0, LimitReached}, {time.Minute, Granted}} {
-		young := allowance.NewAllocator(1)
-		young.SetLimits(running(), map[string]allowance.Limit{resource: limit})
-		d := openDeskBy(t, running, limit, func(*allowance.Allocator) RequestFunc {
-			return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-				return young.Allocate(running(), asked), nil
+		warming := allowance.NewAllocator(1)
+		warming.SetLimits(movingClock(), map[string]allowance.Limit{resource: limit})
+		p := newPoolWithClock(t, movingClock, limit, func(*allowance.Allocator) RequestFunc {
+			return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+				return warming.Allocate(movingClock(), request), nil
 			}
 		})
-		if result := d.Acquire(t.Context(), resource, 150, c.patience); result.Outcome != c.wanted {
-			t.Fatalf("patience %v: %+v", c.patience, result)
+		if result := p.Acquire(t.Context(), resource, 150, c.maxWait); result.Outcome != c.want {
+			t.Fatalf("maxWait %v: got %+v", c.maxWait, result)
 		}
 	}
 }
 
-// TestYoungAccountLeavesTheReserve: who cannot wait for an account that has just begun takes from the reserve, as far as that goes.
-func TestYoungAccountLeavesTheReserve(t *testing.T) {
+// A caller that cannot wait for the bucket to fill uses the reserve, up to its share.
+func TestWarmUpUsesReserve(t *testing.T) {
 	limit := allowance.Limit{Rate: 1, Burst: 100, Slack: 100}
-	young := allowance.NewAllocator(1)
-	young.SetLimits(clock(), map[string]allowance.Limit{resource: limit})
-	d := openDesk(t, limit, func(*allowance.Allocator) RequestFunc {
-		return func(_ context.Context, asked allowance.Request) (allowance.Reply, error) {
-			return young.Allocate(clock(), asked), nil
+	warming := allowance.NewAllocator(1)
+	warming.SetLimits(frozenClock(), map[string]allowance.Limit{resource: limit})
+	p := newPool(t, limit, func(*allowance.Allocator) RequestFunc {
+		return func(_ context.Context, request allowance.Request) (allowance.Reply, error) {
+			return warming.Allocate(frozenClock(), request), nil
 		}
 	})
-	d.RecordContact(clock(), 1)
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
-		t.Fatalf("%+v", result)
+	p.RecordContact(frozenClock(), 1)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != Granted || result.Lease.Amount != 15 {
+		t.Fatalf("unexpected result %+v", result)
 	}
-	if result := d.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
-		t.Fatalf("%+v", result)
+	if result := p.Acquire(t.Context(), resource, 15, 0); result.Outcome != LimitReached {
+		t.Fatalf("unexpected result %+v", result)
 	}
 }
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -1,5 +1,6 @@
-// Package reporter is what one process does about requests that end their back ends: it looks whether a back end under which a run broke off
-// has ended, tells control, and answers whether a request is held back. One thread tells.
+// Package reporter applies the quarantine in one process: it checks whether a back end on which a run failed has
+// ended, reports crashes and completions to the control plane, and answers whether a request is quarantined. One
+// goroutine sends the reports.
 package reporter
 
 import (
@@ -17,43 +18,46 @@
 )
 
 const (
-	// tellTimeout is how long control may take to hold a change: an election and a write. What was not taken is told again after tellPause.
-	tellTimeout = 2 * time.Second
-	tellPause   = 100 * time.Millisecond
-	// tellWait lets what breaks off with one back end be told in one message.
-	tellWait = 5 * time.Millisecond
-	// endedMost and wellMost bound what waits to be told: the losses of some minutes without control.
-	endedMost = 1024
-	wellMost  = 1024
-	// shownMost bounds the fingerprints of one log line.
-	shownMost = 8
+	// submitTimeout is how long the control plane may take to commit a change, including an election. Changes that
+	// were not accepted are submitted again after retryInterval.
+	submitTimeout = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
+	// batchDelay lets the failures caused by one crash be submitted in one change.
+	batchDelay = 5 * time.Millisecond
+	// maxPendingCrashes and maxPendingCompletions bound the reports waiting to be submitted: some minutes' worth
+	// without a control plane.
+	maxPendingCrashes     = 1024
+	maxPendingCompletions = 1024
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
+	maxLoggedFingerprints = 8
 )
 
-// Proof is how the end of a life was proved.
+// Proof tells how the end of an incarnation was confirmed.
 type Proof string
 
-// Proofs.
+// Possible proofs.
 const (
 	ConnectionRefused Proof = "refused"  // its address refuses connections
-	Replaced          Proof = "replaced" // control names another life at its address
+	Replaced          Proof = "replaced" // the control plane lists another incarnation at its address
 )
 
-// Config are how a reporter reaches the outside.
+// Config connects a reporter to its environment.
 type Config struct {
-	// Submit has control make a change; an error says that it may not have been made.
+	// Submit asks the control plane to apply a change. After an error, it may or may not have been applied.
 	Submit func(ctx context.Context, change quarantine.Change) error
-	// RefusesConnections reports whether an address refuses connections, as it does when nothing listens there. One that stays silent doesn't.
+	// RefusesConnections reports whether an address refuses connections because nothing listens there. It returns
+	// false if there is no answer.
 	RefusesConnections func(ctx context.Context, address string) bool
 	Log                func(event string, fields ...zap.Field)
-	Now                func() time.Duration // counts the time a machine was suspended
+	Now                func() time.Duration // must include the time that the machine was suspended
 }
 
-// RefusesTCP asks by connecting. A connection that comes up says that somebody listens there.
+// RefusesTCP returns a check that connects to the address over TCP.
 func RefusesTCP(dialer *net.Dialer) func(ctx context.Context, address string) bool {
 	return func(ctx context.Context, address string) bool {
-		made, err := dialer.DialContext(ctx, "tcp", address)
+		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			_ = made.Close()
+			_ = conn.Close()
 		}
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
@@ -61,45 +65,45 @@
 
 // Reporter is safe for concurrent use.
 type Reporter struct {
-	ways Config
-	wake chan struct{} // has an item when something waits; room for one
-
-	mu     sync.Mutex
-	record *quarantine.Tracker      // guarded by mu
-	hasher *quarantine.Hasher       // nil before the first news; guarded by mu
-	looks  map[string]*look         // by life: a look whether it has ended; guarded by mu
-	ended  []quarantine.Crash       // to be told; at most endedMost; guarded by mu
-	well   []quarantine.Fingerprint // to be told; at most wellMost; guarded by mu
+	config Config
+	wake   chan struct{} // buffered; signals that reports are pending
+
+	mu          sync.Mutex
+	tracker     *quarantine.Tracker      // guarded by mu
+	hasher      *quarantine.Hasher       // nil before the first update with a seed; guarded by mu
+	probes      map[string]*probe        // running, by incarnation; guarded by mu
+	crashes     []quarantine.Crash       // pending; at most maxPendingCrashes; guarded by mu
+	completions []quarantine.Fingerprint // pending; at most maxPendingCompletions; guarded by mu
 }
 
-// look is a look whether a life has ended.
-type look struct{ done chan struct{} }
+// probe is a running check whether an incarnation has ended.
+type probe struct{ done chan struct{} }
 
-// New returns a reporter that knows nothing.
-func New(ways Config) *Reporter {
-	return &Reporter{ways: ways, wake: make(chan struct{}, 1), record: quarantine.NewTracker(), looks: map[string]*look{}}
+// New returns a reporter without state.
+func New(config Config) *Reporter {
+	return &Reporter{config: config, wake: make(chan struct{}, 1), tracker: quarantine.NewTracker(), probes: map[string]*probe{}}
 }
 
-// Version returns that of the newest news.
+// Version returns the version of the last update.
 func (r *Reporter) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.Version()
+	return r.tracker.Version()
 }
 
-// ApplyUpdate takes control's news up.
-func (r *Reporter) ApplyUpdate(news *quarantine.Update) {
-	hasher, err := quarantine.NewHasher(news.Seed)
+// ApplyUpdate applies an update of the control plane.
+func (r *Reporter) ApplyUpdate(update *quarantine.Update) {
+	hasher, err := quarantine.NewHasher(update.Seed)
 	if err != nil {
-		hasher = nil // control has planted none yet
+		hasher = nil // no seed has been set yet
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hasher = hasher
-	r.release(r.record.ApplyUpdate(r.ways.Now(), news)...)
+	r.enqueueCompletions(r.tracker.ApplyUpdate(r.config.Now(), update)...)
 }
 
-// Fingerprint returns a request's fingerprint; ok is false before control told the seed.
+// Fingerprint returns the fingerprint of a request; ok is false while the seed is unknown.
 func (r *Reporter) Fingerprint(request quarantine.Request) (f quarantine.Fingerprint, ok bool) {
 	r.mu.Lock()
 	hasher := r.hasher
@@ -110,138 +114,140 @@
 	return hasher.Fingerprint(request), true
 }
 
-// IsEmpty reports whether no request has anything against it, so that none needs a fingerprint to be judged.
+// IsEmpty reports whether no request has any crashes, so that fingerprints need not be computed.
 func (r *Reporter) IsEmpty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.IsEmpty()
+	return r.tracker.IsEmpty()
 }
 
-// CrashCount returns how many lives ended under a request; from quarantine.Held on it must not be sent.
+// CrashCount returns the number of crashes under a request. From quarantine.QuarantineThreshold on, it must not be
+// sent.
 func (r *Reporter) CrashCount(f quarantine.Fingerprint) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.CrashCount(f)
+	return r.tracker.CrashCount(f)
 }
 
-// SuspectCounts returns how many requests control tells of, and how many of these are held back.
-func (r *Reporter) SuspectCounts() (told, held int) {
+// SuspectCounts returns the number of requests reported by the control plane, and how many of them are quarantined.
+func (r *Reporter) SuspectCounts() (suspects, quarantined int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.record.SuspectCounts()
+	return r.tracker.SuspectCounts()
 }
 
-// RecordFailure notes that a run broke off at a life, and looks whether that life has ended. The channel is closed when that is known, or can't be.
-func (r *Reporter) RecordFailure(life, address string, f quarantine.Fingerprint) (looked <-chan struct{}) {
+// RecordFailure records a failed run on an incarnation and probes whether that has ended. The returned channel is
+// closed when the probe is done or none is needed.
+func (r *Reporter) RecordFailure(incarnation, address string, f quarantine.Fingerprint) (probed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, counts := r.record.RecordFailure(r.ways.Now(), life, f); counts {
-		r.tell(told, ConnectionRefused)
+	if crash, ok := r.tracker.RecordFailure(r.config.Now(), incarnation, f); ok {
+		r.enqueueCrash(crash, ConnectionRefused)
 	}
-	if running := r.looks[life]; running != nil {
+	if running := r.probes[incarnation]; running != nil {
 		return running.done
 	}
-	made := &look{done: make(chan struct{})}
-	if !r.record.AwaitsConfirmation(life) {
-		close(made.done)
-		return made.done
+	p := &probe{done: make(chan struct{})}
+	if !r.tracker.AwaitsConfirmation(incarnation) {
+		close(p.done)
+		return p.done
 	}
-	r.looks[life] = made
-	go r.look(life, address, made)
-	return made.done
+	r.probes[incarnation] = p
+	go r.probe(incarnation, address, p)
+	return p.done
 }
 
-// lookTimeout is how long an address may take to refuse a connection, or to take one: a silent one proves nothing.
-const lookTimeout = 300 * time.Millisecond
+// probeTimeout is how long to wait for a connection to be accepted or refused. A timeout confirms nothing.
+const probeTimeout = 300 * time.Millisecond
 
-// look asks an address whether anything listens there.
-func (r *Reporter) look(life, address string, made *look) {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
-	refuses := r.ways.RefusesConnections(ctx, address)
+// probe checks whether anything listens at an address.
+func (r *Reporter) probe(incarnation, address string, p *probe) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	refused := r.config.RefusesConnections(ctx, address)
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if refuses {
-		r.end(life, ConnectionRefused)
+	if refused {
+		r.confirmEnd(incarnation, ConnectionRefused)
 	}
-	delete(r.looks, life)
-	close(made.done)
+	delete(r.probes, incarnation)
+	close(p.done)
 }
 
-// ConfirmEnds notes the proof that lives ended.
-func (r *Reporter) ConfirmEnds(proof Proof, lives ...string) {
+// ConfirmEnds records that incarnations have ended.
+func (r *Reporter) ConfirmEnds(proof Proof, incarnations ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, life := range lives {
-		r.end(life, proof)
+	for _, incarnation := range incarnations {
+		r.confirmEnd(incarnation, proof)
 	}
 }
 
-// end counts a life that ended. The caller holds mu.
-func (r *Reporter) end(life string, proof Proof) {
-	if told, counts := r.record.ConfirmEnd(r.ways.Now(), life); counts {
-		r.tell(told, proof)
+// confirmEnd records that an incarnation has ended. The caller holds mu.
+func (r *Reporter) confirmEnd(incarnation string, proof Proof) {
+	if crash, ok := r.tracker.ConfirmEnd(r.config.Now(), incarnation); ok {
+		r.enqueueCrash(crash, proof)
 	}
 }
 
-// tell lets control be told of an ended life. The caller holds mu.
-func (r *Reporter) tell(ended quarantine.Crash, proof Proof) {
-	shown := make([]string, 0, shownMost)
-	for _, f := range ended.Requests[:min(len(ended.Requests), shownMost)] {
-		shown = append(shown, f.String())
+// enqueueCrash logs a crash and enqueues it for submission. The caller holds mu.
+func (r *Reporter) enqueueCrash(crash quarantine.Crash, proof Proof) {
+	fingerprints := make([]string, 0, maxLoggedFingerprints)
+	for _, f := range crash.Requests[:min(len(crash.Requests), maxLoggedFingerprints)] {
+		fingerprints = append(fingerprints, f.String())
 	}
-	r.ways.Log(events.BackendCrashed, zap.String(events.FieldInstance, ended.Incarnation), zap.String("proof", string(proof)),
-		zap.Int("requests", len(ended.Requests)), zap.Strings("fingerprints", shown))
-	if len(r.ended) >= endedMost {
-		r.ways.Log(events.CrashNotReported, zap.String(events.FieldInstance, ended.Incarnation), zap.Int("waiting", len(r.ended)))
+	r.config.Log(events.BackendCrashed, zap.String(events.FieldInstance, crash.Incarnation), zap.String("proof", string(proof)),
+		zap.Int("requests", len(crash.Requests)), zap.Strings("fingerprints", fingerprints))
+	if len(r.crashes) >= maxPendingCrashes {
+		r.config.Log(events.CrashNotReported, zap.String(events.FieldInstance, crash.Incarnation), zap.Int("waiting", len(r.crashes)))
 		return
 	}
-	r.ended = append(r.ended, ended)
-	r.ring()
+	r.crashes = append(r.crashes, crash)
+	r.signal()
 }
 
-// RecordCompletion notes that a back end ran a request to a good end.
+// RecordCompletion records that a back end completed a request.
 func (r *Reporter) RecordCompletion(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.RecordCompletion(r.ways.Now(), f) {
-		r.release(f)
+	if r.tracker.RecordCompletion(r.config.Now(), f) {
+		r.enqueueCompletions(f)
 	}
 }
 
-// RecordIdle notes that this process could send nothing for so long until now.
-func (r *Reporter) RecordIdle(length time.Duration) {
+// RecordIdle records that this process could send nothing for a duration until now.
+func (r *Reporter) RecordIdle(idle time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.RecordIdle(r.ways.Now(), length)
+	r.tracker.RecordIdle(r.config.Now(), idle)
 }
 
-// release lets control be told of requests that ended well. The caller holds mu.
-func (r *Reporter) release(well ...quarantine.Fingerprint) {
-	if room := wellMost - len(r.well); len(well) > room {
-		well = well[:room] // the next good end tells again
+// enqueueCompletions enqueues requests to be released. The caller holds mu.
+func (r *Reporter) enqueueCompletions(completed ...quarantine.Fingerprint) {
+	if room := maxPendingCompletions - len(r.completions); len(completed) > room {
+		completed = completed[:room] // the next completion reports it again
 	}
-	if len(well) > 0 {
-		r.well = append(r.well, well...)
-		r.ring()
+	if len(completed) > 0 {
+		r.completions = append(r.completions, completed...)
+		r.signal()
 	}
 }
 
-func (r *Reporter) ring() {
+func (r *Reporter) signal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Sweep forgets what is long past.
+// Sweep removes expired state.
 func (r *Reporter) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Sweep(r.ways.Now())
+	r.tracker.Sweep(r.config.Now())
 }
 
-// Run is the thread that tells control, until ctx ends.
+// Run submits pending reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	for {
 		select {
@@ -249,44 +255,44 @@
 			return
 		case <-r.wake:
 		}
-		rest(ctx, tellWait)
-		for change := r.next(); ctx.Err() == nil && !r.told(ctx, change); {
-			rest(ctx, tellPause)
+		sleep(ctx, batchDelay)
+		for change := r.takePending(); ctx.Err() == nil && !r.submit(ctx, change); {
+			sleep(ctx, retryInterval)
 		}
 	}
 }
 
-func rest(ctx context.Context, pause time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(d):
 	}
 }
 
-// next takes all that waits.
-func (r *Reporter) next() (change quarantine.Change) {
+// takePending removes all pending reports and returns them as one change.
+func (r *Reporter) takePending() (change quarantine.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change.Crashes = r.ended
-	if len(r.well) > 0 {
-		change.Releases = []quarantine.Release{{Requests: r.well, Reason: quarantine.ReasonCompleted}}
+	change.Crashes = r.crashes
+	if len(r.completions) > 0 {
+		change.Releases = []quarantine.Release{{Requests: r.completions, Reason: quarantine.ReasonCompleted}}
 	}
-	r.ended, r.well = nil, nil
+	r.crashes, r.completions = nil, nil
 	return change
 }
 
-// told tells control once, and reports whether nothing is left to tell of a change.
-func (r *Reporter) told(ctx context.Context, change quarantine.Change) bool {
+// submit submits a change once and reports whether it is done.
+func (r *Reporter) submit(ctx context.Context, change quarantine.Change) bool {
 	if len(change.Crashes)+len(change.Releases) == 0 {
 		return true
 	}
-	attempt, cancel := context.WithTimeout(ctx, tellTimeout)
+	submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if r.ways.Submit(attempt, change) != nil {
+	if r.config.Submit(submitCtx, change) != nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Acknowledge(change.Crashes)
+	r.tracker.Acknowledge(change.Crashes)
 	return true
 }
