--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -18,7 +18,7 @@
 	reasonStopping   = "stopping"
 	reasonNoDocument = "no-document"
 	reasonNoRoute    = "no-route"
-	reasonNoKey      = "key-unknown"
+	reasonUnknownKey = "key-unknown"
 	reasonUntrusted  = "view-unconfirmed"
 	reasonTooLarge   = "body-too-large"
 	reasonBadBody    = "body-broken"
@@ -127,7 +127,7 @@
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
 		return false
 	case x.keyed && (x.tenant == nil || !trusted):
-		x.deny(trusted, http.StatusUnauthorized, reasonNoKey)
+		x.deny(trusted, http.StatusUnauthorized, reasonUnknownKey)
 		return false
 	}
 	x.service = x.view.services[x.gateway.splits.next(x.route)]
