--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -229,7 +229,7 @@
 	case a.ctx.Err() != nil, now >= x.deadline:
 		return "over"
 	case x.keyed && !x.gateway.trusted(now):
-		return reasonUntrusted
+		return reasonViewUnconfirmed
 	case !x.covered():
 		return reasonUncounted
 	case x.lives() >= quarantine.QuarantineThreshold:
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -15,27 +15,27 @@
 
 // Reasons why a request got no back end's answer.
 const (
-	reasonStopping   = "stopping"
-	reasonNoDocument = "no-document"
-	reasonNoRoute    = "no-route"
-	reasonUnknownKey = "key-unknown"
-	reasonUntrusted  = "view-unconfirmed"
-	reasonTooLarge   = "body-too-large"
-	reasonBadBody    = "body-broken"
-	reasonNoBackend  = "no-backend"
-	reasonTurnedAway = "turned-away"
-	reasonUnreached  = "unreached"
-	reasonRunUnknown = "run-unknown"
-	reasonDeadline   = "deadline"
-	reasonCallerGone = "caller-gone"
-	reasonBroken     = "stream-broken"
-	reasonOverLimit  = "over-limit"
-	reasonUncounted  = "limit-unknown"
-	reasonOverload   = "overload"
-	reasonHeldBack   = "held-back"
-	reasonResting    = "resting"
-	reasonLimited    = "limited"
-	reasonHeld       = "too-much-held"
+	reasonStopping        = "stopping"
+	reasonNoDocument      = "no-document"
+	reasonNoRoute         = "no-route"
+	reasonUnknownKey      = "key-unknown"
+	reasonViewUnconfirmed = "view-unconfirmed"
+	reasonTooLarge        = "body-too-large"
+	reasonBadBody         = "body-broken"
+	reasonNoBackend       = "no-backend"
+	reasonTurnedAway      = "turned-away"
+	reasonUnreached       = "unreached"
+	reasonRunUnknown      = "run-unknown"
+	reasonDeadline        = "deadline"
+	reasonCallerGone      = "caller-gone"
+	reasonBroken          = "stream-broken"
+	reasonOverLimit       = "over-limit"
+	reasonUncounted       = "limit-unknown"
+	reasonOverload        = "overload"
+	reasonHeldBack        = "held-back"
+	reasonResting         = "resting"
+	reasonLimited         = "limited"
+	reasonHeld            = "too-much-held"
 )
 
 const (
@@ -153,7 +153,7 @@
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
 		x.gateway.log.lost()
-		x.refuse(http.StatusServiceUnavailable, reasonUntrusted, x.gateway.comeBack())
+		x.refuse(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.comeBack())
 		return
 	}
 	x.refuse(status, reason, 0)
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -63,7 +63,7 @@
 	if event == events.RequestAnswered && x.late() {
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
-	if reason == reasonUntrusted {
+	if reason == reasonViewUnconfirmed {
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
 	}
 	if reason == reasonHeldBack {
