--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -23,7 +23,7 @@
 	reasonTooLarge        = "body-too-large"
 	reasonBadBody         = "body-broken"
 	reasonNoBackend       = "no-backend"
-	reasonTurnedAway      = "turned-away"
+	reasonRejected        = "turned-away"
 	reasonUnreached       = "unreached"
 	reasonRunUnknown      = "run-unknown"
 	reasonDeadline        = "deadline"
@@ -301,7 +301,7 @@
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.repeat(reasonTurnedAway, max(retrySoon, x.comeBackAfter(result)))
+		return x.repeat(reasonRejected, max(retrySoon, x.comeBackAfter(result)))
 	}
 	if !x.route.Retryable() || x.suspected() {
 		x.giveUp(reasonRunUnknown, 0)
