--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -24,7 +24,7 @@
 	reasonBadBody         = "body-broken"
 	reasonNoBackend       = "no-backend"
 	reasonRejected        = "turned-away"
-	reasonUnreached       = "unreached"
+	reasonUnreachable     = "unreached"
 	reasonRunUnknown      = "run-unknown"
 	reasonDeadline        = "deadline"
 	reasonCallerGone      = "caller-gone"
@@ -290,7 +290,7 @@
 		}
 		x.unreached++
 		if x.unreached >= unreachedLimit {
-			x.giveUp(reasonUnreached, retrySoon)
+			x.giveUp(reasonUnreachable, retrySoon)
 			return false
 		}
 		return true
