--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		_ = a.wire.Close()
 		a.brokeOff()
-		x.giveUp(reasonBroken, 0)
+		x.giveUp(reasonStreamBroken, 0)
 	}
 	a.grade = gradeGood
 	a.release(answer, nil)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -28,7 +28,7 @@
 	reasonRunUnknown      = "run-unknown"
 	reasonDeadline        = "deadline"
 	reasonCallerGone      = "caller-gone"
-	reasonBroken          = "stream-broken"
+	reasonStreamBroken    = "stream-broken"
 	reasonOverLimit       = "over-limit"
 	reasonUncounted       = "limit-unknown"
 	reasonOverload        = "overload"
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -14,7 +14,7 @@
 // giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
 	if x.relayed {
-		x.logEnd(events.RequestRejected, reasonBroken, 0)
+		x.logEnd(events.RequestRejected, reasonStreamBroken, 0)
 		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
 	}
 	switch {
