--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -231,7 +231,7 @@
 	case x.keyed && !x.gateway.trusted(now):
 		return reasonViewUnconfirmed
 	case !x.covered():
-		return reasonUncounted
+		return reasonLimitUnknown
 	case x.lives() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -30,7 +30,7 @@
 	reasonCallerGone      = "caller-gone"
 	reasonStreamBroken    = "stream-broken"
 	reasonOverLimit       = "over-limit"
-	reasonUncounted       = "limit-unknown"
+	reasonLimitUnknown    = "limit-unknown"
 	reasonOverload        = "overload"
 	reasonHeldBack        = "held-back"
 	reasonResting         = "resting"
