--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -233,7 +233,7 @@
 	case !x.covered():
 		return reasonLimitUnknown
 	case x.lives() >= quarantine.QuarantineThreshold:
-		return reasonHeldBack
+		return reasonQuarantined
 	}
 	x.gateway.table.mutex.Lock()
 	defer x.gateway.table.mutex.Unlock()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -32,7 +32,7 @@
 	reasonOverLimit       = "over-limit"
 	reasonLimitUnknown    = "limit-unknown"
 	reasonOverload        = "overload"
-	reasonHeldBack        = "held-back"
+	reasonQuarantined     = "held-back"
 	reasonResting         = "resting"
 	reasonLimited         = "limited"
 	reasonHeld            = "too-much-held"
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -66,7 +66,7 @@
 	if reason == reasonViewUnconfirmed {
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
 	}
-	if reason == reasonHeldBack {
+	if reason == reasonQuarantined {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldIncarnations, x.lives()))
 	}
 	if x.plan != nil && x.service.Engine {
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -44,7 +44,7 @@
 	if x.lives() < quarantine.QuarantineThreshold {
 		return false
 	}
-	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
+	x.giveUp(reasonQuarantined, quarantine.RetryAfter)
 	return true
 }
 
