--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -33,7 +33,7 @@
 	reasonLimitUnknown    = "limit-unknown"
 	reasonOverload        = "overload"
 	reasonQuarantined     = "held-back"
-	reasonResting         = "resting"
+	reasonBackingOff      = "resting"
 	reasonLimited         = "limited"
 	reasonHeld            = "too-much-held"
 )
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -172,7 +172,7 @@
 	now := g.now()
 	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
 	case causeResting:
-		return reasonResting, apart(first)
+		return reasonBackingOff, apart(first)
 	case causeLimited:
 		return reasonLimited, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
 	}
