--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -34,7 +34,7 @@
 	reasonOverload        = "overload"
 	reasonQuarantined     = "held-back"
 	reasonBackingOff      = "resting"
-	reasonLimited         = "limited"
+	reasonLimitReached    = "limited"
 	reasonHeld            = "too-much-held"
 )
 
@@ -317,7 +317,7 @@
 	if x.overLimit < permitsMost {
 		return true
 	}
-	x.giveUp(reasonLimited, retrySoon)
+	x.giveUp(reasonLimitReached, retrySoon)
 	return false
 }
 
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -185,7 +185,7 @@
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
-		if reason != reasonLimited || back < 200*time.Millisecond || back > longestTurn+time.Second {
+		if reason != reasonLimitReached || back < 200*time.Millisecond || back > longestTurn+time.Second {
 			t.Fatalf("%s after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, longestTurn)
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -174,7 +174,7 @@
 	case causeResting:
 		return reasonBackingOff, apart(first)
 	case causeLimited:
-		return reasonLimited, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
+		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
 	}
 	return reasonNoBackend, retrySoon
 }
