--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -35,7 +35,7 @@
 	reasonQuarantined     = "held-back"
 	reasonBackingOff      = "resting"
 	reasonLimitReached    = "limited"
-	reasonHeld            = "too-much-held"
+	reasonBuffersFull     = "too-much-held"
 )
 
 const (
@@ -182,7 +182,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errHeld):
-		x.refuse(http.StatusServiceUnavailable, reasonHeld, retrySoon)
+		x.refuse(http.StatusServiceUnavailable, reasonBuffersFull, retrySoon)
 		return false
 	case errors.As(err, &tooLarge):
 		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
