--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -39,8 +39,8 @@
 )
 
 const (
-	// retrySoon is the advice when another try in a moment may be served.
-	retrySoon = 150 * time.Millisecond
+	// minRetryAfter is the advice when another try in a moment may be served.
+	minRetryAfter = 150 * time.Millisecond
 	// unreachedLimit is how many back ends may be found unreachable for one request.
 	unreachedLimit = 4
 	// backendGrace is how long a request may wait for a back end that can be used.
@@ -91,7 +91,7 @@
 	}
 	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.Read(r.Header)}
 	if g.closing.Load() {
-		x.refuse(http.StatusServiceUnavailable, reasonStopping, retrySoon)
+		x.refuse(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
 	}
 	defer x.uncover()
@@ -182,7 +182,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errHeld):
-		x.refuse(http.StatusServiceUnavailable, reasonBuffersFull, retrySoon)
+		x.refuse(http.StatusServiceUnavailable, reasonBuffersFull, minRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
 		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
@@ -236,7 +236,7 @@
 		x.abandon()
 		return true
 	case x.ctx.Err() != nil, x.gateway.now() >= x.deadline: // a timer stands still while the machine is suspended
-		x.giveUp(reasonDeadline, retrySoon)
+		x.giveUp(reasonDeadline, minRetryAfter)
 		return true
 	}
 	return false
@@ -290,7 +290,7 @@
 		}
 		x.unreached++
 		if x.unreached >= unreachedLimit {
-			x.giveUp(reasonUnreachable, retrySoon)
+			x.giveUp(reasonUnreachable, minRetryAfter)
 			return false
 		}
 		return true
@@ -301,7 +301,7 @@
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.repeat(reasonRejected, max(retrySoon, x.comeBackAfter(result)))
+		return x.repeat(reasonRejected, max(minRetryAfter, x.comeBackAfter(result)))
 	}
 	if !x.route.Retryable() || x.suspected() {
 		x.giveUp(reasonRunUnknown, 0)
@@ -317,7 +317,7 @@
 	if x.overLimit < permitsMost {
 		return true
 	}
-	x.giveUp(reasonLimitReached, retrySoon)
+	x.giveUp(reasonLimitReached, minRetryAfter)
 	return false
 }
 
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -19,7 +19,7 @@
 	}
 	switch {
 	case !x.mayHave:
-		x.refuse(http.StatusServiceUnavailable, reason, max(retrySoon, retryAfter))
+		x.refuse(http.StatusServiceUnavailable, reason, max(minRetryAfter, retryAfter))
 	case reason == reasonDeadline:
 		x.refuse(http.StatusGatewayTimeout, reason, 0)
 	default:
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -53,7 +53,7 @@
 	case x.mayHave || x.relayed:
 		x.giveUp(reason, 0)
 	default:
-		x.refuse(status, reason, max(retrySoon, wait))
+		x.refuse(status, reason, max(minRetryAfter, wait))
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -176,7 +176,7 @@
 	case causeLimited:
 		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
 	}
-	return reasonNoBackend, retrySoon
+	return reasonNoBackend, minRetryAfter
 }
 
 // comeBackAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
