--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -41,8 +41,8 @@
 const (
 	// minRetryAfter is the advice when another try in a moment may be served.
 	minRetryAfter = 150 * time.Millisecond
-	// unreachedLimit is how many back ends may be found unreachable for one request.
-	unreachedLimit = 4
+	// maxUnreachable is how many back ends may be found unreachable for one request.
+	maxUnreachable = 4
 	// backendGrace is how long a request may wait for a back end that can be used.
 	backendGrace = 120 * time.Millisecond
 )
@@ -289,7 +289,7 @@
 			return x.goOnFromLimit()
 		}
 		x.unreached++
-		if x.unreached >= unreachedLimit {
+		if x.unreached >= maxUnreachable {
 			x.giveUp(reasonUnreachable, minRetryAfter)
 			return false
 		}
