--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -43,8 +43,8 @@
 	minRetryAfter = 150 * time.Millisecond
 	// maxUnreachable is how many back ends may be found unreachable for one request.
 	maxUnreachable = 4
-	// backendGrace is how long a request may wait for a back end that can be used.
-	backendGrace = 120 * time.Millisecond
+	// backendWait is how long a request may wait for a back end that can be used.
+	backendWait = 120 * time.Millisecond
 )
 
 // exchange is one caller's request.
@@ -250,7 +250,7 @@
 	if x.gateway.on(mechanism.StoreTransfers) {
 		in.store = x.view.storeOf(x.call.Parts)
 	}
-	patience := x.gateway.now() + backendGrace
+	patience := x.gateway.now() + backendWait
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
 		news := x.gateway.table.rosterChanged.Next()
