--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -228,7 +228,7 @@
 	switch {
 	case a.ctx.Err() != nil, now >= x.deadline:
 		return "over"
-	case x.keyed && !x.gateway.trusted(now):
+	case x.keyRequired && !x.gateway.trusted(now):
 		return reasonViewUnconfirmed
 	case !x.covered():
 		return reasonLimitUnknown
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -49,20 +49,20 @@
 
 // exchange is one caller's request.
 type exchange struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	request  *http.Request
-	ctx      context.Context
-	arrived  time.Duration
-	deadline time.Duration // when the final answer is due
-	call     Call
-	view     *view
-	route    *catalog.Route
-	service  *catalog.Service
-	tenant   *catalog.Tenant
-	keyed    bool
-	body     []byte
-	room     int // that was taken for the body
+	gateway     *Gateway
+	writer      http.ResponseWriter
+	request     *http.Request
+	ctx         context.Context
+	arrived     time.Duration
+	deadline    time.Duration // when the final answer is due
+	call        Call
+	view        *view
+	route       *catalog.Route
+	service     *catalog.Service
+	tenant      *catalog.Tenant
+	keyRequired bool
+	body        []byte
+	room        int // that was taken for the body
 
 	tried     []*endpoint
 	sent      int // back ends that got the request
@@ -126,7 +126,7 @@
 	case x.route == nil:
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
 		return false
-	case x.keyed && (x.tenant == nil || !trusted):
+	case x.keyRequired && (x.tenant == nil || !trusted):
 		x.deny(trusted, http.StatusUnauthorized, reasonUnknownKey)
 		return false
 	}
@@ -143,12 +143,12 @@
 	}
 	x.route = x.view.route(x.request.Host, x.request.URL.Path)
 	if x.route != nil {
-		x.tenant, x.keyed = x.view.tenant(x.route, x.call.Key)
+		x.tenant, x.keyRequired = x.view.tenant(x.route, x.call.Key)
 	}
 }
 
 // needsTrust reports whether the request can only be judged by a confirmed view.
-func (x *exchange) needsTrust() bool { return x.view == nil || x.route == nil || x.keyed }
+func (x *exchange) needsTrust() bool { return x.view == nil || x.route == nil || x.keyRequired }
 
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
@@ -341,7 +341,7 @@
 
 // canRepeat reports whether the route allows one more back end, and the view still counts.
 func (x *exchange) canRepeat() bool {
-	if x.keyed && !x.gateway.trusted(x.gateway.now()) {
+	if x.keyRequired && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
 	return x.sent < max(1, x.route.MaxAttempts)
