--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -49,20 +49,20 @@
 
 // exchange is one caller's request.
 type exchange struct {
-	gateway     *Gateway
-	writer      http.ResponseWriter
-	request     *http.Request
-	ctx         context.Context
-	arrived     time.Duration
-	deadline    time.Duration // when the final answer is due
-	call        Call
-	view        *view
-	route       *catalog.Route
-	service     *catalog.Service
-	tenant      *catalog.Tenant
-	keyRequired bool
-	body        []byte
-	room        int // that was taken for the body
+	gateway      *Gateway
+	writer       http.ResponseWriter
+	request      *http.Request
+	ctx          context.Context
+	arrived      time.Duration
+	deadline     time.Duration // when the final answer is due
+	call         Call
+	view         *view
+	route        *catalog.Route
+	service      *catalog.Service
+	tenant       *catalog.Tenant
+	keyRequired  bool
+	body         []byte
+	bodyReserved int // that was taken for the body
 
 	tried     []*endpoint
 	sent      int // back ends that got the request
@@ -95,7 +95,7 @@
 		return
 	}
 	defer x.uncover()
-	defer func() { g.held.give(x.room) }()
+	defer func() { g.held.give(x.bodyReserved) }()
 	if !x.admit() || !x.withinLimit() || !x.readBody() {
 		return
 	}
@@ -173,7 +173,7 @@
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
 	body, room, err := x.gateway.held.read(from, x.request.ContentLength)
-	x.room = room
+	x.bodyReserved = room
 	if errors.Is(err, errHeld) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		_, _ = io.Copy(io.Discard, from) // a caller that still sends would meet a reset, and not the refusal
