--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -139,7 +139,7 @@
 		return result{kind: resultUnreached, cause: bar}
 	}
 	a.hold = allowance.Lease{} // used up
-	x.sent++
+	x.sentCount++
 	a.cover, x.cover = x.cover, cover{}
 	a.begin()
 	defer a.end()
@@ -267,7 +267,7 @@
 // patience is how long the back end may stay silent; 0 leaves it all the time there is.
 func (a *attempt) patience() time.Duration {
 	x := a.exchange
-	if !x.route.Retryable() || x.sent >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
+	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
 		return 0
 	}
 	if x.service.Engine {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -65,7 +65,7 @@
 	bodyReserved int // that was taken for the body
 
 	tried     []*endpoint
-	sent      int // back ends that got the request
+	sentCount int // back ends that got the request
 	unreached int
 	overLimit int                     // back ends that turned out to have reached their limits
 	mayHave   bool                    // an earlier attempt may have run
@@ -344,5 +344,5 @@
 	if x.keyRequired && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
-	return x.sent < max(1, x.route.MaxAttempts)
+	return x.sentCount < max(1, x.route.MaxAttempts)
 }
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -48,7 +48,7 @@
 // logEnd writes the one line that each request leaves.
 func (x *exchange) logEnd(event, reason string, status int) {
 	fields := []zap.Field{
-		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sent),
+		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sentCount),
 		zap.Duration(events.FieldElapsed, x.gateway.now()-x.arrived),
 	}
 	if reason != "" {
@@ -102,7 +102,7 @@
 	x.gateway.metrics.attempts.WithLabelValues(failed.kind.String()).Inc()
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
-		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sent),
+		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sentCount),
 		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
 	}
 	if sent.looked != nil {
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -50,8 +50,8 @@
 	chosen := chosenAttempt(g)
 	publishVersion(g, 2, g.settings.VersionLimit)
 	got := chosen.perform()
-	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sent != 0 || len(g.table.waiting) > 0 {
-		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sent, len(g.table.waiting))
+	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
+		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sentCount, len(g.table.waiting))
 	}
 	connection, err := listener.Accept()
 	if err != nil {
