--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -64,22 +64,22 @@
 	body         []byte
 	bodyReserved int // that was taken for the body
 
-	tried     []*endpoint
-	sentCount int // back ends that got the request
-	unreached int
-	overLimit int                     // back ends that turned out to have reached their limits
-	mayHave   bool                    // an earlier attempt may have run
-	relayed   bool                    // the head of an answer has gone to the caller
-	lastEvent string                  // newest event passed on
-	served    string                  // back end of the answer
-	firstAt   time.Duration           // when the first event went to the caller, or 0
-	eventAt   time.Duration           // when the newest one did
-	pause     time.Duration           // longest time between two
-	plan      *candidate              // the newest placement, or nil
-	cover     cover                   // of the tenant's limit
-	atRest    time.Duration           // the most that was left of a back end's rest when the request was sent there
-	limited   pushback.Limit          // that the back end of the newest send had named
-	print     *quarantine.Fingerprint // of the request; nil until somebody asked for it
+	tried            []*endpoint
+	sentCount        int // back ends that got the request
+	unreachableCount int
+	overLimit        int                     // back ends that turned out to have reached their limits
+	mayHave          bool                    // an earlier attempt may have run
+	relayed          bool                    // the head of an answer has gone to the caller
+	lastEvent        string                  // newest event passed on
+	served           string                  // back end of the answer
+	firstAt          time.Duration           // when the first event went to the caller, or 0
+	eventAt          time.Duration           // when the newest one did
+	pause            time.Duration           // longest time between two
+	plan             *candidate              // the newest placement, or nil
+	cover            cover                   // of the tenant's limit
+	atRest           time.Duration           // the most that was left of a back end's rest when the request was sent there
+	limited          pushback.Limit          // that the back end of the newest send had named
+	print            *quarantine.Fingerprint // of the request; nil until somebody asked for it
 }
 
 // serve takes a caller's request.
@@ -288,8 +288,8 @@
 		if result.cause == causeLimited {
 			return x.goOnFromLimit()
 		}
-		x.unreached++
-		if x.unreached >= maxUnreachable {
+		x.unreachableCount++
+		if x.unreachableCount >= maxUnreachable {
 			x.giveUp(reasonUnreachable, minRetryAfter)
 			return false
 		}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -279,8 +279,8 @@
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
-	if x.sentCount != 0 || x.unreached != 0 {
-		t.Fatalf("sent %d, unreached %d", x.sentCount, x.unreached)
+	if x.sentCount != 0 || x.unreachableCount != 0 {
+		t.Fatalf("sent %d, unreached %d", x.sentCount, x.unreachableCount)
 	}
 }
 
