--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -64,22 +64,22 @@
 	body         []byte
 	bodyReserved int // that was taken for the body
 
-	tried            []*endpoint
-	sentCount        int // back ends that got the request
-	unreachableCount int
-	overLimit        int                     // back ends that turned out to have reached their limits
-	mayHave          bool                    // an earlier attempt may have run
-	relayed          bool                    // the head of an answer has gone to the caller
-	lastEvent        string                  // newest event passed on
-	served           string                  // back end of the answer
-	firstAt          time.Duration           // when the first event went to the caller, or 0
-	eventAt          time.Duration           // when the newest one did
-	pause            time.Duration           // longest time between two
-	plan             *candidate              // the newest placement, or nil
-	cover            cover                   // of the tenant's limit
-	atRest           time.Duration           // the most that was left of a back end's rest when the request was sent there
-	limited          pushback.Limit          // that the back end of the newest send had named
-	print            *quarantine.Fingerprint // of the request; nil until somebody asked for it
+	tried             []*endpoint
+	sentCount         int // back ends that got the request
+	unreachableCount  int
+	limitReachedCount int                     // back ends that turned out to have reached their limits
+	mayHave           bool                    // an earlier attempt may have run
+	relayed           bool                    // the head of an answer has gone to the caller
+	lastEvent         string                  // newest event passed on
+	served            string                  // back end of the answer
+	firstAt           time.Duration           // when the first event went to the caller, or 0
+	eventAt           time.Duration           // when the newest one did
+	pause             time.Duration           // longest time between two
+	plan              *candidate              // the newest placement, or nil
+	cover             cover                   // of the tenant's limit
+	atRest            time.Duration           // the most that was left of a back end's rest when the request was sent there
+	limited           pushback.Limit          // that the back end of the newest send had named
+	print             *quarantine.Fingerprint // of the request; nil until somebody asked for it
 }
 
 // serve takes a caller's request.
@@ -313,8 +313,8 @@
 // goOnFromLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
 func (x *exchange) goOnFromLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
-	x.overLimit++
-	if x.overLimit < permitsMost {
+	x.limitReachedCount++
+	if x.limitReachedCount < permitsMost {
 		return true
 	}
 	x.giveUp(reasonLimitReached, minRetryAfter)
