--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -68,7 +68,7 @@
 	sentCount         int // back ends that got the request
 	unreachableCount  int
 	limitReachedCount int                     // back ends that turned out to have reached their limits
-	mayHave           bool                    // an earlier attempt may have run
+	mayHaveRun        bool                    // an earlier attempt may have run
 	relayed           bool                    // the head of an answer has gone to the caller
 	lastEvent         string                  // newest event passed on
 	served            string                  // back end of the answer
@@ -279,7 +279,7 @@
 
 // mayGoOn decides what follows a failed attempt; when the request is not sent again, it has been answered.
 func (x *exchange) mayGoOn(result result) bool {
-	x.mayHave = x.mayHave || result.kind == resultUnknown || result.kind == resultFailed
+	x.mayHaveRun = x.mayHaveRun || result.kind == resultUnknown || result.kind == resultFailed
 	if x.over() {
 		return false
 	}
@@ -297,7 +297,7 @@
 	case resultFailed:
 		return true
 	case resultNotRun:
-		if x.mayHave && !x.route.Retryable() {
+		if x.mayHaveRun && !x.route.Retryable() {
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -18,7 +18,7 @@
 		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
 	}
 	switch {
-	case !x.mayHave:
+	case !x.mayHaveRun:
 		x.refuse(http.StatusServiceUnavailable, reason, max(minRetryAfter, retryAfter))
 	case reason == reasonDeadline:
 		x.refuse(http.StatusGatewayTimeout, reason, 0)
