--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -37,7 +37,7 @@
 		return a.turnedAway(answer, verdict)
 	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
 		return a.broken("promise of a back end that doesn't say so: " + answer.Status)
-	case x.relayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
+	case x.headRelayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
 		return a.broken("stream not taken up: " + answer.Status)
 	case answer.StatusCode < http.StatusMultipleChoices && !verdict.Signed:
 		return a.broken("success without signature")
@@ -146,7 +146,7 @@
 	if failure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.Retryable() && !x.relayed && x.spendRepeat() {
+	if failure && x.route.Retryable() && !x.headRelayed && x.spendRepeat() {
 		return result{kind: resultFailed, cause: answer.Status}
 	}
 	x.passHead(answer, len(body))
@@ -190,7 +190,7 @@
 	if x.gateway.draining.Load() {
 		header.Set("Connection", "close")
 	}
-	x.relayed = true
+	x.headRelayed = true
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 	x.writer.WriteHeader(answer.StatusCode)
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -69,7 +69,7 @@
 	unreachableCount  int
 	limitReachedCount int                     // back ends that turned out to have reached their limits
 	mayHaveRun        bool                    // an earlier attempt may have run
-	relayed           bool                    // the head of an answer has gone to the caller
+	headRelayed       bool                    // the head of an answer has gone to the caller
 	lastEvent         string                  // newest event passed on
 	served            string                  // back end of the answer
 	firstAt           time.Duration           // when the first event went to the caller, or 0
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -13,7 +13,7 @@
 
 // giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
-	if x.relayed {
+	if x.headRelayed {
 		x.logEnd(events.RequestRejected, reasonStreamBroken, 0)
 		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
 	}
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -50,7 +50,7 @@
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
-	case x.mayHaveRun || x.relayed:
+	case x.mayHaveRun || x.headRelayed:
 		x.giveUp(reason, 0)
 	default:
 		x.refuse(status, reason, max(minRetryAfter, wait))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -85,7 +85,7 @@
 // allows it; otherwise the caller's connection is closed, so that it never looks complete.
 func (a *attempt) relayStream(answer *http.Response) result {
 	x := a.exchange
-	if !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) && !x.relayed {
+	if !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
 		return a.relayWhole(answer)
 	}
 	stream := &eventReader{reader: bufio.NewReaderSize(answer.Body, readBuffer), held: &x.gateway.held}
@@ -117,7 +117,7 @@
 
 // passEvent writes one event to the caller, with the head before the first.
 func (x *exchange) passEvent(controller *http.ResponseController, answer *http.Response, event []byte) bool {
-	if !x.relayed {
+	if !x.headRelayed {
 		x.passHead(answer, -1)
 	}
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -142,7 +142,7 @@
 // streamEnded ends a stream that the back end ended between two events.
 func (a *attempt) streamEnded(answer *http.Response) result {
 	x := a.exchange
-	if !x.relayed {
+	if !x.headRelayed {
 		x.passHead(answer, -1) // a stream without any event
 	}
 	a.grade = gradeGood
