--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -201,7 +201,7 @@
 
 // endsAt notes whose answer a request got.
 func (x *exchange) endsAt(a *attempt) {
-	x.served = a.row.entry.ID
+	x.servedBy = a.row.entry.ID
 	if a.grade == gradeGood {
 		x.endedWell()
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -71,7 +71,7 @@
 	mayHaveRun        bool                    // an earlier attempt may have run
 	headRelayed       bool                    // the head of an answer has gone to the caller
 	lastEvent         string                  // newest event passed on
-	served            string                  // back end of the answer
+	servedBy          string                  // back end of the answer
 	firstAt           time.Duration           // when the first event went to the caller, or 0
 	eventAt           time.Duration           // when the newest one did
 	pause             time.Duration           // longest time between two
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -82,8 +82,8 @@
 	if x.limited.Advertised {
 		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
 	}
-	if x.served != "" {
-		fields = append(fields, zap.String(events.FieldInstance, x.served))
+	if x.servedBy != "" {
+		fields = append(fields, zap.String(events.FieldInstance, x.servedBy))
 	}
 	x.gateway.log.note(event, fields...)
 	x.gateway.metrics.ended(event, reason)
