--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -72,7 +72,7 @@
 	headRelayed       bool                    // the head of an answer has gone to the caller
 	lastEvent         string                  // newest event passed on
 	servedBy          string                  // back end of the answer
-	firstAt           time.Duration           // when the first event went to the caller, or 0
+	firstEventAt      time.Duration           // when the first event went to the caller, or 0
 	eventAt           time.Duration           // when the newest one did
 	pause             time.Duration           // longest time between two
 	plan              *candidate              // the newest placement, or nil
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -57,8 +57,8 @@
 	if x.route != nil {
 		fields = append(fields, zap.String(events.FieldRoute, x.route.Name), zap.Uint64(events.FieldRevision, x.view.document.Revision))
 	}
-	if x.firstAt > 0 {
-		fields = append(fields, zap.Duration("first", x.firstAt-x.arrived), zap.Duration("pause", x.pause))
+	if x.firstEventAt > 0 {
+		fields = append(fields, zap.Duration("first", x.firstEventAt-x.arrived), zap.Duration("pause", x.pause))
 	}
 	if event == events.RequestAnswered && x.late() {
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
@@ -92,8 +92,8 @@
 // late reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
 func (x *exchange) late() bool {
 	took := x.gateway.now() - x.arrived
-	if x.firstAt > 0 {
-		took = x.firstAt - x.arrived
+	if x.firstEventAt > 0 {
+		took = x.firstEventAt - x.arrived
 	}
 	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -207,7 +207,7 @@
 	if !a.begun.Load() {
 		return 0
 	}
-	return max(0, a.exchange.firstAt-a.began)
+	return max(0, a.exchange.firstEventAt-a.began)
 }
 
 // settle tells the scheduler that placed an attempt how it ended.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -131,8 +131,8 @@
 // noteEvent keeps what the log tells of a stream's pace.
 func (x *exchange) noteEvent() {
 	now := x.gateway.now()
-	if x.firstAt == 0 {
-		x.firstAt, x.eventAt = now, now
+	if x.firstEventAt == 0 {
+		x.firstEventAt, x.eventAt = now, now
 		x.gateway.metrics.first.Observe((now - x.arrived).Seconds())
 	}
 	x.pause = max(x.pause, now-x.eventAt)
