--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -73,7 +73,7 @@
 	lastEvent         string                  // newest event passed on
 	servedBy          string                  // back end of the answer
 	firstEventAt      time.Duration           // when the first event went to the caller, or 0
-	eventAt           time.Duration           // when the newest one did
+	latestEventAt     time.Duration           // when the newest one did
 	pause             time.Duration           // longest time between two
 	plan              *candidate              // the newest placement, or nil
 	cover             cover                   // of the tenant's limit
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -132,11 +132,11 @@
 func (x *exchange) noteEvent() {
 	now := x.gateway.now()
 	if x.firstEventAt == 0 {
-		x.firstEventAt, x.eventAt = now, now
+		x.firstEventAt, x.latestEventAt = now, now
 		x.gateway.metrics.first.Observe((now - x.arrived).Seconds())
 	}
-	x.pause = max(x.pause, now-x.eventAt)
-	x.eventAt = now
+	x.pause = max(x.pause, now-x.latestEventAt)
+	x.latestEventAt = now
 }
 
 // streamEnded ends a stream that the back end ended between two events.
