--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -74,7 +74,7 @@
 	servedBy          string                  // back end of the answer
 	firstEventAt      time.Duration           // when the first event went to the caller, or 0
 	latestEventAt     time.Duration           // when the newest one did
-	pause             time.Duration           // longest time between two
+	longestGap        time.Duration           // longest time between two
 	plan              *candidate              // the newest placement, or nil
 	cover             cover                   // of the tenant's limit
 	atRest            time.Duration           // the most that was left of a back end's rest when the request was sent there
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -58,7 +58,7 @@
 		fields = append(fields, zap.String(events.FieldRoute, x.route.Name), zap.Uint64(events.FieldRevision, x.view.document.Revision))
 	}
 	if x.firstEventAt > 0 {
-		fields = append(fields, zap.Duration("first", x.firstEventAt-x.arrived), zap.Duration("pause", x.pause))
+		fields = append(fields, zap.Duration("first", x.firstEventAt-x.arrived), zap.Duration("pause", x.longestGap))
 	}
 	if event == events.RequestAnswered && x.late() {
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
@@ -95,7 +95,7 @@
 	if x.firstEventAt > 0 {
 		took = x.firstEventAt - x.arrived
 	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
+	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
 func (x *exchange) logFailure(sent *attempt, failed result) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -135,7 +135,7 @@
 		x.firstEventAt, x.latestEventAt = now, now
 		x.gateway.metrics.first.Observe((now - x.arrived).Seconds())
 	}
-	x.pause = max(x.pause, now-x.latestEventAt)
+	x.longestGap = max(x.longestGap, now-x.latestEventAt)
 	x.latestEventAt = now
 }
 
