--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -75,7 +75,7 @@
 	firstEventAt      time.Duration           // when the first event went to the caller, or 0
 	latestEventAt     time.Duration           // when the newest one did
 	longestGap        time.Duration           // longest time between two
-	plan              *candidate              // the newest placement, or nil
+	placement         *candidate              // the newest placement, or nil
 	cover             cover                   // of the tenant's limit
 	atRest            time.Duration           // the most that was left of a back end's rest when the request was sent there
 	limited           pushback.Limit          // that the back end of the newest send had named
@@ -206,7 +206,7 @@
 			x.giveUp(x.noBackend())
 			return
 		}
-		x.plan = chosen
+		x.placement = chosen
 		if chosen.retryAfter > 0 {
 			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -69,11 +69,11 @@
 	if reason == reasonQuarantined {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldIncarnations, x.lives()))
 	}
-	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldCacheSource, x.plan.fetchFrom),
-			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.recomputed > 0 {
-			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
+	if x.placement != nil && x.service.Engine {
+		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.placement.wait), zap.Int(events.FieldUncachedTokens, x.placement.uncached), zap.String(events.FieldCacheSource, x.placement.fetchFrom),
+			zap.Bool(events.FieldScheduled, x.placement.scheduled != nil))
+		if x.placement.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.placement.recomputed), zap.String(events.FieldRecomputeReason, string(x.placement.recomputeReason)))
 		}
 	}
 	if x.atRest > 0 {
