--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -140,7 +140,7 @@
 	}
 	a.hold = allowance.Lease{} // used up
 	x.sentCount++
-	a.cover, x.cover = x.cover, cover{}
+	a.cover, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
 	defer a.end()
 	a.watchSilence(a.patience())
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -76,7 +76,7 @@
 	latestEventAt     time.Duration           // when the newest one did
 	longestGap        time.Duration           // longest time between two
 	placement         *candidate              // the newest placement, or nil
-	cover             cover                   // of the tenant's limit
+	quotaLease        cover                   // of the tenant's limit
 	atRest            time.Duration           // the most that was left of a back end's rest when the request was sent there
 	limited           pushback.Limit          // that the back end of the newest send had named
 	print             *quarantine.Fingerprint // of the request; nil until somebody asked for it
@@ -217,7 +217,7 @@
 			return
 		}
 		if result.kind == resultNotRun {
-			x.cover = sent.cover // nothing ran, so nothing was used
+			x.quotaLease = sent.cover // nothing ran, so nothing was used
 		}
 		x.logFailure(sent, result)
 		if x.route.Retryable() {
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -28,14 +28,14 @@
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
-		x.cover.covered = true
+		x.quotaLease.covered = true
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = cover{hold: taken.Lease, covered: true}
+		x.quotaLease = cover{hold: taken.Lease, covered: true}
 		return true
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
@@ -59,15 +59,15 @@
 
 // covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
 func (x *exchange) covered() bool {
-	return x.cover.covered && (x.cover.hold.Amount == 0 || x.cover.hold.Valid(x.gateway.now()))
+	return x.quotaLease.covered && (x.quotaLease.hold.Amount == 0 || x.quotaLease.hold.Valid(x.gateway.now()))
 }
 
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
-	if x.cover.covered {
-		x.gateway.desk.Release(x.cover.hold)
+	if x.quotaLease.covered {
+		x.gateway.desk.Release(x.quotaLease.hold)
 	}
-	x.cover = cover{}
+	x.quotaLease = cover{}
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
