--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -76,8 +76,8 @@
 			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.placement.recomputed), zap.String(events.FieldRecomputeReason, string(x.placement.recomputeReason)))
 		}
 	}
-	if x.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.atRest))
+	if x.backoffLeft > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.backoffLeft))
 	}
 	if x.limited.Advertised {
 		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
