--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -158,7 +158,7 @@
 	x := a.exchange
 	now := x.gateway.now()
 	running := x.gateway.table.begin(now, a)
-	x.backoffLeft, x.limited = max(x.backoffLeft, a.atRest), a.limited
+	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.atRest), a.limited
 	x.gateway.metrics.placed(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
 		return // its scheduler has told the others
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -78,7 +78,7 @@
 	placement         *candidate              // the newest placement, or nil
 	quotaLease        cover                   // of the tenant's limit
 	backoffLeft       time.Duration           // the most that was left of a back end's rest when the request was sent there
-	limited           pushback.Limit          // that the back end of the newest send had named
+	advertisedLimit   pushback.Limit          // that the back end of the newest send had named
 	print             *quarantine.Fingerprint // of the request; nil until somebody asked for it
 }
 
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -79,8 +79,8 @@
 	if x.backoffLeft > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.backoffLeft))
 	}
-	if x.limited.Advertised {
-		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
+	if x.advertisedLimit.Advertised {
+		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.advertisedLimit.Rate))
 	}
 	if x.servedBy != "" {
 		fields = append(fields, zap.String(events.FieldInstance, x.servedBy))
