--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -79,7 +79,7 @@
 	quotaLease        cover                   // of the tenant's limit
 	backoffLeft       time.Duration           // the most that was left of a back end's rest when the request was sent there
 	advertisedLimit   pushback.Limit          // that the back end of the newest send had named
-	print             *quarantine.Fingerprint // of the request; nil until somebody asked for it
+	cachedFingerprint *quarantine.Fingerprint // of the request; nil until somebody asked for it
 }
 
 // serve takes a caller's request.
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -67,7 +67,7 @@
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
 	}
 	if reason == reasonQuarantined {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldIncarnations, x.lives()))
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint), zap.Int(events.FieldIncarnations, x.lives()))
 	}
 	if x.placement != nil && x.service.Engine {
 		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.placement.wait), zap.Int(events.FieldUncachedTokens, x.placement.uncached), zap.String(events.FieldCacheSource, x.placement.fetchFrom),
@@ -106,7 +106,7 @@
 		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
 	}
 	if sent.looked != nil {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print))
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
 	}
 	if sent.asked > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -14,15 +14,15 @@
 
 // fingerprint returns what stays of the request when it comes again; ok is false before control told the seed.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
-	if x.print != nil {
-		return *x.print, true
+	if x.cachedFingerprint != nil {
+		return *x.cachedFingerprint, true
 	}
 	again := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
 	if x.tenant != nil {
 		again.Caller = x.tenant.Name
 	}
 	if f, ok = x.gateway.quarantine.Fingerprint(again); ok {
-		x.print = &f
+		x.cachedFingerprint = &f
 	}
 	return f, ok
 }
