--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -115,7 +115,7 @@
 func (x *exchange) admit() bool {
 	x.resolve()
 	trusted := x.gateway.trusted(x.arrived)
-	if !trusted && x.needsTrust() {
+	if !trusted && x.needsConfirmedView() {
 		trusted = x.awaitView()
 		x.resolve()
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// needsTrust reports whether the request can only be judged by a confirmed view.
-func (x *exchange) needsTrust() bool { return x.view == nil || x.route == nil || x.keyRequired }
+// needsConfirmedView reports whether the request can only be judged by a confirmed view.
+func (x *exchange) needsConfirmedView() bool { return x.view == nil || x.route == nil || x.keyRequired }
 
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
