--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -198,7 +198,7 @@
 // run sends the request until it has an answer or must be given up.
 func (x *exchange) run() {
 	for {
-		if x.over() || x.heldBack() || !x.withinLimit() {
+		if x.endIfExpired() || x.heldBack() || !x.withinLimit() {
 			return
 		}
 		chosen := x.place()
@@ -229,8 +229,8 @@
 	}
 }
 
-// over answers a request whose time has passed, or whose caller has left.
-func (x *exchange) over() bool {
+// endIfExpired answers a request whose time has passed, or whose caller has left.
+func (x *exchange) endIfExpired() bool {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
@@ -280,7 +280,7 @@
 // mayGoOn decides what follows a failed attempt; when the request is not sent again, it has been answered.
 func (x *exchange) mayGoOn(result result) bool {
 	x.mayHaveRun = x.mayHaveRun || result.kind == resultUnknown || result.kind == resultFailed
-	if x.over() {
+	if x.endIfExpired() {
 		return false
 	}
 	switch result.kind {
