--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -223,7 +223,7 @@
 		if x.route.Retryable() {
 			sent.awaitProof()
 		}
-		if !x.mayGoOn(result) {
+		if !x.continueAfter(result) {
 			return
 		}
 	}
@@ -277,8 +277,8 @@
 	}
 }
 
-// mayGoOn decides what follows a failed attempt; when the request is not sent again, it has been answered.
-func (x *exchange) mayGoOn(result result) bool {
+// continueAfter decides what follows a failed attempt; when the request is not sent again, it has been answered.
+func (x *exchange) continueAfter(result result) bool {
 	x.mayHaveRun = x.mayHaveRun || result.kind == resultUnknown || result.kind == resultFailed
 	if x.endIfExpired() {
 		return false
