--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -286,7 +286,7 @@
 	switch result.kind {
 	case resultUnreached:
 		if result.cause == causeLimited {
-			return x.goOnFromLimit()
+			return x.continueAfterLimit()
 		}
 		x.unreachableCount++
 		if x.unreachableCount >= maxUnreachable {
@@ -310,8 +310,8 @@
 	return x.repeat(reasonRunUnknown, 0)
 }
 
-// goOnFromLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
-func (x *exchange) goOnFromLimit() bool {
+// continueAfterLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
+func (x *exchange) continueAfterLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
 	x.limitReachedCount++
 	if x.limitReachedCount < permitsMost {
