--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -301,13 +301,13 @@
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.repeat(reasonRejected, max(minRetryAfter, x.comeBackAfter(result)))
+		return x.retryOrGiveUp(reasonRejected, max(minRetryAfter, x.comeBackAfter(result)))
 	}
 	if !x.route.Retryable() || x.suspected() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
-	return x.repeat(reasonRunUnknown, 0)
+	return x.retryOrGiveUp(reasonRunUnknown, 0)
 }
 
 // continueAfterLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
@@ -321,8 +321,8 @@
 	return false
 }
 
-// repeat reports whether the request may be sent to another back end; otherwise it gives the request up.
-func (x *exchange) repeat(reason string, retryAfter time.Duration) bool {
+// retryOrGiveUp reports whether the request may be sent to another back end; otherwise it gives the request up.
+func (x *exchange) retryOrGiveUp(reason string, retryAfter time.Duration) bool {
 	if x.spendRepeat() {
 		return true
 	}
