--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -146,7 +146,7 @@
 	if failure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.Retryable() && !x.headRelayed && x.spendRepeat() {
+	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: answer.Status}
 	}
 	x.passHead(answer, len(body))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -323,15 +323,15 @@
 
 // retryOrGiveUp reports whether the request may be sent to another back end; otherwise it gives the request up.
 func (x *exchange) retryOrGiveUp(reason string, retryAfter time.Duration) bool {
-	if x.spendRepeat() {
+	if x.takeRetry() {
 		return true
 	}
 	x.giveUp(reason, retryAfter)
 	return false
 }
 
-// spendRepeat takes a repeat from the budget where the request may be sent to one more back end.
-func (x *exchange) spendRepeat() bool {
+// takeRetry takes a repeat from the budget where the request may be sent to one more back end.
+func (x *exchange) takeRetry() bool {
 	if !x.canRepeat() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
 		return false
 	}
