--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -332,15 +332,15 @@
 
 // takeRetry takes a repeat from the budget where the request may be sent to one more back end.
 func (x *exchange) takeRetry() bool {
-	if !x.canRepeat() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
+	if !x.canRetry() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
 		return false
 	}
 	x.gateway.metrics.repeats.Inc()
 	return true
 }
 
-// canRepeat reports whether the route allows one more back end, and the view still counts.
-func (x *exchange) canRepeat() bool {
+// canRetry reports whether the route allows one more back end, and the view still counts.
+func (x *exchange) canRetry() bool {
 	if x.keyRequired && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
