--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -250,7 +250,7 @@
 	if x.gateway.on(mechanism.StoreTransfers) {
 		in.store = x.view.storeOf(x.call.Parts)
 	}
-	patience := x.gateway.now() + backendWait
+	waitUntil := x.gateway.now() + backendWait
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
 		news := x.gateway.table.rosterChanged.Next()
@@ -259,7 +259,7 @@
 			chosen = x.gateway.choose(x.gateway.now(), in)
 			x.gateway.turnAway(x.gateway.now(), chosen, in)
 		}
-		left := patience - x.gateway.now()
+		left := waitUntil - x.gateway.now()
 		if chosen != nil || left <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
