--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -253,7 +253,7 @@
 	waitUntil := x.gateway.now() + backendWait
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
-		news := x.gateway.table.rosterChanged.Next()
+		changed := x.gateway.table.rosterChanged.Next()
 		chosen := x.askSchedulers(in)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), in)
@@ -269,7 +269,7 @@
 			left = first
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(left):
 		case <-x.ctx.Done():
 			return nil
