--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// joinedBody is the longest body that is written before the answer is looked for; a back end may answer a longer one
+	// maxInlineBody is the longest body that is written before the answer is looked for; a back end may answer a longer one
 	// before it has read it.
-	joinedBody = 16 << 10
+	maxInlineBody = 16 << 10
 	// wholeAnswer is the longest answer that is read whole before anything of it is passed on, so that a broken one can
 	// still be replaced.
 	wholeAnswer = 256 << 10
@@ -299,7 +299,7 @@
 func (a *attempt) send() {
 	head := a.head()
 	body := a.exchange.body
-	if len(body) <= joinedBody {
+	if len(body) <= maxInlineBody {
 		buffers := net.Buffers{head, body}
 		_, err := buffers.WriteTo(a.wire)
 		a.written <- err
