--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -98,7 +98,7 @@
 func (a *attempt) turnedAway(answer *http.Response, verdict Verdict) result {
 	a.grade = gradeFull
 	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Backoff}
-	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, wholeAnswer))
+	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxBufferedResponse))
 	a.release(answer, err)
 	return refused
 }
@@ -127,17 +127,17 @@
 	if !bodyAllowed(x.request.Method, answer.StatusCode) {
 		length = 0 // the head tells what another request would get
 	}
-	if length > wholeAnswer {
+	if length > maxBufferedResponse {
 		return a.relayLong(answer, nil)
 	}
-	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, wholeAnswer+1), length)
+	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, maxBufferedResponse+1), length)
 	defer func() { x.gateway.held.give(room) }()
 	switch {
 	case errors.Is(err, errHeld):
 		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
 	case err != nil:
 		return a.failed(err)
-	case len(body) > wholeAnswer:
+	case len(body) > maxBufferedResponse:
 		return a.relayLong(answer, body)
 	}
 	a.release(answer, nil)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -25,9 +25,9 @@
 	// maxInlineBody is the longest body that is written before the answer is looked for; a back end may answer a longer one
 	// before it has read it.
 	maxInlineBody = 16 << 10
-	// wholeAnswer is the longest answer that is read whole before anything of it is passed on, so that a broken one can
+	// maxBufferedResponse is the longest answer that is read whole before anything of it is passed on, so that a broken one can
 	// still be replaced.
-	wholeAnswer = 256 << 10
+	maxBufferedResponse = 256 << 10
 	// patienceShare of the route's objective is how long a back end may stay silent before a repeatable request goes
 	// elsewhere; an engine gets enginePatience of it, and waitFactor times the wait that the decision predicted: to move a
 	// request from an engine that is merely busy makes two engines read the prompt.
