--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -28,10 +28,10 @@
 	// maxBufferedResponse is the longest answer that is read whole before anything of it is passed on, so that a broken one can
 	// still be replaced.
 	maxBufferedResponse = 256 << 10
-	// patienceShare of the route's objective is how long a back end may stay silent before a repeatable request goes
+	// silenceFactor of the route's objective is how long a back end may stay silent before a repeatable request goes
 	// elsewhere; an engine gets enginePatience of it, and waitFactor times the wait that the decision predicted: to move a
 	// request from an engine that is merely busy makes two engines read the prompt.
-	patienceShare   = 1.0
+	silenceFactor   = 1.0
 	enginePatience  = 2.0
 	waitFactor      = 2.0
 	patienceMinimum = 300 * time.Millisecond
@@ -274,7 +274,7 @@
 		predicted := belief.FromMilliseconds(waitFactor * a.plan.wait)
 		return predicted + max(patienceMinimum, time.Duration(enginePatience*float64(x.route.Objective)))
 	}
-	return max(patienceMinimum, time.Duration(patienceShare*float64(x.route.Objective)))
+	return max(patienceMinimum, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
 
 // watchSilence ends the attempt when the back end says nothing for so long.
