--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -31,10 +31,10 @@
 	// silenceFactor of the route's objective is how long a back end may stay silent before a repeatable request goes
 	// elsewhere; an engine gets enginePatience of it, and waitFactor times the wait that the decision predicted: to move a
 	// request from an engine that is merely busy makes two engines read the prompt.
-	silenceFactor   = 1.0
-	enginePatience  = 2.0
-	waitFactor      = 2.0
-	patienceMinimum = 300 * time.Millisecond
+	silenceFactor       = 1.0
+	engineSilenceFactor = 2.0
+	waitFactor          = 2.0
+	patienceMinimum     = 300 * time.Millisecond
 	// resumePauses and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
 	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
 	// whose weights are replaced stands still for up to a second, one that is short of memory for longer.
@@ -272,7 +272,7 @@
 	}
 	if x.service.Engine {
 		predicted := belief.FromMilliseconds(waitFactor * a.plan.wait)
-		return predicted + max(patienceMinimum, time.Duration(enginePatience*float64(x.route.Objective)))
+		return predicted + max(patienceMinimum, time.Duration(engineSilenceFactor*float64(x.route.Objective)))
 	}
 	return max(patienceMinimum, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
