--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -33,7 +33,7 @@
 	// request from an engine that is merely busy makes two engines read the prompt.
 	silenceFactor       = 1.0
 	engineSilenceFactor = 2.0
-	waitFactor          = 2.0
+	predictedWaitFactor = 2.0
 	patienceMinimum     = 300 * time.Millisecond
 	// resumePauses and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
 	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
@@ -271,7 +271,7 @@
 		return 0
 	}
 	if x.service.Engine {
-		predicted := belief.FromMilliseconds(waitFactor * a.plan.wait)
+		predicted := belief.FromMilliseconds(predictedWaitFactor * a.plan.wait)
 		return predicted + max(patienceMinimum, time.Duration(engineSilenceFactor*float64(x.route.Objective)))
 	}
 	return max(patienceMinimum, time.Duration(silenceFactor*float64(x.route.Objective)))
