--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -34,7 +34,7 @@
 	silenceFactor       = 1.0
 	engineSilenceFactor = 2.0
 	predictedWaitFactor = 2.0
-	patienceMinimum     = 300 * time.Millisecond
+	minSilenceTimeout   = 300 * time.Millisecond
 	// resumePauses and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
 	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
 	// whose weights are replaced stands still for up to a second, one that is short of memory for longer.
@@ -272,9 +272,9 @@
 	}
 	if x.service.Engine {
 		predicted := belief.FromMilliseconds(predictedWaitFactor * a.plan.wait)
-		return predicted + max(patienceMinimum, time.Duration(engineSilenceFactor*float64(x.route.Objective)))
+		return predicted + max(minSilenceTimeout, time.Duration(engineSilenceFactor*float64(x.route.Objective)))
 	}
-	return max(patienceMinimum, time.Duration(silenceFactor*float64(x.route.Objective)))
+	return max(minSilenceTimeout, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
 
 // watchSilence ends the attempt when the back end says nothing for so long.
@@ -289,7 +289,7 @@
 func (a *attempt) silent() {
 	t := a.exchange.gateway.table
 	if t.weightsLoading(a.row) || a.begun.Load() && t.hasHeartbeat(a.row) {
-		a.silence.Reset(patienceMinimum)
+		a.silence.Reset(minSilenceTimeout)
 		return
 	}
 	a.cancel(errSilent)
