--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -38,9 +38,9 @@
 	// resumeGapFactor and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
 	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
 	// whose weights are replaced stands still for up to a second, one that is short of memory for longer.
-	resumeGapFactor = 4
-	resumeMinimum   = 1800 * time.Millisecond
-	eventStream     = "text/event-stream"
+	resumeGapFactor  = 4
+	minResumeTimeout = 1800 * time.Millisecond
+	eventStream      = "text/event-stream"
 	// causeOutdated is the cause of an attempt that would have begun on weights that are too old.
 	causeOutdated = "weights outdated"
 	// causeLeaving, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -105,7 +105,7 @@
 		}
 		a.begun.Store(true)
 		if a.silence != nil {
-			a.silence.Reset(max(resumeMinimum, resumeGapFactor*x.route.MaxEventGap))
+			a.silence.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
 		if !x.passEvent(controller, answer, event) {
 			a.cancel(nil)
