--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -77,7 +77,7 @@
 	cause := err.Error()
 	switch {
 	case context.Cause(a.ctx) == errOutdated:
-		cause = causeOutdated
+		cause = causeWeightsOutdated
 	case context.Cause(a.ctx) == errSilent:
 		cause, a.grade = "silent", gradeBad
 	case a.exchange.ctx.Err() == nil:
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -41,8 +41,8 @@
 	resumeGapFactor  = 4
 	minResumeTimeout = 1800 * time.Millisecond
 	eventStream      = "text/event-stream"
-	// causeOutdated is the cause of an attempt that would have begun on weights that are too old.
-	causeOutdated = "weights outdated"
+	// causeWeightsOutdated is the cause of an attempt that would have begun on weights that are too old.
+	causeWeightsOutdated = "weights outdated"
 	// causeLeaving, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
 	causeLeaving = "leaving"
 	causeResting = "resting"
@@ -244,7 +244,7 @@
 		return "loading" // its order may come before the request, which control doesn't see yet
 	}
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
-		return causeOutdated
+		return causeWeightsOutdated
 	}
 	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
 	if bar != "" {
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -114,7 +114,7 @@
 	if sent.atRest > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.atRest))
 	}
-	if failed.cause == causeOutdated {
+	if failed.cause == causeWeightsOutdated {
 		fields = append(fields, sent.outdatedFields()...)
 	}
 	x.gateway.log.note(events.AttemptFailed, fields...)
