--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -43,10 +43,10 @@
 	eventStream      = "text/event-stream"
 	// causeWeightsOutdated is the cause of an attempt that would have begun on weights that are too old.
 	causeWeightsOutdated = "weights outdated"
-	// causeLeaving, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
-	causeLeaving = "leaving"
-	causeResting = "resting"
-	causeLimited = "limited"
+	// causeDraining, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
+	causeDraining = "leaving"
+	causeResting  = "resting"
+	causeLimited  = "limited"
 )
 
 // resultKind tells how an attempt ended.
@@ -238,7 +238,7 @@
 	x.gateway.table.mutex.Lock()
 	defer x.gateway.table.mutex.Unlock()
 	if a.row.gone || a.row.entry.State != catalog.StateReady {
-		return causeLeaving
+		return causeDraining
 	}
 	if a.row.entry.Loading {
 		return "loading" // its order may come before the request, which control doesn't see yet
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -131,7 +131,7 @@
 	bar := t.signals.Restriction(now, row.incarnation)
 	switch {
 	case bar.Draining:
-		return causeLeaving
+		return causeDraining
 	case bar.IsBackingOff(now) && !elsewhere:
 		return causeResting
 	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -71,8 +71,8 @@
 // meanwhile holds for the request that waits as well.
 func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeResting: func(g *Gateway) { asks(g, "i-0", time.Second) },
-		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
+		causeResting:  func(g *Gateway) { asks(g, "i-0", time.Second) },
+		causeDraining: func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := scheduler(1)
 		chosen := chosenAttempt(g)
@@ -250,7 +250,7 @@
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Signals{Draining: true})
-	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
+	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeDraining {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
 }
