--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -44,9 +44,9 @@
 	// causeWeightsOutdated is the cause of an attempt that would have begun on weights that are too old.
 	causeWeightsOutdated = "weights outdated"
 	// causeDraining, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
-	causeDraining = "leaving"
-	causeResting  = "resting"
-	causeLimited  = "limited"
+	causeDraining   = "leaving"
+	causeBackingOff = "resting"
+	causeLimited    = "limited"
 )
 
 // resultKind tells how an attempt ended.
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -217,7 +217,7 @@
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Minute)
-	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
+	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeBackingOff {
 		t.Fatalf("%v, %q", first, cause)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -133,7 +133,7 @@
 	case bar.Draining:
 		return causeDraining
 	case bar.IsBackingOff(now) && !elsewhere:
-		return causeResting
+		return causeBackingOff
 	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
 		return causeLimited
 	}
@@ -150,7 +150,7 @@
 		if !row.open() || bar.Draining {
 			continue
 		}
-		left, why := max(0, bar.BackoffUntil-now), causeResting
+		left, why := max(0, bar.BackoffUntil-now), causeBackingOff
 		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
 				left, why = dry, causeLimited
@@ -171,7 +171,7 @@
 	g := x.gateway
 	now := g.now()
 	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
-	case causeResting:
+	case causeBackingOff:
 		return reasonBackingOff, apart(first)
 	case causeLimited:
 		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -71,8 +71,8 @@
 // meanwhile holds for the request that waits as well.
 func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeResting:  func(g *Gateway) { asks(g, "i-0", time.Second) },
-		causeDraining: func(g *Gateway) { leaves(g, "i-0") },
+		causeBackingOff: func(g *Gateway) { asks(g, "i-0", time.Second) },
+		causeDraining:   func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := scheduler(1)
 		chosen := chosenAttempt(g)
