--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -44,9 +44,9 @@
 	// causeWeightsOutdated is the cause of an attempt that would have begun on weights that are too old.
 	causeWeightsOutdated = "weights outdated"
 	// causeDraining, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
-	causeDraining   = "leaving"
-	causeBackingOff = "resting"
-	causeLimited    = "limited"
+	causeDraining     = "leaving"
+	causeBackingOff   = "resting"
+	causeLimitReached = "limited"
 )
 
 // resultKind tells how an attempt ended.
@@ -123,7 +123,7 @@
 		rest = idleRepeatable
 	}
 	if !a.permit() {
-		return result{kind: resultUnreached, cause: causeLimited}
+		return result{kind: resultUnreached, cause: causeLimitReached}
 	}
 	defer a.returnPermit()
 	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
@@ -216,7 +216,7 @@
 // up, or the limit been named since.
 func (a *attempt) lastLook() string {
 	if !a.permit() {
-		return causeLimited
+		return causeLimitReached
 	}
 	return a.barred()
 }
@@ -256,12 +256,12 @@
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
 func (a *attempt) withPart(now time.Duration, bar string) string {
 	switch {
-	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
+	case bar != "" && bar != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
 		return bar
 	case a.hold.Valid(now):
 		return ""
 	}
-	return causeLimited
+	return causeLimitReached
 }
 
 // patience is how long the back end may stay silent; 0 leaves it all the time there is.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -285,7 +285,7 @@
 	}
 	switch result.kind {
 	case resultUnreached:
-		if result.cause == causeLimited {
+		if result.cause == causeLimitReached {
 			return x.continueAfterLimit()
 		}
 		x.unreachableCount++
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("barred before: %s", bar)
 	}
 	names(g, "i-0", 4)
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.barred(); bar != causeLimitReached {
 		t.Fatalf("barred %q without a part", bar)
 	}
 	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
@@ -109,7 +109,7 @@
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
 	now += 2 * allowance.LeaseTTL
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.barred(); bar != causeLimitReached {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
 	ended(g, "i-0")
@@ -213,7 +213,7 @@
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Second)
-	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimited {
+	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimitReached {
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Minute)
@@ -275,7 +275,7 @@
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.continueAfter(result{kind: resultUnreached, cause: causeLimited}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
+		if goes := x.continueAfter(result{kind: resultUnreached, cause: causeLimitReached}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -135,7 +135,7 @@
 	case bar.IsBackingOff(now) && !elsewhere:
 		return causeBackingOff
 	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
-		return causeLimited
+		return causeLimitReached
 	}
 	return ""
 }
@@ -153,7 +153,7 @@
 		left, why := max(0, bar.BackoffUntil-now), causeBackingOff
 		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
-				left, why = dry, causeLimited
+				left, why = dry, causeLimitReached
 			}
 		}
 		if left == 0 {
@@ -173,7 +173,7 @@
 	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
 	case causeBackingOff:
 		return reasonBackingOff, apart(first)
-	case causeLimited:
+	case causeLimitReached:
 		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
 	}
 	return reasonNoBackend, minRetryAfter
