--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -53,11 +53,11 @@
 type resultKind uint8
 
 const (
-	resultAnswered  resultKind = iota // the caller has its answer
-	resultUnreached                   // nothing was sent
-	resultNotRun                      // the back end says that it did not run the request
-	resultUnknown                     // the request may have run
-	resultFailed                      // the back end ran the request and answered with a failure; a repeat is paid for
+	resultAnswered    resultKind = iota // the caller has its answer
+	resultUnreachable                   // nothing was sent
+	resultNotRun                        // the back end says that it did not run the request
+	resultUnknown                       // the request may have run
+	resultFailed                        // the back end ran the request and answered with a failure; a repeat is paid for
 )
 
 // String returns the kind's name in logs.
@@ -123,20 +123,20 @@
 		rest = idleRepeatable
 	}
 	if !a.permit() {
-		return result{kind: resultUnreached, cause: causeLimitReached}
+		return result{kind: resultUnreachable, cause: causeLimitReached}
 	}
 	defer a.returnPermit()
 	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
 	if err != nil {
 		a.unreached(err)
-		return result{kind: resultUnreached, cause: err.Error()}
+		return result{kind: resultUnreachable, cause: err.Error()}
 	}
 	a.wire = wire
 	stop := context.AfterFunc(a.ctx, func() { _ = wire.Close() })
 	defer stop()
 	if bar := a.lastLook(); bar != "" {
 		_ = wire.Close()
-		return result{kind: resultUnreached, cause: bar}
+		return result{kind: resultUnreachable, cause: bar}
 	}
 	a.hold = allowance.Lease{} // used up
 	x.sentCount++
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -284,7 +284,7 @@
 		return false
 	}
 	switch result.kind {
-	case resultUnreached:
+	case resultUnreachable:
 		if result.cause == causeLimitReached {
 			return x.continueAfterLimit()
 		}
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -50,7 +50,7 @@
 	chosen := chosenAttempt(g)
 	publishVersion(g, 2, g.settings.VersionLimit)
 	got := chosen.perform()
-	if got.kind != resultUnreached || got.cause != causeWeightsOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
+	if got.kind != resultUnreachable || got.cause != causeWeightsOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
 		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sentCount, len(g.table.waiting))
 	}
 	connection, err := listener.Accept()
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -275,7 +275,7 @@
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.continueAfter(result{kind: resultUnreached, cause: causeLimitReached}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
+		if goes := x.continueAfter(result{kind: resultUnreachable, cause: causeLimitReached}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
