--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -97,7 +97,7 @@
 // turnedAway ends an attempt that the back end did not run.
 func (a *attempt) turnedAway(answer *http.Response, verdict Verdict) result {
 	a.grade = gradeFull
-	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Backoff}
+	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, backoff: verdict.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxBufferedResponse))
 	a.release(answer, err)
 	return refused
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -70,7 +70,7 @@
 	kind       resultKind
 	cause      string
 	retryAfter time.Duration // that the back end advises
-	rest       time.Duration // that it asked for
+	backoff    time.Duration // that it asked for
 }
 
 // attempt is one sending of a request to one back end.
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -182,7 +182,7 @@
 // comeBackAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
 // whatever that one asked for, else when the first does again.
 func (x *exchange) comeBackAfter(refused result) time.Duration {
-	if refused.rest <= 0 {
+	if refused.backoff <= 0 {
 		return refused.retryAfter
 	}
 	if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > 0 {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -182,13 +182,13 @@
 	g := scheduler(2)
 	x := newModelRequest(g)
 	asks(g, "i-0", 10*time.Second)
-	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
+	if back := x.comeBackAfter(result{backoff: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
 	}
 	asks(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
-		back := x.comeBackAfter(result{rest: 40 * time.Second})
+		back := x.comeBackAfter(result{backoff: 40 * time.Second})
 		if back < 9*time.Second || back > 10*time.Second+backSlack {
 			t.Fatalf("after %v", back)
 		}
