--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -128,7 +128,7 @@
 	defer a.returnPermit()
 	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
 	if err != nil {
-		a.unreached(err)
+		a.recordUnreachable(err)
 		return result{kind: resultUnreachable, cause: err.Error()}
 	}
 	a.wire = wire
@@ -187,8 +187,8 @@
 	}
 }
 
-// unreached notes that no connection came up, and warns the other gateways.
-func (a *attempt) unreached(err error) {
+// recordUnreachable notes that no connection came up, and warns the other gateways.
+func (a *attempt) recordUnreachable(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
