--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -75,32 +75,32 @@
 
 // attempt is one sending of a request to one back end.
 type attempt struct {
-	exchange *exchange
-	row      *endpoint
-	began    time.Duration
-	uncached int
-	plan     candidate
-	grade    outcomeGrade
-	noWay    bool  // no connection came up
-	cover    cover // what the send took of the tenant's limit
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	silence  *time.Timer // ends the attempt of a request that may go elsewhere
-	limit    *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
-	wire     *connection
-	written  chan error      // the end of writing the request
-	begun    atomic.Bool     // an event of the stream has come; it never turns false again
-	atRest   time.Duration   // what was left of a rest of the back end when the request was sent
-	asked    time.Duration   // rest that the back end asked for in its answer
-	limited  pushback.Limit  // that the back end had named when the request was sent
-	hold     allowance.Lease // of that limit, until the request is sent
-	looked   <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	exchange  *exchange
+	row       *endpoint
+	startedAt time.Duration
+	uncached  int
+	plan      candidate
+	grade     outcomeGrade
+	noWay     bool  // no connection came up
+	cover     cover // what the send took of the tenant's limit
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	silence   *time.Timer // ends the attempt of a request that may go elsewhere
+	limit     *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
+	wire      *connection
+	written   chan error      // the end of writing the request
+	begun     atomic.Bool     // an event of the stream has come; it never turns false again
+	atRest    time.Duration   // what was left of a rest of the back end when the request was sent
+	asked     time.Duration   // rest that the back end asked for in its answer
+	limited   pushback.Limit  // that the back end had named when the request was sent
+	hold      allowance.Lease // of that limit, until the request is sent
+	looked    <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	made := &attempt{
-		exchange: x, row: chosen.row, began: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
+		exchange: x, row: chosen.row, startedAt: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
 		plan: *chosen, written: make(chan error, 1),
 	}
 	x.tried = append(x.tried, chosen.row)
@@ -182,7 +182,7 @@
 	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
+		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
 		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -201,7 +201,7 @@
 	*own = own.Minus(sent.load())
 	sent.row.grade(now, grade)
 	if grade == gradeGood {
-		t.recordDuration(sent.row, now-sent.began)
+		t.recordDuration(sent.row, now-sent.startedAt)
 	}
 	return sent.row.occupancy.Local()
 }
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -103,7 +103,7 @@
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
 		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sentCount),
-		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.startedAt),
 	}
 	if sent.looked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -55,7 +55,7 @@
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
-		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldElapsed, now-a.began), zap.Int("held", suppressed),
+		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldElapsed, now-a.startedAt), zap.Int("held", suppressed),
 	}
 	g.log.note(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -24,7 +24,7 @@
 	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
-		g.hearUnlimited(a.row, a.began)
+		g.hearUnlimited(a.row, a.startedAt)
 	}
 }
 
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -207,7 +207,7 @@
 	if !a.begun.Load() {
 		return 0
 	}
-	return max(0, a.exchange.firstEventAt-a.began)
+	return max(0, a.exchange.firstEventAt-a.startedAt)
 }
 
 // settle tells the scheduler that placed an attempt how it ended.
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wireEnd{
 		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
+		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
