--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wireEnd{
 		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.startedAt).Milliseconds(),
+		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
