--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -82,7 +82,7 @@
 	plan        candidate
 	grade       outcomeGrade
 	unreachable bool  // no connection came up
-	cover       cover // what the send took of the tenant's limit
+	quotaLease  cover // what the send took of the tenant's limit
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
 	silence     *time.Timer // ends the attempt of a request that may go elsewhere
@@ -140,7 +140,7 @@
 	}
 	a.hold = allowance.Lease{} // used up
 	x.sentCount++
-	a.cover, x.quotaLease = x.quotaLease, cover{}
+	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
 	defer a.end()
 	a.watchSilence(a.patience())
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -217,7 +217,7 @@
 			return
 		}
 		if result.kind == resultNotRun {
-			x.quotaLease = sent.cover // nothing ran, so nothing was used
+			x.quotaLease = sent.quotaLease // nothing ran, so nothing was used
 		}
 		x.logFailure(sent, result)
 		if x.route.Retryable() {
