--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -75,26 +75,26 @@
 
 // attempt is one sending of a request to one back end.
 type attempt struct {
-	exchange    *exchange
-	row         *endpoint
-	startedAt   time.Duration
-	uncached    int
-	plan        candidate
-	grade       outcomeGrade
-	unreachable bool  // no connection came up
-	quotaLease  cover // what the send took of the tenant's limit
-	ctx         context.Context
-	cancel      context.CancelCauseFunc
-	silence     *time.Timer // ends the attempt of a request that may go elsewhere
-	limit       *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
-	wire        *connection
-	written     chan error      // the end of writing the request
-	begun       atomic.Bool     // an event of the stream has come; it never turns false again
-	atRest      time.Duration   // what was left of a rest of the back end when the request was sent
-	asked       time.Duration   // rest that the back end asked for in its answer
-	limited     pushback.Limit  // that the back end had named when the request was sent
-	hold        allowance.Lease // of that limit, until the request is sent
-	looked      <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	exchange     *exchange
+	row          *endpoint
+	startedAt    time.Duration
+	uncached     int
+	plan         candidate
+	grade        outcomeGrade
+	unreachable  bool  // no connection came up
+	quotaLease   cover // what the send took of the tenant's limit
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	silenceTimer *time.Timer // ends the attempt of a request that may go elsewhere
+	limit        *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
+	wire         *connection
+	written      chan error      // the end of writing the request
+	begun        atomic.Bool     // an event of the stream has come; it never turns false again
+	atRest       time.Duration   // what was left of a rest of the back end when the request was sent
+	asked        time.Duration   // rest that the back end asked for in its answer
+	limited      pushback.Limit  // that the back end had named when the request was sent
+	hold         allowance.Lease // of that limit, until the request is sent
+	looked       <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
@@ -147,8 +147,8 @@
 	a.watchStartDeadline()
 	a.send()
 	ended := a.receive()
-	if a.silence != nil {
-		a.silence.Stop()
+	if a.silenceTimer != nil {
+		a.silenceTimer.Stop()
 	}
 	return ended
 }
@@ -280,7 +280,7 @@
 // watchSilence ends the attempt when the back end says nothing for so long.
 func (a *attempt) watchSilence(limit time.Duration) {
 	if limit > 0 {
-		a.silence = time.AfterFunc(limit, a.silent)
+		a.silenceTimer = time.AfterFunc(limit, a.silent)
 	}
 }
 
@@ -289,7 +289,7 @@
 func (a *attempt) silent() {
 	t := a.exchange.gateway.table
 	if t.weightsLoading(a.row) || a.begun.Load() && t.hasHeartbeat(a.row) {
-		a.silence.Reset(minSilenceTimeout)
+		a.silenceTimer.Reset(minSilenceTimeout)
 		return
 	}
 	a.cancel(errSilent)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -104,8 +104,8 @@
 			return a.broken("event out of order")
 		}
 		a.begun.Store(true)
-		if a.silence != nil {
-			a.silence.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
+		if a.silenceTimer != nil {
+			a.silenceTimer.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
 		if !x.passEvent(controller, answer, event) {
 			a.cancel(nil)
