--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -86,7 +86,7 @@
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	silenceTimer *time.Timer // ends the attempt of a request that may go elsewhere
-	limit        *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
+	startTimer   *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
 	wire         *connection
 	written      chan error      // the end of writing the request
 	begun        atomic.Bool     // an event of the stream has come; it never turns false again
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -187,8 +187,8 @@
 func (t *table) endWait(sent *attempt) {
 	delete(sent.row.waiting, sent)
 	delete(t.waiting, sent)
-	if sent.limit != nil {
-		sent.limit.Stop()
+	if sent.startTimer != nil {
+		sent.startTimer.Stop()
 	}
 }
 
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -113,10 +113,10 @@
 		return false
 	case left <= 0:
 		return true
-	case a.limit == nil:
-		a.limit = time.AfterFunc(left, a.watchStartDeadline)
+	case a.startTimer == nil:
+		a.startTimer = time.AfterFunc(left, a.watchStartDeadline)
 	default:
-		a.limit.Reset(left)
+		a.startTimer.Reset(left)
 	}
 	return false
 }
