--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -18,7 +18,7 @@
 	answer, err := a.readHead()
 	if err != nil {
 		if a.ctx.Err() == nil {
-			a.exchange.gateway.pool.forgotten(a.wire.rested)
+			a.exchange.gateway.pool.forgotten(a.conn.rested)
 		}
 		return a.failed(err)
 	}
@@ -60,7 +60,7 @@
 // readHead reads the head of the final answer.
 func (a *attempt) readHead() (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(a.wire.reader, &http.Request{Method: a.exchange.request.Method})
+		answer, err := http.ReadResponse(a.conn.reader, &http.Request{Method: a.exchange.request.Method})
 		if err != nil {
 			return nil, err
 		}
@@ -73,7 +73,7 @@
 
 // failed ends an attempt that broke off. It says something of the back end unless we ended it ourselves.
 func (a *attempt) failed(err error) result {
-	_ = a.wire.Close()
+	_ = a.conn.Close()
 	cause := err.Error()
 	switch {
 	case context.Cause(a.ctx) == errOutdated:
@@ -89,7 +89,7 @@
 
 // broken ends an attempt whose connection carries bytes that do not belong there.
 func (a *attempt) broken(cause string) result {
-	_ = a.wire.Close()
+	_ = a.conn.Close()
 	a.grade = gradeBad
 	return result{kind: resultUnknown, cause: cause}
 }
@@ -112,11 +112,11 @@
 	default:
 	}
 	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	if readErr != nil || !whole || !framed || a.ctx.Err() != nil || !a.wire.noteLimits(answer) {
-		_ = a.wire.Close()
+	if readErr != nil || !whole || !framed || a.ctx.Err() != nil || !a.conn.noteLimits(answer) {
+		_ = a.conn.Close()
 		return
 	}
-	a.exchange.gateway.pool.put(a.row.entry.ID, a.wire)
+	a.exchange.gateway.pool.put(a.row.entry.ID, a.conn)
 }
 
 // relayWhole reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
@@ -167,7 +167,7 @@
 		err = x.copyOn(answer.Body)
 	}
 	if err != nil {
-		_ = a.wire.Close()
+		_ = a.conn.Close()
 		a.brokeOff()
 		x.giveUp(reasonStreamBroken, 0)
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -87,7 +87,7 @@
 	cancel       context.CancelCauseFunc
 	silenceTimer *time.Timer // ends the attempt of a request that may go elsewhere
 	startTimer   *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
-	wire         *connection
+	conn         *connection
 	written      chan error      // the end of writing the request
 	begun        atomic.Bool     // an event of the stream has come; it never turns false again
 	atRest       time.Duration   // what was left of a rest of the back end when the request was sent
@@ -131,7 +131,7 @@
 		a.recordUnreachable(err)
 		return result{kind: resultUnreachable, cause: err.Error()}
 	}
-	a.wire = wire
+	a.conn = wire
 	stop := context.AfterFunc(a.ctx, func() { _ = wire.Close() })
 	defer stop()
 	if bar := a.lastLook(); bar != "" {
@@ -301,13 +301,13 @@
 	body := a.exchange.body
 	if len(body) <= maxInlineBody {
 		buffers := net.Buffers{head, body}
-		_, err := buffers.WriteTo(a.wire)
+		_, err := buffers.WriteTo(a.conn)
 		a.written <- err
 		return
 	}
 	go func() {
 		buffers := net.Buffers{head, body}
-		_, err := buffers.WriteTo(a.wire)
+		_, err := buffers.WriteTo(a.conn)
 		a.written <- err
 	}()
 }
