--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -107,7 +107,7 @@
 func (a *attempt) release(answer *http.Response, readErr error) {
 	whole := false
 	select {
-	case err := <-a.written:
+	case err := <-a.writeDone:
 		whole = err == nil
 	default:
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -88,7 +88,7 @@
 	silenceTimer *time.Timer // ends the attempt of a request that may go elsewhere
 	startTimer   *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
 	conn         *connection
-	written      chan error      // the end of writing the request
+	writeDone    chan error      // the end of writing the request
 	begun        atomic.Bool     // an event of the stream has come; it never turns false again
 	atRest       time.Duration   // what was left of a rest of the back end when the request was sent
 	asked        time.Duration   // rest that the back end asked for in its answer
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	made := &attempt{
 		exchange: x, row: chosen.row, startedAt: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
-		plan: *chosen, written: make(chan error, 1),
+		plan: *chosen, writeDone: make(chan error, 1),
 	}
 	x.tried = append(x.tried, chosen.row)
 	return made
@@ -302,13 +302,13 @@
 	if len(body) <= maxInlineBody {
 		buffers := net.Buffers{head, body}
 		_, err := buffers.WriteTo(a.conn)
-		a.written <- err
+		a.writeDone <- err
 		return
 	}
 	go func() {
 		buffers := net.Buffers{head, body}
 		_, err := buffers.WriteTo(a.conn)
-		a.written <- err
+		a.writeDone <- err
 	}()
 }
 
