--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -204,7 +204,7 @@
 
 // first returns how long after the send the first event came, or 0.
 func (a *attempt) first() time.Duration {
-	if !a.begun.Load() {
+	if !a.streamStarted.Load() {
 		return 0
 	}
 	return max(0, a.exchange.firstEventAt-a.startedAt)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -103,7 +103,7 @@
 		if stream.id != "" && !later(stream.id, x.lastEvent) {
 			return a.broken("event out of order")
 		}
-		a.begun.Store(true)
+		a.streamStarted.Store(true)
 		if a.silenceTimer != nil {
 			a.silenceTimer.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
