--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -167,7 +167,7 @@
 	if sent.plan.scheduled == nil {
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
+	sent.backoffLeft = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
 	sent.limited = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -111,8 +111,8 @@
 	if sent.asked > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
 	}
-	if sent.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.atRest))
+	if sent.backoffLeft > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.backoffLeft))
 	}
 	if failed.cause == causeWeightsOutdated {
 		fields = append(fields, sent.outdatedFields()...)
