--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -75,26 +75,26 @@
 
 // attempt is one sending of a request to one back end.
 type attempt struct {
-	exchange      *exchange
-	row           *endpoint
-	startedAt     time.Duration
-	uncached      int
-	plan          candidate
-	grade         outcomeGrade
-	unreachable   bool  // no connection came up
-	quotaLease    cover // what the send took of the tenant's limit
-	ctx           context.Context
-	cancel        context.CancelCauseFunc
-	silenceTimer  *time.Timer // ends the attempt of a request that may go elsewhere
-	startTimer    *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
-	conn          *connection
-	writeDone     chan error      // the end of writing the request
-	streamStarted atomic.Bool     // an event of the stream has come; it never turns false again
-	backoffLeft   time.Duration   // what was left of a rest of the back end when the request was sent
-	asked         time.Duration   // rest that the back end asked for in its answer
-	limited       pushback.Limit  // that the back end had named when the request was sent
-	hold          allowance.Lease // of that limit, until the request is sent
-	looked        <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	exchange         *exchange
+	row              *endpoint
+	startedAt        time.Duration
+	uncached         int
+	plan             candidate
+	grade            outcomeGrade
+	unreachable      bool  // no connection came up
+	quotaLease       cover // what the send took of the tenant's limit
+	ctx              context.Context
+	cancel           context.CancelCauseFunc
+	silenceTimer     *time.Timer // ends the attempt of a request that may go elsewhere
+	startTimer       *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
+	conn             *connection
+	writeDone        chan error      // the end of writing the request
+	streamStarted    atomic.Bool     // an event of the stream has come; it never turns false again
+	backoffLeft      time.Duration   // what was left of a rest of the back end when the request was sent
+	requestedBackoff time.Duration   // rest that the back end asked for in its answer
+	limited          pushback.Limit  // that the back end had named when the request was sent
+	hold             allowance.Lease // of that limit, until the request is sent
+	looked           <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -108,8 +108,8 @@
 	if sent.looked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
 	}
-	if sent.asked > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
+	if sent.requestedBackoff > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoff, sent.requestedBackoff))
 	}
 	if sent.backoffLeft > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.backoffLeft))
