--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -92,7 +92,7 @@
 	streamStarted    atomic.Bool     // an event of the stream has come; it never turns false again
 	backoffLeft      time.Duration   // what was left of a rest of the back end when the request was sent
 	requestedBackoff time.Duration   // rest that the back end asked for in its answer
-	limited          pushback.Limit  // that the back end had named when the request was sent
+	advertisedLimit  pushback.Limit  // that the back end had named when the request was sent
 	hold             allowance.Lease // of that limit, until the request is sent
 	looked           <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
@@ -158,7 +158,7 @@
 	x := a.exchange
 	now := x.gateway.now()
 	running := x.gateway.table.begin(now, a)
-	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.limited
+	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.advertisedLimit
 	x.gateway.metrics.placed(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
 		return // its scheduler has told the others
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -168,7 +168,7 @@
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
 	sent.backoffLeft = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
-	sent.limited = t.signals.Limit(sent.row.incarnation)
+	sent.advertisedLimit = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
 	return sent.row.occupancy.Local()
