--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -93,7 +93,7 @@
 	backoffLeft      time.Duration   // what was left of a rest of the back end when the request was sent
 	requestedBackoff time.Duration   // rest that the back end asked for in its answer
 	advertisedLimit  pushback.Limit  // that the back end had named when the request was sent
-	hold             allowance.Lease // of that limit, until the request is sent
+	limitLease       allowance.Lease // of that limit, until the request is sent
 	looked           <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
@@ -138,7 +138,7 @@
 		_ = wire.Close()
 		return result{kind: resultUnreachable, cause: bar}
 	}
-	a.hold = allowance.Lease{} // used up
+	a.limitLease = allowance.Lease{} // used up
 	x.sentCount++
 	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
@@ -258,7 +258,7 @@
 	switch {
 	case bar != "" && bar != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
 		return bar
-	case a.hold.Valid(now):
+	case a.limitLease.Valid(now):
 		return ""
 	}
 	return causeLimitReached
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -97,7 +97,7 @@
 func (a *attempt) permit() bool {
 	g := a.exchange.gateway
 	now := g.now()
-	if a.hold.Valid(now) {
+	if a.limitLease.Valid(now) {
 		return true
 	}
 	limit, dry := g.table.limitOf(now, a.row)
@@ -111,7 +111,7 @@
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
-		a.hold = taken.Lease
+		a.limitLease = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
 		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
@@ -127,10 +127,10 @@
 
 // returnPermit gives back what was taken of a limit and not used.
 func (a *attempt) returnPermit() {
-	if a.hold.Amount > 0 {
-		a.exchange.gateway.desk.Release(a.hold)
+	if a.limitLease.Amount > 0 {
+		a.exchange.gateway.desk.Release(a.limitLease)
 		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
-		a.hold = allowance.Lease{}
+		a.limitLease = allowance.Lease{}
 	}
 }
 
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -103,7 +103,7 @@
 	if bar := chosen.barred(); bar != causeLimitReached {
 		t.Fatalf("barred %q without a part", bar)
 	}
-	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
+	chosen.limitLease = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setDry(chosen.row, now+time.Second)
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
