--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -94,7 +94,7 @@
 	requestedBackoff time.Duration   // rest that the back end asked for in its answer
 	advertisedLimit  pushback.Limit  // that the back end had named when the request was sent
 	limitLease       allowance.Lease // of that limit, until the request is sent
-	looked           <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	crashChecked     <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -105,7 +105,7 @@
 		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sentCount),
 		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.startedAt),
 	}
-	if sent.looked != nil {
+	if sent.crashChecked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
 	}
 	if sent.requestedBackoff > 0 {
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -66,17 +66,17 @@
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
-		a.looked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
+		a.crashChecked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
 	}
 }
 
 // awaitProof waits a moment to learn whether the back end has ended under which the run broke off.
 func (a *attempt) awaitProof() {
-	if a.looked == nil {
+	if a.crashChecked == nil {
 		return
 	}
 	select {
-	case <-a.looked:
+	case <-a.crashChecked:
 	case <-time.After(proofPatience):
 	case <-a.exchange.ctx.Done():
 	}
