--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -76,7 +76,7 @@
 	_ = a.conn.Close()
 	cause := err.Error()
 	switch {
-	case context.Cause(a.ctx) == errOutdated:
+	case context.Cause(a.ctx) == errWeightsOutdated:
 		cause = causeWeightsOutdated
 	case context.Cause(a.ctx) == errSilent:
 		cause, a.grade = "silent", gradeBad
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -110,8 +110,8 @@
 // errSilent ends an attempt whose back end says nothing.
 var errSilent = &net.OpError{Op: "wait", Err: context.DeadlineExceeded}
 
-// errOutdated ends an attempt that would begin on weights that are too old.
-var errOutdated = &net.OpError{Op: "begin", Err: context.DeadlineExceeded}
+// errWeightsOutdated ends an attempt that would begin on weights that are too old.
+var errWeightsOutdated = &net.OpError{Op: "begin", Err: context.DeadlineExceeded}
 
 // perform sends the request and passes the answer on.
 func (a *attempt) perform() result {
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -147,7 +147,7 @@
 		*now += 9900 * time.Millisecond
 		waiting.watchStartDeadline()
 		started.watchStartDeadline()
-		if context.Cause(waiting.ctx) != errOutdated {
+		if context.Cause(waiting.ctx) != errWeightsOutdated {
 			t.Error("waiting attempt was not canceled")
 		}
 		if started.ctx.Err() != nil {
@@ -173,7 +173,7 @@
 	}
 	now.Add(int64(time.Millisecond))
 	<-sent.ctx.Done()
-	if cause := context.Cause(sent.ctx); cause != errOutdated {
+	if cause := context.Cause(sent.ctx); cause != errWeightsOutdated {
 		t.Fatalf("cause of cancellation = %v", cause)
 	}
 }
@@ -243,7 +243,7 @@
 				if waiting[attempted] && isLate(attempted.row.entry.ID) {
 					late[attempted] = true
 				}
-				if ended := context.Cause(attempted.ctx) == errOutdated; ended != late[attempted] {
+				if ended := context.Cause(attempted.ctx) == errWeightsOutdated; ended != late[attempted] {
 					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, publishedAt, versions, ended, late[attempted])
 				}
 			}
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -77,7 +77,7 @@
 	late := a.armDeadlineTimer(g.now())
 	g.table.mutex.Unlock()
 	if late {
-		a.cancel(errOutdated)
+		a.cancel(errWeightsOutdated)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	g.table.mutex.Unlock()
 	for _, sent := range late {
-		sent.cancel(errOutdated)
+		sent.cancel(errWeightsOutdated)
 	}
 }
 
