--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -118,15 +118,15 @@
 	x := a.exchange
 	defer a.cancel(nil)
 	defer a.settle()
-	rest := idleOnce
+	maxIdle := idleOnce
 	if x.route.Retryable() {
-		rest = idleRepeatable
+		maxIdle = idleRepeatable
 	}
 	if !a.permit() {
 		return result{kind: resultUnreachable, cause: causeLimitReached}
 	}
 	defer a.returnPermit()
-	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
+	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, maxIdle)
 	if err != nil {
 		a.recordUnreachable(err)
 		return result{kind: resultUnreachable, cause: err.Error()}
