--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -126,16 +126,16 @@
 		return result{kind: resultUnreachable, cause: causeLimitReached}
 	}
 	defer a.returnPermit()
-	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, maxIdle)
+	conn, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, maxIdle)
 	if err != nil {
 		a.recordUnreachable(err)
 		return result{kind: resultUnreachable, cause: err.Error()}
 	}
-	a.conn = wire
-	stop := context.AfterFunc(a.ctx, func() { _ = wire.Close() })
+	a.conn = conn
+	stop := context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 	defer stop()
 	if bar := a.lastLook(); bar != "" {
-		_ = wire.Close()
+		_ = conn.Close()
 		return result{kind: resultUnreachable, cause: bar}
 	}
 	a.limitLease = allowance.Lease{} // used up
