--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -134,9 +134,9 @@
 	a.conn = conn
 	stop := context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 	defer stop()
-	if bar := a.lastLook(); bar != "" {
+	if cause := a.lastLook(); cause != "" {
 		_ = conn.Close()
-		return result{kind: resultUnreachable, cause: bar}
+		return result{kind: resultUnreachable, cause: cause}
 	}
 	a.limitLease = allowance.Lease{} // used up
 	x.sentCount++
