--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -146,11 +146,11 @@
 	a.watchSilence(a.patience())
 	a.watchStartDeadline()
 	a.send()
-	ended := a.receive()
+	outcome := a.receive()
 	if a.silenceTimer != nil {
 		a.silenceTimer.Stop()
 	}
-	return ended
+	return outcome
 }
 
 // begin notes the send in the table, and tells the other gateways what runs where, and where prompts are read and kept.
