--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -157,13 +157,13 @@
 func (a *attempt) begin() {
 	x := a.exchange
 	now := x.gateway.now()
-	running := x.gateway.table.begin(now, a)
+	load := x.gateway.table.begin(now, a)
 	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.advertisedLimit
 	x.gateway.metrics.placed(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
 		return // its scheduler has told the others
 	}
-	x.gateway.announce(now, &a.plan, x.call.Parts, running)
+	x.gateway.announce(now, &a.plan, x.call.Parts, load)
 }
 
 // announce notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
