--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -167,9 +167,9 @@
 }
 
 // announce notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
-func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, running belief.Load) {
+func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
 	made := send{
-		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
+		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
 	}
 	g.table.recordOwnSend(now, made)
