--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -168,12 +168,12 @@
 
 // announce notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
 func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
-	made := send{
+	announced := send{
 		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
 	}
-	g.table.recordOwnSend(now, made)
-	g.spread.own(made)
+	g.table.recordOwnSend(now, announced)
+	g.spread.own(announced)
 }
 
 // end notes in the table that the attempt is over, and tells the other gateways.
