--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -179,11 +179,11 @@
 // end notes in the table that the attempt is over, and tells the other gateways.
 func (a *attempt) end() {
 	x := a.exchange
-	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
+	load := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
 		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
-		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
+		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
 	}
 }
 
