--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -163,11 +163,11 @@
 	if a.plan.scheduled != nil {
 		return // its scheduler has told the others
 	}
-	x.gateway.announce(now, &a.plan, x.call.Parts, load)
+	x.gateway.announcePlacement(now, &a.plan, x.call.Parts, load)
 }
 
-// announce notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
-func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
+// announcePlacement notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
+func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
 	announced := send{
 		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -106,7 +106,7 @@
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
-	g.announce(now, chosen, call.Parts, running)
+	g.announcePlacement(now, chosen, call.Parts, running)
 	placed := wirePlacement{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
