--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -194,7 +194,7 @@
 		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.unreachable = true
-	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
+	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
 		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreached: true})
 	}
 }
