--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -203,11 +203,11 @@
 func (a *attempt) load() belief.Load { return loadOf(&a.exchange.call) }
 
 // loadOf is what a call takes of its back end while it runs.
-func loadOf(call *Call) belief.Load { return belief.Load{Running: 1, Tokens: memoryOf(call)} }
+func loadOf(call *Call) belief.Load { return belief.Load{Running: 1, Tokens: promptMemory(call)} }
 
-// memoryOf is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
+// promptMemory is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
 // that run with them; they count half.
-func memoryOf(call *Call) int {
+func promptMemory(call *Call) int {
 	shared := prefix.PartTokens(prefix.SharedParts(call.Parts))
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -98,7 +98,7 @@
 		lanes := g.table.lanesOf(in.service.Name)
 		lanes.divide(rows)
 		lanes.measureUtilization(now, rows)
-		in.memory, in.meanDuration = memoryOf(in.call), g.table.meanDuration(in.service.Name)
+		in.memory, in.meanDuration = promptMemory(in.call), g.table.meanDuration(in.service.Name)
 	}
 	owner := g.owner(now, rows, in)
 	sources := g.sources(now, in)
