--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -134,7 +134,7 @@
 	a.conn = conn
 	stop := context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 	defer stop()
-	if cause := a.lastLook(); cause != "" {
+	if cause := a.recheck(); cause != "" {
 		_ = conn.Close()
 		return result{kind: resultUnreachable, cause: cause}
 	}
@@ -212,9 +212,9 @@
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
 
-// lastLook returns why the request may not be sent after all, or "". What was taken of the back end's limit may have ended while the connection came
+// recheck returns why the request may not be sent after all, or "". What was taken of the back end's limit may have ended while the connection came
 // up, or the limit been named since.
-func (a *attempt) lastLook() string {
+func (a *attempt) recheck() string {
 	if !a.permit() {
 		return causeLimitReached
 	}
