--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -218,11 +218,11 @@
 	if !a.permit() {
 		return causeLimitReached
 	}
-	return a.barred()
+	return a.recheckConditions()
 }
 
-// barred looks again at the last moment: the process may have stood still since the decision.
-func (a *attempt) barred() string {
+// recheckConditions looks again at the last moment: the process may have stood still since the decision.
+func (a *attempt) recheckConditions() string {
 	x := a.exchange
 	now := x.gateway.now()
 	switch {
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -30,7 +30,7 @@
 				news.Entries = []control.RosterEntry{entry}
 			}
 			g.table.takeRoster(g.now(), news, nil)
-			if bar := chosen.barred(); (bar == "") != (what == "the same roster comes once more") {
+			if bar := chosen.recheckConditions(); (bar == "") != (what == "the same roster comes once more") {
 				t.Fatalf("barred: %q", bar)
 			}
 		})
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -69,7 +69,7 @@
 	for _, age := range []time.Duration{10 * time.Second, 2 * time.Minute} {
 		late := age > time.Minute
 		g, chosen := believes(age)
-		if bar := chosen.barred(); (bar != "") != late {
+		if bar := chosen.recheckConditions(); (bar != "") != late {
 			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
 		}
 		in := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
@@ -90,7 +90,7 @@
 	if chosen == nil || chosen.version != 0 {
 		t.Fatalf("placed %+v", chosen)
 	}
-	if bar := x.newAttempt(chosen).barred(); bar != "" {
+	if bar := x.newAttempt(chosen).recheckConditions(); bar != "" {
 		t.Fatalf("barred %q", bar)
 	}
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -96,24 +96,24 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	chosen := chosenAttempt(g)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
 	names(g, "i-0", 4)
-	if bar := chosen.barred(); bar != causeLimitReached {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q without a part", bar)
 	}
 	chosen.limitLease = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setDry(chosen.row, now+time.Second)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
 	now += 2 * allowance.LeaseTTL
-	if bar := chosen.barred(); bar != causeLimitReached {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
 	ended(g, "i-0")
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q after the limit's end", bar)
 	}
 }
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -93,11 +93,11 @@
 	t.Run("version published after the decision", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		if bar := chosen.barred(); bar != "" {
+		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("barred before publication: %s", bar)
 		}
 		publishVersion(g, 2, time.Minute)
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
@@ -106,7 +106,7 @@
 		publishVersion(g, 2, 50*time.Second)
 		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
@@ -116,7 +116,7 @@
 		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -76,11 +76,11 @@
 	} {
 		g := scheduler(1)
 		chosen := chosenAttempt(g)
-		if bar := chosen.barred(); bar != "" {
+		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
 		say(g)
-		if bar := chosen.barred(); bar != cause {
+		if bar := chosen.recheckConditions(); bar != cause {
 			t.Fatalf("barred %q, wanted %q", bar, cause)
 		}
 	}
@@ -240,7 +240,7 @@
 		return g, chosen
 	}
 	g, chosen := told(pushback.Signals{Backoff: time.Second})
-	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
+	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).recheckConditions() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
@@ -250,7 +250,7 @@
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Signals{Draining: true})
-	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeDraining {
+	if bar := attemptAt(g, g.table.rows["i-0"]).recheckConditions(); chosen["i-0"] > 0 || bar != causeDraining {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
 }
