--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -246,11 +246,11 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
-	if bar != "" {
-		x.gateway.metrics.putOff.WithLabelValues(bar).Inc()
+	cause := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
+	if cause != "" {
+		x.gateway.metrics.putOff.WithLabelValues(cause).Inc()
 	}
-	return bar
+	return cause
 }
 
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
