--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -254,10 +254,10 @@
 }
 
 // withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
-func (a *attempt) withPart(now time.Duration, bar string) string {
+func (a *attempt) withPart(now time.Duration, cause string) string {
 	switch {
-	case bar != "" && bar != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
-		return bar
+	case cause != "" && cause != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
+		return cause
 	case a.limitLease.Valid(now):
 		return ""
 	}
