--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -246,15 +246,15 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	cause := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
+	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
 	if cause != "" {
 		x.gateway.metrics.putOff.WithLabelValues(cause).Inc()
 	}
 	return cause
 }
 
-// withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
-func (a *attempt) withPart(now time.Duration, cause string) string {
+// causeGivenLease returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
+func (a *attempt) causeGivenLease(now time.Duration, cause string) string {
 	switch {
 	case cause != "" && cause != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
 		return cause
