--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -143,7 +143,7 @@
 	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
 	defer a.end()
-	a.watchSilence(a.patience())
+	a.watchSilence(a.maxSilence())
 	a.watchStartDeadline()
 	a.send()
 	outcome := a.receive()
@@ -264,8 +264,8 @@
 	return causeLimitReached
 }
 
-// patience is how long the back end may stay silent; 0 leaves it all the time there is.
-func (a *attempt) patience() time.Duration {
+// maxSilence is how long the back end may stay silent; 0 leaves it all the time there is.
+func (a *attempt) maxSilence() time.Duration {
 	x := a.exchange
 	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
 		return 0
