--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -143,7 +143,7 @@
 	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
 	defer a.end()
-	a.watchSilence(a.maxSilence())
+	a.startSilenceTimer(a.maxSilence())
 	a.watchStartDeadline()
 	a.send()
 	outcome := a.receive()
@@ -277,8 +277,8 @@
 	return max(minSilenceTimeout, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
 
-// watchSilence ends the attempt when the back end says nothing for so long.
-func (a *attempt) watchSilence(limit time.Duration) {
+// startSilenceTimer ends the attempt when the back end says nothing for so long.
+func (a *attempt) startSilenceTimer(limit time.Duration) {
 	if limit > 0 {
 		a.silenceTimer = time.AfterFunc(limit, a.silent)
 	}
