--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -280,13 +280,13 @@
 // startSilenceTimer ends the attempt when the back end says nothing for so long.
 func (a *attempt) startSilenceTimer(limit time.Duration) {
 	if limit > 0 {
-		a.silenceTimer = time.AfterFunc(limit, a.silent)
+		a.silenceTimer = time.AfterFunc(limit, a.onSilence)
 	}
 }
 
-// silent ends the attempt, unless the back end is known to stand still for a reason, or works on the stream as far as
+// onSilence ends the attempt, unless the back end is known to stand still for a reason, or works on the stream as far as
 // anybody can tell: the next back end may turn the stream away, and the caller's answer would be cut.
-func (a *attempt) silent() {
+func (a *attempt) onSilence() {
 	t := a.exchange.gateway.table
 	if t.weightsLoading(a.row) || a.streamStarted.Load() && t.hasHeartbeat(a.row) {
 		a.silenceTimer.Reset(minSilenceTimeout)
