--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -145,7 +145,7 @@
 	defer a.end()
 	a.startSilenceTimer(a.maxSilence())
 	a.watchStartDeadline()
-	a.send()
+	a.writeRequest()
 	outcome := a.receive()
 	if a.silenceTimer != nil {
 		a.silenceTimer.Stop()
@@ -295,8 +295,8 @@
 	a.cancel(errSilent)
 }
 
-// send writes the request. A long body is written beside the reading of the answer.
-func (a *attempt) send() {
+// writeRequest writes the request. A long body is written beside the reading of the answer.
+func (a *attempt) writeRequest() {
 	head := a.head()
 	body := a.exchange.body
 	if len(body) <= maxInlineBody {
