--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -297,7 +297,7 @@
 
 // writeRequest writes the request. A long body is written beside the reading of the answer.
 func (a *attempt) writeRequest() {
-	head := a.head()
+	head := a.requestHead()
 	body := a.exchange.body
 	if len(body) <= maxInlineBody {
 		buffers := net.Buffers{head, body}
@@ -312,8 +312,8 @@
 	}()
 }
 
-// head returns the request line and the header.
-func (a *attempt) head() []byte {
+// requestHead returns the request line and the header.
+func (a *attempt) requestHead() []byte {
 	x := a.exchange
 	header := x.request.Header.Clone()
 	dropConnectionHeaders(header)
