--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -180,7 +180,7 @@
 // passHead passes the head of a back end's answer on. length is that of the whole body, or -1.
 func (x *exchange) passHead(answer *http.Response, length int) {
 	header := x.writer.Header()
-	dropConnectionHeaders(answer.Header)
+	removeHopByHopHeaders(answer.Header)
 	for name, values := range answer.Header {
 		header[name] = values
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -316,7 +316,7 @@
 func (a *attempt) requestHead() []byte {
 	x := a.exchange
 	header := x.request.Header.Clone()
-	dropConnectionHeaders(header)
+	removeHopByHopHeaders(header)
 	left := max(time.Millisecond, x.deadline-x.gateway.now())
 	sending := Sending{Instance: a.row.entry.ID, Left: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
 	if x.tenant != nil {
@@ -346,7 +346,7 @@
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-func dropConnectionHeaders(header http.Header) {
+func removeHopByHopHeaders(header http.Header) {
 	for _, line := range header.Values("Connection") {
 		for _, name := range splitTokens(line) {
 			header.Del(name)
