--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -340,8 +340,8 @@
 	return out.Bytes()
 }
 
-// connectionHeaders concern one connection only.
-var connectionHeaders = []string{
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
@@ -352,7 +352,7 @@
 			header.Del(name)
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
