--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -318,18 +318,18 @@
 	header := x.request.Header.Clone()
 	removeHopByHopHeaders(header)
 	left := max(time.Millisecond, x.deadline-x.gateway.now())
-	sending := Sending{Instance: a.row.entry.ID, Left: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
+	forwarding := Sending{Instance: a.row.entry.ID, Left: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
 	if x.tenant != nil {
-		sending.Tenant = x.tenant.Name
+		forwarding.Tenant = x.tenant.Name
 	}
 	if x.lastEvent != "" {
-		sending.LastEvent = x.lastEvent
+		forwarding.LastEvent = x.lastEvent
 	}
-	if sending.Engine {
-		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
-		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.saveTo
+	if forwarding.Engine {
+		forwarding.Salt, forwarding.Version, forwarding.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
+		forwarding.FetchFrom, forwarding.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
-	x.gateway.dialect.Write(header, sending)
+	x.gateway.dialect.Write(header, forwarding)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
 		header.Set("Content-Length", strconv.Itoa(len(x.body)))
 	}
