--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -60,7 +60,7 @@
 	if x.firstEventAt > 0 {
 		fields = append(fields, zap.Duration("first", x.firstEventAt-x.arrived), zap.Duration("pause", x.longestGap))
 	}
-	if event == events.RequestAnswered && x.late() {
+	if event == events.RequestAnswered && x.missedObjective() {
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
 	if reason == reasonViewUnconfirmed {
@@ -89,8 +89,8 @@
 	x.gateway.metrics.ended(event, reason)
 }
 
-// late reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
-func (x *exchange) late() bool {
+// missedObjective reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
+func (x *exchange) missedObjective() bool {
 	took := x.gateway.now() - x.arrived
 	if x.firstEventAt > 0 {
 		took = x.firstEventAt - x.arrived
