--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -91,11 +91,11 @@
 
 // missedObjective reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
 func (x *exchange) missedObjective() bool {
-	took := x.gateway.now() - x.arrived
+	elapsed := x.gateway.now() - x.arrived
 	if x.firstEventAt > 0 {
-		took = x.firstEventAt - x.arrived
+		elapsed = x.firstEventAt - x.arrived
 	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
+	return x.route.Objective > 0 && elapsed > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
 func (x *exchange) logFailure(sent *attempt, failed result) {
