--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -15,7 +15,7 @@
 
 // receive reads the answer and passes it on.
 func (a *attempt) receive() result {
-	answer, err := a.readHead()
+	response, err := a.readHead()
 	if err != nil {
 		if a.ctx.Err() == nil {
 			a.exchange.gateway.pool.forgotten(a.conn.rested)
@@ -23,28 +23,28 @@
 		return a.failed(err)
 	}
 	x := a.exchange
-	verdict := x.gateway.dialect.Judge(answer.StatusCode, answer.Header)
-	a.hear(answer.StatusCode, verdict)
+	verdict := x.gateway.dialect.Judge(response.StatusCode, response.Header)
+	a.hear(response.StatusCode, verdict)
 	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
 		return a.broken("answer of another request")
 	}
-	a.logVersionMismatch(answer.StatusCode, verdict)
+	a.logVersionMismatch(response.StatusCode, verdict)
 	switch {
 	case verdict.NotRun:
 		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
 			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
 		}
-		return a.turnedAway(answer, verdict)
-	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
-		return a.broken("promise of a back end that doesn't say so: " + answer.Status)
-	case x.headRelayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
-		return a.broken("stream not taken up: " + answer.Status)
-	case answer.StatusCode < http.StatusMultipleChoices && !verdict.Signed:
+		return a.turnedAway(response, verdict)
+	case !x.route.Retryable() && promisesNoRun(response.StatusCode):
+		return a.broken("promise of a back end that doesn't say so: " + response.Status)
+	case x.headRelayed && (!verdict.Signed || response.StatusCode >= http.StatusMultipleChoices):
+		return a.broken("stream not taken up: " + response.Status)
+	case response.StatusCode < http.StatusMultipleChoices && !verdict.Signed:
 		return a.broken("success without signature")
-	case answer.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
-		return a.relayStream(answer)
+	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
+		return a.relayStream(response)
 	}
-	return a.relayWhole(answer)
+	return a.relayWhole(response)
 }
 
 // promisesNoRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
