--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -23,23 +23,23 @@
 		return a.failed(err)
 	}
 	x := a.exchange
-	verdict := x.gateway.dialect.Judge(response.StatusCode, response.Header)
-	a.hear(response.StatusCode, verdict)
-	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
+	info := x.gateway.dialect.Judge(response.StatusCode, response.Header)
+	a.hear(response.StatusCode, info)
+	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
 		return a.broken("answer of another request")
 	}
-	a.logVersionMismatch(response.StatusCode, verdict)
+	a.logVersionMismatch(response.StatusCode, info)
 	switch {
-	case verdict.NotRun:
-		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
-			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
+	case info.NotRun:
+		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.Version) {
+			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.Version))
 		}
-		return a.turnedAway(response, verdict)
+		return a.turnedAway(response, info)
 	case !x.route.Retryable() && promisesNoRun(response.StatusCode):
 		return a.broken("promise of a back end that doesn't say so: " + response.Status)
-	case x.headRelayed && (!verdict.Signed || response.StatusCode >= http.StatusMultipleChoices):
+	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
 		return a.broken("stream not taken up: " + response.Status)
-	case response.StatusCode < http.StatusMultipleChoices && !verdict.Signed:
+	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
 		return a.broken("success without signature")
 	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
 		return a.relayStream(response)
