--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -35,7 +35,7 @@
 			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.Version))
 		}
 		return a.turnedAway(response, info)
-	case !x.route.Retryable() && promisesNoRun(response.StatusCode):
+	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
 		return a.broken("promise of a back end that doesn't say so: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
 		return a.broken("stream not taken up: " + response.Status)
@@ -47,9 +47,9 @@
 	return a.relayWhole(response)
 }
 
-// promisesNoRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
+// statusImpliesNotRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
 // have run it, and a caller who believes the status runs it twice.
-func promisesNoRun(status int) bool {
+func statusImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
