--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -60,13 +60,13 @@
 // readHead reads the head of the final answer.
 func (a *attempt) readHead() (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(a.conn.reader, &http.Request{Method: a.exchange.request.Method})
+		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: a.exchange.request.Method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusOK {
+		if response.StatusCode >= http.StatusOK {
 			a.exchange.gateway.table.recordBytes(a.exchange.gateway.now(), a)
-			return answer, nil
+			return response, nil
 		}
 	}
 }
