--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -20,7 +20,7 @@
 		if a.ctx.Err() == nil {
 			a.exchange.gateway.pool.forgotten(a.conn.rested)
 		}
-		return a.failed(err)
+		return a.connectionFailed(err)
 	}
 	x := a.exchange
 	info := x.gateway.dialect.Judge(response.StatusCode, response.Header)
@@ -71,8 +71,8 @@
 	}
 }
 
-// failed ends an attempt that broke off. It says something of the back end unless we ended it ourselves.
-func (a *attempt) failed(err error) result {
+// connectionFailed ends an attempt that broke off. It says something of the back end unless we ended it ourselves.
+func (a *attempt) connectionFailed(err error) result {
 	_ = a.conn.Close()
 	cause := err.Error()
 	switch {
@@ -136,7 +136,7 @@
 	case errors.Is(err, errHeld):
 		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
 	case err != nil:
-		return a.failed(err)
+		return a.connectionFailed(err)
 	case len(body) > maxBufferedResponse:
 		return a.relayLong(answer, body)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -97,7 +97,7 @@
 			return a.streamEnded(answer)
 		}
 		if err != nil {
-			return a.failed(err)
+			return a.connectionFailed(err)
 		}
 		x.gateway.table.recordBytes(x.gateway.now(), a)
 		if stream.id != "" && !later(stream.id, x.lastEvent) {
