--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -26,7 +26,7 @@
 	info := x.gateway.dialect.Judge(response.StatusCode, response.Header)
 	a.hear(response.StatusCode, info)
 	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
-		return a.broken("answer of another request")
+		return a.invalidResponse("answer of another request")
 	}
 	a.logVersionMismatch(response.StatusCode, info)
 	switch {
@@ -36,11 +36,11 @@
 		}
 		return a.turnedAway(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
-		return a.broken("promise of a back end that doesn't say so: " + response.Status)
+		return a.invalidResponse("promise of a back end that doesn't say so: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
-		return a.broken("stream not taken up: " + response.Status)
+		return a.invalidResponse("stream not taken up: " + response.Status)
 	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
-		return a.broken("success without signature")
+		return a.invalidResponse("success without signature")
 	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
 		return a.relayStream(response)
 	}
@@ -87,8 +87,8 @@
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// broken ends an attempt whose connection carries bytes that do not belong there.
-func (a *attempt) broken(cause string) result {
+// invalidResponse ends an attempt whose connection carries bytes that do not belong there.
+func (a *attempt) invalidResponse(cause string) result {
 	_ = a.conn.Close()
 	a.grade = gradeBad
 	return result{kind: resultUnknown, cause: cause}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -101,7 +101,7 @@
 		}
 		x.gateway.table.recordBytes(x.gateway.now(), a)
 		if stream.id != "" && !later(stream.id, x.lastEvent) {
-			return a.broken("event out of order")
+			return a.invalidResponse("event out of order")
 		}
 		a.streamStarted.Store(true)
 		if a.silenceTimer != nil {
