--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -95,9 +95,9 @@
 }
 
 // turnedAway ends an attempt that the back end did not run.
-func (a *attempt) turnedAway(response *http.Response, verdict Verdict) result {
+func (a *attempt) turnedAway(response *http.Response, info Verdict) result {
 	a.grade = gradeFull
-	refused := result{kind: resultNotRun, cause: response.Status, retryAfter: verdict.RetryAfter, backoff: verdict.Said.Backoff}
+	refused := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
 	a.release(response, err)
 	return refused
