--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -97,10 +97,10 @@
 // turnedAway ends an attempt that the back end did not run.
 func (a *attempt) turnedAway(response *http.Response, info Verdict) result {
 	a.grade = gradeFull
-	refused := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
+	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
 	a.release(response, err)
-	return refused
+	return rejection
 }
 
 // release keeps the connection for the next request if the request was written and the answer read, both whole.
