--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -34,7 +34,7 @@
 		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.Version) {
 			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.Version))
 		}
-		return a.turnedAway(response, info)
+		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
 		return a.invalidResponse("promise of a back end that doesn't say so: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
@@ -94,8 +94,8 @@
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// turnedAway ends an attempt that the back end did not run.
-func (a *attempt) turnedAway(response *http.Response, info Verdict) result {
+// rejected ends an attempt that the back end did not run.
+func (a *attempt) rejected(response *http.Response, info Verdict) result {
 	a.grade = gradeFull
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
