--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -105,14 +105,14 @@
 
 // release keeps the connection for the next request if the request was written and the answer read, both whole.
 func (a *attempt) release(response *http.Response, readErr error) {
-	whole := false
+	written := false
 	select {
 	case err := <-a.writeDone:
-		whole = err == nil
+		written = err == nil
 	default:
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	if readErr != nil || !whole || !framed || a.ctx.Err() != nil || !a.conn.noteLimits(response) {
+	if readErr != nil || !written || !framed || a.ctx.Err() != nil || !a.conn.noteLimits(response) {
 		_ = a.conn.Close()
 		return
 	}
