--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -99,12 +99,12 @@
 	a.grade = gradeFull
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
-	a.release(response, err)
+	a.releaseConnection(response, err)
 	return rejection
 }
 
-// release keeps the connection for the next request if the request was written and the answer read, both whole.
-func (a *attempt) release(response *http.Response, readErr error) {
+// releaseConnection keeps the connection for the next request if the request was written and the answer read, both whole.
+func (a *attempt) releaseConnection(response *http.Response, readErr error) {
 	written := false
 	select {
 	case err := <-a.writeDone:
@@ -140,7 +140,7 @@
 	case len(body) > maxBufferedResponse:
 		return a.relayLong(answer, body)
 	}
-	a.release(answer, nil)
+	a.releaseConnection(answer, nil)
 	failure := answer.StatusCode >= http.StatusInternalServerError
 	a.grade = gradeGood
 	if failure {
@@ -172,7 +172,7 @@
 		x.giveUp(reasonStreamBroken, 0)
 	}
 	a.grade = gradeGood
-	a.release(answer, nil)
+	a.releaseConnection(answer, nil)
 	x.finish(a, answer.StatusCode)
 	return result{kind: resultAnswered}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -146,7 +146,7 @@
 		x.passHead(answer, -1) // a stream without any event
 	}
 	a.grade = gradeGood
-	a.release(answer, nil)
+	a.releaseConnection(answer, nil)
 	x.finish(a, answer.StatusCode)
 	return result{kind: resultAnswered}
 }
