--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -121,40 +121,40 @@
 
 // relayWhole reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
 // request may be repeated.
-func (a *attempt) relayWhole(answer *http.Response) result {
+func (a *attempt) relayWhole(response *http.Response) result {
 	x := a.exchange
-	length := answer.ContentLength
-	if !bodyAllowed(x.request.Method, answer.StatusCode) {
+	length := response.ContentLength
+	if !bodyAllowed(x.request.Method, response.StatusCode) {
 		length = 0 // the head tells what another request would get
 	}
 	if length > maxBufferedResponse {
-		return a.relayLong(answer, nil)
+		return a.relayLong(response, nil)
 	}
-	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, maxBufferedResponse+1), length)
+	body, room, err := x.gateway.held.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
 	defer func() { x.gateway.held.give(room) }()
 	switch {
 	case errors.Is(err, errHeld):
-		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
+		return a.relayLong(response, body) // nothing is lost but another try, should it break off
 	case err != nil:
 		return a.connectionFailed(err)
 	case len(body) > maxBufferedResponse:
-		return a.relayLong(answer, body)
+		return a.relayLong(response, body)
 	}
-	a.releaseConnection(answer, nil)
-	failure := answer.StatusCode >= http.StatusInternalServerError
+	a.releaseConnection(response, nil)
+	failure := response.StatusCode >= http.StatusInternalServerError
 	a.grade = gradeGood
 	if failure {
 		a.grade = gradeBad
 	}
 	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
-		return result{kind: resultFailed, cause: answer.Status}
+		return result{kind: resultFailed, cause: response.Status}
 	}
-	x.passHead(answer, len(body))
+	x.passHead(response, len(body))
 	if x.write(body) != nil {
 		x.endsAt(a)
 		x.abandon()
 	}
-	x.finish(a, answer.StatusCode)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
