--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -44,7 +44,7 @@
 	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
 		return a.relayStream(response)
 	}
-	return a.relayWhole(response)
+	return a.relayBuffered(response)
 }
 
 // statusImpliesNotRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
@@ -119,9 +119,9 @@
 	a.exchange.gateway.pool.put(a.row.entry.ID, a.conn)
 }
 
-// relayWhole reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
+// relayBuffered reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
 // request may be repeated.
-func (a *attempt) relayWhole(response *http.Response) result {
+func (a *attempt) relayBuffered(response *http.Response) result {
 	x := a.exchange
 	length := response.ContentLength
 	if !bodyAllowed(x.request.Method, response.StatusCode) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -86,7 +86,7 @@
 func (a *attempt) relayStream(answer *http.Response) result {
 	x := a.exchange
 	if !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
-		return a.relayWhole(answer)
+		return a.relayBuffered(answer)
 	}
 	stream := &eventReader{reader: bufio.NewReaderSize(answer.Body, readBuffer), held: &x.gateway.held}
 	defer stream.close()
