--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -159,12 +159,12 @@
 }
 
 // relayLong passes an answer on that is too long to be kept, or for which there is no room.
-func (a *attempt) relayLong(answer *http.Response, begun []byte) result {
+func (a *attempt) relayLong(response *http.Response, begun []byte) result {
 	x := a.exchange
-	x.passHead(answer, int(answer.ContentLength))
+	x.passHead(response, int(response.ContentLength))
 	err := x.write(begun)
 	if err == nil {
-		err = x.copyOn(answer.Body)
+		err = x.copyOn(response.Body)
 	}
 	if err != nil {
 		_ = a.conn.Close()
@@ -172,8 +172,8 @@
 		x.giveUp(reasonStreamBroken, 0)
 	}
 	a.grade = gradeGood
-	a.releaseConnection(answer, nil)
-	x.finish(a, answer.StatusCode)
+	a.releaseConnection(response, nil)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
