--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -159,10 +159,10 @@
 }
 
 // relayLong passes an answer on that is too long to be kept, or for which there is no room.
-func (a *attempt) relayLong(response *http.Response, begun []byte) result {
+func (a *attempt) relayLong(response *http.Response, received []byte) result {
 	x := a.exchange
 	x.passHead(response, int(response.ContentLength))
-	err := x.write(begun)
+	err := x.write(received)
 	if err == nil {
 		err = x.copyOn(response.Body)
 	}
