--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -128,17 +128,17 @@
 		length = 0 // the head tells what another request would get
 	}
 	if length > maxBufferedResponse {
-		return a.relayLong(response, nil)
+		return a.relayUnbuffered(response, nil)
 	}
 	body, room, err := x.gateway.held.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
 	defer func() { x.gateway.held.give(room) }()
 	switch {
 	case errors.Is(err, errHeld):
-		return a.relayLong(response, body) // nothing is lost but another try, should it break off
+		return a.relayUnbuffered(response, body) // nothing is lost but another try, should it break off
 	case err != nil:
 		return a.connectionFailed(err)
 	case len(body) > maxBufferedResponse:
-		return a.relayLong(response, body)
+		return a.relayUnbuffered(response, body)
 	}
 	a.releaseConnection(response, nil)
 	failure := response.StatusCode >= http.StatusInternalServerError
@@ -158,8 +158,8 @@
 	return result{kind: resultAnswered}
 }
 
-// relayLong passes an answer on that is too long to be kept, or for which there is no room.
-func (a *attempt) relayLong(response *http.Response, received []byte) result {
+// relayUnbuffered passes an answer on that is too long to be kept, or for which there is no room.
+func (a *attempt) relayUnbuffered(response *http.Response, received []byte) result {
 	x := a.exchange
 	x.passHead(response, int(response.ContentLength))
 	err := x.write(received)
