--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -178,13 +178,13 @@
 }
 
 // passHead passes the head of a back end's answer on. length is that of the whole body, or -1.
-func (x *exchange) passHead(answer *http.Response, length int) {
+func (x *exchange) passHead(response *http.Response, length int) {
 	header := x.writer.Header()
-	removeHopByHopHeaders(answer.Header)
-	for name, values := range answer.Header {
+	removeHopByHopHeaders(response.Header)
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	if length >= 0 && bodyAllowed(x.request.Method, answer.StatusCode) {
+	if length >= 0 && bodyAllowed(x.request.Method, response.StatusCode) {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
 	if x.gateway.draining.Load() {
@@ -192,7 +192,7 @@
 	}
 	x.headRelayed = true
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
-	x.writer.WriteHeader(answer.StatusCode)
+	x.writer.WriteHeader(response.StatusCode)
 }
 
 func bodyAllowed(method string, status int) bool {
