--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -149,7 +149,7 @@
 	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: response.Status}
 	}
-	x.passHead(response, len(body))
+	x.relayHead(response, len(body))
 	if x.write(body) != nil {
 		x.endsAt(a)
 		x.abandon()
@@ -161,7 +161,7 @@
 // relayUnbuffered passes an answer on that is too long to be kept, or for which there is no room.
 func (a *attempt) relayUnbuffered(response *http.Response, received []byte) result {
 	x := a.exchange
-	x.passHead(response, int(response.ContentLength))
+	x.relayHead(response, int(response.ContentLength))
 	err := x.write(received)
 	if err == nil {
 		err = x.copyOn(response.Body)
@@ -177,8 +177,8 @@
 	return result{kind: resultAnswered}
 }
 
-// passHead passes the head of a back end's answer on. length is that of the whole body, or -1.
-func (x *exchange) passHead(response *http.Response, length int) {
+// relayHead passes the head of a back end's answer on. length is that of the whole body, or -1.
+func (x *exchange) relayHead(response *http.Response, length int) {
 	header := x.writer.Header()
 	removeHopByHopHeaders(response.Header)
 	for name, values := range response.Header {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -118,7 +118,7 @@
 // passEvent writes one event to the caller, with the head before the first.
 func (x *exchange) passEvent(controller *http.ResponseController, answer *http.Response, event []byte) bool {
 	if !x.headRelayed {
-		x.passHead(answer, -1)
+		x.relayHead(answer, -1)
 	}
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := x.writer.Write(event); err != nil {
@@ -143,7 +143,7 @@
 func (a *attempt) streamEnded(answer *http.Response) result {
 	x := a.exchange
 	if !x.headRelayed {
-		x.passHead(answer, -1) // a stream without any event
+		x.relayHead(answer, -1) // a stream without any event
 	}
 	a.grade = gradeGood
 	a.releaseConnection(answer, nil)
