--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -151,7 +151,7 @@
 	}
 	x.relayHead(response, len(body))
 	if x.write(body) != nil {
-		x.endsAt(a)
+		x.recordServedBy(a)
 		x.abandon()
 	}
 	x.finish(a, response.StatusCode)
@@ -199,8 +199,8 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// endsAt notes whose answer a request got.
-func (x *exchange) endsAt(a *attempt) {
+// recordServedBy notes whose answer a request got.
+func (x *exchange) recordServedBy(a *attempt) {
 	x.servedBy = a.row.entry.ID
 	if a.grade == gradeGood {
 		x.endedWell()
@@ -209,7 +209,7 @@
 
 // finish notes a request that got a back end's answer.
 func (x *exchange) finish(a *attempt, status int) {
-	x.endsAt(a)
+	x.recordServedBy(a)
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Time{})
 	x.logEnd(events.RequestAnswered, "", status)
 }
