--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -172,8 +172,8 @@
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	body, room, err := x.gateway.held.read(from, x.request.ContentLength)
-	x.bodyReserved = room
+	body, reserved, err := x.gateway.held.read(from, x.request.ContentLength)
+	x.bodyReserved = reserved
 	if errors.Is(err, errHeld) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		_, _ = io.Copy(io.Discard, from) // a caller that still sends would meet a reset, and not the refusal
