--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -91,7 +91,7 @@
 	}
 	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.Read(r.Header)}
 	if g.closing.Load() {
-		x.refuse(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
+		x.reject(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
 	}
 	defer x.uncover()
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case x.view == nil:
-		x.refuse(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.comeBack())
+		x.reject(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.comeBack())
 		return false
 	case x.route == nil:
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
@@ -153,10 +153,10 @@
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
 		x.gateway.log.lost()
-		x.refuse(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.comeBack())
+		x.reject(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.comeBack())
 		return
 	}
-	x.refuse(status, reason, 0)
+	x.reject(status, reason, 0)
 }
 
 // readBody reads the whole body, since it may have to be sent twice.
@@ -166,7 +166,7 @@
 	}
 	limit := x.view.bodyLimit()
 	if x.request.ContentLength > limit {
-		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
+		x.reject(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return false
 	}
 	controller := http.NewResponseController(x.writer)
@@ -182,13 +182,13 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errHeld):
-		x.refuse(http.StatusServiceUnavailable, reasonBuffersFull, minRetryAfter)
+		x.reject(http.StatusServiceUnavailable, reasonBuffersFull, minRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
+		x.reject(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return false
 	case err != nil:
-		x.refuse(http.StatusBadRequest, reasonBadBody, 0)
+		x.reject(http.StatusBadRequest, reasonBadBody, 0)
 		return false
 	}
 	x.body = body
@@ -208,7 +208,7 @@
 		}
 		x.placement = chosen
 		if chosen.retryAfter > 0 {
-			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
+			x.reject(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
 		}
 		sent := x.newAttempt(chosen)
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -19,11 +19,11 @@
 	}
 	switch {
 	case !x.mayHaveRun:
-		x.refuse(http.StatusServiceUnavailable, reason, max(minRetryAfter, retryAfter))
+		x.reject(http.StatusServiceUnavailable, reason, max(minRetryAfter, retryAfter))
 	case reason == reasonDeadline:
-		x.refuse(http.StatusGatewayTimeout, reason, 0)
+		x.reject(http.StatusGatewayTimeout, reason, 0)
 	default:
-		x.refuse(http.StatusBadGateway, reason, 0)
+		x.reject(http.StatusBadGateway, reason, 0)
 	}
 }
 
@@ -33,8 +33,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a request itself.
-func (x *exchange) refuse(status int, reason string, retryAfter time.Duration) {
+// reject answers a request itself.
+func (x *exchange) reject(status int, reason string, retryAfter time.Duration) {
 	header := x.writer.Header()
 	header.Set("Content-Type", "application/problem+json")
 	if retryAfter > 0 {
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -53,7 +53,7 @@
 	case x.mayHaveRun || x.headRelayed:
 		x.giveUp(reason, 0)
 	default:
-		x.refuse(status, reason, max(minRetryAfter, wait))
+		x.reject(status, reason, max(minRetryAfter, wait))
 	}
 }
 
