--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	idField = "id:"
+	eventIDField = "id:"
 	// maximumEvent bounds one event.
 	maximumEvent = 256 << 10
 )
@@ -75,7 +75,7 @@
 	body = bytes.TrimSuffix(body, []byte("\r"))
 	at := bytes.LastIndexByte(body, '\n')
 	last := body[at+1:]
-	if value, found := bytes.CutPrefix(last, []byte(idField)); found {
+	if value, found := bytes.CutPrefix(last, []byte(eventIDField)); found {
 		e.id = string(bytes.TrimSpace(value))
 	}
 	return len(last) == 0
