--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,8 +11,8 @@
 
 const (
 	eventIDField = "id:"
-	// maximumEvent bounds one event.
-	maximumEvent = 256 << 10
+	// maxEventSize bounds one event.
+	maxEventSize = 256 << 10
 )
 
 // eventReader splits a stream into whole events.
@@ -56,7 +56,7 @@
 		switch {
 		case !e.count():
 			return nil, errHeld
-		case err == bufio.ErrBufferFull && len(e.event) < maximumEvent:
+		case err == bufio.ErrBufferFull && len(e.event) < maxEventSize:
 			continue
 		case err == io.EOF && len(e.event) > 0:
 			return nil, io.ErrUnexpectedEOF
