--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,36 +17,36 @@
 
 // eventReader splits a stream into whole events.
 type eventReader struct {
-	reader *bufio.Reader
-	event  []byte
-	id     string
-	held   *held
-	room   int // that was taken for an event above heldStep
+	reader   *bufio.Reader
+	event    []byte
+	id       string
+	held     *held
+	reserved int // that was taken for an event above heldStep
 }
 
 // close gives back the room that was taken.
 func (e *eventReader) close() {
-	e.held.give(e.room)
-	e.event, e.room = nil, 0
+	e.held.give(e.reserved)
+	e.event, e.reserved = nil, 0
 }
 
 // count takes room for an event that has grown long, and reports whether there is any.
 func (e *eventReader) count() bool {
 	grown := cap(e.event)
-	if grown <= max(heldStep, e.room) {
+	if grown <= max(heldStep, e.reserved) {
 		return true
 	}
-	if !e.held.take(grown - e.room) {
+	if !e.held.take(grown - e.reserved) {
 		return false
 	}
-	e.room = grown
+	e.reserved = grown
 	return true
 }
 
 // next returns the next event with its empty line, as it came. io.EOF means that the stream ended between two events;
 // any other error that it broke off.
 func (e *eventReader) next() ([]byte, error) {
-	if e.room > 0 {
+	if e.reserved > 0 {
 		e.close() // the next ones are as short as ever
 	}
 	e.event = e.event[:0]
