--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -32,14 +32,14 @@
 
 // count takes room for an event that has grown long, and reports whether there is any.
 func (e *eventReader) count() bool {
-	grown := cap(e.event)
-	if grown <= max(heldStep, e.reserved) {
+	size := cap(e.event)
+	if size <= max(heldStep, e.reserved) {
 		return true
 	}
-	if !e.held.take(grown - e.reserved) {
+	if !e.held.take(size - e.reserved) {
 		return false
 	}
-	e.reserved = grown
+	e.reserved = size
 	return true
 }
 
