--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -30,8 +30,8 @@
 	e.event, e.reserved = nil, 0
 }
 
-// count takes room for an event that has grown long, and reports whether there is any.
-func (e *eventReader) count() bool {
+// reserve takes room for an event that has grown long, and reports whether there is any.
+func (e *eventReader) reserve() bool {
 	size := cap(e.event)
 	if size <= max(heldStep, e.reserved) {
 		return true
@@ -54,7 +54,7 @@
 		part, err := e.reader.ReadSlice('\n')
 		e.event = append(e.event, part...)
 		switch {
-		case !e.count():
+		case !e.reserve():
 			return nil, errHeld
 		case err == bufio.ErrBufferFull && len(e.event) < maxEventSize:
 			continue
