--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -63,14 +63,14 @@
 		case err != nil:
 			return nil, err
 		}
-		if e.ended() {
+		if e.isComplete() {
 			return e.event, nil
 		}
 	}
 }
 
-// ended reports whether the event read so far ends with an empty line, and notes its id.
-func (e *eventReader) ended() bool {
+// isComplete reports whether the event read so far ends with an empty line, and notes its id.
+func (e *eventReader) isComplete() bool {
 	body := bytes.TrimSuffix(e.event, []byte("\n"))
 	body = bytes.TrimSuffix(body, []byte("\r"))
 	at := bytes.LastIndexByte(body, '\n')
