--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -83,18 +83,18 @@
 
 // relayStream passes events on as they come. A stream that breaks off is taken up at another back end where the route
 // allows it; otherwise the caller's connection is closed, so that it never looks complete.
-func (a *attempt) relayStream(answer *http.Response) result {
+func (a *attempt) relayStream(response *http.Response) result {
 	x := a.exchange
-	if !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
-		return a.relayBuffered(answer)
+	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
+		return a.relayBuffered(response)
 	}
-	stream := &eventReader{reader: bufio.NewReaderSize(answer.Body, readBuffer), held: &x.gateway.held}
+	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBuffer), held: &x.gateway.held}
 	defer stream.close()
 	controller := http.NewResponseController(x.writer)
 	for {
 		event, err := stream.next()
 		if err == io.EOF {
-			return a.streamEnded(answer)
+			return a.streamEnded(response)
 		}
 		if err != nil {
 			return a.connectionFailed(err)
@@ -107,7 +107,7 @@
 		if a.silenceTimer != nil {
 			a.silenceTimer.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
-		if !x.passEvent(controller, answer, event) {
+		if !x.passEvent(controller, response, event) {
 			a.cancel(nil)
 			x.abandon()
 		}
