--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -116,9 +116,9 @@
 }
 
 // passEvent writes one event to the caller, with the head before the first.
-func (x *exchange) passEvent(controller *http.ResponseController, answer *http.Response, event []byte) bool {
+func (x *exchange) passEvent(controller *http.ResponseController, response *http.Response, event []byte) bool {
 	if !x.headRelayed {
-		x.relayHead(answer, -1)
+		x.relayHead(response, -1)
 	}
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := x.writer.Write(event); err != nil {
