--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -107,7 +107,7 @@
 		if a.silenceTimer != nil {
 			a.silenceTimer.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
-		if !x.passEvent(controller, response, event) {
+		if !x.relayEvent(controller, response, event) {
 			a.cancel(nil)
 			x.abandon()
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// passEvent writes one event to the caller, with the head before the first.
-func (x *exchange) passEvent(controller *http.ResponseController, response *http.Response, event []byte) bool {
+// relayEvent writes one event to the caller, with the head before the first.
+func (x *exchange) relayEvent(controller *http.ResponseController, response *http.Response, event []byte) bool {
 	if !x.headRelayed {
 		x.relayHead(response, -1)
 	}
