--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -124,12 +124,12 @@
 	if _, err := x.writer.Write(event); err != nil {
 		return false
 	}
-	x.noteEvent()
+	x.recordEvent()
 	return controller.Flush() == nil
 }
 
-// noteEvent keeps what the log tells of a stream's pace.
-func (x *exchange) noteEvent() {
+// recordEvent keeps what the log tells of a stream's pace.
+func (x *exchange) recordEvent() {
 	now := x.gateway.now()
 	if x.firstEventAt == 0 {
 		x.firstEventAt, x.latestEventAt = now, now
