--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -140,14 +140,14 @@
 }
 
 // streamEnded ends a stream that the back end ended between two events.
-func (a *attempt) streamEnded(answer *http.Response) result {
+func (a *attempt) streamEnded(response *http.Response) result {
 	x := a.exchange
 	if !x.headRelayed {
-		x.relayHead(answer, -1) // a stream without any event
+		x.relayHead(response, -1) // a stream without any event
 	}
 	a.grade = gradeGood
-	a.releaseConnection(answer, nil)
-	x.finish(a, answer.StatusCode)
+	a.releaseConnection(response, nil)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
