--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -94,7 +94,7 @@
 	for {
 		event, err := stream.next()
 		if err == io.EOF {
-			return a.streamEnded(response)
+			return a.finishStream(response)
 		}
 		if err != nil {
 			return a.connectionFailed(err)
@@ -139,8 +139,8 @@
 	x.latestEventAt = now
 }
 
-// streamEnded ends a stream that the back end ended between two events.
-func (a *attempt) streamEnded(response *http.Response) result {
+// finishStream ends a stream that the back end ended between two events.
+func (a *attempt) finishStream(response *http.Response) result {
 	x := a.exchange
 	if !x.headRelayed {
 		x.relayHead(response, -1) // a stream without any event
