--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -152,11 +152,11 @@
 }
 
 // later reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
-func later(id, before string) bool {
-	if len(id) != len(before) {
-		return len(id) > len(before)
+func later(id, previous string) bool {
+	if len(id) != len(previous) {
+		return len(id) > len(previous)
 	}
-	return id > before
+	return id > previous
 }
 
 func splitTokens(line string) []string {
