--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -100,7 +100,7 @@
 			return a.connectionFailed(err)
 		}
 		x.gateway.table.recordBytes(x.gateway.now(), a)
-		if stream.id != "" && !later(stream.id, x.lastEvent) {
+		if stream.id != "" && !followsEvent(stream.id, x.lastEvent) {
 			return a.invalidResponse("event out of order")
 		}
 		a.streamStarted.Store(true)
@@ -151,8 +151,8 @@
 	return result{kind: resultAnswered}
 }
 
-// later reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
-func later(id, previous string) bool {
+// followsEvent reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
+func followsEvent(id, previous string) bool {
 	if len(id) != len(previous) {
 		return len(id) > len(previous)
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -218,7 +218,7 @@
 // IDs are compared as numbers, not as strings.
 func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
-		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
+		if !followsEvent(pair[1], pair[0]) || followsEvent(pair[0], pair[1]) || followsEvent(pair[0], pair[0]) {
 			t.Errorf("later is wrong for %q and %q", pair[0], pair[1])
 		}
 	}
