--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -20,8 +20,8 @@
 const (
 	// dialTimeout is how long a connection may take to come up.
 	dialTimeout = 300 * time.Millisecond
-	// unackedLimit is how long sent bytes may stay unacknowledged before the connection counts as dead.
-	unackedLimit = 1500 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection counts as dead.
+	unackedTimeout = 1500 * time.Millisecond
 	// probeIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
 	probeIdle     = 1500 * time.Millisecond
 	probeInterval = 700 * time.Millisecond
@@ -73,7 +73,7 @@
 // limitConnection bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
 func limitConnection(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
-		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit/time.Millisecond)),
+		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
 		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer),
 	)
 }
