--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -22,8 +22,8 @@
 	dialTimeout = 300 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection counts as dead.
 	unackedTimeout = 1500 * time.Millisecond
-	// probeIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
-	probeIdle     = 1500 * time.Millisecond
+	// keepAliveIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
+	keepAliveIdle = 1500 * time.Millisecond
 	probeInterval = 700 * time.Millisecond
 	probeCount    = 3
 	// idleRepeatable and idleOnce are how long a kept connection may have rested before it is used again. A request
@@ -65,7 +65,7 @@
 	made := &pool{now: clock.From(source), idle: map[string][]*connection{}}
 	made.dialer = net.Dialer{
 		Timeout: dialTimeout, Control: limitConnection,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: probeInterval, Count: probeCount},
 	}
 	return made
 }
