--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -25,7 +25,7 @@
 	// keepAliveIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
 	keepAliveIdle     = 1500 * time.Millisecond
 	keepAliveInterval = 700 * time.Millisecond
-	probeCount        = 3
+	keepAliveCount    = 3
 	// idleRepeatable and idleOnce are how long a kept connection may have rested before it is used again. A request
 	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
 	idleRepeatable = 8 * time.Second
@@ -65,7 +65,7 @@
 	made := &pool{now: clock.From(source), idle: map[string][]*connection{}}
 	made.dialer = net.Dialer{
 		Timeout: dialTimeout, Control: limitConnection,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return made
 }
