--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -120,7 +120,7 @@
 	defer a.settle()
 	maxIdle := idleOnce
 	if x.route.Retryable() {
-		maxIdle = idleRepeatable
+		maxIdle = maxIdleRetryable
 	}
 	if !a.permit() {
 		return result{kind: resultUnreachable, cause: causeLimitReached}
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -26,10 +26,10 @@
 	keepAliveIdle     = 1500 * time.Millisecond
 	keepAliveInterval = 700 * time.Millisecond
 	keepAliveCount    = 3
-	// idleRepeatable and idleOnce are how long a kept connection may have rested before it is used again. A request
+	// maxIdleRetryable and idleOnce are how long a kept connection may have rested before it is used again. A request
 	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
-	idleRepeatable = 8 * time.Second
-	idleOnce       = 3 * time.Second
+	maxIdleRetryable = 8 * time.Second
+	idleOnce         = 3 * time.Second
 	// forgottenShare of the rest after which a back end turned out to have forgotten a connection is how long others may
 	// rest for forgottenFor, and forgottenLeast the least that this may come to.
 	forgottenShare = 0.7
@@ -152,7 +152,7 @@
 	for instance, kept := range p.idle {
 		var left []*connection
 		for _, held := range kept {
-			if held.fresh(p.now(), idleRepeatable) {
+			if held.fresh(p.now(), maxIdleRetryable) {
 				left = append(left, held)
 				continue
 			}
