--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -118,7 +118,7 @@
 	x := a.exchange
 	defer a.cancel(nil)
 	defer a.settle()
-	maxIdle := idleOnce
+	maxIdle := maxIdleOnce
 	if x.route.Retryable() {
 		maxIdle = maxIdleRetryable
 	}
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -29,7 +29,7 @@
 	// maxIdleRetryable and idleOnce are how long a kept connection may have rested before it is used again. A request
 	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
 	maxIdleRetryable = 8 * time.Second
-	idleOnce         = 3 * time.Second
+	maxIdleOnce      = 3 * time.Second
 	// forgottenShare of the rest after which a back end turned out to have forgotten a connection is how long others may
 	// rest for forgottenFor, and forgottenLeast the least that this may come to.
 	forgottenShare = 0.7
