--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -30,11 +30,11 @@
 	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
 	maxIdleRetryable = 8 * time.Second
 	maxIdleOnce      = 3 * time.Second
-	// forgottenShare of the rest after which a back end turned out to have forgotten a connection is how long others may
+	// staleIdleFactor of the rest after which a back end turned out to have forgotten a connection is how long others may
 	// rest for forgottenFor, and forgottenLeast the least that this may come to.
-	forgottenShare = 0.7
-	forgottenFor   = 10 * time.Second
-	forgottenLeast = 100 * time.Millisecond
+	staleIdleFactor = 0.7
+	forgottenFor    = 10 * time.Second
+	forgottenLeast  = 100 * time.Millisecond
 	// idleMargin is kept to a back end's own limit for idle connections.
 	idleMargin     = time.Second
 	readBuffer     = 4096
@@ -96,7 +96,7 @@
 	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= forgottenFor {
 		return rest
 	}
-	return min(rest, max(forgottenLeast, time.Duration(forgottenShare*float64(p.forgottenRest))))
+	return min(rest, max(forgottenLeast, time.Duration(staleIdleFactor*float64(p.forgottenRest))))
 }
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
