--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -33,7 +33,7 @@
 	// staleIdleFactor of the rest after which a back end turned out to have forgotten a connection is how long others may
 	// rest for forgottenFor, and forgottenLeast the least that this may come to.
 	staleIdleFactor = 0.7
-	forgottenFor    = 10 * time.Second
+	staleIdleTTL    = 10 * time.Second
 	forgottenLeast  = 100 * time.Millisecond
 	// idleMargin is kept to a back end's own limit for idle connections.
 	idleMargin     = time.Second
@@ -83,7 +83,7 @@
 func (p *pool) forgotten(rested time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < forgottenLeast || p.forgottenRest > 0 && p.now()-p.forgottenAt < forgottenFor && rested > p.forgottenRest {
+	if rested < forgottenLeast || p.forgottenRest > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.forgottenRest {
 		return
 	}
 	p.forgottenRest, p.forgottenAt = rested, p.now()
@@ -93,7 +93,7 @@
 func (p *pool) restLimit(rest time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= forgottenFor {
+	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= staleIdleTTL {
 		return rest
 	}
 	return min(rest, max(forgottenLeast, time.Duration(staleIdleFactor*float64(p.forgottenRest))))
