--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -34,7 +34,7 @@
 	// rest for forgottenFor, and forgottenLeast the least that this may come to.
 	staleIdleFactor = 0.7
 	staleIdleTTL    = 10 * time.Second
-	forgottenLeast  = 100 * time.Millisecond
+	minStaleIdle    = 100 * time.Millisecond
 	// idleMargin is kept to a back end's own limit for idle connections.
 	idleMargin     = time.Second
 	readBuffer     = 4096
@@ -83,7 +83,7 @@
 func (p *pool) forgotten(rested time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < forgottenLeast || p.forgottenRest > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.forgottenRest {
+	if rested < minStaleIdle || p.forgottenRest > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.forgottenRest {
 		return
 	}
 	p.forgottenRest, p.forgottenAt = rested, p.now()
@@ -96,7 +96,7 @@
 	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= staleIdleTTL {
 		return rest
 	}
-	return min(rest, max(forgottenLeast, time.Duration(staleIdleFactor*float64(p.forgottenRest))))
+	return min(rest, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.forgottenRest))))
 }
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
