--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -37,7 +37,7 @@
 	minStaleIdle    = 100 * time.Millisecond
 	// idleMargin is kept to a back end's own limit for idle connections.
 	idleMargin     = time.Second
-	readBuffer     = 4096
+	readBufferSize = 4096
 	idlePerBackend = 16
 )
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: made, reader: bufio.NewReaderSize(made, readBuffer)}, nil
+	return &connection{Conn: made, reader: bufio.NewReaderSize(made, readBufferSize)}, nil
 }
 
 // take removes the connection that was used last.
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -12,7 +12,7 @@
 )
 
 func newReader(text []byte) *bufio.Reader {
-	return bufio.NewReaderSize(bytes.NewReader(text), readBuffer)
+	return bufio.NewReaderSize(bytes.NewReader(text), readBufferSize)
 }
 
 // TestHeldBodiesAreCounted: a body of any length, known or not, cut off or not, arrives as it was; room is taken for what came, no more than there
