--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -36,9 +36,9 @@
 	staleIdleTTL    = 10 * time.Second
 	minStaleIdle    = 100 * time.Millisecond
 	// idleMargin is kept to a back end's own limit for idle connections.
-	idleMargin     = time.Second
-	readBufferSize = 4096
-	idlePerBackend = 16
+	idleMargin        = time.Second
+	readBufferSize    = 4096
+	maxIdlePerBackend = 16
 )
 
 // connection is one connection to a back end. It serves one request at a time.
@@ -138,7 +138,7 @@
 	used.usedAt = p.now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[instance]) >= idlePerBackend {
+	if len(p.idle[instance]) >= maxIdlePerBackend {
 		_ = used.Close()
 		return
 	}
