--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -44,10 +44,10 @@
 // connection is one connection to a back end. It serves one request at a time.
 type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	usedAt time.Duration
-	limit  time.Duration // longest rest that the back end announced; 0 unknown
-	rested time.Duration // before the request that it serves; 0 for a new connection
+	reader     *bufio.Reader
+	lastUsedAt time.Duration
+	limit      time.Duration // longest rest that the back end announced; 0 unknown
+	rested     time.Duration // before the request that it serves; 0 for a new connection
 }
 
 // pool keeps idle connections by instance, so that a connection never outlives the life it was made to.
@@ -108,7 +108,7 @@
 			break
 		}
 		if kept.fresh(p.now(), rest) && kept.quiet() {
-			kept.rested = p.now() - kept.usedAt
+			kept.rested = p.now() - kept.lastUsedAt
 			return kept, nil
 		}
 		_ = kept.Close()
@@ -135,7 +135,7 @@
 
 // put keeps a connection whose last answer was read whole.
 func (p *pool) put(instance string, used *connection) {
-	used.usedAt = p.now()
+	used.lastUsedAt = p.now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.idle[instance]) >= maxIdlePerBackend {
@@ -170,7 +170,7 @@
 	if c.limit > 0 {
 		rest = min(rest, c.limit-idleMargin)
 	}
-	return now-c.usedAt < rest
+	return now-c.lastUsedAt < rest
 }
 
 // quiet reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
