--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -44,10 +44,10 @@
 // connection is one connection to a back end. It serves one request at a time.
 type connection struct {
 	net.Conn
-	reader     *bufio.Reader
-	lastUsedAt time.Duration
-	limit      time.Duration // longest rest that the back end announced; 0 unknown
-	rested     time.Duration // before the request that it serves; 0 for a new connection
+	reader           *bufio.Reader
+	lastUsedAt       time.Duration
+	keepAliveTimeout time.Duration // longest rest that the back end announced; 0 unknown
+	rested           time.Duration // before the request that it serves; 0 for a new connection
 }
 
 // pool keeps idle connections by instance, so that a connection never outlives the life it was made to.
@@ -167,8 +167,8 @@
 }
 
 func (c *connection) fresh(now, rest time.Duration) bool {
-	if c.limit > 0 {
-		rest = min(rest, c.limit-idleMargin)
+	if c.keepAliveTimeout > 0 {
+		rest = min(rest, c.keepAliveTimeout-idleMargin)
 	}
 	return now-c.lastUsedAt < rest
 }
@@ -197,12 +197,12 @@
 	if answer.Close || hasToken(answer.Header, "Connection", "close") {
 		return false
 	}
-	c.limit = 0
+	c.keepAliveTimeout = 0
 	for field := range strings.SplitSeq(answer.Header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		seconds, err := strconv.Atoi(value)
 		if found && err == nil {
-			c.limit = time.Duration(seconds) * time.Second
+			c.keepAliveTimeout = time.Duration(seconds) * time.Second
 		}
 	}
 	return true
