--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -47,7 +47,7 @@
 	reader           *bufio.Reader
 	lastUsedAt       time.Duration
 	keepAliveTimeout time.Duration // longest rest that the back end announced; 0 unknown
-	rested           time.Duration // before the request that it serves; 0 for a new connection
+	idleFor          time.Duration // before the request that it serves; 0 for a new connection
 }
 
 // pool keeps idle connections by instance, so that a connection never outlives the life it was made to.
@@ -108,7 +108,7 @@
 			break
 		}
 		if kept.fresh(p.now(), rest) && kept.quiet() {
-			kept.rested = p.now() - kept.lastUsedAt
+			kept.idleFor = p.now() - kept.lastUsedAt
 			return kept, nil
 		}
 		_ = kept.Close()
