--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -57,8 +57,8 @@
 	mutex  sync.Mutex
 	idle   map[string][]*connection
 
-	forgottenRest time.Duration // shortest rest after which a connection was lately found forgotten; guarded by mutex
-	forgottenAt   time.Duration // when; guarded by mutex
+	staleIdle   time.Duration // shortest rest after which a connection was lately found forgotten; guarded by mutex
+	forgottenAt time.Duration // when; guarded by mutex
 }
 
 func newPool(source clock.Source) *pool {
@@ -83,20 +83,20 @@
 func (p *pool) forgotten(rested time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < minStaleIdle || p.forgottenRest > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.forgottenRest {
+	if rested < minStaleIdle || p.staleIdle > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.staleIdle {
 		return
 	}
-	p.forgottenRest, p.forgottenAt = rested, p.now()
+	p.staleIdle, p.forgottenAt = rested, p.now()
 }
 
 // restLimit returns how long a connection may have rested, where rest is the most that the request allows.
 func (p *pool) restLimit(rest time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= staleIdleTTL {
+	if p.staleIdle == 0 || p.now()-p.forgottenAt >= staleIdleTTL {
 		return rest
 	}
-	return min(rest, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.forgottenRest))))
+	return min(rest, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
 }
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
