--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -58,7 +58,7 @@
 	idle   map[string][]*connection
 
 	staleIdle   time.Duration // shortest rest after which a connection was lately found forgotten; guarded by mutex
-	forgottenAt time.Duration // when; guarded by mutex
+	staleIdleAt time.Duration // when; guarded by mutex
 }
 
 func newPool(source clock.Source) *pool {
@@ -83,17 +83,17 @@
 func (p *pool) forgotten(rested time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < minStaleIdle || p.staleIdle > 0 && p.now()-p.forgottenAt < staleIdleTTL && rested > p.staleIdle {
+	if rested < minStaleIdle || p.staleIdle > 0 && p.now()-p.staleIdleAt < staleIdleTTL && rested > p.staleIdle {
 		return
 	}
-	p.staleIdle, p.forgottenAt = rested, p.now()
+	p.staleIdle, p.staleIdleAt = rested, p.now()
 }
 
 // restLimit returns how long a connection may have rested, where rest is the most that the request allows.
 func (p *pool) restLimit(rest time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.staleIdle == 0 || p.now()-p.forgottenAt >= staleIdleTTL {
+	if p.staleIdle == 0 || p.now()-p.staleIdleAt >= staleIdleTTL {
 		return rest
 	}
 	return min(rest, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
