--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -64,14 +64,14 @@
 func newPool(source clock.Source) *pool {
 	made := &pool{now: clock.From(source), idle: map[string][]*connection{}}
 	made.dialer = net.Dialer{
-		Timeout: dialTimeout, Control: limitConnection,
+		Timeout: dialTimeout, Control: setSocketOptions,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return made
 }
 
-// limitConnection bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
-func limitConnection(_, _ string, raw syscall.RawConn) error {
+// setSocketOptions bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
 		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
 		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer),
