--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -80,13 +80,13 @@
 
 // forgotten notes that a back end broke a connection off which had rested so long, before it answered anything. Back ends
 // may forget connections sooner than they say, so others are not trusted for as long either for a while.
-func (p *pool) forgotten(rested time.Duration) {
+func (p *pool) forgotten(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < minStaleIdle || p.staleIdle > 0 && p.now()-p.staleIdleAt < staleIdleTTL && rested > p.staleIdle {
+	if idleFor < minStaleIdle || p.staleIdle > 0 && p.now()-p.staleIdleAt < staleIdleTTL && idleFor > p.staleIdle {
 		return
 	}
-	p.staleIdle, p.staleIdleAt = rested, p.now()
+	p.staleIdle, p.staleIdleAt = idleFor, p.now()
 }
 
 // restLimit returns how long a connection may have rested, where rest is the most that the request allows.
