--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -18,7 +18,7 @@
 	response, err := a.readHead()
 	if err != nil {
 		if a.ctx.Err() == nil {
-			a.exchange.gateway.pool.forgotten(a.conn.idleFor)
+			a.exchange.gateway.pool.recordStale(a.conn.idleFor)
 		}
 		return a.connectionFailed(err)
 	}
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -78,9 +78,9 @@
 	)
 }
 
-// forgotten notes that a back end broke a connection off which had rested so long, before it answered anything. Back ends
+// recordStale notes that a back end broke a connection off which had rested so long, before it answered anything. Back ends
 // may forget connections sooner than they say, so others are not trusted for as long either for a while.
-func (p *pool) forgotten(idleFor time.Duration) {
+func (p *pool) recordStale(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if idleFor < minStaleIdle || p.staleIdle > 0 && p.now()-p.staleIdleAt < staleIdleTTL && idleFor > p.staleIdle {
