--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -90,13 +90,13 @@
 }
 
 // restLimit returns how long a connection may have rested, where rest is the most that the request allows.
-func (p *pool) restLimit(rest time.Duration) time.Duration {
+func (p *pool) restLimit(maxIdle time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.staleIdle == 0 || p.now()-p.staleIdleAt >= staleIdleTTL {
-		return rest
+		return maxIdle
 	}
-	return min(rest, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
+	return min(maxIdle, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
 }
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
