--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -89,8 +89,8 @@
 	p.staleIdle, p.staleIdleAt = idleFor, p.now()
 }
 
-// restLimit returns how long a connection may have rested, where rest is the most that the request allows.
-func (p *pool) restLimit(maxIdle time.Duration) time.Duration {
+// idleLimit returns how long a connection may have rested, where rest is the most that the request allows.
+func (p *pool) idleLimit(maxIdle time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.staleIdle == 0 || p.now()-p.staleIdleAt >= staleIdleTTL {
@@ -101,7 +101,7 @@
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
 func (p *pool) get(ctx context.Context, instance, address string, rest time.Duration) (*connection, error) {
-	rest = p.restLimit(rest)
+	rest = p.idleLimit(rest)
 	for {
 		kept := p.take(instance)
 		if kept == nil {
