--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -100,14 +100,14 @@
 }
 
 // get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
-func (p *pool) get(ctx context.Context, instance, address string, rest time.Duration) (*connection, error) {
-	rest = p.idleLimit(rest)
+func (p *pool) get(ctx context.Context, instance, address string, maxIdle time.Duration) (*connection, error) {
+	maxIdle = p.idleLimit(maxIdle)
 	for {
 		kept := p.take(instance)
 		if kept == nil {
 			break
 		}
-		if kept.fresh(p.now(), rest) && kept.quiet() {
+		if kept.fresh(p.now(), maxIdle) && kept.quiet() {
 			kept.idleFor = p.now() - kept.lastUsedAt
 			return kept, nil
 		}
