--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -103,15 +103,15 @@
 func (p *pool) get(ctx context.Context, instance, address string, maxIdle time.Duration) (*connection, error) {
 	maxIdle = p.idleLimit(maxIdle)
 	for {
-		kept := p.take(instance)
-		if kept == nil {
+		idle := p.take(instance)
+		if idle == nil {
 			break
 		}
-		if kept.fresh(p.now(), maxIdle) && kept.quiet() {
-			kept.idleFor = p.now() - kept.lastUsedAt
-			return kept, nil
+		if idle.fresh(p.now(), maxIdle) && idle.quiet() {
+			idle.idleFor = p.now() - idle.lastUsedAt
+			return idle, nil
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
 	made, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
