--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -124,12 +124,12 @@
 func (p *pool) take(instance string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[instance]
-	if len(kept) == 0 {
+	idle := p.idle[instance]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[instance] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	p.idle[instance] = idle[:len(idle)-1]
 	return last
 }
 
