--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -103,7 +103,7 @@
 func (p *pool) get(ctx context.Context, instance, address string, maxIdle time.Duration) (*connection, error) {
 	maxIdle = p.idleLimit(maxIdle)
 	for {
-		idle := p.take(instance)
+		idle := p.takeIdle(instance)
 		if idle == nil {
 			break
 		}
@@ -120,8 +120,8 @@
 	return &connection{Conn: made, reader: bufio.NewReaderSize(made, readBufferSize)}, nil
 }
 
-// take removes the connection that was used last.
-func (p *pool) take(instance string) *connection {
+// takeIdle removes the connection that was used last.
+func (p *pool) takeIdle(instance string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	idle := p.idle[instance]
