--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -149,9 +149,9 @@
 func (p *pool) sweep() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for instance, kept := range p.idle {
+	for instance, idle := range p.idle {
 		var left []*connection
-		for _, held := range kept {
+		for _, held := range idle {
 			if held.fresh(p.now(), maxIdleRetryable) {
 				left = append(left, held)
 				continue
