--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -151,12 +151,12 @@
 	defer p.mutex.Unlock()
 	for instance, idle := range p.idle {
 		var left []*connection
-		for _, held := range idle {
-			if held.fresh(p.now(), maxIdleRetryable) {
-				left = append(left, held)
+		for _, conn := range idle {
+			if conn.fresh(p.now(), maxIdleRetryable) {
+				left = append(left, conn)
 				continue
 			}
-			_ = held.Close()
+			_ = conn.Close()
 		}
 		if len(left) == 0 {
 			delete(p.idle, instance)
