--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -150,19 +150,19 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for instance, idle := range p.idle {
-		var left []*connection
+		var remaining []*connection
 		for _, conn := range idle {
 			if conn.fresh(p.now(), maxIdleRetryable) {
-				left = append(left, conn)
+				remaining = append(remaining, conn)
 				continue
 			}
 			_ = conn.Close()
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, instance)
 			continue
 		}
-		p.idle[instance] = left
+		p.idle[instance] = remaining
 	}
 }
 
