--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -166,11 +166,11 @@
 	}
 }
 
-func (c *connection) fresh(now, rest time.Duration) bool {
+func (c *connection) fresh(now, maxIdle time.Duration) bool {
 	if c.keepAliveTimeout > 0 {
-		rest = min(rest, c.keepAliveTimeout-idleMargin)
+		maxIdle = min(maxIdle, c.keepAliveTimeout-idleMargin)
 	}
-	return now-c.lastUsedAt < rest
+	return now-c.lastUsedAt < maxIdle
 }
 
 // quiet reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
