--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -107,7 +107,7 @@
 		if idle == nil {
 			break
 		}
-		if idle.fresh(p.now(), maxIdle) && idle.quiet() {
+		if idle.isFresh(p.now(), maxIdle) && idle.quiet() {
 			idle.idleFor = p.now() - idle.lastUsedAt
 			return idle, nil
 		}
@@ -152,7 +152,7 @@
 	for instance, idle := range p.idle {
 		var remaining []*connection
 		for _, conn := range idle {
-			if conn.fresh(p.now(), maxIdleRetryable) {
+			if conn.isFresh(p.now(), maxIdleRetryable) {
 				remaining = append(remaining, conn)
 				continue
 			}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (c *connection) fresh(now, maxIdle time.Duration) bool {
+func (c *connection) isFresh(now, maxIdle time.Duration) bool {
 	if c.keepAliveTimeout > 0 {
 		maxIdle = min(maxIdle, c.keepAliveTimeout-idleMargin)
 	}
