--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -182,14 +182,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	unread := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
 		_, _, failed := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failed == unix.EAGAIN
+		unread = failed == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && unread
 }
 
 // noteLimits reads how long the back end keeps the connection, and reports whether it may be used again.
