--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -107,7 +107,7 @@
 		if idle == nil {
 			break
 		}
-		if idle.isFresh(p.now(), maxIdle) && idle.quiet() {
+		if idle.isFresh(p.now(), maxIdle) && idle.isUsable() {
 			idle.idleFor = p.now() - idle.lastUsedAt
 			return idle, nil
 		}
@@ -173,8 +173,8 @@
 	return now-c.lastUsedAt < maxIdle
 }
 
-// quiet reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
-func (c *connection) quiet() bool {
+// isUsable reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
+func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
