--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -193,12 +193,12 @@
 }
 
 // noteLimits reads how long the back end keeps the connection, and reports whether it may be used again.
-func (c *connection) noteLimits(answer *http.Response) bool {
-	if answer.Close || hasToken(answer.Header, "Connection", "close") {
+func (c *connection) noteLimits(response *http.Response) bool {
+	if response.Close || hasToken(response.Header, "Connection", "close") {
 		return false
 	}
 	c.keepAliveTimeout = 0
-	for field := range strings.SplitSeq(answer.Header.Get("Keep-Alive"), ",") {
+	for field := range strings.SplitSeq(response.Header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		seconds, err := strconv.Atoi(value)
 		if found && err == nil {
