--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -112,7 +112,7 @@
 	default:
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	if readErr != nil || !written || !framed || a.ctx.Err() != nil || !a.conn.noteLimits(response) {
+	if readErr != nil || !written || !framed || a.ctx.Err() != nil || !a.conn.readKeepAlive(response) {
 		_ = a.conn.Close()
 		return
 	}
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -192,8 +192,8 @@
 	return err == nil && unread
 }
 
-// noteLimits reads how long the back end keeps the connection, and reports whether it may be used again.
-func (c *connection) noteLimits(response *http.Response) bool {
+// readKeepAlive reads how long the back end keeps the connection, and reports whether it may be used again.
+func (c *connection) readKeepAlive(response *http.Response) bool {
 	if response.Close || hasToken(response.Header, "Connection", "close") {
 		return false
 	}
