--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -17,7 +17,7 @@
 	PromptTokens int
 	OutputTokens int           // at most
 	Counted      bool          // the call told its tokens
-	Patience     time.Duration // how long the caller waits; 0 unknown
+	Timeout      time.Duration // how long the caller waits; 0 unknown
 	LastEvent    string        // newest event of the stream that the caller already has
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -100,8 +100,8 @@
 		return
 	}
 	deadline := x.route.Timeout
-	if x.call.Patience > 0 {
-		deadline = min(deadline, x.call.Patience)
+	if x.call.Timeout > 0 {
+		deadline = min(deadline, x.call.Timeout)
 	}
 	x.deadline = x.arrived + deadline
 	ctx, cancel := context.WithTimeout(r.Context(), x.deadline-g.now())
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -109,7 +109,7 @@
 
 // viewWait is how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
-	patience := x.call.Patience
+	patience := x.call.Timeout
 	if patience == 0 {
 		patience = defaultPatience
 	}
