--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -10,15 +10,15 @@
 
 // Call is what a caller asks, apart from method, path and body, which are passed on as they came.
 type Call struct {
-	ID           string // the caller's name for this request; the answer must carry it
-	Key          string // API key
-	Model        string
-	Parts        []prefix.Part // of the prompt, in order
-	PromptTokens int
-	OutputTokens int           // at most
-	Counted      bool          // the call told its tokens
-	Timeout      time.Duration // how long the caller waits; 0 unknown
-	LastEvent    string        // newest event of the stream that the caller already has
+	ID             string // the caller's name for this request; the answer must carry it
+	Key            string // API key
+	Model          string
+	Parts          []prefix.Part // of the prompt, in order
+	PromptTokens   int
+	OutputTokens   int           // at most
+	TokensDeclared bool          // the call told its tokens
+	Timeout        time.Duration // how long the caller waits; 0 unknown
+	LastEvent      string        // newest event of the stream that the caller already has
 }
 
 // Sending is what a back end is told beside the caller's own request.
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -31,7 +31,7 @@
 		x.quotaLease.covered = true
 		return true
 	}
-	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
+	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.TokensDeclared)
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
