--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -21,8 +21,8 @@
 	LastEvent      string        // newest event of the stream that the caller already has
 }
 
-// Sending is what a back end is told beside the caller's own request.
-type Sending struct {
+// Forwarding is what a back end is told beside the caller's own request.
+type Forwarding struct {
 	Instance  string        // life that the request is meant for; another one must refuse it
 	Left      time.Duration // until the answer is of no use
 	Tenant    string        // owner of the API key, or ""
@@ -56,7 +56,7 @@
 	// Read reads what a caller asks.
 	Read(header http.Header) Call
 	// Write sets what a back end is told and removes whatever callers may not set themselves.
-	Write(header http.Header, sending Sending)
+	Write(header http.Header, sending Forwarding)
 	// Judge reads a back end's answer.
 	Judge(status int, header http.Header) Verdict
 }
