--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -318,7 +318,7 @@
 	header := x.request.Header.Clone()
 	removeHopByHopHeaders(header)
 	left := max(time.Millisecond, x.deadline-x.gateway.now())
-	forwarding := Forwarding{Instance: a.row.entry.ID, Left: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
+	forwarding := Forwarding{Instance: a.row.entry.ID, TimeLeft: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
 	if x.tenant != nil {
 		forwarding.Tenant = x.tenant.Name
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -24,7 +24,7 @@
 // Forwarding is what a back end is told beside the caller's own request.
 type Forwarding struct {
 	Instance  string        // life that the request is meant for; another one must refuse it
-	Left      time.Duration // until the answer is of no use
+	TimeLeft  time.Duration // until the answer is of no use
 	Tenant    string        // owner of the API key, or ""
 	Engine    bool          // the fields below apply
 	Salt      string        // name space of cached parts
