--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -326,7 +326,7 @@
 		forwarding.LastEvent = x.lastEvent
 	}
 	if forwarding.Engine {
-		forwarding.Salt, forwarding.Version, forwarding.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
+		forwarding.Salt, forwarding.WeightsVersion, forwarding.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
 		forwarding.FetchFrom, forwarding.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
 	x.gateway.dialect.Write(header, forwarding)
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -23,16 +23,16 @@
 
 // Forwarding is what a back end is told beside the caller's own request.
 type Forwarding struct {
-	Instance  string        // life that the request is meant for; another one must refuse it
-	TimeLeft  time.Duration // until the answer is of no use
-	Tenant    string        // owner of the API key, or ""
-	Engine    bool          // the fields below apply
-	Salt      string        // name space of cached parts
-	Priority  int           // 0 is the most urgent
-	Version   uint64        // weights that the request counts on; 0 unknown
-	FetchFrom string        // address of an engine or store that may hold parts of the prompt, or ""
-	SaveTo    string        // address of a store that the prompt's parts shall be kept in, or ""
-	LastEvent string        // newest event of the stream that the caller already has
+	Instance       string        // life that the request is meant for; another one must refuse it
+	TimeLeft       time.Duration // until the answer is of no use
+	Tenant         string        // owner of the API key, or ""
+	Engine         bool          // the fields below apply
+	Salt           string        // name space of cached parts
+	Priority       int           // 0 is the most urgent
+	WeightsVersion uint64        // weights that the request counts on; 0 unknown
+	FetchFrom      string        // address of an engine or store that may hold parts of the prompt, or ""
+	SaveTo         string        // address of a store that the prompt's parts shall be kept in, or ""
+	LastEvent      string        // newest event of the stream that the caller already has
 }
 
 // Verdict is what a back end's answer says of itself.
