--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -95,7 +95,7 @@
 }
 
 // rejected ends an attempt that the back end did not run.
-func (a *attempt) rejected(response *http.Response, info Verdict) result {
+func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
 	a.grade = gradeFull
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -35,8 +35,8 @@
 	LastEvent      string        // newest event of the stream that the caller already has
 }
 
-// Verdict is what a back end's answer says of itself.
-type Verdict struct {
+// ResponseInfo is what a back end's answer says of itself.
+type ResponseInfo struct {
 	ID      string // request that it answers
 	Signed  bool   // it comes from a back end that ran the request
 	NotRun  bool   // the request did not run and never will
@@ -58,5 +58,5 @@
 	// Write sets what a back end is told and removes whatever callers may not set themselves.
 	Write(header http.Header, sending Forwarding)
 	// Judge reads a back end's answer.
-	Judge(status int, header http.Header) Verdict
+	Judge(status int, header http.Header) ResponseInfo
 }
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -33,7 +33,7 @@
 
 // logVersionMismatch logs that a response reports other weights than expected or known, or that a request started
 // on outdated weights, with the deadlines in force.
-func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
+func (a *attempt) logVersionMismatch(status int, verdict ResponseInfo) {
 	x := a.exchange
 	started := status < http.StatusMultipleChoices && verdict.Signed
 	rejected := verdict.NotRun && verdict.Version > 0
