--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -31,8 +31,8 @@
 	a.logVersionMismatch(response.StatusCode, info)
 	switch {
 	case info.NotRun:
-		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.Version) {
-			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.Version))
+		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.WeightsVersion) {
+			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.WeightsVersion))
 		}
 		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -37,10 +37,10 @@
 
 // ResponseInfo is what a back end's answer says of itself.
 type ResponseInfo struct {
-	ID      string // request that it answers
-	Signed  bool   // it comes from a back end that ran the request
-	NotRun  bool   // the request did not run and never will
-	Version uint64 // of the back end's weights; 0 unknown
+	ID             string // request that it answers
+	Signed         bool   // it comes from a back end that ran the request
+	NotRun         bool   // the request did not run and never will
+	WeightsVersion uint64 // of the back end's weights; 0 unknown
 
 	Said       pushback.Signals // what it says of itself, whatever became of the request
 	RetryAfter time.Duration    // when it advises the caller to come back; 0 it doesn't
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -36,12 +36,12 @@
 func (a *attempt) logVersionMismatch(status int, verdict ResponseInfo) {
 	x := a.exchange
 	started := status < http.StatusMultipleChoices && verdict.Signed
-	rejected := verdict.NotRun && verdict.Version > 0
+	rejected := verdict.NotRun && verdict.WeightsVersion > 0
 	if !x.service.Engine || !started && !rejected {
 		return
 	}
 	g := x.gateway
-	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
+	seen := g.compareVersions(a.row, x.call.Model, verdict.WeightsVersion)
 	expected := a.plan.version
 	differs := seen.reported > 0 && (expected > 0 && seen.reported != expected || seen.reported != seen.known)
 	if !differs && !(started && seen.outdated) {
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -50,16 +50,16 @@
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	chosen := chosenAttempt(g)
-	chosen.logVersionMismatch(200, ResponseInfo{Signed: true, Version: 1})
+	chosen.logVersionMismatch(200, ResponseInfo{Signed: true, WeightsVersion: 1})
 	if lines.Len() != 0 {
 		t.Fatalf("response on the expected weights was logged: %v", lines.All())
 	}
 	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
-		chosen.logVersionMismatch(200, ResponseInfo{Signed: true, Version: 1})
+		chosen.logVersionMismatch(200, ResponseInfo{Signed: true, WeightsVersion: 1})
 	}
 	now += node.SparseEach
-	chosen.logVersionMismatch(421, ResponseInfo{NotRun: true, Version: 3})
+	chosen.logVersionMismatch(421, ResponseInfo{NotRun: true, WeightsVersion: 3})
 	got := lines.FilterMessage(events.WeightsMismatch).All()
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("unexpected log lines: %v", lines.All())
