--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -97,7 +97,7 @@
 // rejected ends an attempt that the back end did not run.
 func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
 	a.grade = gradeFull
-	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Said.Backoff}
+	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Signals.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
 	a.releaseConnection(response, err)
 	return rejection
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -42,7 +42,7 @@
 	NotRun         bool   // the request did not run and never will
 	WeightsVersion uint64 // of the back end's weights; 0 unknown
 
-	Said       pushback.Signals // what it says of itself, whatever became of the request
+	Signals    pushback.Signals // what it says of itself, whatever became of the request
 	RetryAfter time.Duration    // when it advises the caller to come back; 0 it doesn't
 	Unread     string           // such advice that can't be read, as it came, cut off at some length
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -19,9 +19,9 @@
 
 // hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
 func (a *attempt) hear(status int, verdict ResponseInfo) {
-	a.requestedBackoff = verdict.Said.Backoff
+	a.requestedBackoff = verdict.Signals.Backoff
 	g := a.exchange.gateway
-	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Signals, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.startedAt)
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,7 +26,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, ResponseInfo{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
+		sent.hear(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
 	}
 	attemptAt(g, g.table.rows["i-1"]).hear(503, ResponseInfo{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
