--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -42,9 +42,9 @@
 	NotRun         bool   // the request did not run and never will
 	WeightsVersion uint64 // of the back end's weights; 0 unknown
 
-	Signals    pushback.Signals // what it says of itself, whatever became of the request
-	RetryAfter time.Duration    // when it advises the caller to come back; 0 it doesn't
-	Unread     string           // such advice that can't be read, as it came, cut off at some length
+	Signals         pushback.Signals // what it says of itself, whatever became of the request
+	RetryAfter      time.Duration    // when it advises the caller to come back; 0 it doesn't
+	UnparsedBackoff string           // such advice that can't be read, as it came, cut off at some length
 
 	LimitUnread string   // a limit that can't be read, as it came, cut off at some length
 	Unlimited   bool     // it is the back end's own answer, and names no limit
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -28,7 +28,7 @@
 	for range 3 {
 		sent.hear(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(503, ResponseInfo{NotRun: true, Unread: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).hear(503, ResponseInfo{NotRun: true, UnparsedBackoff: "soon"})
 	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
