--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -34,7 +34,7 @@
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
 		sent.hear(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(200, ResponseInfo{LimitUnread: "3,8"})
+	attemptAt(g, g.table.rows["i-1"]).hear(200, ResponseInfo{UnparsedLimit: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldAdvertisedLimit] != 4.0 || got[1].ContextMap()[events.FieldAdvertisedLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
