--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -47,7 +47,7 @@
 	UnparsedBackoff string           // such advice that can't be read, as it came, cut off at some length
 
 	UnparsedLimit string   // a limit that can't be read, as it came, cut off at some length
-	Unlimited     bool     // it is the back end's own answer, and names no limit
+	NoLimit       bool     // it is the back end's own answer, and names no limit
 	Strange       []string // names of words in it about the back end that nothing reads, rising, a few at most
 }
 
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -48,16 +48,16 @@
 	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
-	sent.hear(200, ResponseInfo{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
+	sent.hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"}) // sent before the limit was heard
 	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, Unlimited: true, ID: "r1"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"})
 	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
