--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -46,9 +46,9 @@
 	RetryAfter      time.Duration    // when it advises the caller to come back; 0 it doesn't
 	UnparsedBackoff string           // such advice that can't be read, as it came, cut off at some length
 
-	UnparsedLimit string   // a limit that can't be read, as it came, cut off at some length
-	NoLimit       bool     // it is the back end's own answer, and names no limit
-	Strange       []string // names of words in it about the back end that nothing reads, rising, a few at most
+	UnparsedLimit  string   // a limit that can't be read, as it came, cut off at some length
+	NoLimit        bool     // it is the back end's own answer, and names no limit
+	UnknownHeaders []string // names of words in it about the back end that nothing reads, rising, a few at most
 }
 
 // Dialect translates between a platform's headers and the gateway. It is safe for concurrent use.
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -32,7 +32,7 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, UnknownHeaders: []string{"Mood"}})
 	}
 	attemptAt(g, g.table.rows["i-1"]).hear(200, ResponseInfo{UnparsedLimit: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
