--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -56,7 +56,7 @@
 	// Read reads what a caller asks.
 	Read(header http.Header) Call
 	// Write sets what a back end is told and removes whatever callers may not set themselves.
-	Write(header http.Header, sending Forwarding)
+	Write(header http.Header, forwarding Forwarding)
 	// Judge reads a back end's answer.
 	Judge(status int, header http.Header) ResponseInfo
 }
