--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -53,8 +53,8 @@
 
 // Dialect translates between a platform's headers and the gateway. It is safe for concurrent use.
 type Dialect interface {
-	// Read reads what a caller asks.
-	Read(header http.Header) Call
+	// ReadCall reads what a caller asks.
+	ReadCall(header http.Header) Call
 	// Write sets what a back end is told and removes whatever callers may not set themselves.
 	Write(header http.Header, forwarding Forwarding)
 	// Judge reads a back end's answer.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -89,7 +89,7 @@
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.Read(r.Header)}
+	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.ReadCall(r.Header)}
 	if g.closing.Load() {
 		x.reject(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
