--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -329,7 +329,7 @@
 		forwarding.Salt, forwarding.WeightsVersion, forwarding.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
 		forwarding.FetchFrom, forwarding.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
-	x.gateway.dialect.Write(header, forwarding)
+	x.gateway.dialect.WriteForwarding(header, forwarding)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
 		header.Set("Content-Length", strconv.Itoa(len(x.body)))
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -55,8 +55,8 @@
 type Dialect interface {
 	// ReadCall reads what a caller asks.
 	ReadCall(header http.Header) Call
-	// Write sets what a back end is told and removes whatever callers may not set themselves.
-	Write(header http.Header, forwarding Forwarding)
+	// WriteForwarding sets what a back end is told and removes whatever callers may not set themselves.
+	WriteForwarding(header http.Header, forwarding Forwarding)
 	// Judge reads a back end's answer.
 	Judge(status int, header http.Header) ResponseInfo
 }
