--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -23,7 +23,7 @@
 		return a.connectionFailed(err)
 	}
 	x := a.exchange
-	info := x.gateway.dialect.Judge(response.StatusCode, response.Header)
+	info := x.gateway.dialect.ReadResponse(response.StatusCode, response.Header)
 	a.hear(response.StatusCode, info)
 	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
 		return a.invalidResponse("answer of another request")
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -57,6 +57,6 @@
 	ReadCall(header http.Header) Call
 	// WriteForwarding sets what a back end is told and removes whatever callers may not set themselves.
 	WriteForwarding(header http.Header, forwarding Forwarding)
-	// Judge reads a back end's answer.
-	Judge(status int, header http.Header) ResponseInfo
+	// ReadResponse reads a back end's answer.
+	ReadResponse(status int, header http.Header) ResponseInfo
 }
