--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -67,12 +67,12 @@
 func TestWordsThatNothingReadsAreBounded(t *testing.T) {
 	var words strangeWords
 	logged := 0
-	for i := range 10 * strangeMost {
+	for i := range 10 * maxUnknownHeaders {
 		if words.first(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != strangeMost || words.first("0") {
+	if logged != maxUnknownHeaders || words.first("0") {
 		t.Fatalf("%d were logged", logged)
 	}
 }
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/events"
 )
 
-// strangeMost is how many different words of back ends that nothing reads are logged: their names come from outside.
-const strangeMost = 32
+// maxUnknownHeaders is how many different words of back ends that nothing reads are logged: their names come from outside.
+const maxUnknownHeaders = 32
 
 // strangeWords are the words of back ends that nothing reads. It is safe for concurrent use.
 type strangeWords struct {
@@ -22,7 +22,7 @@
 func (s *strangeWords) first(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.names) >= strangeMost || slices.Contains(s.names, name) {
+	if len(s.names) >= maxUnknownHeaders || slices.Contains(s.names, name) {
 		return false
 	}
 	s.names = append(s.names, name)
