--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,7 +60,7 @@
 	oldWeights *node.Sparse // lines of answers on other weights than believed or wanted, by instance
 	restLines  *node.Sparse // lines of back ends that ask for rest, by instance
 	limitLines *node.Sparse // lines of limits that can't be read, by instance
-	strange    strangeWords
+	strange    unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
 	confirmed *bell
 	gateways  atomic.Int64 // that share what is limited, as control told last
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -65,7 +65,7 @@
 
 // TestWordsThatNothingReadsAreBounded: their names come from outside.
 func TestWordsThatNothingReadsAreBounded(t *testing.T) {
-	var words strangeWords
+	var words unknownHeaders
 	logged := 0
 	for i := range 10 * maxUnknownHeaders {
 		if words.first(fmt.Sprint(i)) {
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -12,14 +12,14 @@
 // maxUnknownHeaders is how many different words of back ends that nothing reads are logged: their names come from outside.
 const maxUnknownHeaders = 32
 
-// strangeWords are the words of back ends that nothing reads. It is safe for concurrent use.
-type strangeWords struct {
+// unknownHeaders are the words of back ends that nothing reads. It is safe for concurrent use.
+type unknownHeaders struct {
 	mu    sync.Mutex
 	names []string // at most strangeMost; guarded by mu
 }
 
 // first reports whether a word is to be logged: once, while there is room.
-func (s *strangeWords) first(name string) bool {
+func (s *unknownHeaders) first(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.names) >= maxUnknownHeaders || slices.Contains(s.names, name) {
