--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -68,11 +68,11 @@
 	var words unknownHeaders
 	logged := 0
 	for i := range 10 * maxUnknownHeaders {
-		if words.first(fmt.Sprint(i)) {
+		if words.addNew(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != maxUnknownHeaders || words.first("0") {
+	if logged != maxUnknownHeaders || words.addNew("0") {
 		t.Fatalf("%d were logged", logged)
 	}
 }
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -18,8 +18,8 @@
 	names []string // at most strangeMost; guarded by mu
 }
 
-// first reports whether a word is to be logged: once, while there is room.
-func (s *unknownHeaders) first(name string) bool {
+// addNew reports whether a word is to be logged: once, while there is room.
+func (s *unknownHeaders) addNew(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.names) >= maxUnknownHeaders || slices.Contains(s.names, name) {
@@ -33,7 +33,7 @@
 func (g *Gateway) noteStrange(row *endpoint, names []string) {
 	for _, name := range names {
 		g.metrics.strange.Inc()
-		if g.strange.first(name) {
+		if g.strange.addNew(name) {
 			g.log.note(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
 		}
 	}
