--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -22,7 +22,7 @@
 	a.requestedBackoff = verdict.Signals.Backoff
 	g := a.exchange.gateway
 	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Signals, unread: verdict.UnparsedBackoff, limitUnread: verdict.UnparsedLimit})
-	g.noteStrange(a.row, verdict.UnknownHeaders)
+	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
 	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.startedAt)
 	}
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// noteStrange counts words of a back end that nothing reads, and logs each name once.
-func (g *Gateway) noteStrange(row *endpoint, names []string) {
+// recordUnknownHeaders counts words of a back end that nothing reads, and logs each name once.
+func (g *Gateway) recordUnknownHeaders(row *endpoint, names []string) {
 	for _, name := range names {
 		g.metrics.strange.Inc()
 		if g.strange.addNew(name) {
