--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// bell wakes everybody who waits for the next ring. It is safe for concurrent use.
-type bell struct {
+// notifier wakes everybody who waits for the next ring. It is safe for concurrent use.
+type notifier struct {
 	mu   sync.Mutex
 	next chan struct{} // closed by the next ring; guarded by mu
 }
 
-func newBell() *bell { return &bell{next: make(chan struct{})} }
+func newBell() *notifier { return &notifier{next: make(chan struct{})} }
 
 // Next returns a channel that the next ring closes.
-func (b *bell) Next() <-chan struct{} {
+func (b *notifier) Next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next
 }
 
 // Ring wakes those who wait.
-func (b *bell) Ring() {
+func (b *notifier) Ring() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.next)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -67,7 +67,7 @@
 	signals          *pushback.Tracker                 // load and limit signals of back ends
 	leaseRetryAt     time.Duration                     // no lease is requested until then, since the allocator did not answer
 	lastRetryAt      map[string]time.Duration          // by service: latest retry time given while all were at their limits
-	rosterChanged    *bell                             // signals each new roster
+	rosterChanged    *notifier                         // signals each new roster
 	waiting          map[*attempt]struct{}             // awaiting a response, also at removed back ends
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,7 +62,7 @@
 	limitLines *node.Sparse // lines of limits that can't be read, by instance
 	strange    unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
-	confirmed *bell
+	confirmed *notifier
 	gateways  atomic.Int64 // that share what is limited, as control told last
 	draining  atomic.Bool
 	closing   atomic.Bool // the end of a planned stop: nothing new is taken
