--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -8,7 +8,7 @@
 	next chan struct{} // closed by the next ring; guarded by mu
 }
 
-func newBell() *notifier { return &notifier{next: make(chan struct{})} }
+func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
 // Next returns a channel that the next ring closes.
 func (b *notifier) Next() <-chan struct{} {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -76,7 +76,7 @@
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewTracker(),
 		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Controller{},
-		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newBell(), lastRetryAt: map[string]time.Duration{},
+		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newNotifier(), lastRetryAt: map[string]time.Duration{},
 	}
 }
 
