--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -17,8 +17,8 @@
 	return b.next
 }
 
-// Ring wakes those who wait.
-func (b *notifier) Ring() {
+// Notify wakes those who wait.
+func (b *notifier) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.next)
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -79,7 +79,7 @@
 	}
 	t.rows, t.services = fresh, services
 	t.sweepHolders()
-	t.rosterChanged.Ring()
+	t.rosterChanged.Notify()
 }
 
 // newestVersions merges what was known of a back end's weights with what is told: a new leader may not have heard of them yet.
