--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -152,7 +152,7 @@
 
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
-		x.gateway.log.lost()
+		x.gateway.log.recordDisconnect()
 		x.reject(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.comeBack())
 		return
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -24,7 +24,7 @@
 			g.near.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
-				g.log.lost()
+				g.log.recordDisconnect()
 			}
 			select {
 			case <-ctx.Done():
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -20,8 +20,8 @@
 // note writes a line.
 func (l *decisionLog) note(event string, fields ...zap.Field) { l.out.Info(event, fields...) }
 
-// lost notes once that the view is no longer confirmed.
-func (l *decisionLog) lost() {
+// recordDisconnect notes once that the view is no longer confirmed.
+func (l *decisionLog) recordDisconnect() {
 	if l.disconnected.CompareAndSwap(false, true) {
 		l.note(events.ControlDisconnected)
 	}
