--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -142,7 +142,7 @@
 		g.confirm.Store(int64(asked))
 		g.outage.end(g.now())
 		g.confirmed.Notify()
-		g.log.regained()
+		g.log.recordReconnect()
 	}
 }
 
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// regained notes once that the view is confirmed again.
-func (l *decisionLog) regained() {
+// recordReconnect notes once that the view is confirmed again.
+func (l *decisionLog) recordReconnect() {
 	if l.disconnected.CompareAndSwap(true, false) {
 		l.note(events.ControlReconnected)
 	}
