--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -32,7 +32,7 @@
 	switch {
 	case info.NotRun:
 		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.WeightsVersion) {
-			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.WeightsVersion))
+			x.gateway.log.info(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.WeightsVersion))
 		}
 		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -85,7 +85,7 @@
 	if x.servedBy != "" {
 		fields = append(fields, zap.String(events.FieldInstance, x.servedBy))
 	}
-	x.gateway.log.note(event, fields...)
+	x.gateway.log.info(event, fields...)
 	x.gateway.metrics.ended(event, reason)
 }
 
@@ -117,5 +117,5 @@
 	if failed.cause == causeWeightsOutdated {
 		fields = append(fields, sent.outdatedFields()...)
 	}
-	x.gateway.log.note(events.AttemptFailed, fields...)
+	x.gateway.log.info(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -114,20 +114,20 @@
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
 		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
-		g.log.note(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
+		g.log.info(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
 		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
 		for _, change := range changes {
-			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
+			g.log.info(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
-		g.log.note(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
+		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
-		g.log.note(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
+		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -105,7 +105,7 @@
 	at.failures++
 	g.metrics.unread.Inc()
 	if at.failures == 1 {
-		g.log.note(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
+		g.log.info(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
+	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
 	made.spread.silent = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
@@ -132,13 +132,13 @@
 			failed <- err
 		}
 	}()
-	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
+	g.log.info(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
 	case err = <-failed:
 	}
-	g.log.note(events.GatewayStopped, zap.Int64("active", g.active.Load()))
+	g.log.info(events.GatewayStopped, zap.Int64("active", g.active.Load()))
 	cancel()
 	threads.Wait()
 	g.followers.threads.Wait()
@@ -153,7 +153,7 @@
 func (g *Gateway) drain(public *http.Server) {
 	began := time.Now()
 	g.draining.Store(true)
-	g.log.note(events.GatewayStopping, zap.Int64("active", g.active.Load()))
+	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
 	time.Sleep(min(stopNotice, g.settings.Grace/2))
 	g.closing.Store(true)
 	time.Sleep(min(stopRefusal, g.settings.Grace/8))
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -17,19 +17,19 @@
 
 func newDecisionLog(out *node.Log) *decisionLog { return &decisionLog{out: out} }
 
-// note writes a line.
-func (l *decisionLog) note(event string, fields ...zap.Field) { l.out.Info(event, fields...) }
+// info writes a line.
+func (l *decisionLog) info(event string, fields ...zap.Field) { l.out.Info(event, fields...) }
 
 // recordDisconnect notes once that the view is no longer confirmed.
 func (l *decisionLog) recordDisconnect() {
 	if l.disconnected.CompareAndSwap(false, true) {
-		l.note(events.ControlDisconnected)
+		l.info(events.ControlDisconnected)
 	}
 }
 
 // recordReconnect notes once that the view is confirmed again.
 func (l *decisionLog) recordReconnect() {
 	if l.disconnected.CompareAndSwap(true, false) {
-		l.note(events.ControlReconnected)
+		l.info(events.ControlReconnected)
 	}
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -52,15 +52,15 @@
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
 	case news.Advertised:
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
 	case news.Withdrawn:
-		g.log.note(events.InstanceLimitWithdrawn, fields...)
+		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
 	if unread == "" {
 		return
 	}
 	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
 	}
 }
 
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -57,7 +57,7 @@
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
 		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldElapsed, now-a.startedAt), zap.Int("held", suppressed),
 	}
-	g.log.note(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
+	g.log.info(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
 // deadlineFields returns the log fields for the start deadline known at the decision and the current one.
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -61,13 +61,13 @@
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
 	if news.others.Draining {
-		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
+		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
 	}
 	if told.said.Backoff <= 0 && told.unread == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
 			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, told.unread), zap.Int("held", held))...)
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -144,7 +144,7 @@
 func (g *Gateway) noteSilent(address string, err error) {
 	g.schedulers.noteFailed(g.now(), address)
 	g.metrics.unasked.Inc()
-	g.log.note(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
+	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
 // question returns what schedulers are asked.
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -34,7 +34,7 @@
 	for _, name := range names {
 		g.metrics.strange.Inc()
 		if g.strange.addNew(name) {
-			g.log.note(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
+			g.log.info(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
 		}
 	}
 }
