--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -22,10 +22,10 @@
 
 // Paths on which a gateway is told of sends, by what it does with them beside noting them.
 const (
-	pathSends   = "/internal/v1/sends"          // nothing
-	pathRow     = "/internal/v1/sends/row"      // it tells its column
-	pathImports = "/internal/v1/sends/imported" // it tells its row and its column
-	pathHanded  = "/internal/v1/sends/handed"   // it tells all others
+	pathSends     = "/internal/v1/sends"          // nothing
+	pathRow       = "/internal/v1/sends/row"      // it tells its column
+	pathOtherZone = "/internal/v1/sends/imported" // it tells its row and its column
+	pathHanded    = "/internal/v1/sends/handed"   // it tells all others
 )
 
 // Paths on which a scheduler is asked for placements, and told how the requests ended.
@@ -163,7 +163,7 @@
 		return transport.NewAnnouncer(c, settings, wireBatch)
 	}
 	return &spread{
-		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathImports, abroadPeriod),
+		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, abroadPeriod),
 		handed: announcer(pathHanded, ownPeriod),
 	}
 }
@@ -245,7 +245,7 @@
 		pass = func(send) {}
 	case pathRow:
 		pass = g.spread.column.Announce
-	case pathImports:
+	case pathOtherZone:
 		pass = g.spread.imported
 	default:
 		respond(http.StatusNotFound, nil)
