--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -22,10 +22,10 @@
 
 // Paths on which a gateway is told of sends, by what it does with them beside noting them.
 const (
-	pathSends     = "/internal/v1/sends"          // nothing
-	pathRow       = "/internal/v1/sends/row"      // it tells its column
-	pathOtherZone = "/internal/v1/sends/imported" // it tells its row and its column
-	pathHanded    = "/internal/v1/sends/handed"   // it tells all others
+	pathSends        = "/internal/v1/sends"          // nothing
+	pathRow          = "/internal/v1/sends/row"      // it tells its column
+	pathOtherZone    = "/internal/v1/sends/imported" // it tells its row and its column
+	pathViaScheduler = "/internal/v1/sends/handed"   // it tells all others
 )
 
 // Paths on which a scheduler is asked for placements, and told how the requests ended.
@@ -164,7 +164,7 @@
 	}
 	return &spread{
 		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, abroadPeriod),
-		handed: announcer(pathHanded, ownPeriod),
+		handed: announcer(pathViaScheduler, ownPeriod),
 	}
 }
 
@@ -239,7 +239,7 @@
 	case pathEnd:
 		g.takeEnd(request, respond)
 		return
-	case pathHanded:
+	case pathViaScheduler:
 		pass = g.spread.own
 	case pathSends:
 		pass = func(send) {}
