--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -37,7 +37,7 @@
 const (
 	announceQueueSize = 2048
 	announceTimeout   = 250 * time.Millisecond
-	announceBatch     = 128
+	announceBatchSize = 128
 	// ownPeriod, columnPeriod and abroadPeriod are how long a send waits for others to be told with it.
 	ownPeriod    = 15 * time.Millisecond
 	columnPeriod = 40 * time.Millisecond
@@ -158,7 +158,7 @@
 func newSpread(c *transport.Client) *spread {
 	announcer := func(path string, period time.Duration) *transport.Announcer[send] {
 		settings := transport.AnnouncerSettings{
-			Path: path, Ring: announceQueueSize, Batch: announceBatch, Period: period, Timeout: announceTimeout,
+			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
 		return transport.NewAnnouncer(c, settings, wireBatch)
 	}
