--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -39,9 +39,9 @@
 	announceTimeout   = 250 * time.Millisecond
 	announceBatchSize = 128
 	// ownPeriod, columnPeriod and abroadPeriod are how long a send waits for others to be told with it.
-	ownPeriod    = 15 * time.Millisecond
-	columnPeriod = 40 * time.Millisecond
-	abroadPeriod = 25 * time.Millisecond
+	ownPeriod        = 15 * time.Millisecond
+	columnPeriod     = 40 * time.Millisecond
+	otherZonesPeriod = 25 * time.Millisecond
 )
 
 // send is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
@@ -163,7 +163,7 @@
 		return transport.NewAnnouncer(c, settings, wireBatch)
 	}
 	return &spread{
-		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, abroadPeriod),
+		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, otherZonesPeriod),
 		handed: announcer(pathViaScheduler, ownPeriod),
 	}
 }
