--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -67,8 +67,8 @@
 	Age  time.Duration
 }
 
-// wireSend is a send in a message. Names are short since every send goes to every gateway.
-type wireSend struct {
+// wireAnnouncement is a send in a message. Names are short since every send goes to every gateway.
+type wireAnnouncement struct {
 	Gateway   string   `json:"g"`
 	Running   int      `json:"n,omitempty"`
 	Held      int      `json:"m,omitempty"` // tokens of the running requests
@@ -90,8 +90,8 @@
 	AgeMS     int64    `json:"a"`
 }
 
-func (s send) wire(waited time.Duration) wireSend {
-	w := wireSend{
+func (s send) wire(waited time.Duration) wireAnnouncement {
+	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, Held: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
 		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
@@ -122,7 +122,7 @@
 func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
 // send returns what a message tells; parts without a size are left out.
-func (w wireSend) send() send {
+func (w wireAnnouncement) send() send {
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
@@ -169,7 +169,7 @@
 }
 
 func wireBatch(batch []transport.Aged[send]) any {
-	sends := make([]wireSend, 0, len(batch))
+	sends := make([]wireAnnouncement, 0, len(batch))
 	for _, told := range batch {
 		sends = append(sends, told.Item.wire(clock.Now()-told.At))
 	}
@@ -251,7 +251,7 @@
 		respond(http.StatusNotFound, nil)
 		return
 	}
-	var told []wireSend
+	var told []wireAnnouncement
 	if json.Unmarshal(request.Body, &told) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -262,7 +262,7 @@
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
 	names(g, "i-0", 2)
-	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
 		t.Fatalf("%+v", older.send())
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -258,7 +258,7 @@
 // TestOlderGatewaysAreUnderstood: a message of a gateway that doesn't know what back ends say of themselves tells nothing of it, and one to it
 // holds what it knows.
 func TestOlderGatewaysAreUnderstood(t *testing.T) {
-	var from wireSend
+	var from wireAnnouncement
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -291,7 +291,7 @@
 	if !reflect.DeepEqual(got, made) {
 		t.Fatalf("got %+v, want %+v", got, made)
 	}
-	if invalid := (wireSend{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); invalid.Uncached != 0 || invalid.Age != 0 || len(invalid.Parts) != 0 {
+	if invalid := (wireAnnouncement{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); invalid.Uncached != 0 || invalid.Age != 0 || len(invalid.Parts) != 0 {
 		t.Fatalf("invalid message was decoded as %+v", invalid)
 	}
 }
