--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -79,7 +79,7 @@
 	Uncached      int      `json:"u,omitempty"`
 	Saved         bool     `json:"v,omitempty"`
 	TransferFrom  string   `json:"f,omitempty"`
-	MoveMS        int64    `json:"d,omitempty"`
+	TransferMS    int64    `json:"d,omitempty"`
 	Unreached     bool     `json:"x,omitempty"`
 	Kept          bool     `json:"k,omitempty"`
 	Refused       string   `json:"r,omitempty"`
@@ -94,7 +94,7 @@
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
-		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
+		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Move.From, TransferMS: s.Move.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
 	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
