--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -86,7 +86,7 @@
 	BackoffMS       int64    `json:"q,omitempty"` // the back end asked the gateway for rest
 	Draining        bool     `json:"l,omitempty"` // the back end says that it leaves
 	Limit           *float64 `json:"b,omitempty"` // requests a second that the back end takes from all
-	Unlimited       bool     `json:"e,omitempty"` // the back end names no limit any more
+	LimitWithdrawn  bool     `json:"e,omitempty"` // the back end names no limit any more
 	AgeMS           int64    `json:"a"`
 }
 
@@ -97,7 +97,7 @@
 		BackoffMS: s.Said.Backoff.Milliseconds(), Draining: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Move.From, TransferMS: s.Move.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
-	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
+	w.Limit, w.LimitWithdrawn = wireLimit(s.Said.Limit)
 	return w
 }
 
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.SavedToStore, Unreached: w.Unreached, Kept: w.CacheReport, Refused: w.RejectedRequest,
-		Said: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Said: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
