--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -80,7 +80,7 @@
 	SavedToStore    bool     `json:"v,omitempty"`
 	TransferFrom    string   `json:"f,omitempty"`
 	TransferMS      int64    `json:"d,omitempty"`
-	Unreached       bool     `json:"x,omitempty"`
+	Unreachable     bool     `json:"x,omitempty"`
 	CacheReport     bool     `json:"k,omitempty"`
 	RejectedRequest string   `json:"r,omitempty"`
 	BackoffMS       int64    `json:"q,omitempty"` // the back end asked the gateway for rest
@@ -93,7 +93,7 @@
 func (s send) wire(waited time.Duration) wireAnnouncement {
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
-		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.Saved, Unreached: s.Unreached, CacheReport: s.Kept, RejectedRequest: s.Refused,
+		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.Saved, Unreachable: s.Unreached, CacheReport: s.Kept, RejectedRequest: s.Refused,
 		BackoffMS: s.Said.Backoff.Milliseconds(), Draining: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Move.From, TransferMS: s.Move.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
@@ -125,7 +125,7 @@
 func (w wireAnnouncement) send() send {
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
-		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.SavedToStore, Unreached: w.Unreached, Kept: w.CacheReport, Refused: w.RejectedRequest,
+		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.SavedToStore, Unreached: w.Unreachable, Kept: w.CacheReport, Refused: w.RejectedRequest,
 		Said: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
