--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -65,7 +65,7 @@
 	t.recordSent(at, prefix.SharedParts(sent.Parts))
 	t.links.Record(at, sent.Move)
 	t.indexHolder(row, prefix.SharedParts(sent.Parts))
-	if sent.Saved {
+	if sent.SavedToStore {
 		t.stored.Record(at, sent.Salt, prefix.SharedParts(sent.Parts))
 	}
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -285,7 +285,7 @@
 
 // An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
 func TestSendSurvivesWireRoundTrip(t *testing.T) {
-	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
+	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, SavedToStore: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
