--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -170,7 +170,7 @@
 func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
 	announced := send{
 		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
-		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Move: placed.transfer,
+		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Transfer: placed.transfer,
 	}
 	g.table.recordOwnSend(now, announced)
 	g.spread.own(announced)
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -63,7 +63,7 @@
 func (t *table) recordCached(at time.Duration, row *endpoint, sent send) {
 	row.cache.RecordUse(at, sent.Salt, sent.Parts)
 	t.recordSent(at, prefix.SharedParts(sent.Parts))
-	t.links.Record(at, sent.Move)
+	t.links.Record(at, sent.Transfer)
 	t.indexHolder(row, prefix.SharedParts(sent.Parts))
 	if sent.SavedToStore {
 		t.stored.Record(at, sent.Salt, prefix.SharedParts(sent.Parts))
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("with a free link: %+v", free)
 	}
 	for range 40 {
-		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.transfer}})
+		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Transfer: free.transfer}})
 	}
 	if busy := g.choose(time.Second, in); busy.fetchFrom != "" || busy.uncached != 9190 {
 		t.Fatalf("with a busy link: %+v", busy)
