--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -195,7 +195,7 @@
 	}
 	a.unreachable = true
 	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
-		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreached: true})
+		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -235,7 +235,7 @@
 			t.indexHolder(row, sent.Parts)
 			continue
 		}
-		if sent.Unreached {
+		if sent.Unreachable {
 			t.suspect(at, row, sent.Gateway)
 			continue
 		}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -134,7 +134,7 @@
 	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
-		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
+		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
 	}
 }
 
