--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -230,7 +230,7 @@
 			continue
 		}
 		at := now - min(now, sent.Age)
-		if sent.Kept {
+		if sent.CacheReport {
 			row.cache.ApplyPeerReport(at, sent.Salt, sent.Parts)
 			t.indexHolder(row, sent.Parts)
 			continue
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -153,10 +153,10 @@
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
-		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
+		corrections = []send{{Gateway: g.nick, Instance: id, CacheReport: true}}
 	}
 	for _, told := range corrections {
-		told.Gateway, told.Instance, told.Kept = g.nick, id, true
+		told.Gateway, told.Instance, told.CacheReport = g.nick, id, true
 		at.aliveAt = now
 		g.spread.own(told)
 	}
