--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -60,8 +60,8 @@
 	Unreachable bool
 	// CacheReport says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
 	CacheReport bool
-	// Refused names a request that was turned away from here for overload; nothing was sent then.
-	Refused string
+	// RejectedRequest names a request that was turned away from here for overload; nothing was sent then.
+	RejectedRequest string
 	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
 	Said pushback.Signals
 	Age  time.Duration
@@ -93,7 +93,7 @@
 func (s send) wire(waited time.Duration) wireAnnouncement {
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
-		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.Refused,
+		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
 		BackoffMS: s.Said.Backoff.Milliseconds(), Draining: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
@@ -125,7 +125,7 @@
 func (w wireAnnouncement) send() send {
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
-		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, Refused: w.RejectedRequest,
+		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
 		Said: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -245,8 +245,8 @@
 			}
 			continue
 		}
-		if sent.Refused != "" {
-			t.judge(row.entry.Service).RecordRejection(at, sent.Refused)
+		if sent.RejectedRequest != "" {
+			t.judge(row.entry.Service).RecordRejection(at, sent.RejectedRequest)
 			continue
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
