--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -62,9 +62,9 @@
 	CacheReport bool
 	// RejectedRequest names a request that was turned away from here for overload; nothing was sent then.
 	RejectedRequest string
-	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
-	Said pushback.Signals
-	Age  time.Duration
+	// Signals is what the back end said of itself in an answer to this gateway; nothing else is told then.
+	Signals pushback.Signals
+	Age     time.Duration
 }
 
 // wireAnnouncement is a send in a message. Names are short since every send goes to every gateway.
@@ -94,10 +94,10 @@
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
-		BackoffMS: s.Said.Backoff.Milliseconds(), Draining: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
+		BackoffMS: s.Signals.Backoff.Milliseconds(), Draining: s.Signals.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = wireParts(s.Parts)
-	w.Limit, w.LimitWithdrawn = wireLimit(s.Said.Limit)
+	w.Limit, w.LimitWithdrawn = wireLimit(s.Signals.Limit)
 	return w
 }
 
@@ -126,7 +126,7 @@
 	return send{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
-		Said: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Signals: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -239,8 +239,8 @@
 			t.suspect(at, row, sent.Gateway)
 			continue
 		}
-		if !sent.Said.IsEmpty() {
-			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.IsEmpty() {
+		if !sent.Signals.IsEmpty() {
+			if fresh := t.hearOf(now, at, row, sent.Signals); !fresh.IsEmpty() {
 				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -229,7 +229,7 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
+		heard := send{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
 		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
@@ -262,7 +262,7 @@
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
 	names(g, "i-0", 2)
-	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Signals.Limit.Rate != 3.5 {
 		t.Fatalf("%+v", older.send())
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -230,7 +230,7 @@
 func TestOtherGatewaysHearOfIt(t *testing.T) {
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
-		heard := send{Gateway: "other", Instance: "i-0", Said: said}
+		heard := send{Gateway: "other", Instance: "i-0", Signals: said}
 		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
@@ -262,14 +262,14 @@
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
-	if got := from.send(); !got.Said.IsEmpty() || got.Load.Running != 2 {
+	if got := from.send(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
 		t.Fatalf("%+v", got)
 	}
 	var older struct {
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
