--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -44,10 +44,10 @@
 	otherZonesPeriod = 25 * time.Millisecond
 )
 
-// send is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
+// announcement is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
 // parts it will hold; the last of them is of use to nobody else, but takes its memory. Without a salt it tells of a
 // request that has ended.
-type send struct {
+type announcement struct {
 	Gateway      string
 	Load         belief.Load // what the gateway now has running there
 	Instance     string
@@ -90,7 +90,7 @@
 	AgeMS           int64    `json:"a"`
 }
 
-func (s send) wire(waited time.Duration) wireAnnouncement {
+func (s announcement) wire(waited time.Duration) wireAnnouncement {
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
@@ -122,8 +122,8 @@
 func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
 // send returns what a message tells; parts without a size are left out.
-func (w wireAnnouncement) send() send {
-	return send{
+func (w wireAnnouncement) send() announcement {
+	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
 		Signals: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
@@ -149,14 +149,14 @@
 // spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
 // holders without asking engines. It is safe for concurrent use.
 type spread struct {
-	row, column, abroad *transport.Announcer[send]
-	handed              *transport.Announcer[send] // to a scheduler that tells the others
-	hands               atomic.Bool                // this gateway is no scheduler
-	silent              bool                       // other gateways are told nothing
+	row, column, abroad *transport.Announcer[announcement]
+	handed              *transport.Announcer[announcement] // to a scheduler that tells the others
+	hands               atomic.Bool                        // this gateway is no scheduler
+	silent              bool                               // other gateways are told nothing
 }
 
 func newSpread(c *transport.Client) *spread {
-	announcer := func(path string, period time.Duration) *transport.Announcer[send] {
+	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
 			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
@@ -168,7 +168,7 @@
 	}
 }
 
-func wireBatch(batch []transport.Aged[send]) any {
+func wireBatch(batch []transport.Aged[announcement]) any {
 	sends := make([]wireAnnouncement, 0, len(batch))
 	for _, told := range batch {
 		sends = append(sends, told.Item.wire(clock.Now()-told.At))
@@ -189,13 +189,13 @@
 
 // run starts the threads that tell.
 func (s *spread) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[send]{s.row, s.column, s.abroad, s.handed} {
+	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.abroad, s.handed} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
 // own tells of a send of this gateway.
-func (s *spread) own(made send) {
+func (s *spread) own(made announcement) {
 	if s.silent {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // imported tells the own zone of a send from another one.
-func (s *spread) imported(made send) {
+func (s *spread) imported(made announcement) {
 	s.row.Announce(made)
 	s.column.Announce(made)
 }
@@ -231,7 +231,7 @@
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
-	var pass func(send)
+	var pass func(announcement)
 	switch request.Path {
 	case pathPlace:
 		g.takeQuestion(request, respond)
@@ -242,7 +242,7 @@
 	case pathViaScheduler:
 		pass = g.spread.own
 	case pathSends:
-		pass = func(send) {}
+		pass = func(announcement) {}
 	case pathRow:
 		pass = g.spread.column.Announce
 	case pathOtherZone:
@@ -256,7 +256,7 @@
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	sends := make([]send, 0, len(told))
+	sends := make([]announcement, 0, len(told))
 	for _, w := range told {
 		sends = append(sends, w.send())
 		pass(sends[len(sends)-1])
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -168,7 +168,7 @@
 
 // announcePlacement notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
 func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
-	announced := send{
+	announced := announcement{
 		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Transfer: placed.transfer,
 	}
@@ -183,7 +183,7 @@
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
 		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
-		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
+		x.gateway.spread.own(announcement{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	a.unreachable = true
 	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
-		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
+		g.spread.own(announcement{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
 
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -221,7 +221,7 @@
 }
 
 // applySends applies announcements of other gateways, and returns the new signals of back ends among them.
-func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
+func (t *table) applySends(now time.Duration, sends []announcement) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, sent := range sends {
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -32,7 +32,7 @@
 
 // applyCacheReport applies a back end's report of its cache, and returns the differences from the estimate as
 // announcements for other gateways.
-func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, full bool) []send {
+func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, full bool) []announcement {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
@@ -44,9 +44,9 @@
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
 		t.indexHolder(row, []prefix.Part{p.Part})
 	}
-	var corrections []send
+	var corrections []announcement
 	for _, salt := range slices.Sorted(maps.Keys(bySalt)) {
-		corrections = append(corrections, send{Salt: salt, Parts: bySalt[salt]})
+		corrections = append(corrections, announcement{Salt: salt, Parts: bySalt[salt]})
 	}
 	return corrections
 }
@@ -60,7 +60,7 @@
 
 // recordCached records the parts that a request leaves in the caches of its engine and of the store. The caller
 // holds the mutex.
-func (t *table) recordCached(at time.Duration, row *endpoint, sent send) {
+func (t *table) recordCached(at time.Duration, row *endpoint, sent announcement) {
 	row.cache.RecordUse(at, sent.Salt, sent.Parts)
 	t.recordSent(at, prefix.SharedParts(sent.Parts))
 	t.links.Record(at, sent.Transfer)
@@ -71,7 +71,7 @@
 }
 
 // recordOwnSend records the demand and the cached parts of a request that this gateway placed.
-func (t *table) recordOwnSend(now time.Duration, sent send) {
+func (t *table) recordOwnSend(now time.Duration, sent announcement) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if row := t.rows[sent.Instance]; row != nil && sent.Salt != "" {
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -25,10 +25,10 @@
 		fleet[d].table.setAssigned(assigned)
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
-			fleet[d].table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
+			fleet[d].table.recordOwnSend(time.Duration(i), announcement{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
 			// the shortest queues are the same for all schedulers
-			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i}
-			fleet[d].table.applySends(time.Second, []send{queued})
+			queued := announcement{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i}
+			fleet[d].table.applySends(time.Second, []announcement{queued})
 		}
 	}
 	collisions := 0
@@ -62,7 +62,7 @@
 		t.Fatalf("with a free link: %+v", free)
 	}
 	for range 40 {
-		g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Transfer: free.transfer}})
+		g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "i-0", Salt: "w1", Transfer: free.transfer}})
 	}
 	if busy := g.choose(time.Second, in); busy.fetchFrom != "" || busy.uncached != 9190 {
 		t.Fatalf("with a busy link: %+v", busy)
@@ -81,7 +81,7 @@
 		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 tokens per ms
 		g.table.observePrefill(row, false, 8000, 4000*time.Millisecond) // not alone at its engine, so ignored
 	}
-	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
+	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
 	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
 		t.Fatalf("estimated prefill time of 8000 tokens = %v, want 400 ms", busy)
 	}
@@ -116,7 +116,7 @@
 		})
 	}
 	g.table.takeRoster(0, news, nil)
-	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
+	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
 		used[g.placeFor(time.Second, &wireQuestion{Ticket: fmt.Sprint("t", i), Service: "plain", WithinMS: 1000}).Instance]++
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -229,8 +229,8 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
+		g.table.applySends(now, []announcement{heard.wire(0).send()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -230,8 +230,8 @@
 func TestOtherGatewaysHearOfIt(t *testing.T) {
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
-		heard := send{Gateway: "other", Instance: "i-0", Signals: said}
-		g.table.applySends(g.now(), []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Signals: said}
+		g.table.applySends(g.now(), []announcement{heard.wire(0).send()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
@@ -269,7 +269,7 @@
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(announcement{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -13,9 +13,9 @@
 // Announcements go to every gateway for every request, and roster entries for every change of a back end, so both
 // must be small.
 func TestMessageSizes(t *testing.T) {
-	begin := send{Gateway: "4x7k2m9q", Load: belief.Load{Running: 3, Tokens: 21000}, Instance: "i-80cd531cfc", Salt: "w3", Uncached: 2890, Age: 12e6,
+	begin := announcement{Gateway: "4x7k2m9q", Load: belief.Load{Running: 3, Tokens: 21000}, Instance: "i-80cd531cfc", Salt: "w3", Uncached: 2890, Age: 12e6,
 		Parts: []prefix.Part{{ID: "5c1e07a2", Tokens: 2520}, {ID: "91bd3f06", Tokens: 3780}, {ID: "e4402b7d", Tokens: 2890}}}
-	end := send{Gateway: "4x7k2m9q", Load: belief.Load{Running: 2, Tokens: 14000}, Instance: "i-80cd531cfc", Age: 12e6}
+	end := announcement{Gateway: "4x7k2m9q", Load: belief.Load{Running: 2, Tokens: 14000}, Instance: "i-80cd531cfc", Age: 12e6}
 	entry := control.RosterEntry{Instance: catalog.Instance{ID: "i-80cd531cfc", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "cairo-a",
 		Slots: 32, State: catalog.StateReady}, Versions: map[string]uint64{"daka510000": 3}}
 	for name, c := range map[string]struct {
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -263,7 +263,7 @@
 			}
 			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
-				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
+				g.table.recordOwnSend(0, announcement{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
 			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
@@ -285,7 +285,7 @@
 
 // An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
 func TestSendSurvivesWireRoundTrip(t *testing.T) {
-	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, SavedToStore: true, Age: time.Second}
+	made := announcement{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, SavedToStore: true, Age: time.Second}
 	got := made.wire(250 * time.Millisecond).send()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
@@ -342,7 +342,7 @@
 		if i == 0 {
 			parts[1] = dossier
 		}
-		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
+		g.table.recordOwnSend(time.Duration(i), announcement{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
 	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, in)
