--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -121,8 +121,8 @@
 // wireTime returns a time that a message tells in milliseconds; none is below 0.
 func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
-// send returns what a message tells; parts without a size are left out.
-func (w wireAnnouncement) send() announcement {
+// announcement returns what a message tells; parts without a size are left out.
+func (w wireAnnouncement) announcement() announcement {
 	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
@@ -258,7 +258,7 @@
 	}
 	sends := make([]announcement, 0, len(told))
 	for _, w := range told {
-		sends = append(sends, w.send())
+		sends = append(sends, w.announcement())
 		pass(sends[len(sends)-1])
 	}
 	for _, told := range g.table.applySends(g.now(), sends) {
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -230,7 +230,7 @@
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
 		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []announcement{heard.wire(0).send()})
+		g.table.applySends(now, []announcement{heard.wire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
@@ -262,8 +262,8 @@
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
 	names(g, "i-0", 2)
-	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Signals.Limit.Rate != 3.5 {
-		t.Fatalf("%+v", older.send())
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.announcement().Signals.Limit.Rate != 3.5 {
+		t.Fatalf("%+v", older.announcement())
 	}
 }
 
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -231,7 +231,7 @@
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
 		heard := announcement{Gateway: "other", Instance: "i-0", Signals: said}
-		g.table.applySends(g.now(), []announcement{heard.wire(0).send()})
+		g.table.applySends(g.now(), []announcement{heard.wire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
@@ -262,7 +262,7 @@
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
-	if got := from.send(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
+	if got := from.announcement(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
 		t.Fatalf("%+v", got)
 	}
 	var older struct {
