--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -90,7 +90,7 @@
 	AgeMS           int64    `json:"a"`
 }
 
-func (s announcement) wire(waited time.Duration) wireAnnouncement {
+func (s announcement) toWire(waited time.Duration) wireAnnouncement {
 	w := wireAnnouncement{
 		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
@@ -171,7 +171,7 @@
 func wireBatch(batch []transport.Aged[announcement]) any {
 	sends := make([]wireAnnouncement, 0, len(batch))
 	for _, told := range batch {
-		sends = append(sends, told.Item.wire(clock.Now()-told.At))
+		sends = append(sends, told.Item.toWire(clock.Now()-told.At))
 	}
 	return sends
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -230,7 +230,7 @@
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
 		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []announcement{heard.wire(0).announcement()})
+		g.table.applySends(now, []announcement{heard.toWire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -102,7 +102,7 @@
 		for range 200 {
 			g, now := scheduler(4), time.Second
 			if told {
-				g.table.applySends(now, []announcement{announcement{Gateway: "other", Instance: "i-0", RejectedRequest: "back"}.wire(0).announcement()})
+				g.table.applySends(now, []announcement{announcement{Gateway: "other", Instance: "i-0", RejectedRequest: "back"}.toWire(0).announcement()})
 			}
 			busy(g, now, 720*time.Millisecond) // 0.9 of the objective
 			if got := g.placeFor(now, judged("back", true)); got.BackMS == 0 {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -231,7 +231,7 @@
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
 		heard := announcement{Gateway: "other", Instance: "i-0", Signals: said}
-		g.table.applySends(g.now(), []announcement{heard.wire(0).announcement()})
+		g.table.applySends(g.now(), []announcement{heard.toWire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
@@ -269,7 +269,7 @@
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(announcement{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(announcement{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.toWire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/gateway/size_test.go
+++ b/internal/gateway/size_test.go
@@ -21,7 +21,7 @@
 	for name, c := range map[string]struct {
 		message any
 		limit   int
-	}{"begin": {begin.wire(0), 160}, "end": {end.wire(0), 80}, "roster entry": {entry, 220}} {
+	}{"begin": {begin.toWire(0), 160}, "end": {end.toWire(0), 80}, "roster entry": {entry, 220}} {
 		data, err := json.Marshal(c.message)
 		if err != nil || len(data) > c.limit {
 			t.Errorf("%s takes %d bytes, want at most %d (%v): %s", name, len(data), c.limit, err, data)
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -286,7 +286,7 @@
 // An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
 func TestSendSurvivesWireRoundTrip(t *testing.T) {
 	made := announcement{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, SavedToStore: true, Age: time.Second}
-	got := made.wire(250 * time.Millisecond).announcement()
+	got := made.toWire(250 * time.Millisecond).announcement()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
 		t.Fatalf("got %+v, want %+v", got, made)
