--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -96,13 +96,13 @@
 		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
 		BackoffMS: s.Signals.Backoff.Milliseconds(), Draining: s.Signals.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
-	w.Parts, w.Tokens = wireParts(s.Parts)
+	w.Parts, w.Tokens = partsToWire(s.Parts)
 	w.Limit, w.LimitWithdrawn = wireLimit(s.Signals.Limit)
 	return w
 }
 
-// wireParts returns parts as messages carry them: their ids, and the tokens of each.
-func wireParts(parts []prefix.Part) (ids []string, tokens []int) {
+// partsToWire returns parts as messages carry them: their ids, and the tokens of each.
+func partsToWire(parts []prefix.Part) (ids []string, tokens []int) {
 	for _, p := range parts {
 		ids, tokens = append(ids, p.ID), append(tokens, p.Tokens)
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -158,7 +158,7 @@
 	if in.tenant != nil && in.tenant.Isolated {
 		asked.Wall = in.tenant.Name
 	}
-	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
+	asked.Parts, asked.Tokens = partsToWire(x.call.Parts)
 	return asked
 }
 
