--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -109,8 +109,8 @@
 	return ids, tokens
 }
 
-// partsOfWire is the reverse; parts without a size are left out.
-func partsOfWire(ids []string, tokens []int) []prefix.Part {
+// partsFromWire is the reverse; parts without a size are left out.
+func partsFromWire(ids []string, tokens []int) []prefix.Part {
 	var parts []prefix.Part
 	for i := range min(len(ids), len(tokens)) {
 		parts = append(parts, prefix.Part{ID: ids[i], Tokens: max(0, tokens[i])})
@@ -126,7 +126,7 @@
 	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
-		Signals: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+		Signals: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -56,7 +56,7 @@
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
 func (q *wireQuestion) call() Call {
-	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsOfWire(q.Parts, q.Tokens)}
+	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsFromWire(q.Parts, q.Tokens)}
 }
 
 // placement is a request that this gateway placed for another one, until that one tells of its end.
