--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -118,15 +118,15 @@
 	return parts
 }
 
-// wireTime returns a time that a message tells in milliseconds; none is below 0.
-func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
+// durationFromMS returns a time that a message tells in milliseconds; none is below 0.
+func durationFromMS(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
 // announcement returns what a message tells; parts without a size are left out.
 func (w wireAnnouncement) announcement() announcement {
 	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
-		Signals: pushback.Signals{Backoff: wireTime(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: wireTime(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: wireTime(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
+		Signals: pushback.Signals{Backoff: durationFromMS(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: durationFromMS(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: durationFromMS(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
 	}
 }
 
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -40,7 +40,7 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
+	news := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -94,7 +94,7 @@
 	if g.on(mechanism.StoreTransfers) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, durationFromMS(asked.TargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
@@ -103,7 +103,7 @@
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.Ticket, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + durationFromMS(asked.WithinMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
 	g.announcePlacement(now, chosen, call.Parts, running)
@@ -130,8 +130,8 @@
 		return
 	}
 	row := made.row
-	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
-	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
+	g.table.observePrefill(row, made.alone, made.uncached, durationFromMS(end.FirstMS))
+	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, durationFromMS(end.FirstMS), durationFromMS(end.StayMS))
 	g.spread.own(announcement{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(announcement{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
@@ -171,7 +171,7 @@
 		row.grade(now, end.Grade)
 	}
 	if end.Grade == gradeGood {
-		t.recordDuration(row, wireTime(end.StayMS))
+		t.recordDuration(row, durationFromMS(end.StayMS))
 	}
 	return made, row.occupancy.Local(), true
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -182,7 +182,7 @@
 		return nil
 	}
 	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.BackMS)}
+		return &candidate{wait: answer.WaitMS, retryAfter: durationFromMS(answer.BackMS)}
 	}
 	now := g.now()
 	g.hearScheduler(now, answer)
