--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -97,7 +97,7 @@
 		BackoffMS: s.Signals.Backoff.Milliseconds(), Draining: s.Signals.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
 	w.Parts, w.Tokens = partsToWire(s.Parts)
-	w.Limit, w.LimitWithdrawn = wireLimit(s.Signals.Limit)
+	w.Limit, w.LimitWithdrawn = limitToWire(s.Signals.Limit)
 	return w
 }
 
@@ -130,8 +130,8 @@
 	}
 }
 
-// wireLimit returns a limit as messages carry it.
-func wireLimit(limit pushback.Limit) (rate *float64, over bool) {
+// limitToWire returns a limit as messages carry it.
+func limitToWire(limit pushback.Limit) (rate *float64, over bool) {
 	if limit.Advertised {
 		rate = &limit.Rate
 	}
