--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -126,7 +126,7 @@
 	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
 		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
-		Signals: pushback.Signals{Backoff: durationFromMS(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitOfWire(w.Limit, w.LimitWithdrawn)}, Age: durationFromMS(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: durationFromMS(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
+		Signals: pushback.Signals{Backoff: durationFromMS(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitFromWire(w.Limit, w.LimitWithdrawn)}, Age: durationFromMS(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: durationFromMS(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
 	}
 }
 
@@ -138,8 +138,8 @@
 	return rate, limit.Withdrawn
 }
 
-// limitOfWire is the reverse; no rate is below 0.
-func limitOfWire(rate *float64, over bool) pushback.Limit {
+// limitFromWire is the reverse; no rate is below 0.
+func limitFromWire(rate *float64, over bool) pushback.Limit {
 	if rate != nil {
 		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -37,7 +37,7 @@
 	if answer.Limit == nil {
 		return
 	}
-	limit := limitOfWire(answer.Limit, false)
+	limit := limitFromWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
 	news := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
