--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -131,7 +131,7 @@
 }
 
 // limitToWire returns a limit as messages carry it.
-func limitToWire(limit pushback.Limit) (rate *float64, over bool) {
+func limitToWire(limit pushback.Limit) (rate *float64, withdrawn bool) {
 	if limit.Advertised {
 		rate = &limit.Rate
 	}
