--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -139,11 +139,11 @@
 }
 
 // limitFromWire is the reverse; no rate is below 0.
-func limitFromWire(rate *float64, over bool) pushback.Limit {
+func limitFromWire(rate *float64, withdrawn bool) pushback.Limit {
 	if rate != nil {
 		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
-	return pushback.Limit{Withdrawn: over}
+	return pushback.Limit{Withdrawn: withdrawn}
 }
 
 // spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
