--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -160,7 +160,7 @@
 		settings := transport.AnnouncerSettings{
 			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
-		return transport.NewAnnouncer(c, settings, wireBatch)
+		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
 	return &spread{
 		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, otherZonesPeriod),
@@ -168,7 +168,7 @@
 	}
 }
 
-func wireBatch(batch []transport.Aged[announcement]) any {
+func batchToWire(batch []transport.Aged[announcement]) any {
 	sends := make([]wireAnnouncement, 0, len(batch))
 	for _, told := range batch {
 		sends = append(sends, told.Item.toWire(clock.Now()-told.At))
