--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -170,8 +170,8 @@
 
 func batchToWire(batch []transport.Aged[announcement]) any {
 	sends := make([]wireAnnouncement, 0, len(batch))
-	for _, told := range batch {
-		sends = append(sends, told.Item.toWire(clock.Now()-told.At))
+	for _, aged := range batch {
+		sends = append(sends, aged.Item.toWire(clock.Now()-aged.At))
 	}
 	return sends
 }
