--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -149,10 +149,10 @@
 // spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
 // holders without asking engines. It is safe for concurrent use.
 type spread struct {
-	row, column, abroad *transport.Announcer[announcement]
-	handed              *transport.Announcer[announcement] // to a scheduler that tells the others
-	hands               atomic.Bool                        // this gateway is no scheduler
-	silent              bool                               // other gateways are told nothing
+	row, column, otherZones *transport.Announcer[announcement]
+	handed                  *transport.Announcer[announcement] // to a scheduler that tells the others
+	hands                   atomic.Bool                        // this gateway is no scheduler
+	silent                  bool                               // other gateways are told nothing
 }
 
 func newSpread(c *transport.Client) *spread {
@@ -163,7 +163,7 @@
 		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
 	return &spread{
-		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathOtherZone, otherZonesPeriod),
+		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), otherZones: announcer(pathOtherZone, otherZonesPeriod),
 		handed: announcer(pathViaScheduler, ownPeriod),
 	}
 }
@@ -180,7 +180,7 @@
 func (s *spread) use(mesh control.Mesh) {
 	s.row.SetPeers(mesh.Row)
 	s.column.SetPeers(mesh.Column)
-	s.abroad.SetPeers(mesh.Abroad)
+	s.otherZones.SetPeers(mesh.Abroad)
 	s.hands.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
 		s.handed.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
@@ -189,7 +189,7 @@
 
 // run starts the threads that tell.
 func (s *spread) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.abroad, s.handed} {
+	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.handed} {
 		start(func() { a.Run(ctx) })
 	}
 }
@@ -203,7 +203,7 @@
 		s.handed.Announce(made)
 		return
 	}
-	s.abroad.Announce(made)
+	s.otherZones.Announce(made)
 	s.imported(made)
 }
 
