--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -150,7 +150,7 @@
 // holders without asking engines. It is safe for concurrent use.
 type spread struct {
 	row, column, otherZones *transport.Announcer[announcement]
-	handed                  *transport.Announcer[announcement] // to a scheduler that tells the others
+	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
 	hands                   atomic.Bool                        // this gateway is no scheduler
 	silent                  bool                               // other gateways are told nothing
 }
@@ -164,7 +164,7 @@
 	}
 	return &spread{
 		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), otherZones: announcer(pathOtherZone, otherZonesPeriod),
-		handed: announcer(pathViaScheduler, ownPeriod),
+		viaScheduler: announcer(pathViaScheduler, ownPeriod),
 	}
 }
 
@@ -183,13 +183,13 @@
 	s.otherZones.SetPeers(mesh.Abroad)
 	s.hands.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
-		s.handed.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
+		s.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
 	}
 }
 
 // run starts the threads that tell.
 func (s *spread) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.handed} {
+	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
@@ -200,7 +200,7 @@
 		return
 	}
 	if s.hands.Load() {
-		s.handed.Announce(made)
+		s.viaScheduler.Announce(made)
 		return
 	}
 	s.otherZones.Announce(made)
