--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -151,7 +151,7 @@
 type spread struct {
 	row, column, otherZones *transport.Announcer[announcement]
 	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
-	hands                   atomic.Bool                        // this gateway is no scheduler
+	useScheduler            atomic.Bool                        // this gateway is no scheduler
 	silent                  bool                               // other gateways are told nothing
 }
 
@@ -181,7 +181,7 @@
 	s.row.SetPeers(mesh.Row)
 	s.column.SetPeers(mesh.Column)
 	s.otherZones.SetPeers(mesh.Abroad)
-	s.hands.Store(len(mesh.Schedulers) > 0)
+	s.useScheduler.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
 		s.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
 	}
@@ -199,7 +199,7 @@
 	if s.silent {
 		return
 	}
-	if s.hands.Load() {
+	if s.useScheduler.Load() {
 		s.viaScheduler.Announce(made)
 		return
 	}
