--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -152,7 +152,7 @@
 	row, column, otherZones *transport.Announcer[announcement]
 	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
 	useScheduler            atomic.Bool                        // this gateway is no scheduler
-	silent                  bool                               // other gateways are told nothing
+	disabled                bool                               // other gateways are told nothing
 }
 
 func newSpread(c *transport.Client) *spread {
@@ -196,7 +196,7 @@
 
 // own tells of a send of this gateway.
 func (s *spread) own(made announcement) {
-	if s.silent {
+	if s.disabled {
 		return
 	}
 	if s.useScheduler.Load() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,7 +86,7 @@
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
-	made.spread.silent = !made.on(mechanism.GatewayMesh)
+	made.spread.disabled = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
 }
