--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -176,8 +176,8 @@
 	return sends
 }
 
-// use replaces the mesh.
-func (s *spread) use(mesh control.Mesh) {
+// setMesh replaces the mesh.
+func (s *spread) setMesh(mesh control.Mesh) {
 	s.row.SetPeers(mesh.Row)
 	s.column.SetPeers(mesh.Column)
 	s.otherZones.SetPeers(mesh.Abroad)
