--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -195,16 +195,16 @@
 }
 
 // own tells of a send of this gateway.
-func (s *spread) own(made announcement) {
+func (s *spread) own(item announcement) {
 	if s.disabled {
 		return
 	}
 	if s.useScheduler.Load() {
-		s.viaScheduler.Announce(made)
+		s.viaScheduler.Announce(item)
 		return
 	}
-	s.otherZones.Announce(made)
-	s.imported(made)
+	s.otherZones.Announce(item)
+	s.imported(item)
 }
 
 // imported tells the own zone of a send from another one.
