--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// own tells of a send of this gateway.
-func (s *spread) own(item announcement) {
+// announce tells of a send of this gateway.
+func (s *spread) announce(item announcement) {
 	if s.disabled {
 		return
 	}
@@ -240,7 +240,7 @@
 		g.takeEnd(request, respond)
 		return
 	case pathViaScheduler:
-		pass = g.spread.own
+		pass = g.spread.announce
 	case pathSends:
 		pass = func(announcement) {}
 	case pathRow:
