--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -208,9 +208,9 @@
 }
 
 // imported tells the own zone of a send from another one.
-func (s *spread) imported(made announcement) {
-	s.row.Announce(made)
-	s.column.Announce(made)
+func (s *spread) imported(item announcement) {
+	s.row.Announce(item)
+	s.column.Announce(item)
 }
 
 // listenPeers serves the other gateways, when there is an address for it.
