--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -204,11 +204,11 @@
 		return
 	}
 	s.otherZones.Announce(item)
-	s.imported(item)
+	s.announceInZone(item)
 }
 
-// imported tells the own zone of a send from another one.
-func (s *spread) imported(item announcement) {
+// announceInZone tells the own zone of a send from another one.
+func (s *spread) announceInZone(item announcement) {
 	s.row.Announce(item)
 	s.column.Announce(item)
 }
@@ -246,7 +246,7 @@
 	case pathRow:
 		pass = g.spread.column.Announce
 	case pathOtherZone:
-		pass = g.spread.imported
+		pass = g.spread.announceInZone
 	default:
 		respond(http.StatusNotFound, nil)
 		return
