--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -146,23 +146,23 @@
 	return pushback.Limit{Withdrawn: withdrawn}
 }
 
-// spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
+// peerAnnouncer tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
 // holders without asking engines. It is safe for concurrent use.
-type spread struct {
+type peerAnnouncer struct {
 	row, column, otherZones *transport.Announcer[announcement]
 	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
 	useScheduler            atomic.Bool                        // this gateway is no scheduler
 	disabled                bool                               // other gateways are told nothing
 }
 
-func newSpread(c *transport.Client) *spread {
+func newSpread(c *transport.Client) *peerAnnouncer {
 	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
 			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
 		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
-	return &spread{
+	return &peerAnnouncer{
 		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), otherZones: announcer(pathOtherZone, otherZonesPeriod),
 		viaScheduler: announcer(pathViaScheduler, ownPeriod),
 	}
@@ -177,7 +177,7 @@
 }
 
 // setMesh replaces the mesh.
-func (s *spread) setMesh(mesh control.Mesh) {
+func (s *peerAnnouncer) setMesh(mesh control.Mesh) {
 	s.row.SetPeers(mesh.Row)
 	s.column.SetPeers(mesh.Column)
 	s.otherZones.SetPeers(mesh.Abroad)
@@ -188,14 +188,14 @@
 }
 
 // run starts the threads that tell.
-func (s *spread) run(ctx context.Context, start func(func())) {
+func (s *peerAnnouncer) run(ctx context.Context, start func(func())) {
 	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
 // announce tells of a send of this gateway.
-func (s *spread) announce(item announcement) {
+func (s *peerAnnouncer) announce(item announcement) {
 	if s.disabled {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // announceInZone tells the own zone of a send from another one.
-func (s *spread) announceInZone(item announcement) {
+func (s *peerAnnouncer) announceInZone(item announcement) {
 	s.row.Announce(item)
 	s.column.Announce(item)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	desk    *desk.LeasePool // of what is limited over the fleet
 	pool    *pool
 	splits  *splits
-	spread  *spread
+	spread  *peerAnnouncer
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
