--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -155,7 +155,7 @@
 	disabled                bool                               // other gateways are told nothing
 }
 
-func newSpread(c *transport.Client) *peerAnnouncer {
+func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
 	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
 			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,7 +82,7 @@
 		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		spread: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
