--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -231,7 +231,7 @@
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
-	var pass func(announcement)
+	var forward func(announcement)
 	switch request.Path {
 	case pathPlace:
 		g.takeQuestion(request, respond)
@@ -240,13 +240,13 @@
 		g.takeEnd(request, respond)
 		return
 	case pathViaScheduler:
-		pass = g.spread.announce
+		forward = g.spread.announce
 	case pathSends:
-		pass = func(announcement) {}
+		forward = func(announcement) {}
 	case pathRow:
-		pass = g.spread.column.Announce
+		forward = g.spread.column.Announce
 	case pathOtherZone:
-		pass = g.spread.announceInZone
+		forward = g.spread.announceInZone
 	default:
 		respond(http.StatusNotFound, nil)
 		return
@@ -259,7 +259,7 @@
 	sends := make([]announcement, 0, len(told))
 	for _, w := range told {
 		sends = append(sends, w.announcement())
-		pass(sends[len(sends)-1])
+		forward(sends[len(sends)-1])
 	}
 	for _, told := range g.table.applySends(g.now(), sends) {
 		if told.news.Draining {
