--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -251,13 +251,13 @@
 		respond(http.StatusNotFound, nil)
 		return
 	}
-	var told []wireAnnouncement
-	if json.Unmarshal(request.Body, &told) != nil {
+	var received []wireAnnouncement
+	if json.Unmarshal(request.Body, &received) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	sends := make([]announcement, 0, len(told))
-	for _, w := range told {
+	sends := make([]announcement, 0, len(received))
+	for _, w := range received {
 		sends = append(sends, w.announcement())
 		forward(sends[len(sends)-1])
 	}
