--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -261,11 +261,11 @@
 		sends = append(sends, w.announcement())
 		forward(sends[len(sends)-1])
 	}
-	for _, told := range g.table.applySends(g.now(), sends) {
-		if told.news.Draining {
-			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
+	for _, signal := range g.table.applySends(g.now(), sends) {
+		if signal.news.Draining {
+			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", toldByGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
+		g.noteLimit(g.now(), signal.instance, signal.news.Limit, toldByGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
