--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,21 +8,21 @@
 	"kitetiller/internal/events"
 )
 
-// restingGauge tells how many back ends of each service want rest, when it is asked.
-type restingGauge struct {
+// backoffGauge tells how many back ends of each service want rest, when it is asked.
+type backoffGauge struct {
 	gateway     *Gateway
 	description *prometheus.Desc
 }
 
-func newRestingGauge(g *Gateway) restingGauge {
-	return restingGauge{g, prometheus.NewDesc("kitetiller_gateway_back_ends_resting", "Back ends that want rest from this gateway.", []string{"service"}, nil)}
+func newRestingGauge(g *Gateway) backoffGauge {
+	return backoffGauge{g, prometheus.NewDesc("kitetiller_gateway_back_ends_resting", "Back ends that want rest from this gateway.", []string{"service"}, nil)}
 }
 
 // Describe implements prometheus.Collector.
-func (r restingGauge) Describe(out chan<- *prometheus.Desc) { out <- r.description }
+func (r backoffGauge) Describe(out chan<- *prometheus.Desc) { out <- r.description }
 
 // Collect implements prometheus.Collector.
-func (r restingGauge) Collect(out chan<- prometheus.Metric) {
+func (r backoffGauge) Collect(out chan<- prometheus.Metric) {
 	for service, n := range r.gateway.table.resting(r.gateway.now()) {
 		out <- prometheus.MustNewConstMetric(r.description, prometheus.GaugeValue, float64(n), service)
 	}
