--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("%d rest", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
-	newRestingGauge(g).Collect(gauges)
+	newBackoffGauge(g).Collect(gauges)
 	if len(gauges) != 1 {
 		t.Errorf("%d gauges of one service", len(gauges))
 	}
