--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -28,14 +28,14 @@
 	}
 }
 
-// limitedGauge tells how many back ends of each service name a limit and what these come to, when it is asked.
-type limitedGauge struct {
+// advertisedLimitGauge tells how many back ends of each service name a limit and what these come to, when it is asked.
+type advertisedLimitGauge struct {
 	gateway    *Gateway
 	count, sum *prometheus.Desc
 }
 
-func newLimitedGauge(g *Gateway) limitedGauge {
-	return limitedGauge{
+func newLimitedGauge(g *Gateway) advertisedLimitGauge {
+	return advertisedLimitGauge{
 		g,
 		prometheus.NewDesc("kitetiller_gateway_back_ends_limited", "Back ends that name a limit of requests.", []string{"service"}, nil),
 		prometheus.NewDesc("kitetiller_gateway_back_ends_limit_sum", "Sum of the limits that back ends name, in requests a second.", []string{"service"}, nil),
@@ -43,10 +43,10 @@
 }
 
 // Describe implements prometheus.Collector.
-func (l limitedGauge) Describe(out chan<- *prometheus.Desc) { out <- l.count; out <- l.sum }
+func (l advertisedLimitGauge) Describe(out chan<- *prometheus.Desc) { out <- l.count; out <- l.sum }
 
 // Collect implements prometheus.Collector.
-func (l limitedGauge) Collect(out chan<- prometheus.Metric) {
+func (l advertisedLimitGauge) Collect(out chan<- prometheus.Metric) {
 	counts, sums := l.gateway.table.limited()
 	for service, n := range counts {
 		out <- prometheus.MustNewConstMetric(l.count, prometheus.GaugeValue, float64(n), service)
