--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -34,7 +34,7 @@
 	count, sum *prometheus.Desc
 }
 
-func newLimitedGauge(g *Gateway) advertisedLimitGauge {
+func newAdvertisedLimitGauge(g *Gateway) advertisedLimitGauge {
 	return advertisedLimitGauge{
 		g,
 		prometheus.NewDesc("kitetiller_gateway_back_ends_limited", "Back ends that name a limit of requests.", []string{"service"}, nil),
@@ -107,7 +107,7 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
-	made.registry.MustRegister(made.requests, made.attempts, made.putOff, made.permits, made.first, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newLimitedGauge(g),
+	made.registry.MustRegister(made.requests, made.attempts, made.putOff, made.permits, made.first, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.desk.RequestCounts(); return float64(asked) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.desk.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("lines of words that nothing reads: %v", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
-	newLimitedGauge(g).Collect(gauges)
+	newAdvertisedLimitGauge(g).Collect(gauges)
 	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
