--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// firstBuckets are the bounds of times to the first event, in seconds.
-var firstBuckets = []float64{0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8}
+// firstEventBuckets are the bounds of times to the first event, in seconds.
+var firstEventBuckets = []float64{0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8}
 
 // metrics are a gateway's figures. Labels hold reasons, kinds of results and services only, so their number does not
 // grow with tenants or back ends.
@@ -95,7 +95,7 @@
 			Name: "kitetiller_gateway_permits_total", Help: "Questions for a part of a limit that a back end names, by outcome.",
 		}, []string{"outcome"}),
 		first: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "kitetiller_gateway_first_event_seconds", Help: "Time to the first event of streams.", Buckets: firstBuckets,
+			Name: "kitetiller_gateway_first_event_seconds", Help: "Time to the first event of streams.", Buckets: firstEventBuckets,
 		}),
 		strange: counter("unknown_words_total", "Headers in which back ends speak of themselves and that nothing reads."),
 		repeats: counter("repeats_total", "Requests sent to a further back end."),
