--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -133,7 +133,7 @@
 	now := x.gateway.now()
 	if x.firstEventAt == 0 {
 		x.firstEventAt, x.latestEventAt = now, now
-		x.gateway.metrics.first.Observe((now - x.arrived).Seconds())
+		x.gateway.metrics.firstEvent.Observe((now - x.arrived).Seconds())
 	}
 	x.longestGap = max(x.longestGap, now-x.latestEventAt)
 	x.latestEventAt = now
