--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -248,7 +248,7 @@
 	}
 	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
 	if cause != "" {
-		x.gateway.metrics.putOff.WithLabelValues(cause).Inc()
+		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
 	return cause
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -60,18 +60,18 @@
 // metrics are a gateway's figures. Labels hold reasons, kinds of results and services only, so their number does not
 // grow with tenants or back ends.
 type metrics struct {
-	registry   *prometheus.Registry
-	requests   *prometheus.CounterVec // by outcome: answered, or the reason of the refusal
-	attempts   *prometheus.CounterVec // that failed, by result
-	firstEvent prometheus.Histogram
-	putOff     *prometheus.CounterVec // sends whose back end turned out at the last look to leave, to want rest or to be at their limits, by cause
-	permits    *prometheus.CounterVec // of back ends that name a limit, by outcome
-	strange    prometheus.Counter     // words of back ends that nothing reads
-	repeats    prometheus.Counter
-	unread     prometheus.Counter // questions for engines' cache events that failed
-	unasked    prometheus.Counter // questions for a placement that no scheduler answered in time
-	read       prometheus.Counter // prompt tokens that engines were sent to read
-	cached     prometheus.Counter // prompt tokens that were taken to be cached or copied
+	registry        *prometheus.Registry
+	requests        *prometheus.CounterVec // by outcome: answered, or the reason of the refusal
+	attempts        *prometheus.CounterVec // that failed, by result
+	firstEvent      prometheus.Histogram
+	recheckFailures *prometheus.CounterVec // sends whose back end turned out at the last look to leave, to want rest or to be at their limits, by cause
+	permits         *prometheus.CounterVec // of back ends that name a limit, by outcome
+	strange         prometheus.Counter     // words of back ends that nothing reads
+	repeats         prometheus.Counter
+	unread          prometheus.Counter // questions for engines' cache events that failed
+	unasked         prometheus.Counter // questions for a placement that no scheduler answered in time
+	read            prometheus.Counter // prompt tokens that engines were sent to read
+	cached          prometheus.Counter // prompt tokens that were taken to be cached or copied
 }
 
 const outcomeAnswered = "answered"
@@ -88,7 +88,7 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kitetiller_gateway_attempts_failed_total", Help: "Attempts that failed, by result.",
 		}, []string{"result"}),
-		putOff: prometheus.NewCounterVec(prometheus.CounterOpts{
+		recheckFailures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kitetiller_gateway_sends_put_off_total", Help: "Sends whose back end turned out to leave, to want rest or to be at its limit after it was chosen, by cause.",
 		}, []string{"cause"}),
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -107,7 +107,7 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
-	made.registry.MustRegister(made.requests, made.attempts, made.putOff, made.permits, made.firstEvent, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
+	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.permits, made.firstEvent, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.desk.RequestCounts(); return float64(asked) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.desk.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
