--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -65,7 +65,7 @@
 	attempts        *prometheus.CounterVec // that failed, by result
 	firstEvent      prometheus.Histogram
 	recheckFailures *prometheus.CounterVec // sends whose back end turned out at the last look to leave, to want rest or to be at their limits, by cause
-	permits         *prometheus.CounterVec // of back ends that name a limit, by outcome
+	limitLeases     *prometheus.CounterVec // of back ends that name a limit, by outcome
 	strange         prometheus.Counter     // words of back ends that nothing reads
 	repeats         prometheus.Counter
 	unread          prometheus.Counter // questions for engines' cache events that failed
@@ -91,7 +91,7 @@
 		recheckFailures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kitetiller_gateway_sends_put_off_total", Help: "Sends whose back end turned out to leave, to want rest or to be at its limit after it was chosen, by cause.",
 		}, []string{"cause"}),
-		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
+		limitLeases: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kitetiller_gateway_permits_total", Help: "Questions for a part of a limit that a back end names, by outcome.",
 		}, []string{"outcome"}),
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -107,7 +107,7 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
-	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.permits, made.firstEvent, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
+	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.limitLeases, made.firstEvent, made.strange, made.repeats, made.unread, made.unasked, made.read, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.desk.RequestCounts(); return float64(asked) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.desk.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -121,7 +121,7 @@
 		outcome = permitUnknown
 		g.table.setUnlent(g.now() + permitPause)
 	}
-	g.metrics.permits.WithLabelValues(outcome).Inc()
+	g.metrics.limitLeases.WithLabelValues(outcome).Inc()
 	return taken.Outcome == desk.Granted
 }
 
@@ -129,7 +129,7 @@
 func (a *attempt) returnPermit() {
 	if a.limitLease.Amount > 0 {
 		a.exchange.gateway.desk.Release(a.limitLease)
-		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
+		a.exchange.gateway.metrics.limitLeases.WithLabelValues(permitUnused).Inc()
 		a.limitLease = allowance.Lease{}
 	}
 }
