--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -32,7 +32,7 @@
 // recordUnknownHeaders counts words of a back end that nothing reads, and logs each name once.
 func (g *Gateway) recordUnknownHeaders(row *endpoint, names []string) {
 	for _, name := range names {
-		g.metrics.strange.Inc()
+		g.metrics.unknownHeaders.Inc()
 		if g.strange.addNew(name) {
 			g.log.info(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
 		}
