--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -335,7 +335,7 @@
 	if !x.canRetry() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
 		return false
 	}
-	x.gateway.metrics.repeats.Inc()
+	x.gateway.metrics.retries.Inc()
 	return true
 }
 
