--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -103,7 +103,7 @@
 // noteUnread counts a question that failed, and logs the first of a row.
 func (g *Gateway) noteUnread(id string, at *cacheCursor, err error) {
 	at.failures++
-	g.metrics.unread.Inc()
+	g.metrics.cacheReadFailures.Inc()
 	if at.failures == 1 {
 		g.log.info(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
