--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -143,7 +143,7 @@
 // noteSilent notes and logs that a scheduler gave no answer.
 func (g *Gateway) noteSilent(address string, err error) {
 	g.schedulers.noteFailed(g.now(), address)
-	g.metrics.unasked.Inc()
+	g.metrics.schedulerFailures.Inc()
 	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
