--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -71,7 +71,7 @@
 	cacheReadFailures prometheus.Counter // questions for engines' cache events that failed
 	schedulerFailures prometheus.Counter // questions for a placement that no scheduler answered in time
 	uncachedTokens    prometheus.Counter // prompt tokens that engines were sent to read
-	cached            prometheus.Counter // prompt tokens that were taken to be cached or copied
+	cachedTokens      prometheus.Counter // prompt tokens that were taken to be cached or copied
 }
 
 const outcomeAnswered = "answered"
@@ -102,12 +102,12 @@
 		cacheReadFailures: counter("cache_questions_failed_total", "Questions for engines' cache events that failed."),
 		schedulerFailures: counter("scheduler_questions_failed_total", "Questions for a placement that a scheduler did not answer in time."),
 		uncachedTokens:    counter("prompt_tokens_read_total", "Prompt tokens that engines were sent to read."),
-		cached:            counter("prompt_tokens_cached_total", "Prompt tokens that were taken to be cached or copied."),
+		cachedTokens:      counter("prompt_tokens_cached_total", "Prompt tokens that were taken to be cached or copied."),
 	}
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
-	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.limitLeases, made.firstEvent, made.unknownHeaders, made.retries, made.cacheReadFailures, made.schedulerFailures, made.uncachedTokens, made.cached, newBackoffGauge(g), newAdvertisedLimitGauge(g),
+	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.limitLeases, made.firstEvent, made.unknownHeaders, made.retries, made.cacheReadFailures, made.schedulerFailures, made.uncachedTokens, made.cachedTokens, newBackoffGauge(g), newAdvertisedLimitGauge(g),
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.desk.RequestCounts(); return float64(asked) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.desk.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
@@ -131,7 +131,7 @@
 // placed counts the tokens of a prompt that an engine was sent.
 func (m *metrics) placed(uncached, prompt int) {
 	m.uncachedTokens.Add(float64(uncached))
-	m.cached.Add(float64(max(0, prompt-uncached)))
+	m.cachedTokens.Add(float64(max(0, prompt-uncached)))
 }
 
 // Active returns the requests in progress.
