--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -86,7 +86,7 @@
 		fields = append(fields, zap.String(events.FieldInstance, x.servedBy))
 	}
 	x.gateway.log.info(event, fields...)
-	x.gateway.metrics.ended(event, reason)
+	x.gateway.metrics.recordOutcome(event, reason)
 }
 
 // missedObjective reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -120,8 +120,8 @@
 	return made
 }
 
-// ended counts a request by how it ended.
-func (m *metrics) ended(event, reason string) {
+// recordOutcome counts a request by how it recordOutcome.
+func (m *metrics) recordOutcome(event, reason string) {
 	if event == events.RequestAnswered {
 		reason = outcomeAnswered
 	}
