--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -159,7 +159,7 @@
 	now := x.gateway.now()
 	load := x.gateway.table.begin(now, a)
 	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.advertisedLimit
-	x.gateway.metrics.placed(a.uncached, x.call.PromptTokens)
+	x.gateway.metrics.recordPrompt(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
 		return // its scheduler has told the others
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -128,8 +128,8 @@
 	m.requests.WithLabelValues(reason).Inc()
 }
 
-// placed counts the tokens of a prompt that an engine was sent.
-func (m *metrics) placed(uncached, prompt int) {
+// recordPrompt counts the tokens of a prompt that an engine was sent.
+func (m *metrics) recordPrompt(uncached, prompt int) {
 	m.uncachedTokens.Add(float64(uncached))
 	m.cachedTokens.Add(float64(max(0, prompt-uncached)))
 }
