--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -164,12 +164,12 @@
 
 // listenReady opens the listener of the readiness check.
 func (g *Gateway) listenReady() (*http.Server, error) {
-	if g.settings.Ready == "" {
+	if g.settings.ReadyAddress == "" {
 		return nil, nil
 	}
-	listener, err := net.Listen("tcp", g.settings.Ready)
+	listener, err := net.Listen("tcp", g.settings.ReadyAddress)
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen on %s", g.settings.Ready)
+		return nil, eris.Wrapf(err, "listen on %s", g.settings.ReadyAddress)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(listener) }()
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -10,14 +10,14 @@
 
 // Settings is what a gateway needs to start.
 type Settings struct {
-	Name     string
-	Zone     string
-	Listen   string   // address for callers
-	Ready    string   // address of the readiness check, or ""
-	Internal string   // address for other gateways, or ""
-	Bind     string   // address to listen on for them, where it is another one
-	Control  []string // internal addresses of control replicas
-	Token    string   // shared secret of the system's own processes
+	Name         string
+	Zone         string
+	Listen       string   // address for callers
+	ReadyAddress string   // address of the readiness check, or ""
+	Internal     string   // address for other gateways, or ""
+	Bind         string   // address to listen on for them, where it is another one
+	Control      []string // internal addresses of control replicas
+	Token        string   // shared secret of the system's own processes
 
 	Trust        time.Duration // how long keys count that no control replica has confirmed
 	ViewWait     time.Duration // longest time that a request waits for control that is expected in a moment
