--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -215,10 +215,10 @@
 
 // listenPeers serves the other gateways, when there is an address for it.
 func (g *Gateway) listenPeers() (*transport.Server, error) {
-	if g.settings.Internal == "" {
+	if g.settings.PeerAddress == "" {
 		return nil, nil
 	}
-	return transport.Listen(cmp.Or(g.settings.Bind, g.settings.Internal), g.settings.Token, g.handlePeer, zap.NewNop())
+	return transport.Listen(cmp.Or(g.settings.Bind, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
 }
 
 func closePeers(listener *transport.Server) {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -50,7 +50,7 @@
 // ask asks control for news once, after it has looked for who answers where that isn't known.
 func (g *Gateway) ask(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
 	question := control.Watch{
-		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
+		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.PeerAddress, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
 	if held := g.view.Load(); held != nil {
