--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -218,7 +218,7 @@
 	if g.settings.PeerAddress == "" {
 		return nil, nil
 	}
-	return transport.Listen(cmp.Or(g.settings.Bind, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
+	return transport.Listen(cmp.Or(g.settings.PeerListen, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
 }
 
 func closePeers(listener *transport.Server) {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -15,7 +15,7 @@
 	Listen       string   // address for callers
 	ReadyAddress string   // address of the readiness check, or ""
 	PeerAddress  string   // address for other gateways, or ""
-	Bind         string   // address to listen on for them, where it is another one
+	PeerListen   string   // address to listen on for them, where it is another one
 	Control      []string // internal addresses of control replicas
 	Token        string   // shared secret of the system's own processes
 
