--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -55,7 +55,7 @@
 // lacks. Before, each of them told it everything, and a machine with a fifth of a core spent its patience on reading that.
 func TestOneReplicaTellsEverything(t *testing.T) {
 	addresses, whole := replicasOf(t, 3)
-	g := New(Settings{Name: "g", Zone: "z", Control: addresses, Trust: time.Hour}, nil, node.NopLog())
+	g := New(Settings{Name: "g", Zone: "z", Control: addresses, ViewTTL: time.Hour}, nil, node.NopLog())
 	reply := g.ask(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
 		t.Fatalf("reply %+v", reply)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -85,7 +85,7 @@
 		spread: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
-	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
+	made.desk = desk.New(made.nick, settings.ViewTTL, made.now, made.lend)
 	made.spread.disabled = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
@@ -192,7 +192,7 @@
 // trusted reports whether control confirmed the view so lately that its keys count.
 func (g *Gateway) trusted(now time.Duration) bool {
 	confirmed := time.Duration(g.confirm.Load())
-	return confirmed > 0 && now-confirmed < g.settings.Trust
+	return confirmed > 0 && now-confirmed < g.settings.ViewTTL
 }
 
 // untrustedFor returns for how long the view has not counted, or 0.
@@ -201,7 +201,7 @@
 	if confirmed == 0 {
 		return 0
 	}
-	return max(0, now-confirmed-g.settings.Trust)
+	return max(0, now-confirmed-g.settings.ViewTTL)
 }
 
 // sweepPeriod is how often what is long past is forgotten.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -19,7 +19,7 @@
 	Control      []string // internal addresses of control replicas
 	Token        string   // shared secret of the system's own processes
 
-	Trust        time.Duration // how long keys count that no control replica has confirmed
+	ViewTTL      time.Duration // how long keys count that no control replica has confirmed
 	ViewWait     time.Duration // longest time that a request waits for control that is expected in a moment
 	VersionLimit time.Duration // how long after newer weights were named a request may still begin on older ones
 	Grace        time.Duration // longest planned stop
