--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -113,5 +113,5 @@
 	if patience == 0 {
 		patience = defaultPatience
 	}
-	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitShare*float64(patience)))
+	return min(x.gateway.settings.MaxViewWait, time.Duration(viewWaitShare*float64(patience)))
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -20,7 +20,7 @@
 	Token        string   // shared secret of the system's own processes
 
 	ViewTTL      time.Duration // how long keys count that no control replica has confirmed
-	ViewWait     time.Duration // longest time that a request waits for control that is expected in a moment
+	MaxViewWait  time.Duration // longest time that a request waits for control that is expected in a moment
 	VersionLimit time.Duration // how long after newer weights were named a request may still begin on older ones
 	Grace        time.Duration // longest planned stop
 	RetryRatio   float64       // repeats as a share of the requests for a service, over the whole fleet
