--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -48,7 +48,7 @@
 	g := scheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
 	chosen := chosenAttempt(g)
-	publishVersion(g, 2, g.settings.VersionLimit)
+	publishVersion(g, 2, g.settings.OldWeightsStartLimit)
 	got := chosen.perform()
 	if got.kind != resultUnreachable || got.cause != causeWeightsOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
 		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sentCount, len(g.table.waiting))
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -67,7 +67,7 @@
 		fields = append(fields, zap.Duration(events.FieldPlacementDeadline, a.plan.startDeadline-now))
 	}
 	if outdated {
-		left := publishedAt + a.exchange.gateway.settings.VersionLimit - now
+		left := publishedAt + a.exchange.gateway.settings.OldWeightsStartLimit - now
 		fields = append(fields, zap.Duration(events.FieldOutdatedFor, now-publishedAt), zap.Duration(events.FieldStartDeadline, left))
 	}
 	return fields
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -166,7 +166,7 @@
 	g.table.begin(g.now(), sent)
 	sent.watchStartDeadline()
 	left := takeBackMargin + time.Millisecond
-	publishVersion(g, 2, g.settings.VersionLimit-left)
+	publishVersion(g, 2, g.settings.OldWeightsStartLimit-left)
 	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
 		t.Fatal("canceled too early")
@@ -196,7 +196,7 @@
 		publishedAt, term := map[uint64]time.Duration{}, uint64(0)
 		isLate := func(id string) bool {
 			for version, at := range publishedAt {
-				if version > versions[id] && g.now() >= at+g.settings.VersionLimit-takeBackMargin {
+				if version > versions[id] && g.now() >= at+g.settings.OldWeightsStartLimit-takeBackMargin {
 					return true
 				}
 			}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		panic(err)
 	}
-	g := New(Settings{Name: "s", Zone: "z", VersionLimit: time.Minute, ViewTTL: time.Hour}, nil, log)
+	g := New(Settings{Name: "s", Zone: "z", OldWeightsStartLimit: time.Minute, ViewTTL: time.Hour}, nil, log)
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true, CacheTokens: 80_000}}}))
 	g.confirm.Store(1)
 	news := &control.RosterNews{Whole: true}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -251,7 +251,7 @@
 func benchmarkDecision(b *testing.B, limitedFraction float64) {
 	for _, engines := range []int{18, 320, 3100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			g := &Gateway{settings: Settings{Zone: "z0", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
+			g := &Gateway{settings: Settings{Zone: "z0", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
 			parts := []prefix.Part{{ID: "aa", Tokens: 2500}, {ID: "bb", Tokens: 3800}, {ID: "cc", Tokens: 2900}}
 			var entries []control.RosterEntry
 			for i := range engines {
@@ -327,7 +327,7 @@
 // the least recent.
 func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
-	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
+	g := &Gateway{settings: Settings{Zone: "z", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
 	news := &control.RosterNews{Whole: true}
 	for i := range engines {
 		news.Entries = append(news.Entries, control.RosterEntry{
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -14,7 +14,7 @@
 // must not keep the result, since updates change it.
 func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	publishedAt, outdated := g.missingSince(row, service, model)
-	return publishedAt + g.settings.VersionLimit, outdated
+	return publishedAt + g.settings.OldWeightsStartLimit, outdated
 }
 
 // missingSince returns when the oldest version that a back end lacks was published, if there is one. An engine
@@ -40,7 +40,7 @@
 	if !outdated {
 		return deadline, hasDeadline
 	}
-	expected := publishedAt + g.settings.VersionLimit
+	expected := publishedAt + g.settings.OldWeightsStartLimit
 	if !hasDeadline {
 		return expected, true
 	}
