--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -22,7 +22,7 @@
 	ViewTTL              time.Duration // how long keys count that no control replica has confirmed
 	MaxViewWait          time.Duration // longest time that a request waits for control that is expected in a moment
 	OldWeightsStartLimit time.Duration // how long after newer weights were named a request may still begin on older ones
-	Grace                time.Duration // longest planned stop
+	ShutdownTimeout      time.Duration // longest planned stop
 	RetryRatio           float64       // repeats as a share of the requests for a service, over the whole fleet
 	Quota                quota.Policy  // of limits over the whole fleet, repeats beyond the ratio among them
 
