--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -141,7 +141,7 @@
 		return false
 	}
 	deadline, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
-	return !hasDeadline || now < deadline-beginMargin
+	return !hasDeadline || now < deadline-startMargin
 }
 
 // owner returns the engine that computes a shared prompt which no engine is known to have cached. It uses
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	// beginMargin is kept between the time when a request should begin on old weights and the limit for that, beside
+	// startMargin is kept between the time when a request should begin on old weights and the limit for that, beside
 	// beginFactor of the time that is predicted until it begins.
-	beginMargin = 900 * time.Millisecond
+	startMargin = 900 * time.Millisecond
 	beginFactor = 1.5
 	// takeBackMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
 	// used up its share of a processor stands still for the rest of a period of 100 ms, and the way of the close to the back end.
