--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -33,8 +33,8 @@
 const (
 	// startMargin is kept between the time when a request should begin on old weights and the limit for that, beside
 	// beginFactor of the time that is predicted until it begins.
-	startMargin = 900 * time.Millisecond
-	beginFactor = 1.5
+	startMargin     = 900 * time.Millisecond
+	startTimeFactor = 1.5
 	// takeBackMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
 	// used up its share of a processor stands still for the rest of a period of 100 ms, and the way of the close to the back end.
 	takeBackMargin = 150 * time.Millisecond
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -66,7 +66,7 @@
 
 // startsAfter reports whether a request sent now would likely start after a deadline.
 func (c *candidate) startsAfter(now, deadline time.Duration) bool {
-	return now+belief.FromMilliseconds(beginFactor*c.wait) >= deadline-startMargin
+	return now+belief.FromMilliseconds(startTimeFactor*c.wait) >= deadline-startMargin
 }
 
 // watchStartDeadline cancels the attempt if it has not started shortly before its start deadline, and otherwise
