--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -165,7 +165,7 @@
 	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
 	sent.watchStartDeadline()
-	left := takeBackMargin + time.Millisecond
+	left := cancelMargin + time.Millisecond
 	publishVersion(g, 2, g.settings.OldWeightsStartLimit-left)
 	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
@@ -196,7 +196,7 @@
 		publishedAt, term := map[uint64]time.Duration{}, uint64(0)
 		isLate := func(id string) bool {
 			for version, at := range publishedAt {
-				if version > versions[id] && g.now() >= at+g.settings.OldWeightsStartLimit-takeBackMargin {
+				if version > versions[id] && g.now() >= at+g.settings.OldWeightsStartLimit-cancelMargin {
 					return true
 				}
 			}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -35,9 +35,9 @@
 	// beginFactor of the time that is predicted until it begins.
 	startMargin     = 900 * time.Millisecond
 	startTimeFactor = 1.5
-	// takeBackMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
+	// cancelMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
 	// used up its share of a processor stands still for the rest of a period of 100 ms, and the way of the close to the back end.
-	takeBackMargin = 150 * time.Millisecond
+	cancelMargin = 150 * time.Millisecond
 	// watchHold is how long control may hold a question for news; it bounds the age of a confirmed view.
 	watchHold = 400 * time.Millisecond
 	// drainHold is that while requests run on a back end that is being turned away from.
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -107,7 +107,7 @@
 		return false
 	}
 	deadline, hasDeadline := x.gateway.startDeadline(a.row, x.service, x.call.Model)
-	left := deadline - takeBackMargin - now
+	left := deadline - cancelMargin - now
 	switch {
 	case !hasDeadline:
 		return false
