--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -99,7 +99,7 @@
 // requests have ended.
 func (g *Gateway) hold() time.Duration {
 	if g.table.weightsDraining() {
-		return drainHold
+		return drainingWatchHold
 	}
 	return watchHold
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -40,8 +40,8 @@
 	cancelMargin = 150 * time.Millisecond
 	// watchHold is how long control may hold a question for news; it bounds the age of a confirmed view.
 	watchHold = 400 * time.Millisecond
-	// drainHold is that while requests run on a back end that is being turned away from.
-	drainHold = 80 * time.Millisecond
+	// drainingWatchHold is that while requests run on a back end that is being turned away from.
+	drainingWatchHold = 80 * time.Millisecond
 	// watchTimeout is how long a question may stay unanswered.
 	watchTimeout = 650 * time.Millisecond
 	// failuresEach failures in a row double the patience with an answer, longestPatience times at most.
