--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -45,8 +45,8 @@
 	// watchTimeout is how long a question may stay unanswered.
 	watchTimeout = 650 * time.Millisecond
 	// failuresPerStep failures in a row double the patience with an answer, longestPatience times at most.
-	failuresPerStep = 3
-	longestPatience = 3
+	failuresPerStep  = 3
+	maxTimeoutFactor = 3
 	// wholePatience is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
 	// a fifth of a core reads in 100 ms, and many gateways ask at once.
 	wholePatience = time.Second
