--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -60,7 +60,7 @@
 		if !g.search(ctx, question, patience) {
 			return nil
 		}
-		patience = max(patience, wholePatience)
+		patience = max(patience, fullReplyTimeout)
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -47,9 +47,9 @@
 	// failuresPerStep failures in a row double the patience with an answer, longestPatience times at most.
 	failuresPerStep  = 3
 	maxTimeoutFactor = 3
-	// wholePatience is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
+	// fullReplyTimeout is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
 	// a fifth of a core reads in 100 ms, and many gateways ask at once.
-	wholePatience = time.Second
+	fullReplyTimeout = time.Second
 	// peerDial is how long a connection to control or to another gateway may take to come up.
 	peerDial = 150 * time.Millisecond
 	// watchPause is the pause after a question failed.
