--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 
 // New returns a gateway that knows nothing yet.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
-	client := transport.NewClientWithin(settings.Token, nil, peerDial)
+	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -50,8 +50,8 @@
 	// fullReplyTimeout is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
 	// a fifth of a core reads in 100 ms, and many gateways ask at once.
 	fullReplyTimeout = time.Second
-	// peerDial is how long a connection to control or to another gateway may take to come up.
-	peerDial = 150 * time.Millisecond
+	// peerDialTimeout is how long a connection to control or to another gateway may take to come up.
+	peerDialTimeout = 150 * time.Millisecond
 	// watchPause is the pause after a question failed.
 	watchPause = 60 * time.Millisecond
 	// idleTimeout is how long callers may keep a connection idle.
