--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -28,7 +28,7 @@
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(watchPause):
+			case <-time.After(watchRetryDelay):
 			}
 			continue
 		}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -52,8 +52,8 @@
 	fullReplyTimeout = time.Second
 	// peerDialTimeout is how long a connection to control or to another gateway may take to come up.
 	peerDialTimeout = 150 * time.Millisecond
-	// watchPause is the pause after a question failed.
-	watchPause = 60 * time.Millisecond
+	// watchRetryDelay is the pause after a question failed.
+	watchRetryDelay = 60 * time.Millisecond
 	// idleTimeout is how long callers may keep a connection idle.
 	idleTimeout = 75 * time.Second
 	// headerTimeout is how long a caller may take for a header.
