--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -154,7 +154,7 @@
 	began := time.Now()
 	g.draining.Store(true)
 	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
-	time.Sleep(min(stopNotice, g.settings.ShutdownTimeout/2))
+	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.closing.Store(true)
 	time.Sleep(min(stopRefusal, g.settings.ShutdownTimeout/8))
 	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-stopMargin))
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -64,8 +64,8 @@
 	discardTimeout = time.Second
 	// defaultBodyLimit bounds bodies while no document says otherwise.
 	defaultBodyLimit = 4 << 20
-	// stopNotice is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
-	stopNotice = 2700 * time.Millisecond
+	// drainPeriod is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
+	drainPeriod = 2700 * time.Millisecond
 	// stopRefusal is how long it then refuses requests, before it closes the connections.
 	stopRefusal = 500 * time.Millisecond
 	// stopMargin is what is left of the grace for the process's own end.
