--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -156,7 +156,7 @@
 	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.closing.Store(true)
-	time.Sleep(min(stopRefusal, g.settings.ShutdownTimeout/8))
+	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
 	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-stopMargin))
 	defer done()
 	_ = public.Shutdown(closing) // what is left is cut with the process
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -66,8 +66,8 @@
 	defaultBodyLimit = 4 << 20
 	// drainPeriod is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
 	drainPeriod = 2700 * time.Millisecond
-	// stopRefusal is how long it then refuses requests, before it closes the connections.
-	stopRefusal = 500 * time.Millisecond
+	// rejectPeriod is how long it then refuses requests, before it closes the connections.
+	rejectPeriod = 500 * time.Millisecond
 	// stopMargin is what is left of the grace for the process's own end.
 	stopMargin = 150 * time.Millisecond
 	// writeTimeout is how long one write to a caller may take.
