--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.closing.Store(true)
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
-	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-stopMargin))
+	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer done()
 	_ = public.Shutdown(closing) // what is left is cut with the process
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -68,8 +68,8 @@
 	drainPeriod = 2700 * time.Millisecond
 	// rejectPeriod is how long it then refuses requests, before it closes the connections.
 	rejectPeriod = 500 * time.Millisecond
-	// stopMargin is what is left of the grace for the process's own end.
-	stopMargin = 150 * time.Millisecond
+	// shutdownMargin is what is left of the grace for the process's own end.
+	shutdownMargin = 150 * time.Millisecond
 	// writeTimeout is how long one write to a caller may take.
 	writeTimeout = 5 * time.Second
 )
