--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,7 +21,7 @@
 		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
-			g.near.demoteFirst()
+			g.nearby.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
 				g.log.recordDisconnect()
@@ -65,7 +65,7 @@
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
 	ask := g.group.Once
-	if address, named := g.near.first(); named {
+	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
 			return g.group.At(ctx, address, request)
 		}
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.near.update(response.Watch.Near)
+	g.nearby.update(response.Watch.Near)
 	g.group.Use(response.Watch.Replicas)
 	return true
 }
@@ -133,7 +133,7 @@
 	g.watchStartDeadlines()
 	g.desk.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
-	g.near.update(reply.Near)
+	g.nearby.update(reply.Near)
 	g.spread.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 	now      clock.Source // since it was made
 
 	group   *control.Client
-	near    *nearbyReplicas // who answers for the control leader
+	nearby  *nearbyReplicas // who answers for the control leader
 	view    atomic.Pointer[view]
 	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table   *table
@@ -79,7 +79,7 @@
 	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
-		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
+		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		spread: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
