--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -64,7 +64,7 @@
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
 	if reason == reasonViewUnconfirmed {
-		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
+		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirmedAt.Load())))
 	}
 	if reason == reasonQuarantined {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint), zap.Int(events.FieldIncarnations, x.lives()))
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -139,7 +139,7 @@
 	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
-		g.confirm.Store(int64(asked))
+		g.confirmedAt.Store(int64(asked))
 		g.outage.end(g.now())
 		g.confirmed.Notify()
 		g.log.recordReconnect()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,16 +39,16 @@
 	log      *decisionLog
 	now      clock.Source // since it was made
 
-	group   *control.Client
-	nearby  *nearbyReplicas // who answers for the control leader
-	view    atomic.Pointer[view]
-	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
-	table   *table
-	budget  *retryBudget
-	desk    *desk.LeasePool // of what is limited over the fleet
-	pool    *pool
-	splits  *splits
-	spread  *peerAnnouncer
+	group       *control.Client
+	nearby      *nearbyReplicas // who answers for the control leader
+	view        atomic.Pointer[view]
+	confirmedAt atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
+	table       *table
+	budget      *retryBudget
+	desk        *desk.LeasePool // of what is limited over the fleet
+	pool        *pool
+	splits      *splits
+	spread      *peerAnnouncer
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
@@ -191,13 +191,13 @@
 
 // trusted reports whether control confirmed the view so lately that its keys count.
 func (g *Gateway) trusted(now time.Duration) bool {
-	confirmed := time.Duration(g.confirm.Load())
+	confirmed := time.Duration(g.confirmedAt.Load())
 	return confirmed > 0 && now-confirmed < g.settings.ViewTTL
 }
 
 // untrustedFor returns for how long the view has not counted, or 0.
 func (g *Gateway) untrustedFor(now time.Duration) time.Duration {
-	confirmed := time.Duration(g.confirm.Load())
+	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
 		return 0
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -139,7 +139,7 @@
 
 // viewAge returns how long ago the view was confirmed, in seconds.
 func (g *Gateway) viewAge() float64 {
-	confirmed := time.Duration(g.confirm.Load())
+	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
 		return -1
 	}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -28,7 +28,7 @@
 	}
 	g := New(Settings{Name: "s", Zone: "z", OldWeightsStartLimit: time.Minute, ViewTTL: time.Hour}, nil, log)
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true, CacheTokens: 80_000}}}))
-	g.confirm.Store(1)
+	g.confirmedAt.Store(1)
 	news := &control.RosterNews{Whole: true}
 	for i := range engines {
 		news.Entries = append(news.Entries, control.RosterEntry{
