--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -113,7 +113,7 @@
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
+		g.leases.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.info(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
@@ -131,7 +131,7 @@
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.desk.RecordContact(asked, reply.Gateways)
+	g.leases.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.nearby.update(reply.Near)
 	g.spread.setMesh(reply.Mesh)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 	confirmedAt atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table       *table
 	budget      *retryBudget
-	desk        *desk.LeasePool // of what is limited over the fleet
+	leases      *desk.LeasePool // of what is limited over the fleet
 	pool        *pool
 	splits      *splits
 	spread      *peerAnnouncer
@@ -85,7 +85,7 @@
 		spread: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
-	made.desk = desk.New(made.nick, settings.ViewTTL, made.now, made.lend)
+	made.leases = desk.New(made.nick, settings.ViewTTL, made.now, made.lend)
 	made.spread.disabled = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
@@ -119,7 +119,7 @@
 	var threads sync.WaitGroup
 	threads.Go(func() { g.follow(run) })
 	threads.Go(func() { g.sweep(run) })
-	threads.Go(func() { g.desk.Run(run) })
+	threads.Go(func() { g.leases.Run(run) })
 	threads.Go(func() { g.quarantine.Run(run) })
 	g.spread.run(run, threads.Go)
 	public := &http.Server{
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -32,7 +32,7 @@
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.TokensDeclared)
-	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	taken := x.gateway.leases.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
 		x.quotaLease = cover{hold: taken.Lease, covered: true}
@@ -65,7 +65,7 @@
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
 	if x.quotaLease.covered {
-		x.gateway.desk.Release(x.quotaLease.hold)
+		x.gateway.leases.Release(x.quotaLease.hold)
 	}
 	x.quotaLease = cover{}
 }
@@ -92,6 +92,6 @@
 		return true
 	}
 	name := quota.ServiceRetries(service)
-	taken := g.desk.Acquire(ctx, name, 1, repeatPatience)
+	taken := g.leases.Acquire(ctx, name, 1, repeatPatience)
 	return taken.Outcome == desk.Granted && taken.Lease.Name == name
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -108,8 +108,8 @@
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
 	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.limitLeases, made.firstEvent, made.unknownHeaders, made.retries, made.cacheReadFailures, made.schedulerFailures, made.uncachedTokens, made.cachedTokens, newBackoffGauge(g), newAdvertisedLimitGauge(g),
-		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.desk.RequestCounts(); return float64(asked) }),
-		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.desk.RequestCounts(); return float64(failed) }),
+		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.leases.RequestCounts(); return float64(asked) }),
+		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.leases.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
 		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, held := g.quarantine.SuspectCounts(); return float64(held) }),
 		gauge("view_age_seconds", "Time since control confirmed the view; -1 never.", g.viewAge),
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -107,7 +107,7 @@
 	if dry {
 		return false
 	}
-	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
+	taken := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
@@ -128,7 +128,7 @@
 // returnPermit gives back what was taken of a limit and not used.
 func (a *attempt) returnPermit() {
 	if a.limitLease.Amount > 0 {
-		a.exchange.gateway.desk.Release(a.limitLease)
+		a.exchange.gateway.leases.Release(a.limitLease)
 		a.exchange.gateway.metrics.limitLeases.WithLabelValues(permitUnused).Inc()
 		a.limitLease = allowance.Lease{}
 	}
