--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -240,13 +240,13 @@
 		g.takeEnd(request, respond)
 		return
 	case pathViaScheduler:
-		forward = g.spread.announce
+		forward = g.peers.announce
 	case pathSends:
 		forward = func(announcement) {}
 	case pathRow:
-		forward = g.spread.column.Announce
+		forward = g.peers.column.Announce
 	case pathOtherZone:
-		forward = g.spread.announceInZone
+		forward = g.peers.announceInZone
 	default:
 		respond(http.StatusNotFound, nil)
 		return
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -173,7 +173,7 @@
 		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Transfer: placed.transfer,
 	}
 	g.table.recordOwnSend(now, announced)
-	g.spread.announce(announced)
+	g.peers.announce(announced)
 }
 
 // end notes in the table that the attempt is over, and tells the other gateways.
@@ -183,7 +183,7 @@
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
 		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
-		x.gateway.spread.announce(announcement{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
+		x.gateway.peers.announce(announcement{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	a.unreachable = true
 	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
-		g.spread.announce(announcement{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
+		g.peers.announce(announcement{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -134,7 +134,7 @@
 	g.leases.RecordContact(asked, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.nearby.update(reply.Near)
-	g.spread.setMesh(reply.Mesh)
+	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -158,6 +158,6 @@
 	for _, told := range corrections {
 		told.Gateway, told.Instance, told.CacheReport = g.nick, id, true
 		at.aliveAt = now
-		g.spread.announce(told)
+		g.peers.announce(told)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	leases      *desk.LeasePool // of what is limited over the fleet
 	pool        *pool
 	splits      *splits
-	spread      *peerAnnouncer
+	peers       *peerAnnouncer
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
@@ -82,11 +82,11 @@
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		spread: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.leases = desk.New(made.nick, settings.ViewTTL, made.now, made.lend)
-	made.spread.disabled = !made.on(mechanism.GatewayMesh)
+	made.peers.disabled = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
 }
@@ -121,7 +121,7 @@
 	threads.Go(func() { g.sweep(run) })
 	threads.Go(func() { g.leases.Run(run) })
 	threads.Go(func() { g.quarantine.Run(run) })
-	g.spread.run(run, threads.Go)
+	g.peers.run(run, threads.Go)
 	public := &http.Server{
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
