--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -169,7 +169,7 @@
 // announcePlacement notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
 func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
 	announced := announcement{
-		Gateway: g.nick, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
+		Gateway: g.shortName, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
 		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Transfer: placed.transfer,
 	}
 	g.table.recordOwnSend(now, announced)
@@ -183,7 +183,7 @@
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
 		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
-		x.gateway.peers.announce(announcement{Gateway: x.gateway.nick, Load: load, Instance: a.row.entry.ID})
+		x.gateway.peers.announce(announcement{Gateway: x.gateway.shortName, Load: load, Instance: a.row.entry.ID})
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	a.unreachable = true
 	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
-		g.peers.announce(announcement{Gateway: g.nick, Instance: a.row.entry.ID, Unreachable: true})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
 
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -153,10 +153,10 @@
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
-		corrections = []announcement{{Gateway: g.nick, Instance: id, CacheReport: true}}
+		corrections = []announcement{{Gateway: g.shortName, Instance: id, CacheReport: true}}
 	}
 	for _, told := range corrections {
-		told.Gateway, told.Instance, told.CacheReport = g.nick, id, true
+		told.Gateway, told.Instance, told.CacheReport = g.shortName, id, true
 		at.aliveAt = now
 		g.peers.announce(told)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,7 +53,7 @@
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
 	quarantine *reporter.Reporter
-	nick       string // short name of this life, under which other gateways are told of sends
+	shortName  string // short name of this life, under which other gateways are told of sends
 	outage     outage
 	reader     CacheReader // of engines' caches, or nil
 	followers  *followers
@@ -82,10 +82,10 @@
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
-	made.leases = desk.New(made.nick, settings.ViewTTL, made.now, made.lend)
+	made.leases = desk.New(made.shortName, settings.ViewTTL, made.now, made.lend)
 	made.peers.disabled = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -26,7 +26,7 @@
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
-		g.peers.announce(announcement{Gateway: g.nick, Instance: row.entry.ID, Signals: pushback.Signals{Limit: news}})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: news}})
 		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -34,7 +34,7 @@
 	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
-		g.peers.announce(announcement{Gateway: g.nick, Instance: chosen.row.entry.ID, RejectedRequest: asked.Key}) // whoever it comes back to is to know it
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: asked.Key}) // whoever it comes back to is to know it
 	}
 	return back, refused
 }
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -132,7 +132,7 @@
 	row := made.row
 	g.table.observePrefill(row, made.alone, made.uncached, durationFromMS(end.FirstMS))
 	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, durationFromMS(end.FirstMS), durationFromMS(end.StayMS))
-	g.peers.announce(announcement{Gateway: g.nick, Load: left, Instance: row.entry.ID})
+	g.peers.announce(announcement{Gateway: g.shortName, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.peers.announce(announcement{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -53,7 +53,7 @@
 	now := g.now()
 	news := g.table.hear(now, row, told.said)
 	if !news.others.IsEmpty() {
-		g.peers.announce(announcement{Gateway: g.nick, Instance: row.entry.ID, Signals: news.others})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: news.others})
 	}
 	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -122,7 +122,7 @@
 	}
 	question := x.question(in)
 	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
+		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.shortName)}
 		question.Ticket = made.ticket
 		var answer wirePlacement
 		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.shortName}) // it may have placed the request
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 func (x *exchange) question(in selectionInput) wireQuestion {
 	g := x.gateway
 	asked := wireQuestion{
-		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
+		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
 		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
+		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.shortName})
 		return nil
 	}
 	return chosen
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wireEnd{
 		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
+		Ticket:  made.ticket, Gateway: g.shortName, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
