--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,8 +71,8 @@
 	metrics   *metrics
 }
 
-// nickRange keeps short names short, and apart in any fleet.
-const nickRange = 1 << 40
+// shortNameRange keeps short names short, and apart in any fleet.
+const shortNameRange = 1 << 40
 
 // New returns a gateway that knows nothing yet.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
@@ -82,7 +82,7 @@
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.leases = desk.New(made.shortName, settings.ViewTTL, made.now, made.lend)
