--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -65,7 +65,7 @@
 
 // readCaches follows the caches that control has given this gateway.
 func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
-	if g.reader != nil && g.on(mechanism.CacheEvents) {
+	if g.cacheReader != nil && g.on(mechanism.CacheEvents) {
 		g.followers.use(ctx, reply.Reads, g.followCache)
 	}
 }
@@ -118,7 +118,7 @@
 	if !at.known {
 		return g.listCache(ctx, id, address, at)
 	}
-	news, err := g.reader.Events(ctx, address, at.next)
+	news, err := g.cacheReader.Events(ctx, address, at.next)
 	g.hearAside(id, news)
 	if err != nil {
 		return true, err
@@ -138,7 +138,7 @@
 		return false, nil
 	}
 	at.listedAt = g.now()
-	news, err := g.reader.List(ctx, address)
+	news, err := g.cacheReader.List(ctx, address)
 	g.hearAside(id, news)
 	if err != nil {
 		return true, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,15 +52,15 @@
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
-	quarantine *reporter.Reporter
-	shortName  string // short name of this life, under which other gateways are told of sends
-	outage     outage
-	reader     CacheReader // of engines' caches, or nil
-	followers  *followers
-	oldWeights *node.Sparse // lines of answers on other weights than believed or wanted, by instance
-	restLines  *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLines *node.Sparse // lines of limits that can't be read, by instance
-	strange    unknownHeaders
+	quarantine  *reporter.Reporter
+	shortName   string // short name of this life, under which other gateways are told of sends
+	outage      outage
+	cacheReader CacheReader // of engines' caches, or nil
+	followers   *followers
+	oldWeights  *node.Sparse // lines of answers on other weights than believed or wanted, by instance
+	restLines   *node.Sparse // lines of back ends that ask for rest, by instance
+	limitLines  *node.Sparse // lines of limits that can't be read, by instance
+	strange     unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
 	confirmed *notifier
 	gateways  atomic.Int64 // that share what is limited, as control told last
@@ -95,7 +95,7 @@
 func (g *Gateway) on(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
 
 // UseCacheReader makes the gateway read what engines keep. It must be called before Run.
-func (g *Gateway) UseCacheReader(r CacheReader) { g.reader = r }
+func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
 
 // UseControl replaces the control replicas to start from.
 func (g *Gateway) UseControl(addresses []string) { g.group.Use(addresses) }
