--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,15 +52,15 @@
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
-	quarantine  *reporter.Reporter
-	shortName   string // short name of this life, under which other gateways are told of sends
-	outage      outage
-	cacheReader CacheReader // of engines' caches, or nil
-	followers   *followers
-	oldWeights  *node.Sparse // lines of answers on other weights than believed or wanted, by instance
-	restLines   *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLines  *node.Sparse // lines of limits that can't be read, by instance
-	strange     unknownHeaders
+	quarantine        *reporter.Reporter
+	shortName         string // short name of this life, under which other gateways are told of sends
+	outage            outage
+	cacheReader       CacheReader // of engines' caches, or nil
+	followers         *followers
+	weightsLogLimiter *node.Sparse // lines of answers on other weights than believed or wanted, by instance
+	restLines         *node.Sparse // lines of back ends that ask for rest, by instance
+	limitLines        *node.Sparse // lines of limits that can't be read, by instance
+	strange           unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
 	confirmed *notifier
 	gateways  atomic.Int64 // that share what is limited, as control told last
@@ -81,7 +81,7 @@
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
+		weightsLogLimiter: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
@@ -213,7 +213,7 @@
 		g.pool.sweep()
 		g.table.sweep(g.now())
 		g.quarantine.Sweep()
-		g.oldWeights.Sweep(g.now())
+		g.weightsLogLimiter.Sweep(g.now())
 		g.restLines.Sweep(g.now())
 		g.limitLines.Sweep(g.now())
 	})
