--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -66,7 +66,7 @@
 	if told.said.Backoff <= 0 && told.unread == "" {
 		return
 	}
-	if held, due := g.restLines.Due(now, row.entry.ID); due {
+	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
 		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
 			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, told.unread), zap.Int("held", held))...)
 	}
