--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,7 +59,7 @@
 	followers         *followers
 	weightsLogLimiter *node.Sparse // lines of answers on other weights than believed or wanted, by instance
 	backoffLogLimiter *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLines        *node.Sparse // lines of limits that can't be read, by instance
+	limitLogLimiter   *node.Sparse // lines of limits that can't be read, by instance
 	strange           unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
 	confirmed *notifier
@@ -81,7 +81,7 @@
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLines: node.NewSparse(),
+		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
@@ -215,7 +215,7 @@
 		g.quarantine.Sweep()
 		g.weightsLogLimiter.Sweep(g.now())
 		g.backoffLogLimiter.Sweep(g.now())
-		g.limitLines.Sweep(g.now())
+		g.limitLogLimiter.Sweep(g.now())
 	})
 }
 
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -59,7 +59,7 @@
 	if unread == "" {
 		return
 	}
-	if held, due := g.limitLines.Due(now, instance); due {
+	if held, due := g.limitLogLimiter.Due(now, instance); due {
 		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
 	}
 }
