--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,7 +60,7 @@
 	weightsLogLimiter *node.Sparse // lines of answers on other weights than believed or wanted, by instance
 	backoffLogLimiter *node.Sparse // lines of back ends that ask for rest, by instance
 	limitLogLimiter   *node.Sparse // lines of limits that can't be read, by instance
-	strange           unknownHeaders
+	unknownHeaders    unknownHeaders
 	// confirmed rings whenever control has confirmed the view.
 	confirmed *notifier
 	gateways  atomic.Int64 // that share what is limited, as control told last
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -33,7 +33,7 @@
 func (g *Gateway) recordUnknownHeaders(row *endpoint, names []string) {
 	for _, name := range names {
 		g.metrics.unknownHeaders.Inc()
-		if g.strange.addNew(name) {
+		if g.unknownHeaders.addNew(name) {
 			g.log.info(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
 		}
 	}
