--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -141,7 +141,7 @@
 	if g.view.Load() != nil {
 		g.confirmedAt.Store(int64(asked))
 		g.outage.end(g.now())
-		g.confirmed.Notify()
+		g.viewConfirmed.Notify()
 		g.log.recordReconnect()
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -61,14 +61,14 @@
 	backoffLogLimiter *node.Sparse // lines of back ends that ask for rest, by instance
 	limitLogLimiter   *node.Sparse // lines of limits that can't be read, by instance
 	unknownHeaders    unknownHeaders
-	// confirmed rings whenever control has confirmed the view.
-	confirmed *notifier
-	gateways  atomic.Int64 // that share what is limited, as control told last
-	draining  atomic.Bool
-	closing   atomic.Bool // the end of a planned stop: nothing new is taken
-	active    atomic.Int64
-	held      held // for callers and back ends that take it slowly
-	metrics   *metrics
+	// viewConfirmed rings whenever control has viewConfirmed the view.
+	viewConfirmed *notifier
+	gateways      atomic.Int64 // that share what is limited, as control told last
+	draining      atomic.Bool
+	closing       atomic.Bool // the end of a planned stop: nothing new is taken
+	active        atomic.Int64
+	held          held // for callers and back ends that take it slowly
+	metrics       *metrics
 }
 
 // shortNameRange keeps short names short, and apart in any fleet.
@@ -80,7 +80,7 @@
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
-		confirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
+		viewConfirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -84,7 +84,7 @@
 func (x *exchange) awaitView() bool {
 	g := x.gateway
 	for {
-		next := g.confirmed.Next()
+		next := g.viewConfirmed.Next()
 		if g.trusted(g.now()) {
 			return true
 		}
