--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -132,7 +132,7 @@
 	}
 	g.watchStartDeadlines()
 	g.leases.RecordContact(asked, reply.Gateways)
-	g.gateways.Store(int64(reply.Gateways))
+	g.gatewayCount.Store(int64(reply.Gateways))
 	g.nearby.update(reply.Near)
 	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,7 +63,7 @@
 	unknownHeaders    unknownHeaders
 	// viewConfirmed rings whenever control has viewConfirmed the view.
 	viewConfirmed *notifier
-	gateways      atomic.Int64 // that share what is limited, as control told last
+	gatewayCount  atomic.Int64 // that share what is limited, as control told last
 	draining      atomic.Bool
 	closing       atomic.Bool // the end of a planned stop: nothing new is taken
 	active        atomic.Int64
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -176,7 +176,7 @@
 	now := time.Minute
 	g := scheduler(2)
 	g.now = func() time.Duration { return now }
-	g.gateways.Store(2)
+	g.gatewayCount.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
 		names(g, id, 4)
 		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -174,7 +174,7 @@
 	case causeBackingOff:
 		return reasonBackingOff, apart(first)
 	case causeLimitReached:
-		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
+		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gatewayCount.Load()))
 	}
 	return reasonNoBackend, minRetryAfter
 }
