--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -90,7 +90,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.ReadCall(r.Header)}
-	if g.closing.Load() {
+	if g.rejecting.Load() {
 		x.reject(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -65,7 +65,7 @@
 	viewConfirmed *notifier
 	gatewayCount  atomic.Int64 // that share what is limited, as control told last
 	draining      atomic.Bool
-	closing       atomic.Bool // the end of a planned stop: nothing new is taken
+	rejecting     atomic.Bool // the end of a planned stop: nothing new is taken
 	active        atomic.Int64
 	held          held // for callers and back ends that take it slowly
 	metrics       *metrics
@@ -155,7 +155,7 @@
 	g.draining.Store(true)
 	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
-	g.closing.Store(true)
+	g.rejecting.Store(true)
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
 	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer done()
