--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -130,8 +130,8 @@
 	if length > maxBufferedResponse {
 		return a.relayUnbuffered(response, nil)
 	}
-	body, reserved, err := x.gateway.held.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
-	defer func() { x.gateway.held.give(reserved) }()
+	body, reserved, err := x.gateway.buffered.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
+	defer func() { x.gateway.buffered.give(reserved) }()
 	switch {
 	case errors.Is(err, errHeld):
 		return a.relayUnbuffered(response, body) // nothing is lost but another try, should it break off
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -95,7 +95,7 @@
 		return
 	}
 	defer x.uncover()
-	defer func() { g.held.give(x.bodyReserved) }()
+	defer func() { g.buffered.give(x.bodyReserved) }()
 	if !x.admit() || !x.withinLimit() || !x.readBody() {
 		return
 	}
@@ -172,7 +172,7 @@
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	body, reserved, err := x.gateway.held.read(from, x.request.ContentLength)
+	body, reserved, err := x.gateway.buffered.read(from, x.request.ContentLength)
 	x.bodyReserved = reserved
 	if errors.Is(err, errHeld) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -88,7 +88,7 @@
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
 		return a.relayBuffered(response)
 	}
-	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBufferSize), held: &x.gateway.held}
+	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBufferSize), held: &x.gateway.buffered}
 	defer stream.close()
 	controller := http.NewResponseController(x.writer)
 	for {
