--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -267,7 +267,7 @@
 // maxSilence is how long the back end may stay silent; 0 leaves it all the time there is.
 func (a *attempt) maxSilence() time.Duration {
 	x := a.exchange
-	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
+	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.enabled(mechanism.SilenceTimeout) {
 		return 0
 	}
 	if x.service.Engine {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -147,7 +147,7 @@
 // owner returns the engine that computes a shared prompt which no engine is known to have cached. It uses
 // rendezvous hashing over the eligible engines, so that all gateways agree without communicating.
 func (g *Gateway) owner(now time.Duration, rows []*endpoint, in selectionInput) *endpoint {
-	if !in.service.Engine || len(in.call.Parts) == 0 || !g.on(mechanism.AffinityOwner) {
+	if !in.service.Engine || len(in.call.Parts) == 0 || !g.enabled(mechanism.AffinityOwner) {
 		return nil
 	}
 	key := xxhash.Sum64String(prefix.AffinityKey(in.call.Parts))
@@ -182,7 +182,7 @@
 	} else {
 		scored.cost = plainRequestTime * float64(row.occupancy.Total().Running) / float64(max(1, row.entry.Slots))
 	}
-	if row.entry.Zone != g.settings.Zone && g.on(mechanism.ZoneCost) {
+	if row.entry.Zone != g.settings.Zone && g.enabled(mechanism.ZoneCost) {
 		scored.cost += crossZoneCost
 	}
 	scored.cost += g.healthPenalty(now, row)
@@ -219,20 +219,20 @@
 	load := row.occupancy.Total()
 	prefillTime := belief.Milliseconds(g.table.prefillEstimate(in.service.Name).PrefillTime(scored.uncached))
 	scored.cost += belief.Milliseconds(queue) + prefillTime
-	if g.on(mechanism.Occupancy) {
+	if g.enabled(mechanism.Occupancy) {
 		scored.cost += belief.CapacityWait(load, row.entry.Slots, in.service.CacheTokens, in.memory, in.meanDuration)
 	}
 	scored.wait, scored.engineIdle = scored.cost, queue == 0
 	scored.queueWait = scored.wait - prefillTime
 	scored.cost += g.offLaneCost(row, scored.uncached)
-	if g.on(mechanism.RecomputeCost) {
+	if g.enabled(mechanism.RecomputeCost) {
 		scored.cost += recomputeWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 	scored.cost += runningCost * float64(load.Running)
-	if g.on(mechanism.Interference) {
+	if g.enabled(mechanism.Interference) {
 		scored.cost += interferenceWeight * float64(scored.uncached) / belief.PrefillRate * float64(load.Running)
 	}
-	if !owner && g.on(mechanism.AffinityMissCost) {
+	if !owner && g.enabled(mechanism.AffinityMissCost) {
 		scored.cost += nonOwnerWeight * float64(sharedTokens-cached) / belief.PrefillRate
 	}
 }
@@ -240,7 +240,7 @@
 // healthPenalty returns the cost of signs that a back end is unhealthy or overloaded, in milliseconds.
 func (g *Gateway) healthPenalty(now time.Duration, row *endpoint) float64 {
 	cost := failingCost * row.failureRate
-	if g.on(mechanism.FailureAvoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
+	if g.enabled(mechanism.FailureAvoidance) && (now < row.avoidUntil || row.unresponsive(now)) {
 		cost += avoidCost
 	}
 	if row.entry.Silent {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -112,7 +112,7 @@
 	sharedTokens := prefix.PartTokens(shared)
 	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
-	if g.on(mechanism.EngineTransfers) {
+	if g.enabled(mechanism.EngineTransfers) {
 		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
@@ -165,10 +165,10 @@
 func (g *Gateway) planCopy(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
 	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
-	if g.on(mechanism.EvictionCost) {
+	if g.enabled(mechanism.EvictionCost) {
 		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
 	}
-	if g.on(mechanism.LinkQueueing) {
+	if g.enabled(mechanism.LinkQueueing) {
 		plan.cost += belief.Milliseconds(g.table.links.Wait(now, from))
 	}
 	return plan
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -247,7 +247,7 @@
 	in := selectionInput{
 		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
 	}
-	if x.gateway.on(mechanism.StoreTransfers) {
+	if x.gateway.enabled(mechanism.StoreTransfers) {
 		in.store = x.view.storeOf(x.call.Parts)
 	}
 	waitUntil := x.gateway.now() + backendWait
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -65,7 +65,7 @@
 
 // readCaches follows the caches that control has given this gateway.
 func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
-	if g.cacheReader != nil && g.on(mechanism.CacheEvents) {
+	if g.cacheReader != nil && g.enabled(mechanism.CacheEvents) {
 		g.followers.use(ctx, reply.Reads, g.followCache)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,13 +86,13 @@
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
 	made.leases = desk.New(made.shortName, settings.ViewTTL, made.now, made.lend)
-	made.peers.disabled = !made.on(mechanism.GatewayMesh)
+	made.peers.disabled = !made.enabled(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
 }
 
-// on reports whether a part of the decision is on.
-func (g *Gateway) on(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
+// enabled reports whether a part of the decision is enabled.
+func (g *Gateway) enabled(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
 
 // UseCacheReader makes the gateway read what engines keep. It must be called before Run.
 func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -132,7 +132,7 @@
 // offLaneCost returns the cost of a request at an engine of the other lane, in milliseconds, scaled by the weight
 // of the service's lanes, or 0 if lanes are disabled.
 func (g *Gateway) offLaneCost(e *endpoint, uncached int) float64 {
-	if !g.on(mechanism.Lanes) {
+	if !g.enabled(mechanism.Lanes) {
 		return 0
 	}
 	return g.table.lanesOf(e.entry.Service).weight() * e.fullOffLaneCost(uncached)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -21,7 +21,7 @@
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
 func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
-	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.EarlyRejection) {
+	if !in.firstAttempt || !in.service.Engine || !g.enabled(mechanism.EarlyRejection) {
 		return 0, false
 	}
 	asked := admission.Request{
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -91,7 +91,7 @@
 	if asked.Wall != "" {
 		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
 	}
-	if g.on(mechanism.StoreTransfers) {
+	if g.enabled(mechanism.StoreTransfers) {
 		in.store = held.storeOf(call.Parts)
 	}
 	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, durationFromMS(asked.TargetMS)
--- a/internal/gateway/shortlist.go
+++ b/internal/gateway/shortlist.go
@@ -62,7 +62,7 @@
 
 // laneMembers returns the back ends of the request's lane, or all if lanes are not used.
 func (g *Gateway) laneMembers(rows []*endpoint, in selectionInput) []*endpoint {
-	if !in.service.Engine || !g.on(mechanism.Lanes) {
+	if !in.service.Engine || !g.enabled(mechanism.Lanes) {
 		return rows
 	}
 	lanes := g.table.lanesOf(in.service.Name)
