--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -6,8 +6,8 @@
 	"kitetiller/internal/lab/forms"
 )
 
-// TestFormsStayReadable: all that gateways tell and ask each other.
-func TestFormsStayReadable(t *testing.T) {
+// TestWireFormatsCompatible: all that gateways tell and ask each other.
+func TestWireFormatsCompatible(t *testing.T) {
 	forms.Check[wireAnnouncement](t, "send")
 	forms.Check[wireQuestion](t, "question")
 	forms.Check[wirePlacement](t, "placement")
