--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -105,7 +105,7 @@
 	lead         *leadership
 	namings      map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
 	orders       map[string]orderMark     // by name of the back end: what this process saw in the log
-	told         publishedDocument        // newest document that gateways were told
+	published    publishedDocument        // newest document that gateways were told
 	relay        *relay.Relay             // of gateways' questions while another replica leads
 	leaderless   []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
 	quarantined  quarantined              // when what was last counted, as this process saw it
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -223,15 +223,15 @@
 
 // toldDocument returns the document as gateways are told it, and as JSON that all who lack it share.
 func (r *Replica) toldDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
-	if r.told.document == nil || r.told.document.Revision != document.Revision {
+	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
-		r.told.document, r.told.shared = &sent, nil
+		r.published.document, r.published.shared = &sent, nil
 		if shared, err := payload.NewShared(&sent); err == nil {
-			r.told.shared = shared // else whoever tells it meets the error
+			r.published.shared = shared // else whoever tells it meets the error
 		}
 	}
-	return r.told.document, r.told.shared
+	return r.published.document, r.published.shared
 }
 
 // placed adds where the gateway is laid out.
