--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -41,14 +41,14 @@
 	shared   *payload.Shared
 }
 
-// waiter are the clients that wait for a log entry.
-type waiter struct {
+// pendingProposal are the clients that wait for a log entry.
+type pendingProposal struct {
 	clients []uint64
 	term    uint64
 }
 
 // first returns the client that waits where one does alone, or 0.
-func (w waiter) first() uint64 {
+func (w pendingProposal) first() uint64 {
 	if len(w.clients) == 0 {
 		return 0
 	}
@@ -99,7 +99,7 @@
 	unixMS       int64         // time of day at tickedAt; 0 before the first tick
 	tickedAt     time.Duration // of the newest tick
 	now          time.Duration // of the newest tick or request
-	waiters      map[uint64]waiter
+	waiters      map[uint64]pendingProposal
 	ready        consensus.Ready
 	effects      Effects
 	lead         *leadership
@@ -117,7 +117,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hard: restored.HardState, waiters: map[uint64]waiter{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
+		hard: restored.HardState, waiters: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
@@ -257,7 +257,7 @@
 		r.replyAll(clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		return
 	}
-	r.waiters[index] = waiter{clients: clients, term: term}
+	r.waiters[index] = pendingProposal{clients: clients, term: term}
 }
 
 // Work returns what must be written and synced now.
@@ -356,7 +356,7 @@
 
 // afterApply answers the client of an entry. A waiter whose entry was replaced by another leader's gets
 // "unknown": its change did not commit here, but the client cannot tell and resends.
-func (r *Replica) afterApply(now time.Duration, entry consensus.Entry, result Result, waiting waiter, mine bool) {
+func (r *Replica) afterApply(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, mine bool) {
 	if !mine {
 		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		return
