--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -266,7 +266,7 @@
 		r.lead.joining.wait(client)
 	case last > before:
 		r.lead.oweStrangers(client, strangers)
-		r.waiters[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
+		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
 		r.reply(client, Response{Kind: ResponseOK, Strangers: strangers})
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -99,7 +99,7 @@
 	unixMS       int64         // time of day at tickedAt; 0 before the first tick
 	tickedAt     time.Duration // of the newest tick
 	now          time.Duration // of the newest tick or request
-	waiters      map[uint64]pendingProposal
+	pending      map[uint64]pendingProposal
 	ready        consensus.Ready
 	effects      Effects
 	lead         *leadership
@@ -117,7 +117,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hard: restored.HardState, waiters: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
+		hard: restored.HardState, pending: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
@@ -217,9 +217,9 @@
 
 // failWaiters answers clients whose entry may or may not commit under another leader.
 func (r *Replica) failWaiters() {
-	for index, waiting := range r.waiters {
+	for index, waiting := range r.pending {
 		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
-		delete(r.waiters, index)
+		delete(r.pending, index)
 	}
 }
 
@@ -257,7 +257,7 @@
 		r.replyAll(clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		return
 	}
-	r.waiters[index] = pendingProposal{clients: clients, term: term}
+	r.pending[index] = pendingProposal{clients: clients, term: term}
 }
 
 // Work returns what must be written and synced now.
@@ -347,9 +347,9 @@
 			result = r.machine.Apply(entry.Index, entry.Term, command)
 		}
 	}
-	waiting, found := r.waiters[entry.Index]
+	waiting, found := r.pending[entry.Index]
 	if found {
-		delete(r.waiters, entry.Index)
+		delete(r.pending, entry.Index)
 	}
 	r.afterApply(now, entry, result, waiting, found && waiting.term == entry.Term)
 }
