--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -47,8 +47,8 @@
 	term    uint64
 }
 
-// first returns the client that waits where one does alone, or 0.
-func (w pendingProposal) first() uint64 {
+// firstClient returns the client that waits where one does alone, or 0.
+func (w pendingProposal) firstClient() uint64 {
 	if len(w.clients) == 0 {
 		return 0
 	}
@@ -366,7 +366,7 @@
 		r.lead.fence = result.Catalog.Fence
 	}
 	if result.Session != nil {
-		response = r.sessionOpened(now, waiting.first(), *result.Session)
+		response = r.sessionOpened(now, waiting.firstClient(), *result.Session)
 	}
 	if result.Order != nil && r.lead != nil && entry.Term == r.node.Term() {
 		r.issueOrder(now, *result.Order)
