--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -86,11 +86,11 @@
 // Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
 // out Persist and Effects. The order is: inputs, Work, write and sync, Done, send.
 type Replica struct {
-	config   Config
-	node     *consensus.Node
-	machine  *Machine
-	snapshot consensus.Snapshot
-	hard     consensus.HardState
+	config    Config
+	node      *consensus.Node
+	machine   *Machine
+	snapshot  consensus.Snapshot
+	hardState consensus.HardState
 
 	applied     uint64
 	appliedTerm uint64
@@ -117,7 +117,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hard: restored.HardState, pending: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
@@ -267,7 +267,7 @@
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
 	if r.ready.HardState != nil {
-		r.hard = *r.ready.HardState
+		r.hardState = *r.ready.HardState
 	}
 	if r.ready.Snapshot != nil {
 		r.snapshot = *r.ready.Snapshot
@@ -275,7 +275,7 @@
 	}
 	if r.checkpoint {
 		r.checkpoint = false
-		persist.Checkpoint = &Checkpoint{HardState: r.hard, Snapshot: r.snapshot, Entries: r.node.EntriesAfter(r.snapshot.Meta.Index)}
+		persist.Checkpoint = &Checkpoint{HardState: r.hardState, Snapshot: r.snapshot, Entries: r.node.EntriesAfter(r.snapshot.Meta.Index)}
 	}
 	return persist
 }
