--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -31,7 +31,7 @@
 		state.ordered = ""
 	}
 	if report.Fence.Term < r.lead.term && r.config.Guards.On(guard.FenceCheck) {
-		r.effects.Calls = append(r.effects.Calls, EngineCall{Engine: report.Name, Address: report.Address, Fence: Fence{Term: r.lead.term}})
+		r.effects.EngineCalls = append(r.effects.EngineCalls, EngineCall{Engine: report.Name, Address: report.Address, Fence: Fence{Term: r.lead.term}})
 	}
 }
 
@@ -95,7 +95,7 @@
 	if state == nil || !r.node.LeaseValid(now) {
 		return
 	}
-	r.effects.Calls = append(r.effects.Calls, EngineCall{
+	r.effects.EngineCalls = append(r.effects.EngineCalls, EngineCall{
 		Engine: order.Engine, Address: state.report.Address, Fence: order.Fence, Order: &order,
 	})
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -76,11 +76,11 @@
 
 // Effects are what the shell sends after the sync.
 type Effects struct {
-	Messages []consensus.Message
-	Replies  []Reply
-	Calls    []EngineCall
-	Weights  []WeightsCall
-	Relays   []RelayCall
+	Messages    []consensus.Message
+	Replies     []Reply
+	EngineCalls []EngineCall
+	Weights     []WeightsCall
+	Relays      []RelayCall
 }
 
 // Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
@@ -397,7 +397,7 @@
 	if r.ended != nil {
 		return false
 	}
-	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.Calls) > 0 || len(r.effects.Weights)+len(r.effects.Relays) > 0 || r.node.HasReady()
+	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.Weights)+len(r.effects.Relays) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -392,7 +392,7 @@
 			s.log.Warn("ring of weights calls is full, call shed; it is made again", zap.String("instance", call.Instance))
 		}
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.EngineCalls {
 		select {
 		case s.calls <- call:
 		default:
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -217,7 +217,7 @@
 			answer(reply.Response)
 		}
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.EngineCalls {
 		n.sendCall(call)
 	}
 	for _, call := range effects.Weights {
