--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -77,7 +77,7 @@
 		for _, reply := range effects.Replies {
 			s.replies[reply.Client] = reply.Response
 		}
-		s.weights = append(s.weights, effects.Weights...)
+		s.weights = append(s.weights, effects.WeightsCalls...)
 	}
 }
 
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -155,16 +155,16 @@
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
-		if len(s.replica.effects.Weights) > 0 {
+		if len(s.replica.effects.WeightsCalls) > 0 {
 			break
 		}
 	}
-	if len(s.replica.effects.Weights) == 0 {
+	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
 	s.replica.lead.since = s.now + time.Hour // it may order no more
 	s.replica.Work()
-	if late := s.replica.Done(s.now + 5*time.Second).Weights; len(late) > 0 {
+	if late := s.replica.Done(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
 		t.Fatalf("given after the sync: %+v", late)
 	}
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -207,18 +207,18 @@
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
-		if len(s.replica.effects.Weights) > 0 {
+		if len(s.replica.effects.WeightsCalls) > 0 {
 			break
 		}
 		s.work()
 	}
-	if len(s.replica.effects.Weights) == 0 {
+	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
-	id := s.replica.effects.Weights[0].Instance
+	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Work()
 	left := s.replica.orders[id].at + orderWithin + time.Millisecond
-	if late := s.replica.Done(left).Weights; len(late) > 0 || s.replica.lead == nil {
+	if late := s.replica.Done(left).WeightsCalls; len(late) > 0 || s.replica.lead == nil {
 		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orders[id].at)
 	}
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -76,11 +76,11 @@
 
 // Effects are what the shell sends after the sync.
 type Effects struct {
-	Messages    []consensus.Message
-	Replies     []Reply
-	EngineCalls []EngineCall
-	Weights     []WeightsCall
-	Relays      []RelayCall
+	Messages     []consensus.Message
+	Replies      []Reply
+	EngineCalls  []EngineCall
+	WeightsCalls []WeightsCall
+	Relays       []RelayCall
 }
 
 // Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
@@ -305,7 +305,7 @@
 	r.endLeaderless(now)
 	effects := r.effects
 	r.effects = Effects{}
-	effects.Weights = r.dropLateCalls(now, effects.Weights)
+	effects.WeightsCalls = r.dropLateCalls(now, effects.WeightsCalls)
 	return effects
 }
 
@@ -390,14 +390,14 @@
 }
 
 // CallsWaiting returns how many calls to back ends wait for the next sync.
-func (r *Replica) CallsWaiting() int { return len(r.effects.Weights) }
+func (r *Replica) CallsWaiting() int { return len(r.effects.WeightsCalls) }
 
 // HasWork reports whether Work and Done should be called.
 func (r *Replica) HasWork() bool {
 	if r.ended != nil {
 		return false
 	}
-	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.Weights)+len(r.effects.Relays) > 0 || r.node.HasReady()
+	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.Relays) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -275,7 +275,7 @@
 }
 
 func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
-	r.effects.Weights = append(r.effects.Weights, WeightsCall{
+	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
 		Fence: r.lead.fence, Revision: state.rollout.revision, Holder: r.config.Name,
 	})
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -385,7 +385,7 @@
 	for _, call := range effects.Relays {
 		go s.askLeader(call)
 	}
-	for _, call := range effects.Weights {
+	for _, call := range effects.WeightsCalls {
 		select {
 		case s.orders <- decidedCall{call: call, at: s.now()}:
 		default:
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -220,7 +220,7 @@
 	for _, call := range effects.EngineCalls {
 		n.sendCall(call)
 	}
-	for _, call := range effects.Weights {
+	for _, call := range effects.WeightsCalls {
 		n.callBackend(call)
 	}
 	for _, call := range effects.Relays {
