--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -35,7 +35,7 @@
 	if r.relays() {
 		if question, due := r.relay.Ask(now); due {
 			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
-			r.effects.Relays = append(r.effects.Relays, RelayCall{Address: r.leaderAddress(), Question: question})
+			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Question: question})
 		}
 	}
 	r.answerWaiting(now)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -80,7 +80,7 @@
 	Replies      []Reply
 	EngineCalls  []EngineCall
 	WeightsCalls []WeightsCall
-	Relays       []RelayCall
+	RelayCalls   []RelayCall
 }
 
 // Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
@@ -397,7 +397,7 @@
 	if r.ended != nil {
 		return false
 	}
-	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.Relays) > 0 || r.node.HasReady()
+	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -382,7 +382,7 @@
 			respond(http.StatusOK, reply.Response)
 		}
 	}
-	for _, call := range effects.Relays {
+	for _, call := range effects.RelayCalls {
 		go s.askLeader(call)
 	}
 	for _, call := range effects.WeightsCalls {
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -148,7 +148,7 @@
 	if replies := r.effects.Replies; len(replies) > 0 {
 		t.Fatalf("sent away: %+v", replies)
 	}
-	if calls := r.effects.Relays; len(calls) == 0 || calls[len(calls)-1].Address != "b" {
+	if calls := r.effects.RelayCalls; len(calls) == 0 || calls[len(calls)-1].Address != "b" {
 		t.Fatalf("asked the leader %+v", calls)
 	}
 }
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -223,7 +223,7 @@
 	for _, call := range effects.WeightsCalls {
 		n.callBackend(call)
 	}
-	for _, call := range effects.Relays {
+	for _, call := range effects.RelayCalls {
 		n.askLeader(call)
 	}
 }
