--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -28,7 +28,7 @@
 func (r *Replica) tendRelay(now time.Duration) {
 	if r.lead != nil {
 		for _, w := range r.relay.Drop() {
-			r.leaderless = append(r.leaderless, watcher{client: w.Client, watch: w.Asked.(Watch), due: w.Due})
+			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Asked.(Watch), due: w.Due})
 		}
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -95,22 +95,22 @@
 	applied     uint64
 	appliedTerm uint64
 	// appliedBytes are the bytes of the entries applied since the newest snapshot.
-	appliedBytes int
-	unixMS       int64         // time of day at tickedAt; 0 before the first tick
-	tickedAt     time.Duration // of the newest tick
-	now          time.Duration // of the newest tick or request
-	pending      map[uint64]pendingProposal
-	ready        consensus.Ready
-	effects      Effects
-	lead         *leadership
-	namings      map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
-	orders       map[string]orderMark     // by name of the back end: what this process saw in the log
-	published    publishedDocument        // newest document that gateways were told
-	relay        *relay.Relay             // of gateways' questions while another replica leads
-	leaderless   []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
-	quarantined  quarantined              // when what was last counted, as this process saw it
-	checkpoint   bool                     // a snapshot must be written with the next Work
-	ended        error                    // the replica takes, writes and sends nothing more; nil while it goes on
+	appliedBytes   int
+	unixMS         int64         // time of day at tickedAt; 0 before the first tick
+	tickedAt       time.Duration // of the newest tick
+	now            time.Duration // of the newest tick or request
+	pending        map[uint64]pendingProposal
+	ready          consensus.Ready
+	effects        Effects
+	lead           *leadership
+	namings        map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
+	orders         map[string]orderMark     // by name of the back end: what this process saw in the log
+	published      publishedDocument        // newest document that gateways were told
+	relay          *relay.Relay             // of gateways' questions while another replica leads
+	awaitingLeader []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
+	quarantined    quarantined              // when what was last counted, as this process saw it
+	checkpoint     bool                     // a snapshot must be written with the next Work
+	ended          error                    // the replica takes, writes and sends nothing more; nil while it goes on
 }
 
 // NewReplica restores a replica from its durable state.
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	r.Handle(0, 7, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
-	if len(r.leaderless) != 1 {
+	if len(r.awaitingLeader) != 1 {
 		t.Fatal("the question doesn't wait for a leader")
 	}
 	r.Step(0, consensus.Message{Kind: consensus.MessageAppend, From: "c2", To: "c1", Term: 2, Index: 1, LogTerm: 1})
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -118,9 +118,9 @@
 	if request.Watch != nil && r.relays() && r.takeWaiting(now, client, *request.Watch) {
 		return
 	}
-	if request.Watch != nil && r.leaderAddress() == "" && len(r.leaderless) < leaderlessMost {
+	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
 		due := now + min(request.Watch.Hold, maximumHold)
-		r.leaderless = append(r.leaderless, watcher{client: client, watch: *request.Watch, due: due})
+		r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: *request.Watch, due: due})
 		return
 	}
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
@@ -130,10 +130,10 @@
 // meanwhile. One whose time is over is not held.
 func (r *Replica) holdUnformed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maximumHold)
-	if now >= due || len(r.leaderless) >= leaderlessMost {
+	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
 		return false
 	}
-	r.leaderless = append(r.leaderless, watcher{client: client, watch: watch, due: due})
+	r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: watch, due: due})
 	return true
 }
 
@@ -143,21 +143,21 @@
 // endLeaderless takes up the held questions when this replica leads, and answers them when it hears of a leader or their
 // time is over.
 func (r *Replica) endLeaderless(now time.Duration) {
-	if len(r.leaderless) == 0 {
+	if len(r.awaitingLeader) == 0 {
 		return
 	}
 	leader := r.leaderAddress()
-	waiting := r.leaderless
-	r.leaderless = nil
+	waiting := r.awaitingLeader
+	r.awaitingLeader = nil
 	for _, held := range waiting {
 		switch {
 		case r.lead != nil && (!r.current(now) || !r.formed()) && now < held.due:
-			r.leaderless = append(r.leaderless, held) // it may not confirm anything yet
+			r.awaitingLeader = append(r.awaitingLeader, held) // it may not confirm anything yet
 		case r.lead != nil:
 			held.watch.Hold = max(0, held.due-now)
 			r.Handle(now, held.client, Request{Watch: &held.watch})
 		case leader == "" && now < held.due:
-			r.leaderless = append(r.leaderless, held)
+			r.awaitingLeader = append(r.awaitingLeader, held)
 		case r.relays() && r.takeWaiting(now, held.client, held.watch):
 		default:
 			r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: leader})
