--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -109,7 +109,7 @@
 	relay          *relay.Relay             // of gateways' questions while another replica leads
 	awaitingLeader []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
 	quarantined    quarantined              // when what was last counted, as this process saw it
-	checkpoint     bool                     // a snapshot must be written with the next Work
+	checkpointDue  bool                     // a snapshot must be written with the next Work
 	ended          error                    // the replica takes, writes and sends nothing more; nil while it goes on
 }
 
@@ -271,10 +271,10 @@
 	}
 	if r.ready.Snapshot != nil {
 		r.snapshot = *r.ready.Snapshot
-		r.checkpoint = true
+		r.checkpointDue = true
 	}
-	if r.checkpoint {
-		r.checkpoint = false
+	if r.checkpointDue {
+		r.checkpointDue = false
 		persist.Checkpoint = &Checkpoint{HardState: r.hardState, Snapshot: r.snapshot, Entries: r.node.EntriesAfter(r.snapshot.Meta.Index)}
 	}
 	return persist
@@ -386,7 +386,7 @@
 	r.snapshot = consensus.Snapshot{Meta: meta, Data: r.machine.Snapshot()}
 	r.appliedBytes = 0
 	r.node.Compact(before)
-	r.checkpoint = true
+	r.checkpointDue = true
 }
 
 // CallsWaiting returns how many calls to back ends wait for the next sync.
@@ -397,7 +397,7 @@
 	if r.ended != nil {
 		return false
 	}
-	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
