--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -118,7 +118,7 @@
 
 // Handle answers a client's request, at once or after its entry committed.
 func (r *Replica) Handle(now time.Duration, client uint64, request Request) {
-	if r.ended != nil {
+	if r.stopErr != nil {
 		return
 	}
 	r.now = now
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -30,13 +30,13 @@
 }
 
 // Ended returns why this replica takes, writes and sends nothing more, or nil while it goes on.
-func (r *Replica) Ended() error { return r.ended }
+func (r *Replica) Ended() error { return r.stopErr }
 
 // knowsLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
 // anything of the message is taken, so that the replica's files stay as they are.
 func (r *Replica) knowsLevel(now time.Duration, message consensus.Message) bool {
-	r.ended = r.config.Level.Knows(message.InForce)
-	if r.ended != nil {
+	r.stopErr = r.config.Level.Knows(message.InForce)
+	if r.stopErr != nil {
 		return false
 	}
 	if r.lead != nil {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -110,7 +110,7 @@
 	awaitingLeader []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
 	quarantined    quarantined              // when what was last counted, as this process saw it
 	checkpointDue  bool                     // a snapshot must be written with the next Work
-	ended          error                    // the replica takes, writes and sends nothing more; nil while it goes on
+	stopErr        error                    // the replica takes, writes and sends nothing more; nil while it goes on
 }
 
 // NewReplica restores a replica from its durable state.
@@ -156,7 +156,7 @@
 
 // Tick lets timers run. unixMS is the wall clock, used only for retention, history, and how old namings are.
 func (r *Replica) Tick(now time.Duration, unixMS int64) {
-	if r.ended != nil {
+	if r.stopErr != nil {
 		return
 	}
 	r.unixMS, r.tickedAt, r.now = unixMS, now, now
@@ -184,7 +184,7 @@
 
 // Step handles a message of another replica.
 func (r *Replica) Step(now time.Duration, message consensus.Message) {
-	if r.ended != nil || !r.knowsLevel(now, message) {
+	if r.stopErr != nil || !r.knowsLevel(now, message) {
 		return
 	}
 	r.node.Step(now, message)
@@ -291,7 +291,7 @@
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
 	}
-	if r.ended = r.config.Level.Knows(r.machine.level); r.ended != nil {
+	if r.stopErr = r.config.Level.Knows(r.machine.level); r.stopErr != nil {
 		return Effects{}
 	}
 	if r.lead != nil && r.lead.listedNews {
@@ -394,7 +394,7 @@
 
 // HasWork reports whether Work and Done should be called.
 func (r *Replica) HasWork() bool {
-	if r.ended != nil {
+	if r.stopErr != nil {
 		return false
 	}
 	return r.checkpointDue || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
