--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -130,7 +130,7 @@
 // TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
 func TestRelayedGatewaysCount(t *testing.T) {
 	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust, config.RelayAbove = 3*time.Second, 0 })
+	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Answer {
 		return s.ask(Request{Relay: &relay.Question{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Held: held}}}}).Relayed
 	}
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -74,7 +74,9 @@
 }
 
 // manyGateways reports whether there are more gateways than the leader answers by itself.
-func (r *Replica) manyGateways() bool { return len(r.machine.catalog.Gateways()) > r.config.RelayAbove }
+func (r *Replica) manyGateways() bool {
+	return len(r.machine.catalog.Gateways()) > r.config.MaxDirectGateways
+}
 
 // readsOf returns the engines whose cache events a gateway reads.
 func (r *Replica) readsOf(now time.Duration, gateway string) []string {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -16,23 +16,23 @@
 
 // Config is what a replica needs to start.
 type Config struct {
-	ID            consensus.ID
-	Name          string
-	Address       string
-	Zone          string
-	RelayAbove    int // gateways up to which the leader answers all of them by itself
-	Timing        consensus.Timing
-	Replicas      int           // voters the group should have
-	SettingsLease time.Duration // lease granted to routers
-	RepairAfter   time.Duration // silence after which a voter is replaced by a learner
-	SnapshotEvery uint64        // applied entries between snapshots
-	OrderWait     time.Duration // how long a new leader waits before its first order for weights
-	GatewayTrust  time.Duration // how long a gateway may use a view that is not confirmed
-	Quota         quota.Terms   // how limits over the fleet are judged
-	Guards        guard.Set
-	Mechanisms    mechanism.Set // parts of the decision that are on
-	Level         level.Level   // of this build
-	Random        func(n int64) int64
+	ID                consensus.ID
+	Name              string
+	Address           string
+	Zone              string
+	MaxDirectGateways int // gateways up to which the leader answers all of them by itself
+	Timing            consensus.Timing
+	Replicas          int           // voters the group should have
+	SettingsLease     time.Duration // lease granted to routers
+	RepairAfter       time.Duration // silence after which a voter is replaced by a learner
+	SnapshotEvery     uint64        // applied entries between snapshots
+	OrderWait         time.Duration // how long a new leader waits before its first order for weights
+	GatewayTrust      time.Duration // how long a gateway may use a view that is not confirmed
+	Quota             quota.Terms   // how limits over the fleet are judged
+	Guards            guard.Set
+	Mechanisms        mechanism.Set // parts of the decision that are on
+	Level             level.Level   // of this build
+	Random            func(n int64) int64
 }
 
 // publishedDocument is a document as gateways are told it, and as JSON that they share.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -140,7 +140,7 @@
 	}
 	return Config{
 		Mechanisms: mechanisms, Level: level.Own,
-		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, RelayAbove: relayAbove, Timing: timing,
+		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: relayAbove, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
 	}, nil
