--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -207,7 +207,7 @@
 		r.lead = nil
 		r.closeWatchers(ended)
 		r.replyAll(ended.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
-		r.failWaiters()
+		r.failPending()
 	}
 	if r.lead == nil && leads {
 		r.lead = newLeadership(r.node.Term(), now, r.leaseEnd(now), r.machine)
@@ -215,8 +215,8 @@
 	}
 }
 
-// failWaiters answers clients whose entry may or may not commit under another leader.
-func (r *Replica) failWaiters() {
+// failPending answers clients whose entry may or may not commit under another leader.
+func (r *Replica) failPending() {
 	for index, waiting := range r.pending {
 		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		delete(r.pending, index)
