--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -68,7 +68,7 @@
 
 func (s *solo) work() {
 	for s.replica.HasWork() {
-		if persist := s.replica.Work(); !persist.Empty() {
+		if persist := s.replica.Prepare(); !persist.Empty() {
 			if err := s.disk.Write(persist); err != nil {
 				s.t.Fatal(err)
 			}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -260,8 +260,8 @@
 	r.pending[index] = pendingProposal{clients: clients, term: term}
 }
 
-// Work returns what must be written and synced now.
-func (r *Replica) Work() Persist {
+// Prepare returns what must be written and synced now.
+func (r *Replica) Prepare() Persist {
 	r.writeJoining(r.now)
 	r.flushOrdering(r.now)
 	r.ready = r.node.Ready()
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -358,7 +358,7 @@
 // work persists and sends until the replica has nothing more to do.
 func (s *Server) work() error {
 	for s.replica.HasWork() {
-		persist := s.replica.Work()
+		persist := s.replica.Prepare()
 		if !persist.Empty() {
 			started := time.Now()
 			if err := s.disk.Write(persist); err != nil {
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -148,7 +148,7 @@
 func (n *controlNode) pump() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
-		persist := n.replica.Work()
+		persist := n.replica.Prepare()
 		if !persist.Empty() && n.w.guards.On(guard.SyncBeforeAck) {
 			n.beginSync(persist)
 			return
