--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -73,7 +73,7 @@
 				s.t.Fatal(err)
 			}
 		}
-		effects := s.replica.Done(s.now)
+		effects := s.replica.Advance(s.now)
 		for _, reply := range effects.Replies {
 			s.replies[reply.Client] = reply.Response
 		}
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -164,7 +164,7 @@
 	}
 	s.replica.lead.since = s.now + time.Hour // it may order no more
 	s.replica.Prepare()
-	if late := s.replica.Done(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
+	if late := s.replica.Advance(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
 		t.Fatalf("given after the sync: %+v", late)
 	}
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -218,7 +218,7 @@
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
 	left := s.replica.orders[id].at + orderWithin + time.Millisecond
-	if late := s.replica.Done(left).WeightsCalls; len(late) > 0 || s.replica.lead == nil {
+	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.lead == nil {
 		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orders[id].at)
 	}
 }
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -89,7 +89,7 @@
 		if err := b.disk.Store(b.replica.Prepare()); err != nil {
 			m.t.Fatal(err)
 		}
-		sent = append(sent, b.replica.Done(m.now).Messages...)
+		sent = append(sent, b.replica.Advance(m.now).Messages...)
 	}
 	m.check(b)
 	return sent
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -280,8 +280,8 @@
 	return persist
 }
 
-// Done continues after the sync of Work: it applies what committed and returns what to send.
-func (r *Replica) Done(now time.Duration) Effects {
+// Advance continues after the sync of Work: it applies what committed and returns what to send.
+func (r *Replica) Advance(now time.Duration) Effects {
 	if last := len(r.ready.Entries); last > 0 {
 		r.node.Persisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -367,7 +367,7 @@
 			s.syncs.Count.Add(1)
 			s.syncs.Nanoseconds.Add(uint64(time.Since(started)))
 		}
-		s.send(s.replica.Done(s.now()))
+		s.send(s.replica.Advance(s.now()))
 	}
 	return nil
 }
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -156,7 +156,7 @@
 		if !persist.Empty() {
 			n.syncLate(persist)
 		}
-		n.send(n.replica.Done(n.clock()))
+		n.send(n.replica.Advance(n.clock()))
 	}
 	if n.checkBuild(); n.up {
 		n.setWake()
@@ -174,7 +174,7 @@
 	n.after(delay, func() {
 		n.store(persist)
 		n.syncing = nil
-		n.send(n.replica.Done(n.clock()))
+		n.send(n.replica.Advance(n.clock()))
 		waiting := n.inbox
 		n.inbox = nil
 		for _, do := range waiting {
