--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -305,13 +305,13 @@
 	r.endLeaderless(now)
 	effects := r.effects
 	r.effects = Effects{}
-	effects.WeightsCalls = r.dropLateCalls(now, effects.WeightsCalls)
+	effects.WeightsCalls = r.dropStaleCalls(now, effects.WeightsCalls)
 	return effects
 }
 
-// dropLateCalls forgets calls that were decided before a sync which took so long that this replica may lead no more, and orders that would
+// dropStaleCalls forgets calls that were decided before a sync which took so long that this replica may lead no more, and orders that would
 // follow their announcements too late; the roll-out makes them again.
-func (r *Replica) dropLateCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
+func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
 	if len(calls) == 0 || !r.config.Guards.On(guard.LateCalls) {
 		return calls
 	}
