--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -110,7 +110,7 @@
 	clear(s.replica.orders)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
-	s.replica.install(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 	if s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -98,7 +98,7 @@
 		other.wall = s.now - other.now
 		other.replica.Tick(other.now, testWallStart+(other.wall+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
-		other.replica.install(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 		wanted := other.replica.wantedVersions(other.now)
 		if len(wanted) != 1 || wanted[0].Age < 4*time.Second-100*time.Millisecond || wanted[0].Age > 4*time.Second+100*time.Millisecond {
 			t.Fatalf("told %+v, it is 4s old", wanted)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -286,7 +286,7 @@
 		r.node.Persisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
 	}
 	if r.ready.Snapshot != nil {
-		r.install(now, *r.ready.Snapshot)
+		r.installSnapshot(now, *r.ready.Snapshot)
 	}
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
@@ -321,7 +321,7 @@
 	return r.dropLateOrders(now, calls)
 }
 
-func (r *Replica) install(now time.Duration, snapshot consensus.Snapshot) {
+func (r *Replica) installSnapshot(now time.Duration, snapshot consensus.Snapshot) {
 	if err := r.machine.Restore(snapshot.Data); err != nil {
 		panic("control: snapshot of the leader cannot be read: " + err.Error())
 	}
