--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -351,12 +351,12 @@
 	if found {
 		delete(r.pending, entry.Index)
 	}
-	r.afterApply(now, entry, result, waiting, found && waiting.term == entry.Term)
+	r.completeProposal(now, entry, result, waiting, found && waiting.term == entry.Term)
 }
 
-// afterApply answers the client of an entry. A waiter whose entry was replaced by another leader's gets
+// completeProposal answers the client of an entry. A waiter whose entry was replaced by another leader's gets
 // "unknown": its change did not commit here, but the client cannot tell and resends.
-func (r *Replica) afterApply(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, mine bool) {
+func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, mine bool) {
 	if !mine {
 		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		return
