--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -389,8 +389,8 @@
 	r.checkpointDue = true
 }
 
-// CallsWaiting returns how many calls to back ends wait for the next sync.
-func (r *Replica) CallsWaiting() int { return len(r.effects.WeightsCalls) }
+// PendingWeightsCalls returns how many calls to back ends wait for the next sync.
+func (r *Replica) PendingWeightsCalls() int { return len(r.effects.WeightsCalls) }
 
 // HasWork reports whether Work and Done should be called.
 func (r *Replica) HasWork() bool {
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -166,7 +166,7 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallsOrder && n.replica.CallsWaiting() > 0 {
+	if n.w.mischief.stallsOrder && n.replica.PendingWeightsCalls() > 0 {
 		n.w.mischief.stallsOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
