--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -356,8 +356,8 @@
 
 // completeProposal answers the client of an entry. A waiter whose entry was replaced by another leader's gets
 // "unknown": its change did not commit here, but the client cannot tell and resends.
-func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, mine bool) {
-	if !mine {
+func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, sameTerm bool) {
+	if !sameTerm {
 		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		return
 	}
