--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -228,10 +228,10 @@
 // forgetStrangers drops what is kept of back ends that are long gone.
 func (r *Replica) forgetStrangers(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.orders) > len(instances) {
-		for name, mark := range r.orders {
+	if len(r.orderMarks) > len(instances) {
+		for name, mark := range r.orderMarks {
 			if _, known := r.machine.catalog.Named(name); !known && now > mark.at+forgetAfter {
-				delete(r.orders, name)
+				delete(r.orderMarks, name)
 			}
 		}
 	}
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -38,7 +38,7 @@
 func (r *Replica) noteOrdering(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
 		name := catalog.LifeOf(id).Name
-		mark, known := r.orders[name]
+		mark, known := r.orderMarks[name]
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAt = true, mark.at
 		}
@@ -46,7 +46,7 @@
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
 		mark.term, mark.at, mark.renewTo = term, now, 0
-		r.orders[name] = mark
+		r.orderMarks[name] = mark
 	}
 }
 
@@ -55,14 +55,14 @@
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.Ordered(id) {
-			r.orders[catalog.LifeOf(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
+			r.orderMarks[catalog.LifeOf(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
 }
 
 // orderedElsewhere returns when another leader was last about to order a back end, if one may have been.
 func (r *Replica) orderedElsewhere(id string) (time.Duration, bool) {
-	mark, known := r.orders[catalog.LifeOf(id).Name]
+	mark, known := r.orderMarks[catalog.LifeOf(id).Name]
 	switch {
 	case !known:
 		return 0, r.machine.catalog.Ordered(id)
@@ -76,7 +76,7 @@
 // end was handed over.
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
 	name := catalog.LifeOf(id).Name
-	mark := r.orders[name]
+	mark := r.orderMarks[name]
 	if mark.term != r.node.Term() || !r.handedOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
 	}
@@ -85,7 +85,7 @@
 	}
 	if now >= mark.renewTo {
 		mark.renewTo = now + callPatience
-		r.orders[name] = mark
+		r.orderMarks[name] = mark
 		r.writeOrdering(id)
 	}
 	return false
@@ -93,7 +93,7 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orders[catalog.LifeOf(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
+	return now <= r.orderMarks[catalog.LifeOf(id).Name].at+age || !r.config.Guards.On(guard.OrderPause)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -17,16 +17,16 @@
 	first, second := life("e", 1000), life("e", 2000)
 	s.says(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{Ordering: []string{first}}})
-	for name, mark := range s.replica.orders {
+	for name, mark := range s.replica.orderMarks {
 		mark.term-- // as whoever leads next sees it
-		s.replica.orders[name] = mark
+		s.replica.orderMarks[name] = mark
 	}
 	orderedAt := s.now
 	s.says(second, "a1", 1, 1)
 	if s.replica.handedOver(orderedAt+s.replica.config.OrderWait, second) {
 		t.Fatal("the next life may be ordered within the pause")
 	}
-	clear(s.replica.orders)
+	clear(s.replica.orderMarks)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -91,7 +91,7 @@
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	clear(s.replica.orders)
+	clear(s.replica.orderMarks)
 	if _, elsewhere := s.replica.orderedElsewhere(ordered); !elsewhere {
 		t.Fatalf("%s was ordered by another leader", ordered)
 	}
@@ -107,7 +107,7 @@
 // orders are that it covers, nor whether one that was just announced has been given.
 func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
 	s, ordered, _ := handOver(t)
-	clear(s.replica.orders)
+	clear(s.replica.orderMarks)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
@@ -189,9 +189,9 @@
 		t.Fatal("no order after g1 turned away")
 	}
 	id := orders[0].Instance
-	mark := s.replica.orders[id]
+	mark := s.replica.orderMarks[id]
 	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
-	s.replica.orders[id] = mark
+	s.replica.orderMarks[id] = mark
 	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
 		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.at, early, s.replica.config.OrderWait)
 	}
@@ -217,9 +217,9 @@
 	}
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
-	left := s.replica.orders[id].at + orderWithin + time.Millisecond
+	left := s.replica.orderMarks[id].at + orderWithin + time.Millisecond
 	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.lead == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orders[id].at)
+		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
 	}
 }
 
@@ -228,8 +228,8 @@
 func TestOrderPauseOutlivesARestart(t *testing.T) {
 	for what, forget := range map[string]func(*solo){
 		"seen in the log":  func(*solo) {},
-		"from a snapshot":  func(s *solo) { clear(s.replica.orders) },
-		"restored as well": func(s *solo) { clear(s.replica.orders); s.restore(t) },
+		"from a snapshot":  func(s *solo) { clear(s.replica.orderMarks) },
+		"restored as well": func(s *solo) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(what, func(t *testing.T) {
 			s := openFleet(t)
@@ -239,9 +239,9 @@
 			s.pass(100 * time.Millisecond)
 			s.says(life("e", 2000), "a1", 1, 1)
 			forget(s)
-			for key, mark := range s.replica.orders {
+			for key, mark := range s.replica.orderMarks {
 				mark.term-- // another leader's
-				s.replica.orders[key] = mark
+				s.replica.orderMarks[key] = mark
 			}
 			if s.replica.handedOver(s.now, life("e", 2000)) {
 				t.Fatal("the next life may be ordered by another holder at once")
