--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -243,7 +243,7 @@
 	}
 	waiting := r.lead.joining
 	r.lead.joining = joining{}
-	r.append(now, waiting.clients, Command{Catalog: &catalog.Command{Joined: waiting.instances}})
+	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{Joined: waiting.instances}})
 }
 
 // takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -246,11 +246,11 @@
 // propose appends a command after the registrations that wait; client 0 waits for nothing.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
 	r.writeJoining(now)
-	r.append(now, []uint64{client}, command)
+	r.appendCommand(now, []uint64{client}, command)
 }
 
-// append writes a command into the log; the clients are answered once it has committed.
-func (r *Replica) append(now time.Duration, clients []uint64, command Command) {
+// appendCommand writes a command into the log; the clients are answered once it has committed.
+func (r *Replica) appendCommand(now time.Duration, clients []uint64, command Command) {
 	command.UnixMS = r.unixMS
 	index, term, ok := r.node.Propose(now, encodeCommand(command))
 	if !ok {
