--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -274,7 +274,7 @@
 
 // oweStrangers keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
 // stay silent to this leader for as long as every batch changes something.
-func (l *leadership) oweStrangers(client uint64, strangers []string) {
+func (l *leaderState) oweStrangers(client uint64, strangers []string) {
 	if client != 0 && len(strangers) > 0 {
 		l.strangers[client] = strangers
 	}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -27,12 +27,12 @@
 	orderedAt time.Duration
 }
 
-// leadership is what a leader keeps in memory; a new leader starts it afresh.
+// leaderState is what a leader keeps in memory; a new leader starts it afresh.
 //
 // Invariant: a router's lease never outlives routerLease.expires, since the router counts from before it
 // sent the heartbeat and the leader from after it arrived. Leases granted by earlier leaders end within one
 // lease time of the election, because this leader was elected after theirs ran out.
-type leadership struct {
+type leaderState struct {
 	term    uint64
 	routers map[string]*routerLease
 	opening map[string]bool
@@ -94,8 +94,8 @@
 	loads   int // at the same time, of the whole service
 }
 
-func newLeadership(term uint64, now, leaseEnd time.Duration, machine *Machine) *leadership {
-	lead := &leadership{
+func newLeadership(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
+	lead := &leaderState{
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
 		opening: map[string]bool{}, engines: map[string]*engineState{},
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -68,7 +68,7 @@
 }
 
 // firstCheck is how long after its order a load is first looked for.
-func (l *leadership) firstCheck() time.Duration {
+func (l *leaderState) firstCheck() time.Duration {
 	expected := l.loadTime
 	if expected == 0 {
 		expected = loadFirst
@@ -77,7 +77,7 @@
 }
 
 // noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
-func (l *leadership) noteLoad(now, takenAt time.Duration) {
+func (l *leaderState) noteLoad(now, takenAt time.Duration) {
 	switch {
 	case takenAt == 0:
 	case l.loadTime == 0:
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -102,7 +102,7 @@
 	pending        map[uint64]pendingProposal
 	ready          consensus.Ready
 	effects        Effects
-	lead           *leadership
+	lead           *leaderState
 	namings        map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
 	orderMarks     map[string]orderMark     // by name of the back end: what this process saw in the log
 	published      publishedDocument        // newest document that gateways were told
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -12,7 +12,7 @@
 // time is not known teaches nothing.
 func TestLoadTimeIsLearnt(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
-		lead := &leadership{}
+		lead := &leaderState{}
 		if first := lead.firstCheck(); first <= 0 || first > loadFirst {
 			t.Fatalf("before any load: %v", first)
 		}
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -59,7 +59,7 @@
 }
 
 // pace lets the newest roster be told if the last telling is long enough ago.
-func (l *leadership) pace(now time.Duration) {
+func (l *leaderState) pace(now time.Duration) {
 	if l.rosterCount == l.toldCount || now < l.toldAt+roster.Pause(len(l.usage)) {
 		return
 	}
@@ -67,18 +67,18 @@
 }
 
 // tellsRoster reports whether a held question is to be answered for the roster's sake.
-func (l *leadership) tellsRoster(held RosterVersion) bool {
+func (l *leaderState) tellsRoster(held RosterVersion) bool {
 	return held.Term != l.term || held.Count < l.toldCount
 }
 
 // rosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
-func (l *leadership) rosterChanged(ids ...string) {
+func (l *leaderState) rosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
 		l.changed[id] = true
 	}
 }
 
-func (l *leadership) rosterVersion() RosterVersion {
+func (l *leaderState) rosterVersion() RosterVersion {
 	return RosterVersion{Term: l.term, Count: l.rosterCount}
 }
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -12,7 +12,7 @@
 
 // TestMeshLeavesSilentGatewaysOut: who has not asked lately is not told, and is not counted on to tell others.
 func TestMeshLeavesSilentGatewaysOut(t *testing.T) {
-	r := &Replica{machine: NewMachine(guard.Set{}), lead: &leadership{usage: map[string]usageReport{
+	r := &Replica{machine: NewMachine(guard.Set{}), lead: &leaderState{usage: map[string]usageReport{
 		"a": {zone: "z", address: "a", at: 10 * time.Second}, "b": {zone: "z", address: "b", at: time.Second},
 		"c": {zone: "z", address: "c", at: 10 * time.Second}, "d": {zone: "y", address: "d", at: time.Second},
 	}}}
@@ -24,7 +24,7 @@
 
 // TestRosterIsToldAtAPace: changes that follow each other are told together, the sooner the fewer gateways there are.
 func TestRosterIsToldAtAPace(t *testing.T) {
-	l := &leadership{term: 1, usage: map[string]usageReport{}, toldAt: -time.Second}
+	l := &leaderState{term: 1, usage: map[string]usageReport{}, toldAt: -time.Second}
 	for i := range 100 {
 		l.usage[fmt.Sprint(i)] = usageReport{}
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -291,7 +291,7 @@
 }
 
 // closeWatchers answers every held question when the leadership ends.
-func (r *Replica) closeWatchers(lead *leadership) {
+func (r *Replica) closeWatchers(lead *leaderState) {
 	for _, held := range lead.watchers {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
