--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -223,7 +223,7 @@
 
 // register takes a registration; client 0 waits for nothing.
 func (r *Replica) register(client uint64, instance catalog.Instance) {
-	waiting := &r.lead.joining
+	waiting := &r.leader.joining
 	waiting.instances = append(waiting.instances, instance)
 	waiting.wait(client)
 }
@@ -238,11 +238,11 @@
 // writeJoining proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
 // back end in the order in which they came.
 func (r *Replica) writeJoining(now time.Duration) {
-	if r.lead == nil || len(r.lead.joining.instances) == 0 {
+	if r.leader == nil || len(r.leader.joining.instances) == 0 {
 		return
 	}
-	waiting := r.lead.joining
-	r.lead.joining = joining{}
+	waiting := r.leader.joining
+	r.leader.joining = joining{}
 	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{Joined: waiting.instances}})
 }
 
@@ -261,11 +261,11 @@
 	}
 	last := r.node.LastIndex()
 	switch {
-	case len(r.lead.joining.instances) > 0:
-		r.lead.oweStrangers(client, strangers)
-		r.lead.joining.wait(client)
+	case len(r.leader.joining.instances) > 0:
+		r.leader.oweStrangers(client, strangers)
+		r.leader.joining.wait(client)
 	case last > before:
-		r.lead.oweStrangers(client, strangers)
+		r.leader.oweStrangers(client, strangers)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
 		r.reply(client, Response{Kind: ResponseOK, Strangers: strangers})
@@ -284,9 +284,9 @@
 func (r *Replica) replyCommitted(clients []uint64, response Response) {
 	for _, client := range clients {
 		answer := response
-		if r.lead != nil {
-			answer.Strangers = r.lead.strangers[client]
-			delete(r.lead.strangers, client)
+		if r.leader != nil {
+			answer.Strangers = r.leader.strangers[client]
+			delete(r.leader.strangers, client)
 		}
 		r.reply(client, answer)
 	}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -59,7 +59,7 @@
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
 		t.Fatalf("instances %+v", instances)
 	}
-	if heard := s.replica.lead.fleet["i-2"].heardAt; heard < s.now-time.Second {
+	if heard := s.replica.leader.fleet["i-2"].heardAt; heard < s.now-time.Second {
 		t.Fatalf("i-2 was heard at %v, now %v", heard, s.now)
 	}
 }
@@ -139,12 +139,12 @@
 func TestNewLeaderAsksForWholeHeartbeats(t *testing.T) {
 	s := openFleet(t)
 	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
-	s.replica.lead.fleet["i-2"].told = false
+	s.replica.leader.fleet["i-2"].told = false
 	s.pass(time.Second)
 	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.Strangers) != 2 {
 		t.Fatalf("answer %+v", answer)
 	}
-	if heard := s.replica.lead.fleet["i-1"].heardAt; heard != s.now {
+	if heard := s.replica.leader.fleet["i-1"].heardAt; heard != s.now {
 		t.Fatalf("i-1 was heard at %v, now %v", heard, s.now)
 	}
 	if _, known := s.replica.Machine().Catalog().Instances()["i-3"]; known {
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -18,10 +18,10 @@
 // tendInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
 // the same.
 func (r *Replica) tendInUse(now time.Duration) {
-	if now < r.lead.boundsAt+boundsPeriod {
+	if now < r.leader.boundsAt+boundsPeriod {
 		return
 	}
-	r.lead.boundsAt = now
+	r.leader.boundsAt = now
 	used := r.totalUsage(now)
 	services := map[string]*serviceWork{}
 	for id, instance := range r.machine.catalog.Instances() {
@@ -35,12 +35,12 @@
 	}
 	bounds := map[string]uint64{}
 	for service, work := range services {
-		size := r.lead.sizes[service]
+		size := r.leader.sizes[service]
 		if !r.machine.catalog.Bounded(service) {
 			work.under = 0
 		}
 		wanted := size.Note(now, work.running, work.under)
-		r.lead.sizes[service] = size
+		r.leader.sizes[service] = size
 		if bound := inuse.Bound(work.bound, work.able, work.unable, wanted); bound != work.bound {
 			bounds[service] = bound
 		}
@@ -81,7 +81,7 @@
 		}
 		weight := r.member(now, id).weight
 		if weight <= was != (weight <= r.machine.catalog.Bound(instance.Service)) {
-			r.lead.changed[id] = true
+			r.leader.changed[id] = true
 		}
 	}
 }
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -58,7 +58,7 @@
 
 // leading reports whether this replica leads.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.lead != nil })
+	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
 }
 
 // holds asks the decide thread whether something holds; without an answer in time it does not.
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -95,14 +95,14 @@
 // heardSign takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
 // tell of a life that has ended.
 func (r *Replica) heardSign(now time.Duration, sign Sign) bool {
-	state := r.lead.fleet[sign.ID]
+	state := r.leader.fleet[sign.ID]
 	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.told {
 		return false
 	}
 	state.heardAt, state.sequence = now, max(state.sequence, sign.Sequence)
 	if state.silent {
 		state.silent = false
-		r.lead.rosterChanged(sign.ID)
+		r.leader.rosterChanged(sign.ID)
 	}
 	return true
 }
@@ -125,7 +125,7 @@
 		state.doubted = state.doubted || now > state.roseAt+doubtAfter && state.holdsNewer(beat.Versions)
 	}
 	if news {
-		r.lead.rosterChanged(state.id)
+		r.leader.rosterChanged(state.id)
 	}
 }
 
@@ -136,7 +136,7 @@
 	for model, version := range versions {
 		if state.versions[model] < version {
 			state.versions[model], state.roseAt = version, now
-			r.lead.unlogged[state.id] = true
+			r.leader.unlogged[state.id] = true
 			changed = true
 		}
 	}
@@ -155,13 +155,13 @@
 
 // member returns the soft state of a back end, made when it is first named.
 func (r *Replica) member(now time.Duration, id string) *memberState {
-	state := r.lead.fleet[id]
+	state := r.leader.fleet[id]
 	if state == nil {
 		state = &memberState{id: id, heardAt: now, versions: map[string]uint64{}}
 		if r.config.Mechanisms.On(mechanism.HeldWeights) {
 			maps.Copy(state.versions, r.machine.catalog.Held(id)) // until its first heartbeat to this leader
 		}
-		r.lead.fleet[id] = state
+		r.leader.fleet[id] = state
 	}
 	if instance, known := r.machine.catalog.Instances()[id]; known && state.weight == 0 {
 		state.weight = inuse.Weight(instance.Address) // its first heartbeat comes before the log tells where it is
@@ -171,15 +171,15 @@
 
 // noteHeld writes into the log what back ends hold, so that the next leader knows it from the start.
 func (r *Replica) noteHeld(now time.Duration) {
-	if now < r.lead.heldAt+heldPeriod {
+	if now < r.leader.heldAt+heldPeriod {
 		return
 	}
-	r.lead.heldAt = now
+	r.leader.heldAt = now
 	var seen []catalog.HeldWeight
-	for _, id := range sortedKeys(r.lead.unlogged) {
+	for _, id := range sortedKeys(r.leader.unlogged) {
 		fresh := r.unloggedWeights(id)
 		if _, known := r.machine.catalog.Instances()[id]; len(fresh) == 0 && known {
-			delete(r.lead.unlogged, id)
+			delete(r.leader.unlogged, id)
 		}
 		seen = append(seen, fresh...)
 	}
@@ -190,7 +190,7 @@
 
 // unloggedWeights returns what a registered back end holds that the log doesn't tell.
 func (r *Replica) unloggedWeights(id string) []catalog.HeldWeight {
-	state := r.lead.fleet[id]
+	state := r.leader.fleet[id]
 	if _, known := r.machine.catalog.Instances()[id]; !known || state == nil {
 		return nil
 	}
@@ -206,16 +206,16 @@
 
 // watchFleet marks silent back ends and forgets those that stay silent.
 func (r *Replica) watchFleet(now time.Duration) {
-	if now < r.lead.fleetAt+fleetPeriod {
+	if now < r.leader.fleetAt+fleetPeriod {
 		return
 	}
-	r.lead.fleetAt = now
+	r.leader.fleetAt = now
 	for _, id := range r.machine.catalog.IDs() {
 		state := r.member(now, id)
 		silence := now - state.heardAt
 		if silence > silentAfter && !state.silent {
 			state.silent = true
-			r.lead.rosterChanged(id)
+			r.leader.rosterChanged(id)
 		}
 		if silence > forgetAfter {
 			r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: id}})
@@ -235,13 +235,13 @@
 			}
 		}
 	}
-	if len(r.lead.fleet) == len(instances) {
+	if len(r.leader.fleet) == len(instances) {
 		return
 	}
-	for id, state := range r.lead.fleet {
+	for id, state := range r.leader.fleet {
 		if _, known := instances[id]; !known && now-state.heardAt > silentAfter {
-			delete(r.lead.fleet, id)
-			delete(r.lead.unlogged, id)
+			delete(r.leader.fleet, id)
+			delete(r.leader.unlogged, id)
 		}
 	}
 }
@@ -261,17 +261,17 @@
 		r.noteNaming(now, command.Version.Model)
 	}
 	touched := r.machine.catalog.Touched()
-	if r.lead == nil {
+	if r.leader == nil {
 		return &outcome
 	}
 	listed := len(command.Gateways)+len(command.Came)+len(command.Left) > 0
-	r.lead.listedNews = r.lead.listedNews || listed
+	r.leader.listedNews = r.leader.listedNews || listed
 	if len(command.Bounds) > 0 {
 		r.noteBounds(now, bounds)
 	}
 	quiet := len(command.Held)+len(command.Ordering) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
-		r.lead.rosterChanged(touched...)
+		r.leader.rosterChanged(touched...)
 	}
 	return &outcome
 }
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -136,10 +136,10 @@
 		s.config(func(config *Config) { config.OrderWait = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
 		s.pass(time.Second)
-		if s.replica.lead.fence <= last {
-			t.Fatalf("life %d: fence %d after %d", life, s.replica.lead.fence, last)
+		if s.replica.leader.fence <= last {
+			t.Fatalf("life %d: fence %d after %d", life, s.replica.leader.fence, last)
 		}
-		last = s.replica.lead.fence
+		last = s.replica.leader.fence
 		_ = s.disk.Close()
 	}
 }
@@ -162,7 +162,7 @@
 	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
-	s.replica.lead.since = s.now + time.Hour // it may order no more
+	s.replica.leader.since = s.now + time.Hour // it may order no more
 	s.replica.Prepare()
 	if late := s.replica.Advance(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
 		t.Fatalf("given after the sync: %+v", late)
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -33,7 +33,7 @@
 			t.Fatalf("registered %t, %+v", known, held)
 		}
 		s.says(life("e", 1000), "a1", 2, 1)
-		if state := s.replica.lead.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
+		if state := s.replica.leader.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
 			t.Fatalf("believed %v, heartbeat %d", state.versions, state.sequence)
 		}
 	}
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -100,7 +100,7 @@
 func (r *Replica) dropLateOrders(now time.Duration, calls []WeightsCall) []WeightsCall {
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
 		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, orderWithin)
-		if state := r.lead.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
+		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
 			r.setPhase(state, phaseAnnounced, now)
 		}
 		return late
@@ -115,15 +115,15 @@
 }
 
 // writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
-func (r *Replica) writeOrdering(id string) { r.lead.ordering = append(r.lead.ordering, id) }
+func (r *Replica) writeOrdering(id string) { r.leader.ordering = append(r.leader.ordering, id) }
 
 // flushOrdering proposes them.
 func (r *Replica) flushOrdering(now time.Duration) {
-	if r.lead == nil || len(r.lead.ordering) == 0 {
+	if r.leader == nil || len(r.leader.ordering) == 0 {
 		return
 	}
-	ids := r.lead.ordering
-	r.lead.ordering = nil
+	ids := r.leader.ordering
+	r.leader.ordering = nil
 	r.propose(now, 0, Command{Catalog: &catalog.Command{Ordering: ids}})
 }
 
@@ -145,23 +145,23 @@
 // noteGateways writes which gateways may trust this leader's views.
 func (r *Replica) noteGateways(now time.Duration) {
 	pause := gatewaysPeriod
-	if r.lead.unlisted {
+	if r.leader.unlisted {
 		pause = listPause
 	}
-	if now < r.lead.gatewaysAt+pause {
+	if now < r.leader.gatewaysAt+pause {
 		return
 	}
-	r.lead.gatewaysAt, r.lead.unlisted = now, false
+	r.leader.gatewaysAt, r.leader.unlisted = now, false
 	var came, left []string
-	for name, report := range r.lead.usage {
+	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.Listed(name) {
 			came = append(came, name)
 		}
 	}
 	slices.Sort(came)
-	if now >= r.lead.since+r.trustEnd() { // until then they may still trust a view of the last leader
+	if now >= r.leader.since+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.lead.usage[name]; !asked || now-report.at > r.trustEnd() {
+			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
 				left = append(left, name)
 			}
 		}
@@ -177,10 +177,10 @@
 // gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
 func (r *Replica) gatewaysFollow(now time.Duration) bool {
-	if now >= r.lead.since+r.trustEnd() || !r.config.Guards.On(guard.OrderPause) {
+	if now >= r.leader.since+r.trustEnd() || !r.config.Guards.On(guard.OrderPause) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
-	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.lead.usage[name]; return !asked })
+	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.leader.usage[name]; return !asked })
 	return len(known) > 0 && !missing
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -66,8 +66,8 @@
 	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
 	}
-	s.replica.lead.fleet[free].versions["m"] = 2
-	s.replica.setPhase(s.replica.lead.fleet[free], phaseIdle, s.now)
+	s.replica.leader.fleet[free].versions["m"] = 2
+	s.replica.setPhase(s.replica.leader.fleet[free], phaseIdle, s.now)
 	if later := s.ordersWhile("g1", 5*time.Second); !slices.Contains(later, ordered) {
 		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
 	}
@@ -218,7 +218,7 @@
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
 	left := s.replica.orderMarks[id].at + orderWithin + time.Millisecond
-	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.lead == nil {
+	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
 		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
 	}
 }
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -31,7 +31,7 @@
 
 // layout returns the newest layout of the gateways that asked lately.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
-	lead := r.lead
+	lead := r.leader
 	if lead.laidOut != nil && now < lead.laidOutAt+layoutEach {
 		return lead.laidOut
 	}
@@ -61,7 +61,7 @@
 		return nil
 	}
 	near := map[string][]string{}
-	for _, replica := range r.lead.replicas {
+	for _, replica := range r.leader.replicas {
 		if now-replica.at <= nearFor {
 			near[replica.zone] = append(near[replica.zone], replica.address)
 		}
@@ -80,7 +80,7 @@
 
 // readsOf returns the engines whose cache events a gateway reads.
 func (r *Replica) readsOf(now time.Duration, gateway string) []string {
-	lead := r.lead
+	lead := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
 	if lead.reads == nil || lead.readsCount != lead.roster.Count() {
@@ -92,7 +92,7 @@
 // takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
 // than it did.
 func (r *Replica) takeRelay(now time.Duration, client uint64, asked relay.Question) {
-	r.lead.replicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
+	r.leader.replicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
 	var unlisted []string
 	for _, report := range asked.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.noteReport(now, report) {
@@ -100,10 +100,10 @@
 		}
 	}
 	if len(unlisted) > 0 {
-		r.lead.unlisted = true
+		r.leader.unlisted = true
 		r.noteGateways(now)
 	}
-	answer := &relay.Answer{Number: asked.Number, Applied: r.applied, Version: r.lead.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
+	answer := &relay.Answer{Number: asked.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
 	if asked.Roster != answer.Version {
 		answer.Roster = r.rosterNews(now, asked.Roster)
 	}
@@ -118,10 +118,10 @@
 // it, since the next leader wouldn't wait for it.
 func (r *Replica) noteReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
-		delete(r.lead.usage, report.Gateway)
-		r.lead.laidOutAt = now - layoutEach // others are told of it no longer
+		delete(r.leader.usage, report.Gateway)
+		r.leader.laidOutAt = now - layoutEach // others are told of it no longer
 		return true
 	}
-	r.lead.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
+	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
 	return r.machine.catalog.Listed(report.Gateway)
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -126,7 +126,7 @@
 		r.reply(client, Response{Kind: ResponseOK, Status: r.status(now)})
 		return
 	}
-	if r.lead == nil {
+	if r.leader == nil {
 		r.turnAway(now, client, request)
 		return
 	}
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -27,13 +27,13 @@
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
 func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Question) {
 	r.tendLimits(now)
-	answer := r.lead.lending.lender.Take(now, asked)
+	answer := r.leader.lending.lender.Take(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
 // tendLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
 func (r *Replica) tendLimits(now time.Duration) {
-	held := &r.lead.lending
+	held := &r.leader.lending
 	if document := r.machine.catalog.Document(); document.Revision != held.revision {
 		held.revision = document.Revision
 		held.lender.Use(now, quota.Limits(document, r.config.Quota))
@@ -68,7 +68,7 @@
 
 // gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
-	held := &r.lead.trusting
+	held := &r.leader.trusting
 	if !held.counted || now >= held.at+trustingEach {
 		held.silent, held.all = r.countTrusting(now)
 		held.counted, held.at = true, now
@@ -78,7 +78,7 @@
 
 // countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
 func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		silence := now - report.at
 		if silence > r.trustEnd() {
 			continue
@@ -88,9 +88,9 @@
 			silent++
 		}
 	}
-	if now < r.lead.since+r.trustEnd() {
+	if now < r.leader.since+r.trustEnd() {
 		for _, name := range r.machine.catalog.Gateways() {
-			if _, asked := r.lead.usage[name]; !asked {
+			if _, asked := r.leader.usage[name]; !asked {
 				all++
 				silent++
 			}
@@ -111,12 +111,12 @@
 // noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
 func (s *Server) noteOverLimits() {
 	now := s.now()
-	if s.replica.lead == nil || now < s.over.at+overEach {
+	if s.replica.leader == nil || now < s.over.at+overEach {
 		return
 	}
 	s.over.at = now
 	reached := map[string]bool{}
-	for _, state := range s.replica.lead.lending.lender.States(now) {
+	for _, state := range s.replica.leader.lending.lender.States(now) {
 		if state.Over {
 			reached[state.Name] = true
 		}
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -39,15 +39,15 @@
 	if r.stopErr != nil {
 		return false
 	}
-	if r.lead != nil {
-		r.lead.levels.told[message.From] = toldLevel{message.Level, now}
+	if r.leader != nil {
+		r.leader.levels.told[message.From] = toldLevel{message.Level, now}
 	}
 	return true
 }
 
 // tendLevel raises the level in force once all members have told a higher one for a while.
 func (r *Replica) tendLevel(now time.Duration) {
-	l := &r.lead.levels
+	l := &r.leader.levels
 	if common := r.commonLevel(now); common != l.common {
 		l.common, l.since = common, now
 	}
@@ -64,7 +64,7 @@
 		if member.ID == r.config.ID {
 			continue
 		}
-		told := r.lead.levels.told[member.ID]
+		told := r.leader.levels.told[member.ID]
 		if now-told.at > levelFresh {
 			return level.Untold
 		}
@@ -78,10 +78,10 @@
 	switch {
 	case id == r.config.ID:
 		return r.config.Level
-	case r.lead == nil:
+	case r.leader == nil:
 		return level.Untold
 	}
-	return r.lead.levels.told[id].level
+	return r.leader.levels.told[id].level
 }
 
 // stamp tells the group of this build, with each message.
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -199,7 +199,7 @@
 		}
 		held = s.watchNow("g1", held.Version)
 	}
-	t.Fatalf("0 orders, believed %v", s.replica.lead.fleet[id].versions)
+	t.Fatalf("0 orders, believed %v", s.replica.leader.fleet[id].versions)
 }
 
 // TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
@@ -210,8 +210,8 @@
 	s.says(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
 	s.says(id, "a1", 2, 2)
-	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.lead.fleet[id].versions["m"] != 3 {
-		t.Fatalf("orders %+v, believed %v", orders, s.replica.lead.fleet[id].versions)
+	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
+		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
 	}
 }
 
@@ -231,7 +231,7 @@
 			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Born: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
 		}
 	}
-	if believed := s.replica.lead.fleet[id].versions["m"]; believed != 1 {
+	if believed := s.replica.leader.fleet[id].versions["m"]; believed != 1 {
 		t.Fatalf("believed %d by the report of another life", believed)
 	}
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -18,35 +18,35 @@
 // Observe takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
 // first, so that an earlier leader can change nothing there any more.
 func (r *Replica) Observe(now time.Duration, report EngineReport) {
-	if r.lead == nil || !r.current(now) {
+	if r.leader == nil || !r.current(now) {
 		return
 	}
-	state := r.lead.engines[report.Name]
+	state := r.leader.engines[report.Name]
 	if state == nil || state.report.Incarnation != report.Incarnation {
 		state = &engineState{}
-		r.lead.engines[report.Name] = state
+		r.leader.engines[report.Name] = state
 	}
 	state.report, state.heardAt = report, now
 	if report.Weights == state.ordered {
 		state.ordered = ""
 	}
-	if report.Fence.Term < r.lead.term && r.config.Guards.On(guard.FenceCheck) {
-		r.effects.EngineCalls = append(r.effects.EngineCalls, EngineCall{Engine: report.Name, Address: report.Address, Fence: Fence{Term: r.lead.term}})
+	if report.Fence.Term < r.leader.term && r.config.Guards.On(guard.FenceCheck) {
+		r.effects.EngineCalls = append(r.effects.EngineCalls, EngineCall{Engine: report.Name, Address: report.Address, Fence: Fence{Term: r.leader.term}})
 	}
 }
 
 // reconcile orders engines whose weights differ from the tree, a few of each service at a time.
 func (r *Replica) reconcile(now time.Duration) {
-	if now < r.lead.reconciled+reconcilePeriod {
+	if now < r.leader.reconciled+reconcilePeriod {
 		return
 	}
-	r.lead.reconciled = now
-	names := sortedKeys(r.lead.engines)
+	r.leader.reconciled = now
+	names := sortedKeys(r.leader.engines)
 	loading := r.countLoading(now, names)
 	for _, name := range names {
-		state := r.lead.engines[name]
+		state := r.leader.engines[name]
 		report := state.report
-		fenced := report.Fence.Term >= r.lead.term || !r.config.Guards.On(guard.FenceCheck)
+		fenced := report.Fence.Term >= r.leader.term || !r.config.Guards.On(guard.FenceCheck)
 		if now > state.heardAt+engineSilence || !fenced {
 			continue
 		}
@@ -64,14 +64,14 @@
 // wanted returns what the tree wants at a place. It is resolved once for each settings version.
 func (r *Replica) wanted(at place) wantedState {
 	version := r.machine.settings.Version()
-	if r.lead.wanted == nil || r.lead.wantedVersion != version {
-		r.lead.wanted, r.lead.wantedVersion = map[place]wantedState{}, version
+	if r.leader.wanted == nil || r.leader.wantedVersion != version {
+		r.leader.wanted, r.leader.wantedVersion = map[place]wantedState{}, version
 	}
-	held, known := r.lead.wanted[at]
+	held, known := r.leader.wanted[at]
 	if !known {
 		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
 		held = wantedState{weights: values.WeightsVersion, loads: values.MaxConcurrentLoads}
-		r.lead.wanted[at] = held
+		r.leader.wanted[at] = held
 	}
 	return held
 }
@@ -79,7 +79,7 @@
 func (r *Replica) countLoading(now time.Duration, names []string) map[string]int {
 	loading := map[string]int{}
 	for _, name := range names {
-		state := r.lead.engines[name]
+		state := r.leader.engines[name]
 		if now > state.heardAt+engineSilence {
 			continue
 		}
@@ -91,7 +91,7 @@
 }
 
 func (r *Replica) issueOrder(now time.Duration, order Order) {
-	state := r.lead.engines[order.Engine]
+	state := r.leader.engines[order.Engine]
 	if state == nil || !r.node.LeaseValid(now) {
 		return
 	}
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -31,7 +31,7 @@
 	count := loadCount{}
 	engines := 0
 	for id := range r.machine.catalog.Instances() {
-		state := r.lead.fleet[id]
+		state := r.leader.fleet[id]
 		if !state.engine() {
 			continue
 		}
@@ -53,18 +53,18 @@
 func (r *Replica) stressed(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
-		state := r.lead.fleet[id]
+		state := r.leader.fleet[id]
 		if state.engine() && !state.silent && instance.State == catalog.StateReady {
 			ready++
 		}
 	}
-	if ready >= r.lead.readyMost {
-		r.lead.readyMost, r.lead.readyMostAt = ready, now
+	if ready >= r.leader.readyMost {
+		r.leader.readyMost, r.leader.readyMostAt = ready, now
 	}
-	if now > r.lead.readyMostAt+stressMemory {
-		r.lead.readyMost, r.lead.readyMostAt = ready, now
+	if now > r.leader.readyMostAt+stressMemory {
+		r.leader.readyMost, r.leader.readyMostAt = ready, now
 	}
-	return float64(ready) < stressShare*float64(r.lead.readyMost) || now < r.lead.orderLostAt+stressMemory
+	return float64(ready) < stressShare*float64(r.leader.readyMost) || now < r.leader.orderLostAt+stressMemory
 }
 
 // firstCheck is how long after its order a load is first looked for.
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -129,7 +129,7 @@
 // noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
 func (s *Server) noteHeldBack() {
 	ledger := s.replica.machine.catalog.Quarantine()
-	if s.replica.lead == nil || ledger.Version() == s.held.version {
+	if s.replica.leader == nil || ledger.Version() == s.held.version {
 		return
 	}
 	now := s.now()
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -23,7 +23,7 @@
 // there: that one is forgotten then, and may register again.
 func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
 	meant := r.machine.catalog.Meant(id)
-	state := r.lead.fleet[meant]
+	state := r.leader.fleet[meant]
 	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+youngFor
 }
 
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -14,7 +14,7 @@
 
 // relays reports whether this replica answers gateways for the leader.
 func (r *Replica) relays() bool {
-	return r.lead == nil && r.manyGateways() && r.leaderAddress() != ""
+	return r.leader == nil && r.manyGateways() && r.leaderAddress() != ""
 }
 
 // takeWaiting takes a gateway's question to be answered for the leader.
@@ -26,7 +26,7 @@
 
 // tendRelay asks the leader when that is due, and answers the gateways that can be answered.
 func (r *Replica) tendRelay(now time.Duration) {
-	if r.lead != nil {
+	if r.leader != nil {
 		for _, w := range r.relay.Drop() {
 			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Asked.(Watch), due: w.Due})
 		}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -102,7 +102,7 @@
 	pending        map[uint64]pendingProposal
 	ready          consensus.Ready
 	effects        Effects
-	lead           *leaderState
+	leader         *leaderState
 	namings        map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
 	orderMarks     map[string]orderMark     // by name of the back end: what this process saw in the log
 	published      publishedDocument        // newest document that gateways were told
@@ -162,7 +162,7 @@
 	r.unixMS, r.tickedAt, r.now = unixMS, now, now
 	r.node.Tick(now)
 	r.checkLeadership(now)
-	if r.lead != nil && r.current(now) {
+	if r.leader != nil && r.current(now) {
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
@@ -175,7 +175,7 @@
 		r.tendLevel(now)
 		r.rollOut(now)
 	}
-	if r.lead != nil {
+	if r.leader != nil {
 		r.answerWatchers(now)
 	}
 	r.tendRelay(now)
@@ -202,15 +202,15 @@
 // checkLeadership notices gained and lost leadership.
 func (r *Replica) checkLeadership(now time.Duration) {
 	leads := r.node.Role() == consensus.Leader
-	if r.lead != nil && (!leads || r.lead.term != r.node.Term()) {
-		ended := r.lead
-		r.lead = nil
+	if r.leader != nil && (!leads || r.leader.term != r.node.Term()) {
+		ended := r.leader
+		r.leader = nil
 		r.closeWatchers(ended)
 		r.replyAll(ended.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
-	if r.lead == nil && leads {
-		r.lead = newLeadership(r.node.Term(), now, r.leaseEnd(now), r.machine)
+	if r.leader == nil && leads {
+		r.leader = newLeadership(r.node.Term(), now, r.leaseEnd(now), r.machine)
 		r.dateNamings(now)
 	}
 }
@@ -294,8 +294,8 @@
 	if r.stopErr = r.config.Level.Knows(r.machine.level); r.stopErr != nil {
 		return Effects{}
 	}
-	if r.lead != nil && r.lead.listedNews {
-		r.lead.listedNews = false
+	if r.leader != nil && r.leader.listedNews {
+		r.leader.listedNews = false
 		r.answerWatchers(now)
 	}
 	r.effects.Messages = append(r.effects.Messages, r.stamp(r.ready.Messages)...)
@@ -315,7 +315,7 @@
 	if len(calls) == 0 || !r.config.Guards.On(guard.LateCalls) {
 		return calls
 	}
-	if r.lead == nil || !r.mayOrder(now) {
+	if r.leader == nil || !r.mayOrder(now) {
 		return nil
 	}
 	return r.dropLateOrders(now, calls)
@@ -362,13 +362,13 @@
 		return
 	}
 	response := Response{Kind: ResponseOK, Claim: result.Claim, Change: result.Change, Catalog: result.Catalog}
-	if result.Catalog != nil && result.Catalog.Fence > 0 && r.lead != nil && entry.Term == r.node.Term() {
-		r.lead.fence = result.Catalog.Fence
+	if result.Catalog != nil && result.Catalog.Fence > 0 && r.leader != nil && entry.Term == r.node.Term() {
+		r.leader.fence = result.Catalog.Fence
 	}
 	if result.Session != nil {
 		response = r.sessionOpened(now, waiting.firstClient(), *result.Session)
 	}
-	if result.Order != nil && r.lead != nil && entry.Term == r.node.Term() {
+	if result.Order != nil && r.leader != nil && entry.Term == r.node.Term() {
 		r.issueOrder(now, *result.Order)
 	}
 	r.replyCommitted(waiting.clients, response)
@@ -397,7 +397,7 @@
 	if r.stopErr != nil {
 		return false
 	}
-	return r.checkpointDue || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -111,16 +111,16 @@
 // mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
 // trusts a view of another leader.
 func (r *Replica) mayOrder(now time.Duration) bool {
-	return r.current(now) && r.lead.fence > 0 && r.gatewaysFollow(now)
+	return r.current(now) && r.leader.fence > 0 && r.gatewaysFollow(now)
 }
 
 // rollOut takes the next steps towards the newest weights everywhere.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.machine.catalog.Versions()) == 0 || now < r.lead.rolledAt+stepPace*time.Duration(len(instances)) {
+	if len(r.machine.catalog.Versions()) == 0 || now < r.leader.rolledAt+stepPace*time.Duration(len(instances)) {
 		return
 	}
-	r.lead.rolledAt = now
+	r.leader.rolledAt = now
 	r.takeFence(now)
 	if !r.mayOrder(now) {
 		return
@@ -129,8 +129,8 @@
 	ids := r.drainOrder()
 	loads := r.countLoads()
 	used := r.totalUsage(now)
-	r.lead.taken = r.rosterTaken(now)
-	r.lead.short = r.stressed(now)
+	r.leader.taken = r.rosterTaken(now)
+	r.leader.short = r.stressed(now)
 	for _, id := range ids {
 		state := r.member(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
@@ -145,20 +145,20 @@
 func (r *Replica) drainOrder() []string {
 	var ids []string
 	for _, id := range r.machine.catalog.IDs() {
-		if state := r.lead.fleet[id]; state != nil && state.rollout.phase != phaseIdle {
+		if state := r.leader.fleet[id]; state != nil && state.rollout.phase != phaseIdle {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortStableFunc(ids, func(a, b string) int {
-		return cmp.Compare(r.lead.fleet[a].rollout.drainUntil, r.lead.fleet[b].rollout.drainUntil)
+		return cmp.Compare(r.leader.fleet[a].rollout.drainUntil, r.leader.fleet[b].rollout.drainUntil)
 	})
 	return ids
 }
 
 // takeFence asks for a fence of this leadership, once.
 func (r *Replica) takeFence(now time.Duration) {
-	if r.lead.fence == 0 && now >= r.lead.fenceAskedAt+callPatience {
-		r.lead.fenceAskedAt = now
+	if r.leader.fence == 0 && now >= r.leader.fenceAskedAt+callPatience {
+		r.leader.fenceAskedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
 	}
 }
@@ -176,7 +176,7 @@
 // oldestVersion returns the lowest weights version that a back end holds.
 func (r *Replica) oldestVersion(id string) uint64 {
 	oldest := uint64(math.MaxUint64)
-	for _, version := range r.lead.fleet[id].versions {
+	for _, version := range r.leader.fleet[id].versions {
 		oldest = min(oldest, version)
 	}
 	return oldest
@@ -229,7 +229,7 @@
 func (r *Replica) announce(now time.Duration, id string, state *memberState) {
 	r.writeOrdering(id)
 	state.rollout.drainUntil = now + drainPatience
-	if r.lead.short {
+	if r.leader.short {
 		state.rollout.drainUntil = now
 	}
 	r.setPhase(state, phaseAnnounced, now+announceLead)
@@ -240,8 +240,8 @@
 	before := state.rollout.loading()
 	state.rollout.phase, state.rollout.due = next, due
 	if state.rollout.loading() != before {
-		r.lead.rosterChanged(state.id)
-		state.rollout.announced = r.lead.rosterCount
+		r.leader.rosterChanged(state.id)
+		state.rollout.announced = r.leader.rosterCount
 	}
 }
 
@@ -254,7 +254,7 @@
 	case phaseReporting, phaseOrdered:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
 	case phaseAnnounced:
-		if loads.running >= loads.limit || r.lead.taken < state.rollout.announced {
+		if loads.running >= loads.limit || r.leader.taken < state.rollout.announced {
 			return
 		}
 		waits := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
@@ -277,16 +277,16 @@
 func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
 	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
-		Fence: r.lead.fence, Revision: state.rollout.revision, Holder: r.config.Name,
+		Fence: r.leader.fence, Revision: state.rollout.revision, Holder: r.config.Name,
 	})
 }
 
 // ObserveWeights takes the result of a call.
 func (r *Replica) ObserveWeights(now time.Duration, result WeightsResult) {
-	if r.lead == nil || result.Call.Fence != r.lead.fence {
+	if r.leader == nil || result.Call.Fence != r.leader.fence {
 		return
 	}
-	state := r.lead.fleet[result.Call.Instance]
+	state := r.leader.fleet[result.Call.Instance]
 	if state == nil {
 		return
 	}
@@ -305,15 +305,15 @@
 	case WeightsTaken:
 		state.rollout.revision++
 		state.rollout.takenAt = now
-		r.setPhase(state, phaseLoading, now+r.lead.firstCheck())
+		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
 	case WeightsHeld:
 		r.finishRollout(now, state)
 	case WeightsUnknown:
-		r.lead.orderLostAt = now
+		r.leader.orderLostAt = now
 		state.rollout.revisionKnown = false
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
 	case WeightsFenced:
-		r.lead.fence = 0
+		r.leader.fence = 0
 		r.setPhase(state, phaseBackoff, now+callPatience)
 	default:
 		state.rollout.revisionKnown = false
@@ -323,8 +323,8 @@
 
 func (r *Replica) finishRollout(now time.Duration, state *memberState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
-	r.lead.unlogged[state.id] = true
-	r.lead.rosterChanged(state.id)
+	r.leader.unlogged[state.id] = true
+	r.leader.rosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
@@ -341,7 +341,7 @@
 	state.doubted = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
-	r.lead.rosterChanged(state.id)
+	r.leader.rosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
@@ -365,7 +365,7 @@
 	case result.Busy:
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	case done:
-		r.lead.noteLoad(now, state.rollout.takenAt)
+		r.leader.noteLoad(now, state.rollout.takenAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -19,15 +19,15 @@
 // rosterNews returns what a gateway lacks of the current roster.
 func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterNews {
 	r.refreshRoster(now)
-	if held.Term != r.lead.term {
-		return r.lead.roster.Since(0)
+	if held.Term != r.leader.term {
+		return r.leader.roster.Since(0)
 	}
-	return r.lead.roster.Since(held.Count)
+	return r.leader.roster.Since(held.Count)
 }
 
 // refreshRoster brings the roster up to its count: only back ends that changed are looked at.
 func (r *Replica) refreshRoster(now time.Duration) {
-	lead := r.lead
+	lead := r.leader
 	if lead.roster.Count() == lead.rosterCount {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -262,7 +262,7 @@
 
 // noteLeadership logs that the leadership was won or lost.
 func (s *Server) noteLeadership() {
-	leads := s.replica.lead != nil
+	leads := s.replica.leader != nil
 	if leads == s.led {
 		return
 	}
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -9,7 +9,7 @@
 
 func (r *Replica) heartbeat(now time.Duration, client uint64, beat Heartbeat) {
 	session, found := r.machine.sessions[beat.Router]
-	lease := r.lead.routers[beat.Router]
+	lease := r.leader.routers[beat.Router]
 	current := found && lease != nil && !lease.closing && beat.Epoch == session.Epoch &&
 		beat.Incarnation == session.Incarnation && now < lease.expires
 	if beat.Closing {
@@ -29,11 +29,11 @@
 }
 
 func (r *Replica) openSession(now time.Duration, client uint64, beat Heartbeat) {
-	if r.lead.opening[beat.Router] {
+	if r.leader.opening[beat.Router] {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
-	r.lead.opening[beat.Router] = true
+	r.leader.opening[beat.Router] = true
 	r.propose(now, client, Command{OpenSession: &Session{
 		Router: beat.Router, Incarnation: beat.Incarnation, Zone: beat.Zone, Address: beat.Address,
 	}})
@@ -42,15 +42,15 @@
 // sessionOpened answers the heartbeat that opened a session. The lease comes with the next heartbeat, when
 // the router has acknowledged the version sent here.
 func (r *Replica) sessionOpened(now time.Duration, client uint64, session Session) Response {
-	if r.lead == nil {
+	if r.leader == nil {
 		return Response{Kind: ResponseUnknown}
 	}
-	delete(r.lead.opening, session.Router)
+	delete(r.leader.opening, session.Router)
 	if session.Epoch == 0 {
 		return Response{Kind: ResponseNoQuorum} // an older incarnation
 	}
 	lease := &routerLease{expires: r.leaseEnd(now)}
-	r.lead.routers[session.Router] = lease
+	r.leader.routers[session.Router] = lease
 	lease.offered = r.machine.settings.Version()
 	tree := r.machine.settings.Tree()
 	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.offered, Tree: &tree}}
@@ -95,15 +95,15 @@
 // expireSessions closes sessions whose lease has run out, which marks their running claims unknown.
 func (r *Replica) expireSessions(now time.Duration) {
 	for router := range r.machine.sessions {
-		if r.lead.routers[router] == nil { // opened under an earlier leader, applied after the election
-			r.lead.routers[router] = &routerLease{expires: r.leaseEnd(now)}
+		if r.leader.routers[router] == nil { // opened under an earlier leader, applied after the election
+			r.leader.routers[router] = &routerLease{expires: r.leaseEnd(now)}
 		}
 	}
-	for _, router := range sortedKeys(r.lead.routers) {
-		lease := r.lead.routers[router]
+	for _, router := range sortedKeys(r.leader.routers) {
+		lease := r.leader.routers[router]
 		session, found := r.machine.sessions[router]
 		if !found {
-			delete(r.lead.routers, router)
+			delete(r.leader.routers, router)
 			continue
 		}
 		if now >= lease.expires && !lease.closing {
@@ -117,11 +117,11 @@
 // its lease has run out.
 func (r *Replica) InForce(now time.Duration) uint64 {
 	inForce := r.machine.settings.Version()
-	if r.lead == nil {
+	if r.leader == nil {
 		return 0
 	}
 	for router := range r.machine.sessions {
-		lease := r.lead.routers[router]
+		lease := r.leader.routers[router]
 		if lease == nil {
 			return 0
 		}
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -62,7 +62,7 @@
 func TestRegistrationsOfALostLeadershipAreAnswered(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{beatOf("i-8", catalog.StateReady, 1)}})
-	s.replica.lead.term = 0 // as if another term had begun
+	s.replica.leader.term = 0 // as if another term had begun
 	s.replica.checkLeadership(s.now)
 	s.work()
 	if reply := s.replies[7000]; reply.Kind != ResponseNotLeader {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -39,23 +39,23 @@
 const namedTold = 24
 
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
-	if r.lead == nil {
+	if r.leader == nil {
 		return
 	}
 	for _, router := range sortedKeys(r.machine.sessions) {
 		line := RouterStatus{Session: r.machine.sessions[router]}
-		if lease := r.lead.routers[router]; lease != nil {
+		if lease := r.leader.routers[router]; lease != nil {
 			line.Acked, line.LeaseLeft = lease.acked, max(0, lease.expires-now)
 		}
 		status.Routers = append(status.Routers, line)
 	}
-	for _, name := range sortedKeys(r.lead.engines) {
-		report := r.lead.engines[name].report
+	for _, name := range sortedKeys(r.leader.engines) {
+		report := r.leader.engines[name].report
 		wanted := r.wanted(place{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
-	status.Limits = r.lead.lending.lender.States(now)
-	status.Named = r.lead.lending.lender.Named(now, namedTold)
+	status.Limits = r.leader.lending.lender.States(now)
+	status.Named = r.leader.lending.lender.Named(now, namedTold)
 	status.Suspects = r.machine.catalog.Quarantine().News().Entries
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -98,12 +98,12 @@
 
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
 	if !r.noteReport(now, watch.report()) {
-		r.lead.unlisted = true
+		r.leader.unlisted = true
 		r.noteGateways(now)
 	}
 	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
 	if !r.answerWatch(now, held) {
-		r.lead.watchers = append(r.lead.watchers, held)
+		r.leader.watchers = append(r.leader.watchers, held)
 	}
 }
 
@@ -151,9 +151,9 @@
 	r.awaitingLeader = nil
 	for _, held := range waiting {
 		switch {
-		case r.lead != nil && (!r.current(now) || !r.formed()) && now < held.due:
+		case r.leader != nil && (!r.current(now) || !r.formed()) && now < held.due:
 			r.awaitingLeader = append(r.awaitingLeader, held) // it may not confirm anything yet
-		case r.lead != nil:
+		case r.leader != nil:
 			held.watch.Hold = max(0, held.due-now)
 			r.Handle(now, held.client, Request{Watch: &held.watch})
 		case leader == "" && now < held.due:
@@ -172,19 +172,19 @@
 
 // answerWatchers answers the questions for which there is news, or whose time has come.
 func (r *Replica) answerWatchers(now time.Duration) {
-	r.lead.pace(now)
-	r.lead.watchers = slices.DeleteFunc(r.lead.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
+	r.leader.pace(now)
+	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
 }
 
 func (r *Replica) answerWatch(now time.Duration, held watcher) bool {
-	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.lead.tellsRoster(held.watch.Roster) ||
+	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.tellsRoster(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	if !news && now < held.due {
 		return false
 	}
 	unlisted := r.unlisted(held.watch)
 	if unlisted && now < held.due+listPatience {
-		r.lead.unlisted = true
+		r.leader.unlisted = true
 		return false
 	}
 	if !r.confirms(now) || unlisted {
@@ -197,7 +197,7 @@
 
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
-	reply.Version, reply.Wanted = r.lead.rosterVersion(), r.wantedVersions(now)
+	reply.Version, reply.Wanted = r.leader.rosterVersion(), r.wantedVersions(now)
 	if watch.Roster != reply.Version && !watch.Brief {
 		reply.Roster = r.rosterNews(now, watch.Roster)
 	}
@@ -251,10 +251,10 @@
 	if !r.config.Guards.On(guard.TurnAwayFirst) {
 		return taken
 	}
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		switch {
 		case now-report.at >= r.trustEnd():
-		case report.held.Term != r.lead.term:
+		case report.held.Term != r.leader.term:
 			return 0
 		default:
 			taken = min(taken, report.held.Count)
@@ -274,12 +274,12 @@
 
 // usageSum returns the work of all gateways that asked lately.
 func (r *Replica) usageSum(now time.Duration) *usageTotals {
-	sum := &r.lead.totals
+	sum := &r.leader.totals
 	if sum.running != nil && now < sum.at+totalsEach {
 		return sum
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		if now-report.at > usageCounts {
 			continue
 		}
