--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -94,7 +94,7 @@
 	loads   int // at the same time, of the whole service
 }
 
-func newLeadership(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
+func newLeaderState(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
 	lead := &leaderState{
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -210,7 +210,7 @@
 		r.failPending()
 	}
 	if r.leader == nil && leads {
-		r.leader = newLeadership(r.node.Term(), now, r.leaseEnd(now), r.machine)
+		r.leader = newLeaderState(r.node.Term(), now, r.leaseEnd(now), r.machine)
 		r.dateNamings(now)
 	}
 }
