--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -51,9 +51,9 @@
 	}
 	lease := &routerLease{expires: r.leaseEnd(now)}
 	r.leader.routers[session.Router] = lease
-	lease.offered = r.machine.settings.Version()
+	lease.sentVersion = r.machine.settings.Version()
 	tree := r.machine.settings.Tree()
-	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.offered, Tree: &tree}}
+	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.sentVersion, Tree: &tree}}
 }
 
 // leaseMarginShare is the part of a lease, as its inverse, by which control counts it longer than the router, so that
@@ -73,7 +73,7 @@
 	lease.acked = max(lease.acked, beat.Acked)
 	version := r.machine.settings.Version()
 	reply := &HeartbeatReply{Epoch: beat.Epoch, Version: version, Base: beat.Acked}
-	if beat.HasSettings && beat.Acked >= lease.offered {
+	if beat.HasSettings && beat.Acked >= lease.sentVersion {
 		reply.Lease = r.config.SettingsLease
 		lease.expires = r.leaseEnd(now)
 	}
@@ -84,7 +84,7 @@
 		tree := r.machine.settings.Tree()
 		reply.Tree = &tree
 	}
-	lease.offered = version
+	lease.sentVersion = version
 	if beat.PeersSeen != r.machine.peersAt {
 		reply.Peers = r.machine.Peers()
 	}
