--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -13,10 +13,10 @@
 
 // routerLease is the leader's view of one session.
 type routerLease struct {
-	acked       uint64
-	sentVersion uint64        // newest version sent to the router
-	expires     time.Duration // the router stops serving by then at the latest
-	closing     bool          // a close was proposed
+	acked         uint64
+	sentVersion   uint64        // newest version sent to the router
+	expires       time.Duration // the router stops serving by then at the latest
+	closeProposed bool          // a close was proposed
 }
 
 // engineState is the leader's view of one engine.
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -10,11 +10,11 @@
 func (r *Replica) heartbeat(now time.Duration, client uint64, beat Heartbeat) {
 	session, found := r.machine.sessions[beat.Router]
 	lease := r.leader.routers[beat.Router]
-	current := found && lease != nil && !lease.closing && beat.Epoch == session.Epoch &&
+	current := found && lease != nil && !lease.closeProposed && beat.Epoch == session.Epoch &&
 		beat.Incarnation == session.Incarnation && now < lease.expires
 	if beat.Closing {
 		if current {
-			lease.closing = true
+			lease.closeProposed = true
 			r.propose(now, client, Command{CloseSession: &ledger.Holder{Router: beat.Router, Epoch: beat.Epoch}})
 			return
 		}
@@ -106,8 +106,8 @@
 			delete(r.leader.routers, router)
 			continue
 		}
-		if now >= lease.expires && !lease.closing {
-			lease.closing = true
+		if now >= lease.expires && !lease.closeProposed {
+			lease.closeProposed = true
 			r.propose(now, 0, Command{CloseSession: &ledger.Holder{Router: router, Epoch: session.Epoch}})
 		}
 	}
