--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -26,7 +26,7 @@
 		state = &engineState{}
 		r.leader.engines[report.Name] = state
 	}
-	state.report, state.heardAt = report, now
+	state.report, state.reportedAt = report, now
 	if report.Weights == state.ordered {
 		state.ordered = ""
 	}
@@ -47,7 +47,7 @@
 		state := r.leader.engines[name]
 		report := state.report
 		fenced := report.Fence.Term >= r.leader.term || !r.config.Guards.On(guard.FenceCheck)
-		if now > state.heardAt+engineSilence || !fenced {
+		if now > state.reportedAt+engineSilence || !fenced {
 			continue
 		}
 		wanted := r.wanted(place{report.Zone, report.Service})
@@ -80,7 +80,7 @@
 	loading := map[string]int{}
 	for _, name := range names {
 		state := r.leader.engines[name]
-		if now > state.heardAt+engineSilence {
+		if now > state.reportedAt+engineSilence {
 			continue
 		}
 		if state.report.Loading || (state.ordered != "" && now < state.orderedAt+orderTimeout) {
