--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -21,10 +21,10 @@
 
 // engineState is the leader's view of one engine.
 type engineState struct {
-	report     EngineReport
-	reportedAt time.Duration
-	ordered    string // weights of the order in progress
-	orderedAt  time.Duration
+	report         EngineReport
+	reportedAt     time.Duration
+	orderedWeights string // weights of the order in progress
+	orderedAt      time.Duration
 }
 
 // leaderState is what a leader keeps in memory; a new leader starts it afresh.
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -27,8 +27,8 @@
 		r.leader.engines[report.Name] = state
 	}
 	state.report, state.reportedAt = report, now
-	if report.Weights == state.ordered {
-		state.ordered = ""
+	if report.Weights == state.orderedWeights {
+		state.orderedWeights = ""
 	}
 	if report.Fence.Term < r.leader.term && r.config.Guards.On(guard.FenceCheck) {
 		r.effects.EngineCalls = append(r.effects.EngineCalls, EngineCall{Engine: report.Name, Address: report.Address, Fence: Fence{Term: r.leader.term}})
@@ -51,12 +51,12 @@
 			continue
 		}
 		wanted := r.wanted(place{report.Zone, report.Service})
-		ordered := state.ordered != "" && now < state.orderedAt+orderTimeout
+		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
 		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.loads {
 			continue
 		}
 		loading[report.Service]++
-		state.ordered, state.orderedAt = wanted.weights, now
+		state.orderedWeights, state.orderedAt = wanted.weights, now
 		r.propose(now, 0, Command{Order: &Order{Engine: name, Incarnation: report.Incarnation, Weights: wanted.weights}})
 	}
 }
@@ -83,7 +83,7 @@
 		if now > state.reportedAt+engineSilence {
 			continue
 		}
-		if state.report.Loading || (state.ordered != "" && now < state.orderedAt+orderTimeout) {
+		if state.report.Loading || (state.orderedWeights != "" && now < state.orderedAt+orderTimeout) {
 			loading[state.report.Service]++
 		}
 	}
