--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -33,10 +33,10 @@
 // sent the heartbeat and the leader from after it arrived. Leases granted by earlier leaders end within one
 // lease time of the election, because this leader was elected after theirs ran out.
 type leaderState struct {
-	term    uint64
-	routers map[string]*routerLease
-	opening map[string]bool
-	engines map[string]*engineState
+	term         uint64
+	routers      map[string]*routerLease
+	openProposed map[string]bool
+	engines      map[string]*engineState
 
 	wantedVersion uint64                // settings version that wanted was resolved from
 	wanted        map[place]wantedState // by zone and service
@@ -98,7 +98,7 @@
 	lead := &leaderState{
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
-		opening: map[string]bool{}, engines: map[string]*engineState{},
+		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		since: now, orderLostAt: now - stressMemory, fenceAskedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, replicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -29,11 +29,11 @@
 }
 
 func (r *Replica) openSession(now time.Duration, client uint64, beat Heartbeat) {
-	if r.leader.opening[beat.Router] {
+	if r.leader.openProposed[beat.Router] {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
-	r.leader.opening[beat.Router] = true
+	r.leader.openProposed[beat.Router] = true
 	r.propose(now, client, Command{OpenSession: &Session{
 		Router: beat.Router, Incarnation: beat.Incarnation, Zone: beat.Zone, Address: beat.Address,
 	}})
@@ -45,7 +45,7 @@
 	if r.leader == nil {
 		return Response{Kind: ResponseUnknown}
 	}
-	delete(r.leader.opening, session.Router)
+	delete(r.leader.openProposed, session.Router)
 	if session.Epoch == 0 {
 		return Response{Kind: ResponseNoQuorum} // an older incarnation
 	}
