--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -38,8 +38,8 @@
 	openProposed map[string]bool
 	engines      map[string]*engineState
 
-	wantedVersion uint64                // settings version that wanted was resolved from
-	wanted        map[place]wantedState // by zone and service
+	wantedVersion uint64                      // settings version that wanted was resolved from
+	wanted        map[zoneService]wantedState // by zone and service
 	reconciled    time.Duration
 
 	since        time.Duration // when this leadership began
@@ -85,8 +85,8 @@
 	strangers    map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
 }
 
-// place names a service in a zone.
-type place struct{ zone, service string }
+// zoneService names a service in a zone.
+type zoneService struct{ zone, service string }
 
 // wantedState is what the tree wants of the engines at a place.
 type wantedState struct {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -50,7 +50,7 @@
 		if now > state.reportedAt+engineSilence || !fenced {
 			continue
 		}
-		wanted := r.wanted(place{report.Zone, report.Service})
+		wanted := r.wanted(zoneService{report.Zone, report.Service})
 		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
 		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.loads {
 			continue
@@ -62,10 +62,10 @@
 }
 
 // wanted returns what the tree wants at a place. It is resolved once for each settings version.
-func (r *Replica) wanted(at place) wantedState {
+func (r *Replica) wanted(at zoneService) wantedState {
 	version := r.machine.settings.Version()
 	if r.leader.wanted == nil || r.leader.wantedVersion != version {
-		r.leader.wanted, r.leader.wantedVersion = map[place]wantedState{}, version
+		r.leader.wanted, r.leader.wantedVersion = map[zoneService]wantedState{}, version
 	}
 	held, known := r.leader.wanted[at]
 	if !known {
