--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -38,8 +38,8 @@
 	openProposed map[string]bool
 	engines      map[string]*engineState
 
-	wantedVersion uint64                      // settings version that wanted was resolved from
-	wanted        map[zoneService]wantedState // by zone and service
+	wantedVersion uint64                       // settings version that wanted was resolved from
+	wanted        map[zoneService]desiredState // by zone and service
 	reconciled    time.Duration
 
 	since        time.Duration // when this leadership began
@@ -88,8 +88,8 @@
 // zoneService names a service in a zone.
 type zoneService struct{ zone, service string }
 
-// wantedState is what the tree wants of the engines at a place.
-type wantedState struct {
+// desiredState is what the tree wants of the engines at a place.
+type desiredState struct {
 	weights string
 	loads   int // at the same time, of the whole service
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -62,15 +62,15 @@
 }
 
 // wanted returns what the tree wants at a place. It is resolved once for each settings version.
-func (r *Replica) wanted(at zoneService) wantedState {
+func (r *Replica) wanted(at zoneService) desiredState {
 	version := r.machine.settings.Version()
 	if r.leader.wanted == nil || r.leader.wantedVersion != version {
-		r.leader.wanted, r.leader.wantedVersion = map[zoneService]wantedState{}, version
+		r.leader.wanted, r.leader.wantedVersion = map[zoneService]desiredState{}, version
 	}
 	held, known := r.leader.wanted[at]
 	if !known {
 		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
-		held = wantedState{weights: values.WeightsVersion, loads: values.MaxConcurrentLoads}
+		held = desiredState{weights: values.WeightsVersion, loads: values.MaxConcurrentLoads}
 		r.leader.wanted[at] = held
 	}
 	return held
