--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -90,8 +90,8 @@
 
 // desiredState is what the tree wants of the engines at a place.
 type desiredState struct {
-	weights string
-	loads   int // at the same time, of the whole service
+	weights  string
+	maxLoads int // at the same time, of the whole service
 }
 
 func newLeaderState(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -52,7 +52,7 @@
 		}
 		wanted := r.wanted(zoneService{report.Zone, report.Service})
 		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
-		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.loads {
+		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.maxLoads {
 			continue
 		}
 		loading[report.Service]++
@@ -70,7 +70,7 @@
 	held, known := r.leader.wanted[at]
 	if !known {
 		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
-		held = desiredState{weights: values.WeightsVersion, loads: values.MaxConcurrentLoads}
+		held = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
 		r.leader.wanted[at] = held
 	}
 	return held
