--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -38,9 +38,9 @@
 	openProposed map[string]bool
 	engines      map[string]*engineState
 
-	wantedVersion uint64                       // settings version that wanted was resolved from
-	wanted        map[zoneService]desiredState // by zone and service
-	reconciled    time.Duration
+	desiredVersion uint64                       // settings version that wanted was resolved from
+	wanted         map[zoneService]desiredState // by zone and service
+	reconciled     time.Duration
 
 	since        time.Duration // when this leadership began
 	fence        uint64        // of its orders for weights; 0 until the log gave one
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -64,8 +64,8 @@
 // wanted returns what the tree wants at a place. It is resolved once for each settings version.
 func (r *Replica) wanted(at zoneService) desiredState {
 	version := r.machine.settings.Version()
-	if r.leader.wanted == nil || r.leader.wantedVersion != version {
-		r.leader.wanted, r.leader.wantedVersion = map[zoneService]desiredState{}, version
+	if r.leader.wanted == nil || r.leader.desiredVersion != version {
+		r.leader.wanted, r.leader.desiredVersion = map[zoneService]desiredState{}, version
 	}
 	held, known := r.leader.wanted[at]
 	if !known {
