--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -39,7 +39,7 @@
 	engines      map[string]*engineState
 
 	desiredVersion uint64                       // settings version that wanted was resolved from
-	wanted         map[zoneService]desiredState // by zone and service
+	desired        map[zoneService]desiredState // by zone and service
 	reconciled     time.Duration
 
 	since        time.Duration // when this leadership began
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -64,14 +64,14 @@
 // wanted returns what the tree wants at a place. It is resolved once for each settings version.
 func (r *Replica) wanted(at zoneService) desiredState {
 	version := r.machine.settings.Version()
-	if r.leader.wanted == nil || r.leader.desiredVersion != version {
-		r.leader.wanted, r.leader.desiredVersion = map[zoneService]desiredState{}, version
+	if r.leader.desired == nil || r.leader.desiredVersion != version {
+		r.leader.desired, r.leader.desiredVersion = map[zoneService]desiredState{}, version
 	}
-	held, known := r.leader.wanted[at]
+	held, known := r.leader.desired[at]
 	if !known {
 		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
 		held = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
-		r.leader.wanted[at] = held
+		r.leader.desired[at] = held
 	}
 	return held
 }
