--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -40,7 +40,7 @@
 
 	desiredVersion uint64                       // settings version that wanted was resolved from
 	desired        map[zoneService]desiredState // by zone and service
-	reconciled     time.Duration
+	reconciledAt   time.Duration
 
 	since        time.Duration // when this leadership began
 	fence        uint64        // of its orders for weights; 0 until the log gave one
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -37,10 +37,10 @@
 
 // reconcile orders engines whose weights differ from the tree, a few of each service at a time.
 func (r *Replica) reconcile(now time.Duration) {
-	if now < r.leader.reconciled+reconcilePeriod {
+	if now < r.leader.reconciledAt+reconcilePeriod {
 		return
 	}
-	r.leader.reconciled = now
+	r.leader.reconciledAt = now
 	names := sortedKeys(r.leader.engines)
 	loading := r.countLoading(now, names)
 	for _, name := range names {
