--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -162,7 +162,7 @@
 	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
-	s.replica.leader.since = s.now + time.Hour // it may order no more
+	s.replica.leader.startedAt = s.now + time.Hour // it may order no more
 	s.replica.Prepare()
 	if late := s.replica.Advance(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
 		t.Fatalf("given after the sync: %+v", late)
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -159,7 +159,7 @@
 		}
 	}
 	slices.Sort(came)
-	if now >= r.leader.since+r.trustEnd() { // until then they may still trust a view of the last leader
+	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
 			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
 				left = append(left, name)
@@ -177,7 +177,7 @@
 // gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
 func (r *Replica) gatewaysFollow(now time.Duration) bool {
-	if now >= r.leader.since+r.trustEnd() || !r.config.Guards.On(guard.OrderPause) {
+	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.OrderPause) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -42,7 +42,7 @@
 	desired        map[zoneService]desiredState // by zone and service
 	reconciledAt   time.Duration
 
-	since        time.Duration // when this leadership began
+	startedAt    time.Duration // when this leadership began
 	fence        uint64        // of its orders for weights; 0 until the log gave one
 	fenceAskedAt time.Duration
 	fleet        map[string]*memberState // by instance
@@ -99,7 +99,7 @@
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
-		since: now, orderLostAt: now - stressMemory, fenceAskedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
+		startedAt: now, orderLostAt: now - stressMemory, fenceAskedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, replicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -88,7 +88,7 @@
 			silent++
 		}
 	}
-	if now < r.leader.since+r.trustEnd() {
+	if now < r.leader.startedAt+r.trustEnd() {
 		for _, name := range r.machine.catalog.Gateways() {
 			if _, asked := r.leader.usage[name]; !asked {
 				all++
