--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -136,10 +136,10 @@
 		s.config(func(config *Config) { config.OrderWait = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
 		s.pass(time.Second)
-		if s.replica.leader.fence <= last {
-			t.Fatalf("life %d: fence %d after %d", life, s.replica.leader.fence, last)
+		if s.replica.leader.orderFence <= last {
+			t.Fatalf("life %d: fence %d after %d", life, s.replica.leader.orderFence, last)
 		}
-		last = s.replica.leader.fence
+		last = s.replica.leader.orderFence
 		_ = s.disk.Close()
 	}
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -43,7 +43,7 @@
 	reconciledAt   time.Duration
 
 	startedAt    time.Duration // when this leadership began
-	fence        uint64        // of its orders for weights; 0 until the log gave one
+	orderFence   uint64        // of its orders for weights; 0 until the log gave one
 	fenceAskedAt time.Duration
 	fleet        map[string]*memberState // by instance
 	fleetAt      time.Duration
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -363,7 +363,7 @@
 	}
 	response := Response{Kind: ResponseOK, Claim: result.Claim, Change: result.Change, Catalog: result.Catalog}
 	if result.Catalog != nil && result.Catalog.Fence > 0 && r.leader != nil && entry.Term == r.node.Term() {
-		r.leader.fence = result.Catalog.Fence
+		r.leader.orderFence = result.Catalog.Fence
 	}
 	if result.Session != nil {
 		response = r.sessionOpened(now, waiting.firstClient(), *result.Session)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -111,7 +111,7 @@
 // mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
 // trusts a view of another leader.
 func (r *Replica) mayOrder(now time.Duration) bool {
-	return r.current(now) && r.leader.fence > 0 && r.gatewaysFollow(now)
+	return r.current(now) && r.leader.orderFence > 0 && r.gatewaysFollow(now)
 }
 
 // rollOut takes the next steps towards the newest weights everywhere.
@@ -157,7 +157,7 @@
 
 // takeFence asks for a fence of this leadership, once.
 func (r *Replica) takeFence(now time.Duration) {
-	if r.leader.fence == 0 && now >= r.leader.fenceAskedAt+callPatience {
+	if r.leader.orderFence == 0 && now >= r.leader.fenceAskedAt+callPatience {
 		r.leader.fenceAskedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
 	}
@@ -277,13 +277,13 @@
 func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
 	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
-		Fence: r.leader.fence, Revision: state.rollout.revision, Holder: r.config.Name,
+		Fence: r.leader.orderFence, Revision: state.rollout.revision, Holder: r.config.Name,
 	})
 }
 
 // ObserveWeights takes the result of a call.
 func (r *Replica) ObserveWeights(now time.Duration, result WeightsResult) {
-	if r.leader == nil || result.Call.Fence != r.leader.fence {
+	if r.leader == nil || result.Call.Fence != r.leader.orderFence {
 		return
 	}
 	state := r.leader.fleet[result.Call.Instance]
@@ -313,7 +313,7 @@
 		state.rollout.revisionKnown = false
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
 	case WeightsFenced:
-		r.leader.fence = 0
+		r.leader.orderFence = 0
 		r.setPhase(state, phaseBackoff, now+callPatience)
 	default:
 		state.rollout.revisionKnown = false
