--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -157,8 +157,8 @@
 
 // takeFence asks for a fence of this leadership, once.
 func (r *Replica) takeFence(now time.Duration) {
-	if r.leader.orderFence == 0 && now >= r.leader.fenceAskedAt+callPatience {
-		r.leader.fenceAskedAt = now
+	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+callPatience {
+		r.leader.fenceRequestedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
 	}
 }
