--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -206,10 +206,10 @@
 
 // watchFleet marks silent back ends and forgets those that stay silent.
 func (r *Replica) watchFleet(now time.Duration) {
-	if now < r.leader.fleetAt+fleetPeriod {
+	if now < r.leader.fleetCheckedAt+fleetPeriod {
 		return
 	}
-	r.leader.fleetAt = now
+	r.leader.fleetCheckedAt = now
 	for _, id := range r.machine.catalog.IDs() {
 		state := r.member(now, id)
 		silence := now - state.heardAt
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -46,7 +46,7 @@
 	orderFence       uint64        // of its orders for weights; 0 until the log gave one
 	fenceRequestedAt time.Duration
 	fleet            map[string]*memberState // by instance
-	fleetAt          time.Duration
+	fleetCheckedAt   time.Duration
 	heldAt           time.Duration // when the weights of back ends were last written into the log
 	rolledAt         time.Duration // when the roll-out last went a step
 	taken            uint64        // roster that every gateway which may still send had taken up, as of that step
