--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -171,10 +171,10 @@
 
 // noteHeld writes into the log what back ends hold, so that the next leader knows it from the start.
 func (r *Replica) noteHeld(now time.Duration) {
-	if now < r.leader.heldAt+heldPeriod {
+	if now < r.leader.heldLoggedAt+heldPeriod {
 		return
 	}
-	r.leader.heldAt = now
+	r.leader.heldLoggedAt = now
 	var seen []catalog.HeldWeight
 	for _, id := range sortedKeys(r.leader.unlogged) {
 		fresh := r.unloggedWeights(id)
