--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -48,7 +48,7 @@
 	fleet            map[string]*memberState // by instance
 	fleetCheckedAt   time.Duration
 	heldLoggedAt     time.Duration // when the weights of back ends were last written into the log
-	rolledAt         time.Duration // when the roll-out last went a step
+	rolloutStepAt    time.Duration // when the roll-out last went a step
 	taken            uint64        // roster that every gateway which may still send had taken up, as of that step
 	short            bool          // the back ends were short of hands, as of that step
 	totals           usageTotals
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -117,10 +117,10 @@
 // rollOut takes the next steps towards the newest weights everywhere.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.machine.catalog.Versions()) == 0 || now < r.leader.rolledAt+stepPace*time.Duration(len(instances)) {
+	if len(r.machine.catalog.Versions()) == 0 || now < r.leader.rolloutStepAt+stepPace*time.Duration(len(instances)) {
 		return
 	}
-	r.leader.rolledAt = now
+	r.leader.rolloutStepAt = now
 	r.takeFence(now)
 	if !r.mayOrder(now) {
 		return
