--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -49,7 +49,7 @@
 	fleetCheckedAt   time.Duration
 	heldLoggedAt     time.Duration // when the weights of back ends were last written into the log
 	rolloutStepAt    time.Duration // when the roll-out last went a step
-	taken            uint64        // roster that every gateway which may still send had taken up, as of that step
+	ackedRoster      uint64        // roster that every gateway which may still send had taken up, as of that step
 	short            bool          // the back ends were short of hands, as of that step
 	totals           usageTotals
 	planner          *mesh.Planner
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -129,7 +129,7 @@
 	ids := r.drainOrder()
 	loads := r.countLoads()
 	used := r.totalUsage(now)
-	r.leader.taken = r.rosterTaken(now)
+	r.leader.ackedRoster = r.rosterTaken(now)
 	r.leader.short = r.stressed(now)
 	for _, id := range ids {
 		state := r.member(now, id)
@@ -254,7 +254,7 @@
 	case phaseReporting, phaseOrdered:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
 	case phaseAnnounced:
-		if loads.running >= loads.limit || r.leader.taken < state.rollout.announced {
+		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announced {
 			return
 		}
 		waits := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
