--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -50,7 +50,7 @@
 	heldLoggedAt     time.Duration // when the weights of back ends were last written into the log
 	rolloutStepAt    time.Duration // when the roll-out last went a step
 	ackedRoster      uint64        // roster that every gateway which may still send had taken up, as of that step
-	short            bool          // the back ends were short of hands, as of that step
+	underCapacity    bool          // the back ends were short of hands, as of that step
 	totals           usageTotals
 	planner          *mesh.Planner
 	plannedCount     uint64        // of the planner's layout that laidOut holds
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -130,7 +130,7 @@
 	loads := r.countLoads()
 	used := r.totalUsage(now)
 	r.leader.ackedRoster = r.rosterTaken(now)
-	r.leader.short = r.stressed(now)
+	r.leader.underCapacity = r.stressed(now)
 	for _, id := range ids {
 		state := r.member(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
@@ -229,7 +229,7 @@
 func (r *Replica) announce(now time.Duration, id string, state *memberState) {
 	r.writeOrdering(id)
 	state.rollout.drainUntil = now + drainPatience
-	if r.leader.short {
+	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
 	}
 	r.setPhase(state, phaseAnnounced, now+announceLead)
