--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -47,8 +47,8 @@
 	lead.planner.Plan(now, gateways)
 	made, count := lead.planner.Layout()
 	near := r.nearReplicas(now)
-	if lead.laidOut == nil || lead.plannedCount != count || !reflect.DeepEqual(near, lead.laidOut.Near) {
-		lead.plannedCount, lead.layoutCount, lead.reads = count, lead.layoutCount+1, nil
+	if lead.laidOut == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.laidOut.Near) {
+		lead.plannedLayoutCount, lead.layoutCount, lead.reads = count, lead.layoutCount+1, nil
 		told := *made
 		lead.laidOut = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
 	}
