--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -32,8 +32,8 @@
 // layout returns the newest layout of the gateways that asked lately.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
 	lead := r.leader
-	if lead.laidOut != nil && now < lead.laidOutAt+layoutEach {
-		return lead.laidOut
+	if lead.lastLayout != nil && now < lead.laidOutAt+layoutEach {
+		return lead.lastLayout
 	}
 	lead.laidOutAt = now
 	var gateways []mesh.Gateway
@@ -47,12 +47,12 @@
 	lead.planner.Plan(now, gateways)
 	made, count := lead.planner.Layout()
 	near := r.nearReplicas(now)
-	if lead.laidOut == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.laidOut.Near) {
+	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
 		lead.plannedLayoutCount, lead.layoutCount, lead.reads = count, lead.layoutCount+1, nil
 		told := *made
-		lead.laidOut = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
+		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
 	}
-	return lead.laidOut
+	return lead.lastLayout
 }
 
 // nearReplicas returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -54,7 +54,7 @@
 	totals             usageTotals
 	planner            *mesh.Planner
 	plannedLayoutCount uint64        // of the planner's layout that laidOut holds
-	laidOut            *relay.Layout // nil before the first
+	lastLayout         *relay.Layout // nil before the first
 	laidOutAt          time.Duration
 	layoutCount        uint64
 	replicas           map[string]nearReplica // by name; those that ask for gateways
