--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -32,10 +32,10 @@
 // layout returns the newest layout of the gateways that asked lately.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
 	lead := r.leader
-	if lead.lastLayout != nil && now < lead.laidOutAt+layoutEach {
+	if lead.lastLayout != nil && now < lead.lastLayoutAt+layoutEach {
 		return lead.lastLayout
 	}
-	lead.laidOutAt = now
+	lead.lastLayoutAt = now
 	var gateways []mesh.Gateway
 	for name, report := range lead.usage {
 		if report.address != "" && now-report.at <= usageCounts {
@@ -119,7 +119,7 @@
 func (r *Replica) noteReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
 		delete(r.leader.usage, report.Gateway)
-		r.leader.laidOutAt = now - layoutEach // others are told of it no longer
+		r.leader.lastLayoutAt = now - layoutEach // others are told of it no longer
 		return true
 	}
 	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -55,7 +55,7 @@
 	planner            *mesh.Planner
 	plannedLayoutCount uint64        // of the planner's layout that laidOut holds
 	lastLayout         *relay.Layout // nil before the first
-	laidOutAt          time.Duration
+	lastLayoutAt       time.Duration
 	layoutCount        uint64
 	replicas           map[string]nearReplica // by name; those that ask for gateways
 	reads              map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
