--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -61,7 +61,7 @@
 		return nil
 	}
 	near := map[string][]string{}
-	for _, replica := range r.leader.replicas {
+	for _, replica := range r.leader.relayReplicas {
 		if now-replica.at <= nearFor {
 			near[replica.zone] = append(near[replica.zone], replica.address)
 		}
@@ -92,7 +92,7 @@
 // takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
 // than it did.
 func (r *Replica) takeRelay(now time.Duration, client uint64, asked relay.Question) {
-	r.leader.replicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
+	r.leader.relayReplicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
 	var unlisted []string
 	for _, report := range asked.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.noteReport(now, report) {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -57,7 +57,7 @@
 	lastLayout         *relay.Layout // nil before the first
 	lastLayoutAt       time.Duration
 	layoutCount        uint64
-	replicas           map[string]nearReplica // by name; those that ask for gateways
+	relayReplicas      map[string]nearReplica // by name; those that ask for gateways
 	reads              map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
 	readsCount         uint64                 // of the roster that it follows from
 	trusting           trusting
@@ -100,7 +100,7 @@
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
-		unlogged: map[string]bool{}, planner: &mesh.Planner{}, replicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
+		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
 	}
