--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -48,7 +48,7 @@
 	made, count := lead.planner.Layout()
 	near := r.nearReplicas(now)
 	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
-		lead.plannedLayoutCount, lead.layoutCount, lead.reads = count, lead.layoutCount+1, nil
+		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
 		told := *made
 		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
 	}
@@ -83,10 +83,10 @@
 	lead := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
-	if lead.reads == nil || lead.readsCount != lead.roster.Count() {
-		lead.reads, lead.readsCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
+	if lead.cacheEventSources == nil || lead.readsCount != lead.roster.Count() {
+		lead.cacheEventSources, lead.readsCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
 	}
-	return lead.reads[gateway]
+	return lead.cacheEventSources[gateway]
 }
 
 // takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -58,7 +58,7 @@
 	lastLayoutAt       time.Duration
 	layoutCount        uint64
 	relayReplicas      map[string]nearReplica // by name; those that ask for gateways
-	reads              map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
+	cacheEventSources  map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
 	readsCount         uint64                 // of the roster that it follows from
 	trusting           trusting
 	rosterCount        uint64 // rises whenever the roster may have changed
