--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -83,8 +83,8 @@
 	lead := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
-	if lead.cacheEventSources == nil || lead.readsCount != lead.roster.Count() {
-		lead.cacheEventSources, lead.readsCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
+	if lead.cacheEventSources == nil || lead.cacheEventSourcesCount != lead.roster.Count() {
+		lead.cacheEventSources, lead.cacheEventSourcesCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
 	}
 	return lead.cacheEventSources[gateway]
 }
