--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -81,7 +81,7 @@
 		}
 		weight := r.member(now, id).weight
 		if weight <= was != (weight <= r.machine.catalog.Bound(instance.Service)) {
-			r.leader.changed[id] = true
+			r.leader.rosterPending[id] = true
 		}
 	}
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -63,7 +63,7 @@
 	trusting               trusting
 	rosterCount            uint64 // rises whenever the roster may have changed
 	roster                 roster.Log
-	changed                map[string]bool       // back ends that the roster doesn't show as they are yet
+	rosterPending          map[string]bool       // back ends that the roster doesn't show as they are yet
 	unlogged               map[string]bool       // back ends whose weights the log doesn't tell yet
 	ordering               []string              // back ends that are about to be ordered, which the log doesn't tell yet
 	sizes                  map[string]inuse.Size // by service
@@ -99,7 +99,7 @@
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
-		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, changed: map[string]bool{},
+		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -33,12 +33,12 @@
 	}
 	if lead.roster.Count() == 0 {
 		for id := range r.machine.catalog.Instances() {
-			lead.changed[id] = true
+			lead.rosterPending[id] = true
 		}
 	}
 	var changed []RosterEntry
 	var gone []string
-	for id := range lead.changed {
+	for id := range lead.rosterPending {
 		if instance, known := r.machine.catalog.Instances()[id]; known && r.inUse(now, instance) {
 			changed = append(changed, r.rosterEntry(now, instance))
 		} else {
@@ -46,7 +46,7 @@
 		}
 	}
 	lead.roster.Update(lead.rosterCount, changed, gone)
-	clear(lead.changed)
+	clear(lead.rosterPending)
 }
 
 // rosterEntry returns a back end as gateways see it.
@@ -75,7 +75,7 @@
 func (l *leaderState) rosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
-		l.changed[id] = true
+		l.rosterPending[id] = true
 	}
 }
 
