--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -115,15 +115,17 @@
 }
 
 // writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
-func (r *Replica) writeOrdering(id string) { r.leader.ordering = append(r.leader.ordering, id) }
+func (r *Replica) writeOrdering(id string) {
+	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
+}
 
 // flushOrdering proposes them.
 func (r *Replica) flushOrdering(now time.Duration) {
-	if r.leader == nil || len(r.leader.ordering) == 0 {
+	if r.leader == nil || len(r.leader.pendingOrderAnnouncements) == 0 {
 		return
 	}
-	ids := r.leader.ordering
-	r.leader.ordering = nil
+	ids := r.leader.pendingOrderAnnouncements
+	r.leader.pendingOrderAnnouncements = nil
 	r.propose(now, 0, Command{Catalog: &catalog.Command{Ordering: ids}})
 }
 
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -42,47 +42,47 @@
 	desired        map[zoneService]desiredState // by zone and service
 	reconciledAt   time.Duration
 
-	startedAt              time.Duration // when this leadership began
-	orderFence             uint64        // of its orders for weights; 0 until the log gave one
-	fenceRequestedAt       time.Duration
-	fleet                  map[string]*memberState // by instance
-	fleetCheckedAt         time.Duration
-	heldLoggedAt           time.Duration // when the weights of back ends were last written into the log
-	rolloutStepAt          time.Duration // when the roll-out last went a step
-	ackedRoster            uint64        // roster that every gateway which may still send had taken up, as of that step
-	underCapacity          bool          // the back ends were short of hands, as of that step
-	totals                 usageTotals
-	planner                *mesh.Planner
-	plannedLayoutCount     uint64        // of the planner's layout that laidOut holds
-	lastLayout             *relay.Layout // nil before the first
-	lastLayoutAt           time.Duration
-	layoutCount            uint64
-	relayReplicas          map[string]nearReplica // by name; those that ask for gateways
-	cacheEventSources      map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
-	cacheEventSourcesCount uint64                 // of the roster that it follows from
-	trusting               trusting
-	rosterCount            uint64 // rises whenever the roster may have changed
-	roster                 roster.Log
-	rosterPending          map[string]bool       // back ends that the roster doesn't show as they are yet
-	unlogged               map[string]bool       // back ends whose weights the log doesn't tell yet
-	ordering               []string              // back ends that are about to be ordered, which the log doesn't tell yet
-	sizes                  map[string]inuse.Size // by service
-	boundsAt               time.Duration         // when it was last looked at which back ends are in use
-	toldCount              uint64                // newest roster that held questions are answered for; at most rosterCount
-	toldAt                 time.Duration
-	readyMost              int // engines that were ready lately
-	readyMostAt            time.Duration
-	gatewaysAt             time.Duration // when gateways were last looked through for the log
-	unlisted               bool          // a gateway waits until the log holds it
-	listedNews             bool          // the log holds others than before: who waits for it can be answered
-	loadTime               time.Duration // smoothed length of a load of weights; 0 before the first
-	orderLostAt            time.Duration // when an order for weights last got no answer
-	watchers               []watcher
-	usage                  map[string]usageReport // by gateway
-	lending                lending
-	joining                joining
-	levels                 levels
-	strangers              map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
+	startedAt                 time.Duration // when this leadership began
+	orderFence                uint64        // of its orders for weights; 0 until the log gave one
+	fenceRequestedAt          time.Duration
+	fleet                     map[string]*memberState // by instance
+	fleetCheckedAt            time.Duration
+	heldLoggedAt              time.Duration // when the weights of back ends were last written into the log
+	rolloutStepAt             time.Duration // when the roll-out last went a step
+	ackedRoster               uint64        // roster that every gateway which may still send had taken up, as of that step
+	underCapacity             bool          // the back ends were short of hands, as of that step
+	totals                    usageTotals
+	planner                   *mesh.Planner
+	plannedLayoutCount        uint64        // of the planner's layout that laidOut holds
+	lastLayout                *relay.Layout // nil before the first
+	lastLayoutAt              time.Duration
+	layoutCount               uint64
+	relayReplicas             map[string]nearReplica // by name; those that ask for gateways
+	cacheEventSources         map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
+	cacheEventSourcesCount    uint64                 // of the roster that it follows from
+	trusting                  trusting
+	rosterCount               uint64 // rises whenever the roster may have changed
+	roster                    roster.Log
+	rosterPending             map[string]bool       // back ends that the roster doesn't show as they are yet
+	unlogged                  map[string]bool       // back ends whose weights the log doesn't tell yet
+	pendingOrderAnnouncements []string              // back ends that are about to be ordered, which the log doesn't tell yet
+	sizes                     map[string]inuse.Size // by service
+	boundsAt                  time.Duration         // when it was last looked at which back ends are in use
+	toldCount                 uint64                // newest roster that held questions are answered for; at most rosterCount
+	toldAt                    time.Duration
+	readyMost                 int // engines that were ready lately
+	readyMostAt               time.Duration
+	gatewaysAt                time.Duration // when gateways were last looked through for the log
+	unlisted                  bool          // a gateway waits until the log holds it
+	listedNews                bool          // the log holds others than before: who waits for it can be answered
+	loadTime                  time.Duration // smoothed length of a load of weights; 0 before the first
+	orderLostAt               time.Duration // when an order for weights last got no answer
+	watchers                  []watcher
+	usage                     map[string]usageReport // by gateway
+	lending                   lending
+	joining                   joining
+	levels                    levels
+	strangers                 map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
 }
 
 // zoneService names a service in a zone.
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -397,7 +397,7 @@
 	if r.stopErr != nil {
 		return false
 	}
-	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
