--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -35,12 +35,12 @@
 	}
 	bounds := map[string]uint64{}
 	for service, work := range services {
-		size := r.leader.sizes[service]
+		size := r.leader.inUseSizes[service]
 		if !r.machine.catalog.Bounded(service) {
 			work.under = 0
 		}
 		wanted := size.Note(now, work.running, work.under)
-		r.leader.sizes[service] = size
+		r.leader.inUseSizes[service] = size
 		if bound := inuse.Bound(work.bound, work.able, work.unable, wanted); bound != work.bound {
 			bounds[service] = bound
 		}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -66,7 +66,7 @@
 	rosterPending             map[string]bool       // back ends that the roster doesn't show as they are yet
 	unlogged                  map[string]bool       // back ends whose weights the log doesn't tell yet
 	pendingOrderAnnouncements []string              // back ends that are about to be ordered, which the log doesn't tell yet
-	sizes                     map[string]inuse.Size // by service
+	inUseSizes                map[string]inuse.Size // by service
 	boundsAt                  time.Duration         // when it was last looked at which back ends are in use
 	toldCount                 uint64                // newest roster that held questions are answered for; at most rosterCount
 	toldAt                    time.Duration
@@ -100,7 +100,7 @@
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
-		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, sizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
+		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
 	}
