--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -18,10 +18,10 @@
 // tendInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
 // the same.
 func (r *Replica) tendInUse(now time.Duration) {
-	if now < r.leader.boundsAt+boundsPeriod {
+	if now < r.leader.boundsCheckedAt+boundsPeriod {
 		return
 	}
-	r.leader.boundsAt = now
+	r.leader.boundsCheckedAt = now
 	used := r.totalUsage(now)
 	services := map[string]*serviceWork{}
 	for id, instance := range r.machine.catalog.Instances() {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -67,7 +67,7 @@
 	unlogged                  map[string]bool       // back ends whose weights the log doesn't tell yet
 	pendingOrderAnnouncements []string              // back ends that are about to be ordered, which the log doesn't tell yet
 	inUseSizes                map[string]inuse.Size // by service
-	boundsAt                  time.Duration         // when it was last looked at which back ends are in use
+	boundsCheckedAt           time.Duration         // when it was last looked at which back ends are in use
 	toldCount                 uint64                // newest roster that held questions are answered for; at most rosterCount
 	toldAt                    time.Duration
 	readyMost                 int // engines that were ready lately
