--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -68,7 +68,7 @@
 	pendingOrderAnnouncements []string              // back ends that are about to be ordered, which the log doesn't tell yet
 	inUseSizes                map[string]inuse.Size // by service
 	boundsCheckedAt           time.Duration         // when it was last looked at which back ends are in use
-	toldCount                 uint64                // newest roster that held questions are answered for; at most rosterCount
+	publishedCount            uint64                // newest roster that held questions are answered for; at most rosterCount
 	toldAt                    time.Duration
 	readyMost                 int // engines that were ready lately
 	readyMostAt               time.Duration
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -60,15 +60,15 @@
 
 // pace lets the newest roster be told if the last telling is long enough ago.
 func (l *leaderState) pace(now time.Duration) {
-	if l.rosterCount == l.toldCount || now < l.toldAt+roster.Pause(len(l.usage)) {
+	if l.rosterCount == l.publishedCount || now < l.toldAt+roster.Pause(len(l.usage)) {
 		return
 	}
-	l.toldCount, l.toldAt = l.rosterCount, now
+	l.publishedCount, l.toldAt = l.rosterCount, now
 }
 
 // tellsRoster reports whether a held question is to be answered for the roster's sake.
 func (l *leaderState) tellsRoster(held RosterVersion) bool {
-	return held.Term != l.term || held.Count < l.toldCount
+	return held.Term != l.term || held.Count < l.publishedCount
 }
 
 // rosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
