--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -69,7 +69,7 @@
 	inUseSizes                map[string]inuse.Size // by service
 	boundsCheckedAt           time.Duration         // when it was last looked at which back ends are in use
 	publishedCount            uint64                // newest roster that held questions are answered for; at most rosterCount
-	toldAt                    time.Duration
+	publishedAt               time.Duration
 	readyMost                 int // engines that were ready lately
 	readyMostAt               time.Duration
 	gatewaysAt                time.Duration // when gateways were last looked through for the log
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -24,7 +24,7 @@
 
 // TestRosterIsToldAtAPace: changes that follow each other are told together, the sooner the fewer gateways there are.
 func TestRosterIsToldAtAPace(t *testing.T) {
-	l := &leaderState{term: 1, usage: map[string]usageReport{}, toldAt: -time.Second}
+	l := &leaderState{term: 1, usage: map[string]usageReport{}, publishedAt: -time.Second}
 	for i := range 100 {
 		l.usage[fmt.Sprint(i)] = usageReport{}
 	}
