--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -70,7 +70,7 @@
 	boundsCheckedAt           time.Duration         // when it was last looked at which back ends are in use
 	publishedCount            uint64                // newest roster that held questions are answered for; at most rosterCount
 	publishedAt               time.Duration
-	readyMost                 int // engines that were ready lately
+	readyPeak                 int // engines that were ready lately
 	readyMostAt               time.Duration
 	gatewaysAt                time.Duration // when gateways were last looked through for the log
 	unlisted                  bool          // a gateway waits until the log holds it
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -58,13 +58,13 @@
 			ready++
 		}
 	}
-	if ready >= r.leader.readyMost {
-		r.leader.readyMost, r.leader.readyMostAt = ready, now
+	if ready >= r.leader.readyPeak {
+		r.leader.readyPeak, r.leader.readyMostAt = ready, now
 	}
 	if now > r.leader.readyMostAt+stressMemory {
-		r.leader.readyMost, r.leader.readyMostAt = ready, now
+		r.leader.readyPeak, r.leader.readyMostAt = ready, now
 	}
-	return float64(ready) < stressShare*float64(r.leader.readyMost) || now < r.leader.orderLostAt+stressMemory
+	return float64(ready) < stressShare*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
 }
 
 // firstCheck is how long after its order a load is first looked for.
