--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -71,7 +71,7 @@
 	publishedCount            uint64                // newest roster that held questions are answered for; at most rosterCount
 	publishedAt               time.Duration
 	readyPeak                 int // engines that were ready lately
-	readyMostAt               time.Duration
+	readyPeakAt               time.Duration
 	gatewaysAt                time.Duration // when gateways were last looked through for the log
 	unlisted                  bool          // a gateway waits until the log holds it
 	listedNews                bool          // the log holds others than before: who waits for it can be answered
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -59,10 +59,10 @@
 		}
 	}
 	if ready >= r.leader.readyPeak {
-		r.leader.readyPeak, r.leader.readyMostAt = ready, now
+		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	if now > r.leader.readyMostAt+stressMemory {
-		r.leader.readyPeak, r.leader.readyMostAt = ready, now
+	if now > r.leader.readyPeakAt+stressMemory {
+		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
 	return float64(ready) < stressShare*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -45,7 +45,7 @@
 			s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id}, Leaves: true}})
 		}
 		s.beats(ids...)
-		s.replica.leader.readyPeak, s.replica.leader.readyMostAt = 2*engines, s.now // half have crashed
+		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
 		if !s.replica.stressed(s.now) {
 			t.Fatal("the fleet is not short of hands")
 		}
