--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -150,10 +150,10 @@
 	if r.leader.unlisted {
 		pause = listPause
 	}
-	if now < r.leader.gatewaysAt+pause {
+	if now < r.leader.gatewaysCheckedAt+pause {
 		return
 	}
-	r.leader.gatewaysAt, r.leader.unlisted = now, false
+	r.leader.gatewaysCheckedAt, r.leader.unlisted = now, false
 	var came, left []string
 	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.Listed(name) {
