--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -147,13 +147,13 @@
 // noteGateways writes which gateways may trust this leader's views.
 func (r *Replica) noteGateways(now time.Duration) {
 	pause := gatewaysPeriod
-	if r.leader.unlisted {
+	if r.leader.gatewayUnlisted {
 		pause = listPause
 	}
 	if now < r.leader.gatewaysCheckedAt+pause {
 		return
 	}
-	r.leader.gatewaysCheckedAt, r.leader.unlisted = now, false
+	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
 	var came, left []string
 	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.Listed(name) {
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(unlisted) > 0 {
-		r.leader.unlisted = true
+		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
 	answer := &relay.Answer{Number: asked.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -98,7 +98,7 @@
 
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
 	if !r.noteReport(now, watch.report()) {
-		r.leader.unlisted = true
+		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
 	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
@@ -184,7 +184,7 @@
 	}
 	unlisted := r.unlisted(held.watch)
 	if unlisted && now < held.due+listPatience {
-		r.leader.unlisted = true
+		r.leader.gatewayUnlisted = true
 		return false
 	}
 	if !r.confirms(now) || unlisted {
