--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -265,7 +265,7 @@
 		return &outcome
 	}
 	listed := len(command.Gateways)+len(command.Came)+len(command.Left) > 0
-	r.leader.listedNews = r.leader.listedNews || listed
+	r.leader.gatewayListChanged = r.leader.gatewayListChanged || listed
 	if len(command.Bounds) > 0 {
 		r.noteBounds(now, bounds)
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -294,8 +294,8 @@
 	if r.stopErr = r.config.Level.Knows(r.machine.level); r.stopErr != nil {
 		return Effects{}
 	}
-	if r.leader != nil && r.leader.listedNews {
-		r.leader.listedNews = false
+	if r.leader != nil && r.leader.gatewayListChanged {
+		r.leader.gatewayListChanged = false
 		r.answerWatchers(now)
 	}
 	r.effects.Messages = append(r.effects.Messages, r.stamp(r.ready.Messages)...)
