--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -75,7 +75,7 @@
 	gatewaysCheckedAt         time.Duration // when gateways were last looked through for the log
 	gatewayUnlisted           bool          // a gateway waits until the log holds it
 	gatewayListChanged        bool          // the log holds others than before: who waits for it can be answered
-	loadTime                  time.Duration // smoothed length of a load of weights; 0 before the first
+	smoothedLoadTime          time.Duration // smoothed length of a load of weights; 0 before the first
 	orderLostAt               time.Duration // when an order for weights last got no answer
 	watchers                  []watcher
 	usage                     map[string]usageReport // by gateway
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -69,7 +69,7 @@
 
 // firstCheck is how long after its order a load is first looked for.
 func (l *leaderState) firstCheck() time.Duration {
-	expected := l.loadTime
+	expected := l.smoothedLoadTime
 	if expected == 0 {
 		expected = loadFirst
 	}
@@ -80,9 +80,9 @@
 func (l *leaderState) noteLoad(now, takenAt time.Duration) {
 	switch {
 	case takenAt == 0:
-	case l.loadTime == 0:
-		l.loadTime = now - takenAt
+	case l.smoothedLoadTime == 0:
+		l.smoothedLoadTime = now - takenAt
 	default:
-		l.loadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.loadTime))
+		l.smoothedLoadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.smoothedLoadTime))
 	}
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -17,8 +17,8 @@
 			t.Fatalf("before any load: %v", first)
 		}
 		lead.noteLoad(length, 0)
-		if lead.loadTime != 0 {
-			t.Fatalf("learnt %v from nothing", lead.loadTime)
+		if lead.smoothedLoadTime != 0 {
+			t.Fatalf("learnt %v from nothing", lead.smoothedLoadTime)
 		}
 		lead.noteLoad(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
