--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -276,7 +276,7 @@
 // stay silent to this leader for as long as every batch changes something.
 func (l *leaderState) oweStrangers(client uint64, strangers []string) {
 	if client != 0 && len(strangers) > 0 {
-		l.strangers[client] = strangers
+		l.unknownBackends[client] = strangers
 	}
 }
 
@@ -285,8 +285,8 @@
 	for _, client := range clients {
 		answer := response
 		if r.leader != nil {
-			answer.Strangers = r.leader.strangers[client]
-			delete(r.leader.strangers, client)
+			answer.Strangers = r.leader.unknownBackends[client]
+			delete(r.leader.unknownBackends, client)
 		}
 		r.reply(client, answer)
 	}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -82,7 +82,7 @@
 	lending                   lending
 	joining                   joining
 	levels                    levels
-	strangers                 map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
+	unknownBackends           map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
 }
 
 // zoneService names a service in a zone.
@@ -101,7 +101,7 @@
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
-		lending: lending{lender: allowance.NewLender(term)}, strangers: map[uint64][]string{},
+		lending: lending{lender: allowance.NewLender(term)}, unknownBackends: map[uint64][]string{},
 		levels: levels{told: map[consensus.ID]toldLevel{}},
 	}
 	for router := range machine.sessions {
