--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -15,15 +15,15 @@
 	levelFresh = time.Second
 )
 
-// toldLevel is what a member last told of its build.
-type toldLevel struct {
+// reportedLevel is what a member last told of its build.
+type reportedLevel struct {
 	level level.Level
 	at    time.Duration
 }
 
 // levels is what a leader knows of the members' builds.
 type levels struct {
-	told     map[consensus.ID]toldLevel
+	told     map[consensus.ID]reportedLevel
 	common   level.Level   // that all members tell, since a time
 	since    time.Duration // of common
 	proposed level.Level   // the highest that this leader has put into the log
@@ -40,7 +40,7 @@
 		return false
 	}
 	if r.leader != nil {
-		r.leader.levels.told[message.From] = toldLevel{message.Level, now}
+		r.leader.levels.told[message.From] = reportedLevel{message.Level, now}
 	}
 	return true
 }
