--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -23,7 +23,7 @@
 
 // levels is what a leader knows of the members' builds.
 type levels struct {
-	told     map[consensus.ID]reportedLevel
+	reported map[consensus.ID]reportedLevel
 	common   level.Level   // that all members tell, since a time
 	since    time.Duration // of common
 	proposed level.Level   // the highest that this leader has put into the log
@@ -40,7 +40,7 @@
 		return false
 	}
 	if r.leader != nil {
-		r.leader.levels.told[message.From] = reportedLevel{message.Level, now}
+		r.leader.levels.reported[message.From] = reportedLevel{message.Level, now}
 	}
 	return true
 }
@@ -64,7 +64,7 @@
 		if member.ID == r.config.ID {
 			continue
 		}
-		told := r.leader.levels.told[member.ID]
+		told := r.leader.levels.reported[member.ID]
 		if now-told.at > levelFresh {
 			return level.Untold
 		}
@@ -81,7 +81,7 @@
 	case r.leader == nil:
 		return level.Untold
 	}
-	return r.leader.levels.told[id].level
+	return r.leader.levels.reported[id].level
 }
 
 // stamp tells the group of this build, with each message.
