--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -23,10 +23,10 @@
 
 // levels is what a leader knows of the members' builds.
 type levels struct {
-	reported map[consensus.ID]reportedLevel
-	common   level.Level   // that all members tell, since a time
-	since    time.Duration // of common
-	proposed level.Level   // the highest that this leader has put into the log
+	reported    map[consensus.ID]reportedLevel
+	common      level.Level   // that all members tell, since a time
+	commonSince time.Duration // of common
+	proposed    level.Level   // the highest that this leader has put into the log
 }
 
 // Ended returns why this replica takes, writes and sends nothing more, or nil while it goes on.
@@ -49,9 +49,9 @@
 func (r *Replica) tendLevel(now time.Duration) {
 	l := &r.leader.levels
 	if common := r.commonLevel(now); common != l.common {
-		l.common, l.since = common, now
+		l.common, l.commonSince = common, now
 	}
-	if l.common > max(r.machine.level, l.proposed) && now-l.since >= levelCalm {
+	if l.common > max(r.machine.level, l.proposed) && now-l.commonSince >= levelCalm {
 		l.proposed = l.common
 		r.propose(now, 0, Command{Level: l.common})
 	}
