--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -81,7 +81,7 @@
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
 	joining                   joining
-	levels                    levels
+	levels                    levelTracker
 	unknownBackends           map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
 }
 
@@ -102,7 +102,7 @@
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, unknownBackends: map[uint64][]string{},
-		levels: levels{reported: map[consensus.ID]reportedLevel{}},
+		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
 	for router := range machine.sessions {
 		lead.routers[router] = &routerLease{expires: leaseEnd}
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -21,8 +21,8 @@
 	at    time.Duration
 }
 
-// levels is what a leader knows of the members' builds.
-type levels struct {
+// levelTracker is what a leader knows of the members' builds.
+type levelTracker struct {
 	reported    map[consensus.ID]reportedLevel
 	common      level.Level   // that all members tell, since a time
 	commonSince time.Duration // of common
