--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// levelCalm is how long all members must have told a level before it comes into force: a member that is replaced by an older build again, as
+	// levelStablePeriod is how long all members must have told a level before it comes into force: a member that is replaced by an older build again, as
 	// its start may show, does so sooner.
-	levelCalm = 5 * time.Second
+	levelStablePeriod = 5 * time.Second
 	// levelFresh is how long a member's word counts: it may have ended, and start as another build.
 	levelFresh = time.Second
 )
@@ -51,7 +51,7 @@
 	if common := r.commonLevel(now); common != l.common {
 		l.common, l.commonSince = common, now
 	}
-	if l.common > max(r.machine.level, l.proposed) && now-l.commonSince >= levelCalm {
+	if l.common > max(r.machine.level, l.proposed) && now-l.commonSince >= levelStablePeriod {
 		l.proposed = l.common
 		r.propose(now, 0, Command{Level: l.common})
 	}
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -154,7 +154,7 @@
 		t.Fatalf("level %d while one of three is silent", got)
 	}
 	m.start(m.members[0])
-	m.pass(levelCalm / 2)
+	m.pass(levelStablePeriod / 2)
 	m.members[0].replica = nil
 	m.pass(20 * time.Second)
 	if got := m.inForce(); got != 1 {
