--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -11,8 +11,8 @@
 	// levelStablePeriod is how long all members must have told a level before it comes into force: a member that is replaced by an older build again, as
 	// its start may show, does so sooner.
 	levelStablePeriod = 5 * time.Second
-	// levelFresh is how long a member's word counts: it may have ended, and start as another build.
-	levelFresh = time.Second
+	// levelReportTTL is how long a member's word counts: it may have ended, and start as another build.
+	levelReportTTL = time.Second
 )
 
 // reportedLevel is what a member last told of its build.
@@ -65,7 +65,7 @@
 			continue
 		}
 		told := r.leader.levels.reported[member.ID]
-		if now-told.at > levelFresh {
+		if now-told.at > levelReportTTL {
 			return level.Untold
 		}
 		common = min(common, told.level)
