--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -137,7 +137,7 @@
 	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
 		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
 	}
-	s.pass(layoutEach)
+	s.pass(layoutInterval)
 	answer := asked(RosterVersion{})
 	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -16,8 +16,8 @@
 type Mesh = mesh.Mesh
 
 const (
-	// layoutEach is how often gateways are laid out anew.
-	layoutEach = 250 * time.Millisecond
+	// layoutInterval is how often gateways are laid out anew.
+	layoutInterval = 250 * time.Millisecond
 	// nearFor is how long after its last question a replica counts as one that answers gateways.
 	nearFor = 900 * time.Millisecond
 )
@@ -32,7 +32,7 @@
 // layout returns the newest layout of the gateways that asked lately.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
 	lead := r.leader
-	if lead.lastLayout != nil && now < lead.lastLayoutAt+layoutEach {
+	if lead.lastLayout != nil && now < lead.lastLayoutAt+layoutInterval {
 		return lead.lastLayout
 	}
 	lead.lastLayoutAt = now
@@ -119,7 +119,7 @@
 func (r *Replica) noteReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
 		delete(r.leader.usage, report.Gateway)
-		r.leader.lastLayoutAt = now - layoutEach // others are told of it no longer
+		r.leader.lastLayoutAt = now - layoutInterval // others are told of it no longer
 		return true
 	}
 	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
