--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -18,8 +18,8 @@
 const (
 	// layoutInterval is how often gateways are laid out anew.
 	layoutInterval = 250 * time.Millisecond
-	// nearFor is how long after its last question a replica counts as one that answers gateways.
-	nearFor = 900 * time.Millisecond
+	// relayReplicaTTL is how long after its last question a replica counts as one that answers gateways.
+	relayReplicaTTL = 900 * time.Millisecond
 )
 
 // nearReplica is a replica that answers the gateways of its zone.
@@ -62,7 +62,7 @@
 	}
 	near := map[string][]string{}
 	for _, replica := range r.leader.relayReplicas {
-		if now-replica.at <= nearFor {
+		if now-replica.at <= relayReplicaTTL {
 			near[replica.zone] = append(near[replica.zone], replica.address)
 		}
 	}
