--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -95,7 +95,7 @@
 	r.leader.relayReplicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
 	var unlisted []string
 	for _, report := range asked.Reports {
-		if r.config.Guards.On(guard.RelayReported) && !r.noteReport(now, report) {
+		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
 			unlisted = append(unlisted, report.Gateway)
 		}
 	}
@@ -114,9 +114,9 @@
 	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
 }
 
-// noteReport notes what a gateway's question tells of it, and reports whether its view may be confirmed: not until the log holds
+// recordReport notes what a gateway's question tells of it, and reports whether its view may be confirmed: not until the log holds
 // it, since the next leader wouldn't wait for it.
-func (r *Replica) noteReport(now time.Duration, report relay.Report) bool {
+func (r *Replica) recordReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
 		delete(r.leader.usage, report.Gateway)
 		r.leader.lastLayoutAt = now - layoutInterval // others are told of it no longer
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -97,7 +97,7 @@
 const maximumHold = time.Second
 
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
-	if !r.noteReport(now, watch.report()) {
+	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
