--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -91,10 +91,10 @@
 
 // takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
 // than it did.
-func (r *Replica) takeRelay(now time.Duration, client uint64, asked relay.Question) {
-	r.leader.relayReplicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
+func (r *Replica) takeRelay(now time.Duration, client uint64, question relay.Question) {
+	r.leader.relayReplicas[question.Name] = nearReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
-	for _, report := range asked.Reports {
+	for _, report := range question.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
 			unlisted = append(unlisted, report.Gateway)
 		}
@@ -103,11 +103,11 @@
 		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
-	answer := &relay.Answer{Number: asked.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
-	if asked.Roster != answer.Version {
-		answer.Roster = r.rosterNews(now, asked.Roster)
+	answer := &relay.Answer{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
+	if question.Roster != answer.Version {
+		answer.Roster = r.rosterNews(now, question.Roster)
 	}
-	if layout := r.layout(now); asked.Layout != layout.Version {
+	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
 	}
 	_, answer.Gateways = r.gatewaysThatTrust(now)
