--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -48,11 +48,11 @@
 	found   bool
 	inspect func(*Replica)
 	weights *WeightsResult
-	relayed *relayed
+	relayed *relayResult
 }
 
-// relayed is how a question to the leader on behalf of gateways ended.
-type relayed struct {
+// relayResult is how a question to the leader on behalf of gateways ended.
+type relayResult struct {
 	number uint64
 	leader string        // that was asked
 	answer *relay.Answer // nil when there was none of a leader
@@ -327,7 +327,7 @@
 func (s *Server) askLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
 	defer cancel()
-	ended := &relayed{number: call.Question.Number, leader: call.Address}
+	ended := &relayResult{number: call.Question.Number, leader: call.Address}
 	var response Response
 	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
 	switch {
@@ -342,7 +342,7 @@
 }
 
 // noteRelayed logs when the leader begins and ends to give no answers for gateways.
-func (s *Server) noteRelayed(ended *relayed) {
+func (s *Server) noteRelayed(ended *relayResult) {
 	lost := ended.answer == nil
 	if lost == s.relayLost {
 		return
