--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -89,7 +89,7 @@
 		case exists && s.tryJoin(ctx):
 			return
 		case !exists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
-			s.inputs <- input{found: true}
+			s.inputs <- input{foundGroup: true}
 			return
 		}
 		select {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -40,15 +40,15 @@
 
 // input is one thing for the decide thread; exactly one field is set.
 type input struct {
-	batch   *raftBatch
-	request *Request
-	respond transport.Respond
-	report  *EngineReport
-	hello   transport.Respond
-	found   bool
-	inspect func(*Replica)
-	weights *WeightsResult
-	relayed *relayResult
+	batch      *raftBatch
+	request    *Request
+	respond    transport.Respond
+	report     *EngineReport
+	hello      transport.Respond
+	foundGroup bool
+	inspect    func(*Replica)
+	weights    *WeightsResult
+	relayed    *relayResult
 }
 
 // relayResult is how a question to the leader on behalf of gateways ended.
@@ -311,7 +311,7 @@
 	case item.relayed != nil:
 		s.noteRelayed(item.relayed)
 		s.replica.ObserveRelay(now, item.relayed.number, item.relayed.answer)
-	case item.found:
+	case item.foundGroup:
 		s.found()
 	case item.inspect != nil:
 		item.inspect(s.replica)
