--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -40,15 +40,15 @@
 
 // input is one thing for the decide thread; exactly one field is set.
 type input struct {
-	batch      *raftBatch
-	request    *Request
-	respond    transport.Respond
-	report     *EngineReport
-	hello      transport.Respond
-	foundGroup bool
-	inspect    func(*Replica)
-	weights    *WeightsResult
-	relayed    *relayResult
+	batch       *raftBatch
+	request     *Request
+	respond     transport.Respond
+	report      *EngineReport
+	hello       transport.Respond
+	foundGroup  bool
+	inspect     func(*Replica)
+	weights     *WeightsResult
+	relayResult *relayResult
 }
 
 // relayResult is how a question to the leader on behalf of gateways ended.
@@ -308,9 +308,9 @@
 		s.replica.Observe(now, *item.report)
 	case item.weights != nil:
 		s.replica.ObserveWeights(now, *item.weights)
-	case item.relayed != nil:
-		s.noteRelayed(item.relayed)
-		s.replica.ObserveRelay(now, item.relayed.number, item.relayed.answer)
+	case item.relayResult != nil:
+		s.noteRelayed(item.relayResult)
+		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
 	case item.foundGroup:
 		s.found()
 	case item.inspect != nil:
@@ -338,7 +338,7 @@
 	default:
 		ended.answer = response.Relayed
 	}
-	s.offer(input{relayed: ended})
+	s.offer(input{relayResult: ended})
 }
 
 // noteRelayed logs when the leader begins and ends to give no answers for gateways.
