--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -72,7 +72,7 @@
 	identity  Identity
 	disk      *Disk
 	replica   *Replica
-	led       bool        // as of the newest tick; owned by the decide thread
+	wasLeader bool        // as of the newest tick; owned by the decide thread
 	level     level.Level // in force as of the newest tick; owned by the decide thread
 	relayLost bool        // the newest question for gateways got no answer; owned by the decide thread
 	over      overNotes
@@ -263,10 +263,10 @@
 // noteLeadership logs that the leadership was won or lost.
 func (s *Server) noteLeadership() {
 	leads := s.replica.leader != nil
-	if leads == s.led {
+	if leads == s.wasLeader {
 		return
 	}
-	s.led = leads
+	s.wasLeader = leads
 	fields := []zap.Field{zap.Uint64("term", s.replica.node.Term()), zap.String("leader", s.replica.leaderAddress())}
 	if !leads {
 		s.log.Info(events.LeadershipLost, fields...)
