--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -67,29 +67,29 @@
 // Server runs a Replica: one thread decides and persists, others carry messages. Persisting shares the
 // thread that decides because nothing may be sent before the sync; proposals that wait share one sync.
 type Server struct {
-	file        *node.File
-	log         *zap.Logger
-	identity    Identity
-	disk        *Disk
-	replica     *Replica
-	wasLeader   bool        // as of the newest tick; owned by the decide thread
-	loggedLevel level.Level // in force as of the newest tick; owned by the decide thread
-	relayLost   bool        // the newest question for gateways got no answer; owned by the decide thread
-	over        overNotes
-	held        heldNotes
-	config      Config
-	now         clock.Source // since it was made
-	inputs      chan input
-	calls       chan EngineCall
-	clients     map[uint64]transport.Respond
-	nextID      uint64
-	seen        map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
-	links       *transport.Links
-	client      *transport.Client
-	group       *Client
-	driver      Driver
-	orders      chan decidedCall
-	beats       beatCollector
+	file         *node.File
+	log          *zap.Logger
+	identity     Identity
+	disk         *Disk
+	replica      *Replica
+	wasLeader    bool        // as of the newest tick; owned by the decide thread
+	loggedLevel  level.Level // in force as of the newest tick; owned by the decide thread
+	relayFailing bool        // the newest question for gateways got no answer; owned by the decide thread
+	over         overNotes
+	held         heldNotes
+	config       Config
+	now          clock.Source // since it was made
+	inputs       chan input
+	calls        chan EngineCall
+	clients      map[uint64]transport.Respond
+	nextID       uint64
+	seen         map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
+	links        *transport.Links
+	client       *transport.Client
+	group        *Client
+	driver       Driver
+	orders       chan decidedCall
+	beats        beatCollector
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -344,10 +344,10 @@
 // noteRelayed logs when the leader begins and ends to give no answers for gateways.
 func (s *Server) noteRelayed(ended *relayResult) {
 	lost := ended.answer == nil
-	if lost == s.relayLost {
+	if lost == s.relayFailing {
 		return
 	}
-	s.relayLost = lost
+	s.relayFailing = lost
 	if lost {
 		s.log.Info(events.RelayLost, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
 		return
