--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -111,16 +111,16 @@
 // noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
 func (s *Server) noteOverLimits() {
 	now := s.now()
-	if s.replica.leader == nil || now < s.over.at+overEach {
+	if s.replica.leader == nil || now < s.overLimitLog.at+overEach {
 		return
 	}
-	s.over.at = now
+	s.overLimitLog.at = now
 	reached := map[string]bool{}
 	for _, state := range s.replica.leader.lending.lender.States(now) {
 		if state.Over {
 			reached[state.Name] = true
 		}
-		if state.Over == s.over.reached[state.Name] {
+		if state.Over == s.overLimitLog.reached[state.Name] {
 			continue
 		}
 		event := events.LimitLeft
@@ -130,5 +130,5 @@
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
 			zap.Float64("lent", state.Lent), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
-	s.over.reached = reached
+	s.overLimitLog.reached = reached
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -75,7 +75,7 @@
 	wasLeader    bool        // as of the newest tick; owned by the decide thread
 	loggedLevel  level.Level // in force as of the newest tick; owned by the decide thread
 	relayFailing bool        // the newest question for gateways got no answer; owned by the decide thread
-	over         overNotes
+	overLimitLog overNotes
 	held         heldNotes
 	config       Config
 	now          clock.Source // since it was made
