--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -129,27 +129,27 @@
 // noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
 func (s *Server) noteHeldBack() {
 	ledger := s.replica.machine.catalog.Quarantine()
-	if s.replica.leader == nil || ledger.Version() == s.held.version {
+	if s.replica.leader == nil || ledger.Version() == s.heldBackLog.version {
 		return
 	}
 	now := s.now()
-	s.held.version = ledger.Version()
+	s.heldBackLog.version = ledger.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
 	for _, e := range ledger.News().Entries {
 		if len(e.Lives) < quarantine.Held {
 			continue
 		}
-		at, known := s.held.since[e.Request]
+		at, known := s.heldBackLog.since[e.Request]
 		if !known {
 			at = now
 			s.log.Info(events.RequestHeldBack, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Lives))
 		}
 		since[e.Request] = at
 	}
-	for f, at := range s.held.since {
+	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
 			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldLives, ledger.Lives(f)))
 		}
 	}
-	s.held.since = since
+	s.heldBackLog.since = since
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -76,7 +76,7 @@
 	loggedLevel  level.Level // in force as of the newest tick; owned by the decide thread
 	relayFailing bool        // the newest question for gateways got no answer; owned by the decide thread
 	overLimitLog overNotes
-	held         heldNotes
+	heldBackLog  heldNotes
 	config       Config
 	now          clock.Source // since it was made
 	inputs       chan input
