--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -120,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-s.calls:
+		case call := <-s.engineCalls:
 			go s.sendCall(ctx, call)
 		}
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -80,7 +80,7 @@
 	config       Config
 	now          clock.Source // since it was made
 	inputs       chan input
-	calls        chan EngineCall
+	engineCalls  chan EngineCall
 	clients      map[uint64]transport.Respond
 	nextID       uint64
 	seen         map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
@@ -115,7 +115,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputRing), calls: make(chan EngineCall, callRing), orders: make(chan decidedCall, callRing),
+		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), orders: make(chan decidedCall, callRing),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, seen: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), failed: make(chan error, 1),
@@ -394,7 +394,7 @@
 	}
 	for _, call := range effects.EngineCalls {
 		select {
-		case s.calls <- call:
+		case s.engineCalls <- call:
 		default:
 			s.log.Warn("call ring is full, call shed; it is issued again", zap.String("engine", call.Engine))
 		}
