--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -38,7 +38,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-s.orders:
+		case call := <-s.weightsCalls:
 			if s.driver != nil {
 				go s.callBackend(ctx, call)
 			}
