--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -38,7 +38,7 @@
 	if member, found := s.replica.Node().Membership().Find(id); found {
 		return member.Address
 	}
-	return s.seen[id]
+	return s.senderAddresses[id]
 }
 
 // raftBatch is one request between replicas.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -67,29 +67,29 @@
 // Server runs a Replica: one thread decides and persists, others carry messages. Persisting shares the
 // thread that decides because nothing may be sent before the sync; proposals that wait share one sync.
 type Server struct {
-	file         *node.File
-	log          *zap.Logger
-	identity     Identity
-	disk         *Disk
-	replica      *Replica
-	wasLeader    bool        // as of the newest tick; owned by the decide thread
-	loggedLevel  level.Level // in force as of the newest tick; owned by the decide thread
-	relayFailing bool        // the newest question for gateways got no answer; owned by the decide thread
-	overLimitLog overNotes
-	heldBackLog  heldNotes
-	config       Config
-	now          clock.Source // since it was made
-	inputs       chan input
-	engineCalls  chan EngineCall
-	clients      map[uint64]transport.Respond
-	nextID       uint64
-	seen         map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
-	links        *transport.Links
-	client       *transport.Client
-	group        *Client
-	driver       Driver
-	weightsCalls chan decidedCall
-	beats        beatCollector
+	file            *node.File
+	log             *zap.Logger
+	identity        Identity
+	disk            *Disk
+	replica         *Replica
+	wasLeader       bool        // as of the newest tick; owned by the decide thread
+	loggedLevel     level.Level // in force as of the newest tick; owned by the decide thread
+	relayFailing    bool        // the newest question for gateways got no answer; owned by the decide thread
+	overLimitLog    overNotes
+	heldBackLog     heldNotes
+	config          Config
+	now             clock.Source // since it was made
+	inputs          chan input
+	engineCalls     chan EngineCall
+	clients         map[uint64]transport.Respond
+	nextID          uint64
+	senderAddresses map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
+	links           *transport.Links
+	client          *transport.Client
+	group           *Client
+	driver          Driver
+	weightsCalls    chan decidedCall
+	beats           beatCollector
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -117,7 +117,7 @@
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan decidedCall, callRing),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
-		clients: map[uint64]transport.Respond{}, seen: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
+		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), failed: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
@@ -317,7 +317,7 @@
 		item.inspect(s.replica)
 	case item.batch != nil:
 		for _, message := range item.batch.Messages {
-			s.seen[message.From] = item.batch.Address
+			s.senderAddresses[message.From] = item.batch.Address
 			s.replica.Step(now, message)
 		}
 	}
