--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -55,13 +55,13 @@
 	}
 	result.Call = made.call
 	s.logWeights(result)
-	s.offer(input{weights: &result})
+	s.submit(input{weights: &result})
 }
 
 // followMembership is the thread that keeps the addresses of the group's client current.
 func (s *Server) followMembership(ctx context.Context) {
 	transport.Every(ctx, membershipPeriod, func() {
-		s.offer(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
+		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
 	})
 }
 
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -64,7 +64,7 @@
 // holds asks the decide thread whether something holds; without an answer in time it does not.
 func (s *Server) holds(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
-	if !s.offer(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
+	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
 		return false
 	}
 	select {
@@ -111,7 +111,7 @@
 	}
 	report := reply.Engine
 	report.Name, report.Zone, report.Service, report.Address = listed.Name, listed.Zone, listed.Service, listed.Address
-	s.offer(input{report: &report})
+	s.submit(input{report: &report})
 }
 
 // sendCalls is the thread that passes orders and fences to engines.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -212,13 +212,13 @@
 		}
 		return
 	}
-	if !s.offer(item) && request.Path != PathRaft {
+	if !s.submit(item) && request.Path != PathRaft {
 		respond(http.StatusOK, Response{Kind: ResponseNoQuorum})
 	}
 }
 
-// offer puts an input into the ring, or sheds it when the ring is full.
-func (s *Server) offer(item input) bool {
+// submit puts an input into the ring, or sheds it when the ring is full.
+func (s *Server) submit(item input) bool {
 	select {
 	case s.inputs <- item:
 		return true
@@ -338,7 +338,7 @@
 	default:
 		ended.answer = response.Relayed
 	}
-	s.offer(input{relayResult: ended})
+	s.submit(input{relayResult: ended})
 }
 
 // noteRelayed logs when the leader begins and ends to give no answers for gateways.
