--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -160,7 +160,7 @@
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(run) })
+	threads.Go(func() { s.runReplica(run) })
 	threads.Go(func() { s.sendCalls(run) })
 	threads.Go(func() { s.watchEngines(run) })
 	threads.Go(func() { s.callBackends(run) })
@@ -228,8 +228,8 @@
 	}
 }
 
-// decide is the thread that owns the replica.
-func (s *Server) decide(ctx context.Context) {
+// runReplica is the thread that owns the replica.
+func (s *Server) runReplica(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
