--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -252,7 +252,7 @@
 			s.failed <- err
 			return
 		}
-		s.noteLeadership()
+		s.logLeadershipChange()
 		s.noteLevel()
 		s.noteOverLimits()
 		s.noteHeldBack()
@@ -260,8 +260,8 @@
 	}
 }
 
-// noteLeadership logs that the leadership was won or lost.
-func (s *Server) noteLeadership() {
+// logLeadershipChange logs that the leadership was won or lost.
+func (s *Server) logLeadershipChange() {
 	leads := s.replica.leader != nil
 	if leads == s.wasLeader {
 		return
