--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -253,7 +253,7 @@
 			return
 		}
 		s.logLeadershipChange()
-		s.noteLevel()
+		s.logLevelChange()
 		s.noteOverLimits()
 		s.noteHeldBack()
 		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maximumLinger))
@@ -275,8 +275,8 @@
 	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
 }
 
-// noteLevel logs that another level is in force than before.
-func (s *Server) noteLevel() {
+// logLevelChange logs that another level is in force than before.
+func (s *Server) logLevelChange() {
 	if held := s.replica.machine.level; held != s.loggedLevel {
 		s.loggedLevel = held
 		s.log.Info(events.LevelRaised, zap.Uint64("level", uint64(held)), zap.Uint64("build", uint64(s.config.Level)))
