--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -240,7 +240,7 @@
 			return
 		case item := <-s.inputs:
 			s.take(item)
-			s.drain()
+			s.handleQueued()
 		case <-timer.C:
 		}
 		s.replica.Tick(s.now(), time.Now().UnixMilli())
@@ -283,8 +283,8 @@
 	}
 }
 
-// drain takes what else waits, so that many proposals share one sync.
-func (s *Server) drain() {
+// handleQueued takes what else waits, so that many proposals share one sync.
+func (s *Server) handleQueued() {
 	for range drainBatch {
 		select {
 		case item := <-s.inputs:
