--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -239,7 +239,7 @@
 		case <-ctx.Done():
 			return
 		case item := <-s.inputs:
-			s.take(item)
+			s.handleInput(item)
 			s.handleQueued()
 		case <-timer.C:
 		}
@@ -288,14 +288,14 @@
 	for range drainBatch {
 		select {
 		case item := <-s.inputs:
-			s.take(item)
+			s.handleInput(item)
 		default:
 			return
 		}
 	}
 }
 
-func (s *Server) take(item input) {
+func (s *Server) handleInput(item input) {
 	now := s.now()
 	switch {
 	case item.request != nil:
