--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -323,8 +323,8 @@
 	}
 }
 
-// askLeader passes a question for gateways to the leader; one is on its way at a time.
-func (s *Server) askLeader(call RelayCall) {
+// relayToLeader passes a question for gateways to the leader; one is on its way at a time.
+func (s *Server) relayToLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
 	defer cancel()
 	ended := &relayResult{number: call.Question.Number, leader: call.Address}
@@ -383,7 +383,7 @@
 		}
 	}
 	for _, call := range effects.RelayCalls {
-		go s.askLeader(call)
+		go s.relayToLeader(call)
 	}
 	for _, call := range effects.WeightsCalls {
 		select {
