--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -327,18 +327,18 @@
 func (s *Server) relayToLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
 	defer cancel()
-	ended := &relayResult{number: call.Question.Number, leader: call.Address}
+	result := &relayResult{number: call.Question.Number, leader: call.Address}
 	var response Response
 	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
 	switch {
 	case err != nil:
-		ended.cause = err.Error()
+		result.cause = err.Error()
 	case response.Kind != ResponseOK:
-		ended.cause = string(response.Kind)
+		result.cause = string(response.Kind)
 	default:
-		ended.answer = response.Relayed
+		result.answer = response.Relayed
 	}
-	s.submit(input{relayResult: ended})
+	s.submit(input{relayResult: result})
 }
 
 // noteRelayed logs when the leader begins and ends to give no answers for gateways.
