--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -309,7 +309,7 @@
 	case item.weights != nil:
 		s.replica.ObserveWeights(now, *item.weights)
 	case item.relayResult != nil:
-		s.noteRelayed(item.relayResult)
+		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
 	case item.foundGroup:
 		s.found()
@@ -341,8 +341,8 @@
 	s.submit(input{relayResult: result})
 }
 
-// noteRelayed logs when the leader begins and ends to give no answers for gateways.
-func (s *Server) noteRelayed(ended *relayResult) {
+// logRelayChange logs when the leader begins and ends to give no answers for gateways.
+func (s *Server) logRelayChange(ended *relayResult) {
 	lost := ended.answer == nil
 	if lost == s.relayFailing {
 		return
