--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -342,17 +342,17 @@
 }
 
 // logRelayChange logs when the leader begins and ends to give no answers for gateways.
-func (s *Server) logRelayChange(ended *relayResult) {
-	lost := ended.answer == nil
+func (s *Server) logRelayChange(result *relayResult) {
+	lost := result.answer == nil
 	if lost == s.relayFailing {
 		return
 	}
 	s.relayFailing = lost
 	if lost {
-		s.log.Info(events.RelayLost, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
+		s.log.Info(events.RelayLost, zap.String("leader", result.leader), zap.String(events.FieldCause, result.cause))
 		return
 	}
-	s.log.Info(events.RelayFound, zap.String("leader", ended.leader))
+	s.log.Info(events.RelayFound, zap.String("leader", result.leader))
 }
 
 // work persists and sends until the replica has nothing more to do.
