--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -244,7 +244,7 @@
 		case <-timer.C:
 		}
 		s.replica.Tick(s.now(), time.Now().UnixMilli())
-		if err := s.work(); err != nil {
+		if err := s.persistAndSend(); err != nil {
 			s.failed <- eris.Wrap(err, "the data folder can no longer be written")
 			return
 		}
@@ -355,8 +355,8 @@
 	s.log.Info(events.RelayFound, zap.String("leader", result.leader))
 }
 
-// work persists and sends until the replica has nothing more to do.
-func (s *Server) work() error {
+// persistAndSend persists and sends until the replica has nothing more to do.
+func (s *Server) persistAndSend() error {
 	for s.replica.HasWork() {
 		persist := s.replica.Prepare()
 		if !persist.Empty() {
