--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -277,9 +277,9 @@
 
 // logLevelChange logs that another level is in force than before.
 func (s *Server) logLevelChange() {
-	if held := s.replica.machine.level; held != s.loggedLevel {
-		s.loggedLevel = held
-		s.log.Info(events.LevelRaised, zap.Uint64("level", uint64(held)), zap.Uint64("build", uint64(s.config.Level)))
+	if current := s.replica.machine.level; current != s.loggedLevel {
+		s.loggedLevel = current
+		s.log.Info(events.LevelRaised, zap.Uint64("level", uint64(current)), zap.Uint64("build", uint64(s.config.Level)))
 	}
 }
 
