--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -155,12 +155,12 @@
 	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
 	state := BootstrapState(self)
 	if err := s.disk.Write(Persist{Checkpoint: &state}); err != nil {
-		s.failed <- err
+		s.fatal <- err
 		return
 	}
 	replica, err := NewReplica(s.config, state, s.now())
 	if err != nil {
-		s.failed <- err
+		s.fatal <- err
 		return
 	}
 	s.replica = replica
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -93,7 +93,7 @@
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
-	failed   chan error
+	fatal    chan error
 	syncs    SyncStats
 }
 
@@ -118,7 +118,7 @@
 		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan decidedCall, callRing),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
-		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), failed: make(chan error, 1),
+		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
 	if server.config, err = server.replicaConfig(); err != nil {
@@ -173,7 +173,7 @@
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldWithout, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
-	case err = <-s.failed:
+	case err = <-s.fatal:
 	}
 	cancel()
 	closing, done := context.WithTimeout(context.Background(), sendTimeout)
@@ -245,11 +245,11 @@
 		}
 		s.replica.Tick(s.now(), time.Now().UnixMilli())
 		if err := s.persistAndSend(); err != nil {
-			s.failed <- eris.Wrap(err, "the data folder can no longer be written")
+			s.fatal <- eris.Wrap(err, "the data folder can no longer be written")
 			return
 		}
 		if err := s.replica.Ended(); err != nil {
-			s.failed <- err
+			s.fatal <- err
 			return
 		}
 		s.logLeadershipChange()
