--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,8 +12,8 @@
 	"kitetiller/internal/transport"
 )
 
-// outbox queues a message for a peer. A full outbox drops it: the protocol sends again.
-func (s *Server) outbox(message consensus.Message) {
+// enqueue queues a message for a peer. A full enqueue drops it: the protocol sends again.
+func (s *Server) enqueue(message consensus.Message) {
 	address := s.addressOf(message.To)
 	if address == "" {
 		return
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -374,7 +374,7 @@
 
 func (s *Server) send(effects Effects) {
 	for _, message := range effects.Messages {
-		s.outbox(message)
+		s.enqueue(message)
 	}
 	for _, reply := range effects.Replies {
 		if respond, waiting := s.clients[reply.Client]; waiting {
