--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -50,14 +50,14 @@
 const (
 	// peerTimeoutHeartbeats is how many heartbeats a message to a peer may take; a peer behind a cut must not hold up what follows.
 	peerTimeoutHeartbeats = 4
-	// peerRate is what a peer takes at the least, in bytes a second: a snapshot of a large state has so much more time. A replica with
+	// minPeerBytesPerSecond is what a peer takes at the least, in bytes a second: a snapshot of a large state has so much more time. A replica with
 	// 0.8 of a core decodes some 20 MB of JSON a second.
-	peerRate = 4 << 20
+	minPeerBytesPerSecond = 4 << 20
 )
 
 // patienceWith returns how long a message of so many bytes to a peer may take.
 func patienceWith(heartbeat time.Duration, bytes int) time.Duration {
-	return peerTimeoutHeartbeats*heartbeat + time.Duration(bytes)*time.Second/peerRate
+	return peerTimeoutHeartbeats*heartbeat + time.Duration(bytes)*time.Second/minPeerBytesPerSecond
 }
 
 // sendTo is the thread that sends messages to one peer, several in one request.
