--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -55,8 +55,8 @@
 	minPeerBytesPerSecond = 4 << 20
 )
 
-// patienceWith returns how long a message of so many bytes to a peer may take.
-func patienceWith(heartbeat time.Duration, bytes int) time.Duration {
+// peerTimeout returns how long a message of so many bytes to a peer may take.
+func peerTimeout(heartbeat time.Duration, bytes int) time.Duration {
 	return peerTimeoutHeartbeats*heartbeat + time.Duration(bytes)*time.Second/minPeerBytesPerSecond
 }
 
@@ -72,7 +72,7 @@
 			s.log.Error("messages to a peer cannot be encoded", zap.String("peer", address), zap.Error(err))
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patienceWith(s.file.Control.Heartbeat, len(body)))
+		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout(s.file.Control.Heartbeat, len(body)))
 		if err := s.client.PostBody(ctx, address, PathRaft, body); err != nil {
 			s.log.Debug("peer not reached", zap.String("peer", address), zap.Error(err))
 		}
