--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// enterGroup finds the group for a replica with an empty folder: it joins an existing one as a learner, or
+// joinOrFound finds the group for a replica with an empty folder: it joins an existing one as a learner, or
 // founds one if it is the first founder and every other founder has answered that it has no state either.
-func (s *Server) enterGroup(ctx context.Context) {
+func (s *Server) joinOrFound(ctx context.Context) {
 	for {
 		exists, allEmpty := s.askFounders(ctx)
 		switch {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -168,7 +168,7 @@
 	threads.Go(func() { s.followMembership(run) })
 	threads.Go(func() { s.rejoin(run) })
 	if s.replica.Node().LastIndex() == 0 {
-		threads.Go(func() { s.enterGroup(run) })
+		threads.Go(func() { s.joinOrFound(run) })
 	}
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldWithout, s.config.Mechanisms.Off()))
 	select {
