--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -84,7 +84,7 @@
 // founds one if it is the first founder and every other founder has answered that it has no state either.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
-		exists, allEmpty := s.askFounders(ctx)
+		exists, allEmpty := s.probeFounders(ctx)
 		switch {
 		case exists && s.tryJoin(ctx):
 			return
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *Server) askFounders(ctx context.Context) (exists, allEmpty bool) {
+func (s *Server) probeFounders(ctx context.Context) (exists, allEmpty bool) {
 	allEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.Internal {
