--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -130,9 +130,9 @@
 	return true
 }
 
-// rejoin is the thread that asks to become a learner while no leader is known: the group may have replaced this replica
+// rejoinWhileLeaderless is the thread that asks to become a learner while no leader is known: the group may have replaced this replica
 // while it was away. For a member it changes nothing.
-func (s *Server) rejoin(ctx context.Context) {
+func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
 	transport.Every(ctx, rejoinPeriod, func() {
 		if s.outsider() {
 			s.tryJoin(ctx)
