--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -134,14 +134,14 @@
 // while it was away. For a member it changes nothing.
 func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
 	transport.Every(ctx, rejoinPeriod, func() {
-		if s.outsider() {
+		if s.hasStateWithoutLeader() {
 			s.tryJoin(ctx)
 		}
 	})
 }
 
-// outsider reports whether this replica has state and hears no leader.
-func (s *Server) outsider() bool {
+// hasStateWithoutLeader reports whether this replica has state and hears no leader.
+func (s *Server) hasStateWithoutLeader() bool {
 	return s.holds(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
 	})
