--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -147,8 +147,8 @@
 	})
 }
 
-// found makes this replica the first voter of a new group.
-func (s *Server) found() {
+// foundGroup makes this replica the first voter of a new group.
+func (s *Server) foundGroup() {
 	if s.replica.Node().LastIndex() > 0 {
 		return
 	}
