--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -19,8 +19,8 @@
 		return
 	}
 	s.mutex.Lock()
-	queue, open := s.outboxes[message.To]
-	if !open {
+	queue, found := s.outboxes[message.To]
+	if !found {
 		queue = make(chan consensus.Message, outboxRing)
 		s.outboxes[message.To] = queue
 		go s.sendTo(address, queue)
