--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -16,9 +16,9 @@
 const (
 	// weightsTimeout is how long a back end may take to answer a call.
 	weightsTimeout = time.Second
-	// callFresh is how long after its decision a call may still be made: the machine may have been suspended between the two. The next leader
+	// maxCallAge is how long after its decision a call may still be made: the machine may have been suspended between the two. The next leader
 	// waits for so much longer before its first order.
-	callFresh = 300 * time.Millisecond
+	maxCallAge = 300 * time.Millisecond
 	// membershipPeriod is how often the addresses of the group are read again.
 	membershipPeriod = time.Second
 )
@@ -50,7 +50,7 @@
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
-	if s.now()-made.at <= callFresh {
+	if s.now()-made.at <= maxCallAge {
 		result = s.driver.Weights(attempt, made.call)
 	}
 	result.Call = made.call
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -21,7 +21,7 @@
 	// orderWithin is how long after its announcement an order may leave this replica, after the sync that follows its decision.
 	orderWithin = 300 * time.Millisecond
 	// orderLeft is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
-	orderLeft = orderWithin + callFresh
+	orderLeft = orderWithin + maxCallAge
 )
 
 // orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
