--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -26,8 +26,8 @@
 // UseDriver sets the driver of back ends; it must be called before Run.
 func (s *Server) UseDriver(driver Driver) { s.driver = driver }
 
-// decidedCall is a call and when this replica last saw that it may be made.
-type decidedCall struct {
+// queuedCall is a call and when this replica last saw that it may be made.
+type queuedCall struct {
 	call WeightsCall
 	at   time.Duration
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-func (s *Server) callBackend(ctx context.Context, made decidedCall) {
+func (s *Server) callBackend(ctx context.Context, made queuedCall) {
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -88,7 +88,7 @@
 	client          *transport.Client
 	group           *Client
 	driver          Driver
-	weightsCalls    chan decidedCall
+	weightsCalls    chan queuedCall
 	beats           beatCollector
 
 	mutex    sync.Mutex
@@ -115,7 +115,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan decidedCall, callRing),
+		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan queuedCall, callRing),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
@@ -387,7 +387,7 @@
 	}
 	for _, call := range effects.WeightsCalls {
 		select {
-		case s.weightsCalls <- decidedCall{call: call, at: s.now()}:
+		case s.weightsCalls <- queuedCall{call: call, at: s.now()}:
 		default:
 			s.log.Warn("ring of weights calls is full, call shed; it is made again", zap.String("instance", call.Instance))
 		}
