--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -19,8 +19,8 @@
 	// maxCallAge is how long after its decision a call may still be made: the machine may have been suspended between the two. The next leader
 	// waits for so much longer before its first order.
 	maxCallAge = 300 * time.Millisecond
-	// membershipPeriod is how often the addresses of the group are read again.
-	membershipPeriod = time.Second
+	// membershipInterval is how often the addresses of the group are read again.
+	membershipInterval = time.Second
 )
 
 // UseDriver sets the driver of back ends; it must be called before Run.
@@ -60,7 +60,7 @@
 
 // followMembership is the thread that keeps the addresses of the group's client current.
 func (s *Server) followMembership(ctx context.Context) {
-	transport.Every(ctx, membershipPeriod, func() {
+	transport.Every(ctx, membershipInterval, func() {
 		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
 	})
 }
