--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -58,8 +58,8 @@
 	s.submit(input{weights: &result})
 }
 
-// followMembership is the thread that keeps the addresses of the group's client current.
-func (s *Server) followMembership(ctx context.Context) {
+// refreshMembership is the thread that keeps the addresses of the group's client current.
+func (s *Server) refreshMembership(ctx context.Context) {
 	transport.Every(ctx, membershipInterval, func() {
 		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
 	})
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -165,7 +165,7 @@
 	threads.Go(func() { s.watchEngines(run) })
 	threads.Go(func() { s.callBackends(run) })
 	threads.Go(func() { s.passBeats(run) })
-	threads.Go(func() { s.followMembership(run) })
+	threads.Go(func() { s.refreshMembership(run) })
 	threads.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
 		threads.Go(func() { s.joinOrFound(run) })
