--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -46,14 +46,14 @@
 	}
 }
 
-func (s *Server) callBackend(ctx context.Context, made queuedCall) {
+func (s *Server) callBackend(ctx context.Context, queued queuedCall) {
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
-	if s.now()-made.at <= maxCallAge {
-		result = s.driver.Weights(attempt, made.call)
+	if s.now()-queued.at <= maxCallAge {
+		result = s.driver.Weights(attempt, queued.call)
 	}
-	result.Call = made.call
+	result.Call = queued.call
 	s.logWeights(result)
 	s.submit(input{weights: &result})
 }
