--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -28,8 +28,8 @@
 
 // queuedCall is a call and when this replica last saw that it may be made.
 type queuedCall struct {
-	call WeightsCall
-	at   time.Duration
+	call     WeightsCall
+	queuedAt time.Duration
 }
 
 // callBackends is the thread that starts the calls of a leader, each on a goroutine of its own.
@@ -50,7 +50,7 @@
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
-	if s.now()-queued.at <= maxCallAge {
+	if s.now()-queued.queuedAt <= maxCallAge {
 		result = s.driver.Weights(attempt, queued.call)
 	}
 	result.Call = queued.call
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -159,7 +159,7 @@
 	driver := &countingDriver{}
 	at := time.Second
 	s := &Server{driver: driver, log: zap.NewNop(), inputs: make(chan input, 2), now: func() time.Duration { return at }}
-	made := queuedCall{call: WeightsCall{Kind: WeightsOrder, Instance: "i-1"}, at: at}
+	made := queuedCall{call: WeightsCall{Kind: WeightsOrder, Instance: "i-1"}, queuedAt: at}
 	s.callBackend(t.Context(), made)
 	at += 2 * time.Second
 	s.callBackend(t.Context(), made)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -387,7 +387,7 @@
 	}
 	for _, call := range effects.WeightsCalls {
 		select {
-		case s.weightsCalls <- queuedCall{call: call, at: s.now()}:
+		case s.weightsCalls <- queuedCall{call: call, queuedAt: s.now()}:
 		default:
 			s.log.Warn("ring of weights calls is full, call shed; it is made again", zap.String("instance", call.Instance))
 		}
