--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -9,8 +9,8 @@
 
 // Driver speaks to back ends that take orders for weights, in whatever protocol they have. Its methods may block.
 type Driver interface {
-	// Weights makes a call and returns how it ended; when ctx ends first, the result of an order is WeightsUnknown.
-	Weights(ctx context.Context, call WeightsCall) WeightsResult
+	// CallWeights makes a call and returns how it ended; when ctx ends first, the result of an order is WeightsUnknown.
+	CallWeights(ctx context.Context, call WeightsCall) WeightsResult
 }
 
 const (
@@ -51,7 +51,7 @@
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
 	if s.now()-queued.queuedAt <= maxCallAge {
-		result = s.driver.Weights(attempt, queued.call)
+		result = s.driver.CallWeights(attempt, queued.call)
 	}
 	result.Call = queued.call
 	s.logWeights(result)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -148,7 +148,7 @@
 // countingDriver counts the calls that reach a back end.
 type countingDriver struct{ calls int }
 
-func (d *countingDriver) Weights(context.Context, WeightsCall) WeightsResult {
+func (d *countingDriver) CallWeights(context.Context, WeightsCall) WeightsResult {
 	d.calls++
 	return WeightsResult{Kind: WeightsTaken}
 }
