--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -177,8 +177,8 @@
 	m.ledger.CloseSession(holder)
 }
 
-// machineForm is the snapshot form of a machine.
-type machineForm struct {
+// machineSnapshot is the snapshot form of a machine.
+type machineSnapshot struct {
 	Settings *settings.Machine  `json:"settings"`
 	Ledger   *ledger.Ledger     `json:"ledger"`
 	Sessions map[string]Session `json:"sessions"`
@@ -191,7 +191,7 @@
 
 // Snapshot returns the whole state.
 func (m *Machine) Snapshot() []byte {
-	data, err := json.Marshal(machineForm{m.settings, m.ledger, m.sessions, m.orders, m.nowMS, m.peersAt, m.catalog, m.level})
+	data, err := json.Marshal(machineSnapshot{m.settings, m.ledger, m.sessions, m.orders, m.nowMS, m.peersAt, m.catalog, m.level})
 	if err != nil {
 		panic(fmt.Sprintf("control: state cannot be written: %v", err))
 	}
@@ -200,7 +200,7 @@
 
 // Restore replaces the whole state by a snapshot.
 func (m *Machine) Restore(data []byte) error {
-	form := machineForm{Settings: settings.NewMachine(), Ledger: ledger.New(), Catalog: catalog.NewMachine()}
+	form := machineSnapshot{Settings: settings.NewMachine(), Ledger: ledger.New(), Catalog: catalog.NewMachine()}
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
