--- a/internal/control/storage.go
+++ b/internal/control/storage.go
@@ -89,14 +89,14 @@
 func replay(records []storage.Record) (Checkpoint, error) {
 	var state Checkpoint
 	for _, record := range records {
-		if err := replayOne(&state, record); err != nil {
+		if err := replayRecord(&state, record); err != nil {
 			return state, err
 		}
 	}
 	return state, nil
 }
 
-func replayOne(state *Checkpoint, record storage.Record) error {
+func replayRecord(state *Checkpoint, record storage.Record) error {
 	switch record.Kind {
 	case recordHardState:
 		return eris.Wrap(json.Unmarshal(record.Data, &state.HardState), "read hard state")
