--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -86,7 +86,7 @@
 
 func (m *mixed) work(b *build) (sent []consensus.Message) {
 	for b.replica.HasWork() {
-		if err := b.disk.Store(b.replica.Prepare()); err != nil {
+		if err := b.disk.Apply(b.replica.Prepare()); err != nil {
 			m.t.Fatal(err)
 		}
 		sent = append(sent, b.replica.Advance(m.now).Messages...)
--- a/internal/control/storage.go
+++ b/internal/control/storage.go
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// Store applies a Persist to the state it leaves on disk.
-func (c *Checkpoint) Store(persist Persist) error {
+// Apply applies a Persist to the state it leaves on disk.
+func (c *Checkpoint) Apply(persist Persist) error {
 	if persist.Checkpoint != nil {
 		*c = *persist.Checkpoint
 		return nil
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -129,7 +129,7 @@
 }
 
 func (n *controlNode) store(persist control.Persist) {
-	if err := n.disk.Store(persist); err != nil {
+	if err := n.disk.Apply(persist); err != nil {
 		panic("sim: " + n.name + " wrote what cannot be stored: " + err.Error())
 	}
 }
@@ -190,7 +190,7 @@
 func (n *controlNode) syncLate(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
-		if err := n.disk.Store(n.unsynced[0]); err != nil {
+		if err := n.disk.Apply(n.unsynced[0]); err != nil {
 			n.w.oracle.fail(SettingsHold, "%s acknowledged what it then couldn't store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
