--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -14,7 +14,7 @@
 
 const (
 	adminTimeout      = 5 * time.Second
-	adminMaximumBytes = 32 << 20
+	maxAdminBodyBytes = 32 << 20
 	// PathAdmin takes operators' requests.
 	PathAdmin = "/v1/control"
 )
@@ -56,7 +56,7 @@
 		return
 	}
 	var request Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, adminMaximumBytes)).Decode(&request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAdminBodyBytes)).Decode(&request); err != nil {
 		http.Error(w, `{"error":"the body is not a request"}`, http.StatusBadRequest)
 		return
 	}
