--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -110,9 +110,9 @@
 	return lead
 }
 
-// current reports whether this replica leads, holds the leader lease and has applied every entry that was
+// hasCurrentState reports whether this replica leads, holds the leader lease and has applied every entry that was
 // committed before its term, so that its state may be read.
-func (r *Replica) current(now time.Duration) bool {
+func (r *Replica) hasCurrentState(now time.Duration) bool {
 	return r.node.LeaseValid(now) && r.applied >= r.node.TermStart()
 }
 
@@ -130,7 +130,7 @@
 		r.turnAway(now, client, request)
 		return
 	}
-	if !r.current(now) && (request.Watch == nil || !r.confirms(now)) {
+	if !r.hasCurrentState(now) && (request.Watch == nil || !r.confirms(now)) {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -18,7 +18,7 @@
 // Observe takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
 // first, so that an earlier leader can change nothing there any more.
 func (r *Replica) Observe(now time.Duration, report EngineReport) {
-	if r.leader == nil || !r.current(now) {
+	if r.leader == nil || !r.hasCurrentState(now) {
 		return
 	}
 	state := r.leader.engines[report.Name]
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -162,7 +162,7 @@
 	r.unixMS, r.tickedAt, r.now = unixMS, now, now
 	r.node.Tick(now)
 	r.checkLeadership(now)
-	if r.leader != nil && r.current(now) {
+	if r.leader != nil && r.hasCurrentState(now) {
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -151,7 +151,7 @@
 	r.awaitingLeader = nil
 	for _, held := range waiting {
 		switch {
-		case r.leader != nil && (!r.current(now) || !r.formed()) && now < held.due:
+		case r.leader != nil && (!r.hasCurrentState(now) || !r.formed()) && now < held.due:
 			r.awaitingLeader = append(r.awaitingLeader, held) // it may not confirm anything yet
 		case r.leader != nil:
 			held.watch.Hold = max(0, held.due-now)
@@ -167,7 +167,7 @@
 
 // confirms reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
 func (r *Replica) confirms(now time.Duration) bool {
-	return r.current(now) || !r.config.Guards.On(guard.ConfirmedView)
+	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
 // answerWatchers answers the questions for which there is news, or whose time has come.
