--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -204,7 +204,7 @@
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
 		answer, err := s.group.Ask(attempt, Request{Beats: batch.beats, Signs: batch.signs})
 		cancel()
-		s.beats.passed(s.now(), batch, err == nil, answer.Strangers)
+		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
 				s.beats.taken(s.now(), p.beat)
@@ -268,7 +268,7 @@
 		r.leader.oweStrangers(client, strangers)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
-		r.reply(client, Response{Kind: ResponseOK, Strangers: strangers})
+		r.reply(client, Response{Kind: ResponseOK, UnknownBackends: strangers})
 	}
 }
 
@@ -285,7 +285,7 @@
 	for _, client := range clients {
 		answer := response
 		if r.leader != nil {
-			answer.Strangers = r.leader.unknownBackends[client]
+			answer.UnknownBackends = r.leader.unknownBackends[client]
 			delete(r.leader.unknownBackends, client)
 		}
 		r.reply(client, answer)
--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -23,7 +23,7 @@
 			s.replica.Handle(s.now, plain, Request{Beats: []Beat{beatOf("i-11", catalog.StateReady, 1)}})
 			s.work()
 			for client, wanted := range map[uint64][]string{first: {"i-8"}, second: {"i-10"}, plain: nil} {
-				if got := s.replies[client]; got.Kind != ResponseOK || !slices.Equal(got.Strangers, wanted) {
+				if got := s.replies[client]; got.Kind != ResponseOK || !slices.Equal(got.UnknownBackends, wanted) {
 					t.Errorf("client %d is told %+v, wanted %v", client, got, wanted)
 				}
 			}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -141,7 +141,7 @@
 	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].told = false
 	s.pass(time.Second)
-	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.Strangers) != 2 {
+	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
 		t.Fatalf("answer %+v", answer)
 	}
 	if heard := s.replica.leader.fleet["i-1"].heardAt; heard != s.now {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -152,19 +152,19 @@
 
 // Response answers a Request.
 type Response struct {
-	Kind      ResponseKind      `json:"kind"`
-	Leader    string            `json:"leader,omitempty"` // address of the leader, if known
-	Heartbeat *HeartbeatReply   `json:"heartbeat,omitempty"`
-	Claim     *ledger.Outcome   `json:"claim,omitempty"`
-	Change    *settings.Outcome `json:"change,omitempty"`
-	Read      *ReadReply        `json:"read,omitempty"`
-	Status    *StatusReply      `json:"status,omitempty"`
-	Catalog   *catalog.Outcome  `json:"catalog,omitempty"`
-	Watch     *WatchReply       `json:"watch,omitempty"`
-	Document  *catalog.Document `json:"document,omitempty"`
-	Lent      *allowance.Answer `json:"lent,omitempty"`
-	Relayed   *relay.Answer     `json:"relayed,omitempty"`
-	Strangers []string          `json:"strangers,omitempty"` // back ends of which the leader wants a whole heartbeat
+	Kind            ResponseKind      `json:"kind"`
+	Leader          string            `json:"leader,omitempty"` // address of the leader, if known
+	Heartbeat       *HeartbeatReply   `json:"heartbeat,omitempty"`
+	Claim           *ledger.Outcome   `json:"claim,omitempty"`
+	Change          *settings.Outcome `json:"change,omitempty"`
+	Read            *ReadReply        `json:"read,omitempty"`
+	Status          *StatusReply      `json:"status,omitempty"`
+	Catalog         *catalog.Outcome  `json:"catalog,omitempty"`
+	Watch           *WatchReply       `json:"watch,omitempty"`
+	Document        *catalog.Document `json:"document,omitempty"`
+	Lent            *allowance.Answer `json:"lent,omitempty"`
+	Relayed         *relay.Answer     `json:"relayed,omitempty"`
+	UnknownBackends []string          `json:"strangers,omitempty"` // back ends of which the leader wants a whole heartbeat
 }
 
 // Reply is a response for one waiting client.
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -171,7 +171,7 @@
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
-		case !answered || response.Kind != control.ResponseOK || len(response.Strangers) > 0:
+		case !answered || response.Kind != control.ResponseOK || len(response.UnknownBackends) > 0:
 			b.told = ""
 		case len(request.Signs) == 0:
 			b.told = toldOf(beat)
