--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/storage"
 )
 
-// solo is a group of one replica on a real folder.
-type solo struct {
+// singleReplica is a group of one replica on a real folder.
+type singleReplica struct {
 	t       *testing.T
 	folder  string
 	disk    *Disk
@@ -38,7 +38,7 @@
 		SnapshotEvery: 40, Level: level.Own, Random: func(n int64) int64 { return n / 2 }}
 }
 
-func openSolo(t *testing.T, folder string) *solo {
+func openSolo(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
 	if err != nil {
@@ -54,19 +54,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &solo{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
+	s := &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 	s.pass(3 * time.Second)
 	return s
 }
 
-func (s *solo) pass(length time.Duration) {
+func (s *singleReplica) pass(length time.Duration) {
 	for end := s.now + length; s.now < end; s.now += 50 * time.Millisecond {
 		s.replica.Tick(s.now, testWallStart+(s.wall+s.now).Milliseconds())
 		s.work()
 	}
 }
 
-func (s *solo) work() {
+func (s *singleReplica) work() {
 	for s.replica.HasWork() {
 		if persist := s.replica.Prepare(); !persist.Empty() {
 			if err := s.disk.Write(persist); err != nil {
@@ -81,14 +81,14 @@
 	}
 }
 
-func (s *solo) ask(request Request) Response {
+func (s *singleReplica) ask(request Request) Response {
 	client := uint64(len(s.replies) + 1)
 	s.replica.Handle(s.now, client, request)
 	s.work()
 	return s.replies[client]
 }
 
-func (s *solo) set(base uint64, value int) settings.Outcome {
+func (s *singleReplica) set(base uint64, value int) settings.Outcome {
 	edit := settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(value))}
 	response := s.ask(Request{Change: &settings.Change{Base: base, OperationID: fmt.Sprint(base, "-", value), Edits: []settings.Edit{edit}}})
 	if response.Change == nil {
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // openFleet is a solo group with a document, two engines on version 1 of model m, and its time to order passed.
-func openFleet(t *testing.T) *solo {
+func openFleet(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSolo(t, t.TempDir())
 	s.config(func(config *Config) { config.OrderWait = time.Second })
@@ -18,10 +18,10 @@
 	return s
 }
 
-func (s *solo) config(change func(*Config)) { change(&s.replica.config) }
+func (s *singleReplica) config(change func(*Config)) { change(&s.replica.config) }
 
 // beats sends a heartbeat of each engine.
-func (s *solo) beats(ids ...string) {
+func (s *singleReplica) beats(ids ...string) {
 	for _, id := range ids {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
@@ -31,12 +31,12 @@
 }
 
 // watchNow asks as a gateway that holds the newest news and waits for none.
-func (s *solo) watchNow(gateway string, held RosterVersion) *WatchReply {
+func (s *singleReplica) watchNow(gateway string, held RosterVersion) *WatchReply {
 	return s.ask(Request{Watch: &Watch{Gateway: gateway, Revision: 1, Roster: held}}).Watch
 }
 
 // orders passes time and returns the orders that were issued.
-func (s *solo) orders(length time.Duration) []WeightsCall {
+func (s *singleReplica) orders(length time.Duration) []WeightsCall {
 	s.weights = nil
 	s.pass(length)
 	var orders []WeightsCall
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -13,20 +13,20 @@
 // TestHeartbeatOfNoServiceChangesNothing: neither where it names a registered life, nor a later life of it, nor the address of one that
 // control hasn't heard for a while.
 func TestHeartbeatOfNoServiceChangesNothing(t *testing.T) {
-	open := func(t *testing.T) *solo {
+	open := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
 		s.says(life("e", 1000), "a1", 1, 1)
 		return s
 	}
-	forge := func(s *solo, id, address string, state catalog.State) {
+	forge := func(s *singleReplica, id, address string, state catalog.State) {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "nobody", Address: address, State: state},
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
 		}})
 	}
-	holds := func(t *testing.T, s *solo) {
+	holds := func(t *testing.T, s *singleReplica) {
 		t.Helper()
 		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -10,7 +10,7 @@
 )
 
 // handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func handOver(t *testing.T) (next *solo, ordered, free string) {
+func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -43,7 +43,7 @@
 }
 
 // ordersWhile lets time pass with a gateway that keeps asking, and returns which engines were ordered.
-func (s *solo) ordersWhile(gateway string, length time.Duration) []string {
+func (s *singleReplica) ordersWhile(gateway string, length time.Duration) []string {
 	var found []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
@@ -226,10 +226,10 @@
 // TestOrderPauseOutlivesARestart: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
 func TestOrderPauseOutlivesARestart(t *testing.T) {
-	for what, forget := range map[string]func(*solo){
-		"seen in the log":  func(*solo) {},
-		"from a snapshot":  func(s *solo) { clear(s.replica.orderMarks) },
-		"restored as well": func(s *solo) { clear(s.replica.orderMarks); s.restore(t) },
+	for what, forget := range map[string]func(*singleReplica){
+		"seen in the log":  func(*singleReplica) {},
+		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
+		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(what, func(t *testing.T) {
 			s := openFleet(t)
@@ -254,7 +254,7 @@
 }
 
 // restore replaces the state by its own snapshot.
-func (s *solo) restore(t *testing.T) {
+func (s *singleReplica) restore(t *testing.T) {
 	t.Helper()
 	if err := s.replica.Machine().Restore(s.replica.Machine().Snapshot()); err != nil {
 		t.Fatal(err)
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -24,7 +24,7 @@
 }
 
 // joinEngines registers so many engines of one service and lets it be decided which are in use.
-func joinEngines(s *solo, count int) {
+func joinEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
 		var batch []Beat
 		for i := first; i < min(first+500, count); i++ {
@@ -59,7 +59,7 @@
 	s := openSolo(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	joinEngines(s, 1500)
-	ids := func(s *solo) map[string]bool {
+	ids := func(s *singleReplica) map[string]bool {
 		named := map[string]bool{}
 		for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 			named[e.ID] = true
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -10,7 +10,7 @@
 )
 
 // openLimited is openFleet with a tenant of 100 units a second and a burst of 50.
-func openLimited(t *testing.T) *solo {
+func openLimited(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -18,13 +18,13 @@
 	return s
 }
 
-func (s *solo) limit(revision uint64, rate float64) {
+func (s *singleReplica) limit(revision uint64, rate float64) {
 	tenant := catalog.Tenant{Name: "north", Quota: catalog.Quota{Rate: rate, Burst: rate / 2}}
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: revision, Tenants: []catalog.Tenant{tenant}}}})
 }
 
 // borrow asks for an amount as a gateway does, and returns what was lent.
-func (s *solo) borrow(gateway string, amount float64) float64 {
+func (s *singleReplica) borrow(gateway string, amount float64) float64 {
 	s.t.Helper()
 	asked := allowance.Question{Borrower: gateway, Sequence: uint64(s.now), Asks: []allowance.Ask{{Name: quota.Tenant("north"), Amount: amount}}}
 	response := s.ask(Request{Borrow: &asked})
@@ -130,7 +130,7 @@
 }
 
 // borrowNamed asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
-func (s *solo) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
+func (s *singleReplica) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	ask := allowance.Ask{Name: quota.BackEnd("i-1"), Amount: 1, Named: &allowance.Named{Rate: rate, Age: age}}
 	response := s.ask(Request{Borrow: &allowance.Question{Borrower: gateway, Sequence: uint64(s.now), Asks: []allowance.Ask{ask}}})
@@ -144,7 +144,7 @@
 // from nothing again; status shows it.
 func TestLeaderLendsPartsOfNamedLimits(t *testing.T) {
 	s := openLimited(t)
-	ask := func(s *solo, length time.Duration) (lent float64) {
+	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
 			lent += s.borrowNamed([]string{"g1", "g2", "g3"}[i%3], 4, 0)
 			s.pass(20 * time.Millisecond)
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -26,7 +26,7 @@
 func life(name string, born int64) string { return catalog.Life{Name: name, Born: born}.ID() }
 
 // openAlone is a fleet whose two engines have left, so that the next one stands alone.
-func openAlone(t *testing.T) *solo {
+func openAlone(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
 	for _, id := range []string{"i-1", "i-2"} {
@@ -36,7 +36,7 @@
 }
 
 // says sends a heartbeat of an engine at an address.
-func (s *solo) says(id, address string, sequence, version uint64) {
+func (s *singleReplica) says(id, address string, sequence, version uint64) {
 	s.ask(Request{Beat: &Beat{
 		Instance: catalog.Instance{ID: id, Service: "engine", Address: address, State: catalog.StateReady},
 		Sequence: sequence, Versions: map[string]uint64{"m": version},
@@ -44,7 +44,7 @@
 }
 
 // registered reports whether an id is registered.
-func (s *solo) registered(id string) bool {
+func (s *singleReplica) registered(id string) bool {
 	_, known := s.replica.Machine().Catalog().Instances()[id]
 	return known
 }
@@ -163,7 +163,7 @@
 }
 
 // reports answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
-func (s *solo) reports(length time.Duration, version, revision uint64) []WeightsCall {
+func (s *singleReplica) reports(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
 		s.weights = nil
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -10,12 +10,12 @@
 )
 
 // name names a version of model m, as an operator does.
-func (s *solo) name(version uint64) {
+func (s *singleReplica) name(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: version}}})
 }
 
 // told returns the ages that a gateway is told, by version.
-func (s *solo) told() map[uint64]time.Duration {
+func (s *singleReplica) told() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
@@ -29,7 +29,7 @@
 }
 
 // wantAge fails unless a version is told to be of an age, give or take a step of the test's clock.
-func (s *solo) wantAge(version uint64, age time.Duration) {
+func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
 	if told, known := s.told()[version]; !known || told < age-step || told > age+step {
@@ -38,7 +38,7 @@
 }
 
 // successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
-func (s *solo) successor(data []byte, entries []consensus.Entry, wall time.Duration) *solo {
+func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wall time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
 	first := s.replica.applied
@@ -58,7 +58,7 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &solo{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wall: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wall: wall}
 }
 
 // TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -12,12 +12,12 @@
 var deadly, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // ended tells of a life as a gateway does.
-func (s *solo) ended(life string, requests ...quarantine.Fingerprint) Response {
+func (s *singleReplica) ended(life string, requests ...quarantine.Fingerprint) Response {
 	change := quarantine.Change{Ended: []quarantine.Ended{{Life: life, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-func (s *solo) ledger() *quarantine.Ledger { return s.replica.machine.catalog.Quarantine() }
+func (s *singleReplica) ledger() *quarantine.Ledger { return s.replica.machine.catalog.Quarantine() }
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -14,7 +14,7 @@
 )
 
 // openStarting opens a group of one that has just started and leads nothing yet.
-func openStarting(t *testing.T, folder string) *solo {
+func openStarting(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	s := openSolo(t, folder)
 	if err := s.disk.Close(); err != nil {
@@ -24,7 +24,7 @@
 }
 
 // openStartingIn opens a replica on a folder that another life has left.
-func openStartingIn(t *testing.T, folder string) *solo {
+func openStartingIn(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
 	if err != nil {
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &solo{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
+	return &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 }
 
 // TestQuestionWaitsForALeader: a gateway's question is held while no leader is known, and answered by the replica itself as
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -11,7 +11,7 @@
 )
 
 // joinAll has so many back ends register in one cycle, gathered by several replicas, and returns the entries that it took.
-func joinAll(s *solo, count int) uint64 {
+func joinAll(s *singleReplica, count int) uint64 {
 	before := s.replica.Node().LastIndex()
 	const each = 50
 	for first := 0; first < count; first += each {
@@ -71,7 +71,7 @@
 }
 
 // snapshotsOf counts the snapshots that a replica writes while so many back ends register one after the other.
-func snapshotsOf(s *solo, count int) (snapshots, bytes int) {
+func snapshotsOf(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
 		s.replica.Handle(s.now, 0, Request{Beats: []Beat{beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
