--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -32,7 +32,7 @@
 // testWallStart is the time of day at which a test's clock starts, in milliseconds.
 const testWallStart = 1_700_000_000_000
 
-func soloConfig(id consensus.ID) Config {
+func singleReplicaConfig(id consensus.ID) Config {
 	timing := consensus.Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 700 * time.Millisecond, ElectionMax: 1400 * time.Millisecond, Lease: 500 * time.Millisecond}
 	return Config{ID: id, Name: "c1", Address: "a", Timing: timing, Replicas: 1, SettingsLease: 2 * time.Second, RepairAfter: time.Hour,
 		SnapshotEvery: 40, Level: level.Own, Random: func(n int64) int64 { return n / 2 }}
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 	}
-	replica, err := NewReplica(soloConfig(identity.ID), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig(identity.ID), restored, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 		if json.Unmarshal(data, &batch) != nil {
 			return
 		}
-		replica, err := NewReplica(soloConfig("c1"), Checkpoint{}, 0)
+		replica, err := NewReplica(singleReplicaConfig("c1"), Checkpoint{}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -52,7 +52,7 @@
 
 // start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
 func (m *mixed) start(b *build) {
-	config := soloConfig(b.id)
+	config := singleReplicaConfig(b.id)
 	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.chances.Int64N
 	before := b.disk
 	restored := b.disk
@@ -184,7 +184,7 @@
 	}
 	defer disk.Close()
 	before := listFolder(t, s.folder)
-	if _, err := NewReplica(soloConfig(s.replica.config.ID), restored, 0); !errors.Is(err, level.ErrTooOld) {
+	if _, err := NewReplica(singleReplicaConfig(s.replica.config.ID), restored, 0); !errors.Is(err, level.ErrTooOld) {
 		t.Fatalf("started again: %v", err)
 	}
 	if after := listFolder(t, s.folder); after != before {
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -47,7 +47,7 @@
 	}
 	meta := consensus.SnapshotMeta{Index: first, Term: 1, Membership: consensus.Membership{Members: []consensus.Member{self}}}
 	restored := Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: data}, Entries: entries}
-	replica, err := NewReplica(soloConfig("c2"), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig("c2"), restored, 0)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica, err := NewReplica(soloConfig(identity.ID), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig(identity.ID), restored, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -135,7 +135,7 @@
 	machine := NewMachine(guard.Set{})
 	machine.catalog.Apply(catalog.Command{Came: []string{"g1"}})
 	meta := consensus.SnapshotMeta{Index: 1, Term: 1, Membership: membership}
-	r, err := NewReplica(soloConfig("c1"), Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: machine.Snapshot()}}, 0)
+	r, err := NewReplica(singleReplicaConfig("c1"), Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: machine.Snapshot()}}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
