--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -38,7 +38,7 @@
 		SnapshotEvery: 40, Level: level.Own, Random: func(n int64) int64 { return n / 2 }}
 }
 
-func openSolo(t *testing.T, folder string) *singleReplica {
+func openSingleReplica(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
 	if err != nil {
@@ -100,18 +100,18 @@
 // TestRestartAfterHundredsOfChangesKeepsTheNewest: snapshots, compaction and replay must end at the newest version.
 func TestRestartAfterHundredsOfChangesKeepsTheNewest(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	for i := range 300 {
 		if outcome := s.set(uint64(i), i); outcome.Kind != settings.OutcomeAccepted {
 			t.Fatalf("change %d: %+v", i, outcome)
 		}
 		if i%100 == 50 {
 			_ = s.disk.Close()
-			s = openSolo(t, folder)
+			s = openSingleReplica(t, folder)
 		}
 	}
 	_ = s.disk.Close()
-	s = openSolo(t, folder)
+	s = openSingleReplica(t, folder)
 	read := s.ask(Request{Read: &Read{History: true}}).Read
 	if read.Version != 300 || read.Tree.Resolve().QueueLimit != 299 {
 		t.Fatalf("version %d, queue_limit %d", read.Version, read.Tree.Resolve().QueueLimit)
@@ -123,7 +123,7 @@
 
 func TestFolderOfAnotherReplicaIsRefused(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	_ = s.disk.Close()
 	before := listFolder(t, folder)
 	if _, _, _, err := OpenDisk(folder, "c2"); !errors.Is(err, storage.ErrForeign) {
@@ -148,8 +148,8 @@
 }
 
 func TestWipedFolderIsANewReplica(t *testing.T) {
-	first := openSolo(t, t.TempDir())
-	second := openSolo(t, t.TempDir())
+	first := openSingleReplica(t, t.TempDir())
+	second := openSingleReplica(t, t.TempDir())
 	if first.replica.config.ID == second.replica.config.ID {
 		t.Fatalf("both folders are %s", first.replica.config.ID)
 	}
@@ -157,7 +157,7 @@
 
 // TestLeaseOfAnEarlierVersionHoldsBackInForce: a version is in force when every session acknowledged it or ended.
 func TestLeaseOfAnEarlierVersionHoldsBackInForce(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.set(0, 1)
 	beat := Heartbeat{Router: "r", Incarnation: 1, HasSettings: true, Acked: 1}
 	beat.Epoch = s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
@@ -175,7 +175,7 @@
 }
 
 func TestEndedSessionLeavesItsClaimsUnknown(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	beat := Heartbeat{Router: "r", Incarnation: 1}
 	epoch := s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
 	claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: "k"}, Digest: 1, ClaimID: "c1", Holder: ledger.Holder{Router: "r", Epoch: epoch}, RetentionMS: 60_000}
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -10,7 +10,7 @@
 // openFleet is a solo group with a document, two engines on version 1 of model m, and its time to order passed.
 func openFleet(t *testing.T) *singleReplica {
 	t.Helper()
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.OrderWait = time.Second })
 	s.pass(2 * time.Second) // until views that an earlier leader confirmed have ended
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
@@ -132,7 +132,7 @@
 	folder := t.TempDir()
 	var last uint64
 	for life := range 3 {
-		s := openSolo(t, folder)
+		s := openSingleReplica(t, folder)
 		s.config(func(config *Config) { config.OrderWait = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
 		s.pass(time.Second)
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -56,7 +56,7 @@
 // TestNextLeaderNamesTheSameEngines: from the log, before anybody tells it of any work.
 func TestNextLeaderNamesTheSameEngines(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	joinEngines(s, 1500)
 	ids := func(s *singleReplica) map[string]bool {
@@ -68,7 +68,7 @@
 	}
 	before := ids(s)
 	_ = s.disk.Close()
-	s = openSolo(t, folder)
+	s = openSingleReplica(t, folder)
 	after := ids(s)
 	for id := range before {
 		if !after[id] {
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -169,7 +169,7 @@
 
 // TestBuildEndsAtAnEntryThatItDoesNotKnow: it may have taken the entry before it was known that it is too old, and lead the group since.
 func TestBuildEndsAtAnEntryThatItDoesNotKnow(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.replica.propose(s.now, 0, Command{Level: level.Own + 1})
 	s.work()
 	if err := s.replica.Ended(); !errors.Is(err, level.ErrTooOld) {
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -53,7 +53,7 @@
 // TestCountOutlivesTheLeader: and the loss of every process; a replica that starts from a snapshot releases as any other.
 func TestCountOutlivesTheLeader(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	seed := s.ledger().News().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
@@ -62,7 +62,7 @@
 		s.set(uint64(i), i)
 	}
 	_ = s.disk.Close()
-	s = openSolo(t, folder)
+	s = openSingleReplica(t, folder)
 	if got := s.ledger().Lives(deadly); got != quarantine.Held || !slices.Equal(s.ledger().News().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().News().Seed, seed))
 	}
@@ -75,7 +75,7 @@
 // TestOldLivesAreForgotten: what isn't held back after an hour; what is held back may be tried again after a day, and one more life holds
 // it back again.
 func TestOldLivesAreForgotten(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.ended("i-1", other)
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -16,7 +16,7 @@
 // openStarting opens a group of one that has just started and leads nothing yet.
 func openStarting(t *testing.T, folder string) *singleReplica {
 	t.Helper()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := openSolo(t, s.folder)
+	again := openSingleReplica(t, s.folder)
 	entries := again.watchNow("g1", RosterVersion{}).Roster.Entries
 	if len(entries) != 2 || entries[0].Versions["m"] != 1 || entries[1].Versions["m"] != 1 {
 		t.Fatalf("roster %+v", entries)
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -113,7 +113,7 @@
 // TestQuestionsWaitForTheGroup: until it has its size, a gateway that can wait is held for its time and no longer, so that a whole fleet asks
 // once in that time and not as fast as it is refused.
 func TestQuestionsWaitForTheGroup(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
 	const patient, hasty = 1000, 1001
 	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
