--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -54,7 +54,7 @@
 	s := openFleet(t)
 	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	s.ask(Request{Beats: []Beat{beatOf("i-1", catalog.StateReady, 10), beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-3", catalog.StateReady, 1)}})
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
 		t.Fatalf("instances %+v", instances)
@@ -140,7 +140,7 @@
 	s := openFleet(t)
 	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].told = false
-	s.pass(time.Second)
+	s.advance(time.Second)
 	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
 		t.Fatalf("answer %+v", answer)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -55,11 +55,11 @@
 		t.Fatal(err)
 	}
 	s := &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
-	s.pass(3 * time.Second)
+	s.advance(3 * time.Second)
 	return s
 }
 
-func (s *singleReplica) pass(length time.Duration) {
+func (s *singleReplica) advance(length time.Duration) {
 	for end := s.now + length; s.now < end; s.now += 50 * time.Millisecond {
 		s.replica.Tick(s.now, testWallStart+(s.wall+s.now).Milliseconds())
 		s.work()
@@ -168,7 +168,7 @@
 	if read := s.ask(Request{Read: &Read{}}).Read; read.InForce != 1 {
 		t.Fatalf("version %d is in force while the router holds a lease at version 1", read.InForce)
 	}
-	s.pass(3 * time.Second)
+	s.advance(3 * time.Second)
 	if read := s.ask(Request{Read: &Read{}}).Read; read.InForce != 2 {
 		t.Fatalf("version %d is in force after the lease ended", read.InForce)
 	}
@@ -182,7 +182,7 @@
 	if got := s.ask(Request{Claim: &claim}).Claim.Kind; got != ledger.Granted {
 		t.Fatalf("claim: %s", got)
 	}
-	s.pass(3 * time.Second)
+	s.advance(3 * time.Second)
 	claim.ClaimID = "c2"
 	if got := s.ask(Request{Claim: &claim}).Claim.Kind; got != ledger.RunUnknown {
 		t.Fatalf("claim after the session ended: %s", got)
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.OrderWait = time.Second })
-	s.pass(2 * time.Second) // until views that an earlier leader confirmed have ended
+	s.advance(2 * time.Second) // until views that an earlier leader confirmed have ended
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	s.beats("i-1", "i-2")
 	return s
@@ -38,7 +38,7 @@
 // orders passes time and returns the orders that were issued.
 func (s *singleReplica) orders(length time.Duration) []WeightsCall {
 	s.weights = nil
-	s.pass(length)
+	s.advance(length)
 	var orders []WeightsCall
 	for _, call := range s.weights {
 		if call.Kind == WeightsReport {
@@ -115,12 +115,12 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("answered without news")
 	}
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 5}}})
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Document == nil || reply.Document.Revision != 5 {
 		t.Fatalf("reply %+v", reply)
@@ -135,7 +135,7 @@
 		s := openSingleReplica(t, folder)
 		s.config(func(config *Config) { config.OrderWait = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
-		s.pass(time.Second)
+		s.advance(time.Second)
 		if s.replica.leader.orderFence <= last {
 			t.Fatalf("life %d: fence %d after %d", life, s.replica.leader.orderFence, last)
 		}
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -54,7 +54,7 @@
 	})
 	t.Run("the address of a silent one", func(t *testing.T) {
 		s := open(t)
-		s.pass(silentAfter + time.Second)
+		s.advance(silentAfter + time.Second)
 		forge(s, life("x", 2000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -15,7 +15,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.pass(gatewaysPeriod + 100*time.Millisecond)
+	s.advance(gatewaysPeriod + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
 	var orders []WeightsCall
@@ -38,7 +38,7 @@
 	}
 	next = openStartingIn(t, s.folder)
 	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	return next, ordered, free
 }
 
@@ -128,7 +128,7 @@
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	ask := func(client uint64, name string) {
-		s.pass(2 * listPause)
+		s.advance(2 * listPause)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
 			t.Fatalf("%s is confirmed before the log holds it", name)
@@ -140,7 +140,7 @@
 	}
 	ask(1001, "g1")
 	ask(1002, "g2")
-	s.pass(s.replica.trustEnd() + 2*gatewaysPeriod)
+	s.advance(s.replica.trustEnd() + 2*gatewaysPeriod)
 	ask(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
@@ -161,7 +161,7 @@
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
 			t.Fatal("a closing gateway is confirmed no more")
 		}
-		s.pass(gatewaysPeriod)
+		s.advance(gatewaysPeriod)
 	}
 }
 
@@ -236,7 +236,7 @@
 			s.config(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
 			s.replica.writeOrdering(life("e", 1000))
-			s.pass(100 * time.Millisecond)
+			s.advance(100 * time.Millisecond)
 			s.says(life("e", 2000), "a1", 1, 1)
 			forget(s)
 			for key, mark := range s.replica.orderMarks {
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -34,7 +34,7 @@
 		}
 		s.ask(Request{Beats: batch})
 	}
-	s.pass(500 * time.Millisecond)
+	s.advance(500 * time.Millisecond)
 }
 
 // TestRosterFollowsTheWorkAndNotTheFleet: what a gateway is told at first is the same for twice the engines at one load, in entries and
@@ -91,7 +91,7 @@
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
 	s.ask(Request{Beats: leaving})
-	s.pass(2 * boundsPeriod)
+	s.advance(2 * boundsPeriod)
 	ready := 0
 	for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 		if e.State == catalog.StateReady {
@@ -112,7 +112,7 @@
 		for i := range count {
 			before := s.replica.Node().LastIndex()
 			s.replica.Handle(s.now, 0, Request{Watch: &Watch{Gateway: fmt.Sprintf("gateway-%04d", i), Revision: 1}})
-			s.pass(50 * time.Millisecond)
+			s.advance(50 * time.Millisecond)
 			for _, entry := range s.replica.node.EntriesAfter(before) {
 				bytes += len(entry.Data)
 			}
@@ -137,7 +137,7 @@
 	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
 		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
 	}
-	s.pass(layoutInterval)
+	s.advance(layoutInterval)
 	answer := asked(RosterVersion{})
 	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -40,7 +40,7 @@
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit that has just come", lent)
 	}
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	if lent := s.borrow("g1", 40); lent != 40 {
 		t.Fatalf("%v lent", lent)
 	}
@@ -50,11 +50,11 @@
 	_ = s.disk.Close()
 	next := openStartingIn(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if lent := next.borrow("g3", 45); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
-	next.pass(time.Second)
+	next.advance(time.Second)
 	if lent := next.borrow("g3", 45); lent != 45 {
 		t.Fatalf("%v lent by the next leader", lent)
 	}
@@ -63,7 +63,7 @@
 // TestLoweredLimitBindsTheLeaderAtOnce.
 func TestLoweredLimitBindsTheLeaderAtOnce(t *testing.T) {
 	s := openLimited(t)
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	s.limit(3, 10)
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit of 10 a second", lent)
@@ -82,7 +82,7 @@
 	heard := func(length time.Duration) float64 {
 		for end := s.now + length; s.now < end; {
 			version = s.watchNow("g1", version).Version
-			s.pass(200 * time.Millisecond)
+			s.advance(200 * time.Millisecond)
 		}
 		return s.replica.partOutOfTouch(s.now)
 	}
@@ -99,9 +99,9 @@
 // TestStatusShowsLimits: the leader tells what is limited, lent and refused.
 func TestStatusShowsLimits(t *testing.T) {
 	s := openLimited(t)
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	s.borrow("g1", 40)
-	s.pass(50 * time.Millisecond)
+	s.advance(50 * time.Millisecond)
 	s.borrow("g1", 40)
 	limits := s.ask(Request{Status: &StatusRequest{}}).Status.Limits
 	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Lent != 40 || limits[0].Refused != 40 || !limits[0].Over {
@@ -116,14 +116,14 @@
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
 		s.watchNow(gateway, RosterVersion{})
 	}
-	s.pass(gatewaysPeriod + 200*time.Millisecond)
+	s.advance(gatewaysPeriod + 200*time.Millisecond)
 	if n := s.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("%d gateways before", n)
 	}
 	_ = s.disk.Close()
 	next := openStartingIn(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if n := next.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("the first gateway that asks the next leader is told of %d", n)
 	}
@@ -147,7 +147,7 @@
 	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
 			lent += s.borrowNamed([]string{"g1", "g2", "g3"}[i%3], 4, 0)
-			s.pass(20 * time.Millisecond)
+			s.advance(20 * time.Millisecond)
 		}
 		return lent
 	}
@@ -167,14 +167,14 @@
 	_ = s.disk.Close()
 	next := openStartingIn(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if lent := ask(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
 	if lent := ask(next, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s by the next leader", lent)
 	}
-	next.pass(20 * time.Second)
+	next.advance(20 * time.Second)
 	next.borrow("g1", 1)
 	if told := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(told) != 0 {
 		t.Fatalf("nobody asks for it any more: %+v", told)
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -76,7 +76,7 @@
 	if s.registered(life("before", 1000)) || !s.registered(life("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
-	s.pass(silentAfter + time.Second)
+	s.advance(silentAfter + time.Second)
 	s.says(life("other", 1500), "a1", 1, 1)
 	if !s.registered(life("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
@@ -106,7 +106,7 @@
 	s := openFleet(t)
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(life("e@5", 1000), "a2", 1, 1)
-	s.pass(youngFor)
+	s.advance(youngFor)
 	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaves: true}})
 	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
@@ -140,7 +140,7 @@
 	if !s.registered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
-	s.pass(youngFor)
+	s.advance(youngFor)
 	s.ask(leave)
 	s.says(id, "a1", 3, 1)
 	if s.registered(id) {
@@ -167,7 +167,7 @@
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
 		s.weights = nil
-		s.pass(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 		for _, call := range s.weights {
 			if call.Kind == WeightsOrder {
 				orders = append(orders, call)
@@ -223,7 +223,7 @@
 	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
 	for range 20 {
 		s.weights = nil
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		for _, call := range s.weights {
 			if call.Kind == WeightsOrder {
 				t.Fatalf("ordered by the report of another life: %+v", call)
@@ -243,7 +243,7 @@
 	for range 40 {
 		s.weights = nil
 		s.beats("i-1", "i-2")
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		for _, call := range s.weights {
 			if call.Kind == WeightsOrder {
 				return
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -69,14 +69,14 @@
 	t.Run("restart", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
 		if err := s.disk.Close(); err != nil {
 			t.Fatal(err)
 		}
 		again := openStartingIn(t, s.folder)
 		again.wall = s.now + time.Second // it was away for a second
-		again.pass(3 * time.Second)
+		again.advance(3 * time.Second)
 		again.wantAge(2, 6*time.Second)
 	})
 	// A replica that had lost its disk got a snapshot a while after the naming, and led. It counted from its own start, or, with a long
@@ -84,17 +84,17 @@
 	t.Run("snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 7*time.Second)
 	})
 	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
 		s, other := openFleet(t), openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
-		other.pass(time.Minute)
+		s.advance(4 * time.Second)
+		other.advance(time.Minute)
 		other.wall = s.now - other.now
 		other.replica.Tick(other.now, testWallStart+(other.wall+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
@@ -110,9 +110,9 @@
 		s := openFleet(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.name(2)
-		s.pass(5 * time.Second)
+		s.advance(5 * time.Second)
 		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
-		late.pass(3 * time.Second)
+		late.advance(3 * time.Second)
 		late.wantAge(2, 8*time.Second)
 	})
 	// Two versions were named before a snapshot was taken. A back end that lacks both is late by the older one, whose time the snapshot
@@ -120,11 +120,11 @@
 	t.Run("two before a snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		s.name(3)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 8*time.Second)
 		next.wantAge(3, 4*time.Second)
 	})
@@ -132,10 +132,10 @@
 	t.Run("named again", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(3)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.name(3)
 		s.name(2)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
 		if told := s.told(); len(told) != 1 {
 			t.Fatalf("told %v", told)
@@ -145,9 +145,9 @@
 	t.Run("clock of the day behind", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.wall -= time.Minute
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.wantAge(2, 3*time.Second)
 	})
 	// Snapshots of the release before tell no times. Namings of which no time is known are long past: nothing may begin on older weights.
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		next := s.successor(machine.Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		if age, known := next.told()[4]; !known || age < time.Hour {
 			t.Fatalf("told to be %v old (known: %t)", age, known)
 		}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -31,12 +31,12 @@
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
 	s.ended("i-1", deadly, other)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("told of requests under which one back end ended")
 	}
 	s.ended("i-2", deadly)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Lives, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
@@ -82,7 +82,7 @@
 	}
 	skip := func(length time.Duration) {
 		s.now += length
-		s.pass(3 * time.Second)
+		s.advance(3 * time.Second)
 	}
 	skip(suspectFor - 10*time.Second)
 	if s.ledger().Lives(other) != 1 {
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -53,7 +53,7 @@
 	if s.replies[hasty].Kind != ResponseNotLeader {
 		t.Fatalf("hasty question: %+v", s.replies[hasty])
 	}
-	s.pass(400 * time.Millisecond)
+	s.advance(400 * time.Millisecond)
 	if reply := s.replies[patient]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
 		t.Fatalf("patient question: %+v", reply)
 	}
@@ -75,7 +75,7 @@
 // again for 1.2 s after a restart of all, since unknown weights share nothing).
 func TestNewLeaderKnowsWhatEnginesHold(t *testing.T) {
 	s := openFleet(t)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -89,11 +89,11 @@
 // TestHeldWeightsGrowNoLog: what is known already is not written again.
 func TestHeldWeightsGrowNoLog(t *testing.T) {
 	s := openFleet(t)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
 	for range 10 {
 		s.beats("i-1", "i-2")
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
 	if grown := s.replica.Node().LastIndex() - before; grown > 0 {
 		t.Fatalf("the log grew by %d entries", grown)
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -107,7 +107,7 @@
 	if held := s.replica.node.EntriesAfter(s.replica.snapshot.Meta.Index - 1); len(held) == 0 {
 		t.Fatalf("the log holds nothing before the snapshot at %d", s.replica.snapshot.Meta.Index)
 	}
-	s.pass(time.Second)
+	s.advance(time.Second)
 }
 
 // TestQuestionsWaitForTheGroup: until it has its size, a gateway that can wait is held for its time and no longer, so that a whole fleet asks
@@ -122,7 +122,7 @@
 	if _, answered := s.replies[patient]; answered || s.replies[hasty].Kind != ResponseNotFormed {
 		t.Fatalf("replies %+v", s.replies)
 	}
-	s.pass(500 * time.Millisecond)
+	s.advance(500 * time.Millisecond)
 	if reply := s.replies[patient]; reply.Kind != ResponseNotFormed {
 		t.Fatalf("reply %+v", reply)
 	}
