--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,14 +19,14 @@
 
 // singleReplica is a group of one replica on a real folder.
 type singleReplica struct {
-	t       *testing.T
-	folder  string
-	disk    *Disk
-	replica *Replica
-	now     time.Duration
-	wall    time.Duration // of the time of day, beyond the replica's own clock
-	replies map[uint64]Response
-	weights []WeightsCall
+	t          *testing.T
+	folder     string
+	disk       *Disk
+	replica    *Replica
+	now        time.Duration
+	wallOffset time.Duration // of the time of day, beyond the replica's own clock
+	replies    map[uint64]Response
+	weights    []WeightsCall
 }
 
 // testWallStart is the time of day at which a test's clock starts, in milliseconds.
@@ -61,7 +61,7 @@
 
 func (s *singleReplica) advance(length time.Duration) {
 	for end := s.now + length; s.now < end; s.now += 50 * time.Millisecond {
-		s.replica.Tick(s.now, testWallStart+(s.wall+s.now).Milliseconds())
+		s.replica.Tick(s.now, testWallStart+(s.wallOffset+s.now).Milliseconds())
 		s.work()
 	}
 }
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -58,7 +58,7 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wall: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wall}
 }
 
 // TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		again := openStartingIn(t, s.folder)
-		again.wall = s.now + time.Second // it was away for a second
+		again.wallOffset = s.now + time.Second // it was away for a second
 		again.advance(3 * time.Second)
 		again.wantAge(2, 6*time.Second)
 	})
@@ -95,8 +95,8 @@
 		s.name(2)
 		s.advance(4 * time.Second)
 		other.advance(time.Minute)
-		other.wall = s.now - other.now
-		other.replica.Tick(other.now, testWallStart+(other.wall+other.now).Milliseconds())
+		other.wallOffset = s.now - other.now
+		other.replica.Tick(other.now, testWallStart+(other.wallOffset+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
 		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 		wanted := other.replica.wantedVersions(other.now)
@@ -146,7 +146,7 @@
 		s := openFleet(t)
 		s.name(2)
 		s.advance(time.Second)
-		s.wall -= time.Minute
+		s.wallOffset -= time.Minute
 		s.advance(2 * time.Second)
 		s.wantAge(2, 3*time.Second)
 	})
