--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,14 +19,14 @@
 
 // singleReplica is a group of one replica on a real folder.
 type singleReplica struct {
-	t          *testing.T
-	folder     string
-	disk       *Disk
-	replica    *Replica
-	now        time.Duration
-	wallOffset time.Duration // of the time of day, beyond the replica's own clock
-	replies    map[uint64]Response
-	weights    []WeightsCall
+	t            *testing.T
+	folder       string
+	disk         *Disk
+	replica      *Replica
+	now          time.Duration
+	wallOffset   time.Duration // of the time of day, beyond the replica's own clock
+	replies      map[uint64]Response
+	weightsCalls []WeightsCall
 }
 
 // testWallStart is the time of day at which a test's clock starts, in milliseconds.
@@ -77,7 +77,7 @@
 		for _, reply := range effects.Replies {
 			s.replies[reply.Client] = reply.Response
 		}
-		s.weights = append(s.weights, effects.WeightsCalls...)
+		s.weightsCalls = append(s.weightsCalls, effects.WeightsCalls...)
 	}
 }
 
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -37,10 +37,10 @@
 
 // orders passes time and returns the orders that were issued.
 func (s *singleReplica) orders(length time.Duration) []WeightsCall {
-	s.weights = nil
+	s.weightsCalls = nil
 	s.advance(length)
 	var orders []WeightsCall
-	for _, call := range s.weights {
+	for _, call := range s.weightsCalls {
 		if call.Kind == WeightsReport {
 			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
 			s.work()
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -166,9 +166,9 @@
 func (s *singleReplica) reports(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
-		s.weights = nil
+		s.weightsCalls = nil
 		s.advance(50 * time.Millisecond)
-		for _, call := range s.weights {
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				orders = append(orders, call)
 				continue
@@ -222,9 +222,9 @@
 	s.says(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
 	for range 20 {
-		s.weights = nil
+		s.weightsCalls = nil
 		s.advance(100 * time.Millisecond)
-		for _, call := range s.weights {
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				t.Fatalf("ordered by the report of another life: %+v", call)
 			}
@@ -241,10 +241,10 @@
 	s := openFleet(t)
 	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
 	for range 40 {
-		s.weights = nil
+		s.weightsCalls = nil
 		s.beats("i-1", "i-2")
 		s.advance(100 * time.Millisecond)
-		for _, call := range s.weights {
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				return
 			}
