--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -33,7 +33,7 @@
 	chances *rand.Rand
 }
 
-func newMixed(t rapid.TB, levels ...level.Level) *mixed {
+func newMixedGroup(t rapid.TB, levels ...level.Level) *mixed {
 	m := &mixed{t: t, chances: rand.New(rand.NewPCG(1, 1))}
 	var membership consensus.Membership
 	for i := range levels {
@@ -143,7 +143,7 @@
 
 // TestLevelRisesOnceAllMembersKnowIt: not while one runs an older build, nor while one says nothing.
 func TestLevelRisesOnceAllMembersKnowIt(t *testing.T) {
-	m := newMixed(t, 1, 2, 2)
+	m := newMixedGroup(t, 1, 2, 2)
 	m.pass(20 * time.Second)
 	if got := m.inForce(); got != 1 {
 		t.Fatalf("level %d with builds of 1, 2, 2", got)
@@ -194,7 +194,7 @@
 
 // TestBuildThatIsTooOldTakesNothing: one that starts on what a newer one wrote, and one that was away when the level rose.
 func TestBuildThatIsTooOldTakesNothing(t *testing.T) {
-	m := newMixed(t, 2, 2, 2)
+	m := newMixedGroup(t, 2, 2, 2)
 	early := m.members[0].disk
 	early.Entries = slices.Clone(early.Entries)
 	m.pass(20 * time.Second)
@@ -219,7 +219,7 @@
 // before its files hold a higher level than its own it may go back, and once all know a level it comes into force.
 func TestLevelsHoldWhateverBuildsRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMixed(t, 1, 1, 1)
+		m := newMixedGroup(t, 1, 1, 1)
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			b := m.members[rapid.IntRange(0, 2).Draw(t, "member")]
 			switch rapid.SampledFrom([]string{"replace", "cut", "heal", "end"}).Draw(t, "what") {
