--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -67,8 +67,8 @@
 	b.replica = replica
 }
 
-// pass lets time pass.
-func (m *mixed) pass(length time.Duration) {
+// advance lets time advance.
+func (m *mixed) advance(length time.Duration) {
 	for end := m.now + length; m.now < end; m.now += 20 * time.Millisecond {
 		var sent []consensus.Message
 		for _, b := range m.members {
@@ -144,24 +144,24 @@
 // TestLevelRisesOnceAllMembersKnowIt: not while one runs an older build, nor while one says nothing.
 func TestLevelRisesOnceAllMembersKnowIt(t *testing.T) {
 	m := newMixedGroup(t, 1, 2, 2)
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
 		t.Fatalf("level %d with builds of 1, 2, 2", got)
 	}
 	m.members[0].replica, m.members[0].level = nil, 2
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
 		t.Fatalf("level %d while one of three is silent", got)
 	}
 	m.start(m.members[0])
-	m.pass(levelStablePeriod / 2)
+	m.advance(levelStablePeriod / 2)
 	m.members[0].replica = nil
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
 		t.Fatalf("level %d after one told 2 for a moment", got)
 	}
 	m.start(m.members[0])
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 2 {
 		t.Fatalf("level %d with builds of 2", got)
 	}
@@ -197,19 +197,19 @@
 	m := newMixedGroup(t, 2, 2, 2)
 	early := m.members[0].disk
 	early.Entries = slices.Clone(early.Entries)
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	away := m.members[0]
 	for _, disk := range []Checkpoint{away.disk, early} {
 		away.level, away.disk, away.replica = 1, disk, nil
 		m.start(away)
-		m.pass(2 * time.Second)
+		m.advance(2 * time.Second)
 		if away.replica != nil || !reflect.DeepEqual(away.disk, disk) {
 			t.Fatalf("runs: %t, on a state of %d entries, %d before", away.replica != nil, len(away.disk.Entries), len(disk.Entries))
 		}
 	}
 	away.level = 2
 	m.start(away)
-	m.pass(2 * time.Second)
+	m.advance(2 * time.Second)
 	if away.replica == nil || away.replica.Machine().Level() != 2 {
 		t.Fatal("the newer build doesn't go on from there")
 	}
@@ -233,13 +233,13 @@
 			case "end":
 				b.replica = nil
 			}
-			m.pass(time.Duration(rapid.IntRange(20, 8000).Draw(t, "ms")) * time.Millisecond)
+			m.advance(time.Duration(rapid.IntRange(20, 8000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for _, b := range m.members {
 			b.cut, b.level, b.replica = false, 3, nil
 			m.start(b)
 		}
-		m.pass(20 * time.Second)
+		m.advance(20 * time.Second)
 		for _, b := range m.members {
 			if b.replica == nil || b.replica.Machine().Level() != 3 {
 				t.Fatalf("%s isn't at level 3", b.id)
