--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -91,7 +91,7 @@
 		}
 		sent = append(sent, b.replica.Advance(m.now).Messages...)
 	}
-	m.check(b)
+	m.checkMember(b)
 	return sent
 }
 
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// check ends a replica that says so, and checks that no other one holds what its build doesn't know.
-func (m *mixed) check(b *build) {
+// checkMember ends a replica that says so, and checks that no other one holds what its build doesn't know.
+func (m *mixed) checkMember(b *build) {
 	if err := b.replica.Ended(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
 			m.t.Fatal(err)
