--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -10,8 +10,8 @@
 	"kitetiller/internal/guard"
 )
 
-// joinAll has so many back ends register in one cycle, gathered by several replicas, and returns the entries that it took.
-func joinAll(s *singleReplica, count int) uint64 {
+// registerBackends has so many back ends register in one cycle, gathered by several replicas, and returns the entries that it took.
+func registerBackends(s *singleReplica, count int) uint64 {
 	before := s.replica.Node().LastIndex()
 	const each = 50
 	for first := 0; first < count; first += each {
@@ -30,7 +30,7 @@
 	for _, count := range []int{500, 1000} {
 		s := openFleet(t)
 		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
-		if entries := joinAll(s, count); entries != 1 {
+		if entries := registerBackends(s, count); entries != 1 {
 			t.Fatalf("%d back ends took %d entries", count, entries)
 		}
 		if held := len(s.replica.Machine().Catalog().Instances()); held != count+2 {
