--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// snapshotsOf counts the snapshots that a replica writes while so many back ends register one after the other.
-func snapshotsOf(s *singleReplica, count int) (snapshots, bytes int) {
+// countSnapshots counts the snapshots that a replica writes while so many back ends register one after the other.
+func countSnapshots(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
 		s.replica.Handle(s.now, 0, Request{Beats: []Beat{beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
@@ -87,7 +87,7 @@
 // back ends write some twice the bytes. One every so many entries wrote four times as many.
 func TestSnapshotsOfAStartDontGrowWithItsSquare(t *testing.T) {
 	written := func(count int) int {
-		_, bytes := snapshotsOf(openFleet(t), count)
+		_, bytes := countSnapshots(openFleet(t), count)
 		return bytes
 	}
 	half, whole := written(1000), written(2000)
@@ -100,7 +100,7 @@
 // the state.
 func TestFollowerThatLagsGetsEntries(t *testing.T) {
 	s := openFleet(t)
-	snapshots, _ := snapshotsOf(s, 400)
+	snapshots, _ := countSnapshots(s, 400)
 	if snapshots < 2 {
 		t.Fatalf("%d snapshots", snapshots)
 	}
