--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -13,8 +13,8 @@
 	"kitetiller/internal/transport"
 )
 
-// openStarting opens a group of one that has just started and leads nothing yet.
-func openStarting(t *testing.T, folder string) *singleReplica {
+// openUnelected opens a group of one that has just started and leads nothing yet.
+func openUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, folder)
 	if err := s.disk.Close(); err != nil {
@@ -40,7 +40,7 @@
 // TestQuestionWaitsForALeader: a gateway's question is held while no leader is known, and answered by the replica itself as
 // soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
 func TestQuestionWaitsForALeader(t *testing.T) {
-	s := openStarting(t, t.TempDir())
+	s := openUnelected(t, t.TempDir())
 	const patient, hasty = 1000, 1001
 	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
 	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
@@ -61,7 +61,7 @@
 
 // TestHeldQuestionsAreBounded: the rest is turned away at once.
 func TestHeldQuestionsAreBounded(t *testing.T) {
-	s := openStarting(t, t.TempDir())
+	s := openUnelected(t, t.TempDir())
 	for i := range leaderlessMost + 1 {
 		s.replica.Handle(s.now, uint64(i+1), Request{Watch: &Watch{Gateway: "g", Hold: time.Second}})
 	}
