--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -36,7 +36,7 @@
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	next = openStartingIn(t, s.folder)
+	next = reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, free
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -48,7 +48,7 @@
 		t.Fatalf("%v lent beyond the burst", lent)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := next.borrow("g3", 45); lent != 0 {
@@ -121,7 +121,7 @@
 		t.Fatalf("%d gateways before", n)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if n := next.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
@@ -165,7 +165,7 @@
 		t.Fatalf("%+v", told)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := ask(next, 200*time.Millisecond); lent != 0 {
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -74,7 +74,7 @@
 		if err := s.disk.Close(); err != nil {
 			t.Fatal(err)
 		}
-		again := openStartingIn(t, s.folder)
+		again := reopenUnelected(t, s.folder)
 		again.wallOffset = s.now + time.Second // it was away for a second
 		again.advance(3 * time.Second)
 		again.wantAge(2, 6*time.Second)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -20,11 +20,11 @@
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return openStartingIn(t, folder)
+	return reopenUnelected(t, folder)
 }
 
-// openStartingIn opens a replica on a folder that another life has left.
-func openStartingIn(t *testing.T, folder string) *singleReplica {
+// reopenUnelected opens a replica on a folder that another life has left.
+func reopenUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
 	if err != nil {
