--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -33,8 +33,8 @@
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
 	namings := r.machine.catalog.Namings(model)
-	dated := append(r.namings[model], r.dateNaming(now, namings[len(namings)-1]))
-	r.namings[model] = dated[max(0, len(dated)-catalog.NamingsKept):]
+	dated := append(r.namedVersions[model], r.dateNaming(now, namings[len(namings)-1]))
+	r.namedVersions[model] = dated[max(0, len(dated)-catalog.NamingsKept):]
 }
 
 // dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
@@ -45,21 +45,21 @@
 	for model := range r.machine.catalog.Versions() {
 		for _, naming := range r.machine.catalog.Namings(model) {
 			fresh := r.dateNaming(now, naming)
-			at := slices.IndexFunc(r.namings[model], func(d datedNaming) bool { return d.version == naming.Version })
+			at := slices.IndexFunc(r.namedVersions[model], func(d datedNaming) bool { return d.version == naming.Version })
 			if at >= 0 {
-				fresh.at = min(fresh.at, r.namings[model][at].at)
+				fresh.at = min(fresh.at, r.namedVersions[model][at].at)
 			}
 			dated[model] = append(dated[model], fresh)
 		}
 	}
-	r.namings = dated
+	r.namedVersions = dated
 }
 
 // wantedVersions returns the versions that were named lately, with how long ago that was.
 func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
 	var wanted []WantedVersion
-	for _, model := range sortedKeys(r.namings) {
-		for _, naming := range r.namings[model] {
+	for _, model := range sortedKeys(r.namedVersions) {
+		for _, naming := range r.namedVersions[model] {
 			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
 		}
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -103,7 +103,7 @@
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namings        map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
+	namedVersions  map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
 	orderMarks     map[string]orderMark     // by name of the back end: what this process saw in the log
 	published      publishedDocument        // newest document that gateways were told
 	relay          *relay.Relay             // of gateways' questions while another replica leads
@@ -117,7 +117,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namings: map[string][]datedNaming{}, orderMarks: map[string]orderMark{},
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]datedNaming{}, orderMarks: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
