--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -217,8 +217,8 @@
 
 // failPending answers clients whose entry may or may not commit under another leader.
 func (r *Replica) failPending() {
-	for index, waiting := range r.pending {
-		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
+	for index, proposal := range r.pending {
+		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		delete(r.pending, index)
 	}
 }
