--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -347,11 +347,11 @@
 			result = r.machine.Apply(entry.Index, entry.Term, command)
 		}
 	}
-	waiting, found := r.pending[entry.Index]
+	proposal, found := r.pending[entry.Index]
 	if found {
 		delete(r.pending, entry.Index)
 	}
-	r.completeProposal(now, entry, result, waiting, found && waiting.term == entry.Term)
+	r.completeProposal(now, entry, result, proposal, found && proposal.term == entry.Term)
 }
 
 // completeProposal answers the client of an entry. A waiter whose entry was replaced by another leader's gets
