--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -356,9 +356,9 @@
 
 // completeProposal answers the client of an entry. A waiter whose entry was replaced by another leader's gets
 // "unknown": its change did not commit here, but the client cannot tell and resends.
-func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, waiting pendingProposal, sameTerm bool) {
+func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, proposal pendingProposal, sameTerm bool) {
 	if !sameTerm {
-		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
+		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		return
 	}
 	response := Response{Kind: ResponseOK, Claim: result.Claim, Change: result.Change, Catalog: result.Catalog}
@@ -366,12 +366,12 @@
 		r.leader.orderFence = result.Catalog.Fence
 	}
 	if result.Session != nil {
-		response = r.sessionOpened(now, waiting.firstClient(), *result.Session)
+		response = r.sessionOpened(now, proposal.firstClient(), *result.Session)
 	}
 	if result.Order != nil && r.leader != nil && entry.Term == r.node.Term() {
 		r.issueOrder(now, *result.Order)
 	}
-	r.replyCommitted(waiting.clients, response)
+	r.replyCommitted(proposal.clients, response)
 }
 
 // maybeSnapshot writes a snapshot when enough entries were applied since the last one, and they have as many bytes as that: what
