--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -95,7 +95,7 @@
 }
 
 func newLeaderState(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
-	lead := &leaderState{
+	state := &leaderState{
 		rosterCount: 1, // 0 is the version of a gateway that holds none
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
@@ -105,9 +105,9 @@
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
 	for router := range machine.sessions {
-		lead.routers[router] = &routerLease{expires: leaseEnd}
+		state.routers[router] = &routerLease{expires: leaseEnd}
 	}
-	return lead
+	return state
 }
 
 // hasCurrentState reports whether this replica leads, holds the leader lease and has applied every entry that was
