--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -45,11 +45,11 @@
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	lead.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
 	lead.planner.Plan(now, gateways)
-	made, count := lead.planner.Layout()
+	planned, count := lead.planner.Layout()
 	near := r.nearReplicas(now)
 	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
 		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
-		told := *made
+		told := *planned
 		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
 	}
 	return lead.lastLayout
