--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -49,8 +49,8 @@
 	near := r.nearReplicas(now)
 	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
 		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
-		told := *planned
-		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
+		mesh := *planned
+		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &mesh, Near: near}
 	}
 	return lead.lastLayout
 }
