--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -97,8 +97,8 @@
 	return *response.Change
 }
 
-// TestRestartAfterHundredsOfChangesKeepsTheNewest: snapshots, compaction and replay must end at the newest version.
-func TestRestartAfterHundredsOfChangesKeepsTheNewest(t *testing.T) {
+// TestRestartRestoresNewestSettingsVersion: snapshots, compaction and replay must end at the newest version.
+func TestRestartRestoresNewestSettingsVersion(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	for i := range 300 {
