--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestFolderOfAnotherReplicaIsRefused(t *testing.T) {
+func TestOpenDiskRejectsFolderOfAnotherReplica(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	_ = s.disk.Close()
