--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -147,7 +147,7 @@
 	return text
 }
 
-func TestWipedFolderIsANewReplica(t *testing.T) {
+func TestWipedFolderGetsNewReplicaID(t *testing.T) {
 	first := openSingleReplica(t, t.TempDir())
 	second := openSingleReplica(t, t.TempDir())
 	if first.replica.config.ID == second.replica.config.ID {
