--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestLeaseOfAnEarlierVersionHoldsBackInForce: a version is in force when every session acknowledged it or ended.
-func TestLeaseOfAnEarlierVersionHoldsBackInForce(t *testing.T) {
+// TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt: a version is in force when every session acknowledged it or ended.
+func TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.set(0, 1)
 	beat := Heartbeat{Router: "r", Incarnation: 1, HasSettings: true, Acked: 1}
