--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestEndedSessionLeavesItsClaimsUnknown(t *testing.T) {
+func TestClaimIsUnknownAfterSessionEnds(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	beat := Heartbeat{Router: "r", Incarnation: 1}
 	epoch := s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
