--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// FuzzRaftBatch: no bytes of a peer may crash the decoder or a replica that steps through what was decoded.
-func FuzzRaftBatch(f *testing.F) {
+// FuzzStepRaftBatch: no bytes of a peer may crash the decoder or a replica that steps through what was decoded.
+func FuzzStepRaftBatch(f *testing.F) {
 	f.Add([]byte(`{"address":"a","messages":[{"kind":4,"from":"x","to":"c1","term":9,"index":3,"entries":[{"i":4,"t":9}]}]}`))
 	f.Add([]byte(`{"messages":[{"kind":2,"from":"x","to":"c1","term":7}]}`))
 	f.Add([]byte(`{"messages":[{"kind":6,"from":"x","to":"c1","term":7,"snapshot":null}]}`))
