--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -211,8 +211,8 @@
 	})
 }
 
-// FuzzCommand: a command that decodes must apply without a crash, also to a machine restored from a snapshot.
-func FuzzCommand(f *testing.F) {
+// FuzzApplyCommand: a command that decodes must apply without a crash, also to a machine restored from a snapshot.
+func FuzzApplyCommand(f *testing.F) {
 	f.Add([]byte(`{"ms":1,"change":{"base":0,"operation_id":"a","edits":[{"path":"/","setting":"queue_limit","value":3}]}}`))
 	f.Add([]byte(`{"claim":{"key":{"key":"k"},"claim_id":"c"}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
