--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -10,9 +10,9 @@
 // A heartbeat that can be read in full may still be another writer's: of a service that no configuration names. It names no back end to
 // use, and whoever is registered holds.
 
-// TestHeartbeatOfNoServiceChangesNothing: neither where it names a registered life, nor a later life of it, nor the address of one that
+// TestHeartbeatForUnconfiguredServiceIsIgnored: neither where it names a registered life, nor a later life of it, nor the address of one that
 // control hasn't heard for a while.
-func TestHeartbeatOfNoServiceChangesNothing(t *testing.T) {
+func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
 	open := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
