--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/settings"
 )
 
-// TestFormsStayReadable: all that a replica stores, and all that it is asked and answers.
-func TestFormsStayReadable(t *testing.T) {
+// TestEncodedMessagesMatchGoldenFiles: all that a replica stores, and all that it is asked and answers.
+func TestEncodedMessagesMatchGoldenFiles(t *testing.T) {
 	forms.Check[Request](t, "request")
 	forms.Check[Response](t, "response")
 	forms.Check[raftBatch](t, "raft-batch")
