--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -40,8 +40,8 @@
 	return s.machine.Restore(data)
 }
 
-// TestStateStaysReadable: a snapshot of a state that holds something of everything.
-func TestStateStaysReadable(t *testing.T) {
+// TestSnapshotMatchesGoldenFile: a snapshot of a state that holds something of everything.
+func TestSnapshotMatchesGoldenFile(t *testing.T) {
 	machine := NewMachine(guard.Set{})
 	holder := ledger.Holder{Router: "r1", Epoch: 1}
 	key := ledger.Key{Tenant: "north", Service: "small", Key: "k1"}
