--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -141,8 +141,8 @@
 	return highest
 }
 
-// TestLevelRisesOnceAllMembersKnowIt: not while one runs an older build, nor while one says nothing.
-func TestLevelRisesOnceAllMembersKnowIt(t *testing.T) {
+// TestLevelRisesOnlyWhenAllMembersSupportIt: not while one runs an older build, nor while one says nothing.
+func TestLevelRisesOnlyWhenAllMembersSupportIt(t *testing.T) {
 	m := newMixedGroup(t, 1, 2, 2)
 	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
