--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestBuildEndsAtAnEntryThatItDoesNotKnow: it may have taken the entry before it was known that it is too old, and lead the group since.
-func TestBuildEndsAtAnEntryThatItDoesNotKnow(t *testing.T) {
+// TestReplicaStopsAtEntryOfUnsupportedLevel: it may have taken the entry before it was known that it is too old, and lead the group since.
+func TestReplicaStopsAtEntryOfUnsupportedLevel(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.replica.propose(s.now, 0, Command{Level: level.Own + 1})
 	s.work()
