--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestBuildThatIsTooOldTakesNothing: one that starts on what a newer one wrote, and one that was away when the level rose.
-func TestBuildThatIsTooOldTakesNothing(t *testing.T) {
+// TestOutdatedBuildLeavesStateUnchanged: one that starts on what a newer one wrote, and one that was away when the level rose.
+func TestOutdatedBuildLeavesStateUnchanged(t *testing.T) {
 	m := newMixedGroup(t, 2, 2, 2)
 	early := m.members[0].disk
 	early.Entries = slices.Clone(early.Entries)
