--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestLevelsHoldWhateverBuildsRun: members are ended, cut off and started as other builds at any time. None runs on what its build doesn't know;
+// TestLevelsUnderRandomBuildChanges: members are ended, cut off and started as other builds at any time. None runs on what its build doesn't know;
 // before its files hold a higher level than its own it may go back, and once all know a level it comes into force.
-func TestLevelsHoldWhateverBuildsRun(t *testing.T) {
+func TestLevelsUnderRandomBuildChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMixedGroup(t, 1, 1, 1)
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
