--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -37,9 +37,9 @@
 	return &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 }
 
-// TestQuestionWaitsForALeader: a gateway's question is held while no leader is known, and answered by the replica itself as
+// TestWatchWaitsForLeaderElection: a gateway's question is held while no leader is known, and answered by the replica itself as
 // soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
-func TestQuestionWaitsForALeader(t *testing.T) {
+func TestWatchWaitsForLeaderElection(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
 	const patient, hasty = 1000, 1001
 	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
