--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestHeldQuestionsAreBounded: the rest is turned away at once.
-func TestHeldQuestionsAreBounded(t *testing.T) {
+// TestWatchesAwaitingLeaderAreBounded: the rest is turned away at once.
+func TestWatchesAwaitingLeaderAreBounded(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
 	for i := range leaderlessMost + 1 {
 		s.replica.Handle(s.now, uint64(i+1), Request{Watch: &Watch{Gateway: "g", Hold: time.Second}})
