--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestNewLeaderKnowsWhatEnginesHold: from the log, before any heartbeat comes (ayni-lima trouble-1: shared prompts were read
+// TestNewLeaderRestoresHeldWeightsFromLog: from the log, before any heartbeat comes (ayni-lima trouble-1: shared prompts were read
 // again for 1.2 s after a restart of all, since unknown weights share nothing).
-func TestNewLeaderKnowsWhatEnginesHold(t *testing.T) {
+func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
