--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestHeldWeightsGrowNoLog: what is known already is not written again.
-func TestHeldWeightsGrowNoLog(t *testing.T) {
+// TestUnchangedWeightsAppendNoEntries: what is known already is not written again.
+func TestUnchangedWeightsAppendNoEntries(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
