--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestAnyFindsTheLeaderBesideASilentAddress: one that takes connections and says nothing holds nobody up, and a follower's
+// TestAnyFindsLeaderDespiteUnresponsiveAddress: one that takes connections and says nothing holds nobody up, and a follower's
 // word is followed at once, also when the leader failed a moment ago.
-func TestAnyFindsTheLeaderBesideASilentAddress(t *testing.T) {
+func TestAnyFindsLeaderDespiteUnresponsiveAddress(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
