--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestHeldWeightsNeedARegistration: an instance that has ended leaves nothing behind.
-func TestHeldWeightsNeedARegistration(t *testing.T) {
+// TestHeldWeightsRequireRegistration: an instance that has ended leaves nothing behind.
+func TestHeldWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
 	held := catalog.Command{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 3}}}}
 	machine.Apply(held)
