--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -153,9 +153,9 @@
 	return WeightsResult{Kind: WeightsTaken}
 }
 
-// TestOrderDecidedBeforeASuspensionIsNotGiven: the machine was suspended between the decision and the call, and another replica may
+// TestStaleWeightsCallIsRefusedAfterSuspension: the machine was suspended between the decision and the call, and another replica may
 // lead by now.
-func TestOrderDecidedBeforeASuspensionIsNotGiven(t *testing.T) {
+func TestStaleWeightsCallIsRefusedAfterSuspension(t *testing.T) {
 	driver := &countingDriver{}
 	at := time.Second
 	s := &Server{driver: driver, log: zap.NewNop(), inputs: make(chan input, 2), now: func() time.Duration { return at }}
