--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -25,8 +25,8 @@
 	return s.replica.Node().LastIndex() - before
 }
 
-// TestEntriesOfAStartDontGrowWithTheFleet: what registers together is one entry, and all that wait for it are answered.
-func TestEntriesOfAStartDontGrowWithTheFleet(t *testing.T) {
+// TestConcurrentRegistrationsShareOneEntry: what registers together is one entry, and all that wait for it are answered.
+func TestConcurrentRegistrationsShareOneEntry(t *testing.T) {
 	for _, count := range []int{500, 1000} {
 		s := openFleet(t)
 		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
