--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestRegistrationsKeepTheirPlace: a life that registers and leaves in one cycle stays gone.
-func TestRegistrationsKeepTheirPlace(t *testing.T) {
+// TestRegisterAndLeaveInOneBatchKeepOrder: a life that registers and leaves in one cycle stays gone.
+func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{
 		beatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaves: true}, beatOf("i-9", catalog.StateReady, 1),
