--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestRegistrationsOfALostLeadershipAreAnswered: nobody waits for an entry that was never written.
-func TestRegistrationsOfALostLeadershipAreAnswered(t *testing.T) {
+// TestPendingRegistrationsAreAnsweredOnLeadershipLoss: nobody waits for an entry that was never written.
+func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{beatOf("i-8", catalog.StateReady, 1)}})
 	s.replica.leader.term = 0 // as if another term had begun
