--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -83,9 +83,9 @@
 	return snapshots, bytes
 }
 
-// TestSnapshotsOfAStartDontGrowWithItsSquare: a snapshot is written once the log has as many bytes as the last one, so that twice the
+// TestSnapshotBytesGrowLinearlyWithRegistrations: a snapshot is written once the log has as many bytes as the last one, so that twice the
 // back ends write some twice the bytes. One every so many entries wrote four times as many.
-func TestSnapshotsOfAStartDontGrowWithItsSquare(t *testing.T) {
+func TestSnapshotBytesGrowLinearlyWithRegistrations(t *testing.T) {
 	written := func(count int) int {
 		_, bytes := countSnapshots(openFleet(t), count)
 		return bytes
