--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestFollowerThatLagsGetsEntries: a replica that lacks the newest entries only gets these after a snapshot was written, not all of
+// TestLogKeepsEntriesBeforeNewestSnapshot: a replica that lacks the newest entries only gets these after a snapshot was written, not all of
 // the state.
-func TestFollowerThatLagsGetsEntries(t *testing.T) {
+func TestLogKeepsEntriesBeforeNewestSnapshot(t *testing.T) {
 	s := openFleet(t)
 	snapshots, _ := countSnapshots(s, 400)
 	if snapshots < 2 {
