--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -110,9 +110,9 @@
 	s.advance(time.Second)
 }
 
-// TestQuestionsWaitForTheGroup: until it has its size, a gateway that can wait is held for its time and no longer, so that a whole fleet asks
+// TestWatchIsHeldUntilGroupIsFormed: until it has its size, a gateway that can wait is held for its time and no longer, so that a whole fleet asks
 // once in that time and not as fast as it is refused.
-func TestQuestionsWaitForTheGroup(t *testing.T) {
+func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
 	const patient, hasty = 1000, 1001
