--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestWaitingQuestionsGoOnThroughTheReplica: those that waited for a leader are answered by the replica that they came to once one leads; they
+// TestWatchesAwaitingLeaderAreRelayed: those that waited for a leader are answered by the replica that they came to once one leads; they
 // don't all go to the leader at once.
-func TestWaitingQuestionsGoOnThroughTheReplica(t *testing.T) {
+func TestWatchesAwaitingLeaderAreRelayed(t *testing.T) {
 	membership := consensus.Membership{Members: []consensus.Member{{ID: "c1", Name: "c1", Address: "a"}, {ID: "c2", Name: "c2", Address: "b"}}}
 	machine := NewMachine(guard.Set{})
 	machine.catalog.Apply(catalog.Command{Came: []string{"g1"}})
