--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -29,8 +29,8 @@
 	proposed    level.Level   // the highest that this leader has put into the log
 }
 
-// Ended returns why this replica takes, writes and sends nothing more, or nil while it goes on.
-func (r *Replica) Ended() error { return r.stopErr }
+// Err returns why this replica takes, writes and sends nothing more, or nil while it goes on.
+func (r *Replica) Err() error { return r.stopErr }
 
 // knowsLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
 // anything of the message is taken, so that the replica's files stay as they are.
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -102,7 +102,7 @@
 	}
 	entries, snapshot := len(to.disk.Entries), to.disk.Snapshot.Meta.Index
 	to.replica.Step(m.now, message)
-	if to.replica.Ended() != nil && (len(to.disk.Entries) != entries || to.disk.Snapshot.Meta.Index != snapshot) {
+	if to.replica.Err() != nil && (len(to.disk.Entries) != entries || to.disk.Snapshot.Meta.Index != snapshot) {
 		m.t.Fatalf("%s ended after it took what it doesn't know", to.id)
 	}
 	return m.work(to)
@@ -119,7 +119,7 @@
 
 // checkMember ends a replica that says so, and checks that no other one holds what its build doesn't know.
 func (m *mixed) checkMember(b *build) {
-	if err := b.replica.Ended(); err != nil {
+	if err := b.replica.Err(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
 			m.t.Fatal(err)
 		}
@@ -172,7 +172,7 @@
 	s := openSingleReplica(t, t.TempDir())
 	s.replica.propose(s.now, 0, Command{Level: level.Own + 1})
 	s.work()
-	if err := s.replica.Ended(); !errors.Is(err, level.ErrTooOld) {
+	if err := s.replica.Err(); !errors.Is(err, level.ErrTooOld) {
 		t.Fatalf("ended: %v", err)
 	}
 	if s.replica.Handle(s.now, 1, Request{Status: &StatusRequest{}}); s.replica.HasWork() {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -248,7 +248,7 @@
 			s.fatal <- eris.Wrap(err, "the data folder can no longer be written")
 			return
 		}
-		if err := s.replica.Ended(); err != nil {
+		if err := s.replica.Err(); err != nil {
 			s.fatal <- err
 			return
 		}
--- a/internal/lab/sim/builds.go
+++ b/internal/lab/sim/builds.go
@@ -87,7 +87,7 @@
 	if held > n.w.raised.level {
 		n.w.raised = raised{held, n.w.now(), n.replica.Node().Membership()}
 	}
-	err := n.replica.Ended()
+	err := n.replica.Err()
 	_, member := n.w.raised.members.Find(n.identity.ID)
 	switch {
 	case err != nil && member && n.startedAt+raiseSlack < n.w.raised.at:
