--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -32,9 +32,9 @@
 // Err returns why this replica takes, writes and sends nothing more, or nil while it goes on.
 func (r *Replica) Err() error { return r.stopErr }
 
-// knowsLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
+// checkLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
 // anything of the message is taken, so that the replica's files stay as they are.
-func (r *Replica) knowsLevel(now time.Duration, message consensus.Message) bool {
+func (r *Replica) checkLevel(now time.Duration, message consensus.Message) bool {
 	r.stopErr = r.config.Level.Knows(message.InForce)
 	if r.stopErr != nil {
 		return false
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -184,7 +184,7 @@
 
 // Step handles a message of another replica.
 func (r *Replica) Step(now time.Duration, message consensus.Message) {
-	if r.stopErr != nil || !r.knowsLevel(now, message) {
+	if r.stopErr != nil || !r.checkLevel(now, message) {
 		return
 	}
 	r.node.Step(now, message)
