--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// tendLevel raises the level in force once all members have told a higher one for a while.
-func (r *Replica) tendLevel(now time.Duration) {
+// raiseLevel raises the level in force once all members have told a higher one for a while.
+func (r *Replica) raiseLevel(now time.Duration) {
 	l := &r.leader.levels
 	if common := r.commonLevel(now); common != l.common {
 		l.common, l.commonSince = common, now
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -172,7 +172,7 @@
 		r.noteHeld(now)
 		r.noteGateways(now)
 		r.tendQuarantine(now)
-		r.tendLevel(now)
+		r.raiseLevel(now)
 		r.rollOut(now)
 	}
 	if r.leader != nil {
