--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -73,8 +73,8 @@
 	return common
 }
 
-// toldLevel returns the level that a member told last, for operators.
-func (r *Replica) toldLevel(id consensus.ID) level.Level {
+// memberLevel returns the level that a member told last, for operators.
+func (r *Replica) memberLevel(id consensus.ID) level.Level {
 	switch {
 	case id == r.config.ID:
 		return r.config.Level
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -22,7 +22,7 @@
 		peers[peer.ID] = peer
 	}
 	for _, member := range r.members() {
-		line := MemberStatus{Member: member, Match: peers[member.ID].Match, Level: r.toldLevel(member.ID)}
+		line := MemberStatus{Member: member, Match: peers[member.ID].Match, Level: r.memberLevel(member.ID)}
 		if peer, found := peers[member.ID]; found {
 			line.Silent = now - peer.HeardAt
 		}
