--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -84,8 +84,8 @@
 	return r.leader.levels.reported[id].level
 }
 
-// stamp tells the group of this build, with each message.
-func (r *Replica) stamp(messages []consensus.Message) []consensus.Message {
+// stampLevel tells the group of this build, with each message.
+func (r *Replica) stampLevel(messages []consensus.Message) []consensus.Message {
 	for i := range messages {
 		messages[i].Level, messages[i].InForce = r.config.Level, r.machine.level
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -298,7 +298,7 @@
 		r.leader.gatewayListChanged = false
 		r.answerWatchers(now)
 	}
-	r.effects.Messages = append(r.effects.Messages, r.stamp(r.ready.Messages)...)
+	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
 	r.tendRelay(now)
