--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -22,8 +22,8 @@
 	relayReplicaTTL = 900 * time.Millisecond
 )
 
-// nearReplica is a replica that answers the gateways of its zone.
-type nearReplica struct {
+// relayReplica is a replica that answers the gateways of its zone.
+type relayReplica struct {
 	zone    string
 	address string
 	at      time.Duration // of its newest question
@@ -92,7 +92,7 @@
 // takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
 // than it did.
 func (r *Replica) takeRelay(now time.Duration, client uint64, question relay.Question) {
-	r.leader.relayReplicas[question.Name] = nearReplica{zone: question.Zone, address: question.Address, at: now}
+	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
 	for _, report := range question.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -57,9 +57,9 @@
 	lastLayout                *relay.Layout // nil before the first
 	lastLayoutAt              time.Duration
 	layoutCount               uint64
-	relayReplicas             map[string]nearReplica // by name; those that ask for gateways
-	cacheEventSources         map[string][]string    // by gateway: engines whose cache events it reads; nil when the layout has changed
-	cacheEventSourcesCount    uint64                 // of the roster that it follows from
+	relayReplicas             map[string]relayReplica // by name; those that ask for gateways
+	cacheEventSources         map[string][]string     // by gateway: engines whose cache events it reads; nil when the layout has changed
+	cacheEventSourcesCount    uint64                  // of the roster that it follows from
 	trusting                  trusting
 	rosterCount               uint64 // rises whenever the roster may have changed
 	roster                    roster.Log
@@ -100,7 +100,7 @@
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
-		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]nearReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
+		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewLender(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
