--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -46,7 +46,7 @@
 	lead.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
 	lead.planner.Plan(now, gateways)
 	planned, count := lead.planner.Layout()
-	near := r.nearReplicas(now)
+	near := r.relayReplicaAddresses(now)
 	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
 		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
 		mesh := *planned
@@ -55,8 +55,8 @@
 	return lead.lastLayout
 }
 
-// nearReplicas returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
-func (r *Replica) nearReplicas(now time.Duration) map[string][]string {
+// relayReplicaAddresses returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
+func (r *Replica) relayReplicaAddresses(now time.Duration) map[string][]string {
 	if !r.manyGateways() {
 		return nil
 	}
