--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -57,7 +57,7 @@
 
 // relayReplicaAddresses returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
 func (r *Replica) relayReplicaAddresses(now time.Duration) map[string][]string {
-	if !r.manyGateways() {
+	if !r.needsRelays() {
 		return nil
 	}
 	near := map[string][]string{}
@@ -73,8 +73,8 @@
 	return near
 }
 
-// manyGateways reports whether there are more gateways than the leader answers by itself.
-func (r *Replica) manyGateways() bool {
+// needsRelays reports whether there are more gateways than the leader answers by itself.
+func (r *Replica) needsRelays() bool {
 	return len(r.machine.catalog.Gateways()) > r.config.MaxDirectGateways
 }
 
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -14,7 +14,7 @@
 
 // relays reports whether this replica answers gateways for the leader.
 func (r *Replica) relays() bool {
-	return r.leader == nil && r.manyGateways() && r.leaderAddress() != ""
+	return r.leader == nil && r.needsRelays() && r.leaderAddress() != ""
 }
 
 // takeWaiting takes a gateway's question to be answered for the leader.
