--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -78,8 +78,8 @@
 	return len(r.machine.catalog.Gateways()) > r.config.MaxDirectGateways
 }
 
-// readsOf returns the engines whose cache events a gateway reads.
-func (r *Replica) readsOf(now time.Duration, gateway string) []string {
+// cacheEventSourcesOf returns the engines whose cache events a gateway reads.
+func (r *Replica) cacheEventSourcesOf(now time.Duration, gateway string) []string {
 	lead := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -203,7 +203,7 @@
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
 	reply.placed(r.layout(now), &watch)
-	reply.Reads = r.readsOf(now, watch.Gateway)
+	reply.Reads = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
 }
 
