--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -89,9 +89,9 @@
 	return lead.cacheEventSources[gateway]
 }
 
-// takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
+// handleRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
 // than it did.
-func (r *Replica) takeRelay(now time.Duration, client uint64, question relay.Question) {
+func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
 	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
 	for _, report := range question.Reports {
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -159,7 +159,7 @@
 	case request.Watch != nil:
 		r.watch(now, client, *request.Watch)
 	case request.Relay != nil:
-		r.takeRelay(now, client, *request.Relay)
+		r.handleRelay(now, client, *request.Relay)
 	case request.Borrow != nil:
 		r.lend(now, client, *request.Borrow)
 	case request.Document != nil:
