--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	inputRing     = 8192
+	inputCapacity = 8192
 	outboxRing    = 1024
 	callRing      = 1024
 	drainBatch    = 512
@@ -115,7 +115,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputRing), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan queuedCall, callRing),
+		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan queuedCall, callRing),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
