--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -21,7 +21,7 @@
 	s.mutex.Lock()
 	queue, found := s.outboxes[message.To]
 	if !found {
-		queue = make(chan consensus.Message, outboxRing)
+		queue = make(chan consensus.Message, outboxCapacity)
 		s.outboxes[message.To] = queue
 		go s.sendTo(address, queue)
 	}
