--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -27,7 +27,7 @@
 const (
 	inputCapacity  = 8192
 	outboxCapacity = 1024
-	callRing       = 1024
+	callCapacity   = 1024
 	drainBatch     = 512
 	sendTimeout    = 2 * time.Second
 	joinPeriod     = 300 * time.Millisecond
@@ -115,7 +115,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callRing), weightsCalls: make(chan queuedCall, callRing),
+		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
