--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,7 +28,7 @@
 	inputCapacity  = 8192
 	outboxCapacity = 1024
 	callCapacity   = 1024
-	drainBatch     = 512
+	maxInputBatch  = 512
 	sendTimeout    = 2 * time.Second
 	joinPeriod     = 300 * time.Millisecond
 	rejoinPeriod   = 2 * time.Second
@@ -285,7 +285,7 @@
 
 // handleQueued takes what else waits, so that many proposals share one sync.
 func (s *Server) handleQueued() {
-	for range drainBatch {
+	for range maxInputBatch {
 		select {
 		case item := <-s.inputs:
 			s.handleInput(item)
