--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -95,7 +95,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinPeriod):
+		case <-time.After(joinInterval):
 		}
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -30,7 +30,7 @@
 	callCapacity   = 1024
 	maxInputBatch  = 512
 	sendTimeout    = 2 * time.Second
-	joinPeriod     = 300 * time.Millisecond
+	joinInterval   = 300 * time.Millisecond
 	rejoinPeriod   = 2 * time.Second
 	maximumLinger  = 50 * time.Millisecond // longest sleep of the decide thread
 	// relayAbove is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
