--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -133,7 +133,7 @@
 // rejoinWhileLeaderless is the thread that asks to become a learner while no leader is known: the group may have replaced this replica
 // while it was away. For a member it changes nothing.
 func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
-	transport.Every(ctx, rejoinPeriod, func() {
+	transport.Every(ctx, rejoinInterval, func() {
 		if s.hasStateWithoutLeader() {
 			s.tryJoin(ctx)
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -31,7 +31,7 @@
 	maxInputBatch  = 512
 	sendTimeout    = 2 * time.Second
 	joinInterval   = 300 * time.Millisecond
-	rejoinPeriod   = 2 * time.Second
+	rejoinInterval = 2 * time.Second
 	maximumLinger  = 50 * time.Millisecond // longest sleep of the decide thread
 	// relayAbove is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
 	// 100 of a core. Beyond, all replicas answer, and what the leader answers doesn't grow with the gateways.
