--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	inputCapacity  = 8192
-	outboxCapacity = 1024
-	callCapacity   = 1024
-	maxInputBatch  = 512
-	sendTimeout    = 2 * time.Second
-	joinInterval   = 300 * time.Millisecond
-	rejoinInterval = 2 * time.Second
-	maximumLinger  = 50 * time.Millisecond // longest sleep of the decide thread
+	inputCapacity   = 8192
+	outboxCapacity  = 1024
+	callCapacity    = 1024
+	maxInputBatch   = 512
+	sendTimeout     = 2 * time.Second
+	joinInterval    = 300 * time.Millisecond
+	rejoinInterval  = 2 * time.Second
+	maxTickInterval = 50 * time.Millisecond // longest sleep of the decide thread
 	// relayAbove is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
 	// 100 of a core. Beyond, all replicas answer, and what the leader answers doesn't grow with the gateways.
 	relayAbove = 128
@@ -256,7 +256,7 @@
 		s.logLevelChange()
 		s.noteOverLimits()
 		s.noteHeldBack()
-		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maximumLinger))
+		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
 }
 
