--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -33,9 +33,9 @@
 	joinInterval    = 300 * time.Millisecond
 	rejoinInterval  = 2 * time.Second
 	maxTickInterval = 50 * time.Millisecond // longest sleep of the decide thread
-	// relayAbove is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
+	// maxDirectGateways is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
 	// 100 of a core. Beyond, all replicas answer, and what the leader answers doesn't grow with the gateways.
-	relayAbove = 128
+	maxDirectGateways = 128
 )
 
 // input is one thing for the decide thread; exactly one field is set.
@@ -140,7 +140,7 @@
 	}
 	return Config{
 		Mechanisms: mechanisms, Level: level.Own,
-		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: relayAbove, Timing: timing,
+		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
 	}, nil
