--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -71,14 +71,14 @@
 
 // Machine is the replicated state.
 type Machine struct {
-	settings *settings.Machine
-	ledger   *ledger.Ledger
-	catalog  *catalog.Machine
-	sessions map[string]Session // by router name
-	orders   map[string]Order   // newest order by engine
-	peersAt  uint64             // log index of the newest opened or closed session
-	nowMS    int64
-	level    level.Level // in force; it never falls
+	settings     *settings.Machine
+	ledger       *ledger.Ledger
+	catalog      *catalog.Machine
+	sessions     map[string]Session // by router name
+	orders       map[string]Order   // newest order by engine
+	peersVersion uint64             // log index of the newest opened or closed session
+	nowMS        int64
+	level        level.Level // in force; it never falls
 }
 
 // NewMachine returns the empty state.
@@ -105,7 +105,7 @@
 
 // Peers returns the routers with a session, sorted by name.
 func (m *Machine) Peers() *PeerList {
-	list := &PeerList{Version: m.peersAt}
+	list := &PeerList{Version: m.peersVersion}
 	for _, name := range sortedKeys(m.sessions) {
 		session := m.sessions[name]
 		list.Peers = append(list.Peers, Peer{Name: name, Zone: session.Zone, Address: session.Address})
@@ -164,7 +164,7 @@
 	}
 	session.Epoch = index
 	m.sessions[session.Router] = session
-	m.peersAt = index
+	m.peersVersion = index
 	return session
 }
 
@@ -173,7 +173,7 @@
 		return
 	}
 	delete(m.sessions, holder.Router)
-	m.peersAt = index
+	m.peersVersion = index
 	m.ledger.CloseSession(holder)
 }
 
@@ -191,7 +191,7 @@
 
 // Snapshot returns the whole state.
 func (m *Machine) Snapshot() []byte {
-	data, err := json.Marshal(machineSnapshot{m.settings, m.ledger, m.sessions, m.orders, m.nowMS, m.peersAt, m.catalog, m.level})
+	data, err := json.Marshal(machineSnapshot{m.settings, m.ledger, m.sessions, m.orders, m.nowMS, m.peersVersion, m.catalog, m.level})
 	if err != nil {
 		panic(fmt.Sprintf("control: state cannot be written: %v", err))
 	}
@@ -206,7 +206,7 @@
 	}
 	form.Settings.Guards, form.Catalog.Guards = m.settings.Guards, m.catalog.Guards
 	m.settings, m.ledger, m.nowMS = form.Settings, form.Ledger, form.NowMS
-	m.peersAt, m.catalog, m.level = form.PeersAt, form.Catalog, form.Level
+	m.peersVersion, m.catalog, m.level = form.PeersAt, form.Catalog, form.Level
 	m.sessions, m.orders = form.Sessions, form.Orders
 	if m.sessions == nil {
 		m.sessions = map[string]Session{}
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -85,7 +85,7 @@
 		reply.Tree = &tree
 	}
 	lease.sentVersion = version
-	if beat.PeersSeen != r.machine.peersAt {
+	if beat.PeersSeen != r.machine.peersVersion {
 		reply.Peers = r.machine.Peers()
 	}
 	reply.Quarantine = r.quarantineNews(beat.Quarantine)
