--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -28,14 +28,14 @@
 	forms.Check[consensus.Membership](t, "membership")
 }
 
-// state is the replicated state as a snapshot holds it.
-type state struct{ machine *Machine }
+// machineState is the replicated machineState as a snapshot holds it.
+type machineState struct{ machine *Machine }
 
 // MarshalJSON writes the state as a snapshot holds it.
-func (s *state) MarshalJSON() ([]byte, error) { return s.machine.Snapshot(), nil }
+func (s *machineState) MarshalJSON() ([]byte, error) { return s.machine.Snapshot(), nil }
 
 // UnmarshalJSON takes the state up as from a snapshot.
-func (s *state) UnmarshalJSON(data []byte) error {
+func (s *machineState) UnmarshalJSON(data []byte) error {
 	s.machine = NewMachine(guard.Set{})
 	return s.machine.Restore(data)
 }
@@ -70,7 +70,7 @@
 		command.UnixMS = testWallStart + int64(i)
 		machine.catalog.Apply(command)
 	}
-	forms.CheckValue(t, "state", &state{machine})
+	forms.CheckValue(t, "state", &machineState{machine})
 }
 
 func ptr[T any](value T) *T { return &value }
