--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -41,8 +41,8 @@
 // soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
 func TestWatchWaitsForLeaderElection(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
-	const patient, hasty = 1000, 1001
-	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
+	const holding, hasty = 1000, 1001
+	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
 	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
 	if len(s.replies) > 0 {
@@ -54,7 +54,7 @@
 		t.Fatalf("hasty question: %+v", s.replies[hasty])
 	}
 	s.advance(400 * time.Millisecond)
-	if reply := s.replies[patient]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
+	if reply := s.replies[holding]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
 		t.Fatalf("patient question: %+v", reply)
 	}
 }
