--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -41,17 +41,17 @@
 // soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
 func TestWatchWaitsForLeaderElection(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
-	const holding, hasty = 1000, 1001
+	const holding, immediate = 1000, 1001
 	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
-	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
+	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
 	if len(s.replies) > 0 {
 		t.Fatalf("answered before there is a leader: %+v", s.replies)
 	}
 	s.replica.endLeaderless(s.now)
 	s.work()
-	if s.replies[hasty].Kind != ResponseNotLeader {
-		t.Fatalf("hasty question: %+v", s.replies[hasty])
+	if s.replies[immediate].Kind != ResponseNotLeader {
+		t.Fatalf("hasty question: %+v", s.replies[immediate])
 	}
 	s.advance(400 * time.Millisecond)
 	if reply := s.replies[holding]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
