--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -115,15 +115,15 @@
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
-	const patient, hasty = 1000, 1001
-	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
+	const holding, hasty = 1000, 1001
+	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
 	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
-	if _, answered := s.replies[patient]; answered || s.replies[hasty].Kind != ResponseNotFormed {
+	if _, answered := s.replies[holding]; answered || s.replies[hasty].Kind != ResponseNotFormed {
 		t.Fatalf("replies %+v", s.replies)
 	}
 	s.advance(500 * time.Millisecond)
-	if reply := s.replies[patient]; reply.Kind != ResponseNotFormed {
+	if reply := s.replies[holding]; reply.Kind != ResponseNotFormed {
 		t.Fatalf("reply %+v", reply)
 	}
 }
