--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -115,11 +115,11 @@
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
-	const holding, hasty = 1000, 1001
+	const holding, immediate = 1000, 1001
 	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
-	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
+	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
-	if _, answered := s.replies[holding]; answered || s.replies[hasty].Kind != ResponseNotFormed {
+	if _, answered := s.replies[holding]; answered || s.replies[immediate].Kind != ResponseNotFormed {
 		t.Fatalf("replies %+v", s.replies)
 	}
 	s.advance(500 * time.Millisecond)
