--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -13,10 +13,10 @@
 // registerBackends has so many back ends register in one cycle, gathered by several replicas, and returns the entries that it took.
 func registerBackends(s *singleReplica, count int) uint64 {
 	before := s.replica.Node().LastIndex()
-	const each = 50
-	for first := 0; first < count; first += each {
+	const batchSize = 50
+	for first := 0; first < count; first += batchSize {
 		var batch []Beat
-		for i := first; i < min(first+each, count); i++ {
+		for i := first; i < min(first+batchSize, count); i++ {
 			batch = append(batch, beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1))
 		}
 		s.replica.Handle(s.now, uint64(100_000+first), Request{Beats: batch})
