--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -198,19 +198,19 @@
 	early := m.members[0].disk
 	early.Entries = slices.Clone(early.Entries)
 	m.advance(20 * time.Second)
-	away := m.members[0]
-	for _, disk := range []Checkpoint{away.disk, early} {
-		away.level, away.disk, away.replica = 1, disk, nil
-		m.start(away)
+	outdated := m.members[0]
+	for _, disk := range []Checkpoint{outdated.disk, early} {
+		outdated.level, outdated.disk, outdated.replica = 1, disk, nil
+		m.start(outdated)
 		m.advance(2 * time.Second)
-		if away.replica != nil || !reflect.DeepEqual(away.disk, disk) {
-			t.Fatalf("runs: %t, on a state of %d entries, %d before", away.replica != nil, len(away.disk.Entries), len(disk.Entries))
+		if outdated.replica != nil || !reflect.DeepEqual(outdated.disk, disk) {
+			t.Fatalf("runs: %t, on a state of %d entries, %d before", outdated.replica != nil, len(outdated.disk.Entries), len(disk.Entries))
 		}
 	}
-	away.level = 2
-	m.start(away)
+	outdated.level = 2
+	m.start(outdated)
 	m.advance(2 * time.Second)
-	if away.replica == nil || away.replica.Machine().Level() != 2 {
+	if outdated.replica == nil || outdated.replica.Machine().Level() != 2 {
 		t.Fatal("the newer build doesn't go on from there")
 	}
 }
