--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -195,11 +195,11 @@
 // TestOutdatedBuildLeavesStateUnchanged: one that starts on what a newer one wrote, and one that was away when the level rose.
 func TestOutdatedBuildLeavesStateUnchanged(t *testing.T) {
 	m := newMixedGroup(t, 2, 2, 2)
-	early := m.members[0].disk
-	early.Entries = slices.Clone(early.Entries)
+	outdatedDisk := m.members[0].disk
+	outdatedDisk.Entries = slices.Clone(outdatedDisk.Entries)
 	m.advance(20 * time.Second)
 	outdated := m.members[0]
-	for _, disk := range []Checkpoint{outdated.disk, early} {
+	for _, disk := range []Checkpoint{outdated.disk, outdatedDisk} {
 		outdated.level, outdated.disk, outdated.replica = 1, disk, nil
 		m.start(outdated)
 		m.advance(2 * time.Second)
