--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -46,11 +46,11 @@
 	lead.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
 	lead.planner.Plan(now, gateways)
 	planned, count := lead.planner.Layout()
-	near := r.relayReplicaAddresses(now)
-	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(near, lead.lastLayout.Near) {
+	addresses := r.relayReplicaAddresses(now)
+	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(addresses, lead.lastLayout.Near) {
 		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
 		mesh := *planned
-		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &mesh, Near: near}
+		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &mesh, Near: addresses}
 	}
 	return lead.lastLayout
 }
