--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -60,17 +60,17 @@
 	if !r.needsRelays() {
 		return nil
 	}
-	near := map[string][]string{}
+	addresses := map[string][]string{}
 	for _, replica := range r.leader.relayReplicas {
 		if now-replica.at <= relayReplicaTTL {
-			near[replica.zone] = append(near[replica.zone], replica.address)
+			addresses[replica.zone] = append(addresses[replica.zone], replica.address)
 		}
 	}
-	near[r.config.Zone] = append(near[r.config.Zone], r.config.Address)
-	for _, addresses := range near {
+	addresses[r.config.Zone] = append(addresses[r.config.Zone], r.config.Address)
+	for _, addresses := range addresses {
 		slices.Sort(addresses)
 	}
-	return near
+	return addresses
 }
 
 // needsRelays reports whether there are more gateways than the leader answers by itself.
