--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -31,28 +31,28 @@
 
 // layout returns the newest layout of the gateways that asked lately.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
-	lead := r.leader
-	if lead.lastLayout != nil && now < lead.lastLayoutAt+layoutInterval {
-		return lead.lastLayout
+	state := r.leader
+	if state.lastLayout != nil && now < state.lastLayoutAt+layoutInterval {
+		return state.lastLayout
 	}
-	lead.lastLayoutAt = now
+	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
-	for name, report := range lead.usage {
+	for name, report := range state.usage {
 		if report.address != "" && now-report.at <= usageCounts {
 			gateways = append(gateways, mesh.Gateway{Place: mesh.Place{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	lead.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
-	lead.planner.Plan(now, gateways)
-	planned, count := lead.planner.Layout()
+	state.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
+	state.planner.Plan(now, gateways)
+	planned, count := state.planner.Layout()
 	addresses := r.relayReplicaAddresses(now)
-	if lead.lastLayout == nil || lead.plannedLayoutCount != count || !reflect.DeepEqual(addresses, lead.lastLayout.Near) {
-		lead.plannedLayoutCount, lead.layoutCount, lead.cacheEventSources = count, lead.layoutCount+1, nil
+	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
+		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
 		mesh := *planned
-		lead.lastLayout = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &mesh, Near: addresses}
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &mesh, Near: addresses}
 	}
-	return lead.lastLayout
+	return state.lastLayout
 }
 
 // relayReplicaAddresses returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
