--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -159,16 +159,16 @@
 	defer s.closeAdmin(admin)
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var threads sync.WaitGroup
-	threads.Go(func() { s.runReplica(run) })
-	threads.Go(func() { s.sendCalls(run) })
-	threads.Go(func() { s.watchEngines(run) })
-	threads.Go(func() { s.callBackends(run) })
-	threads.Go(func() { s.passBeats(run) })
-	threads.Go(func() { s.refreshMembership(run) })
-	threads.Go(func() { s.rejoinWhileLeaderless(run) })
+	var workers sync.WaitGroup
+	workers.Go(func() { s.runReplica(run) })
+	workers.Go(func() { s.sendCalls(run) })
+	workers.Go(func() { s.watchEngines(run) })
+	workers.Go(func() { s.callBackends(run) })
+	workers.Go(func() { s.passBeats(run) })
+	workers.Go(func() { s.refreshMembership(run) })
+	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
-		threads.Go(func() { s.joinOrFound(run) })
+		workers.Go(func() { s.joinOrFound(run) })
 	}
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldWithout, s.config.Mechanisms.Off()))
 	select {
@@ -179,7 +179,7 @@
 	closing, done := context.WithTimeout(context.Background(), sendTimeout)
 	defer done()
 	_ = listener.Close(closing)
-	threads.Wait()
+	workers.Wait()
 	if closeErr := s.disk.Close(); err == nil {
 		err = closeErr
 	}
