--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -64,11 +64,11 @@
 		if member.ID == r.config.ID {
 			continue
 		}
-		told := r.leader.levels.reported[member.ID]
-		if now-told.at > levelReportTTL {
+		last := r.leader.levels.reported[member.ID]
+		if now-last.at > levelReportTTL {
 			return level.Untold
 		}
-		common = min(common, told.level)
+		common = min(common, last.level)
 	}
 	return common
 }
