--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -84,11 +84,11 @@
 // founds one if it is the first founder and every other founder has answered that it has no state either.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
-		exists, allEmpty := s.probeFounders(ctx)
+		groupExists, allEmpty := s.probeFounders(ctx)
 		switch {
-		case exists && s.tryJoin(ctx):
+		case groupExists && s.tryJoin(ctx):
 			return
-		case !exists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
+		case !groupExists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
 			s.inputs <- input{foundGroup: true}
 			return
 		}
