--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -16,8 +16,8 @@
 	"kitetiller/internal/level"
 )
 
-// build is a member of a group whose members may run different builds.
-type build struct {
+// groupMember is a member of a group whose members may run different builds.
+type groupMember struct {
 	id      consensus.ID
 	level   level.Level
 	replica *Replica // nil while it doesn't run
@@ -29,7 +29,7 @@
 type mixed struct {
 	t       rapid.TB
 	now     time.Duration
-	members []*build
+	members []*groupMember
 	chances *rand.Rand
 }
 
@@ -43,7 +43,7 @@
 	for i, l := range levels {
 		disk := Checkpoint{HardState: consensus.HardState{Term: 1}}
 		disk.Snapshot = consensus.Snapshot{Meta: consensus.SnapshotMeta{Index: 1, Term: 1, Membership: membership}, Data: NewMachine(guard.Set{}).Snapshot()}
-		b := &build{id: membership.Members[i].ID, level: l, disk: disk}
+		b := &groupMember{id: membership.Members[i].ID, level: l, disk: disk}
 		m.members = append(m.members, b)
 		m.start(b)
 	}
@@ -51,7 +51,7 @@
 }
 
 // start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
-func (m *mixed) start(b *build) {
+func (m *mixed) start(b *groupMember) {
 	config := singleReplicaConfig(b.id)
 	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.chances.Int64N
 	before := b.disk
@@ -84,7 +84,7 @@
 	}
 }
 
-func (m *mixed) work(b *build) (sent []consensus.Message) {
+func (m *mixed) work(b *groupMember) (sent []consensus.Message) {
 	for b.replica.HasWork() {
 		if err := b.disk.Apply(b.replica.Prepare()); err != nil {
 			m.t.Fatal(err)
@@ -108,7 +108,7 @@
 	return m.work(to)
 }
 
-func (m *mixed) member(id consensus.ID) *build {
+func (m *mixed) member(id consensus.ID) *groupMember {
 	for _, b := range m.members {
 		if b.id == id {
 			return b
@@ -118,7 +118,7 @@
 }
 
 // checkMember ends a replica that says so, and checks that no other one holds what its build doesn't know.
-func (m *mixed) checkMember(b *build) {
+func (m *mixed) checkMember(b *groupMember) {
 	if err := b.replica.Err(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
 			m.t.Fatal(err)
