--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -18,11 +18,11 @@
 
 // groupMember is a member of a group whose members may run different builds.
 type groupMember struct {
-	id      consensus.ID
-	level   level.Level
-	replica *Replica // nil while it doesn't run
-	disk    Checkpoint
-	cut     bool
+	id          consensus.ID
+	level       level.Level
+	replica     *Replica // nil while it doesn't run
+	disk        Checkpoint
+	partitioned bool
 }
 
 // mixed is a group in memory.
@@ -97,7 +97,7 @@
 
 func (m *mixed) deliver(message consensus.Message) []consensus.Message {
 	from, to := m.member(message.From), m.member(message.To)
-	if to == nil || to.replica == nil || from.cut || to.cut {
+	if to == nil || to.replica == nil || from.partitioned || to.partitioned {
 		return nil
 	}
 	entries, snapshot := len(to.disk.Entries), to.disk.Snapshot.Meta.Index
@@ -227,16 +227,16 @@
 				b.replica, b.level = nil, rapid.SampledFrom([]level.Level{1, 2, 3}).Draw(t, "build")
 				m.start(b)
 			case "cut":
-				b.cut = true
+				b.partitioned = true
 			case "heal":
-				b.cut = false
+				b.partitioned = false
 			case "end":
 				b.replica = nil
 			}
 			m.advance(time.Duration(rapid.IntRange(20, 8000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for _, b := range m.members {
-			b.cut, b.level, b.replica = false, 3, nil
+			b.partitioned, b.level, b.replica = false, 3, nil
 			m.start(b)
 		}
 		m.advance(20 * time.Second)
