--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -25,16 +25,16 @@
 	partitioned bool
 }
 
-// mixed is a group in memory.
-type mixed struct {
+// mixedGroup is a group in memory.
+type mixedGroup struct {
 	t       rapid.TB
 	now     time.Duration
 	members []*groupMember
 	chances *rand.Rand
 }
 
-func newMixedGroup(t rapid.TB, levels ...level.Level) *mixed {
-	m := &mixed{t: t, chances: rand.New(rand.NewPCG(1, 1))}
+func newMixedGroup(t rapid.TB, levels ...level.Level) *mixedGroup {
+	m := &mixedGroup{t: t, chances: rand.New(rand.NewPCG(1, 1))}
 	var membership consensus.Membership
 	for i := range levels {
 		id := consensus.ID(fmt.Sprint("c", i))
@@ -51,7 +51,7 @@
 }
 
 // start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
-func (m *mixed) start(b *groupMember) {
+func (m *mixedGroup) start(b *groupMember) {
 	config := singleReplicaConfig(b.id)
 	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.chances.Int64N
 	before := b.disk
@@ -68,7 +68,7 @@
 }
 
 // advance lets time advance.
-func (m *mixed) advance(length time.Duration) {
+func (m *mixedGroup) advance(length time.Duration) {
 	for end := m.now + length; m.now < end; m.now += 20 * time.Millisecond {
 		var sent []consensus.Message
 		for _, b := range m.members {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (m *mixed) work(b *groupMember) (sent []consensus.Message) {
+func (m *mixedGroup) work(b *groupMember) (sent []consensus.Message) {
 	for b.replica.HasWork() {
 		if err := b.disk.Apply(b.replica.Prepare()); err != nil {
 			m.t.Fatal(err)
@@ -95,7 +95,7 @@
 	return sent
 }
 
-func (m *mixed) deliver(message consensus.Message) []consensus.Message {
+func (m *mixedGroup) deliver(message consensus.Message) []consensus.Message {
 	from, to := m.member(message.From), m.member(message.To)
 	if to == nil || to.replica == nil || from.partitioned || to.partitioned {
 		return nil
@@ -108,7 +108,7 @@
 	return m.work(to)
 }
 
-func (m *mixed) member(id consensus.ID) *groupMember {
+func (m *mixedGroup) member(id consensus.ID) *groupMember {
 	for _, b := range m.members {
 		if b.id == id {
 			return b
@@ -118,7 +118,7 @@
 }
 
 // checkMember ends a replica that says so, and checks that no other one holds what its build doesn't know.
-func (m *mixed) checkMember(b *groupMember) {
+func (m *mixedGroup) checkMember(b *groupMember) {
 	if err := b.replica.Err(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
 			m.t.Fatal(err)
@@ -132,7 +132,7 @@
 }
 
 // inForce returns the highest level that a running member holds.
-func (m *mixed) inForce() (highest level.Level) {
+func (m *mixedGroup) inForce() (highest level.Level) {
 	for _, b := range m.members {
 		if b.replica != nil {
 			highest = max(highest, b.replica.Machine().Level())
