--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -30,11 +30,11 @@
 	t       rapid.TB
 	now     time.Duration
 	members []*groupMember
-	chances *rand.Rand
+	random  *rand.Rand
 }
 
 func newMixedGroup(t rapid.TB, levels ...level.Level) *mixedGroup {
-	m := &mixedGroup{t: t, chances: rand.New(rand.NewPCG(1, 1))}
+	m := &mixedGroup{t: t, random: rand.New(rand.NewPCG(1, 1))}
 	var membership consensus.Membership
 	for i := range levels {
 		id := consensus.ID(fmt.Sprint("c", i))
@@ -53,7 +53,7 @@
 // start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
 func (m *mixedGroup) start(b *groupMember) {
 	config := singleReplicaConfig(b.id)
-	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.chances.Int64N
+	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.random.Int64N
 	before := b.disk
 	restored := b.disk
 	restored.Entries = slices.Clone(restored.Entries)
