--- a/internal/control/storage.go
+++ b/internal/control/storage.go
@@ -115,10 +115,10 @@
 
 // appendEntry adds an entry; one at an index already held replaces it and all after it.
 func (c *Checkpoint) appendEntry(entry consensus.Entry) error {
-	base := c.Snapshot.Meta.Index
-	position := int64(entry.Index) - int64(base) - 1
+	snapshotIndex := c.Snapshot.Meta.Index
+	position := int64(entry.Index) - int64(snapshotIndex) - 1
 	if position < 0 || position > int64(len(c.Entries)) {
-		return eris.Wrapf(storage.ErrDamaged, "entry %d does not follow entry %d", entry.Index, base+uint64(len(c.Entries)))
+		return eris.Wrapf(storage.ErrDamaged, "entry %d does not follow entry %d", entry.Index, snapshotIndex+uint64(len(c.Entries)))
 	}
 	c.Entries = append(c.Entries[:position:position], entry)
 	return nil
