--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -80,13 +80,13 @@
 
 // cacheEventSourcesOf returns the engines whose cache events a gateway reads.
 func (r *Replica) cacheEventSourcesOf(now time.Duration, gateway string) []string {
-	lead := r.leader
+	state := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
-	if lead.cacheEventSources == nil || lead.cacheEventSourcesCount != lead.roster.Count() {
-		lead.cacheEventSources, lead.cacheEventSourcesCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
+	if state.cacheEventSources == nil || state.cacheEventSourcesCount != state.roster.Count() {
+		state.cacheEventSources, state.cacheEventSourcesCount = relay.Readers(layout.Mesh, &state.roster), state.roster.Count()
 	}
-	return lead.cacheEventSources[gateway]
+	return state.cacheEventSources[gateway]
 }
 
 // handleRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
