--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -15,11 +15,11 @@
 const (
 	adminTimeout      = 5 * time.Second
 	maxAdminBodyBytes = 32 << 20
-	// PathAdmin takes operators' requests.
+	// PathAdmin is the path of operators' requests.
 	PathAdmin = "/v1/control"
 )
 
-// listenAdmin opens the operators' listener. Any replica answers; it passes changes and reads to the leader.
+// listenAdmin starts the admin API, if configured. Every replica serves it and forwards changes and reads to the leader.
 func (s *Server) listenAdmin() (*http.Server, error) {
 	if s.file.Control.Admin == "" {
 		return nil, nil
@@ -69,10 +69,10 @@
 		response = Response{Kind: ResponseUnknown}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(response) // an operator that is gone cannot be told
+	_ = json.NewEncoder(w).Encode(response) // a failed write cannot be reported to the client
 }
 
-// answerAdmin answers status from this replica and the rest through the leader.
+// answerAdmin answers status requests from this replica and forwards all others to the leader.
 func (s *Server) answerAdmin(ctx context.Context, request Request) (Response, error) {
 	bounded, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
