--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -17,19 +17,19 @@
 	"kitetiller/internal/storage"
 )
 
-// singleReplica is a group of one replica on a real folder.
+// singleReplica is a group of one replica with a data folder on disk and a simulated clock.
 type singleReplica struct {
 	t            *testing.T
 	folder       string
 	disk         *Disk
 	replica      *Replica
 	now          time.Duration
-	wallOffset   time.Duration // of the time of day, beyond the replica's own clock
+	wallOffset   time.Duration // offset of the wall clock from the replica's clock
 	replies      map[uint64]Response
 	weightsCalls []WeightsCall
 }
 
-// testWallStart is the time of day at which a test's clock starts, in milliseconds.
+// testWallStart is the wall clock at the start of a test, in Unix milliseconds.
 const testWallStart = 1_700_000_000_000
 
 func singleReplicaConfig(id consensus.ID) Config {
@@ -92,18 +92,18 @@
 	edit := settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(value))}
 	response := s.ask(Request{Change: &settings.Change{Base: base, OperationID: fmt.Sprint(base, "-", value), Edits: []settings.Edit{edit}}})
 	if response.Change == nil {
-		s.t.Fatalf("response %+v", response)
+		s.t.Fatalf("response without the outcome of the change: %+v", response)
 	}
 	return *response.Change
 }
 
-// TestRestartRestoresNewestSettingsVersion: snapshots, compaction and replay must end at the newest version.
+// TestRestartRestoresNewestSettingsVersion guards against changes lost by snapshots, compaction or replay.
 func TestRestartRestoresNewestSettingsVersion(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	for i := range 300 {
 		if outcome := s.set(uint64(i), i); outcome.Kind != settings.OutcomeAccepted {
-			t.Fatalf("change %d: %+v", i, outcome)
+			t.Fatalf("change %d was not accepted: %+v", i, outcome)
 		}
 		if i%100 == 50 {
 			_ = s.disk.Close()
@@ -114,10 +114,10 @@
 	s = openSingleReplica(t, folder)
 	read := s.ask(Request{Read: &Read{History: true}}).Read
 	if read.Version != 300 || read.Tree.Resolve().QueueLimit != 299 {
-		t.Fatalf("version %d, queue_limit %d", read.Version, read.Tree.Resolve().QueueLimit)
+		t.Fatalf("after restart: version %d, queue_limit %d, want 300 and 299", read.Version, read.Tree.Resolve().QueueLimit)
 	}
 	if again := s.set(7, 7); again.Kind != settings.OutcomeAccepted || again.Version != 8 {
-		t.Fatalf("resend of an old change: %+v", again)
+		t.Fatalf("resend of an old change: outcome %+v, want accepted as version 8", again)
 	}
 }
 
@@ -127,10 +127,10 @@
 	_ = s.disk.Close()
 	before := listFolder(t, folder)
 	if _, _, _, err := OpenDisk(folder, "c2"); !errors.Is(err, storage.ErrForeign) {
-		t.Fatalf("error %v, want ErrForeign", err)
+		t.Fatalf("OpenDisk under another name: error %v, want ErrForeign", err)
 	}
 	if after := listFolder(t, folder); after != before {
-		t.Fatalf("the folder changed from %s to %s", before, after)
+		t.Fatalf("contents of the data folder changed from %s to %s", before, after)
 	}
 }
 
@@ -151,26 +151,27 @@
 	first := openSingleReplica(t, t.TempDir())
 	second := openSingleReplica(t, t.TempDir())
 	if first.replica.config.ID == second.replica.config.ID {
-		t.Fatalf("both folders are %s", first.replica.config.ID)
+		t.Fatalf("both data folders have replica ID %s", first.replica.config.ID)
 	}
 }
 
-// TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt: a version is in force when every session acknowledged it or ended.
+// TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt guards against a settings version reported as in force while a
+// router may still serve with an earlier one.
 func TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.set(0, 1)
 	beat := Heartbeat{Router: "r", Incarnation: 1, HasSettings: true, Acked: 1}
 	beat.Epoch = s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
 	if reply := s.ask(Request{Heartbeat: &beat}).Heartbeat; reply.Lease == 0 {
-		t.Fatalf("no lease: %+v", reply)
+		t.Fatalf("heartbeat that acknowledges the version got no lease: %+v", reply)
 	}
 	s.set(1, 2)
 	if read := s.ask(Request{Read: &Read{}}).Read; read.InForce != 1 {
-		t.Fatalf("version %d is in force while the router holds a lease at version 1", read.InForce)
+		t.Fatalf("version in force while a router holds a lease at version 1: got %d, want 1", read.InForce)
 	}
 	s.advance(3 * time.Second)
 	if read := s.ask(Request{Read: &Read{}}).Read; read.InForce != 2 {
-		t.Fatalf("version %d is in force after the lease ended", read.InForce)
+		t.Fatalf("version in force after the lease expired: got %d, want 2", read.InForce)
 	}
 }
 
@@ -180,16 +181,16 @@
 	epoch := s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
 	claim := ledger.Claim{Key: ledger.Key{Tenant: "t", Service: "s", Key: "k"}, Digest: 1, ClaimID: "c1", Holder: ledger.Holder{Router: "r", Epoch: epoch}, RetentionMS: 60_000}
 	if got := s.ask(Request{Claim: &claim}).Claim.Kind; got != ledger.Granted {
-		t.Fatalf("claim: %s", got)
+		t.Fatalf("first claim: got %s, want granted", got)
 	}
 	s.advance(3 * time.Second)
 	claim.ClaimID = "c2"
 	if got := s.ask(Request{Claim: &claim}).Claim.Kind; got != ledger.RunUnknown {
-		t.Fatalf("claim after the session ended: %s", got)
+		t.Fatalf("claim after the session expired: got %s, want run unknown", got)
 	}
 }
 
-// FuzzStepRaftBatch: no bytes of a peer may crash the decoder or a replica that steps through what was decoded.
+// FuzzStepRaftBatch guards against crashes of the decoder or a replica caused by malformed messages of a peer.
 func FuzzStepRaftBatch(f *testing.F) {
 	f.Add([]byte(`{"address":"a","messages":[{"kind":4,"from":"x","to":"c1","term":9,"index":3,"entries":[{"i":4,"t":9}]}]}`))
 	f.Add([]byte(`{"messages":[{"kind":2,"from":"x","to":"c1","term":7}]}`))
@@ -211,7 +212,7 @@
 	})
 }
 
-// FuzzApplyCommand: a command that decodes must apply without a crash, also to a machine restored from a snapshot.
+// FuzzApplyCommand guards against decodable commands that crash the state machine or make its snapshot unreadable.
 func FuzzApplyCommand(f *testing.F) {
 	f.Add([]byte(`{"ms":1,"change":{"base":0,"operation_id":"a","edits":[{"path":"/","setting":"queue_limit","value":3}]}}`))
 	f.Add([]byte(`{"claim":{"key":{"key":"k"},"claim_id":"c"}}`))
@@ -224,7 +225,7 @@
 		machine.Apply(2, 1, command)
 		restored := NewMachine(guard.Set{})
 		if err := restored.Restore(machine.Snapshot()); err != nil {
-			t.Fatalf("own snapshot cannot be read: %v", err)
+			t.Fatalf("restoring the machine's own snapshot: %v", err)
 		}
 	})
 }
