--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -7,32 +7,32 @@
 	"kitetiller/internal/transport"
 )
 
-// Driver speaks to back ends that take orders for weights, in whatever protocol they have. Its methods may block.
+// Driver carries out weights calls in the protocol of the back ends. Its methods may block.
 type Driver interface {
-	// CallWeights makes a call and returns how it ended; when ctx ends first, the result of an order is WeightsUnknown.
+	// CallWeights makes a call and returns its result. If ctx ends first, the result of an order is WeightsUnknown.
 	CallWeights(ctx context.Context, call WeightsCall) WeightsResult
 }
 
 const (
-	// weightsTimeout is how long a back end may take to answer a call.
+	// weightsTimeout bounds a weights call to a back end.
 	weightsTimeout = time.Second
-	// maxCallAge is how long after its decision a call may still be made: the machine may have been suspended between the two. The next leader
-	// waits for so much longer before its first order.
+	// maxCallAge is how long after its decision a call may still be made, since the machine may have been suspended in
+	// between. A new leader waits this much longer before its first order.
 	maxCallAge = 300 * time.Millisecond
-	// membershipInterval is how often the addresses of the group are read again.
+	// membershipInterval is how often the addresses of the group are refreshed.
 	membershipInterval = time.Second
 )
 
-// UseDriver sets the driver of back ends; it must be called before Run.
+// UseDriver sets the driver for calls to back ends. It must be called before Run.
 func (s *Server) UseDriver(driver Driver) { s.driver = driver }
 
-// queuedCall is a call and when this replica last saw that it may be made.
+// queuedCall is a weights call and the time at which the replica released it.
 type queuedCall struct {
 	call     WeightsCall
 	queuedAt time.Duration
 }
 
-// callBackends is the thread that starts the calls of a leader, each on a goroutine of its own.
+// callBackends starts the weights calls of a leader, each on its own goroutine.
 func (s *Server) callBackends(ctx context.Context) {
 	for {
 		select {
@@ -58,14 +58,14 @@
 	s.submit(input{weights: &result})
 }
 
-// refreshMembership is the thread that keeps the addresses of the group's client current.
+// refreshMembership keeps the addresses of the group client up to date.
 func (s *Server) refreshMembership(ctx context.Context) {
 	transport.Every(ctx, membershipInterval, func() {
 		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
 	})
 }
 
-// addresses returns the internal addresses of the group, or none while this replica does not know it.
+// addresses returns the internal addresses of the group members known to this replica.
 func (r *Replica) addresses() []string {
 	var found []string
 	for _, member := range r.node.Membership().Members {
@@ -74,10 +74,10 @@
 	return found
 }
 
-// UseSeeds replaces the addresses that are asked while the group is not known.
+// UseSeeds replaces the addresses used until the members of the group are known.
 func (s *Server) UseSeeds(addresses []string) { s.group.Use(addresses) }
 
-// Ask passes a request to the leader, wherever it is, until it is decided or ctx ends.
+// Ask sends a request to the leader and retries until it is answered or ctx ends.
 func (s *Server) Ask(ctx context.Context, request Request) (Response, error) {
 	return s.group.Ask(ctx, request)
 }
