--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -7,11 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// A heartbeat that can be read in full may still be another writer's: of a service that no configuration names. It names no back end to
-// use, and whoever is registered holds.
-
-// TestHeartbeatForUnconfiguredServiceIsIgnored: neither where it names a registered life, nor a later life of it, nor the address of one that
-// control hasn't heard for a while.
+// TestHeartbeatForUnconfiguredServiceIsIgnored guards against a well-formed heartbeat for a service missing from the
+// routing document that replaces, drains or alters a registered back end.
 func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
 	open := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
@@ -30,11 +27,11 @@
 		t.Helper()
 		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
-			t.Fatalf("registered %t, %+v", known, held)
+			t.Fatalf("registered: %t, instance %+v, want it ready with service engine", known, held)
 		}
 		s.says(life("e", 1000), "a1", 2, 1)
 		if state := s.replica.leader.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
-			t.Fatalf("believed %v, heartbeat %d", state.versions, state.sequence)
+			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
 	}
 	t.Run("its life", func(t *testing.T) {
