--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -14,7 +14,7 @@
 	"kitetiller/internal/settings"
 )
 
-// TestEncodedMessagesMatchGoldenFiles: all that a replica stores, and all that it is asked and answers.
+// TestEncodedMessagesMatchGoldenFiles guards against incompatible changes of what replicas store, send and receive.
 func TestEncodedMessagesMatchGoldenFiles(t *testing.T) {
 	forms.Check[Request](t, "request")
 	forms.Check[Response](t, "response")
@@ -31,16 +31,17 @@
 // machineState is the replicated machineState as a snapshot holds it.
 type machineState struct{ machine *Machine }
 
-// MarshalJSON writes the state as a snapshot holds it.
+// MarshalJSON returns a snapshot of the machine.
 func (s *machineState) MarshalJSON() ([]byte, error) { return s.machine.Snapshot(), nil }
 
-// UnmarshalJSON takes the state up as from a snapshot.
+// UnmarshalJSON restores the machine from a snapshot.
 func (s *machineState) UnmarshalJSON(data []byte) error {
 	s.machine = NewMachine(guard.Set{})
 	return s.machine.Restore(data)
 }
 
-// TestSnapshotMatchesGoldenFile: a snapshot of a state that holds something of everything.
+// TestSnapshotMatchesGoldenFile guards against incompatible changes of snapshots, with a state that has data of every
+// kind.
 func TestSnapshotMatchesGoldenFile(t *testing.T) {
 	machine := NewMachine(guard.Set{})
 	holder := ledger.Holder{Router: "r1", Epoch: 1}
