--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -12,24 +12,24 @@
 	"kitetiller/internal/mechanism"
 )
 
-// Mesh is whom one gateway tells of sends.
+// Mesh lists the other gateways that a gateway notifies of the requests it sends.
 type Mesh = mesh.Mesh
 
 const (
-	// layoutInterval is how often gateways are laid out anew.
+	// layoutInterval is the minimum time between two layouts.
 	layoutInterval = 250 * time.Millisecond
-	// relayReplicaTTL is how long after its last question a replica counts as one that answers gateways.
+	// relayReplicaTTL is how long after its last relay request a follower counts as answering gateways.
 	relayReplicaTTL = 900 * time.Millisecond
 )
 
-// relayReplica is a replica that answers the gateways of its zone.
+// relayReplica is a follower that answers the gateways of its zone.
 type relayReplica struct {
 	zone    string
 	address string
-	at      time.Duration // of its newest question
+	at      time.Duration // time of its last relay request
 }
 
-// layout returns the newest layout of the gateways that asked lately.
+// layout returns the layout of the recently seen gateways, replanned at most once per layoutInterval.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
 	state := r.leader
 	if state.lastLayout != nil && now < state.lastLayoutAt+layoutInterval {
@@ -55,7 +55,8 @@
 	return state.lastLayout
 }
 
-// relayReplicaAddresses returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
+// relayReplicaAddresses returns the addresses of the replicas that answer gateways, by zone, or nil while the leader
+// answers all gateways itself.
 func (r *Replica) relayReplicaAddresses(now time.Duration) map[string][]string {
 	if !r.needsRelays() {
 		return nil
@@ -73,12 +74,12 @@
 	return addresses
 }
 
-// needsRelays reports whether there are more gateways than the leader answers by itself.
+// needsRelays reports whether followers answer gateways, since there are too many for the leader.
 func (r *Replica) needsRelays() bool {
 	return len(r.machine.catalog.Gateways()) > r.config.MaxDirectGateways
 }
 
-// cacheEventSourcesOf returns the engines whose cache events a gateway reads.
+// cacheEventSourcesOf returns the engines whose cache events a gateway reads on behalf of all.
 func (r *Replica) cacheEventSourcesOf(now time.Duration, gateway string) []string {
 	state := r.leader
 	layout := r.layout(now)
@@ -89,8 +90,8 @@
 	return state.cacheEventSources[gateway]
 }
 
-// handleRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
-// than it did.
+// handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
+// was.
 func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
 	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
@@ -114,12 +115,12 @@
 	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
 }
 
-// recordReport notes what a gateway's question tells of it, and reports whether its view may be confirmed: not until the log holds
-// it, since the next leader wouldn't wait for it.
+// recordReport records a gateway's report and returns whether its view may be confirmed. That requires the gateway to be
+// in the log, since the next leader would not wait for it otherwise.
 func (r *Replica) recordReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
 		delete(r.leader.usage, report.Gateway)
-		r.leader.lastLayoutAt = now - layoutInterval // others are told of it no longer
+		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
 	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
