--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -11,92 +11,92 @@
 	"kitetiller/internal/control/roster"
 )
 
-// routerLease is the leader's view of one session.
+// routerLease is the leader's view of a router's settings lease.
 type routerLease struct {
 	acked         uint64
-	sentVersion   uint64        // newest version sent to the router
-	expires       time.Duration // the router stops serving by then at the latest
-	closeProposed bool          // a close was proposed
+	sentVersion   uint64        // newest settings version sent to the router
+	expires       time.Duration // latest time at which the router stops serving
+	closeProposed bool          // a CloseSession command was proposed
 }
 
 // engineState is the leader's view of one engine.
 type engineState struct {
 	report         EngineReport
 	reportedAt     time.Duration
-	orderedWeights string // weights of the order in progress
+	orderedWeights string // weights of the order in progress, or ""
 	orderedAt      time.Duration
 }
 
-// leaderState is what a leader keeps in memory; a new leader starts it afresh.
+// leaderState is the in-memory state of a leader. A new leader starts with an empty one.
 //
-// Invariant: a router's lease never outlives routerLease.expires, since the router counts from before it
-// sent the heartbeat and the leader from after it arrived. Leases granted by earlier leaders end within one
-// lease time of the election, because this leader was elected after theirs ran out.
+// Invariant: a router's lease never outlives routerLease.expires, since the router counts it from before it sent the
+// heartbeat and the leader from after the heartbeat arrived. Router leases granted by earlier leaders end within one
+// lease duration of the election, since this leader was elected after the leader leases of its predecessors expired.
 type leaderState struct {
 	term         uint64
 	routers      map[string]*routerLease
 	openProposed map[string]bool
 	engines      map[string]*engineState
 
-	desiredVersion uint64                       // settings version that wanted was resolved from
+	desiredVersion uint64                       // settings version that desired was resolved from
 	desired        map[zoneService]desiredState // by zone and service
 	reconciledAt   time.Duration
 
-	startedAt                 time.Duration // when this leadership began
-	orderFence                uint64        // of its orders for weights; 0 until the log gave one
+	startedAt                 time.Duration // when this replica became the leader
+	orderFence                uint64        // fence of this leader's weights orders; 0 until its entry has committed
 	fenceRequestedAt          time.Duration
-	fleet                     map[string]*memberState // by instance
+	fleet                     map[string]*memberState // by instance ID
 	fleetCheckedAt            time.Duration
-	heldLoggedAt              time.Duration // when the weights of back ends were last written into the log
-	rolloutStepAt             time.Duration // when the roll-out last went a step
-	ackedRoster               uint64        // roster that every gateway which may still send had taken up, as of that step
-	underCapacity             bool          // the back ends were short of hands, as of that step
+	heldLoggedAt              time.Duration // when the weights held by back ends were last checked for changes to log
+	rolloutStepAt             time.Duration // time of the last rollout step
+	ackedRoster               uint64        // at the last rollout step: roster version in use at every gateway that may still send
+	underCapacity             bool          // at the last rollout step: whether the back ends lacked capacity
 	totals                    usageTotals
 	planner                   *mesh.Planner
-	plannedLayoutCount        uint64        // of the planner's layout that laidOut holds
-	lastLayout                *relay.Layout // nil before the first
+	plannedLayoutCount        uint64        // count of the planner's layout that lastLayout was built from
+	lastLayout                *relay.Layout // nil until the first layout
 	lastLayoutAt              time.Duration
 	layoutCount               uint64
-	relayReplicas             map[string]relayReplica // by name; those that ask for gateways
-	cacheEventSources         map[string][]string     // by gateway: engines whose cache events it reads; nil when the layout has changed
-	cacheEventSourcesCount    uint64                  // of the roster that it follows from
+	relayReplicas             map[string]relayReplica // followers that answer gateways, by name
+	cacheEventSources         map[string][]string     // engines whose cache events a gateway reads, by gateway; nil after a change of layout
+	cacheEventSourcesCount    uint64                  // roster count that cacheEventSources was computed from
 	trusting                  trusting
-	rosterCount               uint64 // rises whenever the roster may have changed
+	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
-	rosterPending             map[string]bool       // back ends that the roster doesn't show as they are yet
-	unlogged                  map[string]bool       // back ends whose weights the log doesn't tell yet
-	pendingOrderAnnouncements []string              // back ends that are about to be ordered, which the log doesn't tell yet
+	rosterPending             map[string]bool       // back ends with changes not yet in the roster
+	unlogged                  map[string]bool       // back ends with held weights not yet in the log
+	pendingOrderAnnouncements []string              // back ends whose upcoming orders have yet to be announced in the log
 	inUseSizes                map[string]inuse.Size // by service
-	boundsCheckedAt           time.Duration         // when it was last looked at which back ends are in use
-	publishedCount            uint64                // newest roster that held questions are answered for; at most rosterCount
+	boundsCheckedAt           time.Duration         // when the set of back ends in use was last checked
+	publishedCount            uint64                // newest roster for which held watches are answered; at most rosterCount
 	publishedAt               time.Duration
-	readyPeak                 int // engines that were ready lately
+	readyPeak                 int // recent peak of the number of ready engines
 	readyPeakAt               time.Duration
-	gatewaysCheckedAt         time.Duration // when gateways were last looked through for the log
-	gatewayUnlisted           bool          // a gateway waits until the log holds it
-	gatewayListChanged        bool          // the log holds others than before: who waits for it can be answered
-	smoothedLoadTime          time.Duration // smoothed length of a load of weights; 0 before the first
-	orderLostAt               time.Duration // when an order for weights last got no answer
+	gatewaysCheckedAt         time.Duration // when the gateways were last compared with those in the log
+	gatewayUnlisted           bool          // a gateway waits to be added to the log
+	gatewayListChanged        bool          // the gateways in the log have changed, so that held watches can be answered
+	smoothedLoadTime          time.Duration // smoothed duration of loading weights; 0 before the first load
+	orderLostAt               time.Duration // when a weights order last got no answer
 	watchers                  []watcher
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
 	joining                   joining
 	levels                    levelTracker
-	unknownBackends           map[uint64][]string // by client that waits for an entry: back ends of which a whole heartbeat is wanted
+	unknownBackends           map[uint64][]string // back ends asked for a full heartbeat, by client that waits for an entry
 }
 
-// zoneService names a service in a zone.
+// zoneService identifies a service in a zone.
 type zoneService struct{ zone, service string }
 
-// desiredState is what the tree wants of the engines at a place.
+// desiredState is what the settings tree requires of the engines of a service in a zone.
 type desiredState struct {
 	weights  string
-	maxLoads int // at the same time, of the whole service
+	maxLoads int // concurrent loads allowed across the service
 }
 
 func newLeaderState(term uint64, now, leaseEnd time.Duration, machine *Machine) *leaderState {
 	state := &leaderState{
-		rosterCount: 1, // 0 is the version of a gateway that holds none
+		rosterCount: 1, // 0 stands for a gateway without a roster
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
@@ -110,13 +110,13 @@
 	return state
 }
 
-// hasCurrentState reports whether this replica leads, holds the leader lease and has applied every entry that was
-// committed before its term, so that its state may be read.
+// hasCurrentState reports whether this replica holds the leader lease and has applied every entry committed before its
+// term, so that reads of its state are linearizable.
 func (r *Replica) hasCurrentState(now time.Duration) bool {
 	return r.node.LeaseValid(now) && r.applied >= r.node.TermStart()
 }
 
-// Handle answers a client's request, at once or after its entry committed.
+// Handle answers a client's request, at once or after its entry has committed.
 func (r *Replica) Handle(now time.Duration, client uint64, request Request) {
 	if r.stopErr != nil {
 		return
@@ -169,8 +169,8 @@
 	}
 }
 
-// formed reports whether the group once reached its size; before that nothing is accepted, since the loss
-// of the founder would lose it.
+// formed reports whether the group has ever reached its configured size. Before that it accepts no changes, since they
+// would be lost with the founder.
 func (r *Replica) formed() bool {
 	return r.machine.settings.Version() > 0 || r.machine.catalog.Document().Revision > 0 || len(r.machine.sessions) > 0 ||
 		r.node.Membership().Voters() >= r.config.Replicas
