--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// levelStablePeriod is how long all members must have told a level before it comes into force: a member that is replaced by an older build again, as
-	// its start may show, does so sooner.
+	// levelStablePeriod is how long all members must announce a level before it comes into force. It leaves time to roll
+	// back a member whose new build fails at start.
 	levelStablePeriod = 5 * time.Second
-	// levelReportTTL is how long a member's word counts: it may have ended, and start as another build.
+	// levelReportTTL is how long an announced level counts, since the member may have stopped and may restart as another
+	// build.
 	levelReportTTL = time.Second
 )
 
-// reportedLevel is what a member last told of its build.
+// reportedLevel is the level last announced by a member.
 type reportedLevel struct {
 	level level.Level
 	at    time.Duration
 }
 
-// levelTracker is what a leader knows of the members' builds.
+// levelTracker holds a leader's view of the levels that the members support.
 type levelTracker struct {
 	reported    map[consensus.ID]reportedLevel
-	common      level.Level   // that all members tell, since a time
-	commonSince time.Duration // of common
-	proposed    level.Level   // the highest that this leader has put into the log
+	common      level.Level   // highest level that all members support
+	commonSince time.Duration // when common last changed
+	proposed    level.Level   // highest level proposed by this leader
 }
 
-// Err returns why this replica takes, writes and sends nothing more, or nil while it goes on.
+// Err returns why the replica has stopped, or nil while it runs. A stopped replica handles, writes and sends nothing.
 func (r *Replica) Err() error { return r.stopErr }
 
-// checkLevel notes what a message tells of its sender's build. It is false, and the replica ends, if this build is too old for the group: before
-// anything of the message is taken, so that the replica's files stay as they are.
+// checkLevel records the level that a message announces. If the level in force is higher than this build supports, it
+// stops the replica and returns false, before the message changes any state.
 func (r *Replica) checkLevel(now time.Duration, message consensus.Message) bool {
 	r.stopErr = r.config.Level.Knows(message.InForce)
 	if r.stopErr != nil {
@@ -45,7 +46,7 @@
 	return true
 }
 
-// raiseLevel raises the level in force once all members have told a higher one for a while.
+// raiseLevel proposes a higher level once all members have supported it for levelStablePeriod.
 func (r *Replica) raiseLevel(now time.Duration) {
 	l := &r.leader.levels
 	if common := r.commonLevel(now); common != l.common {
@@ -57,7 +58,8 @@
 	}
 }
 
-// commonLevel returns the level that every member knows, as far as they told it lately.
+// commonLevel returns the highest level that all members support, or level 0 if one of them has not announced its level
+// within levelReportTTL.
 func (r *Replica) commonLevel(now time.Duration) level.Level {
 	common := r.config.Level
 	for _, member := range r.node.Membership().Members {
@@ -73,7 +75,7 @@
 	return common
 }
 
-// memberLevel returns the level that a member told last, for operators.
+// memberLevel returns the level last announced by a member.
 func (r *Replica) memberLevel(id consensus.ID) level.Level {
 	switch {
 	case id == r.config.ID:
@@ -84,7 +86,7 @@
 	return r.leader.levels.reported[id].level
 }
 
-// stampLevel tells the group of this build, with each message.
+// stampLevel sets the announced level and the level in force on outgoing messages.
 func (r *Replica) stampLevel(messages []consensus.Message) []consensus.Message {
 	for i := range messages {
 		messages[i].Level, messages[i].InForce = r.config.Level, r.machine.level
@@ -92,8 +94,8 @@
 	return messages
 }
 
-// highestLevel returns the highest level that the state or an entry after it holds. An entry that hasn't committed counts: only a build that knows it
-// can tell what becomes of it.
+// highestLevel returns the highest level found in the state and in the given entries. Uncommitted entries count too,
+// since they may still commit.
 func (m *Machine) highestLevel(entries []consensus.Entry) level.Level {
 	highest := m.level
 	for _, entry := range entries {
