--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -16,16 +16,16 @@
 	"kitetiller/internal/level"
 )
 
-// groupMember is a member of a group whose members may run different builds.
+// groupMember is a member of a mixedGroup.
 type groupMember struct {
 	id          consensus.ID
 	level       level.Level
-	replica     *Replica // nil while it doesn't run
+	replica     *Replica // nil while it is stopped
 	disk        Checkpoint
 	partitioned bool
 }
 
-// mixedGroup is a group in memory.
+// mixedGroup is an in-memory group whose members may run builds of different levels.
 type mixedGroup struct {
 	t       rapid.TB
 	now     time.Duration
@@ -50,7 +50,7 @@
 	return m
 }
 
-// start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
+// start starts a member from its disk. A build that is too old must refuse to start and leave the disk unchanged.
 func (m *mixedGroup) start(b *groupMember) {
 	config := singleReplicaConfig(b.id)
 	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.random.Int64N
@@ -60,7 +60,7 @@
 	replica, err := NewReplica(config, restored, m.now)
 	if err != nil {
 		if !errors.Is(err, level.ErrTooOld) || !reflect.DeepEqual(before, b.disk) {
-			m.t.Fatalf("%s at level %d: %v", b.id, b.level, err)
+			m.t.Fatalf("starting %s with level %d: %v", b.id, b.level, err)
 		}
 		return
 	}
@@ -103,7 +103,7 @@
 	entries, snapshot := len(to.disk.Entries), to.disk.Snapshot.Meta.Index
 	to.replica.Step(m.now, message)
 	if to.replica.Err() != nil && (len(to.disk.Entries) != entries || to.disk.Snapshot.Meta.Index != snapshot) {
-		m.t.Fatalf("%s ended after it took what it doesn't know", to.id)
+		m.t.Fatalf("%s stopped only after it had stored data of an unsupported level", to.id)
 	}
 	return m.work(to)
 }
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// checkMember ends a replica that says so, and checks that no other one holds what its build doesn't know.
+// checkMember removes a replica that has stopped, and fails the test if a running one holds state of an unsupported
+// level.
 func (m *mixedGroup) checkMember(b *groupMember) {
 	if err := b.replica.Err(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
@@ -127,11 +128,11 @@
 		return
 	}
 	if held := b.replica.Machine().Level(); held > b.level {
-		m.t.Fatalf("%s of level %d runs on a state of level %d", b.id, b.level, held)
+		m.t.Fatalf("%s supports level %d but runs with state of level %d", b.id, b.level, held)
 	}
 }
 
-// inForce returns the highest level that a running member holds.
+// inForce returns the highest level in force at a running member.
 func (m *mixedGroup) inForce() (highest level.Level) {
 	for _, b := range m.members {
 		if b.replica != nil {
@@ -141,42 +142,44 @@
 	return highest
 }
 
-// TestLevelRisesOnlyWhenAllMembersSupportIt: not while one runs an older build, nor while one says nothing.
+// TestLevelRisesOnlyWhenAllMembersSupportIt guards against a level that a member with an older build, or one that is
+// stopped or has just started, may not support.
 func TestLevelRisesOnlyWhenAllMembersSupportIt(t *testing.T) {
 	m := newMixedGroup(t, 1, 2, 2)
 	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d with builds of 1, 2, 2", got)
+		t.Fatalf("level in force with builds of levels 1, 2 and 2: got %d, want 1", got)
 	}
 	m.members[0].replica, m.members[0].level = nil, 2
 	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d while one of three is silent", got)
+		t.Fatalf("level in force while one of three members is stopped: got %d, want 1", got)
 	}
 	m.start(m.members[0])
 	m.advance(levelStablePeriod / 2)
 	m.members[0].replica = nil
 	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d after one told 2 for a moment", got)
+		t.Fatalf("level in force after a member announced level 2 only briefly: got %d, want 1", got)
 	}
 	m.start(m.members[0])
 	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 2 {
-		t.Fatalf("level %d with builds of 2", got)
+		t.Fatalf("level in force with all builds of level 2: got %d, want 2", got)
 	}
 }
 
-// TestReplicaStopsAtEntryOfUnsupportedLevel: it may have taken the entry before it was known that it is too old, and lead the group since.
+// TestReplicaStopsAtEntryOfUnsupportedLevel guards against a replica that applies, or restarts from, an entry that its
+// build does not support.
 func TestReplicaStopsAtEntryOfUnsupportedLevel(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.replica.propose(s.now, 0, Command{Level: level.Own + 1})
 	s.work()
 	if err := s.replica.Err(); !errors.Is(err, level.ErrTooOld) {
-		t.Fatalf("ended: %v", err)
+		t.Fatalf("replica stopped with error %v, want ErrTooOld", err)
 	}
 	if s.replica.Handle(s.now, 1, Request{Status: &StatusRequest{}}); s.replica.HasWork() {
-		t.Fatal("it goes on")
+		t.Fatal("stopped replica still handles requests")
 	}
 	disk, _, restored, err := OpenDisk(s.folder, "c1")
 	if err != nil {
@@ -185,14 +188,15 @@
 	defer disk.Close()
 	before := listFolder(t, s.folder)
 	if _, err := NewReplica(singleReplicaConfig(s.replica.config.ID), restored, 0); !errors.Is(err, level.ErrTooOld) {
-		t.Fatalf("started again: %v", err)
+		t.Fatalf("restart: error %v, want ErrTooOld", err)
 	}
 	if after := listFolder(t, s.folder); after != before {
-		t.Fatalf("the folder changed from %s to %s", before, after)
+		t.Fatalf("contents of the data folder changed from %s to %s", before, after)
 	}
 }
 
-// TestOutdatedBuildLeavesStateUnchanged: one that starts on what a newer one wrote, and one that was away when the level rose.
+// TestOutdatedBuildLeavesStateUnchanged guards against an outdated build that modifies its disk, when started on state
+// of a newer build or after the level rose while it was stopped.
 func TestOutdatedBuildLeavesStateUnchanged(t *testing.T) {
 	m := newMixedGroup(t, 2, 2, 2)
 	outdatedDisk := m.members[0].disk
@@ -211,12 +215,12 @@
 	m.start(outdated)
 	m.advance(2 * time.Second)
 	if outdated.replica == nil || outdated.replica.Machine().Level() != 2 {
-		t.Fatal("the newer build doesn't go on from there")
+		t.Fatal("member does not reach level 2 after it was restarted with the newer build")
 	}
 }
 
-// TestLevelsUnderRandomBuildChanges: members are ended, cut off and started as other builds at any time. None runs on what its build doesn't know;
-// before its files hold a higher level than its own it may go back, and once all know a level it comes into force.
+// TestLevelsUnderRandomBuildChanges stops, partitions and replaces members at random. No build may run with state of an
+// unsupported level, and a level that all members support must come into force.
 func TestLevelsUnderRandomBuildChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMixedGroup(t, 1, 1, 1)
@@ -242,7 +246,7 @@
 		m.advance(20 * time.Second)
 		for _, b := range m.members {
 			if b.replica == nil || b.replica.Machine().Level() != 3 {
-				t.Fatalf("%s isn't at level 3", b.id)
+				t.Fatalf("%s did not reach level 3", b.id)
 			}
 		}
 	})
