--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,8 +1,8 @@
-// Package control is the durable part of the system: a replica of the settings tree, the run ledger, the
-// routers' sessions and the fences of orders to engines.
+// Package control implements the replicated control plane. It stores the settings tree, the catalog of back ends and
+// gateways, the run ledger, the routers' sessions and the fences of orders to engines.
 //
-// Machine is the replicated state. Replica is a pure state machine around it and the consensus node; it
-// decides what a leader does. Server is the thin shell with sockets, disk and threads.
+// Machine is the replicated state. Replica combines it with a consensus node and decides what a leader does, without
+// I/O. Server runs a Replica with sockets, disk and goroutines.
 package control
 
 import (
@@ -16,7 +16,7 @@
 	"kitetiller/internal/settings"
 )
 
-// Session is a router's registration. Its epoch is the log index that opened it, so it is never reused.
+// Session is a router's registration. Its epoch is the index of the log entry that opened it, which makes it unique.
 type Session struct {
 	Router      string `json:"router"`
 	Incarnation uint64 `json:"incarnation"`
@@ -25,7 +25,7 @@
 	Epoch       uint64 `json:"epoch"`
 }
 
-// Fence orders the commands to an engine: the term first, then the log index that issued the order.
+// Fence orders the commands to an engine, by term and then by the log index of the command.
 type Fence struct {
 	Term     uint64 `json:"term"`
 	Sequence uint64 `json:"sequence"`
@@ -39,7 +39,7 @@
 	return f.Sequence < other.Sequence
 }
 
-// Order tells one life of an engine to load weights.
+// Order tells one incarnation of an engine to load weights.
 type Order struct {
 	Engine      string `json:"engine"`
 	Incarnation uint64 `json:"incarnation"`
@@ -49,7 +49,7 @@
 
 // Command is one entry of the replicated log. Exactly one pointer is set.
 type Command struct {
-	UnixMS       int64            `json:"ms"` // leader's wall clock; the machine never lets it go back
+	UnixMS       int64            `json:"ms"` // leader's wall clock; the machine's clock never goes back
 	Change       *settings.Change `json:"change,omitempty"`
 	Claim        *ledger.Claim    `json:"claim,omitempty"`
 	End          *ledger.End      `json:"end,omitempty"`
@@ -57,10 +57,10 @@
 	CloseSession *ledger.Holder   `json:"close,omitempty"`
 	Order        *Order           `json:"order,omitempty"`
 	Catalog      *catalog.Command `json:"catalog,omitempty"`
-	Level        level.Level      `json:"level,omitempty"` // raises the level in force
+	Level        level.Level      `json:"level,omitempty"` // new level in force, if higher than the current one
 }
 
-// Result is what applying a command gave.
+// Result is the outcome of applying a command.
 type Result struct {
 	Change  *settings.Outcome
 	Claim   *ledger.Outcome
@@ -75,13 +75,13 @@
 	ledger       *ledger.Ledger
 	catalog      *catalog.Machine
 	sessions     map[string]Session // by router name
-	orders       map[string]Order   // newest order by engine
-	peersVersion uint64             // log index of the newest opened or closed session
+	orders       map[string]Order   // newest order, by engine name
+	peersVersion uint64             // log index of the last opened or closed session
 	nowMS        int64
-	level        level.Level // in force; it never falls
+	level        level.Level // level in force; never decreases
 }
 
-// NewMachine returns the empty state.
+// NewMachine returns an empty state.
 func NewMachine(guards guard.Set) *Machine {
 	machine := &Machine{
 		settings: settings.NewMachine(), ledger: ledger.New(), catalog: catalog.NewMachine(),
@@ -91,19 +91,19 @@
 	return machine
 }
 
-// Settings returns the settings machine; callers only read it.
+// Settings returns the settings state. Callers must not modify it.
 func (m *Machine) Settings() *settings.Machine { return m.settings }
 
-// Ledger returns the run ledger; callers only read it.
+// Ledger returns the run ledger. Callers must not modify it.
 func (m *Machine) Ledger() *ledger.Ledger { return m.ledger }
 
-// Catalog returns the catalog of the gateway fleet; callers only read it.
+// Catalog returns the catalog of back ends and gateways. Callers must not modify it.
 func (m *Machine) Catalog() *catalog.Machine { return m.catalog }
 
-// Sessions returns the open sessions by router.
+// Sessions returns the open sessions by router name.
 func (m *Machine) Sessions() map[string]Session { return m.sessions }
 
-// Peers returns the routers with a session, sorted by name.
+// Peers returns the routers with an open session, sorted by name.
 func (m *Machine) Peers() *PeerList {
 	list := &PeerList{Version: m.peersVersion}
 	for _, name := range sortedKeys(m.sessions) {
@@ -116,10 +116,10 @@
 // Level returns the level in force.
 func (m *Machine) Level() level.Level { return m.level }
 
-// Orders returns the newest order by engine.
+// Orders returns the newest order of each engine, by engine name.
 func (m *Machine) Orders() map[string]Order { return m.orders }
 
-// sessionOpen reports whether a session is the router's current one.
+// sessionOpen reports whether a session is the current one of its router.
 func (m *Machine) sessionOpen(holder ledger.Holder) bool {
 	session, found := m.sessions[holder.Router]
 	return found && session.Epoch == holder.Epoch
@@ -153,7 +153,8 @@
 	return Result{}
 }
 
-// openSession replaces any earlier session of the router; an older incarnation cannot replace a newer one.
+// openSession opens a session in place of the router's previous one. It returns epoch 0 if that one belongs to a newer
+// incarnation.
 func (m *Machine) openSession(index uint64, session Session) Session {
 	previous, found := m.sessions[session.Router]
 	if found && previous.Incarnation > session.Incarnation {
@@ -177,7 +178,7 @@
 	m.ledger.CloseSession(holder)
 }
 
-// machineSnapshot is the snapshot form of a machine.
+// machineSnapshot is the encoded form of a Machine.
 type machineSnapshot struct {
 	Settings *settings.Machine  `json:"settings"`
 	Ledger   *ledger.Ledger     `json:"ledger"`
@@ -189,16 +190,16 @@
 	Level    level.Level        `json:"level,omitempty"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	data, err := json.Marshal(machineSnapshot{m.settings, m.ledger, m.sessions, m.orders, m.nowMS, m.peersVersion, m.catalog, m.level})
 	if err != nil {
-		panic(fmt.Sprintf("control: state cannot be written: %v", err))
+		panic(fmt.Sprintf("control: failed to encode the replicated state: %v", err))
 	}
 	return data
 }
 
-// Restore replaces the whole state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (m *Machine) Restore(data []byte) error {
 	form := machineSnapshot{Settings: settings.NewMachine(), Ledger: ledger.New(), Catalog: catalog.NewMachine()}
 	if err := json.Unmarshal(data, &form); err != nil {
@@ -220,7 +221,7 @@
 func encodeCommand(command Command) []byte {
 	data, err := json.Marshal(command)
 	if err != nil {
-		panic(fmt.Sprintf("control: command cannot be written: %v", err))
+		panic(fmt.Sprintf("control: failed to encode a command: %v", err))
 	}
 	return data
 }
@@ -228,7 +229,7 @@
 func decodeCommand(data []byte) Command {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
-		panic(fmt.Sprintf("control: committed command cannot be read: %v", err))
+		panic(fmt.Sprintf("control: failed to decode a command from the log: %v", err))
 	}
 	return command
 }
