--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -13,7 +13,8 @@
 	"kitetiller/internal/settings"
 )
 
-// Request is what a router or operator asks a control replica. Exactly one field is set.
+// Request is a request to a control replica, from a router, gateway, back end, operator or another replica. Exactly one
+// field is set, except that Beats and Signs may come together.
 type Request struct {
 	Heartbeat *Heartbeat        `json:"heartbeat,omitempty"`
 	Claim     *ledger.Claim     `json:"claim,omitempty"`
@@ -22,15 +23,15 @@
 	Read      *Read             `json:"read,omitempty"`
 	Status    *StatusRequest    `json:"status,omitempty"`
 	Join      *consensus.Member `json:"join,omitempty"`
-	Catalog   *catalog.Command  `json:"catalog,omitempty"` // replace the document, or name a version
+	Catalog   *catalog.Command  `json:"catalog,omitempty"` // changes the document, a named version or the quarantine
 	Beat      *Beat             `json:"beat,omitempty"`
-	Beats     []Beat            `json:"beats,omitempty"` // gathered by another replica
-	Signs     []Sign            `json:"signs,omitempty"` // the same, of back ends of which there is nothing new
+	Beats     []Beat            `json:"beats,omitempty"` // full heartbeats of back ends, forwarded by a replica
+	Signs     []Sign            `json:"signs,omitempty"` // unchanged heartbeats of back ends, forwarded by a replica
 	Watch     *Watch            `json:"watch,omitempty"`
 	Document  *DocumentRequest  `json:"document,omitempty"`
 
-	Relay  *relay.Question     `json:"relay,omitempty"`  // a replica asks for the gateways that ask it
-	Borrow *allowance.Question `json:"borrow,omitempty"` // a gateway asks for amounts of limited resources
+	Relay  *relay.Question     `json:"relay,omitempty"`  // from a follower that answers gateways
+	Borrow *allowance.Question `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
 }
 
 // DocumentRequest asks for the routing document in force.
@@ -42,46 +43,46 @@
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone"`
 	Address     string `json:"address"`
-	Epoch       uint64 `json:"epoch"`        // 0: no session yet
-	Acked       uint64 `json:"acked"`        // settings version synced and in use
-	HasSettings bool   `json:"has_settings"` // false asks for the whole tree
-	Closing     bool   `json:"closing"`      // planned stop: end the session
-	PeersSeen   uint64 `json:"peers_seen"`   // version of the router list that the router holds
-	Quarantine  uint64 `json:"quarantine"`   // version of the news of requests that end their back ends that it holds
+	Epoch       uint64 `json:"epoch"`        // 0 without a session
+	Acked       uint64 `json:"acked"`        // settings version that the router has synced and uses
+	HasSettings bool   `json:"has_settings"` // if false, the reply holds the whole tree
+	Closing     bool   `json:"closing"`      // ends the session, on a planned stop
+	PeersSeen   uint64 `json:"peers_seen"`   // version of the peer list that the router holds
+	Quarantine  uint64 `json:"quarantine"`   // version of the quarantine list that the router holds
 }
 
-// PeerList names the routers with a session.
+// PeerList lists the routers with an open session.
 type PeerList struct {
 	Version uint64 `json:"version"`
 	Peers   []Peer `json:"peers"`
 }
 
-// Peer is one router.
+// Peer is a router with an open session.
 type Peer struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
-	Address string `json:"address"` // for other routers; empty when it listens to none
+	Address string `json:"address"` // address for other routers; empty if the router accepts no connections from them
 }
 
-// HeartbeatReply grants a lease, counted by the router from the moment it sent the heartbeat.
+// HeartbeatReply answers a Heartbeat. The router counts the lease from the time at which it sent the heartbeat.
 type HeartbeatReply struct {
 	Epoch   uint64          `json:"epoch"`
-	Lease   time.Duration   `json:"lease_ns"` // 0: no lease until the version below is acknowledged
+	Lease   time.Duration   `json:"lease_ns"` // 0: no lease until the router acknowledges Version
 	Version uint64          `json:"version"`
-	Base    uint64          `json:"base"` // version the edits start from
+	Base    uint64          `json:"base"` // version to which Edits apply
 	Edits   []settings.Edit `json:"edits,omitempty"`
-	Tree    *settings.Tree  `json:"tree,omitempty"`  // instead of edits, for a router too far behind
-	Peers   *PeerList       `json:"peers,omitempty"` // when it differs from what the router holds
+	Tree    *settings.Tree  `json:"tree,omitempty"`  // sent instead of Edits to a router without settings or too far behind
+	Peers   *PeerList       `json:"peers,omitempty"` // set if it differs from the list that the router holds
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // the same
+	Quarantine *quarantine.News `json:"quarantine,omitempty"` // set if it differs from the list that the router holds
 }
 
-// Read asks for the current tree.
+// Read requests the current settings tree.
 type Read struct {
 	History bool `json:"history,omitempty"`
 }
 
-// ReadReply is a current view: the replica held the leader lease when it answered.
+// ReadReply answers a Read. The replica held the leader lease when it answered, so that the read is linearizable.
 type ReadReply struct {
 	Version uint64                  `json:"version"`
 	InForce uint64                  `json:"in_force"`
@@ -89,10 +90,10 @@
 	History []settings.HistoryEntry `json:"history,omitempty"`
 }
 
-// StatusRequest asks any replica what it knows.
+// StatusRequest requests the status of the replica that receives it, whether it leads or not.
 type StatusRequest struct{}
 
-// StatusReply is one replica's view.
+// StatusReply is the status of a replica and its view of the group.
 type StatusReply struct {
 	ID        consensus.ID   `json:"id"`
 	Name      string         `json:"name"`
@@ -105,49 +106,49 @@
 	Version   uint64         `json:"version"`
 	InForce   uint64         `json:"in_force"`
 	Claims    int            `json:"claims"`
-	Level     level.Level    `json:"level"` // in force
-	Build     level.Level    `json:"build"` // level of the answering replica's build
+	Level     level.Level    `json:"level"` // level in force
+	Build     level.Level    `json:"build"` // highest level that the replica's build supports
 	Members   []MemberStatus `json:"members"`
 	Routers   []RouterStatus `json:"routers,omitempty"`
 	Engines   []EngineStatus `json:"engines,omitempty"`
 
-	Limits []allowance.State `json:"limits,omitempty"` // of what is limited over the fleet; of the leader only
-	Named  []allowance.State `json:"named,omitempty"`  // of back ends that name their limits, those of which most was refused; of the leader only
-	// Suspects are the requests under which more than one back end ended; of the leader only.
+	Limits []allowance.State `json:"limits,omitempty"` // fleet-wide limits; from the leader only
+	Named  []allowance.State `json:"named,omitempty"`  // limits advertised by back ends, those with the most rejections; from the leader only
+	// Suspects lists the requests during which more than one back end crashed; from the leader only.
 	Suspects []quarantine.Entry `json:"suspects,omitempty"`
 }
 
-// MemberStatus is one control replica as the answering one sees it.
+// MemberStatus is a member of the control group as seen by the answering replica.
 type MemberStatus struct {
 	consensus.Member
 	Match  uint64        `json:"match"`
 	Silent time.Duration `json:"silent_ns"`
-	Level  level.Level   `json:"level"` // of its build, as the leader heard it last; 0 from other replicas
+	Level  level.Level   `json:"level"` // level last announced by the member's build; 0 unless the leader answers
 }
 
-// RouterStatus is one router session as the leader sees it.
+// RouterStatus is a router's session as seen by the leader.
 type RouterStatus struct {
 	Session
 	Acked     uint64        `json:"acked"`
 	LeaseLeft time.Duration `json:"lease_left_ns"`
 }
 
-// EngineStatus compares what an engine should hold with what it reports.
+// EngineStatus compares the weights that an engine should hold with those it reports.
 type EngineStatus struct {
 	EngineReport
 	Wanted string `json:"wanted"`
 }
 
-// ResponseKind tells whether a request was carried out.
+// ResponseKind states whether a request was carried out.
 type ResponseKind string
 
 // Kinds of response.
 const (
 	ResponseOK        ResponseKind = "ok"
-	ResponseNotLeader ResponseKind = "not-leader"  // ask the leader, if named
-	ResponseNoQuorum  ResponseKind = "unavailable" // no quorum confirmed this replica; nothing was done
-	ResponseUnknown   ResponseKind = "unknown"     // the change may or may not commit; resend with the same id
-	ResponseNotFormed ResponseKind = "not-formed"  // the group has not reached its configured size yet
+	ResponseNotLeader ResponseKind = "not-leader"  // retry at Leader, if set
+	ResponseNoQuorum  ResponseKind = "unavailable" // the replica could not confirm its leadership; nothing was done
+	ResponseUnknown   ResponseKind = "unknown"     // the change may or may not commit; resend it with the same ID
+	ResponseNotFormed ResponseKind = "not-formed"  // the group has yet to reach its configured size
 )
 
 // Response answers a Request.
@@ -164,16 +165,16 @@
 	Document        *catalog.Document `json:"document,omitempty"`
 	Lent            *allowance.Answer `json:"lent,omitempty"`
 	Relayed         *relay.Answer     `json:"relayed,omitempty"`
-	UnknownBackends []string          `json:"strangers,omitempty"` // back ends of which the leader wants a whole heartbeat
+	UnknownBackends []string          `json:"strangers,omitempty"` // back ends whose next heartbeat must be a full one
 }
 
-// Reply is a response for one waiting client.
+// Reply is a Response to a waiting client.
 type Reply struct {
 	Client   uint64
 	Response Response
 }
 
-// EngineReport is what an engine says of its weights and fence.
+// EngineReport is an engine's report of its weights and fence.
 type EngineReport struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
@@ -185,7 +186,7 @@
 	Fence       Fence  `json:"fence"`
 }
 
-// EngineCall is a message for an engine: an order, or only a fence to raise.
+// EngineCall is a message to an engine that raises its fence and may carry an order.
 type EngineCall struct {
 	Engine  string `json:"engine"`
 	Address string `json:"address"`
