--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics returns a registry of this replica's figures.
+// Metrics returns a registry with the metrics of this replica.
 func (s *Server) Metrics() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
