--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,7 +12,7 @@
 	"kitetiller/internal/transport"
 )
 
-// enqueue queues a message for a peer. A full enqueue drops it: the protocol sends again.
+// enqueue queues a message for a peer. It drops the message if the queue is full; the protocol retransmits it.
 func (s *Server) enqueue(message consensus.Message) {
 	address := s.addressOf(message.To)
 	if address == "" {
@@ -32,8 +32,8 @@
 	}
 }
 
-// addressOf returns where a replica can be reached: from the membership, or from where it wrote to us, since
-// a replica that has just joined does not know the membership yet.
+// addressOf returns the address of a replica, from the membership or else from the last batch received from it, since a
+// replica that has just joined does not know the membership yet.
 func (s *Server) addressOf(id consensus.ID) string {
 	if member, found := s.replica.Node().Membership().Find(id); found {
 		return member.Address
@@ -41,26 +41,26 @@
 	return s.senderAddresses[id]
 }
 
-// raftBatch is one request between replicas.
+// raftBatch is a batch of consensus messages from one replica to another.
 type raftBatch struct {
-	Address  string              `json:"address"` // of the sender
+	Address  string              `json:"address"` // address of the sender
 	Messages []consensus.Message `json:"messages"`
 }
 
 const (
-	// peerTimeoutHeartbeats is how many heartbeats a message to a peer may take; a peer behind a cut must not hold up what follows.
+	// peerTimeoutHeartbeats is the base timeout of a request to a peer, in heartbeat intervals. It is short since an
+	// unreachable peer must not hold up later messages.
 	peerTimeoutHeartbeats = 4
-	// minPeerBytesPerSecond is what a peer takes at the least, in bytes a second: a snapshot of a large state has so much more time. A replica with
-	// 0.8 of a core decodes some 20 MB of JSON a second.
+	// minPeerBytesPerSecond is the slowest acceptable transfer rate to a peer. It extends the timeout of large snapshots.
 	minPeerBytesPerSecond = 4 << 20
 )
 
-// peerTimeout returns how long a message of so many bytes to a peer may take.
+// peerTimeout returns the timeout of a request to a peer with a body of the given size.
 func peerTimeout(heartbeat time.Duration, bytes int) time.Duration {
 	return peerTimeoutHeartbeats*heartbeat + time.Duration(bytes)*time.Second/minPeerBytesPerSecond
 }
 
-// sendTo is the thread that sends messages to one peer, several in one request.
+// sendTo sends the queued messages to one peer, in batches.
 func (s *Server) sendTo(address string, queue chan consensus.Message) {
 	for message := range queue {
 		batch := raftBatch{Address: s.file.Control.Internal, Messages: []consensus.Message{message}}
@@ -69,19 +69,19 @@
 		}
 		body, err := json.Marshal(batch)
 		if err != nil {
-			s.log.Error("messages to a peer cannot be encoded", zap.String("peer", address), zap.Error(err))
+			s.log.Error("failed to encode messages to a peer", zap.String("peer", address), zap.Error(err))
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout(s.file.Control.Heartbeat, len(body)))
 		if err := s.client.PostBody(ctx, address, PathRaft, body); err != nil {
-			s.log.Debug("peer not reached", zap.String("peer", address), zap.Error(err))
+			s.log.Debug("failed to send messages to a peer", zap.String("peer", address), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// joinOrFound finds the group for a replica with an empty folder: it joins an existing one as a learner, or
-// founds one if it is the first founder and every other founder has answered that it has no state either.
+// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it founds
+// a group, provided that this replica is the first founder and all other founders have answered that they have no state.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
 		groupExists, allEmpty := s.probeFounders(ctx)
@@ -116,22 +116,22 @@
 	return exists, allEmpty
 }
 
-// tryJoin asks the leader to add this replica as a learner.
+// tryJoin asks the leader to add this replica as a learner and reports whether it succeeded.
 func (s *Server) tryJoin(ctx context.Context) bool {
 	attempt, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
 	_, err := s.group.Ask(attempt, Request{Join: &self})
 	if err != nil {
-		s.log.Info("waiting to join the control group", zap.Error(err))
+		s.log.Info("failed to join the control group, retrying", zap.Error(err))
 		return false
 	}
 	s.log.Info(events.GroupJoined)
 	return true
 }
 
-// rejoinWhileLeaderless is the thread that asks to become a learner while no leader is known: the group may have replaced this replica
-// while it was away. For a member it changes nothing.
+// rejoinWhileLeaderless asks to join as a learner while this replica hears no leader, since the group may have replaced
+// it during an outage. The request has no effect for a member.
 func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
 	transport.Every(ctx, rejoinInterval, func() {
 		if s.hasStateWithoutLeader() {
@@ -140,7 +140,7 @@
 	})
 }
 
-// hasStateWithoutLeader reports whether this replica has state and hears no leader.
+// hasStateWithoutLeader reports whether this replica has state but hears no leader.
 func (s *Server) hasStateWithoutLeader() bool {
 	return s.holds(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
