--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -14,40 +14,40 @@
 	"kitetiller/internal/quota"
 )
 
-// Config is what a replica needs to start.
+// Config holds the settings of a replica.
 type Config struct {
 	ID                consensus.ID
 	Name              string
 	Address           string
 	Zone              string
-	MaxDirectGateways int // gateways up to which the leader answers all of them by itself
+	MaxDirectGateways int // number of gateways above which followers answer gateways for the leader
 	Timing            consensus.Timing
-	Replicas          int           // voters the group should have
-	SettingsLease     time.Duration // lease granted to routers
-	RepairAfter       time.Duration // silence after which a voter is replaced by a learner
-	SnapshotEvery     uint64        // applied entries between snapshots
-	OrderWait         time.Duration // how long a new leader waits before its first order for weights
-	GatewayTrust      time.Duration // how long a gateway may use a view that is not confirmed
-	Quota             quota.Terms   // how limits over the fleet are judged
+	Replicas          int           // number of voters in a complete group
+	SettingsLease     time.Duration // duration of the settings lease of a router
+	RepairAfter       time.Duration // how long a voter may be unreachable before a learner replaces it
+	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
+	OrderWait         time.Duration // how long a new leader waits before its first weights order
+	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
+	Quota             quota.Terms   // terms of the fleet-wide limits
 	Guards            guard.Set
-	Mechanisms        mechanism.Set // parts of the decision that are on
-	Level             level.Level   // of this build
+	Mechanisms        mechanism.Set // enabled mechanisms
+	Level             level.Level   // highest record level that this build supports
 	Random            func(n int64) int64
 }
 
-// publishedDocument is a document as gateways are told it, and as JSON that they share.
+// publishedDocument is the routing document sent to gateways, with an encoding that all replies share.
 type publishedDocument struct {
 	document *catalog.Document
 	shared   *payload.Shared
 }
 
-// pendingProposal are the clients that wait for a log entry.
+// pendingProposal holds the clients that wait for a proposed log entry.
 type pendingProposal struct {
 	clients []uint64
 	term    uint64
 }
 
-// firstClient returns the client that waits where one does alone, or 0.
+// firstClient returns the first waiting client, or 0 if there is none.
 func (w pendingProposal) firstClient() uint64 {
 	if len(w.clients) == 0 {
 		return 0
@@ -55,26 +55,26 @@
 	return w.clients[0]
 }
 
-// Persist is what the shell must write and sync before it calls Done.
+// Persist holds what the caller must write and sync before it calls Advance.
 type Persist struct {
 	HardState  *consensus.HardState
 	Entries    []consensus.Entry
-	Checkpoint *Checkpoint // replaces everything on disk; HardState and Entries are included in it
+	Checkpoint *Checkpoint // replaces everything on disk; includes HardState and Entries
 }
 
-// Empty reports whether nothing has to be written.
+// Empty reports whether there is nothing to write.
 func (p Persist) Empty() bool {
 	return p.HardState == nil && len(p.Entries) == 0 && p.Checkpoint == nil
 }
 
-// Checkpoint is the whole durable state of a replica.
+// Checkpoint is the complete durable state of a replica.
 type Checkpoint struct {
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
 }
 
-// Effects are what the shell sends after the sync.
+// Effects holds what the caller must send after the sync.
 type Effects struct {
 	Messages     []consensus.Message
 	Replies      []Reply
@@ -83,8 +83,8 @@
 	RelayCalls   []RelayCall
 }
 
-// Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
-// out Persist and Effects. The order is: inputs, Work, write and sync, Done, send.
+// Replica is one control replica. It does no I/O: the caller passes in the time, messages and requests, and carries
+// out Persist and Effects. The order of calls is: inputs, Prepare, write and sync, Advance, send.
 type Replica struct {
 	config    Config
 	node      *consensus.Node
@@ -94,26 +94,27 @@
 
 	applied     uint64
 	appliedTerm uint64
-	// appliedBytes are the bytes of the entries applied since the newest snapshot.
+	// appliedBytes is the total size of the entries applied since the newest snapshot.
 	appliedBytes   int
-	unixMS         int64         // time of day at tickedAt; 0 before the first tick
-	tickedAt       time.Duration // of the newest tick
-	now            time.Duration // of the newest tick or request
+	unixMS         int64         // wall clock at tickedAt; 0 before the first tick
+	tickedAt       time.Duration // time of the newest tick
+	now            time.Duration // time of the newest tick or request
 	pending        map[uint64]pendingProposal
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namedVersions  map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
-	orderMarks     map[string]orderMark     // by name of the back end: what this process saw in the log
-	published      publishedDocument        // newest document that gateways were told
-	relay          *relay.Relay             // of gateways' questions while another replica leads
-	awaitingLeader []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
-	quarantined    quarantined              // when what was last counted, as this process saw it
-	checkpointDue  bool                     // a snapshot must be written with the next Work
-	stopErr        error                    // the replica takes, writes and sends nothing more; nil while it goes on
+	namedVersions  map[string][]datedNaming // by model, in ascending order of version, with local times
+	orderMarks     map[string]orderMark     // newest order seen in the log, by back-end name
+	published      publishedDocument        // newest document sent to gateways
+	relay          *relay.Relay             // answers gateways while another replica leads
+	awaitingLeader []watcher                // watches held until a leader is known; at most leaderlessMost
+	quarantined    quarantined              // local times of the replicated crash counts
+	checkpointDue  bool                     // the next Prepare must write a checkpoint
+	stopErr        error                    // why the replica has stopped, or nil
 }
 
-// NewReplica restores a replica from its durable state.
+// NewReplica restores a replica from its durable state. It fails if the state requires a higher level than this build
+// supports.
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
@@ -137,8 +138,8 @@
 	return replica, nil
 }
 
-// BootstrapState is the first durable state of the replica that founds a group: a log of one voter. All
-// other replicas join it as learners.
+// BootstrapState returns the initial durable state of the replica that founds a group, with self as the only voter.
+// All other replicas join as learners.
 func BootstrapState(self consensus.Member) Checkpoint {
 	meta := consensus.SnapshotMeta{Index: 1, Term: 1, Membership: consensus.Membership{Members: []consensus.Member{self}}}
 	empty := NewMachine(guard.Set{}).Snapshot()
@@ -154,7 +155,7 @@
 // Applied returns the index of the last applied entry.
 func (r *Replica) Applied() uint64 { return r.applied }
 
-// Tick lets timers run. unixMS is the wall clock, used only for retention, history, and how old namings are.
+// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of named versions.
 func (r *Replica) Tick(now time.Duration, unixMS int64) {
 	if r.stopErr != nil {
 		return
@@ -182,7 +183,7 @@
 	r.endLeaderless(now)
 }
 
-// Step handles a message of another replica.
+// Step handles a message from another replica.
 func (r *Replica) Step(now time.Duration, message consensus.Message) {
 	if r.stopErr != nil || !r.checkLevel(now, message) {
 		return
@@ -191,7 +192,7 @@
 	r.checkLeadership(now)
 }
 
-// NextDue returns when Tick must be called at the latest.
+// NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
 	if r.relays() {
 		return min(r.node.NextDue(), r.relay.Due())
@@ -199,7 +200,7 @@
 	return r.node.NextDue()
 }
 
-// checkLeadership notices gained and lost leadership.
+// checkLeadership creates the leader state after an election and discards it when leadership is lost.
 func (r *Replica) checkLeadership(now time.Duration) {
 	leads := r.node.Role() == consensus.Leader
 	if r.leader != nil && (!leads || r.leader.term != r.node.Term()) {
@@ -215,7 +216,7 @@
 	}
 }
 
-// failPending answers clients whose entry may or may not commit under another leader.
+// failPending answers ResponseUnknown to all waiting clients: their entries may still commit under another leader.
 func (r *Replica) failPending() {
 	for index, proposal := range r.pending {
 		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
@@ -243,13 +244,13 @@
 	}
 }
 
-// propose appends a command after the registrations that wait; client 0 waits for nothing.
+// propose appends a command after the queued registrations. With client 0, nobody waits for the entry.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
 	r.writeJoining(now)
 	r.appendCommand(now, []uint64{client}, command)
 }
 
-// appendCommand writes a command into the log; the clients are answered once it has committed.
+// appendCommand appends a command to the log; the clients are answered once it has committed.
 func (r *Replica) appendCommand(now time.Duration, clients []uint64, command Command) {
 	command.UnixMS = r.unixMS
 	index, term, ok := r.node.Propose(now, encodeCommand(command))
@@ -260,7 +261,7 @@
 	r.pending[index] = pendingProposal{clients: clients, term: term}
 }
 
-// Prepare returns what must be written and synced now.
+// Prepare returns what the caller must write and sync before Advance.
 func (r *Replica) Prepare() Persist {
 	r.writeJoining(r.now)
 	r.flushOrdering(r.now)
@@ -280,7 +281,7 @@
 	return persist
 }
 
-// Advance continues after the sync of Work: it applies what committed and returns what to send.
+// Advance continues after the writes of Prepare were synced: it applies committed entries and returns what to send.
 func (r *Replica) Advance(now time.Duration) Effects {
 	if last := len(r.ready.Entries); last > 0 {
 		r.node.Persisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
@@ -309,8 +310,8 @@
 	return effects
 }
 
-// dropStaleCalls forgets calls that were decided before a sync which took so long that this replica may lead no more, and orders that would
-// follow their announcements too late; the roll-out makes them again.
+// dropStaleCalls drops calls decided before a sync that took so long that this replica may have lost the leadership,
+// and orders that would follow their announcement too late. The rollout makes them again.
 func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
 	if len(calls) == 0 || !r.config.Guards.On(guard.LateCalls) {
 		return calls
@@ -323,7 +324,7 @@
 
 func (r *Replica) installSnapshot(now time.Duration, snapshot consensus.Snapshot) {
 	if err := r.machine.Restore(snapshot.Data); err != nil {
-		panic("control: snapshot of the leader cannot be read: " + err.Error())
+		panic("control: failed to decode the snapshot received from the leader: " + err.Error())
 	}
 	r.applied, r.appliedTerm, r.appliedBytes = snapshot.Meta.Index, snapshot.Meta.Term, 0
 	r.noteInstalled(now)
@@ -332,7 +333,7 @@
 
 func (r *Replica) apply(now time.Duration, entry consensus.Entry) {
 	if entry.Index != r.applied+1 {
-		panic("control: committed entries are not contiguous")
+		panic("control: gap in the indexes of committed entries")
 	}
 	r.applied, r.appliedTerm = entry.Index, entry.Term
 	r.appliedBytes += len(entry.Data)
@@ -354,8 +355,8 @@
 	r.completeProposal(now, entry, result, proposal, found && proposal.term == entry.Term)
 }
 
-// completeProposal answers the client of an entry. A waiter whose entry was replaced by another leader's gets
-// "unknown": its change did not commit here, but the client cannot tell and resends.
+// completeProposal answers the clients of an entry. If another leader's entry took its index, they get
+// ResponseUnknown and have to resend.
 func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, proposal pendingProposal, sameTerm bool) {
 	if !sameTerm {
 		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
@@ -374,9 +375,9 @@
 	r.replyCommitted(proposal.clients, response)
 }
 
-// maybeSnapshot writes a snapshot when enough entries were applied since the last one, and they have as many bytes as that: what
-// snapshots cost then grows with what was written, however large the state is. The log keeps the entries since the last
-// snapshot, so that a replica which lags a little gets these and not all of the state.
+// maybeSnapshot takes a snapshot once SnapshotEvery entries have been applied since the last one and their total size
+// has reached that of the last snapshot, which keeps the cost of snapshots proportional to the size of the log. The log
+// keeps the entries between the last two snapshots, so that a follower that lags slightly does not need a snapshot.
 func (r *Replica) maybeSnapshot() {
 	if r.applied < r.snapshot.Meta.Index+r.config.SnapshotEvery || r.appliedBytes < len(r.snapshot.Data) {
 		return
@@ -389,10 +390,10 @@
 	r.checkpointDue = true
 }
 
-// PendingWeightsCalls returns how many calls to back ends wait for the next sync.
+// PendingWeightsCalls returns the number of calls to back ends that wait for the next sync.
 func (r *Replica) PendingWeightsCalls() int { return len(r.effects.WeightsCalls) }
 
-// HasWork reports whether Work and Done should be called.
+// HasWork reports whether the caller should call Prepare and Advance.
 func (r *Replica) HasWork() bool {
 	if r.stopErr != nil {
 		return false
