--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -13,7 +13,7 @@
 	"kitetiller/internal/transport"
 )
 
-// openUnelected opens a group of one that has just started and leads nothing yet.
+// openUnelected opens a group of one that has just been restarted and has no leader yet.
 func openUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, folder)
@@ -23,7 +23,7 @@
 	return reopenUnelected(t, folder)
 }
 
-// reopenUnelected opens a replica on a folder that another life has left.
+// reopenUnelected opens a replica, without a leader yet, on the folder of a previous one.
 func reopenUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
@@ -37,8 +37,8 @@
 	return &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 }
 
-// TestWatchWaitsForLeaderElection: a gateway's question is held while no leader is known, and answered by the replica itself as
-// soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
+// TestWatchWaitsForLeaderElection guards against gateways that learn late of a new leader. A watch is held until a leader
+// is elected, and rejected only when its hold time ends first.
 func TestWatchWaitsForLeaderElection(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
 	const holding, immediate = 1000, 1001
@@ -46,7 +46,7 @@
 	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
 	if len(s.replies) > 0 {
-		t.Fatalf("answered before there is a leader: %+v", s.replies)
+		t.Fatalf("watches answered before the election: %+v", s.replies)
 	}
 	s.replica.endLeaderless(s.now)
 	s.work()
@@ -55,11 +55,11 @@
 	}
 	s.advance(400 * time.Millisecond)
 	if reply := s.replies[holding]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
-		t.Fatalf("patient question: %+v", reply)
+		t.Fatalf("watch with hold time: reply %+v, want ok or not-formed", reply)
 	}
 }
 
-// TestWatchesAwaitingLeaderAreBounded: the rest is turned away at once.
+// TestWatchesAwaitingLeaderAreBounded checks that watches above the bound are rejected at once.
 func TestWatchesAwaitingLeaderAreBounded(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
 	for i := range leaderlessMost + 1 {
@@ -67,12 +67,12 @@
 	}
 	s.work()
 	if len(s.replies) != 1 {
-		t.Fatalf("%d of %d questions were turned away", len(s.replies), leaderlessMost+1)
+		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), leaderlessMost+1)
 	}
 }
 
-// TestNewLeaderRestoresHeldWeightsFromLog: from the log, before any heartbeat comes (ayni-lima trouble-1: shared prompts were read
-// again for 1.2 s after a restart of all, since unknown weights share nothing).
+// TestNewLeaderRestoresHeldWeightsFromLog guards against a leader that does not know the weights of back ends until
+// their first heartbeat, during which prefix caches cannot be shared.
 func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
@@ -82,11 +82,11 @@
 	again := openSingleReplica(t, s.folder)
 	entries := again.watchNow("g1", RosterVersion{}).Roster.Entries
 	if len(entries) != 2 || entries[0].Versions["m"] != 1 || entries[1].Versions["m"] != 1 {
-		t.Fatalf("roster %+v", entries)
+		t.Fatalf("roster %+v, want two back ends with version 1 of m", entries)
 	}
 }
 
-// TestUnchangedWeightsAppendNoEntries: what is known already is not written again.
+// TestUnchangedWeightsAppendNoEntries guards against a log that grows with every heartbeat.
 func TestUnchangedWeightsAppendNoEntries(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
@@ -96,12 +96,12 @@
 		s.advance(time.Second)
 	}
 	if grown := s.replica.Node().LastIndex() - before; grown > 0 {
-		t.Fatalf("the log grew by %d entries", grown)
+		t.Fatalf("log grew by %d entries, want 0", grown)
 	}
 }
 
-// TestAnyFindsLeaderDespiteUnresponsiveAddress: one that takes connections and says nothing holds nobody up, and a follower's
-// word is followed at once, also when the leader failed a moment ago.
+// TestAnyFindsLeaderDespiteUnresponsiveAddress guards against clients delayed by an address that accepts connections but
+// never answers, or by a recent failure of the leader that a follower names.
 func TestAnyFindsLeaderDespiteUnresponsiveAddress(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,35 +117,35 @@
 	defer cancel()
 	response, err := client.Any(ctx, Request{Status: &StatusRequest{}})
 	if err != nil || response.Kind != ResponseOK {
-		t.Fatalf("response %+v, error %v", response, err)
+		t.Fatalf("Any: response %+v, error %v", response, err)
 	}
 	if ctx.Err() != nil || client.target() != leader {
-		t.Fatalf("the next question goes to %s", client.target())
+		t.Fatalf("next request goes to %s, want the leader", client.target())
 	}
 }
 
-// TestHeldWeightsRequireRegistration: an instance that has ended leaves nothing behind.
+// TestHeldWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
 func TestHeldWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
 	held := catalog.Command{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 3}}}}
 	machine.Apply(held)
 	if machine.Held("i-1") != nil {
-		t.Fatal("an unknown instance holds weights")
+		t.Fatal("weights recorded for an unregistered instance")
 	}
 	machine.Apply(catalog.Command{Register: &catalog.Instance{ID: "i-1", Address: "a"}})
 	machine.Apply(held)
 	held.Held[0].Version = 2
 	machine.Apply(held)
 	if machine.Held("i-1")["m"] != 3 {
-		t.Fatalf("held %v after an older report", machine.Held("i-1"))
+		t.Fatalf("weights %v after a report of an older version, want version 3 of m", machine.Held("i-1"))
 	}
 	machine.Apply(catalog.Command{Remove: "i-1"})
 	if machine.Held("i-1") != nil {
-		t.Fatal("an ended instance holds weights")
+		t.Fatal("weights kept for a removed instance")
 	}
 }
 
-// countingDriver counts the calls that reach a back end.
+// countingDriver counts the calls made to back ends.
 type countingDriver struct{ calls int }
 
 func (d *countingDriver) CallWeights(context.Context, WeightsCall) WeightsResult {
@@ -153,8 +153,8 @@
 	return WeightsResult{Kind: WeightsTaken}
 }
 
-// TestStaleWeightsCallIsRefusedAfterSuspension: the machine was suspended between the decision and the call, and another replica may
-// lead by now.
+// TestStaleWeightsCallIsRefusedAfterSuspension guards against an order given after the machine was suspended between the
+// decision and the call, when another replica may lead.
 func TestStaleWeightsCallIsRefusedAfterSuspension(t *testing.T) {
 	driver := &countingDriver{}
 	at := time.Second
@@ -164,6 +164,6 @@
 	at += 2 * time.Second
 	s.callBackend(t.Context(), made)
 	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsTaken || second.Kind != WeightsRefused {
-		t.Fatalf("%d calls, results %+v and %+v", driver.calls, first, second)
+		t.Fatalf("%d calls, want 1; results %+v and %+v, want taken and refused", driver.calls, first, second)
 	}
 }
