--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -32,13 +32,13 @@
 	sendTimeout     = 2 * time.Second
 	joinInterval    = 300 * time.Millisecond
 	rejoinInterval  = 2 * time.Second
-	maxTickInterval = 50 * time.Millisecond // longest sleep of the decide thread
-	// maxDirectGateways is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
-	// 100 of a core. Beyond, all replicas answer, and what the leader answers doesn't grow with the gateways.
+	maxTickInterval = 50 * time.Millisecond // longest time between two ticks
+	// maxDirectGateways is how many gateways the leader answers by itself. With more, all replicas answer gateways, so
+	// that the load of the leader does not grow with their number.
 	maxDirectGateways = 128
 )
 
-// input is one thing for the decide thread; exactly one field is set.
+// input is an event for the replica goroutine. Exactly one of its fields is set, besides respond.
 type input struct {
 	batch       *raftBatch
 	request     *Request
@@ -51,39 +51,39 @@
 	relayResult *relayResult
 }
 
-// relayResult is how a question to the leader on behalf of gateways ended.
+// relayResult is the result of a relay request to the leader.
 type relayResult struct {
 	number uint64
-	leader string        // that was asked
-	answer *relay.Answer // nil when there was none of a leader
-	cause  string        // why there was none
+	leader string        // address of the leader that was asked
+	answer *relay.Answer // nil if the request failed
+	cause  string        // why the request failed
 }
 
-// HelloReply tells a replica with an empty folder whether a group exists already.
+// HelloReply tells a replica with an empty data folder whether the answering founder already has state.
 type HelloReply struct {
 	HasState bool `json:"has_state"`
 }
 
-// Server runs a Replica: one thread decides and persists, others carry messages. Persisting shares the
-// thread that decides because nothing may be sent before the sync; proposals that wait share one sync.
+// Server runs a Replica. One goroutine owns the replica and its disk, since nothing may be sent before it is synced;
+// others do network I/O. Inputs that are queued together share one sync.
 type Server struct {
 	file            *node.File
 	log             *zap.Logger
 	identity        Identity
 	disk            *Disk
 	replica         *Replica
-	wasLeader       bool        // as of the newest tick; owned by the decide thread
-	loggedLevel     level.Level // in force as of the newest tick; owned by the decide thread
-	relayFailing    bool        // the newest question for gateways got no answer; owned by the decide thread
+	wasLeader       bool        // last logged leadership; owned by runReplica
+	loggedLevel     level.Level // last logged level in force; owned by runReplica
+	relayFailing    bool        // the last relay request failed; owned by runReplica
 	overLimitLog    overNotes
 	heldBackLog     heldNotes
 	config          Config
-	now             clock.Source // since it was made
+	now             clock.Source // time since the server was created
 	inputs          chan input
 	engineCalls     chan EngineCall
 	clients         map[uint64]transport.Respond
 	nextID          uint64
-	senderAddresses map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
+	senderAddresses map[consensus.ID]string // last known address of each replica that sent a message; owned by runReplica
 	links           *transport.Links
 	client          *transport.Client
 	group           *Client
@@ -97,13 +97,13 @@
 	syncs    SyncStats
 }
 
-// SyncStats counts what a replica wrote. It may be read at any time.
+// SyncStats counts the synced writes of a replica. It is safe for concurrent use.
 type SyncStats struct {
 	Count       atomic.Uint64
-	Nanoseconds atomic.Uint64 // spent writing and syncing
+	Nanoseconds atomic.Uint64 // time spent writing and syncing
 }
 
-// Syncs returns the replica's counters.
+// Syncs returns the counters of synced writes.
 func (s *Server) Syncs() *SyncStats { return &s.syncs }
 
 // NewServer opens the data folder and restores the replica.
@@ -187,7 +187,7 @@
 	return err
 }
 
-// handle takes an internal request on the event loop and passes it to the decide thread.
+// handle decodes an internal request and queues it for the replica goroutine.
 func (s *Server) handle(request transport.Request, respond transport.Respond) {
 	item := input{}
 	var err error
@@ -217,18 +217,18 @@
 	}
 }
 
-// submit puts an input into the ring, or sheds it when the ring is full.
+// submit queues an input for the replica goroutine. It drops the input and returns false if the queue is full.
 func (s *Server) submit(item input) bool {
 	select {
 	case s.inputs <- item:
 		return true
 	default:
-		s.log.Warn("input ring is full, input shed")
+		s.log.Warn("input queue is full, input dropped")
 		return false
 	}
 }
 
-// runReplica is the thread that owns the replica.
+// runReplica is the loop of the goroutine that owns the replica.
 func (s *Server) runReplica(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -245,7 +245,7 @@
 		}
 		s.replica.Tick(s.now(), time.Now().UnixMilli())
 		if err := s.persistAndSend(); err != nil {
-			s.fatal <- eris.Wrap(err, "the data folder can no longer be written")
+			s.fatal <- eris.Wrap(err, "failed to write to the data folder")
 			return
 		}
 		if err := s.replica.Err(); err != nil {
@@ -260,7 +260,7 @@
 	}
 }
 
-// logLeadershipChange logs that the leadership was won or lost.
+// logLeadershipChange logs when leadership was won or lost.
 func (s *Server) logLeadershipChange() {
 	leads := s.replica.leader != nil
 	if leads == s.wasLeader {
@@ -275,7 +275,7 @@
 	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
 }
 
-// logLevelChange logs that another level is in force than before.
+// logLevelChange logs when the level in force has changed.
 func (s *Server) logLevelChange() {
 	if current := s.replica.machine.level; current != s.loggedLevel {
 		s.loggedLevel = current
@@ -283,7 +283,7 @@
 	}
 }
 
-// handleQueued takes what else waits, so that many proposals share one sync.
+// handleQueued handles further queued inputs, so that they share one sync.
 func (s *Server) handleQueued() {
 	for range maxInputBatch {
 		select {
@@ -323,7 +323,7 @@
 	}
 }
 
-// relayToLeader passes a question for gateways to the leader; one is on its way at a time.
+// relayToLeader sends a relay request to the leader and submits the result.
 func (s *Server) relayToLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
 	defer cancel()
@@ -341,7 +341,7 @@
 	s.submit(input{relayResult: result})
 }
 
-// logRelayChange logs when the leader begins and ends to give no answers for gateways.
+// logRelayChange logs when relay requests to the leader start to fail and when they succeed again.
 func (s *Server) logRelayChange(result *relayResult) {
 	lost := result.answer == nil
 	if lost == s.relayFailing {
@@ -355,7 +355,7 @@
 	s.log.Info(events.RelayFound, zap.String("leader", result.leader))
 }
 
-// persistAndSend persists and sends until the replica has nothing more to do.
+// persistAndSend writes, syncs and sends until the replica has no more work.
 func (s *Server) persistAndSend() error {
 	for s.replica.HasWork() {
 		persist := s.replica.Prepare()
@@ -389,14 +389,14 @@
 		select {
 		case s.weightsCalls <- queuedCall{call: call, queuedAt: s.now()}:
 		default:
-			s.log.Warn("ring of weights calls is full, call shed; it is made again", zap.String("instance", call.Instance))
+			s.log.Warn("queue of weights calls is full, call dropped; it will be retried", zap.String("instance", call.Instance))
 		}
 	}
 	for _, call := range effects.EngineCalls {
 		select {
 		case s.engineCalls <- call:
 		default:
-			s.log.Warn("call ring is full, call shed; it is issued again", zap.String("engine", call.Engine))
+			s.log.Warn("queue of engine calls is full, call dropped; it will be retried", zap.String("engine", call.Engine))
 		}
 	}
 }
