--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -10,7 +10,8 @@
 	"kitetiller/internal/guard"
 )
 
-// registerBackends has so many back ends register in one cycle, gathered by several replicas, and returns the entries that it took.
+// registerBackends registers count back ends in one cycle, in batches as other replicas forward them, and returns the
+// number of log entries used.
 func registerBackends(s *singleReplica, count int) uint64 {
 	before := s.replica.Node().LastIndex()
 	const batchSize = 50
@@ -25,26 +26,27 @@
 	return s.replica.Node().LastIndex() - before
 }
 
-// TestConcurrentRegistrationsShareOneEntry: what registers together is one entry, and all that wait for it are answered.
+// TestConcurrentRegistrationsShareOneEntry guards against a number of log entries that grows with the fleet at start.
 func TestConcurrentRegistrationsShareOneEntry(t *testing.T) {
 	for _, count := range []int{500, 1000} {
 		s := openFleet(t)
 		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
 		if entries := registerBackends(s, count); entries != 1 {
-			t.Fatalf("%d back ends took %d entries", count, entries)
+			t.Fatalf("registration of %d back ends used %d entries, want 1", count, entries)
 		}
 		if held := len(s.replica.Machine().Catalog().Instances()); held != count+2 {
-			t.Fatalf("%d back ends are registered, wanted %d", held, count+2)
+			t.Fatalf("registered back ends: got %d, want %d", held, count+2)
 		}
 		for first := 0; first < count; first += 50 {
 			if reply := s.replies[uint64(100_000+first)]; reply.Kind != ResponseOK {
-				t.Fatalf("batch %d: %+v", first, reply)
+				t.Fatalf("batch from back end %d: reply %+v, want ok", first, reply)
 			}
 		}
 	}
 }
 
-// TestRegisterAndLeaveInOneBatchKeepOrder: a life that registers and leaves in one cycle stays gone.
+// TestRegisterAndLeaveInOneBatchKeepOrder guards against back ends that stay registered although they register and leave
+// in the same batch.
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{
@@ -54,23 +56,24 @@
 	s.work()
 	instances := s.replica.Machine().Catalog().Instances()
 	if _, known := instances["i-8"]; known || instances["i-9"].State != catalog.StateDraining || s.replies[7000].Kind != ResponseOK {
-		t.Fatalf("instances %+v, reply %+v", instances, s.replies[7000])
+		t.Fatalf("instances %+v, want no i-8 and i-9 draining; reply %+v", instances, s.replies[7000])
 	}
 }
 
-// TestPendingRegistrationsAreAnsweredOnLeadershipLoss: nobody waits for an entry that was never written.
+// TestPendingRegistrationsAreAnsweredOnLeadershipLoss guards against clients that wait for an entry that was never
+// appended.
 func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{beatOf("i-8", catalog.StateReady, 1)}})
-	s.replica.leader.term = 0 // as if another term had begun
+	s.replica.leader.term = 0 // simulates the start of another term
 	s.replica.checkLeadership(s.now)
 	s.work()
 	if reply := s.replies[7000]; reply.Kind != ResponseNotLeader {
-		t.Fatalf("reply %+v", reply)
+		t.Fatalf("reply %+v, want not-leader", reply)
 	}
 }
 
-// countSnapshots counts the snapshots that a replica writes while so many back ends register one after the other.
+// countSnapshots returns the number and total size of the snapshots taken while count back ends register one by one.
 func countSnapshots(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
@@ -83,8 +86,8 @@
 	return snapshots, bytes
 }
 
-// TestSnapshotBytesGrowLinearlyWithRegistrations: a snapshot is written once the log has as many bytes as the last one, so that twice the
-// back ends write some twice the bytes. One every so many entries wrote four times as many.
+// TestSnapshotBytesGrowLinearlyWithRegistrations guards against snapshots taken every fixed number of entries, whose
+// total size grows with the square of the fleet.
 func TestSnapshotBytesGrowLinearlyWithRegistrations(t *testing.T) {
 	written := func(count int) int {
 		_, bytes := countSnapshots(openFleet(t), count)
@@ -92,26 +95,26 @@
 	}
 	half, whole := written(1000), written(2000)
 	if whole > 3*half {
-		t.Fatalf("%d bytes of snapshots for 1,000 back ends, %d for 2,000", half, whole)
+		t.Fatalf("snapshots of 1,000 back ends took %d bytes, those of 2,000 took %d, want at most three times as much", half, whole)
 	}
 }
 
-// TestLogKeepsEntriesBeforeNewestSnapshot: a replica that lacks the newest entries only gets these after a snapshot was written, not all of
-// the state.
+// TestLogKeepsEntriesBeforeNewestSnapshot guards against followers that need a full snapshot although they lack only the
+// newest entries.
 func TestLogKeepsEntriesBeforeNewestSnapshot(t *testing.T) {
 	s := openFleet(t)
 	snapshots, _ := countSnapshots(s, 400)
 	if snapshots < 2 {
-		t.Fatalf("%d snapshots", snapshots)
+		t.Fatalf("%d snapshots, want at least 2", snapshots)
 	}
 	if held := s.replica.node.EntriesAfter(s.replica.snapshot.Meta.Index - 1); len(held) == 0 {
-		t.Fatalf("the log holds nothing before the snapshot at %d", s.replica.snapshot.Meta.Index)
+		t.Fatalf("log has no entry before the snapshot at index %d", s.replica.snapshot.Meta.Index)
 	}
 	s.advance(time.Second)
 }
 
-// TestWatchIsHeldUntilGroupIsFormed: until it has its size, a gateway that can wait is held for its time and no longer, so that a whole fleet asks
-// once in that time and not as fast as it is refused.
+// TestWatchIsHeldUntilGroupIsFormed guards against a fleet of gateways that retries as fast as an incomplete group rejects
+// it: watches are held for their hold time.
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
@@ -120,7 +123,7 @@
 	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
 	if _, answered := s.replies[holding]; answered || s.replies[immediate].Kind != ResponseNotFormed {
-		t.Fatalf("replies %+v", s.replies)
+		t.Fatalf("replies %+v, want only not-formed for the watch without hold time", s.replies)
 	}
 	s.advance(500 * time.Millisecond)
 	if reply := s.replies[holding]; reply.Kind != ResponseNotFormed {
@@ -128,8 +131,8 @@
 	}
 }
 
-// TestWatchesAwaitingLeaderAreRelayed: those that waited for a leader are answered by the replica that they came to once one leads; they
-// don't all go to the leader at once.
+// TestWatchesAwaitingLeaderAreRelayed guards against a surge at a new leader: watches held during an election are answered
+// by the replica that holds them.
 func TestWatchesAwaitingLeaderAreRelayed(t *testing.T) {
 	membership := consensus.Membership{Members: []consensus.Member{{ID: "c1", Name: "c1", Address: "a"}, {ID: "c2", Name: "c2", Address: "b"}}}
 	machine := NewMachine(guard.Set{})
@@ -141,14 +144,14 @@
 	}
 	r.Handle(0, 7, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
 	if len(r.awaitingLeader) != 1 {
-		t.Fatal("the question doesn't wait for a leader")
+		t.Fatal("watch is not held while there is no leader")
 	}
 	r.Step(0, consensus.Message{Kind: consensus.MessageAppend, From: "c2", To: "c1", Term: 2, Index: 1, LogTerm: 1})
 	r.Tick(0, 0)
 	if replies := r.effects.Replies; len(replies) > 0 {
-		t.Fatalf("sent away: %+v", replies)
+		t.Fatalf("watch was answered instead of relayed: %+v", replies)
 	}
 	if calls := r.effects.RelayCalls; len(calls) == 0 || calls[len(calls)-1].Address != "b" {
-		t.Fatalf("asked the leader %+v", calls)
+		t.Fatalf("relay calls %+v, want one to leader b", calls)
 	}
 }
