--- a/internal/control/storage.go
+++ b/internal/control/storage.go
@@ -13,7 +13,7 @@
 	"kitetiller/internal/storage"
 )
 
-// Kinds of records in a replica's log.
+// Record kinds in a replica's log.
 const (
 	recordHardState storage.Kind = 1
 	recordEntry     storage.Kind = 2
@@ -26,14 +26,14 @@
 	nonceBytes   = 6
 )
 
-// Identity is what makes a data folder one replica. An empty folder gets a new identity, so that a wiped
-// replica never votes under its old one.
+// Identity ties a data folder to a replica. An empty folder gets a new identity, so that a wiped replica never votes
+// under its previous ID.
 type Identity struct {
 	ID   consensus.ID `json:"id"`
 	Name string       `json:"name"`
 }
 
-// NewIdentity names a replica whose folder is empty.
+// NewIdentity returns the identity of a replica with an empty data folder.
 func NewIdentity(name, nonce string, guards guard.Set) Identity {
 	if !guards.On(guard.LearnerBeforeVote) {
 		return Identity{ID: consensus.ID(name), Name: name}
@@ -41,7 +41,7 @@
 	return Identity{ID: consensus.ID(name + "-" + nonce), Name: name}
 }
 
-// loadIdentity reads the folder's identity, or makes one for an empty folder.
+// loadIdentity reads the identity from a data folder, or creates one if the folder is empty.
 func loadIdentity(folder, name string) (Identity, error) {
 	path := filepath.Join(folder, identityFile)
 	var identity Identity
@@ -51,24 +51,24 @@
 	}
 	if found {
 		if identity.Name != name {
-			return identity, eris.Wrapf(storage.ErrForeign, "%s belongs to %q, not to %q", folder, identity.Name, name)
+			return identity, eris.Wrapf(storage.ErrForeign, "data folder %s belongs to replica %q, not to %q", folder, identity.Name, name)
 		}
 		return identity, nil
 	}
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
-		return identity, eris.Wrap(err, "draw replica nonce")
+		return identity, eris.Wrap(err, "generate replica ID")
 	}
 	identity = NewIdentity(name, hex.EncodeToString(nonce), guard.Set{})
 	return identity, storage.WriteJSON(path, identity)
 }
 
-// Disk is a replica's durable state.
+// Disk stores the durable state of a replica.
 type Disk struct {
 	log *storage.Log
 }
 
-// OpenDisk opens a replica's folder and returns what it holds.
+// OpenDisk opens a replica's data folder and returns its identity and state.
 func OpenDisk(folder, name string) (*Disk, Identity, Checkpoint, error) {
 	identity, err := loadIdentity(folder, name)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return &Disk{log: log}, identity, restored, nil
 }
 
-// replay rebuilds the durable state from log records.
+// replay rebuilds the durable state from the records of the log.
 func replay(records []storage.Record) (Checkpoint, error) {
 	var state Checkpoint
 	for _, record := range records {
@@ -99,32 +99,32 @@
 func replayRecord(state *Checkpoint, record storage.Record) error {
 	switch record.Kind {
 	case recordHardState:
-		return eris.Wrap(json.Unmarshal(record.Data, &state.HardState), "read hard state")
+		return eris.Wrap(json.Unmarshal(record.Data, &state.HardState), "decode hard state")
 	case recordSnapshot:
 		state.Entries = nil
-		return eris.Wrap(json.Unmarshal(record.Data, &state.Snapshot), "read snapshot")
+		return eris.Wrap(json.Unmarshal(record.Data, &state.Snapshot), "decode snapshot")
 	case recordEntry:
 		var entry consensus.Entry
 		if err := json.Unmarshal(record.Data, &entry); err != nil {
-			return eris.Wrap(err, "read entry")
+			return eris.Wrap(err, "decode entry")
 		}
 		return state.appendEntry(entry)
 	}
-	return eris.Wrapf(storage.ErrNewerFormat, "record kind %d is not known", record.Kind)
+	return eris.Wrapf(storage.ErrNewerFormat, "unknown record kind %d", record.Kind)
 }
 
-// appendEntry adds an entry; one at an index already held replaces it and all after it.
+// appendEntry appends an entry. It replaces an entry with the same index and all that follow.
 func (c *Checkpoint) appendEntry(entry consensus.Entry) error {
 	snapshotIndex := c.Snapshot.Meta.Index
 	position := int64(entry.Index) - int64(snapshotIndex) - 1
 	if position < 0 || position > int64(len(c.Entries)) {
-		return eris.Wrapf(storage.ErrDamaged, "entry %d does not follow entry %d", entry.Index, snapshotIndex+uint64(len(c.Entries)))
+		return eris.Wrapf(storage.ErrDamaged, "gap in the log: entry %d after entry %d", entry.Index, snapshotIndex+uint64(len(c.Entries)))
 	}
 	c.Entries = append(c.Entries[:position:position], entry)
 	return nil
 }
 
-// Apply applies a Persist to the state it leaves on disk.
+// Apply applies a Persist, with the same result as Disk.Write.
 func (c *Checkpoint) Apply(persist Persist) error {
 	if persist.Checkpoint != nil {
 		*c = *persist.Checkpoint
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// Write carries out a Persist and syncs it.
+// Write writes a Persist and syncs it to disk.
 func (d *Disk) Write(persist Persist) error {
 	if persist.Checkpoint != nil {
 		records, err := checkpointRecords(*persist.Checkpoint)
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// checkpointRecords returns the records that stand for a whole durable state.
+// checkpointRecords encodes a checkpoint as log records.
 func checkpointRecords(state Checkpoint) ([]storage.Record, error) {
 	values := []struct {
 		kind  storage.Kind
@@ -196,5 +196,4 @@
 	return records, nil
 }
 
-// Close closes the log.
 func (d *Disk) Close() error { return d.log.Close() }
