--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -61,17 +61,17 @@
 	if !r.needsRelays() {
 		return nil
 	}
-	addresses := map[string][]string{}
+	addressesByZone := map[string][]string{}
 	for _, replica := range r.leader.relayReplicas {
 		if now-replica.at <= relayReplicaTTL {
-			addresses[replica.zone] = append(addresses[replica.zone], replica.address)
+			addressesByZone[replica.zone] = append(addressesByZone[replica.zone], replica.address)
 		}
 	}
-	addresses[r.config.Zone] = append(addresses[r.config.Zone], r.config.Address)
-	for _, addresses := range addresses {
+	addressesByZone[r.config.Zone] = append(addressesByZone[r.config.Zone], r.config.Address)
+	for _, addresses := range addressesByZone {
 		slices.Sort(addresses)
 	}
-	return addresses
+	return addressesByZone
 }
 
 // needsRelays reports whether followers answer gateways, since there are too many for the leader.
