--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -49,8 +49,8 @@
 	addresses := r.relayReplicaAddresses(now)
 	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
 		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
-		mesh := *planned
-		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &mesh, Near: addresses}
+		meshCopy := *planned
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, Near: addresses}
 	}
 	return state.lastLayout
 }
