--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -48,11 +48,11 @@
 }
 
 // firstClient returns the first waiting client, or 0 if there is none.
-func (w pendingProposal) firstClient() uint64 {
-	if len(w.clients) == 0 {
+func (p pendingProposal) firstClient() uint64 {
+	if len(p.clients) == 0 {
 		return 0
 	}
-	return w.clients[0]
+	return p.clients[0]
 }
 
 // Persist holds what the caller must write and sync before it calls Advance.
