--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -204,10 +204,10 @@
 func (r *Replica) checkLeadership(now time.Duration) {
 	leads := r.node.Role() == consensus.Leader
 	if r.leader != nil && (!leads || r.leader.term != r.node.Term()) {
-		ended := r.leader
+		previous := r.leader
 		r.leader = nil
-		r.closeWatchers(ended)
-		r.replyAll(ended.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
+		r.closeWatchers(previous)
+		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
 	if r.leader == nil && leads {
