--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -202,15 +202,15 @@
 
 // checkLeadership creates the leader state after an election and discards it when leadership is lost.
 func (r *Replica) checkLeadership(now time.Duration) {
-	leads := r.node.Role() == consensus.Leader
-	if r.leader != nil && (!leads || r.leader.term != r.node.Term()) {
+	isLeader := r.node.Role() == consensus.Leader
+	if r.leader != nil && (!isLeader || r.leader.term != r.node.Term()) {
 		previous := r.leader
 		r.leader = nil
 		r.closeWatchers(previous)
 		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
-	if r.leader == nil && leads {
+	if r.leader == nil && isLeader {
 		r.leader = newLeaderState(r.node.Term(), now, r.leaseEnd(now), r.machine)
 		r.dateNamings(now)
 	}
