--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -28,7 +28,7 @@
 	forms.Check[consensus.Membership](t, "membership")
 }
 
-// machineState is the replicated machineState as a snapshot holds it.
+// machineState encodes a Machine as its snapshot.
 type machineState struct{ machine *Machine }
 
 // MarshalJSON returns a snapshot of the machine.
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -208,7 +208,7 @@
 		m.start(outdated)
 		m.advance(2 * time.Second)
 		if outdated.replica != nil || !reflect.DeepEqual(outdated.disk, disk) {
-			t.Fatalf("runs: %t, on a state of %d entries, %d before", outdated.replica != nil, len(outdated.disk.Entries), len(disk.Entries))
+			t.Fatalf("outdated build: running %t, %d entries on disk, %d before", outdated.replica != nil, len(outdated.disk.Entries), len(disk.Entries))
 		}
 	}
 	outdated.level = 2
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -51,7 +51,7 @@
 	s.replica.endLeaderless(s.now)
 	s.work()
 	if s.replies[immediate].Kind != ResponseNotLeader {
-		t.Fatalf("hasty question: %+v", s.replies[immediate])
+		t.Fatalf("watch without hold time: reply %+v, want not-leader", s.replies[immediate])
 	}
 	s.advance(400 * time.Millisecond)
 	if reply := s.replies[holding]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
