--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -64,7 +64,7 @@
 func (s *Server) sendTo(address string, queue chan consensus.Message) {
 	for message := range queue {
 		batch := raftBatch{Address: s.file.Control.Internal, Messages: []consensus.Message{message}}
-		for len(batch.Messages) < maxInputBatch && len(queue) > 0 {
+		for len(batch.Messages) < maxBatch && len(queue) > 0 {
 			batch.Messages = append(batch.Messages, <-queue)
 		}
 		body, err := json.Marshal(batch)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,7 +28,7 @@
 	inputCapacity   = 8192
 	outboxCapacity  = 1024
 	callCapacity    = 1024
-	maxInputBatch   = 512
+	maxBatch        = 512
 	sendTimeout     = 2 * time.Second
 	joinInterval    = 300 * time.Millisecond
 	rejoinInterval  = 2 * time.Second
@@ -285,7 +285,7 @@
 
 // handleQueued handles further queued inputs, so that they share one sync.
 func (s *Server) handleQueued() {
-	for range maxInputBatch {
+	for range maxBatch {
 		select {
 		case item := <-s.inputs:
 			s.handleInput(item)
