--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -262,13 +262,13 @@
 
 // logLeadershipChange logs when leadership was won or lost.
 func (s *Server) logLeadershipChange() {
-	leads := s.replica.leader != nil
-	if leads == s.wasLeader {
+	isLeader := s.replica.leader != nil
+	if isLeader == s.wasLeader {
 		return
 	}
-	s.wasLeader = leads
+	s.wasLeader = isLeader
 	fields := []zap.Field{zap.Uint64("term", s.replica.node.Term()), zap.String("leader", s.replica.leaderAddress())}
-	if !leads {
+	if !isLeader {
 		s.log.Info(events.LeadershipLost, fields...)
 		return
 	}
