--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -67,7 +67,7 @@
 	b.replica = replica
 }
 
-// advance lets time advance.
+// advance moves the clock forward and delivers messages.
 func (m *mixedGroup) advance(length time.Duration) {
 	for end := m.now + length; m.now < end; m.now += 20 * time.Millisecond {
 		var sent []consensus.Message
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -37,8 +37,8 @@
 	return &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 }
 
-// TestWatchWaitsForLeaderElection guards against gateways that learn late of a new leader. A watch is held until a leader
-// is elected, and rejected only when its hold time ends first.
+// TestWatchWaitsForLeaderElection guards against gateways that learn late of a new leader. A watch is held until a
+// leader is elected, and rejected only when its hold time ends first.
 func TestWatchWaitsForLeaderElection(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
 	const holding, immediate = 1000, 1001
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -113,8 +113,8 @@
 	s.advance(time.Second)
 }
 
-// TestWatchIsHeldUntilGroupIsFormed guards against a fleet of gateways that retries as fast as an incomplete group rejects
-// it: watches are held for their hold time.
+// TestWatchIsHeldUntilGroupIsFormed guards against gateways that retry as fast as an incomplete group rejects them:
+// watches are held for their hold time.
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.Replicas = 3 })
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestWatchesAwaitingLeaderAreRelayed guards against a surge at a new leader: watches held during an election are answered
-// by the replica that holds them.
+// TestWatchesAwaitingLeaderAreRelayed guards against a surge at a new leader: watches held during an election are
+// answered by the replica that holds them.
 func TestWatchesAwaitingLeaderAreRelayed(t *testing.T) {
 	membership := consensus.Membership{Members: []consensus.Member{{ID: "c1", Name: "c1", Address: "a"}, {ID: "c2", Name: "c2", Address: "b"}}}
 	machine := NewMachine(guard.Set{})
