--- a/internal/allowance/desk/desk.go
+++ b/internal/allowance/desk/desk.go
@@ -1,5 +1,5 @@
-// Package desk lets the requests of one process take amounts of limited resources: from what the process holds, else with one
-// question to the lender for all that wait. One thread asks.
+// Package desk lets the requests of one process acquire amounts of limited resources: from the leases that the
+// process holds, or else by requests to the allocator, which one goroutine sends for all waiting callers.
 package desk
 
 import (
@@ -12,284 +12,289 @@
 )
 
 const (
-	// askTimeout is how long the lender may take: some times the way to the furthest region and back.
-	askTimeout = 150 * time.Millisecond
-	// askPause is the pause after a question without an answer.
-	askPause = 25 * time.Millisecond
-	// shortWait is how long a request waits for an amount that comes in soon, rather than being turned away: little beside any
-	// objective.
-	shortWait = 40 * time.Millisecond
-	// waitingMost bounds the requests that wait for an answer.
-	waitingMost = 4096
+	// requestTimeout bounds one request to the allocator: several round trips to the furthest region.
+	requestTimeout = 150 * time.Millisecond
+	// retryInterval is the delay after a failed request.
+	retryInterval = 25 * time.Millisecond
+	// maxShortWait is how long a caller waits for an amount that is available soon, instead of being refused.
+	maxShortWait = 40 * time.Millisecond
+	// maxWaiting bounds the number of waiting callers.
+	maxWaiting = 4096
 )
 
-// Outcome tells what became of a wish.
+// Outcome is the result of an attempt to acquire an amount.
 type Outcome uint8
 
-// Outcomes.
+// Possible outcomes.
 const (
-	Granted Outcome = iota // the hold may be used once; where the resource is not limited it is empty
-	Over                   // the limit is reached; Wait tells when to come back
-	Unknown                // nobody could be asked, and the own part is used up
+	Granted      Outcome = iota // the lease may be used once; it is empty if the resource has no limit
+	LimitReached                // RetryAfter tells when to try again
+	Unavailable                 // the allocator could not be reached and the fallback share is used up
 )
 
-// Result is an outcome and what belongs to it.
+// Result is an outcome with the lease or the retry delay that belongs to it.
 type Result struct {
-	Outcome Outcome
-	Hold    allowance.Hold
-	Wait    time.Duration
+	Outcome    Outcome
+	Lease      allowance.Lease
+	RetryAfter time.Duration
 }
 
-// Lend asks the lender once.
-type Lend func(ctx context.Context, asked allowance.Question) (allowance.Answer, error)
+// RequestFunc sends one request to the allocator.
+type RequestFunc func(ctx context.Context, request allowance.Request) (allowance.Reply, error)
 
-// Desk is safe for concurrent use.
-type Desk struct {
-	lend Lend
-	now  func() time.Duration // steady
-	wake chan struct{}        // has an item when something waits; room for one
+// LeasePool holds the leases of one process. It is safe for concurrent use.
+type LeasePool struct {
+	request RequestFunc
+	now     func() time.Duration // monotonic
+	wake    chan struct{}        // buffered; signals that callers are waiting
 
 	mu       sync.Mutex
-	borrower *allowance.Borrower // guarded by mu
-	waiting  []*wish             // guarded by mu; at most waitingMost
-	failed   uint64              // questions without an answer; guarded by mu
-	asked    uint64              // questions; guarded by mu
+	client   *allowance.Client // guarded by mu
+	waiting  []*waiter         // guarded by mu; at most maxWaiting
+	failed   uint64            // requests without a reply; guarded by mu
+	requests uint64            // guarded by mu
 }
 
-// wish is an amount that a request waits for.
-type wish struct {
-	allowance.Want
-	after time.Duration // not to be asked for before
-	until time.Duration // the request waits no longer
-	done  chan Result   // has room for the one result
+// waiter is a caller that waits for an amount.
+type waiter struct {
+	allowance.Demand
+	notBefore time.Duration // earliest time of the next request for it
+	deadline  time.Duration // when the caller stops waiting; 0 if it was canceled
+	done      chan Result   // buffered for the one result
 }
 
-// New returns the desk of a process. trust is how long the process may act on what a lender told it last.
-func New(name string, trust time.Duration, now func() time.Duration, lend Lend) *Desk {
-	return &Desk{lend: lend, now: now, wake: make(chan struct{}, 1), borrower: allowance.NewBorrower(name, trust)}
+// New returns a pool. fallbackPeriod is how long the process may use its fallback shares without contact to the
+// allocator.
+func New(name string, fallbackPeriod time.Duration, now func() time.Duration, request RequestFunc) *LeasePool {
+	return &LeasePool{request: request, now: now, wake: make(chan struct{}, 1), client: allowance.NewClient(name, fallbackPeriod)}
 }
 
-// Use replaces the limits.
-func (d *Desk) Use(limits map[string]allowance.Limit) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.borrower.Use(limits)
+// SetLimits replaces the configured limits.
+func (p *LeasePool) SetLimits(limits map[string]allowance.Limit) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.client.SetLimits(limits)
 }
 
-// Touch notes that the lender's process answered what was asked at a time, and by how many borrowers own parts are shared.
-func (d *Desk) Touch(asked time.Duration, borrowers int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.borrower.Touch(asked, borrowers)
+// RecordContact records that the allocator's process answered a request made at the given time, and the number of
+// clients that share the fallback amounts.
+func (p *LeasePool) RecordContact(requestedAt time.Duration, clients int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.client.RecordContact(requestedAt, clients)
 }
 
-// Put gives back what was taken and not used.
-func (d *Desk) Put(h allowance.Hold) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.borrower.Put(d.now(), h)
+// Release returns an unused lease.
+func (p *LeasePool) Release(lease allowance.Lease) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.client.Release(p.now(), lease)
 }
 
-// Questions returns how many questions were asked, and how many of them got no answer.
-func (d *Desk) Questions() (asked, failed uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.asked, d.failed
+// RequestCounts returns how many requests were sent and how many of them got no reply.
+func (p *LeasePool) RequestCounts() (requests, failed uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.requests, p.failed
 }
 
-// Take takes an amount of a resource. It waits for the lender, and no longer than patience where there is none.
-func (d *Desk) Take(ctx context.Context, name string, amount float64, patience time.Duration) Result {
-	return d.take(ctx, allowance.Want{Name: name, Amount: amount}, patience)
+// Acquire acquires an amount of a resource. It waits for the allocator's reply; if there is none, it waits at most
+// maxWait.
+func (p *LeasePool) Acquire(ctx context.Context, name string, amount float64, maxWait time.Duration) Result {
+	return p.acquire(ctx, allowance.Demand{Name: name, Amount: amount}, maxWait)
 }
 
-// TakeNamed takes one unit of a resource that names its limit itself. It waits for the lender's answer, and for nothing that comes in later.
-func (d *Desk) TakeNamed(ctx context.Context, name string, named allowance.Named) Result {
-	d.mu.Lock()
-	d.borrower.Name(d.now(), name, named)
-	d.mu.Unlock()
-	return d.take(ctx, allowance.Want{Name: name, Amount: 1, Named: &named}, 0)
+// AcquireAdvertised acquires one unit of a resource that advertises its limit. It waits for the allocator's reply,
+// but not for units that become available later.
+func (p *LeasePool) AcquireAdvertised(ctx context.Context, name string, advertised allowance.AdvertisedLimit) Result {
+	p.mu.Lock()
+	p.client.SetAdvertisedLimit(p.now(), name, advertised)
+	p.mu.Unlock()
+	return p.acquire(ctx, allowance.Demand{Name: name, Amount: 1, Advertised: &advertised}, 0)
 }
 
-func (d *Desk) take(ctx context.Context, want allowance.Want, patience time.Duration) Result {
-	wanted, result := d.begin(want, patience)
-	if wanted == nil {
+func (p *LeasePool) acquire(ctx context.Context, demand allowance.Demand, maxWait time.Duration) Result {
+	w, result := p.takeOrEnqueue(demand, maxWait)
+	if w == nil {
 		return result
 	}
 	select {
-	case d.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case result = <-wanted.done:
+	case result = <-w.done:
 	case <-ctx.Done():
-		result = d.leave(wanted)
+		result = p.cancel(w)
 	}
 	return result
 }
 
-// begin takes from what is held, or lets a wish wait.
-func (d *Desk) begin(want allowance.Want, patience time.Duration) (*wish, Result) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.borrower.Limited(want.Name) {
+// takeOrEnqueue takes an amount from the leases held, or enqueues a waiter.
+func (p *LeasePool) takeOrEnqueue(demand allowance.Demand, maxWait time.Duration) (*waiter, Result) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.client.IsLimited(demand.Name) {
 		return nil, Result{}
 	}
-	now := d.now()
-	if hold, ok := d.borrower.Take(now, want.Name, want.Amount); ok {
-		return nil, Result{Hold: hold}
+	now := p.now()
+	if lease, ok := p.client.Take(now, demand.Name, demand.Amount); ok {
+		return nil, Result{Lease: lease}
 	}
-	if len(d.waiting) >= waitingMost {
-		return nil, Result{Outcome: Unknown}
+	if len(p.waiting) >= maxWaiting {
+		return nil, Result{Outcome: Unavailable}
 	}
-	wanted := &wish{Want: want, until: now + patience, done: make(chan Result, 1)}
-	d.waiting = append(d.waiting, wanted)
-	return wanted, Result{}
+	w := &waiter{Demand: demand, deadline: now + maxWait, done: make(chan Result, 1)}
+	p.waiting = append(p.waiting, w)
+	return w, Result{}
 }
 
-// leave ends a wish whose request is over; what it got meanwhile goes back.
-func (d *Desk) leave(wanted *wish) Result {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.waiting = slices.DeleteFunc(d.waiting, func(other *wish) bool { return other == wanted })
+// cancel removes a waiter whose caller is gone and releases what it was granted in the meantime.
+func (p *LeasePool) cancel(w *waiter) Result {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.waiting = slices.DeleteFunc(p.waiting, func(other *waiter) bool { return other == w })
 	select {
-	case result := <-wanted.done:
-		d.borrower.Put(d.now(), result.Hold)
+	case result := <-w.done:
+		p.client.Release(p.now(), result.Lease)
 	default:
-		wanted.until = 0 // a question may be on its way for it; what that brings stays in the pocket
+		w.deadline = 0 // if a request for it is in flight, finish releases what it grants
 	}
-	return Result{Outcome: Unknown}
+	return Result{Outcome: Unavailable}
 }
 
-// Run is the thread that asks the lender, until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
+// Run sends requests to the allocator until ctx ends.
+func (p *LeasePool) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
+		case <-p.wake:
 		}
-		for pause, more := d.round(ctx); more; pause, more = d.round(ctx) {
+		for delay, waiting := p.requestOnce(ctx); waiting; delay, waiting = p.requestOnce(ctx) {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 		}
 	}
 }
 
-// round asks once for all that wait. more tells that some still wait, for whom to ask again after a pause.
-func (d *Desk) round(ctx context.Context) (pause time.Duration, more bool) {
-	batch, wants, question := d.batch()
+// requestOnce sends one request for all waiters that are due. waiting reports whether some are left, to be served
+// after delay.
+func (p *LeasePool) requestOnce(ctx context.Context) (delay time.Duration, waiting bool) {
+	batch, demands, request := p.nextBatch()
 	if len(batch) > 0 {
-		asked := d.now()
-		attempt, cancel := context.WithTimeout(ctx, askTimeout)
-		answer, err := d.lend(attempt, question)
+		requestedAt := p.now()
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		reply, err := p.request(requestCtx, request)
 		cancel()
 		if err != nil {
-			d.unanswered(batch)
-			pause = askPause
+			p.handleFailure(batch)
+			delay = retryInterval
 		} else {
-			d.answered(asked, batch, wants, answer)
+			p.handleReply(requestedAt, batch, demands, reply)
 		}
 	}
-	return d.next(pause)
+	return p.nextDelay(delay)
 }
 
-// batch takes the wishes whose time has come and that the pocket does not hold by now.
-func (d *Desk) batch() (batch []*wish, wants []allowance.Want, question allowance.Question) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now()
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *wish) bool {
-		if now < w.after {
+// nextBatch removes the waiters that are due and returns those that cannot be served from the leases held by now.
+func (p *LeasePool) nextBatch() (batch []*waiter, demands []allowance.Demand, request allowance.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	p.waiting = slices.DeleteFunc(p.waiting, func(w *waiter) bool {
+		if now < w.notBefore {
 			return false
 		}
-		if hold, ok := d.borrower.TakeAgain(now, w.Name, w.Amount); ok {
-			w.done <- Result{Hold: hold}
+		if lease, ok := p.client.RetryTake(now, w.Name, w.Amount); ok {
+			w.done <- Result{Lease: lease}
 			return true
 		}
 		batch = append(batch, w)
-		wants = append(wants, w.Want)
+		demands = append(demands, w.Demand)
 		return true
 	})
 	if len(batch) == 0 {
-		return nil, nil, question
+		return nil, nil, request
 	}
-	d.asked++
-	return batch, wants, d.borrower.Ask(now, wants)
+	p.requests++
+	return batch, demands, p.client.NewRequest(now, demands)
 }
 
-// unanswered serves from the own part; the rest waits on, as long as it may.
-func (d *Desk) unanswered(batch []*wish) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.failed++
-	now := d.now()
+// handleFailure serves waiters from the fallback share and requeues the others until their deadlines.
+func (p *LeasePool) handleFailure(batch []*waiter) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failed++
+	now := p.now()
 	for _, w := range batch {
-		if hold, ok := d.borrower.TakeOwn(now, w.Name, w.Amount); ok {
-			d.finish(w, Result{Hold: hold})
+		if lease, ok := p.client.TakeFallback(now, w.Name, w.Amount); ok {
+			p.finish(w, Result{Lease: lease})
 			continue
 		}
-		d.waitOn(now, w, Result{Outcome: Unknown})
+		p.requeue(now, w, Result{Outcome: Unavailable})
 	}
 }
 
-// answered passes on what was lent.
-func (d *Desk) answered(asked time.Duration, batch []*wish, wants []allowance.Want, answer allowance.Answer) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.now()
-	for i, got := range d.borrower.Granted(now, asked, wants, answer) {
+// handleReply distributes the granted amounts.
+func (p *LeasePool) handleReply(requestedAt time.Duration, batch []*waiter, demands []allowance.Demand, reply allowance.Reply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	for i, result := range p.client.ApplyReply(now, requestedAt, demands, reply) {
 		w := batch[i]
-		if got.Hold.Amount == 0 {
-			got.Hold, _ = d.borrower.TakeAgain(now, w.Name, w.Amount) // of what was lent ahead for another
+		if result.Lease.Amount == 0 {
+			result.Lease, _ = p.client.RetryTake(now, w.Name, w.Amount) // from amounts prefetched for others
 		}
-		if got.Hold.Amount == 0 && got.Young {
-			got.Hold, _ = d.borrower.TakeReserve(now, w.Name, w.Amount)
+		if result.Lease.Amount == 0 && result.WarmingUp {
+			result.Lease, _ = p.client.TakeReserve(now, w.Name, w.Amount)
 		}
 		switch {
-		case got.Hold.Amount > 0 || w.Amount == 0:
-			d.finish(w, Result{Hold: got.Hold})
-		case got.Uncounted:
-			d.finish(w, Result{Outcome: Unknown})
-		case w.Named == nil && (got.Wait <= shortWait || got.Young && now+got.Wait <= w.until):
-			w.after = now + got.Wait
-			d.waitOn(now, w, Result{Outcome: Over, Wait: max(got.Wait, shortWait)})
+		case result.Lease.Amount > 0 || w.Amount == 0:
+			p.finish(w, Result{Lease: result.Lease})
+		case result.Unenforced:
+			p.finish(w, Result{Outcome: Unavailable})
+		case w.Advertised == nil && (result.RetryAfter <= maxShortWait || result.WarmingUp && now+result.RetryAfter <= w.deadline):
+			w.notBefore = now + result.RetryAfter
+			p.requeue(now, w, Result{Outcome: LimitReached, RetryAfter: max(result.RetryAfter, maxShortWait)})
 		default:
-			d.finish(w, Result{Outcome: Over, Wait: got.Wait})
+			p.finish(w, Result{Outcome: LimitReached, RetryAfter: result.RetryAfter})
 		}
 	}
 }
 
-// waitOn lets a wish wait for the next question, or ends it when its time is over. The caller holds mu.
-func (d *Desk) waitOn(now time.Duration, w *wish, otherwise Result) {
-	if now >= w.until {
-		d.finish(w, otherwise)
+// requeue enqueues a waiter for the next request, or finishes it with the given result if its deadline has passed.
+// The caller holds mu.
+func (p *LeasePool) requeue(now time.Duration, w *waiter, result Result) {
+	if now >= w.deadline {
+		p.finish(w, result)
 		return
 	}
-	d.waiting = append(d.waiting, w)
+	p.waiting = append(p.waiting, w)
 }
 
-// finish gives a wish its result; one that was left gives it back. The caller holds mu.
-func (d *Desk) finish(w *wish, result Result) {
-	if w.until == 0 {
-		d.borrower.Put(d.now(), result.Hold)
+// finish passes a result to a waiter; if the waiter was canceled, the lease is released. The caller holds mu.
+func (p *LeasePool) finish(w *waiter, result Result) {
+	if w.deadline == 0 {
+		p.client.Release(p.now(), result.Lease)
 		return
 	}
 	w.done <- result
 }
 
-// next returns how long to wait until somebody has to be asked for again.
-func (d *Desk) next(pause time.Duration) (time.Duration, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.waiting) == 0 {
+// nextDelay returns how long to wait until the next waiter is due, and whether there is any.
+func (p *LeasePool) nextDelay(minDelay time.Duration) (time.Duration, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.waiting) == 0 {
 		return 0, false
 	}
-	soonest := d.waiting[0].after
-	for _, w := range d.waiting[1:] {
-		soonest = min(soonest, w.after)
+	earliest := p.waiting[0].notBefore
+	for _, w := range p.waiting[1:] {
+		earliest = min(earliest, w.notBefore)
 	}
-	return max(pause, soonest-d.now(), 0), true
+	return max(minDelay, earliest-p.now(), 0), true
 }
--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -11,11 +11,11 @@
 // TestLifeAndIDAgree: an id leads back to its life, whatever the back end's name is, and no two lives share one.
 func TestLifeAndIDAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) Life {
-			return Life{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), Born: rapid.Int64Range(0, 3).Draw(t, label+" born")}
+		draw := func(label string) Incarnation {
+			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), StartedMS: rapid.Int64Range(0, 3).Draw(t, label+" born")}
 		}
 		first, second := draw("first"), draw("second")
-		if got := LifeOf(first.ID()); got != first {
+		if got := ParseInstanceID(first.ID()); got != first {
 			t.Fatalf("%+v has the id %q, which names %+v", first, first.ID(), got)
 		}
 		if first != second && first.ID() == second.ID() {
@@ -28,11 +28,11 @@
 // said after a later one that it left, and the later one is remembered no more.
 func TestSnapshotTellsWhichLivesLeft(t *testing.T) {
 	m := NewMachine()
-	leave := func(id string) { m.Apply(Command{Remove: id}) }
-	leave(Life{Name: "e", Born: 9}.ID())
-	leave(Life{Name: "e", Born: 5}.ID())
-	for i := range tombstonesKept - 1 {
-		leave(Life{Name: strconv.Itoa(i), Born: 1}.ID())
+	leave := func(id string) { m.Apply(Command{Deregister: id}) }
+	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
+	leave(Incarnation{Name: "e", StartedMS: 5}.ID())
+	for i := range maxDepartedIDs - 1 {
+		leave(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -43,9 +43,9 @@
 		t.Fatal(err)
 	}
 	for born := int64(1); born < 12; born++ {
-		instance := Instance{ID: Life{Name: "e", Born: born}.ID(), Service: "s", Address: "a"}
-		if m.Takes(instance) != restored.Takes(instance) {
-			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Takes(instance), restored.Takes(instance))
+		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
+		if m.Accepts(instance) != restored.Accepts(instance) {
+			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
 		}
 	}
 }
@@ -55,19 +55,19 @@
 func TestLeaveByNameEndsAForgottenLife(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
-		held := Instance{ID: Life{Name: "e", Born: 5}.ID(), Service: "s", Address: "a"}
-		next := Instance{ID: Life{Name: "e", Born: 6}.ID(), Service: "s", Address: "a"}
+		held := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
+		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
 		m.Apply(Command{Register: &held})
-		m.Apply(Command{Forget: held.ID})
-		if !m.Takes(held) {
+		m.Apply(Command{Expire: held.ID})
+		if !m.Accepts(held) {
 			t.Fatal("one that was silent can't register again")
 		}
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
 			t.Fatal("no snapshot")
 		}
-		m.Apply(Command{Remove: "e"})
-		if m.Takes(held) || !m.Takes(next) {
-			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Takes(held), m.Takes(next))
+		m.Apply(Command{Deregister: "e"})
+		if m.Accepts(held) || !m.Accepts(next) {
+			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Accepts(held), m.Accepts(next))
 		}
 	}
 }
--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -9,7 +9,7 @@
 
 // drawInstance draws one of few lives of few back ends, at one of few addresses.
 func drawInstance(t *rapid.T) Instance {
-	life := Life{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), Born: rapid.Int64Range(0, 3).Draw(t, "born")}
+	life := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
 	return Instance{
 		ID: life.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
 		Address: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"),
@@ -29,21 +29,21 @@
 			case "register":
 				m.Apply(Command{Register: &instance})
 			case "join":
-				m.Apply(Command{Joined: []Instance{instance, drawInstance(t)}})
+				m.Apply(Command{RegisterBatch: []Instance{instance, drawInstance(t)}})
 			case "drain":
 				m.Apply(Command{Drain: instance.ID})
 			case "forget":
-				m.Apply(Command{Forget: instance.ID})
+				m.Apply(Command{Expire: instance.ID})
 			case "leave":
-				left[instance.ID] = LifeOf(instance.ID).Born > 0 || left[instance.ID]
-				m.Apply(Command{Remove: instance.ID})
+				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
+				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
-				if held, known := m.Named(LifeOf(instance.ID).Name); known {
+				if held, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
 					left[held.ID] = true
 				}
-				m.Apply(Command{Remove: LifeOf(instance.ID).Name})
+				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
-				m.Apply(Command{Ordering: []string{instance.ID}})
+				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
 			}
 			checkLives(t, m, left)
 		}
@@ -53,7 +53,7 @@
 func checkLives(t *rapid.T, m *Machine, left map[string]bool) {
 	names, addresses := map[string]string{}, map[string]string{}
 	for id, instance := range m.Instances() {
-		name := LifeOf(id).Name
+		name := ParseInstanceID(id).Name
 		if other, taken := names[name]; taken {
 			t.Fatalf("%s and %s are registered", id, other)
 		}
@@ -61,10 +61,10 @@
 			t.Fatalf("%s and %s stand at %s", id, other, instance.Address)
 		}
 		names[name], addresses[instance.Address] = id, id
-		if at, _ := m.At(instance.Address); at.ID != id {
+		if at, _ := m.InstanceAt(instance.Address); at.ID != id {
 			t.Fatalf("%s stands at %s, where %q is known", id, instance.Address, at.ID)
 		}
-		if named, _ := m.Named(name); named.ID != id {
+		if named, _ := m.InstanceByName(name); named.ID != id {
 			t.Fatalf("%s is registered, and named %q", id, named.ID)
 		}
 		if left[id] {
@@ -81,9 +81,9 @@
 	}
 	for _, name := range []string{"e", "f"} {
 		for born := range int64(4) {
-			instance := Instance{ID: Life{Name: name, Born: born}.ID(), Service: "s"}
-			if m.Takes(instance) != restored.Takes(instance) || m.Ordered(instance.ID) != restored.Ordered(instance.ID) {
-				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Takes(instance), m.Ordered(instance.ID))
+			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
+			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsCommand(instance.ID) != restored.MayHaveWeightsCommand(instance.ID) {
+				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
 			}
 		}
 	}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// machineForm is the snapshot form of a machine.
-type machineForm struct {
+// machineSnapshot is the snapshot form of a machine.
+type machineSnapshot struct {
 	Document   Document            `json:"document"`
 	Instances  map[string]Instance `json:"instances"`
 	Tombstones []string            `json:"tombstones"`
@@ -20,35 +20,35 @@
 	Gateways []string                     `json:"gateways,omitempty"`
 	Bounds   map[string]uint64            `json:"bounds,omitempty"`
 
-	Quarantine *quarantine.Ledger `json:"quarantine,omitempty"`
+	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
-	Namings map[string][]Naming `json:"namings,omitempty"`
+	Namings map[string][]Publication `json:"namings,omitempty"`
 
 	Forgotten []string `json:"forgotten,omitempty"`
 }
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.tombstones, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.namings, m.forgotten})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
 func (m *Machine) UnmarshalJSON(data []byte) error {
-	var form machineForm
+	var form machineSnapshot
 	if err := json.Unmarshal(data, &form); err != nil {
 		return err
 	}
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.tombstones, m.fence, m.forgotten = form.Document, form.Tombstones, form.Fence, form.Forgotten
+	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
 	for _, instance := range form.Instances {
-		m.put(instance)
+		m.upsert(instance)
 	}
 	for id := range form.Ordered {
 		m.ordered[id] = true
 	}
-	m.list(form.Gateways)
+	m.setGateways(form.Gateways)
 	maps.Copy(m.bounds, form.Bounds)
 	if form.Quarantine != nil {
 		m.quarantine = form.Quarantine
@@ -58,11 +58,11 @@
 	}
 	for model, version := range form.Versions {
 		m.versions[model] = version
-		m.restoreNamings(model, form.Namings[model])
+		m.restorePublications(model, form.Namings[model])
 	}
 	for _, id := range form.Tombstones {
-		m.ended[id] = true
-		m.lives.end(id)
+		m.departed[id] = true
+		m.lives.recordDeparted(id)
 	}
 	return nil
 }
--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -243,7 +243,7 @@
 	}
 	waiting := r.leader.joining
 	r.leader.joining = joining{}
-	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{Joined: waiting.instances}})
+	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{RegisterBatch: waiting.instances}})
 }
 
 // takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -9,7 +9,7 @@
 
 // inUse reports whether gateways are told of a back end.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).weight <= r.machine.catalog.Bound(instance.Service)
+	return r.member(now, instance.ID).weight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
 // boundsPeriod is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
@@ -27,7 +27,7 @@
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
 		if work == nil {
-			work = &serviceWork{bound: r.machine.catalog.Bound(instance.Service)}
+			work = &serviceWork{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
 			services[instance.Service] = work
 		}
 		work.running += used[id]
@@ -36,7 +36,7 @@
 	bounds := map[string]uint64{}
 	for service, work := range services {
 		size := r.leader.inUseSizes[service]
-		if !r.machine.catalog.Bounded(service) {
+		if !r.machine.catalog.HasMaxHashWeight(service) {
 			work.under = 0
 		}
 		wanted := size.Note(now, work.running, work.under)
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(bounds) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Bounds: bounds}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{MaxHashWeights: bounds}})
 	}
 }
 
@@ -80,7 +80,7 @@
 			continue
 		}
 		weight := r.member(now, id).weight
-		if weight <= was != (weight <= r.machine.catalog.Bound(instance.Service)) {
+		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
 			r.leader.rosterPending[id] = true
 		}
 	}
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -124,5 +124,5 @@
 		return true
 	}
 	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
-	return r.machine.catalog.Listed(report.Gateway)
+	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/levels.go
+++ b/internal/control/levels.go
@@ -36,7 +36,7 @@
 // checkLevel records the level that a message announces. If the level in force is higher than this build supports, it
 // stops the replica and returns false, before the message changes any state.
 func (r *Replica) checkLevel(now time.Duration, message consensus.Message) bool {
-	r.stopErr = r.config.Level.Knows(message.InForce)
+	r.stopErr = r.config.Level.CheckSupports(message.InForce)
 	if r.stopErr != nil {
 		return false
 	}
@@ -68,7 +68,7 @@
 		}
 		last := r.leader.levels.reported[member.ID]
 		if now-last.at > levelReportTTL {
-			return level.Untold
+			return level.Unannounced
 		}
 		common = min(common, last.level)
 	}
@@ -81,7 +81,7 @@
 	case id == r.config.ID:
 		return r.config.Level
 	case r.leader == nil:
-		return level.Untold
+		return level.Unannounced
 	}
 	return r.leader.levels.reported[id].level
 }
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -173,7 +173,7 @@
 // build does not support.
 func TestReplicaStopsAtEntryOfUnsupportedLevel(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.replica.propose(s.now, 0, Command{Level: level.Own + 1})
+	s.replica.propose(s.now, 0, Command{Level: level.Current + 1})
 	s.work()
 	if err := s.replica.Err(); !errors.Is(err, level.ErrTooOld) {
 		t.Fatalf("replica stopped with error %v, want ErrTooOld", err)
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -23,7 +23,9 @@
 }
 
 // life returns the id of one life of a back end.
-func life(name string, born int64) string { return catalog.Life{Name: name, Born: born}.ID() }
+func life(name string, born int64) string {
+	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
+}
 
 // openAlone is a fleet whose two engines have left, so that the next one stands alone.
 func openAlone(t *testing.T) *singleReplica {
@@ -184,7 +186,7 @@
 // own word is believed, and it is ordered again.
 func TestWeightsThatFellAreReplaced(t *testing.T) {
 	s := openAlone(t)
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 3}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(2*time.Second, 3, 1)
@@ -205,7 +207,7 @@
 // TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
 func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
 	s := openAlone(t)
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 3}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
@@ -220,7 +222,7 @@
 	s := openAlone(t)
 	id := life("e", 1000)
 	s.says(id, "a1", 1, 1)
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
 		s.weightsCalls = nil
 		s.advance(100 * time.Millisecond)
@@ -239,7 +241,7 @@
 // TestUntoldLifeIsOrderedByItsReport: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
 func TestUntoldLifeIsOrderedByItsReport(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
 		s.weightsCalls = nil
 		s.beats("i-1", "i-2")
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -30,8 +30,8 @@
 	Watch     *Watch            `json:"watch,omitempty"`
 	Document  *DocumentRequest  `json:"document,omitempty"`
 
-	Relay  *relay.Question     `json:"relay,omitempty"`  // from a follower that answers gateways
-	Borrow *allowance.Question `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
+	Relay  *relay.Question    `json:"relay,omitempty"`  // from a follower that answers gateways
+	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
 }
 
 // DocumentRequest asks for the routing document in force.
@@ -74,7 +74,7 @@
 	Tree    *settings.Tree  `json:"tree,omitempty"`  // sent instead of Edits to a router without settings or too far behind
 	Peers   *PeerList       `json:"peers,omitempty"` // set if it differs from the list that the router holds
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // set if it differs from the list that the router holds
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // set if it differs from the list that the router holds
 }
 
 // Read requests the current settings tree.
@@ -163,7 +163,7 @@
 	Catalog         *catalog.Outcome  `json:"catalog,omitempty"`
 	Watch           *WatchReply       `json:"watch,omitempty"`
 	Document        *catalog.Document `json:"document,omitempty"`
-	Lent            *allowance.Answer `json:"lent,omitempty"`
+	Lent            *allowance.Reply  `json:"lent,omitempty"`
 	Relayed         *relay.Answer     `json:"relayed,omitempty"`
 	UnknownBackends []string          `json:"strangers,omitempty"` // back ends whose next heartbeat must be a full one
 }
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -13,11 +13,11 @@
 
 // ended tells of a life as a gateway does.
 func (s *singleReplica) ended(life string, requests ...quarantine.Fingerprint) Response {
-	change := quarantine.Change{Ended: []quarantine.Ended{{Life: life, Requests: requests}}}
+	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-func (s *singleReplica) ledger() *quarantine.Ledger { return s.replica.machine.catalog.Quarantine() }
+func (s *singleReplica) ledger() *quarantine.Registry { return s.replica.machine.catalog.Quarantine() }
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
@@ -38,7 +38,7 @@
 	s.ended("i-2", deadly)
 	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
-	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Lives, []string{"i-1", "i-2"}) {
+	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
 	}
 	before := s.replica.node.LastIndex()
@@ -54,7 +54,7 @@
 func TestCountOutlivesTheLeader(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
-	seed := s.ledger().News().Seed
+	seed := s.ledger().Update().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
 	}
@@ -63,11 +63,11 @@
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held || !slices.Equal(s.ledger().News().Seed, seed) {
-		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().News().Seed, seed))
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
+		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
-	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Why: quarantine.Operator}}}}})
-	if got := s.ledger().Lives(deadly); got != 0 {
+	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Reason: quarantine.ReasonOperator}}}}})
+	if got := s.ledger().CrashCount(deadly); got != 0 {
 		t.Fatalf("%d lives after an operator's release", got)
 	}
 }
@@ -85,19 +85,19 @@
 		s.advance(3 * time.Second)
 	}
 	skip(suspectFor - 10*time.Second)
-	if s.ledger().Lives(other) != 1 {
+	if s.ledger().CrashCount(other) != 1 {
 		t.Fatal("forgotten early")
 	}
 	skip(20 * time.Second)
-	if s.ledger().Lives(other) != 0 || s.ledger().Lives(deadly) != quarantine.Held {
-		t.Fatalf("%d and %d lives after an hour", s.ledger().Lives(other), s.ledger().Lives(deadly))
+	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.QuarantineThreshold {
+		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(deadly))
 	}
 	skip(heldFor - suspectFor)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held-1 {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
 	s.ended("i-4", deadly)
-	if got := s.ledger().Lives(deadly); got != quarantine.Held {
+	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d lives after one more", got)
 	}
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -28,7 +28,7 @@
 	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
 	OrderWait         time.Duration // how long a new leader waits before its first weights order
 	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
-	Quota             quota.Terms   // terms of the fleet-wide limits
+	Quota             quota.Policy  // terms of the fleet-wide limits
 	Guards            guard.Set
 	Mechanisms        mechanism.Set // enabled mechanisms
 	Level             level.Level   // highest record level that this build supports
@@ -126,7 +126,7 @@
 			return nil, err
 		}
 	}
-	if err := config.Level.Knows(replica.machine.highestLevel(restored.Entries)); err != nil {
+	if err := config.Level.CheckSupports(replica.machine.highestLevel(restored.Entries)); err != nil {
 		return nil, err
 	}
 	replica.applied = restored.Snapshot.Meta.Index
@@ -292,7 +292,7 @@
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
 	}
-	if r.stopErr = r.config.Level.Knows(r.machine.level); r.stopErr != nil {
+	if r.stopErr = r.config.Level.CheckSupports(r.machine.level); r.stopErr != nil {
 		return Effects{}
 	}
 	if r.leader != nil && r.leader.gatewayListChanged {
@@ -313,7 +313,7 @@
 // dropStaleCalls drops calls decided before a sync that took so long that this replica may have lost the leadership,
 // and orders that would follow their announcement too late. The rollout makes them again.
 func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
-	if len(calls) == 0 || !r.config.Guards.On(guard.LateCalls) {
+	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateCommands) {
 		return calls
 	}
 	if r.leader == nil || !r.mayOrder(now) {
@@ -341,7 +341,7 @@
 	if entry.Kind == consensus.EntryCommand {
 		command := decodeCommand(entry.Data)
 		if command.Catalog != nil {
-			r.noteOrdering(now, entry.Term, command.Catalog.Ordering)
+			r.noteOrdering(now, entry.Term, command.Catalog.WeightsCommandTargets)
 			command.Catalog.UnixMS = command.UnixMS
 			result.Catalog = r.applyCatalog(now, *command.Catalog)
 		} else {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -139,7 +139,7 @@
 		ElectionMax: 14 * section.Heartbeat, Lease: 5 * section.Heartbeat,
 	}
 	return Config{
-		Mechanisms: mechanisms, Level: level.Own,
+		Mechanisms: mechanisms, Level: level.Current,
 		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
@@ -170,7 +170,7 @@
 	if s.replica.Node().LastIndex() == 0 {
 		workers.Go(func() { s.joinOrFound(run) })
 	}
-	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldWithout, s.config.Mechanisms.Off()))
+	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 	case err = <-s.fatal:
@@ -349,10 +349,10 @@
 	}
 	s.relayFailing = lost
 	if lost {
-		s.log.Info(events.RelayLost, zap.String("leader", result.leader), zap.String(events.FieldCause, result.cause))
+		s.log.Info(events.RelayUnavailable, zap.String("leader", result.leader), zap.String(events.FieldCause, result.cause))
 		return
 	}
-	s.log.Info(events.RelayFound, zap.String("leader", result.leader))
+	s.log.Info(events.RelayAvailable, zap.String("leader", result.leader))
 }
 
 // persistAndSend writes, syncs and sends until the replica has no more work.
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -44,7 +44,7 @@
 	Near     []string          `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
 	Reads    []string          `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
 
-	Quarantine *quarantine.News `json:"quarantine,omitempty"` // when they differ from the gateway's
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
 	shared *payload.Shared // Document as JSON; or nil
 }
@@ -248,7 +248,7 @@
 // longer than it may trust its view sends nothing any more; those of an earlier leader's time have had to ask this one.
 func (r *Replica) rosterTaken(now time.Duration) uint64 {
 	taken := uint64(math.MaxUint64)
-	if !r.config.Guards.On(guard.TurnAwayFirst) {
+	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
 		return taken
 	}
 	for _, report := range r.leader.usage {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,13 +65,13 @@
 	resumedAt       time.Duration // when the process last went on after it had stood still
 
 	index   *prefix.Index
-	hot     *prefix.HotTable
+	hot     *prefix.RequestRates
 	vault   map[prefix.Hash]bool
 	matches []prefix.Match // scratch
 	scores  []Candidate    // scratch
 
-	pushed        *pushback.Book // what back ends said of themselves in answers
-	others        []string       // routers beside this one that send to the same back ends
+	pushed        *pushback.Tracker // what back ends said of themselves in answers
+	others        []string          // routers beside this one that send to the same back ends
 	pushedSweptAt time.Duration
 
 	decisions decisionRing
@@ -106,7 +106,7 @@
 		values: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hot: prefix.NewRequestRates(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewTracker(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
@@ -204,7 +204,7 @@
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.limit), Beliefs: c.index.EngineBeliefs(row.id), Bias: row.bias,
+			Running: row.running, Limit: int(row.limit), Beliefs: c.index.EngineEntries(row.id), Bias: row.bias,
 		})
 	}
 	return views
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -100,7 +100,7 @@
 	Text        string // AttemptChunk
 	Cached      int    // AttemptStarted: prompt tokens that were reused
 	Incarnation uint64 // AttemptStarted and AttemptMismatch
-	Answer      *ledger.Answer
+	Answer      *ledger.Response
 	Limited     bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
 	Well        bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
 }
@@ -109,7 +109,7 @@
 type EventSaid struct {
 	Name        string
 	Incarnation uint64 // of the life that spoke; the one that the attempt was meant for where it doesn't tell
-	Said        pushback.Said
+	Said        pushback.Signals
 }
 
 // Load is what a back end says of its work. Reports lag; Age says by how much.
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -22,7 +22,7 @@
 // share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
 // one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
 // word (highest random weights), and one that is cut off knows it still.
-func (c *Core) share(life catalog.Life, limit float64) float64 {
+func (c *Core) share(life catalog.Incarnation, limit float64) float64 {
 	senders := min(1+len(c.others), max(1, int(min(limit, float64(1+len(c.others))))))
 	own := routerWeight(life, c.config.Router)
 	before := 0
@@ -34,11 +34,11 @@
 	if before >= senders {
 		return 0
 	}
-	return max(limit, pushback.LeastRate) / float64(senders)
+	return max(limit, pushback.MinRate) / float64(senders)
 }
 
 // routerWeight is a router's weight for a life of a back end.
-func routerWeight(life catalog.Life, router string) uint64 {
+func routerWeight(life catalog.Incarnation, router string) uint64 {
 	return xxhash.Sum64String(life.ID() + "/" + router)
 }
 
@@ -52,12 +52,12 @@
 
 // limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
 func (c *Core) limited(row *backend) time.Duration {
-	if !c.config.Guards.On(guard.LimitCheck) {
+	if !c.config.Guards.On(guard.AdvertisedLimitCheck) {
 		return 0
 	}
 	life := lifeOf(row.machine.Name, row.incarnation)
 	limit := c.pushed.Limit(life)
-	if !limit.Named {
+	if !limit.Advertised {
 		row.permits = permits{}
 		return 0
 	}
@@ -86,6 +86,6 @@
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
 	if !event.Limited {
-		c.pushed.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
+		c.pushed.ObserveNoLimit(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
 	}
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -4,101 +4,101 @@
 
 // Events of a gateway.
 const (
-	GatewayStarted  = "gateway started"
-	GatewayStopping = "gateway stopping"
-	GatewayStopped  = "gateway stopped"
-	DocumentTaken   = "document taken"
-	RosterTaken     = "roster taken"
-	InstanceJoined  = "instance joined"
-	InstanceLeaving = "instance leaving"
-	InstanceGone    = "instance gone"
-	InstanceRests   = "instance asks for rest" // in an answer
-	// InstanceLimits and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
-	InstanceLimits    = "instance names limit"
-	InstanceUnlimited = "instance names no limit"
-	WordUnknown       = "unknown word of back end" // a header of its own that nothing reads
-	WeightsLearnt     = "weights learnt"
-	WeightsDiffer     = "other weights answered" // than were expected or believed, or older ones than were named
-	NamingYounger     = "naming told younger"    // control tells that a version was named later than known
-	CacheUnread       = "cache not read"
-	SchedulerSilent   = "scheduler silent" // a scheduler did not answer a question for a placement in time
-	ControlLost       = "control lost"
-	ControlRegained   = "control regained"
-	AttemptFailed     = "attempt failed"
-	EndedUnder        = "back end ended under requests" // runs broke off there, and its end is proved
-	EndNotTold        = "ended back end not told"       // too many wait for control
-	RequestAnswered   = "request answered"
-	RequestRefused    = "request refused"
-	LinesDropped      = "log lines dropped"
+	GatewayStarted           = "gateway started"
+	GatewayStopping          = "gateway stopping"
+	GatewayStopped           = "gateway stopped"
+	DocumentApplied          = "document taken"
+	RosterApplied            = "roster taken"
+	InstanceJoined           = "instance joined"
+	InstanceLeaving          = "instance leaving"
+	InstanceGone             = "instance gone"
+	InstanceBackoffRequested = "instance asks for rest" // in an answer
+	// InstanceLimitAdvertised and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
+	InstanceLimitAdvertised  = "instance names limit"
+	InstanceLimitWithdrawn   = "instance names no limit"
+	UnknownBackendHeader     = "unknown word of back end" // a header of its own that nothing reads
+	WeightsDiscovered        = "weights learnt"
+	WeightsMismatch          = "other weights answered" // than were expected or believed, or older ones than were named
+	PublicationAgeRegression = "naming told younger"    // control tells that a version was named later than known
+	CacheReadFailed          = "cache not read"
+	SchedulerTimeout         = "scheduler silent" // a scheduler did not answer a question for a placement in time
+	ControlDisconnected      = "control lost"
+	ControlReconnected       = "control regained"
+	AttemptFailed            = "attempt failed"
+	BackendCrashed           = "back end ended under requests" // runs broke off there, and its end is proved
+	CrashNotReported         = "ended back end not told"       // too many wait for control
+	RequestAnswered          = "request answered"
+	RequestRejected          = "request refused"
+	LogLinesDropped          = "log lines dropped"
 )
 
 // Events of a control replica.
 const (
 	ReplicaStarted   = "control replica started"
 	ReplicaStopped   = "control replica stopped"
-	GroupFounded     = "control group founded"
+	GroupCreated     = "control group founded"
 	GroupJoined      = "control group joined"
 	LeadershipWon    = "leadership won"
 	LevelRaised      = "level raised"
 	LeadershipLost   = "leadership lost"
-	RelayLost        = "leader gives no answers for gateways"
-	RelayFound       = "leader answers for gateways again"
+	RelayUnavailable = "leader gives no answers for gateways"
+	RelayAvailable   = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
-	DocumentRefused  = "document refused"
-	// RegistrationRefused tells of a heartbeat that can't be read in full: it names no back end to use.
-	RegistrationRefused = "registration refused"
-	WeightsNamed        = "weights named"
-	WeightsCalled       = "weights call"
-	LimitReached        = "limit reached"     // a limit over the fleet turns requests away
-	LimitLeft           = "limit left"        // it has turned none away for a while
-	RequestHeldBack     = "request held back" // enough back ends ended under it; no gateway sends it any more
-	RequestReleased     = "request released"  // it is held back no longer
-	SettingsReloaded    = "settings reloaded"
-	SettingsFaulty      = "settings not reloaded"
+	DocumentRejected = "document refused"
+	// RegistrationRejected tells of a heartbeat that can't be read in full: it names no back end to use.
+	RegistrationRejected = "registration refused"
+	WeightsPublished     = "weights named"
+	WeightsCommandSent   = "weights call"
+	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
+	LimitCleared         = "limit left"        // it has turned none away for a while
+	RequestQuarantined   = "request held back" // enough back ends ended under it; no gateway sends it any more
+	RequestReleased      = "request released"  // it is held back no longer
+	SettingsReloaded     = "settings reloaded"
+	SettingsReloadFailed = "settings not reloaded"
 )
 
-// Routine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
+// IsRoutine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
 // the reader of a log does not keep up.
-func Routine(event string) bool { return event == RequestAnswered }
+func IsRoutine(event string) bool { return event == RequestAnswered }
 
 // Names of fields that several events share.
 const (
-	FieldRequest  = "request"  // the caller's request id
-	FieldInstance = "instance" // one life of a back end
-	FieldReason   = "reason"
-	FieldRevision = "revision" // of the routing document that decided
-	FieldRoute    = "route"
-	FieldStatus   = "status"
-	FieldSent     = "sent" // back ends that got the request so far
-	FieldTook     = "took" // seconds since the request arrived
-	FieldCause    = "cause"
-	FieldWithout  = "without" // mechanisms that this process was started without
-	// FieldPredicted is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
+	FieldRequest            = "request"  // the caller's request id
+	FieldInstance           = "instance" // one life of a back end
+	FieldReason             = "reason"
+	FieldRevision           = "revision" // of the routing document that decided
+	FieldRoute              = "route"
+	FieldStatus             = "status"
+	FieldAttempts           = "sent" // back ends that got the request so far
+	FieldElapsed            = "took" // seconds since the request arrived
+	FieldCause              = "cause"
+	FieldDisabledMechanisms = "without" // mechanisms that this process was started without
+	// FieldPredictedWait is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
 	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
-	FieldPredicted = "predicted"
-	FieldUncached  = "uncached"
-	// FieldReread is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
-	FieldReread    = "reread"
-	FieldRereadWhy = "reread_why"
-	FieldFrom      = "from"
-	FieldScheduled = "scheduled"
-	FieldResource  = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
+	FieldPredictedWait  = "predicted"
+	FieldUncachedTokens = "uncached"
+	// FieldRecomputedTokens is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
+	FieldRecomputedTokens = "reread"
+	FieldRecomputeReason  = "reread_why"
+	FieldCacheSource      = "from"
+	FieldScheduled        = "scheduled"
+	FieldResource         = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
 	// FieldFingerprint names a request by what stays when it comes again.
-	FieldFingerprint = "fingerprint"
-	FieldLives       = "lives" // of back ends that ended under a request
-	// FieldLacked is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
+	FieldFingerprint  = "fingerprint"
+	FieldIncarnations = "lives" // of back ends that ended under a request
+	// FieldOutdatedFor is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
 	// until nothing may begin on them any more, below 0 once that has passed; FieldLimitChosen the same by the limit that was known
 	// when the place was chosen.
-	FieldLacked      = "lacked"
-	FieldLimitLeft   = "limit_left"
-	FieldLimitChosen = "limit_chosen"
-	FieldLate        = "late" // true where the answer missed the route's objective
-	// FieldRest is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
+	FieldOutdatedFor       = "lacked"
+	FieldStartDeadline     = "limit_left"
+	FieldPlacementDeadline = "limit_chosen"
+	FieldObjectiveMissed   = "late" // true where the answer missed the route's objective
+	// FieldBackoff is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
 	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
-	FieldRest       = "rest"
-	FieldRestLeft   = "rest_left"
-	FieldSentAtRest = "sent_at_rest"
-	FieldUnread     = "unread"
-	// FieldLimit is what a back end had named as its limit, in requests a second.
-	FieldLimit = "limit"
+	FieldBackoff           = "rest"
+	FieldBackoffLeft       = "rest_left"
+	FieldBackoffLeftAtSend = "sent_at_rest"
+	FieldUnparsedValue     = "unread"
+	// FieldAdvertisedLimit is what a back end had named as its limit, in requests a second.
+	FieldAdvertisedLimit = "limit"
 )
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -28,14 +28,14 @@
 	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
 		return a.broken("answer of another request")
 	}
-	a.noteWeights(answer.StatusCode, verdict)
+	a.logVersionMismatch(answer.StatusCode, verdict)
 	switch {
 	case verdict.NotRun:
-		if x.gateway.table.learnVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
-			x.gateway.log.note(events.WeightsLearnt, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
+		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
+			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
 		}
 		return a.turnedAway(answer, verdict)
-	case !x.route.MayRepeat() && promisesNoRun(answer.StatusCode):
+	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
 		return a.broken("promise of a back end that doesn't say so: " + answer.Status)
 	case x.relayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
 		return a.broken("stream not taken up: " + answer.Status)
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 		if answer.StatusCode >= http.StatusOK {
-			a.exchange.gateway.table.spoke(a.exchange.gateway.now(), a)
+			a.exchange.gateway.table.recordBytes(a.exchange.gateway.now(), a)
 			return answer, nil
 		}
 	}
@@ -97,7 +97,7 @@
 // turnedAway ends an attempt that the back end did not run.
 func (a *attempt) turnedAway(answer *http.Response, verdict Verdict) result {
 	a.grade = gradeFull
-	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Rest}
+	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, wholeAnswer))
 	a.release(answer, err)
 	return refused
@@ -146,7 +146,7 @@
 	if failure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.MayRepeat() && !x.relayed && x.spendRepeat() {
+	if failure && x.route.Retryable() && !x.relayed && x.spendRepeat() {
 		return result{kind: resultFailed, cause: answer.Status}
 	}
 	x.passHead(answer, len(body))
--- a/internal/gateway/belief/holdings.go
+++ b/internal/gateway/belief/holdings.go
@@ -7,184 +7,187 @@
 )
 
 const (
-	// cacheShare is the part of an engine's memory that is taken to hold cached parts where nobody reads what it keeps;
-	// running requests need the rest.
-	cacheShare = 0.75
-	// toldFor is how long after an engine's own word beliefs about it are given up by that word alone. Until then what it
-	// tells decides, but for parts up to toldLimit times its memory.
-	toldFor   = 4 * time.Second
-	toldLimit = 2.0
-	// unsureFor is how long a part that was only sent is taken to be held while the engine's word is heard, and unsureEach how
-	// often that is looked at.
-	unsureFor  = 4 * time.Second
-	unsureEach = 500 * time.Millisecond
-	// defaultCache is assumed where an engine's memory is not known, in tokens.
-	defaultCache = 100_000
-	// storedFor is how long a part is taken to stay in the store.
-	storedFor = 60 * time.Second
+	// cacheMemoryFraction is the fraction of an engine's memory assumed to hold cached parts when its cache events
+	// are not read. Running requests need the rest.
+	cacheMemoryFraction = 0.75
+	// reportTTL is how long after a report from the engine its entries are removed only by further reports. Until
+	// then the estimate is bounded by reportedMemoryFactor times the engine's memory.
+	reportTTL            = 4 * time.Second
+	reportedMemoryFactor = 2.0
+	// unconfirmedTTL is how long a part that was sent but not reported stays in the estimate of an engine that
+	// reports its cache. Such parts are checked every unconfirmedCheckInterval.
+	unconfirmedTTL           = 4 * time.Second
+	unconfirmedCheckInterval = 500 * time.Millisecond
+	// defaultCacheTokens is the assumed memory of an engine, in tokens, if it is unknown.
+	defaultCacheTokens = 100_000
+	// storedTTL is how long a saved part is assumed to stay in the store.
+	storedTTL = 60 * time.Second
 )
 
-// KeptPart is a part of a prompt and how many of its tokens an engine keeps now; 0 says that it is gone.
-type KeptPart struct {
+// CachedPart is a prompt part and how many of its tokens an engine has cached; 0 means that it was evicted.
+type CachedPart struct {
 	Salt string
 	prefix.Part
 }
 
-// holding is one belief: an engine holds a part, or the first tokens of it.
-type holding struct {
-	kept   int // tokens that are held; above 0
-	usedAt time.Duration
-	own    bool // it was the last part of a prompt, which is of use to no other
-	sure   bool // the engine said so; else it follows from a send
+// cacheEntry is an estimated cache entry: a part, or its leading tokens, cached by an engine.
+type cacheEntry struct {
+	tokens    int // cached tokens; above 0
+	usedAt    time.Duration
+	private   bool // the last part of a prompt, which no other request shares
+	confirmed bool // reported by the engine; otherwise derived from a request that was sent
 }
 
-// partKey names a part under a salt: parts of other weights or of a tenant that shares nothing never meet.
+// partKey identifies a part under a salt. Parts computed with other weights, or of an isolated tenant, have other
+// salts.
 type partKey struct{ salt, id string }
 
-// Holdings is what one engine is believed to hold: what was sent there, put right by what the engine itself tells. While
-// nobody reads that, the parts that were unused longest give way when its memory is full, as at the engine.
-type Holdings struct {
-	parts    map[partKey]holding
-	salts    map[string]int // under which each id is held, counted
-	total    int            // sum of the kept tokens
-	limit    int
-	memory   int           // of the engine, in tokens
-	told     bool          // the engine's own word was heard
-	toldAt   time.Duration // newest word
-	unsureAt time.Duration // when parts that were only sent were looked through
-}
-
-// NewHoldings returns the beliefs about an engine whose memory has room for so many tokens.
-func NewHoldings(memory int) *Holdings {
+// CacheEstimate estimates the contents of one engine's prefix cache from the requests sent to it, corrected by the
+// engine's own reports. Without reports, the least recently used parts are evicted when the memory is full, as the
+// engine does.
+type CacheEstimate struct {
+	parts                map[partKey]cacheEntry
+	saltCounts           map[string]int // number of salts under which each part ID is cached
+	total                int            // sum of the cached tokens
+	limit                int            // maximum of total while there are no recent reports
+	memory               int            // of the engine, in tokens
+	reported             bool           // the engine has reported its cache
+	reportedAt           time.Duration  // newest report
+	unconfirmedCheckedAt time.Duration  // last check for unconfirmed parts
+}
+
+// NewCacheEstimate returns an empty estimate for an engine with memory for the given number of tokens.
+func NewCacheEstimate(memory int) *CacheEstimate {
 	if memory <= 0 {
-		memory = defaultCache
+		memory = defaultCacheTokens
 	}
-	return &Holdings{parts: map[partKey]holding{}, salts: map[string]int{}, limit: int(cacheShare * float64(memory)), memory: memory}
+	return &CacheEstimate{parts: map[partKey]cacheEntry{}, saltCounts: map[string]int{}, limit: int(cacheMemoryFraction * float64(memory)), memory: memory}
 }
 
-// set notes that so many tokens of a part are held; 0 forgets it.
-func (h *Holdings) set(key partKey, next holding) {
+// set stores an entry and keeps the counts; an entry without tokens is deleted.
+func (h *CacheEstimate) set(key partKey, next cacheEntry) {
 	before, known := h.parts[key]
-	h.total += next.kept - before.kept
+	h.total += next.tokens - before.tokens
 	switch {
-	case next.kept <= 0 && known:
+	case next.tokens <= 0 && known:
 		delete(h.parts, key)
-		if h.salts[key.id]--; h.salts[key.id] <= 0 {
-			delete(h.salts, key.id)
+		if h.saltCounts[key.id]--; h.saltCounts[key.id] <= 0 {
+			delete(h.saltCounts, key.id)
 		}
-	case next.kept > 0:
+	case next.tokens > 0:
 		h.parts[key] = next
 		if !known {
-			h.salts[key.id]++
+			h.saltCounts[key.id]++
 		}
 	}
 }
 
-// Use notes that a request with these parts was sent.
-func (h *Holdings) Use(now time.Duration, salt string, parts []prefix.Part) {
+// RecordUse records that a request with these parts was sent.
+func (h *CacheEstimate) RecordUse(now time.Duration, salt string, parts []prefix.Part) {
 	for i, part := range parts {
 		key := partKey{salt, part.ID}
 		before := h.parts[key]
-		sure := before.sure && before.kept >= part.Tokens
-		h.set(key, holding{kept: part.Tokens, usedAt: now, own: i == len(parts)-1, sure: sure})
+		confirmed := before.confirmed && before.tokens >= part.Tokens
+		h.set(key, cacheEntry{tokens: part.Tokens, usedAt: now, private: i == len(parts)-1, confirmed: confirmed})
 	}
 	limit := h.limit
-	if h.told && now < h.toldAt+toldFor {
-		limit = int(toldLimit * float64(h.memory))
+	if h.reported && now < h.reportedAt+reportTTL {
+		limit = int(reportedMemoryFactor * float64(h.memory))
 	}
 	for h.total > limit && len(h.parts) > 0 {
-		h.dropOldest()
+		h.evictOldest()
 	}
 }
 
-func (h *Holdings) dropOldest() {
+func (h *CacheEstimate) evictOldest() {
 	var oldest partKey
 	first := true
-	for key, held := range h.parts {
-		if first || held.usedAt < h.parts[oldest].usedAt {
+	for key, entry := range h.parts {
+		if first || entry.usedAt < h.parts[oldest].usedAt {
 			oldest, first = key, false
 		}
 	}
-	h.set(oldest, holding{})
+	h.set(oldest, cacheEntry{})
 }
 
-// Hear notes that the engine's own word was heard.
-func (h *Holdings) Hear(now time.Duration) {
-	h.told, h.toldAt = true, max(h.toldAt, now)
+// RecordReport records that the engine reported its cache.
+func (h *CacheEstimate) RecordReport(now time.Duration) {
+	h.reported, h.reportedAt = true, max(h.reportedAt, now)
 }
 
-// Keep takes up what another gateway read of the engine's own word.
-func (h *Holdings) Keep(now time.Duration, salt string, parts []prefix.Part) {
-	h.Hear(now)
+// ApplyPeerReport applies what another gateway read from the engine.
+func (h *CacheEstimate) ApplyPeerReport(now time.Duration, salt string, parts []prefix.Part) {
+	h.RecordReport(now)
 	for _, part := range parts {
-		h.learn(now, partKey{salt, part.ID}, part.Tokens)
+		h.update(now, partKey{salt, part.ID}, part.Tokens)
 	}
 }
 
-// learn notes what the engine says of a part, and reports whether that was believed otherwise and is of use to others.
-func (h *Holdings) learn(now time.Duration, key partKey, kept int) bool {
+// update sets the reported tokens of a part, and reports whether they differ from the estimate and the part can be
+// shared by other requests.
+func (h *CacheEstimate) update(now time.Duration, key partKey, tokens int) bool {
 	before := h.parts[key]
-	next := holding{kept: max(0, kept), usedAt: now, own: before.own, sure: true}
-	if before.kept > 0 {
+	next := cacheEntry{tokens: max(0, tokens), usedAt: now, private: before.private, confirmed: true}
+	if before.tokens > 0 {
 		next.usedAt = before.usedAt
 	}
 	h.set(key, next)
-	return before.kept != next.kept && !before.own
+	return before.tokens != next.tokens && !before.private
 }
 
-// Tell takes up what the engine tells that it keeps, all of it or what has changed, and returns the parts of use to others
-// that were believed otherwise.
-func (h *Holdings) Tell(now time.Duration, parts []KeptPart, whole bool) []KeptPart {
-	h.Hear(now)
-	var differ []KeptPart
-	named := map[partKey]bool{}
+// ApplyReport applies a report of the engine, which lists either its full contents or the changes, and returns the
+// shareable parts for which the estimate was wrong.
+func (h *CacheEstimate) ApplyReport(now time.Duration, parts []CachedPart, full bool) []CachedPart {
+	h.RecordReport(now)
+	var corrections []CachedPart
+	listed := map[partKey]bool{}
 	for _, p := range parts {
 		key := partKey{p.Salt, p.ID}
-		named[key] = true
-		if h.learn(now, key, p.Tokens) {
-			differ = append(differ, p)
+		listed[key] = true
+		if h.update(now, key, p.Tokens) {
+			corrections = append(corrections, p)
 		}
 	}
-	return append(differ, h.giveUp(now, named, whole)...)
+	return append(corrections, h.expire(now, listed, full)...)
 }
 
-// giveUp forgets parts that were sent long enough ago for the engine to have told of them, and did not; with a whole list
-// also those that it had told of before.
-func (h *Holdings) giveUp(now time.Duration, named map[partKey]bool, whole bool) []KeptPart {
-	if now < h.unsureAt+unsureEach && !whole {
+// expire removes parts that were sent longer than unconfirmedTTL ago and never reported. If the report is a full
+// list, it also removes confirmed parts that are not listed.
+func (h *CacheEstimate) expire(now time.Duration, listed map[partKey]bool, full bool) []CachedPart {
+	if now < h.unconfirmedCheckedAt+unconfirmedCheckInterval && !full {
 		return nil
 	}
-	h.unsureAt = now
-	var gone []KeptPart
-	for key, held := range h.parts {
-		stale := !held.sure && now > held.usedAt+unsureFor || whole && held.sure && !named[key]
+	h.unconfirmedCheckedAt = now
+	var removed []CachedPart
+	for key, entry := range h.parts {
+		stale := !entry.confirmed && now > entry.usedAt+unconfirmedTTL || full && entry.confirmed && !listed[key]
 		if !stale {
 			continue
 		}
-		h.set(key, holding{})
-		if !held.own {
-			gone = append(gone, KeptPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
+		h.set(key, cacheEntry{})
+		if !entry.private {
+			removed = append(removed, CachedPart{Salt: key.salt, Part: prefix.Part{ID: key.id}})
 		}
 	}
-	return gone
+	return removed
 }
 
-// Clear forgets everything: the engine's weights were replaced.
-func (h *Holdings) Clear() {
+// Clear removes all entries, for use when the engine's weights were replaced.
+func (h *CacheEstimate) Clear() {
 	clear(h.parts)
-	clear(h.salts)
+	clear(h.saltCounts)
 	h.total = 0
 }
 
-// Holds reports whether a part is held under any salt.
-func (h *Holdings) Holds(id string) bool { return h.salts[id] > 0 }
+// Holds reports whether a part is cached under any salt.
+func (h *CacheEstimate) Holds(id string) bool { return h.saltCounts[id] > 0 }
 
-// Cached returns the leading tokens that are believed to be held; a part is of use only behind all parts before it, and
-// what follows one that is held in part is of none.
-func (h *Holdings) Cached(salt string, parts []prefix.Part) int {
+// Cached returns the number of leading prompt tokens that are estimated to be cached. It stops at the first part
+// that is not cached completely, since an engine can use a part only after all parts before it.
+func (h *CacheEstimate) Cached(salt string, parts []prefix.Part) int {
 	tokens := 0
 	for _, part := range parts {
-		kept := min(h.parts[partKey{salt, part.ID}].kept, part.Tokens)
+		kept := min(h.parts[partKey{salt, part.ID}].tokens, part.Tokens)
 		tokens += kept
 		if kept < part.Tokens {
 			break
@@ -193,36 +196,36 @@
 	return tokens
 }
 
-// Stored remembers which parts were sent to a store, and when.
-type Stored struct {
+// StoredParts records which parts were sent to a cache store, and when.
+type StoredParts struct {
 	parts map[partKey]time.Duration
 }
 
-// NewStored returns the beliefs about stores.
-func NewStored() *Stored { return &Stored{parts: map[partKey]time.Duration{}} }
+// NewStoredParts returns an empty record.
+func NewStoredParts() *StoredParts { return &StoredParts{parts: map[partKey]time.Duration{}} }
 
-// Note remembers that parts are being saved.
-func (s *Stored) Note(now time.Duration, salt string, parts []prefix.Part) {
+// Record records that parts are being saved.
+func (s *StoredParts) Record(now time.Duration, salt string, parts []prefix.Part) {
 	for _, part := range parts {
 		s.parts[partKey{salt, part.ID}] = now
 	}
 }
 
-// Holds reports whether all parts were saved lately.
-func (s *Stored) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
+// Holds reports whether all parts were saved within storedTTL.
+func (s *StoredParts) Holds(now time.Duration, salt string, parts []prefix.Part) bool {
 	for _, part := range parts {
 		at, known := s.parts[partKey{salt, part.ID}]
-		if !known || now-at > storedFor {
+		if !known || now-at > storedTTL {
 			return false
 		}
 	}
 	return true
 }
 
-// Sweep forgets what was saved long ago.
-func (s *Stored) Sweep(now time.Duration) {
+// Sweep removes parts saved longer than storedTTL ago.
+func (s *StoredParts) Sweep(now time.Duration) {
 	for key, at := range s.parts {
-		if now-at > storedFor {
+		if now-at > storedTTL {
 			delete(s.parts, key)
 		}
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -207,8 +207,8 @@
 			return
 		}
 		x.plan = chosen
-		if chosen.back > 0 {
-			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.back)
+		if chosen.retryAfter > 0 {
+			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
 		}
 		sent := x.newAttempt(chosen)
@@ -220,7 +220,7 @@
 			x.cover = sent.cover // nothing ran, so nothing was used
 		}
 		x.logFailure(sent, result)
-		if x.route.MayRepeat() {
+		if x.route.Retryable() {
 			sent.awaitProof()
 		}
 		if !x.mayGoOn(result) {
@@ -244,20 +244,20 @@
 
 // place chooses a back end; while none can be used it waits a moment for a better roster.
 func (x *exchange) place() *candidate {
-	wish := need{
-		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, first: len(x.tried) == 0, rank: rank(x.tenant, x.route), target: x.route.Objective,
+	in := selectionInput{
+		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
 	}
-	if x.gateway.on(mechanism.Store) {
-		wish.store = x.view.storeOf(x.call.Parts)
+	if x.gateway.on(mechanism.StoreTransfers) {
+		in.store = x.view.storeOf(x.call.Parts)
 	}
 	patience := x.gateway.now() + backendGrace
 	for {
-		wish.trusted = x.gateway.trusted(x.gateway.now())
-		news := x.gateway.table.changed.Next()
-		chosen := x.askSchedulers(wish)
+		in.trusted = x.gateway.trusted(x.gateway.now())
+		news := x.gateway.table.rosterChanged.Next()
+		chosen := x.askSchedulers(in)
 		if chosen == nil {
-			chosen = x.gateway.choose(x.gateway.now(), wish)
-			x.gateway.turnAway(x.gateway.now(), chosen, wish)
+			chosen = x.gateway.choose(x.gateway.now(), in)
+			x.gateway.turnAway(x.gateway.now(), chosen, in)
 		}
 		left := patience - x.gateway.now()
 		if chosen != nil || left <= 0 || len(x.tried) > 0 {
@@ -297,13 +297,13 @@
 	case resultFailed:
 		return true
 	case resultNotRun:
-		if x.mayHave && !x.route.MayRepeat() {
+		if x.mayHave && !x.route.Retryable() {
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
 		return x.repeat(reasonTurnedAway, max(retrySoon, x.comeBackAfter(result)))
 	}
-	if !x.route.MayRepeat() || x.suspected() {
+	if !x.route.Retryable() || x.suspected() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
@@ -344,5 +344,5 @@
 	if x.keyed && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
-	return x.sent < max(1, x.route.Attempts)
+	return x.sent < max(1, x.route.MaxAttempts)
 }
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -14,7 +14,7 @@
 // giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
 	if x.relayed {
-		x.logEnd(events.RequestRefused, reasonBroken, 0)
+		x.logEnd(events.RequestRejected, reasonBroken, 0)
 		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
 	}
 	switch {
@@ -29,7 +29,7 @@
 
 // abandon ends a request whose caller has left.
 func (x *exchange) abandon() {
-	x.logEnd(events.RequestRefused, reasonCallerGone, 0)
+	x.logEnd(events.RequestRejected, reasonCallerGone, 0)
 	panic(http.ErrAbortHandler)
 }
 
@@ -40,7 +40,7 @@
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	x.logEnd(events.RequestRefused, reason, status)
+	x.logEnd(events.RequestRejected, reason, status)
 	x.writer.WriteHeader(status)
 	_, _ = io.WriteString(x.writer, `{"type":"urn:kitetiller:`+reason+`","status":`+strconv.Itoa(status)+`}`)
 }
@@ -48,8 +48,8 @@
 // logEnd writes the one line that each request leaves.
 func (x *exchange) logEnd(event, reason string, status int) {
 	fields := []zap.Field{
-		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldSent, x.sent),
-		zap.Duration(events.FieldTook, x.gateway.now()-x.arrived),
+		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sent),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-x.arrived),
 	}
 	if reason != "" {
 		fields = append(fields, zap.String(events.FieldReason, reason))
@@ -61,26 +61,26 @@
 		fields = append(fields, zap.Duration("first", x.firstAt-x.arrived), zap.Duration("pause", x.pause))
 	}
 	if event == events.RequestAnswered && x.late() {
-		fields = append(fields, zap.Bool(events.FieldLate, true))
+		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
 	if reason == reasonUntrusted {
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
 	}
 	if reason == reasonHeldBack {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.lives()))
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldIncarnations, x.lives()))
 	}
 	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetch),
+		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldCacheSource, x.plan.fetchFrom),
 			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.reread > 0 {
-			fields = append(fields, zap.Int(events.FieldReread, x.plan.reread), zap.String(events.FieldRereadWhy, string(x.plan.why)))
+		if x.plan.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
 		}
 	}
 	if x.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldSentAtRest, x.atRest))
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.atRest))
 	}
-	if x.limited.Named {
-		fields = append(fields, zap.Float64(events.FieldLimit, x.limited.Rate))
+	if x.limited.Advertised {
+		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
 	}
 	if x.served != "" {
 		fields = append(fields, zap.String(events.FieldInstance, x.served))
@@ -95,27 +95,27 @@
 	if x.firstAt > 0 {
 		took = x.firstAt - x.arrived
 	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.Pause > 0 && x.pause > x.route.Pause
+	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
 }
 
 func (x *exchange) logFailure(sent *attempt, failed result) {
 	x.gateway.metrics.attempts.WithLabelValues(failed.kind.String()).Inc()
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
-		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldSent, x.sent),
-		zap.Duration(events.FieldTook, x.gateway.now()-sent.began),
+		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sent),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
 	}
 	if sent.looked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print))
 	}
 	if sent.asked > 0 {
-		fields = append(fields, zap.Duration(events.FieldRest, sent.asked))
+		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
 	}
 	if sent.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldSentAtRest, sent.atRest))
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.atRest))
 	}
 	if failed.cause == causeOutdated {
-		fields = append(fields, sent.outdated()...)
+		fields = append(fields, sent.outdatedFields()...)
 	}
 	x.gateway.log.note(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -105,13 +105,13 @@
 	at.failures++
 	g.metrics.unread.Inc()
 	if at.failures == 1 {
-		g.log.note(events.CacheUnread, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
+		g.log.note(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
 
 // readCache asks an engine once and takes up what it tells. It may be too early to ask, the engine may be gone, or it wants rest.
 func (g *Gateway) readCache(ctx context.Context, id string, at *cacheCursor) (asked bool, err error) {
-	address, open := g.table.address(g.now(), id)
+	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
 		return false, nil
 	}
@@ -151,7 +151,7 @@
 // takeCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
 func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheNews, whole bool) {
 	now := g.now()
-	corrections := g.table.takeKept(now, id, news.Parts, whole)
+	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
 		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,12 +40,12 @@
 	now      clock.Source // since it was made
 
 	group   *control.Client
-	near    *near // who answers for the control leader
+	near    *nearbyReplicas // who answers for the control leader
 	view    atomic.Pointer[view]
 	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
 	table   *table
 	budget  *retryBudget
-	desk    *desk.Desk // of what is limited over the fleet
+	desk    *desk.LeasePool // of what is limited over the fleet
 	pool    *pool
 	splits  *splits
 	spread  *spread
@@ -79,14 +79,14 @@
 	client := transport.NewClientWithin(settings.Token, nil, peerDial)
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
-		group: control.NewClient(client, settings.Control), near: newNear(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
+		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		confirmed: newBell(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Ways{Tell: made.group.Quarantine, Refuses: reporter.Refuses(&made.pool.dialer), Note: made.log.note, Now: made.now})
+	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
 	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
-	made.spread.silent = !made.on(mechanism.Mesh)
+	made.spread.silent = !made.on(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
 }
@@ -132,7 +132,7 @@
 			failed <- err
 		}
 	}()
-	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldWithout, g.settings.Mechanisms.Off()))
+	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -29,33 +29,33 @@
 
 // lives returns how many lives of back ends ended under the request, as far as this gateway knows.
 func (x *exchange) lives() int {
-	if x.gateway.quarantine.Quiet() {
+	if x.gateway.quarantine.IsEmpty() {
 		return 0
 	}
 	f, ok := x.fingerprint()
 	if !ok {
 		return 0
 	}
-	return x.gateway.quarantine.Lives(f)
+	return x.gateway.quarantine.CrashCount(f)
 }
 
 // heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
 func (x *exchange) heldBack() bool {
-	if x.lives() < quarantine.Held {
+	if x.lives() < quarantine.QuarantineThreshold {
 		return false
 	}
-	x.giveUp(reasonHeldBack, quarantine.Advice)
+	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
 	return true
 }
 
 // suspected reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
 // takes all that runs there along.
-func (x *exchange) suspected() bool { return x.lives() >= quarantine.Suspected }
+func (x *exchange) suspected() bool { return x.lives() >= quarantine.SuspectThreshold }
 
 // endedWell notes that a back end ran the request to a good end.
 func (x *exchange) endedWell() {
 	if f, ok := x.fingerprint(); ok {
-		x.gateway.quarantine.EndedWell(f)
+		x.gateway.quarantine.RecordCompletion(f)
 	}
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
-		a.looked = x.gateway.quarantine.Broke(a.row.entry.ID, a.row.entry.Address, f)
+		a.looked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
 	}
 }
 
@@ -86,7 +86,7 @@
 func (t *table) remains(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !row.gone && row.entry.State == catalog.StateReady && !t.pushed.At(0, row.life).Leaving
+	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
 }
 
 // replaced returns the lives that are gone since another one stands at their address.
--- a/internal/gateway/lanes.go
+++ b/internal/gateway/lanes.go
@@ -11,134 +11,139 @@
 )
 
 const (
-	// longPrompt is how many prompt tokens an engine has to read for a request to count as long. While it reads them, the
-	// streams that run there get their tokens late.
-	longPrompt = 1500
-	// laneMemory is how fast the measured demand of long and short requests is forgotten.
-	laneMemory = 6 * time.Second
-	// laneBase is the demand, in prompt tokens, that both are taken to have from the start.
-	laneBase = 4000.0
-	// shortSurcharge: a short request also keeps a slot while it generates; this many tokens of reading stand for that at least.
-	// Where slots are few, the time that it keeps one of them counts as reading.
-	shortSurcharge = 250.0
-	// lanesGoneAt is the share of a service's slots in use from which on there are no lanes: where slots are scarce, those that a
-	// lane keeps free for one kind are missing to the other. Below it they count the less the more slots are in use, looked at each
-	// roomEach.
-	lanesGoneAt = 0.5
-	roomEach    = 50 * time.Millisecond
-	// longAstray and shortAstray are what a request costs on an engine of the other lane, in milliseconds.
-	longAstray  = 120.0
-	shortAstray = 60.0
+	// longPromptTokens is the number of prompt tokens to prefill from which a request counts as long. Its prefill
+	// delays the tokens of the streams running at the engine.
+	longPromptTokens = 1500
+	// demandDecayTime is the time constant of the decaying demand of long and short requests.
+	demandDecayTime = 6 * time.Second
+	// baseDemand is the initial demand of each kind, in prompt tokens.
+	baseDemand = 4000.0
+	// minSlotDemand is the minimum demand, in prompt tokens, added to a short request for the slot it occupies while
+	// it generates. If slots are few, its time in a slot counts instead.
+	minSlotDemand = 250.0
+	// lanesOffUtilization is the slot utilization from which on lanes are ignored, since slots that a lane keeps free
+	// for one kind of request would be missing for the other. Below it their weight falls linearly. Utilization is
+	// computed every utilizationInterval.
+	lanesOffUtilization = 0.5
+	utilizationInterval = 50 * time.Millisecond
+	// longOffLaneCost and shortOffLaneCost are the costs of a request at an engine of the other lane, in
+	// milliseconds.
+	longOffLaneCost  = 120.0
+	shortOffLaneCost = 60.0
 )
 
-// lanes divides the engines of a service between long and short requests, in proportion to the demand that all gateways
-// see alike, so that long prompts stay out of the short requests' way.
+// lanes divides the engines of a service between long and short requests in proportion to their demand, so that
+// long prefills do not delay short requests. All gateways see about the same demand.
 type lanes struct {
-	long, short float64 // decaying sums of demand, in prompt tokens
-	at          time.Duration
-	share       float64        // of the engines that serve long requests, when they were divided last
-	divided     []*endpoint    // as they were then
-	sides       [2][]*endpoint // of divided: those for short requests, and those for long ones
-	used        float64        // share of the slots that are in use
-	usedAt      time.Duration  // when that was looked at
+	long, short   float64 // decaying sums of demand, in prompt tokens
+	at            time.Duration
+	longFraction  float64        // fraction of the engines for long requests at the last division
+	divided       []*endpoint    // engines at the last division
+	members       [2][]*endpoint // engines of the short lane and of the long lane
+	utilization   float64        // fraction of slots in use
+	utilizationAt time.Duration  // when utilization was computed
 }
 
-// measure looks how many of the slots are in use. Where slots are not known, none count as in use.
-func (l *lanes) measure(now time.Duration, rows []*endpoint) {
-	if now < l.usedAt+roomEach && l.usedAt > 0 {
+// measureUtilization computes the slot utilization; it is 0 if the slots are not known.
+func (l *lanes) measureUtilization(now time.Duration, rows []*endpoint) {
+	if now < l.utilizationAt+utilizationInterval && l.utilizationAt > 0 {
 		return
 	}
 	running, slots := 0, 0
 	for _, row := range rows {
-		running += row.occupied.Total().Running
+		running += row.occupancy.Total().Running
 		slots += row.entry.Slots
 	}
-	l.used, l.usedAt = 0, now
+	l.utilization, l.utilizationAt = 0, now
 	if slots > 0 {
-		l.used = float64(running) / float64(slots)
+		l.utilization = float64(running) / float64(slots)
 	}
 }
 
-// weight is how much lanes count, from 0 to 1.
-func (l *lanes) weight() float64 { return min(max(1-l.used/lanesGoneAt, 0), 1) }
+// weight returns the factor applied to off-lane costs, from 0 to 1.
+func (l *lanes) weight() float64 { return min(max(1-l.utilization/lanesOffUtilization, 0), 1) }
 
-// note adds a send's demand; slotTime is the time that a request keeps a slot, as a part of an engine's time, in milliseconds.
-func (l *lanes) note(now time.Duration, uncached int, slotTime float64) {
+// recordDemand adds the demand of a request. slotTime is how long it occupies a slot, divided by the engine's
+// slots, in milliseconds.
+func (l *lanes) recordDemand(now time.Duration, uncached int, slotTime float64) {
 	l.decay(now)
-	if uncached >= longPrompt {
+	if uncached >= longPromptTokens {
 		l.long += float64(uncached)
 		return
 	}
-	l.short += float64(uncached) + max(shortSurcharge, slotTime*belief.PrefillRate)
+	l.short += float64(uncached) + max(minSlotDemand, slotTime*belief.PrefillRate)
 }
 
 func (l *lanes) decay(now time.Duration) {
 	if now <= l.at {
 		return
 	}
-	kept := math.Exp(-float64(now-l.at) / float64(laneMemory))
-	l.long, l.short, l.at = l.long*kept, l.short*kept, now
+	factor := math.Exp(-float64(now-l.at) / float64(demandDecayTime))
+	l.long, l.short, l.at = l.long*factor, l.short*factor, now
 }
 
-// longShare returns the share of the engines for long requests.
-func (l *lanes) longShare() float64 {
-	return (l.long + laneBase) / (l.long + l.short + 2*laneBase)
+// longDemandFraction returns the fraction of the demand that is of long requests.
+func (l *lanes) longDemandFraction() float64 {
+	return (l.long + baseDemand) / (l.long + l.short + 2*baseDemand)
 }
 
-// divide marks the engines of each zone for long requests: the first by hash, at least one of each kind where there are
-// two or more. An engine changes sides only when the share has moved by more than half of one.
+// divide assigns the engines of each zone, ordered by hash, to the long and short lanes, with at least one in each
+// if the zone has two. It changes the fraction only by more than half an engine.
 func (l *lanes) divide(rows []*endpoint) {
-	share := l.longShare()
-	moved := math.Abs(share-l.share)*float64(len(rows)) > 0.5
+	fraction := l.longDemandFraction()
+	moved := math.Abs(fraction-l.longFraction)*float64(len(rows)) > 0.5
 	if !moved && slices.Equal(l.divided, rows) {
 		return
 	}
 	if moved {
-		l.share = share
+		l.longFraction = fraction
 	}
 	l.divided = rows
 	zones := map[string][]*endpoint{}
 	for _, row := range rows {
 		zones[row.entry.Zone] = append(zones[row.entry.Zone], row)
 	}
-	l.sides = [2][]*endpoint{}
+	l.members = [2][]*endpoint{}
 	for _, members := range zones {
 		slices.SortFunc(members, func(a, b *endpoint) int {
 			return cmp.Compare(a.hash, b.hash)
 		})
-		count := int(math.Round(l.share * float64(len(members))))
+		count := int(math.Round(l.longFraction * float64(len(members))))
 		count = min(max(count, 1), max(1, len(members)-1))
 		for at, member := range members {
-			member.long = at < count
-			l.sides[sideOf(member.long)] = append(l.sides[sideOf(member.long)], member)
+			member.longLane = at < count
+			l.members[laneIndex(member.longLane)] = append(l.members[laneIndex(member.longLane)], member)
 		}
 	}
 }
 
-// of returns the engines for requests that read so many tokens, as they were divided last.
-func (l *lanes) of(uncached int) []*endpoint { return l.sides[sideOf(uncached >= longPrompt)] }
+// of returns the engines for requests with the given tokens to prefill.
+func (l *lanes) of(uncached int) []*endpoint {
+	return l.members[laneIndex(uncached >= longPromptTokens)]
+}
 
-func sideOf(long bool) int {
+func laneIndex(long bool) int {
 	if long {
 		return 1
 	}
 	return 0
 }
 
-// astray is what a request costs on an engine of the other lane, in milliseconds, where lanes are on.
-func (g *Gateway) astray(e *endpoint, uncached int) float64 {
+// offLaneCost returns the cost of a request at an engine of the other lane, in milliseconds, scaled by the weight
+// of the service's lanes, or 0 if lanes are disabled.
+func (g *Gateway) offLaneCost(e *endpoint, uncached int) float64 {
 	if !g.on(mechanism.Lanes) {
 		return 0
 	}
-	return g.table.lane(e.entry.Service).weight() * e.astray(uncached)
+	return g.table.lanesOf(e.entry.Service).weight() * e.fullOffLaneCost(uncached)
 }
 
-func (e *endpoint) astray(uncached int) float64 {
+func (e *endpoint) fullOffLaneCost(uncached int) float64 {
 	switch {
-	case uncached >= longPrompt && !e.long:
-		return longAstray
-	case uncached < longPrompt && e.long:
-		return shortAstray
+	case uncached >= longPromptTokens && !e.longLane:
+		return longOffLaneCost
+	case uncached < longPromptTokens && e.longLane:
+		return shortOffLaneCost
 	}
 	return 0
 }
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -23,13 +23,13 @@
 // lost notes once that the view is no longer confirmed.
 func (l *decisionLog) lost() {
 	if l.cutOff.CompareAndSwap(false, true) {
-		l.note(events.ControlLost)
+		l.note(events.ControlDisconnected)
 	}
 }
 
 // regained notes once that the view is confirmed again.
 func (l *decisionLog) regained() {
 	if l.cutOff.CompareAndSwap(true, false) {
-		l.note(events.ControlRegained)
+		l.note(events.ControlReconnected)
 	}
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -12,7 +12,7 @@
 // busy lets every engine have so much to read from a time on.
 func busy(g *Gateway, now, length time.Duration) {
 	for _, row := range g.table.rows {
-		row.busyTo = now + length
+		row.prefillBusyUntil = now + length
 	}
 }
 
@@ -37,7 +37,7 @@
 		t.Fatalf("three seconds of reading: %+v", got)
 	}
 	for id, row := range g.table.rows {
-		if n := row.occupied.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
+		if n := row.occupancy.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
 			t.Fatalf("%d requests are counted at %s", n, id)
 		}
 	}
@@ -47,7 +47,7 @@
 	if got := g.placeFor(now, question("no objective", 1)); got.BackMS > 0 {
 		t.Fatalf("no objective: %+v", got)
 	}
-	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
+	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.EarlyRejection))
 	if got := g.placeFor(now, judged("off", true)); got.BackMS > 0 {
 		t.Fatalf("without the mechanism: %+v", got)
 	}
@@ -90,8 +90,8 @@
 // TestRefusalOfASchedulerIsPassedOn by the gateway that asked, which does not place the request by itself then.
 func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
 	g := scheduler(2)
-	chosen := g.scheduledCandidate(&wirePlacement{Instance: "i-0", WaitMS: 3000, BackMS: 1200}, scheduled{}, need{})
-	if chosen == nil || chosen.back != 1200*time.Millisecond {
+	chosen := g.scheduledCandidate(&wirePlacement{Instance: "i-0", WaitMS: 3000, BackMS: 1200}, scheduled{}, selectionInput{})
+	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
 		t.Fatalf("%+v", chosen)
 	}
 }
@@ -102,7 +102,7 @@
 		for range 200 {
 			g, now := scheduler(4), time.Second
 			if told {
-				g.table.takeSends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
+				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
 			busy(g, now, 720*time.Millisecond) // 0.9 of the objective
 			if got := g.placeFor(now, judged("back", true)); got.BackMS == 0 {
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -87,28 +87,28 @@
 		return wirePlacement{}
 	}
 	call := asked.call()
-	wish := need{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, elsewhere: true}
+	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
 	if asked.Wall != "" {
-		wish.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
+		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
 	}
-	if g.on(mechanism.Store) {
-		wish.store = held.storeOf(call.Parts)
+	if g.on(mechanism.StoreTransfers) {
+		in.store = held.storeOf(call.Parts)
 	}
-	wish.first, wish.rank, wish.target = asked.First, asked.Rank, wireTime(asked.TargetMS)
-	chosen := g.choose(now, wish)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
 	}
-	if back, refused := g.judge(now, chosen, wish); refused {
+	if back, refused := g.judge(now, chosen, in); refused {
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.Ticket, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.alone, until: now + wireTime(asked.WithinMS),
-		rank: asked.Rank, queue: chosen.queue,
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
+		rank: asked.Rank, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacement{
-		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.reread, Why: string(chosen.why), WaitMS: chosen.wait, Fetch: chosen.fetch, Save: chosen.save,
+		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
 	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
 		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
@@ -130,7 +130,7 @@
 		return
 	}
 	row := made.row
-	g.table.notePace(row, made.alone, made.uncached, wireTime(end.FirstMS))
+	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
 	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
@@ -143,11 +143,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.placed[ticket] = made
-	here := &made.row.occupied
+	here := &made.row.occupancy
 	here.Placed = here.Placed.Plus(made.load)
-	t.read(now, made.row, made.uncached)
+	t.addPrefill(now, made.row, made.uncached)
 	t.spreadOver(now, made.row)
-	return here.Here()
+	return here.Local()
 }
 
 // endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
@@ -171,15 +171,15 @@
 		row.grade(now, end.Grade)
 	}
 	if end.Grade == gradeGood {
-		t.noteStay(row, wireTime(end.StayMS))
+		t.recordDuration(row, wireTime(end.StayMS))
 	}
-	return made, row.occupied.Here(), true
+	return made, row.occupancy.Local(), true
 }
 
 // forgetPlacement takes a placement out of the sums. The caller holds the mutex.
 func (t *table) forgetPlacement(ticket string, made placement) {
 	delete(t.placed, ticket)
-	made.row.occupied.Placed = made.row.occupied.Placed.Minus(made.load)
+	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
 }
 
 // sweepPlacements forgets placements whose end was never told. The caller holds the mutex.
--- a/internal/gateway/reread.go
+++ b/internal/gateway/reread.go
@@ -6,64 +6,65 @@
 	"kitetiller/internal/prefix"
 )
 
-// rereadCause tells why an engine is expected to read shared parts.
-type rereadCause string
+// recomputeCause is the reason why an engine is expected to recompute shared parts.
+type recomputeCause string
 
 const (
-	rereadFirst     rereadCause = "first"           // nobody was known to have read them lately
-	rereadLost      rereadCause = "lost"            // somebody was, and nobody is known to hold them any more: ended, or displaced
-	rereadOther     rereadCause = "other-weights"   // who holds them has made them with other weights
-	rereadBarred    rereadCause = "holder-barred"   // who holds them is in doubt, loads weights, or stands behind another wall
-	rereadDearer    rereadCause = "dearer"          // a copy would cost more
-	rereadUntrusted rereadCause = "weights-unknown" // nothing is shared while the weights of the engine aren't known
+	recomputeFirst          recomputeCause = "first"           // not sent anywhere recently
+	recomputeLost           recomputeCause = "lost"            // sent recently, but all known holders ended or evicted them
+	recomputeOtherWeights   recomputeCause = "other-weights"   // the holders computed them with other weights
+	recomputeHolderBarred   recomputeCause = "holder-barred"   // the holders are avoided, loading weights, or use another salt
+	recomputeCheaper        recomputeCause = "dearer"          // a copy would cost more
+	recomputeWeightsUnknown recomputeCause = "weights-unknown" // nothing is shared while the engine's weights are unknown
 )
 
 const (
-	// metKept is how long a shared part that was sent somewhere counts as read lately, and metMost how many are remembered.
-	metKept = 20 * time.Second
-	metMost = 20_000
+	// lastSentTTL is how long a shared part that was sent counts as sent recently, and maxLastSent bounds the parts
+	// remembered.
+	lastSentTTL = 20 * time.Second
+	maxLastSent = 20_000
 )
 
-// meet notes that shared parts are sent to a back end. The caller holds the mutex.
-func (t *table) meet(at time.Duration, shared []prefix.Part) {
+// recordSent records that shared parts are sent to a back end. The caller holds the mutex.
+func (t *table) recordSent(at time.Duration, shared []prefix.Part) {
 	if len(shared) == 0 {
 		return
 	}
 	last := shared[len(shared)-1].ID
-	if _, known := t.met[last]; known || len(t.met) < metMost {
-		t.met[last] = at
+	if _, known := t.lastSent[last]; known || len(t.lastSent) < maxLastSent {
+		t.lastSent[last] = at
 	}
 }
 
-// forgetMet forgets what was sent long ago. The caller holds the mutex.
-func (t *table) forgetMet(now time.Duration) {
-	for id, at := range t.met {
-		if now-at > metKept {
-			delete(t.met, id)
+// sweepLastSent removes parts sent longer than lastSentTTL ago. The caller holds the mutex.
+func (t *table) sweepLastSent(now time.Duration) {
+	for id, at := range t.lastSent {
+		if now-at > lastSentTTL {
+			delete(t.lastSent, id)
 		}
 	}
 }
 
-// whyReread tells why a chosen engine is to read shared parts. The caller holds the table's mutex.
-func (g *Gateway) whyReread(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) rereadCause {
+// explainRecompute returns why the chosen engine recomputes shared parts. The caller holds the table's mutex.
+func (g *Gateway) explainRecompute(now time.Duration, chosen *candidate, shared []prefix.Part, sources []source) recomputeCause {
 	switch {
 	case chosen.version == 0:
-		return rereadUntrusted
-	case chosen.dearer:
-		return rereadDearer
+		return recomputeWeightsUnknown
+	case chosen.copyCostsMore:
+		return recomputeCheaper
 	}
-	cached := prefix.PartTokens(shared) - chosen.reread
+	cached := prefix.PartTokens(shared) - chosen.recomputed
 	for _, other := range sources {
 		if other.version != chosen.version && other.tokens > cached {
-			return rereadOther
+			return recomputeOtherWeights
 		}
 	}
 	last := shared[len(shared)-1].ID
-	if at, met := g.table.met[last]; !met || now-at > metKept {
-		return rereadFirst
+	if at, known := g.table.lastSent[last]; !known || now-at > lastSentTTL {
+		return recomputeFirst
 	}
 	if len(g.table.holders[last]) > 0 {
-		return rereadBarred
+		return recomputeHolderBarred
 	}
-	return rereadLost
+	return recomputeLost
 }
--- a/internal/gateway/reread_test.go
+++ b/internal/gateway/reread_test.go
@@ -8,41 +8,41 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestWhyPartsAreRead: each way in which nobody's copy of shared parts serves.
-func TestWhyPartsAreRead(t *testing.T) {
+// Covers each reason why no cached copy of shared parts is used.
+func TestExplainRecompute(t *testing.T) {
 	const version = 3
 	shared := []prefix.Part{{ID: "a", Tokens: 600}, {ID: "b", Tokens: 400}}
-	for _, row := range []struct {
-		name    string
-		chosen  candidate
-		sources []source
-		met     time.Duration // ago; 0 never
-		holders []*endpoint
-		wanted  rereadCause
+	for _, c := range []struct {
+		name      string
+		chosen    candidate
+		sources   []source
+		sinceSent time.Duration // time since the last send; 0 never
+		holders   []*endpoint
+		wanted    recomputeCause
 	}{
-		{"nobody read them", candidate{version: version, reread: 1000}, nil, 0, nil, rereadFirst},
-		{"long ago", candidate{version: version, reread: 1000}, nil, 2 * metKept, nil, rereadFirst},
-		{"who did is gone", candidate{version: version, reread: 1000}, nil, time.Second, nil, rereadLost},
-		{"who did can't be asked", candidate{version: version, reread: 1000}, nil, time.Second, []*endpoint{{}}, rereadBarred},
-		{"with other weights", candidate{version: version, reread: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, rereadOther},
-		{"others hold no more", candidate{version: version, reread: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, rereadLost},
-		{"a copy is dearer", candidate{version: version, reread: 1000, dearer: true}, nil, time.Second, nil, rereadDearer},
-		{"weights unknown", candidate{reread: 1000}, nil, time.Second, nil, rereadUntrusted},
+		{"never sent", candidate{version: version, recomputed: 1000}, nil, 0, nil, recomputeFirst},
+		{"sent long ago", candidate{version: version, recomputed: 1000}, nil, 2 * lastSentTTL, nil, recomputeFirst},
+		{"no holder left", candidate{version: version, recomputed: 1000}, nil, time.Second, nil, recomputeLost},
+		{"holder barred", candidate{version: version, recomputed: 1000}, nil, time.Second, []*endpoint{{}}, recomputeHolderBarred},
+		{"holder has other weights", candidate{version: version, recomputed: 1000}, []source{{version: version - 1, tokens: 1000}}, time.Second, nil, recomputeOtherWeights},
+		{"others have no more tokens", candidate{version: version, recomputed: 400}, []source{{version: version - 1, tokens: 600}}, time.Second, nil, recomputeLost},
+		{"copy costs more", candidate{version: version, recomputed: 1000, copyCostsMore: true}, nil, time.Second, nil, recomputeCheaper},
+		{"weights unknown", candidate{recomputed: 1000}, nil, time.Second, nil, recomputeWeightsUnknown},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			now := time.Hour
 			g := &Gateway{table: newTable(mechanism.Set{})}
-			if row.met > 0 {
-				g.table.meet(now-row.met, shared)
+			if c.sinceSent > 0 {
+				g.table.recordSent(now-c.sinceSent, shared)
 			}
-			if row.holders != nil {
-				g.table.holders["b"] = row.holders
+			if c.holders != nil {
+				g.table.holders["b"] = c.holders
 			}
-			if got := g.whyReread(now, &row.chosen, shared, row.sources); got != row.wanted {
-				t.Fatalf("%s, wanted %s", got, row.wanted)
+			if got := g.explainRecompute(now, &c.chosen, shared, c.sources); got != c.wanted {
+				t.Fatalf("cause %s, want %s", got, c.wanted)
 			}
-			if g.table.forgetMet(now); row.met > metKept && len(g.table.met) > 0 {
-				t.Fatal("what was long ago is remembered")
+			if g.table.sweepLastSent(now); c.sinceSent > lastSentTTL && len(g.table.lastSent) > 0 {
+				t.Fatal("expired entry was not removed")
 			}
 		})
 	}
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -34,8 +34,8 @@
 	for _, entry := range news.Entries {
 		row := t.rows[entry.ID]
 		if row == nil {
-			row = &endpoint{life: catalog.LifeOf(entry.ID), waiting: map[*attempt]time.Duration{}, spokeAt: now, hash: xxhash.Sum64String(entry.Address)}
-			row.held = belief.NewHoldings(cacheLimits[entry.Service])
+			row = &endpoint{incarnation: catalog.ParseInstanceID(entry.ID), waiting: map[*attempt]time.Duration{}, lastByteAt: now, hash: xxhash.Sum64String(entry.Address)}
+			row.cache = belief.NewCacheEstimate(cacheLimits[entry.Service])
 			changes = append(changes, rosterChange{events.InstanceJoined, entry})
 		}
 		if entry.State == catalog.StateDraining && row.entry.State != entry.State {
@@ -59,15 +59,15 @@
 	told := entry.Versions
 	entry.Versions = newestVersions(e.entry.Versions, told)
 	for model, version := range told {
-		if version < e.told[model] {
+		if version < e.controlVersions[model] {
 			entry.Versions[model] = version // they fell, or a new leader hasn't heard of them yet: a send expects these, so nothing begins on others
 		}
 	}
-	e.told = told
+	e.controlVersions = told
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
-		e.held.Clear()
+		e.cache.Clear()
 	}
-	e.entry, e.heardAt = entry, now
+	e.entry, e.entryAt = entry, now
 }
 
 // replaceRows puts the rows of a new roster in force and wakes who waits for one. The caller holds the mutex.
@@ -78,8 +78,8 @@
 		services[row.entry.Service] = append(services[row.entry.Service], row)
 	}
 	t.rows, t.services = fresh, services
-	t.forgetHolders()
-	t.changed.Ring()
+	t.sweepHolders()
+	t.rosterChanged.Ring()
 }
 
 // newestVersions merges what was known of a back end's weights with what is told: a new leader may not have heard of them yet.
--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -7,49 +7,50 @@
 	"kitetiller/internal/catalog"
 )
 
-// phaseSteps bounds the random part of a cycle that a split starts after.
-const phaseSteps = 1000
+// maxPhase bounds the random number of rounds that a new split skips.
+const maxPhase = 1000
 
-// splits spreads the requests of a route over its targets by weight.
+// splits distributes the requests of a route over its targets by weight.
 type splits struct {
-	mu   sync.Mutex
-	rng  *rand.Rand                    // guarded by mu
-	owed map[string]map[string]float64 // by route and service; the sum over a route's services is 0
+	mu      sync.Mutex
+	rng     *rand.Rand                    // guarded by mu
+	credits map[string]map[string]float64 // by route and service; the sum over a route's services is 0
 }
 
 func newSplits(rng *rand.Rand) *splits {
-	return &splits{rng: rng, owed: map[string]map[string]float64{}}
+	return &splits{rng: rng, credits: map[string]map[string]float64{}}
 }
 
-// next returns the target that is owed most (smooth weighted round robin), so that shares hold over short spans. Each
-// gateway starts at a random place of the cycle, so that they also hold over many gateways with few requests each.
+// next returns the target with the most credit (smooth weighted round robin), so that the shares hold over few
+// requests. Each gateway starts at a random round, so that they also hold over many gateways with few requests
+// each.
 func (s *splits) next(route *catalog.Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	owed := s.owed[route.Name]
-	if owed == nil {
-		owed = map[string]float64{}
-		s.owed[route.Name] = owed
-		for range s.rng.IntN(min(max(1, totalWeight(route)), phaseSteps)) {
-			step(owed, route)
+	credits := s.credits[route.Name]
+	if credits == nil {
+		credits = map[string]float64{}
+		s.credits[route.Name] = credits
+		for range s.rng.IntN(min(max(1, totalWeight(route)), maxPhase)) {
+			advance(credits, route)
 		}
 	}
-	return step(owed, route)
+	return advance(credits, route)
 }
 
-// step pays each target its weight, and takes the round's total from the one that is owed most.
-func step(owed map[string]float64, route *catalog.Route) string {
+// advance credits each target with its weight, and charges the total weight to the one with the most credit.
+func advance(credits map[string]float64, route *catalog.Route) string {
 	best := ""
 	for _, t := range route.Targets {
-		owed[t.Service] += float64(t.Weight)
-		if t.Weight > 0 && (best == "" || owed[t.Service] > owed[best]) {
+		credits[t.Service] += float64(t.Weight)
+		if t.Weight > 0 && (best == "" || credits[t.Service] > credits[best]) {
 			best = t.Service
 		}
 	}
-	owed[best] -= float64(totalWeight(route))
+	credits[best] -= float64(totalWeight(route))
 	return best
 }
 
--- a/internal/lab/sim/deadly.go
+++ b/internal/lab/sim/deadly.go
@@ -46,7 +46,7 @@
 
 // sendDeadly sends a deadly request as a gateway would, to a back end that then ends.
 func (g *fleetGateway) sendDeadly(f quarantine.Fingerprint) {
-	if !g.mayBeSent() || g.w.guards.On(guard.HeldBack) && g.record.Lives(f) >= quarantine.Held {
+	if !g.mayBeSent() || g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(f) >= quarantine.QuarantineThreshold {
 		return
 	}
 	entry := pick(g.w, g.roster)
@@ -76,7 +76,7 @@
 // brokeOff notes runs that broke off, and looks whether their back end has ended: an address of a machine without power says nothing.
 func (g *fleetGateway) brokeOff(b *fleetBackend, life string, silent bool, runs []quarantine.Fingerprint) {
 	for _, f := range runs {
-		if told, counts := g.record.Broke(g.clock(), life, f); counts {
+		if told, counts := g.record.RecordFailure(g.clock(), life, f); counts {
 			g.tellEnded(told)
 		}
 	}
@@ -92,13 +92,13 @@
 
 // proved notes the proof that a life ended.
 func (g *fleetGateway) proved(life string) {
-	if told, counts := g.record.End(g.clock(), life); counts {
+	if told, counts := g.record.ConfirmEnd(g.clock(), life); counts {
 		g.tellEnded(told)
 	}
 }
 
-func (g *fleetGateway) tellEnded(told quarantine.Ended) {
-	g.tell(quarantine.Change{Ended: []quarantine.Ended{told}})
+func (g *fleetGateway) tellEnded(told quarantine.Crash) {
+	g.tell(quarantine.Change{Crashes: []quarantine.Crash{told}})
 }
 
 // tell has control make a change, as a gateway's thread does.
@@ -107,21 +107,21 @@
 	record := g.record
 	g.asker.ask(request, g.w.now()+deadlyTellTime, func(_ control.Response, taken bool) {
 		if taken {
-			record.Taken(change.Ended)
+			record.Acknowledge(change.Crashes)
 		}
 	})
 }
 
 func (g *fleetGateway) release(innocent ...quarantine.Fingerprint) {
 	if len(innocent) > 0 {
-		g.tell(quarantine.Change{Released: []quarantine.Release{{Requests: innocent, Why: quarantine.EndedWell}}})
+		g.tell(quarantine.Change{Releases: []quarantine.Release{{Requests: innocent, Reason: quarantine.ReasonCompleted}}})
 	}
 }
 
 // takeQuarantine takes up what control tells of ended back ends.
 func (g *fleetGateway) takeQuarantine(reply *control.WatchReply, before []control.RosterEntry) {
 	if reply.Quarantine != nil {
-		g.release(g.record.Take(g.clock(), reply.Quarantine)...)
+		g.release(g.record.ApplyUpdate(g.clock(), reply.Quarantine)...)
 	}
 	now := map[string]string{}
 	for _, e := range g.roster {
@@ -141,10 +141,10 @@
 	if !g.mayBeSent() {
 		return
 	}
-	if g.w.guards.On(guard.HeldBack) && g.record.Lives(hotRequest) >= quarantine.Held {
-		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.Lives(hotRequest))
+	if g.w.guards.On(guard.QuarantineCheck) && g.record.CrashCount(hotRequest) >= quarantine.QuarantineThreshold {
+		g.w.oracle.fail(HeldBackTrue, "%s holds a request back that ends well, for %d lives", g.process.name, g.record.CrashCount(hotRequest))
 	}
-	if g.record.EndedWell(g.clock(), hotRequest) {
+	if g.record.RecordCompletion(g.clock(), hotRequest) {
 		g.release(hotRequest)
 	}
 }
@@ -165,12 +165,12 @@
 	}
 	now := o.w.now()
 	well := now > max(o.controlFault, g.startedAt, g.wokeAt, d.thirdAt)+deadlyContact
-	if d.ended >= quarantine.Held && well {
+	if d.ended >= quarantine.QuarantineThreshold && well {
 		if d.later++; d.later > deadlyMore {
 			o.fail(HeldBackTrue, "%s sent a request to %s under which %d back ends had ended, the third %v ago", g.process.name, life, d.ended, now-d.thirdAt)
 		}
 	}
-	if d.ended++; d.ended == quarantine.Held {
+	if d.ended++; d.ended == quarantine.QuarantineThreshold {
 		d.thirdAt = now
 	}
 }
--- a/internal/lab/sim/pushback.go
+++ b/internal/lab/sim/pushback.go
@@ -76,13 +76,13 @@
 }
 
 // heard notes that a process has an answer in which a back end speaks of itself. Its clock may run fast.
-func (o *oracle) heard(p pair, said pushback.Said) {
+func (o *oracle) heard(p pair, said pushback.Signals) {
 	now := o.w.now()
-	if said.Rest > 0 {
-		end := now + time.Duration(float64(said.Rest)/(1+clockSkew))
+	if said.Backoff > 0 {
+		end := now + time.Duration(float64(said.Backoff)/(1+clockSkew))
 		o.said.rests[p] = append(o.said.rests[p], &restWindow{from: now + restFree, until: end})
 	}
-	if _, known := o.said.left[p]; said.Leaving && !known {
+	if _, known := o.said.left[p]; said.Draining && !known {
 		o.said.left[p] = now
 	}
 }
@@ -105,22 +105,22 @@
 
 // barred reports whether the back end itself wants no request from this gateway.
 func (g *fleetGateway) barred(entry control.RosterEntry) bool {
-	bar, now := g.pushed.At(g.clock(), catalog.LifeOf(entry.ID)), g.clock()
-	return bar.Rests(now) && g.w.guards.On(guard.RestCheck) || bar.Leaving && g.w.guards.On(guard.LeavingHeard)
+	bar, now := g.pushed.Restriction(g.clock(), catalog.ParseInstanceID(entry.ID)), g.clock()
+	return bar.IsBackingOff(now) && g.w.guards.On(guard.BackoffCheck) || bar.Draining && g.w.guards.On(guard.LeavingSelfReported)
 }
 
 // hear takes up what a back end says of itself in the answer to a request that was sent at a time. The gateway knows only whom it meant to ask,
 // not which life answered.
 func (g *fleetGateway) hear(sent time.Duration, entry control.RosterEntry, b *fleetBackend) (turnedAway bool) {
-	said := pushback.Said{Rest: b.shed.sheds(g.w.now()), Leaving: b.draining, Limit: b.need.limit(g.w.now())}
+	said := pushback.Signals{Backoff: b.shed.sheds(g.w.now()), Draining: b.draining, Limit: b.need.limit(g.w.now())}
 	g.w.oracle.heard(pairOf(g.process, b.id), said)
-	g.pushed.Note(g.clock(), g.w.today(), catalog.LifeOf(entry.ID), said, g.w.random.Float64())
-	if said.Limit.Named {
+	g.pushed.Observe(g.clock(), g.w.today(), catalog.ParseInstanceID(entry.ID), said, g.w.random.Float64())
+	if said.Limit.Advertised {
 		g.w.oracle.heardLimit(pairOf(g.process, b.id), b.need)
 	} else {
-		g.pushed.Unlimited(g.clock(), sent, catalog.LifeOf(entry.ID))
+		g.pushed.ObserveNoLimit(g.clock(), sent, catalog.ParseInstanceID(entry.ID))
 	}
-	return said.Rest > 0
+	return said.Backoff > 0
 }
 
 // today is the time of day by which back ends tell when they were started.
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -51,7 +51,7 @@
 	encoder.TimeKey = "time"
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), ring, level)
 	log := &Log{Logger: zap.New(rankedCore{core, ring}).With(zap.String("node", name)), ring: ring}
-	go ring.run(func(count uint64) { log.Warn(events.LinesDropped, zap.Uint64("count", count)) })
+	go ring.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
 	return log
 }
 
@@ -76,7 +76,7 @@
 
 // Write passes a line to the ring, or drops it.
 func (c rankedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	if events.Routine(entry.Message) && len(c.ring.lines) >= logRing-logReserve {
+	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logRing-logReserve {
 		c.ring.dropped.Add(1)
 		return nil
 	}
--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	hotHalfLife = 20 * time.Second
-	hotLimit    = 4096 // prefixes whose rate is tracked
+	rateHalfLife       = 20 * time.Second
+	maxTrackedPrefixes = 4096 // prefixes whose rate is tracked
 )
 
 // rate is a decayed count of one prefix.
@@ -16,20 +16,20 @@
 	updated time.Duration
 }
 
-// HotTable tracks how often each shared prefix is asked for, with exponential decay.
-type HotTable struct {
+// RequestRates tracks how often each shared prefix is asked for, with exponential decay.
+type RequestRates struct {
 	rates map[Hash]*rate
 }
 
-// NewHotTable returns an empty table.
-func NewHotTable() *HotTable { return &HotTable{rates: map[Hash]*rate{}} }
+// NewRequestRates returns an empty table.
+func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
 
-// Touch counts a request for the prefix that ends with the given block and returns its rate per minute.
-func (t *HotTable) Touch(hash Hash, now time.Duration) float64 {
+// Record counts a request for the prefix that ends with the given block and returns its rate per minute.
+func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
-		if len(t.rates) >= hotLimit {
-			t.shed(now)
+		if len(t.rates) >= maxTrackedPrefixes {
+			t.evict(now)
 		}
 		entry = &rate{updated: now}
 		t.rates[hash] = entry
@@ -40,7 +40,7 @@
 }
 
 // Rate returns the rate per minute of a prefix.
-func (t *HotTable) Rate(hash Hash, now time.Duration) float64 {
+func (t *RequestRates) Rate(hash Hash, now time.Duration) float64 {
 	entry := t.rates[hash]
 	if entry == nil {
 		return 0
@@ -50,17 +50,17 @@
 }
 
 func (r *rate) decayed(now time.Duration) float64 {
-	return r.count * math.Exp2(-float64(now-r.updated)/float64(hotHalfLife))
+	return r.count * math.Exp2(-float64(now-r.updated)/float64(rateHalfLife))
 }
 
 // perMinute converts a decayed count: a steady rate r leaves a count of r * halfLife / ln 2.
 func (r *rate) perMinute() float64 {
-	return r.count * math.Ln2 / hotHalfLife.Minutes()
+	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
-// shed drops prefixes that have gone cold, and half of the rest when that is not enough.
-func (t *HotTable) shed(now time.Duration) {
-	for threshold := 0.5; len(t.rates) >= hotLimit; threshold *= 2 {
+// evict drops prefixes that have gone cold, and half of the rest when that is not enough.
+func (t *RequestRates) evict(now time.Duration) {
+	for threshold := 0.5; len(t.rates) >= maxTrackedPrefixes; threshold *= 2 {
 		for hash, entry := range t.rates {
 			if entry.decayed(now) < threshold {
 				delete(t.rates, hash)
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -78,7 +78,7 @@
 	case reasonOverload, core.ReasonDraining:
 		problem = problem.WithRetry(overloadAdvice)
 	case core.ReasonHeldBack:
-		problem = problem.WithRetry(quarantine.Advice)
+		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
 	s.metrics.refusals.WithLabelValues(string(refusal.reason)).Inc()
 	problem.Write(w)
@@ -190,7 +190,7 @@
 		return nil, request, refusal
 	}
 	request.Name, request.Tenant, request.Service = name, tenant, service
-	request.PromptTokens = prefix.Tokens(len(prompt))
+	request.PromptTokens = prefix.EstimateTokens(len(prompt))
 	request.MaxTokens = completion.MaxTokens
 	for _, weights := range held.weights[service] {
 		request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: s.hasher.Chain(tenant, weights, []byte(prompt))})
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -88,7 +88,7 @@
 }
 
 // startControlStub starts one that knows of lives that ended before.
-func startControlStub(t *testing.T, before ...quarantine.Ended) *controlStub {
+func startControlStub(t *testing.T, before ...quarantine.Crash) *controlStub {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,8 +97,8 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	var mu sync.Mutex
-	ledger := quarantine.NewLedger()
-	ledger.Apply(quarantine.Change{Seed: stubSeed, Ended: before})
+	ledger := quarantine.NewRegistry()
+	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: before})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
@@ -112,7 +112,7 @@
 		case asked.Heartbeat != nil:
 			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
 			if stub.told.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.told.Load() {
-				answer.Heartbeat.Quarantine = ledger.News()
+				answer.Heartbeat.Quarantine = ledger.Update()
 			}
 		}
 		respond(http.StatusOK, answer)
@@ -169,7 +169,7 @@
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := arrived.Load(); after != before || after > quarantine.Held+3 {
+	if after := arrived.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
 		t.Fatalf("%d engines got it, then %d more", before, after-before)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
@@ -214,8 +214,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	suspect := hasher.Of(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
-	control := startControlStub(t, quarantine.Ended{Life: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Ended{Life: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
+	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
+	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
 	s := startSiteOf(t, control.address, machines)
 	s.eventually("the router knows of the lives", control.told.Load)
 	response := s.post("/v1/completions", testKey, body)
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -27,7 +27,7 @@
 		beat.Quarantine = s.quarantine.Version()
 		response, err := s.group.Once(attempt, control.Request{Heartbeat: &beat})
 		cancel()
-		pause := session.EagerPeriod
+		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
 			pause = s.takeReply(sent, *response.Heartbeat)
 		}
@@ -41,35 +41,35 @@
 // takeReply syncs new settings, passes settings and lease to the core, and returns when to call again.
 func (s *Server) takeReply(sent time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
-		s.quarantine.Take(reply.Quarantine)
+		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	step := s.session.Take(sent, reply)
-	if step.Problem != "" {
-		s.log.Warn("heartbeat reply not used", zap.String("problem", step.Problem))
-		return step.Pause
+	step := s.session.HandleReply(sent, reply)
+	if step.RejectReason != "" {
+		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
+		return step.NextHeartbeatIn
 	}
-	if step.Save != nil {
-		if err := s.disk.save(*step.Save); err != nil {
+	if step.ToSync != nil {
+		if err := s.disk.save(*step.ToSync); err != nil {
 			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
-		s.session.Saved(*step.Save)
-		s.post(core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree})
-		s.log.Info("settings taken up", zap.Uint64("settings_version", step.Save.Version))
+		s.session.MarkSynced(*step.ToSync)
+		s.post(core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree})
+		s.log.Info("settings taken up", zap.Uint64("settings_version", step.ToSync.Version))
 	}
 	s.post(step.Lease)
 	if step.Peers != nil {
 		s.announcer.SetPeers(peerAddresses(step.Peers))
 		s.post(core.EventRouters{Others: peerNames(step.Peers)})
 	}
-	return step.Pause
+	return step.NextHeartbeatIn
 }
 
 // closeSession ends the session at a planned stop, so that nobody waits for its lease.
 func (s *Server) closeSession() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	beat := s.session.Closing()
+	beat := s.session.ClosingHeartbeat()
 	_, _ = s.group.Once(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
 }
 
