--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -7,38 +7,38 @@
 	"kitetiller/internal/transport"
 )
 
-// Driver speaks to back ends that take orders for weights, in whatever protocol they have. Its methods may block.
+// Driver carries out weights calls in the protocol of the back ends. Its methods may block.
 type Driver interface {
-	// Weights makes a call and returns how it ended; when ctx ends first, the result of an order is WeightsUnknown.
-	Weights(ctx context.Context, call WeightsCall) WeightsResult
+	// CallWeights makes a call and returns its result. If ctx ends first, the result of an order is WeightsUnknown.
+	CallWeights(ctx context.Context, call WeightsCall) WeightsResult
 }
 
 const (
-	// weightsTimeout is how long a back end may take to answer a call.
+	// weightsTimeout bounds a weights call to a back end.
 	weightsTimeout = time.Second
-	// callFresh is how long after its decision a call may still be made: the machine may have been suspended between the two. The next leader
-	// waits for so much longer before its first order.
-	callFresh = 300 * time.Millisecond
-	// membershipPeriod is how often the addresses of the group are read again.
-	membershipPeriod = time.Second
+	// maxCallAge is how long after its decision a call may still be made, since the machine may have been suspended in
+	// between. A new leader waits this much longer before its first order.
+	maxCallAge = 300 * time.Millisecond
+	// membershipInterval is how often the addresses of the group are refreshed.
+	membershipInterval = time.Second
 )
 
-// UseDriver sets the driver of back ends; it must be called before Run.
+// UseDriver sets the driver for calls to back ends. It must be called before Run.
 func (s *Server) UseDriver(driver Driver) { s.driver = driver }
 
-// decidedCall is a call and when this replica last saw that it may be made.
-type decidedCall struct {
-	call WeightsCall
-	at   time.Duration
+// queuedCall is a weights call and the time at which the replica released it.
+type queuedCall struct {
+	call     WeightsCall
+	queuedAt time.Duration
 }
 
-// callBackends is the thread that starts the calls of a leader, each on a goroutine of its own.
+// callBackends starts the weights calls of a leader, each on its own goroutine.
 func (s *Server) callBackends(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-s.orders:
+		case call := <-s.weightsCalls:
 			if s.driver != nil {
 				go s.callBackend(ctx, call)
 			}
@@ -46,26 +46,26 @@
 	}
 }
 
-func (s *Server) callBackend(ctx context.Context, made decidedCall) {
+func (s *Server) callBackend(ctx context.Context, queued queuedCall) {
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	result := WeightsResult{Kind: WeightsRefused}
-	if s.now()-made.at <= callFresh {
-		result = s.driver.Weights(attempt, made.call)
+	if s.now()-queued.queuedAt <= maxCallAge {
+		result = s.driver.CallWeights(attempt, queued.call)
 	}
-	result.Call = made.call
+	result.Call = queued.call
 	s.logWeights(result)
-	s.offer(input{weights: &result})
+	s.submit(input{weights: &result})
 }
 
-// followMembership is the thread that keeps the addresses of the group's client current.
-func (s *Server) followMembership(ctx context.Context) {
-	transport.Every(ctx, membershipPeriod, func() {
-		s.offer(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
+// refreshMembership keeps the addresses of the group client up to date.
+func (s *Server) refreshMembership(ctx context.Context) {
+	transport.Every(ctx, membershipInterval, func() {
+		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
 	})
 }
 
-// addresses returns the internal addresses of the group, or none while this replica does not know it.
+// addresses returns the internal addresses of the group members known to this replica.
 func (r *Replica) addresses() []string {
 	var found []string
 	for _, member := range r.node.Membership().Members {
@@ -74,10 +74,10 @@
 	return found
 }
 
-// UseSeeds replaces the addresses that are asked while the group is not known.
+// UseSeeds replaces the addresses used until the members of the group are known.
 func (s *Server) UseSeeds(addresses []string) { s.group.Use(addresses) }
 
-// Ask passes a request to the leader, wherever it is, until it is decided or ctx ends.
+// Ask sends a request to the leader and retries until it is answered or ctx ends.
 func (s *Server) Ask(ctx context.Context, request Request) (Response, error) {
 	return s.group.Ask(ctx, request)
 }
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -58,13 +58,13 @@
 
 // leading reports whether this replica leads.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.lead != nil })
+	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
 }
 
 // holds asks the decide thread whether something holds; without an answer in time it does not.
 func (s *Server) holds(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
-	if !s.offer(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
+	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
 		return false
 	}
 	select {
@@ -111,7 +111,7 @@
 	}
 	report := reply.Engine
 	report.Name, report.Zone, report.Service, report.Address = listed.Name, listed.Zone, listed.Service, listed.Address
-	s.offer(input{report: &report})
+	s.submit(input{report: &report})
 }
 
 // sendCalls is the thread that passes orders and fences to engines.
@@ -120,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-s.calls:
+		case call := <-s.engineCalls:
 			go s.sendCall(ctx, call)
 		}
 	}
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -7,34 +7,31 @@
 	"kitetiller/internal/catalog"
 )
 
-// A heartbeat that can be read in full may still be another writer's: of a service that no configuration names. It names no back end to
-// use, and whoever is registered holds.
-
-// TestHeartbeatOfNoServiceChangesNothing: neither where it names a registered life, nor a later life of it, nor the address of one that
-// control hasn't heard for a while.
-func TestHeartbeatOfNoServiceChangesNothing(t *testing.T) {
-	open := func(t *testing.T) *solo {
+// TestHeartbeatForUnconfiguredServiceIsIgnored guards against a well-formed heartbeat for a service missing from the
+// routing document that replaces, drains or alters a registered back end.
+func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
+	open := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
 		s.says(life("e", 1000), "a1", 1, 1)
 		return s
 	}
-	forge := func(s *solo, id, address string, state catalog.State) {
+	forge := func(s *singleReplica, id, address string, state catalog.State) {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "nobody", Address: address, State: state},
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
 		}})
 	}
-	holds := func(t *testing.T, s *solo) {
+	holds := func(t *testing.T, s *singleReplica) {
 		t.Helper()
 		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
-			t.Fatalf("registered %t, %+v", known, held)
+			t.Fatalf("registered: %t, instance %+v, want it ready with service engine", known, held)
 		}
 		s.says(life("e", 1000), "a1", 2, 1)
-		if state := s.replica.lead.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
-			t.Fatalf("believed %v, heartbeat %d", state.versions, state.sequence)
+		if state := s.replica.leader.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
+			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
 	}
 	t.Run("its life", func(t *testing.T) {
@@ -54,7 +51,7 @@
 	})
 	t.Run("the address of a silent one", func(t *testing.T) {
 		s := open(t)
-		s.pass(silentAfter + time.Second)
+		s.advance(silentAfter + time.Second)
 		forge(s, life("x", 2000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -28,7 +28,7 @@
 }
 
 // openAlone is a fleet whose two engines have left, so that the next one stands alone.
-func openAlone(t *testing.T) *solo {
+func openAlone(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
 	for _, id := range []string{"i-1", "i-2"} {
@@ -38,7 +38,7 @@
 }
 
 // says sends a heartbeat of an engine at an address.
-func (s *solo) says(id, address string, sequence, version uint64) {
+func (s *singleReplica) says(id, address string, sequence, version uint64) {
 	s.ask(Request{Beat: &Beat{
 		Instance: catalog.Instance{ID: id, Service: "engine", Address: address, State: catalog.StateReady},
 		Sequence: sequence, Versions: map[string]uint64{"m": version},
@@ -46,7 +46,7 @@
 }
 
 // registered reports whether an id is registered.
-func (s *solo) registered(id string) bool {
+func (s *singleReplica) registered(id string) bool {
 	_, known := s.replica.Machine().Catalog().Instances()[id]
 	return known
 }
@@ -78,7 +78,7 @@
 	if s.registered(life("before", 1000)) || !s.registered(life("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
-	s.pass(silentAfter + time.Second)
+	s.advance(silentAfter + time.Second)
 	s.says(life("other", 1500), "a1", 1, 1)
 	if !s.registered(life("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
@@ -108,7 +108,7 @@
 	s := openFleet(t)
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(life("e@5", 1000), "a2", 1, 1)
-	s.pass(youngFor)
+	s.advance(youngFor)
 	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaves: true}})
 	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
@@ -142,7 +142,7 @@
 	if !s.registered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
-	s.pass(youngFor)
+	s.advance(youngFor)
 	s.ask(leave)
 	s.says(id, "a1", 3, 1)
 	if s.registered(id) {
@@ -165,12 +165,12 @@
 }
 
 // reports answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
-func (s *solo) reports(length time.Duration, version, revision uint64) []WeightsCall {
+func (s *singleReplica) reports(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
-		s.weights = nil
-		s.pass(50 * time.Millisecond)
-		for _, call := range s.weights {
+		s.weightsCalls = nil
+		s.advance(50 * time.Millisecond)
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				orders = append(orders, call)
 				continue
@@ -201,7 +201,7 @@
 		}
 		held = s.watchNow("g1", held.Version)
 	}
-	t.Fatalf("0 orders, believed %v", s.replica.lead.fleet[id].versions)
+	t.Fatalf("0 orders, believed %v", s.replica.leader.fleet[id].versions)
 }
 
 // TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
@@ -212,8 +212,8 @@
 	s.says(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
 	s.says(id, "a1", 2, 2)
-	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.lead.fleet[id].versions["m"] != 3 {
-		t.Fatalf("orders %+v, believed %v", orders, s.replica.lead.fleet[id].versions)
+	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
+		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
 	}
 }
 
@@ -224,16 +224,16 @@
 	s.says(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
-		s.weights = nil
-		s.pass(100 * time.Millisecond)
-		for _, call := range s.weights {
+		s.weightsCalls = nil
+		s.advance(100 * time.Millisecond)
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				t.Fatalf("ordered by the report of another life: %+v", call)
 			}
 			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Born: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
 		}
 	}
-	if believed := s.replica.lead.fleet[id].versions["m"]; believed != 1 {
+	if believed := s.replica.leader.fleet[id].versions["m"]; believed != 1 {
 		t.Fatalf("believed %d by the report of another life", believed)
 	}
 }
@@ -243,10 +243,10 @@
 	s := openFleet(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
-		s.weights = nil
+		s.weightsCalls = nil
 		s.beats("i-1", "i-2")
-		s.pass(100 * time.Millisecond)
-		for _, call := range s.weights {
+		s.advance(100 * time.Millisecond)
+		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
 				return
 			}
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -19,26 +19,26 @@
 // rosterNews returns what a gateway lacks of the current roster.
 func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterNews {
 	r.refreshRoster(now)
-	if held.Term != r.lead.term {
-		return r.lead.roster.Since(0)
+	if held.Term != r.leader.term {
+		return r.leader.roster.Since(0)
 	}
-	return r.lead.roster.Since(held.Count)
+	return r.leader.roster.Since(held.Count)
 }
 
 // refreshRoster brings the roster up to its count: only back ends that changed are looked at.
 func (r *Replica) refreshRoster(now time.Duration) {
-	lead := r.lead
+	lead := r.leader
 	if lead.roster.Count() == lead.rosterCount {
 		return
 	}
 	if lead.roster.Count() == 0 {
 		for id := range r.machine.catalog.Instances() {
-			lead.changed[id] = true
+			lead.rosterPending[id] = true
 		}
 	}
 	var changed []RosterEntry
 	var gone []string
-	for id := range lead.changed {
+	for id := range lead.rosterPending {
 		if instance, known := r.machine.catalog.Instances()[id]; known && r.inUse(now, instance) {
 			changed = append(changed, r.rosterEntry(now, instance))
 		} else {
@@ -46,7 +46,7 @@
 		}
 	}
 	lead.roster.Update(lead.rosterCount, changed, gone)
-	clear(lead.changed)
+	clear(lead.rosterPending)
 }
 
 // rosterEntry returns a back end as gateways see it.
@@ -59,26 +59,26 @@
 }
 
 // pace lets the newest roster be told if the last telling is long enough ago.
-func (l *leadership) pace(now time.Duration) {
-	if l.rosterCount == l.toldCount || now < l.toldAt+roster.Pause(len(l.usage)) {
+func (l *leaderState) pace(now time.Duration) {
+	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.Pause(len(l.usage)) {
 		return
 	}
-	l.toldCount, l.toldAt = l.rosterCount, now
+	l.publishedCount, l.publishedAt = l.rosterCount, now
 }
 
 // tellsRoster reports whether a held question is to be answered for the roster's sake.
-func (l *leadership) tellsRoster(held RosterVersion) bool {
-	return held.Term != l.term || held.Count < l.toldCount
+func (l *leaderState) tellsRoster(held RosterVersion) bool {
+	return held.Term != l.term || held.Count < l.publishedCount
 }
 
 // rosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
-func (l *leadership) rosterChanged(ids ...string) {
+func (l *leaderState) rosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
-		l.changed[id] = true
+		l.rosterPending[id] = true
 	}
 }
 
-func (l *leadership) rosterVersion() RosterVersion {
+func (l *leaderState) rosterVersion() RosterVersion {
 	return RosterVersion{Term: l.term, Count: l.rosterCount}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,85 +25,85 @@
 )
 
 const (
-	inputRing     = 8192
-	outboxRing    = 1024
-	callRing      = 1024
-	drainBatch    = 512
-	sendTimeout   = 2 * time.Second
-	joinPeriod    = 300 * time.Millisecond
-	rejoinPeriod  = 2 * time.Second
-	maximumLinger = 50 * time.Millisecond // longest sleep of the decide thread
-	// relayAbove is how many gateways the leader answers by itself: each asks some three times a second, and 128 of them cost it some 3 in
-	// 100 of a core. Beyond, all replicas answer, and what the leader answers doesn't grow with the gateways.
-	relayAbove = 128
+	inputCapacity   = 8192
+	outboxCapacity  = 1024
+	callCapacity    = 1024
+	maxBatch        = 512
+	sendTimeout     = 2 * time.Second
+	joinInterval    = 300 * time.Millisecond
+	rejoinInterval  = 2 * time.Second
+	maxTickInterval = 50 * time.Millisecond // longest time between two ticks
+	// maxDirectGateways is how many gateways the leader answers by itself. With more, all replicas answer gateways, so
+	// that the load of the leader does not grow with their number.
+	maxDirectGateways = 128
 )
 
-// input is one thing for the decide thread; exactly one field is set.
+// input is an event for the replica goroutine. Exactly one of its fields is set, besides respond.
 type input struct {
-	batch   *raftBatch
-	request *Request
-	respond transport.Respond
-	report  *EngineReport
-	hello   transport.Respond
-	found   bool
-	inspect func(*Replica)
-	weights *WeightsResult
-	relayed *relayed
+	batch       *raftBatch
+	request     *Request
+	respond     transport.Respond
+	report      *EngineReport
+	hello       transport.Respond
+	foundGroup  bool
+	inspect     func(*Replica)
+	weights     *WeightsResult
+	relayResult *relayResult
 }
 
-// relayed is how a question to the leader on behalf of gateways ended.
-type relayed struct {
+// relayResult is the result of a relay request to the leader.
+type relayResult struct {
 	number uint64
-	leader string        // that was asked
-	answer *relay.Answer // nil when there was none of a leader
-	cause  string        // why there was none
+	leader string        // address of the leader that was asked
+	answer *relay.Answer // nil if the request failed
+	cause  string        // why the request failed
 }
 
-// HelloReply tells a replica with an empty folder whether a group exists already.
+// HelloReply tells a replica with an empty data folder whether the answering founder already has state.
 type HelloReply struct {
 	HasState bool `json:"has_state"`
 }
 
-// Server runs a Replica: one thread decides and persists, others carry messages. Persisting shares the
-// thread that decides because nothing may be sent before the sync; proposals that wait share one sync.
+// Server runs a Replica. One goroutine owns the replica and its disk, since nothing may be sent before it is synced;
+// others do network I/O. Inputs that are queued together share one sync.
 type Server struct {
-	file      *node.File
-	log       *zap.Logger
-	identity  Identity
-	disk      *Disk
-	replica   *Replica
-	led       bool        // as of the newest tick; owned by the decide thread
-	level     level.Level // in force as of the newest tick; owned by the decide thread
-	relayLost bool        // the newest question for gateways got no answer; owned by the decide thread
-	over      overNotes
-	held      heldNotes
-	config    Config
-	now       clock.Source // since it was made
-	inputs    chan input
-	calls     chan EngineCall
-	clients   map[uint64]transport.Respond
-	nextID    uint64
-	seen      map[consensus.ID]string // addresses from which replicas wrote; owned by the decide thread
-	links     *transport.Links
-	client    *transport.Client
-	group     *Client
-	driver    Driver
-	orders    chan decidedCall
-	beats     beatCollector
+	file            *node.File
+	log             *zap.Logger
+	identity        Identity
+	disk            *Disk
+	replica         *Replica
+	wasLeader       bool        // last logged leadership; owned by runReplica
+	loggedLevel     level.Level // last logged level in force; owned by runReplica
+	relayFailing    bool        // the last relay request failed; owned by runReplica
+	overLimitLog    overNotes
+	heldBackLog     heldNotes
+	config          Config
+	now             clock.Source // time since the server was created
+	inputs          chan input
+	engineCalls     chan EngineCall
+	clients         map[uint64]transport.Respond
+	nextID          uint64
+	senderAddresses map[consensus.ID]string // last known address of each replica that sent a message; owned by runReplica
+	links           *transport.Links
+	client          *transport.Client
+	group           *Client
+	driver          Driver
+	weightsCalls    chan queuedCall
+	beats           beatCollector
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
-	failed   chan error
+	fatal    chan error
 	syncs    SyncStats
 }
 
-// SyncStats counts what a replica wrote. It may be read at any time.
+// SyncStats counts the synced writes of a replica. It is safe for concurrent use.
 type SyncStats struct {
 	Count       atomic.Uint64
-	Nanoseconds atomic.Uint64 // spent writing and syncing
+	Nanoseconds atomic.Uint64 // time spent writing and syncing
 }
 
-// Syncs returns the replica's counters.
+// Syncs returns the counters of synced writes.
 func (s *Server) Syncs() *SyncStats { return &s.syncs }
 
 // NewServer opens the data folder and restores the replica.
@@ -115,10 +115,10 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputRing), calls: make(chan EngineCall, callRing), orders: make(chan decidedCall, callRing),
+		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
-		clients: map[uint64]transport.Respond{}, seen: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
-		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), failed: make(chan error, 1),
+		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
+		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
 	if server.config, err = server.replicaConfig(); err != nil {
@@ -140,7 +140,7 @@
 	}
 	return Config{
 		Mechanisms: mechanisms, Level: level.Current,
-		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, RelayAbove: relayAbove, Timing: timing,
+		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
 	}, nil
@@ -159,27 +159,27 @@
 	defer s.closeAdmin(admin)
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(run) })
-	threads.Go(func() { s.sendCalls(run) })
-	threads.Go(func() { s.watchEngines(run) })
-	threads.Go(func() { s.callBackends(run) })
-	threads.Go(func() { s.passBeats(run) })
-	threads.Go(func() { s.followMembership(run) })
-	threads.Go(func() { s.rejoin(run) })
+	var workers sync.WaitGroup
+	workers.Go(func() { s.runReplica(run) })
+	workers.Go(func() { s.sendCalls(run) })
+	workers.Go(func() { s.watchEngines(run) })
+	workers.Go(func() { s.callBackends(run) })
+	workers.Go(func() { s.passBeats(run) })
+	workers.Go(func() { s.refreshMembership(run) })
+	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
-		threads.Go(func() { s.enterGroup(run) })
+		workers.Go(func() { s.joinOrFound(run) })
 	}
 	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
-	case err = <-s.failed:
+	case err = <-s.fatal:
 	}
 	cancel()
 	closing, done := context.WithTimeout(context.Background(), sendTimeout)
 	defer done()
 	_ = listener.Close(closing)
-	threads.Wait()
+	workers.Wait()
 	if closeErr := s.disk.Close(); err == nil {
 		err = closeErr
 	}
@@ -187,7 +187,7 @@
 	return err
 }
 
-// handle takes an internal request on the event loop and passes it to the decide thread.
+// handle decodes an internal request and queues it for the replica goroutine.
 func (s *Server) handle(request transport.Request, respond transport.Respond) {
 	item := input{}
 	var err error
@@ -212,24 +212,24 @@
 		}
 		return
 	}
-	if !s.offer(item) && request.Path != PathRaft {
+	if !s.submit(item) && request.Path != PathRaft {
 		respond(http.StatusOK, Response{Kind: ResponseNoQuorum})
 	}
 }
 
-// offer puts an input into the ring, or sheds it when the ring is full.
-func (s *Server) offer(item input) bool {
+// submit queues an input for the replica goroutine. It drops the input and returns false if the queue is full.
+func (s *Server) submit(item input) bool {
 	select {
 	case s.inputs <- item:
 		return true
 	default:
-		s.log.Warn("input ring is full, input shed")
+		s.log.Warn("input queue is full, input dropped")
 		return false
 	}
 }
 
-// decide is the thread that owns the replica.
-func (s *Server) decide(ctx context.Context) {
+// runReplica is the loop of the goroutine that owns the replica.
+func (s *Server) runReplica(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
@@ -239,63 +239,63 @@
 		case <-ctx.Done():
 			return
 		case item := <-s.inputs:
-			s.take(item)
-			s.drain()
+			s.handleInput(item)
+			s.handleQueued()
 		case <-timer.C:
 		}
 		s.replica.Tick(s.now(), time.Now().UnixMilli())
-		if err := s.work(); err != nil {
-			s.failed <- eris.Wrap(err, "the data folder can no longer be written")
+		if err := s.persistAndSend(); err != nil {
+			s.fatal <- eris.Wrap(err, "failed to write to the data folder")
 			return
 		}
-		if err := s.replica.Ended(); err != nil {
-			s.failed <- err
+		if err := s.replica.Err(); err != nil {
+			s.fatal <- err
 			return
 		}
-		s.noteLeadership()
-		s.noteLevel()
+		s.logLeadershipChange()
+		s.logLevelChange()
 		s.noteOverLimits()
 		s.noteHeldBack()
-		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maximumLinger))
+		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
 }
 
-// noteLeadership logs that the leadership was won or lost.
-func (s *Server) noteLeadership() {
-	leads := s.replica.lead != nil
-	if leads == s.led {
+// logLeadershipChange logs when leadership was won or lost.
+func (s *Server) logLeadershipChange() {
+	isLeader := s.replica.leader != nil
+	if isLeader == s.wasLeader {
 		return
 	}
-	s.led = leads
+	s.wasLeader = isLeader
 	fields := []zap.Field{zap.Uint64("term", s.replica.node.Term()), zap.String("leader", s.replica.leaderAddress())}
-	if !leads {
+	if !isLeader {
 		s.log.Info(events.LeadershipLost, fields...)
 		return
 	}
 	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
 }
 
-// noteLevel logs that another level is in force than before.
-func (s *Server) noteLevel() {
-	if held := s.replica.machine.level; held != s.level {
-		s.level = held
-		s.log.Info(events.LevelRaised, zap.Uint64("level", uint64(held)), zap.Uint64("build", uint64(s.config.Level)))
+// logLevelChange logs when the level in force has changed.
+func (s *Server) logLevelChange() {
+	if current := s.replica.machine.level; current != s.loggedLevel {
+		s.loggedLevel = current
+		s.log.Info(events.LevelRaised, zap.Uint64("level", uint64(current)), zap.Uint64("build", uint64(s.config.Level)))
 	}
 }
 
-// drain takes what else waits, so that many proposals share one sync.
-func (s *Server) drain() {
-	for range drainBatch {
+// handleQueued handles further queued inputs, so that they share one sync.
+func (s *Server) handleQueued() {
+	for range maxBatch {
 		select {
 		case item := <-s.inputs:
-			s.take(item)
+			s.handleInput(item)
 		default:
 			return
 		}
 	}
 }
 
-func (s *Server) take(item input) {
+func (s *Server) handleInput(item input) {
 	now := s.now()
 	switch {
 	case item.request != nil:
@@ -308,57 +308,57 @@
 		s.replica.Observe(now, *item.report)
 	case item.weights != nil:
 		s.replica.ObserveWeights(now, *item.weights)
-	case item.relayed != nil:
-		s.noteRelayed(item.relayed)
-		s.replica.ObserveRelay(now, item.relayed.number, item.relayed.answer)
-	case item.found:
-		s.found()
+	case item.relayResult != nil:
+		s.logRelayChange(item.relayResult)
+		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
+	case item.foundGroup:
+		s.foundGroup()
 	case item.inspect != nil:
 		item.inspect(s.replica)
 	case item.batch != nil:
 		for _, message := range item.batch.Messages {
-			s.seen[message.From] = item.batch.Address
+			s.senderAddresses[message.From] = item.batch.Address
 			s.replica.Step(now, message)
 		}
 	}
 }
 
-// askLeader passes a question for gateways to the leader; one is on its way at a time.
-func (s *Server) askLeader(call RelayCall) {
+// relayToLeader sends a relay request to the leader and submits the result.
+func (s *Server) relayToLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
 	defer cancel()
-	ended := &relayed{number: call.Question.Number, leader: call.Address}
+	result := &relayResult{number: call.Question.Number, leader: call.Address}
 	var response Response
 	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
 	switch {
 	case err != nil:
-		ended.cause = err.Error()
+		result.cause = err.Error()
 	case response.Kind != ResponseOK:
-		ended.cause = string(response.Kind)
+		result.cause = string(response.Kind)
 	default:
-		ended.answer = response.Relayed
+		result.answer = response.Relayed
 	}
-	s.offer(input{relayed: ended})
+	s.submit(input{relayResult: result})
 }
 
-// noteRelayed logs when the leader begins and ends to give no answers for gateways.
-func (s *Server) noteRelayed(ended *relayed) {
-	lost := ended.answer == nil
-	if lost == s.relayLost {
+// logRelayChange logs when relay requests to the leader start to fail and when they succeed again.
+func (s *Server) logRelayChange(result *relayResult) {
+	lost := result.answer == nil
+	if lost == s.relayFailing {
 		return
 	}
-	s.relayLost = lost
+	s.relayFailing = lost
 	if lost {
-		s.log.Info(events.RelayUnavailable, zap.String("leader", ended.leader), zap.String(events.FieldCause, ended.cause))
+		s.log.Info(events.RelayUnavailable, zap.String("leader", result.leader), zap.String(events.FieldCause, result.cause))
 		return
 	}
-	s.log.Info(events.RelayAvailable, zap.String("leader", ended.leader))
+	s.log.Info(events.RelayAvailable, zap.String("leader", result.leader))
 }
 
-// work persists and sends until the replica has nothing more to do.
-func (s *Server) work() error {
+// persistAndSend writes, syncs and sends until the replica has no more work.
+func (s *Server) persistAndSend() error {
 	for s.replica.HasWork() {
-		persist := s.replica.Work()
+		persist := s.replica.Prepare()
 		if !persist.Empty() {
 			started := time.Now()
 			if err := s.disk.Write(persist); err != nil {
@@ -367,14 +367,14 @@
 			s.syncs.Count.Add(1)
 			s.syncs.Nanoseconds.Add(uint64(time.Since(started)))
 		}
-		s.send(s.replica.Done(s.now()))
+		s.send(s.replica.Advance(s.now()))
 	}
 	return nil
 }
 
 func (s *Server) send(effects Effects) {
 	for _, message := range effects.Messages {
-		s.outbox(message)
+		s.enqueue(message)
 	}
 	for _, reply := range effects.Replies {
 		if respond, waiting := s.clients[reply.Client]; waiting {
@@ -382,21 +382,21 @@
 			respond(http.StatusOK, reply.Response)
 		}
 	}
-	for _, call := range effects.Relays {
-		go s.askLeader(call)
+	for _, call := range effects.RelayCalls {
+		go s.relayToLeader(call)
 	}
-	for _, call := range effects.Weights {
+	for _, call := range effects.WeightsCalls {
 		select {
-		case s.orders <- decidedCall{call: call, at: s.now()}:
+		case s.weightsCalls <- queuedCall{call: call, queuedAt: s.now()}:
 		default:
-			s.log.Warn("ring of weights calls is full, call shed; it is made again", zap.String("instance", call.Instance))
+			s.log.Warn("queue of weights calls is full, call dropped; it will be retried", zap.String("instance", call.Instance))
 		}
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.EngineCalls {
 		select {
-		case s.calls <- call:
+		case s.engineCalls <- call:
 		default:
-			s.log.Warn("call ring is full, call shed; it is issued again", zap.String("engine", call.Engine))
+			s.log.Warn("queue of engine calls is full, call dropped; it will be retried", zap.String("engine", call.Engine))
 		}
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -97,13 +97,13 @@
 const maximumHold = time.Second
 
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
-	if !r.noteReport(now, watch.report()) {
-		r.lead.unlisted = true
+	if !r.recordReport(now, watch.report()) {
+		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
 	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
 	if !r.answerWatch(now, held) {
-		r.lead.watchers = append(r.lead.watchers, held)
+		r.leader.watchers = append(r.leader.watchers, held)
 	}
 }
 
@@ -118,9 +118,9 @@
 	if request.Watch != nil && r.relays() && r.takeWaiting(now, client, *request.Watch) {
 		return
 	}
-	if request.Watch != nil && r.leaderAddress() == "" && len(r.leaderless) < leaderlessMost {
+	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
 		due := now + min(request.Watch.Hold, maximumHold)
-		r.leaderless = append(r.leaderless, watcher{client: client, watch: *request.Watch, due: due})
+		r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: *request.Watch, due: due})
 		return
 	}
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
@@ -130,10 +130,10 @@
 // meanwhile. One whose time is over is not held.
 func (r *Replica) holdUnformed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maximumHold)
-	if now >= due || len(r.leaderless) >= leaderlessMost {
+	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
 		return false
 	}
-	r.leaderless = append(r.leaderless, watcher{client: client, watch: watch, due: due})
+	r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: watch, due: due})
 	return true
 }
 
@@ -143,21 +143,21 @@
 // endLeaderless takes up the held questions when this replica leads, and answers them when it hears of a leader or their
 // time is over.
 func (r *Replica) endLeaderless(now time.Duration) {
-	if len(r.leaderless) == 0 {
+	if len(r.awaitingLeader) == 0 {
 		return
 	}
 	leader := r.leaderAddress()
-	waiting := r.leaderless
-	r.leaderless = nil
+	waiting := r.awaitingLeader
+	r.awaitingLeader = nil
 	for _, held := range waiting {
 		switch {
-		case r.lead != nil && (!r.current(now) || !r.formed()) && now < held.due:
-			r.leaderless = append(r.leaderless, held) // it may not confirm anything yet
-		case r.lead != nil:
+		case r.leader != nil && (!r.hasCurrentState(now) || !r.formed()) && now < held.due:
+			r.awaitingLeader = append(r.awaitingLeader, held) // it may not confirm anything yet
+		case r.leader != nil:
 			held.watch.Hold = max(0, held.due-now)
 			r.Handle(now, held.client, Request{Watch: &held.watch})
 		case leader == "" && now < held.due:
-			r.leaderless = append(r.leaderless, held)
+			r.awaitingLeader = append(r.awaitingLeader, held)
 		case r.relays() && r.takeWaiting(now, held.client, held.watch):
 		default:
 			r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: leader})
@@ -167,24 +167,24 @@
 
 // confirms reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
 func (r *Replica) confirms(now time.Duration) bool {
-	return r.current(now) || !r.config.Guards.On(guard.ConfirmedView)
+	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
 // answerWatchers answers the questions for which there is news, or whose time has come.
 func (r *Replica) answerWatchers(now time.Duration) {
-	r.lead.pace(now)
-	r.lead.watchers = slices.DeleteFunc(r.lead.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
+	r.leader.pace(now)
+	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
 }
 
 func (r *Replica) answerWatch(now time.Duration, held watcher) bool {
-	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.lead.tellsRoster(held.watch.Roster) ||
+	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.tellsRoster(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	if !news && now < held.due {
 		return false
 	}
 	unlisted := r.unlisted(held.watch)
 	if unlisted && now < held.due+listPatience {
-		r.lead.unlisted = true
+		r.leader.gatewayUnlisted = true
 		return false
 	}
 	if !r.confirms(now) || unlisted {
@@ -197,13 +197,13 @@
 
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
-	reply.Version, reply.Wanted = r.lead.rosterVersion(), r.wantedVersions(now)
+	reply.Version, reply.Wanted = r.leader.rosterVersion(), r.wantedVersions(now)
 	if watch.Roster != reply.Version && !watch.Brief {
 		reply.Roster = r.rosterNews(now, watch.Roster)
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
 	reply.placed(r.layout(now), &watch)
-	reply.Reads = r.readsOf(now, watch.Gateway)
+	reply.Reads = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
 }
 
@@ -223,15 +223,15 @@
 
 // toldDocument returns the document as gateways are told it, and as JSON that all who lack it share.
 func (r *Replica) toldDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
-	if r.told.document == nil || r.told.document.Revision != document.Revision {
+	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
-		r.told.document, r.told.shared = &sent, nil
+		r.published.document, r.published.shared = &sent, nil
 		if shared, err := payload.NewShared(&sent); err == nil {
-			r.told.shared = shared // else whoever tells it meets the error
+			r.published.shared = shared // else whoever tells it meets the error
 		}
 	}
-	return r.told.document, r.told.shared
+	return r.published.document, r.published.shared
 }
 
 // placed adds where the gateway is laid out.
@@ -251,10 +251,10 @@
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
 		return taken
 	}
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		switch {
 		case now-report.at >= r.trustEnd():
-		case report.held.Term != r.lead.term:
+		case report.held.Term != r.leader.term:
 			return 0
 		default:
 			taken = min(taken, report.held.Count)
@@ -274,12 +274,12 @@
 
 // usageSum returns the work of all gateways that asked lately.
 func (r *Replica) usageSum(now time.Duration) *usageTotals {
-	sum := &r.lead.totals
+	sum := &r.leader.totals
 	if sum.running != nil && now < sum.at+totalsEach {
 		return sum
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		if now-report.at > usageCounts {
 			continue
 		}
@@ -291,7 +291,7 @@
 }
 
 // closeWatchers answers every held question when the leadership ends.
-func (r *Replica) closeWatchers(lead *leadership) {
+func (r *Replica) closeWatchers(lead *leaderState) {
 	for _, held := range lead.watchers {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
