--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -77,18 +77,18 @@
 // New returns a gateway that knows nothing yet.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
 	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
-	made := &Gateway{
+	g := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		viewConfirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
-	made.leases = desk.New(made.shortName, settings.ViewTTL, made.now, made.lend)
-	made.peers.disabled = !made.enabled(mechanism.GatewayMesh)
-	made.metrics = newMetrics(made)
-	return made
+	g.quarantine = reporter.New(reporter.Config{Submit: g.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&g.pool.dialer), Log: g.log.info, Now: g.now})
+	g.leases = desk.New(g.shortName, settings.ViewTTL, g.now, g.lend)
+	g.peers.disabled = !g.enabled(mechanism.GatewayMesh)
+	g.metrics = newMetrics(g)
+	return g
 }
 
 // enabled reports whether a part of the decision is enabled.
