--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -115,13 +115,13 @@
 		return err
 	}
 	defer closePeers(peers)
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
-	threads.Go(func() { g.follow(run) })
-	threads.Go(func() { g.sweep(run) })
-	threads.Go(func() { g.leases.Run(run) })
-	threads.Go(func() { g.quarantine.Run(run) })
-	g.peers.run(run, threads.Go)
+	threads.Go(func() { g.follow(runCtx) })
+	threads.Go(func() { g.sweep(runCtx) })
+	threads.Go(func() { g.leases.Run(runCtx) })
+	threads.Go(func() { g.quarantine.Run(runCtx) })
+	g.peers.run(runCtx, threads.Go)
 	public := &http.Server{
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
