--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -116,12 +116,12 @@
 	}
 	defer closePeers(peers)
 	runCtx, cancel := context.WithCancel(context.Background())
-	var threads sync.WaitGroup
-	threads.Go(func() { g.follow(runCtx) })
-	threads.Go(func() { g.sweep(runCtx) })
-	threads.Go(func() { g.leases.Run(runCtx) })
-	threads.Go(func() { g.quarantine.Run(runCtx) })
-	g.peers.run(runCtx, threads.Go)
+	var wg sync.WaitGroup
+	wg.Go(func() { g.follow(runCtx) })
+	wg.Go(func() { g.sweep(runCtx) })
+	wg.Go(func() { g.leases.Run(runCtx) })
+	wg.Go(func() { g.quarantine.Run(runCtx) })
+	g.peers.run(runCtx, wg.Go)
 	public := &http.Server{
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
@@ -140,7 +140,7 @@
 	}
 	g.log.info(events.GatewayStopped, zap.Int64("active", g.active.Load()))
 	cancel()
-	threads.Wait()
+	wg.Wait()
 	g.followers.threads.Wait()
 	if ready != nil {
 		_ = ready.Close()
