--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,17 +126,17 @@
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
 	}
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		if err := public.Serve(listener); err != http.ErrServerClosed {
-			failed <- err
+			serveErr <- err
 		}
 	}()
 	g.log.info(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
-	case err = <-failed:
+	case err = <-serveErr:
 	}
 	g.log.info(events.GatewayStopped, zap.Int64("active", g.active.Load()))
 	cancel()
