--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,9 +157,9 @@
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.rejecting.Store(true)
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
-	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
+	shutdownCtx, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer done()
-	_ = public.Shutdown(closing) // what is left is cut with the process
+	_ = public.Shutdown(shutdownCtx) // what is left is cut with the process
 }
 
 // listenReady opens the listener of the readiness check.
