--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,8 +157,8 @@
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.rejecting.Store(true)
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
-	shutdownCtx, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
-	defer done()
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
+	defer cancel()
 	_ = public.Shutdown(shutdownCtx) // what is left is cut with the process
 }
 
