--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -151,13 +151,13 @@
 // drain is the planned stop: the readiness check fails at once, requests are served until whoever sends them has
 // noticed, and those in flight are finished.
 func (g *Gateway) drain(public *http.Server) {
-	began := time.Now()
+	startedAt := time.Now()
 	g.draining.Store(true)
 	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
 	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
 	g.rejecting.Store(true)
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
-	shutdownCtx, cancel := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), startedAt.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer cancel()
 	_ = public.Shutdown(shutdownCtx) // what is left is cut with the process
 }
