--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", g.settings.Listen)
 	}
-	ready, err := g.listenReady()
+	ready, err := g.serveReadiness()
 	if err != nil {
 		return err
 	}
@@ -162,8 +162,8 @@
 	_ = public.Shutdown(shutdownCtx) // what is left is cut with the process
 }
 
-// listenReady opens the listener of the readiness check.
-func (g *Gateway) listenReady() (*http.Server, error) {
+// serveReadiness opens the listener of the readiness check.
+func (g *Gateway) serveReadiness() (*http.Server, error) {
 	if g.settings.ReadyAddress == "" {
 		return nil, nil
 	}
