--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", g.settings.ReadyAddress)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: http.HandlerFunc(g.handleReadiness), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
@@ -181,7 +181,7 @@
 	return !g.draining.Load() && g.view.Load() != nil && g.trusted(g.now())
 }
 
-func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
