--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -211,17 +211,17 @@
 			x.reject(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
 		}
-		sent := x.newAttempt(chosen)
-		result := sent.perform()
+		a := x.newAttempt(chosen)
+		result := a.perform()
 		if result.kind == resultAnswered {
 			return
 		}
 		if result.kind == resultNotRun {
-			x.quotaLease = sent.quotaLease // nothing ran, so nothing was used
+			x.quotaLease = a.quotaLease // nothing ran, so nothing was used
 		}
-		x.logFailure(sent, result)
+		x.logFailure(a, result)
 		if x.route.Retryable() {
-			sent.awaitProof()
+			a.awaitProof()
 		}
 		if !x.continueAfter(result) {
 			return
