--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -259,18 +259,18 @@
 			chosen = x.gateway.choose(x.gateway.now(), in)
 			x.gateway.turnAway(x.gateway.now(), chosen, in)
 		}
-		left := waitUntil - x.gateway.now()
-		if chosen != nil || left <= 0 || len(x.tried) > 0 {
+		remaining := waitUntil - x.gateway.now()
+		if chosen != nil || remaining <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
-		if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > left {
+		if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > remaining {
 			return nil // to hold the request would not serve it
 		} else if first > 0 {
-			left = first
+			remaining = first
 		}
 		select {
 		case <-changed:
-		case <-time.After(left):
+		case <-time.After(remaining):
 		case <-x.ctx.Done():
 			return nil
 		}
