--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -263,10 +263,10 @@
 		if chosen != nil || remaining <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
-		if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > remaining {
+		if retryIn, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); retryIn > remaining {
 			return nil // to hold the request would not serve it
-		} else if first > 0 {
-			remaining = first
+		} else if retryIn > 0 {
+			remaining = retryIn
 		}
 		select {
 		case <-changed:
