--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -99,12 +99,12 @@
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
 	ctx, cancel := context.WithCancelCause(x.ctx)
-	made := &attempt{
+	a := &attempt{
 		exchange: x, row: chosen.row, startedAt: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
 		plan: *chosen, writeDone: make(chan error, 1),
 	}
 	x.tried = append(x.tried, chosen.row)
-	return made
+	return a
 }
 
 // errSilent ends an attempt whose back end says nothing.
