--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -98,24 +98,24 @@
 	return x.route.Objective > 0 && elapsed > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
-func (x *exchange) logFailure(sent *attempt, failed result) {
+func (x *exchange) logFailure(a *attempt, failed result) {
 	x.gateway.metrics.attempts.WithLabelValues(failed.kind.String()).Inc()
 	fields := []zap.Field{
-		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
+		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID),
 		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sentCount),
-		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.startedAt),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-a.startedAt),
 	}
-	if sent.crashChecked != nil {
+	if a.crashChecked != nil {
 		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
 	}
-	if sent.requestedBackoff > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoff, sent.requestedBackoff))
+	if a.requestedBackoff > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoff, a.requestedBackoff))
 	}
-	if sent.backoffLeft > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.backoffLeft))
+	if a.backoffLeft > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, a.backoffLeft))
 	}
 	if failed.cause == causeWeightsOutdated {
-		fields = append(fields, sent.outdatedFields()...)
+		fields = append(fields, a.outdatedFields()...)
 	}
 	x.gateway.log.info(events.AttemptFailed, fields...)
 }
