--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -98,11 +98,11 @@
 	return x.route.Objective > 0 && elapsed > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
-func (x *exchange) logFailure(a *attempt, failed result) {
-	x.gateway.metrics.attempts.WithLabelValues(failed.kind.String()).Inc()
+func (x *exchange) logFailure(a *attempt, res result) {
+	x.gateway.metrics.attempts.WithLabelValues(res.kind.String()).Inc()
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID),
-		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sentCount),
+		zap.String("result", res.kind.String()), zap.String(events.FieldCause, res.cause), zap.Int(events.FieldAttempts, x.sentCount),
 		zap.Duration(events.FieldElapsed, x.gateway.now()-a.startedAt),
 	}
 	if a.crashChecked != nil {
@@ -114,7 +114,7 @@
 	if a.backoffLeft > 0 {
 		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, a.backoffLeft))
 	}
-	if failed.cause == causeWeightsOutdated {
+	if res.cause == causeWeightsOutdated {
 		fields = append(fields, a.outdatedFields()...)
 	}
 	x.gateway.log.info(events.AttemptFailed, fields...)
