--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -62,12 +62,12 @@
 }
 
 func newPool(source clock.Source) *pool {
-	made := &pool{now: clock.From(source), idle: map[string][]*connection{}}
-	made.dialer = net.Dialer{
+	p := &pool{now: clock.From(source), idle: map[string][]*connection{}}
+	p.dialer = net.Dialer{
 		Timeout: dialTimeout, Control: setSocketOptions,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
-	return made
+	return p
 }
 
 // setSocketOptions bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
