--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -113,11 +113,11 @@
 		}
 		_ = idle.Close()
 	}
-	made, err := p.dialer.DialContext(ctx, "tcp", address)
+	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: made, reader: bufio.NewReaderSize(made, readBufferSize)}, nil
+	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
 // takeIdle removes the connection that was used last.
