--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -225,9 +225,9 @@
 	if listener == nil {
 		return
 	}
-	closing, done := context.WithTimeout(context.Background(), announceTimeout)
+	ctx, done := context.WithTimeout(context.Background(), announceTimeout)
 	defer done()
-	_ = listener.Close(closing) // the process ends anyway
+	_ = listener.Close(ctx) // the process ends anyway
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
