--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -225,8 +225,8 @@
 	if listener == nil {
 		return
 	}
-	ctx, done := context.WithTimeout(context.Background(), announceTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
+	defer cancel()
 	_ = listener.Close(ctx) // the process ends anyway
 }
 
