--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -213,8 +213,8 @@
 	s.column.Announce(item)
 }
 
-// listenPeers serves the other gateways, when there is an address for it.
-func (g *Gateway) listenPeers() (*transport.Server, error) {
+// servePeers serves the other gateways, when there is an address for it.
+func (g *Gateway) servePeers() (*transport.Server, error) {
 	if g.settings.PeerAddress == "" {
 		return nil, nil
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	peers, err := g.listenPeers()
+	peers, err := g.servePeers()
 	if err != nil {
 		return err
 	}
