--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -221,13 +221,13 @@
 	return transport.Listen(cmp.Or(g.settings.PeerListen, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
 }
 
-func closePeers(listener *transport.Server) {
-	if listener == nil {
+func closePeers(server *transport.Server) {
+	if server == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	_ = listener.Close(ctx) // the process ends anyway
+	_ = server.Close(ctx) // the process ends anyway
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
