--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -80,7 +80,7 @@
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "kitetiller_gateway_" + name, Help: help})
 	}
-	made := &metrics{
+	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kitetiller_gateway_requests_total", Help: "Requests that ended, by outcome.",
@@ -107,7 +107,7 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
-	made.registry.MustRegister(made.requests, made.attempts, made.recheckFailures, made.limitLeases, made.firstEvent, made.unknownHeaders, made.retries, made.cacheReadFailures, made.schedulerFailures, made.uncachedTokens, made.cachedTokens, newBackoffGauge(g), newAdvertisedLimitGauge(g),
+	m.registry.MustRegister(m.requests, m.attempts, m.recheckFailures, m.limitLeases, m.firstEvent, m.unknownHeaders, m.retries, m.cacheReadFailures, m.schedulerFailures, m.uncachedTokens, m.cachedTokens, newBackoffGauge(g), newAdvertisedLimitGauge(g),
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.leases.RequestCounts(); return float64(asked) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.leases.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
@@ -117,7 +117,7 @@
 		gauge("active_requests", "Requests in progress.", func() float64 { return float64(g.active.Load()) }),
 		gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(g.log.out.Dropped()) }),
 	)
-	return made
+	return m
 }
 
 // recordOutcome counts a request by how it recordOutcome.
