--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -14,18 +14,18 @@
 
 // unknownHeaders are the words of back ends that nothing reads. It is safe for concurrent use.
 type unknownHeaders struct {
-	mu    sync.Mutex
-	names []string // at most strangeMost; guarded by mu
+	mu   sync.Mutex
+	seen []string // at most strangeMost; guarded by mu
 }
 
 // addNew reports whether a word is to be logged: once, while there is room.
 func (s *unknownHeaders) addNew(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.names) >= maxUnknownHeaders || slices.Contains(s.names, name) {
+	if len(s.seen) >= maxUnknownHeaders || slices.Contains(s.seen, name) {
 		return false
 	}
-	s.names = append(s.names, name)
+	s.seen = append(s.seen, name)
 	return true
 }
 
