--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,14 @@
-// Package gateway is a data plane node without a disk: it takes callers' requests on the routes of the document in
-// force, chooses a back end, relays request and answer byte for byte, and decides what may be sent again.
+// Package gateway implements a stateless data plane node. It accepts callers' requests on the routes of the current
+// configuration document, selects a back end, relays bodies unchanged, and decides which failed
+// requests may be retried.
 //
-// Everything it knows comes from control: it asks for news all the time, and counts its view as current from the
-// moment when it asked. A view that is too old serves no request with an API key. What callers and back ends are
-// told beside that is a Dialect's matter.
+// Its configuration and roster come from control, which it watches with long polls. A view counts as confirmed from
+// the time at which the poll was sent. Requests that need an API key are rejected while the confirmed view is older
+// than Settings.ViewTTL. Headers exchanged with callers and back ends are defined by a Dialect.
 //
-// Threads: one follows control; one asks it for amounts of what is limited; one tells it of ended
-// back ends; one sweeps idle connections; four tell other gateways; net/http's goroutines serve callers.
+// Goroutines: one watches control, one leases shares of fleet-wide limits from it, one reports crashed back ends to
+// it, one removes expired state, four send announcements to other gateways, and one per assigned engine reads cache
+// events. Callers are served on the goroutines of net/http.
 package gateway
 
 import (
@@ -37,44 +39,44 @@
 	settings Settings
 	dialect  Dialect
 	log      *decisionLog
-	now      clock.Source // since it was made
+	now      clock.Source // time since the process started
 
 	group       *control.Client
-	nearby      *nearbyReplicas // who answers for the control leader
+	nearby      *nearbyReplicas // control replicas that answer on behalf of the leader
 	view        atomic.Pointer[view]
-	confirmedAt atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
+	confirmedAt atomic.Int64 // when the last poll that confirmed the view was sent, in ns on the clock now; 0 before the first
 	table       *table
 	budget      *retryBudget
-	leases      *desk.LeasePool // of what is limited over the fleet
+	leases      *desk.LeasePool // of fleet-wide limits
 	pool        *pool
 	splits      *splits
 	peers       *peerAnnouncer
-	// schedulers place this gateway's requests in a large fleet.
+	// schedulers place this gateway's requests if the fleet is large.
 	schedulers *schedulers
-	// quarantine knows which requests end their back ends.
+	// quarantine tracks which requests crash their back ends.
 	quarantine        *reporter.Reporter
-	shortName         string // short name of this life, under which other gateways are told of sends
+	shortName         string // identifies this process in announcements to other gateways
 	outage            outage
-	cacheReader       CacheReader // of engines' caches, or nil
+	cacheReader       CacheReader // nil if engines' caches are not read
 	followers         *followers
-	weightsLogLimiter *node.Sparse // lines of answers on other weights than believed or wanted, by instance
-	backoffLogLimiter *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLogLimiter   *node.Sparse // lines of limits that can't be read, by instance
+	weightsLogLimiter *node.Sparse // for weight version mismatches, by instance
+	backoffLogLimiter *node.Sparse // for backoff requests of back ends, by instance
+	limitLogLimiter   *node.Sparse // for unparsable advertised limits, by instance
 	unknownHeaders    unknownHeaders
-	// viewConfirmed rings whenever control has viewConfirmed the view.
+	// viewConfirmed is notified whenever control confirms the view.
 	viewConfirmed *notifier
-	gatewayCount  atomic.Int64 // that share what is limited, as control told last
+	gatewayCount  atomic.Int64 // gateways sharing the fleet-wide limits, as last reported by control
 	draining      atomic.Bool
-	rejecting     atomic.Bool // the end of a planned stop: nothing new is taken
+	rejecting     atomic.Bool // final phase of a planned stop, in which new requests are rejected
 	active        atomic.Int64
-	buffered      held // for callers and back ends that take it slowly
+	buffered      held // bytes buffered for slow callers and back ends
 	metrics       *metrics
 }
 
-// shortNameRange keeps short names short, and apart in any fleet.
+// shortNameRange bounds short names: few characters, but large enough that random ones do not collide in a fleet.
 const shortNameRange = 1 << 40
 
-// New returns a gateway that knows nothing yet.
+// New returns a gateway without a view; Run obtains one from control.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
 	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
 	g := &Gateway{
@@ -91,16 +93,16 @@
 	return g
 }
 
-// enabled reports whether a part of the decision is enabled.
+// enabled reports whether a mechanism is switched on.
 func (g *Gateway) enabled(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
 
-// UseCacheReader makes the gateway read what engines keep. It must be called before Run.
+// UseCacheReader makes the gateway read engines' cache contents. It must be called before Run.
 func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
 
-// UseControl replaces the control replicas to start from.
+// UseControl replaces the initial addresses of control replicas.
 func (g *Gateway) UseControl(addresses []string) { g.group.Use(addresses) }
 
-// Run serves until ctx ends, then finishes what is in flight.
+// Run serves requests until ctx is done, then shuts down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	listener, err := listenCallers(g.settings.Listen)
 	if err != nil {
@@ -148,8 +150,8 @@
 	return err
 }
 
-// drain is the planned stop: the readiness check fails at once, requests are served until whoever sends them has
-// noticed, and those in flight are finished.
+// drain performs a planned stop. The readiness check fails at once, new requests are still served until load balancers
+// have noticed, then rejected, and requests in flight are completed.
 func (g *Gateway) drain(public *http.Server) {
 	startedAt := time.Now()
 	g.draining.Store(true)
@@ -159,10 +161,10 @@
 	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
 	shutdownCtx, cancel := context.WithDeadline(context.Background(), startedAt.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer cancel()
-	_ = public.Shutdown(shutdownCtx) // what is left is cut with the process
+	_ = public.Shutdown(shutdownCtx) // requests still running then are cut off when the process exits
 }
 
-// serveReadiness opens the listener of the readiness check.
+// serveReadiness starts the server of the readiness check, if an address is configured.
 func (g *Gateway) serveReadiness() (*http.Server, error) {
 	if g.settings.ReadyAddress == "" {
 		return nil, nil
@@ -176,7 +178,7 @@
 	return server, nil
 }
 
-// Ready reports whether new connections are wanted.
+// Ready reports whether the gateway accepts new connections.
 func (g *Gateway) Ready() bool {
 	return !g.draining.Load() && g.view.Load() != nil && g.trusted(g.now())
 }
@@ -189,13 +191,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// trusted reports whether control confirmed the view so lately that its keys count.
+// trusted reports whether control confirmed the view within Settings.ViewTTL. API keys are checked only against such a
+// view.
 func (g *Gateway) trusted(now time.Duration) bool {
 	confirmed := time.Duration(g.confirmedAt.Load())
 	return confirmed > 0 && now-confirmed < g.settings.ViewTTL
 }
 
-// untrustedFor returns for how long the view has not counted, or 0.
+// untrustedFor returns how long ago the confirmation of the view expired, or 0.
 func (g *Gateway) untrustedFor(now time.Duration) time.Duration {
 	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
@@ -204,10 +207,10 @@
 	return max(0, now-confirmed-g.settings.ViewTTL)
 }
 
-// sweepPeriod is how often what is long past is forgotten.
+// sweepPeriod is the interval at which expired state is removed.
 const sweepPeriod = 1500 * time.Millisecond
 
-// sweep is the thread that closes connections which rested too long.
+// sweep periodically closes idle connections and removes other expired state, until ctx is done.
 func (g *Gateway) sweep(ctx context.Context) {
 	transport.Every(ctx, sweepPeriod, func() {
 		g.pool.sweep()
@@ -219,7 +222,7 @@
 	})
 }
 
-// newRand returns a source of random numbers of this process's own.
+// newRand returns a randomly seeded source of random numbers.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func formatVersion(version uint64) string { return strconv.FormatUint(version, 10) }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -8,68 +8,68 @@
 	"kitetiller/internal/quota"
 )
 
-// Settings is what a gateway needs to start.
+// Settings configures a gateway.
 type Settings struct {
 	Name         string
 	Zone         string
-	Listen       string   // address for callers
-	ReadyAddress string   // address of the readiness check, or ""
-	PeerAddress  string   // address for other gateways, or ""
-	PeerListen   string   // address to listen on for them, where it is another one
+	Listen       string   // listen address for callers
+	ReadyAddress string   // listen address of the readiness check; empty disables it
+	PeerAddress  string   // address at which other gateways reach this one; empty disables announcements to it
+	PeerListen   string   // listen address for other gateways, if not PeerAddress
 	Control      []string // internal addresses of control replicas
-	Token        string   // shared secret of the system's own processes
+	Token        string   // secret shared by gateways and control replicas
 
-	ViewTTL              time.Duration // how long keys count that no control replica has confirmed
-	MaxViewWait          time.Duration // longest time that a request waits for control that is expected in a moment
-	OldWeightsStartLimit time.Duration // how long after newer weights were named a request may still begin on older ones
-	ShutdownTimeout      time.Duration // longest planned stop
-	RetryRatio           float64       // repeats as a share of the requests for a service, over the whole fleet
-	Quota                quota.Policy  // of limits over the whole fleet, repeats beyond the ratio among them
+	ViewTTL              time.Duration // how long API keys are accepted without a confirmation by control
+	MaxViewWait          time.Duration // maximum time that a request waits for control to confirm the view
+	OldWeightsStartLimit time.Duration // how long after publication of newer weights a request may start on older ones
+	ShutdownTimeout      time.Duration // maximum duration of a planned stop
+	RetryRatio           float64       // maximum fleet-wide ratio of retries to requests of a service
+	Quota                quota.Policy  // policy of fleet-wide limits, including retries beyond RetryRatio
 
-	Mechanisms mechanism.Set // parts of the decision that are on
-	Clock      clock.Source  // nil is the machine's
+	Mechanisms mechanism.Set // enabled mechanisms
+	Clock      clock.Source  // nil means the system clock
 }
 
 const (
-	// startMargin is kept between the time when a request should begin on old weights and the limit for that, beside
-	// beginFactor of the time that is predicted until it begins.
+	// A request is sent to a back end with old weights only if startTimeFactor times the predicted wait ends at least
+	// startMargin before the start deadline.
 	startMargin     = 900 * time.Millisecond
 	startTimeFactor = 1.5
-	// cancelMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
-	// used up its share of a processor stands still for the rest of a period of 100 ms, and the way of the close to the back end.
+	// cancelMargin is how long before the start deadline an attempt that has not started is canceled. It covers CPU
+	// throttling, which can delay a timer by up to 100 ms, and the time until the back end sees the connection close.
 	cancelMargin = 150 * time.Millisecond
-	// watchHold is how long control may hold a question for news; it bounds the age of a confirmed view.
+	// watchHold is how long control may hold a watch request without changes; it bounds the age of a confirmed view.
 	watchHold = 400 * time.Millisecond
-	// drainingWatchHold is that while requests run on a back end that is being turned away from.
+	// drainingWatchHold replaces watchHold while requests run on a back end that is drained to replace its weights.
 	drainingWatchHold = 80 * time.Millisecond
-	// watchTimeout is how long a question may stay unanswered.
+	// watchTimeout is the timeout of a watch request, including the time that control holds it.
 	watchTimeout = 650 * time.Millisecond
-	// failuresPerStep failures in a row double the patience with an answer, longestPatience times at most.
+	// After each failuresPerStep consecutive failures the response timeout doubles, at most maxTimeoutFactor times.
 	failuresPerStep  = 3
 	maxTimeoutFactor = 3
-	// fullReplyTimeout is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
-	// a fifth of a core reads in 100 ms, and many gateways ask at once.
+	// fullReplyTimeout is the minimum response timeout for the first reply after a search for a control replica. That
+	// reply carries the whole document and roster, and many gateways may request it at the same time.
 	fullReplyTimeout = time.Second
-	// peerDialTimeout is how long a connection to control or to another gateway may take to come up.
+	// peerDialTimeout is the dial timeout for control and other gateways.
 	peerDialTimeout = 150 * time.Millisecond
-	// watchRetryDelay is the pause after a question failed.
+	// watchRetryDelay is the delay after a failed watch request.
 	watchRetryDelay = 60 * time.Millisecond
-	// idleTimeout is how long callers may keep a connection idle.
+	// idleTimeout closes idle connections of callers.
 	idleTimeout = 75 * time.Second
-	// headerTimeout is how long a caller may take for a header.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// bodyTimeout is how long a caller may take for a body.
+	// bodyTimeout bounds the reading of a request's body.
 	bodyTimeout = 15 * time.Second
-	// discardTimeout is how long the rest of a body is read that there is no room for: a few MB on any link but the slowest.
+	// discardTimeout bounds the reading of the rest of a body that is rejected because the buffers are full.
 	discardTimeout = time.Second
-	// defaultBodyLimit bounds bodies while no document says otherwise.
+	// defaultBodyLimit is the maximum size of a request body if the document sets none.
 	defaultBodyLimit = 4 << 20
-	// drainPeriod is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
+	// drainPeriod is how long a stopping gateway accepts requests while its readiness check already fails.
 	drainPeriod = 2700 * time.Millisecond
-	// rejectPeriod is how long it then refuses requests, before it closes the connections.
+	// rejectPeriod is how long it then rejects requests before it closes connections.
 	rejectPeriod = 500 * time.Millisecond
-	// shutdownMargin is what is left of the grace for the process's own end.
+	// shutdownMargin is the part of Settings.ShutdownTimeout reserved for the exit of the process.
 	shutdownMargin = 150 * time.Millisecond
-	// writeTimeout is how long one write to a caller may take.
+	// writeTimeout bounds one write to a caller.
 	writeTimeout = 5 * time.Second
 )
