--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -44,7 +44,7 @@
 
 // patience is how long an answer may take beyond the time that it is held, after so many failures in a row.
 func patience(failures int) time.Duration {
-	return (watchTimeout - watchHold) << min(failures/failuresPerStep, maxTimeoutFactor)
+	return (watchTimeout - watchHold) << min(failures/failuresPerStep, maxTimeoutDoublings)
 }
 
 // ask asks control for news once, after it has looked for who answers where that isn't known.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -45,8 +45,8 @@
 	// watchTimeout is the timeout of a watch request, including the time that control holds it.
 	watchTimeout = 650 * time.Millisecond
 	// After each failuresPerStep consecutive failures the response timeout doubles, at most maxTimeoutFactor times.
-	failuresPerStep  = 3
-	maxTimeoutFactor = 3
+	failuresPerStep     = 3
+	maxTimeoutDoublings = 3
 	// fullReplyTimeout is the minimum response timeout for the first reply after a search for a control replica. That
 	// reply carries the whole document and roster, and many gateways may request it at the same time.
 	fullReplyTimeout = time.Second
