--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -13,7 +13,7 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Reasons why a request got no back end's answer.
+// Reasons for a rejection by the gateway, in responses, logs and metrics.
 const (
 	reasonStopping        = "stopping"
 	reasonNoDocument      = "no-document"
@@ -39,22 +39,22 @@
 )
 
 const (
-	// minRetryAfter is the advice when another try in a moment may be served.
+	// minRetryAfter is the minimum retry time given to callers of rejected requests.
 	minRetryAfter = 150 * time.Millisecond
-	// maxUnreachable is how many back ends may be found unreachable for one request.
+	// maxUnreachable is the number of unreachable back ends after which a request is given up.
 	maxUnreachable = 4
-	// backendWait is how long a request may wait for a back end that can be used.
+	// backendWait is how long a request may wait while no back end is available.
 	backendWait = 120 * time.Millisecond
 )
 
-// exchange is one caller's request.
+// exchange is a caller's request and the state of answering it.
 type exchange struct {
 	gateway      *Gateway
 	writer       http.ResponseWriter
 	request      *http.Request
 	ctx          context.Context
 	arrived      time.Duration
-	deadline     time.Duration // when the final answer is due
+	deadline     time.Duration // when the response must be complete
 	call         Call
 	view         *view
 	route        *catalog.Route
@@ -62,27 +62,27 @@
 	tenant       *catalog.Tenant
 	keyRequired  bool
 	body         []byte
-	bodyReserved int // that was taken for the body
+	bodyReserved int // buffer bytes reserved for the body
 
 	tried             []*endpoint
-	sentCount         int // back ends that got the request
+	sentCount         int // attempts that were sent
 	unreachableCount  int
-	limitReachedCount int                     // back ends that turned out to have reached their limits
+	limitReachedCount int                     // attempts that ended unsent because the back end had reached its limit
 	mayHaveRun        bool                    // an earlier attempt may have run
-	headRelayed       bool                    // the head of an answer has gone to the caller
-	lastEvent         string                  // newest event passed on
-	servedBy          string                  // back end of the answer
-	firstEventAt      time.Duration           // when the first event went to the caller, or 0
-	latestEventAt     time.Duration           // when the newest one did
-	longestGap        time.Duration           // longest time between two
-	placement         *candidate              // the newest placement, or nil
-	quotaLease        cover                   // of the tenant's limit
-	backoffLeft       time.Duration           // the most that was left of a back end's rest when the request was sent there
-	advertisedLimit   pushback.Limit          // that the back end of the newest send had named
-	cachedFingerprint *quarantine.Fingerprint // of the request; nil until somebody asked for it
+	headRelayed       bool                    // the response head was sent to the caller
+	lastEvent         string                  // ID of the last event sent to the caller
+	servedBy          string                  // instance whose response the caller got
+	firstEventAt      time.Duration           // when the first event was sent to the caller; 0 before that
+	latestEventAt     time.Duration           // when the latest event was sent to the caller
+	longestGap        time.Duration           // longest time between two events
+	placement         *candidate              // latest placement; nil before the first
+	quotaLease        cover                   // lease on the tenant's limit for the next attempt
+	backoffLeft       time.Duration           // longest backoff of a back end still running when the request was sent to it
+	advertisedLimit   pushback.Limit          // limit advertised by the back end of the latest attempt
+	cachedFingerprint *quarantine.Fingerprint // of the request; nil until first needed
 }
 
-// serve takes a caller's request.
+// serve handles a caller's request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
@@ -110,8 +110,8 @@
 	x.run()
 }
 
-// admit finds route, tenant and service, or answers why not. Only a confirmed view may say that something does not
-// exist; an older one cannot know.
+// admit resolves route, tenant and service, or rejects the request. A route or key counts as unknown only if the view is
+// confirmed, since an older view may lack it.
 func (x *exchange) admit() bool {
 	x.resolve()
 	trusted := x.gateway.trusted(x.arrived)
@@ -135,7 +135,7 @@
 	return true
 }
 
-// resolve finds route and tenant in the newest view.
+// resolve looks up route and tenant in the current view.
 func (x *exchange) resolve() {
 	x.view = x.gateway.view.Load()
 	if x.view == nil {
@@ -147,9 +147,10 @@
 	}
 }
 
-// needsConfirmedView reports whether the request can only be judged by a confirmed view.
+// needsConfirmedView reports whether the request can be admitted or rejected only with a confirmed view.
 func (x *exchange) needsConfirmedView() bool { return x.view == nil || x.route == nil || x.keyRequired }
 
+// deny rejects a request without a known route or key, or for lack of a confirmed view.
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
 		x.gateway.log.recordDisconnect()
@@ -159,7 +160,7 @@
 	x.reject(status, reason, 0)
 }
 
-// readBody reads the whole body, since it may have to be sent twice.
+// readBody buffers the whole body, since a retry sends it again.
 func (x *exchange) readBody() bool {
 	if x.request.ContentLength == 0 {
 		return true
@@ -176,7 +177,7 @@
 	x.bodyReserved = reserved
 	if errors.Is(err, errHeld) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
-		_, _ = io.Copy(io.Discard, from) // a caller that still sends would meet a reset, and not the refusal
+		_, _ = io.Copy(io.Discard, from) // a caller that is still sending would get a reset instead of the response
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -195,7 +196,7 @@
 	return true
 }
 
-// run sends the request until it has an answer or must be given up.
+// run makes attempts until the caller has a response.
 func (x *exchange) run() {
 	for {
 		if x.endIfExpired() || x.heldBack() || !x.withinLimit() {
@@ -217,7 +218,7 @@
 			return
 		}
 		if result.kind == resultNotRun {
-			x.quotaLease = a.quotaLease // nothing ran, so nothing was used
+			x.quotaLease = a.quotaLease // the request did not run, so the lease is still unused
 		}
 		x.logFailure(a, result)
 		if x.route.Retryable() {
@@ -229,20 +230,20 @@
 	}
 }
 
-// endIfExpired answers a request whose time has passed, or whose caller has left.
+// endIfExpired ends a request whose deadline has passed or whose caller has disconnected, and reports whether it did.
 func (x *exchange) endIfExpired() bool {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
 		return true
-	case x.ctx.Err() != nil, x.gateway.now() >= x.deadline: // a timer stands still while the machine is suspended
+	case x.ctx.Err() != nil, x.gateway.now() >= x.deadline: // the timer of ctx stops while the machine is suspended
 		x.giveUp(reasonDeadline, minRetryAfter)
 		return true
 	}
 	return false
 }
 
-// place chooses a back end; while none can be used it waits a moment for a better roster.
+// place selects a back end. If none is available for the first attempt, it waits up to backendWait for one.
 func (x *exchange) place() *candidate {
 	in := selectionInput{
 		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
@@ -264,7 +265,7 @@
 			return chosen
 		}
 		if retryIn, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); retryIn > remaining {
-			return nil // to hold the request would not serve it
+			return nil // all back ends stay unavailable for longer than the request may wait
 		} else if retryIn > 0 {
 			remaining = retryIn
 		}
@@ -277,7 +278,7 @@
 	}
 }
 
-// continueAfter decides what follows a failed attempt; when the request is not sent again, it has been answered.
+// continueAfter reports whether another attempt follows a failed one; if not, it has answered the request.
 func (x *exchange) continueAfter(result result) bool {
 	x.mayHaveRun = x.mayHaveRun || result.kind == resultUnknown || result.kind == resultFailed
 	if x.endIfExpired() {
@@ -310,7 +311,8 @@
 	return x.retryOrGiveUp(reasonRunUnknown, 0)
 }
 
-// continueAfterLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
+// continueAfterLimit is continueAfter for a back end that had reached its limit. That back end may be selected again, as
+// soon as its limit permits.
 func (x *exchange) continueAfterLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
 	x.limitReachedCount++
@@ -321,7 +323,7 @@
 	return false
 }
 
-// retryOrGiveUp reports whether the request may be sent to another back end; otherwise it gives the request up.
+// retryOrGiveUp reports whether the request may be retried; otherwise it gives the request up.
 func (x *exchange) retryOrGiveUp(reason string, retryAfter time.Duration) bool {
 	if x.takeRetry() {
 		return true
@@ -330,7 +332,7 @@
 	return false
 }
 
-// takeRetry takes a repeat from the budget where the request may be sent to one more back end.
+// takeRetry takes a retry from the budget and reports whether the request may be retried.
 func (x *exchange) takeRetry() bool {
 	if !x.canRetry() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
 		return false
@@ -339,7 +341,7 @@
 	return true
 }
 
-// canRetry reports whether the route allows one more back end, and the view still counts.
+// canRetry reports whether the route allows another attempt, and the view is confirmed if a key is required.
 func (x *exchange) canRetry() bool {
 	if x.keyRequired && !x.gateway.trusted(x.gateway.now()) {
 		return false
