--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,58 +22,58 @@
 )
 
 const (
-	// maxInlineBody is the longest body that is written before the answer is looked for; a back end may answer a longer one
-	// before it has read it.
+	// maxInlineBody is the maximum size of a body that is written before the response is read. A longer one is written
+	// concurrently, since a back end may respond before it has read all of it.
 	maxInlineBody = 16 << 10
-	// maxBufferedResponse is the longest answer that is read whole before anything of it is passed on, so that a broken one can
-	// still be replaced.
+	// maxBufferedResponse is the maximum size of a response that is read completely before it is relayed, so that the
+	// request can still be retried if the response breaks off.
 	maxBufferedResponse = 256 << 10
-	// silenceFactor of the route's objective is how long a back end may stay silent before a repeatable request goes
-	// elsewhere; an engine gets enginePatience of it, and waitFactor times the wait that the decision predicted: to move a
-	// request from an engine that is merely busy makes two engines read the prompt.
+	// A retryable attempt is canceled if its back end sends nothing for silenceFactor times the route's objective. For
+	// engines the timeout is engineSilenceFactor times the objective plus predictedWaitFactor times the predicted wait,
+	// since a retry makes a second engine prefill the prompt.
 	silenceFactor       = 1.0
 	engineSilenceFactor = 2.0
 	predictedWaitFactor = 2.0
 	minSilenceTimeout   = 300 * time.Millisecond
-	// resumeGapFactor and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
-	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
-	// whose weights are replaced stands still for up to a second, one that is short of memory for longer.
+	// A started stream is canceled, to be resumed at another back end, if it pauses for resumeGapFactor times the
+	// route's maximum event gap, minResumeTimeout at least, and control gets no heartbeats of the back end either.
+	// Engines pause for up to a second while weights are replaced, and for longer when short of memory.
 	resumeGapFactor  = 4
 	minResumeTimeout = 1800 * time.Millisecond
 	eventStream      = "text/event-stream"
-	// causeWeightsOutdated is the cause of an attempt that would have begun on weights that are too old.
+	// causeWeightsOutdated: the request would have started on weights older than permitted.
 	causeWeightsOutdated = "weights outdated"
-	// causeDraining, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
+	// Causes why a back end gets no request: it drains, it asked this gateway for a backoff, its limit is reached.
 	causeDraining     = "leaving"
 	causeBackingOff   = "resting"
 	causeLimitReached = "limited"
 )
 
-// resultKind tells how an attempt ended.
+// resultKind classifies how an attempt ended.
 type resultKind uint8
 
 const (
-	resultAnswered    resultKind = iota // the caller has its answer
-	resultUnreachable                   // nothing was sent
-	resultNotRun                        // the back end says that it did not run the request
+	resultAnswered    resultKind = iota // the caller got the response
+	resultUnreachable                   // the request was not sent
+	resultNotRun                        // the back end rejected the request without running it
 	resultUnknown                       // the request may have run
-	resultFailed                        // the back end ran the request and answered with a failure; a repeat is paid for
+	resultFailed                        // the back end ran the request and reported a failure; a retry was taken from the budget
 )
 
-// String returns the kind's name in logs.
+// String returns the name of the kind in logs and metrics.
 func (k resultKind) String() string {
 	return [...]string{"answered", "unreached", "not-run", "unknown", "failed"}[k]
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	kind       resultKind
 	cause      string
-	retryAfter time.Duration // that the back end advises
-	backoff    time.Duration // that it asked for
+	retryAfter time.Duration // retry time for the caller given by the back end; 0 if none
+	backoff    time.Duration // backoff requested by the back end; 0 if none
 }
 
-// attempt is one sending of a request to one back end.
+// attempt is one try to have a request answered by one back end.
 type attempt struct {
 	exchange         *exchange
 	row              *endpoint
@@ -81,20 +81,20 @@
 	uncached         int
 	plan             candidate
 	grade            outcomeGrade
-	unreachable      bool  // no connection came up
-	quotaLease       cover // what the send took of the tenant's limit
+	unreachable      bool  // the connection could not be established
+	quotaLease       cover // lease on the tenant's limit that the attempt used
 	ctx              context.Context
 	cancel           context.CancelCauseFunc
-	silenceTimer     *time.Timer // ends the attempt of a request that may go elsewhere
-	startTimer       *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
+	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil if the request can't be retried
+	startTimer       *time.Timer // cancels the attempt at its start deadline; nil without one; guarded by the table's mutex
 	conn             *connection
-	writeDone        chan error      // the end of writing the request
-	streamStarted    atomic.Bool     // an event of the stream has come; it never turns false again
-	backoffLeft      time.Duration   // what was left of a rest of the back end when the request was sent
-	requestedBackoff time.Duration   // rest that the back end asked for in its answer
-	advertisedLimit  pushback.Limit  // that the back end had named when the request was sent
-	limitLease       allowance.Lease // of that limit, until the request is sent
-	crashChecked     <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	writeDone        chan error      // receives the result of writing the request
+	streamStarted    atomic.Bool     // an event of the stream was received
+	backoffLeft      time.Duration   // backoff of the back end still running when the request was sent
+	requestedBackoff time.Duration   // backoff requested in the response
+	advertisedLimit  pushback.Limit  // limit advertised by the back end when the request was sent
+	limitLease       allowance.Lease // lease on the advertised limit; reset when the request is sent
+	crashChecked     <-chan struct{} // closed once the check whether the back end crashed is done; nil without a check
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
@@ -107,13 +107,13 @@
 	return a
 }
 
-// errSilent ends an attempt whose back end says nothing.
+// errSilent is the cancellation cause of an attempt whose back end sent nothing in time.
 var errSilent = &net.OpError{Op: "wait", Err: context.DeadlineExceeded}
 
-// errWeightsOutdated ends an attempt that would begin on weights that are too old.
+// errWeightsOutdated is the cancellation cause of an attempt that did not start before its start deadline.
 var errWeightsOutdated = &net.OpError{Op: "begin", Err: context.DeadlineExceeded}
 
-// perform sends the request and passes the answer on.
+// perform sends the request and relays the response.
 func (a *attempt) perform() result {
 	x := a.exchange
 	defer a.cancel(nil)
@@ -153,7 +153,7 @@
 	return outcome
 }
 
-// begin notes the send in the table, and tells the other gateways what runs where, and where prompts are read and kept.
+// begin records the start of the attempt in the table, and announces the placement to the other gateways.
 func (a *attempt) begin() {
 	x := a.exchange
 	now := x.gateway.now()
@@ -161,12 +161,13 @@
 	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.advertisedLimit
 	x.gateway.metrics.recordPrompt(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
-		return // its scheduler has told the others
+		return // the scheduler has announced it
 	}
 	x.gateway.announcePlacement(now, &a.plan, x.call.Parts, load)
 }
 
-// announcePlacement notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
+// announcePlacement records which prompt parts a placement leaves in which cache, and announces them and the gateway's
+// load on the back end to the other gateways.
 func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
 	announced := announcement{
 		Gateway: g.shortName, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
@@ -176,7 +177,7 @@
 	g.peers.announce(announced)
 }
 
-// end notes in the table that the attempt is over, and tells the other gateways.
+// end records the end of the attempt in the table, and announces the remaining load to the other gateways.
 func (a *attempt) end() {
 	x := a.exchange
 	load := x.gateway.table.end(x.gateway.now(), a, a.grade)
@@ -187,7 +188,8 @@
 	}
 }
 
-// recordUnreachable notes that no connection came up, and warns the other gateways.
+// recordUnreachable records a failed connection, and announces it to the other gateways unless the back end is avoided
+// already.
 func (a *attempt) recordUnreachable(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -199,21 +201,21 @@
 	}
 }
 
-// load is what the attempt takes of its back end while it runs.
+// load returns the load of the attempt on its back end while it runs.
 func (a *attempt) load() belief.Load { return loadOf(&a.exchange.call) }
 
-// loadOf is what a call takes of its back end while it runs.
+// loadOf returns the load of a call on its back end while it runs.
 func loadOf(call *Call) belief.Load { return belief.Load{Running: 1, Tokens: promptMemory(call)} }
 
-// promptMemory is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
-// that run with them; they count half.
+// promptMemory estimates how many tokens of cache memory a call's prompt takes. Shared parts count half, since all
+// requests that run with them use the same copy.
 func promptMemory(call *Call) int {
 	shared := prefix.PartTokens(prefix.SharedParts(call.Parts))
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
 
-// recheck returns why the request may not be sent after all, or "". What was taken of the back end's limit may have ended while the connection came
-// up, or the limit been named since.
+// recheck returns why the request must not be sent after all, or "". While the connection was established, the lease on
+// the back end's limit may have expired, or the back end may have advertised a limit.
 func (a *attempt) recheck() string {
 	if !a.permit() {
 		return causeLimitReached
@@ -221,7 +223,8 @@
 	return a.recheckConditions()
 }
 
-// recheckConditions looks again at the last moment: the process may have stood still since the decision.
+// recheckConditions checks right before the send whether the conditions of the placement still hold: the process may
+// have been paused since.
 func (a *attempt) recheckConditions() string {
 	x := a.exchange
 	now := x.gateway.now()
@@ -241,19 +244,20 @@
 		return causeDraining
 	}
 	if a.row.entry.Loading {
-		return "loading" // its order may come before the request, which control doesn't see yet
+		return "loading" // the weights command may reach the engine first, as control doesn't know of the request yet
 	}
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
+	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // may have arrived since the placement
 	if cause != "" {
 		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
 	return cause
 }
 
-// causeGivenLease returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
+// causeGivenLease returns why the back end gets no request, or "", given the cause for an attempt without a lease on
+// its limit. The caller holds the table's mutex.
 func (a *attempt) causeGivenLease(now time.Duration, cause string) string {
 	switch {
 	case cause != "" && cause != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
@@ -264,7 +268,7 @@
 	return causeLimitReached
 }
 
-// maxSilence is how long the back end may stay silent; 0 leaves it all the time there is.
+// maxSilence returns how long the back end may send nothing before the attempt is canceled; 0 means until the deadline.
 func (a *attempt) maxSilence() time.Duration {
 	x := a.exchange
 	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.enabled(mechanism.SilenceTimeout) {
@@ -277,15 +281,15 @@
 	return max(minSilenceTimeout, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
 
-// startSilenceTimer ends the attempt when the back end says nothing for so long.
+// startSilenceTimer cancels the attempt if the back end sends nothing within the limit. A limit of 0 starts no timer.
 func (a *attempt) startSilenceTimer(limit time.Duration) {
 	if limit > 0 {
 		a.silenceTimer = time.AfterFunc(limit, a.onSilence)
 	}
 }
 
-// onSilence ends the attempt, unless the back end is known to stand still for a reason, or works on the stream as far as
-// anybody can tell: the next back end may turn the stream away, and the caller's answer would be cut.
+// onSilence cancels the attempt, unless the back end loads weights, or the stream has started and control still
+// receives the back end's heartbeats: another back end might reject the stream, and the response would be cut off.
 func (a *attempt) onSilence() {
 	t := a.exchange.gateway.table
 	if t.weightsLoading(a.row) || a.streamStarted.Load() && t.hasHeartbeat(a.row) {
@@ -295,7 +299,7 @@
 	a.cancel(errSilent)
 }
 
-// writeRequest writes the request. A long body is written beside the reading of the answer.
+// writeRequest writes the request, one with a long body in the background while the response is read.
 func (a *attempt) writeRequest() {
 	head := a.requestHead()
 	body := a.exchange.body
@@ -312,7 +316,7 @@
 	}()
 }
 
-// requestHead returns the request line and the header.
+// requestHead returns the request line and header as sent to the back end.
 func (a *attempt) requestHead() []byte {
 	x := a.exchange
 	header := x.request.Header.Clone()
@@ -335,12 +339,12 @@
 	}
 	var out bytes.Buffer
 	out.WriteString(x.request.Method + " " + x.request.RequestURI + " HTTP/1.1\r\nHost: " + x.request.Host + "\r\n")
-	_ = header.Write(&out) // a buffer takes everything
+	_ = header.Write(&out) // writes to a bytes.Buffer don't fail
 	out.WriteString("\r\n")
 	return out.Bytes()
 }
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded. The body's length is set anew.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -110,8 +110,8 @@
 	x.run()
 }
 
-// admit resolves route, tenant and service, or rejects the request. A route or key counts as unknown only if the view is
-// confirmed, since an older view may lack it.
+// admit resolves route, tenant and service, or rejects the request. A route or key counts as unknown only if the view
+// is confirmed, since an older view may lack it.
 func (x *exchange) admit() bool {
 	x.resolve()
 	trusted := x.gateway.trusted(x.arrived)
@@ -311,8 +311,8 @@
 	return x.retryOrGiveUp(reasonRunUnknown, 0)
 }
 
-// continueAfterLimit is continueAfter for a back end that had reached its limit. That back end may be selected again, as
-// soon as its limit permits.
+// continueAfterLimit is continueAfter for a back end that had reached its limit. That back end may be selected again,
+// as soon as its limit permits.
 func (x *exchange) continueAfterLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
 	x.limitReachedCount++
