--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -11,11 +11,12 @@
 	"kitetiller/internal/events"
 )
 
-// giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
+// giveUp ends a request without a back end's response: with 503 and a retry time if it certainly has not run, else with
+// 504 after the deadline and 502 otherwise. A response already begun is cut off.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
 	if x.headRelayed {
 		x.logEnd(events.RequestRejected, reasonStreamBroken, 0)
-		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
+		panic(http.ErrAbortHandler) // a response that has begun must not look complete
 	}
 	switch {
 	case !x.mayHaveRun:
@@ -27,13 +28,13 @@
 	}
 }
 
-// abandon ends a request whose caller has left.
+// abandon ends a request whose caller has disconnected.
 func (x *exchange) abandon() {
 	x.logEnd(events.RequestRejected, reasonCallerGone, 0)
 	panic(http.ErrAbortHandler)
 }
 
-// reject answers a request itself.
+// reject responds with a status and reason of the gateway's own. retryAfter of 0 gives no retry time.
 func (x *exchange) reject(status int, reason string, retryAfter time.Duration) {
 	header := x.writer.Header()
 	header.Set("Content-Type", "application/problem+json")
@@ -45,7 +46,7 @@
 	_, _ = io.WriteString(x.writer, `{"type":"urn:kitetiller:`+reason+`","status":`+strconv.Itoa(status)+`}`)
 }
 
-// logEnd writes the one line that each request leaves.
+// logEnd logs the outcome of a request, once per request, and counts it.
 func (x *exchange) logEnd(event, reason string, status int) {
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sentCount),
@@ -89,7 +90,8 @@
 	x.gateway.metrics.recordOutcome(event, reason)
 }
 
-// missedObjective reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
+// missedObjective reports whether the response, or the first event of a stream, took longer than the route's objective,
+// or whether a gap between events exceeded the route's maximum.
 func (x *exchange) missedObjective() bool {
 	elapsed := x.gateway.now() - x.arrived
 	if x.firstEventAt > 0 {
@@ -98,6 +100,7 @@
 	return x.route.Objective > 0 && elapsed > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
+// logFailure logs and counts a failed attempt.
 func (x *exchange) logFailure(a *attempt, res result) {
 	x.gateway.metrics.attempts.WithLabelValues(res.kind.String()).Inc()
 	fields := []zap.Field{
