--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,7 +13,7 @@
 	"kitetiller/internal/events"
 )
 
-// receive reads the answer and passes it on.
+// receive reads the response and relays it, unless it is invalid or reports that the request did not run.
 func (a *attempt) receive() result {
 	response, err := a.readHead()
 	if err != nil {
@@ -26,7 +26,7 @@
 	info := x.gateway.dialect.ReadResponse(response.StatusCode, response.Header)
 	a.hear(response.StatusCode, info)
 	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
-		return a.invalidResponse("answer of another request")
+		return a.invalidResponse("response to another request")
 	}
 	a.logVersionMismatch(response.StatusCode, info)
 	switch {
@@ -36,19 +36,19 @@
 		}
 		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
-		return a.invalidResponse("promise of a back end that doesn't say so: " + response.Status)
+		return a.invalidResponse("status implies that the request did not run, but the back end doesn't confirm it: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
-		return a.invalidResponse("stream not taken up: " + response.Status)
+		return a.invalidResponse("stream not resumed: " + response.Status)
 	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
-		return a.invalidResponse("success without signature")
+		return a.invalidResponse("successful response without signature")
 	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
 		return a.relayStream(response)
 	}
 	return a.relayBuffered(response)
 }
 
-// statusImpliesNotRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
-// have run it, and a caller who believes the status runs it twice.
+// statusImpliesNotRun reports whether callers take a status to mean that the request has not run. Without an explicit
+// confirmation by the back end the request may have run, and a caller that retries it would run it twice.
 func statusImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -57,7 +57,7 @@
 	return false
 }
 
-// readHead reads the head of the final answer.
+// readHead reads the head of the response, skipping informational ones.
 func (a *attempt) readHead() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: a.exchange.request.Method})
@@ -71,7 +71,8 @@
 	}
 }
 
-// connectionFailed ends an attempt that broke off. It says something of the back end unless we ended it ourselves.
+// connectionFailed ends an attempt whose connection failed or was closed by its cancellation. It counts against the
+// back end, unless the cause was the start deadline or the end of the request.
 func (a *attempt) connectionFailed(err error) result {
 	_ = a.conn.Close()
 	cause := err.Error()
@@ -87,14 +88,14 @@
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// invalidResponse ends an attempt whose connection carries bytes that do not belong there.
+// invalidResponse ends an attempt whose response is inconsistent with the request. The connection is not reused.
 func (a *attempt) invalidResponse(cause string) result {
 	_ = a.conn.Close()
 	a.grade = gradeBad
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// rejected ends an attempt that the back end did not run.
+// rejected ends an attempt whose back end reported that it did not run the request.
 func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
 	a.grade = gradeFull
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Signals.Backoff}
@@ -103,7 +104,7 @@
 	return rejection
 }
 
-// releaseConnection keeps the connection for the next request if the request was written and the answer read, both whole.
+// releaseConnection returns the connection to the pool if request and response were transferred completely.
 func (a *attempt) releaseConnection(response *http.Response, readErr error) {
 	written := false
 	select {
@@ -119,13 +120,13 @@
 	a.exchange.gateway.pool.put(a.row.entry.ID, a.conn)
 }
 
-// relayBuffered reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
-// request may be repeated.
+// relayBuffered reads the complete response before it relays it. If it reports a failure of the back end, a retryable
+// request is retried instead, within the retry budget.
 func (a *attempt) relayBuffered(response *http.Response) result {
 	x := a.exchange
 	length := response.ContentLength
 	if !bodyAllowed(x.request.Method, response.StatusCode) {
-		length = 0 // the head tells what another request would get
+		length = 0 // Content-Length describes a body that is not sent
 	}
 	if length > maxBufferedResponse {
 		return a.relayUnbuffered(response, nil)
@@ -134,7 +135,7 @@
 	defer func() { x.gateway.buffered.give(reserved) }()
 	switch {
 	case errors.Is(err, errHeld):
-		return a.relayUnbuffered(response, body) // nothing is lost but another try, should it break off
+		return a.relayUnbuffered(response, body) // only gives up the retry if the response breaks off
 	case err != nil:
 		return a.connectionFailed(err)
 	case len(body) > maxBufferedResponse:
@@ -158,7 +159,8 @@
 	return result{kind: resultAnswered}
 }
 
-// relayUnbuffered passes an answer on that is too long to be kept, or for which there is no room.
+// relayUnbuffered relays a response that is too long for buffering, or for which the buffers are full. received is the
+// part of its body that was read already.
 func (a *attempt) relayUnbuffered(response *http.Response, received []byte) result {
 	x := a.exchange
 	x.relayHead(response, int(response.ContentLength))
@@ -177,7 +179,7 @@
 	return result{kind: resultAnswered}
 }
 
-// relayHead passes the head of a back end's answer on. length is that of the whole body, or -1.
+// relayHead sends the response head to the caller. length is the size of the body, or -1 if unknown.
 func (x *exchange) relayHead(response *http.Response, length int) {
 	header := x.writer.Header()
 	removeHopByHopHeaders(response.Header)
@@ -199,7 +201,7 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// recordServedBy notes whose answer a request got.
+// recordServedBy records whose response the caller got, and a successful completion with the quarantine.
 func (x *exchange) recordServedBy(a *attempt) {
 	x.servedBy = a.row.entry.ID
 	if a.grade == gradeGood {
@@ -207,7 +209,7 @@
 	}
 }
 
-// finish notes a request that got a back end's answer.
+// finish ends a request whose response was relayed completely.
 func (x *exchange) finish(a *attempt, status int) {
 	x.recordServedBy(a)
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Time{})
