--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,26 +11,26 @@
 
 const (
 	eventIDField = "id:"
-	// maxEventSize bounds one event.
+	// maxEventSize is the event size beyond which lines longer than the read buffer are rejected.
 	maxEventSize = 256 << 10
 )
 
-// eventReader splits a stream into whole events.
+// eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
 	reader   *bufio.Reader
 	event    []byte
 	id       string
 	held     *held
-	reserved int // that was taken for an event above heldStep
+	reserved int // buffer bytes reserved for an event larger than heldStep
 }
 
-// close gives back the room that was taken.
+// close releases the event buffer and its reservation.
 func (e *eventReader) close() {
 	e.held.give(e.reserved)
 	e.event, e.reserved = nil, 0
 }
 
-// reserve takes room for an event that has grown long, and reports whether there is any.
+// reserve reserves buffer bytes for an event larger than heldStep, and reports whether the limit permits it.
 func (e *eventReader) reserve() bool {
 	size := cap(e.event)
 	if size <= max(heldStep, e.reserved) {
@@ -43,11 +43,11 @@
 	return true
 }
 
-// next returns the next event with its empty line, as it came. io.EOF means that the stream ended between two events;
-// any other error that it broke off.
+// next returns the bytes of the next event, including its final empty line. io.EOF means that the stream ended after a
+// complete event, any other error that it broke off.
 func (e *eventReader) next() ([]byte, error) {
 	if e.reserved > 0 {
-		e.close() // the next ones are as short as ever
+		e.close() // long events are rare, so the large buffer is not kept
 	}
 	e.event = e.event[:0]
 	for {
@@ -69,7 +69,8 @@
 	}
 }
 
-// isComplete reports whether the event read so far ends with an empty line, and notes its id.
+// isComplete reports whether the line just read is empty, which ends the event. It stores the ID if the line is an id
+// field.
 func (e *eventReader) isComplete() bool {
 	body := bytes.TrimSuffix(e.event, []byte("\n"))
 	body = bytes.TrimSuffix(body, []byte("\r"))
@@ -81,8 +82,8 @@
 	return len(last) == 0
 }
 
-// relayStream passes events on as they come. A stream that breaks off is taken up at another back end where the route
-// allows it; otherwise the caller's connection is closed, so that it never looks complete.
+// relayStream relays events as they arrive. A stream that breaks off is resumed at another back end if the route
+// permits it; otherwise the caller's connection is closed, so that the response does not look complete.
 func (a *attempt) relayStream(response *http.Response) result {
 	x := a.exchange
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
@@ -115,7 +116,7 @@
 	}
 }
 
-// relayEvent writes one event to the caller, with the head before the first.
+// relayEvent sends an event to the caller, the first one after the response head, and reports whether that succeeded.
 func (x *exchange) relayEvent(controller *http.ResponseController, response *http.Response, event []byte) bool {
 	if !x.headRelayed {
 		x.relayHead(response, -1)
@@ -128,7 +129,7 @@
 	return controller.Flush() == nil
 }
 
-// recordEvent keeps what the log tells of a stream's pace.
+// recordEvent updates the stream timings for logs and metrics.
 func (x *exchange) recordEvent() {
 	now := x.gateway.now()
 	if x.firstEventAt == 0 {
@@ -139,7 +140,7 @@
 	x.latestEventAt = now
 }
 
-// finishStream ends a stream that the back end ended between two events.
+// finishStream ends a request whose stream the back end completed.
 func (a *attempt) finishStream(response *http.Response) result {
 	x := a.exchange
 	if !x.headRelayed {
@@ -151,7 +152,8 @@
 	return result{kind: resultAnswered}
 }
 
-// followsEvent reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
+// followsEvent reports whether an event ID is greater than the previous one. IDs are increasing decimal numbers, and an
+// empty one precedes all.
 func followsEvent(id, previous string) bool {
 	if len(id) != len(previous) {
 		return len(id) > len(previous)
@@ -159,6 +161,7 @@
 	return id > previous
 }
 
+// splitTokens splits a comma-separated header value.
 func splitTokens(line string) []string {
 	tokens := strings.Split(line, ",")
 	for i := range tokens {
