--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -18,47 +18,48 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take to come up.
+	// dialTimeout bounds the time to establish a connection to a back end.
 	dialTimeout = 300 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection counts as dead.
+	// unackedTimeout is the TCP user timeout: how long sent data may remain unacknowledged.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
+	// TCP keep-alive detects an unreachable peer while a connection only waits for data.
 	keepAliveIdle     = 1500 * time.Millisecond
 	keepAliveInterval = 700 * time.Millisecond
 	keepAliveCount    = 3
-	// maxIdleRetryable and idleOnce are how long a kept connection may have rested before it is used again. A request
-	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
+	// A connection idle for longer than maxIdleRetryable is not reused. For requests that must run at most once the
+	// limit is maxIdleOnce, as the back end may be about to close a connection that has been idle for longer.
 	maxIdleRetryable = 8 * time.Second
 	maxIdleOnce      = 3 * time.Second
-	// staleIdleFactor of the rest after which a back end turned out to have forgotten a connection is how long others may
-	// rest for forgottenFor, and forgottenLeast the least that this may come to.
+	// After a reused connection failed, connections idle for longer than staleIdleFactor times its idle time are not
+	// reused for staleIdleTTL. minStaleIdle is the minimum of this limit.
 	staleIdleFactor = 0.7
 	staleIdleTTL    = 10 * time.Second
 	minStaleIdle    = 100 * time.Millisecond
-	// idleMargin is kept to a back end's own limit for idle connections.
+	// idleMargin is subtracted from the keep-alive timeout that a back end announces.
 	idleMargin        = time.Second
 	readBufferSize    = 4096
 	maxIdlePerBackend = 16
 )
 
-// connection is one connection to a back end. It serves one request at a time.
+// connection is a connection to a back end. It carries one request at a time.
 type connection struct {
 	net.Conn
 	reader           *bufio.Reader
 	lastUsedAt       time.Duration
-	keepAliveTimeout time.Duration // longest rest that the back end announced; 0 unknown
-	idleFor          time.Duration // before the request that it serves; 0 for a new connection
+	keepAliveTimeout time.Duration // announced by the back end; 0 if unknown
+	idleFor          time.Duration // idle time before the current request; 0 for a new connection
 }
 
-// pool keeps idle connections by instance, so that a connection never outlives the life it was made to.
+// pool keeps idle connections by instance ID, so that none is reused for another incarnation at the same address. It is
+// safe for concurrent use.
 type pool struct {
 	dialer net.Dialer
 	now    clock.Source
 	mutex  sync.Mutex
 	idle   map[string][]*connection
 
-	staleIdle   time.Duration // shortest rest after which a connection was lately found forgotten; guarded by mutex
-	staleIdleAt time.Duration // when; guarded by mutex
+	staleIdle   time.Duration // shortest idle time after which a reused connection recently failed; guarded by mutex
+	staleIdleAt time.Duration // when staleIdle was recorded; guarded by mutex
 }
 
 func newPool(source clock.Source) *pool {
@@ -70,7 +71,7 @@
 	return p
 }
 
-// setSocketOptions bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
+// setSocketOptions sets the TCP user timeout and the size of the receive buffer.
 func setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
 		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
@@ -78,8 +79,8 @@
 	)
 }
 
-// recordStale notes that a back end broke a connection off which had rested so long, before it answered anything. Back ends
-// may forget connections sooner than they say, so others are not trusted for as long either for a while.
+// recordStale records that a connection reused after an idle time failed before any response. Back ends may close idle
+// connections earlier than they announce, so the idle limit of all connections is lowered for staleIdleTTL.
 func (p *pool) recordStale(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -89,7 +90,7 @@
 	p.staleIdle, p.staleIdleAt = idleFor, p.now()
 }
 
-// idleLimit returns how long a connection may have rested, where rest is the most that the request allows.
+// idleLimit returns the idle time up to which connections are reused, maxIdle at most.
 func (p *pool) idleLimit(maxIdle time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +100,7 @@
 	return min(maxIdle, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
 }
 
-// get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
+// get returns a connection idle for less than maxIdle, or a new one. On an error nothing was sent.
 func (p *pool) get(ctx context.Context, instance, address string, maxIdle time.Duration) (*connection, error) {
 	maxIdle = p.idleLimit(maxIdle)
 	for {
@@ -120,7 +121,7 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// takeIdle removes the connection that was used last.
+// takeIdle removes and returns the most recently used idle connection of an instance, or nil.
 func (p *pool) takeIdle(instance string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -133,7 +134,7 @@
 	return last
 }
 
-// put keeps a connection whose last answer was read whole.
+// put keeps a connection whose last response was read completely.
 func (p *pool) put(instance string, used *connection) {
 	used.lastUsedAt = p.now()
 	p.mutex.Lock()
@@ -145,7 +146,7 @@
 	p.idle[instance] = append(p.idle[instance], used)
 }
 
-// sweep closes connections that rested too long.
+// sweep closes connections that have been idle for too long to be reused.
 func (p *pool) sweep() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -166,6 +167,7 @@
 	}
 }
 
+// isFresh reports whether the connection was idle for less than maxIdle and the announced keep-alive timeout.
 func (c *connection) isFresh(now, maxIdle time.Duration) bool {
 	if c.keepAliveTimeout > 0 {
 		maxIdle = min(maxIdle, c.keepAliveTimeout-idleMargin)
@@ -173,7 +175,7 @@
 	return now-c.lastUsedAt < maxIdle
 }
 
-// isUsable reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
+// isUsable reports whether the back end has neither closed the connection nor sent unsolicited data.
 func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -192,7 +194,7 @@
 	return err == nil && unread
 }
 
-// readKeepAlive reads how long the back end keeps the connection, and reports whether it may be used again.
+// readKeepAlive reads the keep-alive timeout from a response, and reports whether the connection may be reused.
 func (c *connection) readKeepAlive(response *http.Response) bool {
 	if response.Close || hasToken(response.Header, "Connection", "close") {
 		return false
@@ -208,7 +210,7 @@
 	return true
 }
 
-// hasToken reports whether a header that lists tokens holds one.
+// hasToken reports whether a comma-separated header contains a token.
 func hasToken(header http.Header, name, token string) bool {
 	for _, line := range header.Values(name) {
 		for field := range strings.SplitSeq(line, ",") {
