--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -8,55 +8,55 @@
 	"kitetiller/internal/pushback"
 )
 
-// Call is what a caller asks, apart from method, path and body, which are passed on as they came.
+// Call holds the request properties that a Dialect reads from a caller's headers.
 type Call struct {
-	ID             string // the caller's name for this request; the answer must carry it
+	ID             string // request ID given by the caller; responses must carry it
 	Key            string // API key
 	Model          string
-	Parts          []prefix.Part // of the prompt, in order
+	Parts          []prefix.Part // cacheable parts of the prompt, in order
 	PromptTokens   int
-	OutputTokens   int           // at most
-	TokensDeclared bool          // the call told its tokens
-	Timeout        time.Duration // how long the caller waits; 0 unknown
-	LastEvent      string        // newest event of the stream that the caller already has
+	OutputTokens   int           // maximum
+	TokensDeclared bool          // the caller declared its token counts
+	Timeout        time.Duration // how long the caller waits for a response; 0 if unknown
+	LastEvent      string        // ID of the last event of the stream that the caller has
 }
 
-// Forwarding is what a back end is told beside the caller's own request.
+// Forwarding holds the properties that a Dialect adds to a request for a back end.
 type Forwarding struct {
-	Instance       string        // life that the request is meant for; another one must refuse it
-	TimeLeft       time.Duration // until the answer is of no use
+	Instance       string        // ID of the incarnation that the request is for; any other must reject it
+	TimeLeft       time.Duration // time until the request's deadline
 	Tenant         string        // owner of the API key, or ""
-	Engine         bool          // the fields below apply
-	Salt           string        // name space of cached parts
+	Engine         bool          // the back end is an engine, so that the fields from Salt to SaveTo apply
+	Salt           string        // namespace of cached parts
 	Priority       int           // 0 is the most urgent
-	WeightsVersion uint64        // weights that the request counts on; 0 unknown
-	FetchFrom      string        // address of an engine or store that may hold parts of the prompt, or ""
-	SaveTo         string        // address of a store that the prompt's parts shall be kept in, or ""
-	LastEvent      string        // newest event of the stream that the caller already has
+	WeightsVersion uint64        // expected version of the weights; 0 if unknown
+	FetchFrom      string        // address of an engine or store that may have parts of the prompt cached, or ""
+	SaveTo         string        // address of a store to save the prompt's parts to, or ""
+	LastEvent      string        // ID of the last event of the stream that the caller has
 }
 
-// ResponseInfo is what a back end's answer says of itself.
+// ResponseInfo holds the properties that a Dialect reads from the headers of a back end's response.
 type ResponseInfo struct {
-	ID             string // request that it answers
-	Signed         bool   // it comes from a back end that ran the request
-	NotRun         bool   // the request did not run and never will
-	WeightsVersion uint64 // of the back end's weights; 0 unknown
-
-	Signals         pushback.Signals // what it says of itself, whatever became of the request
-	RetryAfter      time.Duration    // when it advises the caller to come back; 0 it doesn't
-	UnparsedBackoff string           // such advice that can't be read, as it came, cut off at some length
-
-	UnparsedLimit  string   // a limit that can't be read, as it came, cut off at some length
-	NoLimit        bool     // it is the back end's own answer, and names no limit
-	UnknownHeaders []string // names of words in it about the back end that nothing reads, rising, a few at most
+	ID             string // ID of the request that it answers
+	Signed         bool   // the back end states that it ran the request
+	NotRun         bool   // the request did not run and will not
+	WeightsVersion uint64 // version of the back end's weights; 0 if unknown
+
+	Signals         pushback.Signals // load and limit signals of the back end, independent of the request's outcome
+	RetryAfter      time.Duration    // retry time for the caller; 0 if none
+	UnparsedBackoff string           // truncated value of a backoff that could not be parsed, or ""
+
+	UnparsedLimit  string   // truncated value of an advertised limit that could not be parsed, or ""
+	NoLimit        bool     // the response comes from the back end itself and advertises no limit
+	UnknownHeaders []string // names of unknown headers about the back end, sorted and limited in number
 }
 
-// Dialect translates between a platform's headers and the gateway. It is safe for concurrent use.
+// Dialect translates between a platform's headers and the gateway's types. It is safe for concurrent use.
 type Dialect interface {
-	// ReadCall reads what a caller asks.
+	// ReadCall reads the headers of a caller's request.
 	ReadCall(header http.Header) Call
-	// WriteForwarding sets what a back end is told and removes whatever callers may not set themselves.
+	// WriteForwarding sets the headers for the back end and removes those that callers must not set.
 	WriteForwarding(header http.Header, forwarding Forwarding)
-	// ReadResponse reads a back end's answer.
+	// ReadResponse reads status and headers of a back end's response.
 	ReadResponse(status int, header http.Header) ResponseInfo
 }
