--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -9,16 +9,16 @@
 	"kitetiller/internal/events"
 )
 
-// maxUnknownHeaders is how many different words of back ends that nothing reads are logged: their names come from outside.
+// maxUnknownHeaders bounds the number of unknown header names that are remembered and logged, as back ends choose them.
 const maxUnknownHeaders = 32
 
-// unknownHeaders are the words of back ends that nothing reads. It is safe for concurrent use.
+// unknownHeaders remembers which unknown headers of back ends were logged. It is safe for concurrent use.
 type unknownHeaders struct {
 	mu   sync.Mutex
-	seen []string // at most strangeMost; guarded by mu
+	seen []string // maxUnknownHeaders at most; guarded by mu
 }
 
-// addNew reports whether a word is to be logged: once, while there is room.
+// addNew adds a name and reports whether it was added, which it is not if it was seen before or the maximum is reached.
 func (s *unknownHeaders) addNew(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 	return true
 }
 
-// recordUnknownHeaders counts words of a back end that nothing reads, and logs each name once.
+// recordUnknownHeaders counts unknown headers of a back end, and logs each name once.
 func (g *Gateway) recordUnknownHeaders(row *endpoint, names []string) {
 	for _, name := range names {
 		g.metrics.unknownHeaders.Inc()
