--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// notifier wakes everybody who waits for the next ring. It is safe for concurrent use.
+// notifier wakes all waiters at each notification. It is safe for concurrent use.
 type notifier struct {
 	mu   sync.Mutex
-	next chan struct{} // closed by the next ring; guarded by mu
+	next chan struct{} // closed by the next notification; guarded by mu
 }
 
 func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
-// Next returns a channel that the next ring closes.
+// Next returns a channel that is closed by the next call of Notify.
 func (b *notifier) Next() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next
 }
 
-// Notify wakes those who wait.
+// Notify wakes all waiters.
 func (b *notifier) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
