--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,7 +8,7 @@
 	"kitetiller/internal/events"
 )
 
-// backoffGauge tells how many back ends of each service want rest, when it is asked.
+// backoffGauge collects how many back ends of each service have requested a backoff from this gateway.
 type backoffGauge struct {
 	gateway     *Gateway
 	description *prometheus.Desc
@@ -28,7 +28,7 @@
 	}
 }
 
-// advertisedLimitGauge tells how many back ends of each service name a limit and what these come to, when it is asked.
+// advertisedLimitGauge collects the number and sum of the limits that back ends of each service advertise.
 type advertisedLimitGauge struct {
 	gateway    *Gateway
 	count, sum *prometheus.Desc
@@ -54,24 +54,24 @@
 	}
 }
 
-// firstEventBuckets are the bounds of times to the first event, in seconds.
+// firstEventBuckets are the histogram buckets of the time to the first event, in seconds.
 var firstEventBuckets = []float64{0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8}
 
-// metrics are a gateway's figures. Labels hold reasons, kinds of results and services only, so their number does not
-// grow with tenants or back ends.
+// metrics holds the gateway's metrics. Label values are reasons, result kinds, causes, outcomes and services only, so
+// that their number does not grow with tenants or back ends.
 type metrics struct {
 	registry          *prometheus.Registry
-	requests          *prometheus.CounterVec // by outcome: answered, or the reason of the refusal
-	attempts          *prometheus.CounterVec // that failed, by result
+	requests          *prometheus.CounterVec // by outcome: answered, or the reason of the rejection
+	attempts          *prometheus.CounterVec // failed attempts, by result
 	firstEvent        prometheus.Histogram
-	recheckFailures   *prometheus.CounterVec // sends whose back end turned out at the last look to leave, to want rest or to be at their limits, by cause
-	limitLeases       *prometheus.CounterVec // of back ends that name a limit, by outcome
-	unknownHeaders    prometheus.Counter     // words of back ends that nothing reads
+	recheckFailures   *prometheus.CounterVec // attempts not sent since the back end became unavailable after placement, by cause
+	limitLeases       *prometheus.CounterVec // lease requests for advertised limits of back ends, by outcome
+	unknownHeaders    prometheus.Counter     // unknown headers in back ends' responses
 	retries           prometheus.Counter
-	cacheReadFailures prometheus.Counter // questions for engines' cache events that failed
-	schedulerFailures prometheus.Counter // questions for a placement that no scheduler answered in time
-	uncachedTokens    prometheus.Counter // prompt tokens that engines were sent to read
-	cachedTokens      prometheus.Counter // prompt tokens that were taken to be cached or copied
+	cacheReadFailures prometheus.Counter // failed requests for engines' cache events
+	schedulerFailures prometheus.Counter // placement requests that no scheduler answered in time
+	uncachedTokens    prometheus.Counter // prompt tokens sent to engines that they have to prefill
+	cachedTokens      prometheus.Counter // prompt tokens sent to engines that are expected to be cached or copied there
 }
 
 const outcomeAnswered = "answered"
@@ -120,7 +120,7 @@
 	return m
 }
 
-// recordOutcome counts a request by how it recordOutcome.
+// recordOutcome counts a completed request by its outcome.
 func (m *metrics) recordOutcome(event, reason string) {
 	if event == events.RequestAnswered {
 		reason = outcomeAnswered
@@ -128,16 +128,16 @@
 	m.requests.WithLabelValues(reason).Inc()
 }
 
-// recordPrompt counts the tokens of a prompt that an engine was sent.
+// recordPrompt counts the tokens of a prompt sent to an engine.
 func (m *metrics) recordPrompt(uncached, prompt int) {
 	m.uncachedTokens.Add(float64(uncached))
 	m.cachedTokens.Add(float64(max(0, prompt-uncached)))
 }
 
-// Active returns the requests in progress.
+// Active returns the number of requests in progress.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
-// viewAge returns how long ago the view was confirmed, in seconds.
+// viewAge returns the time since the view was last confirmed, in seconds, or -1 if it never was.
 func (g *Gateway) viewAge() float64 {
 	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
@@ -146,5 +146,5 @@
 	return (g.now() - confirmed).Seconds()
 }
 
-// Metrics returns the registry of the gateway's figures.
+// Metrics returns the registry of the gateway's metrics.
 func (g *Gateway) Metrics() *prometheus.Registry { return g.metrics.registry }
