--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -20,15 +20,15 @@
 	"kitetiller/internal/transport"
 )
 
-// Paths on which a gateway is told of sends, by what it does with them beside noting them.
+// Paths that receive announcements, by whom the receiver forwards them to after applying them.
 const (
-	pathSends        = "/internal/v1/sends"          // nothing
-	pathRow          = "/internal/v1/sends/row"      // it tells its column
-	pathOtherZone    = "/internal/v1/sends/imported" // it tells its row and its column
-	pathViaScheduler = "/internal/v1/sends/handed"   // it tells all others
+	pathSends        = "/internal/v1/sends"          // nobody
+	pathRow          = "/internal/v1/sends/row"      // its column
+	pathOtherZone    = "/internal/v1/sends/imported" // its row and its column
+	pathViaScheduler = "/internal/v1/sends/handed"   // all other schedulers
 )
 
-// Paths on which a scheduler is asked for placements, and told how the requests ended.
+// Paths on which a scheduler receives placement requests, and the ends of the placed requests.
 const (
 	pathPlace = "/internal/v1/place"
 	pathEnd   = "/internal/v1/place/end"
@@ -38,36 +38,37 @@
 	announceQueueSize = 2048
 	announceTimeout   = 250 * time.Millisecond
 	announceBatchSize = 128
-	// ownPeriod, columnPeriod and abroadPeriod are how long a send waits for others to be told with it.
+	// Batching periods: how long an announcement waits for others to be sent in the same message.
 	ownPeriod        = 15 * time.Millisecond
 	columnPeriod     = 40 * time.Millisecond
 	otherZonesPeriod = 25 * time.Millisecond
 )
 
-// announcement is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
-// parts it will hold; the last of them is of use to nobody else, but takes its memory. Without a salt it tells of a
-// request that has ended.
+// announcement informs other gateways of a request that its gateway sent to an engine, so that they can account for the
+// engine's prefill work and the parts it will have cached. The last part is specific to the request, but occupies cache
+// memory too. An empty Salt means that a request has ended. Other kinds are marked by the fields from Unreachable on.
 type announcement struct {
 	Gateway      string
-	Load         belief.Load // what the gateway now has running there
+	Load         belief.Load // the gateway's current load on the instance
 	Instance     string
 	Salt         string
 	Parts        []prefix.Part
-	Uncached     int             // prompt tokens
-	SavedToStore bool            // the parts go to the store as well
-	Transfer     belief.Transfer // of cached parts to the engine, or to the store
-	// Unreachable says that no connection came up; then nothing was sent, and there is no salt.
+	Uncached     int             // prompt tokens to prefill
+	SavedToStore bool            // the parts are saved to the store as well
+	Transfer     belief.Transfer // of cached parts to the engine or to the store
+	// Unreachable means that the connection failed, so that no request was sent.
 	Unreachable bool
-	// CacheReport says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
+	// CacheReport means that Parts were reported as cached by the engine itself. No request was sent.
 	CacheReport bool
-	// RejectedRequest names a request that was turned away from here for overload; nothing was sent then.
+	// RejectedRequest is the ID of a request that was rejected due to overload, so that none was sent.
 	RejectedRequest string
-	// Signals is what the back end said of itself in an answer to this gateway; nothing else is told then.
+	// Signals are load and limit signals of the back end. If there are any, only they are announced.
 	Signals pushback.Signals
-	Age     time.Duration
+	Age     time.Duration // time since the announced event
 }
 
-// wireAnnouncement is a send in a message. Names are short since every send goes to every gateway.
+// wireAnnouncement is the JSON form of an announcement. Its names are short since each announcement goes to every
+// scheduler.
 type wireAnnouncement struct {
 	Gateway         string   `json:"g"`
 	Running         int      `json:"n,omitempty"`
@@ -83,10 +84,10 @@
 	Unreachable     bool     `json:"x,omitempty"`
 	CacheReport     bool     `json:"k,omitempty"`
 	RejectedRequest string   `json:"r,omitempty"`
-	BackoffMS       int64    `json:"q,omitempty"` // the back end asked the gateway for rest
-	Draining        bool     `json:"l,omitempty"` // the back end says that it leaves
-	Limit           *float64 `json:"b,omitempty"` // requests a second that the back end takes from all
-	LimitWithdrawn  bool     `json:"e,omitempty"` // the back end names no limit any more
+	BackoffMS       int64    `json:"q,omitempty"` // requested by the back end of the announcing gateway
+	Draining        bool     `json:"l,omitempty"` // the back end states that it is draining
+	Limit           *float64 `json:"b,omitempty"` // advertised by the back end, in requests per second of all gateways
+	LimitWithdrawn  bool     `json:"e,omitempty"` // the back end no longer advertises a limit
 	AgeMS           int64    `json:"a"`
 }
 
@@ -101,7 +102,7 @@
 	return w
 }
 
-// partsToWire returns parts as messages carry them: their ids, and the tokens of each.
+// partsToWire returns the IDs and token counts of parts, as sent in messages.
 func partsToWire(parts []prefix.Part) (ids []string, tokens []int) {
 	for _, p := range parts {
 		ids, tokens = append(ids, p.ID), append(tokens, p.Tokens)
@@ -109,7 +110,7 @@
 	return ids, tokens
 }
 
-// partsFromWire is the reverse; parts without a size are left out.
+// partsFromWire is the inverse of partsToWire. IDs without a token count are dropped.
 func partsFromWire(ids []string, tokens []int) []prefix.Part {
 	var parts []prefix.Part
 	for i := range min(len(ids), len(tokens)) {
@@ -118,10 +119,10 @@
 	return parts
 }
 
-// durationFromMS returns a time that a message tells in milliseconds; none is below 0.
+// durationFromMS converts received milliseconds to a duration; negative ones yield 0.
 func durationFromMS(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
-// announcement returns what a message tells; parts without a size are left out.
+// announcement converts a received announcement, and replaces negative numbers with 0.
 func (w wireAnnouncement) announcement() announcement {
 	return announcement{
 		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
@@ -130,7 +131,7 @@
 	}
 }
 
-// limitToWire returns a limit as messages carry it.
+// limitToWire returns a limit as sent in messages.
 func limitToWire(limit pushback.Limit) (rate *float64, withdrawn bool) {
 	if limit.Advertised {
 		rate = &limit.Rate
@@ -138,7 +139,7 @@
 	return rate, limit.Withdrawn
 }
 
-// limitFromWire is the reverse; no rate is below 0.
+// limitFromWire is the inverse of limitToWire; a negative rate yields 0.
 func limitFromWire(rate *float64, withdrawn bool) pushback.Limit {
 	if rate != nil {
 		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
@@ -146,13 +147,14 @@
 	return pushback.Limit{Withdrawn: withdrawn}
 }
 
-// peerAnnouncer tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
-// holders without asking engines. It is safe for concurrent use.
+// peerAnnouncer sends announcements along the mesh that control assigns to all gateways that place requests, the
+// schedulers. So all have the same view of engines' queues and caches without asking the engines. It is safe for
+// concurrent use.
 type peerAnnouncer struct {
 	row, column, otherZones *transport.Announcer[announcement]
-	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
-	useScheduler            atomic.Bool                        // this gateway is no scheduler
-	disabled                bool                               // other gateways are told nothing
+	viaScheduler            *transport.Announcer[announcement] // to a scheduler that forwards to all others
+	useScheduler            atomic.Bool                        // the mesh names schedulers for this gateway
+	disabled                bool                               // nothing is announced
 }
 
 func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
@@ -187,14 +189,14 @@
 	}
 }
 
-// run starts the threads that tell.
+// run starts the sending goroutines.
 func (s *peerAnnouncer) run(ctx context.Context, start func(func())) {
 	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
-// announce tells of a send of this gateway.
+// announce sends an announcement to all other schedulers.
 func (s *peerAnnouncer) announce(item announcement) {
 	if s.disabled {
 		return
@@ -207,13 +209,13 @@
 	s.announceInZone(item)
 }
 
-// announceInZone tells the own zone of a send from another one.
+// announceInZone sends an announcement to the other schedulers of the own zone.
 func (s *peerAnnouncer) announceInZone(item announcement) {
 	s.row.Announce(item)
 	s.column.Announce(item)
 }
 
-// servePeers serves the other gateways, when there is an address for it.
+// servePeers starts the server for other gateways, if an address is configured.
 func (g *Gateway) servePeers() (*transport.Server, error) {
 	if g.settings.PeerAddress == "" {
 		return nil, nil
@@ -227,7 +229,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	_ = server.Close(ctx) // the process ends anyway
+	_ = server.Close(ctx) // the process exits in any case
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
