--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -171,11 +171,11 @@
 }
 
 func batchToWire(batch []transport.Aged[announcement]) any {
-	sends := make([]wireAnnouncement, 0, len(batch))
+	announcements := make([]wireAnnouncement, 0, len(batch))
 	for _, aged := range batch {
-		sends = append(sends, aged.Item.toWire(clock.Now()-aged.At))
+		announcements = append(announcements, aged.Item.toWire(clock.Now()-aged.At))
 	}
-	return sends
+	return announcements
 }
 
 // setMesh replaces the mesh.
