--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -258,12 +258,12 @@
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	sends := make([]announcement, 0, len(received))
+	announcements := make([]announcement, 0, len(received))
 	for _, w := range received {
-		sends = append(sends, w.announcement())
-		forward(sends[len(sends)-1])
+		announcements = append(announcements, w.announcement())
+		forward(announcements[len(announcements)-1])
 	}
-	for _, signal := range g.table.applySends(g.now(), sends) {
+	for _, signal := range g.table.applySends(g.now(), announcements) {
 		if signal.news.Draining {
 			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", toldByGateway))
 		}
