--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -6,7 +6,7 @@
 	"kitetiller/internal/lab/forms"
 )
 
-// TestWireFormatsCompatible: all that gateways tell and ask each other.
+// TestWireFormatsCompatible guards against incompatible changes of the messages between gateways.
 func TestWireFormatsCompatible(t *testing.T) {
 	forms.Check[wireAnnouncement](t, "send")
 	forms.Check[wireQuestion](t, "question")
