--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -34,22 +34,22 @@
 			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
 	}
-	t.Run("its life", func(t *testing.T) {
+	t.Run("same incarnation", func(t *testing.T) {
 		s := open(t)
 		forge(s, life("e", 1000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
-	t.Run("its life, that leaves", func(t *testing.T) {
+	t.Run("same incarnation, draining", func(t *testing.T) {
 		s := open(t)
 		forge(s, life("e", 1000), "a1", catalog.StateDraining)
 		holds(t, s)
 	})
-	t.Run("a later life of it", func(t *testing.T) {
+	t.Run("later incarnation", func(t *testing.T) {
 		s := open(t)
 		forge(s, life("e", 2000), "a2", catalog.StateReady)
 		holds(t, s)
 	})
-	t.Run("the address of a silent one", func(t *testing.T) {
+	t.Run("address of a silent back end", func(t *testing.T) {
 		s := open(t)
 		s.advance(silentAfter + time.Second)
 		forge(s, life("x", 2000), "a1", catalog.StateReady)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestNewLeaderRestoresHeldWeightsFromLog guards against a leader that does not know the weights of back ends until
-// their first heartbeat, during which prefix caches cannot be shared.
+// TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
+// hold until their first heartbeats, so that prefix caches go unused.
 func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
