--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -88,7 +88,7 @@
 	return s.replies[client]
 }
 
-func (s *singleReplica) set(base uint64, value int) settings.Outcome {
+func (s *singleReplica) changeQueueLimit(base uint64, value int) settings.Outcome {
 	edit := settings.Edit{Path: "/", Setting: "queue_limit", Value: json.RawMessage(fmt.Sprint(value))}
 	response := s.ask(Request{Change: &settings.Change{Base: base, OperationID: fmt.Sprint(base, "-", value), Edits: []settings.Edit{edit}}})
 	if response.Change == nil {
@@ -102,7 +102,7 @@
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	for i := range 300 {
-		if outcome := s.set(uint64(i), i); outcome.Kind != settings.OutcomeAccepted {
+		if outcome := s.changeQueueLimit(uint64(i), i); outcome.Kind != settings.OutcomeAccepted {
 			t.Fatalf("change %d was not accepted: %+v", i, outcome)
 		}
 		if i%100 == 50 {
@@ -116,7 +116,7 @@
 	if read.Version != 300 || read.Tree.Resolve().QueueLimit != 299 {
 		t.Fatalf("after restart: version %d, queue_limit %d, want 300 and 299", read.Version, read.Tree.Resolve().QueueLimit)
 	}
-	if again := s.set(7, 7); again.Kind != settings.OutcomeAccepted || again.Version != 8 {
+	if again := s.changeQueueLimit(7, 7); again.Kind != settings.OutcomeAccepted || again.Version != 8 {
 		t.Fatalf("resend of an old change: outcome %+v, want accepted as version 8", again)
 	}
 }
@@ -159,13 +159,13 @@
 // router may still serve with an earlier one.
 func TestVersionInForceOnlyAfterAllLeasesAcknowledgeIt(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.set(0, 1)
+	s.changeQueueLimit(0, 1)
 	beat := Heartbeat{Router: "r", Incarnation: 1, HasSettings: true, Acked: 1}
 	beat.Epoch = s.ask(Request{Heartbeat: &beat}).Heartbeat.Epoch
 	if reply := s.ask(Request{Heartbeat: &beat}).Heartbeat; reply.Lease == 0 {
 		t.Fatalf("heartbeat that acknowledges the version got no lease: %+v", reply)
 	}
-	s.set(1, 2)
+	s.changeQueueLimit(1, 2)
 	if read := s.ask(Request{Read: &Read{}}).Read; read.InForce != 1 {
 		t.Fatalf("version in force while a router holds a lease at version 1: got %d, want 1", read.InForce)
 	}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -59,7 +59,7 @@
 		s.ended(life, deadly)
 	}
 	for i := range 60 { // beyond a snapshot
-		s.set(uint64(i), i)
+		s.changeQueueLimit(uint64(i), i)
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
