--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -116,8 +116,8 @@
 	if read.Version != 300 || read.Tree.Resolve().QueueLimit != 299 {
 		t.Fatalf("after restart: version %d, queue_limit %d, want 300 and 299", read.Version, read.Tree.Resolve().QueueLimit)
 	}
-	if again := s.changeQueueLimit(7, 7); again.Kind != settings.OutcomeAccepted || again.Version != 8 {
-		t.Fatalf("resend of an old change: outcome %+v, want accepted as version 8", again)
+	if resent := s.changeQueueLimit(7, 7); resent.Kind != settings.OutcomeAccepted || resent.Version != 8 {
+		t.Fatalf("resend of an old change: outcome %+v, want accepted as version 8", resent)
 	}
 }
 
