--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -10,7 +10,7 @@
 // TestHeartbeatForUnconfiguredServiceIsIgnored guards against a well-formed heartbeat for a service missing from the
 // routing document that replaces, drains or alters a registered back end.
 func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
-	open := func(t *testing.T) *singleReplica {
+	openRegistered := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
@@ -35,22 +35,22 @@
 		}
 	}
 	t.Run("same incarnation", func(t *testing.T) {
-		s := open(t)
+		s := openRegistered(t)
 		forge(s, life("e", 1000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
 	t.Run("same incarnation, draining", func(t *testing.T) {
-		s := open(t)
+		s := openRegistered(t)
 		forge(s, life("e", 1000), "a1", catalog.StateDraining)
 		holds(t, s)
 	})
 	t.Run("later incarnation", func(t *testing.T) {
-		s := open(t)
+		s := openRegistered(t)
 		forge(s, life("e", 2000), "a2", catalog.StateReady)
 		holds(t, s)
 	})
 	t.Run("address of a silent back end", func(t *testing.T) {
-		s := open(t)
+		s := openRegistered(t)
 		s.advance(silentAfter + time.Second)
 		forge(s, life("x", 2000), "a1", catalog.StateReady)
 		holds(t, s)
