--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -17,7 +17,7 @@
 		s.says(life("e", 1000), "a1", 1, 1)
 		return s
 	}
-	forge := func(s *singleReplica, id, address string, state catalog.State) {
+	sendUnconfigured := func(s *singleReplica, id, address string, state catalog.State) {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "nobody", Address: address, State: state},
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
@@ -36,23 +36,23 @@
 	}
 	t.Run("same incarnation", func(t *testing.T) {
 		s := openRegistered(t)
-		forge(s, life("e", 1000), "a1", catalog.StateReady)
+		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
 	t.Run("same incarnation, draining", func(t *testing.T) {
 		s := openRegistered(t)
-		forge(s, life("e", 1000), "a1", catalog.StateDraining)
+		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateDraining)
 		holds(t, s)
 	})
 	t.Run("later incarnation", func(t *testing.T) {
 		s := openRegistered(t)
-		forge(s, life("e", 2000), "a2", catalog.StateReady)
+		sendUnconfigured(s, life("e", 2000), "a2", catalog.StateReady)
 		holds(t, s)
 	})
 	t.Run("address of a silent back end", func(t *testing.T) {
 		s := openRegistered(t)
 		s.advance(silentAfter + time.Second)
-		forge(s, life("x", 2000), "a1", catalog.StateReady)
+		sendUnconfigured(s, life("x", 2000), "a1", catalog.StateReady)
 		holds(t, s)
 	})
 }
