--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -23,7 +23,7 @@
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
 		}})
 	}
-	holds := func(t *testing.T, s *singleReplica) {
+	checkUnchanged := func(t *testing.T, s *singleReplica) {
 		t.Helper()
 		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
@@ -37,22 +37,22 @@
 	t.Run("same incarnation", func(t *testing.T) {
 		s := openRegistered(t)
 		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateReady)
-		holds(t, s)
+		checkUnchanged(t, s)
 	})
 	t.Run("same incarnation, draining", func(t *testing.T) {
 		s := openRegistered(t)
 		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateDraining)
-		holds(t, s)
+		checkUnchanged(t, s)
 	})
 	t.Run("later incarnation", func(t *testing.T) {
 		s := openRegistered(t)
 		sendUnconfigured(s, life("e", 2000), "a2", catalog.StateReady)
-		holds(t, s)
+		checkUnchanged(t, s)
 	})
 	t.Run("address of a silent back end", func(t *testing.T) {
 		s := openRegistered(t)
 		s.advance(silentAfter + time.Second)
 		sendUnconfigured(s, life("x", 2000), "a1", catalog.StateReady)
-		holds(t, s)
+		checkUnchanged(t, s)
 	})
 }
