--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -84,11 +84,11 @@
 // a group, provided that this replica is the first founder and all other founders have answered that they have no state.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
-		groupExists, allEmpty := s.probeFounders(ctx)
+		groupExists, othersEmpty := s.probeFounders(ctx)
 		switch {
 		case groupExists && s.tryJoin(ctx):
 			return
-		case !groupExists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
+		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
 			s.inputs <- input{foundGroup: true}
 			return
 		}
