--- a/internal/control/storage.go
+++ b/internal/control/storage.go
@@ -78,15 +78,15 @@
 	if err != nil {
 		return nil, identity, Checkpoint{}, err
 	}
-	restored, err := replay(records)
+	restored, err := replayRecords(records)
 	if err != nil {
 		return nil, identity, Checkpoint{}, err
 	}
 	return &Disk{log: log}, identity, restored, nil
 }
 
-// replay rebuilds the durable state from the records of the log.
-func replay(records []storage.Record) (Checkpoint, error) {
+// replayRecords rebuilds the durable state from the records of the log.
+func replayRecords(records []storage.Record) (Checkpoint, error) {
 	var state Checkpoint
 	for _, record := range records {
 		if err := replayRecord(&state, record); err != nil {
