--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *Server) probeFounders(ctx context.Context) (exists, allEmpty bool) {
+func (s *Server) probeFounders(ctx context.Context) (groupExists, allEmpty bool) {
 	allEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.Internal {
@@ -110,10 +110,10 @@
 		var reply HelloReply
 		err := s.client.Post(attempt, address, PathHello, struct{}{}, &reply)
 		cancel()
-		exists = exists || (err == nil && reply.HasState)
+		groupExists = groupExists || (err == nil && reply.HasState)
 		allEmpty = allEmpty && err == nil && !reply.HasState
 	}
-	return exists, allEmpty
+	return groupExists, allEmpty
 }
 
 // tryJoin asks the leader to add this replica as a learner and reports whether it succeeded.
