--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -100,8 +100,8 @@
 	}
 }
 
-func (s *Server) probeFounders(ctx context.Context) (groupExists, allEmpty bool) {
-	allEmpty = true
+func (s *Server) probeFounders(ctx context.Context) (groupExists, othersEmpty bool) {
+	othersEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.Internal {
 			continue
@@ -111,9 +111,9 @@
 		err := s.client.Post(attempt, address, PathHello, struct{}{}, &reply)
 		cancel()
 		groupExists = groupExists || (err == nil && reply.HasState)
-		allEmpty = allEmpty && err == nil && !reply.HasState
+		othersEmpty = othersEmpty && err == nil && !reply.HasState
 	}
-	return groupExists, allEmpty
+	return groupExists, othersEmpty
 }
 
 // tryJoin asks the leader to add this replica as a learner and reports whether it succeeded.
