--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -34,7 +34,7 @@
 }
 
 func newMixedGroup(t rapid.TB, levels ...level.Level) *mixedGroup {
-	g := &mixedGroup{t: t, random: rand.New(rand.NewPCG(1, 1))}
+	m := &mixedGroup{t: t, random: rand.New(rand.NewPCG(1, 1))}
 	var membership consensus.Membership
 	for i := range levels {
 		id := consensus.ID(fmt.Sprint("c", i))
@@ -44,10 +44,10 @@
 		disk := Checkpoint{HardState: consensus.HardState{Term: 1}}
 		disk.Snapshot = consensus.Snapshot{Meta: consensus.SnapshotMeta{Index: 1, Term: 1, Membership: membership}, Data: NewMachine(guard.Set{}).Snapshot()}
 		b := &groupMember{id: membership.Members[i].ID, level: l, disk: disk}
-		g.members = append(g.members, b)
-		g.start(b)
+		m.members = append(m.members, b)
+		m.start(b)
 	}
-	return g
+	return m
 }
 
 // start starts a member from its disk. A build that is too old must refuse to start and leave the disk unchanged.
