--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -85,7 +85,7 @@
 // ReadReply answers a Read. The replica held the leader lease when it answered, so that the read is linearizable.
 type ReadReply struct {
 	Version uint64                  `json:"version"`
-	InForce uint64                  `json:"in_force"`
+	InForce uint64                  `json:"in_force"` // newest version that no serving router is behind
 	Tree    settings.Tree           `json:"tree"`
 	History []settings.HistoryEntry `json:"history,omitempty"`
 }
