--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -129,8 +129,8 @@
 	return c.out
 }
 
-// NextDue returns when Tick should be called at the latest, or false when only events matter.
-func (c *Core) NextDue() (time.Duration, bool) {
+// NextWakeup returns when Tick should be called at the latest, or false when only events matter.
+func (c *Core) NextWakeup() (time.Duration, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -88,7 +88,7 @@
 	for _, action := range n.core.Tick(now, events) {
 		n.carryOut(action)
 	}
-	if due, any := n.core.NextDue(); any {
+	if due, any := n.core.NextWakeup(); any {
 		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.post() })
 	}
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -88,7 +88,7 @@
 }
 
 func (r *routerNode) setWake() {
-	due, any := r.core.NextDue()
+	due, any := r.core.NextWakeup()
 	if any {
 		r.alarm.Set(r.w.now(), r.trueTime(r.startedAt, due), time.Millisecond, r.after, func() { r.post() })
 	}
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -253,7 +253,7 @@
 }
 
 func (s *Server) untilDue() time.Duration {
-	due, any := s.core.NextDue()
+	due, any := s.core.NextWakeup()
 	if !any {
 		return maximumLinger
 	}
