--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,7 +113,7 @@
 
 // Tick applies events and runs every system once. The returned slice is valid until the next call.
 func (c *Core) Tick(now time.Duration, events []Event) []Action {
-	c.noteStandstill(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
 	c.out = c.out[:0]
 	for _, event := range events {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -124,8 +124,8 @@
 	listPatience = 2 * time.Second
 )
 
-// noteStandstill notices that the process stood still, so that what it knows of leaving back ends is old.
-func (c *Core) noteStandstill(now time.Duration) {
+// detectPause notices that the process stood still, so that what it knows of leaving back ends is old.
+func (c *Core) detectPause(now time.Duration) {
 	if now > c.now+standstill {
 		c.resumedAt = now
 	}
