--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -105,8 +105,8 @@
 	Well        bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
 }
 
-// EventSaid tells what a back end said of itself in an answer, whatever has become of the attempt meanwhile.
-type EventSaid struct {
+// EventPushback tells what a back end said of itself in an answer, whatever has become of the attempt meanwhile.
+type EventPushback struct {
 	Name        string
 	Incarnation uint64 // of the life that spoke; the one that the attempt was meant for where it doesn't tell
 	Said        pushback.Said
@@ -212,7 +212,7 @@
 func (EventHeldBack) isEvent()      {}
 func (EventClaim) isEvent()         {}
 func (EventAttempt) isEvent()       {}
-func (EventSaid) isEvent()          {}
+func (EventPushback) isEvent()      {}
 func (EventRouters) isEvent()       {}
 func (EventBackend) isEvent()       {}
 func (EventCacheSnapshot) isEvent() {}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -12,8 +12,8 @@
 )
 
 // named is what an engine says of its limit in an answer.
-func named(engine string, rate float64) EventSaid {
-	return EventSaid{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+func named(engine string, rate float64) EventPushback {
+	return EventPushback{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
 // askEach lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -25,7 +25,7 @@
 		c.observeClaim(typed)
 	case EventAttempt:
 		c.observeAttempt(typed)
-	case EventSaid:
+	case EventPushback:
 		c.observeSaid(typed)
 	case EventBackend:
 		c.observeBackend(typed)
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -13,7 +13,7 @@
 }
 
 // observeSaid takes up what a back end says of itself.
-func (c *Core) observeSaid(event EventSaid) {
+func (c *Core) observeSaid(event EventPushback) {
 	c.pushed.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Said, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Said.Leaving
 }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -162,7 +162,7 @@
 }
 
 // pass passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) pass(e *engineNode, said core.EventSaid) {
+func (n *routerNode) pass(e *engineNode, said core.EventPushback) {
 	n.run.clock.After(n.latency(e), func() { n.post(said) })
 }
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -128,8 +128,8 @@
 
 // refusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *attemptRun) refusal(response *http.Response) (said core.EventSaid, event core.EventAttempt) {
-	said = core.EventSaid{Name: a.action.Backend, Incarnation: a.action.Incarnation}
+func (a *attemptRun) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
+	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
 	err := json.NewDecoder(io.LimitReader(response.Body, maximumEventBytes)).Decode(&body)
 	if err != nil {
@@ -161,7 +161,7 @@
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Said{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Said{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
@@ -193,7 +193,7 @@
 }
 
 // hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *attemptRun, told core.EventSaid, status int) {
+func (s *Server) hear(a *attemptRun, told core.EventPushback, status int) {
 	if told.Said.Nothing() {
 		return
 	}
