--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -13,7 +13,7 @@
 
 // named is what an engine says of its limit in an answer.
 func named(engine string, rate float64) EventPushback {
-	return EventPushback{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+	return EventPushback{Name: engine, Incarnation: 1, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
 // askEach lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -14,8 +14,8 @@
 
 // observeSaid takes up what a back end says of itself.
 func (c *Core) observeSaid(event EventPushback) {
-	c.pushed.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Said, c.random.Float64())
-	c.membershipDirty = c.membershipDirty || event.Said.Leaving
+	c.pushed.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Pushback, c.random.Float64())
+	c.membershipDirty = c.membershipDirty || event.Pushback.Leaving
 }
 
 // saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
