--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -56,7 +56,7 @@
 func (h *harness) tick(events ...Event) []Action { return h.core.Tick(h.now, events) }
 
 func (h *harness) report(name string, incarnation uint64) []Action {
-	return h.tick(EventBackend{Name: name, AskedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
+	return h.tick(EventBackendPoll{Name: name, AskedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
 }
 
 func (h *harness) after(d time.Duration, events ...Event) []Action {
@@ -150,7 +150,7 @@
 		h.after(500 * time.Millisecond)
 		h.report(other, 1)
 	}
-	next := need[ActionDispatch](t, h.after(100*time.Millisecond, EventBackend{Name: sent.Backend}))
+	next := need[ActionDispatch](t, h.after(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
 	if next.Backend != other || next.ResumeFrom != 1 {
 		t.Fatalf("continued on %s from token %d", next.Backend, next.ResumeFrom)
 	}
@@ -198,7 +198,7 @@
 	h := newHarness(t, 1)
 	sent := h.grant(1, "k")
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptRefused})
-	actions := h.after(time.Second, EventBackend{Name: "s0"}, EventBackend{Name: "s0"})
+	actions := h.after(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
 	final := need[ActionFinish](t, actions)
 	if final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
@@ -223,7 +223,7 @@
 
 func TestLeavingBackendGetsNothingNew(t *testing.T) {
 	h := newHarness(t, 1)
-	h.tick(EventBackend{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
+	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
 	if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
 		t.Fatalf("sent to a leaving engine: %+v", sent)
 	}
--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -41,7 +41,7 @@
 	c.Tick(0, []Event{EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 1, Until: 1 << 60}, EventPlatform{Machines: machines}})
 	var reports []Event
 	for i := range engines {
-		reports = append(reports, EventBackend{Name: engineName(i), Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
+		reports = append(reports, EventBackendPoll{Name: engineName(i), Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
 	}
 	c.Tick(0, reports)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -88,6 +88,6 @@
 // refreshReports keeps the engines ready while time passes.
 func refreshReports(c *Core, engines int, now time.Duration) {
 	for i := range engines {
-		c.observe(EventBackend{Name: engineName(i), AskedAt: now + time.Second, Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
+		c.observe(EventBackendPoll{Name: engineName(i), AskedAt: now + time.Second, Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
 	}
 }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -141,9 +141,9 @@
 	NextSequence uint64 // sequence after the newest event published
 }
 
-// EventBackend reports a state poll; Report is nil when the back end could not be reached. AskedAt is when the
+// EventBackendPoll reports a state poll; Report is nil when the back end could not be reached. AskedAt is when the
 // poll was sent: a reply says nothing about later times, however late it is read.
-type EventBackend struct {
+type EventBackendPoll struct {
 	Name    string
 	AskedAt time.Duration
 	Report  *BackendReport
@@ -214,7 +214,7 @@
 func (EventAttempt) isEvent()       {}
 func (EventPushback) isEvent()      {}
 func (EventRouters) isEvent()       {}
-func (EventBackend) isEvent()       {}
+func (EventBackendPoll) isEvent()   {}
 func (EventCacheSnapshot) isEvent() {}
 func (EventPlatform) isEvent()      {}
 func (EventSettings) isEvent()      {}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -27,7 +27,7 @@
 		c.observeAttempt(typed)
 	case EventPushback:
 		c.observeSaid(typed)
-	case EventBackend:
+	case EventBackendPoll:
 		c.observeBackend(typed)
 	case EventCacheSnapshot:
 		c.observeSnapshot(typed)
@@ -120,7 +120,7 @@
 	return &c.backends[id]
 }
 
-func (c *Core) observeBackend(event EventBackend) {
+func (c *Core) observeBackend(event EventBackendPoll) {
 	id, found := c.byName[event.Name]
 	if !found {
 		return
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -143,7 +143,7 @@
 	}
 	c.Tick(0, append(events, core.EventPlatform{Machines: machines}))
 	for i := range engines {
-		c.Tick(0, []core.Event{core.EventBackend{Name: fmt.Sprint(i), Report: &core.BackendReport{Incarnation: 1, Weights: "w", Load: core.Load{PrefillRate: 8000}}}})
+		c.Tick(0, []core.Event{core.EventBackendPoll{Name: fmt.Sprint(i), Report: &core.BackendReport{Incarnation: 1, Weights: "w", Load: core.Load{PrefillRate: 8000}}}})
 	}
 	var spent time.Duration
 	for i := range rounds {
