--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -38,7 +38,7 @@
 	for i := range engines {
 		machines = append(machines, Machine{Name: engineName(i), Zone: fmt.Sprintf("z%d", i%3), Service: testService, Address: engineName(i)})
 	}
-	c.Tick(0, []Event{EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 1, Until: 1 << 60}, EventPlatform{Machines: machines}})
+	c.Tick(0, []Event{EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 1, Until: 1 << 60}, EventMachineList{Machines: machines}})
 	var reports []Event
 	for i := range engines {
 		reports = append(reports, EventBackendPoll{Name: engineName(i), Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -180,8 +180,8 @@
 	Leaving bool
 }
 
-// EventPlatform is a reading of the platform's list, which was asked for at AskedAt; it may lag.
-type EventPlatform struct {
+// EventMachineList is a reading of the platform's list, which was asked for at AskedAt; it may lag.
+type EventMachineList struct {
 	AskedAt  time.Duration
 	Machines []Machine
 }
@@ -216,7 +216,7 @@
 func (EventRouters) isEvent()       {}
 func (EventBackendPoll) isEvent()   {}
 func (EventCacheSnapshot) isEvent() {}
-func (EventPlatform) isEvent()      {}
+func (EventMachineList) isEvent()   {}
 func (EventSettings) isEvent()      {}
 func (EventLease) isEvent()         {}
 func (EventVault) isEvent()         {}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -31,7 +31,7 @@
 		c.observeBackend(typed)
 	case EventCacheSnapshot:
 		c.observeSnapshot(typed)
-	case EventPlatform:
+	case EventMachineList:
 		c.observePlatform(typed)
 	case EventSettings:
 		c.observeSettings(typed)
@@ -86,7 +86,7 @@
 	}
 }
 
-func (c *Core) observePlatform(event EventPlatform) {
+func (c *Core) observePlatform(event EventMachineList) {
 	c.membershipDirty = true
 	c.listAskedAt = max(c.listAskedAt, event.AskedAt)
 	for i := range c.backends {
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -67,7 +67,7 @@
 	for _, e := range n.run.engines {
 		machines = append(machines, core.Machine{Name: e.name, Zone: e.zone, Service: n.run.service, Address: e.name})
 	}
-	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventPlatform{Machines: machines})
+	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
 	for i, e := range n.run.engines {
 		offset := time.Duration(i) * pollPeriod / time.Duration(len(n.run.engines))
 		cursor := &membership.Cursor{}
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -141,7 +141,7 @@
 	for i := range engines {
 		machines = append(machines, core.Machine{Name: fmt.Sprint(i), Zone: fmt.Sprintf("z%d", i%3), Service: "s", Address: fmt.Sprint(i)})
 	}
-	c.Tick(0, append(events, core.EventPlatform{Machines: machines}))
+	c.Tick(0, append(events, core.EventMachineList{Machines: machines}))
 	for i := range engines {
 		c.Tick(0, []core.Event{core.EventBackendPoll{Name: fmt.Sprint(i), Report: &core.BackendReport{Incarnation: 1, Weights: "w", Load: core.Load{PrefillRate: 8000}}}})
 	}
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -264,7 +264,7 @@
 func touchesView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
-		case core.EventSettings, core.EventBackendPoll, core.EventPlatform, core.EventLease:
+		case core.EventSettings, core.EventBackendPoll, core.EventMachineList, core.EventLease:
 			return true
 		}
 	}
