--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -56,7 +56,7 @@
 func (h *harness) tick(events ...Event) []Action { return h.core.Tick(h.now, events) }
 
 func (h *harness) report(name string, incarnation uint64) []Action {
-	return h.tick(EventBackendPoll{Name: name, AskedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
+	return h.tick(EventBackendPoll{Name: name, RequestedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
 }
 
 func (h *harness) after(d time.Duration, events ...Event) []Action {
--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -88,6 +88,6 @@
 // refreshReports keeps the engines ready while time passes.
 func refreshReports(c *Core, engines int, now time.Duration) {
 	for i := range engines {
-		c.observe(EventBackendPoll{Name: engineName(i), AskedAt: now + time.Second, Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
+		c.observe(EventBackendPoll{Name: engineName(i), RequestedAt: now + time.Second, Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
 	}
 }
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -144,9 +144,9 @@
 // EventBackendPoll reports a state poll; Report is nil when the back end could not be reached. AskedAt is when the
 // poll was sent: a reply says nothing about later times, however late it is read.
 type EventBackendPoll struct {
-	Name    string
-	AskedAt time.Duration
-	Report  *BackendReport
+	Name        string
+	RequestedAt time.Duration
+	Report      *BackendReport
 }
 
 // EventCacheSnapshot is an engine's full list of blocks as of a sequence.
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -133,7 +133,7 @@
 	}
 	report := event.Report
 	c.noteLife(row, report)
-	row.heardAt = max(row.heardAt, event.AskedAt)
+	row.heardAt = max(row.heardAt, event.RequestedAt)
 	row.failures = 0
 	row.loading = report.Loading
 	row.leaving = report.Leaving
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -96,7 +96,7 @@
 func (n *routerNode) poll(e *engineNode, cursor *membership.Cursor) {
 	asked := n.run.clock.Now()
 	n.run.clock.After(n.latency(e), func() {
-		event := core.EventBackendPoll{Name: e.name, AskedAt: asked}
+		event := core.EventBackendPoll{Name: e.name, RequestedAt: asked}
 		if !e.down {
 			e.advance()
 			report := e.model.Report(n.run.clock.Now(), cursor.Next())
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -157,11 +157,11 @@
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
 			cursor.Take(&report)
-			r.post(core.EventBackendPoll{Name: e.name, AskedAt: asked, Report: &report})
+			r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked, Report: &report})
 			again()
 		})
 	}, func(bool) {
-		r.post(core.EventBackendPoll{Name: e.name, AskedAt: asked})
+		r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked})
 		again()
 	})
 }
@@ -170,8 +170,8 @@
 	asked := r.clock()
 	r.w.call(r.process, s.process, pollTimeout, func(respond func(func())) {
 		report := s.report()
-		respond(func() { r.post(core.EventBackendPoll{Name: s.name, AskedAt: asked, Report: report}) })
-	}, func(bool) { r.post(core.EventBackendPoll{Name: s.name, AskedAt: asked}) })
+		respond(func() { r.post(core.EventBackendPoll{Name: s.name, RequestedAt: asked, Report: report}) })
+	}, func(bool) { r.post(core.EventBackendPoll{Name: s.name, RequestedAt: asked}) })
 }
 
 // carryOut performs one action of the core.
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -67,7 +67,7 @@
 	ticker := time.NewTicker(s.file.Router.PollEvery)
 	defer ticker.Stop()
 	for {
-		event := core.EventBackendPoll{Name: machine.Name, AskedAt: s.now()}
+		event := core.EventBackendPoll{Name: machine.Name, RequestedAt: s.now()}
 		report, ok := s.readState(ctx, machine, cursor.Next())
 		if ctx.Err() != nil {
 			return
