--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -168,8 +168,8 @@
 // EventRouters tells which other routers have a session, in any order.
 type EventRouters struct{ Others []string }
 
-// EventPeerSends reports what other routers sent to back ends lately.
-type EventPeerSends struct{ Sends []Send }
+// EventPeerDispatches reports what other routers sent to back ends lately.
+type EventPeerDispatches struct{ Sends []Send }
 
 // Machine is a line of the platform's list.
 type Machine struct {
@@ -207,18 +207,18 @@
 // EventDrain starts a planned stop: no new request is taken.
 type EventDrain struct{}
 
-func (EventRequest) isEvent()       {}
-func (EventCallerGone) isEvent()    {}
-func (EventHeldBack) isEvent()      {}
-func (EventClaim) isEvent()         {}
-func (EventAttempt) isEvent()       {}
-func (EventPushback) isEvent()      {}
-func (EventRouters) isEvent()       {}
-func (EventBackendPoll) isEvent()   {}
-func (EventCacheSnapshot) isEvent() {}
-func (EventMachineList) isEvent()   {}
-func (EventSettings) isEvent()      {}
-func (EventLease) isEvent()         {}
-func (EventVault) isEvent()         {}
-func (EventDrain) isEvent()         {}
-func (EventPeerSends) isEvent()     {}
+func (EventRequest) isEvent()        {}
+func (EventCallerGone) isEvent()     {}
+func (EventHeldBack) isEvent()       {}
+func (EventClaim) isEvent()          {}
+func (EventAttempt) isEvent()        {}
+func (EventPushback) isEvent()       {}
+func (EventRouters) isEvent()        {}
+func (EventBackendPoll) isEvent()    {}
+func (EventCacheSnapshot) isEvent()  {}
+func (EventMachineList) isEvent()    {}
+func (EventSettings) isEvent()       {}
+func (EventLease) isEvent()          {}
+func (EventVault) isEvent()          {}
+func (EventDrain) isEvent()          {}
+func (EventPeerDispatches) isEvent() {}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -41,7 +41,7 @@
 		c.hadLease = c.hadLease || typed.Until > c.now
 	case EventVault:
 		c.observeVault(typed)
-	case EventPeerSends:
+	case EventPeerDispatches:
 		c.observePeerSends(typed)
 	case EventRouters:
 		c.observeRouters(typed)
@@ -75,7 +75,7 @@
 }
 
 // observePeerSends counts what other routers sent and no report shows yet.
-func (c *Core) observePeerSends(event EventPeerSends) {
+func (c *Core) observePeerSends(event EventPeerDispatches) {
 	for _, send := range event.Sends {
 		id, found := c.byName[send.Backend]
 		if !found {
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -257,7 +257,7 @@
 }
 
 func (n *routerNode) hear(unsaid []said) {
-	event := core.EventPeerSends{}
+	event := core.EventPeerDispatches{}
 	for _, item := range unsaid {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -30,7 +30,7 @@
 		Path: pathSends, Ring: announceRing, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.Send]) any {
-		event := core.EventPeerSends{}
+		event := core.EventPeerDispatches{}
 		for _, announced := range batch {
 			announced.Item.Age = clock.Now() - announced.At
 			event.Sends = append(event.Sends, announced.Item)
@@ -78,7 +78,7 @@
 }
 
 func (s *Server) handleInternal(request transport.Request, respond transport.Respond) {
-	var event core.EventPeerSends
+	var event core.EventPeerDispatches
 	switch {
 	case request.Path != pathSends:
 		respond(http.StatusNotFound, nil)
--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -12,5 +12,5 @@
 func TestFormsStayReadable(t *testing.T) {
 	forms.Check[session.Settings](t, "settings")
 	forms.Check[savedIncarnation](t, "incarnation")
-	forms.Check[core.EventPeerSends](t, "sends")
+	forms.Check[core.EventPeerDispatches](t, "sends")
 }
