--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -169,7 +169,7 @@
 type EventRouters struct{ Others []string }
 
 // EventPeerDispatches reports what other routers sent to back ends lately.
-type EventPeerDispatches struct{ Sends []Send }
+type EventPeerDispatches struct{ Dispatches []Send }
 
 // Machine is a line of the platform's list.
 type Machine struct {
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -76,7 +76,7 @@
 
 // observePeerSends counts what other routers sent and no report shows yet.
 func (c *Core) observePeerSends(event EventPeerDispatches) {
-	for _, send := range event.Sends {
+	for _, send := range event.Dispatches {
 		id, found := c.byName[send.Backend]
 		if !found {
 			continue
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -261,7 +261,7 @@
 	for _, item := range unsaid {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
-		event.Sends = append(event.Sends, send)
+		event.Dispatches = append(event.Dispatches, send)
 	}
 	n.post(event)
 }
