--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -157,8 +157,8 @@
 	Blocks      []prefix.Hash
 }
 
-// Send tells other routers of an attempt that they cannot see in any report yet.
-type Send struct {
+// PeerDispatch tells other routers of an attempt that they cannot see in any report yet.
+type PeerDispatch struct {
 	Backend string        `json:"backend"`
 	Tokens  int           `json:"tokens"` // to prefill
 	Lane    Lane          `json:"lane"`
@@ -169,7 +169,7 @@
 type EventRouters struct{ Others []string }
 
 // EventPeerDispatches reports what other routers sent to back ends lately.
-type EventPeerDispatches struct{ Dispatches []Send }
+type EventPeerDispatches struct{ Dispatches []PeerDispatch }
 
 // Machine is a line of the platform's list.
 type Machine struct {
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -33,7 +33,7 @@
 
 // said is an announcement and when it became true.
 type said struct {
-	send core.Send
+	send core.PeerDispatch
 	at   time.Duration
 }
 
@@ -146,7 +146,7 @@
 		request.keep = action.Blocks[:action.KeepBlocks]
 	}
 	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
-	n.announce(core.Send{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
+	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
 	e.count(s, 1)
 	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
 }
@@ -237,7 +237,7 @@
 }
 
 // announce tells the other routers of a send, a few at a time.
-func (n *routerNode) announce(send core.Send) {
+func (n *routerNode) announce(send core.PeerDispatch) {
 	n.unsaid = append(n.unsaid, said{send: send, at: n.run.clock.Now()})
 	if len(n.unsaid) > 1 {
 		return
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -225,7 +225,7 @@
 		return
 	}
 	r.w.oracle.routerDispatched(r, run, action)
-	r.announce(core.Send{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
+	r.announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	if e := r.w.engine(action.Backend); e != nil {
 		r.sendToEngine(e, run, action)
 		return
@@ -345,10 +345,10 @@
 }
 
 // announce tells the other routers of a send.
-func (r *routerNode) announce(send core.Send) {
+func (r *routerNode) announce(send core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
-			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Dispatches: []core.Send{send}}) })
+			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Dispatches: []core.PeerDispatch{send}}) })
 		}
 	}
 }
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -25,11 +25,11 @@
 
 // newAnnouncer tells the other routers of sends that no load report shows yet, so that two routers do not choose the
 // same idle engine.
-func newAnnouncer(client *transport.Client) *transport.Announcer[core.Send] {
+func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
 		Path: pathSends, Ring: announceRing, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
 	}
-	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.Send]) any {
+	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
 		for _, announced := range batch {
 			announced.Item.Age = clock.Now() - announced.At
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -48,7 +48,7 @@
 		s.offer(core.EventHeldBack{ID: action.ID})
 		return
 	}
-	s.announcer.Announce(core.Send{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
+	s.announcer.Announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	run.attempts++
 	run.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -102,7 +102,7 @@
 	group     *control.Client
 	metrics   *metrics
 	disk      *diskState
-	announcer *transport.Announcer[core.Send]
+	announcer *transport.Announcer[core.PeerDispatch]
 	session   *session.Machine // owned by the session thread
 	draining  atomic.Bool
 	shed      atomic.Uint64
