--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -165,8 +165,8 @@
 	Age     time.Duration `json:"age_ns"` // since it was sent
 }
 
-// EventRouters tells which other routers have a session, in any order.
-type EventRouters struct{ Others []string }
+// EventPeerRouters tells which other routers have a session, in any order.
+type EventPeerRouters struct{ Others []string }
 
 // EventPeerDispatches reports what other routers sent to back ends lately.
 type EventPeerDispatches struct{ Dispatches []PeerDispatch }
@@ -213,7 +213,7 @@
 func (EventClaim) isEvent()          {}
 func (EventAttempt) isEvent()        {}
 func (EventPushback) isEvent()       {}
-func (EventRouters) isEvent()        {}
+func (EventPeerRouters) isEvent()    {}
 func (EventBackendPoll) isEvent()    {}
 func (EventCacheSnapshot) isEvent()  {}
 func (EventMachineList) isEvent()    {}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -65,7 +65,7 @@
 		there := all
 		know := func() {
 			for _, c := range routers[:there] {
-				told := EventRouters{}
+				told := EventPeerRouters{}
 				for _, other := range routers[:there] {
 					if other != c {
 						told.Others = append(told.Others, other.config.Router)
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -43,7 +43,7 @@
 		c.observeVault(typed)
 	case EventPeerDispatches:
 		c.observePeerSends(typed)
-	case EventRouters:
+	case EventPeerRouters:
 		c.observeRouters(typed)
 	case EventDrain:
 		c.draining = true
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -134,7 +134,7 @@
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
-	told := core.EventRouters{}
+	told := core.EventPeerRouters{}
 	for _, peer := range step.Peers {
 		told.Others = append(told.Others, peer.Name)
 	}
