--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -166,7 +166,7 @@
 }
 
 // EventPeerRouters tells which other routers have a session, in any order.
-type EventPeerRouters struct{ Others []string }
+type EventPeerRouters struct{ Names []string }
 
 // EventPeerDispatches reports what other routers sent to back ends lately.
 type EventPeerDispatches struct{ Dispatches []PeerDispatch }
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -68,7 +68,7 @@
 				told := EventPeerRouters{}
 				for _, other := range routers[:there] {
 					if other != c {
-						told.Others = append(told.Others, other.config.Router)
+						told.Names = append(told.Names, other.config.Router)
 					}
 				}
 				c.observeRouters(told)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -136,7 +136,7 @@
 	}
 	told := core.EventPeerRouters{}
 	for _, peer := range step.Peers {
-		told.Others = append(told.Others, peer.Name)
+		told.Names = append(told.Names, peer.Name)
 	}
 	return []core.Event{step.Lease, told}
 }
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -60,7 +60,7 @@
 	s.post(step.Lease)
 	if step.Peers != nil {
 		s.announcer.SetPeers(peerAddresses(step.Peers))
-		s.post(core.EventPeerRouters{Others: peerNames(step.Peers)})
+		s.post(core.EventPeerRouters{Names: peerNames(step.Peers)})
 	}
 	return step.Pause
 }
