--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -34,7 +34,7 @@
 		c.attemptChunk(r, at, event)
 	case AttemptDone:
 		c.attemptDone(r, at, event)
-	case AttemptMismatch:
+	case AttemptIncarnationMismatch:
 		c.counters.Mismatches++
 		c.index.Forget(r.attempts[at].backend)
 	default:
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -82,12 +82,12 @@
 
 // Kinds of attempt events.
 const (
-	AttemptStarted  AttemptEventKind = iota // the back end took the request
-	AttemptChunk                            // one token of the stream
-	AttemptDone                             // the end marker, or the whole answer of a small service
-	AttemptRefused                          // the back end provably did not take the request
-	AttemptBroken                           // the connection ended without an end marker
-	AttemptMismatch                         // the back end is another life than the one relied on; it runs without reuse
+	AttemptStarted             AttemptEventKind = iota // the back end took the request
+	AttemptChunk                                       // one token of the stream
+	AttemptDone                                        // the end marker, or the whole answer of a small service
+	AttemptRefused                                     // the back end provably did not take the request
+	AttemptBroken                                      // the connection ended without an end marker
+	AttemptIncarnationMismatch                         // the back end is another life than the one relied on; it runs without reuse
 )
 
 // EventAttempt reports on an attempt.
--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -92,7 +92,7 @@
 	switch e.model.Submit(e.run.clock.Now(), job) {
 	case engine.Taken:
 	case engine.TakenWithoutReuse:
-		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptMismatch})
+		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
 		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Pushback: pushback.Said{Rest: busyRest}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, Well: true})
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -259,7 +259,7 @@
 			switch result {
 			case engine.Taken:
 			case engine.TakenWithoutReuse:
-				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptMismatch})
+				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
 				r.refused(s, action, life, pushback.Said{Leaving: result == engine.RefusedLeaving, Rest: 100 * time.Millisecond})
 			}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -270,7 +270,7 @@
 	s.post(out)
 	s.metrics.started(a, event)
 	if event.NoReuse {
-		mismatch := a.event(core.AttemptMismatch)
+		mismatch := a.event(core.AttemptIncarnationMismatch)
 		mismatch.Incarnation = event.Incarnation
 		s.post(mismatch)
 	}
