--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -145,7 +145,7 @@
 		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Answer{}})
 		return
 	}
-	if !event.Well {
+	if !event.BackendNotAtFault {
 		c.noteUnreachable(row)
 	}
 	c.failAttempt(r, at, event)
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -92,17 +92,17 @@
 
 // EventAttempt reports on an attempt.
 type EventAttempt struct {
-	ID          RequestID
-	Attempt     AttemptID
-	Echo        AttemptID // attempt id that the answer itself carries
-	Kind        AttemptEventKind
-	Index       int    // AttemptChunk: position in the answer; AttemptDone: its length
-	Text        string // AttemptChunk
-	Cached      int    // AttemptStarted: prompt tokens that were reused
-	Incarnation uint64 // AttemptStarted and AttemptMismatch
-	Answer      *ledger.Answer
-	Limited     bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
-	Well        bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
+	ID                RequestID
+	Attempt           AttemptID
+	Echo              AttemptID // attempt id that the answer itself carries
+	Kind              AttemptEventKind
+	Index             int    // AttemptChunk: position in the answer; AttemptDone: its length
+	Text              string // AttemptChunk
+	Cached            int    // AttemptStarted: prompt tokens that were reused
+	Incarnation       uint64 // AttemptStarted and AttemptMismatch
+	Answer            *ledger.Answer
+	Limited           bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
+	BackendNotAtFault bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
 }
 
 // EventPushback tells what a back end said of itself in an answer, whatever has become of the attempt meanwhile.
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -11,7 +11,7 @@
 func refused(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
 	return []Event{
 		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Pushback: pushback.Said{Rest: rest, Leaving: leaving}},
-		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, Well: true},
+		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
 	}
 }
 
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -287,7 +287,7 @@
 // refused takes up an engine's refusal, with what it says of itself.
 func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Said) {
 	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Pushback: said})
-	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, Well: true})
+	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
 func (r *routerNode) attemptEvent(s *sending, event core.EventAttempt) {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -43,7 +43,7 @@
 	}
 	if s.barred(run) {
 		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
-		refused.Well = true
+		refused.BackendNotAtFault = true
 		s.offer(refused)
 		s.offer(core.EventHeldBack{ID: action.ID})
 		return
@@ -142,7 +142,7 @@
 		return said, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.Well = !said.Pushback.Nothing()
+	event.BackendNotAtFault = !said.Pushback.Nothing()
 	return said, event
 }
 
