--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -85,7 +85,7 @@
 
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
-	if !event.Limited {
+	if !event.StatesRateLimit {
 		c.pushed.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
 	}
 }
