--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -21,23 +21,23 @@
 
 // ActionDispatch sends an attempt to a back end.
 type ActionDispatch struct {
-	ID              RequestID
-	Attempt         AttemptID
-	Backend         string
-	Address         string
-	Incarnation     uint64 // life of the back end that the decision counted on
-	Weights         string
-	Blocks          []prefix.Hash
-	RelyTokens      int // prompt tokens believed to be cached there
-	PrefillTokens   int // prompt tokens that it will probably compute
-	ResumeFrom      int // tokens of the answer that the caller already has
-	Lane            Lane
-	MaxTokens       int
-	ImportFrom      string // address of an engine or vault to copy cached blocks from, or ""
-	ImportBlocks    int    // how many leading blocks the copy should bring
-	Keep            bool   // ask the engine to store the prefix in the vault when done
-	KeepBlocks      int
-	SettingsVersion uint64
+	ID                   RequestID
+	Attempt              AttemptID
+	Backend              string
+	Address              string
+	Incarnation          uint64 // life of the back end that the decision counted on
+	Weights              string
+	Blocks               []prefix.Hash
+	ExpectedCachedTokens int // prompt tokens believed to be cached there
+	PrefillTokens        int // prompt tokens that it will probably compute
+	ResumeFrom           int // tokens of the answer that the caller already has
+	Lane                 Lane
+	MaxTokens            int
+	ImportFrom           string // address of an engine or vault to copy cached blocks from, or ""
+	ImportBlocks         int    // how many leading blocks the copy should bring
+	Keep                 bool   // ask the engine to store the prefix in the vault when done
+	KeepBlocks           int
+	SettingsVersion      uint64
 }
 
 // ActionCancel stops an attempt that is no longer wanted.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -161,7 +161,7 @@
 	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
 	next := need[ActionDispatch](t, h.report(sent.Backend, 2))
-	if next.RelyTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
+	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
 		t.Fatalf("after a restart: %+v", next)
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -160,7 +160,7 @@
 	row.pendingPrefill = append(row.pendingPrefill, pendingPrefill{attempt: sent.id, sentAt: c.now, tokens: chosen.Uncached, lane: r.Lane})
 	action := ActionDispatch{
 		ID: r.ID, Attempt: sent.id, Backend: row.machine.Name, Address: row.machine.Address,
-		Incarnation: row.incarnation, Weights: row.weights, Blocks: blocks, RelyTokens: chosen.Cached, PrefillTokens: chosen.Uncached,
+		Incarnation: row.incarnation, Weights: row.weights, Blocks: blocks, ExpectedCachedTokens: chosen.Cached, PrefillTokens: chosen.Uncached,
 		ResumeFrom: r.emitted, Lane: r.Lane, MaxTokens: min(r.MaxTokens, r.values.MaxOutputTokens),
 		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.version,
 	}
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -141,7 +141,7 @@
 	request := n.waiting[action.ID]
 	e := n.run.byName[action.Backend]
 	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
-		tokens: max(1, request.request.PromptTokens-action.RelyTokens)}
+		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
 	if action.Keep {
 		request.keep = action.Blocks[:action.KeepBlocks]
 	}
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -12,7 +12,7 @@
 		Prompt: a.run.prompt, Blocks: a.action.Blocks, PromptTokens: a.run.request.PromptTokens,
 		MaxTokens: a.action.MaxTokens, ResumeFrom: a.action.ResumeFrom, Lane: a.action.Lane,
 		Seed: a.run.completion.Seed, Incarnation: a.action.Incarnation, Weights: a.action.Weights,
-		RelyTokens: a.action.RelyTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
+		RelyTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
 	if a.action.Keep {
 		request.KeepBlocks, request.Vault = a.action.KeepBlocks, file.Router.Vault
