--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -35,7 +35,7 @@
 	MaxTokens            int
 	ImportFrom           string // address of an engine or vault to copy cached blocks from, or ""
 	ImportBlocks         int    // how many leading blocks the copy should bring
-	Keep                 bool   // ask the engine to store the prefix in the vault when done
+	StoreInVault         bool   // ask the engine to store the prefix in the vault when done
 	KeepBlocks           int
 	SettingsVersion      uint64
 }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -142,7 +142,7 @@
 	e := n.run.byName[action.Backend]
 	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
-	if action.Keep {
+	if action.StoreInVault {
 		request.keep = action.Blocks[:action.KeepBlocks]
 	}
 	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -14,7 +14,7 @@
 		Seed: a.run.completion.Seed, Incarnation: a.action.Incarnation, Weights: a.action.Weights,
 		RelyTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
-	if a.action.Keep {
+	if a.action.StoreInVault {
 		request.KeepBlocks, request.Vault = a.action.KeepBlocks, file.Router.Vault
 	}
 	return request
