--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -36,7 +36,7 @@
 	ImportFrom           string // address of an engine or vault to copy cached blocks from, or ""
 	ImportBlocks         int    // how many leading blocks the copy should bring
 	StoreInVault         bool   // ask the engine to store the prefix in the vault when done
-	KeepBlocks           int
+	VaultBlocks          int
 	SettingsVersion      uint64
 }
 
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -186,6 +186,6 @@
 		return
 	}
 	if !c.vault[blocks[shared-1]] {
-		action.StoreInVault, action.KeepBlocks = true, shared
+		action.StoreInVault, action.VaultBlocks = true, shared
 	}
 }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -143,7 +143,7 @@
 	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
 		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
 	if action.StoreInVault {
-		request.keep = action.Blocks[:action.KeepBlocks]
+		request.keep = action.Blocks[:action.VaultBlocks]
 	}
 	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
 	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -15,7 +15,7 @@
 		RelyTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
 	if a.action.StoreInVault {
-		request.KeepBlocks, request.Vault = a.action.KeepBlocks, file.Router.Vault
+		request.KeepBlocks, request.Vault = a.action.VaultBlocks, file.Router.Vault
 	}
 	return request
 }
