--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -16,8 +16,8 @@
 	Claim ledger.Claim
 }
 
-// ActionEnd tells the ledger how a claim ended. The shell repeats it until a control replica confirmed it.
-type ActionEnd struct{ End ledger.End }
+// ActionEndClaim tells the ledger how a claim ended. The shell repeats it until a control replica confirmed it.
+type ActionEndClaim struct{ End ledger.End }
 
 // ActionDispatch sends an attempt to a back end.
 type ActionDispatch struct {
@@ -109,7 +109,7 @@
 }
 
 func (ActionClaim) isAction()    {}
-func (ActionEnd) isAction()      {}
+func (ActionEndClaim) isAction() {}
 func (ActionDispatch) isAction() {}
 func (ActionCancel) isAction()   {}
 func (ActionChunk) isAction()    {}
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -248,7 +248,7 @@
 	case r.unproven == 0:
 		end.Kind = ledger.EndReleased
 	}
-	c.emit(ActionEnd{End: end})
+	c.emit(ActionEndClaim{End: end})
 }
 
 // claimLost reports whether a request ended while its claim's outcome was not known.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -189,7 +189,7 @@
 	if final := need[ActionFinish](t, actions); final.Run != RunUnknown {
 		t.Fatalf("final answer %+v", final)
 	}
-	if end := need[ActionEnd](t, actions); end.End.Kind != ledger.EndUnknown {
+	if end := need[ActionEndClaim](t, actions); end.End.Kind != ledger.EndUnknown {
 		t.Fatalf("claim ended as %v", end.End.Kind)
 	}
 }
@@ -203,7 +203,7 @@
 	if final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
 	}
-	if end := need[ActionEnd](t, actions); end.End.Kind != ledger.EndReleased {
+	if end := need[ActionEndClaim](t, actions); end.End.Kind != ledger.EndReleased {
 		t.Fatalf("claim ended as %v", end.End.Kind)
 	}
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -189,7 +189,7 @@
 		r.finish(typed)
 	case core.ActionClaim:
 		r.claim(typed)
-	case core.ActionEnd:
+	case core.ActionEndClaim:
 		end := typed.End
 		newAsker(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
 	case core.ActionSnapshot:
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -351,7 +351,7 @@
 			s.deliverFinish(typed)
 		case core.ActionClaim:
 			go s.claim(ctx, typed)
-		case core.ActionEnd:
+		case core.ActionEndClaim:
 			go s.endClaim(ctx, typed)
 		case core.ActionSnapshot:
 			go s.fetchSnapshot(ctx, typed)
