--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -102,16 +102,16 @@
 	Answer     *ledger.Answer // small services
 }
 
-// ActionSnapshot asks an engine for its full list of blocks.
-type ActionSnapshot struct {
+// ActionRequestSnapshot asks an engine for its full list of blocks.
+type ActionRequestSnapshot struct {
 	Backend string
 	Address string
 }
 
-func (ActionClaim) isAction()    {}
-func (ActionEndClaim) isAction() {}
-func (ActionDispatch) isAction() {}
-func (ActionCancel) isAction()   {}
-func (ActionChunk) isAction()    {}
-func (ActionFinish) isAction()   {}
-func (ActionSnapshot) isAction() {}
+func (ActionClaim) isAction()           {}
+func (ActionEndClaim) isAction()        {}
+func (ActionDispatch) isAction()        {}
+func (ActionCancel) isAction()          {}
+func (ActionChunk) isAction()           {}
+func (ActionFinish) isAction()          {}
+func (ActionRequestSnapshot) isAction() {}
--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -16,7 +16,7 @@
 		row := &c.backends[id]
 		if c.now >= row.snapshotAsked+snapshotRetry && row.state == BackendReady {
 			row.snapshotAsked = c.now
-			c.emit(ActionSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
+			c.emit(ActionRequestSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
 		}
 	}
 	c.index.Sweep(c.now, sweepPerTick)
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -132,7 +132,7 @@
 		n.chunk(typed)
 	case core.ActionFinish:
 		n.finish(typed)
-	case core.ActionSnapshot:
+	case core.ActionRequestSnapshot:
 		n.fetchSnapshot(typed)
 	}
 }
@@ -220,7 +220,7 @@
 	}
 }
 
-func (n *routerNode) fetchSnapshot(action core.ActionSnapshot) {
+func (n *routerNode) fetchSnapshot(action core.ActionRequestSnapshot) {
 	e := n.run.byName[action.Backend]
 	n.run.clock.After(n.latency(e), func() {
 		if e.down {
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -192,7 +192,7 @@
 	case core.ActionEndClaim:
 		end := typed.End
 		newAsker(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
-	case core.ActionSnapshot:
+	case core.ActionRequestSnapshot:
 		r.fetchSnapshot(typed)
 	}
 }
@@ -309,7 +309,7 @@
 	})
 }
 
-func (r *routerNode) fetchSnapshot(action core.ActionSnapshot) {
+func (r *routerNode) fetchSnapshot(action core.ActionRequestSnapshot) {
 	e := r.w.engine(action.Backend)
 	r.w.call(r.process, e.process, time.Second, func(respond func(func())) {
 		blocks, sequence := e.model.Snapshot()
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -97,7 +97,7 @@
 }
 
 // fetchSnapshot reads an engine's full list of cached blocks.
-func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionSnapshot) {
+func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionRequestSnapshot) {
 	attempt, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var reply api.CacheReply
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -353,7 +353,7 @@
 			go s.claim(ctx, typed)
 		case core.ActionEndClaim:
 			go s.endClaim(ctx, typed)
-		case core.ActionSnapshot:
+		case core.ActionRequestSnapshot:
 			go s.fetchSnapshot(ctx, typed)
 		}
 	}
