--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -42,7 +42,7 @@
 		return http.StatusServiceUnavailable, "The service's queue is full"
 	case core.ReasonDeadline:
 		return http.StatusServiceUnavailable, "The first token would come after the deadline"
-	case core.ReasonUnknownTarget:
+	case core.ReasonUnknownService:
 		return http.StatusNotFound, "No service answers this model or name"
 	case core.ReasonKeyRequired:
 		return http.StatusBadRequest, "This service needs an Idempotency-Key header"
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if !slices.Contains(c.tree.Services(), r.Service) {
-		c.refuse(r, ReasonUnknownTarget, 0)
+		c.refuse(r, ReasonUnknownService, 0)
 		return
 	}
 	r.values = c.effective(r.Service, r.Tenant)
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -168,7 +168,7 @@
 	}
 	service, known := held.models[completion.Model]
 	if !known {
-		return nil, core.Request{}, &callerError{core.ReasonUnknownTarget, http.StatusNotFound, "No service answers this model",
+		return nil, core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No service answers this model",
 			fmt.Sprintf("model %q is not in the settings", completion.Model)}
 	}
 	prompt := completion.Text()
@@ -259,7 +259,7 @@
 // readService checks a request to a small service.
 func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *callerError) {
 	if in.held.effective(s.file.Zone, service, "").Kind != settings.KindService {
-		return core.Request{}, &callerError{core.ReasonUnknownTarget, http.StatusNotFound, "No small service has this name", ""}
+		return core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
 	request, refusal := s.readHeaders(r)
 	request.Name, request.Tenant, request.Service = in.name, in.tenant, service
