--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -54,7 +54,7 @@
 		return http.StatusConflict, "An earlier send with this Idempotency-Key is still running"
 	case core.ReasonRunUnknown:
 		return http.StatusBadGateway, "The request may have run; its result is lost"
-	case core.ReasonNoBackend, core.ReasonRetries:
+	case core.ReasonNoBackend, core.ReasonRetriesExhausted:
 		return http.StatusServiceUnavailable, "No back end could take the request"
 	case core.ReasonDraining:
 		return http.StatusServiceUnavailable, "This router is stopping; ask another one"
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -204,7 +204,7 @@
 	}
 	service := c.service(r.Service)
 	if r.tries >= r.values.RetryAttempts || service.retryTokens < 1 {
-		c.refuse(r, ReasonRetries, retrySoon)
+		c.refuse(r, ReasonRetriesExhausted, retrySoon)
 		return
 	}
 	service.retryTokens--
@@ -216,7 +216,7 @@
 
 func (c *Core) continueStream(r *request) {
 	if r.tries > continuations {
-		c.finish(r, ActionFinish{Reason: ReasonRetries, Run: RunYes, RetryAfter: retrySoon})
+		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: retrySoon})
 		return
 	}
 	c.counters.Retries++
