--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,7 +12,7 @@
 
 // reasons that the core can refuse with.
 var reasons = []core.Reason{
-	core.ReasonNoSettings, core.ReasonNoLease, core.ReasonDraining, core.ReasonUnknownService, core.ReasonRateLimit, core.ReasonConcurrency,
+	core.ReasonNoSettings, core.ReasonNoLease, core.ReasonDraining, core.ReasonUnknownService, core.ReasonRateLimit, core.ReasonConcurrencyLimit,
 	core.ReasonQueueFull, core.ReasonDeadline, core.ReasonNoBackend, core.ReasonRetriesExhausted, core.ReasonKeyRequired, core.ReasonKeyReused,
 	core.ReasonKeyExpired, core.ReasonInProgress, core.ReasonRunUnknown, core.ReasonLedger,
 }
--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -36,7 +36,7 @@
 	switch reason {
 	case core.ReasonRateLimit:
 		return http.StatusTooManyRequests, "The tenant's request rate is used up"
-	case core.ReasonConcurrency:
+	case core.ReasonConcurrencyLimit:
 		return http.StatusTooManyRequests, "The tenant has too many requests in progress"
 	case core.ReasonQueueFull:
 		return http.StatusServiceUnavailable, "The service's queue is full"
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -75,7 +75,7 @@
 	ReasonDraining         Reason = "draining"
 	ReasonUnknownService   Reason = "unknown-service"
 	ReasonRateLimit        Reason = "rate-limit"
-	ReasonConcurrency      Reason = "concurrency-limit"
+	ReasonConcurrencyLimit Reason = "concurrency-limit"
 	ReasonQueueFull        Reason = "queue-full"
 	ReasonDeadline         Reason = "deadline"
 	ReasonNoBackend        Reason = "no-backend"
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -17,7 +17,7 @@
 func (c *Core) overLimit(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
 	if r.values.MaxConcurrent > 0 && tenant.active >= r.values.MaxConcurrent {
-		return ReasonConcurrency, retrySoon
+		return ReasonConcurrencyLimit, retrySoon
 	}
 	rate := r.values.RequestsPerSecond
 	if rate <= 0 {
