--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,7 +14,7 @@
 var reasons = []core.Reason{
 	core.ReasonNoSettings, core.ReasonNoLease, core.ReasonDraining, core.ReasonUnknownService, core.ReasonRateLimit, core.ReasonConcurrencyLimit,
 	core.ReasonQueueFull, core.ReasonDeadline, core.ReasonNoBackend, core.ReasonRetriesExhausted, core.ReasonKeyRequired, core.ReasonKeyReused,
-	core.ReasonKeyExpired, core.ReasonInProgress, core.ReasonRunUnknown, core.ReasonLedger,
+	core.ReasonKeyExpired, core.ReasonInProgress, core.ReasonRunUnknown, core.ReasonLedgerUnavailable,
 }
 
 func TestEveryReasonHasAStatusAndATitle(t *testing.T) {
--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -66,7 +66,7 @@
 		return http.StatusServiceUnavailable, "All back ends of the service have reached the limits that they name"
 	case core.ReasonHeldBack:
 		return http.StatusServiceUnavailable, "Back ends ended under this request again and again; it is sent to none until an operator releases it"
-	case core.ReasonLedger:
+	case core.ReasonLedgerUnavailable:
 		return http.StatusServiceUnavailable, "The run ledger did not answer"
 	}
 	return http.StatusInternalServerError, string(reason)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -68,28 +68,28 @@
 
 // Reasons of a final answer.
 const (
-	ReasonComplete         Reason = "complete"
-	ReasonReplayed         Reason = "replayed"
-	ReasonNoSettings       Reason = "no-settings"
-	ReasonNoLease          Reason = "no-lease"
-	ReasonDraining         Reason = "draining"
-	ReasonUnknownService   Reason = "unknown-service"
-	ReasonRateLimit        Reason = "rate-limit"
-	ReasonConcurrencyLimit Reason = "concurrency-limit"
-	ReasonQueueFull        Reason = "queue-full"
-	ReasonDeadline         Reason = "deadline"
-	ReasonNoBackend        Reason = "no-backend"
-	ReasonRetriesExhausted Reason = "retries-exhausted"
-	ReasonKeyRequired      Reason = "idempotency-key-required"
-	ReasonKeyReused        Reason = "idempotency-key-reused"
-	ReasonKeyExpired       Reason = "idempotency-key-expired"
-	ReasonInProgress       Reason = "in-progress"
-	ReasonRunUnknown       Reason = "run-unknown"
-	ReasonLedger           Reason = "ledger-unavailable"
-	ReasonCallerGone       Reason = "caller-gone"
-	ReasonHeldBack         Reason = "held-back"
-	ReasonResting          Reason = "resting" // all back ends that could take it asked for rest
-	ReasonLimited          Reason = "limited" // all of them have reached the limits that they name
+	ReasonComplete          Reason = "complete"
+	ReasonReplayed          Reason = "replayed"
+	ReasonNoSettings        Reason = "no-settings"
+	ReasonNoLease           Reason = "no-lease"
+	ReasonDraining          Reason = "draining"
+	ReasonUnknownService    Reason = "unknown-service"
+	ReasonRateLimit         Reason = "rate-limit"
+	ReasonConcurrencyLimit  Reason = "concurrency-limit"
+	ReasonQueueFull         Reason = "queue-full"
+	ReasonDeadline          Reason = "deadline"
+	ReasonNoBackend         Reason = "no-backend"
+	ReasonRetriesExhausted  Reason = "retries-exhausted"
+	ReasonKeyRequired       Reason = "idempotency-key-required"
+	ReasonKeyReused         Reason = "idempotency-key-reused"
+	ReasonKeyExpired        Reason = "idempotency-key-expired"
+	ReasonInProgress        Reason = "in-progress"
+	ReasonRunUnknown        Reason = "run-unknown"
+	ReasonLedgerUnavailable Reason = "ledger-unavailable"
+	ReasonCallerGone        Reason = "caller-gone"
+	ReasonHeldBack          Reason = "held-back"
+	ReasonResting           Reason = "resting" // all back ends that could take it asked for rest
+	ReasonLimited           Reason = "limited" // all of them have reached the limits that they name
 )
 
 // ActionFinish gives a request its final answer.
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -153,7 +153,7 @@
 		return // a late answer: the claim was released when the request was given up on
 	}
 	if event.Failed {
-		c.refuse(r, ReasonLedger, retrySoon)
+		c.refuse(r, ReasonLedgerUnavailable, retrySoon)
 		return
 	}
 	switch event.Outcome.Kind {
@@ -171,7 +171,7 @@
 	case ledger.KeyExpired:
 		c.finish(r, ActionFinish{Reason: ReasonKeyExpired, Run: RunUnknown})
 	default: // withdrawn or session closed: nothing is known of earlier sends
-		c.refuse(r, ReasonLedger, retrySoon)
+		c.refuse(r, ReasonLedgerUnavailable, retrySoon)
 	}
 }
 
@@ -253,7 +253,7 @@
 
 // claimLost reports whether a request ended while its claim's outcome was not known.
 func claimLost(reason Reason) bool {
-	return slices.Contains([]Reason{ReasonLedger, ReasonCallerGone}, reason)
+	return slices.Contains([]Reason{ReasonLedgerUnavailable, ReasonCallerGone}, reason)
 }
 
 func (c *Core) observeGone(id RequestID) {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -132,7 +132,7 @@
 	case r.inStream() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
 	case r.claimed && (r.epoch != c.epoch || !c.LeaseValid()):
-		return ReasonLedger // the claim ended with the session that made it
+		return ReasonLedgerUnavailable // the claim ended with the session that made it
 	case !c.mayServe():
 		return ReasonNoLease
 	}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -64,7 +64,7 @@
 		}
 	case stateClaiming:
 		if c.now >= r.deadline {
-			c.refuse(r, ReasonLedger, retrySoon)
+			c.refuse(r, ReasonLedgerUnavailable, retrySoon)
 		}
 	case stateRunning:
 		c.expireRunning(r)
