--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -16,17 +16,17 @@
 
 // Problem is an error answer. Run says whether the request ran.
 type Problem struct {
-	Type       string   `json:"type"`
-	Title      string   `json:"title"`
-	Status     int      `json:"status"`
-	Detail     string   `json:"detail,omitempty"`
-	RequestID  string   `json:"request_id,omitempty"`
-	Run        core.Run `json:"run"`
-	RetryAfter float64  `json:"retry_after_s,omitempty"` // seconds; 0 when trying again does not help
+	Type       string         `json:"type"`
+	Title      string         `json:"title"`
+	Status     int            `json:"status"`
+	Detail     string         `json:"detail,omitempty"`
+	RequestID  string         `json:"request_id,omitempty"`
+	Run        core.RunStatus `json:"run"`
+	RetryAfter float64        `json:"retry_after_s,omitempty"` // seconds; 0 when trying again does not help
 }
 
 // NewProblem returns a problem of a reason.
-func NewProblem(reason core.Reason, run core.Run, detail string) Problem {
+func NewProblem(reason core.Reason, run core.RunStatus, detail string) Problem {
 	status, title := Describe(reason)
 	return Problem{Type: "urn:kitetiller:" + string(reason), Title: title, Status: status, Detail: detail, Run: run}
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -53,14 +53,14 @@
 	Text  string
 }
 
-// Run says whether a request that got an error ran.
-type Run string
+// RunStatus says whether a request that got an error ran.
+type RunStatus string
 
 // Values of Run.
 const (
-	RunNot     Run = "not-run" // provably
-	RunYes     Run = "ran"
-	RunUnknown Run = "unknown"
+	RunNot     RunStatus = "not-run" // provably
+	RunYes     RunStatus = "ran"
+	RunUnknown RunStatus = "unknown"
 )
 
 // Reason classifies how a request ended.
@@ -96,7 +96,7 @@
 type ActionFinish struct {
 	ID         RequestID
 	Reason     Reason
-	Run        Run            // for errors
+	Run        RunStatus      // for errors
 	RetryAfter time.Duration  // 0: trying again does not help
 	Tokens     int            // length of a complete stream
 	Answer     *ledger.Answer // small services
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -182,7 +182,7 @@
 
 // provenRun tells what can be proved. A request with an idempotency key that was never granted its claim
 // may have run when it was sent before, so "not run" cannot be proved for it.
-func (c *Core) provenRun(r *request) Run {
+func (c *Core) provenRun(r *request) RunStatus {
 	if !c.config.Guards.On(guard.NotRunProof) {
 		return RunNot
 	}
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -23,7 +23,7 @@
 	Considered      int           `json:"considered"`
 	Shortlist       []Candidate   `json:"shortlist"`
 	Outcome         Reason        `json:"outcome"`
-	Run             Run           `json:"run"`
+	Run             RunStatus     `json:"run"`
 	FinishedAt      time.Duration `json:"finished_at_ns"`
 }
 
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -210,7 +210,7 @@
 		name, path, key, body string
 		headers               []string
 		status                int
-		run                   core.Run
+		run                   core.RunStatus
 	}{
 		{"no key", "/v1/completions", "", goodBody, nil, 401, core.RunNot},
 		{"unknown key", "/v1/completions", "other", goodBody, nil, 401, core.RunNot},
