--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -18,7 +18,7 @@
 	at := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
 	if at < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
 		if c.config.Guards.On(guard.AttemptCheck) {
-			c.counters.ForeignAnswers++
+			c.counters.UnmatchedAnswers++
 			c.dropForeign(r, at)
 			return
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -90,7 +90,7 @@
 	HitTokens        uint64
 	RecomputedTokens uint64
 	RepeatedChunks   uint64
-	ForeignAnswers   uint64
+	UnmatchedAnswers uint64
 	Gaps             uint64
 	Snapshots        uint64
 	Mismatches       uint64
