--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -91,7 +91,7 @@
 	RecomputedTokens uint64
 	RepeatedChunks   uint64
 	UnmatchedAnswers uint64
-	Gaps             uint64
+	CacheEventGaps   uint64
 	Snapshots        uint64
 	Mismatches       uint64
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -186,7 +186,7 @@
 	if row.wantSnapshot {
 		return
 	}
-	c.counters.Gaps++
+	c.counters.CacheEventGaps++
 	c.index.Doubt(row.id, c.now)
 	row.wantSnapshot = true
 	row.snapshotAsked = -snapshotRetry
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -63,7 +63,7 @@
 		define("recomputed_tokens_total", "Prompt tokens believed cached that engines computed again.", func(c core.Counters) uint64 { return c.RecomputedTokens }),
 		define("repeated_chunks_total", "Stream chunks dropped as repeated.", func(c core.Counters) uint64 { return c.RepeatedChunks }),
 		define("foreign_answers_total", "Answers dropped because they belong to another attempt.", func(c core.Counters) uint64 { return c.UnmatchedAnswers }),
-		define("event_gaps_total", "Gaps noticed in engines' cache events.", func(c core.Counters) uint64 { return c.Gaps }),
+		define("event_gaps_total", "Gaps noticed in engines' cache events.", func(c core.Counters) uint64 { return c.CacheEventGaps }),
 		define("cache_snapshots_total", "Cache snapshots read after gaps.", func(c core.Counters) uint64 { return c.Snapshots }),
 	}
 }
