--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -35,7 +35,7 @@
 	case AttemptDone:
 		c.attemptDone(r, at, event)
 	case AttemptIncarnationMismatch:
-		c.counters.Mismatches++
+		c.counters.IncarnationMismatches++
 		c.index.Forget(r.attempts[at].backend)
 	default:
 		c.attemptFailed(r, at, event)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -80,20 +80,20 @@
 
 // Counters are totals since the start.
 type Counters struct {
-	Requests         uint64
-	Complete         uint64
-	Refused          map[Reason]uint64
-	Attempts         uint64
-	Retries          uint64
-	Hedges           uint64
-	PromptTokens     uint64
-	HitTokens        uint64
-	RecomputedTokens uint64
-	RepeatedChunks   uint64
-	UnmatchedAnswers uint64
-	CacheEventGaps   uint64
-	Snapshots        uint64
-	Mismatches       uint64
+	Requests              uint64
+	Complete              uint64
+	Refused               map[Reason]uint64
+	Attempts              uint64
+	Retries               uint64
+	Hedges                uint64
+	PromptTokens          uint64
+	HitTokens             uint64
+	RecomputedTokens      uint64
+	RepeatedChunks        uint64
+	UnmatchedAnswers      uint64
+	CacheEventGaps        uint64
+	Snapshots             uint64
+	IncarnationMismatches uint64
 }
 
 // New returns a core without settings; it refuses everything until it has a tree and a lease.
