--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -225,7 +225,7 @@
 
 func (c *Core) count(final ActionFinish) {
 	if final.Reason == ReasonComplete || final.Reason == ReasonReplayed {
-		c.counters.Complete++
+		c.counters.Completed++
 		return
 	}
 	c.counters.Refused[final.Reason]++
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -81,7 +81,7 @@
 // Counters are totals since the start.
 type Counters struct {
 	Requests              uint64
-	Complete              uint64
+	Completed             uint64
 	Refused               map[Reason]uint64
 	Attempts              uint64
 	Retries               uint64
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -56,7 +56,7 @@
 	}
 	return []total{
 		define("requests_total", "Requests received by the core.", func(c core.Counters) uint64 { return c.Requests }),
-		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Complete }),
+		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Completed }),
 		define("attempts_total", "Attempts sent to back ends.", func(c core.Counters) uint64 { return c.Attempts }),
 		define("retries_total", "Attempts after a failed one.", func(c core.Counters) uint64 { return c.Retries }),
 		define("hedges_total", "Second attempts of silent requests.", func(c core.Counters) uint64 { return c.Hedges }),
