--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -58,7 +58,7 @@
 	sent.started = true
 	c.noteUnlimited(sent, event)
 	c.counters.PromptTokens += uint64(r.PromptTokens)
-	c.counters.HitTokens += uint64(event.Cached)
+	c.counters.CachedTokens += uint64(event.Cached)
 	row := &c.backends[sent.backend]
 	known := 0
 	if blocks := chainFor(r, row); len(blocks) > 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -87,7 +87,7 @@
 	Retries               uint64
 	Hedges                uint64
 	PromptTokens          uint64
-	HitTokens             uint64
+	CachedTokens          uint64
 	RecomputedTokens      uint64
 	RepeatedChunks        uint64
 	UnmatchedAnswers      uint64
