--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -145,9 +145,9 @@
 // LeaseValid reports whether the settings lease runs.
 func (c *Core) LeaseValid() bool { return c.now < c.leaseEnd }
 
-// Serves reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
+// AcceptsRequests reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
 // service, and no planned stop has begun.
-func (c *Core) Serves() bool { return c.version > 0 && c.mayServe() && !c.draining }
+func (c *Core) AcceptsRequests() bool { return c.version > 0 && c.mayServe() && !c.draining }
 
 // Draining reports whether a planned stop has begun.
 func (c *Core) Draining() bool { return c.draining }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -271,7 +271,7 @@
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
 	ready := false
 	s.ask(r.Context(), func(c *core.Core) {
-		ready = c.Serves()
+		ready = c.AcceptsRequests()
 	})
 	if !ready || s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
