--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -139,8 +139,8 @@
 
 func (c *Core) emit(action Action) { c.out = append(c.out, action) }
 
-// Version returns the settings version in use.
-func (c *Core) Version() uint64 { return c.version }
+// SettingsVersion returns the settings version in use.
+func (c *Core) SettingsVersion() uint64 { return c.version }
 
 // LeaseValid reports whether the settings lease runs.
 func (c *Core) LeaseValid() bool { return c.now < c.leaseEnd }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -244,8 +244,8 @@
 	h := newHarness(t, 1)
 	h.tick(EventSettings{Version: 9, Tree: testTree()})
 	h.tick(EventSettings{Version: 4, Tree: testTree()})
-	if h.core.Version() != 9 {
-		t.Fatalf("version %d in use, want 9", h.core.Version())
+	if h.core.SettingsVersion() != 9 {
+		t.Fatalf("version %d in use, want 9", h.core.SettingsVersion())
 	}
 }
 
--- a/internal/lab/sim/oracle.go
+++ b/internal/lab/sim/oracle.go
@@ -210,7 +210,7 @@
 
 // routerTicked checks that the version a router uses never goes back, restarts included.
 func (o *oracle) routerTicked(r *routerNode) {
-	version := r.core.Version()
+	version := r.core.SettingsVersion()
 	if version == 0 {
 		return
 	}
--- a/internal/lab/sim/settle.go
+++ b/internal/lab/sim/settle.go
@@ -61,8 +61,8 @@
 func (o *oracle) checkRouters(leader *controlNode) {
 	newest := leader.replica.Machine().Settings().Version()
 	for _, r := range o.w.routers {
-		if r.core.Version() != newest || !r.core.LeaseValid() {
-			o.fail(SettingsHold, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.Version(), r.core.LeaseValid(), newest)
+		if r.core.SettingsVersion() != newest || !r.core.LeaseValid() {
+			o.fail(SettingsHold, "%s uses version %d, lease=%v, while version %d is the newest", r.name, r.core.SettingsVersion(), r.core.LeaseValid(), newest)
 			return
 		}
 	}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -109,7 +109,7 @@
 	}{
 		{"active_requests", float64(c.Active())},
 		{"beliefs", float64(c.Beliefs())},
-		{"settings_version", float64(c.Version())},
+		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
 		{"event_ring_depth", float64(len(m.server.events))},
 		{"event_ring_shed", float64(m.server.shed.Load())},
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -275,7 +275,7 @@
 // when the settings changed.
 func (s *Server) publishView() {
 	previous := s.view.Load()
-	next := &view{version: s.core.Version(), weights: map[string][]string{}}
+	next := &view{version: s.core.SettingsVersion(), weights: map[string][]string{}}
 	if previous != nil && previous.version == next.version {
 		next.tree, next.keys, next.models = previous.tree, previous.keys, previous.models
 		next.services, next.values = previous.services, previous.values
