--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -152,8 +152,8 @@
 // Draining reports whether a planned stop has begun.
 func (c *Core) Draining() bool { return c.draining }
 
-// Active returns the number of requests that have no final answer yet.
-func (c *Core) Active() int { return len(c.requests) }
+// ActiveRequests returns the number of requests that have no final answer yet.
+func (c *Core) ActiveRequests() int { return len(c.requests) }
 
 // Counters returns the totals; the map in it is shared.
 func (c *Core) Counters() Counters { return c.counters }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -107,7 +107,7 @@
 		name  string
 		value float64
 	}{
-		{"active_requests", float64(c.Active())},
+		{"active_requests", float64(c.ActiveRequests())},
 		{"beliefs", float64(c.Beliefs())},
 		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
