--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -158,8 +158,8 @@
 // Counters returns the totals; the map in it is shared.
 func (c *Core) Counters() Counters { return c.counters }
 
-// Beliefs returns the number of beliefs in the index.
-func (c *Core) Beliefs() int { return c.index.Len() }
+// IndexedBlocks returns the number of beliefs in the index.
+func (c *Core) IndexedBlocks() int { return c.index.Len() }
 
 // Tree returns the settings in use; callers must not change it.
 func (c *Core) Tree() settings.Tree { return c.tree }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -309,7 +309,7 @@
 	reply := StatusReply{Name: s.file.Name, Zone: s.file.Zone, Incarnation: s.incarnation}
 	s.ask(r.Context(), func(c *core.Core) {
 		reply.Version, reply.LeaseValid, reply.Draining = c.SettingsVersion(), c.LeaseValid(), c.Draining()
-		reply.Active, reply.Beliefs, reply.Backends = c.ActiveRequests(), c.Beliefs(), c.Backends()
+		reply.Active, reply.Beliefs, reply.Backends = c.ActiveRequests(), c.IndexedBlocks(), c.Backends()
 	})
 	writeJSON(w, reply)
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -108,7 +108,7 @@
 		value float64
 	}{
 		{"active_requests", float64(c.ActiveRequests())},
-		{"beliefs", float64(c.Beliefs())},
+		{"beliefs", float64(c.IndexedBlocks())},
 		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
 		{"event_ring_depth", float64(len(m.server.events))},
