--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -23,8 +23,8 @@
 	doubtfulShare = 0.5
 	// importGain is the factor by which copying must beat recomputing.
 	importGain = 0.8
-	// DisplacedShare is the share of copied blocks that drive out others which are asked for again.
-	DisplacedShare = 0.6
+	// DisplacedFraction is the share of copied blocks that drive out others which are asked for again.
+	DisplacedFraction = 0.6
 	// importMinimumBlocks is the least run of blocks worth a copy.
 	importMinimumBlocks = 4
 )
@@ -225,7 +225,7 @@
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
 	candidate.Predicted = network + time.Duration(float64(candidate.raw)*row.bias)
 	displaced := float64(copiedTokens) / rate
-	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedShare*displaced)
+	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedFraction*displaced)
 	return candidate
 }
 
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -182,7 +182,7 @@
 		if whole < seconds(float64(compute)/rates.PrefillTokens) {
 			candidate.ImportBlocks, candidate.ImportFrom = deepest, source
 			compute, copied = p.tokensLeft(context.Request, deepest), seconds(float64(moved)/rates.ImportTokens)
-			displaced = seconds(core.DisplacedShare * float64(moved) / rates.PrefillTokens)
+			displaced = seconds(core.DisplacedFraction * float64(moved) / rates.PrefillTokens)
 		}
 	}
 	wait := seconds(float64(node.pendingTokens(context.Request.Lane)) / rates.PrefillTokens)
