--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -249,7 +249,7 @@
 	if len(candidates) == 0 || c.dispatchBar(r) != "" {
 		return
 	}
-	choice := c.config.Placer.Pick(PlaceContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
+	choice := c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
 	if choice < 0 {
 		return
 	}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -48,7 +48,7 @@
 	c.preferOwner(r, service, candidates)
 	choice := -1
 	if len(candidates) > 0 {
-		choice = c.config.Placer.Pick(PlaceContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
+		choice = c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
 	}
 	if choice < 0 {
 		return c.noCandidate(r, service)
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -45,8 +45,8 @@
 	raw          time.Duration // Predicted before the bias
 }
 
-// PlaceContext is what a placer may look at besides the candidates.
-type PlaceContext struct {
+// PlacementContext is what a placer may look at besides the candidates.
+type PlacementContext struct {
 	Now     time.Duration
 	Request *Request
 	Values  *settings.Values
@@ -55,7 +55,7 @@
 
 // Placer picks one of the candidates, or -1 to leave the request queued.
 type Placer interface {
-	Pick(context PlaceContext, candidates []Candidate) int
+	Pick(context PlacementContext, candidates []Candidate) int
 	// Imports reports whether cached blocks may be copied between engines.
 	Imports() bool
 }
@@ -64,7 +64,7 @@
 type CostPlacer struct{}
 
 // Pick returns the candidate of least cost.
-func (CostPlacer) Pick(_ PlaceContext, candidates []Candidate) int {
+func (CostPlacer) Pick(_ PlacementContext, candidates []Candidate) int {
 	best := -1
 	for i := range candidates {
 		if best < 0 || candidates[i].Cost < candidates[best].Cost {
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -64,7 +64,7 @@
 type randomPlacer struct{ noImports }
 
 // Pick returns any candidate.
-func (randomPlacer) Pick(context core.PlaceContext, candidates []core.Candidate) int {
+func (randomPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	return context.Random.IntN(len(candidates))
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Pick returns the candidate after the last one, in order of engine rows.
-func (p *roundRobinPlacer) Pick(_ core.PlaceContext, candidates []core.Candidate) int {
+func (p *roundRobinPlacer) Pick(_ core.PlacementContext, candidates []core.Candidate) int {
 	best := -1
 	for i := range candidates {
 		if int(candidates[i].Engine) > p.last && (best < 0 || candidates[i].Engine < candidates[best].Engine) {
@@ -91,7 +91,7 @@
 type leastLoadedPlacer struct{ noImports }
 
 // Pick returns the candidate with the fewest running requests.
-func (leastLoadedPlacer) Pick(_ core.PlaceContext, candidates []core.Candidate) int {
+func (leastLoadedPlacer) Pick(_ core.PlacementContext, candidates []core.Candidate) int {
 	best := 0
 	for i := range candidates {
 		if candidates[i].Running < candidates[best].Running {
@@ -110,7 +110,7 @@
 }
 
 // Pick returns the candidate with the highest hash that the bound allows.
-func (p prefixHashPlacer) Pick(context core.PlaceContext, candidates []core.Candidate) int {
+func (p prefixHashPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	order := make([]int, len(candidates))
 	weights := make([]uint64, len(candidates))
 	total := 0
@@ -156,7 +156,7 @@
 func (clairvoyantPlacer) Imports() bool { return true }
 
 // Pick corrects every candidate by what is true and returns the cheapest.
-func (p clairvoyantPlacer) Pick(context core.PlaceContext, candidates []core.Candidate) int {
+func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
 	chain := context.Request.Chains[0].Blocks
 	best := -1
 	source, deepest := p.run.deepestHolder(chain)
@@ -169,7 +169,7 @@
 	return best
 }
 
-func (p clairvoyantPlacer) correct(context core.PlaceContext, candidate *core.Candidate, source string, deepest int) {
+func (p clairvoyantPlacer) correct(context core.PlacementContext, candidate *core.Candidate, source string, deepest int) {
 	node := p.run.engines[candidate.Engine]
 	rates := p.run.rates
 	held := node.model.Holds(context.Request.Chains[0].Blocks)
