--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -56,8 +56,8 @@
 // Placer picks one of the candidates, or -1 to leave the request queued.
 type Placer interface {
 	Pick(context PlacementContext, candidates []Candidate) int
-	// Imports reports whether cached blocks may be copied between engines.
-	Imports() bool
+	// AllowsImport reports whether cached blocks may be copied between engines.
+	AllowsImport() bool
 }
 
 // CostPlacer picks the least cost; ties go to the first.
@@ -74,8 +74,8 @@
 	return best
 }
 
-// Imports is true: copies are part of the default policy.
-func (CostPlacer) Imports() bool { return true }
+// AllowsImport is true: copies are part of the default policy.
+func (CostPlacer) AllowsImport() bool { return true }
 
 // ringPoint is an engine's place on the consistent hash ring of its service.
 type ringPoint struct {
@@ -253,7 +253,7 @@
 // planImport adds a copy from the best holder, or the vault, when that beats recomputing. It returns the tokens to
 // copy and the time that takes.
 func (c *Core) planImport(r *request, row *backend, rate float64, candidate *Candidate) (int, time.Duration) {
-	if c.config.ImportRate <= 0 || !c.config.Placer.Imports() {
+	if c.config.ImportRate <= 0 || !c.config.Placer.AllowsImport() {
 		return 0, 0
 	}
 	blocks, source := c.bestSource(r, row)
--- a/internal/lab/bench/policies.go
+++ b/internal/lab/bench/policies.go
@@ -58,8 +58,8 @@
 // noImports is embedded by the baselines, which move no cached blocks.
 type noImports struct{}
 
-// Imports is false: baselines move no cached blocks.
-func (noImports) Imports() bool { return false }
+// AllowsImport is false: baselines move no cached blocks.
+func (noImports) AllowsImport() bool { return false }
 
 type randomPlacer struct{ noImports }
 
@@ -152,8 +152,8 @@
 // clairvoyantPlacer knows every cache and every queue exactly, and chooses by the same cost as the router.
 type clairvoyantPlacer struct{ run *run }
 
-// Imports is true: the bound may move cached blocks too.
-func (clairvoyantPlacer) Imports() bool { return true }
+// AllowsImport is true: the bound may move cached blocks too.
+func (clairvoyantPlacer) AllowsImport() bool { return true }
 
 // Pick corrects every candidate by what is true and returns the cheapest.
 func (p clairvoyantPlacer) Pick(context core.PlacementContext, candidates []core.Candidate) int {
