--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,10 +34,10 @@
 
 // Core is the router's state. It is not safe for concurrent use.
 type Core struct {
-	config Config
-	random *rand.Rand
-	now    time.Duration
-	out    []Action
+	config  Config
+	random  *rand.Rand
+	now     time.Duration
+	actions []Action
 
 	tree     settings.Tree
 	version  uint64
@@ -115,7 +115,7 @@
 func (c *Core) Tick(now time.Duration, events []Event) []Action {
 	c.detectPause(now)
 	c.now = max(c.now, now)
-	c.out = c.out[:0]
+	c.actions = c.actions[:0]
 	for _, event := range events {
 		c.observe(event)
 	}
@@ -126,7 +126,7 @@
 	c.runPlace()
 	c.runMove()
 	c.sweepPushback()
-	return c.out
+	return c.actions
 }
 
 // NextWakeup returns when Tick should be called at the latest, or false when only events matter.
@@ -137,7 +137,7 @@
 	return c.timers[0].at, true
 }
 
-func (c *Core) emit(action Action) { c.out = append(c.out, action) }
+func (c *Core) emit(action Action) { c.actions = append(c.actions, action) }
 
 // SettingsVersion returns the settings version in use.
 func (c *Core) SettingsVersion() uint64 { return c.version }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -173,7 +173,7 @@
 // grant sends a small request and grants its claim.
 func (h *harness) grant(id int, key string) ActionDispatch {
 	claim := need[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
-	if early, found := find[ActionDispatch](h.core.out); found {
+	if early, found := find[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("sent before the claim: %+v", early)
 	}
 	return need[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
