--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,14 +39,14 @@
 	now     time.Duration
 	actions []Action
 
-	tree     settings.Tree
-	version  uint64
-	hasTree  bool
-	values   map[tenantKey]settings.Values
-	epoch    uint64
-	leaseEnd time.Duration
-	hadLease bool
-	draining bool
+	tree            settings.Tree
+	settingsVersion uint64
+	hasTree         bool
+	values          map[tenantKey]settings.Values
+	epoch           uint64
+	leaseEnd        time.Duration
+	hadLease        bool
+	draining        bool
 
 	backends []backend
 	byName   map[string]prefix.EngineID
@@ -140,14 +140,14 @@
 func (c *Core) emit(action Action) { c.actions = append(c.actions, action) }
 
 // SettingsVersion returns the settings version in use.
-func (c *Core) SettingsVersion() uint64 { return c.version }
+func (c *Core) SettingsVersion() uint64 { return c.settingsVersion }
 
 // LeaseValid reports whether the settings lease runs.
 func (c *Core) LeaseValid() bool { return c.now < c.leaseEnd }
 
 // AcceptsRequests reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
 // service, and no planned stop has begun.
-func (c *Core) AcceptsRequests() bool { return c.version > 0 && c.mayServe() && !c.draining }
+func (c *Core) AcceptsRequests() bool { return c.settingsVersion > 0 && c.mayServe() && !c.draining }
 
 // Draining reports whether a planned stop has begun.
 func (c *Core) Draining() bool { return c.draining }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -285,7 +285,7 @@
 	for version, wanted := range map[uint64]int{2: 40, 3: 2} {
 		tree := testTree()
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), EngineConcurrency: pointer(wanted)}
-		h.core.version = version - 1
+		h.core.settingsVersion = version - 1
 		h.tick(EventSettings{Version: version, Tree: tree})
 		row := &h.core.backends[0]
 		if got := int(row.limit); got != wanted {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -67,7 +67,7 @@
 	if queued := c.now - r.arrived; queued > 0 && service.queued() > 0 {
 		service.noteServed(queued / time.Duration(service.queued()+1))
 	}
-	c.decisions.record(r, c.now, chosen, candidates, c.version)
+	c.decisions.record(r, c.now, chosen, candidates, c.settingsVersion)
 	c.dispatch(r, chosen)
 	return true
 }
@@ -162,7 +162,7 @@
 		ID: r.ID, Attempt: sent.id, Backend: row.machine.Name, Address: row.machine.Address,
 		Incarnation: row.incarnation, Weights: row.weights, Blocks: blocks, ExpectedCachedTokens: chosen.Cached, PrefillTokens: chosen.Uncached,
 		ResumeFrom: r.emitted, Lane: r.Lane, MaxTokens: min(r.MaxTokens, r.values.MaxOutputTokens),
-		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.version,
+		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.settingsVersion,
 	}
 	c.noteHot(r, blocks, &action)
 	c.emit(action)
