--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -76,7 +76,7 @@
 // mayServe reports whether new requests may be decided on: settings are known, and either the lease runs or
 // the operator prefers stale service.
 func (c *Core) mayServe() bool {
-	if !c.hasTree {
+	if !c.hasSettings {
 		return false
 	}
 	return c.LeaseValid() || c.tree.Resolve(c.config.Zone).WhenCutOff == cutOffServeLast
@@ -90,7 +90,7 @@
 		return
 	}
 	reason := ReasonNoLease
-	if !c.hasTree {
+	if !c.hasSettings {
 		reason = ReasonNoSettings
 	}
 	c.refuse(r, reason, retrySoon)
@@ -198,7 +198,7 @@
 // keyMatters reports whether the request may go to a non-repeatable service. Without a lease the settings may be
 // older than the ones by which another router ran it, so they prove nothing.
 func (c *Core) keyMatters(r *request) bool {
-	return !c.hasTree || !c.LeaseValid() || !c.effective(r.Service, r.Tenant).Repeatable
+	return !c.hasSettings || !c.LeaseValid() || !c.effective(r.Service, r.Tenant).Repeatable
 }
 
 // finish gives the final answer and clears every trace of the request.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -41,7 +41,7 @@
 
 	tree            settings.Tree
 	settingsVersion uint64
-	hasTree         bool
+	hasSettings     bool
 	values          map[tenantKey]settings.Values
 	epoch           uint64
 	leaseEnd        time.Duration
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -51,10 +51,10 @@
 }
 
 func (c *Core) observeSettings(event EventSettings) {
-	if c.hasTree && event.Version < c.settingsVersion && c.config.Guards.On(guard.VersionMonotonic) {
+	if c.hasSettings && event.Version < c.settingsVersion && c.config.Guards.On(guard.VersionMonotonic) {
 		return
 	}
-	c.tree, c.settingsVersion, c.hasTree = event.Tree, event.Version, true
+	c.tree, c.settingsVersion, c.hasSettings = event.Tree, event.Version, true
 	c.values = map[tenantKey]settings.Values{}
 	for i := range c.backends {
 		row := &c.backends[i]
