--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -39,14 +39,14 @@
 	now     time.Duration
 	actions []Action
 
-	tree            settings.Tree
-	settingsVersion uint64
-	hasSettings     bool
-	values          map[tenantKey]settings.Values
-	epoch           uint64
-	leaseEnd        time.Duration
-	hadLease        bool
-	draining        bool
+	tree             settings.Tree
+	settingsVersion  uint64
+	hasSettings      bool
+	resolvedSettings map[tenantKey]settings.Values
+	epoch            uint64
+	leaseEnd         time.Duration
+	hadLease         bool
+	draining         bool
 
 	backends []backend
 	byName   map[string]prefix.EngineID
@@ -103,7 +103,7 @@
 	}
 	return &Core{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), now: config.StartedAt,
-		values: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
+		resolvedSettings: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
 		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
@@ -167,10 +167,10 @@
 // effective returns the settings for a service and tenant in this router's zone.
 func (c *Core) effective(service, tenant string) settings.Values {
 	key := tenantKey{service, tenant}
-	values, found := c.values[key]
+	values, found := c.resolvedSettings[key]
 	if !found {
 		values = c.tree.Resolve(c.config.Zone, service, tenant)
-		c.values[key] = values
+		c.resolvedSettings[key] = values
 	}
 	return values
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c.tree, c.settingsVersion, c.hasSettings = event.Tree, event.Version, true
-	c.values = map[tenantKey]settings.Values{}
+	c.resolvedSettings = map[tenantKey]settings.Values{}
 	for i := range c.backends {
 		row := &c.backends[i]
 		values := c.effective(row.machine.Service, "")
