--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -53,7 +53,7 @@
 		c.refuse(r, ReasonUnknownService, 0)
 		return
 	}
-	r.values = c.effective(r.Service, r.Tenant)
+	r.values = c.effectiveSettings(r.Service, r.Tenant)
 	if !r.values.Repeatable && r.Key == "" {
 		c.refuse(r, ReasonKeyRequired, 0)
 		return
@@ -198,7 +198,7 @@
 // keyMatters reports whether the request may go to a non-repeatable service. Without a lease the settings may be
 // older than the ones by which another router ran it, so they prove nothing.
 func (c *Core) keyMatters(r *request) bool {
-	return !c.hasSettings || !c.LeaseValid() || !c.effective(r.Service, r.Tenant).Repeatable
+	return !c.hasSettings || !c.LeaseValid() || !c.effectiveSettings(r.Service, r.Tenant).Repeatable
 }
 
 // finish gives the final answer and clears every trace of the request.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -164,8 +164,8 @@
 // Tree returns the settings in use; callers must not change it.
 func (c *Core) Tree() settings.Tree { return c.tree }
 
-// effective returns the settings for a service and tenant in this router's zone.
-func (c *Core) effective(service, tenant string) settings.Values {
+// effectiveSettings returns the settings for a service and tenant in this router's zone.
+func (c *Core) effectiveSettings(service, tenant string) settings.Values {
 	key := tenantKey{service, tenant}
 	values, found := c.resolvedSettings[key]
 	if !found {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -41,7 +41,7 @@
 
 func (c *Core) judge(row *backend) BackendState {
 	silence := c.now - row.heardAt
-	suspectAfter := time.Duration(c.effective(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
+	suspectAfter := time.Duration(c.effectiveSettings(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
 	switch {
 	case !row.listed && silence > deadAfter:
 		return BackendDead
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -58,7 +58,7 @@
 	c.resolvedSettings = map[tenantKey]settings.Values{}
 	for i := range c.backends {
 		row := &c.backends[i]
-		values := c.effective(row.machine.Service, "")
+		values := c.effectiveSettings(row.machine.Service, "")
 		row.kind = values.Kind
 		row.setCeiling(float64(values.EngineConcurrency))
 	}
@@ -108,7 +108,7 @@
 		return &c.backends[id]
 	}
 	id := prefix.EngineID(len(c.backends))
-	values := c.effective(machine.Service, "")
+	values := c.effectiveSettings(machine.Service, "")
 	c.backends = append(c.backends, backend{
 		id: id, machine: machine, kind: values.Kind, heardAt: c.now,
 		limit: float64(values.EngineConcurrency), ceiling: float64(values.EngineConcurrency), bias: 1,
