--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -48,16 +48,16 @@
 	hadLease         bool
 	draining         bool
 
-	backends []backend
-	byName   map[string]prefix.EngineID
-	services map[string]*serviceState
-	tenants  map[tenantKey]*tenantState
-	requests map[RequestID]*request
-	arrivals []*request // not admitted yet
-	retries  []*request // attempts failed, next step not decided yet
-	timers   timerHeap
-	nextID   AttemptID
-	gaps     []prefix.EngineID // engines whose cache snapshot is wanted
+	backends   []backend
+	backendIDs map[string]prefix.EngineID
+	services   map[string]*serviceState
+	tenants    map[tenantKey]*tenantState
+	requests   map[RequestID]*request
+	arrivals   []*request // not admitted yet
+	retries    []*request // attempts failed, next step not decided yet
+	timers     timerHeap
+	nextID     AttemptID
+	gaps       []prefix.EngineID // engines whose cache snapshot is wanted
 
 	membershipDirty bool
 	membershipAt    time.Duration
@@ -103,7 +103,7 @@
 	}
 	return &Core{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), now: config.StartedAt,
-		resolvedSettings: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
+		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
 		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -270,7 +270,7 @@
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
 		holder := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
-		h.core.backends[h.core.byName[holder.Backend]].limit = 1 // it takes nothing more
+		h.core.backends[h.core.backendIDs[holder.Backend]].limit = 1 // it takes nothing more
 		second := need[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
 			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -77,7 +77,7 @@
 // observePeerSends counts what other routers sent and no report shows yet.
 func (c *Core) observePeerSends(event EventPeerDispatches) {
 	for _, send := range event.Dispatches {
-		id, found := c.byName[send.Backend]
+		id, found := c.backendIDs[send.Backend]
 		if !found {
 			continue
 		}
@@ -104,7 +104,7 @@
 
 // backendRow returns the row of a machine, made when it is first named.
 func (c *Core) backendRow(machine Machine) *backend {
-	if id, found := c.byName[machine.Name]; found {
+	if id, found := c.backendIDs[machine.Name]; found {
 		return &c.backends[id]
 	}
 	id := prefix.EngineID(len(c.backends))
@@ -113,7 +113,7 @@
 		id: id, machine: machine, kind: values.Kind, heardAt: c.now,
 		limit: float64(values.EngineConcurrency), ceiling: float64(values.EngineConcurrency), bias: 1,
 	})
-	c.byName[machine.Name] = id
+	c.backendIDs[machine.Name] = id
 	service := c.service(machine.Service)
 	service.backends = append(service.backends, id)
 	service.ringStale = true
@@ -121,7 +121,7 @@
 }
 
 func (c *Core) observeBackend(event EventBackendPoll) {
-	id, found := c.byName[event.Name]
+	id, found := c.backendIDs[event.Name]
 	if !found {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 func (c *Core) observeSnapshot(event EventCacheSnapshot) {
-	id, found := c.byName[event.Name]
+	id, found := c.backendIDs[event.Name]
 	if !found {
 		return
 	}
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -85,7 +85,7 @@
 	}
 	c.pushedSweptAt = c.now
 	c.pushed.Sweep(c.now, func(life catalog.Life) bool {
-		id, known := c.byName[life.Name]
+		id, known := c.backendIDs[life.Name]
 		return known && c.backends[id].incarnation == uint64(life.Born)
 	})
 }
