--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -163,7 +163,7 @@
 	c.dropAttempt(r, at)
 	r.failedOn = append(r.failedOn, sent.backend)
 	if len(r.attempts) == 0 {
-		c.retries = append(c.retries, r)
+		c.pendingRetries = append(c.pendingRetries, r)
 	}
 }
 
@@ -183,12 +183,12 @@
 
 // runRetry decides what follows a failed attempt.
 func (c *Core) runRetry() {
-	for _, r := range c.retries {
+	for _, r := range c.pendingRetries {
 		if c.requests[r.ID] == r && len(r.attempts) == 0 {
 			c.retry(r)
 		}
 	}
-	c.retries = c.retries[:0]
+	c.pendingRetries = c.pendingRetries[:0]
 }
 
 // retry tries again where that is allowed. A non-repeatable request is sent again only when every earlier
