--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,7 +56,7 @@
 	arrivals       []*request // not admitted yet
 	pendingRetries []*request // attempts failed, next step not decided yet
 	timers         timerHeap
-	nextID         AttemptID
+	lastAttemptID  AttemptID
 	gaps           []prefix.EngineID // engines whose cache snapshot is wanted
 
 	membershipDirty bool
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -142,11 +142,11 @@
 // dispatch sends an attempt to the chosen engine and believes at once that it will hold the prefix.
 func (c *Core) dispatch(r *request, chosen Candidate) {
 	row := &c.backends[chosen.Engine]
-	c.nextID++
+	c.lastAttemptID++
 	c.counters.Attempts++
 	blocks := chainFor(r, row)
 	sent := attempt{
-		id: c.nextID, backend: row.id, life: row.incarnation, sentAt: c.now,
+		id: c.lastAttemptID, backend: row.id, life: row.incarnation, sentAt: c.now,
 		predicted: chosen.raw, base: r.emitted, uncached: chosen.Uncached,
 	}
 	r.attempts = append(r.attempts, sent)
