--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -48,16 +48,16 @@
 	hadLease         bool
 	draining         bool
 
-	backends       []backend
-	backendIDs     map[string]prefix.EngineID
-	services       map[string]*serviceState
-	tenants        map[tenantKey]*tenantState
-	requests       map[RequestID]*request
-	arrivals       []*request // not admitted yet
-	pendingRetries []*request // attempts failed, next step not decided yet
-	timers         timerHeap
-	lastAttemptID  AttemptID
-	gaps           []prefix.EngineID // engines whose cache snapshot is wanted
+	backends        []backend
+	backendIDs      map[string]prefix.EngineID
+	services        map[string]*serviceState
+	tenants         map[tenantKey]*tenantState
+	requests        map[RequestID]*request
+	arrivals        []*request // not admitted yet
+	pendingRetries  []*request // attempts failed, next step not decided yet
+	timers          timerHeap
+	lastAttemptID   AttemptID
+	snapshotsWanted []prefix.EngineID // engines whose cache snapshot is wanted
 
 	membershipDirty bool
 	membershipAt    time.Duration
--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -11,8 +11,8 @@
 
 // runMove asks for cache snapshots after gaps and sweeps old beliefs.
 func (c *Core) runMove() {
-	c.gaps = slices.DeleteFunc(c.gaps, func(id prefix.EngineID) bool { return !c.backends[id].wantSnapshot })
-	for _, id := range c.gaps {
+	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].wantSnapshot })
+	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
 		if c.now >= row.snapshotAsked+snapshotRetry && row.state == BackendReady {
 			row.snapshotAsked = c.now
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -190,7 +190,7 @@
 	c.index.Doubt(row.id, c.now)
 	row.wantSnapshot = true
 	row.snapshotAsked = -snapshotRetry
-	c.gaps = append(c.gaps, row.id)
+	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
 }
 
 func (c *Core) observeSnapshot(event EventCacheSnapshot) {
