--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -59,10 +59,10 @@
 	lastAttemptID   AttemptID
 	snapshotsWanted []prefix.EngineID // engines whose cache snapshot is wanted
 
-	membershipDirty bool
-	membershipAt    time.Duration
-	listAskedAt     time.Duration // when the newest reading of the platform's list was asked for
-	resumedAt       time.Duration // when the process last went on after it had stood still
+	membershipDirty     bool
+	membershipCheckedAt time.Duration
+	listAskedAt         time.Duration // when the newest reading of the platform's list was asked for
+	resumedAt           time.Duration // when the process last went on after it had stood still
 
 	index   *prefix.Index
 	hot     *prefix.HotTable
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -25,11 +25,11 @@
 // lately, is on the platform's list, and is not loading weights; the list alone never makes it ready, and
 // never kills one that answers.
 func (c *Core) runMembership() {
-	if !c.membershipDirty && c.now < c.membershipAt+membershipPeriod {
+	if !c.membershipDirty && c.now < c.membershipCheckedAt+membershipPeriod {
 		return
 	}
 	c.membershipDirty = false
-	c.membershipAt = c.now
+	c.membershipCheckedAt = c.now
 	for i := range c.backends {
 		row := &c.backends[i]
 		next := c.judge(row)
