--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,7 +61,7 @@
 
 	membershipDirty     bool
 	membershipCheckedAt time.Duration
-	listAskedAt         time.Duration // when the newest reading of the platform's list was asked for
+	listRequestedAt     time.Duration // when the newest reading of the platform's list was asked for
 	resumedAt           time.Duration // when the process last went on after it had stood still
 
 	index   *prefix.Index
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -133,7 +133,7 @@
 
 // awaitsList reports whether placing must wait for a list that is younger than a standstill.
 func (c *Core) awaitsList() bool {
-	return c.resumedAt > c.listAskedAt && c.now < c.resumedAt+listPatience && c.config.Guards.On(guard.LeavingCheck)
+	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+listPatience && c.config.Guards.On(guard.LeavingCheck)
 }
 
 // ready reports whether new work may be sent to a back end.
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -88,7 +88,7 @@
 
 func (c *Core) observePlatform(event EventMachineList) {
 	c.membershipDirty = true
-	c.listAskedAt = max(c.listAskedAt, event.AskedAt)
+	c.listRequestedAt = max(c.listRequestedAt, event.AskedAt)
 	for i := range c.backends {
 		c.backends[i].listed = false
 	}
