--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -64,11 +64,11 @@
 	listRequestedAt     time.Duration // when the newest reading of the platform's list was asked for
 	resumedAt           time.Duration // when the process last went on after it had stood still
 
-	index   *prefix.Index
-	hot     *prefix.HotTable
-	vault   map[prefix.Hash]bool
-	matches []prefix.Match // scratch
-	scores  []Candidate    // scratch
+	index       *prefix.Index
+	hot         *prefix.HotTable
+	vaultBlocks map[prefix.Hash]bool
+	matches     []prefix.Match // scratch
+	scores      []Candidate    // scratch
 
 	pushed        *pushback.Book // what back ends said of themselves in answers
 	others        []string       // routers beside this one that send to the same back ends
@@ -106,7 +106,7 @@
 		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewHotTable(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hot: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -67,9 +67,9 @@
 func (c *Core) observeVault(event EventVault) {
 	for _, hash := range event.Blocks {
 		if event.Held {
-			c.vault[hash] = true
+			c.vaultBlocks[hash] = true
 		} else {
-			delete(c.vault, hash)
+			delete(c.vaultBlocks, hash)
 		}
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -185,7 +185,7 @@
 	if rate < r.values.HotRequestsPerMinute || !r.values.VaultKeep || c.config.Vault == "" {
 		return
 	}
-	if !c.vault[blocks[shared-1]] {
+	if !c.vaultBlocks[blocks[shared-1]] {
 		action.StoreInVault, action.VaultBlocks = true, shared
 	}
 }
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -309,7 +309,7 @@
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
-		if c.vault[chain[middle]] {
+		if c.vaultBlocks[chain[middle]] {
 			low = middle + 1
 		} else {
 			high = middle
