--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 	resumedAt           time.Duration // when the process last went on after it had stood still
 
 	index       *prefix.Index
-	hot         *prefix.HotTable
+	hotPrefixes *prefix.HotTable
 	vaultBlocks map[prefix.Hash]bool
 	matches     []prefix.Match // scratch
 	scores      []Candidate    // scratch
@@ -106,7 +106,7 @@
 		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hotPrefixes: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -181,7 +181,7 @@
 		return
 	}
 	shared := min(c.matches[0].Blocks, len(blocks))
-	rate := c.hot.Touch(blocks[shared-1], c.now)
+	rate := c.hotPrefixes.Touch(blocks[shared-1], c.now)
 	if rate < r.values.HotRequestsPerMinute || !r.values.VaultKeep || c.config.Vault == "" {
 		return
 	}
