--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,7 +68,7 @@
 	hotPrefixes *prefix.HotTable
 	vaultBlocks map[prefix.Hash]bool
 	matches     []prefix.Match // scratch
-	scores      []Candidate    // scratch
+	candidates  []Candidate    // scratch
 
 	pushed        *pushback.Book // what back ends said of themselves in answers
 	others        []string       // routers beside this one that send to the same back ends
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -187,11 +187,11 @@
 	for _, chain := range r.Chains {
 		c.matches = c.index.Lookup(chain.Blocks, c.now, c.matches)
 	}
-	c.scores = c.scores[:0]
+	c.candidates = c.candidates[:0]
 	for _, id := range c.filter(r, service) {
-		c.scores = append(c.scores, c.scoreOne(r, &c.backends[id]))
+		c.candidates = append(c.candidates, c.scoreOne(r, &c.backends[id]))
 	}
-	return c.scores
+	return c.candidates
 }
 
 func (c *Core) matchFor(id prefix.EngineID) prefix.Match {
