--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,7 +70,7 @@
 	matches     []prefix.Match // scratch
 	candidates  []Candidate    // scratch
 
-	pushed        *pushback.Book // what back ends said of themselves in answers
+	pushback      *pushback.Book // what back ends said of themselves in answers
 	others        []string       // routers beside this one that send to the same back ends
 	pushedSweptAt time.Duration
 
@@ -106,7 +106,7 @@
 		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hotPrefixes: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushed: pushback.NewBook(),
+		hotPrefixes: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushback: pushback.NewBook(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -56,7 +56,7 @@
 		return 0
 	}
 	life := lifeOf(row.machine.Name, row.incarnation)
-	limit := c.pushed.Limit(life)
+	limit := c.pushback.Limit(life)
 	if !limit.Named {
 		row.permits = permits{}
 		return 0
@@ -86,6 +86,6 @@
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
 	if !event.StatesRateLimit {
-		c.pushed.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
+		c.pushback.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
 	}
 }
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -14,14 +14,14 @@
 
 // observeSaid takes up what a back end says of itself.
 func (c *Core) observeSaid(event EventPushback) {
-	c.pushed.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Pushback, c.random.Float64())
+	c.pushback.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Pushback, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Pushback.Leaving
 }
 
 // saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
 // undo that.
 func (c *Core) saysLeaving(row *backend) bool {
-	return c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Leaving
+	return c.pushback.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Leaving
 }
 
 // rests returns how long a back end still wants nothing from this router.
@@ -29,7 +29,7 @@
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
-	return max(0, c.pushed.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Until-c.now)
+	return max(0, c.pushback.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Until-c.now)
 }
 
 // barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
@@ -84,7 +84,7 @@
 		return
 	}
 	c.pushedSweptAt = c.now
-	c.pushed.Sweep(c.now, func(life catalog.Life) bool {
+	c.pushback.Sweep(c.now, func(life catalog.Life) bool {
 		id, known := c.backendIDs[life.Name]
 		return known && c.backends[id].incarnation == uint64(life.Born)
 	})
