--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -71,7 +71,7 @@
 	candidates  []Candidate    // scratch
 
 	pushback      *pushback.Book // what back ends said of themselves in answers
-	others        []string       // routers beside this one that send to the same back ends
+	peerRouters   []string       // routers beside this one that send to the same back ends
 	pushedSweptAt time.Duration
 
 	decisions decisionRing
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -17,16 +17,16 @@
 )
 
 // observeRouters takes up which routers share what back ends take from all.
-func (c *Core) observeRouters(event EventPeerRouters) { c.others = event.Names }
+func (c *Core) observeRouters(event EventPeerRouters) { c.peerRouters = event.Names }
 
 // share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
 // one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
 // word (highest random weights), and one that is cut off knows it still.
 func (c *Core) share(life catalog.Life, limit float64) float64 {
-	senders := min(1+len(c.others), max(1, int(min(limit, float64(1+len(c.others))))))
+	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
 	own := routerWeight(life, c.config.Router)
 	before := 0
-	for _, other := range c.others {
+	for _, other := range c.peerRouters {
 		if weight := routerWeight(life, other); weight > own || weight == own && other < c.config.Router {
 			before++
 		}
