--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,9 +70,9 @@
 	matches     []prefix.Match // scratch
 	candidates  []Candidate    // scratch
 
-	pushback      *pushback.Book // what back ends said of themselves in answers
-	peerRouters   []string       // routers beside this one that send to the same back ends
-	pushedSweptAt time.Duration
+	pushback        *pushback.Book // what back ends said of themselves in answers
+	peerRouters     []string       // routers beside this one that send to the same back ends
+	pushbackSweptAt time.Duration
 
 	decisions decisionRing
 	counters  Counters
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -80,10 +80,10 @@
 
 // sweepPushback forgets words that count no longer.
 func (c *Core) sweepPushback() {
-	if c.now < c.pushedSweptAt+pushbackSweep {
+	if c.now < c.pushbackSweptAt+pushbackSweep {
 		return
 	}
-	c.pushedSweptAt = c.now
+	c.pushbackSweptAt = c.now
 	c.pushback.Sweep(c.now, func(life catalog.Life) bool {
 		id, known := c.backendIDs[life.Name]
 		return known && c.backends[id].incarnation == uint64(life.Born)
