--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -29,8 +29,8 @@
 	c.arrivals = append(c.arrivals, fresh)
 }
 
-// runAdmit decides on the requests that arrived.
-func (c *Core) runAdmit() {
+// runAdmission decides on the requests that arrived.
+func (c *Core) runAdmission() {
 	for _, r := range c.arrivals {
 		if c.requests[r.ID] == r {
 			c.admit(r)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -120,7 +120,7 @@
 		c.observe(event)
 	}
 	c.runMembership()
-	c.runAdmit()
+	c.runAdmission()
 	c.runRetry()
 	c.runTimers()
 	c.runPlace()
