--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -181,8 +181,8 @@
 	continuations = 8
 )
 
-// runRetry decides what follows a failed attempt.
-func (c *Core) runRetry() {
+// runRetries decides what follows a failed attempt.
+func (c *Core) runRetries() {
 	for _, r := range c.pendingRetries {
 		if c.requests[r.ID] == r && len(r.attempts) == 0 {
 			c.retry(r)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -121,7 +121,7 @@
 	}
 	c.runMembership()
 	c.runAdmission()
-	c.runRetry()
+	c.runRetries()
 	c.runTimers()
 	c.runPlace()
 	c.runMove()
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -95,7 +95,7 @@
 		return
 	}
 	c.attemptFailed(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
-	c.runRetry()
+	c.runRetries()
 }
 
 func (c *Core) stallLimit(r *request) time.Duration {
