--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -123,7 +123,7 @@
 	c.runAdmission()
 	c.runRetries()
 	c.runTimers()
-	c.runPlace()
+	c.runPlacement()
 	c.runMove()
 	c.sweepPushback()
 	return c.actions
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -13,8 +13,8 @@
 // that later requests find it without any event.
 const affinityDiscount = 0.9
 
-// runPlace serves the queues until no engine has room.
-func (c *Core) runPlace() {
+// runPlacement serves the queues until no engine has room.
+func (c *Core) runPlacement() {
 	if c.awaitsList() {
 		return
 	}
