--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -124,7 +124,7 @@
 	c.runRetries()
 	c.runTimers()
 	c.runPlacement()
-	c.runMove()
+	c.runIndexMaintenance()
 	c.sweepPushback()
 	return c.actions
 }
--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -9,8 +9,8 @@
 // sweepPerTick bounds the beliefs looked at in one tick, so that sweeping never delays a decision much.
 const sweepPerTick = 16
 
-// runMove asks for cache snapshots after gaps and sweeps old beliefs.
-func (c *Core) runMove() {
+// runIndexMaintenance asks for cache snapshots after gaps and sweeps old beliefs.
+func (c *Core) runIndexMaintenance() {
 	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].wantSnapshot })
 	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
