--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -40,7 +40,7 @@
 }
 
 func (c *Core) judge(row *backend) BackendState {
-	silence := c.now - row.heardAt
+	silence := c.now - row.lastSeenAt
 	suspectAfter := time.Duration(c.effectiveSettings(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
 	switch {
 	case !row.listed && silence > deadAfter:
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -110,7 +110,7 @@
 	id := prefix.EngineID(len(c.backends))
 	values := c.effectiveSettings(machine.Service, "")
 	c.backends = append(c.backends, backend{
-		id: id, machine: machine, kind: values.Kind, heardAt: c.now,
+		id: id, machine: machine, kind: values.Kind, lastSeenAt: c.now,
 		limit: float64(values.EngineConcurrency), ceiling: float64(values.EngineConcurrency), bias: 1,
 	})
 	c.backendIDs[machine.Name] = id
@@ -133,7 +133,7 @@
 	}
 	report := event.Report
 	c.noteLife(row, report)
-	row.heardAt = max(row.heardAt, event.RequestedAt)
+	row.lastSeenAt = max(row.lastSeenAt, event.RequestedAt)
 	row.failures = 0
 	row.loading = report.Loading
 	row.leaving = report.Leaving
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -32,7 +32,7 @@
 	kind    string
 
 	state       BackendState
-	heardAt     time.Duration
+	lastSeenAt  time.Duration
 	incarnation uint64
 	weights     string
 	loading     bool
