--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -138,8 +138,8 @@
 	row.loading = report.Loading
 	row.leaving = report.Leaving
 	row.load = report.Load
-	row.reportedAt = c.now - report.Load.Age
-	row.peerPrefill = slices.DeleteFunc(row.peerPrefill, func(sent pendingPrefill) bool { return sent.sentAt < row.reportedAt })
+	row.loadMeasuredAt = c.now - report.Load.Age
+	row.peerPrefill = slices.DeleteFunc(row.peerPrefill, func(sent pendingPrefill) bool { return sent.sentAt < row.loadMeasuredAt })
 	c.index.SetMaxAge(id, report.Load.EvictionAge)
 	c.applyCacheEvents(row, report)
 }
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -238,7 +238,7 @@
 		pending = row.load.InteractiveTokens
 	}
 	for _, sent := range row.pendingPrefill {
-		if sent.sentAt >= row.reportedAt && (l == LaneBatch || sent.lane == LaneInteractive) {
+		if sent.sentAt >= row.loadMeasuredAt && (l == LaneBatch || sent.lane == LaneInteractive) {
 			pending += sent.tokens
 		}
 	}
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -38,8 +38,8 @@
 	loading     bool
 	leaving     bool // by its newest report
 
-	load       Load
-	reportedAt time.Duration // when the load was true, by our clock
+	load           Load
+	loadMeasuredAt time.Duration // when the load was true, by our clock
 
 	nextSequence   uint64 // next cache event expected
 	wantSnapshot   bool
