--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -11,7 +11,7 @@
 
 // runIndexMaintenance asks for cache snapshots after gaps and sweeps old beliefs.
 func (c *Core) runIndexMaintenance() {
-	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].wantSnapshot })
+	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].needsSnapshot })
 	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
 		if c.now >= row.snapshotAsked+snapshotRetry && row.state == BackendReady {
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -183,12 +183,12 @@
 }
 
 func (c *Core) noteGap(row *backend) {
-	if row.wantSnapshot {
+	if row.needsSnapshot {
 		return
 	}
 	c.counters.CacheEventGaps++
 	c.index.Doubt(row.id, c.now)
-	row.wantSnapshot = true
+	row.needsSnapshot = true
 	row.snapshotAsked = -snapshotRetry
 	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	c.counters.Snapshots++
-	row.wantSnapshot = false
+	row.needsSnapshot = false
 	row.nextSequence = max(row.nextSequence, event.Sequence)
 	c.index.Forget(id)
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -42,7 +42,7 @@
 	loadMeasuredAt time.Duration // when the load was true, by our clock
 
 	nextSequence   uint64 // next cache event expected
-	wantSnapshot   bool
+	needsSnapshot  bool
 	snapshotAsked  time.Duration
 	running        int // own attempts
 	pendingPrefill []pendingPrefill
