--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -14,8 +14,8 @@
 	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].needsSnapshot })
 	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
-		if c.now >= row.snapshotAsked+snapshotRetry && row.state == BackendReady {
-			row.snapshotAsked = c.now
+		if c.now >= row.snapshotRequestedAt+snapshotRetry && row.state == BackendReady {
+			row.snapshotRequestedAt = c.now
 			c.emit(ActionRequestSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
 		}
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -189,7 +189,7 @@
 	c.counters.CacheEventGaps++
 	c.index.Doubt(row.id, c.now)
 	row.needsSnapshot = true
-	row.snapshotAsked = -snapshotRetry
+	row.snapshotRequestedAt = -snapshotRetry
 	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
 }
 
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -41,17 +41,17 @@
 	load           Load
 	loadMeasuredAt time.Duration // when the load was true, by our clock
 
-	nextSequence   uint64 // next cache event expected
-	needsSnapshot  bool
-	snapshotAsked  time.Duration
-	running        int // own attempts
-	pendingPrefill []pendingPrefill
-	peerPrefill    []pendingPrefill // of other routers, as far as they told and no report shows it
-	limit          float64          // adaptive concurrency
-	ceiling        float64          // highest limit that the settings allow
-	bias           float64          // observed over predicted time to first token, smoothed
-	failures       int              // in a row
-	permits        permits          // of the limit that it names
+	nextSequence        uint64 // next cache event expected
+	needsSnapshot       bool
+	snapshotRequestedAt time.Duration
+	running             int // own attempts
+	pendingPrefill      []pendingPrefill
+	peerPrefill         []pendingPrefill // of other routers, as far as they told and no report shows it
+	limit               float64          // adaptive concurrency
+	ceiling             float64          // highest limit that the settings allow
+	bias                float64          // observed over predicted time to first token, smoothed
+	failures            int              // in a row
+	permits             permits          // of the limit that it names
 }
 
 // pendingPrefill is an attempt of ours that has not given its first token yet.
