--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -53,14 +53,14 @@
 	row.bias += biasSmoothing * (row.bias*ratio - row.bias)
 	row.bias = min(max(row.bias, minimumBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
-		row.limit = min(row.ceiling, max(minimumLimit, row.limit*limitDecrease))
+		row.limit = min(row.maxConcurrency, max(minimumLimit, row.limit*limitDecrease))
 		return
 	}
-	row.limit = min(row.ceiling, row.limit+limitIncrease)
+	row.limit = min(row.maxConcurrency, row.limit+limitIncrease)
 }
 
 // setCeiling takes up another highest limit; the limit keeps its share of it.
 func (row *backend) setCeiling(ceiling float64) {
-	row.limit = min(ceiling, max(minimumLimit, row.limit*ceiling/row.ceiling))
-	row.ceiling = ceiling
+	row.limit = min(ceiling, max(minimumLimit, row.limit*ceiling/row.maxConcurrency))
+	row.maxConcurrency = ceiling
 }
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -48,7 +48,7 @@
 	pendingPrefill      []pendingPrefill
 	peerPrefill         []pendingPrefill // of other routers, as far as they told and no report shows it
 	limit               float64          // adaptive concurrency
-	ceiling             float64          // highest limit that the settings allow
+	maxConcurrency      float64          // highest limit that the settings allow
 	bias                float64          // observed over predicted time to first token, smoothed
 	failures            int              // in a row
 	permits             permits          // of the limit that it names
