--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -270,7 +270,7 @@
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
 		holder := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
-		h.core.backends[h.core.backendIDs[holder.Backend]].limit = 1 // it takes nothing more
+		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // it takes nothing more
 		second := need[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
 			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
@@ -288,13 +288,13 @@
 		h.core.settingsVersion = version - 1
 		h.tick(EventSettings{Version: version, Tree: tree})
 		row := &h.core.backends[0]
-		if got := int(row.limit); got != wanted {
+		if got := int(row.concurrencyLimit); got != wanted {
 			t.Fatalf("limit %d, the settings say %d", got, wanted)
 		}
 		h.core.learn(row, time.Millisecond, time.Minute)
-		if int(row.limit) > wanted {
-			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.limit, wanted)
+		if int(row.concurrencyLimit) > wanted {
+			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.concurrencyLimit, wanted)
 		}
-		row.limit = float64(wanted)
+		row.concurrencyLimit = float64(wanted)
 	}
 }
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -53,14 +53,14 @@
 	row.bias += biasSmoothing * (row.bias*ratio - row.bias)
 	row.bias = min(max(row.bias, minimumBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
-		row.limit = min(row.maxConcurrency, max(minimumLimit, row.limit*limitDecrease))
+		row.concurrencyLimit = min(row.maxConcurrency, max(minimumLimit, row.concurrencyLimit*limitDecrease))
 		return
 	}
-	row.limit = min(row.maxConcurrency, row.limit+limitIncrease)
+	row.concurrencyLimit = min(row.maxConcurrency, row.concurrencyLimit+limitIncrease)
 }
 
 // setCeiling takes up another highest limit; the limit keeps its share of it.
 func (row *backend) setCeiling(ceiling float64) {
-	row.limit = min(ceiling, max(minimumLimit, row.limit*ceiling/row.maxConcurrency))
+	row.concurrencyLimit = min(ceiling, max(minimumLimit, row.concurrencyLimit*ceiling/row.maxConcurrency))
 	row.maxConcurrency = ceiling
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -111,7 +111,7 @@
 	values := c.effectiveSettings(machine.Service, "")
 	c.backends = append(c.backends, backend{
 		id: id, machine: machine, kind: values.Kind, lastSeenAt: c.now,
-		limit: float64(values.EngineConcurrency), maxConcurrency: float64(values.EngineConcurrency), bias: 1,
+		concurrencyLimit: float64(values.EngineConcurrency), maxConcurrency: float64(values.EngineConcurrency), bias: 1,
 	})
 	c.backendIDs[machine.Name] = id
 	service := c.service(machine.Service)
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -168,7 +168,7 @@
 	if !c.ready(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
 		return false
 	}
-	return !slices.Contains(r.failedOn, id) && row.running < int(row.limit) && c.barred(row) == 0
+	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.barred(row) == 0
 }
 
 // chainFor returns the request's chain under the engine's weights.
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -47,7 +47,7 @@
 	running             int // own attempts
 	pendingPrefill      []pendingPrefill
 	peerPrefill         []pendingPrefill // of other routers, as far as they told and no report shows it
-	limit               float64          // adaptive concurrency
+	concurrencyLimit    float64          // adaptive concurrency
 	maxConcurrency      float64          // highest limit that the settings allow
 	bias                float64          // observed over predicted time to first token, smoothed
 	failures            int              // in a row
