--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -204,7 +204,7 @@
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.concurrencyLimit), Beliefs: c.index.EngineBeliefs(row.id), Bias: row.bias,
+			Running: row.running, Limit: int(row.concurrencyLimit), Beliefs: c.index.EngineBeliefs(row.id), Bias: row.latencyBias,
 		})
 	}
 	return views
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -50,8 +50,8 @@
 func (c *Core) learn(row *backend, predicted, observed time.Duration) {
 	predicted = max(predicted, biasMinimumTime)
 	ratio := float64(observed) / float64(predicted)
-	row.bias += biasSmoothing * (row.bias*ratio - row.bias)
-	row.bias = min(max(row.bias, minimumBias), maximumBias)
+	row.latencyBias += biasSmoothing * (row.latencyBias*ratio - row.latencyBias)
+	row.latencyBias = min(max(row.latencyBias, minimumBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
 		row.concurrencyLimit = min(row.maxConcurrency, max(minimumLimit, row.concurrencyLimit*limitDecrease))
 		return
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -111,7 +111,7 @@
 	values := c.effectiveSettings(machine.Service, "")
 	c.backends = append(c.backends, backend{
 		id: id, machine: machine, kind: values.Kind, lastSeenAt: c.now,
-		concurrencyLimit: float64(values.EngineConcurrency), maxConcurrency: float64(values.EngineConcurrency), bias: 1,
+		concurrencyLimit: float64(values.EngineConcurrency), maxConcurrency: float64(values.EngineConcurrency), latencyBias: 1,
 	})
 	c.backendIDs[machine.Name] = id
 	service := c.service(machine.Service)
@@ -158,7 +158,7 @@
 	if newLife {
 		c.breakAttempts(row, everyRequest)
 		row.pendingPrefill = row.pendingPrefill[:0]
-		row.bias = 1
+		row.latencyBias = 1
 	}
 	row.nextSequence = 0
 }
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -223,7 +223,7 @@
 	candidate.Wait = seconds(float64(c.pendingTokens(row, r.Lane)) / rate)
 	candidate.raw = candidate.Wait + seconds(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
-	candidate.Predicted = network + time.Duration(float64(candidate.raw)*row.bias)
+	candidate.Predicted = network + time.Duration(float64(candidate.raw)*row.latencyBias)
 	displaced := float64(copiedTokens) / rate
 	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedFraction*displaced)
 	return candidate
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -49,7 +49,7 @@
 	peerPrefill         []pendingPrefill // of other routers, as far as they told and no report shows it
 	concurrencyLimit    float64          // adaptive concurrency
 	maxConcurrency      float64          // highest limit that the settings allow
-	bias                float64          // observed over predicted time to first token, smoothed
+	latencyBias         float64          // observed over predicted time to first token, smoothed
 	failures            int              // in a row
 	permits             permits          // of the limit that it names
 }
