--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -49,7 +49,7 @@
 		return BackendLeaving
 	case row.incarnation == 0:
 		return BackendJoining
-	case silence > suspectAfter || row.failures >= failuresToSuspect:
+	case silence > suspectAfter || row.consecutiveFailures >= failuresToSuspect:
 		return BackendSuspect
 	case row.loading && row.kind == settings.KindLLM:
 		return BackendJoining
@@ -112,7 +112,7 @@
 
 // noteUnreachable counts a refused or timed-out connection.
 func (c *Core) noteUnreachable(row *backend) {
-	row.failures++
+	row.consecutiveFailures++
 	c.membershipDirty = true
 }
 
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -134,7 +134,7 @@
 	report := event.Report
 	c.noteLife(row, report)
 	row.lastSeenAt = max(row.lastSeenAt, event.RequestedAt)
-	row.failures = 0
+	row.consecutiveFailures = 0
 	row.loading = report.Loading
 	row.leaving = report.Leaving
 	row.load = report.Load
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -50,7 +50,7 @@
 	concurrencyLimit    float64          // adaptive concurrency
 	maxConcurrency      float64          // highest limit that the settings allow
 	latencyBias         float64          // observed over predicted time to first token, smoothed
-	failures            int              // in a row
+	consecutiveFailures int              // in a row
 	permits             permits          // of the limit that it names
 }
 
