--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -58,10 +58,10 @@
 	life := lifeOf(row.machine.Name, row.incarnation)
 	limit := c.pushback.Limit(life)
 	if !limit.Named {
-		row.permits = permits{}
+		row.rateBucket = permits{}
 		return 0
 	}
-	p := &row.permits
+	p := &row.rateBucket
 	rate := c.share(life, limit.Rate)
 	if p.life != row.incarnation || p.rate == 0 {
 		*p = permits{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
@@ -81,7 +81,7 @@
 const othersOnly = time.Second
 
 // usePermit counts a request that is sent to a back end.
-func (c *Core) usePermit(row *backend) { row.permits.level-- }
+func (c *Core) usePermit(row *backend) { row.rateBucket.level-- }
 
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
