--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -86,6 +86,6 @@
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
 	if !event.StatesRateLimit {
-		c.pushback.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
+		c.pushback.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -146,7 +146,7 @@
 	c.counters.Attempts++
 	blocks := chainFor(r, row)
 	sent := attempt{
-		id: c.lastAttemptID, backend: row.id, life: row.incarnation, sentAt: c.now,
+		id: c.lastAttemptID, backend: row.id, incarnation: row.incarnation, sentAt: c.now,
 		predicted: chosen.raw, base: r.emitted, uncached: chosen.Uncached,
 	}
 	r.attempts = append(r.attempts, sent)
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -64,15 +64,15 @@
 
 // attempt is one sending of a request.
 type attempt struct {
-	id        AttemptID
-	backend   prefix.EngineID
-	life      uint64 // incarnation it was sent to
-	sentAt    time.Duration
-	predicted time.Duration // time to first token
-	base      int           // tokens the caller had when it was sent
-	started   bool
-	chunks    bool
-	uncached  int
+	id          AttemptID
+	backend     prefix.EngineID
+	incarnation uint64 // incarnation it was sent to
+	sentAt      time.Duration
+	predicted   time.Duration // time to first token
+	base        int           // tokens the caller had when it was sent
+	started     bool
+	chunks      bool
+	uncached    int
 }
 
 // requestState is where a request stands.
