--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -71,8 +71,8 @@
 // resumes after the last token the caller has.
 func (c *Core) attemptChunk(r *request, at int, event EventAttempt) {
 	sent := &r.attempts[at]
-	if !sent.chunks {
-		sent.chunks = true
+	if !sent.streaming {
+		sent.streaming = true
 		c.firstToken(r, at)
 		sent = &r.attempts[0]
 	}
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -71,7 +71,7 @@
 	predicted   time.Duration // time to first token
 	base        int           // tokens the caller had when it was sent
 	started     bool
-	chunks      bool
+	streaming   bool
 	uncached    int
 }
 
