--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -69,7 +69,7 @@
 	incarnation uint64 // incarnation it was sent to
 	sentAt      time.Duration
 	predicted   time.Duration // time to first token
-	base        int           // tokens the caller had when it was sent
+	resumeFrom  int           // tokens the caller had when it was sent
 	started     bool
 	streaming   bool
 	uncached    int
