--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -85,7 +85,7 @@
 func (c *Core) holdOrRefuse(r *request) {
 	starting := !c.hadLease && c.now < c.config.StartedAt+startGrace
 	if starting {
-		r.state = stateHeld
+		r.state = stateAwaitingLease
 		c.wakeAt(r, c.now+holdPeriod)
 		return
 	}
@@ -211,7 +211,7 @@
 	c.endClaim(r, final)
 	c.emit(final)
 	c.count(final)
-	if r.state != stateHeld && r.values.Kind != "" {
+	if r.state != stateAwaitingLease && r.values.Kind != "" {
 		if tenant := c.tenant(r); tenant.active > 0 && r.deadline > 0 {
 			tenant.active--
 		}
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -79,7 +79,7 @@
 type requestState uint8
 
 const (
-	stateHeld requestState = iota // waiting for the first lease after a start
+	stateAwaitingLease requestState = iota // waiting for the first lease after a start
 	stateClaiming
 	stateQueued
 	stateRunning
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -52,7 +52,7 @@
 // expire acts on whatever of a request is due.
 func (c *Core) expire(r *request) {
 	switch r.state {
-	case stateHeld:
+	case stateAwaitingLease:
 		c.admit(r)
 	case stateBackoff:
 		if c.now >= r.retryAt {
