--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -24,7 +24,7 @@
 
 func (c *Core) observeRequest(incoming Request) {
 	c.counters.Requests++
-	fresh := &request{Request: incoming, arrived: c.now, emitted: incoming.ResumeFrom}
+	fresh := &request{Request: incoming, arrivedAt: c.now, emitted: incoming.ResumeFrom}
 	c.requests[incoming.ID] = fresh
 	c.arrivals = append(c.arrivals, fresh)
 }
@@ -127,7 +127,7 @@
 	if r.Deadline > 0 && r.Deadline < allowed {
 		allowed = r.Deadline
 	}
-	r.deadline = r.arrived + allowed
+	r.deadline = r.arrivedAt + allowed
 	c.wakeAt(r, r.deadline)
 }
 
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -39,7 +39,7 @@
 	d.next++
 	shortlist := append(slot.Shortlist[:0], chosen)
 	*slot = Decision{
-		Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now, Queued: now - r.arrived,
+		Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now, Queued: now - r.arrivedAt,
 		Try: r.tries + 1, PromptTokens: r.PromptTokens, ResumeFrom: r.emitted, SettingsVersion: version,
 		Chosen: chosen.Name, Considered: len(candidates),
 	}
@@ -61,7 +61,7 @@
 		slot := &d.records[(r.decided-1)%decisionsKept]
 		*slot = Decision{
 			Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now,
-			Queued: now - r.arrived, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
+			Queued: now - r.arrivedAt, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
 		}
 	}
 	slot := &d.records[(r.decided-1)%decisionsKept]
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -64,7 +64,7 @@
 		c.refuse(r, reason, retrySoon)
 		return true
 	}
-	if queued := c.now - r.arrived; queued > 0 && service.queued() > 0 {
+	if queued := c.now - r.arrivedAt; queued > 0 && service.queued() > 0 {
 		service.noteServed(queued / time.Duration(service.queued()+1))
 	}
 	c.decisions.record(r, c.now, chosen, candidates, c.settingsVersion)
@@ -103,8 +103,8 @@
 		r.failedOn = nil // a stream in progress may go back to an engine that failed it
 		return c.anyReady(service)
 	}
-	if c.now < r.arrived+noBackendGrace {
-		c.wakeAt(r, r.arrived+noBackendGrace)
+	if c.now < r.arrivedAt+noBackendGrace {
+		c.wakeAt(r, r.arrivedAt+noBackendGrace)
 		return false
 	}
 	service.remove(r)
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -91,7 +91,7 @@
 	Request
 	values    settings.Values
 	state     requestState
-	arrived   time.Duration
+	arrivedAt time.Duration
 	deadline  time.Duration // absolute, for the first token
 	claimID   string
 	claimed   bool
