--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -158,7 +158,7 @@
 	}
 	switch event.Outcome.Kind {
 	case ledger.Granted:
-		r.claimed = true
+		r.claimGranted = true
 		c.enqueueNew(r)
 	case ledger.Replayed:
 		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Answer})
@@ -189,7 +189,7 @@
 	switch {
 	case r.unproven > 0:
 		return RunUnknown
-	case r.Key != "" && !r.claimed && c.keyMatters(r):
+	case r.Key != "" && !r.claimGranted && c.keyMatters(r):
 		return RunUnknown
 	}
 	return RunNot
@@ -239,11 +239,11 @@
 	}
 	end := ledger.End{Key: r.ledgerKey(), ClaimID: r.claimID, Kind: ledger.EndUnknown}
 	switch {
-	case !r.claimed && r.state != stateClaiming:
+	case !r.claimGranted && r.state != stateClaiming:
 		return
 	case final.Reason == ReasonComplete:
 		end.Kind, end.Answer = ledger.EndFinished, final.Answer
-	case !r.claimed && !claimLost(final.Reason):
+	case !r.claimGranted && !claimLost(final.Reason):
 		return // the ledger refused the claim; there is nothing to end
 	case r.unproven == 0:
 		end.Kind = ledger.EndReleased
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -131,7 +131,7 @@
 	switch {
 	case r.inStream() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
-	case r.claimed && (r.epoch != c.epoch || !c.LeaseValid()):
+	case r.claimGranted && (r.epoch != c.epoch || !c.LeaseValid()):
 		return ReasonLedgerUnavailable // the claim ended with the session that made it
 	case !c.mayServe():
 		return ReasonNoLease
