--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -203,19 +203,19 @@
 		return
 	}
 	service := c.service(r.Service)
-	if r.tries >= r.values.RetryAttempts || service.retryTokens < 1 {
+	if r.attemptCount >= r.values.RetryAttempts || service.retryTokens < 1 {
 		c.refuse(r, ReasonRetriesExhausted, retrySoon)
 		return
 	}
 	service.retryTokens--
 	c.counters.Retries++
 	r.state = stateBackoff
-	r.retryAt = c.now + c.jitteredBackoff(r.tries)
+	r.retryAt = c.now + c.jitteredBackoff(r.attemptCount)
 	c.wakeAt(r, r.retryAt)
 }
 
 func (c *Core) continueStream(r *request) {
-	if r.tries > continuations {
+	if r.attemptCount > continuations {
 		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: retrySoon})
 		return
 	}
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -40,7 +40,7 @@
 	shortlist := append(slot.Shortlist[:0], chosen)
 	*slot = Decision{
 		Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now, Queued: now - r.arrivedAt,
-		Try: r.tries + 1, PromptTokens: r.PromptTokens, ResumeFrom: r.emitted, SettingsVersion: version,
+		Try: r.attemptCount + 1, PromptTokens: r.PromptTokens, ResumeFrom: r.emitted, SettingsVersion: version,
 		Chosen: chosen.Name, Considered: len(candidates),
 	}
 	for i := range candidates {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -150,9 +150,9 @@
 		predicted: chosen.raw, resumeFrom: r.emitted, uncached: chosen.Uncached,
 	}
 	r.attempts = append(r.attempts, sent)
-	r.tries++
+	r.attemptCount++
 	r.unproven++
-	if r.tries == 1 {
+	if r.attemptCount == 1 {
 		c.earnRetry(r)
 	}
 	row.running++
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -97,7 +97,7 @@
 	claimGranted bool
 	epoch        uint64 // session in which the claim was made
 	attempts     []attempt
-	tries        int
+	attemptCount int
 	failedOn     []prefix.EngineID
 	emitted      int           // tokens passed to the caller
 	emittedAt    time.Duration // when the newest of them came
