--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -88,7 +88,7 @@
 	}
 	c.emit(ActionChunk{ID: r.ID, Index: r.emitted, Text: event.Text})
 	r.emitted++
-	r.emittedAt = c.now
+	r.lastEmittedAt = c.now
 }
 
 // firstToken learns from the attempt and cancels any other: the first to answer wins.
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -89,24 +89,24 @@
 // request is a row of the request table.
 type request struct {
 	Request
-	values       settings.Values
-	state        requestState
-	arrivedAt    time.Duration
-	deadline     time.Duration // absolute, for the first token
-	claimID      string
-	claimGranted bool
-	epoch        uint64 // session in which the claim was made
-	attempts     []attempt
-	attemptCount int
-	failedOn     []prefix.EngineID
-	emitted      int           // tokens passed to the caller
-	emittedAt    time.Duration // when the newest of them came
-	retryAt      time.Duration
-	hedged       bool
-	unproven     int     // attempts that may have run
-	cost         float64 // fair-queue cost in tokens
-	finishTag    float64 // virtual finish time in the fair queue
-	decided      int     // number of its newest decision record, from 1
+	values        settings.Values
+	state         requestState
+	arrivedAt     time.Duration
+	deadline      time.Duration // absolute, for the first token
+	claimID       string
+	claimGranted  bool
+	epoch         uint64 // session in which the claim was made
+	attempts      []attempt
+	attemptCount  int
+	failedOn      []prefix.EngineID
+	emitted       int           // tokens passed to the caller
+	lastEmittedAt time.Duration // when the newest of them came
+	retryAt       time.Duration
+	hedged        bool
+	unproven      int     // attempts that may have run
+	cost          float64 // fair-queue cost in tokens
+	finishTag     float64 // virtual finish time in the fair queue
+	decided       int     // number of its newest decision record, from 1
 }
 
 // tenantState is a row of the tenant table.
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -89,7 +89,7 @@
 // expireStalled moves a stream that has stood still for too long to another engine.
 func (c *Core) expireStalled(r *request) {
 	sent := r.attempts[0]
-	silentSince := max(r.emittedAt, sent.sentAt)
+	silentSince := max(r.lastEmittedAt, sent.sentAt)
 	if due := silentSince + c.stallLimit(r); c.now < due {
 		c.wakeAt(r, due)
 		return
