--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -187,7 +187,7 @@
 		return RunNot
 	}
 	switch {
-	case r.unproven > 0:
+	case r.possibleRuns > 0:
 		return RunUnknown
 	case r.Key != "" && !r.claimGranted && c.keyMatters(r):
 		return RunUnknown
@@ -245,7 +245,7 @@
 		end.Kind, end.Answer = ledger.EndFinished, final.Answer
 	case !r.claimGranted && !claimLost(final.Reason):
 		return // the ledger refused the claim; there is nothing to end
-	case r.unproven == 0:
+	case r.possibleRuns == 0:
 		end.Kind = ledger.EndReleased
 	}
 	c.emit(ActionEndClaim{End: end})
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -158,7 +158,7 @@
 		c.emit(ActionCancel{ID: r.ID, Attempt: sent.id})
 	}
 	if event.Kind == AttemptRefused {
-		r.unproven--
+		r.possibleRuns--
 	}
 	c.dropAttempt(r, at)
 	r.failedOn = append(r.failedOn, sent.backend)
@@ -194,7 +194,7 @@
 // retry tries again where that is allowed. A non-repeatable request is sent again only when every earlier
 // attempt provably did not run. A stream in progress goes on at once on another engine.
 func (c *Core) retry(r *request) {
-	if !r.values.Repeatable && r.unproven > 0 && c.config.Guards.On(guard.AmbiguousNotResent) {
+	if !r.values.Repeatable && r.possibleRuns > 0 && c.config.Guards.On(guard.AmbiguousNotResent) {
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
 		return
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -216,7 +216,7 @@
 		return
 	}
 	reason := ReasonHeldBack
-	if r.unproven > 0 {
+	if r.possibleRuns > 0 {
 		reason = ReasonRunUnknown // an earlier attempt may have run
 	}
 	c.refuse(r, reason, 0)
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -151,7 +151,7 @@
 	}
 	r.attempts = append(r.attempts, sent)
 	r.attemptCount++
-	r.unproven++
+	r.possibleRuns++
 	if r.attemptCount == 1 {
 		c.earnRetry(r)
 	}
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -103,7 +103,7 @@
 	lastEmittedAt time.Duration // when the newest of them came
 	retryAt       time.Duration
 	hedged        bool
-	unproven      int     // attempts that may have run
+	possibleRuns  int     // attempts that may have run
 	cost          float64 // fair-queue cost in tokens
 	finishTag     float64 // virtual finish time in the fair queue
 	decided       int     // number of its newest decision record, from 1
