--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -55,9 +55,9 @@
 		return
 	}
 	tenant := c.tenant(r)
-	r.cost = float64(max(1, r.PromptTokens) + decodeCost*r.MaxTokens)
+	r.queueCost = float64(max(1, r.PromptTokens) + decodeCost*r.MaxTokens)
 	start := max(service.virtualTime, tenant.finishTag)
-	r.finishTag = start + r.cost/r.values.ShareWeight
+	r.finishTag = start + r.queueCost/r.values.ShareWeight
 	tenant.finishTag = r.finishTag
 	c.enqueue(r)
 }
@@ -108,7 +108,7 @@
 // take removes the head of a lane.
 func (s *serviceState) take(l Lane) *request {
 	r := heap.Pop((*lane)(&s.lanes[l])).(*request)
-	s.virtualTime = max(s.virtualTime, r.finishTag-r.cost/r.values.ShareWeight)
+	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
 	if l == LaneInteractive {
 		s.sinceBatch++
 	} else {
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -104,7 +104,7 @@
 	retryAt       time.Duration
 	hedged        bool
 	possibleRuns  int     // attempts that may have run
-	cost          float64 // fair-queue cost in tokens
+	queueCost     float64 // fair-queue cost in tokens
 	finishTag     float64 // virtual finish time in the fair queue
 	decided       int     // number of its newest decision record, from 1
 }
