--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -49,22 +49,22 @@
 		}
 	}
 	slot.Shortlist = shortlist
-	r.decided = d.next
+	r.lastDecision = d.next
 }
 
 // finish notes how the request of the newest decision ended; refusals without a decision get a record of
 // their own.
 func (d *decisionRing) finish(r *request, final ActionFinish, now time.Duration) {
-	if r.decided == 0 || d.next-r.decided >= decisionsKept {
+	if r.lastDecision == 0 || d.next-r.lastDecision >= decisionsKept {
 		d.next++
-		r.decided = d.next
-		slot := &d.records[(r.decided-1)%decisionsKept]
+		r.lastDecision = d.next
+		slot := &d.records[(r.lastDecision-1)%decisionsKept]
 		*slot = Decision{
 			Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now,
 			Queued: now - r.arrivedAt, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
 		}
 	}
-	slot := &d.records[(r.decided-1)%decisionsKept]
+	slot := &d.records[(r.lastDecision-1)%decisionsKept]
 	slot.Outcome, slot.Run, slot.FinishedAt = final.Reason, final.Run, now
 }
 
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -106,7 +106,7 @@
 	possibleRuns  int     // attempts that may have run
 	queueCost     float64 // fair-queue cost in tokens
 	finishTag     float64 // virtual finish time in the fair queue
-	decided       int     // number of its newest decision record, from 1
+	lastDecision  int     // number of its newest decision record, from 1
 }
 
 // tenantState is a row of the tenant table.
