--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -7,7 +7,7 @@
 	key := tenantKey{r.Service, r.Tenant}
 	state := c.tenants[key]
 	if state == nil {
-		state = &tenantState{tokens: float64(r.values.RequestBurst), refilledAt: c.now}
+		state = &tenantState{rateTokens: float64(r.values.RequestBurst), refilledAt: c.now}
 		c.tenants[key] = state
 	}
 	return state
@@ -24,13 +24,13 @@
 		return "", 0
 	}
 	elapsed := (c.now - tenant.refilledAt).Seconds()
-	tenant.tokens = min(tenant.tokens+elapsed*rate, float64(r.values.RequestBurst))
+	tenant.rateTokens = min(tenant.rateTokens+elapsed*rate, float64(r.values.RequestBurst))
 	tenant.refilledAt = c.now
-	if tenant.tokens < 1 {
-		wait := (1 - tenant.tokens) / rate
+	if tenant.rateTokens < 1 {
+		wait := (1 - tenant.rateTokens) / rate
 		return ReasonRateLimit, time.Duration(wait * float64(time.Second))
 	}
-	tenant.tokens--
+	tenant.rateTokens--
 	return "", 0
 }
 
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -111,7 +111,7 @@
 
 // tenantState is a row of the tenant table.
 type tenantState struct {
-	tokens     float64 // of the rate limit's bucket
+	rateTokens float64 // of the rate limit's bucket
 	refilledAt time.Duration
 	active     int
 	finishTag  float64
