--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -62,7 +62,7 @@
 		c.refuse(r, reason, wait)
 		return
 	}
-	c.tenant(r).active++
+	c.tenant(r).activeRequests++
 	r.state = stateQueued
 	c.chooseLane(r)
 	c.setDeadline(r)
@@ -212,8 +212,8 @@
 	c.emit(final)
 	c.count(final)
 	if r.state != stateAwaitingLease && r.values.Kind != "" {
-		if tenant := c.tenant(r); tenant.active > 0 && r.deadline > 0 {
-			tenant.active--
+		if tenant := c.tenant(r); tenant.activeRequests > 0 && r.deadline > 0 {
+			tenant.activeRequests--
 		}
 	}
 	delete(c.requests, r.ID)
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -16,7 +16,7 @@
 // overLimit applies the tenant's rate and concurrency limits and returns when to come back.
 func (c *Core) overLimit(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
-	if r.values.MaxConcurrent > 0 && tenant.active >= r.values.MaxConcurrent {
+	if r.values.MaxConcurrent > 0 && tenant.activeRequests >= r.values.MaxConcurrent {
 		return ReasonConcurrencyLimit, retrySoon
 	}
 	rate := r.values.RequestsPerSecond
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -111,10 +111,10 @@
 
 // tenantState is a row of the tenant table.
 type tenantState struct {
-	rateTokens float64 // of the rate limit's bucket
-	refilledAt time.Duration
-	active     int
-	finishTag  float64
+	rateTokens     float64 // of the rate limit's bucket
+	refilledAt     time.Duration
+	activeRequests int
+	finishTag      float64
 }
 
 // tenantKey separates tenants by service.
