--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -95,7 +95,7 @@
 func (s *serviceState) head() (Lane, bool) {
 	interactive, batch := len(s.lanes[LaneInteractive]) > 0, len(s.lanes[LaneBatch]) > 0
 	switch {
-	case interactive && batch && s.sinceBatch >= batchShare:
+	case interactive && batch && s.interactiveSinceBatch >= batchShare:
 		return LaneBatch, true
 	case interactive:
 		return LaneInteractive, true
@@ -110,9 +110,9 @@
 	r := heap.Pop((*lane)(&s.lanes[l])).(*request)
 	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
 	if l == LaneInteractive {
-		s.sinceBatch++
+		s.interactiveSinceBatch++
 	} else {
-		s.sinceBatch = 0
+		s.interactiveSinceBatch = 0
 	}
 	return r
 }
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -122,15 +122,15 @@
 
 // serviceState is a row of the service table.
 type serviceState struct {
-	name        string
-	backends    []prefix.EngineID // every known one, in order of appearance
-	ring        []ringPoint
-	ringStale   bool
-	lanes       [laneCount][]*request // heaps by finishTag
-	virtualTime float64
-	retryTokens float64
-	sinceBatch  int // interactive picks since the last batch pick
-	serviceTime time.Duration
+	name                  string
+	backends              []prefix.EngineID // every known one, in order of appearance
+	ring                  []ringPoint
+	ringStale             bool
+	lanes                 [laneCount][]*request // heaps by finishTag
+	virtualTime           float64
+	retryTokens           float64
+	interactiveSinceBatch int // interactive picks since the last batch pick
+	serviceTime           time.Duration
 }
 
 // inStream reports whether the caller got a token from this router, so that the answer must be finished.
