--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -49,7 +49,7 @@
 		c.refuse(r, ReasonQueueFull, c.backlog(r))
 		return
 	}
-	wait := time.Duration(service.ahead(r.Lane)) * service.serviceTime
+	wait := time.Duration(service.ahead(r.Lane)) * service.dispatchInterval
 	if service.ahead(r.Lane) > 0 && c.now+wait > r.deadline {
 		c.refuse(r, ReasonDeadline, c.backlog(r))
 		return
@@ -72,7 +72,7 @@
 // backlog estimates when the queue will have room.
 func (c *Core) backlog(r *request) time.Duration {
 	service := c.service(r.Service)
-	return max(retrySoon, time.Duration(service.queued())*service.serviceTime/2)
+	return max(retrySoon, time.Duration(service.queued())*service.dispatchInterval/2)
 }
 
 func (s *serviceState) queued() int {
@@ -127,6 +127,6 @@
 
 // noteServed updates the time between dispatches while a queue stands.
 func (s *serviceState) noteServed(interval time.Duration) {
-	delta := float64(interval - s.serviceTime)
-	s.serviceTime += time.Duration(serviceSmoothing * delta)
+	delta := float64(interval - s.dispatchInterval)
+	s.dispatchInterval += time.Duration(serviceSmoothing * delta)
 }
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -130,7 +130,7 @@
 	virtualTime           float64
 	retryTokens           float64
 	interactiveSinceBatch int // interactive picks since the last batch pick
-	serviceTime           time.Duration
+	dispatchInterval      time.Duration
 }
 
 // inStream reports whether the caller got a token from this router, so that the answer must be finished.
