--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -140,7 +140,7 @@
 func (c *Core) attemptFailed(r *request, at int, event EventAttempt) {
 	sent := r.attempts[at]
 	row := &c.backends[sent.backend]
-	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.inStream() {
+	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.streamStarted() {
 		c.dropAttempt(r, at)
 		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Answer{}})
 		return
@@ -198,7 +198,7 @@
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
 		return
 	}
-	if r.inStream() {
+	if r.streamStarted() {
 		c.continueStream(r)
 		return
 	}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -56,7 +56,7 @@
 	chosen := candidates[choice]
 	service.take(l)
 	r.state = stateRunning
-	if !r.inStream() && c.now+chosen.Predicted > r.deadline {
+	if !r.streamStarted() && c.now+chosen.Predicted > r.deadline {
 		c.refuse(r, ReasonDeadline, max(retrySoon, c.now+chosen.Predicted-r.deadline))
 		return true
 	}
@@ -99,7 +99,7 @@
 			return false
 		}
 	}
-	if len(r.failedOn) > 0 && r.inStream() {
+	if len(r.failedOn) > 0 && r.streamStarted() {
 		r.failedOn = nil // a stream in progress may go back to an engine that failed it
 		return c.anyReady(service)
 	}
@@ -129,7 +129,7 @@
 // request. It returns why the request must not be sent, or "". Streams in progress are finished in any case.
 func (c *Core) dispatchBar(r *request) Reason {
 	switch {
-	case r.inStream() || !c.config.Guards.On(guard.LeaseAtDispatch):
+	case r.streamStarted() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
 	case r.claimGranted && (r.epoch != c.epoch || !c.LeaseValid()):
 		return ReasonLedgerUnavailable // the claim ended with the session that made it
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -61,7 +61,7 @@
 // appear is waited for, and by a stream in progress any that ends while its caller still waits; else the request is refused at once. It returns
 // false when the request must wait.
 func (c *Core) restFor(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
-	if c.now+rest < r.deadline && (rest <= noBackendGrace || r.inStream()) {
+	if c.now+rest < r.deadline && (rest <= noBackendGrace || r.streamStarted()) {
 		c.wakeAt(r, c.now+rest)
 		return false
 	}
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -133,5 +133,5 @@
 	dispatchInterval      time.Duration
 }
 
-// inStream reports whether the caller got a token from this router, so that the answer must be finished.
-func (r *request) inStream() bool { return r.emitted > r.ResumeFrom }
+// streamStarted reports whether the caller got a token from this router, so that the answer must be finished.
+func (r *request) streamStarted() bool { return r.emitted > r.ResumeFrom }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -59,7 +59,7 @@
 			c.enqueue(r)
 		}
 	case stateQueued:
-		if c.now >= r.deadline && !r.inStream() {
+		if c.now >= r.deadline && !r.streamStarted() {
 			c.refuse(r, ReasonDeadline, c.backlog(r))
 		}
 	case stateClaiming:
@@ -73,7 +73,7 @@
 
 // expireRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
 func (c *Core) expireRunning(r *request) {
-	if r.inStream() {
+	if r.streamStarted() {
 		c.expireStalled(r)
 		return
 	}
