--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// startGrace is how long a request may wait for the first lease after a router starts.
-	startGrace = 1500 * time.Millisecond
+	// startupGracePeriod is how long a request may wait for the first lease after a router starts.
+	startupGracePeriod = 1500 * time.Millisecond
 	// holdPeriod is how often a held request is looked at.
 	holdPeriod = 20 * time.Millisecond
 	// retrySoon is the advice when another router, or the same one in a moment, can serve.
@@ -83,7 +83,7 @@
 }
 
 func (c *Core) holdOrRefuse(r *request) {
-	starting := !c.hadLease && c.now < c.config.StartedAt+startGrace
+	starting := !c.hadLease && c.now < c.config.StartedAt+startupGracePeriod
 	if starting {
 		r.state = stateAwaitingLease
 		c.wakeAt(r, c.now+holdPeriod)
