--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -12,8 +12,8 @@
 const (
 	// startupGracePeriod is how long a request may wait for the first lease after a router starts.
 	startupGracePeriod = 1500 * time.Millisecond
-	// holdPeriod is how often a held request is looked at.
-	holdPeriod = 20 * time.Millisecond
+	// holdCheckInterval is how often a held request is looked at.
+	holdCheckInterval = 20 * time.Millisecond
 	// retrySoon is the advice when another router, or the same one in a moment, can serve.
 	retrySoon = time.Second
 	// minimumGrace is the least time a dispatched request gets beyond its deadline.
@@ -86,7 +86,7 @@
 	starting := !c.hadLease && c.now < c.config.StartedAt+startupGracePeriod
 	if starting {
 		r.state = stateAwaitingLease
-		c.wakeAt(r, c.now+holdPeriod)
+		c.wakeAt(r, c.now+holdCheckInterval)
 		return
 	}
 	reason := ReasonNoLease
