--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -14,8 +14,8 @@
 	startupGracePeriod = 1500 * time.Millisecond
 	// holdCheckInterval is how often a held request is looked at.
 	holdCheckInterval = 20 * time.Millisecond
-	// retrySoon is the advice when another router, or the same one in a moment, can serve.
-	retrySoon = time.Second
+	// shortRetryAfter is the advice when another router, or the same one in a moment, can serve.
+	shortRetryAfter = time.Second
 	// minimumGrace is the least time a dispatched request gets beyond its deadline.
 	minimumGrace = 500 * time.Millisecond
 	// cutOffServeLast is the value of when_cut_off that keeps serving without a lease.
@@ -42,7 +42,7 @@
 // admit holds, refuses, claims or queues a request.
 func (c *Core) admit(r *request) {
 	if c.draining {
-		c.refuse(r, ReasonDraining, retrySoon)
+		c.refuse(r, ReasonDraining, shortRetryAfter)
 		return
 	}
 	if !c.mayServe() {
@@ -93,7 +93,7 @@
 	if !c.hasSettings {
 		reason = ReasonNoSettings
 	}
-	c.refuse(r, reason, retrySoon)
+	c.refuse(r, reason, shortRetryAfter)
 }
 
 // chooseLane puts short prompts, and small services, into the interactive lane unless the caller chose.
@@ -153,7 +153,7 @@
 		return // a late answer: the claim was released when the request was given up on
 	}
 	if event.Failed {
-		c.refuse(r, ReasonLedgerUnavailable, retrySoon)
+		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 		return
 	}
 	switch event.Outcome.Kind {
@@ -163,7 +163,7 @@
 	case ledger.Replayed:
 		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Answer})
 	case ledger.InProgress:
-		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: retrySoon})
+		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: shortRetryAfter})
 	case ledger.RunUnknown:
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
 	case ledger.DigestMismatch:
@@ -171,7 +171,7 @@
 	case ledger.KeyExpired:
 		c.finish(r, ActionFinish{Reason: ReasonKeyExpired, Run: RunUnknown})
 	default: // withdrawn or session closed: nothing is known of earlier sends
-		c.refuse(r, ReasonLedgerUnavailable, retrySoon)
+		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 	}
 }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -169,7 +169,7 @@
 
 // failTimedOut ends a request whose first token did not come long after its deadline.
 func (c *Core) failTimedOut(r *request) {
-	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: retrySoon})
+	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: shortRetryAfter})
 }
 
 const (
@@ -204,7 +204,7 @@
 	}
 	service := c.service(r.Service)
 	if r.attemptCount >= r.values.RetryAttempts || service.retryTokens < 1 {
-		c.refuse(r, ReasonRetriesExhausted, retrySoon)
+		c.refuse(r, ReasonRetriesExhausted, shortRetryAfter)
 		return
 	}
 	service.retryTokens--
@@ -216,7 +216,7 @@
 
 func (c *Core) continueStream(r *request) {
 	if r.attemptCount > continuations {
-		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: retrySoon})
+		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: shortRetryAfter})
 		return
 	}
 	c.counters.Retries++
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -17,7 +17,7 @@
 func (c *Core) overLimit(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
 	if r.values.MaxConcurrent > 0 && tenant.activeRequests >= r.values.MaxConcurrent {
-		return ReasonConcurrencyLimit, retrySoon
+		return ReasonConcurrencyLimit, shortRetryAfter
 	}
 	rate := r.values.RequestsPerSecond
 	if rate <= 0 {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -57,11 +57,11 @@
 	service.take(l)
 	r.state = stateRunning
 	if !r.streamStarted() && c.now+chosen.Predicted > r.deadline {
-		c.refuse(r, ReasonDeadline, max(retrySoon, c.now+chosen.Predicted-r.deadline))
+		c.refuse(r, ReasonDeadline, max(shortRetryAfter, c.now+chosen.Predicted-r.deadline))
 		return true
 	}
 	if reason := c.dispatchBar(r); reason != "" {
-		c.refuse(r, reason, retrySoon)
+		c.refuse(r, reason, shortRetryAfter)
 		return true
 	}
 	if queued := c.now - r.arrivedAt; queued > 0 && service.queued() > 0 {
@@ -109,7 +109,7 @@
 	}
 	service.remove(r)
 	r.state = stateRunning
-	c.refuse(r, ReasonNoBackend, retrySoon)
+	c.refuse(r, ReasonNoBackend, shortRetryAfter)
 	return true
 }
 
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -72,7 +72,7 @@
 // backlog estimates when the queue will have room.
 func (c *Core) backlog(r *request) time.Duration {
 	service := c.service(r.Service)
-	return max(retrySoon, time.Duration(service.queued())*service.dispatchInterval/2)
+	return max(shortRetryAfter, time.Duration(service.queued())*service.dispatchInterval/2)
 }
 
 func (s *serviceState) queued() int {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -64,7 +64,7 @@
 		}
 	case stateClaiming:
 		if c.now >= r.deadline {
-			c.refuse(r, ReasonLedgerUnavailable, retrySoon)
+			c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 		}
 	case stateRunning:
 		c.expireRunning(r)
