--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -16,8 +16,8 @@
 	holdCheckInterval = 20 * time.Millisecond
 	// shortRetryAfter is the advice when another router, or the same one in a moment, can serve.
 	shortRetryAfter = time.Second
-	// minimumGrace is the least time a dispatched request gets beyond its deadline.
-	minimumGrace = 500 * time.Millisecond
+	// minFirstTokenGrace is the least time a dispatched request gets beyond its deadline.
+	minFirstTokenGrace = 500 * time.Millisecond
 	// cutOffServeLast is the value of when_cut_off that keeps serving without a lease.
 	cutOffServeLast = "serve_last"
 )
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -104,5 +104,5 @@
 
 // giveUpAt is when a dispatched request without a first token is given up on.
 func (c *Core) giveUpAt(r *request) time.Duration {
-	return r.deadline + max((r.deadline-r.arrivedAt)/2, minimumGrace)
+	return r.deadline + max((r.deadline-r.arrivedAt)/2, minFirstTokenGrace)
 }
