--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -45,7 +45,7 @@
 		c.refuse(r, ReasonDraining, shortRetryAfter)
 		return
 	}
-	if !c.mayServe() {
+	if !c.mayAdmit() {
 		c.holdOrRefuse(r)
 		return
 	}
@@ -73,9 +73,9 @@
 	c.enqueueNew(r)
 }
 
-// mayServe reports whether new requests may be decided on: settings are known, and either the lease runs or
+// mayAdmit reports whether new requests may be decided on: settings are known, and either the lease runs or
 // the operator prefers stale service.
-func (c *Core) mayServe() bool {
+func (c *Core) mayAdmit() bool {
 	if !c.hasSettings {
 		return false
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -147,7 +147,7 @@
 
 // AcceptsRequests reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
 // service, and no planned stop has begun.
-func (c *Core) AcceptsRequests() bool { return c.settingsVersion > 0 && c.mayServe() && !c.draining }
+func (c *Core) AcceptsRequests() bool { return c.settingsVersion > 0 && c.mayAdmit() && !c.draining }
 
 // Draining reports whether a planned stop has begun.
 func (c *Core) Draining() bool { return c.draining }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -133,7 +133,7 @@
 		return ""
 	case r.claimGranted && (r.epoch != c.epoch || !c.LeaseValid()):
 		return ReasonLedgerUnavailable // the claim ended with the session that made it
-	case !c.mayServe():
+	case !c.mayAdmit():
 		return ReasonNoLease
 	}
 	return ""
