--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -67,7 +67,7 @@
 	c.chooseLane(r)
 	c.setDeadline(r)
 	if !r.values.Repeatable && c.config.Guards.On(guard.ClaimBeforeRun) {
-		c.claim(r)
+		c.requestClaim(r)
 		return
 	}
 	c.enqueueNew(r)
@@ -131,8 +131,8 @@
 	c.wakeAt(r, r.deadline)
 }
 
-// claim asks the ledger before anything is sent.
-func (c *Core) claim(r *request) {
+// requestClaim asks the ledger before anything is sent.
+func (c *Core) requestClaim(r *request) {
 	r.state = stateClaiming
 	r.claimID = fmt.Sprintf("%s-%d-%d", c.config.Router, c.epoch, r.ID)
 	r.epoch = c.epoch
