--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -177,12 +177,12 @@
 
 // refuse gives up on a request that has not been dispatched, or whose attempts provably did not run.
 func (c *Core) refuse(r *request, reason Reason, retryAfter time.Duration) {
-	c.finish(r, ActionFinish{Reason: reason, Run: c.provenRun(r), RetryAfter: retryAfter})
+	c.finish(r, ActionFinish{Reason: reason, Run: c.runStatus(r), RetryAfter: retryAfter})
 }
 
-// provenRun tells what can be proved. A request with an idempotency key that was never granted its claim
+// runStatus tells what can be proved. A request with an idempotency key that was never granted its claim
 // may have run when it was sent before, so "not run" cannot be proved for it.
-func (c *Core) provenRun(r *request) RunStatus {
+func (c *Core) runStatus(r *request) RunStatus {
 	if !c.config.Guards.On(guard.NotRunProof) {
 		return RunNot
 	}
@@ -264,5 +264,5 @@
 	if !r.values.Repeatable && r.state == stateRunning {
 		return // the run goes on; its answer is stored for the resend
 	}
-	c.finish(r, ActionFinish{Reason: ReasonCallerGone, Run: c.provenRun(r)})
+	c.finish(r, ActionFinish{Reason: ReasonCallerGone, Run: c.runStatus(r)})
 }
