--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -189,15 +189,15 @@
 	switch {
 	case r.possibleRuns > 0:
 		return RunUnknown
-	case r.Key != "" && !r.claimGranted && c.keyMatters(r):
+	case r.Key != "" && !r.claimGranted && c.mayBeNonRepeatable(r):
 		return RunUnknown
 	}
 	return RunNot
 }
 
-// keyMatters reports whether the request may go to a non-repeatable service. Without a lease the settings may be
+// mayBeNonRepeatable reports whether the request may go to a non-repeatable service. Without a lease the settings may be
 // older than the ones by which another router ran it, so they prove nothing.
-func (c *Core) keyMatters(r *request) bool {
+func (c *Core) mayBeNonRepeatable(r *request) bool {
 	return !c.hasSettings || !c.LeaseValid() || !c.effectiveSettings(r.Service, r.Tenant).Repeatable
 }
 
