--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -210,7 +210,7 @@
 	}
 	c.endClaim(r, final)
 	c.emit(final)
-	c.count(final)
+	c.countOutcome(final)
 	if r.state != stateAwaitingLease && r.values.Kind != "" {
 		if tenant := c.tenant(r); tenant.activeRequests > 0 && r.deadline > 0 {
 			tenant.activeRequests--
@@ -223,7 +223,7 @@
 	c.decisions.finish(r, final, c.now)
 }
 
-func (c *Core) count(final ActionFinish) {
+func (c *Core) countOutcome(final ActionFinish) {
 	if final.Reason == ReasonComplete || final.Reason == ReasonReplayed {
 		c.counters.Completed++
 		return
