--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -243,7 +243,7 @@
 		return
 	case final.Reason == ReasonComplete:
 		end.Kind, end.Answer = ledger.EndFinished, final.Answer
-	case !r.claimGranted && !claimLost(final.Reason):
+	case !r.claimGranted && !claimOutcomeUnknown(final.Reason):
 		return // the ledger refused the claim; there is nothing to end
 	case r.possibleRuns == 0:
 		end.Kind = ledger.EndReleased
@@ -251,8 +251,8 @@
 	c.emit(ActionEndClaim{End: end})
 }
 
-// claimLost reports whether a request ended while its claim's outcome was not known.
-func claimLost(reason Reason) bool {
+// claimOutcomeUnknown reports whether a request ended while its claim's outcome was not known.
+func claimOutcomeUnknown(reason Reason) bool {
 	return slices.Contains([]Reason{ReasonLedgerUnavailable, ReasonCallerGone}, reason)
 }
 
