--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -256,7 +256,7 @@
 	return slices.Contains([]Reason{ReasonLedgerUnavailable, ReasonCallerGone}, reason)
 }
 
-func (c *Core) observeGone(id RequestID) {
+func (c *Core) observeCallerGone(id RequestID) {
 	r, alive := c.requests[id]
 	if !alive {
 		return
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -18,7 +18,7 @@
 	case EventRequest:
 		c.observeRequest(typed.Request)
 	case EventCallerGone:
-		c.observeGone(typed.ID)
+		c.observeCallerGone(typed.ID)
 	case EventHeldBack:
 		c.observeHeldBack(typed.ID)
 	case EventClaim:
