--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -19,7 +19,7 @@
 	if at < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
 		if c.config.Guards.On(guard.AttemptCheck) {
 			c.counters.UnmatchedAnswers++
-			c.dropForeign(r, at)
+			c.failUnmatched(r, at)
 			return
 		}
 		at = max(at, 0)
@@ -42,8 +42,8 @@
 	}
 }
 
-// dropForeign gives up on an attempt whose connection carries somebody else's answer.
-func (c *Core) dropForeign(r *request, at int) {
+// failUnmatched gives up on an attempt whose connection carries somebody else's answer.
+func (c *Core) failUnmatched(r *request, at int) {
 	if at < 0 {
 		return
 	}
