--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -29,7 +29,7 @@
 	}
 	switch event.Kind {
 	case AttemptStarted:
-		c.attemptStarted(r, at, event)
+		c.handleStarted(r, at, event)
 	case AttemptChunk:
 		c.attemptChunk(r, at, event)
 	case AttemptDone:
@@ -50,7 +50,7 @@
 	c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 }
 
-func (c *Core) attemptStarted(r *request, at int, event EventAttempt) {
+func (c *Core) handleStarted(r *request, at int, event EventAttempt) {
 	sent := &r.attempts[at]
 	if sent.started {
 		return
