--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -31,7 +31,7 @@
 	case AttemptStarted:
 		c.handleStarted(r, at, event)
 	case AttemptChunk:
-		c.attemptChunk(r, at, event)
+		c.handleChunk(r, at, event)
 	case AttemptDone:
 		c.attemptDone(r, at, event)
 	case AttemptIncarnationMismatch:
@@ -67,9 +67,9 @@
 	c.counters.RecomputedTokens += uint64(max(0, known-event.Cached))
 }
 
-// attemptChunk passes the next token on. A repeated one is dropped; a gap ends the attempt, and another one
+// handleChunk passes the next token on. A repeated one is dropped; a gap ends the attempt, and another one
 // resumes after the last token the caller has.
-func (c *Core) attemptChunk(r *request, at int, event EventAttempt) {
+func (c *Core) handleChunk(r *request, at int, event EventAttempt) {
 	sent := &r.attempts[at]
 	if !sent.streaming {
 		sent.streaming = true
