--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -33,7 +33,7 @@
 	case AttemptChunk:
 		c.handleChunk(r, at, event)
 	case AttemptDone:
-		c.attemptDone(r, at, event)
+		c.handleDone(r, at, event)
 	case AttemptIncarnationMismatch:
 		c.counters.IncarnationMismatches++
 		c.index.Forget(r.attempts[at].backend)
@@ -107,8 +107,8 @@
 	r.attempts = append(r.attempts[:0], winner)
 }
 
-// attemptDone completes a request if nothing of its stream is missing.
-func (c *Core) attemptDone(r *request, at int, event EventAttempt) {
+// handleDone completes a request if nothing of its stream is missing.
+func (c *Core) handleDone(r *request, at int, event EventAttempt) {
 	if event.Answer == nil && event.Index != r.emitted && c.config.Guards.On(guard.StreamIndexCheck) {
 		c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 		return
