--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -38,7 +38,7 @@
 		c.counters.IncarnationMismatches++
 		c.index.Forget(r.attempts[at].backend)
 	default:
-		c.attemptFailed(r, at, event)
+		c.handleFailure(r, at, event)
 	}
 }
 
@@ -47,7 +47,7 @@
 	if at < 0 {
 		return
 	}
-	c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+	c.handleFailure(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 }
 
 func (c *Core) handleStarted(r *request, at int, event EventAttempt) {
@@ -82,7 +82,7 @@
 			return
 		}
 		if event.Index > r.emitted {
-			c.attemptFailed(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
+			c.handleFailure(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
 			return
 		}
 	}
@@ -110,7 +110,7 @@
 // handleDone completes a request if nothing of its stream is missing.
 func (c *Core) handleDone(r *request, at int, event EventAttempt) {
 	if event.Answer == nil && event.Index != r.emitted && c.config.Guards.On(guard.StreamIndexCheck) {
-		c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+		c.handleFailure(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 		return
 	}
 	if event.Answer != nil {
@@ -136,8 +136,8 @@
 	row.pendingPrefill = slices.DeleteFunc(row.pendingPrefill, func(sent pendingPrefill) bool { return sent.attempt == id })
 }
 
-// attemptFailed ends an attempt and lets the retry system decide.
-func (c *Core) attemptFailed(r *request, at int, event EventAttempt) {
+// handleFailure ends an attempt and lets the retry system decide.
+func (c *Core) handleFailure(r *request, at int, event EventAttempt) {
 	sent := r.attempts[at]
 	row := &c.backends[sent.backend]
 	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.streamStarted() {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -94,7 +94,7 @@
 		c.wakeAt(r, due)
 		return
 	}
-	c.attemptFailed(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
+	c.handleFailure(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
 	c.runRetries()
 }
 
