--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -73,7 +73,7 @@
 	sent := &r.attempts[at]
 	if !sent.streaming {
 		sent.streaming = true
-		c.firstToken(r, at)
+		c.handleFirstToken(r, at)
 		sent = &r.attempts[0]
 	}
 	if c.config.Guards.On(guard.StreamIndexCheck) {
@@ -91,8 +91,8 @@
 	r.lastEmittedAt = c.now
 }
 
-// firstToken learns from the attempt and cancels any other: the first to answer wins.
-func (c *Core) firstToken(r *request, at int) {
+// handleFirstToken learns from the attempt and cancels any other: the first to answer wins.
+func (c *Core) handleFirstToken(r *request, at int) {
 	winner := r.attempts[at]
 	c.wakeAt(r, c.now+c.stallLimit(r))
 	row := &c.backends[winner.backend]
