--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -173,7 +173,7 @@
 }
 
 const (
-	retryTokensAtStart = 10.0
+	initialRetryTokens = 10.0
 	retryTokensMaximum = 50.0
 	retryBase          = 20 * time.Millisecond
 	retryCap           = time.Second
