--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -174,7 +174,7 @@
 
 const (
 	initialRetryTokens = 10.0
-	retryTokensMaximum = 50.0
+	maxRetryTokens     = 50.0
 	retryBase          = 20 * time.Millisecond
 	retryCap           = time.Second
 	// continuations is how many engines may fail one stream after its first token.
@@ -232,7 +232,7 @@
 // earnRetry adds a first attempt's share to the retry budget of its service.
 func (c *Core) earnRetry(r *request) {
 	service := c.service(r.Service)
-	service.retryTokens = min(retryTokensMaximum, service.retryTokens+r.values.RetryBudgetPercent/100)
+	service.retryTokens = min(maxRetryTokens, service.retryTokens+r.values.RetryBudgetPercent/100)
 }
 
 // hedge sends a silent request to a second engine as well.
