--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -176,7 +176,7 @@
 	initialRetryTokens = 10.0
 	maxRetryTokens     = 50.0
 	baseRetryDelay     = 20 * time.Millisecond
-	retryCap           = time.Second
+	maxRetryDelay      = time.Second
 	// continuations is how many engines may fail one stream after its first token.
 	continuations = 8
 )
@@ -225,7 +225,7 @@
 
 // jitteredBackoff is uniform between half and all of an exponentially growing delay.
 func (c *Core) jitteredBackoff(tries int) time.Duration {
-	delay := min(baseRetryDelay<<min(tries-1, 10), retryCap)
+	delay := min(baseRetryDelay<<min(tries-1, 10), maxRetryDelay)
 	return delay/2 + time.Duration(c.random.Int64N(int64(delay/2)))
 }
 
