--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -177,8 +177,8 @@
 	maxRetryTokens     = 50.0
 	baseRetryDelay     = 20 * time.Millisecond
 	maxRetryDelay      = time.Second
-	// continuations is how many engines may fail one stream after its first token.
-	continuations = 8
+	// maxStreamAttempts is how many engines may fail one stream after its first token.
+	maxStreamAttempts = 8
 )
 
 // runRetries decides what follows a failed attempt.
@@ -215,7 +215,7 @@
 }
 
 func (c *Core) continueStream(r *request) {
-	if r.attemptCount > continuations {
+	if r.attemptCount > maxStreamAttempts {
 		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: shortRetryAfter})
 		return
 	}
