--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -199,7 +199,7 @@
 		return
 	}
 	if r.streamStarted() {
-		c.continueStream(r)
+		c.resumeStream(r)
 		return
 	}
 	service := c.service(r.Service)
@@ -214,7 +214,7 @@
 	c.wakeAt(r, r.retryAt)
 }
 
-func (c *Core) continueStream(r *request) {
+func (c *Core) resumeStream(r *request) {
 	if r.attemptCount > maxStreamAttempts {
 		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: shortRetryAfter})
 		return
