--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -229,8 +229,8 @@
 	return delay/2 + time.Duration(c.random.Int64N(int64(delay/2)))
 }
 
-// earnRetry adds a first attempt's share to the retry budget of its service.
-func (c *Core) earnRetry(r *request) {
+// creditRetryBudget adds a first attempt's share to the retry budget of its service.
+func (c *Core) creditRetryBudget(r *request) {
 	service := c.service(r.Service)
 	service.retryTokens = min(maxRetryTokens, service.retryTokens+r.values.RetryBudgetPercent/100)
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -153,7 +153,7 @@
 	r.attemptCount++
 	r.possibleRuns++
 	if r.attemptCount == 1 {
-		c.earnRetry(r)
+		c.creditRetryBudget(r)
 	}
 	row.running++
 	c.usePermit(row)
