--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// failTimedOut ends a request whose first token did not come long after its deadline.
-func (c *Core) failTimedOut(r *request) {
+// finishTimedOut ends a request whose first token did not come long after its deadline.
+func (c *Core) finishTimedOut(r *request) {
 	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: shortRetryAfter})
 }
 
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -82,7 +82,7 @@
 		c.hedge(r)
 	}
 	if c.now >= c.giveUpAt(r) {
-		c.failTimedOut(r)
+		c.finishTimedOut(r)
 	}
 }
 
