--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -60,11 +60,11 @@
 	c.counters.PromptTokens += uint64(r.PromptTokens)
 	c.counters.CachedTokens += uint64(event.Cached)
 	row := &c.backends[sent.backend]
-	known := 0
+	expectedCached := 0
 	if blocks := chainFor(r, row); len(blocks) > 0 {
-		known = min(len(blocks)*c.config.BlockTokens, r.PromptTokens-sent.uncached)
+		expectedCached = min(len(blocks)*c.config.BlockTokens, r.PromptTokens-sent.uncached)
 	}
-	c.counters.RecomputedTokens += uint64(max(0, known-event.Cached))
+	c.counters.RecomputedTokens += uint64(max(0, expectedCached-event.Cached))
 }
 
 // handleChunk passes the next token on. A repeated one is dropped; a gap ends the attempt, and another one
