--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// scoreAllUpTo is the number of ready engines up to which every one is scored; beyond it only holders
+	// maxExhaustiveEngines is the number of ready engines up to which every one is scored; beyond it only holders
 	// of the prefix, its rendezvous engines and a random sample are.
-	scoreAllUpTo = 64
-	sampleSize   = 12
-	ringProbes   = 2
-	maxHolders   = 24
+	maxExhaustiveEngines = 64
+	sampleSize           = 12
+	ringProbes           = 2
+	maxHolders           = 24
 	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
 	defaultPrefillRate = 4000
 	// doubtfulShare is how much of a doubtful match is counted on.
@@ -114,7 +114,7 @@
 	if service.ringStale {
 		c.rebuildRing(service)
 	}
-	if len(service.backends) <= scoreAllUpTo {
+	if len(service.backends) <= maxExhaustiveEngines {
 		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.eligible(r, id) })
 	}
 	var picked []prefix.EngineID
