--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -15,7 +15,7 @@
 	// of the prefix, its rendezvous engines and a random sample are.
 	maxExhaustiveEngines = 64
 	sampleSize           = 12
-	ringProbes           = 2
+	ringCandidates       = 2
 	maxHolders           = 24
 	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
 	defaultPrefillRate = 4000
@@ -129,7 +129,7 @@
 		}
 		add(match.Engine)
 	}
-	for _, id := range c.ringOwners(r, service, ringProbes) {
+	for _, id := range c.ringOwners(r, service, ringCandidates) {
 		add(id)
 	}
 	for range sampleSize {
