--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -16,7 +16,7 @@
 	maxExhaustiveEngines = 64
 	sampleSize           = 12
 	ringCandidates       = 2
-	maxHolders           = 24
+	maxHolderCandidates  = 24
 	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
 	defaultPrefillRate = 4000
 	// doubtfulShare is how much of a doubtful match is counted on.
@@ -124,7 +124,7 @@
 		}
 	}
 	for i, match := range c.matches {
-		if i >= maxHolders {
+		if i >= maxHolderCandidates {
 			break
 		}
 		add(match.Engine)
