--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -19,8 +19,8 @@
 	maxHolderCandidates  = 24
 	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
 	defaultPrefillRate = 4000
-	// doubtfulShare is how much of a doubtful match is counted on.
-	doubtfulShare = 0.5
+	// doubtfulFraction is how much of a doubtful match is counted on.
+	doubtfulFraction = 0.5
 	// importGain is the factor by which copying must beat recomputing.
 	importGain = 0.8
 	// DisplacedFraction is the share of copied blocks that drive out others which are asked for again.
@@ -208,7 +208,7 @@
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
 	if match.Doubtful {
-		cached = int(float64(cached) * doubtfulShare)
+		cached = int(float64(cached) * doubtfulFraction)
 	}
 	rate := row.load.PrefillRate
 	if rate <= 0 {
