--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -21,8 +21,8 @@
 	defaultPrefillRate = 4000
 	// doubtfulFraction is how much of a doubtful match is counted on.
 	doubtfulFraction = 0.5
-	// importGain is the factor by which copying must beat recomputing.
-	importGain = 0.8
+	// maxImportTimeRatio is the factor by which copying must beat recomputing.
+	maxImportTimeRatio = 0.8
 	// DisplacedFraction is the share of copied blocks that drive out others which are asked for again.
 	DisplacedFraction = 0.6
 	// importMinimumBlocks is the least run of blocks worth a copy.
@@ -266,7 +266,7 @@
 	}
 	tokens := missing * c.config.BlockTokens
 	copyTime := seconds(float64(tokens) / c.config.ImportRate)
-	if copyTime > time.Duration(importGain*float64(seconds(float64(tokens)/rate))) {
+	if copyTime > time.Duration(maxImportTimeRatio*float64(seconds(float64(tokens)/rate))) {
 		return 0, 0
 	}
 	candidate.ImportBlocks, candidate.ImportFrom = blocks, source
