--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -25,8 +25,8 @@
 	maxImportTimeRatio = 0.8
 	// DisplacedFraction is the share of copied blocks that drive out others which are asked for again.
 	DisplacedFraction = 0.6
-	// importMinimumBlocks is the least run of blocks worth a copy.
-	importMinimumBlocks = 4
+	// minImportBlocks is the least run of blocks worth a copy.
+	minImportBlocks = 4
 )
 
 // Candidate is one engine as placement sees it for one request.
@@ -261,7 +261,7 @@
 		return 0, 0
 	}
 	missing := blocks - candidate.Cached/c.config.BlockTokens
-	if missing < importMinimumBlocks {
+	if missing < minImportBlocks {
 		return 0, 0
 	}
 	tokens := missing * c.config.BlockTokens
