--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -147,7 +147,7 @@
 	blocks := chainFor(r, row)
 	sent := attempt{
 		id: c.lastAttemptID, backend: row.id, incarnation: row.incarnation, sentAt: c.now,
-		predicted: chosen.raw, resumeFrom: r.emitted, uncached: chosen.Uncached,
+		predicted: chosen.unbiased, resumeFrom: r.emitted, uncached: chosen.Uncached,
 	}
 	r.attempts = append(r.attempts, sent)
 	r.attemptCount++
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -42,7 +42,7 @@
 	Wait         time.Duration
 	Predicted    time.Duration // time to first token
 	Cost         float64       // seconds, weighted
-	raw          time.Duration // Predicted before the bias
+	unbiased     time.Duration // Predicted before the bias
 }
 
 // PlacementContext is what a placer may look at besides the candidates.
@@ -221,9 +221,9 @@
 	copiedTokens, importTime := c.planImport(r, row, rate, &candidate)
 	compute := float64(candidate.Uncached) / rate
 	candidate.Wait = seconds(float64(c.pendingTokens(row, r.Lane)) / rate)
-	candidate.raw = candidate.Wait + seconds(compute) + importTime
+	candidate.unbiased = candidate.Wait + seconds(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
-	candidate.Predicted = network + time.Duration(float64(candidate.raw)*row.latencyBias)
+	candidate.Predicted = network + time.Duration(float64(candidate.unbiased)*row.latencyBias)
 	displaced := float64(copiedTokens) / rate
 	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedFraction*displaced)
 	return candidate
