--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -109,8 +109,8 @@
 	service.ringStale = false
 }
 
-// filter collects the engines worth scoring: ready, not failed on before, below their limit.
-func (c *Core) filter(r *request, service *serviceState) []prefix.EngineID {
+// candidateEngines collects the engines worth scoring: ready, not failed on before, below their limit.
+func (c *Core) candidateEngines(r *request, service *serviceState) []prefix.EngineID {
 	if service.ringStale {
 		c.rebuildRing(service)
 	}
@@ -188,7 +188,7 @@
 		c.matches = c.index.Lookup(chain.Blocks, c.now, c.matches)
 	}
 	c.candidates = c.candidates[:0]
-	for _, id := range c.filter(r, service) {
+	for _, id := range c.candidateEngines(r, service) {
 		c.candidates = append(c.candidates, c.scoreOne(r, &c.backends[id]))
 	}
 	return c.candidates
