--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -115,11 +115,11 @@
 		c.rebuildRing(service)
 	}
 	if len(service.backends) <= maxExhaustiveEngines {
-		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.eligible(r, id) })
+		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.isEligible(r, id) })
 	}
 	var picked []prefix.EngineID
 	add := func(id prefix.EngineID) {
-		if !slices.Contains(picked, id) && c.eligible(r, id) {
+		if !slices.Contains(picked, id) && c.isEligible(r, id) {
 			picked = append(picked, id)
 		}
 	}
@@ -163,7 +163,7 @@
 	return owners
 }
 
-func (c *Core) eligible(r *request, id prefix.EngineID) bool {
+func (c *Core) isEligible(r *request, id prefix.EngineID) bool {
 	row := &c.backends[id]
 	if !c.ready(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
 		return false
