--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -244,7 +244,7 @@
 	}
 	first := r.attempts[0].backend
 	r.failedOn = append(r.failedOn, first)
-	candidates := c.score(r, service)
+	candidates := c.scoreCandidates(r, service)
 	r.failedOn = r.failedOn[:len(r.failedOn)-1]
 	if len(candidates) == 0 || c.dispatchBar(r) != "" {
 		return
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	r := service.lanes[l][0]
-	candidates := c.score(r, service)
+	candidates := c.scoreCandidates(r, service)
 	c.preferOwner(r, service, candidates)
 	choice := -1
 	if len(candidates) > 0 {
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// score fills c.scores with a candidate for each eligible engine.
-func (c *Core) score(r *request, service *serviceState) []Candidate {
+// scoreCandidates fills c.scores with a candidate for each eligible engine.
+func (c *Core) scoreCandidates(r *request, service *serviceState) []Candidate {
 	c.matches = c.matches[:0]
 	for _, chain := range r.Chains {
 		c.matches = c.index.Lookup(chain.Blocks, c.now, c.matches)
