--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -189,7 +189,7 @@
 	}
 	c.candidates = c.candidates[:0]
 	for _, id := range c.candidateEngines(r, service) {
-		c.candidates = append(c.candidates, c.scoreOne(r, &c.backends[id]))
+		c.candidates = append(c.candidates, c.scoreEngine(r, &c.backends[id]))
 	}
 	return c.candidates
 }
@@ -203,8 +203,8 @@
 	return prefix.Match{}
 }
 
-// scoreOne predicts what a request would cost on one engine.
-func (c *Core) scoreOne(r *request, row *backend) Candidate {
+// scoreEngine predicts what a request would cost on one engine.
+func (c *Core) scoreEngine(r *request, row *backend) Candidate {
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
 	if match.Doubtful {
