--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -220,8 +220,8 @@
 	}
 	copiedTokens, importTime := c.planImport(r, row, rate, &candidate)
 	compute := float64(candidate.Uncached) / rate
-	candidate.Wait = seconds(float64(c.pendingTokens(row, r.Lane)) / rate)
-	candidate.unbiased = candidate.Wait + seconds(compute) + importTime
+	candidate.Wait = secondsToDuration(float64(c.pendingTokens(row, r.Lane)) / rate)
+	candidate.unbiased = candidate.Wait + secondsToDuration(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
 	candidate.Predicted = network + time.Duration(float64(candidate.unbiased)*row.latencyBias)
 	displaced := float64(copiedTokens) / rate
@@ -229,7 +229,7 @@
 	return candidate
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // pendingTokens is the prefill before a request of a lane: what the engine reported, and what we sent since.
 func (c *Core) pendingTokens(row *backend, l Lane) int {
@@ -265,8 +265,8 @@
 		return 0, 0
 	}
 	tokens := missing * c.config.BlockTokens
-	copyTime := seconds(float64(tokens) / c.config.ImportRate)
-	if copyTime > time.Duration(maxImportTimeRatio*float64(seconds(float64(tokens)/rate))) {
+	copyTime := secondsToDuration(float64(tokens) / c.config.ImportRate)
+	if copyTime > time.Duration(maxImportTimeRatio*float64(secondsToDuration(float64(tokens)/rate))) {
 		return 0, 0
 	}
 	candidate.ImportBlocks, candidate.ImportFrom = blocks, source
