--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -220,7 +220,7 @@
 	}
 	copiedTokens, importTime := c.planImport(r, row, rate, &candidate)
 	compute := float64(candidate.Uncached) / rate
-	candidate.Wait = secondsToDuration(float64(c.pendingTokens(row, r.Lane)) / rate)
+	candidate.Wait = secondsToDuration(float64(c.pendingPrefillTokens(row, r.Lane)) / rate)
 	candidate.unbiased = candidate.Wait + secondsToDuration(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
 	candidate.Predicted = network + time.Duration(float64(candidate.unbiased)*row.latencyBias)
@@ -231,8 +231,8 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// pendingTokens is the prefill before a request of a lane: what the engine reported, and what we sent since.
-func (c *Core) pendingTokens(row *backend, l Lane) int {
+// pendingPrefillTokens is the prefill before a request of a lane: what the engine reported, and what we sent since.
+func (c *Core) pendingPrefillTokens(row *backend, l Lane) int {
 	pending := row.load.WaitingTokens
 	if l == LaneInteractive {
 		pending = row.load.InteractiveTokens
