--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -257,7 +257,7 @@
 		return 0, 0
 	}
 	blocks, source := c.bestSource(r, row)
-	if c.holders(blocks) >= r.values.HotCopies {
+	if c.holderCount(blocks) >= r.values.HotCopies {
 		return 0, 0
 	}
 	missing := blocks - candidate.Cached/c.config.BlockTokens
@@ -274,8 +274,8 @@
 	return tokens, copyTime
 }
 
-// holders counts the engines that are believed to hold a prefix of a length.
-func (c *Core) holders(blocks int) int {
+// holderCount counts the engines that are believed to hold a prefix of a length.
+func (c *Core) holderCount(blocks int) int {
 	count := 0
 	for _, match := range c.matches {
 		if match.Blocks >= blocks && !match.Doubtful {
