--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -256,7 +256,7 @@
 	if c.config.ImportRate <= 0 || !c.config.Placer.AllowsImport() {
 		return 0, 0
 	}
-	blocks, source := c.bestSource(r, row)
+	blocks, source := c.bestImportSource(r, row)
 	if c.holderCount(blocks) >= r.values.HotCopies {
 		return 0, 0
 	}
@@ -285,8 +285,8 @@
 	return count
 }
 
-// bestSource returns where the longest prefix of a chain can be copied from.
-func (c *Core) bestSource(r *request, row *backend) (int, string) {
+// bestImportSource returns where the longest prefix of a chain can be copied from.
+func (c *Core) bestImportSource(r *request, row *backend) (int, string) {
 	chain := chainFor(r, row)
 	blocks, source := 0, ""
 	for _, match := range c.matches {
