--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -298,14 +298,14 @@
 	if c.config.Vault == "" || blocks == len(chain) {
 		return blocks, source
 	}
-	if held := c.vaultDepth(chain); held > blocks {
+	if held := c.vaultPrefixBlocks(chain); held > blocks {
 		return held, c.config.Vault
 	}
 	return blocks, source
 }
 
-// vaultDepth returns how many leading blocks the vault holds.
-func (c *Core) vaultDepth(chain []prefix.Hash) int {
+// vaultPrefixBlocks returns how many leading blocks the vault holds.
+func (c *Core) vaultPrefixBlocks(chain []prefix.Hash) int {
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
