--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// deadAfter is the silence after which a back end that left the platform's list is dead.
-	deadAfter = 10 * time.Second
+	// unlistedTimeout is the silence after which a back end that left the platform's list is dead.
+	unlistedTimeout = 10 * time.Second
 	// failuresToSuspect is how many refused connections in a row make a back end suspect at once.
 	failuresToSuspect = 2
 	// membershipPeriod is how often states are judged when nothing was heard.
@@ -43,7 +43,7 @@
 	silence := c.now - row.lastSeenAt
 	suspectAfter := time.Duration(c.effectiveSettings(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
 	switch {
-	case !row.listed && silence > deadAfter:
+	case !row.listed && silence > unlistedTimeout:
 		return BackendDead
 	case c.isLeaving(row):
 		return BackendLeaving
