--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -13,8 +13,8 @@
 const (
 	// unlistedTimeout is the silence after which a back end that left the platform's list is dead.
 	unlistedTimeout = 10 * time.Second
-	// failuresToSuspect is how many refused connections in a row make a back end suspect at once.
-	failuresToSuspect = 2
+	// suspectFailures is how many refused connections in a row make a back end suspect at once.
+	suspectFailures = 2
 	// membershipPeriod is how often states are judged when nothing was heard.
 	membershipPeriod = 20 * time.Millisecond
 )
@@ -49,7 +49,7 @@
 		return BackendLeaving
 	case row.incarnation == 0:
 		return BackendJoining
-	case silence > suspectAfter || row.consecutiveFailures >= failuresToSuspect:
+	case silence > suspectAfter || row.consecutiveFailures >= suspectFailures:
 		return BackendSuspect
 	case row.loading && row.kind == settings.KindLLM:
 		return BackendJoining
