--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -15,8 +15,8 @@
 	unlistedTimeout = 10 * time.Second
 	// suspectFailures is how many refused connections in a row make a back end suspect at once.
 	suspectFailures = 2
-	// membershipPeriod is how often states are judged when nothing was heard.
-	membershipPeriod = 20 * time.Millisecond
+	// membershipInterval is how often states are judged when nothing was heard.
+	membershipInterval = 20 * time.Millisecond
 )
 
 // runMembership joins the three sources into one state for each back end.
@@ -25,7 +25,7 @@
 // lately, is on the platform's list, and is not loading weights; the list alone never makes it ready, and
 // never kills one that answers.
 func (c *Core) runMembership() {
-	if !c.membershipDirty && c.now < c.membershipCheckedAt+membershipPeriod {
+	if !c.membershipDirty && c.now < c.membershipCheckedAt+membershipInterval {
 		return
 	}
 	c.membershipDirty = false
