--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -32,14 +32,14 @@
 	c.membershipCheckedAt = c.now
 	for i := range c.backends {
 		row := &c.backends[i]
-		next := c.judge(row)
+		next := c.nextState(row)
 		if next != row.state {
 			c.enterState(row, next)
 		}
 	}
 }
 
-func (c *Core) judge(row *backend) BackendState {
+func (c *Core) nextState(row *backend) BackendState {
 	silence := c.now - row.lastSeenAt
 	suspectAfter := time.Duration(c.effectiveSettings(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
 	switch {
