--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -71,7 +71,7 @@
 	case BackendSuspect:
 		c.breakAttempts(row, onlyRepeatable)
 	case BackendDead:
-		c.breakAttempts(row, everyRequest)
+		c.breakAttempts(row, allRequests)
 		c.index.Forget(row.id)
 		row.incarnation = 0
 		row.pendingPrefill = row.pendingPrefill[:0]
@@ -79,8 +79,8 @@
 	c.service(row.machine.Service).ringStale = true
 }
 
-// everyRequest selects all requests for breakAttempts.
-func everyRequest(*request) bool { return true }
+// allRequests selects all requests for breakAttempts.
+func allRequests(*request) bool { return true }
 
 // onlyRepeatable selects the requests that another back end may take over; a non-repeatable one waits for its
 // answer as long as its deadline allows.
