--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -69,9 +69,9 @@
 	row.state = next
 	switch next {
 	case BackendSuspect:
-		c.breakAttempts(row, onlyRepeatable)
+		c.failAttemptsOn(row, onlyRepeatable)
 	case BackendDead:
-		c.breakAttempts(row, allRequests)
+		c.failAttemptsOn(row, allRequests)
 		c.index.Forget(row.id)
 		row.incarnation = 0
 		row.pendingPrefill = row.pendingPrefill[:0]
@@ -86,9 +86,9 @@
 // answer as long as its deadline allows.
 func onlyRepeatable(r *request) bool { return r.values.Repeatable }
 
-// breakAttempts ends the attempts that run on an earlier life of a back end, or on a silent one, as if their
+// failAttemptsOn ends the attempts that run on an earlier life of a back end, or on a silent one, as if their
 // connections had broken. Requests are taken in order of arrival, so that ticks are deterministic.
-func (c *Core) breakAttempts(row *backend, affected func(*request) bool) {
+func (c *Core) failAttemptsOn(row *backend, affected func(*request) bool) {
 	if row.running == 0 {
 		return
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -156,7 +156,7 @@
 		c.index.Forget(row.id)
 	}
 	if newLife {
-		c.breakAttempts(row, allRequests)
+		c.failAttemptsOn(row, allRequests)
 		row.pendingPrefill = row.pendingPrefill[:0]
 		row.latencyBias = 1
 	}
