--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -94,19 +94,19 @@
 	}
 	var broken []*request
 	for _, r := range c.requests {
-		if attemptOn(r, row.id) >= 0 && affected(r) {
+		if attemptIndexOn(r, row.id) >= 0 && affected(r) {
 			broken = append(broken, r)
 		}
 	}
 	slices.SortFunc(broken, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
 	for _, r := range broken {
-		at := attemptOn(r, row.id)
+		at := attemptIndexOn(r, row.id)
 		c.failAttempt(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 	}
 }
 
-// attemptOn returns the position of a request's attempt on a back end, or -1.
-func attemptOn(r *request, id prefix.EngineID) int {
+// attemptIndexOn returns the position of a request's attempt on a back end, or -1.
+func attemptIndexOn(r *request, id prefix.EngineID) int {
 	return slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.backend == id })
 }
 
