--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -146,7 +146,7 @@
 		return
 	}
 	if !event.BackendNotAtFault {
-		c.noteUnreachable(row)
+		c.recordConnectionFailure(row)
 	}
 	c.failAttempt(r, at, event)
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -110,8 +110,8 @@
 	return slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.backend == id })
 }
 
-// noteUnreachable counts a refused or timed-out connection.
-func (c *Core) noteUnreachable(row *backend) {
+// recordConnectionFailure counts a refused or timed-out connection.
+func (c *Core) recordConnectionFailure(row *backend) {
 	row.consecutiveFailures++
 	c.membershipDirty = true
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -128,7 +128,7 @@
 	c.membershipDirty = true
 	row := &c.backends[id]
 	if event.Report == nil {
-		c.noteUnreachable(row)
+		c.recordConnectionFailure(row)
 		return
 	}
 	report := event.Report
