--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -117,16 +117,16 @@
 }
 
 const (
-	// standstill is a time between two ticks that a running process never lets pass: it was stopped, or its
+	// pauseThreshold is a time between two ticks that a running process never lets pass: it was stopped, or its
 	// machine was.
-	standstill = time.Second
+	pauseThreshold = time.Second
 	// listPatience is how long a process that stood still waits for a fresh list before it goes on without one.
 	listPatience = 2 * time.Second
 )
 
 // detectPause notices that the process stood still, so that what it knows of leaving back ends is old.
 func (c *Core) detectPause(now time.Duration) {
-	if now > c.now+standstill {
+	if now > c.now+pauseThreshold {
 		c.resumedAt = now
 	}
 }
