--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -120,8 +120,8 @@
 	// pauseThreshold is a time between two ticks that a running process never lets pass: it was stopped, or its
 	// machine was.
 	pauseThreshold = time.Second
-	// listPatience is how long a process that stood still waits for a fresh list before it goes on without one.
-	listPatience = 2 * time.Second
+	// maxListWait is how long a process that stood still waits for a fresh list before it goes on without one.
+	maxListWait = 2 * time.Second
 )
 
 // detectPause notices that the process stood still, so that what it knows of leaving back ends is old.
@@ -133,7 +133,7 @@
 
 // awaitsList reports whether placing must wait for a list that is younger than a standstill.
 func (c *Core) awaitsList() bool {
-	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+listPatience && c.config.Guards.On(guard.LeavingCheck)
+	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+maxListWait && c.config.Guards.On(guard.LeavingCheck)
 }
 
 // ready reports whether new work may be sent to a back end.
