--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// awaitsList reports whether placing must wait for a list that is younger than a standstill.
-func (c *Core) awaitsList() bool {
+// awaitsFreshList reports whether placing must wait for a list that is younger than a standstill.
+func (c *Core) awaitsFreshList() bool {
 	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+maxListWait && c.config.Guards.On(guard.LeavingCheck)
 }
 
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -15,7 +15,7 @@
 
 // runPlacement serves the queues until no engine has room.
 func (c *Core) runPlacement() {
-	if c.awaitsList() {
+	if c.awaitsFreshList() {
 		return
 	}
 	for _, name := range c.serviceNames() {
