--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -136,5 +136,5 @@
 	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+maxListWait && c.config.Guards.On(guard.LeavingCheck)
 }
 
-// ready reports whether new work may be sent to a back end.
-func (c *Core) ready(row *backend) bool { return row.state == BackendReady }
+// isReady reports whether new work may be sent to a back end.
+func (c *Core) isReady(row *backend) bool { return row.state == BackendReady }
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -40,7 +40,7 @@
 func (c *Core) allBarred(service *serviceState) (first time.Duration, reason Reason) {
 	for _, id := range service.backends {
 		row := &c.backends[id]
-		if !c.ready(row) {
+		if !c.isReady(row) {
 			continue
 		}
 		left, why := c.rests(row), ReasonResting
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -90,7 +90,7 @@
 	service.ring = service.ring[:0]
 	for _, id := range service.backends {
 		row := &c.backends[id]
-		if !c.ready(row) {
+		if !c.isReady(row) {
 			continue
 		}
 		for point := range ringPointsPerEngine {
@@ -165,7 +165,7 @@
 
 func (c *Core) isEligible(r *request, id prefix.EngineID) bool {
 	row := &c.backends[id]
-	if !c.ready(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
+	if !c.isReady(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
 		return false
 	}
 	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.barred(row) == 0
@@ -291,7 +291,7 @@
 	blocks, source := 0, ""
 	for _, match := range c.matches {
 		other := &c.backends[match.Engine]
-		if match.Engine != row.id && !match.Doubtful && match.Blocks > blocks && other.weights == row.weights && c.ready(other) {
+		if match.Engine != row.id && !match.Doubtful && match.Blocks > blocks && other.weights == row.weights && c.isReady(other) {
 			blocks, source = match.Blocks, other.machine.Address
 		}
 	}
