--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -14,7 +14,7 @@
 	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].needsSnapshot })
 	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
-		if c.now >= row.snapshotRequestedAt+snapshotRetry && row.state == BackendReady {
+		if c.now >= row.snapshotRequestedAt+snapshotRetryInterval && row.state == BackendReady {
 			row.snapshotRequestedAt = c.now
 			c.emit(ActionRequestSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
 		}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/settings"
 )
 
-// snapshotRetry is how long an asked-for cache snapshot may take before it is asked for again.
-const snapshotRetry = 2 * time.Second
+// snapshotRetryInterval is how long an asked-for cache snapshot may take before it is asked for again.
+const snapshotRetryInterval = 2 * time.Second
 
 // observe applies one event to the tables.
 func (c *Core) observe(event Event) {
@@ -189,7 +189,7 @@
 	c.counters.CacheEventGaps++
 	c.index.Doubt(row.id, c.now)
 	row.needsSnapshot = true
-	row.snapshotRequestedAt = -snapshotRetry
+	row.snapshotRequestedAt = -snapshotRetryInterval
 	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
 }
 
