--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -132,7 +132,7 @@
 		return
 	}
 	report := event.Report
-	c.noteLife(row, report)
+	c.updateIncarnation(row, report)
 	row.lastSeenAt = max(row.lastSeenAt, event.RequestedAt)
 	row.consecutiveFailures = 0
 	row.loading = report.Loading
@@ -144,9 +144,9 @@
 	c.applyCacheEvents(row, report)
 }
 
-// noteLife notices a new incarnation or new weights: everything believed about the earlier life is void,
+// updateIncarnation notices a new incarnation or new weights: everything believed about the earlier life is void,
 // and attempts sent to it are lost.
-func (c *Core) noteLife(row *backend, report *BackendReport) {
+func (c *Core) updateIncarnation(row *backend, report *BackendReport) {
 	if report.Incarnation == row.incarnation && report.Weights == row.weights {
 		return
 	}
