--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -170,19 +170,19 @@
 			continue
 		}
 		if event.Sequence > row.nextSequence {
-			c.noteGap(row)
+			c.recordCacheEventGap(row)
 		}
 		row.nextSequence = event.Sequence + 1
 		c.index.Add(row.id, event.Stored, c.now, prefix.SourceEvent)
 		c.index.Remove(row.id, event.Evicted)
 	}
 	if report.NextSequence > row.nextSequence {
-		c.noteGap(row)
+		c.recordCacheEventGap(row)
 		row.nextSequence = report.NextSequence
 	}
 }
 
-func (c *Core) noteGap(row *backend) {
+func (c *Core) recordCacheEventGap(row *backend) {
 	if row.needsSnapshot {
 		return
 	}
