--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -32,7 +32,7 @@
 	case EventCacheSnapshot:
 		c.observeSnapshot(typed)
 	case EventMachineList:
-		c.observePlatform(typed)
+		c.observeMachineList(typed)
 	case EventSettings:
 		c.observeSettings(typed)
 	case EventLease:
@@ -86,7 +86,7 @@
 	}
 }
 
-func (c *Core) observePlatform(event EventMachineList) {
+func (c *Core) observeMachineList(event EventMachineList) {
 	c.membershipDirty = true
 	c.listRequestedAt = max(c.listRequestedAt, event.AskedAt)
 	for i := range c.backends {
