--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -28,7 +28,7 @@
 	case EventPushback:
 		c.observeSaid(typed)
 	case EventBackendPoll:
-		c.observeBackend(typed)
+		c.observeBackendPoll(typed)
 	case EventCacheSnapshot:
 		c.observeSnapshot(typed)
 	case EventMachineList:
@@ -120,7 +120,7 @@
 	return &c.backends[id]
 }
 
-func (c *Core) observeBackend(event EventBackendPoll) {
+func (c *Core) observeBackendPoll(event EventBackendPoll) {
 	id, found := c.backendIDs[event.Name]
 	if !found {
 		return
