--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -42,7 +42,7 @@
 	case EventVault:
 		c.observeVault(typed)
 	case EventPeerDispatches:
-		c.observePeerSends(typed)
+		c.observePeerDispatches(typed)
 	case EventPeerRouters:
 		c.observeRouters(typed)
 	case EventDrain:
@@ -74,8 +74,8 @@
 	}
 }
 
-// observePeerSends counts what other routers sent and no report shows yet.
-func (c *Core) observePeerSends(event EventPeerDispatches) {
+// observePeerDispatches counts what other routers sent and no report shows yet.
+func (c *Core) observePeerDispatches(event EventPeerDispatches) {
 	for _, send := range event.Dispatches {
 		id, found := c.backendIDs[send.Backend]
 		if !found {
