--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -150,12 +150,12 @@
 	if report.Incarnation == row.incarnation && report.Weights == row.weights {
 		return
 	}
-	newLife := report.Incarnation != row.incarnation
+	restarted := report.Incarnation != row.incarnation
 	row.incarnation, row.weights = report.Incarnation, report.Weights
 	if c.config.Guards.On(guard.IncarnationCheck) {
 		c.index.Forget(row.id)
 	}
-	if newLife {
+	if restarted {
 		c.failAttemptsOn(row, allRequests)
 		row.pendingPrefill = row.pendingPrefill[:0]
 		row.latencyBias = 1
