--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -26,7 +26,7 @@
 	case EventAttempt:
 		c.observeAttempt(typed)
 	case EventPushback:
-		c.observeSaid(typed)
+		c.observePushback(typed)
 	case EventBackendPoll:
 		c.observeBackendPoll(typed)
 	case EventCacheSnapshot:
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -12,8 +12,8 @@
 	return catalog.Life{Name: name, Born: int64(incarnation)}
 }
 
-// observeSaid takes up what a back end says of itself.
-func (c *Core) observeSaid(event EventPushback) {
+// observePushback takes up what a back end says of itself.
+func (c *Core) observePushback(event EventPushback) {
 	c.pushback.Note(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Pushback, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Pushback.Leaving
 }
