--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -61,7 +61,7 @@
 	if !c.config.Guards.On(guard.LeavingCheck) {
 		return false
 	}
-	heard := c.config.Guards.On(guard.LeavingHeard) && c.saysLeaving(row)
+	heard := c.config.Guards.On(guard.LeavingHeard) && c.announcedLeaving(row)
 	return row.leaving || heard || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
 }
 
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -18,9 +18,9 @@
 	c.membershipDirty = c.membershipDirty || event.Pushback.Leaving
 }
 
-// saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
+// announcedLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
 // undo that.
-func (c *Core) saysLeaving(row *backend) bool {
+func (c *Core) announcedLeaving(row *backend) bool {
 	return c.pushback.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Leaving
 }
 
