--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -24,8 +24,8 @@
 	return c.pushback.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Leaving
 }
 
-// rests returns how long a back end still wants nothing from this router.
-func (c *Core) rests(row *backend) time.Duration {
+// remainingRest returns how long a back end still wants nothing from this router.
+func (c *Core) remainingRest(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
-func (c *Core) barred(row *backend) time.Duration { return max(c.rests(row), c.limited(row)) }
+func (c *Core) barred(row *backend) time.Duration { return max(c.remainingRest(row), c.limited(row)) }
 
 // allBarred returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
 // their limits, and which of the two; else 0.
@@ -43,7 +43,7 @@
 		if !c.isReady(row) {
 			continue
 		}
-		left, why := c.rests(row), ReasonResting
+		left, why := c.remainingRest(row), ReasonResting
 		if limited := c.limited(row); limited > left {
 			left, why = limited, ReasonLimited
 		}
