--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -95,7 +95,7 @@
 		return c.restFor(r, service, left, reason)
 	}
 	for _, id := range service.backends {
-		if row := &c.backends[id]; c.isReady(row) && c.barred(row) == 0 && !slices.Contains(r.failedOn, id) {
+		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 && !slices.Contains(r.failedOn, id) {
 			return false
 		}
 	}
@@ -118,7 +118,7 @@
 
 func (c *Core) anyReady(service *serviceState) bool {
 	for _, id := range service.backends {
-		if row := &c.backends[id]; c.isReady(row) && c.barred(row) == 0 {
+		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 {
 			return true
 		}
 	}
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -32,8 +32,10 @@
 	return max(0, c.pushback.At(c.now, lifeOf(row.machine.Name, row.incarnation)).Until-c.now)
 }
 
-// barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
-func (c *Core) barred(row *backend) time.Duration { return max(c.remainingRest(row), c.limited(row)) }
+// blockedFor returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
+func (c *Core) blockedFor(row *backend) time.Duration {
+	return max(c.remainingRest(row), c.limited(row))
+}
 
 // allBarred returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
 // their limits, and which of the two; else 0.
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -168,7 +168,7 @@
 	if !c.isReady(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
 		return false
 	}
-	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.barred(row) == 0
+	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.blockedFor(row) == 0
 }
 
 // chainFor returns the request's chain under the engine's weights.
