--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -91,7 +91,7 @@
 // noCandidate decides what to do when no engine can take the head of the queue: wait if one is only busy,
 // otherwise give up.
 func (c *Core) noCandidate(r *request, service *serviceState) bool {
-	if left, reason := c.allBarred(service); left > 0 {
+	if left, reason := c.allBlockedFor(service); left > 0 {
 		return c.restFor(r, service, left, reason)
 	}
 	for _, id := range service.backends {
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -37,9 +37,9 @@
 	return max(c.remainingRest(row), c.limited(row))
 }
 
-// allBarred returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
+// allBlockedFor returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
 // their limits, and which of the two; else 0.
-func (c *Core) allBarred(service *serviceState) (first time.Duration, reason Reason) {
+func (c *Core) allBlockedFor(service *serviceState) (first time.Duration, reason Reason) {
 	for _, id := range service.backends {
 		row := &c.backends[id]
 		if !c.isReady(row) {
