--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -92,7 +92,7 @@
 // otherwise give up.
 func (c *Core) noCandidate(r *request, service *serviceState) bool {
 	if left, reason := c.allBlockedFor(service); left > 0 {
-		return c.restFor(r, service, left, reason)
+		return c.waitOrRefuse(r, service, left, reason)
 	}
 	for _, id := range service.backends {
 		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 && !slices.Contains(r.failedOn, id) {
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -59,10 +59,10 @@
 	return first, reason
 }
 
-// restFor decides on the head of a queue whose service takes nothing for a while. A time that is no longer than requests wait for a back end to
+// waitOrRefuse decides on the head of a queue whose service takes nothing for a while. A time that is no longer than requests wait for a back end to
 // appear is waited for, and by a stream in progress any that ends while its caller still waits; else the request is refused at once. It returns
 // false when the request must wait.
-func (c *Core) restFor(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
+func (c *Core) waitOrRefuse(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
 	if c.now+rest < r.deadline && (rest <= noBackendGrace || r.streamStarted()) {
 		c.wakeAt(r, c.now+rest)
 		return false
