--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -69,13 +69,13 @@
 	}
 	service.remove(r)
 	r.state = stateRunning
-	c.refuse(r, reason, rest+time.Duration(c.random.Float64()*restApart*float64(rest)))
+	c.refuse(r, reason, rest+time.Duration(c.random.Float64()*retryAfterJitter*float64(rest)))
 	return true
 }
 
-// restApart is the share of the time to come back that is added to it at random, so that callers who were refused together don't return
+// retryAfterJitter is the share of the time to come back that is added to it at random, so that callers who were refused together don't return
 // together.
-const restApart = 0.1
+const retryAfterJitter = 0.1
 
 // pushbackSweep is how often words of back ends that count no longer are forgotten.
 const pushbackSweep = 10 * time.Second
