--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -77,12 +77,12 @@
 // together.
 const retryAfterJitter = 0.1
 
-// pushbackSweep is how often words of back ends that count no longer are forgotten.
-const pushbackSweep = 10 * time.Second
+// pushbackSweepInterval is how often words of back ends that count no longer are forgotten.
+const pushbackSweepInterval = 10 * time.Second
 
 // sweepPushback forgets words that count no longer.
 func (c *Core) sweepPushback() {
-	if c.now < c.pushbackSweptAt+pushbackSweep {
+	if c.now < c.pushbackSweptAt+pushbackSweepInterval {
 		return
 	}
 	c.pushbackSweptAt = c.now
