--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -55,7 +55,7 @@
 	if !c.config.Guards.On(guard.LimitCheck) {
 		return 0
 	}
-	life := lifeOf(row.machine.Name, row.incarnation)
+	life := backendLife(row.machine.Name, row.incarnation)
 	limit := c.pushback.Limit(life)
 	if !limit.Named {
 		row.rateBucket = permits{}
@@ -86,6 +86,6 @@
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
 	if !event.StatesRateLimit {
-		c.pushback.Unlimited(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.incarnation))
+		c.pushback.Unlimited(c.now, sent.sentAt, backendLife(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
