--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// shareBurst is how much of its share a router may send at once beside one request, in seconds: without any, what comes in between two
+	// rateBurstSeconds is how much of its share a router may send at once beside one request, in seconds: without any, what comes in between two
 	// requests would be lost.
-	shareBurst = 0.25
+	rateBurstSeconds = 0.25
 )
 
 // observeRouters takes up which routers share what back ends take from all.
@@ -66,7 +66,7 @@
 	if p.life != row.incarnation || p.rate == 0 {
 		*p = permits{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
-	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+shareBurst*rate)
+	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
 	p.rate, p.at = rate, c.now
 	switch {
 	case p.level >= 1:
