--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -16,8 +16,8 @@
 	rateBurstSeconds = 0.25
 )
 
-// observeRouters takes up which routers share what back ends take from all.
-func (c *Core) observeRouters(event EventPeerRouters) { c.peerRouters = event.Names }
+// observePeerRouters takes up which routers share what back ends take from all.
+func (c *Core) observePeerRouters(event EventPeerRouters) { c.peerRouters = event.Names }
 
 // share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
 // one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -71,7 +71,7 @@
 						told.Names = append(told.Names, other.config.Router)
 					}
 				}
-				c.observeRouters(told)
+				c.observePeerRouters(told)
 			}
 		}
 		know()
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -44,7 +44,7 @@
 	case EventPeerDispatches:
 		c.observePeerDispatches(typed)
 	case EventPeerRouters:
-		c.observeRouters(typed)
+		c.observePeerRouters(typed)
 	case EventDrain:
 		c.draining = true
 	}
