--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -19,10 +19,10 @@
 // observePeerRouters takes up which routers share what back ends take from all.
 func (c *Core) observePeerRouters(event EventPeerRouters) { c.peerRouters = event.Names }
 
-// share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
+// rateShare returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
 // one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
 // word (highest random weights), and one that is cut off knows it still.
-func (c *Core) share(life catalog.Life, limit float64) float64 {
+func (c *Core) rateShare(life catalog.Life, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
 	own := routerWeight(life, c.config.Router)
 	before := 0
@@ -62,7 +62,7 @@
 		return 0
 	}
 	p := &row.rateBucket
-	rate := c.share(life, limit.Rate)
+	rate := c.rateShare(life, limit.Rate)
 	if p.life != row.incarnation || p.rate == 0 {
 		*p = permits{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
