--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -24,10 +24,10 @@
 // word (highest random weights), and one that is cut off knows it still.
 func (c *Core) rateShare(life catalog.Life, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
-	own := routerWeight(life, c.config.Router)
+	own := rendezvousWeight(life, c.config.Router)
 	before := 0
 	for _, other := range c.peerRouters {
-		if weight := routerWeight(life, other); weight > own || weight == own && other < c.config.Router {
+		if weight := rendezvousWeight(life, other); weight > own || weight == own && other < c.config.Router {
 			before++
 		}
 	}
@@ -37,8 +37,8 @@
 	return max(limit, pushback.LeastRate) / float64(senders)
 }
 
-// routerWeight is a router's weight for a life of a back end.
-func routerWeight(life catalog.Life, router string) uint64 {
+// rendezvousWeight is a router's weight for a life of a back end.
+func rendezvousWeight(life catalog.Life, router string) uint64 {
 	return xxhash.Sum64String(life.ID() + "/" + router)
 }
 
