--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -42,8 +42,8 @@
 	return xxhash.Sum64String(life.ID() + "/" + router)
 }
 
-// permits is what a router may send to a back end that names a limit.
-type permits struct {
+// rateBucket is what a router may send to a back end that names a limit.
+type rateBucket struct {
 	life  uint64        // that it is of
 	rate  float64       // requests a second; 0 until the limit was first heard
 	level float64       // requests that may be sent now; at most one and a part of the rate
@@ -58,13 +58,13 @@
 	life := backendLife(row.machine.Name, row.incarnation)
 	limit := c.pushback.Limit(life)
 	if !limit.Named {
-		row.rateBucket = permits{}
+		row.rateBucket = rateBucket{}
 		return 0
 	}
 	p := &row.rateBucket
 	rate := c.rateShare(life, limit.Rate)
 	if p.life != row.incarnation || p.rate == 0 {
-		*p = permits{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
+		*p = rateBucket{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
 	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
 	p.rate, p.at = rate, c.now
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -51,7 +51,7 @@
 	maxConcurrency      float64          // highest limit that the settings allow
 	latencyBias         float64          // observed over predicted time to first token, smoothed
 	consecutiveFailures int              // in a row
-	rateBucket          permits          // of the limit that it names
+	rateBucket          rateBucket       // of the limit that it names
 }
 
 // pendingPrefill is an attempt of ours that has not given its first token yet.
