--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -44,10 +44,10 @@
 
 // rateBucket is what a router may send to a back end that names a limit.
 type rateBucket struct {
-	life  uint64        // that it is of
-	rate  float64       // requests a second; 0 until the limit was first heard
-	level float64       // requests that may be sent now; at most one and a part of the rate
-	at    time.Duration // when the level was right
+	incarnation uint64        // that it is of
+	rate        float64       // requests a second; 0 until the limit was first heard
+	level       float64       // requests that may be sent now; at most one and a part of the rate
+	at          time.Duration // when the level was right
 }
 
 // limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
@@ -63,8 +63,8 @@
 	}
 	p := &row.rateBucket
 	rate := c.rateShare(life, limit.Rate)
-	if p.life != row.incarnation || p.rate == 0 {
-		*p = rateBucket{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
+	if p.incarnation != row.incarnation || p.rate == 0 {
+		*p = rateBucket{incarnation: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
 	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
 	p.rate, p.at = rate, c.now
