--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -46,7 +46,7 @@
 type rateBucket struct {
 	incarnation uint64        // that it is of
 	rate        float64       // requests a second; 0 until the limit was first heard
-	level       float64       // requests that may be sent now; at most one and a part of the rate
+	tokens      float64       // requests that may be sent now; at most one and a part of the rate
 	at          time.Duration // when the level was right
 }
 
@@ -66,22 +66,22 @@
 	if p.incarnation != row.incarnation || p.rate == 0 {
 		*p = rateBucket{incarnation: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
-	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
+	p.tokens = min(p.tokens+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
 	p.rate, p.at = rate, c.now
 	switch {
-	case p.level >= 1:
+	case p.tokens >= 1:
 		return 0
 	case rate == 0:
 		return othersOnly
 	}
-	return time.Duration((1-p.level)/rate*float64(time.Second)) + time.Nanosecond
+	return time.Duration((1-p.tokens)/rate*float64(time.Second)) + time.Nanosecond
 }
 
 // othersOnly is how long a router takes to look again at a back end whose limit others use.
 const othersOnly = time.Second
 
 // usePermit counts a request that is sent to a back end.
-func (c *Core) usePermit(row *backend) { row.rateBucket.level-- }
+func (c *Core) usePermit(row *backend) { row.rateBucket.tokens-- }
 
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
