--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -47,7 +47,7 @@
 	incarnation uint64        // that it is of
 	rate        float64       // requests a second; 0 until the limit was first heard
 	tokens      float64       // requests that may be sent now; at most one and a part of the rate
-	at          time.Duration // when the level was right
+	refilledAt  time.Duration // when the level was right
 }
 
 // limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
@@ -64,10 +64,10 @@
 	p := &row.rateBucket
 	rate := c.rateShare(life, limit.Rate)
 	if p.incarnation != row.incarnation || p.rate == 0 {
-		*p = rateBucket{incarnation: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
+		*p = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // it begins with nothing: much may have been sent a moment ago
 	}
-	p.tokens = min(p.tokens+p.rate*(c.now-p.at).Seconds(), 1+rateBurstSeconds*rate)
-	p.rate, p.at = rate, c.now
+	p.tokens = min(p.tokens+p.rate*(c.now-p.refilledAt).Seconds(), 1+rateBurstSeconds*rate)
+	p.rate, p.refilledAt = rate, c.now
 	switch {
 	case p.tokens >= 1:
 		return 0
