--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -50,8 +50,8 @@
 	refilledAt  time.Duration // when the level was right
 }
 
-// limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
-func (c *Core) limited(row *backend) time.Duration {
+// rateLimitedFor returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
+func (c *Core) rateLimitedFor(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.LimitCheck) {
 		return 0
 	}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -88,7 +88,7 @@
 				know()
 			}
 			for i, c := range routers[:there] {
-				if c.now = now; c.limited(rows[i]) == 0 {
+				if c.now = now; c.rateLimitedFor(rows[i]) == 0 {
 					c.usePermit(rows[i])
 					sends = append(sends, now)
 				}
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -34,7 +34,7 @@
 
 // blockedFor returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
 func (c *Core) blockedFor(row *backend) time.Duration {
-	return max(c.remainingRest(row), c.limited(row))
+	return max(c.remainingRest(row), c.rateLimitedFor(row))
 }
 
 // allBlockedFor returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
@@ -46,7 +46,7 @@
 			continue
 		}
 		left, why := c.remainingRest(row), ReasonResting
-		if limited := c.limited(row); limited > left {
+		if limited := c.rateLimitedFor(row); limited > left {
 			left, why = limited, ReasonLimited
 		}
 		if left == 0 {
