--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -72,13 +72,13 @@
 	case p.tokens >= 1:
 		return 0
 	case rate == 0:
-		return othersOnly
+		return noShareRetryInterval
 	}
 	return time.Duration((1-p.tokens)/rate*float64(time.Second)) + time.Nanosecond
 }
 
-// othersOnly is how long a router takes to look again at a back end whose limit others use.
-const othersOnly = time.Second
+// noShareRetryInterval is how long a router takes to look again at a back end whose limit others use.
+const noShareRetryInterval = time.Second
 
 // usePermit counts a request that is sent to a back end.
 func (c *Core) usePermit(row *backend) { row.rateBucket.tokens-- }
