--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -80,8 +80,8 @@
 // noShareRetryInterval is how long a router takes to look again at a back end whose limit others use.
 const noShareRetryInterval = time.Second
 
-// usePermit counts a request that is sent to a back end.
-func (c *Core) usePermit(row *backend) { row.rateBucket.tokens-- }
+// takeRateToken counts a request that is sent to a back end.
+func (c *Core) takeRateToken(row *backend) { row.rateBucket.tokens-- }
 
 // noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -89,7 +89,7 @@
 			}
 			for i, c := range routers[:there] {
 				if c.now = now; c.rateLimitedFor(rows[i]) == 0 {
-					c.usePermit(rows[i])
+					c.takeRateToken(rows[i])
 					sends = append(sends, now)
 				}
 			}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -156,7 +156,7 @@
 		c.creditRetryBudget(r)
 	}
 	row.running++
-	c.usePermit(row)
+	c.takeRateToken(row)
 	row.pendingPrefill = append(row.pendingPrefill, pendingPrefill{attempt: sent.id, sentAt: c.now, tokens: chosen.Uncached, lane: r.Lane})
 	action := ActionDispatch{
 		ID: r.ID, Attempt: sent.id, Backend: row.machine.Name, Address: row.machine.Address,
