--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -56,7 +56,7 @@
 		return
 	}
 	sent.started = true
-	c.noteUnlimited(sent, event)
+	c.clearOutdatedLimit(sent, event)
 	c.counters.PromptTokens += uint64(r.PromptTokens)
 	c.counters.CachedTokens += uint64(event.Cached)
 	row := &c.backends[sent.backend]
@@ -114,7 +114,7 @@
 		return
 	}
 	if event.Answer != nil {
-		c.noteUnlimited(&r.attempts[at], event)
+		c.clearOutdatedLimit(&r.attempts[at], event)
 	}
 	c.dropAttempt(r, at)
 	c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: event.Answer})
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -83,8 +83,8 @@
 // takeRateToken counts a request that is sent to a back end.
 func (c *Core) takeRateToken(row *backend) { row.rateBucket.tokens-- }
 
-// noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
-func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
+// clearOutdatedLimit takes up an answer without a limit: one that was heard before the attempt was sent is over.
+func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
 	if !event.StatesRateLimit {
 		c.pushback.Unlimited(c.now, sent.sentAt, backendLife(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
