--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -58,7 +58,7 @@
 		c.refuse(r, ReasonKeyRequired, 0)
 		return
 	}
-	if reason, wait := c.overLimit(r); reason != "" {
+	if reason, wait := c.tenantLimitExceeded(r); reason != "" {
 		c.refuse(r, reason, wait)
 		return
 	}
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -13,8 +13,8 @@
 	return state
 }
 
-// overLimit applies the tenant's rate and concurrency limits and returns when to come back.
-func (c *Core) overLimit(r *request) (Reason, time.Duration) {
+// tenantLimitExceeded applies the tenant's rate and concurrency limits and returns when to come back.
+func (c *Core) tenantLimitExceeded(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
 	if r.values.MaxConcurrent > 0 && tenant.activeRequests >= r.values.MaxConcurrent {
 		return ReasonConcurrencyLimit, shortRetryAfter
