--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -35,15 +35,15 @@
 }
 
 const (
-	minimumLimit    = 4   // least adaptive concurrency of an engine
-	limitIncrease   = 0.2 // added per answer in time
-	limitDecrease   = 0.9 // factor per answer that came far too late
-	lateFactor      = 3   // observed over predicted time that counts as far too late
-	lateSlack       = 300 * time.Millisecond
-	biasSmoothing   = 0.1
-	minimumBias     = 0.5
-	maximumBias     = 3.0
-	biasMinimumTime = time.Millisecond
+	minConcurrencyLimit = 4   // least adaptive concurrency of an engine
+	limitIncrease       = 0.2 // added per answer in time
+	limitDecrease       = 0.9 // factor per answer that came far too late
+	lateFactor          = 3   // observed over predicted time that counts as far too late
+	lateSlack           = 300 * time.Millisecond
+	biasSmoothing       = 0.1
+	minimumBias         = 0.5
+	maximumBias         = 3.0
+	biasMinimumTime     = time.Millisecond
 )
 
 // learn compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
@@ -53,7 +53,7 @@
 	row.latencyBias += biasSmoothing * (row.latencyBias*ratio - row.latencyBias)
 	row.latencyBias = min(max(row.latencyBias, minimumBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
-		row.concurrencyLimit = min(row.maxConcurrency, max(minimumLimit, row.concurrencyLimit*limitDecrease))
+		row.concurrencyLimit = min(row.maxConcurrency, max(minConcurrencyLimit, row.concurrencyLimit*limitDecrease))
 		return
 	}
 	row.concurrencyLimit = min(row.maxConcurrency, row.concurrencyLimit+limitIncrease)
@@ -61,6 +61,6 @@
 
 // setCeiling takes up another highest limit; the limit keeps its share of it.
 func (row *backend) setCeiling(ceiling float64) {
-	row.concurrencyLimit = min(ceiling, max(minimumLimit, row.concurrencyLimit*ceiling/row.maxConcurrency))
+	row.concurrencyLimit = min(ceiling, max(minConcurrencyLimit, row.concurrencyLimit*ceiling/row.maxConcurrency))
 	row.maxConcurrency = ceiling
 }
