--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -35,22 +35,22 @@
 }
 
 const (
-	minConcurrencyLimit = 4   // least adaptive concurrency of an engine
-	limitIncrease       = 0.2 // added per answer in time
-	limitDecrease       = 0.9 // factor per answer that came far too late
-	lateFactor          = 3   // observed over predicted time that counts as far too late
-	lateSlack           = 300 * time.Millisecond
-	biasSmoothing       = 0.1
-	minimumBias         = 0.5
-	maximumBias         = 3.0
-	biasMinimumTime     = time.Millisecond
+	minConcurrencyLimit  = 4   // least adaptive concurrency of an engine
+	limitIncrease        = 0.2 // added per answer in time
+	limitDecrease        = 0.9 // factor per answer that came far too late
+	lateFactor           = 3   // observed over predicted time that counts as far too late
+	lateSlack            = 300 * time.Millisecond
+	latencyBiasSmoothing = 0.1
+	minimumBias          = 0.5
+	maximumBias          = 3.0
+	biasMinimumTime      = time.Millisecond
 )
 
 // learn compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
 func (c *Core) learn(row *backend, predicted, observed time.Duration) {
 	predicted = max(predicted, biasMinimumTime)
 	ratio := float64(observed) / float64(predicted)
-	row.latencyBias += biasSmoothing * (row.latencyBias*ratio - row.latencyBias)
+	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
 	row.latencyBias = min(max(row.latencyBias, minimumBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
 		row.concurrencyLimit = min(row.maxConcurrency, max(minConcurrencyLimit, row.concurrencyLimit*limitDecrease))
