--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -41,7 +41,7 @@
 	lateFactor           = 3   // observed over predicted time that counts as far too late
 	lateSlack            = 300 * time.Millisecond
 	latencyBiasSmoothing = 0.1
-	minimumBias          = 0.5
+	minLatencyBias       = 0.5
 	maximumBias          = 3.0
 	biasMinimumTime      = time.Millisecond
 )
@@ -51,7 +51,7 @@
 	predicted = max(predicted, biasMinimumTime)
 	ratio := float64(observed) / float64(predicted)
 	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
-	row.latencyBias = min(max(row.latencyBias, minimumBias), maximumBias)
+	row.latencyBias = min(max(row.latencyBias, minLatencyBias), maximumBias)
 	if observed > lateFactor*predicted+lateSlack {
 		row.concurrencyLimit = min(row.maxConcurrency, max(minConcurrencyLimit, row.concurrencyLimit*limitDecrease))
 		return
