--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -42,7 +42,7 @@
 	lateSlack            = 300 * time.Millisecond
 	latencyBiasSmoothing = 0.1
 	minLatencyBias       = 0.5
-	maximumBias          = 3.0
+	maxLatencyBias       = 3.0
 	biasMinimumTime      = time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	predicted = max(predicted, biasMinimumTime)
 	ratio := float64(observed) / float64(predicted)
 	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
-	row.latencyBias = min(max(row.latencyBias, minLatencyBias), maximumBias)
+	row.latencyBias = min(max(row.latencyBias, minLatencyBias), maxLatencyBias)
 	if observed > lateFactor*predicted+lateSlack {
 		row.concurrencyLimit = min(row.maxConcurrency, max(minConcurrencyLimit, row.concurrencyLimit*limitDecrease))
 		return
