--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -43,12 +43,12 @@
 	latencyBiasSmoothing = 0.1
 	minLatencyBias       = 0.5
 	maxLatencyBias       = 3.0
-	biasMinimumTime      = time.Millisecond
+	minPredictedLatency  = time.Millisecond
 )
 
 // learn compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
 func (c *Core) learn(row *backend, predicted, observed time.Duration) {
-	predicted = max(predicted, biasMinimumTime)
+	predicted = max(predicted, minPredictedLatency)
 	ratio := float64(observed) / float64(predicted)
 	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
 	row.latencyBias = min(max(row.latencyBias, minLatencyBias), maxLatencyBias)
