--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -97,7 +97,7 @@
 	c.wakeAt(r, c.now+c.stallLimit(r))
 	row := &c.backends[winner.backend]
 	c.dropPending(row, winner.id)
-	c.learn(row, winner.predicted, c.now-winner.sentAt)
+	c.recordFirstTokenLatency(row, winner.predicted, c.now-winner.sentAt)
 	for i, other := range r.attempts {
 		if i != at {
 			c.emit(ActionCancel{ID: r.ID, Attempt: other.id})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -291,7 +291,7 @@
 		if got := int(row.concurrencyLimit); got != wanted {
 			t.Fatalf("limit %d, the settings say %d", got, wanted)
 		}
-		h.core.learn(row, time.Millisecond, time.Minute)
+		h.core.recordFirstTokenLatency(row, time.Millisecond, time.Minute)
 		if int(row.concurrencyLimit) > wanted {
 			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.concurrencyLimit, wanted)
 		}
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -46,8 +46,8 @@
 	minPredictedLatency  = time.Millisecond
 )
 
-// learn compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
-func (c *Core) learn(row *backend, predicted, observed time.Duration) {
+// recordFirstTokenLatency compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
+func (c *Core) recordFirstTokenLatency(row *backend, predicted, observed time.Duration) {
 	predicted = max(predicted, minPredictedLatency)
 	ratio := float64(observed) / float64(predicted)
 	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
