--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -59,8 +59,8 @@
 	row.concurrencyLimit = min(row.maxConcurrency, row.concurrencyLimit+limitIncrease)
 }
 
-// setCeiling takes up another highest limit; the limit keeps its share of it.
-func (row *backend) setCeiling(ceiling float64) {
+// setMaxConcurrency takes up another highest limit; the limit keeps its share of it.
+func (row *backend) setMaxConcurrency(ceiling float64) {
 	row.concurrencyLimit = min(ceiling, max(minConcurrencyLimit, row.concurrencyLimit*ceiling/row.maxConcurrency))
 	row.maxConcurrency = ceiling
 }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -60,7 +60,7 @@
 		row := &c.backends[i]
 		values := c.effectiveSettings(row.machine.Service, "")
 		row.kind = values.Kind
-		row.setCeiling(float64(values.EngineConcurrency))
+		row.setMaxConcurrency(float64(values.EngineConcurrency))
 	}
 }
 
