--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -60,7 +60,7 @@
 }
 
 // setMaxConcurrency takes up another highest limit; the limit keeps its share of it.
-func (row *backend) setMaxConcurrency(ceiling float64) {
-	row.concurrencyLimit = min(ceiling, max(minConcurrencyLimit, row.concurrencyLimit*ceiling/row.maxConcurrency))
-	row.maxConcurrency = ceiling
+func (row *backend) setMaxConcurrency(limit float64) {
+	row.concurrencyLimit = min(limit, max(minConcurrencyLimit, row.concurrencyLimit*limit/row.maxConcurrency))
+	row.maxConcurrency = limit
 }
