--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	decisionsKept     = 4096
+	maxDecisions      = 4096
 	decisionShortlist = 4
 )
 
@@ -29,13 +29,13 @@
 
 // decisionRing keeps the newest decisions.
 type decisionRing struct {
-	records [decisionsKept]Decision
+	records [maxDecisions]Decision
 	next    int
 }
 
 // record stores a placement with the best few candidates.
 func (d *decisionRing) record(r *request, now time.Duration, chosen Candidate, candidates []Candidate, version uint64) {
-	slot := &d.records[d.next%decisionsKept]
+	slot := &d.records[d.next%maxDecisions]
 	d.next++
 	shortlist := append(slot.Shortlist[:0], chosen)
 	*slot = Decision{
@@ -55,25 +55,25 @@
 // finish notes how the request of the newest decision ended; refusals without a decision get a record of
 // their own.
 func (d *decisionRing) finish(r *request, final ActionFinish, now time.Duration) {
-	if r.lastDecision == 0 || d.next-r.lastDecision >= decisionsKept {
+	if r.lastDecision == 0 || d.next-r.lastDecision >= maxDecisions {
 		d.next++
 		r.lastDecision = d.next
-		slot := &d.records[(r.lastDecision-1)%decisionsKept]
+		slot := &d.records[(r.lastDecision-1)%maxDecisions]
 		*slot = Decision{
 			Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now,
 			Queued: now - r.arrivedAt, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
 		}
 	}
-	slot := &d.records[(r.lastDecision-1)%decisionsKept]
+	slot := &d.records[(r.lastDecision-1)%maxDecisions]
 	slot.Outcome, slot.Run, slot.FinishedAt = final.Reason, final.Run, now
 }
 
 // Explain returns the kept decisions about a request, oldest first.
 func (c *Core) Explain(name string) []Decision {
 	var found []Decision
-	first := max(0, c.decisions.next-decisionsKept)
+	first := max(0, c.decisions.next-maxDecisions)
 	for at := first; at < c.decisions.next; at++ {
-		record := c.decisions.records[at%decisionsKept]
+		record := c.decisions.records[at%maxDecisions]
 		if record.Request == name {
 			record.Shortlist = append([]Candidate(nil), record.Shortlist...)
 			found = append(found, record)
