--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	maxDecisions      = 4096
-	decisionShortlist = 4
+	maxDecisions  = 4096
+	shortlistSize = 4
 )
 
 // Decision is the record of one placement, for "kitetiller explain".
@@ -44,7 +44,7 @@
 		Chosen: chosen.Name, Considered: len(candidates),
 	}
 	for i := range candidates {
-		if len(shortlist) < decisionShortlist && candidates[i].Engine != chosen.Engine {
+		if len(shortlist) < shortlistSize && candidates[i].Engine != chosen.Engine {
 			shortlist = append(shortlist, candidates[i])
 		}
 	}
