--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// batchShare: after this many interactive picks in a row one batch request is picked, so that batch
+	// interactivePerBatch: after this many interactive picks in a row one batch request is picked, so that batch
 	// work cannot starve.
-	batchShare = 8
+	interactivePerBatch = 8
 	// initialServiceTime is the assumed time between dispatches of a queue that has not moved yet.
 	initialServiceTime = 20 * time.Millisecond
 	serviceSmoothing   = 0.1
@@ -95,7 +95,7 @@
 func (s *serviceState) head() (Lane, bool) {
 	interactive, batch := len(s.lanes[LaneInteractive]) > 0, len(s.lanes[LaneBatch]) > 0
 	switch {
-	case interactive && batch && s.interactiveSinceBatch >= batchShare:
+	case interactive && batch && s.interactiveSinceBatch >= interactivePerBatch:
 		return LaneBatch, true
 	case interactive:
 		return LaneInteractive, true
