--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -179,7 +179,7 @@
 func (c *Core) service(name string) *serviceState {
 	service := c.services[name]
 	if service == nil {
-		service = &serviceState{name: name, retryTokens: initialRetryTokens, dispatchInterval: initialServiceTime}
+		service = &serviceState{name: name, retryTokens: initialRetryTokens, dispatchInterval: initialDispatchInterval}
 		c.services[name] = service
 	}
 	return service
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -10,10 +10,10 @@
 	// interactivePerBatch: after this many interactive picks in a row one batch request is picked, so that batch
 	// work cannot starve.
 	interactivePerBatch = 8
-	// initialServiceTime is the assumed time between dispatches of a queue that has not moved yet.
-	initialServiceTime = 20 * time.Millisecond
-	serviceSmoothing   = 0.1
-	decodeCost         = 4 // a generated token counts as this many prompt tokens in the fair queue
+	// initialDispatchInterval is the assumed time between dispatches of a queue that has not moved yet.
+	initialDispatchInterval = 20 * time.Millisecond
+	serviceSmoothing        = 0.1
+	decodeCost              = 4 // a generated token counts as this many prompt tokens in the fair queue
 )
 
 // lane is a heap of requests by virtual finish time (start-time fair queueing).
