--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -11,9 +11,9 @@
 	// work cannot starve.
 	interactivePerBatch = 8
 	// initialDispatchInterval is the assumed time between dispatches of a queue that has not moved yet.
-	initialDispatchInterval = 20 * time.Millisecond
-	serviceSmoothing        = 0.1
-	decodeCost              = 4 // a generated token counts as this many prompt tokens in the fair queue
+	initialDispatchInterval   = 20 * time.Millisecond
+	dispatchIntervalSmoothing = 0.1
+	decodeCost                = 4 // a generated token counts as this many prompt tokens in the fair queue
 )
 
 // lane is a heap of requests by virtual finish time (start-time fair queueing).
@@ -128,5 +128,5 @@
 // noteServed updates the time between dispatches while a queue stands.
 func (s *serviceState) noteServed(interval time.Duration) {
 	delta := float64(interval - s.dispatchInterval)
-	s.dispatchInterval += time.Duration(serviceSmoothing * delta)
+	s.dispatchInterval += time.Duration(dispatchIntervalSmoothing * delta)
 }
