--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -13,7 +13,7 @@
 	// initialDispatchInterval is the assumed time between dispatches of a queue that has not moved yet.
 	initialDispatchInterval   = 20 * time.Millisecond
 	dispatchIntervalSmoothing = 0.1
-	decodeCost                = 4 // a generated token counts as this many prompt tokens in the fair queue
+	outputTokenCost           = 4 // a generated token counts as this many prompt tokens in the fair queue
 )
 
 // lane is a heap of requests by virtual finish time (start-time fair queueing).
@@ -55,7 +55,7 @@
 		return
 	}
 	tenant := c.tenant(r)
-	r.queueCost = float64(max(1, r.PromptTokens) + decodeCost*r.MaxTokens)
+	r.queueCost = float64(max(1, r.PromptTokens) + outputTokenCost*r.MaxTokens)
 	start := max(service.virtualTime, tenant.finishTag)
 	r.finishTag = start + r.queueCost/r.values.ShareWeight
 	tenant.finishTag = r.finishTag
