--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -16,23 +16,23 @@
 	outputTokenCost           = 4 // a generated token counts as this many prompt tokens in the fair queue
 )
 
-// lane is a heap of requests by virtual finish time (start-time fair queueing).
-type lane []*request
+// laneQueue is a heap of requests by virtual finish time (start-time fair queueing).
+type laneQueue []*request
 
-func (l lane) Len() int { return len(l) }
-func (l lane) Less(i, j int) bool {
+func (l laneQueue) Len() int { return len(l) }
+func (l laneQueue) Less(i, j int) bool {
 	if l[i].finishTag != l[j].finishTag {
 		return l[i].finishTag < l[j].finishTag
 	}
 	return l[i].ID < l[j].ID
 }
-func (l lane) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l laneQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
 // Push adds an item; use heap.Push.
-func (l *lane) Push(item any) { *l = append(*l, item.(*request)) }
+func (l *laneQueue) Push(item any) { *l = append(*l, item.(*request)) }
 
 // Pop removes the last item; use heap.Pop.
-func (l *lane) Pop() any {
+func (l *laneQueue) Pop() any {
 	old := *l
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -66,7 +66,7 @@
 func (c *Core) enqueue(r *request) {
 	r.state = stateQueued
 	service := c.service(r.Service)
-	heap.Push((*lane)(&service.lanes[r.Lane]), r)
+	heap.Push((*laneQueue)(&service.lanes[r.Lane]), r)
 }
 
 // backlog estimates when the queue will have room.
@@ -107,7 +107,7 @@
 
 // take removes the head of a lane.
 func (s *serviceState) take(l Lane) *request {
-	r := heap.Pop((*lane)(&s.lanes[l])).(*request)
+	r := heap.Pop((*laneQueue)(&s.lanes[l])).(*request)
 	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
 	if l == LaneInteractive {
 		s.interactiveSinceBatch++
@@ -119,7 +119,7 @@
 
 // remove takes a request out of its lane wherever it stands.
 func (s *serviceState) remove(r *request) {
-	l := (*lane)(&s.lanes[r.Lane])
+	l := (*laneQueue)(&s.lanes[r.Lane])
 	if at := slices.Index(*l, r); at >= 0 {
 		heap.Remove(l, at)
 	}
