--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -46,12 +46,12 @@
 	service := c.service(r.Service)
 	queued := service.queued()
 	if queued >= max(1, r.values.QueueLimit) {
-		c.refuse(r, ReasonQueueFull, c.backlog(r))
+		c.refuse(r, ReasonQueueFull, c.queueDrainTime(r))
 		return
 	}
 	wait := time.Duration(service.ahead(r.Lane)) * service.dispatchInterval
 	if service.ahead(r.Lane) > 0 && c.now+wait > r.deadline {
-		c.refuse(r, ReasonDeadline, c.backlog(r))
+		c.refuse(r, ReasonDeadline, c.queueDrainTime(r))
 		return
 	}
 	tenant := c.tenant(r)
@@ -69,8 +69,8 @@
 	heap.Push((*laneQueue)(&service.lanes[r.Lane]), r)
 }
 
-// backlog estimates when the queue will have room.
-func (c *Core) backlog(r *request) time.Duration {
+// queueDrainTime estimates when the queue will have room.
+func (c *Core) queueDrainTime(r *request) time.Duration {
 	service := c.service(r.Service)
 	return max(shortRetryAfter, time.Duration(service.queued())*service.dispatchInterval/2)
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -60,7 +60,7 @@
 		}
 	case stateQueued:
 		if c.now >= r.deadline && !r.streamStarted() {
-			c.refuse(r, ReasonDeadline, c.backlog(r))
+			c.refuse(r, ReasonDeadline, c.queueDrainTime(r))
 		}
 	case stateClaiming:
 		if c.now >= r.deadline {
