--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -29,7 +29,7 @@
 func (c *Core) serviceNames() []string {
 	var names []string
 	for name, service := range c.services {
-		if service.queued() > 0 {
+		if service.queueLength() > 0 {
 			names = append(names, name)
 		}
 	}
@@ -64,8 +64,8 @@
 		c.refuse(r, reason, shortRetryAfter)
 		return true
 	}
-	if queued := c.now - r.arrivedAt; queued > 0 && service.queued() > 0 {
-		service.noteServed(queued / time.Duration(service.queued()+1))
+	if queued := c.now - r.arrivedAt; queued > 0 && service.queueLength() > 0 {
+		service.noteServed(queued / time.Duration(service.queueLength()+1))
 	}
 	c.decisions.record(r, c.now, chosen, candidates, c.settingsVersion)
 	c.dispatch(r, chosen)
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -44,7 +44,7 @@
 // deadline would pass.
 func (c *Core) enqueueNew(r *request) {
 	service := c.service(r.Service)
-	queued := service.queued()
+	queued := service.queueLength()
 	if queued >= max(1, r.values.QueueLimit) {
 		c.refuse(r, ReasonQueueFull, c.queueDrainTime(r))
 		return
@@ -72,10 +72,10 @@
 // queueDrainTime estimates when the queue will have room.
 func (c *Core) queueDrainTime(r *request) time.Duration {
 	service := c.service(r.Service)
-	return max(shortRetryAfter, time.Duration(service.queued())*service.dispatchInterval/2)
+	return max(shortRetryAfter, time.Duration(service.queueLength())*service.dispatchInterval/2)
 }
 
-func (s *serviceState) queued() int {
+func (s *serviceState) queueLength() int {
 	total := 0
 	for i := range s.lanes {
 		total += len(s.lanes[i])
@@ -88,7 +88,7 @@
 	if l == LaneInteractive {
 		return len(s.lanes[LaneInteractive])
 	}
-	return s.queued()
+	return s.queueLength()
 }
 
 // head returns the lane to serve next, or false when nothing waits.
