--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -49,8 +49,8 @@
 		c.refuse(r, ReasonQueueFull, c.queueDrainTime(r))
 		return
 	}
-	wait := time.Duration(service.ahead(r.Lane)) * service.dispatchInterval
-	if service.ahead(r.Lane) > 0 && c.now+wait > r.deadline {
+	wait := time.Duration(service.queuedAhead(r.Lane)) * service.dispatchInterval
+	if service.queuedAhead(r.Lane) > 0 && c.now+wait > r.deadline {
 		c.refuse(r, ReasonDeadline, c.queueDrainTime(r))
 		return
 	}
@@ -83,8 +83,8 @@
 	return total
 }
 
-// ahead counts the requests that a new one in the lane waits for.
-func (s *serviceState) ahead(l Lane) int {
+// queuedAhead counts the requests that a new one in the lane waits for.
+func (s *serviceState) queuedAhead(l Lane) int {
 	if l == LaneInteractive {
 		return len(s.lanes[LaneInteractive])
 	}
