--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -39,7 +39,7 @@
 
 // placeNext places or refuses the next request of a service. It returns false when the request must wait.
 func (c *Core) placeNext(service *serviceState) bool {
-	l, any := service.head()
+	l, any := service.nextLane()
 	if !any {
 		return false
 	}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -91,8 +91,8 @@
 	return s.queueLength()
 }
 
-// head returns the lane to serve next, or false when nothing waits.
-func (s *serviceState) head() (Lane, bool) {
+// nextLane returns the lane to serve next, or false when nothing waits.
+func (s *serviceState) nextLane() (Lane, bool) {
 	interactive, batch := len(s.lanes[LaneInteractive]) > 0, len(s.lanes[LaneBatch]) > 0
 	switch {
 	case interactive && batch && s.interactiveSinceBatch >= interactivePerBatch:
