--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -54,7 +54,7 @@
 		return c.noCandidate(r, service)
 	}
 	chosen := candidates[choice]
-	service.take(l)
+	service.dequeue(l)
 	r.state = stateRunning
 	if !r.streamStarted() && c.now+chosen.Predicted > r.deadline {
 		c.refuse(r, ReasonDeadline, max(shortRetryAfter, c.now+chosen.Predicted-r.deadline))
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -105,8 +105,8 @@
 	return 0, false
 }
 
-// take removes the head of a lane.
-func (s *serviceState) take(l Lane) *request {
+// dequeue removes the head of a lane.
+func (s *serviceState) dequeue(l Lane) *request {
 	r := heap.Pop((*laneQueue)(&s.lanes[l])).(*request)
 	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
 	if l == LaneInteractive {
