--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -65,7 +65,7 @@
 		return true
 	}
 	if queued := c.now - r.arrivedAt; queued > 0 && service.queueLength() > 0 {
-		service.noteServed(queued / time.Duration(service.queueLength()+1))
+		service.recordDispatchInterval(queued / time.Duration(service.queueLength()+1))
 	}
 	c.decisions.record(r, c.now, chosen, candidates, c.settingsVersion)
 	c.dispatch(r, chosen)
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// noteServed updates the time between dispatches while a queue stands.
-func (s *serviceState) noteServed(interval time.Duration) {
+// recordDispatchInterval updates the time between dispatches while a queue stands.
+func (s *serviceState) recordDispatchInterval(interval time.Duration) {
 	delta := float64(interval - s.dispatchInterval)
 	s.dispatchInterval += time.Duration(dispatchIntervalSmoothing * delta)
 }
