--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -94,7 +94,7 @@
 // handleFirstToken learns from the attempt and cancels any other: the first to answer wins.
 func (c *Core) handleFirstToken(r *request, at int) {
 	winner := r.attempts[at]
-	c.wakeAt(r, c.now+c.stallLimit(r))
+	c.wakeAt(r, c.now+c.stallTimeout(r))
 	row := &c.backends[winner.backend]
 	c.dropPending(row, winner.id)
 	c.recordFirstTokenLatency(row, winner.predicted, c.now-winner.sentAt)
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -90,7 +90,7 @@
 func (c *Core) expireStalled(r *request) {
 	sent := r.attempts[0]
 	silentSince := max(r.lastEmittedAt, sent.sentAt)
-	if due := silentSince + c.stallLimit(r); c.now < due {
+	if due := silentSince + c.stallTimeout(r); c.now < due {
 		c.wakeAt(r, due)
 		return
 	}
@@ -98,7 +98,7 @@
 	c.runRetries()
 }
 
-func (c *Core) stallLimit(r *request) time.Duration {
+func (c *Core) stallTimeout(r *request) time.Duration {
 	return time.Duration(r.values.StallAfterMS) * time.Millisecond
 }
 
