--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -44,13 +44,13 @@
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		item := heap.Pop(&c.timers).(timerItem)
 		if r, alive := c.requests[item.id]; alive {
-			c.expire(r)
+			c.handleTimer(r)
 		}
 	}
 }
 
-// expire acts on whatever of a request is due.
-func (c *Core) expire(r *request) {
+// handleTimer acts on whatever of a request is due.
+func (c *Core) handleTimer(r *request) {
 	switch r.state {
 	case stateAwaitingLease:
 		c.admit(r)
