--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -67,12 +67,12 @@
 			c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 		}
 	case stateRunning:
-		c.expireRunning(r)
+		c.checkRunning(r)
 	}
 }
 
-// expireRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
-func (c *Core) expireRunning(r *request) {
+// checkRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
+func (c *Core) checkRunning(r *request) {
 	if r.streamStarted() {
 		c.expireStalled(r)
 		return
