--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -74,7 +74,7 @@
 // checkRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
 func (c *Core) checkRunning(r *request) {
 	if r.streamStarted() {
-		c.expireStalled(r)
+		c.checkStalled(r)
 		return
 	}
 	hedgeAt := r.attempts[0].sentAt + time.Duration(r.values.HedgeAfterMS)*time.Millisecond
@@ -86,8 +86,8 @@
 	}
 }
 
-// expireStalled moves a stream that has stood still for too long to another engine.
-func (c *Core) expireStalled(r *request) {
+// checkStalled moves a stream that has stood still for too long to another engine.
+func (c *Core) checkStalled(r *request) {
 	sent := r.attempts[0]
 	silentSince := max(r.lastEmittedAt, sent.sentAt)
 	if due := silentSince + c.stallTimeout(r); c.now < due {
