--- a/internal/core/ring.go
+++ b/internal/core/ring.go
@@ -17,9 +17,9 @@
 	return digest.Sum64()
 }
 
-// rootBlocks is the depth at which unrelated prompts of a tenant differ; requests that share this much go to
+// ringKeyBlocks is the depth at which unrelated prompts of a tenant differ; requests that share this much go to
 // the same engine before anything is known.
-const rootBlocks = 4
+const ringKeyBlocks = 4
 
 // chainRoot is where a request's prefix falls on the ring.
 func chainRoot(r *request) uint64 {
@@ -27,6 +27,6 @@
 		return xxhash.Sum64String(r.Name)
 	}
 	blocks := r.Chains[0].Blocks
-	root := blocks[min(rootBlocks, len(blocks))-1]
+	root := blocks[min(ringKeyBlocks, len(blocks))-1]
 	return binary.LittleEndian.Uint64(root[:8])
 }
