--- a/internal/core/ring.go
+++ b/internal/core/ring.go
@@ -21,8 +21,8 @@
 // the same engine before anything is known.
 const ringKeyBlocks = 4
 
-// chainRoot is where a request's prefix falls on the ring.
-func chainRoot(r *request) uint64 {
+// ringKey is where a request's prefix falls on the ring.
+func ringKey(r *request) uint64 {
 	if len(r.Chains) == 0 || len(r.Chains[0].Blocks) == 0 {
 		return xxhash.Sum64String(r.Name)
 	}
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -143,7 +143,7 @@
 	if len(service.ring) == 0 {
 		return nil
 	}
-	target := chainRoot(r)
+	target := ringKey(r)
 	at, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, wanted uint64) int {
 		switch {
 		case point.hash < wanted:
