--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -6,8 +6,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// sweepPerTick bounds the beliefs looked at in one tick, so that sweeping never delays a decision much.
-const sweepPerTick = 16
+// maxSweepPerTick bounds the beliefs looked at in one tick, so that sweeping never delays a decision much.
+const maxSweepPerTick = 16
 
 // runIndexMaintenance asks for cache snapshots after gaps and sweeps old beliefs.
 func (c *Core) runIndexMaintenance() {
@@ -19,5 +19,5 @@
 			c.emit(ActionRequestSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
 		}
 	}
-	c.index.Sweep(c.now, sweepPerTick)
+	c.index.Sweep(c.now, maxSweepPerTick)
 }
