--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -9,9 +9,9 @@
 	"kitetiller/internal/prefix"
 )
 
-// affinityDiscount makes an unknown prefix prefer its owner on the ring while engines are equally free, so
+// ringOwnerDiscount makes an unknown prefix prefer its owner on the ring while engines are equally free, so
 // that later requests find it without any event.
-const affinityDiscount = 0.9
+const ringOwnerDiscount = 0.9
 
 // runPlacement serves the queues until no engine has room.
 func (c *Core) runPlacement() {
@@ -83,7 +83,7 @@
 	owners := c.ringOwners(r, service, 1)
 	for i := range candidates {
 		if len(owners) > 0 && candidates[i].Engine == owners[0] {
-			candidates[i].Cost *= affinityDiscount
+			candidates[i].Cost *= ringOwnerDiscount
 		}
 	}
 }
