--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -18,15 +18,15 @@
 	if c.awaitsFreshList() {
 		return
 	}
-	for _, name := range c.serviceNames() {
+	for _, name := range c.queuedServices() {
 		service := c.services[name]
 		for c.placeNext(service) {
 		}
 	}
 }
 
-// serviceNames returns the services that have queued requests, sorted so that ticks are deterministic.
-func (c *Core) serviceNames() []string {
+// queuedServices returns the services that have queued requests, sorted so that ticks are deterministic.
+func (c *Core) queuedServices() []string {
 	var names []string
 	for name, service := range c.services {
 		if service.queueLength() > 0 {
