--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -45,7 +45,7 @@
 	}
 	r := service.lanes[l][0]
 	candidates := c.scoreCandidates(r, service)
-	c.preferOwner(r, service, candidates)
+	c.discountRingOwner(r, service, candidates)
 	choice := -1
 	if len(candidates) > 0 {
 		choice = c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
@@ -72,8 +72,8 @@
 	return true
 }
 
-// preferOwner discounts the ring's owner when nobody is believed to hold any of the prefix.
-func (c *Core) preferOwner(r *request, service *serviceState, candidates []Candidate) {
+// discountRingOwner discounts the ring's owner when nobody is believed to hold any of the prefix.
+func (c *Core) discountRingOwner(r *request, service *serviceState, candidates []Candidate) {
 	if len(c.matches) > 0 || len(r.Chains) == 0 {
 		return
 	}
