--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -51,7 +51,7 @@
 		choice = c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
 	}
 	if choice < 0 {
-		return c.noCandidate(r, service)
+		return c.handleNoCandidate(r, service)
 	}
 	chosen := candidates[choice]
 	service.dequeue(l)
@@ -88,9 +88,9 @@
 	}
 }
 
-// noCandidate decides what to do when no engine can take the head of the queue: wait if one is only busy,
+// handleNoCandidate decides what to do when no engine can take the head of the queue: wait if one is only busy,
 // otherwise give up.
-func (c *Core) noCandidate(r *request, service *serviceState) bool {
+func (c *Core) handleNoCandidate(r *request, service *serviceState) bool {
 	if left, reason := c.allBlockedFor(service); left > 0 {
 		return c.waitOrRefuse(r, service, left, reason)
 	}
