--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -103,8 +103,8 @@
 		r.failedOn = nil // a stream in progress may go back to an engine that failed it
 		return c.anyReady(service)
 	}
-	if c.now < r.arrivedAt+noBackendGrace {
-		c.wakeAt(r, r.arrivedAt+noBackendGrace)
+	if c.now < r.arrivedAt+backendWaitTimeout {
+		c.wakeAt(r, r.arrivedAt+backendWaitTimeout)
 		return false
 	}
 	service.remove(r)
@@ -113,8 +113,8 @@
 	return true
 }
 
-// noBackendGrace is how long a request waits for a back end to appear.
-const noBackendGrace = 400 * time.Millisecond
+// backendWaitTimeout is how long a request waits for a back end to appear.
+const backendWaitTimeout = 400 * time.Millisecond
 
 func (c *Core) anyReady(service *serviceState) bool {
 	for _, id := range service.backends {
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -63,7 +63,7 @@
 // appear is waited for, and by a stream in progress any that ends while its caller still waits; else the request is refused at once. It returns
 // false when the request must wait.
 func (c *Core) waitOrRefuse(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
-	if c.now+rest < r.deadline && (rest <= noBackendGrace || r.streamStarted()) {
+	if c.now+rest < r.deadline && (rest <= backendWaitTimeout || r.streamStarted()) {
 		c.wakeAt(r, c.now+rest)
 		return false
 	}
