--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -101,7 +101,7 @@
 	}
 	if len(r.failedOn) > 0 && r.streamStarted() {
 		r.failedOn = nil // a stream in progress may go back to an engine that failed it
-		return c.anyReady(service)
+		return c.anyAvailable(service)
 	}
 	if c.now < r.arrivedAt+backendWaitTimeout {
 		c.wakeAt(r, r.arrivedAt+backendWaitTimeout)
@@ -116,7 +116,7 @@
 // backendWaitTimeout is how long a request waits for a back end to appear.
 const backendWaitTimeout = 400 * time.Millisecond
 
-func (c *Core) anyReady(service *serviceState) bool {
+func (c *Core) anyAvailable(service *serviceState) bool {
 	for _, id := range service.backends {
 		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 {
 			return true
