--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -246,7 +246,7 @@
 	r.failedOn = append(r.failedOn, first)
 	candidates := c.scoreCandidates(r, service)
 	r.failedOn = r.failedOn[:len(r.failedOn)-1]
-	if len(candidates) == 0 || c.dispatchBar(r) != "" {
+	if len(candidates) == 0 || c.dispatchRefusal(r) != "" {
 		return
 	}
 	choice := c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -60,7 +60,7 @@
 		c.refuse(r, ReasonDeadline, max(shortRetryAfter, c.now+chosen.Predicted-r.deadline))
 		return true
 	}
-	if reason := c.dispatchBar(r); reason != "" {
+	if reason := c.dispatchRefusal(r); reason != "" {
 		c.refuse(r, reason, shortRetryAfter)
 		return true
 	}
@@ -125,9 +125,9 @@
 	return false
 }
 
-// dispatchBar checks lease and claim at the last moment: the router may have been frozen since it admitted the
+// dispatchRefusal checks lease and claim at the last moment: the router may have been frozen since it admitted the
 // request. It returns why the request must not be sent, or "". Streams in progress are finished in any case.
-func (c *Core) dispatchBar(r *request) Reason {
+func (c *Core) dispatchRefusal(r *request) Reason {
 	switch {
 	case r.streamStarted() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
