--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -164,7 +164,7 @@
 		ResumeFrom: r.emitted, Lane: r.Lane, MaxTokens: min(r.MaxTokens, r.values.MaxOutputTokens),
 		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.settingsVersion,
 	}
-	c.noteHot(r, blocks, &action)
+	c.trackHotPrefix(r, blocks, &action)
 	c.emit(action)
 	if len(blocks) > 0 {
 		c.index.Add(row.id, blocks, c.now, prefix.SourceDispatch)
@@ -175,8 +175,8 @@
 	}
 }
 
-// noteHot counts the shared part of the prompt and asks to keep it in the vault when it is hot.
-func (c *Core) noteHot(r *request, blocks []prefix.Hash, action *ActionDispatch) {
+// trackHotPrefix counts the shared part of the prompt and asks to keep it in the vault when it is hot.
+func (c *Core) trackHotPrefix(r *request, blocks []prefix.Hash, action *ActionDispatch) {
 	if len(c.matches) == 0 || len(blocks) == 0 {
 		return
 	}
