--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -39,8 +39,8 @@
 
 // placeNext places or refuses the next request of a service. It returns false when the request must wait.
 func (c *Core) placeNext(service *serviceState) bool {
-	l, any := service.nextLane()
-	if !any {
+	l, found := service.nextLane()
+	if !found {
 		return false
 	}
 	r := service.lanes[l][0]
