--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -39,11 +39,11 @@
 
 // placeNext places or refuses the next request of a service. It returns false when the request must wait.
 func (c *Core) placeNext(service *serviceState) bool {
-	l, found := service.nextLane()
+	lane, found := service.nextLane()
 	if !found {
 		return false
 	}
-	r := service.lanes[l][0]
+	r := service.lanes[lane][0]
 	candidates := c.scoreCandidates(r, service)
 	c.discountRingOwner(r, service, candidates)
 	choice := -1
@@ -54,7 +54,7 @@
 		return c.handleNoCandidate(r, service)
 	}
 	chosen := candidates[choice]
-	service.dequeue(l)
+	service.dequeue(lane)
 	r.state = stateRunning
 	if !r.streamStarted() && c.now+chosen.Predicted > r.deadline {
 		c.refuse(r, ReasonDeadline, max(shortRetryAfter, c.now+chosen.Predicted-r.deadline))
