--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -85,7 +85,7 @@
 	return none, false
 }
 
-func need[T Action](t *testing.T, actions []Action) T {
+func requireAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
 	found, ok := find[T](actions)
 	if !ok {
@@ -104,23 +104,23 @@
 
 func TestStreamIsPassedOnAndCompletes(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	if got := need[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	if got := requireAction[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
 		t.Fatalf("chunk %d, want 0", got.Index)
 	}
 	if repeated, found := find[ActionChunk](h.tick(chunk(sent, 0))); found {
 		t.Fatalf("repeated chunk passed on: %+v", repeated)
 	}
-	if final := need[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
+	if final := requireAction[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
 		t.Fatalf("final answer %+v", final)
 	}
 }
 
 func TestStreamGapResumesElsewhere(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
-	next := need[ActionDispatch](t, h.tick(chunk(sent, 2)))
+	next := requireAction[ActionDispatch](t, h.tick(chunk(sent, 2)))
 	if next.ResumeFrom != 1 || next.Backend == sent.Backend {
 		t.Fatalf("resumed from %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
 	}
@@ -128,19 +128,19 @@
 
 func TestEarlyEndIsNotComplete(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
 	actions := h.tick(done(sent, 3))
 	if final, ended := find[ActionFinish](actions); ended {
 		t.Fatalf("stream with missing tokens ended as %+v", final)
 	}
-	need[ActionDispatch](t, actions)
+	requireAction[ActionDispatch](t, actions)
 }
 
 // TestSilentEngineLosesItsStreams: a frozen engine keeps its connections open, so only its missing reports tell.
 func TestSilentEngineLosesItsStreams(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
 	other := engineName(1)
 	if sent.Backend == other {
@@ -150,7 +150,7 @@
 		h.after(500 * time.Millisecond)
 		h.report(other, 1)
 	}
-	next := need[ActionDispatch](t, h.after(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
+	next := requireAction[ActionDispatch](t, h.after(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
 	if next.Backend != other || next.ResumeFrom != 1 {
 		t.Fatalf("continued on %s from token %d", next.Backend, next.ResumeFrom)
 	}
@@ -158,9 +158,9 @@
 
 func TestNewIncarnationVoidsBeliefsAndStreams(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
-	next := need[ActionDispatch](t, h.report(sent.Backend, 2))
+	next := requireAction[ActionDispatch](t, h.report(sent.Backend, 2))
 	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
 		t.Fatalf("after a restart: %+v", next)
 	}
@@ -172,11 +172,11 @@
 
 // grant sends a small request and grants its claim.
 func (h *harness) grant(id int, key string) ActionDispatch {
-	claim := need[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
+	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
 	if early, found := find[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("sent before the claim: %+v", early)
 	}
-	return need[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
+	return requireAction[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
 }
 
 func TestAmbiguousAttemptIsNotResent(t *testing.T) {
@@ -186,10 +186,10 @@
 	if again, found := find[ActionDispatch](actions); found {
 		t.Fatalf("sent again: %+v", again)
 	}
-	if final := need[ActionFinish](t, actions); final.Run != RunUnknown {
+	if final := requireAction[ActionFinish](t, actions); final.Run != RunUnknown {
 		t.Fatalf("final answer %+v", final)
 	}
-	if end := need[ActionEndClaim](t, actions); end.End.Kind != ledger.EndUnknown {
+	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndUnknown {
 		t.Fatalf("claim ended as %v", end.End.Kind)
 	}
 }
@@ -199,24 +199,24 @@
 	sent := h.grant(1, "k")
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptRefused})
 	actions := h.after(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
-	final := need[ActionFinish](t, actions)
+	final := requireAction[ActionFinish](t, actions)
 	if final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
 	}
-	if end := need[ActionEndClaim](t, actions); end.End.Kind != ledger.EndReleased {
+	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndReleased {
 		t.Fatalf("claim ended as %v", end.End.Kind)
 	}
 }
 
 func TestClaimOfAnEarlierSessionIsNotSent(t *testing.T) {
 	h := newHarness(t, 1)
-	claim := need[ActionClaim](t, h.tick(EventRequest{small(1, "k")}))
+	claim := requireAction[ActionClaim](t, h.tick(EventRequest{small(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
 	if sent, found := find[ActionDispatch](actions); found {
 		t.Fatalf("sent under a claim of an earlier session: %+v", sent)
 	}
-	if final := need[ActionFinish](t, actions); final.Run != RunNot {
+	if final := requireAction[ActionFinish](t, actions); final.Run != RunNot {
 		t.Fatalf("final answer %+v", final)
 	}
 }
@@ -227,14 +227,14 @@
 	if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
 		t.Fatalf("sent to a leaving engine: %+v", sent)
 	}
-	if final := need[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
+	if final := requireAction[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
 		t.Fatalf("final answer %+v", final)
 	}
 }
 
 func TestNoLeaseNoNewWork(t *testing.T) {
 	h := newHarness(t, 1)
-	final := need[ActionFinish](t, h.after(2*time.Hour, EventRequest{prompt(1, 4)}))
+	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{prompt(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
 	}
@@ -255,7 +255,7 @@
 	h := newHarness(t, 1)
 	keyed := prompt(1, 4)
 	keyed.Key = "k"
-	final := need[ActionFinish](t, h.after(2*time.Hour, EventRequest{keyed}))
+	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{keyed}))
 	if final.Run != RunUnknown {
 		t.Fatalf("run=%s, want unknown", final.Run)
 	}
@@ -269,9 +269,9 @@
 		tree := testTree()
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
-		holder := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
+		holder := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
 		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // it takes nothing more
-		second := need[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
+		second := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
 			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
 		}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -107,19 +107,19 @@
 // all at their limits refuses at once, with a reason of its own.
 func TestNamedLimitEnds(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.after(time.Millisecond, named(engineName(0), 0.5))
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
-	if final := need[ActionFinish](t, h.tick(EventRequest{prompt(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{prompt(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
 		t.Fatalf("%+v", final)
 	}
 	for range 6 {
 		h.after(400 * time.Millisecond)
 		h.report(engineName(0), 1)
 	}
-	sent = need[ActionDispatch](t, h.tick(EventRequest{prompt(3, 4)}))
+	sent = requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(3, 4)}))
 	h.after(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
 	for id := range 6 {
-		need[ActionDispatch](t, h.tick(EventRequest{prompt(10+id, 4)}))
+		requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(10+id, 4)}))
 	}
 }
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			h := newHarness(t, 1)
-			sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 			h.tick(refused(sent, step.rest, step.leaving)...)
 			for end := h.now + step.later; h.now < end; {
 				h.now += 200 * time.Millisecond
@@ -56,7 +56,7 @@
 // attempts up by then, so their answers were dropped as late, and the wish with them: 3 more requests came in the rest.
 func TestWhatLateAnswersSayCounts(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
 	h.tick(refused(sent, 3*time.Second, false)...)
 	if again, found := find[ActionDispatch](h.tick(EventRequest{prompt(2, 4)})); found {
@@ -64,7 +64,7 @@
 	}
 	h.after(500 * time.Millisecond)
 	h.report(engineName(0), 1)
-	if final := need[ActionFinish](t, h.tick(EventRequest{prompt(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{prompt(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
 		t.Fatalf("%+v", final)
 	}
 }
@@ -72,10 +72,10 @@
 // TestShortRestIsWaitedFor: as long as a request waits for a back end to appear; it is sent once the rest is over.
 func TestShortRestIsWaitedFor(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(append(refused(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
 	if actions := h.tick(EventRequest{prompt(2, 4)}); len(actions) > 0 {
 		t.Fatalf("%+v", actions)
 	}
-	need[ActionDispatch](t, h.after(250*time.Millisecond))
+	requireAction[ActionDispatch](t, h.after(250*time.Millisecond))
 }
