--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func find[T Action](actions []Action) (T, bool) {
+func findAction[T Action](actions []Action) (T, bool) {
 	for _, action := range actions {
 		if typed, ok := action.(T); ok {
 			return typed, true
@@ -87,7 +87,7 @@
 
 func requireAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
-	found, ok := find[T](actions)
+	found, ok := findAction[T](actions)
 	if !ok {
 		t.Fatalf("no %T among %+v", found, actions)
 	}
@@ -108,7 +108,7 @@
 	if got := requireAction[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
 		t.Fatalf("chunk %d, want 0", got.Index)
 	}
-	if repeated, found := find[ActionChunk](h.tick(chunk(sent, 0))); found {
+	if repeated, found := findAction[ActionChunk](h.tick(chunk(sent, 0))); found {
 		t.Fatalf("repeated chunk passed on: %+v", repeated)
 	}
 	if final := requireAction[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
@@ -131,7 +131,7 @@
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(chunk(sent, 0))
 	actions := h.tick(done(sent, 3))
-	if final, ended := find[ActionFinish](actions); ended {
+	if final, ended := findAction[ActionFinish](actions); ended {
 		t.Fatalf("stream with missing tokens ended as %+v", final)
 	}
 	requireAction[ActionDispatch](t, actions)
@@ -173,7 +173,7 @@
 // grant sends a small request and grants its claim.
 func (h *harness) grant(id int, key string) ActionDispatch {
 	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
-	if early, found := find[ActionDispatch](h.core.actions); found {
+	if early, found := findAction[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("sent before the claim: %+v", early)
 	}
 	return requireAction[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
@@ -183,7 +183,7 @@
 	h := newHarness(t, 1)
 	sent := h.grant(1, "k")
 	actions := h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptBroken})
-	if again, found := find[ActionDispatch](actions); found {
+	if again, found := findAction[ActionDispatch](actions); found {
 		t.Fatalf("sent again: %+v", again)
 	}
 	if final := requireAction[ActionFinish](t, actions); final.Run != RunUnknown {
@@ -213,7 +213,7 @@
 	claim := requireAction[ActionClaim](t, h.tick(EventRequest{small(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
-	if sent, found := find[ActionDispatch](actions); found {
+	if sent, found := findAction[ActionDispatch](actions); found {
 		t.Fatalf("sent under a claim of an earlier session: %+v", sent)
 	}
 	if final := requireAction[ActionFinish](t, actions); final.Run != RunNot {
@@ -224,7 +224,7 @@
 func TestLeavingBackendGetsNothingNew(t *testing.T) {
 	h := newHarness(t, 1)
 	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
-	if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
+	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
 		t.Fatalf("sent to a leaving engine: %+v", sent)
 	}
 	if final := requireAction[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -74,7 +74,7 @@
 		request.ID = RequestID(i + 1)
 		now += 100 * time.Microsecond
 		actions := c.Tick(now, []Event{EventRequest{Request: request}})
-		sent, ok := find[ActionDispatch](actions)
+		sent, ok := findAction[ActionDispatch](actions)
 		if !ok {
 			b.Fatalf("request %d was not sent: %+v", i, actions)
 		}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -24,7 +24,7 @@
 		for i := range engines {
 			h.report(engineName(i), 1)
 		}
-		if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(int(h.now/time.Millisecond), 4)})); found {
+		if sent, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(int(h.now/time.Millisecond), 4)})); found {
 			sends[sent.Backend] = append(sends[sent.Backend], h.now)
 			h.tick(done(sent, 0))
 		}
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -41,7 +41,7 @@
 			}
 			again := 0
 			for id := range 6 {
-				if _, found := find[ActionDispatch](h.tick(EventRequest{prompt(10+id, 4)})); found {
+				if _, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(10+id, 4)})); found {
 					again++
 				}
 			}
@@ -59,7 +59,7 @@
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
 	h.tick(refused(sent, 3*time.Second, false)...)
-	if again, found := find[ActionDispatch](h.tick(EventRequest{prompt(2, 4)})); found {
+	if again, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(2, 4)})); found {
 		t.Fatalf("sent to %s in its rest", again.Backend)
 	}
 	h.after(500 * time.Millisecond)
