--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -166,13 +166,13 @@
 	}
 }
 
-func small(id int, key string) Request {
+func smallRequest(id int, key string) Request {
 	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testSmall, Key: key, Digest: 1}
 }
 
 // grant sends a small request and grants its claim.
 func (h *harness) grant(id int, key string) ActionDispatch {
-	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
+	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{smallRequest(id, key)}))
 	if early, found := findAction[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("sent before the claim: %+v", early)
 	}
@@ -210,7 +210,7 @@
 
 func TestClaimOfAnEarlierSessionIsNotSent(t *testing.T) {
 	h := newHarness(t, 1)
-	claim := requireAction[ActionClaim](t, h.tick(EventRequest{small(1, "k")}))
+	claim := requireAction[ActionClaim](t, h.tick(EventRequest{smallRequest(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
 	if sent, found := findAction[ActionDispatch](actions); found {
