--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -64,7 +64,7 @@
 	return h.tick(events...)
 }
 
-func prompt(id int, blocks int) Request {
+func promptRequest(id int, blocks int) Request {
 	chain := make([]prefix.Hash, blocks)
 	for i := range chain {
 		chain[i][0], chain[i][1] = 1, byte(i+1)
@@ -104,7 +104,7 @@
 
 func TestStreamIsPassedOnAndCompletes(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	if got := requireAction[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
 		t.Fatalf("chunk %d, want 0", got.Index)
 	}
@@ -118,7 +118,7 @@
 
 func TestStreamGapResumesElsewhere(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
 	next := requireAction[ActionDispatch](t, h.tick(chunk(sent, 2)))
 	if next.ResumeFrom != 1 || next.Backend == sent.Backend {
@@ -128,7 +128,7 @@
 
 func TestEarlyEndIsNotComplete(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
 	actions := h.tick(done(sent, 3))
 	if final, ended := findAction[ActionFinish](actions); ended {
@@ -140,7 +140,7 @@
 // TestSilentEngineLosesItsStreams: a frozen engine keeps its connections open, so only its missing reports tell.
 func TestSilentEngineLosesItsStreams(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
 	other := engineName(1)
 	if sent.Backend == other {
@@ -158,7 +158,7 @@
 
 func TestNewIncarnationVoidsBeliefsAndStreams(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
 	next := requireAction[ActionDispatch](t, h.report(sent.Backend, 2))
 	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
@@ -224,7 +224,7 @@
 func TestLeavingBackendGetsNothingNew(t *testing.T) {
 	h := newHarness(t, 1)
 	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
-	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
+	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(1, 4)})); found {
 		t.Fatalf("sent to a leaving engine: %+v", sent)
 	}
 	if final := requireAction[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
@@ -234,7 +234,7 @@
 
 func TestNoLeaseNoNewWork(t *testing.T) {
 	h := newHarness(t, 1)
-	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{prompt(1, 4)}))
+	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{promptRequest(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
 	}
@@ -253,7 +253,7 @@
 // non-repeatable, so it cannot prove that an earlier send of the key did not run.
 func TestStaleRouterDoesNotClaimNotRun(t *testing.T) {
 	h := newHarness(t, 1)
-	keyed := prompt(1, 4)
+	keyed := promptRequest(1, 4)
 	keyed.Key = "k"
 	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{keyed}))
 	if final.Run != RunUnknown {
@@ -269,9 +269,9 @@
 		tree := testTree()
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
-		holder := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
+		holder := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 40)}))
 		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // it takes nothing more
-		second := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
+		second := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
 			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
 		}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -24,7 +24,7 @@
 		for i := range engines {
 			h.report(engineName(i), 1)
 		}
-		if sent, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(int(h.now/time.Millisecond), 4)})); found {
+		if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(int(h.now/time.Millisecond), 4)})); found {
 			sends[sent.Backend] = append(sends[sent.Backend], h.now)
 			h.tick(done(sent, 0))
 		}
@@ -107,19 +107,19 @@
 // all at their limits refuses at once, with a reason of its own.
 func TestNamedLimitEnds(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.after(time.Millisecond, named(engineName(0), 0.5))
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
-	if final := requireAction[ActionFinish](t, h.tick(EventRequest{prompt(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
 		t.Fatalf("%+v", final)
 	}
 	for range 6 {
 		h.after(400 * time.Millisecond)
 		h.report(engineName(0), 1)
 	}
-	sent = requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(3, 4)}))
+	sent = requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(3, 4)}))
 	h.after(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
 	for id := range 6 {
-		requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(10+id, 4)}))
+		requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(10+id, 4)}))
 	}
 }
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			h := newHarness(t, 1)
-			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 			h.tick(refused(sent, step.rest, step.leaving)...)
 			for end := h.now + step.later; h.now < end; {
 				h.now += 200 * time.Millisecond
@@ -41,7 +41,7 @@
 			}
 			again := 0
 			for id := range 6 {
-				if _, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(10+id, 4)})); found {
+				if _, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(10+id, 4)})); found {
 					again++
 				}
 			}
@@ -56,15 +56,15 @@
 // attempts up by then, so their answers were dropped as late, and the wish with them: 3 more requests came in the rest.
 func TestWhatLateAnswersSayCounts(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
 	h.tick(refused(sent, 3*time.Second, false)...)
-	if again, found := findAction[ActionDispatch](h.tick(EventRequest{prompt(2, 4)})); found {
+	if again, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
 		t.Fatalf("sent to %s in its rest", again.Backend)
 	}
 	h.after(500 * time.Millisecond)
 	h.report(engineName(0), 1)
-	if final := requireAction[ActionFinish](t, h.tick(EventRequest{prompt(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
 		t.Fatalf("%+v", final)
 	}
 }
@@ -72,9 +72,9 @@
 // TestShortRestIsWaitedFor: as long as a request waits for a back end to appear; it is sent once the rest is over.
 func TestShortRestIsWaitedFor(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(append(refused(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
-	if actions := h.tick(EventRequest{prompt(2, 4)}); len(actions) > 0 {
+	if actions := h.tick(EventRequest{promptRequest(2, 4)}); len(actions) > 0 {
 		t.Fatalf("%+v", actions)
 	}
 	requireAction[ActionDispatch](t, h.after(250*time.Millisecond))
