--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -170,8 +170,8 @@
 	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testSmall, Key: key, Digest: 1}
 }
 
-// grant sends a small request and grants its claim.
-func (h *harness) grant(id int, key string) ActionDispatch {
+// dispatchWithClaim sends a small request and grants its claim.
+func (h *harness) dispatchWithClaim(id int, key string) ActionDispatch {
 	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{smallRequest(id, key)}))
 	if early, found := findAction[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("sent before the claim: %+v", early)
@@ -181,7 +181,7 @@
 
 func TestAmbiguousAttemptIsNotResent(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := h.grant(1, "k")
+	sent := h.dispatchWithClaim(1, "k")
 	actions := h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptBroken})
 	if again, found := findAction[ActionDispatch](actions); found {
 		t.Fatalf("sent again: %+v", again)
@@ -196,7 +196,7 @@
 
 func TestRefusedAttemptReleasesTheClaim(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := h.grant(1, "k")
+	sent := h.dispatchWithClaim(1, "k")
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptRefused})
 	actions := h.after(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
 	final := requireAction[ActionFinish](t, actions)
