--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -59,7 +59,7 @@
 	return h.tick(EventBackendPoll{Name: name, RequestedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
 }
 
-func (h *harness) after(d time.Duration, events ...Event) []Action {
+func (h *harness) advance(d time.Duration, events ...Event) []Action {
 	h.now += d
 	return h.tick(events...)
 }
@@ -147,10 +147,10 @@
 		other = engineName(0)
 	}
 	for range 3 {
-		h.after(500 * time.Millisecond)
+		h.advance(500 * time.Millisecond)
 		h.report(other, 1)
 	}
-	next := requireAction[ActionDispatch](t, h.after(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
+	next := requireAction[ActionDispatch](t, h.advance(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
 	if next.Backend != other || next.ResumeFrom != 1 {
 		t.Fatalf("continued on %s from token %d", next.Backend, next.ResumeFrom)
 	}
@@ -198,7 +198,7 @@
 	h := newHarness(t, 1)
 	sent := h.dispatchWithClaim(1, "k")
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptRefused})
-	actions := h.after(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
+	actions := h.advance(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
 	final := requireAction[ActionFinish](t, actions)
 	if final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
@@ -227,14 +227,14 @@
 	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(1, 4)})); found {
 		t.Fatalf("sent to a leaving engine: %+v", sent)
 	}
-	if final := requireAction[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
+	if final := requireAction[ActionFinish](t, h.advance(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
 		t.Fatalf("final answer %+v", final)
 	}
 }
 
 func TestNoLeaseNoNewWork(t *testing.T) {
 	h := newHarness(t, 1)
-	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{promptRequest(1, 4)}))
+	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{promptRequest(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
 		t.Fatalf("final answer %+v", final)
 	}
@@ -255,7 +255,7 @@
 	h := newHarness(t, 1)
 	keyed := promptRequest(1, 4)
 	keyed.Key = "k"
-	final := requireAction[ActionFinish](t, h.after(2*time.Hour, EventRequest{keyed}))
+	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{keyed}))
 	if final.Run != RunUnknown {
 		t.Fatalf("run=%s, want unknown", final.Run)
 	}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -108,17 +108,17 @@
 func TestNamedLimitEnds(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.after(time.Millisecond, named(engineName(0), 0.5))
+	h.advance(time.Millisecond, named(engineName(0), 0.5))
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
 		t.Fatalf("%+v", final)
 	}
 	for range 6 {
-		h.after(400 * time.Millisecond)
+		h.advance(400 * time.Millisecond)
 		h.report(engineName(0), 1)
 	}
 	sent = requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(3, 4)}))
-	h.after(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
+	h.advance(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
 	for id := range 6 {
 		requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(10+id, 4)}))
 	}
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -62,7 +62,7 @@
 	if again, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
 		t.Fatalf("sent to %s in its rest", again.Backend)
 	}
-	h.after(500 * time.Millisecond)
+	h.advance(500 * time.Millisecond)
 	h.report(engineName(0), 1)
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
 		t.Fatalf("%+v", final)
@@ -77,5 +77,5 @@
 	if actions := h.tick(EventRequest{promptRequest(2, 4)}); len(actions) > 0 {
 		t.Fatalf("%+v", actions)
 	}
-	requireAction[ActionDispatch](t, h.after(250*time.Millisecond))
+	requireAction[ActionDispatch](t, h.advance(250*time.Millisecond))
 }
