--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestStreamGapResumesElsewhere(t *testing.T) {
+func TestStreamGapResumesOnAnotherBackend(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
