--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestEarlyEndIsNotComplete(t *testing.T) {
+func TestTruncatedStreamIsNotComplete(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
