--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -137,8 +137,8 @@
 	requireAction[ActionDispatch](t, actions)
 }
 
-// TestSilentEngineLosesItsStreams: a frozen engine keeps its connections open, so only its missing reports tell.
-func TestSilentEngineLosesItsStreams(t *testing.T) {
+// TestStreamMovesFromUnreachableEngine: a frozen engine keeps its connections open, so only its missing reports tell.
+func TestStreamMovesFromUnreachableEngine(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
