--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestNewIncarnationVoidsBeliefsAndStreams(t *testing.T) {
+func TestNewIncarnationInvalidatesCacheIndexAndStreams(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunk(sent, 0))
