--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestClaimOfAnEarlierSessionIsNotSent(t *testing.T) {
+func TestClaimOfExpiredSessionIsNotDispatched(t *testing.T) {
 	h := newHarness(t, 1)
 	claim := requireAction[ActionClaim](t, h.tick(EventRequest{smallRequest(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
