--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestLeavingBackendGetsNothingNew(t *testing.T) {
+func TestLeavingBackendReceivesNoNewRequests(t *testing.T) {
 	h := newHarness(t, 1)
 	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
 	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(1, 4)})); found {
