--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestNoLeaseNoNewWork(t *testing.T) {
+func TestExpiredLeaseRefusesNewRequests(t *testing.T) {
 	h := newHarness(t, 1)
 	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{promptRequest(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
