--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestOlderSettingsAreNotTakenUp(t *testing.T) {
+func TestOlderSettingsAreIgnored(t *testing.T) {
 	h := newHarness(t, 1)
 	h.tick(EventSettings{Version: 9, Tree: testTree()})
 	h.tick(EventSettings{Version: 4, Tree: testTree()})
