--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -249,9 +249,9 @@
 	}
 }
 
-// TestStaleRouterDoesNotClaimNotRun: a router without a lease may hold settings from before the service became
+// TestExpiredLeaseReportsRunStatusUnknown: a router without a lease may hold settings from before the service became
 // non-repeatable, so it cannot prove that an earlier send of the key did not run.
-func TestStaleRouterDoesNotClaimNotRun(t *testing.T) {
+func TestExpiredLeaseReportsRunStatusUnknown(t *testing.T) {
 	h := newHarness(t, 1)
 	keyed := promptRequest(1, 4)
 	keyed.Key = "k"
