--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// TestPrefixIsNotCopiedBeyondItsLimit: with enough holders a prefix is computed or waited for, not copied again.
-func TestPrefixIsNotCopiedBeyondItsLimit(t *testing.T) {
+// TestPrefixIsNotCopiedBeyondHotCopies: with enough holders a prefix is computed or waited for, not copied again.
+func TestPrefixIsNotCopiedBeyondHotCopies(t *testing.T) {
 	for _, limit := range []int{1, 2} {
 		h := newHarness(t, 3)
 		h.core.config.ImportRate = 1_000_000
