--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -282,19 +282,19 @@
 // change the limit while the system runs.
 func TestEngineConcurrencyFollowsTheSettings(t *testing.T) {
 	h := newHarness(t, 1)
-	for version, wanted := range map[uint64]int{2: 40, 3: 2} {
+	for version, want := range map[uint64]int{2: 40, 3: 2} {
 		tree := testTree()
-		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), EngineConcurrency: pointer(wanted)}
+		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), EngineConcurrency: pointer(want)}
 		h.core.settingsVersion = version - 1
 		h.tick(EventSettings{Version: version, Tree: tree})
 		row := &h.core.backends[0]
-		if got := int(row.concurrencyLimit); got != wanted {
-			t.Fatalf("limit %d, the settings say %d", got, wanted)
+		if got := int(row.concurrencyLimit); got != want {
+			t.Fatalf("limit %d, the settings say %d", got, want)
 		}
 		h.core.recordFirstTokenLatency(row, time.Millisecond, time.Minute)
-		if int(row.concurrencyLimit) > wanted {
-			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.concurrencyLimit, wanted)
+		if int(row.concurrencyLimit) > want {
+			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.concurrencyLimit, want)
 		}
-		row.concurrencyLimit = float64(wanted)
+		row.concurrencyLimit = float64(want)
 	}
 }
