--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// refused is an engine's refusal of an attempt, with what it says of itself.
-func refused(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
+// refusal is an engine's refusal of an attempt, with what it says of itself.
+func refusal(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
 	return []Event{
 		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Pushback: pushback.Said{Rest: rest, Leaving: leaving}},
 		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
@@ -34,7 +34,7 @@
 		t.Run(what, func(t *testing.T) {
 			h := newHarness(t, 1)
 			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-			h.tick(refused(sent, step.rest, step.leaving)...)
+			h.tick(refusal(sent, step.rest, step.leaving)...)
 			for end := h.now + step.later; h.now < end; {
 				h.now += 200 * time.Millisecond
 				h.report(sent.Backend, step.life)
@@ -58,7 +58,7 @@
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
-	h.tick(refused(sent, 3*time.Second, false)...)
+	h.tick(refusal(sent, 3*time.Second, false)...)
 	if again, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
 		t.Fatalf("sent to %s in its rest", again.Backend)
 	}
@@ -73,7 +73,7 @@
 func TestShortRestIsWaitedFor(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.tick(append(refused(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
+	h.tick(append(refusal(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
 	if actions := h.tick(EventRequest{promptRequest(2, 4)}); len(actions) > 0 {
 		t.Fatalf("%+v", actions)
 	}
