--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -17,7 +17,7 @@
 
 // An engine that refused a request and asked to be left alone for 3 s got the next one at once: the wish only told that the engine hadn't
 // ended. One that said that it leaves got new requests from the next report on, which had been written before.
-func TestWhatEnginesSayInRefusalsHolds(t *testing.T) {
+func TestRefusalPushbackIsHonored(t *testing.T) {
 	for what, step := range map[string]struct {
 		rest    time.Duration
 		leaving bool
