--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -54,7 +54,7 @@
 
 // An engine stood still for a second and then refused the 15 requests that had come to it, with a wish for rest. The router had given these
 // attempts up by then, so their answers were dropped as late, and the wish with them: 3 more requests came in the rest.
-func TestWhatLateAnswersSayCounts(t *testing.T) {
+func TestPushbackOfLateAnswerIsHonored(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
