--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -19,11 +19,11 @@
 // ended. One that said that it leaves got new requests from the next report on, which had been written before.
 func TestRefusalPushbackIsHonored(t *testing.T) {
 	for what, step := range map[string]struct {
-		rest    time.Duration
-		leaving bool
-		later   time.Duration // of all requests after the refusal
-		life    uint64        // of the engine by then
-		allowed bool
+		rest        time.Duration
+		leaving     bool
+		later       time.Duration // of all requests after the refusal
+		incarnation uint64        // of the engine by then
+		allowed     bool
 	}{
 		"it wants rest":                     {3 * time.Second, false, 2 * time.Second, 1, false},
 		"its rest is over":                  {3 * time.Second, false, 4 * time.Second, 1, true},
@@ -37,7 +37,7 @@
 			h.tick(refusal(sent, step.rest, step.leaving)...)
 			for end := h.now + step.later; h.now < end; {
 				h.now += 200 * time.Millisecond
-				h.report(sent.Backend, step.life)
+				h.report(sent.Backend, step.incarnation)
 			}
 			again := 0
 			for id := range 6 {
