--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -21,7 +21,7 @@
 	for what, step := range map[string]struct {
 		rest        time.Duration
 		leaving     bool
-		later       time.Duration // of all requests after the refusal
+		elapsed     time.Duration // of all requests after the refusal
 		incarnation uint64        // of the engine by then
 		allowed     bool
 	}{
@@ -35,7 +35,7 @@
 			h := newHarness(t, 1)
 			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 			h.tick(refusal(sent, step.rest, step.leaving)...)
-			for end := h.now + step.later; h.now < end; {
+			for end := h.now + step.elapsed; h.now < end; {
 				h.now += 200 * time.Millisecond
 				h.report(sent.Backend, step.incarnation)
 			}
