--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -11,8 +11,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// named is what an engine says of its limit in an answer.
-func named(engine string, rate float64) EventPushback {
+// rateLimitNotice is what an engine says of its limit in an answer.
+func rateLimitNotice(engine string, rate float64) EventPushback {
 	return EventPushback{Name: engine, Incarnation: 1, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
@@ -38,7 +38,7 @@
 func TestNamedLimitBindsTheRouter(t *testing.T) {
 	const rate = 2.0
 	h := newHarness(t, 2)
-	h.tick(named(engineName(0), rate))
+	h.tick(rateLimitNotice(engineName(0), rate))
 	sends := h.askEach(50*time.Millisecond, 10*time.Second, 2)
 	if most, allowed := window.Fullest(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
 		t.Fatalf("%d requests in %v, allowed %d", most, window.Length, allowed)
@@ -108,7 +108,7 @@
 func TestNamedLimitEnds(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.advance(time.Millisecond, named(engineName(0), 0.5))
+	h.advance(time.Millisecond, rateLimitNotice(engineName(0), 0.5))
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
 		t.Fatalf("%+v", final)
