--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -16,8 +16,8 @@
 	return EventPushback{Name: engine, Incarnation: 1, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
-// askEach lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
-func (h *harness) askEach(step, length time.Duration, engines int) map[string][]time.Duration {
+// sendEvery lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
+func (h *harness) sendEvery(step, length time.Duration, engines int) map[string][]time.Duration {
 	sends := map[string][]time.Duration{}
 	for end := h.now + length; h.now < end; {
 		h.now += step
@@ -39,7 +39,7 @@
 	const rate = 2.0
 	h := newHarness(t, 2)
 	h.tick(rateLimitNotice(engineName(0), rate))
-	sends := h.askEach(50*time.Millisecond, 10*time.Second, 2)
+	sends := h.sendEvery(50*time.Millisecond, 10*time.Second, 2)
 	if most, allowed := window.Fullest(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
 		t.Fatalf("%d requests in %v, allowed %d", most, window.Length, allowed)
 	}
