--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestNamedLimitEnds: with an answer that names none, to a request that was sent after the limit was heard; until then a service whose engines are
+// TestRateLimitEndsWithUnlimitedAnswer: with an answer that names none, to a request that was sent after the limit was heard; until then a service whose engines are
 // all at their limits refuses at once, with a reason of its own.
-func TestNamedLimitEnds(t *testing.T) {
+func TestRateLimitEndsWithUnlimitedAnswer(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.advance(time.Millisecond, rateLimitNotice(engineName(0), 0.5))
