--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -62,11 +62,11 @@
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
-		there := all
+		active := all
 		know := func() {
-			for _, c := range routers[:there] {
+			for _, c := range routers[:active] {
 				told := EventPeerRouters{}
-				for _, other := range routers[:there] {
+				for _, other := range routers[:active] {
 					if other != c {
 						told.Names = append(told.Names, other.config.Router)
 					}
@@ -84,10 +84,10 @@
 		var sends []time.Duration
 		for now := step; now <= length; now += step {
 			if changed, any := changes[now]; any {
-				there = changed // the others have no session any more, and send nothing
+				active = changed // the others have no session any more, and send nothing
 				know()
 			}
-			for i, c := range routers[:there] {
+			for i, c := range routers[:active] {
 				if c.now = now; c.rateLimitedFor(rows[i]) == 0 {
 					c.takeRateToken(rows[i])
 					sends = append(sends, now)
