--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -63,7 +63,7 @@
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
 		active := all
-		know := func() {
+		announcePeers := func() {
 			for _, c := range routers[:active] {
 				told := EventPeerRouters{}
 				for _, other := range routers[:active] {
@@ -74,7 +74,7 @@
 				c.observePeerRouters(told)
 			}
 		}
-		know()
+		announcePeers()
 		const step, length = 20 * time.Millisecond, 20 * time.Second
 		changes := map[time.Duration]int{}
 		for range rapid.IntRange(0, 10).Draw(t, "changes") {
@@ -85,7 +85,7 @@
 		for now := step; now <= length; now += step {
 			if changed, any := changes[now]; any {
 				active = changed // the others have no session any more, and send nothing
-				know()
+				announcePeers()
 			}
 			for i, c := range routers[:active] {
 				if c.now = now; c.rateLimitedFor(rows[i]) == 0 {
