--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -53,16 +53,16 @@
 func TestRoutersShareANamedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0, 30).Draw(t, "limit")
-		all := rapid.IntRange(1, 40).Draw(t, "routers")
+		routerCount := rapid.IntRange(1, 40).Draw(t, "routers")
 		var routers []*Core
 		var rows []*backend
-		for i := range all {
+		for i := range routerCount {
 			c := New(Config{Router: fmt.Sprint("r", i), Seed: uint64(i)})
 			c.pushback.NoteLimit(0, backendLife("e", 1), pushback.Limit{Named: true, Rate: limit})
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
-		active := all
+		active := routerCount
 		announcePeers := func() {
 			for _, c := range routers[:active] {
 				told := EventPeerRouters{}
@@ -79,7 +79,7 @@
 		changes := map[time.Duration]int{}
 		for range rapid.IntRange(0, 10).Draw(t, "changes") {
 			at := time.Duration(rapid.IntRange(1, int(length/step)).Draw(t, "at")) * step
-			changes[at] = rapid.IntRange(1, all).Draw(t, "there")
+			changes[at] = rapid.IntRange(1, routerCount).Draw(t, "there")
 		}
 		var sends []time.Duration
 		for now := step; now <= length; now += step {
@@ -95,7 +95,7 @@
 			}
 		}
 		if most, allowed := window.Fullest(sends, 0), window.Allowed(limit); float64(most) > allowed {
-			t.Fatalf("%d routers sent %d in %v, %.1f allowed", all, most, window.Length, allowed)
+			t.Fatalf("%d routers sent %d in %v, %.1f allowed", routerCount, most, window.Length, allowed)
 		}
 		if used := float64(len(sends)) / length.Seconds(); len(changes) == 0 && used < 0.8*limit-1/length.Seconds() {
 			t.Fatalf("%.2f a second were sent of %.2f", used, limit)
