--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -65,13 +65,13 @@
 		active := routerCount
 		announcePeers := func() {
 			for _, c := range routers[:active] {
-				told := EventPeerRouters{}
+				update := EventPeerRouters{}
 				for _, other := range routers[:active] {
 					if other != c {
-						told.Names = append(told.Names, other.config.Router)
+						update.Names = append(update.Names, other.config.Router)
 					}
 				}
-				c.observePeerRouters(told)
+				c.observePeerRouters(update)
 			}
 		}
 		announcePeers()
