--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -83,7 +83,7 @@
 		}
 		var sends []time.Duration
 		for now := step; now <= length; now += step {
-			if changed, any := changes[now]; any {
+			if changed, found := changes[now]; found {
 				active = changed // the others have no session any more, and send nothing
 				announcePeers()
 			}
