--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -65,9 +65,9 @@
 // EventCallerGone says that the caller hung up or reads too slowly.
 type EventCallerGone struct{ ID RequestID }
 
-// EventHeldBack says that a request is to be sent to no back end, or to no other one, since back ends end under it. One that still
+// EventQuarantined says that a request is to be sent to no back end, or to no other one, since back ends end under it. One that still
 // runs somewhere goes on there.
-type EventHeldBack struct{ ID RequestID }
+type EventQuarantined struct{ ID RequestID }
 
 // EventClaim answers an ActionClaim. Failed means that the outcome is not known.
 type EventClaim struct {
@@ -209,7 +209,7 @@
 
 func (EventRequest) isEvent()        {}
 func (EventCallerGone) isEvent()     {}
-func (EventHeldBack) isEvent()       {}
+func (EventQuarantined) isEvent()    {}
 func (EventClaim) isEvent()          {}
 func (EventAttempt) isEvent()        {}
 func (EventPushback) isEvent()       {}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -19,7 +19,7 @@
 		c.observeRequest(typed.Request)
 	case EventCallerGone:
 		c.observeCallerGone(typed.ID)
-	case EventHeldBack:
+	case EventQuarantined:
 		c.observeHeldBack(typed.ID)
 	case EventClaim:
 		c.observeClaim(typed)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -45,7 +45,7 @@
 		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
 		refused.BackendNotAtFault = true
 		s.offer(refused)
-		s.offer(core.EventHeldBack{ID: action.ID})
+		s.offer(core.EventQuarantined{ID: action.ID})
 		return
 	}
 	s.announcer.Announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
