--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -64,7 +64,7 @@
 		return http.StatusServiceUnavailable, "All back ends of the service asked for rest"
 	case core.ReasonLimited:
 		return http.StatusServiceUnavailable, "All back ends of the service have reached the limits that they name"
-	case core.ReasonHeldBack:
+	case core.ReasonQuarantined:
 		return http.StatusServiceUnavailable, "Back ends ended under this request again and again; it is sent to none until an operator releases it"
 	case core.ReasonLedgerUnavailable:
 		return http.StatusServiceUnavailable, "The run ledger did not answer"
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -87,7 +87,7 @@
 	ReasonRunUnknown        Reason = "run-unknown"
 	ReasonLedgerUnavailable Reason = "ledger-unavailable"
 	ReasonCallerGone        Reason = "caller-gone"
-	ReasonHeldBack          Reason = "held-back"
+	ReasonQuarantined       Reason = "held-back"
 	ReasonResting           Reason = "resting" // all back ends that could take it asked for rest
 	ReasonLimited           Reason = "limited" // all of them have reached the limits that they name
 )
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -215,7 +215,7 @@
 	if !alive || len(r.attempts) > 0 {
 		return
 	}
-	reason := ReasonHeldBack
+	reason := ReasonQuarantined
 	if r.possibleRuns > 0 {
 		reason = ReasonRunUnknown // an earlier attempt may have run
 	}
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -77,7 +77,7 @@
 	switch refusal.reason {
 	case reasonOverload, core.ReasonDraining:
 		problem = problem.WithRetry(overloadAdvice)
-	case core.ReasonHeldBack:
+	case core.ReasonQuarantined:
 		problem = problem.WithRetry(quarantine.Advice)
 	}
 	s.metrics.refusals.WithLabelValues(string(refusal.reason)).Inc()
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -61,10 +61,10 @@
 		return false
 	}
 	f, _ := s.quarantine.Fingerprint(run.again) // there is one, or it would have no lives
-	s.log.Info(events.RequestRefused, zap.String(events.FieldRequest, run.name), zap.String(events.FieldReason, string(core.ReasonHeldBack)),
+	s.log.Info(events.RequestRefused, zap.String(events.FieldRequest, run.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
 		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldLives, lives))
-	status, title := api.Describe(core.ReasonHeldBack)
-	s.refuse(run.writer, r, run.name, &callerError{core.ReasonHeldBack, status, title, ""})
+	status, title := api.Describe(core.ReasonQuarantined)
+	s.refuse(run.writer, r, run.name, &callerError{core.ReasonQuarantined, status, title, ""})
 	return true
 }
 
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -161,11 +161,11 @@
 		if status == http.StatusOK {
 			t.Fatal("answered")
 		}
-		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonHeldBack))
+		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
 	before := arrived.Load()
 	for range 20 {
-		if status, text := ask(deadlyPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonHeldBack)) {
+		if status, text := ask(deadlyPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
