--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -101,7 +101,7 @@
 	Cached            int    // AttemptStarted: prompt tokens that were reused
 	Incarnation       uint64 // AttemptStarted and AttemptMismatch
 	Answer            *ledger.Answer
-	StatesRateLimit   bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
+	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
 	BackendNotAtFault bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
 }
 
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -85,7 +85,7 @@
 
 // clearOutdatedLimit takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
-	if !event.StatesRateLimit {
+	if !event.AdvertisesLimit {
 		c.pushback.Unlimited(c.now, sent.sentAt, backendLife(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -129,7 +129,7 @@
 	event := core.EventAttempt{Echo: s.attempt, Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
-		event.Kind, event.Incarnation, event.StatesRateLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Named
+		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Named
 	case engine.OutputToken:
 		event.Kind, event.Text = core.AttemptChunk, s.request.job.token(output.Index)
 	case engine.OutputDone:
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -266,7 +266,7 @@
 
 func (s *Server) passStarted(a *attemptRun, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.StatesRateLimit = s.hearLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.hearLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
 	s.metrics.started(a, event)
 	if event.NoReuse {
@@ -304,7 +304,7 @@
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.StatesRateLimit = s.hearLimit(a, reply.Limit, reply.Incarnation)
+	done.AdvertisesLimit = s.hearLimit(a, reply.Limit, reply.Incarnation)
 	done.Echo, done.Answer = reply.Attempt, &reply.Answer
 	s.post(done)
 }
