--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -109,7 +109,7 @@
 type EventPushback struct {
 	Name        string
 	Incarnation uint64 // of the life that spoke; the one that the attempt was meant for where it doesn't tell
-	Pushback    pushback.Said
+	Signals     pushback.Said
 }
 
 // Load is what a back end says of its work. Reports lag; Age says by how much.
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -13,7 +13,7 @@
 
 // rateLimitNotice is what an engine says of its limit in an answer.
 func rateLimitNotice(engine string, rate float64) EventPushback {
-	return EventPushback{Name: engine, Incarnation: 1, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+	return EventPushback{Name: engine, Incarnation: 1, Signals: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
 // sendEvery lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -14,8 +14,8 @@
 
 // observePushback takes up what a back end says of itself.
 func (c *Core) observePushback(event EventPushback) {
-	c.pushback.Note(c.now, time.Time{}, backendLife(event.Name, event.Incarnation), event.Pushback, c.random.Float64())
-	c.membershipDirty = c.membershipDirty || event.Pushback.Leaving
+	c.pushback.Note(c.now, time.Time{}, backendLife(event.Name, event.Incarnation), event.Signals, c.random.Float64())
+	c.membershipDirty = c.membershipDirty || event.Signals.Leaving
 }
 
 // announcedLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -10,7 +10,7 @@
 // refusal is an engine's refusal of an attempt, with what it says of itself.
 func refusal(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
 	return []Event{
-		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Pushback: pushback.Said{Rest: rest, Leaving: leaving}},
+		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Said{Rest: rest, Leaving: leaving}},
 		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
 	}
 }
--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -94,7 +94,7 @@
 	case engine.TakenWithoutReuse:
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Pushback: pushback.Said{Rest: busyRest}})
+		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Said{Rest: busyRest}})
 		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -254,7 +254,7 @@
 		respond(func() {
 			if limit.Named {
 				r.w.oracle.heardLimit(asker, inNeed)
-				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Pushback: pushback.Said{Limit: limit}})
+				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Said{Limit: limit}})
 			}
 			switch result {
 			case engine.Taken:
@@ -286,7 +286,7 @@
 // attemptEvent passes what a back end answered to the core.
 // refused takes up an engine's refusal, with what it says of itself.
 func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Said) {
-	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Pushback: said})
+	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: said})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -137,12 +137,12 @@
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
 	rest := min(body.RetryAfterMS, pushback.LongestRest.Milliseconds()) // so that no figure is too long for a duration
-	said.Pushback = pushback.Said{Rest: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
+	said.Signals = pushback.Said{Rest: time.Duration(rest) * time.Millisecond, Leaving: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.BackendNotAtFault = !said.Pushback.Nothing()
+	event.BackendNotAtFault = !said.Signals.Nothing()
 	return said, event
 }
 
@@ -161,7 +161,7 @@
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Pushback: pushback.Said{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Signals: pushback.Said{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
@@ -194,7 +194,7 @@
 
 // hear passes on and logs what a back end said of itself.
 func (s *Server) hear(a *attemptRun, told core.EventPushback, status int) {
-	if told.Pushback.Nothing() {
+	if told.Signals.Nothing() {
 		return
 	}
 	s.post(told)
@@ -203,11 +203,11 @@
 		return
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Pushback.Limit; limit.Named {
+	if limit := told.Signals.Limit; limit.Named {
 		s.log.Info(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
 	}
-	if told.Pushback.Rest > 0 || told.Pushback.Leaving {
-		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Pushback.Rest), zap.Bool("leaving", told.Pushback.Leaving))...)
+	if told.Signals.Rest > 0 || told.Signals.Leaving {
+		s.log.Info(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.Signals.Rest), zap.Bool("leaving", told.Signals.Leaving))...)
 	}
 }
 
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -16,12 +16,12 @@
 	meant := &attemptRun{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, wanted := range map[string]core.EventPushback{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
-		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Pushback: pushback.Said{Leaving: true}},
-		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Pushback: pushback.Said{Rest: 50 * time.Millisecond}},
-		`{"run":"not-run","limit_per_s":3.8,"incarnation":4}`: {Name: "e", Incarnation: 4, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: 3.8}}},
-		`{"run":"not-run","limit_per_s":0}`:                   {Name: "e", Incarnation: 3, Pushback: pushback.Said{Limit: pushback.Limit{Named: true}}},
+		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Signals: pushback.Said{Leaving: true}},
+		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Signals: pushback.Said{Rest: 50 * time.Millisecond}},
+		`{"run":"not-run","limit_per_s":3.8,"incarnation":4}`: {Name: "e", Incarnation: 4, Signals: pushback.Said{Limit: pushback.Limit{Named: true, Rate: 3.8}}},
+		`{"run":"not-run","limit_per_s":0}`:                   {Name: "e", Incarnation: 3, Signals: pushback.Said{Limit: pushback.Limit{Named: true}}},
 		`{"run":"not-run","limit_per_s":-1}`:                  {Name: "e", Incarnation: 3},
-		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Pushback: pushback.Said{Limit: pushback.Limit{Named: true, Rate: 2}}},
+		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Signals: pushback.Said{Limit: pushback.Limit{Named: true, Rate: 2}}},
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
 		if said, _ := meant.refusal(response); said != wanted {
