--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -20,7 +20,7 @@
 	case EventCallerGone:
 		c.observeCallerGone(typed.ID)
 	case EventQuarantined:
-		c.observeHeldBack(typed.ID)
+		c.observeQuarantined(typed.ID)
 	case EventClaim:
 		c.observeClaim(typed)
 	case EventAttempt:
@@ -209,8 +209,8 @@
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
 }
 
-// observeHeldBack ends a request that is to be sent nowhere more.
-func (c *Core) observeHeldBack(id RequestID) {
+// observeQuarantined ends a request that is to be sent nowhere more.
+func (c *Core) observeQuarantined(id RequestID) {
 	r, alive := c.requests[id]
 	if !alive || len(r.attempts) > 0 {
 		return
