--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -24,8 +24,8 @@
 	return c.pushback.At(c.now, backendLife(row.machine.Name, row.incarnation)).Leaving
 }
 
-// remainingRest returns how long a back end still wants nothing from this router.
-func (c *Core) remainingRest(row *backend) time.Duration {
+// remainingBackoff returns how long a back end still wants nothing from this router.
+func (c *Core) remainingBackoff(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
@@ -34,7 +34,7 @@
 
 // blockedFor returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
 func (c *Core) blockedFor(row *backend) time.Duration {
-	return max(c.remainingRest(row), c.rateLimitedFor(row))
+	return max(c.remainingBackoff(row), c.rateLimitedFor(row))
 }
 
 // allBlockedFor returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
@@ -45,7 +45,7 @@
 		if !c.isReady(row) {
 			continue
 		}
-		left, why := c.remainingRest(row), ReasonResting
+		left, why := c.remainingBackoff(row), ReasonResting
 		if limited := c.rateLimitedFor(row); limited > left {
 			left, why = limited, ReasonLimited
 		}
