--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -55,7 +55,7 @@
 	if !c.config.Guards.On(guard.LimitCheck) {
 		return 0
 	}
-	life := backendLife(row.machine.Name, row.incarnation)
+	life := backendIncarnation(row.machine.Name, row.incarnation)
 	limit := c.pushback.Limit(life)
 	if !limit.Named {
 		row.rateBucket = rateBucket{}
@@ -86,6 +86,6 @@
 // clearOutdatedLimit takes up an answer without a limit: one that was heard before the attempt was sent is over.
 func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
 	if !event.AdvertisesLimit {
-		c.pushback.Unlimited(c.now, sent.sentAt, backendLife(c.backends[sent.backend].machine.Name, sent.incarnation))
+		c.pushback.Unlimited(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -58,7 +58,7 @@
 		var rows []*backend
 		for i := range routerCount {
 			c := New(Config{Router: fmt.Sprint("r", i), Seed: uint64(i)})
-			c.pushback.NoteLimit(0, backendLife("e", 1), pushback.Limit{Named: true, Rate: limit})
+			c.pushback.NoteLimit(0, backendIncarnation("e", 1), pushback.Limit{Named: true, Rate: limit})
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -7,21 +7,21 @@
 	"kitetiller/internal/guard"
 )
 
-// backendLife names a life of a back end. Incarnations tell lives apart and no time.
-func backendLife(name string, incarnation uint64) catalog.Life {
+// backendIncarnation names a life of a back end. Incarnations tell lives apart and no time.
+func backendIncarnation(name string, incarnation uint64) catalog.Life {
 	return catalog.Life{Name: name, Born: int64(incarnation)}
 }
 
 // observePushback takes up what a back end says of itself.
 func (c *Core) observePushback(event EventPushback) {
-	c.pushback.Note(c.now, time.Time{}, backendLife(event.Name, event.Incarnation), event.Signals, c.random.Float64())
+	c.pushback.Note(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Signals.Leaving
 }
 
 // announcedLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
 // undo that.
 func (c *Core) announcedLeaving(row *backend) bool {
-	return c.pushback.At(c.now, backendLife(row.machine.Name, row.incarnation)).Leaving
+	return c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Leaving
 }
 
 // remainingBackoff returns how long a back end still wants nothing from this router.
@@ -29,7 +29,7 @@
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
 	}
-	return max(0, c.pushback.At(c.now, backendLife(row.machine.Name, row.incarnation)).Until-c.now)
+	return max(0, c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Until-c.now)
 }
 
 // blockedFor returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
