--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	testService = "llm"
-	testSmall   = "small"
-	testTenant  = "tenant"
-	testBlock   = 64
+	testService     = "llm"
+	testSmall       = "small"
+	testTenant      = "tenant"
+	testBlockTokens = 64
 )
 
 // harness drives a core by hand in virtual time.
@@ -37,7 +37,7 @@
 
 // newHarness returns a core with settings, a lease and engines that have reported.
 func newHarness(t *testing.T, engines int) *harness {
-	h := &harness{t: t, core: New(Config{Router: "r1", Zone: "z", Seed: 1, BlockTokens: testBlock, IndexLimit: 1000})}
+	h := &harness{t: t, core: New(Config{Router: "r1", Zone: "z", Seed: 1, BlockTokens: testBlockTokens, IndexLimit: 1000})}
 	var machines []Machine
 	for i := range engines {
 		machines = append(machines, Machine{Name: engineName(i), Zone: "z", Service: testService, Address: engineName(i)})
@@ -70,7 +70,7 @@
 		chain[i][0], chain[i][1] = 1, byte(i+1)
 	}
 	return Request{
-		ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testService, PromptTokens: blocks * testBlock,
+		ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testService, PromptTokens: blocks * testBlockTokens,
 		MaxTokens: 8, Chains: []Chain{{Weights: "w1", Blocks: chain}},
 	}
 }
--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -33,7 +33,7 @@
 
 // benchCore returns a core whose index knows each prompt on one engine and each template on several.
 func benchCore(engines int) *Core {
-	c := New(Config{Router: "r", Zone: "z0", Seed: 1, BlockTokens: testBlock, IndexLimit: 2_000_000, ImportRate: 40_000})
+	c := New(Config{Router: "r", Zone: "z0", Seed: 1, BlockTokens: testBlockTokens, IndexLimit: 2_000_000, ImportRate: 40_000})
 	var machines []Machine
 	for i := range engines {
 		machines = append(machines, Machine{Name: engineName(i), Zone: fmt.Sprintf("z%d", i%3), Service: testService, Address: engineName(i)})
@@ -63,7 +63,7 @@
 	c := benchCore(engines)
 	requests := make([]Request, benchPrompts)
 	for i := range requests {
-		requests[i] = Request{Name: fmt.Sprint(i), Tenant: testTenant, Service: testService, PromptTokens: benchBlocks * testBlock, MaxTokens: 8,
+		requests[i] = Request{Name: fmt.Sprint(i), Tenant: testTenant, Service: testService, PromptTokens: benchBlocks * testBlockTokens, MaxTokens: 8,
 			Chains: []Chain{{Weights: "w1", Blocks: benchChain(i)}}}
 	}
 	now := time.Duration(0)
