--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -35,7 +35,7 @@
 // An engine named in its answers how many requests a second it takes, and got all that came, 80 in 4 s where 17 are allowed: the router read no
 // such word. The same cause as at the gateways, whose engines got 59 where 29 are allowed. It holds now since few routers, which all know without
 // a word who they are, send to such an engine, each its part.
-func TestStatedRateLimitBindsRouter(t *testing.T) {
+func TestAdvertisedLimitBindsRouter(t *testing.T) {
 	const rate = 2.0
 	h := newHarness(t, 2)
 	h.tick(rateLimitNotice(engineName(0), rate))
