--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestShortRestQueuesRequest: as long as a request waits for a back end to appear; it is sent once the rest is over.
-func TestShortRestQueuesRequest(t *testing.T) {
+// TestShortBackoffQueuesRequest: as long as a request waits for a back end to appear; it is sent once the rest is over.
+func TestShortBackoffQueuesRequest(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(append(refusal(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
