--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -19,7 +19,7 @@
 // ended. One that said that it leaves got new requests from the next report on, which had been written before.
 func TestRefusalPushbackIsHonored(t *testing.T) {
 	for what, step := range map[string]struct {
-		rest        time.Duration
+		backoff     time.Duration
 		leaving     bool
 		elapsed     time.Duration // of all requests after the refusal
 		incarnation uint64        // of the engine by then
@@ -34,7 +34,7 @@
 		t.Run(what, func(t *testing.T) {
 			h := newHarness(t, 1)
 			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-			h.tick(refusal(sent, step.rest, step.leaving)...)
+			h.tick(refusal(sent, step.backoff, step.leaving)...)
 			for end := h.now + step.elapsed; h.now < end; {
 				h.now += 200 * time.Millisecond
 				h.report(sent.Backend, step.incarnation)
