--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -39,14 +39,14 @@
 				h.now += 200 * time.Millisecond
 				h.report(sent.Backend, step.incarnation)
 			}
-			again := 0
+			dispatched := 0
 			for id := range 6 {
 				if _, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(10+id, 4)})); found {
-					again++
+					dispatched++
 				}
 			}
-			if (again > 0) != step.allowed {
-				t.Fatalf("%d of 6 requests came to it", again)
+			if (dispatched > 0) != step.allowed {
+				t.Fatalf("%d of 6 requests came to it", dispatched)
 			}
 		})
 	}
