--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -18,7 +18,7 @@
 // An engine that refused a request and asked to be left alone for 3 s got the next one at once: the wish only told that the engine hadn't
 // ended. One that said that it leaves got new requests from the next report on, which had been written before.
 func TestRefusalPushbackIsHonored(t *testing.T) {
-	for what, step := range map[string]struct {
+	for name, step := range map[string]struct {
 		backoff     time.Duration
 		leaving     bool
 		elapsed     time.Duration // of all requests after the refusal
@@ -31,7 +31,7 @@
 		"it leaves":                         {0, true, 4 * time.Second, 1, false},
 		"it left and another life is there": {0, true, 4 * time.Second, 2, true},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1)
 			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 			h.tick(refusal(sent, step.backoff, step.leaving)...)
