--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -18,7 +18,7 @@
 // An engine that refused a request and asked to be left alone for 3 s got the next one at once: the wish only told that the engine hadn't
 // ended. One that said that it leaves got new requests from the next report on, which had been written before.
 func TestRefusalPushbackIsHonored(t *testing.T) {
-	for name, step := range map[string]struct {
+	for name, tc := range map[string]struct {
 		backoff     time.Duration
 		leaving     bool
 		elapsed     time.Duration // of all requests after the refusal
@@ -34,10 +34,10 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1)
 			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-			h.tick(refusal(sent, step.backoff, step.leaving)...)
-			for end := h.now + step.elapsed; h.now < end; {
+			h.tick(refusal(sent, tc.backoff, tc.leaving)...)
+			for end := h.now + tc.elapsed; h.now < end; {
 				h.now += 200 * time.Millisecond
-				h.report(sent.Backend, step.incarnation)
+				h.report(sent.Backend, tc.incarnation)
 			}
 			dispatched := 0
 			for id := range 6 {
@@ -45,7 +45,7 @@
 					dispatched++
 				}
 			}
-			if (dispatched > 0) != step.allowed {
+			if (dispatched > 0) != tc.allowed {
 				t.Fatalf("%d of 6 requests came to it", dispatched)
 			}
 		})
