--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,9 @@
-// Package core is the router's decision logic: a deterministic state machine over tables, without I/O, clock
-// or randomness of its own. The same code runs in the router process, in the simulator and in the bench.
+// Package core is the router's decision logic: a deterministic state machine over tables. It does no I/O and
+// takes time and random seed from its caller, so the same code runs in the router, the simulator and the benchmark.
 //
-// The shell calls Tick with the current time and the events since the last call, and carries out the
-// returned actions in order. Tick runs the systems in a fixed order: observe, membership, admit, retry,
-// expire, place, move.
+// The caller passes Tick the current time and the events since the last call, and carries out the returned
+// actions in order. Tick applies the events, then runs the systems in a fixed order: membership, admission,
+// retries, timers, placement, index maintenance.
 package core
 
 import (
@@ -17,22 +17,22 @@
 	"kitetiller/internal/settings"
 )
 
-// Config is what a core needs to start.
+// Config configures a Core.
 type Config struct {
 	Router      string
 	Zone        string
 	Seed        uint64
 	BlockTokens int
-	IndexLimit  int                      // beliefs kept
-	ZoneLatency map[string]time.Duration // one way, from this router's zone
-	Vault       string                   // address of the zone's KV store, or ""
-	ImportRate  float64                  // tokens/s that an engine can copy from another or from the vault
+	IndexLimit  int                      // maximum number of blocks in the prefix index
+	ZoneLatency map[string]time.Duration // one-way network latency from this router's zone
+	Vault       string                   // address of the zone's shared KV cache store (vault), or ""
+	ImportRate  float64                  // tokens/s that an engine copies from another engine or from the vault
 	Guards      guard.Set
-	Placer      Placer // nil: the default
+	Placer      Placer // nil selects CostPlacer
 	StartedAt   time.Duration
 }
 
-// Core is the router's state. It is not safe for concurrent use.
+// Core is the state of a router. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	random  *rand.Rand
@@ -54,31 +54,31 @@
 	tenants         map[tenantKey]*tenantState
 	requests        map[RequestID]*request
 	arrivals        []*request // not admitted yet
-	pendingRetries  []*request // attempts failed, next step not decided yet
+	pendingRetries  []*request // without a running attempt; runRetries decides on them
 	timers          timerHeap
 	lastAttemptID   AttemptID
-	snapshotsWanted []prefix.EngineID // engines whose cache snapshot is wanted
+	snapshotsWanted []prefix.EngineID // engines to request a cache snapshot from
 
 	membershipDirty     bool
 	membershipCheckedAt time.Duration
-	listRequestedAt     time.Duration // when the newest reading of the platform's list was asked for
-	resumedAt           time.Duration // when the process last went on after it had stood still
+	listRequestedAt     time.Duration // request time of the newest machine list
+	resumedAt           time.Duration // when the process last resumed after a pause
 
 	index       *prefix.Index
 	hotPrefixes *prefix.HotTable
 	vaultBlocks map[prefix.Hash]bool
-	matches     []prefix.Match // scratch
-	candidates  []Candidate    // scratch
+	matches     []prefix.Match // reused buffer
+	candidates  []Candidate    // reused buffer
 
-	pushback        *pushback.Book // what back ends said of themselves in answers
-	peerRouters     []string       // routers beside this one that send to the same back ends
+	pushback        *pushback.Book // backoff requests, draining notices and advertised limits of back ends
+	peerRouters     []string       // other routers that send to the same back ends
 	pushbackSweptAt time.Duration
 
 	decisions decisionRing
 	counters  Counters
 }
 
-// Counters are totals since the start.
+// Counters are totals since the start of the router.
 type Counters struct {
 	Requests              uint64
 	Completed             uint64
@@ -96,7 +96,7 @@
 	IncarnationMismatches uint64
 }
 
-// New returns a core without settings; it refuses everything until it has a tree and a lease.
+// New returns a core without settings; it refuses every request until it has settings and a lease.
 func New(config Config) *Core {
 	if config.Placer == nil {
 		config.Placer = CostPlacer{}
@@ -129,7 +129,7 @@
 	return c.actions
 }
 
-// NextWakeup returns when Tick should be called at the latest, or false when only events matter.
+// NextWakeup returns the latest time for the next Tick, or false when no timer is set.
 func (c *Core) NextWakeup() (time.Duration, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
@@ -142,29 +142,29 @@
 // SettingsVersion returns the settings version in use.
 func (c *Core) SettingsVersion() uint64 { return c.settingsVersion }
 
-// LeaseValid reports whether the settings lease runs.
+// LeaseValid reports whether the settings lease has not expired.
 func (c *Core) LeaseValid() bool { return c.now < c.leaseEnd }
 
-// AcceptsRequests reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
-// service, and no planned stop has begun.
+// AcceptsRequests reports whether new requests are admitted: settings are known, the lease is valid or the operator
+// prefers serving with stale settings, and the router is not draining.
 func (c *Core) AcceptsRequests() bool { return c.settingsVersion > 0 && c.mayAdmit() && !c.draining }
 
-// Draining reports whether a planned stop has begun.
+// Draining reports whether a graceful shutdown has begun.
 func (c *Core) Draining() bool { return c.draining }
 
-// ActiveRequests returns the number of requests that have no final answer yet.
+// ActiveRequests returns the number of requests without a final answer.
 func (c *Core) ActiveRequests() int { return len(c.requests) }
 
-// Counters returns the totals; the map in it is shared.
+// Counters returns the totals. The map in them is shared with the core.
 func (c *Core) Counters() Counters { return c.counters }
 
-// IndexedBlocks returns the number of beliefs in the index.
+// IndexedBlocks returns the number of entries in the prefix index.
 func (c *Core) IndexedBlocks() int { return c.index.Len() }
 
-// Tree returns the settings in use; callers must not change it.
+// Tree returns the settings in use; callers must not modify it.
 func (c *Core) Tree() settings.Tree { return c.tree }
 
-// effectiveSettings returns the settings for a service and tenant in this router's zone.
+// effectiveSettings returns the cached settings of a service and tenant in this router's zone.
 func (c *Core) effectiveSettings(service, tenant string) settings.Values {
 	key := tenantKey{service, tenant}
 	values, found := c.resolvedSettings[key]
@@ -175,7 +175,7 @@
 	return values
 }
 
-// service returns the row of a service, made when it is first named.
+// service returns the row of a service, creating it on first use.
 func (c *Core) service(name string) *serviceState {
 	service := c.services[name]
 	if service == nil {
@@ -185,7 +185,7 @@
 	return service
 }
 
-// BackendView is a back end as status shows it.
+// BackendView is the status of a back end as shown to operators.
 type BackendView struct {
 	Machine
 	State       string  `json:"state"`
@@ -197,7 +197,7 @@
 	Bias        float64 `json:"bias"`
 }
 
-// Backends returns the back end table for status.
+// Backends returns the status of every known back end.
 func (c *Core) Backends() []BackendView {
 	views := make([]BackendView, 0, len(c.backends))
 	for i := range c.backends {
@@ -210,7 +210,8 @@
 	return views
 }
 
-// WeightsInUse returns the weights versions that ready engines of a service report, for chain hashing.
+// WeightsInUse returns the weights versions that ready engines of a service report. Requests need a block chain for
+// each of them.
 func (c *Core) WeightsInUse(service string) []string {
 	var versions []string
 	state := c.services[service]
