--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -9,23 +9,23 @@
 	"kitetiller/internal/settings"
 )
 
-// RequestID names a request within one router's life.
+// RequestID identifies a request within one run of the router.
 type RequestID uint64
 
-// AttemptID names one sending of a request; it is unique within a router's life.
+// AttemptID identifies one dispatch of a request within one run of the router.
 type AttemptID uint64
 
-// Lane is the class of service of a request.
+// Lane is the priority class of a request.
 type Lane uint8
 
-// Lanes, the more urgent first.
+// Lanes in order of priority.
 const (
 	LaneInteractive Lane = iota
 	LaneBatch
 	laneCount
 )
 
-// String returns the lane's name.
+// String returns the name of the lane.
 func (l Lane) String() string {
 	if l == LaneInteractive {
 		return "interactive"
@@ -33,43 +33,43 @@
 	return "batch"
 }
 
-// Chain is a prompt's block chain under one weights version.
+// Chain is the block hash chain of a prompt under one weights version.
 type Chain struct {
 	Weights string
 	Blocks  []prefix.Hash
 }
 
-// Request is a caller's request as the core sees it; the shell keeps the body.
+// Request is a client request without its body, which the caller of the core keeps.
 type Request struct {
 	ID           RequestID
 	Name         string // X-Request-Id
 	Tenant       string
 	Service      string
-	Chains       []Chain // by weights version in use; empty for small services
+	Chains       []Chain // one per weights version in use; empty for services of kind "service"
 	PromptTokens int
 	MaxTokens    int
 	Lane         Lane
-	LaneFixed    bool          // the caller asked for the lane
-	Deadline     time.Duration // time to first token the caller asked for; 0 uses the tree's
+	LaneFixed    bool          // the client chose the lane
+	Deadline     time.Duration // time to first token that the client asked for; 0 uses the settings
 	Key          string        // Idempotency-Key
-	Digest       uint64        // of the body
-	ResumeFrom   int           // tokens of the answer that the caller already has
+	Digest       uint64        // hash of the body
+	ResumeFrom   int           // tokens of the answer that the client already has
 }
 
-// Event is something that happened outside the core.
+// Event is an input of the core.
 type Event interface{ isEvent() }
 
-// EventRequest is a new request of a caller.
+// EventRequest is a new client request.
 type EventRequest struct{ Request Request }
 
-// EventCallerGone says that the caller hung up or reads too slowly.
+// EventCallerGone reports that the client disconnected or reads too slowly.
 type EventCallerGone struct{ ID RequestID }
 
-// EventQuarantined says that a request is to be sent to no back end, or to no other one, since back ends end under it. One that still
-// runs somewhere goes on there.
+// EventQuarantined reports that a request is quarantined because back ends crashed while running it: it must not be
+// dispatched again. A running attempt continues.
 type EventQuarantined struct{ ID RequestID }
 
-// EventClaim answers an ActionClaim. Failed means that the outcome is not known.
+// EventClaim answers an ActionClaim. Failed means that the outcome is unknown.
 type EventClaim struct {
 	ID      RequestID
 	ClaimID string
@@ -77,60 +77,61 @@
 	Outcome ledger.Outcome
 }
 
-// AttemptEventKind tells what happened to an attempt.
+// AttemptEventKind is the type of an attempt event.
 type AttemptEventKind uint8
 
-// Kinds of attempt events.
+// Types of attempt events.
 const (
-	AttemptStarted             AttemptEventKind = iota // the back end took the request
+	AttemptStarted             AttemptEventKind = iota // the back end accepted the request
 	AttemptChunk                                       // one token of the stream
-	AttemptDone                                        // the end marker, or the whole answer of a small service
-	AttemptRefused                                     // the back end provably did not take the request
+	AttemptDone                                        // the end marker, or the whole answer of a non-streaming service
+	AttemptRefused                                     // the back end provably did not run the request
 	AttemptBroken                                      // the connection ended without an end marker
-	AttemptIncarnationMismatch                         // the back end is another life than the one relied on; it runs without reuse
+	AttemptIncarnationMismatch                         // the back end restarted since placement; it runs the request without cached blocks
 )
 
-// EventAttempt reports on an attempt.
+// EventAttempt reports progress or the end of an attempt.
 type EventAttempt struct {
 	ID                RequestID
 	Attempt           AttemptID
-	Echo              AttemptID // attempt id that the answer itself carries
+	Echo              AttemptID // attempt ID that the answer itself carries
 	Kind              AttemptEventKind
 	Index             int    // AttemptChunk: position in the answer; AttemptDone: its length
 	Text              string // AttemptChunk
 	Cached            int    // AttemptStarted: prompt tokens that were reused
 	Incarnation       uint64 // AttemptStarted and AttemptMismatch
 	Answer            *ledger.Answer
-	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a small service: the answer names a limit of its back end
-	BackendNotAtFault bool // AttemptRefused: it says nothing against the back end, which answered, or wasn't asked
+	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a non-streaming service: the answer advertises a rate limit
+	BackendNotAtFault bool // AttemptRefused: not counted as a connection failure, since the back end answered or was not contacted
 }
 
-// EventPushback tells what a back end said of itself in an answer, whatever has become of the attempt meanwhile.
+// EventPushback carries what a back end's answer says of the back end itself. It is applied even when the attempt has
+// already ended.
 type EventPushback struct {
 	Name        string
-	Incarnation uint64 // of the life that spoke; the one that the attempt was meant for where it doesn't tell
+	Incarnation uint64 // of the back end that answered; the one addressed if the answer does not tell
 	Signals     pushback.Said
 }
 
-// Load is what a back end says of its work. Reports lag; Age says by how much.
+// Load is the workload that a back end reports. Reports lag behind by Age.
 type Load struct {
 	Running           int
 	Waiting           int
-	WaitingTokens     int // prompt tokens not computed yet, all lanes
-	InteractiveTokens int // the same for the interactive lane
+	WaitingTokens     int // prompt tokens that are not computed yet, all lanes
+	InteractiveTokens int // prompt tokens that are not computed yet, interactive lane
 	PrefillRate       float64
-	EvictionAge       time.Duration // how long an unused block stays; 0 unknown
+	EvictionAge       time.Duration // age at which unused blocks are evicted; 0 if unknown
 	Age               time.Duration
 }
 
-// CacheEvent is one change of an engine's cache, for a run of blocks.
+// CacheEvent is one change of an engine's cache.
 type CacheEvent struct {
 	Sequence uint64
 	Stored   []prefix.Hash
 	Evicted  []prefix.Hash
 }
 
-// BackendReport is the answer to a state poll.
+// BackendReport is the reply to a state poll.
 type BackendReport struct {
 	Incarnation  uint64
 	Weights      string
@@ -138,18 +139,18 @@
 	Leaving      bool
 	Load         Load
 	Events       []CacheEvent
-	NextSequence uint64 // sequence after the newest event published
+	NextSequence uint64 // sequence number that follows the newest published event
 }
 
-// EventBackendPoll reports a state poll; Report is nil when the back end could not be reached. AskedAt is when the
-// poll was sent: a reply says nothing about later times, however late it is read.
+// EventBackendPoll is the result of a state poll; Report is nil if the back end could not be reached. The back end
+// counts as alive at RequestedAt, when the poll was sent, however late the reply is processed.
 type EventBackendPoll struct {
 	Name        string
 	RequestedAt time.Duration
 	Report      *BackendReport
 }
 
-// EventCacheSnapshot is an engine's full list of blocks as of a sequence.
+// EventCacheSnapshot is the complete list of cached blocks of an engine as of a sequence number.
 type EventCacheSnapshot struct {
 	Name        string
 	Incarnation uint64
@@ -157,21 +158,21 @@
 	Blocks      []prefix.Hash
 }
 
-// PeerDispatch tells other routers of an attempt that they cannot see in any report yet.
+// PeerDispatch announces an attempt to other routers before any load report includes it.
 type PeerDispatch struct {
 	Backend string        `json:"backend"`
-	Tokens  int           `json:"tokens"` // to prefill
+	Tokens  int           `json:"tokens"` // prompt tokens to prefill
 	Lane    Lane          `json:"lane"`
-	Age     time.Duration `json:"age_ns"` // since it was sent
+	Age     time.Duration `json:"age_ns"` // time since it was dispatched
 }
 
-// EventPeerRouters tells which other routers have a session, in any order.
+// EventPeerRouters lists the other routers with a session, in any order.
 type EventPeerRouters struct{ Names []string }
 
-// EventPeerDispatches reports what other routers sent to back ends lately.
+// EventPeerDispatches reports what other routers recently dispatched.
 type EventPeerDispatches struct{ Dispatches []PeerDispatch }
 
-// Machine is a line of the platform's list.
+// Machine is an entry of the platform's machine list.
 type Machine struct {
 	Name    string
 	Zone    string
@@ -180,31 +181,31 @@
 	Leaving bool
 }
 
-// EventMachineList is a reading of the platform's list, which was asked for at AskedAt; it may lag.
+// EventMachineList is the platform's machine list as requested at RequestedAt. The list may be stale.
 type EventMachineList struct {
 	AskedAt  time.Duration
 	Machines []Machine
 }
 
-// EventSettings is a settings version that the shell has synced to disk.
+// EventSettings is a settings version that has been synced to disk.
 type EventSettings struct {
 	Version uint64
 	Tree    settings.Tree
 }
 
-// EventLease is a renewed session; the lease counts from when the heartbeat was sent.
+// EventLease is a renewed session lease. Its duration counts from when the heartbeat was sent.
 type EventLease struct {
 	Epoch uint64
 	Until time.Duration
 }
 
-// EventVault says that the vault holds, or no longer holds, the blocks of a chain.
+// EventVault reports that the vault stored or dropped the blocks of a chain.
 type EventVault struct {
 	Blocks []prefix.Hash
 	Held   bool
 }
 
-// EventDrain starts a planned stop: no new request is taken.
+// EventDrain begins a graceful shutdown: no new request is admitted.
 type EventDrain struct{}
 
 func (EventRequest) isEvent()        {}
