--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -7,16 +7,16 @@
 	"kitetiller/internal/prefix"
 )
 
-// Action is something the shell must do.
+// Action is an effect that the caller of the core must carry out.
 type Action interface{ isAction() }
 
-// ActionClaim asks the ledger for the right to run a request once.
+// ActionClaim asks the idempotency ledger for permission to run a request once.
 type ActionClaim struct {
 	ID    RequestID
 	Claim ledger.Claim
 }
 
-// ActionEndClaim tells the ledger how a claim ended. The shell repeats it until a control replica confirmed it.
+// ActionEndClaim reports the end of a claim to the ledger. It is resent until a control replica confirms it.
 type ActionEndClaim struct{ End ledger.End }
 
 // ActionDispatch sends an attempt to a back end.
@@ -25,48 +25,48 @@
 	Attempt              AttemptID
 	Backend              string
 	Address              string
-	Incarnation          uint64 // life of the back end that the decision counted on
+	Incarnation          uint64 // incarnation of the back end at placement
 	Weights              string
 	Blocks               []prefix.Hash
-	ExpectedCachedTokens int // prompt tokens believed to be cached there
-	PrefillTokens        int // prompt tokens that it will probably compute
-	ResumeFrom           int // tokens of the answer that the caller already has
+	ExpectedCachedTokens int // prompt tokens assumed to be cached there
+	PrefillTokens        int // prompt tokens that it is expected to compute
+	ResumeFrom           int // tokens of the answer that the client already has
 	Lane                 Lane
 	MaxTokens            int
 	ImportFrom           string // address of an engine or vault to copy cached blocks from, or ""
-	ImportBlocks         int    // how many leading blocks the copy should bring
-	StoreInVault         bool   // ask the engine to store the prefix in the vault when done
-	VaultBlocks          int
+	ImportBlocks         int    // leading blocks to copy
+	StoreInVault         bool   // ask the engine to store the prefix in the vault afterwards
+	VaultBlocks          int    // leading blocks to store
 	SettingsVersion      uint64
 }
 
-// ActionCancel stops an attempt that is no longer wanted.
+// ActionCancel cancels an attempt.
 type ActionCancel struct {
 	ID      RequestID
 	Attempt AttemptID
 }
 
-// ActionChunk passes a token to the caller.
+// ActionChunk passes a token to the client.
 type ActionChunk struct {
 	ID    RequestID
 	Index int
 	Text  string
 }
 
-// RunStatus says whether a request that got an error ran.
+// RunStatus tells whether a request that failed was executed by a back end.
 type RunStatus string
 
-// Values of Run.
+// Values of RunStatus.
 const (
-	RunNot     RunStatus = "not-run" // provably
+	RunNot     RunStatus = "not-run" // provably not executed
 	RunYes     RunStatus = "ran"
 	RunUnknown RunStatus = "unknown"
 )
 
-// Reason classifies how a request ended.
+// Reason classifies the final outcome of a request.
 type Reason string
 
-// Reasons of a final answer.
+// Reasons of final answers.
 const (
 	ReasonComplete          Reason = "complete"
 	ReasonReplayed          Reason = "replayed"
@@ -87,22 +87,22 @@
 	ReasonRunUnknown        Reason = "run-unknown"
 	ReasonLedgerUnavailable Reason = "ledger-unavailable"
 	ReasonCallerGone        Reason = "caller-gone"
-	ReasonQuarantined       Reason = "held-back"
-	ReasonResting           Reason = "resting" // all back ends that could take it asked for rest
-	ReasonLimited           Reason = "limited" // all of them have reached the limits that they name
+	ReasonQuarantined       Reason = "held-back" // back ends crashed while running it
+	ReasonResting           Reason = "resting"   // all available back ends asked for backoff
+	ReasonLimited           Reason = "limited"   // all available back ends reached their advertised limits
 )
 
 // ActionFinish gives a request its final answer.
 type ActionFinish struct {
 	ID         RequestID
 	Reason     Reason
-	Run        RunStatus      // for errors
-	RetryAfter time.Duration  // 0: trying again does not help
+	Run        RunStatus      // of a failed request
+	RetryAfter time.Duration  // 0: a retry does not help
 	Tokens     int            // length of a complete stream
-	Answer     *ledger.Answer // small services
+	Answer     *ledger.Answer // of a non-streaming service
 }
 
-// ActionRequestSnapshot asks an engine for its full list of blocks.
+// ActionRequestSnapshot requests the complete list of cached blocks from an engine.
 type ActionRequestSnapshot struct {
 	Backend string
 	Address string
