--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -7,54 +7,54 @@
 	"kitetiller/internal/settings"
 )
 
-// BackendState is the router's view of a back end's life.
+// BackendState is the router's view of the availability of a back end.
 type BackendState uint8
 
 // States of a back end.
 const (
-	BackendJoining BackendState = iota // listed, not heard yet
+	BackendJoining BackendState = iota // listed, but not reported or still loading
 	BackendReady
-	BackendSuspect // silent, or refused a connection
+	BackendSuspect // no recent report, or repeated connection failures
 	BackendLeaving
 	BackendDead
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s BackendState) String() string {
 	return [...]string{"joining", "ready", "suspect", "leaving", "dead"}[s]
 }
 
-// backend is a row of the back end table. Its position is its prefix.EngineID.
+// backend is a row of the back end table. Its index is its prefix.EngineID.
 type backend struct {
 	id      prefix.EngineID
 	machine Machine
-	listed  bool // in the newest platform list
+	listed  bool // in the newest machine list
 	kind    string
 
 	state       BackendState
-	lastSeenAt  time.Duration
+	lastSeenAt  time.Duration // request time of the newest answered poll
 	incarnation uint64
 	weights     string
 	loading     bool
-	leaving     bool // by its newest report
+	leaving     bool // according to its newest report
 
 	load           Load
-	loadMeasuredAt time.Duration // when the load was true, by our clock
+	loadMeasuredAt time.Duration // when the load was measured, by the router's clock
 
-	nextSequence        uint64 // next cache event expected
+	nextSequence        uint64 // of the next cache event
 	needsSnapshot       bool
 	snapshotRequestedAt time.Duration
-	running             int // own attempts
+	running             int // attempts of this router
 	pendingPrefill      []pendingPrefill
-	peerPrefill         []pendingPrefill // of other routers, as far as they told and no report shows it
-	concurrencyLimit    float64          // adaptive concurrency
-	maxConcurrency      float64          // highest limit that the settings allow
-	latencyBias         float64          // observed over predicted time to first token, smoothed
-	consecutiveFailures int              // in a row
-	rateBucket          rateBucket       // of the limit that it names
+	peerPrefill         []pendingPrefill // dispatches announced by other routers that no load report includes yet
+	concurrencyLimit    float64          // adaptive; attempts of this router
+	maxConcurrency      float64          // upper bound of concurrencyLimit from the settings
+	latencyBias         float64          // smoothed ratio of observed to predicted time to first token
+	consecutiveFailures int              // failed connections since the last report
+	rateBucket          rateBucket       // this router's share of the advertised rate limit
 }
 
-// pendingPrefill is an attempt of ours that has not given its first token yet.
+// pendingPrefill is a dispatched attempt without a first token.
 type pendingPrefill struct {
 	attempt AttemptID
 	sentAt  time.Duration
@@ -62,24 +62,24 @@
 	lane    Lane
 }
 
-// attempt is one sending of a request.
+// attempt is one dispatch of a request.
 type attempt struct {
 	id          AttemptID
 	backend     prefix.EngineID
-	incarnation uint64 // incarnation it was sent to
+	incarnation uint64 // of the back end at dispatch
 	sentAt      time.Duration
-	predicted   time.Duration // time to first token
-	resumeFrom  int           // tokens the caller had when it was sent
-	started     bool
-	streaming   bool
-	uncached    int
+	predicted   time.Duration // time to first token, before bias correction and network latency
+	resumeFrom  int           // tokens that the client had at dispatch
+	started     bool          // the back end accepted it
+	streaming   bool          // a token was received
+	uncached    int           // prompt tokens expected to be prefilled
 }
 
-// requestState is where a request stands.
+// requestState is the stage of a request.
 type requestState uint8
 
 const (
-	stateAwaitingLease requestState = iota // waiting for the first lease after a start
+	stateAwaitingLease requestState = iota // until the first lease after startup
 	stateClaiming
 	stateQueued
 	stateRunning
@@ -98,40 +98,40 @@
 	epoch         uint64 // session in which the claim was made
 	attempts      []attempt
 	attemptCount  int
-	failedOn      []prefix.EngineID
-	emitted       int           // tokens passed to the caller
-	lastEmittedAt time.Duration // when the newest of them came
+	failedOn      []prefix.EngineID // back ends to avoid
+	emitted       int               // tokens passed to the client
+	lastEmittedAt time.Duration     // when the newest token was passed on
 	retryAt       time.Duration
 	hedged        bool
-	possibleRuns  int     // attempts that may have run
-	queueCost     float64 // fair-queue cost in tokens
+	possibleRuns  int     // attempts that may have been executed
+	queueCost     float64 // in tokens, for fair queueing
 	finishTag     float64 // virtual finish time in the fair queue
-	lastDecision  int     // number of its newest decision record, from 1
+	lastDecision  int     // sequence number of its newest decision record, from 1; 0 for none
 }
 
 // tenantState is a row of the tenant table.
 type tenantState struct {
-	rateTokens     float64 // of the rate limit's bucket
+	rateTokens     float64 // token bucket of the request rate limit
 	refilledAt     time.Duration
 	activeRequests int
 	finishTag      float64
 }
 
-// tenantKey separates tenants by service.
+// tenantKey identifies a tenant of a service.
 type tenantKey struct{ service, tenant string }
 
 // serviceState is a row of the service table.
 type serviceState struct {
 	name                  string
-	backends              []prefix.EngineID // every known one, in order of appearance
+	backends              []prefix.EngineID // all known ones, in order of discovery
 	ring                  []ringPoint
-	ringStale             bool
-	lanes                 [laneCount][]*request // heaps by finishTag
-	virtualTime           float64
-	retryTokens           float64
-	interactiveSinceBatch int // interactive picks since the last batch pick
-	dispatchInterval      time.Duration
+	ringStale             bool                  // the ring must be rebuilt
+	lanes                 [laneCount][]*request // heaps ordered by finishTag
+	virtualTime           float64               // of fair queueing
+	retryTokens           float64               // token bucket of the retry budget
+	interactiveSinceBatch int                   // interactive requests dequeued since the last batch request
+	dispatchInterval      time.Duration         // smoothed, while requests are queued
 }
 
-// streamStarted reports whether the caller got a token from this router, so that the answer must be finished.
+// streamStarted reports whether this router has passed a token of the answer to the client.
 func (r *request) streamStarted() bool { return r.emitted > r.ResumeFrom }
