--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// startupGracePeriod is how long a request may wait for the first lease after a router starts.
+	// startupGracePeriod is how long after startup requests are held for the first lease.
 	startupGracePeriod = 1500 * time.Millisecond
-	// holdCheckInterval is how often a held request is looked at.
+	// holdCheckInterval is how often a held request is checked.
 	holdCheckInterval = 20 * time.Millisecond
-	// shortRetryAfter is the advice when another router, or the same one in a moment, can serve.
+	// shortRetryAfter is the Retry-After of conditions that end soon or that another router does not have.
 	shortRetryAfter = time.Second
-	// minFirstTokenGrace is the least time a dispatched request gets beyond its deadline.
+	// minFirstTokenGrace is the minimum time that a dispatched request gets beyond its deadline.
 	minFirstTokenGrace = 500 * time.Millisecond
-	// cutOffServeLast is the value of when_cut_off that keeps serving without a lease.
+	// cutOffServeLast is the value of when_cut_off that continues to serve without a lease.
 	cutOffServeLast = "serve_last"
 )
 
@@ -29,7 +29,7 @@
 	c.arrivals = append(c.arrivals, fresh)
 }
 
-// runAdmission decides on the requests that arrived.
+// runAdmission decides on newly arrived requests.
 func (c *Core) runAdmission() {
 	for _, r := range c.arrivals {
 		if c.requests[r.ID] == r {
@@ -39,7 +39,7 @@
 	c.arrivals = c.arrivals[:0]
 }
 
-// admit holds, refuses, claims or queues a request.
+// admit holds, refuses or queues a request, or requests its claim first.
 func (c *Core) admit(r *request) {
 	if c.draining {
 		c.refuse(r, ReasonDraining, shortRetryAfter)
@@ -73,8 +73,8 @@
 	c.enqueueNew(r)
 }
 
-// mayAdmit reports whether new requests may be decided on: settings are known, and either the lease runs or
-// the operator prefers stale service.
+// mayAdmit reports whether the router has settings and may use them: the lease is valid, or the operator prefers
+// serving with stale settings.
 func (c *Core) mayAdmit() bool {
 	if !c.hasSettings {
 		return false
@@ -96,7 +96,8 @@
 	c.refuse(r, reason, shortRetryAfter)
 }
 
-// chooseLane puts short prompts, and small services, into the interactive lane unless the caller chose.
+// chooseLane assigns requests with little uncached prompt to the interactive lane, the others to the batch lane,
+// unless the client chose a lane.
 func (c *Core) chooseLane(r *request) {
 	if r.LaneFixed {
 		return
@@ -131,7 +132,7 @@
 	c.wakeAt(r, r.deadline)
 }
 
-// requestClaim asks the ledger before anything is sent.
+// requestClaim asks the ledger for permission before anything is dispatched.
 func (c *Core) requestClaim(r *request) {
 	r.state = stateClaiming
 	r.claimID = fmt.Sprintf("%s-%d-%d", c.config.Router, c.epoch, r.ID)
@@ -150,7 +151,7 @@
 func (c *Core) observeClaim(event EventClaim) {
 	r, alive := c.requests[event.ID]
 	if !alive || r.state != stateClaiming || r.claimID != event.ClaimID {
-		return // a late answer: the claim was released when the request was given up on
+		return // stale reply: the request has ended and its claim has been released
 	}
 	if event.Failed {
 		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
@@ -170,18 +171,18 @@
 		c.finish(r, ActionFinish{Reason: ReasonKeyReused, Run: RunUnknown})
 	case ledger.KeyExpired:
 		c.finish(r, ActionFinish{Reason: ReasonKeyExpired, Run: RunUnknown})
-	default: // withdrawn or session closed: nothing is known of earlier sends
+	default: // withdrawn or session closed: earlier runs are unknown
 		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 	}
 }
 
-// refuse gives up on a request that has not been dispatched, or whose attempts provably did not run.
+// refuse ends a request that is not running; its run status follows from its attempts and claim.
 func (c *Core) refuse(r *request, reason Reason, retryAfter time.Duration) {
 	c.finish(r, ActionFinish{Reason: reason, Run: c.runStatus(r), RetryAfter: retryAfter})
 }
 
-// runStatus tells what can be proved. A request with an idempotency key that was never granted its claim
-// may have run when it was sent before, so "not run" cannot be proved for it.
+// runStatus returns RunNot only if that can be proved. A request with an idempotency key and no granted claim may
+// have run through an earlier request with the same key.
 func (c *Core) runStatus(r *request) RunStatus {
 	if !c.config.Guards.On(guard.NotRunProof) {
 		return RunNot
@@ -195,13 +196,13 @@
 	return RunNot
 }
 
-// mayBeNonRepeatable reports whether the request may go to a non-repeatable service. Without a lease the settings may be
-// older than the ones by which another router ran it, so they prove nothing.
+// mayBeNonRepeatable reports whether the service may be non-repeatable. Without a valid lease another router may have
+// run the request under newer settings, so the settings in use do not rule it out.
 func (c *Core) mayBeNonRepeatable(r *request) bool {
 	return !c.hasSettings || !c.LeaseValid() || !c.effectiveSettings(r.Service, r.Tenant).Repeatable
 }
 
-// finish gives the final answer and clears every trace of the request.
+// finish gives the final answer, cancels running attempts and removes the request from all tables.
 func (c *Core) finish(r *request, final ActionFinish) {
 	final.ID = r.ID
 	for _, sent := range r.attempts {
@@ -231,8 +232,8 @@
 	c.counters.Refused[final.Reason]++
 }
 
-// endClaim tells the ledger how a claim ended: with the answer, provably not run, or unknown. A claim whose
-// answer never came is withdrawn, so that it cannot be granted later.
+// endClaim reports the end of a claim to the ledger: finished with an answer, released or unknown. A claim with no
+// reply yet is released too, so that it cannot be granted later.
 func (c *Core) endClaim(r *request, final ActionFinish) {
 	if r.claimID == "" {
 		return
@@ -244,14 +245,14 @@
 	case final.Reason == ReasonComplete:
 		end.Kind, end.Answer = ledger.EndFinished, final.Answer
 	case !r.claimGranted && !claimOutcomeUnknown(final.Reason):
-		return // the ledger refused the claim; there is nothing to end
+		return // the ledger denied the claim
 	case r.possibleRuns == 0:
 		end.Kind = ledger.EndReleased
 	}
 	c.emit(ActionEndClaim{End: end})
 }
 
-// claimOutcomeUnknown reports whether a request ended while its claim's outcome was not known.
+// claimOutcomeUnknown reports whether a request without a granted claim ended before the claim's outcome was known.
 func claimOutcomeUnknown(reason Reason) bool {
 	return slices.Contains([]Reason{ReasonLedgerUnavailable, ReasonCallerGone}, reason)
 }
@@ -262,7 +263,7 @@
 		return
 	}
 	if !r.values.Repeatable && r.state == stateRunning {
-		return // the run goes on; its answer is stored for the resend
+		return // the attempt continues; its answer is stored for a repeated request
 	}
 	c.finish(r, ActionFinish{Reason: ReasonCallerGone, Run: c.runStatus(r)})
 }
