--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/ledger"
 )
 
-// observeAttempt applies what a back end answered. An answer that does not carry a current attempt of its
-// request is dropped and counted: it is late or belongs to somebody else.
+// observeAttempt applies an event of an attempt. An answer that does not match a current attempt of its request is
+// counted and dropped: it is stale or belongs to another request.
 func (c *Core) observeAttempt(event EventAttempt) {
 	r, alive := c.requests[event.ID]
 	if !alive {
@@ -42,7 +42,7 @@
 	}
 }
 
-// failUnmatched gives up on an attempt whose connection carries somebody else's answer.
+// failUnmatched fails an attempt whose connection carries the answer of another attempt.
 func (c *Core) failUnmatched(r *request, at int) {
 	if at < 0 {
 		return
@@ -67,8 +67,8 @@
 	c.counters.RecomputedTokens += uint64(max(0, expectedCached-event.Cached))
 }
 
-// handleChunk passes the next token on. A repeated one is dropped; a gap ends the attempt, and another one
-// resumes after the last token the caller has.
+// handleChunk passes the next token to the client. A repeated token is dropped; a missing token fails the attempt, so
+// that another one resumes after the last token passed on.
 func (c *Core) handleChunk(r *request, at int, event EventAttempt) {
 	sent := &r.attempts[at]
 	if !sent.streaming {
@@ -91,7 +91,7 @@
 	r.lastEmittedAt = c.now
 }
 
-// handleFirstToken learns from the attempt and cancels any other: the first to answer wins.
+// handleFirstToken updates the latency estimates of the back end and cancels concurrent attempts of the request.
 func (c *Core) handleFirstToken(r *request, at int) {
 	winner := r.attempts[at]
 	c.wakeAt(r, c.now+c.stallTimeout(r))
@@ -107,7 +107,7 @@
 	r.attempts = append(r.attempts[:0], winner)
 }
 
-// handleDone completes a request if nothing of its stream is missing.
+// handleDone completes a request unless tokens of its stream are missing.
 func (c *Core) handleDone(r *request, at int, event EventAttempt) {
 	if event.Answer == nil && event.Index != r.emitted && c.config.Guards.On(guard.StreamIndexCheck) {
 		c.handleFailure(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
@@ -120,7 +120,7 @@
 	c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: event.Answer})
 }
 
-// endAttempt frees what an attempt holds of its back end.
+// endAttempt releases the capacity that an attempt occupies at its back end.
 func (c *Core) endAttempt(sent attempt) {
 	row := &c.backends[sent.backend]
 	row.running = max(0, row.running-1)
@@ -136,7 +136,7 @@
 	row.pendingPrefill = slices.DeleteFunc(row.pendingPrefill, func(sent pendingPrefill) bool { return sent.attempt == id })
 }
 
-// handleFailure ends an attempt and lets the retry system decide.
+// handleFailure records a connection failure unless the back end is not at fault, and fails the attempt.
 func (c *Core) handleFailure(r *request, at int, event EventAttempt) {
 	sent := r.attempts[at]
 	row := &c.backends[sent.backend]
@@ -151,7 +151,7 @@
 	c.failAttempt(r, at, event)
 }
 
-// failAttempt drops an attempt and hands its request to the retry system when it was the last one.
+// failAttempt removes an attempt. The last one of a request hands it over to runRetries.
 func (c *Core) failAttempt(r *request, at int, event EventAttempt) {
 	sent := r.attempts[at]
 	if event.Kind == AttemptBroken {
@@ -167,7 +167,7 @@
 	}
 }
 
-// finishTimedOut ends a request whose first token did not come long after its deadline.
+// finishTimedOut ends a request whose first token did not arrive within the grace period after its deadline.
 func (c *Core) finishTimedOut(r *request) {
 	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: shortRetryAfter})
 }
@@ -177,11 +177,11 @@
 	maxRetryTokens     = 50.0
 	baseRetryDelay     = 20 * time.Millisecond
 	maxRetryDelay      = time.Second
-	// maxStreamAttempts is how many engines may fail one stream after its first token.
+	// A started stream with more attempts than maxStreamAttempts is not resumed.
 	maxStreamAttempts = 8
 )
 
-// runRetries decides what follows a failed attempt.
+// runRetries decides on requests whose attempts have all failed.
 func (c *Core) runRetries() {
 	for _, r := range c.pendingRetries {
 		if c.requests[r.ID] == r && len(r.attempts) == 0 {
@@ -191,8 +191,8 @@
 	c.pendingRetries = c.pendingRetries[:0]
 }
 
-// retry tries again where that is allowed. A non-repeatable request is sent again only when every earlier
-// attempt provably did not run. A stream in progress goes on at once on another engine.
+// retry schedules another attempt if the retry limits allow one. A non-repeatable request is dispatched again only if
+// no earlier attempt may have run. A started stream resumes on another engine without delay.
 func (c *Core) retry(r *request) {
 	if !r.values.Repeatable && r.possibleRuns > 0 && c.config.Guards.On(guard.AmbiguousNotResent) {
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
@@ -223,19 +223,19 @@
 	c.enqueue(r)
 }
 
-// jitteredBackoff is uniform between half and all of an exponentially growing delay.
+// jitteredBackoff returns a random delay between half and all of an exponential backoff.
 func (c *Core) jitteredBackoff(tries int) time.Duration {
 	delay := min(baseRetryDelay<<min(tries-1, 10), maxRetryDelay)
 	return delay/2 + time.Duration(c.random.Int64N(int64(delay/2)))
 }
 
-// creditRetryBudget adds a first attempt's share to the retry budget of its service.
+// creditRetryBudget credits a first attempt to the retry budget of its service.
 func (c *Core) creditRetryBudget(r *request) {
 	service := c.service(r.Service)
 	service.retryTokens = min(maxRetryTokens, service.retryTokens+r.values.RetryBudgetPercent/100)
 }
 
-// hedge sends a silent request to a second engine as well.
+// hedge dispatches a request without a first token to a second engine too.
 func (c *Core) hedge(r *request) {
 	service := c.service(r.Service)
 	r.hedged = true
