--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// maxExhaustiveEngines is the number of ready engines up to which every one is scored; beyond it only holders
-	// of the prefix, its rendezvous engines and a random sample are.
+	// maxExhaustiveEngines is the number of engines up to which all of them are scored. In larger services only
+	// engines that hold part of the prefix, its owners on the hash ring and a random sample are.
 	maxExhaustiveEngines = 64
 	sampleSize           = 12
 	ringCandidates       = 2
 	maxHolderCandidates  = 24
-	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
+	// defaultPrefillRate is assumed until an engine reports its rate, in tokens/s.
 	defaultPrefillRate = 4000
-	// doubtfulFraction is how much of a doubtful match is counted on.
+	// doubtfulFraction is the fraction of a doubtful match that is counted as cached.
 	doubtfulFraction = 0.5
-	// maxImportTimeRatio is the factor by which copying must beat recomputing.
+	// maxImportTimeRatio is the maximum ratio of copy time to compute time at which blocks are copied.
 	maxImportTimeRatio = 0.8
-	// DisplacedFraction is the share of copied blocks that drive out others which are asked for again.
+	// DisplacedFraction is the assumed fraction of copied blocks that evict blocks which are requested again.
 	DisplacedFraction = 0.6
-	// minImportBlocks is the least run of blocks worth a copy.
+	// minImportBlocks is the minimum number of blocks to copy.
 	minImportBlocks = 4
 )
 
-// Candidate is one engine as placement sees it for one request.
+// Candidate is the score of one engine for one request.
 type Candidate struct {
 	Engine       prefix.EngineID
 	Name         string
 	Zone         string
-	Cached       int // prompt tokens believed to be cached
-	Uncached     int // prompt tokens to prefill after a copy, if any
-	ImportBlocks int // leading blocks to copy from elsewhere first; 0 for none
+	Cached       int // prompt tokens assumed to be cached
+	Uncached     int // prompt tokens to prefill after the copy, if any
+	ImportBlocks int // leading blocks to copy from ImportFrom first; 0 for none
 	ImportFrom   string
-	Running      int // own attempts, and those reported by the engine
-	Wait         time.Duration
+	Running      int           // attempts of this router, or running and waiting requests as reported if more
+	Wait         time.Duration // for prefill that is already pending
 	Predicted    time.Duration // time to first token
-	Cost         float64       // seconds, weighted
-	unbiased     time.Duration // Predicted before the bias
+	Cost         float64       // weighted seconds
+	unbiased     time.Duration // Predicted without bias correction and network latency
 }
 
-// PlacementContext is what a placer may look at besides the candidates.
+// PlacementContext is what a Placer may use besides the candidates.
 type PlacementContext struct {
 	Now     time.Duration
 	Request *Request
@@ -53,17 +53,18 @@
 	Random  *rand.Rand
 }
 
-// Placer picks one of the candidates, or -1 to leave the request queued.
+// Placer is a placement policy.
 type Placer interface {
+	// Pick returns the index of a candidate, or -1 to keep the request queued.
 	Pick(context PlacementContext, candidates []Candidate) int
 	// AllowsImport reports whether cached blocks may be copied between engines.
 	AllowsImport() bool
 }
 
-// CostPlacer picks the least cost; ties go to the first.
+// CostPlacer picks the candidate with the lowest cost; the first of equals.
 type CostPlacer struct{}
 
-// Pick returns the candidate of least cost.
+// Pick returns the candidate with the lowest cost.
 func (CostPlacer) Pick(_ PlacementContext, candidates []Candidate) int {
 	best := -1
 	for i := range candidates {
@@ -74,10 +75,10 @@
 	return best
 }
 
-// AllowsImport is true: copies are part of the default policy.
+// AllowsImport returns true.
 func (CostPlacer) AllowsImport() bool { return true }
 
-// ringPoint is an engine's place on the consistent hash ring of its service.
+// ringPoint is a point of an engine on the consistent hash ring of its service.
 type ringPoint struct {
 	hash   uint64
 	engine prefix.EngineID
@@ -85,7 +86,7 @@
 
 const ringPointsPerEngine = 16
 
-// rebuildRing spreads the ready engines of a service over the ring.
+// rebuildRing rebuilds the hash ring of a service from its ready engines.
 func (c *Core) rebuildRing(service *serviceState) {
 	service.ring = service.ring[:0]
 	for _, id := range service.backends {
@@ -109,7 +110,7 @@
 	service.ringStale = false
 }
 
-// candidateEngines collects the engines worth scoring: ready, not failed on before, below their limit.
+// candidateEngines returns the eligible engines to score.
 func (c *Core) candidateEngines(r *request, service *serviceState) []prefix.EngineID {
 	if service.ringStale {
 		c.rebuildRing(service)
@@ -138,7 +139,7 @@
 	return picked
 }
 
-// ringOwners returns the first engines on the ring after the root of the request's chain.
+// ringOwners returns the first count engines on the ring from the request's ring key on.
 func (c *Core) ringOwners(r *request, service *serviceState, count int) []prefix.EngineID {
 	if len(service.ring) == 0 {
 		return nil
@@ -171,7 +172,7 @@
 	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.blockedFor(row) == 0
 }
 
-// chainFor returns the request's chain under the engine's weights.
+// chainFor returns the request's block chain under the engine's weights.
 func chainFor(r *request, row *backend) []prefix.Hash {
 	for _, chain := range r.Chains {
 		if chain.Weights == row.weights {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// scoreCandidates fills c.scores with a candidate for each eligible engine.
+// scoreCandidates fills c.candidates with the scores of the eligible engines.
 func (c *Core) scoreCandidates(r *request, service *serviceState) []Candidate {
 	c.matches = c.matches[:0]
 	for _, chain := range r.Chains {
@@ -203,7 +204,7 @@
 	return prefix.Match{}
 }
 
-// scoreEngine predicts what a request would cost on one engine.
+// scoreEngine predicts the latency and cost of a request on one engine.
 func (c *Core) scoreEngine(r *request, row *backend) Candidate {
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
@@ -231,7 +232,8 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// pendingPrefillTokens is the prefill before a request of a lane: what the engine reported, and what we sent since.
+// pendingPrefillTokens returns the prefill tokens ahead of a request of a lane: those that the engine reported, and
+// those dispatched since by this router and by others.
 func (c *Core) pendingPrefillTokens(row *backend, l Lane) int {
 	pending := row.load.WaitingTokens
 	if l == LaneInteractive {
@@ -250,8 +252,8 @@
 	return pending
 }
 
-// planImport adds a copy from the best holder, or the vault, when that beats recomputing. It returns the tokens to
-// copy and the time that takes.
+// planImport adds a copy from another engine or the vault to the candidate if that is faster than recomputing. It
+// returns the tokens to copy and the time that this takes.
 func (c *Core) planImport(r *request, row *backend, rate float64, candidate *Candidate) (int, time.Duration) {
 	if c.config.ImportRate <= 0 || !c.config.Placer.AllowsImport() {
 		return 0, 0
@@ -274,7 +276,7 @@
 	return tokens, copyTime
 }
 
-// holderCount counts the engines that are believed to hold a prefix of a length.
+// holderCount returns the number of engines assumed to hold a prefix of at least that many blocks.
 func (c *Core) holderCount(blocks int) int {
 	count := 0
 	for _, match := range c.matches {
@@ -285,7 +287,8 @@
 	return count
 }
 
-// bestImportSource returns where the longest prefix of a chain can be copied from.
+// bestImportSource returns the length in blocks of the longest cached prefix elsewhere, and the address to copy it
+// from.
 func (c *Core) bestImportSource(r *request, row *backend) (int, string) {
 	chain := chainFor(r, row)
 	blocks, source := 0, ""
@@ -304,7 +307,7 @@
 	return blocks, source
 }
 
-// vaultPrefixBlocks returns how many leading blocks the vault holds.
+// vaultPrefixBlocks returns the number of leading blocks that the vault holds.
 func (c *Core) vaultPrefixBlocks(chain []prefix.Hash) int {
 	low, high := 0, len(chain)
 	for low < high {
