--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -9,11 +9,11 @@
 	"kitetiller/internal/prefix"
 )
 
-// ringOwnerDiscount makes an unknown prefix prefer its owner on the ring while engines are equally free, so
-// that later requests find it without any event.
+// ringOwnerDiscount is the cost factor of the ring owner of a prefix that no engine holds. It sends requests with the
+// same prefix to the same engine before the prefix index knows of it.
 const ringOwnerDiscount = 0.9
 
-// runPlacement serves the queues until no engine has room.
+// runPlacement dispatches queued requests of all services while engines have capacity.
 func (c *Core) runPlacement() {
 	if c.awaitsFreshList() {
 		return
@@ -25,7 +25,7 @@
 	}
 }
 
-// queuedServices returns the services that have queued requests, sorted so that ticks are deterministic.
+// queuedServices returns the services with queued requests, sorted to keep ticks deterministic.
 func (c *Core) queuedServices() []string {
 	var names []string
 	for name, service := range c.services {
@@ -37,7 +37,7 @@
 	return names
 }
 
-// placeNext places or refuses the next request of a service. It returns false when the request must wait.
+// placeNext dispatches or refuses the next request of a service. It returns false if the request must wait.
 func (c *Core) placeNext(service *serviceState) bool {
 	lane, found := service.nextLane()
 	if !found {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// discountRingOwner discounts the ring's owner when nobody is believed to hold any of the prefix.
+// discountRingOwner discounts the ring owner if no engine is assumed to hold any of the prefix.
 func (c *Core) discountRingOwner(r *request, service *serviceState, candidates []Candidate) {
 	if len(c.matches) > 0 || len(r.Chains) == 0 {
 		return
@@ -88,8 +88,8 @@
 	}
 }
 
-// handleNoCandidate decides what to do when no engine can take the head of the queue: wait if one is only busy,
-// otherwise give up.
+// handleNoCandidate handles the head of the queue when no engine can take it: it waits if some engine is only busy,
+// and is refused otherwise. It returns false if the request must wait.
 func (c *Core) handleNoCandidate(r *request, service *serviceState) bool {
 	if left, reason := c.allBlockedFor(service); left > 0 {
 		return c.waitOrRefuse(r, service, left, reason)
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(r.failedOn) > 0 && r.streamStarted() {
-		r.failedOn = nil // a stream in progress may go back to an engine that failed it
+		r.failedOn = nil // a started stream may return to an engine on which it failed
 		return c.anyAvailable(service)
 	}
 	if c.now < r.arrivedAt+backendWaitTimeout {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// backendWaitTimeout is how long a request waits for a back end to appear.
+// backendWaitTimeout is how long a request waits for a back end to become available.
 const backendWaitTimeout = 400 * time.Millisecond
 
 func (c *Core) anyAvailable(service *serviceState) bool {
@@ -125,21 +125,21 @@
 	return false
 }
 
-// dispatchRefusal checks lease and claim at the last moment: the router may have been frozen since it admitted the
-// request. It returns why the request must not be sent, or "". Streams in progress are finished in any case.
+// dispatchRefusal checks lease and claim again right before the dispatch, since the process may have been paused after
+// admission. It returns the reason for a refusal, or "". Started streams are always completed.
 func (c *Core) dispatchRefusal(r *request) Reason {
 	switch {
 	case r.streamStarted() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
 	case r.claimGranted && (r.epoch != c.epoch || !c.LeaseValid()):
-		return ReasonLedgerUnavailable // the claim ended with the session that made it
+		return ReasonLedgerUnavailable // the claim ended with its session
 	case !c.mayAdmit():
 		return ReasonNoLease
 	}
 	return ""
 }
 
-// dispatch sends an attempt to the chosen engine and believes at once that it will hold the prefix.
+// dispatch sends an attempt to the chosen engine and adds its prefix to the index right away.
 func (c *Core) dispatch(r *request, chosen Candidate) {
 	row := &c.backends[chosen.Engine]
 	c.lastAttemptID++
@@ -175,7 +175,7 @@
 	}
 }
 
-// trackHotPrefix counts the shared part of the prompt and asks to keep it in the vault when it is hot.
+// trackHotPrefix counts a use of the shared prefix and requests its storage in the vault if it is hot.
 func (c *Core) trackHotPrefix(r *request, blocks []prefix.Hash, action *ActionDispatch) {
 	if len(c.matches) == 0 || len(blocks) == 0 {
 		return
