--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/settings"
 )
 
-// snapshotRetryInterval is how long an asked-for cache snapshot may take before it is asked for again.
+// snapshotRetryInterval is how long to wait for a cache snapshot before requesting it again.
 const snapshotRetryInterval = 2 * time.Second
 
 // observe applies one event to the tables.
@@ -74,7 +74,7 @@
 	}
 }
 
-// observePeerDispatches counts what other routers sent and no report shows yet.
+// observePeerDispatches records prefill dispatched by other routers that no load report includes yet.
 func (c *Core) observePeerDispatches(event EventPeerDispatches) {
 	for _, send := range event.Dispatches {
 		id, found := c.backendIDs[send.Backend]
@@ -102,7 +102,7 @@
 	}
 }
 
-// backendRow returns the row of a machine, made when it is first named.
+// backendRow returns the row of a machine, creating it on first use.
 func (c *Core) backendRow(machine Machine) *backend {
 	if id, found := c.backendIDs[machine.Name]; found {
 		return &c.backends[id]
@@ -144,8 +144,8 @@
 	c.applyCacheEvents(row, report)
 }
 
-// updateIncarnation notices a new incarnation or new weights: everything believed about the earlier life is void,
-// and attempts sent to it are lost.
+// updateIncarnation handles a new incarnation or new weights: cached blocks of the earlier one are forgotten, and
+// attempts on an earlier incarnation fail.
 func (c *Core) updateIncarnation(row *backend, report *BackendReport) {
 	if report.Incarnation == row.incarnation && report.Weights == row.weights {
 		return
@@ -163,7 +163,8 @@
 	row.nextSequence = 0
 }
 
-// applyCacheEvents applies events in order. A gap makes older beliefs doubtful and asks for a snapshot.
+// applyCacheEvents applies cache events in sequence. A gap marks the known blocks of the engine doubtful and requests
+// a snapshot.
 func (c *Core) applyCacheEvents(row *backend, report *BackendReport) {
 	for _, event := range report.Events {
 		if event.Sequence < row.nextSequence {
@@ -209,7 +210,7 @@
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
 }
 
-// observeQuarantined ends a request that is to be sent nowhere more.
+// observeQuarantined refuses a quarantined request without a running attempt.
 func (c *Core) observeQuarantined(id RequestID) {
 	r, alive := c.requests[id]
 	if !alive || len(r.attempts) > 0 {
