--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// unlistedTimeout is the silence after which a back end that left the platform's list is dead.
+	// unlistedTimeout is how long a back end missing from the machine list may be silent before it is dead.
 	unlistedTimeout = 10 * time.Second
-	// suspectFailures is how many refused connections in a row make a back end suspect at once.
+	// suspectFailures is the number of consecutive connection failures that make a back end suspect.
 	suspectFailures = 2
-	// membershipInterval is how often states are judged when nothing was heard.
+	// membershipInterval is how often states are re-evaluated without new information.
 	membershipInterval = 20 * time.Millisecond
 )
 
-// runMembership joins the three sources into one state for each back end.
+// runMembership derives the state of each back end from its reports, the machine list and connection failures.
 //
-// Rule: leaving, from any source, beats everything but death; a back end is ready only when it was heard
-// lately, is on the platform's list, and is not loading weights; the list alone never makes it ready, and
-// never kills one that answers.
+// Leaving, according to any source, takes precedence over every state but dead. A back end is ready only if it
+// reported recently, is on the machine list, and is not loading weights. The list alone neither makes a back
+// end ready nor makes one that reports dead.
 func (c *Core) runMembership() {
 	if !c.membershipDirty && c.now < c.membershipCheckedAt+membershipInterval {
 		return
@@ -79,15 +79,15 @@
 	c.service(row.machine.Service).ringStale = true
 }
 
-// allRequests selects all requests for breakAttempts.
+// allRequests selects every request for failAttemptsOn.
 func allRequests(*request) bool { return true }
 
-// onlyRepeatable selects the requests that another back end may take over; a non-repeatable one waits for its
-// answer as long as its deadline allows.
+// onlyRepeatable selects requests that another back end may take over. Non-repeatable ones keep waiting for their
+// answer until their deadline.
 func onlyRepeatable(r *request) bool { return r.values.Repeatable }
 
-// failAttemptsOn ends the attempts that run on an earlier life of a back end, or on a silent one, as if their
-// connections had broken. Requests are taken in order of arrival, so that ticks are deterministic.
+// failAttemptsOn fails the attempts on a back end that restarted or is unreachable, as if their connections had
+// broken. Requests are processed in order of arrival to keep ticks deterministic.
 func (c *Core) failAttemptsOn(row *backend, affected func(*request) bool) {
 	if row.running == 0 {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-// attemptIndexOn returns the position of a request's attempt on a back end, or -1.
+// attemptIndexOn returns the index of the request's attempt on a back end, or -1.
 func attemptIndexOn(r *request, id prefix.EngineID) int {
 	return slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.backend == id })
 }
@@ -117,24 +117,24 @@
 }
 
 const (
-	// pauseThreshold is a time between two ticks that a running process never lets pass: it was stopped, or its
-	// machine was.
+	// pauseThreshold is the time between ticks from which the process or its machine counts as paused.
 	pauseThreshold = time.Second
-	// maxListWait is how long a process that stood still waits for a fresh list before it goes on without one.
+	// maxListWait is how long placement waits for a fresh machine list after a pause.
 	maxListWait = 2 * time.Second
 )
 
-// detectPause notices that the process stood still, so that what it knows of leaving back ends is old.
+// detectPause detects that the process was paused, after which its knowledge of leaving back ends may be
+// outdated.
 func (c *Core) detectPause(now time.Duration) {
 	if now > c.now+pauseThreshold {
 		c.resumedAt = now
 	}
 }
 
-// awaitsFreshList reports whether placing must wait for a list that is younger than a standstill.
+// awaitsFreshList reports whether placement must wait for a machine list requested after the last pause.
 func (c *Core) awaitsFreshList() bool {
 	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+maxListWait && c.config.Guards.On(guard.LeavingCheck)
 }
 
-// isReady reports whether new work may be sent to a back end.
+// isReady reports whether new work may be dispatched to a back end.
 func (c *Core) isReady(row *backend) bool { return row.state == BackendReady }
