--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -7,24 +7,24 @@
 	"kitetiller/internal/guard"
 )
 
-// backendIncarnation names a life of a back end. Incarnations tell lives apart and no time.
+// backendIncarnation identifies an incarnation of a back end. Incarnation numbers are not times here.
 func backendIncarnation(name string, incarnation uint64) catalog.Life {
 	return catalog.Life{Name: name, Born: int64(incarnation)}
 }
 
-// observePushback takes up what a back end says of itself.
+// observePushback records what a back end says of itself.
 func (c *Core) observePushback(event EventPushback) {
 	c.pushback.Note(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
 	c.membershipDirty = c.membershipDirty || event.Signals.Leaving
 }
 
-// announcedLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
-// undo that.
+// announcedLeaving reports whether the current incarnation announced in a refusal that it is leaving. An older report
+// does not revoke that.
 func (c *Core) announcedLeaving(row *backend) bool {
 	return c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Leaving
 }
 
-// remainingBackoff returns how long a back end still wants nothing from this router.
+// remainingBackoff returns how long a back end still wants no requests from this router.
 func (c *Core) remainingBackoff(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.RestCheck) {
 		return 0
@@ -32,13 +32,14 @@
 	return max(0, c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Until-c.now)
 }
 
-// blockedFor returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
+// blockedFor returns how long a back end must not be sent requests because of its backoff or its advertised rate
+// limit.
 func (c *Core) blockedFor(row *backend) time.Duration {
 	return max(c.remainingBackoff(row), c.rateLimitedFor(row))
 }
 
-// allBlockedFor returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
-// their limits, and which of the two; else 0.
+// allBlockedFor returns the time until the first ready back end of a service is no longer blocked, and what blocks it.
+// It returns 0 if one is not blocked or none is ready.
 func (c *Core) allBlockedFor(service *serviceState) (first time.Duration, reason Reason) {
 	for _, id := range service.backends {
 		row := &c.backends[id]
@@ -59,9 +60,9 @@
 	return first, reason
 }
 
-// waitOrRefuse decides on the head of a queue whose service takes nothing for a while. A time that is no longer than requests wait for a back end to
-// appear is waited for, and by a stream in progress any that ends while its caller still waits; else the request is refused at once. It returns
-// false when the request must wait.
+// waitOrRefuse handles the head of a queue whose service is blocked as a whole. A request waits for up to
+// backendWaitTimeout, a started stream until its deadline; otherwise it is refused with a Retry-After. It returns
+// false if the request must wait.
 func (c *Core) waitOrRefuse(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
 	if c.now+rest < r.deadline && (rest <= backendWaitTimeout || r.streamStarted()) {
 		c.wakeAt(r, c.now+rest)
@@ -73,14 +74,14 @@
 	return true
 }
 
-// retryAfterJitter is the share of the time to come back that is added to it at random, so that callers who were refused together don't return
-// together.
+// retryAfterJitter is the maximum fraction randomly added to a Retry-After, so that clients refused together do not
+// retry together.
 const retryAfterJitter = 0.1
 
-// pushbackSweepInterval is how often words of back ends that count no longer are forgotten.
+// pushbackSweepInterval is how often expired pushback is removed.
 const pushbackSweepInterval = 10 * time.Second
 
-// sweepPushback forgets words that count no longer.
+// sweepPushback removes expired pushback.
 func (c *Core) sweepPushback() {
 	if c.now < c.pushbackSweptAt+pushbackSweepInterval {
 		return
