--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// rateBurstSeconds is how much of its share a router may send at once beside one request, in seconds: without any, what comes in between two
-	// requests would be lost.
+	// rateBurstSeconds is the burst beyond one request, in seconds of the router's rate share. Without it, the tokens
+	// that accumulate between two requests would be lost.
 	rateBurstSeconds = 0.25
 )
 
-// observePeerRouters takes up which routers share what back ends take from all.
+// observePeerRouters records which routers share the advertised rate limits.
 func (c *Core) observePeerRouters(event EventPeerRouters) { c.peerRouters = event.Names }
 
-// rateShare returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
-// one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
-// word (highest random weights), and one that is cut off knows it still.
+// rateShare returns this router's share, in requests/s, of the rate limit that a back end advertises. Only as many
+// routers use a limit as each can get at least one request/s, so that their bursts together stay within the limit.
+// Rendezvous hashing selects them without coordination, also while a router is partitioned.
 func (c *Core) rateShare(life catalog.Life, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
 	own := rendezvousWeight(life, c.config.Router)
@@ -37,20 +37,20 @@
 	return max(limit, pushback.LeastRate) / float64(senders)
 }
 
-// rendezvousWeight is a router's weight for a life of a back end.
+// rendezvousWeight is the rendezvous hashing weight of a router for an incarnation of a back end.
 func rendezvousWeight(life catalog.Life, router string) uint64 {
 	return xxhash.Sum64String(life.ID() + "/" + router)
 }
 
-// rateBucket is what a router may send to a back end that names a limit.
+// rateBucket is a token bucket for an advertised rate limit.
 type rateBucket struct {
-	incarnation uint64        // that it is of
-	rate        float64       // requests a second; 0 until the limit was first heard
-	tokens      float64       // requests that may be sent now; at most one and a part of the rate
-	refilledAt  time.Duration // when the level was right
+	incarnation uint64  // of the back end
+	rate        float64 // requests/s; 0 for a new bucket
+	tokens      float64 // may be negative; at most one plus the burst
+	refilledAt  time.Duration
 }
 
-// rateLimitedFor returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
+// rateLimitedFor returns how long nothing may be sent to a back end because of the rate limit that it advertises, or 0.
 func (c *Core) rateLimitedFor(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.LimitCheck) {
 		return 0
@@ -64,7 +64,7 @@
 	p := &row.rateBucket
 	rate := c.rateShare(life, limit.Rate)
 	if p.incarnation != row.incarnation || p.rate == 0 {
-		*p = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // it begins with nothing: much may have been sent a moment ago
+		*p = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // starts empty: the limit may have been used up just before
 	}
 	p.tokens = min(p.tokens+p.rate*(c.now-p.refilledAt).Seconds(), 1+rateBurstSeconds*rate)
 	p.rate, p.refilledAt = rate, c.now
@@ -77,13 +77,14 @@
 	return time.Duration((1-p.tokens)/rate*float64(time.Second)) + time.Nanosecond
 }
 
-// noShareRetryInterval is how long a router takes to look again at a back end whose limit others use.
+// noShareRetryInterval is how long a router without a share of a rate limit waits before it checks again.
 const noShareRetryInterval = time.Second
 
-// takeRateToken counts a request that is sent to a back end.
+// takeRateToken counts a dispatch against the rate limit of a back end.
 func (c *Core) takeRateToken(row *backend) { row.rateBucket.tokens-- }
 
-// clearOutdatedLimit takes up an answer without a limit: one that was heard before the attempt was sent is over.
+// clearOutdatedLimit handles an answer that advertises no limit: a limit heard before the attempt was sent no longer
+// applies.
 func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
 	if !event.AdvertisesLimit {
 		c.pushback.Unlimited(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
