--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tenant returns the limit state of a request's tenant at its service.
+// tenant returns the row of a request's tenant at its service, creating it on first use.
 func (c *Core) tenant(r *request) *tenantState {
 	key := tenantKey{r.Service, r.Tenant}
 	state := c.tenants[key]
@@ -13,7 +13,8 @@
 	return state
 }
 
-// tenantLimitExceeded applies the tenant's rate and concurrency limits and returns when to come back.
+// tenantLimitExceeded applies the tenant's concurrency and rate limits. It returns the reason for a refusal, or "",
+// and the Retry-After.
 func (c *Core) tenantLimitExceeded(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
 	if r.values.MaxConcurrent > 0 && tenant.activeRequests >= r.values.MaxConcurrent {
@@ -35,10 +36,10 @@
 }
 
 const (
-	minConcurrencyLimit  = 4   // least adaptive concurrency of an engine
-	limitIncrease        = 0.2 // added per answer in time
-	limitDecrease        = 0.9 // factor per answer that came far too late
-	lateFactor           = 3   // observed over predicted time that counts as far too late
+	minConcurrencyLimit  = 4   // lower bound of an engine's adaptive concurrency limit
+	limitIncrease        = 0.2 // added after a first token in time
+	limitDecrease        = 0.9 // factor after a late first token
+	lateFactor           = 3   // a first token is late after lateFactor times the predicted latency plus lateSlack
 	lateSlack            = 300 * time.Millisecond
 	latencyBiasSmoothing = 0.1
 	minLatencyBias       = 0.5
@@ -46,7 +47,8 @@
 	minPredictedLatency  = time.Millisecond
 )
 
-// recordFirstTokenLatency compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
+// recordFirstTokenLatency compares predicted and observed time to first token, and adjusts the engine's latency bias
+// and its concurrency limit (additive increase, multiplicative decrease).
 func (c *Core) recordFirstTokenLatency(row *backend, predicted, observed time.Duration) {
 	predicted = max(predicted, minPredictedLatency)
 	ratio := float64(observed) / float64(predicted)
@@ -59,7 +61,7 @@
 	row.concurrencyLimit = min(row.maxConcurrency, row.concurrencyLimit+limitIncrease)
 }
 
-// setMaxConcurrency takes up another highest limit; the limit keeps its share of it.
+// setMaxConcurrency changes the upper bound of the concurrency limit and scales the limit with it.
 func (row *backend) setMaxConcurrency(limit float64) {
 	row.concurrencyLimit = min(limit, max(minConcurrencyLimit, row.concurrencyLimit*limit/row.maxConcurrency))
 	row.maxConcurrency = limit
