--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -7,7 +7,7 @@
 	shortlistSize = 4
 )
 
-// Decision is the record of one placement, for "kitetiller explain".
+// Decision records one placement or refusal, for "kitetiller explain".
 type Decision struct {
 	Request         string        `json:"request"`
 	Tenant          string        `json:"tenant"`
@@ -27,13 +27,13 @@
 	FinishedAt      time.Duration `json:"finished_at_ns"`
 }
 
-// decisionRing keeps the newest decisions.
+// decisionRing is a ring buffer of the newest decisions.
 type decisionRing struct {
 	records [maxDecisions]Decision
 	next    int
 }
 
-// record stores a placement with the best few candidates.
+// record stores a placement: the chosen candidate first, then the next candidates in the order they were scored.
 func (d *decisionRing) record(r *request, now time.Duration, chosen Candidate, candidates []Candidate, version uint64) {
 	slot := &d.records[d.next%maxDecisions]
 	d.next++
@@ -52,8 +52,8 @@
 	r.lastDecision = d.next
 }
 
-// finish notes how the request of the newest decision ended; refusals without a decision get a record of
-// their own.
+// finish stores the outcome of a request in its newest decision. A request without one, or whose decision has been
+// overwritten, gets a new record.
 func (d *decisionRing) finish(r *request, final ActionFinish, now time.Duration) {
 	if r.lastDecision == 0 || d.next-r.lastDecision >= maxDecisions {
 		d.next++
@@ -68,7 +68,7 @@
 	slot.Outcome, slot.Run, slot.FinishedAt = final.Reason, final.Run, now
 }
 
-// Explain returns the kept decisions about a request, oldest first.
+// Explain returns the stored decisions about a request, oldest first.
 func (c *Core) Explain(name string) []Decision {
 	var found []Decision
 	first := max(0, c.decisions.next-maxDecisions)
