--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// interactivePerBatch: after this many interactive picks in a row one batch request is picked, so that batch
-	// work cannot starve.
+	// interactivePerBatch is the number of consecutive interactive requests after which a batch request is dequeued,
+	// so that batch work does not starve.
 	interactivePerBatch = 8
-	// initialDispatchInterval is the assumed time between dispatches of a queue that has not moved yet.
+	// initialDispatchInterval is assumed until a queue has dispatched requests.
 	initialDispatchInterval   = 20 * time.Millisecond
 	dispatchIntervalSmoothing = 0.1
-	outputTokenCost           = 4 // a generated token counts as this many prompt tokens in the fair queue
+	outputTokenCost           = 4 // weight of an output token relative to a prompt token in fair queueing
 )
 
-// laneQueue is a heap of requests by virtual finish time (start-time fair queueing).
+// laneQueue is a heap of requests ordered by virtual finish time (start-time fair queueing).
 type laneQueue []*request
 
 func (l laneQueue) Len() int { return len(l) }
@@ -28,10 +28,10 @@
 }
 func (l laneQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
-// Push adds an item; use heap.Push.
+// Push implements heap.Interface.
 func (l *laneQueue) Push(item any) { *l = append(*l, item.(*request)) }
 
-// Pop removes the last item; use heap.Pop.
+// Pop implements heap.Interface.
 func (l *laneQueue) Pop() any {
 	old := *l
 	last := old[len(old)-1]
@@ -40,8 +40,8 @@
 	return last
 }
 
-// enqueueNew queues a request for the first time, or refuses it when the queue is full or so long that the
-// deadline would pass.
+// enqueueNew queues an admitted request, or refuses it if the queue is full or its deadline would pass before its
+// turn.
 func (c *Core) enqueueNew(r *request) {
 	service := c.service(r.Service)
 	queued := service.queueLength()
@@ -62,14 +62,14 @@
 	c.enqueue(r)
 }
 
-// enqueue puts a request into its lane with the tag it has.
+// enqueue adds a request to the queue of its lane under its existing finish tag.
 func (c *Core) enqueue(r *request) {
 	r.state = stateQueued
 	service := c.service(r.Service)
 	heap.Push((*laneQueue)(&service.lanes[r.Lane]), r)
 }
 
-// queueDrainTime estimates when the queue will have room.
+// queueDrainTime estimates the Retry-After for a full queue: the time until half of it has been dispatched.
 func (c *Core) queueDrainTime(r *request) time.Duration {
 	service := c.service(r.Service)
 	return max(shortRetryAfter, time.Duration(service.queueLength())*service.dispatchInterval/2)
@@ -83,7 +83,7 @@
 	return total
 }
 
-// queuedAhead counts the requests that a new one in the lane waits for.
+// queuedAhead returns the number of requests that a new request of the lane waits for.
 func (s *serviceState) queuedAhead(l Lane) int {
 	if l == LaneInteractive {
 		return len(s.lanes[LaneInteractive])
@@ -91,7 +91,7 @@
 	return s.queueLength()
 }
 
-// nextLane returns the lane to serve next, or false when nothing waits.
+// nextLane returns the lane to serve next, or false if no request is queued.
 func (s *serviceState) nextLane() (Lane, bool) {
 	interactive, batch := len(s.lanes[LaneInteractive]) > 0, len(s.lanes[LaneBatch]) > 0
 	switch {
@@ -105,7 +105,7 @@
 	return 0, false
 }
 
-// dequeue removes the head of a lane.
+// dequeue removes and returns the first request of a lane.
 func (s *serviceState) dequeue(l Lane) *request {
 	r := heap.Pop((*laneQueue)(&s.lanes[l])).(*request)
 	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
@@ -117,7 +117,7 @@
 	return r
 }
 
-// remove takes a request out of its lane wherever it stands.
+// remove removes a request from any position in its lane.
 func (s *serviceState) remove(r *request) {
 	l := (*laneQueue)(&s.lanes[r.Lane])
 	if at := slices.Index(*l, r); at >= 0 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// recordDispatchInterval updates the time between dispatches while a queue stands.
+// recordDispatchInterval updates the smoothed time between dispatches.
 func (s *serviceState) recordDispatchInterval(interval time.Duration) {
 	delta := float64(interval - s.dispatchInterval)
 	s.dispatchInterval += time.Duration(dispatchIntervalSmoothing * delta)
