--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timerItem asks to look at a request at a time; a request may have several.
+// timerItem is a wakeup for a request; a request may have several.
 type timerItem struct {
 	at time.Duration
 	id RequestID
 }
 
-// timerHeap orders items by time, then request; it implements heap.Interface.
+// timerHeap orders wakeups by time, then request.
 type timerHeap []timerItem
 
 func (h timerHeap) Len() int { return len(h) }
@@ -23,10 +23,10 @@
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an item; use heap.Push.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(item any) { *h = append(*h, item.(timerItem)) }
 
-// Pop removes the last item; use heap.Pop.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -34,12 +34,12 @@
 	return last
 }
 
-// wakeAt asks for a look at a request at a time.
+// wakeAt schedules a wakeup for a request.
 func (c *Core) wakeAt(r *request, at time.Duration) {
 	heap.Push(&c.timers, timerItem{at: at, id: r.ID})
 }
 
-// runTimers looks at every request whose time has come.
+// runTimers handles all wakeups that are due.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		item := heap.Pop(&c.timers).(timerItem)
@@ -49,7 +49,7 @@
 	}
 }
 
-// handleTimer acts on whatever of a request is due.
+// handleTimer acts on a wakeup according to the stage of the request.
 func (c *Core) handleTimer(r *request) {
 	switch r.state {
 	case stateAwaitingLease:
@@ -71,7 +71,7 @@
 	}
 }
 
-// checkRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
+// checkRunning hedges an attempt without a first token, or ends the request once its grace period is over.
 func (c *Core) checkRunning(r *request) {
 	if r.streamStarted() {
 		c.checkStalled(r)
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkStalled moves a stream that has stood still for too long to another engine.
+// checkStalled fails the attempt of a stalled stream, so that it resumes on another engine.
 func (c *Core) checkStalled(r *request) {
 	sent := r.attempts[0]
 	silentSince := max(r.lastEmittedAt, sent.sentAt)
@@ -102,7 +102,7 @@
 	return time.Duration(r.values.StallAfterMS) * time.Millisecond
 }
 
-// giveUpAt is when a dispatched request without a first token is given up on.
+// giveUpAt returns when a dispatched request without a first token is ended.
 func (c *Core) giveUpAt(r *request) time.Duration {
 	return r.deadline + max((r.deadline-r.arrivedAt)/2, minFirstTokenGrace)
 }
