--- a/internal/core/ring.go
+++ b/internal/core/ring.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringHash places one point of an engine on the ring.
+// ringHash returns the position of an engine's point on the ring.
 func ringHash(name string, point int) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -17,11 +17,11 @@
 	return digest.Sum64()
 }
 
-// ringKeyBlocks is the depth at which unrelated prompts of a tenant differ; requests that share this much go to
-// the same engine before anything is known.
+// ringKeyBlocks is the number of leading blocks that determine the ring key. Requests that share them go to the same
+// engine while the prefix index knows nothing of them.
 const ringKeyBlocks = 4
 
-// ringKey is where a request's prefix falls on the ring.
+// ringKey returns the position of a request on the ring.
 func ringKey(r *request) uint64 {
 	if len(r.Chains) == 0 || len(r.Chains[0].Blocks) == 0 {
 		return xxhash.Sum64String(r.Name)
