--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -6,10 +6,10 @@
 	"kitetiller/internal/prefix"
 )
 
-// maxSweepPerTick bounds the beliefs looked at in one tick, so that sweeping never delays a decision much.
+// maxSweepPerTick bounds the index entries checked for expiry in one tick, and so the delay of decisions.
 const maxSweepPerTick = 16
 
-// runIndexMaintenance asks for cache snapshots after gaps and sweeps old beliefs.
+// runIndexMaintenance requests cache snapshots after gaps in cache events and removes expired index entries.
 func (c *Core) runIndexMaintenance() {
 	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].needsSnapshot })
 	for _, id := range c.snapshotsWanted {
