--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,7 +17,7 @@
 	testBlockTokens = 64
 )
 
-// harness drives a core by hand in virtual time.
+// harness drives a core in virtual time.
 type harness struct {
 	t    *testing.T
 	core *Core
@@ -106,13 +106,13 @@
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	if got := requireAction[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
-		t.Fatalf("chunk %d, want 0", got.Index)
+		t.Fatalf("chunk index = %d, want 0", got.Index)
 	}
 	if repeated, found := findAction[ActionChunk](h.tick(chunk(sent, 0))); found {
-		t.Fatalf("repeated chunk passed on: %+v", repeated)
+		t.Fatalf("repeated chunk was passed to the client: %+v", repeated)
 	}
 	if final := requireAction[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
@@ -122,7 +122,7 @@
 	h.tick(chunk(sent, 0))
 	next := requireAction[ActionDispatch](t, h.tick(chunk(sent, 2)))
 	if next.ResumeFrom != 1 || next.Backend == sent.Backend {
-		t.Fatalf("resumed from %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
+		t.Fatalf("resumed from token %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
 	}
 }
 
@@ -132,12 +132,13 @@
 	h.tick(chunk(sent, 0))
 	actions := h.tick(done(sent, 3))
 	if final, ended := findAction[ActionFinish](actions); ended {
-		t.Fatalf("stream with missing tokens ended as %+v", final)
+		t.Fatalf("stream with missing tokens finished with %+v", final)
 	}
 	requireAction[ActionDispatch](t, actions)
 }
 
-// TestStreamMovesFromUnreachableEngine: a frozen engine keeps its connections open, so only its missing reports tell.
+// TestStreamMovesFromUnreachableEngine: a frozen engine keeps its connections open, so only missing reports reveal
+// it.
 func TestStreamMovesFromUnreachableEngine(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
@@ -152,7 +153,7 @@
 	}
 	next := requireAction[ActionDispatch](t, h.advance(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
 	if next.Backend != other || next.ResumeFrom != 1 {
-		t.Fatalf("continued on %s from token %d", next.Backend, next.ResumeFrom)
+		t.Fatalf("stream resumed on %s from token %d", next.Backend, next.ResumeFrom)
 	}
 }
 
@@ -162,7 +163,7 @@
 	h.tick(chunk(sent, 0))
 	next := requireAction[ActionDispatch](t, h.report(sent.Backend, 2))
 	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
-		t.Fatalf("after a restart: %+v", next)
+		t.Fatalf("unexpected dispatch after a restart: %+v", next)
 	}
 }
 
@@ -170,11 +171,11 @@
 	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testSmall, Key: key, Digest: 1}
 }
 
-// dispatchWithClaim sends a small request and grants its claim.
+// dispatchWithClaim sends a request to the non-repeatable service and grants its claim.
 func (h *harness) dispatchWithClaim(id int, key string) ActionDispatch {
 	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{smallRequest(id, key)}))
 	if early, found := findAction[ActionDispatch](h.core.actions); found {
-		h.t.Fatalf("sent before the claim: %+v", early)
+		h.t.Fatalf("dispatched before the claim was granted: %+v", early)
 	}
 	return requireAction[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
 }
@@ -184,13 +185,13 @@
 	sent := h.dispatchWithClaim(1, "k")
 	actions := h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptBroken})
 	if again, found := findAction[ActionDispatch](actions); found {
-		t.Fatalf("sent again: %+v", again)
+		t.Fatalf("ambiguous attempt was dispatched again: %+v", again)
 	}
 	if final := requireAction[ActionFinish](t, actions); final.Run != RunUnknown {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndUnknown {
-		t.Fatalf("claim ended as %v", end.End.Kind)
+		t.Fatalf("unexpected end of the claim: %v", end.End.Kind)
 	}
 }
 
@@ -201,10 +202,10 @@
 	actions := h.advance(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
 	final := requireAction[ActionFinish](t, actions)
 	if final.Run != RunNot || final.RetryAfter == 0 {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndReleased {
-		t.Fatalf("claim ended as %v", end.End.Kind)
+		t.Fatalf("unexpected end of the claim: %v", end.End.Kind)
 	}
 }
 
@@ -214,10 +215,10 @@
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
 	if sent, found := findAction[ActionDispatch](actions); found {
-		t.Fatalf("sent under a claim of an earlier session: %+v", sent)
+		t.Fatalf("dispatched under a claim of an earlier session: %+v", sent)
 	}
 	if final := requireAction[ActionFinish](t, actions); final.Run != RunNot {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
@@ -225,10 +226,10 @@
 	h := newHarness(t, 1)
 	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
 	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(1, 4)})); found {
-		t.Fatalf("sent to a leaving engine: %+v", sent)
+		t.Fatalf("dispatched to a leaving engine: %+v", sent)
 	}
 	if final := requireAction[ActionFinish](t, h.advance(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
@@ -236,7 +237,7 @@
 	h := newHarness(t, 1)
 	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{promptRequest(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
@@ -245,23 +246,23 @@
 	h.tick(EventSettings{Version: 9, Tree: testTree()})
 	h.tick(EventSettings{Version: 4, Tree: testTree()})
 	if h.core.SettingsVersion() != 9 {
-		t.Fatalf("version %d in use, want 9", h.core.SettingsVersion())
+		t.Fatalf("settings version = %d, want 9", h.core.SettingsVersion())
 	}
 }
 
-// TestExpiredLeaseReportsRunStatusUnknown: a router without a lease may hold settings from before the service became
-// non-repeatable, so it cannot prove that an earlier send of the key did not run.
+// TestExpiredLeaseReportsRunStatusUnknown: the router's settings may predate the service becoming non-repeatable, so
+// it cannot prove that an earlier request with the key did not run.
 func TestExpiredLeaseReportsRunStatusUnknown(t *testing.T) {
 	h := newHarness(t, 1)
 	keyed := promptRequest(1, 4)
 	keyed.Key = "k"
 	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{keyed}))
 	if final.Run != RunUnknown {
-		t.Fatalf("run=%s, want unknown", final.Run)
+		t.Fatalf("run status = %s, want unknown", final.Run)
 	}
 }
 
-// TestPrefixIsNotCopiedBeyondHotCopies: with enough holders a prefix is computed or waited for, not copied again.
+// TestPrefixIsNotCopiedBeyondHotCopies: with hot_copies holders a prefix is recomputed, not copied again.
 func TestPrefixIsNotCopiedBeyondHotCopies(t *testing.T) {
 	for _, limit := range []int{1, 2} {
 		h := newHarness(t, 3)
@@ -270,16 +271,16 @@
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
 		holder := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 40)}))
-		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // it takes nothing more
+		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // no capacity left
 		second := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
-			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
+			t.Fatalf("hot_copies = %d with one holder: copied = %v", limit, copied)
 		}
 	}
 }
 
-// TestEngineConcurrencyFollowsTheSettings: back ends are often known before the first settings arrive, and operators
-// change the limit while the system runs.
+// TestEngineConcurrencyFollowsTheSettings: the limit also changes for back ends discovered before the settings
+// arrive, and when operators change it at run time.
 func TestEngineConcurrencyFollowsTheSettings(t *testing.T) {
 	h := newHarness(t, 1)
 	for version, want := range map[uint64]int{2: 40, 3: 2} {
@@ -289,11 +290,11 @@
 		h.tick(EventSettings{Version: version, Tree: tree})
 		row := &h.core.backends[0]
 		if got := int(row.concurrencyLimit); got != want {
-			t.Fatalf("limit %d, the settings say %d", got, want)
+			t.Fatalf("concurrency limit = %d, want %d", got, want)
 		}
 		h.core.recordFirstTokenLatency(row, time.Millisecond, time.Minute)
 		if int(row.concurrencyLimit) > want {
-			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.concurrencyLimit, want)
+			t.Fatalf("concurrency limit after a late answer = %v, want at most %d", row.concurrencyLimit, want)
 		}
 		row.concurrencyLimit = float64(want)
 	}
