--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/pushback"
 )
 
-// refusal is an engine's refusal of an attempt, with what it says of itself.
+// refusal returns the events of an engine that refuses an attempt with pushback.
 func refusal(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
 	return []Event{
 		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Said{Rest: rest, Leaving: leaving}},
@@ -15,21 +15,21 @@
 	}
 }
 
-// An engine that refused a request and asked to be left alone for 3 s got the next one at once: the wish only told that the engine hadn't
-// ended. One that said that it leaves got new requests from the next report on, which had been written before.
+// TestRefusalPushbackIsHonored: an engine that asks for backoff or announces that it is leaving receives no requests
+// until its backoff ends or it restarts, even if reports written earlier say otherwise.
 func TestRefusalPushbackIsHonored(t *testing.T) {
 	for name, tc := range map[string]struct {
 		backoff     time.Duration
 		leaving     bool
-		elapsed     time.Duration // of all requests after the refusal
+		elapsed     time.Duration // between the refusal and the next requests
 		incarnation uint64        // of the engine by then
 		allowed     bool
 	}{
-		"it wants rest":                     {3 * time.Second, false, 2 * time.Second, 1, false},
-		"its rest is over":                  {3 * time.Second, false, 4 * time.Second, 1, true},
-		"another life stands there":         {3 * time.Second, false, time.Second, 2, true},
-		"it leaves":                         {0, true, 4 * time.Second, 1, false},
-		"it left and another life is there": {0, true, 4 * time.Second, 2, true},
+		"backoff in force":                  {3 * time.Second, false, 2 * time.Second, 1, false},
+		"backoff over":                      {3 * time.Second, false, 4 * time.Second, 1, true},
+		"backoff of an earlier incarnation": {3 * time.Second, false, time.Second, 2, true},
+		"leaving":                           {0, true, 4 * time.Second, 1, false},
+		"earlier incarnation was leaving":   {0, true, 4 * time.Second, 2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1)
@@ -46,36 +46,37 @@
 				}
 			}
 			if (dispatched > 0) != tc.allowed {
-				t.Fatalf("%d of 6 requests came to it", dispatched)
+				t.Fatalf("%d of 6 requests were dispatched to the engine", dispatched)
 			}
 		})
 	}
 }
 
-// An engine stood still for a second and then refused the 15 requests that had come to it, with a wish for rest. The router had given these
-// attempts up by then, so their answers were dropped as late, and the wish with them: 3 more requests came in the rest.
+// TestPushbackOfLateAnswerIsHonored: pushback in the answer of an attempt that the router has already ended still
+// applies.
 func TestPushbackOfLateAnswerIsHonored(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
 	h.tick(refusal(sent, 3*time.Second, false)...)
 	if again, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
-		t.Fatalf("sent to %s in its rest", again.Backend)
+		t.Fatalf("dispatched to %s during its backoff", again.Backend)
 	}
 	h.advance(500 * time.Millisecond)
 	h.report(engineName(0), 1)
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
-		t.Fatalf("%+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-// TestShortBackoffQueuesRequest: as long as a request waits for a back end to appear; it is sent once the rest is over.
+// TestShortBackoffQueuesRequest: a request waits for a backoff that is shorter than backendWaitTimeout and is then
+// dispatched.
 func TestShortBackoffQueuesRequest(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(append(refusal(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
 	if actions := h.tick(EventRequest{promptRequest(2, 4)}); len(actions) > 0 {
-		t.Fatalf("%+v", actions)
+		t.Fatalf("unexpected actions during the backoff: %+v", actions)
 	}
 	requireAction[ActionDispatch](t, h.advance(250*time.Millisecond))
 }
