--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -11,12 +11,13 @@
 	"kitetiller/internal/pushback"
 )
 
-// advertisedLimit is what an engine says of its limit in an answer.
+// advertisedLimit returns the event of an answer in which an engine advertises its rate limit.
 func advertisedLimit(engine string, rate float64) EventPushback {
 	return EventPushback{Name: engine, Incarnation: 1, Signals: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
 }
 
-// sendEvery lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
+// sendEvery sends a request every step for the given length, each of which completes at once, and returns the dispatch
+// times by engine.
 func (h *harness) sendEvery(step, length time.Duration, engines int) map[string][]time.Duration {
 	sends := map[string][]time.Duration{}
 	for end := h.now + length; h.now < end; {
@@ -32,24 +33,23 @@
 	return sends
 }
 
-// An engine named in its answers how many requests a second it takes, and got all that came, 80 in 4 s where 17 are allowed: the router read no
-// such word. The same cause as at the gateways, whose engines got 59 where 29 are allowed. It holds now since few routers, which all know without
-// a word who they are, send to such an engine, each its part.
+// TestAdvertisedLimitBindsRouter: a router must not exceed the rate limit that an engine advertises, and must use other
+// engines instead.
 func TestAdvertisedLimitBindsRouter(t *testing.T) {
 	const rate = 2.0
 	h := newHarness(t, 2)
 	h.tick(advertisedLimit(engineName(0), rate))
 	sends := h.sendEvery(50*time.Millisecond, 10*time.Second, 2)
 	if most, allowed := window.Fullest(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
-		t.Fatalf("%d requests in %v, allowed %d", most, window.Length, allowed)
+		t.Fatalf("%d requests within %v, want at most %d", most, window.Length, allowed)
 	}
 	if all := len(sends[engineName(0)]) + len(sends[engineName(1)]); all != 200 {
-		t.Fatalf("%d of 200 were sent although another engine takes all", all)
+		t.Fatalf("%d of 200 requests were dispatched, want all: the other engine has no limit", all)
 	}
 }
 
-// TestRoutersShareANamedLimit: however many routers, whatever limits and however often it changes which of them there are, all together send no more
-// in any window than the limit allows, and where more is asked and nothing changes most of it.
+// TestRoutersShareANamedLimit: for any limit, number of routers and sequence of membership changes, all routers
+// together stay within the limit in every window. Without changes they use most of it.
 func TestRoutersShareANamedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0, 30).Draw(t, "limit")
@@ -84,7 +84,7 @@
 		var sends []time.Duration
 		for now := step; now <= length; now += step {
 			if changed, found := changes[now]; found {
-				active = changed // the others have no session any more, and send nothing
+				active = changed // the others lost their sessions and send nothing
 				announcePeers()
 			}
 			for i, c := range routers[:active] {
@@ -95,23 +95,23 @@
 			}
 		}
 		if most, allowed := window.Fullest(sends, 0), window.Allowed(limit); float64(most) > allowed {
-			t.Fatalf("%d routers sent %d in %v, %.1f allowed", routerCount, most, window.Length, allowed)
+			t.Fatalf("%d routers sent %d requests within %v, want at most %.1f", routerCount, most, window.Length, allowed)
 		}
 		if used := float64(len(sends)) / length.Seconds(); len(changes) == 0 && used < 0.8*limit-1/length.Seconds() {
-			t.Fatalf("%.2f a second were sent of %.2f", used, limit)
+			t.Fatalf("%.2f requests/s sent, limit %.2f", used, limit)
 		}
 	})
 }
 
-// TestAdvertisedLimitEndsWithUnlimitedAnswer: with an answer that names none, to a request that was sent after the limit was heard; until then a service whose engines are
-// all at their limits refuses at once, with a reason of its own.
+// TestAdvertisedLimitEndsWithUnlimitedAnswer: only an answer to a request that was sent after the limit was heard ends
+// the limit. Until then the service refuses requests with ReasonLimited.
 func TestAdvertisedLimitEndsWithUnlimitedAnswer(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.advance(time.Millisecond, advertisedLimit(engineName(0), 0.5))
-	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
+	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before the limit was heard
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
-		t.Fatalf("%+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 	for range 6 {
 		h.advance(400 * time.Millisecond)
