--- a/internal/core/decision_bench_test.go
+++ b/internal/core/decision_bench_test.go
@@ -17,7 +17,7 @@
 	sharedBlocks   = 24
 )
 
-// benchChain is a prompt's chain: a template shared with others, then blocks of its own.
+// benchChain returns the chain of a prompt: blocks of a shared template, then blocks of its own.
 func benchChain(number int) []prefix.Hash {
 	chain := make([]prefix.Hash, benchBlocks)
 	for i := range chain {
@@ -31,7 +31,7 @@
 	return chain
 }
 
-// benchCore returns a core whose index knows each prompt on one engine and each template on several.
+// benchCore returns a core whose index holds each prompt on one engine and each template on several.
 func benchCore(engines int) *Core {
 	c := New(Config{Router: "r", Zone: "z0", Seed: 1, BlockTokens: testBlockTokens, IndexLimit: 2_000_000, ImportRate: 40_000})
 	var machines []Machine
@@ -51,8 +51,7 @@
 	return c
 }
 
-// BenchmarkDecision measures one request from its arrival to its end; the figure is one whole decision with its
-// bookkeeping.
+// BenchmarkDecision measures the whole processing of one request from arrival to end.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{20, 300, 3100} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) { benchDecision(b, engines) })
@@ -76,7 +75,7 @@
 		actions := c.Tick(now, []Event{EventRequest{Request: request}})
 		sent, ok := findAction[ActionDispatch](actions)
 		if !ok {
-			b.Fatalf("request %d was not sent: %+v", i, actions)
+			b.Fatalf("request %d was not dispatched: %+v", i, actions)
 		}
 		c.Tick(now, []Event{EventCallerGone{ID: sent.ID}})
 		if i%4096 == 0 {
@@ -85,7 +84,7 @@
 	}
 }
 
-// refreshReports keeps the engines ready while time passes.
+// refreshReports keeps the engines ready as time passes.
 func refreshReports(c *Core, engines int, now time.Duration) {
 	for i := range engines {
 		c.observe(EventBackendPoll{Name: engineName(i), RequestedAt: now + time.Second, Report: &BackendReport{Incarnation: 1, Weights: "w1", Load: Load{PrefillRate: 8000}}})
