--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -96,10 +96,10 @@
 	Attempt           AttemptID
 	Echo              AttemptID // attempt ID that the answer itself carries
 	Kind              AttemptEventKind
-	Index             int    // AttemptChunk: position in the answer; AttemptDone: its length
+	Index             int    // AttemptChunk: position in the answer; AttemptDone: length of the answer
 	Text              string // AttemptChunk
-	Cached            int    // AttemptStarted: prompt tokens that were reused
-	Incarnation       uint64 // AttemptStarted and AttemptMismatch
+	Cached            int    // AttemptStarted: prompt tokens served from the cache
+	Incarnation       uint64 // AttemptStarted and AttemptIncarnationMismatch
 	Answer            *ledger.Answer
 	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a non-streaming service: the answer advertises a rate limit
 	BackendNotAtFault bool // AttemptRefused: not counted as a connection failure, since the back end answered or was not contacted
