--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -63,14 +63,14 @@
 // waitOrRefuse handles the head of a queue whose service is blocked as a whole. A request waits for up to
 // backendWaitTimeout, a started stream until its deadline; otherwise it is refused with a Retry-After. It returns
 // false if the request must wait.
-func (c *Core) waitOrRefuse(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
-	if c.now+rest < r.deadline && (rest <= backendWaitTimeout || r.streamStarted()) {
-		c.wakeAt(r, c.now+rest)
+func (c *Core) waitOrRefuse(r *request, service *serviceState, blocked time.Duration, reason Reason) bool {
+	if c.now+blocked < r.deadline && (blocked <= backendWaitTimeout || r.streamStarted()) {
+		c.wakeAt(r, c.now+blocked)
 		return false
 	}
 	service.remove(r)
 	r.state = stateRunning
-	c.refuse(r, reason, rest+time.Duration(c.random.Float64()*retryAfterJitter*float64(rest)))
+	c.refuse(r, reason, blocked+time.Duration(c.random.Float64()*retryAfterJitter*float64(blocked)))
 	return true
 }
 
