--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -46,15 +46,15 @@
 		if !c.isReady(row) {
 			continue
 		}
-		left, why := c.remainingBackoff(row), ReasonResting
-		if limited := c.rateLimitedFor(row); limited > left {
-			left, why = limited, ReasonLimited
+		remaining, why := c.remainingBackoff(row), ReasonResting
+		if limited := c.rateLimitedFor(row); limited > remaining {
+			remaining, why = limited, ReasonLimited
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return 0, ""
 		}
-		if first == 0 || left < first {
-			first, reason = left, why
+		if first == 0 || remaining < first {
+			first, reason = remaining, why
 		}
 	}
 	return first, reason
