--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -46,15 +46,15 @@
 		if !c.isReady(row) {
 			continue
 		}
-		remaining, why := c.remainingBackoff(row), ReasonResting
+		remaining, cause := c.remainingBackoff(row), ReasonResting
 		if limited := c.rateLimitedFor(row); limited > remaining {
-			remaining, why = limited, ReasonLimited
+			remaining, cause = limited, ReasonLimited
 		}
 		if remaining == 0 {
 			return 0, ""
 		}
 		if first == 0 || remaining < first {
-			first, reason = remaining, why
+			first, reason = remaining, cause
 		}
 	}
 	return first, reason
