--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -87,8 +87,8 @@
 		return
 	}
 	c.pushbackSweptAt = c.now
-	c.pushback.Sweep(c.now, func(life catalog.Life) bool {
-		id, known := c.backendIDs[life.Name]
-		return known && c.backends[id].incarnation == uint64(life.Born)
+	c.pushback.Sweep(c.now, func(incarnation catalog.Life) bool {
+		id, known := c.backendIDs[incarnation.Name]
+		return known && c.backends[id].incarnation == uint64(incarnation.Born)
 	})
 }
