--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -22,12 +22,12 @@
 // rateShare returns this router's share, in requests/s, of the rate limit that a back end advertises. Only as many
 // routers use a limit as each can get at least one request/s, so that their bursts together stay within the limit.
 // Rendezvous hashing selects them without coordination, also while a router is partitioned.
-func (c *Core) rateShare(life catalog.Life, limit float64) float64 {
+func (c *Core) rateShare(incarnation catalog.Life, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
-	own := rendezvousWeight(life, c.config.Router)
+	own := rendezvousWeight(incarnation, c.config.Router)
 	before := 0
 	for _, other := range c.peerRouters {
-		if weight := rendezvousWeight(life, other); weight > own || weight == own && other < c.config.Router {
+		if weight := rendezvousWeight(incarnation, other); weight > own || weight == own && other < c.config.Router {
 			before++
 		}
 	}
