--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -25,13 +25,13 @@
 func (c *Core) rateShare(incarnation catalog.Life, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
 	own := rendezvousWeight(incarnation, c.config.Router)
-	before := 0
+	higherWeights := 0
 	for _, other := range c.peerRouters {
 		if weight := rendezvousWeight(incarnation, other); weight > own || weight == own && other < c.config.Router {
-			before++
+			higherWeights++
 		}
 	}
-	if before >= senders {
+	if higherWeights >= senders {
 		return 0
 	}
 	return max(limit, pushback.LeastRate) / float64(senders)
