--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -38,8 +38,8 @@
 }
 
 // rendezvousWeight is the rendezvous hashing weight of a router for an incarnation of a back end.
-func rendezvousWeight(life catalog.Life, router string) uint64 {
-	return xxhash.Sum64String(life.ID() + "/" + router)
+func rendezvousWeight(incarnation catalog.Life, router string) uint64 {
+	return xxhash.Sum64String(incarnation.ID() + "/" + router)
 }
 
 // rateBucket is a token bucket for an advertised rate limit.
