--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -61,20 +61,20 @@
 		row.rateBucket = rateBucket{}
 		return 0
 	}
-	p := &row.rateBucket
+	bucket := &row.rateBucket
 	rate := c.rateShare(life, limit.Rate)
-	if p.incarnation != row.incarnation || p.rate == 0 {
-		*p = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // starts empty: the limit may have been used up just before
+	if bucket.incarnation != row.incarnation || bucket.rate == 0 {
+		*bucket = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // starts empty: the limit may have been used up just before
 	}
-	p.tokens = min(p.tokens+p.rate*(c.now-p.refilledAt).Seconds(), 1+rateBurstSeconds*rate)
-	p.rate, p.refilledAt = rate, c.now
+	bucket.tokens = min(bucket.tokens+bucket.rate*(c.now-bucket.refilledAt).Seconds(), 1+rateBurstSeconds*rate)
+	bucket.rate, bucket.refilledAt = rate, c.now
 	switch {
-	case p.tokens >= 1:
+	case bucket.tokens >= 1:
 		return 0
 	case rate == 0:
 		return noShareRetryInterval
 	}
-	return time.Duration((1-p.tokens)/rate*float64(time.Second)) + time.Nanosecond
+	return time.Duration((1-bucket.tokens)/rate*float64(time.Second)) + time.Nanosecond
 }
 
 // noShareRetryInterval is how long a router without a share of a rate limit waits before it checks again.
