--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -55,14 +55,14 @@
 	if !c.config.Guards.On(guard.LimitCheck) {
 		return 0
 	}
-	life := backendIncarnation(row.machine.Name, row.incarnation)
-	limit := c.pushback.Limit(life)
+	incarnation := backendIncarnation(row.machine.Name, row.incarnation)
+	limit := c.pushback.Limit(incarnation)
 	if !limit.Named {
 		row.rateBucket = rateBucket{}
 		return 0
 	}
 	bucket := &row.rateBucket
-	rate := c.rateShare(life, limit.Rate)
+	rate := c.rateShare(incarnation, limit.Rate)
 	if bucket.incarnation != row.incarnation || bucket.rate == 0 {
 		*bucket = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // starts empty: the limit may have been used up just before
 	}
