--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -8,9 +8,9 @@
 )
 
 // refusal returns the events of an engine that refuses an attempt with pushback.
-func refusal(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
+func refusal(sent ActionDispatch, backoff time.Duration, leaving bool) []Event {
 	return []Event{
-		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Said{Rest: rest, Leaving: leaving}},
+		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Said{Rest: backoff, Leaving: leaving}},
 		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
 	}
 }
