--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -91,8 +91,8 @@
 // handleNoCandidate handles the head of the queue when no engine can take it: it waits if some engine is only busy,
 // and is refused otherwise. It returns false if the request must wait.
 func (c *Core) handleNoCandidate(r *request, service *serviceState) bool {
-	if left, reason := c.allBlockedFor(service); left > 0 {
-		return c.waitOrRefuse(r, service, left, reason)
+	if blocked, reason := c.allBlockedFor(service); blocked > 0 {
+		return c.waitOrRefuse(r, service, blocked, reason)
 	}
 	for _, id := range service.backends {
 		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 && !slices.Contains(r.failedOn, id) {
