--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -76,13 +76,13 @@
 
 // observePeerDispatches records prefill dispatched by other routers that no load report includes yet.
 func (c *Core) observePeerDispatches(event EventPeerDispatches) {
-	for _, send := range event.Dispatches {
-		id, found := c.backendIDs[send.Backend]
+	for _, dispatched := range event.Dispatches {
+		id, found := c.backendIDs[dispatched.Backend]
 		if !found {
 			continue
 		}
 		row := &c.backends[id]
-		row.peerPrefill = append(row.peerPrefill, pendingPrefill{sentAt: c.now - send.Age, tokens: send.Tokens, lane: send.Lane})
+		row.peerPrefill = append(row.peerPrefill, pendingPrefill{sentAt: c.now - dispatched.Age, tokens: dispatched.Tokens, lane: dispatched.Lane})
 	}
 }
 
