--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -61,8 +61,8 @@
 	if !c.config.Guards.On(guard.LeavingCheck) {
 		return false
 	}
-	heard := c.config.Guards.On(guard.LeavingHeard) && c.announcedLeaving(row)
-	return row.leaving || heard || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
+	announced := c.config.Guards.On(guard.LeavingHeard) && c.announcedLeaving(row)
+	return row.leaving || announced || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
 }
 
 func (c *Core) enterState(row *backend, next BackendState) {
