--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -24,9 +24,9 @@
 
 func (c *Core) observeRequest(incoming Request) {
 	c.counters.Requests++
-	fresh := &request{Request: incoming, arrivedAt: c.now, emitted: incoming.ResumeFrom}
-	c.requests[incoming.ID] = fresh
-	c.arrivals = append(c.arrivals, fresh)
+	r := &request{Request: incoming, arrivedAt: c.now, emitted: incoming.ResumeFrom}
+	c.requests[incoming.ID] = r
+	c.arrivals = append(c.arrivals, r)
 }
 
 // runAdmission decides on newly arrived requests.
