--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -149,8 +149,8 @@
 }
 
 func (c *Core) observeClaim(event EventClaim) {
-	r, alive := c.requests[event.ID]
-	if !alive || r.state != stateClaiming || r.claimID != event.ClaimID {
+	r, found := c.requests[event.ID]
+	if !found || r.state != stateClaiming || r.claimID != event.ClaimID {
 		return // stale reply: the request has ended and its claim has been released
 	}
 	if event.Failed {
