--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -258,8 +258,8 @@
 }
 
 func (c *Core) observeCallerGone(id RequestID) {
-	r, alive := c.requests[id]
-	if !alive {
+	r, found := c.requests[id]
+	if !found {
 		return
 	}
 	if !r.values.Repeatable && r.state == stateRunning {
