--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -11,8 +11,8 @@
 // observeAttempt applies an event of an attempt. An answer that does not match a current attempt of its request is
 // counted and dropped: it is stale or belongs to another request.
 func (c *Core) observeAttempt(event EventAttempt) {
-	r, alive := c.requests[event.ID]
-	if !alive {
+	r, found := c.requests[event.ID]
+	if !found {
 		return
 	}
 	at := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
