--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -212,8 +212,8 @@
 
 // observeQuarantined refuses a quarantined request without a running attempt.
 func (c *Core) observeQuarantined(id RequestID) {
-	r, alive := c.requests[id]
-	if !alive || len(r.attempts) > 0 {
+	r, found := c.requests[id]
+	if !found || len(r.attempts) > 0 {
 		return
 	}
 	reason := ReasonQuarantined
