--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -43,7 +43,7 @@
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		item := heap.Pop(&c.timers).(timerItem)
-		if r, alive := c.requests[item.id]; alive {
+		if r, found := c.requests[item.id]; found {
 			c.handleTimer(r)
 		}
 	}
