--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -88,7 +88,7 @@
 	}
 	c.pushbackSweptAt = c.now
 	c.pushback.Sweep(c.now, func(incarnation catalog.Life) bool {
-		id, known := c.backendIDs[incarnation.Name]
-		return known && c.backends[id].incarnation == uint64(incarnation.Born)
+		id, found := c.backendIDs[incarnation.Name]
+		return found && c.backends[id].incarnation == uint64(incarnation.Born)
 	})
 }
