--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -15,30 +15,30 @@
 	if !found {
 		return
 	}
-	at := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
-	if at < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
+	index := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
+	if index < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
 		if c.config.Guards.On(guard.AttemptCheck) {
 			c.counters.UnmatchedAnswers++
-			c.failUnmatched(r, at)
+			c.failUnmatched(r, index)
 			return
 		}
-		at = max(at, 0)
+		index = max(index, 0)
 	}
-	if at >= len(r.attempts) {
+	if index >= len(r.attempts) {
 		return
 	}
 	switch event.Kind {
 	case AttemptStarted:
-		c.handleStarted(r, at, event)
+		c.handleStarted(r, index, event)
 	case AttemptChunk:
-		c.handleChunk(r, at, event)
+		c.handleChunk(r, index, event)
 	case AttemptDone:
-		c.handleDone(r, at, event)
+		c.handleDone(r, index, event)
 	case AttemptIncarnationMismatch:
 		c.counters.IncarnationMismatches++
-		c.index.Forget(r.attempts[at].backend)
+		c.index.Forget(r.attempts[index].backend)
 	default:
-		c.handleFailure(r, at, event)
+		c.handleFailure(r, index, event)
 	}
 }
 
