--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -43,11 +43,11 @@
 }
 
 // failUnmatched fails an attempt whose connection carries the answer of another attempt.
-func (c *Core) failUnmatched(r *request, at int) {
-	if at < 0 {
+func (c *Core) failUnmatched(r *request, index int) {
+	if index < 0 {
 		return
 	}
-	c.handleFailure(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+	c.handleFailure(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 }
 
 func (c *Core) handleStarted(r *request, at int, event EventAttempt) {
