--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -50,8 +50,8 @@
 	c.handleFailure(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 }
 
-func (c *Core) handleStarted(r *request, at int, event EventAttempt) {
-	sent := &r.attempts[at]
+func (c *Core) handleStarted(r *request, index int, event EventAttempt) {
+	sent := &r.attempts[index]
 	if sent.started {
 		return
 	}
