--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -69,11 +69,11 @@
 
 // handleChunk passes the next token to the client. A repeated token is dropped; a missing token fails the attempt, so
 // that another one resumes after the last token passed on.
-func (c *Core) handleChunk(r *request, at int, event EventAttempt) {
-	sent := &r.attempts[at]
+func (c *Core) handleChunk(r *request, index int, event EventAttempt) {
+	sent := &r.attempts[index]
 	if !sent.streaming {
 		sent.streaming = true
-		c.handleFirstToken(r, at)
+		c.handleFirstToken(r, index)
 		sent = &r.attempts[0]
 	}
 	if c.config.Guards.On(guard.StreamIndexCheck) {
