--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -92,14 +92,14 @@
 }
 
 // handleFirstToken updates the latency estimates of the back end and cancels concurrent attempts of the request.
-func (c *Core) handleFirstToken(r *request, at int) {
-	winner := r.attempts[at]
+func (c *Core) handleFirstToken(r *request, index int) {
+	winner := r.attempts[index]
 	c.wakeAt(r, c.now+c.stallTimeout(r))
 	row := &c.backends[winner.backend]
 	c.dropPending(row, winner.id)
 	c.recordFirstTokenLatency(row, winner.predicted, c.now-winner.sentAt)
 	for i, other := range r.attempts {
-		if i != at {
+		if i != index {
 			c.emit(ActionCancel{ID: r.ID, Attempt: other.id})
 			c.endAttempt(other)
 		}
