--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -108,15 +108,15 @@
 }
 
 // handleDone completes a request unless tokens of its stream are missing.
-func (c *Core) handleDone(r *request, at int, event EventAttempt) {
+func (c *Core) handleDone(r *request, index int, event EventAttempt) {
 	if event.Answer == nil && event.Index != r.emitted && c.config.Guards.On(guard.StreamIndexCheck) {
-		c.handleFailure(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+		c.handleFailure(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 		return
 	}
 	if event.Answer != nil {
-		c.clearOutdatedLimit(&r.attempts[at], event)
+		c.clearOutdatedLimit(&r.attempts[index], event)
 	}
-	c.dropAttempt(r, at)
+	c.dropAttempt(r, index)
 	c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: event.Answer})
 }
 
