--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -127,9 +127,9 @@
 	c.dropPending(row, sent.id)
 }
 
-func (c *Core) dropAttempt(r *request, at int) {
-	c.endAttempt(r.attempts[at])
-	r.attempts = slices.Delete(r.attempts, at, at+1)
+func (c *Core) dropAttempt(r *request, index int) {
+	c.endAttempt(r.attempts[index])
+	r.attempts = slices.Delete(r.attempts, index, index+1)
 }
 
 func (c *Core) dropPending(row *backend, id AttemptID) {
