--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -137,18 +137,18 @@
 }
 
 // handleFailure records a connection failure unless the back end is not at fault, and fails the attempt.
-func (c *Core) handleFailure(r *request, at int, event EventAttempt) {
-	sent := r.attempts[at]
+func (c *Core) handleFailure(r *request, index int, event EventAttempt) {
+	sent := r.attempts[index]
 	row := &c.backends[sent.backend]
 	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.streamStarted() {
-		c.dropAttempt(r, at)
+		c.dropAttempt(r, index)
 		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Answer{}})
 		return
 	}
 	if !event.BackendNotAtFault {
 		c.recordConnectionFailure(row)
 	}
-	c.failAttempt(r, at, event)
+	c.failAttempt(r, index, event)
 }
 
 // failAttempt removes an attempt. The last one of a request hands it over to runRetries.
