--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -152,15 +152,15 @@
 }
 
 // failAttempt removes an attempt. The last one of a request hands it over to runRetries.
-func (c *Core) failAttempt(r *request, at int, event EventAttempt) {
-	sent := r.attempts[at]
+func (c *Core) failAttempt(r *request, index int, event EventAttempt) {
+	sent := r.attempts[index]
 	if event.Kind == AttemptBroken {
 		c.emit(ActionCancel{ID: r.ID, Attempt: sent.id})
 	}
 	if event.Kind == AttemptRefused {
 		r.possibleRuns--
 	}
-	c.dropAttempt(r, at)
+	c.dropAttempt(r, index)
 	r.failedOn = append(r.failedOn, sent.backend)
 	if len(r.attempts) == 0 {
 		c.pendingRetries = append(c.pendingRetries, r)
