--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -242,8 +242,8 @@
 	if service.retryTokens < 1 {
 		return
 	}
-	first := r.attempts[0].backend
-	r.failedOn = append(r.failedOn, first)
+	firstBackend := r.attempts[0].backend
+	r.failedOn = append(r.failedOn, firstBackend)
 	candidates := c.scoreCandidates(r, service)
 	r.failedOn = r.failedOn[:len(r.failedOn)-1]
 	if len(candidates) == 0 || c.dispatchRefusal(r) != "" {
