--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -14,37 +14,37 @@
 
 // observe applies one event to the tables.
 func (c *Core) observe(event Event) {
-	switch typed := event.(type) {
+	switch e := event.(type) {
 	case EventRequest:
-		c.observeRequest(typed.Request)
+		c.observeRequest(e.Request)
 	case EventCallerGone:
-		c.observeCallerGone(typed.ID)
+		c.observeCallerGone(e.ID)
 	case EventQuarantined:
-		c.observeQuarantined(typed.ID)
+		c.observeQuarantined(e.ID)
 	case EventClaim:
-		c.observeClaim(typed)
+		c.observeClaim(e)
 	case EventAttempt:
-		c.observeAttempt(typed)
+		c.observeAttempt(e)
 	case EventPushback:
-		c.observePushback(typed)
+		c.observePushback(e)
 	case EventBackendPoll:
-		c.observeBackendPoll(typed)
+		c.observeBackendPoll(e)
 	case EventCacheSnapshot:
-		c.observeSnapshot(typed)
+		c.observeSnapshot(e)
 	case EventMachineList:
-		c.observeMachineList(typed)
+		c.observeMachineList(e)
 	case EventSettings:
-		c.observeSettings(typed)
+		c.observeSettings(e)
 	case EventLease:
-		c.epoch = typed.Epoch
-		c.leaseEnd = max(c.leaseEnd, typed.Until)
-		c.hadLease = c.hadLease || typed.Until > c.now
+		c.epoch = e.Epoch
+		c.leaseEnd = max(c.leaseEnd, e.Until)
+		c.hadLease = c.hadLease || e.Until > c.now
 	case EventVault:
-		c.observeVault(typed)
+		c.observeVault(e)
 	case EventPeerDispatches:
-		c.observePeerDispatches(typed)
+		c.observePeerDispatches(e)
 	case EventPeerRouters:
-		c.observePeerRouters(typed)
+		c.observePeerRouters(e)
 	case EventDrain:
 		c.draining = true
 	}
