--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// refuse ends a request that is not running; its run status follows from its attempts and claim.
+// refuse ends a request without a running attempt. Its run status follows from its attempts and claim.
 func (c *Core) refuse(r *request, reason Reason, retryAfter time.Duration) {
 	c.finish(r, ActionFinish{Reason: reason, Run: c.runStatus(r), RetryAfter: retryAfter})
 }
