--- a/internal/allowance/lender.go
+++ b/internal/allowance/lender.go
@@ -7,170 +7,172 @@
 	"time"
 )
 
-// aheadShare of the capacity stays in the account when amounts are lent ahead of their need.
-const aheadShare = 0.5
-
-// youngFills is how many times an account must have had the time to fill before it counts as one that began long ago: calm callers
-// use about half of a limit.
-const youngFills = 2
-
-// overFor is how long after its last refusal a resource still counts as over its limit.
-const overFor = time.Second
-
-// Lender keeps the whole of each limited resource.
-type Lender struct {
-	term      uint64
-	accounts  map[string]*account
-	named     map[string]*namedAccount // of resources that name their limits
-	withheld  float64                  // part of all rates that is kept back, 0 to 1
-	sequences map[string]uint64        // by borrower: of its newest question
+// prefetchFloorFraction of the capacity is left in the bucket when amounts are prefetched.
+const prefetchFloorFraction = 0.5
+
+// warmUpFills is how many times a bucket must have had time to fill before it counts as warmed up, assuming that
+// callers use about half of the limit.
+const warmUpFills = 2
+
+// overLimitPeriod is how long after a refusal a resource is reported as over its limit.
+const overLimitPeriod = time.Second
+
+// Allocator tracks the total of each limited resource in a token bucket.
+type Allocator struct {
+	term       uint64
+	buckets    map[string]*bucket
+	advertised map[string]*advertisedBucket // resources that advertise their limits
+	withheld   float64                      // fraction of all rates, 0 to 1
+	sequences  map[string]uint64            // newest request, by client
 }
 
-// account is one resource.
-type account struct {
-	limit   Limit
-	level   float64       // may be lent now; at most the capacity; below 0 after an amount above the capacity
-	began   time.Duration // with nothing
-	at      time.Duration // when level and queue were right
-	queue   float64       // refused and not come back yet, as far as that can be known
-	lent    float64       // since the lender began, less what was given back
-	refused float64
-	over    time.Duration // when the newest refusal was that the limit itself is the reason of; 0 never
+// bucket is the token bucket of one resource.
+type bucket struct {
+	limit     Limit
+	level     float64       // units available; negative after an amount above the capacity
+	createdAt time.Duration // empty
+	updatedAt time.Duration // when level and backlog were last updated
+	backlog   float64       // estimate of what was refused and has not been retried yet
+	granted   float64       // since the allocator was created, less returned amounts
+	refused   float64
+	limitedAt time.Duration // newest refusal caused by the limit, not by the warm-up; 0 if none
 }
 
-// NewLender returns a lender without resources. Each leadership has one of its own; only one may lend at a time.
-func NewLender(term uint64) *Lender {
-	return &Lender{term: term, accounts: map[string]*account{}, named: map[string]*namedAccount{}, sequences: map[string]uint64{}}
+// NewAllocator returns an allocator without resources. Each leader term has its own; only one may grant amounts at a
+// time.
+func NewAllocator(term uint64) *Allocator {
+	return &Allocator{term: term, buckets: map[string]*bucket{}, advertised: map[string]*advertisedBucket{}, sequences: map[string]uint64{}}
 }
 
-// Use replaces the limits. A resource that is new begins with nothing; one whose limit was lowered keeps no more than the
-// new capacity.
-func (l *Lender) Use(now time.Duration, limits map[string]Limit) {
+// SetLimits replaces the limits. Buckets of new resources start empty; a lowered limit caps the level at the new
+// capacity.
+func (a *Allocator) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
-		a := l.accounts[name]
-		if a == nil {
-			a = &account{began: now, at: now}
-			l.accounts[name] = a
+		b := a.buckets[name]
+		if b == nil {
+			b = &bucket{createdAt: now, updatedAt: now}
+			a.buckets[name] = b
 		}
-		a.refill(now, l.withheld)
-		a.limit = limit
-		a.level = min(a.level, limit.capacity())
+		b.refill(now, a.withheld)
+		b.limit = limit
+		b.level = min(b.level, limit.capacity())
 	}
-	maps.DeleteFunc(l.accounts, func(name string, _ *account) bool { _, limited := limits[name]; return !limited })
+	maps.DeleteFunc(a.buckets, func(name string, _ *bucket) bool { _, limited := limits[name]; return !limited })
 }
 
-// Withhold keeps back a part of all rates from now on: that of the borrowers out of touch.
-func (l *Lender) Withhold(now time.Duration, part float64) {
-	if part == l.withheld {
+// Withhold sets the fraction of all rates to withhold for clients that are out of contact.
+func (a *Allocator) Withhold(now time.Duration, fraction float64) {
+	if fraction == a.withheld {
 		return
 	}
-	for _, a := range l.accounts {
-		a.refill(now, l.withheld)
+	for _, b := range a.buckets {
+		b.refill(now, a.withheld)
 	}
-	for _, a := range l.named {
-		a.refill(now, l.withheld)
+	for _, b := range a.advertised {
+		b.refill(now, a.withheld)
 	}
-	l.withheld = part
+	a.withheld = fraction
 }
 
-// Take answers a question.
-func (l *Lender) Take(now time.Duration, asked Question) Answer {
-	if asked.Sequence > l.sequences[asked.Borrower] {
-		l.sequences[asked.Borrower] = asked.Sequence
-		l.takeBack(now, asked.Back)
+// Allocate answers a request.
+func (a *Allocator) Allocate(now time.Duration, request Request) Reply {
+	if request.Sequence > a.sequences[request.Client] {
+		a.sequences[request.Client] = request.Sequence
+		a.reclaim(now, request.Returned)
 	}
-	answer := Answer{Term: l.term, Sequence: asked.Sequence, Grants: make([]Grant, 0, len(asked.Asks))}
-	for _, ask := range asked.Asks {
-		answer.Grants = append(answer.Grants, l.lend(now, ask))
+	reply := Reply{Term: a.term, Sequence: request.Sequence, Grants: make([]Grant, 0, len(request.Items))}
+	for _, item := range request.Items {
+		reply.Grants = append(reply.Grants, a.grant(now, item))
 	}
-	return answer
+	return reply
 }
 
-// takeBack adds what a borrower gives back.
-func (l *Lender) takeBack(now time.Duration, back []Grant) {
-	for _, returned := range back {
-		a := l.accounts[returned.Name]
-		if named := l.named[returned.Name]; named != nil {
-			a = &named.account
+// reclaim adds returned amounts to their buckets.
+func (a *Allocator) reclaim(now time.Duration, returned []Grant) {
+	for _, grant := range returned {
+		b := a.buckets[grant.Name]
+		if advertised := a.advertised[grant.Name]; advertised != nil {
+			b = &advertised.bucket
 		}
-		if a == nil || returned.Amount <= 0 {
+		if b == nil || grant.Amount <= 0 {
 			continue
 		}
-		a.refill(now, l.withheld)
-		amount := min(returned.Amount, a.lent) // a new lender takes nothing back that it never lent
-		a.level = min(a.limit.capacity(), a.level+amount)
-		a.lent -= amount
+		b.refill(now, a.withheld)
+		amount := min(grant.Amount, b.granted) // amounts granted by an earlier allocator don't count
+		b.level = min(b.limit.capacity(), b.level+amount)
+		b.granted -= amount
 	}
 }
 
-// lend lends an amount whole or not at all. One somewhat above the capacity is lent from a full account, which is then in debt.
-func (l *Lender) lend(now time.Duration, ask Ask) Grant {
-	if ask.Named != nil {
-		return l.lendNamed(now, ask)
+// grant grants an amount in full or not at all. One slightly above the capacity is granted from a full bucket, whose
+// level then becomes negative.
+func (a *Allocator) grant(now time.Duration, item RequestItem) Grant {
+	if item.Advertised != nil {
+		return a.grantAdvertised(now, item)
 	}
-	a := l.accounts[ask.Name]
-	if a == nil {
-		return Grant{Name: ask.Name, Amount: ask.Amount} // the limit was taken away, which the borrower has not heard yet
+	b := a.buckets[item.Name]
+	if b == nil {
+		return Grant{Name: item.Name, Amount: item.Amount} // the limit was removed; the client has not been told yet
 	}
-	a.refill(now, l.withheld)
-	capacity := a.limit.capacity()
-	if ask.Amount > a.level && a.level < capacity || ask.Amount > a.limit.largest() {
-		return Grant{Name: ask.Name, Wait: a.refuse(now, ask.Amount), Young: a.young(now)}
+	b.refill(now, a.withheld)
+	capacity := b.limit.capacity()
+	if item.Amount > b.level && b.level < capacity || item.Amount > b.limit.maxAmount() {
+		return Grant{Name: item.Name, RetryAfter: b.refuse(now, item.Amount), WarmingUp: b.warmingUp(now)}
 	}
-	amount := ask.Amount + max(0, min(ask.Ahead, a.level-ask.Amount-aheadShare*capacity))
-	a.level -= amount
-	a.lent += amount
-	a.queue = max(0, a.queue-ask.Amount)
-	return Grant{Name: ask.Name, Amount: amount}
+	amount := item.Amount + max(0, min(item.Prefetch, b.level-item.Amount-prefetchFloorFraction*capacity))
+	b.level -= amount
+	b.granted += amount
+	b.backlog = max(0, b.backlog-item.Amount)
+	return Grant{Name: item.Name, Amount: amount}
 }
 
-// young reports whether the account may lack what it would hold if it had not begun with nothing.
-func (a *account) young(now time.Duration) bool {
-	return (now-a.began).Seconds()*a.limit.Rate < youngFills*a.limit.capacity()
+// warmingUp reports whether the level may be low only because the bucket started empty.
+func (b *bucket) warmingUp(now time.Duration) bool {
+	return (now-b.createdAt).Seconds()*b.limit.Rate < warmUpFills*b.limit.capacity()
 }
 
-// refuse notes a refusal and returns when to come back: after those that were refused before.
-func (a *account) refuse(now time.Duration, amount float64) time.Duration {
-	a.refused += amount
-	if !a.young(now) {
-		a.over = now
+// refuse records a refusal and returns the retry delay, which accounts for earlier refusals.
+func (b *bucket) refuse(now time.Duration, amount float64) time.Duration {
+	b.refused += amount
+	if !b.warmingUp(now) {
+		b.limitedAt = now
 	}
-	missing := min(amount, a.limit.capacity()) - a.level + a.queue
-	a.queue += amount
-	wait := time.Duration(missing / a.limit.Rate * float64(time.Second))
-	return min(max(wait, 0), longestAdvice)
+	missing := min(amount, b.limit.capacity()) - b.level + b.backlog
+	b.backlog += amount
+	wait := time.Duration(missing / b.limit.Rate * float64(time.Second))
+	return min(max(wait, 0), maxRetryAfter)
 }
 
-// refill adds what has come in since the account was last right.
-func (a *account) refill(now time.Duration, withheld float64) {
-	passed := (now - a.at).Seconds()
-	if passed <= 0 {
+// refill adds the tokens that accumulated since the last update.
+func (b *bucket) refill(now time.Duration, withheld float64) {
+	elapsed := (now - b.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.at = now
-	a.level = min(a.limit.capacity(), a.level+passed*a.limit.Rate*(1-withheld))
-	a.queue = max(0, min(a.queue-passed*a.limit.Rate, a.limit.Rate*longestAdvice.Seconds()))
+	b.updatedAt = now
+	b.level = min(b.limit.capacity(), b.level+elapsed*b.limit.Rate*(1-withheld))
+	b.backlog = max(0, min(b.backlog-elapsed*b.limit.Rate, b.limit.Rate*maxRetryAfter.Seconds()))
 }
 
-// State is what a lender can tell of one resource.
+// State describes one resource of an allocator.
 type State struct {
-	Name     string  `json:"name"`
-	Limit    Limit   `json:"limit"`
-	Level    float64 `json:"level"`    // that may be lent now
-	Lent     float64 `json:"lent"`     // since the lender began
-	Refused  float64 `json:"refused"`  // since the lender began
-	Over     bool    `json:"over"`     // something was refused a moment ago
-	Withheld float64 `json:"withheld"` // part of the rate that is kept back
+	Name      string  `json:"name"`
+	Limit     Limit   `json:"limit"`
+	Level     float64 `json:"level"`    // available now
+	Granted   float64 `json:"lent"`     // since the allocator was created
+	Refused   float64 `json:"refused"`  // since the allocator was created
+	OverLimit bool    `json:"over"`     // an amount was refused recently
+	Withheld  float64 `json:"withheld"` // fraction of the rate
 }
 
-// States returns all resources, rising by name.
-func (l *Lender) States(now time.Duration) []State {
-	states := make([]State, 0, len(l.accounts))
-	for name, a := range l.accounts {
-		a.refill(now, l.withheld)
+// States returns the state of all resources, sorted by name.
+func (a *Allocator) States(now time.Duration) []State {
+	states := make([]State, 0, len(a.buckets))
+	for name, b := range a.buckets {
+		b.refill(now, a.withheld)
 		states = append(states, State{
-			Name: name, Limit: a.limit, Level: a.level, Lent: a.lent, Refused: a.refused, Withheld: l.withheld,
-			Over: a.over > 0 && now < a.over+overFor,
+			Name: name, Limit: b.limit, Level: b.level, Granted: b.granted, Refused: b.refused, Withheld: a.withheld,
+			OverLimit: b.limitedAt > 0 && now < b.limitedAt+overLimitPeriod,
 		})
 	}
 	slices.SortFunc(states, func(x, y State) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -6,102 +6,104 @@
 	"strings"
 )
 
-// Life is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
+// Incarnation is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
 // were started as well. Whatever is known of a back end is known of one life of it.
-type Life struct {
-	Name string // under which the back end knows itself; a later life may have the same
-	Born int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
+type Incarnation struct {
+	Name      string // under which the back end knows itself; a later life may have the same
+	StartedMS int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
 }
 
 const (
-	lifeMark = "@"
-	decimal  = 10
-	bits64   = 64
+	startTimeSeparator = "@"
+	decimal            = 10
+	int64Bits          = 64
 )
 
 // ID returns the name of this life alone, for use as Instance.ID.
-func (l Life) ID() string {
-	if l.Born == 0 && !strings.Contains(l.Name, lifeMark) {
+func (l Incarnation) ID() string {
+	if l.StartedMS == 0 && !strings.Contains(l.Name, startTimeSeparator) {
 		return l.Name
 	}
-	return l.Name + lifeMark + strconv.FormatInt(l.Born, decimal)
+	return l.Name + startTimeSeparator + strconv.FormatInt(l.StartedMS, decimal)
 }
 
-// LifeOf returns the life that an id names.
-func LifeOf(id string) Life {
-	at := strings.LastIndex(id, lifeMark)
+// ParseInstanceID returns the life that an id names.
+func ParseInstanceID(id string) Incarnation {
+	at := strings.LastIndex(id, startTimeSeparator)
 	if at < 0 {
-		return Life{Name: id}
+		return Incarnation{Name: id}
 	}
-	born, err := strconv.ParseInt(id[at+len(lifeMark):], decimal, bits64)
+	born, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, int64Bits)
 	if err != nil {
-		return Life{Name: id}
+		return Incarnation{Name: id}
 	}
-	return Life{Name: id[:at], Born: born}
+	return Incarnation{Name: id[:at], StartedMS: born}
 }
 
-// Precedes reports whether both lives tell their start, and this one was started earlier.
-func (l Life) Precedes(other Life) bool { return l.Born > 0 && l.Born < other.Born }
+// StartedBefore reports whether both lives tell their start, and this one was started earlier.
+func (l Incarnation) StartedBefore(other Incarnation) bool {
+	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
+}
 
-// lives tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
-type lives struct {
-	registered map[string]string  // by name: id of the registered life
-	ended      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
-	telling    map[string]int     // by service: registered lives; none is 0
+// incarnations tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
+type incarnations struct {
+	registered    map[string]string  // by name: id of the registered life
+	departed      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
+	withStartTime map[string]int     // by service: registered lives; none is 0
 }
 
-func newLives() lives {
-	return lives{registered: map[string]string{}, ended: map[string][]int64{}, telling: map[string]int{}}
+func newIncarnations() incarnations {
+	return incarnations{registered: map[string]string{}, departed: map[string][]int64{}, withStartTime: map[string]int{}}
 }
 
 // add notes a registered instance.
-func (l *lives) add(instance Instance) {
-	if life := LifeOf(instance.ID); life.Born > 0 {
+func (l *incarnations) add(instance Instance) {
+	if life := ParseInstanceID(instance.ID); life.StartedMS > 0 {
 		l.registered[life.Name] = instance.ID
-		l.telling[instance.Service]++
+		l.withStartTime[instance.Service]++
 	}
 }
 
-// drop forgets a registered instance.
-func (l *lives) drop(instance Instance) {
-	life := LifeOf(instance.ID)
-	if life.Born == 0 {
+// remove forgets a registered instance.
+func (l *incarnations) remove(instance Instance) {
+	life := ParseInstanceID(instance.ID)
+	if life.StartedMS == 0 {
 		return
 	}
 	if l.registered[life.Name] == instance.ID {
 		delete(l.registered, life.Name)
 	}
-	if l.telling[instance.Service]--; l.telling[instance.Service] == 0 {
-		delete(l.telling, instance.Service)
+	if l.withStartTime[instance.Service]--; l.withStartTime[instance.Service] == 0 {
+		delete(l.withStartTime, instance.Service)
 	}
 }
 
-// end remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
+// recordDeparted remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
-func (l *lives) end(id string) {
-	if life := LifeOf(id); life.Born > 0 {
-		l.ended[life.Name] = append(l.ended[life.Name], life.Born)
+func (l *incarnations) recordDeparted(id string) {
+	if life := ParseInstanceID(id); life.StartedMS > 0 {
+		l.departed[life.Name] = append(l.departed[life.Name], life.StartedMS)
 	}
 }
 
-func (l *lives) forget(id string) {
-	life := LifeOf(id)
-	left := slices.DeleteFunc(l.ended[life.Name], func(born int64) bool { return born == life.Born })
+func (l *incarnations) forgetDeparted(id string) {
+	life := ParseInstanceID(id)
+	left := slices.DeleteFunc(l.departed[life.Name], func(born int64) bool { return born == life.StartedMS })
 	if len(left) == 0 {
-		delete(l.ended, life.Name)
+		delete(l.departed, life.Name)
 		return
 	}
-	l.ended[life.Name] = left
+	l.departed[life.Name] = left
 }
 
-// outlived reports whether a later life is registered, or has left.
-func (l *lives) outlived(life Life) bool {
-	later := func(born int64) bool { return life.Born < born }
-	return later(LifeOf(l.registered[life.Name]).Born) || slices.ContainsFunc(l.ended[life.Name], later)
+// isSuperseded reports whether a later life is registered, or has left.
+func (l *incarnations) isSuperseded(life Incarnation) bool {
+	later := func(born int64) bool { return life.StartedMS < born }
+	return later(ParseInstanceID(l.registered[life.Name]).StartedMS) || slices.ContainsFunc(l.departed[life.Name], later)
 }
 
-// standing returns the id of the registered life of the back end of a name, if it has one that tells its start.
-func (l *lives) standing(name string) (string, bool) {
+// currentID returns the id of the registered life of the back end of a name, if it has one that tells its start.
+func (l *incarnations) currentID(name string) (string, bool) {
 	id, known := l.registered[name]
 	return id, known
 }
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -58,13 +58,13 @@
 
 // leading reports whether this replica leads.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.lead != nil })
+	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
 }
 
 // holds asks the decide thread whether something holds; without an answer in time it does not.
 func (s *Server) holds(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
-	if !s.offer(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
+	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
 		return false
 	}
 	select {
@@ -111,7 +111,7 @@
 	}
 	report := reply.Engine
 	report.Name, report.Zone, report.Service, report.Address = listed.Name, listed.Zone, listed.Service, listed.Address
-	s.offer(input{report: &report})
+	s.submit(input{report: &report})
 }
 
 // sendCalls is the thread that passes orders and fences to engines.
@@ -120,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case call := <-s.calls:
+		case call := <-s.engineCalls:
 			go s.sendCall(ctx, call)
 		}
 	}
@@ -139,7 +139,7 @@
 // logWeights writes one line for each call about weights.
 func (s *Server) logWeights(result WeightsResult) {
 	call := result.Call
-	s.log.Info(events.WeightsCalled, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
+	s.log.Info(events.WeightsCommandSent, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
 		zap.Uint64("version", call.Version), zap.Uint64("fence", call.Fence), zap.Uint8("result", uint8(result.Kind)),
 		zap.Bool("busy", result.Busy), zap.Any("versions", result.Versions))
 }
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -8,20 +8,20 @@
 )
 
 // openFleet is a solo group with a document, two engines on version 1 of model m, and its time to order passed.
-func openFleet(t *testing.T) *solo {
+func openFleet(t *testing.T) *singleReplica {
 	t.Helper()
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.OrderWait = time.Second })
-	s.pass(2 * time.Second) // until views that an earlier leader confirmed have ended
+	s.advance(2 * time.Second) // until views that an earlier leader confirmed have ended
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	s.beats("i-1", "i-2")
 	return s
 }
 
-func (s *solo) config(change func(*Config)) { change(&s.replica.config) }
+func (s *singleReplica) config(change func(*Config)) { change(&s.replica.config) }
 
 // beats sends a heartbeat of each engine.
-func (s *solo) beats(ids ...string) {
+func (s *singleReplica) beats(ids ...string) {
 	for _, id := range ids {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
@@ -31,16 +31,16 @@
 }
 
 // watchNow asks as a gateway that holds the newest news and waits for none.
-func (s *solo) watchNow(gateway string, held RosterVersion) *WatchReply {
+func (s *singleReplica) watchNow(gateway string, held RosterVersion) *WatchReply {
 	return s.ask(Request{Watch: &Watch{Gateway: gateway, Revision: 1, Roster: held}}).Watch
 }
 
 // orders passes time and returns the orders that were issued.
-func (s *solo) orders(length time.Duration) []WeightsCall {
-	s.weights = nil
-	s.pass(length)
+func (s *singleReplica) orders(length time.Duration) []WeightsCall {
+	s.weightsCalls = nil
+	s.advance(length)
 	var orders []WeightsCall
-	for _, call := range s.weights {
+	for _, call := range s.weightsCalls {
 		if call.Kind == WeightsReport {
 			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
 			s.work()
@@ -58,7 +58,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	s.watchNow("g1", held)
 	s.beats("i-1", "i-2")
@@ -77,7 +77,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	if early := s.orders(2 * time.Second); len(early) > 0 {
 		t.Fatalf("ordered while g1 may trust its view: %+v", early)
@@ -115,12 +115,12 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("answered without news")
 	}
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 5}}})
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Document == nil || reply.Document.Revision != 5 {
 		t.Fatalf("reply %+v", reply)
@@ -132,14 +132,14 @@
 	folder := t.TempDir()
 	var last uint64
 	for life := range 3 {
-		s := openSolo(t, folder)
+		s := openSingleReplica(t, folder)
 		s.config(func(config *Config) { config.OrderWait = time.Second })
-		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: uint64(life + 2)}}})
-		s.pass(time.Second)
-		if s.replica.lead.fence <= last {
-			t.Fatalf("life %d: fence %d after %d", life, s.replica.lead.fence, last)
+		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: uint64(life + 2)}}})
+		s.advance(time.Second)
+		if s.replica.leader.orderFence <= last {
+			t.Fatalf("life %d: fence %d after %d", life, s.replica.leader.orderFence, last)
 		}
-		last = s.replica.lead.fence
+		last = s.replica.leader.orderFence
 		_ = s.disk.Close()
 	}
 }
@@ -148,23 +148,23 @@
 // then, and another replica may lead (simulator, seeds 147 and 5210 with stalled disks).
 func TestOrderDecidedBeforeALongSyncIsNotGiven(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	s.beats("i-1", "i-2")
 	s.replica.Tick(s.now, 0)
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
-		if len(s.replica.effects.Weights) > 0 {
+		if len(s.replica.effects.WeightsCalls) > 0 {
 			break
 		}
 	}
-	if len(s.replica.effects.Weights) == 0 {
+	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
-	s.replica.lead.since = s.now + time.Hour // it may order no more
-	s.replica.Work()
-	if late := s.replica.Done(s.now + 5*time.Second).Weights; len(late) > 0 {
+	s.replica.leader.startedAt = s.now + time.Hour // it may order no more
+	s.replica.Prepare()
+	if late := s.replica.Advance(s.now + 5*time.Second).WeightsCalls; len(late) > 0 {
 		t.Fatalf("given after the sync: %+v", late)
 	}
 }
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -16,7 +16,7 @@
 
 // lending is what a leader lends of limited resources; each leadership begins it anew.
 type lending struct {
-	lender   *allowance.Lender
+	lender   *allowance.Allocator
 	revision uint64 // of the document that the limits were taken from
 	forgotAt time.Duration
 }
@@ -25,23 +25,23 @@
 const forgetEach = time.Second
 
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
-func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Question) {
+func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
 	r.tendLimits(now)
-	answer := r.lead.lending.lender.Take(now, asked)
+	answer := r.leader.lending.lender.Allocate(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
 // tendLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
 func (r *Replica) tendLimits(now time.Duration) {
-	held := &r.lead.lending
+	held := &r.leader.lending
 	if document := r.machine.catalog.Document(); document.Revision != held.revision {
 		held.revision = document.Revision
-		held.lender.Use(now, quota.Limits(document, r.config.Quota))
+		held.lender.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
 	held.lender.Withhold(now, r.partOutOfTouch(now))
 	if now >= held.forgotAt+forgetEach {
 		held.forgotAt = now
-		held.lender.Forget(now)
+		held.lender.SweepAdvertised(now)
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
-	held := &r.lead.trusting
+	held := &r.leader.trusting
 	if !held.counted || now >= held.at+trustingEach {
 		held.silent, held.all = r.countTrusting(now)
 		held.counted, held.at = true, now
@@ -78,7 +78,7 @@
 
 // countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
 func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
-	for _, report := range r.lead.usage {
+	for _, report := range r.leader.usage {
 		silence := now - report.at
 		if silence > r.trustEnd() {
 			continue
@@ -88,9 +88,9 @@
 			silent++
 		}
 	}
-	if now < r.lead.since+r.trustEnd() {
+	if now < r.leader.startedAt+r.trustEnd() {
 		for _, name := range r.machine.catalog.Gateways() {
-			if _, asked := r.lead.usage[name]; !asked {
+			if _, asked := r.leader.usage[name]; !asked {
 				all++
 				silent++
 			}
@@ -111,24 +111,24 @@
 // noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
 func (s *Server) noteOverLimits() {
 	now := s.now()
-	if s.replica.lead == nil || now < s.over.at+overEach {
+	if s.replica.leader == nil || now < s.overLimitLog.at+overEach {
 		return
 	}
-	s.over.at = now
+	s.overLimitLog.at = now
 	reached := map[string]bool{}
-	for _, state := range s.replica.lead.lending.lender.States(now) {
-		if state.Over {
+	for _, state := range s.replica.leader.lending.lender.States(now) {
+		if state.OverLimit {
 			reached[state.Name] = true
 		}
-		if state.Over == s.over.reached[state.Name] {
+		if state.OverLimit == s.overLimitLog.reached[state.Name] {
 			continue
 		}
-		event := events.LimitLeft
-		if state.Over {
+		event := events.LimitCleared
+		if state.OverLimit {
 			event = events.LimitReached
 		}
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
-			zap.Float64("lent", state.Lent), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
+			zap.Float64("lent", state.Granted), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
-	s.over.reached = reached
+	s.overLimitLog.reached = reached
 }
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -22,9 +22,9 @@
 
 // dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) dateNaming(now time.Duration, naming catalog.Naming) datedNaming {
+func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) datedNaming {
 	dated := datedNaming{version: naming.Version, at: now}
-	if r.unixMS > 0 && r.config.Guards.On(guard.NamingAgreed) {
+	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
 		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
 	}
 	return dated
@@ -32,9 +32,9 @@
 
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
-	namings := r.machine.catalog.Namings(model)
-	dated := append(r.namings[model], r.dateNaming(now, namings[len(namings)-1]))
-	r.namings[model] = dated[max(0, len(dated)-catalog.NamingsKept):]
+	namings := r.machine.catalog.Publications(model)
+	dated := append(r.namedVersions[model], r.dateNaming(now, namings[len(namings)-1]))
+	r.namedVersions[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
 }
 
 // dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
@@ -42,24 +42,24 @@
 // may take the best they heard of one leadership.
 func (r *Replica) dateNamings(now time.Duration) {
 	dated := map[string][]datedNaming{}
-	for model := range r.machine.catalog.Versions() {
-		for _, naming := range r.machine.catalog.Namings(model) {
+	for model := range r.machine.catalog.LatestVersions() {
+		for _, naming := range r.machine.catalog.Publications(model) {
 			fresh := r.dateNaming(now, naming)
-			at := slices.IndexFunc(r.namings[model], func(d datedNaming) bool { return d.version == naming.Version })
+			at := slices.IndexFunc(r.namedVersions[model], func(d datedNaming) bool { return d.version == naming.Version })
 			if at >= 0 {
-				fresh.at = min(fresh.at, r.namings[model][at].at)
+				fresh.at = min(fresh.at, r.namedVersions[model][at].at)
 			}
 			dated[model] = append(dated[model], fresh)
 		}
 	}
-	r.namings = dated
+	r.namedVersions = dated
 }
 
 // wantedVersions returns the versions that were named lately, with how long ago that was.
 func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
 	var wanted []WantedVersion
-	for _, model := range sortedKeys(r.namings) {
-		for _, naming := range r.namings[model] {
+	for _, model := range sortedKeys(r.namedVersions) {
+		for _, naming := range r.namedVersions[model] {
 			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
 		}
 	}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,16 +12,16 @@
 	"kitetiller/internal/transport"
 )
 
-// outbox queues a message for a peer. A full outbox drops it: the protocol sends again.
-func (s *Server) outbox(message consensus.Message) {
+// enqueue queues a message for a peer. It drops the message if the queue is full; the protocol retransmits it.
+func (s *Server) enqueue(message consensus.Message) {
 	address := s.addressOf(message.To)
 	if address == "" {
 		return
 	}
 	s.mutex.Lock()
-	queue, open := s.outboxes[message.To]
-	if !open {
-		queue = make(chan consensus.Message, outboxRing)
+	queue, found := s.outboxes[message.To]
+	if !found {
+		queue = make(chan consensus.Message, outboxCapacity)
 		s.outboxes[message.To] = queue
 		go s.sendTo(address, queue)
 	}
@@ -32,75 +32,75 @@
 	}
 }
 
-// addressOf returns where a replica can be reached: from the membership, or from where it wrote to us, since
-// a replica that has just joined does not know the membership yet.
+// addressOf returns the address of a replica, from the membership or else from the last batch received from it, since a
+// replica that has just joined does not know the membership yet.
 func (s *Server) addressOf(id consensus.ID) string {
 	if member, found := s.replica.Node().Membership().Find(id); found {
 		return member.Address
 	}
-	return s.seen[id]
+	return s.senderAddresses[id]
 }
 
-// raftBatch is one request between replicas.
+// raftBatch is a batch of consensus messages from one replica to another.
 type raftBatch struct {
-	Address  string              `json:"address"` // of the sender
+	Address  string              `json:"address"` // address of the sender
 	Messages []consensus.Message `json:"messages"`
 }
 
 const (
-	// peerPatience is how many heartbeats a message to a peer may take; a peer behind a cut must not hold up what follows.
-	peerPatience = 4
-	// peerRate is what a peer takes at the least, in bytes a second: a snapshot of a large state has so much more time. A replica with
-	// 0.8 of a core decodes some 20 MB of JSON a second.
-	peerRate = 4 << 20
+	// peerTimeoutHeartbeats is the base timeout of a request to a peer, in heartbeat intervals. It is short since an
+	// unreachable peer must not hold up later messages.
+	peerTimeoutHeartbeats = 4
+	// minPeerBytesPerSecond is the slowest acceptable transfer rate to a peer. It extends the timeout of large snapshots.
+	minPeerBytesPerSecond = 4 << 20
 )
 
-// patienceWith returns how long a message of so many bytes to a peer may take.
-func patienceWith(heartbeat time.Duration, bytes int) time.Duration {
-	return peerPatience*heartbeat + time.Duration(bytes)*time.Second/peerRate
+// peerTimeout returns the timeout of a request to a peer with a body of the given size.
+func peerTimeout(heartbeat time.Duration, bytes int) time.Duration {
+	return peerTimeoutHeartbeats*heartbeat + time.Duration(bytes)*time.Second/minPeerBytesPerSecond
 }
 
-// sendTo is the thread that sends messages to one peer, several in one request.
+// sendTo sends the queued messages to one peer, in batches.
 func (s *Server) sendTo(address string, queue chan consensus.Message) {
 	for message := range queue {
 		batch := raftBatch{Address: s.file.Control.Internal, Messages: []consensus.Message{message}}
-		for len(batch.Messages) < drainBatch && len(queue) > 0 {
+		for len(batch.Messages) < maxBatch && len(queue) > 0 {
 			batch.Messages = append(batch.Messages, <-queue)
 		}
 		body, err := json.Marshal(batch)
 		if err != nil {
-			s.log.Error("messages to a peer cannot be encoded", zap.String("peer", address), zap.Error(err))
+			s.log.Error("failed to encode messages to a peer", zap.String("peer", address), zap.Error(err))
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patienceWith(s.file.Control.Heartbeat, len(body)))
+		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout(s.file.Control.Heartbeat, len(body)))
 		if err := s.client.PostBody(ctx, address, PathRaft, body); err != nil {
-			s.log.Debug("peer not reached", zap.String("peer", address), zap.Error(err))
+			s.log.Debug("failed to send messages to a peer", zap.String("peer", address), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// enterGroup finds the group for a replica with an empty folder: it joins an existing one as a learner, or
-// founds one if it is the first founder and every other founder has answered that it has no state either.
-func (s *Server) enterGroup(ctx context.Context) {
+// joinOrFound joins a replica with an empty data folder to an existing group, as a learner. If there is none, it founds
+// a group, provided that this replica is the first founder and all other founders have answered that they have no state.
+func (s *Server) joinOrFound(ctx context.Context) {
 	for {
-		exists, allEmpty := s.askFounders(ctx)
+		groupExists, allEmpty := s.probeFounders(ctx)
 		switch {
-		case exists && s.tryJoin(ctx):
+		case groupExists && s.tryJoin(ctx):
 			return
-		case !exists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
-			s.inputs <- input{found: true}
+		case !groupExists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
+			s.inputs <- input{foundGroup: true}
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(joinPeriod):
+		case <-time.After(joinInterval):
 		}
 	}
 }
 
-func (s *Server) askFounders(ctx context.Context) (exists, allEmpty bool) {
+func (s *Server) probeFounders(ctx context.Context) (exists, allEmpty bool) {
 	allEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.Internal {
@@ -116,53 +116,53 @@
 	return exists, allEmpty
 }
 
-// tryJoin asks the leader to add this replica as a learner.
+// tryJoin asks the leader to add this replica as a learner and reports whether it succeeded.
 func (s *Server) tryJoin(ctx context.Context) bool {
 	attempt, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
 	_, err := s.group.Ask(attempt, Request{Join: &self})
 	if err != nil {
-		s.log.Info("waiting to join the control group", zap.Error(err))
+		s.log.Info("failed to join the control group, retrying", zap.Error(err))
 		return false
 	}
 	s.log.Info(events.GroupJoined)
 	return true
 }
 
-// rejoin is the thread that asks to become a learner while no leader is known: the group may have replaced this replica
-// while it was away. For a member it changes nothing.
-func (s *Server) rejoin(ctx context.Context) {
-	transport.Every(ctx, rejoinPeriod, func() {
-		if s.outsider() {
+// rejoinWhileLeaderless asks to join as a learner while this replica hears no leader, since the group may have replaced
+// it during an outage. The request has no effect for a member.
+func (s *Server) rejoinWhileLeaderless(ctx context.Context) {
+	transport.Every(ctx, rejoinInterval, func() {
+		if s.hasStateWithoutLeader() {
 			s.tryJoin(ctx)
 		}
 	})
 }
 
-// outsider reports whether this replica has state and hears no leader.
-func (s *Server) outsider() bool {
+// hasStateWithoutLeader reports whether this replica has state but hears no leader.
+func (s *Server) hasStateWithoutLeader() bool {
 	return s.holds(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
 	})
 }
 
-// found makes this replica the first voter of a new group.
-func (s *Server) found() {
+// foundGroup makes this replica the first voter of a new group.
+func (s *Server) foundGroup() {
 	if s.replica.Node().LastIndex() > 0 {
 		return
 	}
 	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
 	state := BootstrapState(self)
 	if err := s.disk.Write(Persist{Checkpoint: &state}); err != nil {
-		s.failed <- err
+		s.fatal <- err
 		return
 	}
 	replica, err := NewReplica(s.config, state, s.now())
 	if err != nil {
-		s.failed <- err
+		s.fatal <- err
 		return
 	}
 	s.replica = replica
-	s.log.Info(events.GroupFounded)
+	s.log.Info(events.GroupCreated)
 }
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -36,7 +36,7 @@
 
 // quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
 func (r *Replica) quarantine(now time.Duration, client uint64, change quarantine.Change) {
-	if !r.machine.catalog.Quarantine().Changes(change) {
+	if !r.machine.catalog.Quarantine().WouldChange(change) {
 		r.reply(client, Response{Kind: ResponseOK})
 		return
 	}
@@ -44,24 +44,24 @@
 }
 
 // quarantineNews returns what a process is told that holds the news of a version; nil when it holds these.
-func (r *Replica) quarantineNews(held uint64) *quarantine.News {
+func (r *Replica) quarantineNews(held uint64) *quarantine.Update {
 	ledger := r.machine.catalog.Quarantine()
 	if held == ledger.Version() {
 		return nil
 	}
-	return ledger.News()
+	return ledger.Update()
 }
 
 // noteQuarantined remembers when lives were counted.
 func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
-	for _, ended := range change.Ended {
+	for _, ended := range change.Crashes {
 		for _, f := range ended.Requests {
 			r.quarantined.seen[f] = now
 		}
 	}
-	for _, released := range change.Released {
+	for _, released := range change.Releases {
 		for _, f := range released.Requests {
-			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Why
+			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Reason
 		}
 	}
 }
@@ -73,27 +73,27 @@
 	}
 	r.quarantined.lookedAt = now
 	ledger := r.machine.catalog.Quarantine()
-	if !ledger.Planted() {
+	if !ledger.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
 	if old := r.oldEntries(now, ledger); len(old) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Released: old}}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: old}}})
 	}
 }
 
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
-func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Ledger) []quarantine.Release {
-	forgotten := quarantine.Release{Why: quarantine.Age}
-	tried := quarantine.Release{Why: quarantine.Age, Keep: quarantine.Held - 1}
+func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
+	forgotten := quarantine.Release{Reason: quarantine.ReasonExpired}
+	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
-	for _, f := range ledger.All() {
+	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.seen[f]
 		if !known {
 			at = now
 		}
 		seen[f] = at
-		switch held := ledger.Lives(f) >= quarantine.Held; {
+		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case held && now-at > heldFor:
 			tried.Requests = append(tried.Requests, f)
 		case !held && now-at > suspectFor:
@@ -101,7 +101,7 @@
 		}
 	}
 	r.quarantined.seen = seen
-	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.Lives(f) == 0 })
+	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
 	for _, released := range []quarantine.Release{forgotten, tried} {
 		if len(released.Requests) > 0 {
@@ -129,27 +129,27 @@
 // noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
 func (s *Server) noteHeldBack() {
 	ledger := s.replica.machine.catalog.Quarantine()
-	if s.replica.lead == nil || ledger.Version() == s.held.version {
+	if s.replica.leader == nil || ledger.Version() == s.heldBackLog.version {
 		return
 	}
 	now := s.now()
-	s.held.version = ledger.Version()
+	s.heldBackLog.version = ledger.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
-	for _, e := range ledger.News().Entries {
-		if len(e.Lives) < quarantine.Held {
+	for _, e := range ledger.Update().Entries {
+		if len(e.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
-		at, known := s.held.since[e.Request]
+		at, known := s.heldBackLog.since[e.Request]
 		if !known {
 			at = now
-			s.log.Info(events.RequestHeldBack, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Lives))
+			s.log.Info(events.RequestQuarantined, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Incarnations))
 		}
 		since[e.Request] = at
 	}
-	for f, at := range s.held.since {
+	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldLives, ledger.Lives(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
 		}
 	}
-	s.held.since = since
+	s.heldBackLog.since = since
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -12,13 +12,13 @@
 // time is not known teaches nothing.
 func TestLoadTimeIsLearnt(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
-		lead := &leadership{}
+		lead := &leaderState{}
 		if first := lead.firstCheck(); first <= 0 || first > loadFirst {
 			t.Fatalf("before any load: %v", first)
 		}
 		lead.noteLoad(length, 0)
-		if lead.loadTime != 0 {
-			t.Fatalf("learnt %v from nothing", lead.loadTime)
+		if lead.smoothedLoadTime != 0 {
+			t.Fatalf("learnt %v from nothing", lead.smoothedLoadTime)
 		}
 		lead.noteLoad(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
@@ -45,11 +45,11 @@
 			s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id}, Leaves: true}})
 		}
 		s.beats(ids...)
-		s.replica.lead.readyMost, s.replica.lead.readyMostAt = 2*engines, s.now // half have crashed
+		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
 		if !s.replica.stressed(s.now) {
 			t.Fatal("the fleet is not short of hands")
 		}
-		s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 		s.beats(ids...)
 		s.orders(200 * time.Millisecond) // the reports
 		s.beats(ids...)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -96,10 +96,10 @@
 type ActionFinish struct {
 	ID         RequestID
 	Reason     Reason
-	Run        RunStatus      // of a failed request
-	RetryAfter time.Duration  // 0: a retry does not help
-	Tokens     int            // length of a complete stream
-	Answer     *ledger.Answer // of a non-streaming service
+	Run        RunStatus        // of a failed request
+	RetryAfter time.Duration    // 0: a retry does not help
+	Tokens     int              // length of a complete stream
+	Answer     *ledger.Response // of a non-streaming service
 }
 
 // ActionRequestSnapshot requests the complete list of cached blocks from an engine.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -36,7 +36,7 @@
 		c.handleDone(r, index, event)
 	case AttemptIncarnationMismatch:
 		c.counters.IncarnationMismatches++
-		c.index.Forget(r.attempts[index].backend)
+		c.index.InvalidateEngine(r.attempts[index].backend)
 	default:
 		c.handleFailure(r, index, event)
 	}
@@ -142,7 +142,7 @@
 	row := &c.backends[sent.backend]
 	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.streamStarted() {
 		c.dropAttempt(r, index)
-		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Answer{}})
+		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Response{}})
 		return
 	}
 	if !event.BackendNotAtFault {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,13 +65,13 @@
 	resumedAt           time.Duration // when the process last resumed after a pause
 
 	index       *prefix.Index
-	hotPrefixes *prefix.HotTable
+	hotPrefixes *prefix.RequestRates
 	vaultBlocks map[prefix.Hash]bool
 	matches     []prefix.Match // reused buffer
 	candidates  []Candidate    // reused buffer
 
-	pushback        *pushback.Book // backoff requests, draining notices and advertised limits of back ends
-	peerRouters     []string       // other routers that send to the same back ends
+	pushback        *pushback.Tracker // backoff requests, draining notices and advertised limits of back ends
+	peerRouters     []string          // other routers that send to the same back ends
 	pushbackSweptAt time.Duration
 
 	decisions decisionRing
@@ -106,7 +106,7 @@
 		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hotPrefixes: prefix.NewHotTable(), vaultBlocks: map[prefix.Hash]bool{}, pushback: pushback.NewBook(),
+		hotPrefixes: prefix.NewRequestRates(), vaultBlocks: map[prefix.Hash]bool{}, pushback: pushback.NewTracker(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
@@ -204,7 +204,7 @@
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.concurrencyLimit), Beliefs: c.index.EngineBeliefs(row.id), Bias: row.latencyBias,
+			Running: row.running, Limit: int(row.concurrencyLimit), Beliefs: c.index.EngineEntries(row.id), Bias: row.latencyBias,
 		})
 	}
 	return views
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -100,7 +100,7 @@
 	Text              string // AttemptChunk
 	Cached            int    // AttemptStarted: prompt tokens served from the cache
 	Incarnation       uint64 // AttemptStarted and AttemptIncarnationMismatch
-	Answer            *ledger.Answer
+	Answer            *ledger.Response
 	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a non-streaming service: the answer advertises a rate limit
 	BackendNotAtFault bool // AttemptRefused: not counted as a connection failure, since the back end answered or was not contacted
 }
@@ -110,7 +110,7 @@
 type EventPushback struct {
 	Name        string
 	Incarnation uint64 // of the back end that answered; the one addressed if the answer does not tell
-	Signals     pushback.Said
+	Signals     pushback.Signals
 }
 
 // Load is the workload that a back end reports. Reports lag behind by Age.
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -61,7 +61,7 @@
 	if !c.config.Guards.On(guard.LeavingCheck) {
 		return false
 	}
-	announced := c.config.Guards.On(guard.LeavingHeard) && c.announcedLeaving(row)
+	announced := c.config.Guards.On(guard.LeavingSelfReported) && c.announcedLeaving(row)
 	return row.leaving || announced || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
 }
 
@@ -72,7 +72,7 @@
 		c.failAttemptsOn(row, onlyRepeatable)
 	case BackendDead:
 		c.failAttemptsOn(row, allRequests)
-		c.index.Forget(row.id)
+		c.index.InvalidateEngine(row.id)
 		row.incarnation = 0
 		row.pendingPrefill = row.pendingPrefill[:0]
 	}
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -22,7 +22,7 @@
 // rateShare returns this router's share, in requests/s, of the rate limit that a back end advertises. Only as many
 // routers use a limit as each can get at least one request/s, so that their bursts together stay within the limit.
 // Rendezvous hashing selects them without coordination, also while a router is partitioned.
-func (c *Core) rateShare(incarnation catalog.Life, limit float64) float64 {
+func (c *Core) rateShare(incarnation catalog.Incarnation, limit float64) float64 {
 	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
 	own := rendezvousWeight(incarnation, c.config.Router)
 	higherWeights := 0
@@ -34,11 +34,11 @@
 	if higherWeights >= senders {
 		return 0
 	}
-	return max(limit, pushback.LeastRate) / float64(senders)
+	return max(limit, pushback.MinRate) / float64(senders)
 }
 
 // rendezvousWeight is the rendezvous hashing weight of a router for an incarnation of a back end.
-func rendezvousWeight(incarnation catalog.Life, router string) uint64 {
+func rendezvousWeight(incarnation catalog.Incarnation, router string) uint64 {
 	return xxhash.Sum64String(incarnation.ID() + "/" + router)
 }
 
@@ -52,12 +52,12 @@
 
 // rateLimitedFor returns how long nothing may be sent to a back end because of the rate limit that it advertises, or 0.
 func (c *Core) rateLimitedFor(row *backend) time.Duration {
-	if !c.config.Guards.On(guard.LimitCheck) {
+	if !c.config.Guards.On(guard.AdvertisedLimitCheck) {
 		return 0
 	}
 	incarnation := backendIncarnation(row.machine.Name, row.incarnation)
 	limit := c.pushback.Limit(incarnation)
-	if !limit.Named {
+	if !limit.Advertised {
 		row.rateBucket = rateBucket{}
 		return 0
 	}
@@ -87,6 +87,6 @@
 // applies.
 func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
 	if !event.AdvertisesLimit {
-		c.pushback.Unlimited(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
+		c.pushback.ObserveNoLimit(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -13,7 +13,7 @@
 
 // advertisedLimit returns the event of an answer in which an engine advertises its rate limit.
 func advertisedLimit(engine string, rate float64) EventPushback {
-	return EventPushback{Name: engine, Incarnation: 1, Signals: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+	return EventPushback{Name: engine, Incarnation: 1, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}}
 }
 
 // sendEvery sends a request every step for the given length, each of which completes at once, and returns the dispatch
@@ -58,7 +58,7 @@
 		var rows []*backend
 		for i := range routerCount {
 			c := New(Config{Router: fmt.Sprint("r", i), Seed: uint64(i)})
-			c.pushback.NoteLimit(0, backendIncarnation("e", 1), pushback.Limit{Named: true, Rate: limit})
+			c.pushback.ObserveLimit(0, backendIncarnation("e", 1), pushback.Limit{Advertised: true, Rate: limit})
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -51,7 +51,7 @@
 }
 
 func (c *Core) observeSettings(event EventSettings) {
-	if c.hasSettings && event.Version < c.settingsVersion && c.config.Guards.On(guard.VersionMonotonic) {
+	if c.hasSettings && event.Version < c.settingsVersion && c.config.Guards.On(guard.SettingsMonotonic) {
 		return
 	}
 	c.tree, c.settingsVersion, c.hasSettings = event.Tree, event.Version, true
@@ -153,7 +153,7 @@
 	restarted := report.Incarnation != row.incarnation
 	row.incarnation, row.weights = report.Incarnation, report.Weights
 	if c.config.Guards.On(guard.IncarnationCheck) {
-		c.index.Forget(row.id)
+		c.index.InvalidateEngine(row.id)
 	}
 	if restarted {
 		c.failAttemptsOn(row, allRequests)
@@ -188,7 +188,7 @@
 		return
 	}
 	c.counters.CacheEventGaps++
-	c.index.Doubt(row.id, c.now)
+	c.index.MarkStale(row.id, c.now)
 	row.needsSnapshot = true
 	row.snapshotRequestedAt = -snapshotRetryInterval
 	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
@@ -206,7 +206,7 @@
 	c.counters.Snapshots++
 	row.needsSnapshot = false
 	row.nextSequence = max(row.nextSequence, event.Sequence)
-	c.index.Forget(id)
+	c.index.InvalidateEngine(id)
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
 }
 
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -181,7 +181,7 @@
 		return
 	}
 	shared := min(c.matches[0].Blocks, len(blocks))
-	rate := c.hotPrefixes.Touch(blocks[shared-1], c.now)
+	rate := c.hotPrefixes.Record(blocks[shared-1], c.now)
 	if rate < r.values.HotRequestsPerMinute || !r.values.VaultKeep || c.config.Vault == "" {
 		return
 	}
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -8,28 +8,28 @@
 )
 
 // backendIncarnation identifies an incarnation of a back end. Incarnation numbers are not times here.
-func backendIncarnation(name string, incarnation uint64) catalog.Life {
-	return catalog.Life{Name: name, Born: int64(incarnation)}
+func backendIncarnation(name string, incarnation uint64) catalog.Incarnation {
+	return catalog.Incarnation{Name: name, StartedMS: int64(incarnation)}
 }
 
 // observePushback records what a back end says of itself.
 func (c *Core) observePushback(event EventPushback) {
-	c.pushback.Note(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
-	c.membershipDirty = c.membershipDirty || event.Signals.Leaving
+	c.pushback.Observe(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
+	c.membershipDirty = c.membershipDirty || event.Signals.Draining
 }
 
 // announcedLeaving reports whether the current incarnation announced in a refusal that it is leaving. An older report
 // does not revoke that.
 func (c *Core) announcedLeaving(row *backend) bool {
-	return c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Leaving
+	return c.pushback.Restriction(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Draining
 }
 
 // remainingBackoff returns how long a back end still wants no requests from this router.
 func (c *Core) remainingBackoff(row *backend) time.Duration {
-	if !c.config.Guards.On(guard.RestCheck) {
+	if !c.config.Guards.On(guard.BackoffCheck) {
 		return 0
 	}
-	return max(0, c.pushback.At(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Until-c.now)
+	return max(0, c.pushback.Restriction(c.now, backendIncarnation(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
 }
 
 // blockedFor returns how long a back end must not be sent requests because of its backoff or its advertised rate
@@ -87,8 +87,8 @@
 		return
 	}
 	c.pushbackSweptAt = c.now
-	c.pushback.Sweep(c.now, func(incarnation catalog.Life) bool {
+	c.pushback.Sweep(c.now, func(incarnation catalog.Incarnation) bool {
 		id, found := c.backendIDs[incarnation.Name]
-		return found && c.backends[id].incarnation == uint64(incarnation.Born)
+		return found && c.backends[id].incarnation == uint64(incarnation.StartedMS)
 	})
 }
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -10,7 +10,7 @@
 // refusal returns the events of an engine that refuses an attempt with pushback.
 func refusal(sent ActionDispatch, backoff time.Duration, leaving bool) []Event {
 	return []Event{
-		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Said{Rest: backoff, Leaving: leaving}},
+		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Signals{Backoff: backoff, Draining: leaving}},
 		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
 	}
 }
--- a/internal/gateway/belief/occupancy.go
+++ b/internal/gateway/belief/occupancy.go
@@ -2,93 +2,94 @@
 
 import "time"
 
-// toldCounts is how long what another gateway told of its requests counts; each change is told, and no request is longer.
-const toldCounts = 12 * time.Second
+// peerLoadTTL is how long the load reported by another gateway counts. Every change is reported, and no request
+// runs longer.
+const peerLoadTTL = 12 * time.Second
 
-// Load is what runs at one back end.
+// Load is the work running at one back end.
 type Load struct {
 	Running int // requests
-	Tokens  int // memory that their prompts take
+	Tokens  int // memory used by their prompts
 }
 
-// Plus adds loads.
+// Plus returns the sum of two loads.
 func (l Load) Plus(other Load) Load {
 	return Load{Running: l.Running + other.Running, Tokens: l.Tokens + other.Tokens}
 }
 
-// Minus takes a load off.
+// Minus returns the difference of two loads.
 func (l Load) Minus(other Load) Load {
 	return Load{Running: l.Running - other.Running, Tokens: l.Tokens - other.Tokens}
 }
 
-// toldLoad is what another gateway has running, as of a time of this process's clock.
-type toldLoad struct {
+// peerLoad is the load reported by another gateway, as of a time of this process's clock.
+type peerLoad struct {
 	Load
 	at time.Duration
 }
 
-// Occupancy adds up what all gateways have running at one back end. Each gateway tells whole figures, not differences, so
-// that a lost message is made good by the next one.
+// Occupancy sums the load of all gateways at one back end. Gateways report absolute loads rather than differences,
+// so that the next message corrects a lost one.
 type Occupancy struct {
-	Own    Load                // of this gateway's callers
-	Placed Load                // that this gateway placed for others
-	told   map[string]toldLoad // by gateway
-	sum    Load                // of told
+	Own       Load                // of requests of this gateway's clients
+	Placed    Load                // of requests that this gateway placed for other gateways
+	peers     map[string]peerLoad // by gateway
+	peerTotal Load                // sum of peers
 }
 
-// Total is what all gateways have running.
-func (o *Occupancy) Total() Load { return o.Here().Plus(o.sum) }
+// Total returns the load of all gateways.
+func (o *Occupancy) Total() Load { return o.Local().Plus(o.peerTotal) }
 
-// Here is what this gateway has running or placed, as it tells others.
-func (o *Occupancy) Here() Load { return o.Own.Plus(o.Placed) }
+// Local returns the load that this gateway reports to the others.
+func (o *Occupancy) Local() Load { return o.Own.Plus(o.Placed) }
 
-// Note takes what a gateway had running at a time; messages may overtake each other, and an older one changes nothing.
-func (o *Occupancy) Note(from string, at time.Duration, l Load) {
-	before := o.told[from]
+// RecordPeer records the load of another gateway at a time. A message older than the newest known one is ignored.
+func (o *Occupancy) RecordPeer(from string, at time.Duration, l Load) {
+	before := o.peers[from]
 	if at < before.at {
 		return
 	}
-	if o.told == nil {
-		o.told = map[string]toldLoad{}
+	if o.peers == nil {
+		o.peers = map[string]peerLoad{}
 	}
-	o.told[from] = toldLoad{Load: l, at: at}
-	o.sum = o.sum.Plus(l).Minus(before.Load)
+	o.peers[from] = peerLoad{Load: l, at: at}
+	o.peerTotal = o.peerTotal.Plus(l).Minus(before.Load)
 }
 
-// Sweep forgets what was told long ago.
+// Sweep removes loads reported longer than peerLoadTTL ago.
 func (o *Occupancy) Sweep(now time.Duration) {
-	for from, l := range o.told {
-		if now-l.at > toldCounts {
-			o.sum = o.sum.Minus(l.Load)
-			delete(o.told, from)
+	for from, l := range o.peers {
+		if now-l.at > peerLoadTTL {
+			o.peerTotal = o.peerTotal.Minus(l.Load)
+			delete(o.peers, from)
 		}
 	}
 }
 
 const (
-	// StayFirst is how long a request is taken to stay at an engine before any has ended, and staySmoothing weighs the
-	// newest one.
-	StayFirst     = 1000.0
-	staySmoothing = 0.05
+	// InitialMeanDuration is the mean duration of requests, in milliseconds, assumed before one has ended.
+	// durationSmoothing is the weight of the newest sample.
+	InitialMeanDuration = 1000.0
+	durationSmoothing   = 0.05
 )
 
-// Stays is the smoothed time that requests stay at the back ends of a service, in milliseconds.
-type Stays float64
+// MeanDuration is the exponentially smoothed duration of requests at the back ends of a service, in milliseconds.
+type MeanDuration float64
 
-// Next takes the stay of one more request.
-func (s Stays) Next(length time.Duration) Stays {
-	return s + staySmoothing*(Stays(length)/Stays(time.Millisecond)-s)
+// Observe returns the mean updated by the duration of one request.
+func (s MeanDuration) Observe(length time.Duration) MeanDuration {
+	return s + durationSmoothing*(MeanDuration(length)/MeanDuration(time.Millisecond)-s)
 }
 
-// Crowding predicts how long a request of so many tokens waits for a slot, or for memory, in milliseconds. Slots and memory
-// come free evenly over the time that requests stay.
-func Crowding(held Load, slots, memory, tokens int, stay Stays) float64 {
+// CapacityWait predicts how long a request with the given prompt tokens waits for a free slot or for memory, in
+// milliseconds. It assumes that slots and memory are released evenly over the mean duration of requests.
+func CapacityWait(load Load, slots, memory, tokens int, meanDuration MeanDuration) float64 {
 	wait := 0.0
-	if over := held.Running + 1 - slots; slots > 0 && over > 0 {
-		wait = float64(stay) * float64(over) / float64(slots)
+	if over := load.Running + 1 - slots; slots > 0 && over > 0 {
+		wait = float64(meanDuration) * float64(over) / float64(slots)
 	}
-	if over := held.Tokens + tokens - memory; memory > 0 && over > 0 && held.Running > 0 {
-		wait = max(wait, float64(stay)*float64(over)/float64(memory))
+	if over := load.Tokens + tokens - memory; memory > 0 && over > 0 && load.Running > 0 {
+		wait = max(wait, float64(meanDuration)*float64(over)/float64(memory))
 	}
 	return wait
 }
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -9,28 +9,30 @@
 	"kitetiller/internal/prefix"
 )
 
-// index makes a back end be found by parts that it holds.
-func (t *table) index(row *endpoint, parts []prefix.Part) {
+// indexHolder adds a back end to the holders of the parts that it has cached. The caller holds the mutex.
+func (t *table) indexHolder(row *endpoint, parts []prefix.Part) {
 	for _, part := range parts {
-		if row.held.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
+		if row.cache.Holds(part.ID) && !slices.Contains(t.holders[part.ID], row) {
 			t.holders[part.ID] = append(t.holders[part.ID], row)
 		}
 	}
 }
 
-// address returns where a back end may be asked what it keeps. One that wants rest isn't asked that either.
-func (t *table) address(now time.Duration, id string) (string, bool) {
+// cacheAddress returns the address at which a back end's cache may be read. A back end that asked this gateway to
+// back off is not read.
+func (t *table) cacheAddress(now time.Duration, id string) (string, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
-	if row == nil || t.bar(now, row, false) == causeResting {
+	if row == nil || t.bar(now, row, false) == causeBackingOff {
 		return "", false
 	}
 	return row.entry.Address, true
 }
 
-// takeKept takes up what a back end tells that it keeps, and returns what was believed otherwise, as sends that say so.
-func (t *table) takeKept(now time.Duration, id string, parts []belief.KeptPart, whole bool) []send {
+// applyCacheReport applies a back end's report of its cache, and returns the differences from the estimate as
+// announcements for other gateways.
+func (t *table) applyCacheReport(now time.Duration, id string, parts []belief.CachedPart, full bool) []announcement {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
@@ -38,47 +40,51 @@
 		return nil
 	}
 	bySalt := map[string][]prefix.Part{}
-	for _, p := range row.held.Tell(now, parts, whole) {
+	for _, p := range row.cache.ApplyReport(now, parts, full) {
 		bySalt[p.Salt] = append(bySalt[p.Salt], p.Part)
-		t.index(row, []prefix.Part{p.Part})
+		t.indexHolder(row, []prefix.Part{p.Part})
 	}
-	var corrections []send
+	var corrections []announcement
 	for _, salt := range slices.Sorted(maps.Keys(bySalt)) {
-		corrections = append(corrections, send{Salt: salt, Parts: bySalt[salt]})
+		corrections = append(corrections, announcement{Salt: salt, Parts: bySalt[salt]})
 	}
 	return corrections
 }
 
-// noteDemand notes what an engine was sent to read, for the lanes of its service. The caller holds the mutex.
-func (t *table) noteDemand(now time.Duration, row *endpoint, uncached int) {
-	slotTime := float64(t.stay(row.entry.Service)) / float64(max(1, row.entry.Slots))
-	t.lane(row.entry.Service).note(now, uncached, slotTime)
+// recordDemand records the demand of a request sent to an engine, for the lanes of its service. The caller holds
+// the mutex.
+func (t *table) recordDemand(now time.Duration, row *endpoint, uncached int) {
+	slotTime := float64(t.meanDuration(row.entry.Service)) / float64(max(1, row.entry.Slots))
+	t.lanesOf(row.entry.Service).recordDemand(now, uncached, slotTime)
 }
 
-func (t *table) hold(at time.Duration, row *endpoint, made send) {
-	row.held.Use(at, made.Salt, made.Parts)
-	t.meet(at, prefix.Shared(made.Parts))
-	t.links.Note(at, made.Move)
-	t.index(row, prefix.Shared(made.Parts))
-	if made.Saved {
-		t.stored.Note(at, made.Salt, prefix.Shared(made.Parts))
+// recordCached records the parts that a request leaves in the caches of its engine and of the store. The caller
+// holds the mutex.
+func (t *table) recordCached(at time.Duration, row *endpoint, sent announcement) {
+	row.cache.RecordUse(at, sent.Salt, sent.Parts)
+	t.recordSent(at, prefix.SharedParts(sent.Parts))
+	t.links.Record(at, sent.Transfer)
+	t.indexHolder(row, prefix.SharedParts(sent.Parts))
+	if sent.SavedToStore {
+		t.stored.Record(at, sent.Salt, prefix.SharedParts(sent.Parts))
 	}
 }
 
-// noteHeld notes which parts an own send leaves where.
-func (t *table) noteHeld(now time.Duration, made send) {
+// recordOwnSend records the demand and the cached parts of a request that this gateway placed.
+func (t *table) recordOwnSend(now time.Duration, sent announcement) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if row := t.rows[made.Instance]; row != nil && made.Salt != "" {
-		t.noteDemand(now, row, made.Uncached)
-		t.hold(now, row, made)
+	if row := t.rows[sent.Instance]; row != nil && sent.Salt != "" {
+		t.recordDemand(now, row, sent.Uncached)
+		t.recordCached(now, row, sent)
 	}
 }
 
-// forgetHolders drops back ends that are gone, and parts that nobody holds any more, from the holders.
-func (t *table) forgetHolders() {
+// sweepHolders removes back ends that are gone or have evicted a part from its holders. The caller holds the
+// mutex.
+func (t *table) sweepHolders() {
 	for id, rows := range t.holders {
-		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.held.Holds(id) })
+		rows = slices.DeleteFunc(rows, func(row *endpoint) bool { return row.gone || !row.cache.Holds(id) })
 		if len(rows) == 0 {
 			delete(t.holders, id)
 			continue
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -18,7 +18,7 @@
 
 // cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type cover struct {
-	hold    allowance.Hold
+	hold    allowance.Lease
 	covered bool // the next send is covered, by hold or because there is no limit
 }
 
@@ -28,19 +28,19 @@
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
-		x.cover.covered = true
+		x.quotaLease.covered = true
 		return true
 	}
-	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
-	taken := x.gateway.desk.Take(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.TokensDeclared)
+	taken := x.gateway.leases.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = cover{hold: taken.Hold, covered: true}
+		x.quotaLease = cover{hold: taken.Lease, covered: true}
 		return true
-	case desk.Over:
-		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.Wait)
+	case desk.LimitReached:
+		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
 	default:
-		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.comeBack())
+		x.giveUpLimited(http.StatusServiceUnavailable, reasonLimitUnknown, x.gateway.comeBack())
 	}
 	return false
 }
@@ -50,38 +50,38 @@
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
-	case x.mayHave || x.relayed:
+	case x.mayHaveRun || x.headRelayed:
 		x.giveUp(reason, 0)
 	default:
-		x.refuse(status, reason, max(retrySoon, wait))
+		x.reject(status, reason, max(minRetryAfter, wait))
 	}
 }
 
 // covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
 func (x *exchange) covered() bool {
-	return x.cover.covered && (x.cover.hold.Amount == 0 || x.cover.hold.Valid(x.gateway.now()))
+	return x.quotaLease.covered && (x.quotaLease.hold.Amount == 0 || x.quotaLease.hold.Valid(x.gateway.now()))
 }
 
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
-	if x.cover.covered {
-		x.gateway.desk.Put(x.cover.hold)
+	if x.quotaLease.covered {
+		x.gateway.leases.Release(x.quotaLease.hold)
 	}
-	x.cover = cover{}
+	x.quotaLease = cover{}
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Question) (allowance.Answer, error) {
+func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(electionPatience) {
 		ask = g.group.Any
 	}
 	response, err := ask(ctx, control.Request{Borrow: &asked})
 	if err != nil {
-		return allowance.Answer{}, err
+		return allowance.Reply{}, err
 	}
 	if response.Kind != control.ResponseOK || response.Lent == nil {
-		return allowance.Answer{}, eris.Errorf("control answers %s", response.Kind)
+		return allowance.Reply{}, eris.Errorf("control answers %s", response.Kind)
 	}
 	return *response.Lent, nil
 }
@@ -91,7 +91,7 @@
 	if g.budget.take(service, g.now()) {
 		return true
 	}
-	name := quota.Repeats(service)
-	taken := g.desk.Take(ctx, name, 1, repeatPatience)
-	return taken.Outcome == desk.Granted && taken.Hold.Name == name
+	name := quota.ServiceRetries(service)
+	taken := g.leases.Acquire(ctx, name, 1, repeatPatience)
+	return taken.Outcome == desk.Granted && taken.Lease.Name == name
 }
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -32,7 +32,7 @@
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
 		t.Fatalf("believed %d after control told nothing", believed)
 	}
-	table.learnVersion(time.Second, table.rows["e@1"], "m", 5)
+	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	tell(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
 		t.Fatalf("believed %d after the engine itself told 5 and control what it had told before", believed)
@@ -44,11 +44,11 @@
 	table, tell := versionsTable()
 	tell(map[string]uint64{"m": 4})
 	row := table.rows["e@1"]
-	if table.learnVersion(time.Second, row, "m", 3) {
+	if table.recordVersion(time.Second, row, "m", 3) {
 		t.Fatal("older weights are news")
 	}
-	if row.avoidTo <= time.Second || row.entry.Versions["m"] != 4 {
-		t.Fatalf("avoided to %v, believed %d", row.avoidTo, row.entry.Versions["m"])
+	if row.avoidUntil <= time.Second || row.entry.Versions["m"] != 4 {
+		t.Fatalf("avoided to %v, believed %d", row.avoidUntil, row.entry.Versions["m"])
 	}
 }
 
@@ -59,8 +59,8 @@
 	believes := func(age time.Duration) (*Gateway, *attempt) {
 		g := scheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
-		chosen := placedAt(g)
-		name(g, 2, age)
+		chosen := chosenAttempt(g)
+		publishVersion(g, 2, age)
 		entry := g.table.rows["i-0"].entry
 		entry.Versions = map[string]uint64{"m": 2}
 		g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
@@ -69,14 +69,14 @@
 	for _, age := range []time.Duration{10 * time.Second, 2 * time.Minute} {
 		late := age > time.Minute
 		g, chosen := believes(age)
-		if bar := chosen.barred(); (bar != "") != late {
+		if bar := chosen.recheckConditions(); (bar != "") != late {
 			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
 		}
-		wish := need{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
-		if placed := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, wish); (placed == nil) != late {
+		in := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
+		if placed := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in); (placed == nil) != late {
 			t.Errorf("named %v ago, version 1 expected by the scheduler: placed %t", age, placed != nil)
 		}
-		if g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 2}, scheduled{}, wish) == nil {
+		if g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 2}, scheduled{}, in) == nil {
 			t.Errorf("named %v ago: no place on version 2", age)
 		}
 	}
@@ -85,12 +85,12 @@
 // sendsUnconfirmed checks that a gateway which is cut off from control places and sends a request, and expects no version of it.
 func sendsUnconfirmed(t *testing.T, g *Gateway) {
 	t.Helper()
-	x := asking(g)
-	chosen := g.choose(g.now(), need{service: x.service, call: &x.call})
+	x := newModelRequest(g)
+	chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call})
 	if chosen == nil || chosen.version != 0 {
 		t.Fatalf("placed %+v", chosen)
 	}
-	if bar := x.newAttempt(chosen).barred(); bar != "" {
+	if bar := x.newAttempt(chosen).recheckConditions(); bar != "" {
 		t.Fatalf("barred %q", bar)
 	}
 }
@@ -100,7 +100,7 @@
 func TestUnconfirmedViewIsPlacedByBelief(t *testing.T) {
 	g := scheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
-	name(g, 2, 5*time.Minute)
+	publishVersion(g, 2, 5*time.Minute)
 	entry := g.table.rows["i-0"].entry
 	entry.Versions = map[string]uint64{"m": 2}
 	g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
@@ -111,6 +111,6 @@
 func TestNoVersionExpectedIsNoOldOne(t *testing.T) {
 	g := scheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
-	name(g, 1, 2*time.Minute)
+	publishVersion(g, 1, 2*time.Minute)
 	sendsUnconfirmed(t, g)
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -15,18 +15,18 @@
 // said is what a back end said of itself to another gateway, as far as it is news here.
 type said struct {
 	instance string
-	news     pushback.Said
+	news     pushback.Signals
 }
 
 // hearUnlimited takes up an answer without a limit, to a request that was sent at a time.
 func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.pushed.Unlimited(now, sent, row.life)
+	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
 	g.table.mutex.Unlock()
 	if over {
-		news := pushback.Limit{Over: true}
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Said{Limit: news}})
+		news := pushback.Limit{Withdrawn: true}
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: news}})
 		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
 	}
 }
@@ -37,10 +37,10 @@
 	if answer.Limit == nil {
 		return
 	}
-	limit := limitOfWire(answer.Limit, false)
+	limit := limitFromWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.pushed.NoteLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.life, limit)
+	news := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
@@ -51,16 +51,16 @@
 func (g *Gateway) noteLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
-	case news.Named:
-		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
-	case news.Over:
-		g.log.note(events.InstanceUnlimited, fields...)
+	case news.Advertised:
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
+	case news.Withdrawn:
+		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
 	if unread == "" {
 		return
 	}
-	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimits, append(fields, zap.String(events.FieldUnread, unread), zap.Int("held", held))...)
+	if held, due := g.limitLogLimiter.Due(now, instance); due {
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (a *attempt) permit() bool {
 	g := a.exchange.gateway
 	now := g.now()
-	if a.hold.Valid(now) {
+	if a.limitLease.Valid(now) {
 		return true
 	}
 	limit, dry := g.table.limitOf(now, a.row)
@@ -107,71 +107,71 @@
 	if dry {
 		return false
 	}
-	taken := g.desk.TakeNamed(a.ctx, quota.BackEnd(a.row.entry.ID), *limit)
+	taken := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
-		a.hold = taken.Hold
-	case taken.Outcome == desk.Over:
+		a.limitLease = taken.Lease
+	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
-		g.table.setDry(a.row, g.now()+apart(max(taken.Wait, permitLeast)))
+		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
 		outcome = permitUnknown
 		g.table.setUnlent(g.now() + permitPause)
 	}
-	g.metrics.permits.WithLabelValues(outcome).Inc()
+	g.metrics.limitLeases.WithLabelValues(outcome).Inc()
 	return taken.Outcome == desk.Granted
 }
 
 // returnPermit gives back what was taken of a limit and not used.
 func (a *attempt) returnPermit() {
-	if a.hold.Amount > 0 {
-		a.exchange.gateway.desk.Put(a.hold)
-		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
-		a.hold = allowance.Hold{}
+	if a.limitLease.Amount > 0 {
+		a.exchange.gateway.leases.Release(a.limitLease)
+		a.exchange.gateway.metrics.limitLeases.WithLabelValues(permitUnused).Inc()
+		a.limitLease = allowance.Lease{}
 	}
 }
 
 // limitOf returns the limit that a back end names, or nil, and whether nothing of it can be had now.
-func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.Named, dry bool) {
+func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.pushed.LimitHeard(row.life)
-	if !named.Named {
+	named, heard := t.signals.LimitObservedAt(row.incarnation)
+	if !named.Advertised {
 		return nil, false
 	}
-	return &allowance.Named{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
+	return &allowance.AdvertisedLimit{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
 }
 
 // dry returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
 // holds the mutex.
 func (t *table) dry(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
 	if elsewhere {
-		return max(0, row.pacedTo-now) // that one asks for itself; this only spreads what is placed
+		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
-	return max(0, row.dryTo-now, t.unlentTo-now)
+	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
 // setDry notes until when nothing can be had of a back end's limit.
 func (t *table) setDry(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	row.dryTo = max(row.dryTo, until)
+	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
 // setUnlent notes until when nobody is asked for a part of any limit.
 func (t *table) setUnlent(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.unlentTo = max(t.unlentTo, until)
+	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
 // spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
 func (t *table) spreadOver(now time.Duration, row *endpoint) {
-	if limit := t.pushed.Limit(row.life); limit.Named {
-		row.pacedTo = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.LeastRate))
+	if limit := t.signals.Limit(row.incarnation); limit.Advertised {
+		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
 
@@ -183,12 +183,12 @@
 	sum := 0.0
 	for _, row := range t.services[service] {
 		if row.open() {
-			sum += t.pushed.Limit(row.life).Rate
+			sum += t.signals.Limit(row.incarnation).Rate
 		}
 	}
-	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.LeastRate) * float64(time.Second))
-	at := min(max(now+first, t.turns[service]+step), now+longestTurn)
-	t.turns[service] = at
+	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
+	at := min(max(now+first, t.lastRetryAt[service]+step), now+longestTurn)
+	t.lastRetryAt[service] = at
 	return at - now
 }
 
@@ -198,7 +198,7 @@
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
 	for _, row := range t.rows {
-		if limit := t.pushed.Limit(row.life); limit.Named {
+		if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 			counts[row.entry.Service]++
 			sums[row.entry.Service] += limit.Rate
 		}
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -10,41 +10,41 @@
 )
 
 // turnAway marks a placement of this gateway's own whose request is to be turned away.
-func (g *Gateway) turnAway(now time.Duration, chosen *candidate, wish need) {
+func (g *Gateway) turnAway(now time.Duration, chosen *candidate, in selectionInput) {
 	if chosen == nil {
 		return
 	}
-	if back, refused := g.judge(now, chosen, wish); refused {
-		chosen.back = back
+	if back, refused := g.judge(now, chosen, in); refused {
+		chosen.retryAfter = back
 	}
 }
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) judge(now time.Duration, chosen *candidate, wish need) (back time.Duration, refused bool) {
-	if !wish.first || !wish.service.Engine || !g.on(mechanism.Refusal) {
+func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
+	if !in.firstAttempt || !in.service.Engine || !g.enabled(mechanism.EarlyRejection) {
 		return 0, false
 	}
-	asked := admission.Wish{
-		Rank: wish.rank, Queue: belief.FromMilliseconds(chosen.queue), Objective: wish.target, Chance: rand.Float64(),
+	asked := admission.Request{
+		Priority: in.priority, PredictedWait: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Random: rand.Float64(),
 	}
-	if parts := wish.call.Parts; len(parts) > 0 {
+	if parts := in.call.Parts; len(parts) > 0 {
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(wish.service.Name).Refuse(now, asked)
+	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
-		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: asked.Key}) // whoever it comes back to is to know it
 	}
 	return back, refused
 }
 
 // judge returns the judge of a service. The caller holds the mutex.
-func (t *table) judge(service string) *admission.Judge {
-	held := t.judges[service]
+func (t *table) judge(service string) *admission.Controller {
+	held := t.admission[service]
 	if held == nil {
-		held = &admission.Judge{}
-		t.judges[service] = held
+		held = &admission.Controller{}
+		t.admission[service] = held
 	}
 	return held
 }
@@ -57,10 +57,10 @@
 	judge := t.judge(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.Learn(rank, queue, max(0, first-t.pace(service).First(uncached)))
+		judge.ObserveWait(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > judge.Expected(rank, queue) {
-		judge.Learn(rank, queue, stayed)
+	if stayed > judge.ExpectedWait(rank, queue) {
+		judge.ObserveWait(rank, queue, stayed)
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -111,31 +111,31 @@
 }
 
 // askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
-func (x *exchange) askSchedulers(wish need) *candidate {
+func (x *exchange) askSchedulers(in selectionInput) *candidate {
 	g := x.gateway
-	if !wish.trusted {
+	if !in.trusted {
 		return nil
 	}
 	asked := g.schedulers.order(g.now(), x.call.Parts)
 	if len(asked) == 0 {
 		return nil
 	}
-	question := x.question(wish)
+	question := x.question(in)
 	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
+		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.shortName)}
 		question.Ticket = made.ticket
 		var answer wirePlacement
 		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
 		if err == nil {
-			return g.scheduledCandidate(&answer, made, wish)
+			return g.scheduledCandidate(&answer, made, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.shortName}) // it may have placed the request
 	}
 	return nil
 }
@@ -143,22 +143,22 @@
 // noteSilent notes and logs that a scheduler gave no answer.
 func (g *Gateway) noteSilent(address string, err error) {
 	g.schedulers.noteFailed(g.now(), address)
-	g.metrics.unasked.Inc()
-	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
+	g.metrics.schedulerFailures.Inc()
+	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
 // question returns what schedulers are asked.
-func (x *exchange) question(wish need) wireQuestion {
+func (x *exchange) question(in selectionInput) wireQuestion {
 	g := x.gateway
 	asked := wireQuestion{
-		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
-		Without: g.table.unwanted(g.now(), x.service.Name, wish.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
+		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
+		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.First, asked.Rank, asked.TargetMS = wish.first, wish.rank, wish.target.Milliseconds()
-	if wish.tenant != nil && wish.tenant.Isolated {
-		asked.Wall = wish.tenant.Name
+	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
+	if in.tenant != nil && in.tenant.Isolated {
+		asked.Wall = in.tenant.Name
 	}
-	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
+	asked.Parts, asked.Tokens = partsToWire(x.call.Parts)
 	return asked
 }
 
@@ -168,7 +168,7 @@
 	defer t.mutex.Unlock()
 	var ids []string
 	for _, row := range t.services[service] {
-		if now < row.avoidTo || slices.Contains(tried, row) || t.bar(now, row, false) != "" {
+		if now < row.avoidUntil || slices.Contains(tried, row) || t.bar(now, row, false) != "" {
 			ids = append(ids, row.entry.ID)
 		}
 	}
@@ -177,26 +177,26 @@
 
 // scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, wish need) *candidate {
+func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, in selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
 	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, back: wireTime(answer.BackMS)}
+		return &candidate{wait: answer.WaitMS, retryAfter: durationFromMS(answer.BackMS)}
 	}
 	now := g.now()
 	g.hearScheduler(now, answer)
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
-		row: g.table.rows[answer.Instance], version: answer.Version, salt: salt(answer.Version, wish.tenant), wait: answer.WaitMS,
-		uncached: max(0, answer.Uncached), reread: max(0, answer.Reread), why: rereadCause(answer.Why), fetch: answer.Fetch, save: answer.Save, scheduled: &made,
+		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, in.tenant), wait: answer.WaitMS,
+		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Reread), recomputeReason: recomputeCause(answer.Why), fetchFrom: answer.Fetch, saveTo: answer.Save, scheduled: &made,
 	}
 	if answer.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
-	if chosen.row == nil || !g.eligible(now, chosen.row, wish) || g.chosenTooLate(now, chosen, wish) {
-		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
+	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
+		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.shortName})
 		return nil
 	}
 	return chosen
@@ -204,10 +204,10 @@
 
 // first returns how long after the send the first event came, or 0.
 func (a *attempt) first() time.Duration {
-	if !a.begun.Load() {
+	if !a.streamStarted.Load() {
 		return 0
 	}
-	return max(0, a.exchange.firstAt-a.began)
+	return max(0, a.exchange.firstEventAt-a.startedAt)
 }
 
 // settle tells the scheduler that placed an attempt how it ended.
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wireEnd{
 		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
+		Ticket:  made.ticket, Gateway: g.shortName, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -10,50 +10,50 @@
 
 // Settings is what a gateway needs to start.
 type Settings struct {
-	Name     string
-	Zone     string
-	Listen   string   // address for callers
-	Ready    string   // address of the readiness check, or ""
-	Internal string   // address for other gateways, or ""
-	Bind     string   // address to listen on for them, where it is another one
-	Control  []string // internal addresses of control replicas
-	Token    string   // shared secret of the system's own processes
+	Name         string
+	Zone         string
+	Listen       string   // address for callers
+	ReadyAddress string   // address of the readiness check, or ""
+	PeerAddress  string   // address for other gateways, or ""
+	PeerListen   string   // address to listen on for them, where it is another one
+	Control      []string // internal addresses of control replicas
+	Token        string   // shared secret of the system's own processes
 
-	Trust        time.Duration // how long keys count that no control replica has confirmed
-	ViewWait     time.Duration // longest time that a request waits for control that is expected in a moment
-	VersionLimit time.Duration // how long after newer weights were named a request may still begin on older ones
-	Grace        time.Duration // longest planned stop
-	RetryRatio   float64       // repeats as a share of the requests for a service, over the whole fleet
-	Quota        quota.Terms   // of limits over the whole fleet, repeats beyond the ratio among them
+	ViewTTL              time.Duration // how long keys count that no control replica has confirmed
+	MaxViewWait          time.Duration // longest time that a request waits for control that is expected in a moment
+	OldWeightsStartLimit time.Duration // how long after newer weights were named a request may still begin on older ones
+	ShutdownTimeout      time.Duration // longest planned stop
+	RetryRatio           float64       // repeats as a share of the requests for a service, over the whole fleet
+	Quota                quota.Policy  // of limits over the whole fleet, repeats beyond the ratio among them
 
 	Mechanisms mechanism.Set // parts of the decision that are on
 	Clock      clock.Source  // nil is the machine's
 }
 
 const (
-	// beginMargin is kept between the time when a request should begin on old weights and the limit for that, beside
+	// startMargin is kept between the time when a request should begin on old weights and the limit for that, beside
 	// beginFactor of the time that is predicted until it begins.
-	beginMargin = 900 * time.Millisecond
-	beginFactor = 1.5
-	// takeBackMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
+	startMargin     = 900 * time.Millisecond
+	startTimeFactor = 1.5
+	// cancelMargin before that limit a request that waits is taken back. It covers a timer that fires late, since a process that has
 	// used up its share of a processor stands still for the rest of a period of 100 ms, and the way of the close to the back end.
-	takeBackMargin = 150 * time.Millisecond
+	cancelMargin = 150 * time.Millisecond
 	// watchHold is how long control may hold a question for news; it bounds the age of a confirmed view.
 	watchHold = 400 * time.Millisecond
-	// drainHold is that while requests run on a back end that is being turned away from.
-	drainHold = 80 * time.Millisecond
+	// drainingWatchHold is that while requests run on a back end that is being turned away from.
+	drainingWatchHold = 80 * time.Millisecond
 	// watchTimeout is how long a question may stay unanswered.
 	watchTimeout = 650 * time.Millisecond
-	// failuresEach failures in a row double the patience with an answer, longestPatience times at most.
-	failuresEach    = 3
-	longestPatience = 3
-	// wholePatience is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
+	// failuresPerStep failures in a row double the patience with an answer, longestPatience times at most.
+	failuresPerStep  = 3
+	maxTimeoutFactor = 3
+	// fullReplyTimeout is how long the first answer after a search may take at the least: with document and roster it is some 200 KB of JSON, which
 	// a fifth of a core reads in 100 ms, and many gateways ask at once.
-	wholePatience = time.Second
-	// peerDial is how long a connection to control or to another gateway may take to come up.
-	peerDial = 150 * time.Millisecond
-	// watchPause is the pause after a question failed.
-	watchPause = 60 * time.Millisecond
+	fullReplyTimeout = time.Second
+	// peerDialTimeout is how long a connection to control or to another gateway may take to come up.
+	peerDialTimeout = 150 * time.Millisecond
+	// watchRetryDelay is the pause after a question failed.
+	watchRetryDelay = 60 * time.Millisecond
 	// idleTimeout is how long callers may keep a connection idle.
 	idleTimeout = 75 * time.Second
 	// headerTimeout is how long a caller may take for a header.
@@ -64,12 +64,12 @@
 	discardTimeout = time.Second
 	// defaultBodyLimit bounds bodies while no document says otherwise.
 	defaultBodyLimit = 4 << 20
-	// stopNotice is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
-	stopNotice = 2700 * time.Millisecond
-	// stopRefusal is how long it then refuses requests, before it closes the connections.
-	stopRefusal = 500 * time.Millisecond
-	// stopMargin is what is left of the grace for the process's own end.
-	stopMargin = 150 * time.Millisecond
+	// drainPeriod is how long a stopping gateway goes on taking requests, until whoever sends them has noticed.
+	drainPeriod = 2700 * time.Millisecond
+	// rejectPeriod is how long it then refuses requests, before it closes the connections.
+	rejectPeriod = 500 * time.Millisecond
+	// shutdownMargin is what is left of the grace for the process's own end.
+	shutdownMargin = 150 * time.Millisecond
 	// writeTimeout is how long one write to a caller may take.
 	writeTimeout = 5 * time.Second
 )
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	idField = "id:"
-	// maximumEvent bounds one event.
-	maximumEvent = 256 << 10
+	eventIDField = "id:"
+	// maxEventSize bounds one event.
+	maxEventSize = 256 << 10
 )
 
 // eventReader splits a stream into whole events.
 type eventReader struct {
-	reader *bufio.Reader
-	event  []byte
-	id     string
-	held   *held
-	room   int // that was taken for an event above heldStep
+	reader   *bufio.Reader
+	event    []byte
+	id       string
+	held     *held
+	reserved int // that was taken for an event above heldStep
 }
 
 // close gives back the room that was taken.
 func (e *eventReader) close() {
-	e.held.give(e.room)
-	e.event, e.room = nil, 0
+	e.held.give(e.reserved)
+	e.event, e.reserved = nil, 0
 }
 
-// count takes room for an event that has grown long, and reports whether there is any.
-func (e *eventReader) count() bool {
-	grown := cap(e.event)
-	if grown <= max(heldStep, e.room) {
+// reserve takes room for an event that has grown long, and reports whether there is any.
+func (e *eventReader) reserve() bool {
+	size := cap(e.event)
+	if size <= max(heldStep, e.reserved) {
 		return true
 	}
-	if !e.held.take(grown - e.room) {
+	if !e.held.take(size - e.reserved) {
 		return false
 	}
-	e.room = grown
+	e.reserved = size
 	return true
 }
 
 // next returns the next event with its empty line, as it came. io.EOF means that the stream ended between two events;
 // any other error that it broke off.
 func (e *eventReader) next() ([]byte, error) {
-	if e.room > 0 {
+	if e.reserved > 0 {
 		e.close() // the next ones are as short as ever
 	}
 	e.event = e.event[:0]
@@ -54,28 +54,28 @@
 		part, err := e.reader.ReadSlice('\n')
 		e.event = append(e.event, part...)
 		switch {
-		case !e.count():
+		case !e.reserve():
 			return nil, errHeld
-		case err == bufio.ErrBufferFull && len(e.event) < maximumEvent:
+		case err == bufio.ErrBufferFull && len(e.event) < maxEventSize:
 			continue
 		case err == io.EOF && len(e.event) > 0:
 			return nil, io.ErrUnexpectedEOF
 		case err != nil:
 			return nil, err
 		}
-		if e.ended() {
+		if e.isComplete() {
 			return e.event, nil
 		}
 	}
 }
 
-// ended reports whether the event read so far ends with an empty line, and notes its id.
-func (e *eventReader) ended() bool {
+// isComplete reports whether the event read so far ends with an empty line, and notes its id.
+func (e *eventReader) isComplete() bool {
 	body := bytes.TrimSuffix(e.event, []byte("\n"))
 	body = bytes.TrimSuffix(body, []byte("\r"))
 	at := bytes.LastIndexByte(body, '\n')
 	last := body[at+1:]
-	if value, found := bytes.CutPrefix(last, []byte(idField)); found {
+	if value, found := bytes.CutPrefix(last, []byte(eventIDField)); found {
 		e.id = string(bytes.TrimSpace(value))
 	}
 	return len(last) == 0
@@ -83,31 +83,31 @@
 
 // relayStream passes events on as they come. A stream that breaks off is taken up at another back end where the route
 // allows it; otherwise the caller's connection is closed, so that it never looks complete.
-func (a *attempt) relayStream(answer *http.Response) result {
+func (a *attempt) relayStream(response *http.Response) result {
 	x := a.exchange
-	if !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) && !x.relayed {
-		return a.relayWhole(answer)
+	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
+		return a.relayBuffered(response)
 	}
-	stream := &eventReader{reader: bufio.NewReaderSize(answer.Body, readBuffer), held: &x.gateway.held}
+	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBufferSize), held: &x.gateway.buffered}
 	defer stream.close()
 	controller := http.NewResponseController(x.writer)
 	for {
 		event, err := stream.next()
 		if err == io.EOF {
-			return a.streamEnded(answer)
+			return a.finishStream(response)
 		}
 		if err != nil {
-			return a.failed(err)
+			return a.connectionFailed(err)
 		}
-		x.gateway.table.spoke(x.gateway.now(), a)
-		if stream.id != "" && !later(stream.id, x.lastEvent) {
-			return a.broken("event out of order")
+		x.gateway.table.recordBytes(x.gateway.now(), a)
+		if stream.id != "" && !followsEvent(stream.id, x.lastEvent) {
+			return a.invalidResponse("event out of order")
 		}
-		a.begun.Store(true)
-		if a.silence != nil {
-			a.silence.Reset(max(resumeMinimum, resumePauses*x.route.Pause))
+		a.streamStarted.Store(true)
+		if a.silenceTimer != nil {
+			a.silenceTimer.Reset(max(minResumeTimeout, resumeGapFactor*x.route.MaxEventGap))
 		}
-		if !x.passEvent(controller, answer, event) {
+		if !x.relayEvent(controller, response, event) {
 			a.cancel(nil)
 			x.abandon()
 		}
@@ -115,48 +115,48 @@
 	}
 }
 
-// passEvent writes one event to the caller, with the head before the first.
-func (x *exchange) passEvent(controller *http.ResponseController, answer *http.Response, event []byte) bool {
-	if !x.relayed {
-		x.passHead(answer, -1)
+// relayEvent writes one event to the caller, with the head before the first.
+func (x *exchange) relayEvent(controller *http.ResponseController, response *http.Response, event []byte) bool {
+	if !x.headRelayed {
+		x.relayHead(response, -1)
 	}
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := x.writer.Write(event); err != nil {
 		return false
 	}
-	x.noteEvent()
+	x.recordEvent()
 	return controller.Flush() == nil
 }
 
-// noteEvent keeps what the log tells of a stream's pace.
-func (x *exchange) noteEvent() {
+// recordEvent keeps what the log tells of a stream's pace.
+func (x *exchange) recordEvent() {
 	now := x.gateway.now()
-	if x.firstAt == 0 {
-		x.firstAt, x.eventAt = now, now
-		x.gateway.metrics.first.Observe((now - x.arrived).Seconds())
+	if x.firstEventAt == 0 {
+		x.firstEventAt, x.latestEventAt = now, now
+		x.gateway.metrics.firstEvent.Observe((now - x.arrived).Seconds())
 	}
-	x.pause = max(x.pause, now-x.eventAt)
-	x.eventAt = now
+	x.longestGap = max(x.longestGap, now-x.latestEventAt)
+	x.latestEventAt = now
 }
 
-// streamEnded ends a stream that the back end ended between two events.
-func (a *attempt) streamEnded(answer *http.Response) result {
+// finishStream ends a stream that the back end ended between two events.
+func (a *attempt) finishStream(response *http.Response) result {
 	x := a.exchange
-	if !x.relayed {
-		x.passHead(answer, -1) // a stream without any event
+	if !x.headRelayed {
+		x.relayHead(response, -1) // a stream without any event
 	}
 	a.grade = gradeGood
-	a.release(answer, nil)
-	x.finish(a, answer.StatusCode)
+	a.releaseConnection(response, nil)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
-// later reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
-func later(id, before string) bool {
-	if len(id) != len(before) {
-		return len(id) > len(before)
+// followsEvent reports whether an event id follows another one. Ids are numbers that rise; an empty one precedes all.
+func followsEvent(id, previous string) bool {
+	if len(id) != len(previous) {
+		return len(id) > len(previous)
 	}
-	return id > before
+	return id > previous
 }
 
 func splitTokens(line string) []string {
--- a/internal/lab/bench/goodput.go
+++ b/internal/lab/bench/goodput.go
@@ -88,7 +88,7 @@
 	freeAt  []time.Duration // by engine
 	known   []time.Duration // freeAt as deciders know it
 	knownAt time.Duration
-	judge   admission.Judge
+	judge   admission.Controller
 	calls   goodputCalls
 	point   GoodputPoint
 	word    time.Duration
@@ -107,8 +107,8 @@
 		}
 	}
 	predicted := max(0, f.known[engine]-c.at)
-	wish := admission.Wish{Key: c.key, Queue: predicted, Objective: goodputObjective, Chance: f.random.Float64()}
-	if back, refused := f.judge.Refuse(c.at, wish); refused && f.refusal {
+	wish := admission.Request{Key: c.key, PredictedWait: predicted, Objective: goodputObjective, Random: f.random.Float64()}
+	if back, refused := f.judge.Decide(c.at, wish); refused && f.refusal {
 		f.turnAway(c, back)
 		return
 	}
@@ -136,7 +136,7 @@
 		f.word += goodputDeadline
 		return
 	}
-	f.judge.Learn(0, predicted, begins-c.at)
+	f.judge.ObserveWait(0, predicted, begins-c.at)
 	work := time.Duration(f.random.ExpFloat64() * float64(goodputService))
 	ends := begins + work
 	f.freeAt[engine] = min(ends, deadline)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -100,7 +100,7 @@
 	beat := r.session.Heartbeat()
 	r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(response control.Response, answered bool) {
 		if !answered || response.Heartbeat == nil {
-			r.after(session.EagerPeriod, r.beat)
+			r.after(session.FastHeartbeatInterval, r.beat)
 			return
 		}
 		reply := *response.Heartbeat
@@ -113,24 +113,24 @@
 
 // take syncs new settings before they are used and acknowledged.
 func (r *routerNode) take(sent time.Duration, reply control.HeartbeatReply, done func(time.Duration)) {
-	step := r.session.Take(sent, reply)
-	if step.Problem != "" || step.Save == nil {
-		if step.Problem == "" {
+	step := r.session.HandleReply(sent, reply)
+	if step.RejectReason != "" || step.ToSync == nil {
+		if step.RejectReason == "" {
 			r.post(r.renewed(step)...)
 		}
-		done(step.Pause)
+		done(step.NextHeartbeatIn)
 		return
 	}
 	r.after(r.w.between(500*time.Microsecond, 4*time.Millisecond), func() {
-		r.saved = *step.Save
-		r.session.Saved(*step.Save)
-		r.post(append([]core.Event{core.EventSettings{Version: step.Save.Version, Tree: step.Save.Tree}}, r.renewed(step)...)...)
-		done(step.Pause)
+		r.saved = *step.ToSync
+		r.session.MarkSynced(*step.ToSync)
+		r.post(append([]core.Event{core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree}}, r.renewed(step)...)...)
+		done(step.NextHeartbeatIn)
 	})
 }
 
 // renewed is what a renewed session tells the core beside settings.
-func (r *routerNode) renewed(step session.Step) []core.Event {
+func (r *routerNode) renewed(step session.ReplyActions) []core.Event {
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
@@ -156,7 +156,7 @@
 		e.advance()
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
-			cursor.Take(&report)
+			cursor.Advance(&report)
 			r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked, Report: &report})
 			again()
 		})
@@ -243,7 +243,7 @@
 		if rest := e.shed.sheds(e.w.now()); rest > 0 {
 			asker := pairOf(r.process, e.lifeName())
 			respond(func() {
-				said := pushback.Said{Rest: rest}
+				said := pushback.Signals{Backoff: rest}
 				r.w.oracle.heard(asker, said)
 				r.refused(s, action, life, said)
 			})
@@ -252,16 +252,16 @@
 		result := e.submit(action, s)
 		inNeed, limit, asker := e.need, e.need.limit(e.w.now()), pairOf(r.process, e.lifeName())
 		respond(func() {
-			if limit.Named {
+			if limit.Advertised {
 				r.w.oracle.heardLimit(asker, inNeed)
-				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Said{Limit: limit}})
+				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
 			case engine.Taken:
 			case engine.TakenWithoutReuse:
 				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
-				r.refused(s, action, life, pushback.Said{Leaving: result == engine.RefusedLeaving, Rest: 100 * time.Millisecond})
+				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
 			}
 		})
 	}, func(refused bool) { r.attemptEvent(s, core.EventAttempt{Kind: failureKind(refused)}) })
@@ -285,7 +285,7 @@
 
 // attemptEvent passes what a back end answered to the core.
 // refused takes up an engine's refusal, with what it says of itself.
-func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Said) {
+func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
 	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: said})
 	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
@@ -334,7 +334,7 @@
 			return
 		}
 		r.w.oracle.routerStopped(r)
-		beat := r.session.Closing()
+		beat := r.session.ClosingHeartbeat()
 		r.asker.once(control.Request{Heartbeat: &beat}, askTimeout, func(control.Response, bool) {})
 		r.after(drainCheck, func() {
 			r.kill(false)
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -21,7 +21,7 @@
 		return c.emit(reply.Suspects, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "FINGERPRINT\tHELD BACK\tBACK ENDS THAT ENDED")
 			for _, e := range reply.Suspects {
-				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Lives) >= quarantine.Held, strings.Join(e.Lives, " "))
+				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(e.Incarnations, " "))
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 	if len(requests) == 0 {
 		return eris.New("no fingerprint is given; kitetiller held shows them")
 	}
-	change := quarantine.Change{Released: []quarantine.Release{{Requests: requests, Why: quarantine.Operator}}}
+	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.ReasonOperator}}}
 	if _, err := c.ask(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
 		return err
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -82,7 +82,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				id := engine.Draw(t, "engine")
-				index.Forget(id)
+				index.InvalidateEngine(id)
 				delete(model, id)
 			},
 			"sweep": func(*rapid.T) { index.Sweep(0, 10) },
@@ -142,22 +142,22 @@
 	if found := index.Lookup(chain(2, 2), 2*time.Second, nil); len(found) != 1 {
 		t.Fatal("what the engine said does not count any more")
 	}
-	index.Doubt(0, 3*time.Second)
+	index.MarkStale(0, 3*time.Second)
 	if found := index.Lookup(chain(2, 2), 4*time.Second, nil); len(found) != 0 {
 		t.Fatalf("a doubtful old belief still counts: %v", found)
 	}
 }
 
 func TestHotRateOfSteadyRequests(t *testing.T) {
-	table := NewHotTable()
+	table := NewRequestRates()
 	var rate float64
 	for i := range 600 {
-		rate = table.Touch(Hash{1}, time.Duration(i)*time.Second/2)
+		rate = table.Record(Hash{1}, time.Duration(i)*time.Second/2)
 	}
 	if rate < 110 || rate > 130 {
 		t.Fatalf("rate %.1f a minute, want about 120", rate)
 	}
-	if cold := table.Rate(Hash{1}, 300*time.Second+2*hotHalfLife); cold > rate/3 {
+	if cold := table.Rate(Hash{1}, 300*time.Second+2*rateHalfLife); cold > rate/3 {
 		t.Fatalf("rate %.1f after two half-lives", cold)
 	}
 }
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -9,180 +9,184 @@
 	"kitetiller/internal/catalog"
 )
 
-// heard is a word as the oracle keeps it: all of them, in a list.
-type heard struct {
-	at   time.Duration
-	life catalog.Life
-	said Said
+// observation is one entry of the model, which keeps all signals in a list.
+type observation struct {
+	at          time.Duration
+	incarnation catalog.Incarnation
+	signals     Signals
 }
 
-// TestBookAgreesWithAList: whatever is said, asked and swept, a life is barred while any of its own words counts, and while a rest counts that
-// a life before it was heard to ask for, unless it began clearly later.
-func TestBookAgreesWithAList(t *testing.T) {
+// An incarnation is restricted while one of its own signals is in effect, or a backoff of an earlier incarnation that
+// it may have requested itself.
+func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, now, began := NewBook(), time.Duration(0), time.UnixMilli(1_000_000)
-		var list []heard
-		life := rapid.Custom(func(t *rapid.T) catalog.Life {
-			made := catalog.Life{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
-			if made.Name == "a" {
-				made.Born = began.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
+		tracker, now, epoch := NewTracker(), time.Duration(0), time.UnixMilli(1_000_000)
+		var observations []observation
+		anyIncarnation := rapid.Custom(func(t *rapid.T) catalog.Incarnation {
+			incarnation := catalog.Incarnation{Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}
+			if incarnation.Name == "a" {
+				incarnation.StartedMS = epoch.UnixMilli() + rapid.Int64Range(1, 20).Draw(t, "born")*1000
 			}
-			return made
+			return incarnation
 		})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				word := heard{now, life.Draw(t, "speaker"), Said{
-					Rest:    time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
-					Leaving: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
+				o := observation{now, anyIncarnation.Draw(t, "speaker"), Signals{
+					Backoff:  time.Duration(rapid.IntRange(-1, 6).Draw(t, "rest")) * time.Second,
+					Draining: rapid.IntRange(0, 5).Draw(t, "leaving") == 0,
 				}}
-				list = append(list, word)
-				book.Note(now, began.Add(now), word.life, word.said, 0)
+				observations = append(observations, o)
+				tracker.Observe(now, epoch.Add(now), o.incarnation, o.signals, 0)
 			case 1:
-				book.Sweep(now, func(catalog.Life) bool { return true })
+				tracker.Sweep(now, func(catalog.Incarnation) bool { return true })
 			}
-			asked := life.Draw(t, "asked")
-			wanted := Bar{}
-			for _, word := range list {
-				until := word.at + word.said.Rest
-				earlier := word.life.Name == asked.Name && word.life.Born < asked.Born && asked.Born <= began.Add(word.at+birthSlack).UnixMilli()
-				if word.life == asked && word.said.Leaving {
-					wanted.Leaving = true
+			queried := anyIncarnation.Draw(t, "asked")
+			want := Restriction{}
+			for _, o := range observations {
+				until := o.at + o.signals.Backoff
+				earlier := o.incarnation.Name == queried.Name && o.incarnation.StartedMS < queried.StartedMS &&
+					queried.StartedMS <= epoch.Add(o.at+maxClockSkew).UnixMilli()
+				if o.incarnation == queried && o.signals.Draining {
+					want.Draining = true
 				}
-				if (word.life == asked || earlier) && word.said.Rest > 0 && until > now {
-					wanted.Until = max(wanted.Until, until)
+				if (o.incarnation == queried || earlier) && o.signals.Backoff > 0 && until > now {
+					want.BackoffUntil = max(want.BackoffUntil, until)
 				}
 			}
-			// An earlier life's words are one: the newest rest that was heard tells which lives may have asked for it.
-			got := book.At(now, asked)
-			if got.Leaving != wanted.Leaving || got.Until < wanted.Until {
-				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
+			// The tracker keeps one state per incarnation: its newest backoff decides which later incarnations may
+			// have requested it, so it may restrict longer than the model.
+			got := tracker.Restriction(now, queried)
+			if got.Draining != want.Draining || got.BackoffUntil < want.BackoffUntil {
+				t.Fatalf("%v at %v: got %+v, want %+v", queried, now, got, want)
 			}
-			if asked.Name == "b" && got != wanted {
-				t.Fatalf("%v at %v: %+v, the list says %+v", asked, now, got, wanted)
+			if queried.Name == "b" && got != want {
+				t.Fatalf("%v at %v: got %+v, want %+v", queried, now, got, want)
 			}
 		}
 	})
 }
 
-// TestLimitsAgreeWithAList: whatever is heard, in whatever order, told by others with its age, ended or swept, a life's limit is that of the latest
-// word; an answer without one ends only what was heard before its request was sent.
-func TestLimitsAgreeWithAList(t *testing.T) {
+// The limit of an incarnation is the latest one observed, in whatever order observations arrive. A response without a
+// limit withdraws only a limit observed before its request was sent.
+func TestLimitsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type told struct {
+		type observed struct {
 			at    time.Duration
 			limit Limit
 		}
-		book, now := NewBook(), time.Minute
-		latest := map[catalog.Life]told{}
-		lives := []catalog.Life{{Name: "a", Born: 1}, {Name: "a", Born: 2}, {Name: "b"}}
-		hear := func(at time.Duration, life catalog.Life, limit Limit) {
-			before := latest[life]
-			news := book.NoteLimit(at, life, limit)
-			if at < before.at || limit.Over && !before.limit.Named {
+		tracker, now := NewTracker(), time.Minute
+		latest := map[catalog.Incarnation]observed{}
+		incarnations := []catalog.Incarnation{{Name: "a", StartedMS: 1}, {Name: "a", StartedMS: 2}, {Name: "b"}}
+		observe := func(at time.Duration, incarnation catalog.Incarnation, limit Limit) {
+			before := latest[incarnation]
+			changed := tracker.ObserveLimit(at, incarnation, limit)
+			if at < before.at || limit.Withdrawn && !before.limit.Advertised {
 				return
 			}
-			latest[life] = told{at, limit}
-			if changed := before.limit.Named != limit.Named || before.limit.Rate != limit.Rate; news != changed {
-				t.Fatalf("%+v after %+v: news %v", limit, before, news)
+			latest[incarnation] = observed{at, limit}
+			if wantChanged := before.limit.Advertised != limit.Advertised || before.limit.Rate != limit.Rate; changed != wantChanged {
+				t.Fatalf("%+v after %+v: ObserveLimit reported changed = %v", limit, before, changed)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "pause")) * time.Millisecond
-			life := rapid.SampledFrom(lives).Draw(t, "life")
+			incarnation := rapid.SampledFrom(incarnations).Draw(t, "life")
 			age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				said := Said{Limit: Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
-				if before := latest[life]; now >= before.at {
-					latest[life] = told{now, said.Limit}
+				signals := Signals{Limit: Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))}}
+				if before := latest[incarnation]; now >= before.at {
+					latest[incarnation] = observed{now, signals.Limit}
 				}
-				book.Note(now, time.Time{}, life, said, 0)
+				tracker.Observe(now, time.Time{}, incarnation, signals, 0)
 			case 1:
-				hear(now-age, life, Limit{Named: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
+				observe(now-age, incarnation, Limit{Advertised: true, Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate"))})
 			case 2:
-				hear(now-age, life, Limit{Over: true})
+				observe(now-age, incarnation, Limit{Withdrawn: true})
 			case 3:
-				before := latest[life]
-				if over := book.Unlimited(now, now-age, life); over != (before.limit.Named && before.at < now-age) {
-					t.Fatalf("sent %v ago, %+v at %v: over %v", age, before, now, over)
-				} else if over {
-					latest[life] = told{now, Limit{Over: true}}
+				before := latest[incarnation]
+				if withdrawn := tracker.ObserveNoLimit(now, now-age, incarnation); withdrawn != (before.limit.Advertised && before.at < now-age) {
+					t.Fatalf("request sent %v ago, known limit %+v, now %v: withdrawn = %v", age, before, now, withdrawn)
+				} else if withdrawn {
+					latest[incarnation] = observed{now, Limit{Withdrawn: true}}
 				}
 			case 4:
-				book.Sweep(now, func(catalog.Life) bool { return true })
-				for life, last := range latest {
-					if last.limit.Over {
-						delete(latest, life) // nothing is left of it
+				tracker.Sweep(now, func(catalog.Incarnation) bool { return true })
+				for incarnation, last := range latest {
+					if last.limit.Withdrawn {
+						delete(latest, incarnation) // the tracker may have removed it
 					}
 				}
 			}
-			for _, life := range lives {
-				last := latest[life]
-				if got := book.Limit(life); got.Named != last.limit.Named || got.Named && got != last.limit {
-					t.Fatalf("%v at %v: %+v, the list says %+v", life, now, got, last)
+			for _, incarnation := range incarnations {
+				last := latest[incarnation]
+				if got := tracker.Limit(incarnation); got.Advertised != last.limit.Advertised || got.Advertised && got != last.limit {
+					t.Fatalf("%v at %v: got %+v, want %+v", incarnation, now, got, last)
 				}
-				if bar := book.At(now, life); bar.Limit != book.Limit(life) {
-					t.Fatalf("%+v bars, %+v is named", bar.Limit, book.Limit(life))
+				if restriction := tracker.Restriction(now, incarnation); restriction.Limit != tracker.Limit(incarnation) {
+					t.Fatalf("Restriction has limit %+v, Limit returns %+v", restriction.Limit, tracker.Limit(incarnation))
 				}
 			}
 		}
 	})
 }
 
-// TestRestIsOfALife: the next life wants work, unless it may be the one that was heard; a life before it is nobody any more.
-func TestRestIsOfALife(t *testing.T) {
-	day := time.UnixMilli(50_000)
-	book := NewBook()
-	book.Note(0, day, catalog.Life{Name: "a", Born: 10_000}, Said{Rest: 30 * time.Second, Leaving: true}, 0)
-	for what, step := range map[string]struct {
-		life           catalog.Life
-		rests, leaving bool
+// A backoff applies to a later incarnation only if that may have requested it.
+func TestBackoffBelongsToIncarnation(t *testing.T) {
+	wallClock := time.UnixMilli(50_000)
+	tracker := NewTracker()
+	tracker.Observe(0, wallClock, catalog.Incarnation{Name: "a", StartedMS: 10_000}, Signals{Backoff: 30 * time.Second, Draining: true}, 0)
+	for name, c := range map[string]struct {
+		incarnation          catalog.Incarnation
+		backingOff, draining bool
 	}{
-		"itself":                          {catalog.Life{Name: "a", Born: 10_000}, true, true},
-		"a life that had begun by then":   {catalog.Life{Name: "a", Born: 49_000}, true, false},
-		"one that began as it was heard":  {catalog.Life{Name: "a", Born: 50_500}, true, false},
-		"a life that began clearly later": {catalog.Life{Name: "a", Born: 52_000}, false, false},
-		"another back end":                {catalog.Life{Name: "b", Born: 10_000}, false, false},
+		"the same incarnation":                               {catalog.Incarnation{Name: "a", StartedMS: 10_000}, true, true},
+		"a later incarnation started before the observation": {catalog.Incarnation{Name: "a", StartedMS: 49_000}, true, false},
+		"a later incarnation started within the clock skew":  {catalog.Incarnation{Name: "a", StartedMS: 50_500}, true, false},
+		"a later incarnation started after the clock skew":   {catalog.Incarnation{Name: "a", StartedMS: 52_000}, false, false},
+		"another back end":                                   {catalog.Incarnation{Name: "b", StartedMS: 10_000}, false, false},
 	} {
-		if bar := book.At(time.Second, step.life); bar.Rests(time.Second) != step.rests || bar.Leaving != step.leaving {
-			t.Errorf("%s: %+v", what, bar)
+		if restriction := tracker.Restriction(time.Second, c.incarnation); restriction.IsBackingOff(time.Second) != c.backingOff ||
+			restriction.Draining != c.draining {
+			t.Errorf("%s: %+v", name, restriction)
 		}
 	}
 }
 
-// TestRestEnds: with its time and a little at random, never sooner; a shorter wish doesn't shorten a longer one; none is believed for longer
-// than the bound.
-func TestRestEnds(t *testing.T) {
-	a, day := catalog.Life{Name: "a"}, time.UnixMilli(0)
-	book := NewBook()
-	if bar := book.Note(time.Second, day, a, Said{Rest: 3 * time.Second}, 0.999); bar.Until < 4*time.Second || bar.Until > 4*time.Second+spreadMost {
-		t.Fatalf("%+v", bar)
+// A backoff ends after its duration plus jitter, never earlier. A shorter one doesn't shorten it, and MaxBackoff caps
+// it.
+func TestBackoffExpires(t *testing.T) {
+	a, wallClock := catalog.Incarnation{Name: "a"}, time.UnixMilli(0)
+	tracker := NewTracker()
+	if restriction := tracker.Observe(time.Second, wallClock, a, Signals{Backoff: 3 * time.Second}, 0.999); restriction.BackoffUntil < 4*time.Second ||
+		restriction.BackoffUntil > 4*time.Second+maxJitter {
+		t.Fatalf("backoff of 3s with full jitter: got %+v", restriction)
 	}
-	if bar := book.Note(2*time.Second, day, a, Said{Rest: time.Second}, 0); bar.Until < 4*time.Second {
-		t.Fatalf("shortened: %+v", bar)
+	if restriction := tracker.Observe(2*time.Second, wallClock, a, Signals{Backoff: time.Second}, 0); restriction.BackoffUntil < 4*time.Second {
+		t.Fatalf("a shorter backoff shortened the earlier one: %+v", restriction)
 	}
-	if bar := book.At(5*time.Second, a); bar.Stands(5 * time.Second) {
-		t.Fatalf("after its end: %+v", bar)
+	if restriction := tracker.Restriction(5*time.Second, a); restriction.IsBlocked(5 * time.Second) {
+		t.Fatalf("still blocked after the backoff ended: %+v", restriction)
 	}
-	if bar := book.Note(5*time.Second, day, a, Said{Rest: 1000 * time.Hour}, 0); bar.Until > 5*time.Second+LongestRest+spreadMost {
-		t.Fatalf("without a bound: %+v", bar)
+	if restriction := tracker.Observe(5*time.Second, wallClock, a, Signals{Backoff: 1000 * time.Hour}, 0); restriction.BackoffUntil > 5*time.Second+MaxBackoff+maxJitter {
+		t.Fatalf("backoff exceeds MaxBackoff: %+v", restriction)
 	}
 }
 
-// TestWordsAreForgotten: a rest with its time; that a life leaves once nobody has named it for long.
-func TestWordsAreForgotten(t *testing.T) {
-	leaver, rester, day := catalog.Life{Name: "l"}, catalog.Life{Name: "r"}, time.UnixMilli(0)
-	book := NewBook()
-	book.Note(0, day, leaver, Said{Leaving: true}, 0)
-	book.Note(0, day, rester, Said{Rest: time.Second}, 0)
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return true })
-	if len(book.words) != 1 || !book.At(2*leavingKept, leaver).Leaving {
-		t.Fatalf("%+v", book.words)
+// A backoff is removed once it expired, draining once the incarnation has been unknown for untimedTTL.
+func TestSweepRemovesExpiredState(t *testing.T) {
+	draining, backingOff, wallClock := catalog.Incarnation{Name: "l"}, catalog.Incarnation{Name: "r"}, time.UnixMilli(0)
+	tracker := NewTracker()
+	tracker.Observe(0, wallClock, draining, Signals{Draining: true}, 0)
+	tracker.Observe(0, wallClock, backingOff, Signals{Backoff: time.Second}, 0)
+	tracker.Sweep(2*untimedTTL, func(catalog.Incarnation) bool { return true })
+	if len(tracker.states) != 1 || !tracker.Restriction(2*untimedTTL, draining).Draining {
+		t.Fatalf("draining incarnation removed or expired backoff kept: %+v", tracker.states)
 	}
-	book.Sweep(2*leavingKept, func(catalog.Life) bool { return false })
-	if len(book.words) != 0 {
-		t.Fatalf("%+v", book.words)
+	tracker.Sweep(2*untimedTTL, func(catalog.Incarnation) bool { return false })
+	if len(tracker.states) != 0 {
+		t.Fatalf("state left of unknown incarnations: %+v", tracker.states)
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -12,191 +12,191 @@
 	"pgregory.net/rapid"
 )
 
-// printOf returns a fingerprint for tests.
-func printOf(number int) Fingerprint {
+func fingerprintOf(number int) Fingerprint {
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-func endedOf(life string, numbers ...int) Ended {
-	ended := Ended{Life: life}
+func crashOf(incarnation string, numbers ...int) Crash {
+	crash := Crash{Incarnation: incarnation}
 	for _, n := range numbers {
-		ended.Requests = append(ended.Requests, printOf(n))
+		crash.Requests = append(crash.Requests, fingerprintOf(n))
 	}
-	return ended
+	return crash
 }
 
-// TestLivesAreASet: whatever order lives are told in, how often, and by whom, a request has as many against it as ended under it.
-func TestLivesAreASet(t *testing.T) {
+// The count of a request is the number of distinct incarnations, in whatever order and however often crashes are
+// reported.
+func TestCrashesAreCountedOncePerIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Ended {
-			return endedOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
+		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
+			return crashOf(fmt.Sprint("life-", rapid.IntRange(0, 5).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 6), 1, 4).Draw(t, "requests")...)
 		}), 1, 20).Draw(t, "told")
-		wanted := map[Fingerprint]map[string]bool{}
-		for _, ended := range told {
-			for _, f := range ended.Requests {
-				if wanted[f] == nil {
-					wanted[f] = map[string]bool{}
+		want := map[Fingerprint]map[string]bool{}
+		for _, crash := range crashes {
+			for _, f := range crash.Requests {
+				if want[f] == nil {
+					want[f] = map[string]bool{}
 				}
-				wanted[f][ended.Life] = true
+				want[f][crash.Incarnation] = true
 			}
 		}
-		one, other := NewLedger(), NewLedger()
-		for _, ended := range told {
-			one.Apply(Change{Ended: []Ended{ended}})
+		inOrder, shuffledOrder := NewRegistry(), NewRegistry()
+		for _, crash := range crashes {
+			inOrder.Apply(Change{Crashes: []Crash{crash}})
 		}
-		shuffled := rapid.Permutation(append(slices.Clone(told), told...)).Draw(t, "shuffled")
-		other.Apply(Change{Ended: shuffled})
-		for f, lives := range wanted {
-			if one.Lives(f) != len(lives) || other.Lives(f) != len(lives) {
-				t.Fatalf("%v has %d and %d lives, wanted %d", f, one.Lives(f), other.Lives(f), len(lives))
+		shuffled := rapid.Permutation(append(slices.Clone(crashes), crashes...)).Draw(t, "shuffled")
+		shuffledOrder.Apply(Change{Crashes: shuffled})
+		for f, incarnations := range want {
+			if inOrder.CrashCount(f) != len(incarnations) || shuffledOrder.CrashCount(f) != len(incarnations) {
+				t.Fatalf("%v: got %d crashes in order and %d shuffled, want %d", f, inOrder.CrashCount(f), shuffledOrder.CrashCount(f), len(incarnations))
 			}
 		}
-		if one.Changes(Change{Ended: told}) {
-			t.Fatal("what is known counts as news")
+		if inOrder.WouldChange(Change{Crashes: crashes}) {
+			t.Fatal("WouldChange is true for known crashes")
 		}
 	})
 }
 
-// ledgerModel compares a ledger with the plainest account of what it was told.
-type ledgerModel struct {
-	ledger *Ledger
-	lives  map[Fingerprint][]string
-	seed   []byte
+// registryModel compares a registry with a plain list of incarnations per request.
+type registryModel struct {
+	registry     *Registry
+	incarnations map[Fingerprint][]string
+	seed         []byte
 }
 
-func (m *ledgerModel) Ended(t *rapid.T) {
-	ended := endedOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
-	changes := m.ledger.Changes(Change{Ended: []Ended{ended}})
-	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Ended: []Ended{ended}})
+func (m *registryModel) Ended(t *rapid.T) {
+	crash := crashOf(fmt.Sprint("life-", rapid.IntRange(0, 30).Draw(t, "life")), rapid.SliceOfN(rapid.IntRange(0, 9), 1, 5).Draw(t, "requests")...)
+	wouldChange := m.registry.WouldChange(Change{Crashes: []Crash{crash}})
+	before, version := m.suspects(), m.registry.Version()
+	m.registry.Apply(Change{Crashes: []Crash{crash}})
 	changed := false
-	for _, f := range ended.Requests {
-		if !slices.Contains(m.lives[f], ended.Life) && len(m.lives[f]) < livesKept {
-			m.lives[f] = append(m.lives[f], ended.Life)
+	for _, f := range crash.Requests {
+		if !slices.Contains(m.incarnations[f], crash.Incarnation) && len(m.incarnations[f]) < maxIncarnations {
+			m.incarnations[f] = append(m.incarnations[f], crash.Incarnation)
 			changed = true
 		}
 	}
-	if changes != changed {
-		t.Fatalf("told to change: %t, changed: %t", changes, changed)
+	if wouldChange != changed {
+		t.Fatalf("WouldChange returned %t, model changed: %t", wouldChange, changed)
 	}
-	m.versionMoved(t, before, version)
+	m.checkVersion(t, before, version)
 }
 
-func (m *ledgerModel) Release(t *rapid.T) {
-	released := Release{Keep: rapid.IntRange(0, Held-1).Draw(t, "keep"), Why: Operator}
+func (m *registryModel) Release(t *rapid.T) {
+	release := Release{Keep: rapid.IntRange(0, QuarantineThreshold-1).Draw(t, "keep"), Reason: ReasonOperator}
 	for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9), 1, 3).Draw(t, "requests") {
-		released.Requests = append(released.Requests, printOf(n))
+		release.Requests = append(release.Requests, fingerprintOf(n))
 	}
-	before, version := m.told(), m.ledger.Version()
-	m.ledger.Apply(Change{Released: []Release{released}})
-	for _, f := range released.Requests {
-		if len(m.lives[f]) > released.Keep {
-			m.lives[f] = m.lives[f][len(m.lives[f])-released.Keep:]
+	before, version := m.suspects(), m.registry.Version()
+	m.registry.Apply(Change{Releases: []Release{release}})
+	for _, f := range release.Requests {
+		if len(m.incarnations[f]) > release.Keep {
+			m.incarnations[f] = m.incarnations[f][len(m.incarnations[f])-release.Keep:]
 		}
-		if len(m.lives[f]) == 0 {
-			delete(m.lives, f)
+		if len(m.incarnations[f]) == 0 {
+			delete(m.incarnations, f)
 		}
 	}
-	m.versionMoved(t, before, version)
+	m.checkVersion(t, before, version)
 }
 
-func (m *ledgerModel) Plant(t *rapid.T) {
+func (m *registryModel) Plant(t *rapid.T) {
 	seed := rapid.SliceOfN(rapid.Byte(), SeedBytes, SeedBytes).Draw(t, "seed")
-	m.ledger.Apply(Change{Seed: seed})
+	m.registry.Apply(Change{Seed: seed})
 	if m.seed == nil {
 		m.seed = seed
 	}
 }
 
-func (m *ledgerModel) Restore(t *rapid.T) {
-	data, err := json.Marshal(m.ledger)
+func (m *registryModel) Restore(t *rapid.T) {
+	data, err := json.Marshal(m.registry)
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := NewLedger()
+	restored := NewRegistry()
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(restored.News(), m.ledger.News()) {
-		t.Fatalf("restored %+v from %+v", restored.News(), m.ledger.News())
+	if !reflect.DeepEqual(restored.Update(), m.registry.Update()) {
+		t.Fatalf("restored update is %+v, want %+v", restored.Update(), m.registry.Update())
 	}
-	m.ledger = restored
+	m.registry = restored
 }
 
-// told returns what processes are to be told, by the model.
-func (m *ledgerModel) told() map[Fingerprint][]string {
-	told := map[Fingerprint][]string{}
-	for f, lives := range m.lives {
-		if len(lives) >= Suspected {
-			told[f] = slices.Clone(lives)
+// suspects returns the entries expected in the update.
+func (m *registryModel) suspects() map[Fingerprint][]string {
+	suspects := map[Fingerprint][]string{}
+	for f, incarnations := range m.incarnations {
+		if len(incarnations) >= SuspectThreshold {
+			suspects[f] = slices.Clone(incarnations)
 		}
 	}
-	return told
+	return suspects
 }
 
-// versionMoved checks that processes hear of every difference.
-func (m *ledgerModel) versionMoved(t *rapid.T, before map[Fingerprint][]string, version uint64) {
-	if !maps.EqualFunc(before, m.told(), slices.Equal) && m.ledger.Version() <= version {
-		t.Fatal("news differ under one version")
+// checkVersion checks that the version increases whenever the update changes.
+func (m *registryModel) checkVersion(t *rapid.T, before map[Fingerprint][]string, version uint64) {
+	if !maps.EqualFunc(before, m.suspects(), slices.Equal) && m.registry.Version() <= version {
+		t.Fatal("update changed without a new version")
 	}
 }
 
-func (m *ledgerModel) Check(t *rapid.T) {
-	news := m.ledger.News()
-	told := map[Fingerprint][]string{}
-	for _, e := range news.Entries {
-		told[e.Request] = e.Lives
+func (m *registryModel) Check(t *rapid.T) {
+	update := m.registry.Update()
+	reported := map[Fingerprint][]string{}
+	for _, e := range update.Entries {
+		reported[e.Request] = e.Incarnations
 	}
-	if !maps.EqualFunc(told, m.told(), slices.Equal) || !slices.Equal(news.Seed, m.seed) {
-		t.Fatalf("news %+v, wanted %v under seed %v", news, m.told(), m.seed)
+	if !maps.EqualFunc(reported, m.suspects(), slices.Equal) || !slices.Equal(update.Seed, m.seed) {
+		t.Fatalf("got update %+v, want entries %v with seed %v", update, m.suspects(), m.seed)
 	}
 }
 
-// TestLedgerTellsWhatItWasTold: after any changes, and restored from a snapshot between them.
-func TestLedgerTellsWhatItWasTold(t *testing.T) {
+// The update reflects all changes, also after the registry is restored from a snapshot.
+func TestRegistryMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{ledger: NewLedger(), lives: map[Fingerprint][]string{}}
+		m := &registryModel{registry: NewRegistry(), incarnations: map[Fingerprint][]string{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
-// TestFloodPushesNoCulpritOut: however many other requests are told of, one with more lives against it stays.
-func TestFloodPushesNoCulpritOut(t *testing.T) {
-	l := NewLedger()
-	for life := range Held {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("life-", life), 1)}})
+// Requests with fewer crashes, however many, must not evict one with more.
+func TestFloodDoesNotEvictQuarantinedRequest(t *testing.T) {
+	r := NewRegistry()
+	for i := range QuarantineThreshold {
+		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("life-", i), 1)}})
 	}
-	for n := range 3 * entriesMost {
-		l.Apply(Change{Ended: []Ended{endedOf(fmt.Sprint("other-", n), 2+n)}})
+	for n := range 3 * maxEntries {
+		r.Apply(Change{Crashes: []Crash{crashOf(fmt.Sprint("other-", n), 2+n)}})
 	}
-	if got := l.Lives(printOf(1)); got != Held {
-		t.Fatalf("%d lives are left", got)
+	if got := r.CrashCount(fingerprintOf(1)); got != QuarantineThreshold {
+		t.Fatalf("crash count is %d", got)
 	}
-	if n := len(l.All()); n != entriesMost {
-		t.Fatalf("%d requests are remembered, %d are the most", n, entriesMost)
+	if n := len(r.Fingerprints()); n != maxEntries {
+		t.Fatalf("%d requests kept, want %d", n, maxEntries)
 	}
-	if l.Lives(printOf(2)) != 0 || l.Lives(printOf(1+3*entriesMost)) != 1 {
-		t.Fatal("it is not the oldest that makes room")
+	if r.CrashCount(fingerprintOf(2)) != 0 || r.CrashCount(fingerprintOf(1+3*maxEntries)) != 1 {
+		t.Fatal("evicted another request than the oldest")
 	}
 }
 
-// TestSeedStays: the first one is everybody's.
-func TestSeedStays(t *testing.T) {
-	l, first := NewLedger(), make([]byte, SeedBytes)
+// A later seed must not replace the first one.
+func TestFirstSeedIsKept(t *testing.T) {
+	r, first := NewRegistry(), make([]byte, SeedBytes)
 	first[0] = 1
-	l.Apply(Change{Seed: first[:5]})
-	if l.Planted() {
-		t.Fatal("a short seed is taken")
+	r.Apply(Change{Seed: first[:5]})
+	if r.HasSeed() {
+		t.Fatal("a short seed was accepted")
 	}
-	l.Apply(Change{Seed: first})
-	l.Apply(Change{Seed: make([]byte, SeedBytes)})
-	if got := l.News(); !slices.Equal(got.Seed, first) || got.Version != 1 {
-		t.Fatalf("%+v", got)
+	r.Apply(Change{Seed: first})
+	r.Apply(Change{Seed: make([]byte, SeedBytes)})
+	if got := r.Update(); !slices.Equal(got.Seed, first) || got.Version != 1 {
+		t.Fatalf("want the first seed and version 1, got %+v", got)
 	}
 }
 
-// TestFingerprints: what stays of a request makes it, and nothing else; no two requests run together into one.
-func TestFingerprints(t *testing.T) {
+// Every field changes the fingerprint, nothing else does, and fields cannot run into each other.
+func TestFingerprintCoversRequestFields(t *testing.T) {
 	h, err := NewHasher(make([]byte, SeedBytes))
 	if err != nil {
 		t.Fatal(err)
@@ -205,8 +205,8 @@
 	base := Request{Method: "POST", Host: "h", Path: "/a/b?c", Caller: "north", Body: []byte("text")}
 	same := base
 	same.Body = slices.Clone(base.Body)
-	if h.Of(base) != h.Of(same) || h.Of(base) == other.Of(base) {
-		t.Fatal("a fingerprint depends on something else, or not on the seed")
+	if h.Fingerprint(base) != h.Fingerprint(same) || h.Fingerprint(base) == other.Fingerprint(base) {
+		t.Fatal("fingerprint differs for equal requests, or does not depend on the seed")
 	}
 	for _, change := range []func(*Request){
 		func(r *Request) { r.Method = "PUT" }, func(r *Request) { r.Host = "g" }, func(r *Request) { r.Path = "/a/b?d" },
@@ -215,146 +215,149 @@
 	} {
 		changed := base
 		change(&changed)
-		if h.Of(base) == h.Of(changed) {
-			t.Fatalf("%+v has the fingerprint of %+v", changed, base)
+		if h.Fingerprint(base) == h.Fingerprint(changed) {
+			t.Fatalf("%+v and %+v have the same fingerprint", changed, base)
 		}
 	}
 	if _, err := NewHasher([]byte("short")); err == nil {
-		t.Fatal("a short seed is taken")
+		t.Fatal("a short seed was accepted")
 	}
 }
 
-// FuzzFingerprintText: what a reader takes is written again as it was.
+// A text that can be decoded is encoded to the same text.
 func FuzzFingerprintText(f *testing.F) {
-	f.Add(printOf(7).String())
+	f.Add(fingerprintOf(7).String())
 	f.Add("")
 	f.Add("not a fingerprint at all")
 	f.Fuzz(func(t *testing.T, text string) {
-		var read Fingerprint
-		if read.UnmarshalText([]byte(text)) != nil {
+		var decoded Fingerprint
+		if decoded.UnmarshalText([]byte(text)) != nil {
 			return
 		}
-		again := Fingerprint{}
-		if err := again.UnmarshalText([]byte(read.String())); err != nil || again != read {
-			t.Fatalf("%q becomes %v, then %v: %v", text, read, again, err)
+		redecoded := Fingerprint{}
+		if err := redecoded.UnmarshalText([]byte(decoded.String())); err != nil || redecoded != decoded {
+			t.Fatalf("%q decodes to %v, re-encoded to %v: %v", text, decoded, redecoded, err)
 		}
 	})
 }
 
-// TestOnlyAProvedEndCounts: a run that broke off counts once its back end is proved to have ended, in either order and within a while.
-func TestOnlyAProvedEndCounts(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	if _, counts := r.Broke(time.Second, "a", f); counts || r.Lives(f) != 0 || !r.Waits("a") {
-		t.Fatal("a broken run counts without proof")
+// A failed run counts once the end of its back end is confirmed, before or after the failure, and only within
+// confirmationTimeout.
+func TestOnlyConfirmedCrashCounts(t *testing.T) {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	if _, ok := tracker.RecordFailure(time.Second, "a", f); ok || tracker.CrashCount(f) != 0 || !tracker.AwaitsConfirmation("a") {
+		t.Fatal("a failed run counts without confirmation")
 	}
-	if _, counts := r.End(time.Second, "b"); counts {
-		t.Fatal("a life without broken runs counts")
+	if _, ok := tracker.ConfirmEnd(time.Second, "b"); ok {
+		t.Fatal("an incarnation without failed runs counts")
 	}
-	told, counts := r.End(2*time.Second, "a")
-	if !counts || told.Life != "a" || !slices.Equal(told.Requests, []Fingerprint{f}) || r.Lives(f) != 1 || r.Waits("a") {
-		t.Fatalf("%+v, %t", told, counts)
+	crash, ok := tracker.ConfirmEnd(2*time.Second, "a")
+	if !ok || crash.Incarnation != "a" || !slices.Equal(crash.Requests, []Fingerprint{f}) ||
+		tracker.CrashCount(f) != 1 || tracker.AwaitsConfirmation("a") {
+		t.Fatalf("crash after confirmation: got %+v, %t", crash, ok)
 	}
-	if told, counts = r.Broke(2*time.Second, "a", printOf(2)); !counts || !slices.Equal(told.Requests, []Fingerprint{printOf(2)}) {
-		t.Fatalf("a run that breaks off after the proof: %+v, %t", told, counts)
+	if crash, ok = tracker.RecordFailure(2*time.Second, "a", fingerprintOf(2)); !ok || !slices.Equal(crash.Requests, []Fingerprint{fingerprintOf(2)}) {
+		t.Fatalf("run that failed after the confirmation: got %+v, %t", crash, ok)
 	}
-	if _, counts = r.End(2*time.Second, "a"); counts {
-		t.Fatal("a life counts twice")
+	if _, ok = tracker.ConfirmEnd(2*time.Second, "a"); ok {
+		t.Fatal("a confirmed end was reported twice")
 	}
-	r.Broke(3*time.Second, "c", f)
-	if _, counts = r.End(3*time.Second+proofWait+1, "c"); counts {
-		t.Fatal("a proof long after counts")
+	tracker.RecordFailure(3*time.Second, "c", f)
+	if _, ok = tracker.ConfirmEnd(3*time.Second+confirmationTimeout+1, "c"); ok {
+		t.Fatal("a confirmation after confirmationTimeout counts")
 	}
 }
 
-// TestGoodEndsSpeakForARequest: what ended well a moment ago isn't counted, nor held back when control tells of it, and what ends well
-// is released.
-func TestGoodEndsSpeakForARequest(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	if r.EndedWell(time.Second, f) {
-		t.Fatal("released though nothing is known of it")
+// Crashes right after a completion don't count, locally or if reported, and a completion releases the request.
+func TestCompletionClearsRequest(t *testing.T) {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	if tracker.RecordCompletion(time.Second, f) {
+		t.Fatal("completion of a request without crashes requests a release")
 	}
-	r.Broke(2*time.Second, "a", f)
-	if _, counts := r.End(2*time.Second, "a"); counts {
-		t.Fatal("counted right after a good end")
+	tracker.RecordFailure(2*time.Second, "a", f)
+	if _, ok := tracker.ConfirmEnd(2*time.Second, "a"); ok {
+		t.Fatal("crash right after a completion counts")
 	}
-	news := &News{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {printOf(2), []string{"a", "b", "c"}}}}
-	if innocent := r.Take(3*time.Second, news); !slices.Equal(innocent, []Fingerprint{f}) || r.Lives(f) != 0 || r.Lives(printOf(2)) != Held {
-		t.Fatalf("%v is released", innocent)
+	update := &Update{Version: 1, Entries: []Entry{{f, []string{"a", "b", "c"}}, {fingerprintOf(2), []string{"a", "b", "c"}}}}
+	if completed := tracker.ApplyUpdate(3*time.Second, update); !slices.Equal(completed, []Fingerprint{f}) ||
+		tracker.CrashCount(f) != 0 || tracker.CrashCount(fingerprintOf(2)) != QuarantineThreshold {
+		t.Fatalf("requests to release: got %v", completed)
 	}
-	if !r.EndedWell(4*time.Second, printOf(2)) || r.Lives(printOf(2)) != 0 {
-		t.Fatal("a good end releases nothing")
+	if !tracker.RecordCompletion(4*time.Second, fingerprintOf(2)) || tracker.CrashCount(fingerprintOf(2)) != 0 {
+		t.Fatal("completion did not release the request")
 	}
-	later := 4*time.Second + innocenceKept + 1
-	r.Take(later, news)
-	if r.Lives(f) != Held {
-		t.Fatal("an old good end speaks for a request")
+	later := 4*time.Second + completionTTL + 1
+	tracker.ApplyUpdate(later, update)
+	if tracker.CrashCount(f) != QuarantineThreshold {
+		t.Fatal("expired completion still clears the request")
 	}
 }
 
-// Control was away for 6 s, so nothing was sent and nothing could end well. Then three back ends ended within 50 ms under another request, and
-// the one that ran beside it everywhere, and ended well every second before, was held back for 3 lives: a good end spoke for 5 s, and the time
-// in which there could be none counted.
-func TestGoodEndsSpeakWhileNothingIsSent(t *testing.T) {
-	const away = 6 * time.Second
-	r, f := NewRecord(), printOf(1)
-	r.EndedWell(time.Second, f)
-	back := 2*time.Second + away
-	r.Idled(back, away)
-	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(back, life, f)
-		r.End(back, life)
-	}
-	if lives := r.Lives(f); lives != 0 {
-		t.Fatalf("%d lives count", lives)
-	}
-	later := time.Second + away + innocenceKept + 1
-	r.Broke(later, "d", f)
-	if _, counts := r.End(later, "d"); !counts {
-		t.Fatal("a good end speaks longer than by the time in which nothing was sent")
-	}
-	r.EndedWell(later, f)
-	r.Idled(later+time.Second, time.Hour)
-	if r.endedWell(later+time.Second+innocenceKept+1, f) {
-		t.Fatal("a good end lies ahead")
+// While nothing can be sent, no request can complete. Idle time must not expire completions, or an innocent request
+// that runs beside a crashing one is quarantined after an outage.
+func TestCompletionOutlastsIdleTime(t *testing.T) {
+	const idle = 6 * time.Second
+	tracker, f := NewTracker(), fingerprintOf(1)
+	tracker.RecordCompletion(time.Second, f)
+	resumed := 2*time.Second + idle
+	tracker.RecordIdle(resumed, idle)
+	for _, incarnation := range []string{"a", "b", "c"} {
+		tracker.RecordFailure(resumed, incarnation, f)
+		tracker.ConfirmEnd(resumed, incarnation)
+	}
+	if crashes := tracker.CrashCount(f); crashes != 0 {
+		t.Fatalf("%d crashes count after idle time", crashes)
+	}
+	later := time.Second + idle + completionTTL + 1
+	tracker.RecordFailure(later, "d", f)
+	if _, ok := tracker.ConfirmEnd(later, "d"); !ok {
+		t.Fatal("completion was extended by more than the idle time")
+	}
+	tracker.RecordCompletion(later, f)
+	tracker.RecordIdle(later+time.Second, time.Hour)
+	if tracker.recentlyCompleted(later+time.Second+completionTTL+1, f) {
+		t.Fatal("completion was extended into the future")
 	}
 }
 
-// TestOwnLivesAddToToldOnes: each life counts once, and what control has had time to count is forgotten.
-func TestOwnLivesAddToToldOnes(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	for _, life := range []string{"a", "b"} {
-		r.Broke(time.Second, life, f)
-		r.End(time.Second, life)
+// Each incarnation counts once, whether seen locally or reported, and local crashes expire.
+func TestLocalCrashesAddToReportedOnes(t *testing.T) {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	for _, incarnation := range []string{"a", "b"} {
+		tracker.RecordFailure(time.Second, incarnation, f)
+		tracker.ConfirmEnd(time.Second, incarnation)
 	}
-	if r.Empty() || r.Lives(f) != 2 {
-		t.Fatalf("%d lives", r.Lives(f))
+	if tracker.IsEmpty() || tracker.CrashCount(f) != 2 {
+		t.Fatalf("got %d crashes, want 2", tracker.CrashCount(f))
 	}
-	r.Take(time.Second, &News{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
-	if told, held := r.Suspects(); r.Lives(f) != 3 || told != 1 || held != 0 {
-		t.Fatalf("%d lives, %d told, %d held", r.Lives(f), told, held)
+	tracker.ApplyUpdate(time.Second, &Update{Version: 1, Entries: []Entry{{f, []string{"b", "c"}}}})
+	if suspects, quarantined := tracker.SuspectCounts(); tracker.CrashCount(f) != 3 || suspects != 1 || quarantined != 0 {
+		t.Fatalf("got %d crashes, %d suspects, %d quarantined", tracker.CrashCount(f), suspects, quarantined)
 	}
-	r.Take(2*time.Second, &News{Version: 2})
-	r.Sweep(time.Second + ownKept + 1)
-	if !r.Empty() || r.Version() != 2 {
-		t.Fatalf("%d lives are left", r.Lives(f))
+	tracker.ApplyUpdate(2*time.Second, &Update{Version: 2})
+	tracker.Sweep(time.Second + localTTL + 1)
+	if !tracker.IsEmpty() || tracker.Version() != 2 {
+		t.Fatalf("crash count is %d", tracker.CrashCount(f))
 	}
 }
 
-// TestRecordIsBounded: whatever breaks off, and however much ends well.
-func TestRecordIsBounded(t *testing.T) {
-	r := NewRecord()
-	for n := range 3 * wellMost {
-		r.Broke(time.Second, fmt.Sprint("life-", n), printOf(n))
-		r.End(time.Second, fmt.Sprint("life-", n))
-		r.Broke(time.Second, "one", printOf(n))
-		r.EndedWell(time.Second, printOf(3*wellMost+n%(wellMost+7)))
-	}
-	if len(r.breaks) > breaksMost || len(r.breaks["one"].runs) > runsMost || len(r.own) > ownMost || len(r.well) > wellMost {
-		t.Fatalf("%d breaks, %d runs, %d own, %d good ends", len(r.breaks), len(r.breaks["one"].runs), len(r.own), len(r.well))
-	}
-	for f, held := range r.well {
-		if r.ring[held.place] != f {
-			t.Fatal("a good end is not where it says")
+// The state stays bounded for any number of failures and completions.
+func TestTrackerIsBounded(t *testing.T) {
+	tracker := NewTracker()
+	for n := range 3 * maxCompletions {
+		tracker.RecordFailure(time.Second, fmt.Sprint("life-", n), fingerprintOf(n))
+		tracker.ConfirmEnd(time.Second, fmt.Sprint("life-", n))
+		tracker.RecordFailure(time.Second, "one", fingerprintOf(n))
+		tracker.RecordCompletion(time.Second, fingerprintOf(3*maxCompletions+n%(maxCompletions+7)))
+	}
+	if len(tracker.failures) > maxFailedIncarnations || len(tracker.failures["one"].runs) > maxFailedRuns ||
+		len(tracker.local) > maxLocal || len(tracker.completions) > maxCompletions {
+		t.Fatalf("state exceeds its bounds: %d failed incarnations, %d failed runs, %d local, %d completions",
+			len(tracker.failures), len(tracker.failures["one"].runs), len(tracker.local), len(tracker.completions))
+	}
+	for f, c := range tracker.completions {
+		if tracker.ring[c.slot] != f {
+			t.Fatal("completion is not in its slot of the ring")
 		}
 	}
 }
@@ -363,41 +366,40 @@
 	h, _ := NewHasher(make([]byte, SeedBytes))
 	for _, size := range []int{0, 800, 30 << 10, 90 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			again := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
+			request := Request{Method: "POST", Host: "desk.example", Path: "/long/path/of/a/request", Caller: "north", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
-				h.Of(again)
+				h.Fingerprint(request)
 			}
 		})
 	}
 }
 
-// TestReleasesElsewhereCountHere: a process that proved three lives itself follows control once that has taken them: a good end at another
-// process released the request (simulator, seed 500910: one that was frozen while all back ends ended held a hot request back for 15 s).
-func TestReleasesElsewhereCountHere(t *testing.T) {
-	r, f := NewRecord(), printOf(1)
-	var told []Ended
-	for _, life := range []string{"a", "b", "c"} {
-		r.Broke(time.Second, life, f)
-		ended, _ := r.End(time.Second, life)
-		told = append(told, ended)
-	}
-	r.Take(time.Second, &News{Version: 1})
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before control has taken them", r.Lives(f))
-	}
-	r.Taken(told)
-	if r.Lives(f) != Held {
-		t.Fatalf("%d lives before the news", r.Lives(f))
-	}
-	r.Take(time.Second, &News{Version: 3})
-	if r.Lives(f) != 0 {
-		t.Fatalf("%d lives of a request that was released", r.Lives(f))
-	}
-	r.Broke(2*time.Second, "d", f)
-	r.End(2*time.Second, "d")
-	r.Take(2*time.Second, &News{Version: 4})
-	if r.Lives(f) != 1 {
-		t.Fatalf("%d lives after one more that control hasn't taken", r.Lives(f))
+// Once the control plane has accepted local crashes, a release requested by another process must apply here too.
+func TestReleaseElsewhereAppliesAfterAcknowledgement(t *testing.T) {
+	tracker, f := NewTracker(), fingerprintOf(1)
+	var crashes []Crash
+	for _, incarnation := range []string{"a", "b", "c"} {
+		tracker.RecordFailure(time.Second, incarnation, f)
+		crash, _ := tracker.ConfirmEnd(time.Second, incarnation)
+		crashes = append(crashes, crash)
+	}
+	tracker.ApplyUpdate(time.Second, &Update{Version: 1})
+	if tracker.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d crashes before the acknowledgement", tracker.CrashCount(f))
+	}
+	tracker.Acknowledge(crashes)
+	if tracker.CrashCount(f) != QuarantineThreshold {
+		t.Fatalf("%d crashes before the next update", tracker.CrashCount(f))
+	}
+	tracker.ApplyUpdate(time.Second, &Update{Version: 3})
+	if tracker.CrashCount(f) != 0 {
+		t.Fatalf("%d crashes after the release", tracker.CrashCount(f))
+	}
+	tracker.RecordFailure(2*time.Second, "d", f)
+	tracker.ConfirmEnd(2*time.Second, "d")
+	tracker.ApplyUpdate(2*time.Second, &Update{Version: 4})
+	if tracker.CrashCount(f) != 1 {
+		t.Fatalf("%d crashes after another one that is not acknowledged", tracker.CrashCount(f))
 	}
 }
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -14,68 +14,68 @@
 	"kitetiller/internal/quarantine"
 )
 
-// outside is control and the addresses of back ends, as a test has them.
-type outside struct {
-	mu      sync.Mutex
-	fails   int // questions that control doesn't take
-	told    []quarantine.Change
-	refuses map[string]bool
-	looks   int
-	lines   []string
-	at      time.Duration
+// fakeEnvironment simulates the control plane and the addresses of back ends.
+type fakeEnvironment struct {
+	mu             sync.Mutex
+	submitFailures int // number of changes to fail
+	submitted      []quarantine.Change
+	refuses        map[string]bool
+	probes         int
+	events         []string
+	at             time.Duration
 }
 
-func (o *outside) ways() Ways {
-	return Ways{
-		Tell: func(_ context.Context, change quarantine.Change) error {
-			o.mu.Lock()
-			defer o.mu.Unlock()
-			if o.fails > 0 {
-				o.fails--
+func (env *fakeEnvironment) config() Config {
+	return Config{
+		Submit: func(_ context.Context, change quarantine.Change) error {
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			if env.submitFailures > 0 {
+				env.submitFailures--
 				return errors.New("no leader")
 			}
-			o.told = append(o.told, change)
+			env.submitted = append(env.submitted, change)
 			return nil
 		},
-		Refuses: func(_ context.Context, address string) bool {
-			o.mu.Lock()
-			defer o.mu.Unlock()
-			o.looks++
-			return o.refuses[address]
+		RefusesConnections: func(_ context.Context, address string) bool {
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			env.probes++
+			return env.refuses[address]
 		},
-		Note: func(event string, _ ...zap.Field) { o.lines = append(o.lines, event) },
-		Now:  func() time.Duration { return o.at },
+		Log: func(event string, _ ...zap.Field) { env.events = append(env.events, event) },
+		Now: func() time.Duration { return env.at },
 	}
 }
 
-// lives returns the lives that control was told of, in order.
-func (o *outside) lives() []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	var lives []string
-	for _, change := range o.told {
-		for _, ended := range change.Ended {
-			lives = append(lives, ended.Life)
+// crashedIncarnations returns the incarnations reported to the control plane, in order.
+func (env *fakeEnvironment) crashedIncarnations() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	var incarnations []string
+	for _, change := range env.submitted {
+		for _, crash := range change.Crashes {
+			incarnations = append(incarnations, crash.Incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
-func (o *outside) released() (released []quarantine.Fingerprint) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, change := range o.told {
-		for _, r := range change.Released {
+func (env *fakeEnvironment) released() (released []quarantine.Fingerprint) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, change := range env.submitted {
+		for _, r := range change.Releases {
 			released = append(released, r.Requests...)
 		}
 	}
 	return released
 }
 
-// run runs a reporter for the rest of a test.
-func run(t *testing.T, o *outside) *Reporter {
+// startReporter runs a reporter until the test ends.
+func startReporter(t *testing.T, env *fakeEnvironment) *Reporter {
 	t.Helper()
-	r := New(o.ways())
+	r := New(env.config())
 	ctx, cancel := context.WithCancel(context.Background())
 	var thread sync.WaitGroup
 	thread.Go(func() { r.Run(ctx) })
@@ -86,80 +86,83 @@
 	return r
 }
 
-func waitFor(t *testing.T, holds func() bool) {
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 2000 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("did not come to hold")
+	t.Fatal("condition not met within 2000 polls")
 }
 
 var one, two = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
-// TestEndedLifeIsToldUntilItIsTaken: only where its address refuses connections, or control says so; one look for all that breaks off there.
-func TestEndedLifeIsToldUntilItIsTaken(t *testing.T) {
-	o := &outside{fails: 2, refuses: map[string]bool{"dead": true}}
-	r := run(t, o)
-	<-r.Broke("life-1", "dead", one)
-	<-r.Broke("life-1", "dead", two)
-	<-r.Broke("life-2", "alive", one)
-	if r.Lives(one) != 1 || r.Lives(two) != 1 || r.Quiet() {
-		t.Fatalf("%d and %d lives", r.Lives(one), r.Lives(two))
+// A crash is reported only if the address refuses connections or the control plane lists another incarnation there.
+// One probe serves all runs that fail on an incarnation.
+func TestConfirmedCrashIsSubmittedUntilAccepted(t *testing.T) {
+	env := &fakeEnvironment{submitFailures: 2, refuses: map[string]bool{"dead": true}}
+	r := startReporter(t, env)
+	<-r.RecordFailure("life-1", "dead", one)
+	<-r.RecordFailure("life-1", "dead", two)
+	<-r.RecordFailure("life-2", "alive", one)
+	if r.CrashCount(one) != 1 || r.CrashCount(two) != 1 || r.IsEmpty() {
+		t.Fatalf("crash counts are %d and %d", r.CrashCount(one), r.CrashCount(two))
 	}
-	waitFor(t, func() bool { return slices.Equal(o.lives(), []string{"life-1", "life-1"}) })
-	if o.looks != 2 {
-		t.Fatalf("%d looks at two addresses", o.looks)
+	waitFor(t, func() bool { return slices.Equal(env.crashedIncarnations(), []string{"life-1", "life-1"}) })
+	if env.probes != 2 {
+		t.Fatalf("%d probes of two addresses", env.probes)
 	}
-	r.Ended(Replaced, "life-2", "life-3")
-	waitFor(t, func() bool { return slices.Contains(o.lives(), "life-2") })
-	if r.Lives(one) != 2 || slices.Contains(o.lives(), "life-3") {
-		t.Fatalf("%d lives, told %v", r.Lives(one), o.lives())
+	r.ConfirmEnds(Replaced, "life-2", "life-3")
+	waitFor(t, func() bool { return slices.Contains(env.crashedIncarnations(), "life-2") })
+	if r.CrashCount(one) != 2 || slices.Contains(env.crashedIncarnations(), "life-3") {
+		t.Fatalf("%d crashes, reported incarnations %v", r.CrashCount(one), env.crashedIncarnations())
 	}
 }
 
-// TestGoodEndReleases: what control tells of and ends well, or ended well a moment ago, is to be released.
-func TestGoodEndReleases(t *testing.T) {
-	o := &outside{}
-	r := run(t, o)
+// Reported requests are released if they complete, or did so recently.
+func TestCompletionReleasesRequest(t *testing.T) {
+	env := &fakeEnvironment{}
+	r := startReporter(t, env)
 	if _, ok := r.Fingerprint(quarantine.Request{}); ok {
-		t.Fatal("a fingerprint without a seed")
+		t.Fatal("got a fingerprint without a seed")
 	}
-	r.EndedWell(one)
-	lives := []string{"a", "b", "c"}
-	r.Take(&quarantine.News{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{{Request: one, Lives: lives}, {Request: two, Lives: lives}}})
-	if told, held := r.Suspects(); r.Version() != 3 || told != 1 || held != 1 || r.Lives(one) != 0 {
-		t.Fatalf("version %d, %d told, %d held back", r.Version(), told, held)
+	r.RecordCompletion(one)
+	incarnations := []string{"a", "b", "c"}
+	r.ApplyUpdate(&quarantine.Update{Version: 3, Seed: make([]byte, quarantine.SeedBytes), Entries: []quarantine.Entry{
+		{Request: one, Incarnations: incarnations}, {Request: two, Incarnations: incarnations},
+	}})
+	if suspects, quarantined := r.SuspectCounts(); r.Version() != 3 || suspects != 1 || quarantined != 1 || r.CrashCount(one) != 0 {
+		t.Fatalf("version %d, %d suspects, %d quarantined", r.Version(), suspects, quarantined)
 	}
 	if _, ok := r.Fingerprint(quarantine.Request{}); !ok {
-		t.Fatal("no fingerprint under a seed")
+		t.Fatal("got no fingerprint although the seed is set")
 	}
-	r.EndedWell(two)
-	waitFor(t, func() bool { return slices.Equal(o.released(), []quarantine.Fingerprint{one, two}) })
-	if !r.Quiet() {
-		t.Fatal("something is held against a request that ended well")
+	r.RecordCompletion(two)
+	waitFor(t, func() bool { return slices.Equal(env.released(), []quarantine.Fingerprint{one, two}) })
+	if !r.IsEmpty() {
+		t.Fatal("completed requests still have crashes")
 	}
 }
 
-// TestWaitingNewsAreBounded: while control takes nothing; what is lost leaves a line.
-func TestWaitingNewsAreBounded(t *testing.T) {
-	o := &outside{}
-	r := New(o.ways())
-	for n := range endedMost + 5 {
-		o.at += time.Minute // so that earlier lives make room
-		life := time.Duration(n).String()
+// Pending reports are bounded while the control plane accepts none; a dropped crash is logged.
+func TestPendingChangesAreBounded(t *testing.T) {
+	env := &fakeEnvironment{}
+	r := New(env.config())
+	for n := range maxPendingCrashes + 5 {
+		env.at += time.Minute // so that earlier failures expire
+		incarnation := time.Duration(n).String()
 		r.mu.Lock()
-		r.record.Broke(o.at, life, one)
-		r.end(life, Replaced)
+		r.tracker.RecordFailure(env.at, incarnation, one)
+		r.confirmEnd(incarnation, Replaced)
 		r.mu.Unlock()
-		r.release(quarantine.Fingerprint{byte(n), byte(n >> 8)})
+		r.enqueueCompletions(quarantine.Fingerprint{byte(n), byte(n >> 8)})
 	}
-	if len(r.ended) != endedMost || len(r.well) != wellMost {
-		t.Fatalf("%d ends and %d good ends wait", len(r.ended), len(r.well))
+	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
+		t.Fatalf("%d crashes and %d completions pending", len(r.crashes), len(r.completions))
 	}
-	if !slices.Contains(o.lines, events.EndNotTold) || !slices.Contains(o.lines, events.EndedUnder) {
-		t.Fatalf("lines %v", o.lines[len(o.lines)-3:])
+	if !slices.Contains(env.events, events.CrashNotReported) || !slices.Contains(env.events, events.BackendCrashed) {
+		t.Fatalf("logged events %v", env.events[len(env.events)-3:])
 	}
 }
