--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,7 +43,7 @@
 		machines = append(machines, Machine{Name: engineName(i), Zone: "z", Service: testService, Address: engineName(i)})
 	}
 	machines = append(machines, Machine{Name: "s0", Zone: "z", Service: testSmall, Address: "s0"})
-	h.tick(EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 5, Until: time.Hour}, EventMachineList{AskedAt: h.now, Machines: machines})
+	h.tick(EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 5, Until: time.Hour}, EventMachineList{RequestedAt: h.now, Machines: machines})
 	for i := range engines {
 		h.report(engineName(i), 1)
 	}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -183,8 +183,8 @@
 
 // EventMachineList is the platform's machine list as requested at RequestedAt. The list may be stale.
 type EventMachineList struct {
-	AskedAt  time.Duration
-	Machines []Machine
+	RequestedAt time.Duration
+	Machines    []Machine
 }
 
 // EventSettings is a settings version that has been synced to disk.
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -88,7 +88,7 @@
 
 func (c *Core) observeMachineList(event EventMachineList) {
 	c.membershipDirty = true
-	c.listRequestedAt = max(c.listRequestedAt, event.AskedAt)
+	c.listRequestedAt = max(c.listRequestedAt, event.RequestedAt)
 	for i := range c.backends {
 		c.backends[i].listed = false
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -145,7 +145,7 @@
 	asked := r.clock()
 	r.w.call(r.process, r.w.platform.process, time.Second, func(respond func(func())) {
 		machines := r.w.platform.list()
-		respond(func() { r.post(core.EventMachineList{AskedAt: asked, Machines: machines}) })
+		respond(func() { r.post(core.EventMachineList{RequestedAt: asked, Machines: machines}) })
 	}, func(bool) {})
 }
 
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -42,7 +42,7 @@
 		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
 		return
 	}
-	s.post(core.EventMachineList{AskedAt: asked, Machines: reply.Machines})
+	s.post(core.EventMachineList{RequestedAt: asked, Machines: reply.Machines})
 	listed := map[string]bool{}
 	for _, machine := range reply.Machines {
 		key := machine.Name + "@" + machine.Address
