--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -19,8 +19,8 @@
 	maxHolderCandidates  = 24
 	// defaultPrefillRate is assumed until an engine reports its rate, in tokens/s.
 	defaultPrefillRate = 4000
-	// doubtfulFraction is the fraction of a doubtful match that is counted as cached.
-	doubtfulFraction = 0.5
+	// staleMatchFraction is the fraction of a doubtful match that is counted as cached.
+	staleMatchFraction = 0.5
 	// maxImportTimeRatio is the maximum ratio of copy time to compute time at which blocks are copied.
 	maxImportTimeRatio = 0.8
 	// DisplacedFraction is the assumed fraction of copied blocks that evict blocks which are requested again.
@@ -209,7 +209,7 @@
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
 	if match.Stale {
-		cached = int(float64(cached) * doubtfulFraction)
+		cached = int(float64(cached) * staleMatchFraction)
 	}
 	rate := row.load.PrefillRate
 	if rate <= 0 {
