--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -267,13 +267,13 @@
 		return 0, 0
 	}
 	tokens := missing * c.config.BlockTokens
-	copyTime := secondsToDuration(float64(tokens) / c.config.ImportRate)
-	if copyTime > time.Duration(maxImportTimeRatio*float64(secondsToDuration(float64(tokens)/rate))) {
+	importTime := secondsToDuration(float64(tokens) / c.config.ImportRate)
+	if importTime > time.Duration(maxImportTimeRatio*float64(secondsToDuration(float64(tokens)/rate))) {
 		return 0, 0
 	}
 	candidate.ImportBlocks, candidate.ImportFrom = blocks, source
 	candidate.Uncached = max(1, candidate.Uncached-tokens)
-	return tokens, copyTime
+	return tokens, importTime
 }
 
 // holderCount returns the number of engines assumed to hold a prefix of at least that many blocks.
