--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -219,13 +219,13 @@
 		Engine: row.id, Name: row.machine.Name, Zone: row.machine.Zone, Cached: cached,
 		Uncached: max(1, r.PromptTokens+r.emitted-cached), Running: max(row.running, row.load.Running+row.load.Waiting),
 	}
-	copiedTokens, importTime := c.planImport(r, row, rate, &candidate)
+	importTokens, importTime := c.planImport(r, row, rate, &candidate)
 	compute := float64(candidate.Uncached) / rate
 	candidate.Wait = secondsToDuration(float64(c.pendingPrefillTokens(row, r.Lane)) / rate)
 	candidate.unbiased = candidate.Wait + secondsToDuration(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
 	candidate.Predicted = network + time.Duration(float64(candidate.unbiased)*row.latencyBias)
-	displaced := float64(copiedTokens) / rate
+	displaced := float64(importTokens) / rate
 	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedFraction*displaced)
 	return candidate
 }
