--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -119,7 +119,7 @@
 		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.isEligible(r, id) })
 	}
 	var picked []prefix.EngineID
-	add := func(id prefix.EngineID) {
+	addIfEligible := func(id prefix.EngineID) {
 		if !slices.Contains(picked, id) && c.isEligible(r, id) {
 			picked = append(picked, id)
 		}
@@ -128,13 +128,13 @@
 		if i >= maxHolderCandidates {
 			break
 		}
-		add(match.Engine)
+		addIfEligible(match.Engine)
 	}
 	for _, id := range c.ringOwners(r, service, ringCandidates) {
-		add(id)
+		addIfEligible(id)
 	}
 	for range sampleSize {
-		add(service.backends[c.random.IntN(len(service.backends))])
+		addIfEligible(service.backends[c.random.IntN(len(service.backends))])
 	}
 	return picked
 }
