--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -145,7 +145,7 @@
 		return nil
 	}
 	target := ringKey(r)
-	at, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, wanted uint64) int {
+	start, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, wanted uint64) int {
 		switch {
 		case point.hash < wanted:
 			return -1
@@ -156,7 +156,7 @@
 	})
 	var owners []prefix.EngineID
 	for step := 0; step < len(service.ring) && len(owners) < count; step++ {
-		engine := service.ring[(at+step)%len(service.ring)].engine
+		engine := service.ring[(start+step)%len(service.ring)].engine
 		if !slices.Contains(owners, engine) {
 			owners = append(owners, engine)
 		}
