--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -145,11 +145,11 @@
 		return nil
 	}
 	target := ringKey(r)
-	start, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, wanted uint64) int {
+	start, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, target uint64) int {
 		switch {
-		case point.hash < wanted:
+		case point.hash < target:
 			return -1
-		case point.hash > wanted:
+		case point.hash > target:
 			return 1
 		}
 		return 0
