--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -88,13 +88,13 @@
 
 // failAttemptsOn fails the attempts on a back end that restarted or is unreachable, as if their connections had
 // broken. Requests are processed in order of arrival to keep ticks deterministic.
-func (c *Core) failAttemptsOn(row *backend, affected func(*request) bool) {
+func (c *Core) failAttemptsOn(row *backend, selected func(*request) bool) {
 	if row.running == 0 {
 		return
 	}
 	var broken []*request
 	for _, r := range c.requests {
-		if attemptIndexOn(r, row.id) >= 0 && affected(r) {
+		if attemptIndexOn(r, row.id) >= 0 && selected(r) {
 			broken = append(broken, r)
 		}
 	}
