--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -92,14 +92,14 @@
 	if row.running == 0 {
 		return
 	}
-	var broken []*request
+	var requests []*request
 	for _, r := range c.requests {
 		if attemptIndexOn(r, row.id) >= 0 && selected(r) {
-			broken = append(broken, r)
+			requests = append(requests, r)
 		}
 	}
-	slices.SortFunc(broken, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
-	for _, r := range broken {
+	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
+	for _, r := range requests {
 		at := attemptIndexOn(r, row.id)
 		c.failAttempt(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
 	}
