--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -100,8 +100,8 @@
 	}
 	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
 	for _, r := range requests {
-		at := attemptIndexOn(r, row.id)
-		c.failAttempt(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+		index := attemptIndexOn(r, row.id)
+		c.failAttempt(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 	}
 }
 
