--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -28,8 +28,8 @@
 	tenant.rateTokens = min(tenant.rateTokens+elapsed*rate, float64(r.values.RequestBurst))
 	tenant.refilledAt = c.now
 	if tenant.rateTokens < 1 {
-		wait := (1 - tenant.rateTokens) / rate
-		return ReasonRateLimit, time.Duration(wait * float64(time.Second))
+		retryAfter := (1 - tenant.rateTokens) / rate
+		return ReasonRateLimit, time.Duration(retryAfter * float64(time.Second))
 	}
 	tenant.rateTokens--
 	return "", 0
