--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -72,8 +72,8 @@
 func (c *Core) Explain(name string) []Decision {
 	var found []Decision
 	first := max(0, c.decisions.next-maxDecisions)
-	for at := first; at < c.decisions.next; at++ {
-		record := c.decisions.records[at%maxDecisions]
+	for number := first; number < c.decisions.next; number++ {
+		record := c.decisions.records[number%maxDecisions]
 		if record.Request == name {
 			record.Shortlist = append([]Candidate(nil), record.Shortlist...)
 			found = append(found, record)
