--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -270,8 +270,8 @@
 		tree := testTree()
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
-		holder := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 40)}))
-		h.core.backends[h.core.backendIDs[holder.Backend]].concurrencyLimit = 1 // no capacity left
+		first := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 40)}))
+		h.core.backends[h.core.backendIDs[first.Backend]].concurrencyLimit = 1 // no capacity left
 		second := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
 			t.Fatalf("hot_copies = %d with one holder: copied = %v", limit, copied)
