--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -59,8 +59,8 @@
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
 	h.tick(refusal(sent, 3*time.Second, false)...)
-	if again, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
-		t.Fatalf("dispatched to %s during its backoff", again.Backend)
+	if second, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
+		t.Fatalf("dispatched to %s during its backoff", second.Backend)
 	}
 	h.advance(500 * time.Millisecond)
 	h.report(engineName(0), 1)
