--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -194,7 +194,7 @@
 	Running       int     `json:"running"`
 	Limit         int     `json:"limit"`
 	IndexedBlocks int     `json:"beliefs"`
-	Bias          float64 `json:"bias"`
+	LatencyBias   float64 `json:"bias"`
 }
 
 // Backends returns the status of every known back end.
@@ -204,7 +204,7 @@
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.concurrencyLimit), IndexedBlocks: c.index.EngineEntries(row.id), Bias: row.latencyBias,
+			Running: row.running, Limit: int(row.concurrencyLimit), IndexedBlocks: c.index.EngineEntries(row.id), LatencyBias: row.latencyBias,
 		})
 	}
 	return views
