--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -188,13 +188,13 @@
 // BackendView is the status of a back end as shown to operators.
 type BackendView struct {
 	Machine
-	State         string  `json:"state"`
-	Incarnation   uint64  `json:"incarnation"`
-	Weights       string  `json:"weights"`
-	Running       int     `json:"running"`
-	Limit         int     `json:"limit"`
-	IndexedBlocks int     `json:"beliefs"`
-	LatencyBias   float64 `json:"bias"`
+	State            string  `json:"state"`
+	Incarnation      uint64  `json:"incarnation"`
+	Weights          string  `json:"weights"`
+	Running          int     `json:"running"`
+	ConcurrencyLimit int     `json:"limit"`
+	IndexedBlocks    int     `json:"beliefs"`
+	LatencyBias      float64 `json:"bias"`
 }
 
 // Backends returns the status of every known back end.
@@ -204,7 +204,7 @@
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.concurrencyLimit), IndexedBlocks: c.index.EngineEntries(row.id), LatencyBias: row.latencyBias,
+			Running: row.running, ConcurrencyLimit: int(row.concurrencyLimit), IndexedBlocks: c.index.EngineEntries(row.id), LatencyBias: row.latencyBias,
 		})
 	}
 	return views
