--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	testService     = "llm"
-	testSmall       = "small"
-	testTenant      = "tenant"
-	testBlockTokens = 64
+	testService              = "llm"
+	testNonRepeatableService = "small"
+	testTenant               = "tenant"
+	testBlockTokens          = 64
 )
 
 // harness drives a core in virtual time.
@@ -28,10 +28,10 @@
 
 func testTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
-		"/":                 {},
-		"/*":                {},
-		"/*/" + testService: {Kind: pointer("llm")},
-		"/*/" + testSmall:   {Kind: pointer("service"), Repeatable: pointer(false)},
+		"/":                              {},
+		"/*":                             {},
+		"/*/" + testService:              {Kind: pointer("llm")},
+		"/*/" + testNonRepeatableService: {Kind: pointer("service"), Repeatable: pointer(false)},
 	}}
 }
 
@@ -42,7 +42,7 @@
 	for i := range engines {
 		machines = append(machines, Machine{Name: engineName(i), Zone: "z", Service: testService, Address: engineName(i)})
 	}
-	machines = append(machines, Machine{Name: "s0", Zone: "z", Service: testSmall, Address: "s0"})
+	machines = append(machines, Machine{Name: "s0", Zone: "z", Service: testNonRepeatableService, Address: "s0"})
 	h.tick(EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 5, Until: time.Hour}, EventMachineList{RequestedAt: h.now, Machines: machines})
 	for i := range engines {
 		h.report(engineName(i), 1)
@@ -168,7 +168,7 @@
 }
 
 func smallRequest(id int, key string) Request {
-	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testSmall, Key: key, Digest: 1}
+	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testNonRepeatableService, Key: key, Digest: 1}
 }
 
 // dispatchWithClaim sends a request to the non-repeatable service and grants its claim.
