--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -167,13 +167,13 @@
 	}
 }
 
-func smallRequest(id int, key string) Request {
+func nonRepeatableRequest(id int, key string) Request {
 	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testNonRepeatableService, Key: key, Digest: 1}
 }
 
 // dispatchWithClaim sends a request to the non-repeatable service and grants its claim.
 func (h *harness) dispatchWithClaim(id int, key string) ActionDispatch {
-	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{smallRequest(id, key)}))
+	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{nonRepeatableRequest(id, key)}))
 	if early, found := findAction[ActionDispatch](h.core.actions); found {
 		h.t.Fatalf("dispatched before the claim was granted: %+v", early)
 	}
@@ -211,7 +211,7 @@
 
 func TestClaimOfExpiredSessionIsNotDispatched(t *testing.T) {
 	h := newHarness(t, 1)
-	claim := requireAction[ActionClaim](t, h.tick(EventRequest{smallRequest(1, "k")}))
+	claim := requireAction[ActionClaim](t, h.tick(EventRequest{nonRepeatableRequest(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
 	if sent, found := findAction[ActionDispatch](actions); found {
