--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -94,7 +94,7 @@
 	return found
 }
 
-func chunk(sent ActionDispatch, index int) EventAttempt {
+func chunkEvent(sent ActionDispatch, index int) EventAttempt {
 	return EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptChunk, Index: index, Text: "x"}
 }
 
@@ -105,10 +105,10 @@
 func TestStreamIsPassedOnAndCompletes(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	if got := requireAction[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
+	if got := requireAction[ActionChunk](t, h.tick(chunkEvent(sent, 0))); got.Index != 0 {
 		t.Fatalf("chunk index = %d, want 0", got.Index)
 	}
-	if repeated, found := findAction[ActionChunk](h.tick(chunk(sent, 0))); found {
+	if repeated, found := findAction[ActionChunk](h.tick(chunkEvent(sent, 0))); found {
 		t.Fatalf("repeated chunk was passed to the client: %+v", repeated)
 	}
 	if final := requireAction[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
@@ -119,8 +119,8 @@
 func TestStreamGapResumesOnAnotherBackend(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.tick(chunk(sent, 0))
-	next := requireAction[ActionDispatch](t, h.tick(chunk(sent, 2)))
+	h.tick(chunkEvent(sent, 0))
+	next := requireAction[ActionDispatch](t, h.tick(chunkEvent(sent, 2)))
 	if next.ResumeFrom != 1 || next.Backend == sent.Backend {
 		t.Fatalf("resumed from token %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
 	}
@@ -129,7 +129,7 @@
 func TestTruncatedStreamIsNotComplete(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.tick(chunk(sent, 0))
+	h.tick(chunkEvent(sent, 0))
 	actions := h.tick(done(sent, 3))
 	if final, ended := findAction[ActionFinish](actions); ended {
 		t.Fatalf("stream with missing tokens finished with %+v", final)
@@ -142,7 +142,7 @@
 func TestStreamMovesFromUnreachableEngine(t *testing.T) {
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.tick(chunk(sent, 0))
+	h.tick(chunkEvent(sent, 0))
 	other := engineName(1)
 	if sent.Backend == other {
 		other = engineName(0)
@@ -160,7 +160,7 @@
 func TestNewIncarnationInvalidatesCacheIndexAndStreams(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
-	h.tick(chunk(sent, 0))
+	h.tick(chunkEvent(sent, 0))
 	next := requireAction[ActionDispatch](t, h.report(sent.Backend, 2))
 	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
 		t.Fatalf("unexpected dispatch after a restart: %+v", next)
