--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -98,7 +98,7 @@
 	return EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptChunk, Index: index, Text: "x"}
 }
 
-func done(sent ActionDispatch, length int) EventAttempt {
+func doneEvent(sent ActionDispatch, length int) EventAttempt {
 	return EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptDone, Index: length}
 }
 
@@ -111,7 +111,7 @@
 	if repeated, found := findAction[ActionChunk](h.tick(chunkEvent(sent, 0))); found {
 		t.Fatalf("repeated chunk was passed to the client: %+v", repeated)
 	}
-	if final := requireAction[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
+	if final := requireAction[ActionFinish](t, h.tick(doneEvent(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
 		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
@@ -130,7 +130,7 @@
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunkEvent(sent, 0))
-	actions := h.tick(done(sent, 3))
+	actions := h.tick(doneEvent(sent, 3))
 	if final, ended := findAction[ActionFinish](actions); ended {
 		t.Fatalf("stream with missing tokens finished with %+v", final)
 	}
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -27,7 +27,7 @@
 		}
 		if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(int(h.now/time.Millisecond), 4)})); found {
 			sends[sent.Backend] = append(sends[sent.Backend], h.now)
-			h.tick(done(sent, 0))
+			h.tick(doneEvent(sent, 0))
 		}
 	}
 	return sends
