--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -143,16 +143,16 @@
 	h := newHarness(t, 2)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(chunkEvent(sent, 0))
-	other := engineName(1)
-	if sent.Backend == other {
-		other = engineName(0)
+	otherEngine := engineName(1)
+	if sent.Backend == otherEngine {
+		otherEngine = engineName(0)
 	}
 	for range 3 {
 		h.advance(500 * time.Millisecond)
-		h.report(other, 1)
+		h.report(otherEngine, 1)
 	}
 	next := requireAction[ActionDispatch](t, h.advance(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
-	if next.Backend != other || next.ResumeFrom != 1 {
+	if next.Backend != otherEngine || next.ResumeFrom != 1 {
 		t.Fatalf("stream resumed on %s from token %d", next.Backend, next.ResumeFrom)
 	}
 }
