--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -66,13 +66,13 @@
 
 // Pick returns the candidate with the lowest cost.
 func (CostPlacer) Pick(_ PlacementContext, candidates []Candidate) int {
-	best := -1
+	bestIndex := -1
 	for i := range candidates {
-		if best < 0 || candidates[i].Cost < candidates[best].Cost {
-			best = i
+		if bestIndex < 0 || candidates[i].Cost < candidates[bestIndex].Cost {
+			bestIndex = i
 		}
 	}
-	return best
+	return bestIndex
 }
 
 // AllowsImport returns true.
