--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -19,7 +19,7 @@
 	maxHolderCandidates  = 24
 	// defaultPrefillRate is assumed until an engine reports its rate, in tokens/s.
 	defaultPrefillRate = 4000
-	// staleMatchFraction is the fraction of a doubtful match that is counted as cached.
+	// staleMatchFraction is the fraction of a stale match that is counted as cached.
 	staleMatchFraction = 0.5
 	// maxImportTimeRatio is the maximum ratio of copy time to compute time at which blocks are copied.
 	maxImportTimeRatio = 0.8
