--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -163,7 +163,7 @@
 	row.nextSequence = 0
 }
 
-// applyCacheEvents applies cache events in sequence. A gap marks the known blocks of the engine doubtful and requests
+// applyCacheEvents applies cache events in sequence. A gap marks the engine's index entries stale and requests
 // a snapshot.
 func (c *Core) applyCacheEvents(row *backend, report *BackendReport) {
 	for _, event := range report.Events {
