--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -87,7 +87,7 @@
 	AttemptDone                                        // the end marker, or the whole answer of a non-streaming service
 	AttemptRefused                                     // the back end provably did not run the request
 	AttemptBroken                                      // the connection ended without an end marker
-	AttemptIncarnationMismatch                         // the back end restarted since placement; it runs the request without cached blocks
+	AttemptIncarnationMismatch                         // the back end restarted; it runs the request without cached blocks
 )
 
 // EventAttempt reports progress or the end of an attempt.
@@ -102,7 +102,7 @@
 	Incarnation       uint64 // AttemptStarted and AttemptIncarnationMismatch
 	Answer            *ledger.Response
 	AdvertisesLimit   bool // AttemptStarted, and AttemptDone of a non-streaming service: the answer advertises a rate limit
-	BackendNotAtFault bool // AttemptRefused: not counted as a connection failure, since the back end answered or was not contacted
+	BackendNotAtFault bool // AttemptRefused: the back end answered or was not contacted; not a connection failure
 }
 
 // EventPushback carries what a back end's answer says of the back end itself. It is applied even when the attempt has
--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -83,8 +83,8 @@
 // takeRateToken counts a dispatch against the rate limit of a back end.
 func (c *Core) takeRateToken(row *backend) { row.rateBucket.tokens-- }
 
-// clearOutdatedLimit handles an answer that advertises no limit: a limit heard before the attempt was sent no longer
-// applies.
+// clearOutdatedLimit handles an answer that advertises no limit: a limit received before the attempt was sent no
+// longer applies.
 func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
 	if !event.AdvertisesLimit {
 		c.pushback.ObserveNoLimit(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -103,13 +103,13 @@
 	})
 }
 
-// TestAdvertisedLimitEndsWithUnlimitedAnswer: only an answer to a request that was sent after the limit was heard ends
-// the limit. Until then the service refuses requests with ReasonLimited.
+// TestAdvertisedLimitEndsWithUnlimitedAnswer: only an answer to a request that was sent after the limit was received
+// ends the limit. Until then the service refuses requests with ReasonLimited.
 func TestAdvertisedLimitEndsWithUnlimitedAnswer(t *testing.T) {
 	h := newHarness(t, 1)
 	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.advance(time.Millisecond, advertisedLimit(engineName(0), 0.5))
-	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before the limit was heard
+	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before the limit
 	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
 		t.Fatalf("unexpected final answer: %+v", final)
 	}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -163,8 +163,8 @@
 	row.nextSequence = 0
 }
 
-// applyCacheEvents applies cache events in sequence. A gap marks the engine's index entries stale and requests
-// a snapshot.
+// applyCacheEvents applies cache events in sequence. A gap marks the engine's index entries stale and requests a
+// snapshot.
 func (c *Core) applyCacheEvents(row *backend, report *BackendReport) {
 	for _, event := range report.Events {
 		if event.Sequence < row.nextSequence {
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/guard"
 )
 
-// backendIncarnation identifies an incarnation of a back end. Incarnation numbers are not times here.
+// backendIncarnation identifies an incarnation of a back end. StartedMS holds its number, which is not a time here.
 func backendIncarnation(name string, incarnation uint64) catalog.Incarnation {
 	return catalog.Incarnation{Name: name, StartedMS: int64(incarnation)}
 }
