--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -170,7 +170,7 @@
 type EventPeerRouters struct{ Names []string }
 
 // EventPeerDispatches reports what other routers recently dispatched.
-type EventPeerDispatches struct{ Dispatches []PeerDispatch }
+type EventPeerDispatches struct{ Sends []PeerDispatch }
 
 // Machine is an entry of the platform's machine list.
 type Machine struct {
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -76,7 +76,7 @@
 
 // observePeerDispatches records prefill dispatched by other routers that no load report includes yet.
 func (c *Core) observePeerDispatches(event EventPeerDispatches) {
-	for _, dispatched := range event.Dispatches {
+	for _, dispatched := range event.Sends {
 		id, found := c.backendIDs[dispatched.Backend]
 		if !found {
 			continue
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -261,7 +261,7 @@
 	for _, item := range unsaid {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
-		event.Dispatches = append(event.Dispatches, send)
+		event.Sends = append(event.Sends, send)
 	}
 	n.post(event)
 }
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -348,7 +348,7 @@
 func (r *routerNode) announce(send core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
-			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Dispatches: []core.PeerDispatch{send}}) })
+			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Sends: []core.PeerDispatch{send}}) })
 		}
 	}
 }
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -33,7 +33,7 @@
 		event := core.EventPeerDispatches{}
 		for _, announced := range batch {
 			announced.Item.Age = clock.Now() - announced.At
-			event.Dispatches = append(event.Dispatches, announced.Item)
+			event.Sends = append(event.Sends, announced.Item)
 		}
 		return event
 	})
