--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -131,7 +131,8 @@
 	Evicted  []prefix.Hash
 }
 
-// BackendReport is the reply to a state poll.
+// BackendReport is the reply to a state poll. Back ends send it, with Load and CacheEvent, as JSON under these field
+// names.
 type BackendReport struct {
 	Incarnation  uint64
 	Weights      string
@@ -169,10 +170,11 @@
 // EventPeerRouters lists the other routers with a session, in any order.
 type EventPeerRouters struct{ Names []string }
 
-// EventPeerDispatches reports what other routers recently dispatched.
+// EventPeerDispatches reports what other routers recently dispatched. Routers exchange it as JSON under these field
+// names.
 type EventPeerDispatches struct{ Sends []PeerDispatch }
 
-// Machine is an entry of the platform's machine list.
+// Machine is an entry of the platform's machine list, which is JSON under these field names.
 type Machine struct {
 	Name    string
 	Zone    string
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -29,7 +29,8 @@
 	minImportBlocks = 4
 )
 
-// Candidate is the score of one engine for one request.
+// Candidate is the score of one engine for one request. Decisions are shown to operators as JSON under these field
+// names.
 type Candidate struct {
 	Engine       prefix.EngineID
 	Name         string
