--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// startGrace is how long a request may wait for the first lease after a router starts.
-	startGrace = 1500 * time.Millisecond
-	// holdPeriod is how often a held request is looked at.
-	holdPeriod = 20 * time.Millisecond
-	// retrySoon is the advice when another router, or the same one in a moment, can serve.
-	retrySoon = time.Second
-	// minimumGrace is the least time a dispatched request gets beyond its deadline.
-	minimumGrace = 500 * time.Millisecond
-	// cutOffServeLast is the value of when_cut_off that keeps serving without a lease.
+	// startupGracePeriod is how long after startup requests are held for the first lease.
+	startupGracePeriod = 1500 * time.Millisecond
+	// holdCheckInterval is how often a held request is checked.
+	holdCheckInterval = 20 * time.Millisecond
+	// shortRetryAfter is the Retry-After of conditions that end soon or that another router does not have.
+	shortRetryAfter = time.Second
+	// minFirstTokenGrace is the minimum time that a dispatched request gets beyond its deadline.
+	minFirstTokenGrace = 500 * time.Millisecond
+	// cutOffServeLast is the value of when_cut_off that continues to serve without a lease.
 	cutOffServeLast = "serve_last"
 )
 
 func (c *Core) observeRequest(incoming Request) {
 	c.counters.Requests++
-	fresh := &request{Request: incoming, arrived: c.now, emitted: incoming.ResumeFrom}
-	c.requests[incoming.ID] = fresh
-	c.arrivals = append(c.arrivals, fresh)
+	r := &request{Request: incoming, arrivedAt: c.now, emitted: incoming.ResumeFrom}
+	c.requests[incoming.ID] = r
+	c.arrivals = append(c.arrivals, r)
 }
 
-// runAdmit decides on the requests that arrived.
-func (c *Core) runAdmit() {
+// runAdmission decides on newly arrived requests.
+func (c *Core) runAdmission() {
 	for _, r := range c.arrivals {
 		if c.requests[r.ID] == r {
 			c.admit(r)
@@ -39,64 +39,65 @@
 	c.arrivals = c.arrivals[:0]
 }
 
-// admit holds, refuses, claims or queues a request.
+// admit holds, refuses or queues a request, or requests its claim first.
 func (c *Core) admit(r *request) {
 	if c.draining {
-		c.refuse(r, ReasonDraining, retrySoon)
+		c.refuse(r, ReasonDraining, shortRetryAfter)
 		return
 	}
-	if !c.mayServe() {
+	if !c.mayAdmit() {
 		c.holdOrRefuse(r)
 		return
 	}
 	if !slices.Contains(c.tree.Services(), r.Service) {
-		c.refuse(r, ReasonUnknownTarget, 0)
+		c.refuse(r, ReasonUnknownService, 0)
 		return
 	}
-	r.values = c.effective(r.Service, r.Tenant)
+	r.values = c.effectiveSettings(r.Service, r.Tenant)
 	if !r.values.Repeatable && r.Key == "" {
 		c.refuse(r, ReasonKeyRequired, 0)
 		return
 	}
-	if reason, wait := c.overLimit(r); reason != "" {
+	if reason, wait := c.tenantLimitExceeded(r); reason != "" {
 		c.refuse(r, reason, wait)
 		return
 	}
-	c.tenant(r).active++
+	c.tenant(r).activeRequests++
 	r.state = stateQueued
 	c.chooseLane(r)
 	c.setDeadline(r)
 	if !r.values.Repeatable && c.config.Guards.On(guard.ClaimBeforeRun) {
-		c.claim(r)
+		c.requestClaim(r)
 		return
 	}
 	c.enqueueNew(r)
 }
 
-// mayServe reports whether new requests may be decided on: settings are known, and either the lease runs or
-// the operator prefers stale service.
-func (c *Core) mayServe() bool {
-	if !c.hasTree {
+// mayAdmit reports whether the router has settings and may use them: the lease is valid, or the operator prefers
+// serving with stale settings.
+func (c *Core) mayAdmit() bool {
+	if !c.hasSettings {
 		return false
 	}
 	return c.LeaseValid() || c.tree.Resolve(c.config.Zone).WhenCutOff == cutOffServeLast
 }
 
 func (c *Core) holdOrRefuse(r *request) {
-	starting := !c.hadLease && c.now < c.config.StartedAt+startGrace
+	starting := !c.hadLease && c.now < c.config.StartedAt+startupGracePeriod
 	if starting {
-		r.state = stateHeld
-		c.wakeAt(r, c.now+holdPeriod)
+		r.state = stateAwaitingLease
+		c.wakeAt(r, c.now+holdCheckInterval)
 		return
 	}
 	reason := ReasonNoLease
-	if !c.hasTree {
+	if !c.hasSettings {
 		reason = ReasonNoSettings
 	}
-	c.refuse(r, reason, retrySoon)
+	c.refuse(r, reason, shortRetryAfter)
 }
 
-// chooseLane puts short prompts, and small services, into the interactive lane unless the caller chose.
+// chooseLane assigns requests with little uncached prompt to the interactive lane, the others to the batch lane,
+// unless the client chose a lane.
 func (c *Core) chooseLane(r *request) {
 	if r.LaneFixed {
 		return
@@ -127,12 +128,12 @@
 	if r.Deadline > 0 && r.Deadline < allowed {
 		allowed = r.Deadline
 	}
-	r.deadline = r.arrived + allowed
+	r.deadline = r.arrivedAt + allowed
 	c.wakeAt(r, r.deadline)
 }
 
-// claim asks the ledger before anything is sent.
-func (c *Core) claim(r *request) {
+// requestClaim asks the ledger for permission before anything is dispatched.
+func (c *Core) requestClaim(r *request) {
 	r.state = stateClaiming
 	r.claimID = fmt.Sprintf("%s-%d-%d", c.config.Router, c.epoch, r.ID)
 	r.epoch = c.epoch
@@ -148,60 +149,60 @@
 }
 
 func (c *Core) observeClaim(event EventClaim) {
-	r, alive := c.requests[event.ID]
-	if !alive || r.state != stateClaiming || r.claimID != event.ClaimID {
-		return // a late answer: the claim was released when the request was given up on
+	r, found := c.requests[event.ID]
+	if !found || r.state != stateClaiming || r.claimID != event.ClaimID {
+		return // stale reply: the request has ended and its claim has been released
 	}
 	if event.Failed {
-		c.refuse(r, ReasonLedger, retrySoon)
+		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 		return
 	}
 	switch event.Outcome.Kind {
 	case ledger.Granted:
-		r.claimed = true
+		r.claimGranted = true
 		c.enqueueNew(r)
 	case ledger.Replayed:
 		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Answer})
 	case ledger.InProgress:
-		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: retrySoon})
+		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: shortRetryAfter})
 	case ledger.RunUnknown:
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
 	case ledger.DigestMismatch:
 		c.finish(r, ActionFinish{Reason: ReasonKeyReused, Run: RunUnknown})
 	case ledger.KeyExpired:
 		c.finish(r, ActionFinish{Reason: ReasonKeyExpired, Run: RunUnknown})
-	default: // withdrawn or session closed: nothing is known of earlier sends
-		c.refuse(r, ReasonLedger, retrySoon)
+	default: // withdrawn or session closed: earlier runs are unknown
+		c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 	}
 }
 
-// refuse gives up on a request that has not been dispatched, or whose attempts provably did not run.
+// refuse ends a request without a running attempt. Its run status follows from its attempts and claim.
 func (c *Core) refuse(r *request, reason Reason, retryAfter time.Duration) {
-	c.finish(r, ActionFinish{Reason: reason, Run: c.provenRun(r), RetryAfter: retryAfter})
+	c.finish(r, ActionFinish{Reason: reason, Run: c.runStatus(r), RetryAfter: retryAfter})
 }
 
-// provenRun tells what can be proved. A request with an idempotency key that was never granted its claim
-// may have run when it was sent before, so "not run" cannot be proved for it.
-func (c *Core) provenRun(r *request) Run {
+// runStatus returns RunNot only if that can be proved. A request with an idempotency key and no granted claim may
+// have run through an earlier request with the same key.
+func (c *Core) runStatus(r *request) RunStatus {
 	if !c.config.Guards.On(guard.NotRunProof) {
 		return RunNot
 	}
 	switch {
-	case r.unproven > 0:
+	case r.possibleRuns > 0:
 		return RunUnknown
-	case r.Key != "" && !r.claimed && c.keyMatters(r):
+	case r.Key != "" && !r.claimGranted && c.mayBeNonRepeatable(r):
 		return RunUnknown
 	}
 	return RunNot
 }
 
-// keyMatters reports whether the request may go to a non-repeatable service. Without a lease the settings may be
-// older than the ones by which another router ran it, so they prove nothing.
-func (c *Core) keyMatters(r *request) bool {
-	return !c.hasTree || !c.LeaseValid() || !c.effective(r.Service, r.Tenant).Repeatable
+// mayBeNonRepeatable reports whether the service may be non-repeatable. Without a valid lease another router may have
+// run the request under newer settings, so the settings in use do not rule it out.
+func (c *Core) mayBeNonRepeatable(r *request) bool {
+	return !c.hasSettings || !c.LeaseValid() || !c.effectiveSettings(r.Service, r.Tenant).Repeatable
 }
 
-// finish gives the final answer and clears every trace of the request.
+// finish gives the final answer, cancels running attempts and removes the request from all tables.
 func (c *Core) finish(r *request, final ActionFinish) {
 	final.ID = r.ID
 	for _, sent := range r.attempts {
@@ -210,10 +211,10 @@
 	}
 	c.endClaim(r, final)
 	c.emit(final)
-	c.count(final)
-	if r.state != stateHeld && r.values.Kind != "" {
-		if tenant := c.tenant(r); tenant.active > 0 && r.deadline > 0 {
-			tenant.active--
+	c.countOutcome(final)
+	if r.state != stateAwaitingLease && r.values.Kind != "" {
+		if tenant := c.tenant(r); tenant.activeRequests > 0 && r.deadline > 0 {
+			tenant.activeRequests--
 		}
 	}
 	delete(c.requests, r.ID)
@@ -223,46 +224,46 @@
 	c.decisions.finish(r, final, c.now)
 }
 
-func (c *Core) count(final ActionFinish) {
+func (c *Core) countOutcome(final ActionFinish) {
 	if final.Reason == ReasonComplete || final.Reason == ReasonReplayed {
-		c.counters.Complete++
+		c.counters.Completed++
 		return
 	}
 	c.counters.Refused[final.Reason]++
 }
 
-// endClaim tells the ledger how a claim ended: with the answer, provably not run, or unknown. A claim whose
-// answer never came is withdrawn, so that it cannot be granted later.
+// endClaim reports the end of a claim to the ledger: finished with an answer, released or unknown. A claim with no
+// reply yet is released too, so that it cannot be granted later.
 func (c *Core) endClaim(r *request, final ActionFinish) {
 	if r.claimID == "" {
 		return
 	}
 	end := ledger.End{Key: r.ledgerKey(), ClaimID: r.claimID, Kind: ledger.EndUnknown}
 	switch {
-	case !r.claimed && r.state != stateClaiming:
+	case !r.claimGranted && r.state != stateClaiming:
 		return
 	case final.Reason == ReasonComplete:
 		end.Kind, end.Answer = ledger.EndFinished, final.Answer
-	case !r.claimed && !claimLost(final.Reason):
-		return // the ledger refused the claim; there is nothing to end
-	case r.unproven == 0:
+	case !r.claimGranted && !claimOutcomeUnknown(final.Reason):
+		return // the ledger denied the claim
+	case r.possibleRuns == 0:
 		end.Kind = ledger.EndReleased
 	}
-	c.emit(ActionEnd{End: end})
+	c.emit(ActionEndClaim{End: end})
 }
 
-// claimLost reports whether a request ended while its claim's outcome was not known.
-func claimLost(reason Reason) bool {
-	return slices.Contains([]Reason{ReasonLedger, ReasonCallerGone}, reason)
+// claimOutcomeUnknown reports whether a request without a granted claim ended before the claim's outcome was known.
+func claimOutcomeUnknown(reason Reason) bool {
+	return slices.Contains([]Reason{ReasonLedgerUnavailable, ReasonCallerGone}, reason)
 }
 
-func (c *Core) observeGone(id RequestID) {
-	r, alive := c.requests[id]
-	if !alive {
+func (c *Core) observeCallerGone(id RequestID) {
+	r, found := c.requests[id]
+	if !found {
 		return
 	}
 	if !r.values.Repeatable && r.state == stateRunning {
-		return // the run goes on; its answer is stored for the resend
+		return // the attempt continues; its answer is stored for a repeated request
 	}
-	c.finish(r, ActionFinish{Reason: ReasonCallerGone, Run: c.provenRun(r)})
+	c.finish(r, ActionFinish{Reason: ReasonCallerGone, Run: c.runStatus(r)})
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,72 +8,72 @@
 	"kitetiller/internal/ledger"
 )
 
-// observeAttempt applies what a back end answered. An answer that does not carry a current attempt of its
-// request is dropped and counted: it is late or belongs to somebody else.
+// observeAttempt applies an event of an attempt. An answer that does not match a current attempt of its request is
+// counted and dropped: it is stale or belongs to another request.
 func (c *Core) observeAttempt(event EventAttempt) {
-	r, alive := c.requests[event.ID]
-	if !alive {
+	r, found := c.requests[event.ID]
+	if !found {
 		return
 	}
-	at := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
-	if at < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
+	index := slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.id == event.Attempt })
+	if index < 0 || (event.Echo != event.Attempt && event.Kind <= AttemptDone) {
 		if c.config.Guards.On(guard.AttemptCheck) {
-			c.counters.ForeignAnswers++
-			c.dropForeign(r, at)
+			c.counters.UnmatchedAnswers++
+			c.failUnmatched(r, index)
 			return
 		}
-		at = max(at, 0)
+		index = max(index, 0)
 	}
-	if at >= len(r.attempts) {
+	if index >= len(r.attempts) {
 		return
 	}
 	switch event.Kind {
 	case AttemptStarted:
-		c.attemptStarted(r, at, event)
+		c.handleStarted(r, index, event)
 	case AttemptChunk:
-		c.attemptChunk(r, at, event)
+		c.handleChunk(r, index, event)
 	case AttemptDone:
-		c.attemptDone(r, at, event)
-	case AttemptMismatch:
-		c.counters.Mismatches++
-		c.index.InvalidateEngine(r.attempts[at].backend)
+		c.handleDone(r, index, event)
+	case AttemptIncarnationMismatch:
+		c.counters.IncarnationMismatches++
+		c.index.InvalidateEngine(r.attempts[index].backend)
 	default:
-		c.attemptFailed(r, at, event)
+		c.handleFailure(r, index, event)
 	}
 }
 
-// dropForeign gives up on an attempt whose connection carries somebody else's answer.
-func (c *Core) dropForeign(r *request, at int) {
-	if at < 0 {
+// failUnmatched fails an attempt whose connection carries the answer of another attempt.
+func (c *Core) failUnmatched(r *request, index int) {
+	if index < 0 {
 		return
 	}
-	c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+	c.handleFailure(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 }
 
-func (c *Core) attemptStarted(r *request, at int, event EventAttempt) {
-	sent := &r.attempts[at]
+func (c *Core) handleStarted(r *request, index int, event EventAttempt) {
+	sent := &r.attempts[index]
 	if sent.started {
 		return
 	}
 	sent.started = true
-	c.noteUnlimited(sent, event)
+	c.clearOutdatedLimit(sent, event)
 	c.counters.PromptTokens += uint64(r.PromptTokens)
-	c.counters.HitTokens += uint64(event.Cached)
+	c.counters.CachedTokens += uint64(event.Cached)
 	row := &c.backends[sent.backend]
-	known := 0
+	expectedCached := 0
 	if blocks := chainFor(r, row); len(blocks) > 0 {
-		known = min(len(blocks)*c.config.BlockTokens, r.PromptTokens-sent.uncached)
+		expectedCached = min(len(blocks)*c.config.BlockTokens, r.PromptTokens-sent.uncached)
 	}
-	c.counters.RecomputedTokens += uint64(max(0, known-event.Cached))
+	c.counters.RecomputedTokens += uint64(max(0, expectedCached-event.Cached))
 }
 
-// attemptChunk passes the next token on. A repeated one is dropped; a gap ends the attempt, and another one
-// resumes after the last token the caller has.
-func (c *Core) attemptChunk(r *request, at int, event EventAttempt) {
-	sent := &r.attempts[at]
-	if !sent.chunks {
-		sent.chunks = true
-		c.firstToken(r, at)
+// handleChunk passes the next token to the client. A repeated token is dropped; a missing token fails the attempt, so
+// that another one resumes after the last token passed on.
+func (c *Core) handleChunk(r *request, index int, event EventAttempt) {
+	sent := &r.attempts[index]
+	if !sent.streaming {
+		sent.streaming = true
+		c.handleFirstToken(r, index)
 		sent = &r.attempts[0]
 	}
 	if c.config.Guards.On(guard.StreamIndexCheck) {
@@ -82,24 +82,24 @@
 			return
 		}
 		if event.Index > r.emitted {
-			c.attemptFailed(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
+			c.handleFailure(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
 			return
 		}
 	}
 	c.emit(ActionChunk{ID: r.ID, Index: r.emitted, Text: event.Text})
 	r.emitted++
-	r.emittedAt = c.now
+	r.lastEmittedAt = c.now
 }
 
-// firstToken learns from the attempt and cancels any other: the first to answer wins.
-func (c *Core) firstToken(r *request, at int) {
-	winner := r.attempts[at]
-	c.wakeAt(r, c.now+c.stallLimit(r))
+// handleFirstToken updates the latency estimates of the back end and cancels concurrent attempts of the request.
+func (c *Core) handleFirstToken(r *request, index int) {
+	winner := r.attempts[index]
+	c.wakeAt(r, c.now+c.stallTimeout(r))
 	row := &c.backends[winner.backend]
 	c.dropPending(row, winner.id)
-	c.learn(row, winner.predicted, c.now-winner.sentAt)
+	c.recordFirstTokenLatency(row, winner.predicted, c.now-winner.sentAt)
 	for i, other := range r.attempts {
-		if i != at {
+		if i != index {
 			c.emit(ActionCancel{ID: r.ID, Attempt: other.id})
 			c.endAttempt(other)
 		}
@@ -107,149 +107,149 @@
 	r.attempts = append(r.attempts[:0], winner)
 }
 
-// attemptDone completes a request if nothing of its stream is missing.
-func (c *Core) attemptDone(r *request, at int, event EventAttempt) {
+// handleDone completes a request unless tokens of its stream are missing.
+func (c *Core) handleDone(r *request, index int, event EventAttempt) {
 	if event.Answer == nil && event.Index != r.emitted && c.config.Guards.On(guard.StreamIndexCheck) {
-		c.attemptFailed(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+		c.handleFailure(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 		return
 	}
 	if event.Answer != nil {
-		c.noteUnlimited(&r.attempts[at], event)
+		c.clearOutdatedLimit(&r.attempts[index], event)
 	}
-	c.dropAttempt(r, at)
+	c.dropAttempt(r, index)
 	c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: event.Answer})
 }
 
-// endAttempt frees what an attempt holds of its back end.
+// endAttempt releases the capacity that an attempt occupies at its back end.
 func (c *Core) endAttempt(sent attempt) {
 	row := &c.backends[sent.backend]
 	row.running = max(0, row.running-1)
 	c.dropPending(row, sent.id)
 }
 
-func (c *Core) dropAttempt(r *request, at int) {
-	c.endAttempt(r.attempts[at])
-	r.attempts = slices.Delete(r.attempts, at, at+1)
+func (c *Core) dropAttempt(r *request, index int) {
+	c.endAttempt(r.attempts[index])
+	r.attempts = slices.Delete(r.attempts, index, index+1)
 }
 
 func (c *Core) dropPending(row *backend, id AttemptID) {
 	row.pendingPrefill = slices.DeleteFunc(row.pendingPrefill, func(sent pendingPrefill) bool { return sent.attempt == id })
 }
 
-// attemptFailed ends an attempt and lets the retry system decide.
-func (c *Core) attemptFailed(r *request, at int, event EventAttempt) {
-	sent := r.attempts[at]
+// handleFailure records a connection failure unless the back end is not at fault, and fails the attempt.
+func (c *Core) handleFailure(r *request, index int, event EventAttempt) {
+	sent := r.attempts[index]
 	row := &c.backends[sent.backend]
-	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.inStream() {
-		c.dropAttempt(r, at)
+	if event.Kind == AttemptBroken && !c.config.Guards.On(guard.EndOfStreamCheck) && r.streamStarted() {
+		c.dropAttempt(r, index)
 		c.finish(r, ActionFinish{Reason: ReasonComplete, Run: RunYes, Tokens: r.emitted, Answer: &ledger.Response{}})
 		return
 	}
-	if !event.Well {
-		c.noteUnreachable(row)
+	if !event.BackendNotAtFault {
+		c.recordConnectionFailure(row)
 	}
-	c.failAttempt(r, at, event)
+	c.failAttempt(r, index, event)
 }
 
-// failAttempt drops an attempt and hands its request to the retry system when it was the last one.
-func (c *Core) failAttempt(r *request, at int, event EventAttempt) {
-	sent := r.attempts[at]
+// failAttempt removes an attempt. The last one of a request hands it over to runRetries.
+func (c *Core) failAttempt(r *request, index int, event EventAttempt) {
+	sent := r.attempts[index]
 	if event.Kind == AttemptBroken {
 		c.emit(ActionCancel{ID: r.ID, Attempt: sent.id})
 	}
 	if event.Kind == AttemptRefused {
-		r.unproven--
+		r.possibleRuns--
 	}
-	c.dropAttempt(r, at)
+	c.dropAttempt(r, index)
 	r.failedOn = append(r.failedOn, sent.backend)
 	if len(r.attempts) == 0 {
-		c.retries = append(c.retries, r)
+		c.pendingRetries = append(c.pendingRetries, r)
 	}
 }
 
-// failTimedOut ends a request whose first token did not come long after its deadline.
-func (c *Core) failTimedOut(r *request) {
-	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: retrySoon})
+// finishTimedOut ends a request whose first token did not arrive within the grace period after its deadline.
+func (c *Core) finishTimedOut(r *request) {
+	c.finish(r, ActionFinish{Reason: ReasonDeadline, Run: RunUnknown, RetryAfter: shortRetryAfter})
 }
 
 const (
-	retryTokensAtStart = 10.0
-	retryTokensMaximum = 50.0
-	retryBase          = 20 * time.Millisecond
-	retryCap           = time.Second
-	// continuations is how many engines may fail one stream after its first token.
-	continuations = 8
+	initialRetryTokens = 10.0
+	maxRetryTokens     = 50.0
+	baseRetryDelay     = 20 * time.Millisecond
+	maxRetryDelay      = time.Second
+	// A started stream with more attempts than maxStreamAttempts is not resumed.
+	maxStreamAttempts = 8
 )
 
-// runRetry decides what follows a failed attempt.
-func (c *Core) runRetry() {
-	for _, r := range c.retries {
+// runRetries decides on requests whose attempts have all failed.
+func (c *Core) runRetries() {
+	for _, r := range c.pendingRetries {
 		if c.requests[r.ID] == r && len(r.attempts) == 0 {
 			c.retry(r)
 		}
 	}
-	c.retries = c.retries[:0]
+	c.pendingRetries = c.pendingRetries[:0]
 }
 
-// retry tries again where that is allowed. A non-repeatable request is sent again only when every earlier
-// attempt provably did not run. A stream in progress goes on at once on another engine.
+// retry schedules another attempt if the retry limits allow one. A non-repeatable request is dispatched again only if
+// no earlier attempt may have run. A started stream resumes on another engine without delay.
 func (c *Core) retry(r *request) {
-	if !r.values.Repeatable && r.unproven > 0 && c.config.Guards.On(guard.AmbiguousNotResent) {
+	if !r.values.Repeatable && r.possibleRuns > 0 && c.config.Guards.On(guard.AmbiguousNotResent) {
 		c.finish(r, ActionFinish{Reason: ReasonRunUnknown, Run: RunUnknown})
 		return
 	}
-	if r.inStream() {
-		c.continueStream(r)
+	if r.streamStarted() {
+		c.resumeStream(r)
 		return
 	}
 	service := c.service(r.Service)
-	if r.tries >= r.values.RetryAttempts || service.retryTokens < 1 {
-		c.refuse(r, ReasonRetries, retrySoon)
+	if r.attemptCount >= r.values.RetryAttempts || service.retryTokens < 1 {
+		c.refuse(r, ReasonRetriesExhausted, shortRetryAfter)
 		return
 	}
 	service.retryTokens--
 	c.counters.Retries++
 	r.state = stateBackoff
-	r.retryAt = c.now + c.jitteredBackoff(r.tries)
+	r.retryAt = c.now + c.jitteredBackoff(r.attemptCount)
 	c.wakeAt(r, r.retryAt)
 }
 
-func (c *Core) continueStream(r *request) {
-	if r.tries > continuations {
-		c.finish(r, ActionFinish{Reason: ReasonRetries, Run: RunYes, RetryAfter: retrySoon})
+func (c *Core) resumeStream(r *request) {
+	if r.attemptCount > maxStreamAttempts {
+		c.finish(r, ActionFinish{Reason: ReasonRetriesExhausted, Run: RunYes, RetryAfter: shortRetryAfter})
 		return
 	}
 	c.counters.Retries++
 	c.enqueue(r)
 }
 
-// jitteredBackoff is uniform between half and all of an exponentially growing delay.
+// jitteredBackoff returns a random delay between half and all of an exponential backoff.
 func (c *Core) jitteredBackoff(tries int) time.Duration {
-	delay := min(retryBase<<min(tries-1, 10), retryCap)
+	delay := min(baseRetryDelay<<min(tries-1, 10), maxRetryDelay)
 	return delay/2 + time.Duration(c.random.Int64N(int64(delay/2)))
 }
 
-// earnRetry adds a first attempt's share to the retry budget of its service.
-func (c *Core) earnRetry(r *request) {
+// creditRetryBudget credits a first attempt to the retry budget of its service.
+func (c *Core) creditRetryBudget(r *request) {
 	service := c.service(r.Service)
-	service.retryTokens = min(retryTokensMaximum, service.retryTokens+r.values.RetryBudgetPercent/100)
+	service.retryTokens = min(maxRetryTokens, service.retryTokens+r.values.RetryBudgetPercent/100)
 }
 
-// hedge sends a silent request to a second engine as well.
+// hedge dispatches a request without a first token to a second engine too.
 func (c *Core) hedge(r *request) {
 	service := c.service(r.Service)
 	r.hedged = true
 	if service.retryTokens < 1 {
 		return
 	}
-	first := r.attempts[0].backend
-	r.failedOn = append(r.failedOn, first)
-	candidates := c.score(r, service)
+	firstBackend := r.attempts[0].backend
+	r.failedOn = append(r.failedOn, firstBackend)
+	candidates := c.scoreCandidates(r, service)
 	r.failedOn = r.failedOn[:len(r.failedOn)-1]
-	if len(candidates) == 0 || c.dispatchBar(r) != "" {
+	if len(candidates) == 0 || c.dispatchRefusal(r) != "" {
 		return
 	}
-	choice := c.config.Placer.Pick(PlaceContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
+	choice := c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
 	if choice < 0 {
 		return
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,9 @@
-// Package core is the router's decision logic: a deterministic state machine over tables, without I/O, clock
-// or randomness of its own. The same code runs in the router process, in the simulator and in the bench.
+// Package core is the router's decision logic: a deterministic state machine over tables. It does no I/O and
+// takes time and random seed from its caller, so the same code runs in the router, the simulator and the benchmark.
 //
-// The shell calls Tick with the current time and the events since the last call, and carries out the
-// returned actions in order. Tick runs the systems in a fixed order: observe, membership, admit, retry,
-// expire, place, move.
+// The caller passes Tick the current time and the events since the last call, and carries out the returned
+// actions in order. Tick applies the events, then runs the systems in a fixed order: membership, admission,
+// retries, timers, placement, index maintenance.
 package core
 
 import (
@@ -17,200 +17,201 @@
 	"kitetiller/internal/settings"
 )
 
-// Config is what a core needs to start.
+// Config configures a Core.
 type Config struct {
 	Router      string
 	Zone        string
 	Seed        uint64
 	BlockTokens int
-	IndexLimit  int                      // beliefs kept
-	ZoneLatency map[string]time.Duration // one way, from this router's zone
-	Vault       string                   // address of the zone's KV store, or ""
-	ImportRate  float64                  // tokens/s that an engine can copy from another or from the vault
+	IndexLimit  int                      // maximum number of blocks in the prefix index
+	ZoneLatency map[string]time.Duration // one-way network latency from this router's zone
+	Vault       string                   // address of the zone's shared KV cache store (vault), or ""
+	ImportRate  float64                  // tokens/s that an engine copies from another engine or from the vault
 	Guards      guard.Set
-	Placer      Placer // nil: the default
+	Placer      Placer // nil selects CostPlacer
 	StartedAt   time.Duration
 }
 
-// Core is the router's state. It is not safe for concurrent use.
+// Core is the state of a router. It is not safe for concurrent use.
 type Core struct {
-	config Config
-	random *rand.Rand
-	now    time.Duration
-	out    []Action
-
-	tree     settings.Tree
-	version  uint64
-	hasTree  bool
-	values   map[tenantKey]settings.Values
-	epoch    uint64
-	leaseEnd time.Duration
-	hadLease bool
-	draining bool
-
-	backends []backend
-	byName   map[string]prefix.EngineID
-	services map[string]*serviceState
-	tenants  map[tenantKey]*tenantState
-	requests map[RequestID]*request
-	arrivals []*request // not admitted yet
-	retries  []*request // attempts failed, next step not decided yet
-	timers   timerHeap
-	nextID   AttemptID
-	gaps     []prefix.EngineID // engines whose cache snapshot is wanted
-
-	membershipDirty bool
-	membershipAt    time.Duration
-	listAskedAt     time.Duration // when the newest reading of the platform's list was asked for
-	resumedAt       time.Duration // when the process last went on after it had stood still
-
-	index   *prefix.Index
-	hot     *prefix.RequestRates
-	vault   map[prefix.Hash]bool
-	matches []prefix.Match // scratch
-	scores  []Candidate    // scratch
-
-	pushed        *pushback.Tracker // what back ends said of themselves in answers
-	others        []string          // routers beside this one that send to the same back ends
-	pushedSweptAt time.Duration
+	config  Config
+	random  *rand.Rand
+	now     time.Duration
+	actions []Action
+
+	tree             settings.Tree
+	settingsVersion  uint64
+	hasSettings      bool
+	resolvedSettings map[tenantKey]settings.Values
+	epoch            uint64
+	leaseEnd         time.Duration
+	hadLease         bool
+	draining         bool
+
+	backends        []backend
+	backendIDs      map[string]prefix.EngineID
+	services        map[string]*serviceState
+	tenants         map[tenantKey]*tenantState
+	requests        map[RequestID]*request
+	arrivals        []*request // not admitted yet
+	pendingRetries  []*request // without a running attempt; runRetries decides on them
+	timers          timerHeap
+	lastAttemptID   AttemptID
+	snapshotsWanted []prefix.EngineID // engines to request a cache snapshot from
+
+	membershipDirty     bool
+	membershipCheckedAt time.Duration
+	listRequestedAt     time.Duration // request time of the newest machine list
+	resumedAt           time.Duration // when the process last resumed after a pause
+
+	index       *prefix.Index
+	hotPrefixes *prefix.RequestRates
+	vaultBlocks map[prefix.Hash]bool
+	matches     []prefix.Match // reused buffer
+	candidates  []Candidate    // reused buffer
+
+	pushback        *pushback.Tracker // backoff requests, draining notices and advertised limits of back ends
+	peerRouters     []string          // other routers that send to the same back ends
+	pushbackSweptAt time.Duration
 
 	decisions decisionRing
 	counters  Counters
 }
 
-// Counters are totals since the start.
+// Counters are totals since the start of the router.
 type Counters struct {
-	Requests         uint64
-	Complete         uint64
-	Refused          map[Reason]uint64
-	Attempts         uint64
-	Retries          uint64
-	Hedges           uint64
-	PromptTokens     uint64
-	HitTokens        uint64
-	RecomputedTokens uint64
-	RepeatedChunks   uint64
-	ForeignAnswers   uint64
-	Gaps             uint64
-	Snapshots        uint64
-	Mismatches       uint64
+	Requests              uint64
+	Completed             uint64
+	Refused               map[Reason]uint64
+	Attempts              uint64
+	Retries               uint64
+	Hedges                uint64
+	PromptTokens          uint64
+	CachedTokens          uint64
+	RecomputedTokens      uint64
+	RepeatedChunks        uint64
+	UnmatchedAnswers      uint64
+	CacheEventGaps        uint64
+	Snapshots             uint64
+	IncarnationMismatches uint64
 }
 
-// New returns a core without settings; it refuses everything until it has a tree and a lease.
+// New returns a core without settings; it refuses every request until it has settings and a lease.
 func New(config Config) *Core {
 	if config.Placer == nil {
 		config.Placer = CostPlacer{}
 	}
 	return &Core{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), now: config.StartedAt,
-		values: map[tenantKey]settings.Values{}, byName: map[string]prefix.EngineID{},
+		resolvedSettings: map[tenantKey]settings.Values{}, backendIDs: map[string]prefix.EngineID{},
 		services: map[string]*serviceState{}, tenants: map[tenantKey]*tenantState{},
 		requests: map[RequestID]*request{}, index: prefix.NewIndex(config.IndexLimit),
-		hot: prefix.NewRequestRates(), vault: map[prefix.Hash]bool{}, pushed: pushback.NewTracker(),
+		hotPrefixes: prefix.NewRequestRates(), vaultBlocks: map[prefix.Hash]bool{}, pushback: pushback.NewTracker(),
 		counters: Counters{Refused: map[Reason]uint64{}},
 	}
 }
 
 // Tick applies events and runs every system once. The returned slice is valid until the next call.
 func (c *Core) Tick(now time.Duration, events []Event) []Action {
-	c.noteStandstill(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
-	c.out = c.out[:0]
+	c.actions = c.actions[:0]
 	for _, event := range events {
 		c.observe(event)
 	}
 	c.runMembership()
-	c.runAdmit()
-	c.runRetry()
+	c.runAdmission()
+	c.runRetries()
 	c.runTimers()
-	c.runPlace()
-	c.runMove()
+	c.runPlacement()
+	c.runIndexMaintenance()
 	c.sweepPushback()
-	return c.out
+	return c.actions
 }
 
-// NextDue returns when Tick should be called at the latest, or false when only events matter.
-func (c *Core) NextDue() (time.Duration, bool) {
+// NextWakeup returns the latest time for the next Tick, or false when no timer is set.
+func (c *Core) NextWakeup() (time.Duration, bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
 	return c.timers[0].at, true
 }
 
-func (c *Core) emit(action Action) { c.out = append(c.out, action) }
+func (c *Core) emit(action Action) { c.actions = append(c.actions, action) }
 
-// Version returns the settings version in use.
-func (c *Core) Version() uint64 { return c.version }
+// SettingsVersion returns the settings version in use.
+func (c *Core) SettingsVersion() uint64 { return c.settingsVersion }
 
-// LeaseValid reports whether the settings lease runs.
+// LeaseValid reports whether the settings lease has not expired.
 func (c *Core) LeaseValid() bool { return c.now < c.leaseEnd }
 
-// Serves reports whether new requests are taken: settings are known, the lease runs or the operator prefers stale
-// service, and no planned stop has begun.
-func (c *Core) Serves() bool { return c.version > 0 && c.mayServe() && !c.draining }
+// AcceptsRequests reports whether new requests are admitted: settings are known, the lease is valid or the operator
+// prefers serving with stale settings, and the router is not draining.
+func (c *Core) AcceptsRequests() bool { return c.settingsVersion > 0 && c.mayAdmit() && !c.draining }
 
-// Draining reports whether a planned stop has begun.
+// Draining reports whether a graceful shutdown has begun.
 func (c *Core) Draining() bool { return c.draining }
 
-// Active returns the number of requests that have no final answer yet.
-func (c *Core) Active() int { return len(c.requests) }
+// ActiveRequests returns the number of requests without a final answer.
+func (c *Core) ActiveRequests() int { return len(c.requests) }
 
-// Counters returns the totals; the map in it is shared.
+// Counters returns the totals. The map in them is shared with the core.
 func (c *Core) Counters() Counters { return c.counters }
 
-// Beliefs returns the number of beliefs in the index.
-func (c *Core) Beliefs() int { return c.index.Len() }
+// IndexedBlocks returns the number of entries in the prefix index.
+func (c *Core) IndexedBlocks() int { return c.index.Len() }
 
-// Tree returns the settings in use; callers must not change it.
+// Tree returns the settings in use; callers must not modify it.
 func (c *Core) Tree() settings.Tree { return c.tree }
 
-// effective returns the settings for a service and tenant in this router's zone.
-func (c *Core) effective(service, tenant string) settings.Values {
+// effectiveSettings returns the cached settings of a service and tenant in this router's zone.
+func (c *Core) effectiveSettings(service, tenant string) settings.Values {
 	key := tenantKey{service, tenant}
-	values, found := c.values[key]
+	values, found := c.resolvedSettings[key]
 	if !found {
 		values = c.tree.Resolve(c.config.Zone, service, tenant)
-		c.values[key] = values
+		c.resolvedSettings[key] = values
 	}
 	return values
 }
 
-// service returns the row of a service, made when it is first named.
+// service returns the row of a service, creating it on first use.
 func (c *Core) service(name string) *serviceState {
 	service := c.services[name]
 	if service == nil {
-		service = &serviceState{name: name, retryTokens: retryTokensAtStart, serviceTime: initialServiceTime}
+		service = &serviceState{name: name, retryTokens: initialRetryTokens, dispatchInterval: initialDispatchInterval}
 		c.services[name] = service
 	}
 	return service
 }
 
-// BackendView is a back end as status shows it.
+// BackendView is the status of a back end as shown to operators.
 type BackendView struct {
 	Machine
-	State       string  `json:"state"`
-	Incarnation uint64  `json:"incarnation"`
-	Weights     string  `json:"weights"`
-	Running     int     `json:"running"`
-	Limit       int     `json:"limit"`
-	Beliefs     int     `json:"beliefs"`
-	Bias        float64 `json:"bias"`
+	State            string  `json:"state"`
+	Incarnation      uint64  `json:"incarnation"`
+	Weights          string  `json:"weights"`
+	Running          int     `json:"running"`
+	ConcurrencyLimit int     `json:"limit"`
+	IndexedBlocks    int     `json:"beliefs"`
+	LatencyBias      float64 `json:"bias"`
 }
 
-// Backends returns the back end table for status.
+// Backends returns the status of every known back end.
 func (c *Core) Backends() []BackendView {
 	views := make([]BackendView, 0, len(c.backends))
 	for i := range c.backends {
 		row := &c.backends[i]
 		views = append(views, BackendView{
 			Machine: row.machine, State: row.state.String(), Incarnation: row.incarnation, Weights: row.weights,
-			Running: row.running, Limit: int(row.limit), Beliefs: c.index.EngineEntries(row.id), Bias: row.bias,
+			Running: row.running, ConcurrencyLimit: int(row.concurrencyLimit), IndexedBlocks: c.index.EngineEntries(row.id), LatencyBias: row.latencyBias,
 		})
 	}
 	return views
 }
 
-// WeightsInUse returns the weights versions that ready engines of a service report, for chain hashing.
+// WeightsInUse returns the weights versions that ready engines of a service report. Requests need a block chain for
+// each of them.
 func (c *Core) WeightsInUse(service string) []string {
 	var versions []string
 	state := c.services[service]
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// deadAfter is the silence after which a back end that left the platform's list is dead.
-	deadAfter = 10 * time.Second
-	// failuresToSuspect is how many refused connections in a row make a back end suspect at once.
-	failuresToSuspect = 2
-	// membershipPeriod is how often states are judged when nothing was heard.
-	membershipPeriod = 20 * time.Millisecond
+	// unlistedTimeout is how long a back end missing from the machine list may be silent before it is dead.
+	unlistedTimeout = 10 * time.Second
+	// suspectFailures is the number of consecutive connection failures that make a back end suspect.
+	suspectFailures = 2
+	// membershipInterval is how often states are re-evaluated without new information.
+	membershipInterval = 20 * time.Millisecond
 )
 
-// runMembership joins the three sources into one state for each back end.
+// runMembership derives the state of each back end from its reports, the machine list and connection failures.
 //
-// Rule: leaving, from any source, beats everything but death; a back end is ready only when it was heard
-// lately, is on the platform's list, and is not loading weights; the list alone never makes it ready, and
-// never kills one that answers.
+// Leaving, according to any source, takes precedence over every state but dead. A back end is ready only if it
+// reported recently, is on the machine list, and is not loading weights. The list alone neither makes a back
+// end ready nor makes one that reports dead.
 func (c *Core) runMembership() {
-	if !c.membershipDirty && c.now < c.membershipAt+membershipPeriod {
+	if !c.membershipDirty && c.now < c.membershipCheckedAt+membershipInterval {
 		return
 	}
 	c.membershipDirty = false
-	c.membershipAt = c.now
+	c.membershipCheckedAt = c.now
 	for i := range c.backends {
 		row := &c.backends[i]
-		next := c.judge(row)
+		next := c.nextState(row)
 		if next != row.state {
 			c.enterState(row, next)
 		}
 	}
 }
 
-func (c *Core) judge(row *backend) BackendState {
-	silence := c.now - row.heardAt
-	suspectAfter := time.Duration(c.effective(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
+func (c *Core) nextState(row *backend) BackendState {
+	silence := c.now - row.lastSeenAt
+	suspectAfter := time.Duration(c.effectiveSettings(row.machine.Service, "").SuspectAfterMS) * time.Millisecond
 	switch {
-	case !row.listed && silence > deadAfter:
+	case !row.listed && silence > unlistedTimeout:
 		return BackendDead
 	case c.isLeaving(row):
 		return BackendLeaving
 	case row.incarnation == 0:
 		return BackendJoining
-	case silence > suspectAfter || row.failures >= failuresToSuspect:
+	case silence > suspectAfter || row.consecutiveFailures >= suspectFailures:
 		return BackendSuspect
 	case row.loading && row.kind == settings.KindLLM:
 		return BackendJoining
@@ -61,17 +61,17 @@
 	if !c.config.Guards.On(guard.LeavingCheck) {
 		return false
 	}
-	heard := c.config.Guards.On(guard.LeavingSelfReported) && c.saysLeaving(row)
-	return row.leaving || heard || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
+	announced := c.config.Guards.On(guard.LeavingSelfReported) && c.announcedLeaving(row)
+	return row.leaving || announced || (row.listed && row.machine.Leaving) || (!row.listed && row.incarnation != 0)
 }
 
 func (c *Core) enterState(row *backend, next BackendState) {
 	row.state = next
 	switch next {
 	case BackendSuspect:
-		c.breakAttempts(row, onlyRepeatable)
+		c.failAttemptsOn(row, onlyRepeatable)
 	case BackendDead:
-		c.breakAttempts(row, everyRequest)
+		c.failAttemptsOn(row, allRequests)
 		c.index.InvalidateEngine(row.id)
 		row.incarnation = 0
 		row.pendingPrefill = row.pendingPrefill[:0]
@@ -79,62 +79,62 @@
 	c.service(row.machine.Service).ringStale = true
 }
 
-// everyRequest selects all requests for breakAttempts.
-func everyRequest(*request) bool { return true }
+// allRequests selects every request for failAttemptsOn.
+func allRequests(*request) bool { return true }
 
-// onlyRepeatable selects the requests that another back end may take over; a non-repeatable one waits for its
-// answer as long as its deadline allows.
+// onlyRepeatable selects requests that another back end may take over. Non-repeatable ones keep waiting for their
+// answer until their deadline.
 func onlyRepeatable(r *request) bool { return r.values.Repeatable }
 
-// breakAttempts ends the attempts that run on an earlier life of a back end, or on a silent one, as if their
-// connections had broken. Requests are taken in order of arrival, so that ticks are deterministic.
-func (c *Core) breakAttempts(row *backend, affected func(*request) bool) {
+// failAttemptsOn fails the attempts on a back end that restarted or is unreachable, as if their connections had
+// broken. Requests are processed in order of arrival to keep ticks deterministic.
+func (c *Core) failAttemptsOn(row *backend, selected func(*request) bool) {
 	if row.running == 0 {
 		return
 	}
-	var broken []*request
+	var requests []*request
 	for _, r := range c.requests {
-		if attemptOn(r, row.id) >= 0 && affected(r) {
-			broken = append(broken, r)
+		if attemptIndexOn(r, row.id) >= 0 && selected(r) {
+			requests = append(requests, r)
 		}
 	}
-	slices.SortFunc(broken, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
-	for _, r := range broken {
-		at := attemptOn(r, row.id)
-		c.failAttempt(r, at, EventAttempt{ID: r.ID, Attempt: r.attempts[at].id, Kind: AttemptBroken})
+	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.ID, b.ID) })
+	for _, r := range requests {
+		index := attemptIndexOn(r, row.id)
+		c.failAttempt(r, index, EventAttempt{ID: r.ID, Attempt: r.attempts[index].id, Kind: AttemptBroken})
 	}
 }
 
-// attemptOn returns the position of a request's attempt on a back end, or -1.
-func attemptOn(r *request, id prefix.EngineID) int {
+// attemptIndexOn returns the index of the request's attempt on a back end, or -1.
+func attemptIndexOn(r *request, id prefix.EngineID) int {
 	return slices.IndexFunc(r.attempts, func(sent attempt) bool { return sent.backend == id })
 }
 
-// noteUnreachable counts a refused or timed-out connection.
-func (c *Core) noteUnreachable(row *backend) {
-	row.failures++
+// recordConnectionFailure counts a refused or timed-out connection.
+func (c *Core) recordConnectionFailure(row *backend) {
+	row.consecutiveFailures++
 	c.membershipDirty = true
 }
 
 const (
-	// standstill is a time between two ticks that a running process never lets pass: it was stopped, or its
-	// machine was.
-	standstill = time.Second
-	// listPatience is how long a process that stood still waits for a fresh list before it goes on without one.
-	listPatience = 2 * time.Second
+	// pauseThreshold is the time between ticks from which the process or its machine counts as paused.
+	pauseThreshold = time.Second
+	// maxListWait is how long placement waits for a fresh machine list after a pause.
+	maxListWait = 2 * time.Second
 )
 
-// noteStandstill notices that the process stood still, so that what it knows of leaving back ends is old.
-func (c *Core) noteStandstill(now time.Duration) {
-	if now > c.now+standstill {
+// detectPause detects that the process was paused, after which its knowledge of leaving back ends may be
+// outdated.
+func (c *Core) detectPause(now time.Duration) {
+	if now > c.now+pauseThreshold {
 		c.resumedAt = now
 	}
 }
 
-// awaitsList reports whether placing must wait for a list that is younger than a standstill.
-func (c *Core) awaitsList() bool {
-	return c.resumedAt > c.listAskedAt && c.now < c.resumedAt+listPatience && c.config.Guards.On(guard.LeavingCheck)
+// awaitsFreshList reports whether placement must wait for a machine list requested after the last pause.
+func (c *Core) awaitsFreshList() bool {
+	return c.resumedAt > c.listRequestedAt && c.now < c.resumedAt+maxListWait && c.config.Guards.On(guard.LeavingCheck)
 }
 
-// ready reports whether new work may be sent to a back end.
-func (c *Core) ready(row *backend) bool { return row.state == BackendReady }
+// isReady reports whether new work may be dispatched to a back end.
+func (c *Core) isReady(row *backend) bool { return row.state == BackendReady }
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -9,86 +9,86 @@
 	"kitetiller/internal/settings"
 )
 
-// snapshotRetry is how long an asked-for cache snapshot may take before it is asked for again.
-const snapshotRetry = 2 * time.Second
+// snapshotRetryInterval is how long to wait for a cache snapshot before requesting it again.
+const snapshotRetryInterval = 2 * time.Second
 
 // observe applies one event to the tables.
 func (c *Core) observe(event Event) {
-	switch typed := event.(type) {
+	switch e := event.(type) {
 	case EventRequest:
-		c.observeRequest(typed.Request)
+		c.observeRequest(e.Request)
 	case EventCallerGone:
-		c.observeGone(typed.ID)
-	case EventHeldBack:
-		c.observeHeldBack(typed.ID)
+		c.observeCallerGone(e.ID)
+	case EventQuarantined:
+		c.observeQuarantined(e.ID)
 	case EventClaim:
-		c.observeClaim(typed)
+		c.observeClaim(e)
 	case EventAttempt:
-		c.observeAttempt(typed)
-	case EventSaid:
-		c.observeSaid(typed)
-	case EventBackend:
-		c.observeBackend(typed)
+		c.observeAttempt(e)
+	case EventPushback:
+		c.observePushback(e)
+	case EventBackendPoll:
+		c.observeBackendPoll(e)
 	case EventCacheSnapshot:
-		c.observeSnapshot(typed)
-	case EventPlatform:
-		c.observePlatform(typed)
+		c.observeSnapshot(e)
+	case EventMachineList:
+		c.observeMachineList(e)
 	case EventSettings:
-		c.observeSettings(typed)
+		c.observeSettings(e)
 	case EventLease:
-		c.epoch = typed.Epoch
-		c.leaseEnd = max(c.leaseEnd, typed.Until)
-		c.hadLease = c.hadLease || typed.Until > c.now
+		c.epoch = e.Epoch
+		c.leaseEnd = max(c.leaseEnd, e.Until)
+		c.hadLease = c.hadLease || e.Until > c.now
 	case EventVault:
-		c.observeVault(typed)
-	case EventPeerSends:
-		c.observePeerSends(typed)
-	case EventRouters:
-		c.observeRouters(typed)
+		c.observeVault(e)
+	case EventPeerDispatches:
+		c.observePeerDispatches(e)
+	case EventPeerRouters:
+		c.observePeerRouters(e)
 	case EventDrain:
 		c.draining = true
 	}
 }
 
 func (c *Core) observeSettings(event EventSettings) {
-	if c.hasTree && event.Version < c.version && c.config.Guards.On(guard.SettingsMonotonic) {
+	if c.hasSettings && event.Version < c.settingsVersion && c.config.Guards.On(guard.SettingsMonotonic) {
 		return
 	}
-	c.tree, c.version, c.hasTree = event.Tree, event.Version, true
-	c.values = map[tenantKey]settings.Values{}
+	c.tree, c.settingsVersion, c.hasSettings = event.Tree, event.Version, true
+	c.resolvedSettings = map[tenantKey]settings.Values{}
 	for i := range c.backends {
 		row := &c.backends[i]
-		values := c.effective(row.machine.Service, "")
+		values := c.effectiveSettings(row.machine.Service, "")
 		row.kind = values.Kind
-		row.setCeiling(float64(values.EngineConcurrency))
+		row.setMaxConcurrency(float64(values.EngineConcurrency))
 	}
 }
 
 func (c *Core) observeVault(event EventVault) {
 	for _, hash := range event.Blocks {
 		if event.Held {
-			c.vault[hash] = true
+			c.vaultBlocks[hash] = true
 		} else {
-			delete(c.vault, hash)
+			delete(c.vaultBlocks, hash)
 		}
 	}
 }
 
-// observePeerSends counts what other routers sent and no report shows yet.
-func (c *Core) observePeerSends(event EventPeerSends) {
-	for _, send := range event.Sends {
-		id, found := c.byName[send.Backend]
+// observePeerDispatches records prefill dispatched by other routers that no load report includes yet.
+func (c *Core) observePeerDispatches(event EventPeerDispatches) {
+	for _, dispatched := range event.Sends {
+		id, found := c.backendIDs[dispatched.Backend]
 		if !found {
 			continue
 		}
 		row := &c.backends[id]
-		row.peerPrefill = append(row.peerPrefill, pendingPrefill{sentAt: c.now - send.Age, tokens: send.Tokens, lane: send.Lane})
+		row.peerPrefill = append(row.peerPrefill, pendingPrefill{sentAt: c.now - dispatched.Age, tokens: dispatched.Tokens, lane: dispatched.Lane})
 	}
 }
 
-func (c *Core) observePlatform(event EventPlatform) {
+func (c *Core) observeMachineList(event EventMachineList) {
 	c.membershipDirty = true
-	c.listAskedAt = max(c.listAskedAt, event.AskedAt)
+	c.listRequestedAt = max(c.listRequestedAt, event.RequestedAt)
 	for i := range c.backends {
 		c.backends[i].listed = false
 	}
@@ -102,99 +102,100 @@
 	}
 }
 
-// backendRow returns the row of a machine, made when it is first named.
+// backendRow returns the row of a machine, creating it on first use.
 func (c *Core) backendRow(machine Machine) *backend {
-	if id, found := c.byName[machine.Name]; found {
+	if id, found := c.backendIDs[machine.Name]; found {
 		return &c.backends[id]
 	}
 	id := prefix.EngineID(len(c.backends))
-	values := c.effective(machine.Service, "")
+	values := c.effectiveSettings(machine.Service, "")
 	c.backends = append(c.backends, backend{
-		id: id, machine: machine, kind: values.Kind, heardAt: c.now,
-		limit: float64(values.EngineConcurrency), ceiling: float64(values.EngineConcurrency), bias: 1,
+		id: id, machine: machine, kind: values.Kind, lastSeenAt: c.now,
+		concurrencyLimit: float64(values.EngineConcurrency), maxConcurrency: float64(values.EngineConcurrency), latencyBias: 1,
 	})
-	c.byName[machine.Name] = id
+	c.backendIDs[machine.Name] = id
 	service := c.service(machine.Service)
 	service.backends = append(service.backends, id)
 	service.ringStale = true
 	return &c.backends[id]
 }
 
-func (c *Core) observeBackend(event EventBackend) {
-	id, found := c.byName[event.Name]
+func (c *Core) observeBackendPoll(event EventBackendPoll) {
+	id, found := c.backendIDs[event.Name]
 	if !found {
 		return
 	}
 	c.membershipDirty = true
 	row := &c.backends[id]
 	if event.Report == nil {
-		c.noteUnreachable(row)
+		c.recordConnectionFailure(row)
 		return
 	}
 	report := event.Report
-	c.noteLife(row, report)
-	row.heardAt = max(row.heardAt, event.AskedAt)
-	row.failures = 0
+	c.updateIncarnation(row, report)
+	row.lastSeenAt = max(row.lastSeenAt, event.RequestedAt)
+	row.consecutiveFailures = 0
 	row.loading = report.Loading
 	row.leaving = report.Leaving
 	row.load = report.Load
-	row.reportedAt = c.now - report.Load.Age
-	row.peerPrefill = slices.DeleteFunc(row.peerPrefill, func(sent pendingPrefill) bool { return sent.sentAt < row.reportedAt })
+	row.loadMeasuredAt = c.now - report.Load.Age
+	row.peerPrefill = slices.DeleteFunc(row.peerPrefill, func(sent pendingPrefill) bool { return sent.sentAt < row.loadMeasuredAt })
 	c.index.SetMaxAge(id, report.Load.EvictionAge)
 	c.applyCacheEvents(row, report)
 }
 
-// noteLife notices a new incarnation or new weights: everything believed about the earlier life is void,
-// and attempts sent to it are lost.
-func (c *Core) noteLife(row *backend, report *BackendReport) {
+// updateIncarnation handles a new incarnation or new weights: cached blocks of the earlier one are forgotten, and
+// attempts on an earlier incarnation fail.
+func (c *Core) updateIncarnation(row *backend, report *BackendReport) {
 	if report.Incarnation == row.incarnation && report.Weights == row.weights {
 		return
 	}
-	newLife := report.Incarnation != row.incarnation
+	restarted := report.Incarnation != row.incarnation
 	row.incarnation, row.weights = report.Incarnation, report.Weights
 	if c.config.Guards.On(guard.IncarnationCheck) {
 		c.index.InvalidateEngine(row.id)
 	}
-	if newLife {
-		c.breakAttempts(row, everyRequest)
+	if restarted {
+		c.failAttemptsOn(row, allRequests)
 		row.pendingPrefill = row.pendingPrefill[:0]
-		row.bias = 1
+		row.latencyBias = 1
 	}
 	row.nextSequence = 0
 }
 
-// applyCacheEvents applies events in order. A gap makes older beliefs doubtful and asks for a snapshot.
+// applyCacheEvents applies cache events in sequence. A gap marks the engine's index entries stale and requests a
+// snapshot.
 func (c *Core) applyCacheEvents(row *backend, report *BackendReport) {
 	for _, event := range report.Events {
 		if event.Sequence < row.nextSequence {
 			continue
 		}
 		if event.Sequence > row.nextSequence {
-			c.noteGap(row)
+			c.recordCacheEventGap(row)
 		}
 		row.nextSequence = event.Sequence + 1
 		c.index.Add(row.id, event.Stored, c.now, prefix.SourceEvent)
 		c.index.Remove(row.id, event.Evicted)
 	}
 	if report.NextSequence > row.nextSequence {
-		c.noteGap(row)
+		c.recordCacheEventGap(row)
 		row.nextSequence = report.NextSequence
 	}
 }
 
-func (c *Core) noteGap(row *backend) {
-	if row.wantSnapshot {
+func (c *Core) recordCacheEventGap(row *backend) {
+	if row.needsSnapshot {
 		return
 	}
-	c.counters.Gaps++
+	c.counters.CacheEventGaps++
 	c.index.MarkStale(row.id, c.now)
-	row.wantSnapshot = true
-	row.snapshotAsked = -snapshotRetry
-	c.gaps = append(c.gaps, row.id)
+	row.needsSnapshot = true
+	row.snapshotRequestedAt = -snapshotRetryInterval
+	c.snapshotsWanted = append(c.snapshotsWanted, row.id)
 }
 
 func (c *Core) observeSnapshot(event EventCacheSnapshot) {
-	id, found := c.byName[event.Name]
+	id, found := c.backendIDs[event.Name]
 	if !found {
 		return
 	}
@@ -203,20 +204,20 @@
 		return
 	}
 	c.counters.Snapshots++
-	row.wantSnapshot = false
+	row.needsSnapshot = false
 	row.nextSequence = max(row.nextSequence, event.Sequence)
 	c.index.InvalidateEngine(id)
 	c.index.Add(id, event.Blocks, c.now, prefix.SourceSnapshot)
 }
 
-// observeHeldBack ends a request that is to be sent nowhere more.
-func (c *Core) observeHeldBack(id RequestID) {
-	r, alive := c.requests[id]
-	if !alive || len(r.attempts) > 0 {
+// observeQuarantined refuses a quarantined request without a running attempt.
+func (c *Core) observeQuarantined(id RequestID) {
+	r, found := c.requests[id]
+	if !found || len(r.attempts) > 0 {
 		return
 	}
-	reason := ReasonHeldBack
-	if r.unproven > 0 {
+	reason := ReasonQuarantined
+	if r.possibleRuns > 0 {
 		reason = ReasonRunUnknown // an earlier attempt may have run
 	}
 	c.refuse(r, reason, 0)
--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -7,85 +7,88 @@
 	"kitetiller/internal/guard"
 )
 
-// lifeOf names a life of a back end. Incarnations tell lives apart and no time.
-func lifeOf(name string, incarnation uint64) catalog.Incarnation {
+// backendIncarnation identifies an incarnation of a back end. StartedMS holds its number, which is not a time here.
+func backendIncarnation(name string, incarnation uint64) catalog.Incarnation {
 	return catalog.Incarnation{Name: name, StartedMS: int64(incarnation)}
 }
 
-// observeSaid takes up what a back end says of itself.
-func (c *Core) observeSaid(event EventSaid) {
-	c.pushed.Observe(c.now, time.Time{}, lifeOf(event.Name, event.Incarnation), event.Said, c.random.Float64())
-	c.membershipDirty = c.membershipDirty || event.Said.Draining
+// observePushback records what a back end says of itself.
+func (c *Core) observePushback(event EventPushback) {
+	c.pushback.Observe(c.now, time.Time{}, backendIncarnation(event.Name, event.Incarnation), event.Signals, c.random.Float64())
+	c.membershipDirty = c.membershipDirty || event.Signals.Draining
 }
 
-// saysLeaving reports whether the back end itself said in a refusal that its present life leaves. A report that was written before doesn't
-// undo that.
-func (c *Core) saysLeaving(row *backend) bool {
-	return c.pushed.Restriction(c.now, lifeOf(row.machine.Name, row.incarnation)).Draining
+// announcedLeaving reports whether the current incarnation announced in a refusal that it is leaving. An older report
+// does not revoke that.
+func (c *Core) announcedLeaving(row *backend) bool {
+	return c.pushback.Restriction(c.now, backendIncarnation(row.machine.Name, row.incarnation)).Draining
 }
 
-// rests returns how long a back end still wants nothing from this router.
-func (c *Core) rests(row *backend) time.Duration {
+// remainingBackoff returns how long a back end still wants no requests from this router.
+func (c *Core) remainingBackoff(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.BackoffCheck) {
 		return 0
 	}
-	return max(0, c.pushed.Restriction(c.now, lifeOf(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
+	return max(0, c.pushback.Restriction(c.now, backendIncarnation(row.machine.Name, row.incarnation)).BackoffUntil-c.now)
 }
 
-// barred returns how long a back end itself wants nothing more from this router: for its rest, or for its limit.
-func (c *Core) barred(row *backend) time.Duration { return max(c.rests(row), c.limited(row)) }
+// blockedFor returns how long a back end must not be sent requests because of its backoff or its advertised rate
+// limit.
+func (c *Core) blockedFor(row *backend) time.Duration {
+	return max(c.remainingBackoff(row), c.rateLimitedFor(row))
+}
 
-// allBarred returns how long it takes until the first ready back end of a service may be asked again, where all of them want rest or have reached
-// their limits, and which of the two; else 0.
-func (c *Core) allBarred(service *serviceState) (first time.Duration, reason Reason) {
+// allBlockedFor returns the time until the first ready back end of a service is no longer blocked, and what blocks it.
+// It returns 0 if one is not blocked or none is ready.
+func (c *Core) allBlockedFor(service *serviceState) (first time.Duration, reason Reason) {
 	for _, id := range service.backends {
 		row := &c.backends[id]
-		if !c.ready(row) {
+		if !c.isReady(row) {
 			continue
 		}
-		left, why := c.rests(row), ReasonResting
-		if limited := c.limited(row); limited > left {
-			left, why = limited, ReasonLimited
+		remaining, cause := c.remainingBackoff(row), ReasonResting
+		if limited := c.rateLimitedFor(row); limited > remaining {
+			remaining, cause = limited, ReasonLimited
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return 0, ""
 		}
-		if first == 0 || left < first {
-			first, reason = left, why
+		if first == 0 || remaining < first {
+			first, reason = remaining, cause
 		}
 	}
 	return first, reason
 }
 
-// restFor decides on the head of a queue whose service takes nothing for a while. A time that is no longer than requests wait for a back end to
-// appear is waited for, and by a stream in progress any that ends while its caller still waits; else the request is refused at once. It returns
-// false when the request must wait.
-func (c *Core) restFor(r *request, service *serviceState, rest time.Duration, reason Reason) bool {
-	if c.now+rest < r.deadline && (rest <= noBackendGrace || r.inStream()) {
-		c.wakeAt(r, c.now+rest)
+// waitOrRefuse handles the head of a queue whose service is blocked as a whole. A request waits for up to
+// backendWaitTimeout, a started stream until its deadline; otherwise it is refused with a Retry-After. It returns
+// false if the request must wait.
+func (c *Core) waitOrRefuse(r *request, service *serviceState, blocked time.Duration, reason Reason) bool {
+	if c.now+blocked < r.deadline && (blocked <= backendWaitTimeout || r.streamStarted()) {
+		c.wakeAt(r, c.now+blocked)
 		return false
 	}
 	service.remove(r)
 	r.state = stateRunning
-	c.refuse(r, reason, rest+time.Duration(c.random.Float64()*restApart*float64(rest)))
+	c.refuse(r, reason, blocked+time.Duration(c.random.Float64()*retryAfterJitter*float64(blocked)))
 	return true
 }
 
-// restApart is the share of the time to come back that is added to it at random, so that callers who were refused together don't return
-// together.
-const restApart = 0.1
+// retryAfterJitter is the maximum fraction randomly added to a Retry-After, so that clients refused together do not
+// retry together.
+const retryAfterJitter = 0.1
 
-// pushbackSweep is how often words of back ends that count no longer are forgotten.
-const pushbackSweep = 10 * time.Second
+// pushbackSweepInterval is how often expired pushback is removed.
+const pushbackSweepInterval = 10 * time.Second
 
-// sweepPushback forgets words that count no longer.
+// sweepPushback removes expired pushback.
 func (c *Core) sweepPushback() {
-	if c.now < c.pushedSweptAt+pushbackSweep {
+	if c.now < c.pushbackSweptAt+pushbackSweepInterval {
 		return
 	}
-	c.pushedSweptAt = c.now
-	c.pushed.Sweep(c.now, func(life catalog.Incarnation) bool {
-		id, known := c.byName[life.Name]
-		return known && c.backends[id].incarnation == uint64(life.StartedMS)
+	c.pushbackSweptAt = c.now
+	c.pushback.Sweep(c.now, func(incarnation catalog.Incarnation) bool {
+		id, found := c.backendIDs[incarnation.Name]
+		return found && c.backends[id].incarnation == uint64(incarnation.StartedMS)
 	})
 }
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -22,10 +22,10 @@
 
 // Paths on which a gateway is told of sends, by what it does with them beside noting them.
 const (
-	pathSends   = "/internal/v1/sends"          // nothing
-	pathRow     = "/internal/v1/sends/row"      // it tells its column
-	pathImports = "/internal/v1/sends/imported" // it tells its row and its column
-	pathHanded  = "/internal/v1/sends/handed"   // it tells all others
+	pathSends        = "/internal/v1/sends"          // nothing
+	pathRow          = "/internal/v1/sends/row"      // it tells its column
+	pathOtherZone    = "/internal/v1/sends/imported" // it tells its row and its column
+	pathViaScheduler = "/internal/v1/sends/handed"   // it tells all others
 )
 
 // Paths on which a scheduler is asked for placements, and told how the requests ended.
@@ -35,82 +35,82 @@
 )
 
 const (
-	announceRing    = 2048
-	announceTimeout = 250 * time.Millisecond
-	announceBatch   = 128
+	announceQueueSize = 2048
+	announceTimeout   = 250 * time.Millisecond
+	announceBatchSize = 128
 	// ownPeriod, columnPeriod and abroadPeriod are how long a send waits for others to be told with it.
-	ownPeriod    = 15 * time.Millisecond
-	columnPeriod = 40 * time.Millisecond
-	abroadPeriod = 25 * time.Millisecond
+	ownPeriod        = 15 * time.Millisecond
+	columnPeriod     = 40 * time.Millisecond
+	otherZonesPeriod = 25 * time.Millisecond
 )
 
-// send is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
+// announcement is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
 // parts it will hold; the last of them is of use to nobody else, but takes its memory. Without a salt it tells of a
 // request that has ended.
-type send struct {
-	Gateway  string
-	Load     belief.Load // what the gateway now has running there
-	Instance string
-	Salt     string
-	Parts    []prefix.Part
-	Uncached int             // prompt tokens
-	Saved    bool            // the parts go to the store as well
-	Move     belief.Transfer // of cached parts to the engine, or to the store
-	// Unreached says that no connection came up; then nothing was sent, and there is no salt.
-	Unreached bool
-	// Kept says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
-	Kept bool
-	// Refused names a request that was turned away from here for overload; nothing was sent then.
-	Refused string
-	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
-	Said pushback.Signals
-	Age  time.Duration
+type announcement struct {
+	Gateway      string
+	Load         belief.Load // what the gateway now has running there
+	Instance     string
+	Salt         string
+	Parts        []prefix.Part
+	Uncached     int             // prompt tokens
+	SavedToStore bool            // the parts go to the store as well
+	Transfer     belief.Transfer // of cached parts to the engine, or to the store
+	// Unreachable says that no connection came up; then nothing was sent, and there is no salt.
+	Unreachable bool
+	// CacheReport says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
+	CacheReport bool
+	// RejectedRequest names a request that was turned away from here for overload; nothing was sent then.
+	RejectedRequest string
+	// Signals is what the back end said of itself in an answer to this gateway; nothing else is told then.
+	Signals pushback.Signals
+	Age     time.Duration
 }
 
-// wireSend is a send in a message. Names are short since every send goes to every gateway.
-type wireSend struct {
-	Gateway   string   `json:"g"`
-	Running   int      `json:"n,omitempty"`
-	Held      int      `json:"m,omitempty"` // tokens of the running requests
-	Instance  string   `json:"i"`
-	Salt      string   `json:"s,omitempty"`
-	Parts     []string `json:"p,omitempty"`
-	Tokens    []int    `json:"t,omitempty"` // of each part
-	Uncached  int      `json:"u,omitempty"`
-	Saved     bool     `json:"v,omitempty"`
-	MoveFrom  string   `json:"f,omitempty"`
-	MoveMS    int64    `json:"d,omitempty"`
-	Unreached bool     `json:"x,omitempty"`
-	Kept      bool     `json:"k,omitempty"`
-	Refused   string   `json:"r,omitempty"`
-	RestMS    int64    `json:"q,omitempty"` // the back end asked the gateway for rest
-	Leaving   bool     `json:"l,omitempty"` // the back end says that it leaves
-	Limit     *float64 `json:"b,omitempty"` // requests a second that the back end takes from all
-	Unlimited bool     `json:"e,omitempty"` // the back end names no limit any more
-	AgeMS     int64    `json:"a"`
+// wireAnnouncement is a send in a message. Names are short since every send goes to every gateway.
+type wireAnnouncement struct {
+	Gateway         string   `json:"g"`
+	Running         int      `json:"n,omitempty"`
+	RunningTokens   int      `json:"m,omitempty"` // tokens of the running requests
+	Instance        string   `json:"i"`
+	Salt            string   `json:"s,omitempty"`
+	Parts           []string `json:"p,omitempty"`
+	Tokens          []int    `json:"t,omitempty"` // of each part
+	Uncached        int      `json:"u,omitempty"`
+	SavedToStore    bool     `json:"v,omitempty"`
+	TransferFrom    string   `json:"f,omitempty"`
+	TransferMS      int64    `json:"d,omitempty"`
+	Unreachable     bool     `json:"x,omitempty"`
+	CacheReport     bool     `json:"k,omitempty"`
+	RejectedRequest string   `json:"r,omitempty"`
+	BackoffMS       int64    `json:"q,omitempty"` // the back end asked the gateway for rest
+	Draining        bool     `json:"l,omitempty"` // the back end says that it leaves
+	Limit           *float64 `json:"b,omitempty"` // requests a second that the back end takes from all
+	LimitWithdrawn  bool     `json:"e,omitempty"` // the back end names no limit any more
+	AgeMS           int64    `json:"a"`
 }
 
-func (s send) wire(waited time.Duration) wireSend {
-	w := wireSend{
-		Gateway: s.Gateway, Running: s.Load.Running, Held: s.Load.Tokens,
-		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
-		RestMS: s.Said.Backoff.Milliseconds(), Leaving: s.Said.Draining, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
+func (s announcement) toWire(waited time.Duration) wireAnnouncement {
+	w := wireAnnouncement{
+		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
+		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
+		BackoffMS: s.Signals.Backoff.Milliseconds(), Draining: s.Signals.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
-	w.Parts, w.Tokens = wireParts(s.Parts)
-	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
+	w.Parts, w.Tokens = partsToWire(s.Parts)
+	w.Limit, w.LimitWithdrawn = limitToWire(s.Signals.Limit)
 	return w
 }
 
-// wireParts returns parts as messages carry them: their ids, and the tokens of each.
-func wireParts(parts []prefix.Part) (ids []string, tokens []int) {
+// partsToWire returns parts as messages carry them: their ids, and the tokens of each.
+func partsToWire(parts []prefix.Part) (ids []string, tokens []int) {
 	for _, p := range parts {
 		ids, tokens = append(ids, p.ID), append(tokens, p.Tokens)
 	}
 	return ids, tokens
 }
 
-// partsOfWire is the reverse; parts without a size are left out.
-func partsOfWire(ids []string, tokens []int) []prefix.Part {
+// partsFromWire is the reverse; parts without a size are left out.
+func partsFromWire(ids []string, tokens []int) []prefix.Part {
 	var parts []prefix.Part
 	for i := range min(len(ids), len(tokens)) {
 		parts = append(parts, prefix.Part{ID: ids[i], Tokens: max(0, tokens[i])})
@@ -118,107 +118,107 @@
 	return parts
 }
 
-// wireTime returns a time that a message tells in milliseconds; none is below 0.
-func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
+// durationFromMS returns a time that a message tells in milliseconds; none is below 0.
+func durationFromMS(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
-// send returns what a message tells; parts without a size are left out.
-func (w wireSend) send() send {
-	return send{
-		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
-		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Signals{Backoff: wireTime(min(w.RestMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Transfer{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+// announcement returns what a message tells; parts without a size are left out.
+func (w wireAnnouncement) announcement() announcement {
+	return announcement{
+		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
+		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
+		Signals: pushback.Signals{Backoff: durationFromMS(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitFromWire(w.Limit, w.LimitWithdrawn)}, Age: durationFromMS(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: durationFromMS(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
 	}
 }
 
-// wireLimit returns a limit as messages carry it.
-func wireLimit(limit pushback.Limit) (rate *float64, over bool) {
+// limitToWire returns a limit as messages carry it.
+func limitToWire(limit pushback.Limit) (rate *float64, withdrawn bool) {
 	if limit.Advertised {
 		rate = &limit.Rate
 	}
 	return rate, limit.Withdrawn
 }
 
-// limitOfWire is the reverse; no rate is below 0.
-func limitOfWire(rate *float64, over bool) pushback.Limit {
+// limitFromWire is the reverse; no rate is below 0.
+func limitFromWire(rate *float64, withdrawn bool) pushback.Limit {
 	if rate != nil {
 		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
-	return pushback.Limit{Withdrawn: over}
+	return pushback.Limit{Withdrawn: withdrawn}
 }
 
-// spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
+// peerAnnouncer tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
 // holders without asking engines. It is safe for concurrent use.
-type spread struct {
-	row, column, abroad *transport.Announcer[send]
-	handed              *transport.Announcer[send] // to a scheduler that tells the others
-	hands               atomic.Bool                // this gateway is no scheduler
-	silent              bool                       // other gateways are told nothing
+type peerAnnouncer struct {
+	row, column, otherZones *transport.Announcer[announcement]
+	viaScheduler            *transport.Announcer[announcement] // to a scheduler that tells the others
+	useScheduler            atomic.Bool                        // this gateway is no scheduler
+	disabled                bool                               // other gateways are told nothing
 }
 
-func newSpread(c *transport.Client) *spread {
-	announcer := func(path string, period time.Duration) *transport.Announcer[send] {
+func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
+	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
-			Path: path, Ring: announceRing, Batch: announceBatch, Period: period, Timeout: announceTimeout,
+			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
-		return transport.NewAnnouncer(c, settings, wireBatch)
+		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
-	return &spread{
-		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathImports, abroadPeriod),
-		handed: announcer(pathHanded, ownPeriod),
+	return &peerAnnouncer{
+		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), otherZones: announcer(pathOtherZone, otherZonesPeriod),
+		viaScheduler: announcer(pathViaScheduler, ownPeriod),
 	}
 }
 
-func wireBatch(batch []transport.Aged[send]) any {
-	sends := make([]wireSend, 0, len(batch))
-	for _, told := range batch {
-		sends = append(sends, told.Item.wire(clock.Now()-told.At))
+func batchToWire(batch []transport.Aged[announcement]) any {
+	sends := make([]wireAnnouncement, 0, len(batch))
+	for _, aged := range batch {
+		sends = append(sends, aged.Item.toWire(clock.Now()-aged.At))
 	}
 	return sends
 }
 
-// use replaces the mesh.
-func (s *spread) use(mesh control.Mesh) {
+// setMesh replaces the mesh.
+func (s *peerAnnouncer) setMesh(mesh control.Mesh) {
 	s.row.SetPeers(mesh.Row)
 	s.column.SetPeers(mesh.Column)
-	s.abroad.SetPeers(mesh.Abroad)
-	s.hands.Store(len(mesh.Schedulers) > 0)
+	s.otherZones.SetPeers(mesh.Abroad)
+	s.useScheduler.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
-		s.handed.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
+		s.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
 	}
 }
 
 // run starts the threads that tell.
-func (s *spread) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[send]{s.row, s.column, s.abroad, s.handed} {
+func (s *peerAnnouncer) run(ctx context.Context, start func(func())) {
+	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
-// own tells of a send of this gateway.
-func (s *spread) own(made send) {
-	if s.silent {
+// announce tells of a send of this gateway.
+func (s *peerAnnouncer) announce(item announcement) {
+	if s.disabled {
 		return
 	}
-	if s.hands.Load() {
-		s.handed.Announce(made)
+	if s.useScheduler.Load() {
+		s.viaScheduler.Announce(item)
 		return
 	}
-	s.abroad.Announce(made)
-	s.imported(made)
+	s.otherZones.Announce(item)
+	s.announceInZone(item)
 }
 
-// imported tells the own zone of a send from another one.
-func (s *spread) imported(made send) {
-	s.row.Announce(made)
-	s.column.Announce(made)
+// announceInZone tells the own zone of a send from another one.
+func (s *peerAnnouncer) announceInZone(item announcement) {
+	s.row.Announce(item)
+	s.column.Announce(item)
 }
 
 // listenPeers serves the other gateways, when there is an address for it.
 func (g *Gateway) listenPeers() (*transport.Server, error) {
-	if g.settings.Internal == "" {
+	if g.settings.PeerAddress == "" {
 		return nil, nil
 	}
-	return transport.Listen(cmp.Or(g.settings.Bind, g.settings.Internal), g.settings.Token, g.handlePeer, zap.NewNop())
+	return transport.Listen(cmp.Or(g.settings.PeerListen, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
 }
 
 func closePeers(listener *transport.Server) {
@@ -231,7 +231,7 @@
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
-	var pass func(send)
+	var forward func(announcement)
 	switch request.Path {
 	case pathPlace:
 		g.takeQuestion(request, respond)
@@ -239,33 +239,33 @@
 	case pathEnd:
 		g.takeEnd(request, respond)
 		return
-	case pathHanded:
-		pass = g.spread.own
+	case pathViaScheduler:
+		forward = g.peers.announce
 	case pathSends:
-		pass = func(send) {}
+		forward = func(announcement) {}
 	case pathRow:
-		pass = g.spread.column.Announce
-	case pathImports:
-		pass = g.spread.imported
+		forward = g.peers.column.Announce
+	case pathOtherZone:
+		forward = g.peers.announceInZone
 	default:
 		respond(http.StatusNotFound, nil)
 		return
 	}
-	var told []wireSend
-	if json.Unmarshal(request.Body, &told) != nil {
+	var received []wireAnnouncement
+	if json.Unmarshal(request.Body, &received) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	sends := make([]send, 0, len(told))
-	for _, w := range told {
-		sends = append(sends, w.send())
-		pass(sends[len(sends)-1])
+	sends := make([]announcement, 0, len(received))
+	for _, w := range received {
+		sends = append(sends, w.announcement())
+		forward(sends[len(sends)-1])
 	}
-	for _, told := range g.table.applySends(g.now(), sends) {
-		if told.news.Draining {
-			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
+	for _, signal := range g.table.applySends(g.now(), sends) {
+		if signal.news.Draining {
+			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", toldByGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
+		g.noteLimit(g.now(), signal.instance, signal.news.Limit, toldByGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,63 +39,63 @@
 	log      *decisionLog
 	now      clock.Source // since it was made
 
-	group   *control.Client
-	near    *nearbyReplicas // who answers for the control leader
-	view    atomic.Pointer[view]
-	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
-	table   *table
-	budget  *retryBudget
-	desk    *desk.LeasePool // of what is limited over the fleet
-	pool    *pool
-	splits  *splits
-	spread  *spread
+	group       *control.Client
+	nearby      *nearbyReplicas // who answers for the control leader
+	view        atomic.Pointer[view]
+	confirmedAt atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
+	table       *table
+	budget      *retryBudget
+	leases      *desk.LeasePool // of what is limited over the fleet
+	pool        *pool
+	splits      *splits
+	peers       *peerAnnouncer
 	// schedulers place this gateway's requests in a large fleet.
 	schedulers *schedulers
 	// quarantine knows which requests end their back ends.
-	quarantine *reporter.Reporter
-	nick       string // short name of this life, under which other gateways are told of sends
-	outage     outage
-	reader     CacheReader // of engines' caches, or nil
-	followers  *followers
-	oldWeights *node.Sparse // lines of answers on other weights than believed or wanted, by instance
-	restLines  *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLines *node.Sparse // lines of limits that can't be read, by instance
-	strange    strangeWords
-	// confirmed rings whenever control has confirmed the view.
-	confirmed *bell
-	gateways  atomic.Int64 // that share what is limited, as control told last
-	draining  atomic.Bool
-	closing   atomic.Bool // the end of a planned stop: nothing new is taken
-	active    atomic.Int64
-	held      held // for callers and back ends that take it slowly
-	metrics   *metrics
+	quarantine        *reporter.Reporter
+	shortName         string // short name of this life, under which other gateways are told of sends
+	outage            outage
+	cacheReader       CacheReader // of engines' caches, or nil
+	followers         *followers
+	weightsLogLimiter *node.Sparse // lines of answers on other weights than believed or wanted, by instance
+	backoffLogLimiter *node.Sparse // lines of back ends that ask for rest, by instance
+	limitLogLimiter   *node.Sparse // lines of limits that can't be read, by instance
+	unknownHeaders    unknownHeaders
+	// viewConfirmed rings whenever control has viewConfirmed the view.
+	viewConfirmed *notifier
+	gatewayCount  atomic.Int64 // that share what is limited, as control told last
+	draining      atomic.Bool
+	rejecting     atomic.Bool // the end of a planned stop: nothing new is taken
+	active        atomic.Int64
+	buffered      held // for callers and back ends that take it slowly
+	metrics       *metrics
 }
 
-// nickRange keeps short names short, and apart in any fleet.
-const nickRange = 1 << 40
+// shortNameRange keeps short names short, and apart in any fleet.
+const shortNameRange = 1 << 40
 
 // New returns a gateway that knows nothing yet.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
-	client := transport.NewClientWithin(settings.Token, nil, peerDial)
+	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
-		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
-		confirmed: newBell(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
+		viewConfirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
+		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
+		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
-	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
-	made.spread.silent = !made.on(mechanism.GatewayMesh)
+	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.info, Now: made.now})
+	made.leases = desk.New(made.shortName, settings.ViewTTL, made.now, made.lend)
+	made.peers.disabled = !made.enabled(mechanism.GatewayMesh)
 	made.metrics = newMetrics(made)
 	return made
 }
 
-// on reports whether a part of the decision is on.
-func (g *Gateway) on(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
+// enabled reports whether a part of the decision is enabled.
+func (g *Gateway) enabled(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
 
 // UseCacheReader makes the gateway read what engines keep. It must be called before Run.
-func (g *Gateway) UseCacheReader(r CacheReader) { g.reader = r }
+func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
 
 // UseControl replaces the control replicas to start from.
 func (g *Gateway) UseControl(addresses []string) { g.group.Use(addresses) }
@@ -119,9 +119,9 @@
 	var threads sync.WaitGroup
 	threads.Go(func() { g.follow(run) })
 	threads.Go(func() { g.sweep(run) })
-	threads.Go(func() { g.desk.Run(run) })
+	threads.Go(func() { g.leases.Run(run) })
 	threads.Go(func() { g.quarantine.Run(run) })
-	g.spread.run(run, threads.Go)
+	g.peers.run(run, threads.Go)
 	public := &http.Server{
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
@@ -132,13 +132,13 @@
 			failed <- err
 		}
 	}()
-	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
+	g.log.info(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
 	case err = <-failed:
 	}
-	g.log.note(events.GatewayStopped, zap.Int64("active", g.active.Load()))
+	g.log.info(events.GatewayStopped, zap.Int64("active", g.active.Load()))
 	cancel()
 	threads.Wait()
 	g.followers.threads.Wait()
@@ -153,23 +153,23 @@
 func (g *Gateway) drain(public *http.Server) {
 	began := time.Now()
 	g.draining.Store(true)
-	g.log.note(events.GatewayStopping, zap.Int64("active", g.active.Load()))
-	time.Sleep(min(stopNotice, g.settings.Grace/2))
-	g.closing.Store(true)
-	time.Sleep(min(stopRefusal, g.settings.Grace/8))
-	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.Grace-stopMargin))
+	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
+	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
+	g.rejecting.Store(true)
+	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
+	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.ShutdownTimeout-shutdownMargin))
 	defer done()
 	_ = public.Shutdown(closing) // what is left is cut with the process
 }
 
 // listenReady opens the listener of the readiness check.
 func (g *Gateway) listenReady() (*http.Server, error) {
-	if g.settings.Ready == "" {
+	if g.settings.ReadyAddress == "" {
 		return nil, nil
 	}
-	listener, err := net.Listen("tcp", g.settings.Ready)
+	listener, err := net.Listen("tcp", g.settings.ReadyAddress)
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen on %s", g.settings.Ready)
+		return nil, eris.Wrapf(err, "listen on %s", g.settings.ReadyAddress)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(listener) }()
@@ -191,17 +191,17 @@
 
 // trusted reports whether control confirmed the view so lately that its keys count.
 func (g *Gateway) trusted(now time.Duration) bool {
-	confirmed := time.Duration(g.confirm.Load())
-	return confirmed > 0 && now-confirmed < g.settings.Trust
+	confirmed := time.Duration(g.confirmedAt.Load())
+	return confirmed > 0 && now-confirmed < g.settings.ViewTTL
 }
 
 // untrustedFor returns for how long the view has not counted, or 0.
 func (g *Gateway) untrustedFor(now time.Duration) time.Duration {
-	confirmed := time.Duration(g.confirm.Load())
+	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
 		return 0
 	}
-	return max(0, now-confirmed-g.settings.Trust)
+	return max(0, now-confirmed-g.settings.ViewTTL)
 }
 
 // sweepPeriod is how often what is long past is forgotten.
@@ -213,9 +213,9 @@
 		g.pool.sweep()
 		g.table.sweep(g.now())
 		g.quarantine.Sweep()
-		g.oldWeights.Sweep(g.now())
-		g.restLines.Sweep(g.now())
-		g.limitLines.Sweep(g.now())
+		g.weightsLogLimiter.Sweep(g.now())
+		g.backoffLogLimiter.Sweep(g.now())
+		g.limitLogLimiter.Sweep(g.now())
 	})
 }
 
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -30,7 +30,7 @@
 				news.Entries = []control.RosterEntry{entry}
 			}
 			g.table.takeRoster(g.now(), news, nil)
-			if bar := chosen.barred(); (bar == "") != (what == "the same roster comes once more") {
+			if bar := chosen.recheckConditions(); (bar == "") != (what == "the same roster comes once more") {
 				t.Fatalf("barred: %q", bar)
 			}
 		})
@@ -48,10 +48,10 @@
 	g := scheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
 	chosen := chosenAttempt(g)
-	publishVersion(g, 2, g.settings.VersionLimit)
+	publishVersion(g, 2, g.settings.OldWeightsStartLimit)
 	got := chosen.perform()
-	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sent != 0 || len(g.table.waiting) > 0 {
-		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sent, len(g.table.waiting))
+	if got.kind != resultUnreachable || got.cause != causeWeightsOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
+		t.Fatalf("%s, %q, %d sends, %d wait", got.kind, got.cause, chosen.exchange.sentCount, len(g.table.waiting))
 	}
 	connection, err := listener.Accept()
 	if err != nil {
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -26,7 +26,7 @@
 	g.table.mutex.Unlock()
 	if over {
 		news := pushback.Limit{Withdrawn: true}
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: news}})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: news}})
 		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
 	}
 }
@@ -37,10 +37,10 @@
 	if answer.Limit == nil {
 		return
 	}
-	limit := limitOfWire(answer.Limit, false)
+	limit := limitFromWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
+	news := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
 		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
@@ -52,15 +52,15 @@
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
 	case news.Advertised:
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
 	case news.Withdrawn:
-		g.log.note(events.InstanceLimitWithdrawn, fields...)
+		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
 	if unread == "" {
 		return
 	}
-	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
+	if held, due := g.limitLogLimiter.Due(now, instance); due {
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (a *attempt) permit() bool {
 	g := a.exchange.gateway
 	now := g.now()
-	if a.hold.Valid(now) {
+	if a.limitLease.Valid(now) {
 		return true
 	}
 	limit, dry := g.table.limitOf(now, a.row)
@@ -107,11 +107,11 @@
 	if dry {
 		return false
 	}
-	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
+	taken := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := permitGranted
 	switch {
 	case taken.Outcome == desk.Granted:
-		a.hold = taken.Lease
+		a.limitLease = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
 		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
@@ -121,16 +121,16 @@
 		outcome = permitUnknown
 		g.table.setUnlent(g.now() + permitPause)
 	}
-	g.metrics.permits.WithLabelValues(outcome).Inc()
+	g.metrics.limitLeases.WithLabelValues(outcome).Inc()
 	return taken.Outcome == desk.Granted
 }
 
 // returnPermit gives back what was taken of a limit and not used.
 func (a *attempt) returnPermit() {
-	if a.hold.Amount > 0 {
-		a.exchange.gateway.desk.Release(a.hold)
-		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
-		a.hold = allowance.Lease{}
+	if a.limitLease.Amount > 0 {
+		a.exchange.gateway.leases.Release(a.limitLease)
+		a.exchange.gateway.metrics.limitLeases.WithLabelValues(permitUnused).Inc()
+		a.limitLease = allowance.Lease{}
 	}
 }
 
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -26,7 +26,7 @@
 func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
-		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: cover{covered: true},
+		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, quotaLease: cover{covered: true},
 	}
 }
 
@@ -50,16 +50,16 @@
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	chosen := chosenAttempt(g)
-	chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
+	chosen.logVersionMismatch(200, ResponseInfo{Signed: true, WeightsVersion: 1})
 	if lines.Len() != 0 {
 		t.Fatalf("response on the expected weights was logged: %v", lines.All())
 	}
 	publishVersion(g, 2, 10*time.Second)
 	for range 3 {
-		chosen.logVersionMismatch(200, Verdict{Signed: true, Version: 1})
+		chosen.logVersionMismatch(200, ResponseInfo{Signed: true, WeightsVersion: 1})
 	}
 	now += node.SparseEach
-	chosen.logVersionMismatch(421, Verdict{NotRun: true, Version: 3})
+	chosen.logVersionMismatch(421, ResponseInfo{NotRun: true, WeightsVersion: 3})
 	got := lines.FilterMessage(events.WeightsMismatch).All()
 	if len(got) != 2 || lines.Len() != 2 {
 		t.Fatalf("unexpected log lines: %v", lines.All())
@@ -93,11 +93,11 @@
 	t.Run("version published after the decision", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		if bar := chosen.barred(); bar != "" {
+		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("barred before publication: %s", bar)
 		}
 		publishVersion(g, 2, time.Minute)
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
@@ -106,7 +106,7 @@
 		publishVersion(g, 2, 50*time.Second)
 		chosen := chosenAttempt(g)
 		*now += 9900 * time.Millisecond
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
@@ -116,7 +116,7 @@
 		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
-		if chosen.barred() == "" {
+		if chosen.recheckConditions() == "" {
 			t.Fatal("the request may still be sent")
 		}
 	})
@@ -147,7 +147,7 @@
 		*now += 9900 * time.Millisecond
 		waiting.watchStartDeadline()
 		started.watchStartDeadline()
-		if context.Cause(waiting.ctx) != errOutdated {
+		if context.Cause(waiting.ctx) != errWeightsOutdated {
 			t.Error("waiting attempt was not canceled")
 		}
 		if started.ctx.Err() != nil {
@@ -165,15 +165,15 @@
 	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
 	sent.watchStartDeadline()
-	left := takeBackMargin + time.Millisecond
-	publishVersion(g, 2, g.settings.VersionLimit-left)
+	left := cancelMargin + time.Millisecond
+	publishVersion(g, 2, g.settings.OldWeightsStartLimit-left)
 	g.watchStartDeadlines()
 	if sent.ctx.Err() != nil {
 		t.Fatal("canceled too early")
 	}
 	now.Add(int64(time.Millisecond))
 	<-sent.ctx.Done()
-	if cause := context.Cause(sent.ctx); cause != errOutdated {
+	if cause := context.Cause(sent.ctx); cause != errWeightsOutdated {
 		t.Fatalf("cause of cancellation = %v", cause)
 	}
 }
@@ -196,7 +196,7 @@
 		publishedAt, term := map[uint64]time.Duration{}, uint64(0)
 		isLate := func(id string) bool {
 			for version, at := range publishedAt {
-				if version > versions[id] && g.now() >= at+g.settings.VersionLimit-takeBackMargin {
+				if version > versions[id] && g.now() >= at+g.settings.OldWeightsStartLimit-cancelMargin {
 					return true
 				}
 			}
@@ -243,7 +243,7 @@
 				if waiting[attempted] && isLate(attempted.row.entry.ID) {
 					late[attempted] = true
 				}
-				if ended := context.Cause(attempted.ctx) == errOutdated; ended != late[attempted] {
+				if ended := context.Cause(attempted.ctx) == errWeightsOutdated; ended != late[attempted] {
 					t.Fatalf("at %s, published %v, versions %v: canceled %v, want %v", attempted.row.entry.ID, publishedAt, versions, ended, late[attempted])
 				}
 			}
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -21,7 +21,7 @@
 
 // judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
 func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
-	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.EarlyRejection) {
+	if !in.firstAttempt || !in.service.Engine || !g.enabled(mechanism.EarlyRejection) {
 		return 0, false
 	}
 	asked := admission.Request{
@@ -34,7 +34,7 @@
 	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
-		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: asked.Key}) // whoever it comes back to is to know it
 	}
 	return back, refused
 }
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -56,7 +56,7 @@
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
 func (q *wireQuestion) call() Call {
-	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsOfWire(q.Parts, q.Tokens)}
+	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsFromWire(q.Parts, q.Tokens)}
 }
 
 // placement is a request that this gateway placed for another one, until that one tells of its end.
@@ -91,10 +91,10 @@
 	if asked.Wall != "" {
 		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
 	}
-	if g.on(mechanism.StoreTransfers) {
+	if g.enabled(mechanism.StoreTransfers) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, durationFromMS(asked.TargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
@@ -103,10 +103,10 @@
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.Ticket, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + durationFromMS(asked.WithinMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
-	g.announce(now, chosen, call.Parts, running)
+	g.announcePlacement(now, chosen, call.Parts, running)
 	placed := wirePlacement{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
@@ -130,11 +130,11 @@
 		return
 	}
 	row := made.row
-	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
-	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
-	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
+	g.table.observePrefill(row, made.alone, made.uncached, durationFromMS(end.FirstMS))
+	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, durationFromMS(end.FirstMS), durationFromMS(end.StayMS))
+	g.peers.announce(announcement{Gateway: g.shortName, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
-		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
+		g.peers.announce(announcement{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
 	}
 }
 
@@ -171,7 +171,7 @@
 		row.grade(now, end.Grade)
 	}
 	if end.Grade == gradeGood {
-		t.recordDuration(row, wireTime(end.StayMS))
+		t.recordDuration(row, durationFromMS(end.StayMS))
 	}
 	return made, row.occupancy.Local(), true
 }
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -42,7 +42,7 @@
 		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
 		return
 	}
-	s.post(core.EventPlatform{AskedAt: asked, Machines: reply.Machines})
+	s.post(core.EventMachineList{RequestedAt: asked, Machines: reply.Machines})
 	listed := map[string]bool{}
 	for _, machine := range reply.Machines {
 		key := machine.Name + "@" + machine.Address
@@ -67,7 +67,7 @@
 	ticker := time.NewTicker(s.file.Router.PollEvery)
 	defer ticker.Stop()
 	for {
-		event := core.EventBackend{Name: machine.Name, AskedAt: s.now()}
+		event := core.EventBackendPoll{Name: machine.Name, RequestedAt: s.now()}
 		report, ok := s.readState(ctx, machine, cursor.Next())
 		if ctx.Err() != nil {
 			return
@@ -97,7 +97,7 @@
 }
 
 // fetchSnapshot reads an engine's full list of cached blocks.
-func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionSnapshot) {
+func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionRequestSnapshot) {
 	attempt, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var reply api.CacheReply
