--- a/internal/core/named.go
+++ b/internal/core/named.go
@@ -11,81 +11,82 @@
 )
 
 const (
-	// shareBurst is how much of its share a router may send at once beside one request, in seconds: without any, what comes in between two
-	// requests would be lost.
-	shareBurst = 0.25
+	// rateBurstSeconds is the burst beyond one request, in seconds of the router's rate share. Without it, the tokens
+	// that accumulate between two requests would be lost.
+	rateBurstSeconds = 0.25
 )
 
-// observeRouters takes up which routers share what back ends take from all.
-func (c *Core) observeRouters(event EventRouters) { c.others = event.Others }
+// observePeerRouters records which routers share the advertised rate limits.
+func (c *Core) observePeerRouters(event EventPeerRouters) { c.peerRouters = event.Names }
 
-// share returns how many requests a second this router may send to a back end that names a limit. Few routers send there, each a part of at least
-// one request a second, so that what each may send at once adds up to no more than the limit in a second; all routers agree who they are without a
-// word (highest random weights), and one that is cut off knows it still.
-func (c *Core) share(life catalog.Incarnation, limit float64) float64 {
-	senders := min(1+len(c.others), max(1, int(min(limit, float64(1+len(c.others))))))
-	own := routerWeight(life, c.config.Router)
-	before := 0
-	for _, other := range c.others {
-		if weight := routerWeight(life, other); weight > own || weight == own && other < c.config.Router {
-			before++
+// rateShare returns this router's share, in requests/s, of the rate limit that a back end advertises. Only as many
+// routers use a limit as each can get at least one request/s, so that their bursts together stay within the limit.
+// Rendezvous hashing selects them without coordination, also while a router is partitioned.
+func (c *Core) rateShare(incarnation catalog.Incarnation, limit float64) float64 {
+	senders := min(1+len(c.peerRouters), max(1, int(min(limit, float64(1+len(c.peerRouters))))))
+	own := rendezvousWeight(incarnation, c.config.Router)
+	higherWeights := 0
+	for _, other := range c.peerRouters {
+		if weight := rendezvousWeight(incarnation, other); weight > own || weight == own && other < c.config.Router {
+			higherWeights++
 		}
 	}
-	if before >= senders {
+	if higherWeights >= senders {
 		return 0
 	}
 	return max(limit, pushback.MinRate) / float64(senders)
 }
 
-// routerWeight is a router's weight for a life of a back end.
-func routerWeight(life catalog.Incarnation, router string) uint64 {
-	return xxhash.Sum64String(life.ID() + "/" + router)
+// rendezvousWeight is the rendezvous hashing weight of a router for an incarnation of a back end.
+func rendezvousWeight(incarnation catalog.Incarnation, router string) uint64 {
+	return xxhash.Sum64String(incarnation.ID() + "/" + router)
 }
 
-// permits is what a router may send to a back end that names a limit.
-type permits struct {
-	life  uint64        // that it is of
-	rate  float64       // requests a second; 0 until the limit was first heard
-	level float64       // requests that may be sent now; at most one and a part of the rate
-	at    time.Duration // when the level was right
+// rateBucket is a token bucket for an advertised rate limit.
+type rateBucket struct {
+	incarnation uint64  // of the back end
+	rate        float64 // requests/s; 0 for a new bucket
+	tokens      float64 // may be negative; at most one plus the burst
+	refilledAt  time.Duration
 }
 
-// limited returns how long nothing may be sent to a back end for the limit that it names; 0 something may, or it names none.
-func (c *Core) limited(row *backend) time.Duration {
+// rateLimitedFor returns how long nothing may be sent to a back end because of the rate limit that it advertises, or 0.
+func (c *Core) rateLimitedFor(row *backend) time.Duration {
 	if !c.config.Guards.On(guard.AdvertisedLimitCheck) {
 		return 0
 	}
-	life := lifeOf(row.machine.Name, row.incarnation)
-	limit := c.pushed.Limit(life)
+	incarnation := backendIncarnation(row.machine.Name, row.incarnation)
+	limit := c.pushback.Limit(incarnation)
 	if !limit.Advertised {
-		row.permits = permits{}
+		row.rateBucket = rateBucket{}
 		return 0
 	}
-	p := &row.permits
-	rate := c.share(life, limit.Rate)
-	if p.life != row.incarnation || p.rate == 0 {
-		*p = permits{life: row.incarnation, at: c.now} // it begins with nothing: much may have been sent a moment ago
+	bucket := &row.rateBucket
+	rate := c.rateShare(incarnation, limit.Rate)
+	if bucket.incarnation != row.incarnation || bucket.rate == 0 {
+		*bucket = rateBucket{incarnation: row.incarnation, refilledAt: c.now} // starts empty: the limit may have been used up just before
 	}
-	p.level = min(p.level+p.rate*(c.now-p.at).Seconds(), 1+shareBurst*rate)
-	p.rate, p.at = rate, c.now
+	bucket.tokens = min(bucket.tokens+bucket.rate*(c.now-bucket.refilledAt).Seconds(), 1+rateBurstSeconds*rate)
+	bucket.rate, bucket.refilledAt = rate, c.now
 	switch {
-	case p.level >= 1:
+	case bucket.tokens >= 1:
 		return 0
 	case rate == 0:
-		return othersOnly
+		return noShareRetryInterval
 	}
-	return time.Duration((1-p.level)/rate*float64(time.Second)) + time.Nanosecond
+	return time.Duration((1-bucket.tokens)/rate*float64(time.Second)) + time.Nanosecond
 }
 
-// othersOnly is how long a router takes to look again at a back end whose limit others use.
-const othersOnly = time.Second
+// noShareRetryInterval is how long a router without a share of a rate limit waits before it checks again.
+const noShareRetryInterval = time.Second
 
-// usePermit counts a request that is sent to a back end.
-func (c *Core) usePermit(row *backend) { row.permits.level-- }
+// takeRateToken counts a dispatch against the rate limit of a back end.
+func (c *Core) takeRateToken(row *backend) { row.rateBucket.tokens-- }
 
-// noteUnlimited takes up an answer without a limit: one that was heard before the attempt was sent is over.
-func (c *Core) noteUnlimited(sent *attempt, event EventAttempt) {
-	if !event.Limited {
-		c.pushed.ObserveNoLimit(c.now, sent.sentAt, lifeOf(c.backends[sent.backend].machine.Name, sent.life))
+// clearOutdatedLimit handles an answer that advertises no limit: a limit received before the attempt was sent no
+// longer applies.
+func (c *Core) clearOutdatedLimit(sent *attempt, event EventAttempt) {
+	if !event.AdvertisesLimit {
+		c.pushback.ObserveNoLimit(c.now, sent.sentAt, backendIncarnation(c.backends[sent.backend].machine.Name, sent.incarnation))
 	}
 }
--- a/internal/core/pushback_test.go
+++ b/internal/core/pushback_test.go
@@ -7,75 +7,76 @@
 	"kitetiller/internal/pushback"
 )
 
-// refused is an engine's refusal of an attempt, with what it says of itself.
-func refused(sent ActionDispatch, rest time.Duration, leaving bool) []Event {
+// refusal returns the events of an engine that refuses an attempt with pushback.
+func refusal(sent ActionDispatch, backoff time.Duration, leaving bool) []Event {
 	return []Event{
-		EventSaid{Name: sent.Backend, Incarnation: sent.Incarnation, Said: pushback.Signals{Backoff: rest, Draining: leaving}},
-		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, Well: true},
+		EventPushback{Name: sent.Backend, Incarnation: sent.Incarnation, Signals: pushback.Signals{Backoff: backoff, Draining: leaving}},
+		EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptRefused, BackendNotAtFault: true},
 	}
 }
 
-// An engine that refused a request and asked to be left alone for 3 s got the next one at once: the wish only told that the engine hadn't
-// ended. One that said that it leaves got new requests from the next report on, which had been written before.
-func TestWhatEnginesSayInRefusalsHolds(t *testing.T) {
-	for what, step := range map[string]struct {
-		rest    time.Duration
-		leaving bool
-		later   time.Duration // of all requests after the refusal
-		life    uint64        // of the engine by then
-		allowed bool
+// TestRefusalPushbackIsHonored: an engine that asks for backoff or announces that it is leaving receives no requests
+// until its backoff ends or it restarts, even if reports written earlier say otherwise.
+func TestRefusalPushbackIsHonored(t *testing.T) {
+	for name, tc := range map[string]struct {
+		backoff     time.Duration
+		leaving     bool
+		elapsed     time.Duration // between the refusal and the next requests
+		incarnation uint64        // of the engine by then
+		allowed     bool
 	}{
-		"it wants rest":                     {3 * time.Second, false, 2 * time.Second, 1, false},
-		"its rest is over":                  {3 * time.Second, false, 4 * time.Second, 1, true},
-		"another life stands there":         {3 * time.Second, false, time.Second, 2, true},
-		"it leaves":                         {0, true, 4 * time.Second, 1, false},
-		"it left and another life is there": {0, true, 4 * time.Second, 2, true},
+		"backoff in force":                  {3 * time.Second, false, 2 * time.Second, 1, false},
+		"backoff over":                      {3 * time.Second, false, 4 * time.Second, 1, true},
+		"backoff of an earlier incarnation": {3 * time.Second, false, time.Second, 2, true},
+		"leaving":                           {0, true, 4 * time.Second, 1, false},
+		"earlier incarnation was leaving":   {0, true, 4 * time.Second, 2, true},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1)
-			sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-			h.tick(refused(sent, step.rest, step.leaving)...)
-			for end := h.now + step.later; h.now < end; {
+			sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+			h.tick(refusal(sent, tc.backoff, tc.leaving)...)
+			for end := h.now + tc.elapsed; h.now < end; {
 				h.now += 200 * time.Millisecond
-				h.report(sent.Backend, step.life)
+				h.report(sent.Backend, tc.incarnation)
 			}
-			again := 0
+			dispatched := 0
 			for id := range 6 {
-				if _, found := find[ActionDispatch](h.tick(EventRequest{prompt(10+id, 4)})); found {
-					again++
+				if _, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(10+id, 4)})); found {
+					dispatched++
 				}
 			}
-			if (again > 0) != step.allowed {
-				t.Fatalf("%d of 6 requests came to it", again)
+			if (dispatched > 0) != tc.allowed {
+				t.Fatalf("%d of 6 requests were dispatched to the engine", dispatched)
 			}
 		})
 	}
 }
 
-// An engine stood still for a second and then refused the 15 requests that had come to it, with a wish for rest. The router had given these
-// attempts up by then, so their answers were dropped as late, and the wish with them: 3 more requests came in the rest.
-func TestWhatLateAnswersSayCounts(t *testing.T) {
+// TestPushbackOfLateAnswerIsHonored: pushback in the answer of an attempt that the router has already ended still
+// applies.
+func TestPushbackOfLateAnswerIsHonored(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
 	h.tick(EventCallerGone{ID: sent.ID})
-	h.tick(refused(sent, 3*time.Second, false)...)
-	if again, found := find[ActionDispatch](h.tick(EventRequest{prompt(2, 4)})); found {
-		t.Fatalf("sent to %s in its rest", again.Backend)
+	h.tick(refusal(sent, 3*time.Second, false)...)
+	if second, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(2, 4)})); found {
+		t.Fatalf("dispatched to %s during its backoff", second.Backend)
 	}
-	h.after(500 * time.Millisecond)
+	h.advance(500 * time.Millisecond)
 	h.report(engineName(0), 1)
-	if final := need[ActionFinish](t, h.tick(EventRequest{prompt(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
-		t.Fatalf("%+v", final)
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(3, 4)})); final.Reason != ReasonResting || final.Run != RunNot || final.RetryAfter < 2*time.Second {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-// TestShortRestIsWaitedFor: as long as a request waits for a back end to appear; it is sent once the rest is over.
-func TestShortRestIsWaitedFor(t *testing.T) {
+// TestShortBackoffQueuesRequest: a request waits for a backoff that is shorter than backendWaitTimeout and is then
+// dispatched.
+func TestShortBackoffQueuesRequest(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.tick(append(refused(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
-	if actions := h.tick(EventRequest{prompt(2, 4)}); len(actions) > 0 {
-		t.Fatalf("%+v", actions)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.tick(append(refusal(sent, 200*time.Millisecond, false), EventCallerGone{ID: sent.ID})...)
+	if actions := h.tick(EventRequest{promptRequest(2, 4)}); len(actions) > 0 {
+		t.Fatalf("unexpected actions during the backoff: %+v", actions)
 	}
-	need[ActionDispatch](t, h.after(250*time.Millisecond))
+	requireAction[ActionDispatch](t, h.advance(250*time.Millisecond))
 }
--- a/internal/lab/bench/engines.go
+++ b/internal/lab/bench/engines.go
@@ -86,16 +86,16 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: s.router.zone, Tenant: s.request.request.Tenant, Blocks: action.Blocks,
 		PromptTokens: s.request.request.PromptTokens, MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom, Lane: action.Lane,
-		Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.RelyTokens,
+		Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	switch e.model.Submit(e.run.clock.Now(), job) {
 	case engine.Taken:
 	case engine.TakenWithoutReuse:
-		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptMismatch})
+		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 	default:
-		s.router.pass(e, core.EventSaid{Name: action.Backend, Incarnation: action.Incarnation, Said: pushback.Signals{Backoff: busyRest}})
-		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, Well: true})
+		s.router.pass(e, core.EventPushback{Name: action.Backend, Incarnation: action.Incarnation, Signals: pushback.Signals{Backoff: busyRest}})
+		s.router.reply(e, s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 	}
 	e.advance()
 }
--- a/internal/lab/bench/router.go
+++ b/internal/lab/bench/router.go
@@ -33,7 +33,7 @@
 
 // said is an announcement and when it became true.
 type said struct {
-	send core.Send
+	send core.PeerDispatch
 	at   time.Duration
 }
 
@@ -67,7 +67,7 @@
 	for _, e := range n.run.engines {
 		machines = append(machines, core.Machine{Name: e.name, Zone: e.zone, Service: n.run.service, Address: e.name})
 	}
-	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventPlatform{Machines: machines})
+	n.post(core.EventSettings{Version: 1, Tree: n.run.tree}, core.EventLease{Epoch: 1, Until: 1 << 62}, core.EventMachineList{Machines: machines})
 	for i, e := range n.run.engines {
 		offset := time.Duration(i) * pollPeriod / time.Duration(len(n.run.engines))
 		cursor := &membership.Cursor{}
@@ -88,7 +88,7 @@
 	for _, action := range n.core.Tick(now, events) {
 		n.carryOut(action)
 	}
-	if due, any := n.core.NextDue(); any {
+	if due, any := n.core.NextWakeup(); any {
 		n.alarm.Set(now, due, time.Millisecond, n.run.clock.After, func() { n.post() })
 	}
 }
@@ -96,7 +96,7 @@
 func (n *routerNode) poll(e *engineNode, cursor *membership.Cursor) {
 	asked := n.run.clock.Now()
 	n.run.clock.After(n.latency(e), func() {
-		event := core.EventBackend{Name: e.name, AskedAt: asked}
+		event := core.EventBackendPoll{Name: e.name, RequestedAt: asked}
 		if !e.down {
 			e.advance()
 			report := e.model.Report(n.run.clock.Now(), cursor.Next())
@@ -132,7 +132,7 @@
 		n.chunk(typed)
 	case core.ActionFinish:
 		n.finish(typed)
-	case core.ActionSnapshot:
+	case core.ActionRequestSnapshot:
 		n.fetchSnapshot(typed)
 	}
 }
@@ -141,12 +141,12 @@
 	request := n.waiting[action.ID]
 	e := n.run.byName[action.Backend]
 	s := &sending{router: n, request: request, attempt: action.Attempt, lane: action.Lane,
-		tokens: max(1, request.request.PromptTokens-action.RelyTokens)}
-	if action.Keep {
-		request.keep = action.Blocks[:action.KeepBlocks]
+		tokens: max(1, request.request.PromptTokens-action.ExpectedCachedTokens)}
+	if action.StoreInVault {
+		request.keep = action.Blocks[:action.VaultBlocks]
 	}
 	n.sendings[action.Attempt], n.targets[action.Attempt] = s, e
-	n.announce(core.Send{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
+	n.announce(core.PeerDispatch{Backend: e.name, Tokens: action.PrefillTokens, Lane: action.Lane})
 	e.count(s, 1)
 	n.run.clock.After(n.latency(e), func() { e.arrive(action, s) })
 }
@@ -162,7 +162,7 @@
 }
 
 // pass passes on what an engine says of itself, also where the attempt is over.
-func (n *routerNode) pass(e *engineNode, said core.EventSaid) {
+func (n *routerNode) pass(e *engineNode, said core.EventPushback) {
 	n.run.clock.After(n.latency(e), func() { n.post(said) })
 }
 
@@ -220,7 +220,7 @@
 	}
 }
 
-func (n *routerNode) fetchSnapshot(action core.ActionSnapshot) {
+func (n *routerNode) fetchSnapshot(action core.ActionRequestSnapshot) {
 	e := n.run.byName[action.Backend]
 	n.run.clock.After(n.latency(e), func() {
 		if e.down {
@@ -237,7 +237,7 @@
 }
 
 // announce tells the other routers of a send, a few at a time.
-func (n *routerNode) announce(send core.Send) {
+func (n *routerNode) announce(send core.PeerDispatch) {
 	n.unsaid = append(n.unsaid, said{send: send, at: n.run.clock.Now()})
 	if len(n.unsaid) > 1 {
 		return
@@ -257,7 +257,7 @@
 }
 
 func (n *routerNode) hear(unsaid []said) {
-	event := core.EventPeerSends{}
+	event := core.EventPeerDispatches{}
 	for _, item := range unsaid {
 		send := item.send
 		send.Age = n.run.clock.Now() - item.at
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -88,7 +88,7 @@
 }
 
 func (r *routerNode) setWake() {
-	due, any := r.core.NextDue()
+	due, any := r.core.NextWakeup()
 	if any {
 		r.alarm.Set(r.w.now(), r.trueTime(r.startedAt, due), time.Millisecond, r.after, func() { r.post() })
 	}
@@ -134,9 +134,9 @@
 	if step.Peers == nil {
 		return []core.Event{step.Lease}
 	}
-	told := core.EventRouters{}
+	told := core.EventPeerRouters{}
 	for _, peer := range step.Peers {
-		told.Others = append(told.Others, peer.Name)
+		told.Names = append(told.Names, peer.Name)
 	}
 	return []core.Event{step.Lease, told}
 }
@@ -145,7 +145,7 @@
 	asked := r.clock()
 	r.w.call(r.process, r.w.platform.process, time.Second, func(respond func(func())) {
 		machines := r.w.platform.list()
-		respond(func() { r.post(core.EventPlatform{AskedAt: asked, Machines: machines}) })
+		respond(func() { r.post(core.EventMachineList{RequestedAt: asked, Machines: machines}) })
 	}, func(bool) {})
 }
 
@@ -157,11 +157,11 @@
 		report := e.model.Report(e.w.now(), cursor.Next())
 		respond(func() {
 			cursor.Advance(&report)
-			r.post(core.EventBackend{Name: e.name, AskedAt: asked, Report: &report})
+			r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked, Report: &report})
 			again()
 		})
 	}, func(bool) {
-		r.post(core.EventBackend{Name: e.name, AskedAt: asked})
+		r.post(core.EventBackendPoll{Name: e.name, RequestedAt: asked})
 		again()
 	})
 }
@@ -170,8 +170,8 @@
 	asked := r.clock()
 	r.w.call(r.process, s.process, pollTimeout, func(respond func(func())) {
 		report := s.report()
-		respond(func() { r.post(core.EventBackend{Name: s.name, AskedAt: asked, Report: report}) })
-	}, func(bool) { r.post(core.EventBackend{Name: s.name, AskedAt: asked}) })
+		respond(func() { r.post(core.EventBackendPoll{Name: s.name, RequestedAt: asked, Report: report}) })
+	}, func(bool) { r.post(core.EventBackendPoll{Name: s.name, RequestedAt: asked}) })
 }
 
 // carryOut performs one action of the core.
@@ -189,10 +189,10 @@
 		r.finish(typed)
 	case core.ActionClaim:
 		r.claim(typed)
-	case core.ActionEnd:
+	case core.ActionEndClaim:
 		end := typed.End
 		newAsker(r.w, r.process).ask(control.Request{End: &end}, r.w.now()+endPatience, func(control.Response, bool) {})
-	case core.ActionSnapshot:
+	case core.ActionRequestSnapshot:
 		r.fetchSnapshot(typed)
 	}
 }
@@ -225,7 +225,7 @@
 		return
 	}
 	r.w.oracle.routerDispatched(r, run, action)
-	r.announce(core.Send{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
+	r.announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	if e := r.w.engine(action.Backend); e != nil {
 		r.sendToEngine(e, run, action)
 		return
@@ -254,12 +254,12 @@
 		respond(func() {
 			if limit.Advertised {
 				r.w.oracle.heardLimit(asker, inNeed)
-				r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: pushback.Signals{Limit: limit}})
+				r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: pushback.Signals{Limit: limit}})
 			}
 			switch result {
 			case engine.Taken:
 			case engine.TakenWithoutReuse:
-				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptMismatch})
+				r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptIncarnationMismatch})
 			default:
 				r.refused(s, action, life, pushback.Signals{Draining: result == engine.RefusedLeaving, Backoff: 100 * time.Millisecond})
 			}
@@ -286,8 +286,8 @@
 // attemptEvent passes what a back end answered to the core.
 // refused takes up an engine's refusal, with what it says of itself.
 func (r *routerNode) refused(s *sending, action core.ActionDispatch, life uint64, said pushback.Signals) {
-	r.post(core.EventSaid{Name: action.Backend, Incarnation: life, Said: said})
-	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, Well: true})
+	r.post(core.EventPushback{Name: action.Backend, Incarnation: life, Signals: said})
+	r.attemptEvent(s, core.EventAttempt{Kind: core.AttemptRefused, BackendNotAtFault: true})
 }
 
 func (r *routerNode) attemptEvent(s *sending, event core.EventAttempt) {
@@ -309,7 +309,7 @@
 	})
 }
 
-func (r *routerNode) fetchSnapshot(action core.ActionSnapshot) {
+func (r *routerNode) fetchSnapshot(action core.ActionRequestSnapshot) {
 	e := r.w.engine(action.Backend)
 	r.w.call(r.process, e.process, time.Second, func(respond func(func())) {
 		blocks, sequence := e.model.Snapshot()
@@ -345,10 +345,10 @@
 }
 
 // announce tells the other routers of a send.
-func (r *routerNode) announce(send core.Send) {
+func (r *routerNode) announce(send core.PeerDispatch) {
 	for _, peer := range r.w.routers {
 		if peer != r {
-			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerSends{Sends: []core.Send{send}}) })
+			r.w.message(r.process, peer.process, func() { peer.post(core.EventPeerDispatches{Sends: []core.PeerDispatch{send}}) })
 		}
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -43,12 +43,12 @@
 	}
 	if s.barred(run) {
 		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
-		refused.Well = true
+		refused.BackendNotAtFault = true
 		s.offer(refused)
-		s.offer(core.EventHeldBack{ID: action.ID})
+		s.offer(core.EventQuarantined{ID: action.ID})
 		return
 	}
-	s.announcer.Announce(core.Send{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
+	s.announcer.Announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
 	run.attempts++
 	run.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
@@ -128,8 +128,8 @@
 
 // refusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *attemptRun) refusal(response *http.Response) (said core.EventSaid, event core.EventAttempt) {
-	said = core.EventSaid{Name: a.action.Backend, Incarnation: a.action.Incarnation}
+func (a *attemptRun) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
+	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
 	err := json.NewDecoder(io.LimitReader(response.Body, maximumEventBytes)).Decode(&body)
 	if err != nil {
@@ -137,12 +137,12 @@
 	}
 	said.Incarnation = a.speaker(body.Incarnation)
 	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
-	said.Said = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
+	said.Signals = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return said, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.Well = !said.Said.IsEmpty()
+	event.BackendNotAtFault = !said.Signals.IsEmpty()
 	return said, event
 }
 
@@ -161,7 +161,7 @@
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventSaid{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Said: pushback.Signals{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
@@ -193,8 +193,8 @@
 }
 
 // hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *attemptRun, told core.EventSaid, status int) {
-	if told.Said.IsEmpty() {
+func (s *Server) hear(a *attemptRun, told core.EventPushback, status int) {
+	if told.Signals.IsEmpty() {
 		return
 	}
 	s.post(told)
@@ -203,11 +203,11 @@
 		return
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Said.Limit; limit.Advertised {
+	if limit := told.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
-	if told.Said.Backoff > 0 || told.Said.Draining {
-		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Said.Backoff), zap.Bool("leaving", told.Said.Draining))...)
+	if told.Signals.Backoff > 0 || told.Signals.Draining {
+		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Signals.Backoff), zap.Bool("leaving", told.Signals.Draining))...)
 	}
 }
 
@@ -266,11 +266,11 @@
 
 func (s *Server) passStarted(a *attemptRun, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.Limited = s.hearLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.hearLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
 	s.metrics.started(a, event)
 	if event.NoReuse {
-		mismatch := a.event(core.AttemptMismatch)
+		mismatch := a.event(core.AttemptIncarnationMismatch)
 		mismatch.Incarnation = event.Incarnation
 		s.post(mismatch)
 	}
@@ -304,7 +304,7 @@
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.Limited = s.hearLimit(a, reply.Limit, reply.Incarnation)
+	done.AdvertisesLimit = s.hearLimit(a, reply.Limit, reply.Incarnation)
 	done.Echo, done.Answer = reply.Attempt, &reply.Answer
 	s.post(done)
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -56,14 +56,14 @@
 	}
 	return []total{
 		define("requests_total", "Requests received by the core.", func(c core.Counters) uint64 { return c.Requests }),
-		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Complete }),
+		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Completed }),
 		define("attempts_total", "Attempts sent to back ends.", func(c core.Counters) uint64 { return c.Attempts }),
 		define("retries_total", "Attempts after a failed one.", func(c core.Counters) uint64 { return c.Retries }),
 		define("hedges_total", "Second attempts of silent requests.", func(c core.Counters) uint64 { return c.Hedges }),
 		define("recomputed_tokens_total", "Prompt tokens believed cached that engines computed again.", func(c core.Counters) uint64 { return c.RecomputedTokens }),
 		define("repeated_chunks_total", "Stream chunks dropped as repeated.", func(c core.Counters) uint64 { return c.RepeatedChunks }),
-		define("foreign_answers_total", "Answers dropped because they belong to another attempt.", func(c core.Counters) uint64 { return c.ForeignAnswers }),
-		define("event_gaps_total", "Gaps noticed in engines' cache events.", func(c core.Counters) uint64 { return c.Gaps }),
+		define("foreign_answers_total", "Answers dropped because they belong to another attempt.", func(c core.Counters) uint64 { return c.UnmatchedAnswers }),
+		define("event_gaps_total", "Gaps noticed in engines' cache events.", func(c core.Counters) uint64 { return c.CacheEventGaps }),
 		define("cache_snapshots_total", "Cache snapshots read after gaps.", func(c core.Counters) uint64 { return c.Snapshots }),
 	}
 }
@@ -107,9 +107,9 @@
 		name  string
 		value float64
 	}{
-		{"active_requests", float64(c.Active())},
-		{"beliefs", float64(c.Beliefs())},
-		{"settings_version", float64(c.Version())},
+		{"active_requests", float64(c.ActiveRequests())},
+		{"beliefs", float64(c.IndexedBlocks())},
+		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
 		{"event_ring_depth", float64(len(m.server.events))},
 		{"event_ring_shed", float64(m.server.shed.Load())},
