--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -36,7 +36,7 @@
 		}
 		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
-		return a.invalidResponse("status implies that the request did not run, but the back end doesn't confirm it: " + response.Status)
+		return a.invalidResponse("not-run status without confirmation by the back end: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
 		return a.invalidResponse("stream not resumed: " + response.Status)
 	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -249,7 +249,7 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // may have arrived since the placement
+	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // a signal may have arrived meanwhile
 	if cause != "" {
 		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -65,8 +65,8 @@
 	bodyReserved int // buffer bytes reserved for the body
 
 	tried             []*endpoint
-	sentCount         int // attempts that were sent
-	unreachableCount  int
+	sentCount         int                     // attempts that were sent
+	unreachableCount  int                     // attempts that ended unsent for any other reason
 	limitReachedCount int                     // attempts that ended unsent because the back end had reached its limit
 	mayHaveRun        bool                    // an earlier attempt may have run
 	headRelayed       bool                    // the response head was sent to the caller
@@ -332,7 +332,7 @@
 	return false
 }
 
-// takeRetry takes a retry from the budget and reports whether the request may be retried.
+// takeRetry reports whether the request may be retried, and if so takes a retry from the budget.
 func (x *exchange) takeRetry() bool {
 	if !x.canRetry() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
 		return false
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -14,7 +14,7 @@
 	Zone         string
 	Listen       string   // listen address for callers
 	ReadyAddress string   // listen address of the readiness check; empty disables it
-	PeerAddress  string   // address at which other gateways reach this one; empty disables announcements to it
+	PeerAddress  string   // address at which other gateways reach this one; empty if they don't
 	PeerListen   string   // listen address for other gateways, if not PeerAddress
 	Control      []string // internal addresses of control replicas
 	Token        string   // secret shared by gateways and control replicas
@@ -44,7 +44,7 @@
 	drainingWatchHold = 80 * time.Millisecond
 	// watchTimeout is the timeout of a watch request, including the time that control holds it.
 	watchTimeout = 650 * time.Millisecond
-	// After each failuresPerStep consecutive failures the response timeout doubles, at most maxTimeoutFactor times.
+	// After each failuresPerStep consecutive failures the response timeout doubles, at most maxTimeoutDoublings times.
 	failuresPerStep     = 3
 	maxTimeoutDoublings = 3
 	// fullReplyTimeout is the minimum response timeout for the first reply after a search for a control replica. That
