--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -184,14 +184,14 @@
 	if err != nil {
 		return false
 	}
-	unread := false
+	noData := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
 		_, _, failed := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		unread = failed == unix.EAGAIN
+		noData = failed == unix.EAGAIN
 		return true
 	})
-	return err == nil && unread
+	return err == nil && noData
 }
 
 // readKeepAlive reads the keep-alive timeout from a response, and reports whether the connection may be reused.
