--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -187,8 +187,8 @@
 	noData := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
-		_, _, failed := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		noData = failed == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		noData = errno == unix.EAGAIN
 		return true
 	})
 	return err == nil && noData
