--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -54,7 +54,7 @@
 func TestLongEventsAreCounted(t *testing.T) {
 	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*heldStep)...), "\n\nid: 2\ndata: y\n\n"...)
 	var h held
-	read := &eventReader{reader: newReader(long), held: &h}
+	read := &eventReader{reader: newReader(long), buffered: &h}
 	if event, err := read.next(); err != nil || len(event) < 3*heldStep || h.bytes.Load() < 3*heldStep {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
 	}
@@ -62,7 +62,7 @@
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
 	}
 	h.take(heldMost - heldStep)
-	full := &eventReader{reader: newReader(long), held: &h}
+	full := &eventReader{reader: newReader(long), buffered: &h}
 	if _, err := full.next(); !errors.Is(err, errHeld) {
 		t.Fatalf("%v", err)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,13 +20,13 @@
 	reader   *bufio.Reader
 	event    []byte
 	id       string
-	held     *held
+	buffered *held
 	reserved int // buffer bytes reserved for an event larger than heldStep
 }
 
 // close releases the event buffer and its reservation.
 func (e *eventReader) close() {
-	e.held.give(e.reserved)
+	e.buffered.give(e.reserved)
 	e.event, e.reserved = nil, 0
 }
 
@@ -36,7 +36,7 @@
 	if size <= max(heldStep, e.reserved) {
 		return true
 	}
-	if !e.held.take(size - e.reserved) {
+	if !e.buffered.take(size - e.reserved) {
 		return false
 	}
 	e.reserved = size
@@ -89,7 +89,7 @@
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventStream) && !x.headRelayed {
 		return a.relayBuffered(response)
 	}
-	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBufferSize), held: &x.gateway.buffered}
+	stream := &eventReader{reader: bufio.NewReaderSize(response.Body, readBufferSize), buffered: &x.gateway.buffered}
 	defer stream.close()
 	controller := http.NewResponseController(x.writer)
 	for {
