--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -19,13 +19,13 @@
 }
 
 // addNew adds a name and reports whether it was added, which it is not if it was seen before or the maximum is reached.
-func (s *unknownHeaders) addNew(name string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.seen) >= maxUnknownHeaders || slices.Contains(s.seen, name) {
+func (u *unknownHeaders) addNew(name string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if len(u.seen) >= maxUnknownHeaders || slices.Contains(u.seen, name) {
 		return false
 	}
-	s.seen = append(s.seen, name)
+	u.seen = append(u.seen, name)
 	return true
 }
 
