--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -11,16 +11,16 @@
 func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
 // Next returns a channel that is closed by the next call of Notify.
-func (b *notifier) Next() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.next
+func (n *notifier) Next() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.next
 }
 
 // Notify wakes all waiters.
-func (b *notifier) Notify() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	close(b.next)
-	b.next = make(chan struct{})
+func (n *notifier) Notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	close(n.next)
+	n.next = make(chan struct{})
 }
