--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -19,12 +19,12 @@
 }
 
 // Describe implements prometheus.Collector.
-func (r backoffGauge) Describe(out chan<- *prometheus.Desc) { out <- r.description }
+func (g backoffGauge) Describe(out chan<- *prometheus.Desc) { out <- g.description }
 
 // Collect implements prometheus.Collector.
-func (r backoffGauge) Collect(out chan<- prometheus.Metric) {
-	for service, n := range r.gateway.table.resting(r.gateway.now()) {
-		out <- prometheus.MustNewConstMetric(r.description, prometheus.GaugeValue, float64(n), service)
+func (g backoffGauge) Collect(out chan<- prometheus.Metric) {
+	for service, n := range g.gateway.table.resting(g.gateway.now()) {
+		out <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, float64(n), service)
 	}
 }
 
