--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -142,12 +142,12 @@
 		return a.relayUnbuffered(response, body)
 	}
 	a.releaseConnection(response, nil)
-	failure := response.StatusCode >= http.StatusInternalServerError
+	isFailure := response.StatusCode >= http.StatusInternalServerError
 	a.grade = gradeGood
-	if failure {
+	if isFailure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
+	if isFailure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: response.Status}
 	}
 	x.relayHead(response, len(body))
