--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -111,7 +111,7 @@
 		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { sent, _ := g.leases.RequestCounts(); return float64(sent) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.leases.RequestCounts(); return float64(failed) }),
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { suspected, _ := g.quarantine.SuspectCounts(); return float64(suspected) }),
-		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, held := g.quarantine.SuspectCounts(); return float64(held) }),
+		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, quarantined := g.quarantine.SuspectCounts(); return float64(quarantined) }),
 		gauge("view_age_seconds", "Time since control confirmed the view; -1 never.", g.viewAge),
 		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.buffered.bytes.Load()) }),
 		gauge("active_requests", "Requests in progress.", func() float64 { return float64(g.active.Load()) }),
