--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -85,7 +85,7 @@
 	quotaLease       cover // lease on the tenant's limit that the attempt used
 	ctx              context.Context
 	cancel           context.CancelCauseFunc
-	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil if the request can't be retried
+	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil without a timeout
 	startTimer       *time.Timer // cancels the attempt at its start deadline; nil without one; guarded by the table's mutex
 	conn             *connection
 	writeDone        chan error      // receives the result of writing the request
