--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -179,40 +179,40 @@
 }
 
 // setMesh replaces the mesh.
-func (s *peerAnnouncer) setMesh(mesh control.Mesh) {
-	s.row.SetPeers(mesh.Row)
-	s.column.SetPeers(mesh.Column)
-	s.otherZones.SetPeers(mesh.Abroad)
-	s.useScheduler.Store(len(mesh.Schedulers) > 0)
+func (p *peerAnnouncer) setMesh(mesh control.Mesh) {
+	p.row.SetPeers(mesh.Row)
+	p.column.SetPeers(mesh.Column)
+	p.otherZones.SetPeers(mesh.Abroad)
+	p.useScheduler.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
-		s.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
+		p.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
 	}
 }
 
 // run starts the sending goroutines.
-func (s *peerAnnouncer) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[announcement]{s.row, s.column, s.otherZones, s.viaScheduler} {
+func (p *peerAnnouncer) run(ctx context.Context, start func(func())) {
+	for _, a := range []*transport.Announcer[announcement]{p.row, p.column, p.otherZones, p.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
 // announce sends an announcement to all other schedulers.
-func (s *peerAnnouncer) announce(item announcement) {
-	if s.disabled {
+func (p *peerAnnouncer) announce(item announcement) {
+	if p.disabled {
 		return
 	}
-	if s.useScheduler.Load() {
-		s.viaScheduler.Announce(item)
+	if p.useScheduler.Load() {
+		p.viaScheduler.Announce(item)
 		return
 	}
-	s.otherZones.Announce(item)
-	s.announceInZone(item)
+	p.otherZones.Announce(item)
+	p.announceInZone(item)
 }
 
 // announceInZone sends an announcement to the other schedulers of the own zone.
-func (s *peerAnnouncer) announceInZone(item announcement) {
-	s.row.Announce(item)
-	s.column.Announce(item)
+func (p *peerAnnouncer) announceInZone(item announcement) {
+	p.row.Announce(item)
+	p.column.Announce(item)
 }
 
 // servePeers starts the server for other gateways, if an address is configured.
