--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -145,8 +145,8 @@
 	if len(service.ring) == 0 {
 		return nil
 	}
-	target := ringKey(r)
-	start, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, target uint64) int {
+	key := ringKey(r)
+	start, _ := slices.BinarySearchFunc(service.ring, key, func(point ringPoint, target uint64) int {
 		switch {
 		case point.hash < target:
 			return -1
