--- a/internal/core/pushback.go
+++ b/internal/core/pushback.go
@@ -60,9 +60,9 @@
 	return first, reason
 }
 
-// waitOrRefuse handles the head of a queue whose service is blocked as a whole. A request waits for up to
-// backendWaitTimeout, a started stream until its deadline; otherwise it is refused with a Retry-After. It returns
-// false if the request must wait.
+// waitOrRefuse handles the head of a queue whose service is blocked as a whole. It waits if the
+// block ends before its deadline and lasts at most backendWaitTimeout, or longer for a started stream; otherwise it is
+// refused with a Retry-After. It returns false if the request must wait.
 func (c *Core) waitOrRefuse(r *request, service *serviceState, blocked time.Duration, reason Reason) bool {
 	if c.now+blocked < r.deadline && (blocked <= backendWaitTimeout || r.streamStarted()) {
 		c.wakeAt(r, c.now+blocked)
