--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -86,7 +86,7 @@
 	lives        incarnations // of instances and tombstones
 	versions     map[string]uint64
 	publications map[string][]Publication     // by model, rising; the newest is of the version in versions
-	held         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
+	loaded       map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
 	ordered      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
 	gateways     []string                     // that asked the last leader that wrote them, rising
 	gatewaySet   map[string]bool              // the same
@@ -99,7 +99,7 @@
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, held: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
 		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
@@ -147,7 +147,7 @@
 
 // Held returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
 // or older ones where a late order was carried out.
-func (m *Machine) Held(id string) map[string]uint64 { return m.held[id] }
+func (m *Machine) Held(id string) map[string]uint64 { return m.loaded[id] }
 
 // MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
 func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.ordered[id] }
@@ -285,7 +285,7 @@
 		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
-	delete(m.held, id)
+	delete(m.loaded, id)
 	delete(m.ordered, id)
 }
 
@@ -324,10 +324,10 @@
 		if _, known := m.instances[w.Instance]; !known {
 			continue
 		}
-		if m.held[w.Instance] == nil {
-			m.held[w.Instance] = map[string]uint64{}
+		if m.loaded[w.Instance] == nil {
+			m.loaded[w.Instance] = map[string]uint64{}
 		}
-		m.held[w.Instance][w.Model] = max(m.held[w.Instance][w.Model], w.Version)
+		m.loaded[w.Instance][w.Model] = max(m.loaded[w.Instance][w.Model], w.Version)
 	}
 }
 
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -54,7 +54,7 @@
 		m.quarantine = form.Quarantine
 	}
 	for id, versions := range form.Held {
-		m.held[id] = versions
+		m.loaded[id] = versions
 	}
 	for model, version := range form.Versions {
 		m.versions[model] = version
