--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -87,7 +87,7 @@
 	versions     map[string]uint64
 	publications map[string][]Publication     // by model, rising; the newest is of the version in versions
 	loaded       map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
-	ordered      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
+	commanded    map[string]bool              // registered instances that, or whose last life, were ever to be given an order
 	gateways     []string                     // that asked the last leader that wrote them, rising
 	gatewaySet   map[string]bool              // the same
 	bounds       map[string]uint64            // by service; of those that don't use all their back ends
@@ -100,7 +100,7 @@
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
-		ordered: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
+		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -150,7 +150,7 @@
 func (m *Machine) Held(id string) map[string]uint64 { return m.loaded[id] }
 
 // MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
-func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.ordered[id] }
+func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.commanded[id] }
 
 // Gateways returns the gateways that were written last, rising; callers only read it.
 func (m *Machine) Gateways() []string { return m.gateways }
@@ -242,10 +242,10 @@
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
-		ordered := m.ordered[last.ID]
+		ordered := m.commanded[last.ID]
 		m.delete(last.ID)
 		if ordered {
-			m.ordered[instance.ID] = true // an order that is on its way names the back end, not its life
+			m.commanded[instance.ID] = true // an order that is on its way names the back end, not its life
 		}
 	}
 	if known && held.State == StateDraining {
@@ -286,14 +286,14 @@
 	}
 	delete(m.instances, id)
 	delete(m.loaded, id)
-	delete(m.ordered, id)
+	delete(m.commanded, id)
 }
 
 // order notes registered instances that are about to be given orders.
 func (m *Machine) order(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
-			m.ordered[id] = true
+			m.commanded[id] = true
 		}
 	}
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.commanded, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -46,7 +46,7 @@
 		m.upsert(instance)
 	}
 	for id := range form.Ordered {
-		m.ordered[id] = true
+		m.commanded[id] = true
 	}
 	m.setGateways(form.Gateways)
 	maps.Copy(m.bounds, form.Bounds)
