--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -75,32 +75,32 @@
 
 // Machine is the replicated state.
 type Machine struct {
-	Guards       guard.Set `json:"-"`
-	document     Document
-	instances    map[string]Instance
-	addresses    map[string]string // the one instance at each address
-	ids          []string          // of instances, rising; nil when they have changed
-	departedIDs  []string
-	departed     map[string]bool
-	expiredIDs   []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	lives        incarnations // of instances and tombstones
-	versions     map[string]uint64
-	publications map[string][]Publication     // by model, rising; the newest is of the version in versions
-	loaded       map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
-	commanded    map[string]bool              // registered instances that, or whose last life, were ever to be given an order
-	gateways     []string                     // that asked the last leader that wrote them, rising
-	gatewaySet   map[string]bool              // the same
-	bounds       map[string]uint64            // by service; of those that don't use all their back ends
-	changed      map[string]bool              // instances that changed since Touched was last called
-	fence        uint64
-	quarantine   *quarantine.Registry
+	Guards         guard.Set `json:"-"`
+	document       Document
+	instances      map[string]Instance
+	addresses      map[string]string // the one instance at each address
+	ids            []string          // of instances, rising; nil when they have changed
+	departedIDs    []string
+	departed       map[string]bool
+	expiredIDs     []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
+	lives          incarnations // of instances and tombstones
+	versions       map[string]uint64
+	publications   map[string][]Publication     // by model, rising; the newest is of the version in versions
+	loaded         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
+	commanded      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
+	gateways       []string                     // that asked the last leader that wrote them, rising
+	gatewaySet     map[string]bool              // the same
+	maxHashWeights map[string]uint64            // by service; of those that don't use all their back ends
+	changed        map[string]bool              // instances that changed since Touched was last called
+	fence          uint64
+	quarantine     *quarantine.Registry
 }
 
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
-		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, bounds: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
+		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // MaxHashWeight returns the highest weight of the back ends of a service that are in use.
 func (m *Machine) MaxHashWeight(service string) uint64 {
-	if bound, known := m.bounds[service]; known {
+	if bound, known := m.maxHashWeights[service]; known {
 		return bound
 	}
 	return math.MaxUint64
@@ -168,7 +168,7 @@
 
 // HasMaxHashWeight reports whether it was ever decided which back ends of a service are in use.
 func (m *Machine) HasMaxHashWeight(service string) bool {
-	_, known := m.bounds[service]
+	_, known := m.maxHashWeights[service]
 	return known
 }
 
@@ -211,7 +211,7 @@
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
 		m.updateGateways(command.AddGateways, command.RemoveGateways)
 	case len(command.MaxHashWeights) > 0:
-		maps.Copy(m.bounds, command.MaxHashWeights)
+		maps.Copy(m.maxHashWeights, command.MaxHashWeights)
 	case command.Quarantine != nil:
 		m.quarantine.Apply(*command.Quarantine)
 	case command.PublishWeights != nil:
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.commanded, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -49,7 +49,7 @@
 		m.commanded[id] = true
 	}
 	m.setGateways(form.Gateways)
-	maps.Copy(m.bounds, form.Bounds)
+	maps.Copy(m.maxHashWeights, form.Bounds)
 	if form.Quarantine != nil {
 		m.quarantine = form.Quarantine
 	}
