--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -84,7 +84,7 @@
 	departed       map[string]bool
 	expiredIDs     []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
 	lives          incarnations // of instances and tombstones
-	versions       map[string]uint64
+	latestVersions map[string]uint64
 	publications   map[string][]Publication     // by model, rising; the newest is of the version in versions
 	loaded         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
 	commanded      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
@@ -99,7 +99,7 @@
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), versions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
 		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
@@ -143,7 +143,7 @@
 }
 
 // LatestVersions returns the newest weights version by model; callers only read it.
-func (m *Machine) LatestVersions() map[string]uint64 { return m.versions }
+func (m *Machine) LatestVersions() map[string]uint64 { return m.latestVersions }
 
 // Held returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
 // or older ones where a late order was carried out.
--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -16,10 +16,10 @@
 
 // publish notes the newest version of a model. One that isn't newer than what was named before changes nothing.
 func (m *Machine) publish(named WeightsVersion, unixMS int64) {
-	if m.versions[named.Model] >= named.Version {
+	if m.latestVersions[named.Model] >= named.Version {
 		return
 	}
-	m.versions[named.Model] = named.Version
+	m.latestVersions[named.Model] = named.Version
 	namings := append(m.publications[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
 	m.publications[named.Model] = namings[max(0, len(namings)-MaxPublications):]
 }
@@ -27,8 +27,8 @@
 // restorePublications takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
 // no times, that one is long past: in doubt nothing begins on older weights.
 func (m *Machine) restorePublications(model string, namings []Publication) {
-	if last := len(namings) - 1; last < 0 || namings[last].Version != m.versions[model] {
-		namings = append(namings, Publication{Version: m.versions[model]})
+	if last := len(namings) - 1; last < 0 || namings[last].Version != m.latestVersions[model] {
+		namings = append(namings, Publication{Version: m.latestVersions[model]})
 	}
 	m.publications[model] = namings
 }
--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -49,8 +49,8 @@
 					t.Fatalf("namings of %s: %+v", model, namings)
 				}
 			}
-			if namings[len(namings)-1].Version != applied.versions[model] {
-				t.Fatalf("namings of %s: %+v; the newest is %d", model, namings, applied.versions[model])
+			if namings[len(namings)-1].Version != applied.latestVersions[model] {
+				t.Fatalf("namings of %s: %+v; the newest is %d", model, namings, applied.latestVersions[model])
 			}
 		}
 	})
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -29,7 +29,7 @@
 
 // MarshalJSON writes the whole state.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.latestVersions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
 }
 
 // UnmarshalJSON replaces the whole state.
@@ -57,7 +57,7 @@
 		m.loaded[id] = versions
 	}
 	for model, version := range form.Versions {
-		m.versions[model] = version
+		m.latestVersions[model] = version
 		m.restorePublications(model, form.Namings[model])
 	}
 	for _, id := range form.Tombstones {
