--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -18,7 +18,7 @@
 	if _, known := m.instances[id]; known || life.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.lives.currentID(life.Name); tells {
+	if standing, tells := m.incarnations.currentID(life.Name); tells {
 		return standing
 	}
 	for _, last := range slices.Backward(m.expiredIDs) {
@@ -37,11 +37,11 @@
 		return
 	}
 	m.departed[id] = true
-	m.lives.recordDeparted(id)
+	m.incarnations.recordDeparted(id)
 	m.departedIDs = append(m.departedIDs, id)
 	if len(m.departedIDs) > maxDepartedIDs {
 		delete(m.departed, m.departedIDs[0])
-		m.lives.forgetDeparted(m.departedIDs[0])
+		m.incarnations.forgetDeparted(m.departedIDs[0])
 		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -83,7 +83,7 @@
 	departedIDs    []string
 	departed       map[string]bool
 	expiredIDs     []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	lives          incarnations // of instances and tombstones
+	incarnations   incarnations // of instances and tombstones
 	latestVersions map[string]uint64
 	publications   map[string][]Publication     // by model, rising; the newest is of the version in versions
 	loaded         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
@@ -99,7 +99,7 @@
 // NewMachine returns the empty state.
 func NewMachine() *Machine {
 	return &Machine{
-		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, lives: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
+		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, incarnations: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
 		commanded: map[string]bool{}, gatewaySet: map[string]bool{}, maxHashWeights: map[string]uint64{}, changed: map[string]bool{}, quarantine: quarantine.NewRegistry(),
 	}
 }
@@ -122,8 +122,8 @@
 // life where others of its service do. What doesn't is somebody else's word.
 func (m *Machine) Accepts(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
-	untold := life.StartedMS == 0 && m.lives.withStartTime[instance.Service] > 0
-	return !m.departed[instance.ID] && !m.lives.isSuperseded(life) && !untold
+	untold := life.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
+	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(life) && !untold
 }
 
 // InstanceAt returns the instance that is registered at an address, if there is one.
@@ -134,7 +134,7 @@
 
 // InstanceByName returns the registered life of the back end that has a name, if there is one.
 func (m *Machine) InstanceByName(name string) (Instance, bool) {
-	id, tells := m.lives.currentID(name)
+	id, tells := m.incarnations.currentID(name)
 	if !tells {
 		id = Incarnation{Name: name}.ID()
 	}
@@ -268,9 +268,9 @@
 		m.ids = nil
 	}
 	if known {
-		m.lives.remove(held)
+		m.incarnations.remove(held)
 	}
-	m.lives.add(instance)
+	m.incarnations.add(instance)
 	m.changed[instance.ID] = true
 	m.instances[instance.ID] = instance
 	m.addresses[instance.Address] = instance.ID
@@ -281,7 +281,7 @@
 	held, known := m.instances[id]
 	if known {
 		delete(m.addresses, held.Address)
-		m.lives.remove(held)
+		m.incarnations.remove(held)
 		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -62,7 +62,7 @@
 	}
 	for _, id := range form.Tombstones {
 		m.departed[id] = true
-		m.lives.recordDeparted(id)
+		m.incarnations.recordDeparted(id)
 	}
 	return nil
 }
