--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -122,8 +122,8 @@
 // life where others of its service do. What doesn't is somebody else's word.
 func (m *Machine) Accepts(instance Instance) bool {
 	life := ParseInstanceID(instance.ID)
-	untold := life.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
-	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(life) && !untold
+	lacksStartTime := life.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
+	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(life) && !lacksStartTime
 }
 
 // InstanceAt returns the instance that is registered at an address, if there is one.
