--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -121,9 +121,9 @@
 // Accepts reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
 // life where others of its service do. What doesn't is somebody else's word.
 func (m *Machine) Accepts(instance Instance) bool {
-	life := ParseInstanceID(instance.ID)
-	lacksStartTime := life.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
-	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(life) && !lacksStartTime
+	incarnation := ParseInstanceID(instance.ID)
+	lacksStartTime := incarnation.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
+	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(incarnation) && !lacksStartTime
 }
 
 // InstanceAt returns the instance that is registered at an address, if there is one.
