--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -234,7 +234,7 @@
 // owner at a time. Of two that tell their lives the one that was started later holds it, since a heartbeat may come long after its
 // sender has ended.
 func (m *Machine) register(instance Instance) Outcome {
-	held, known := m.instances[instance.ID]
+	existing, known := m.instances[instance.ID]
 	if !known && !m.Accepts(instance) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
@@ -248,11 +248,11 @@
 			m.commanded[instance.ID] = true // an order that is on its way names the back end, not its life
 		}
 	}
-	if known && held.State == StateDraining {
+	if known && existing.State == StateDraining {
 		instance.State = StateDraining
 	}
-	if known && held.Address != instance.Address {
-		delete(m.addresses, held.Address)
+	if known && existing.Address != instance.Address {
+		delete(m.addresses, existing.Address)
 	}
 	if before, taken := m.addresses[instance.Address]; taken && before != instance.ID {
 		m.delete(before)
