--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -263,12 +263,12 @@
 
 // upsert notes an instance, at an address that no other one has.
 func (m *Machine) upsert(instance Instance) {
-	held, known := m.instances[instance.ID]
+	existing, known := m.instances[instance.ID]
 	if !known {
 		m.ids = nil
 	}
 	if known {
-		m.incarnations.remove(held)
+		m.incarnations.remove(existing)
 	}
 	m.incarnations.add(instance)
 	m.changed[instance.ID] = true
