--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -278,10 +278,10 @@
 
 // delete forgets an instance and what it held.
 func (m *Machine) delete(id string) {
-	held, known := m.instances[id]
+	existing, known := m.instances[id]
 	if known {
-		delete(m.addresses, held.Address)
-		m.incarnations.remove(held)
+		delete(m.addresses, existing.Address)
+		m.incarnations.remove(existing)
 		m.ids, m.changed[id] = nil, true
 	}
 	delete(m.instances, id)
