--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -241,9 +241,9 @@
 	if other, taken := m.InstanceAt(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if last, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && last.ID != instance.ID {
-		ordered := m.commanded[last.ID]
-		m.delete(last.ID)
+	if previous, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && previous.ID != instance.ID {
+		ordered := m.commanded[previous.ID]
+		m.delete(previous.ID)
 		if ordered {
 			m.commanded[instance.ID] = true // an order that is on its way names the back end, not its life
 		}
