--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -241,7 +241,7 @@
 	if other, taken := m.InstanceAt(instance.Address); taken && ParseInstanceID(instance.ID).StartedBefore(ParseInstanceID(other.ID)) {
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
-	if previous, stands := m.InstanceByName(ParseInstanceID(instance.ID).Name); stands && previous.ID != instance.ID {
+	if previous, found := m.InstanceByName(ParseInstanceID(instance.ID).Name); found && previous.ID != instance.ID {
 		ordered := m.commanded[previous.ID]
 		m.delete(previous.ID)
 		if ordered {
