--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -242,9 +242,9 @@
 		return Outcome{Revision: m.document.Revision, AlreadyDeparted: true}
 	}
 	if previous, found := m.InstanceByName(ParseInstanceID(instance.ID).Name); found && previous.ID != instance.ID {
-		ordered := m.commanded[previous.ID]
+		commanded := m.commanded[previous.ID]
 		m.delete(previous.ID)
-		if ordered {
+		if commanded {
 			m.commanded[instance.ID] = true // an order that is on its way names the back end, not its life
 		}
 	}
