--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -254,8 +254,8 @@
 	if known && existing.Address != instance.Address {
 		delete(m.addresses, existing.Address)
 	}
-	if before, taken := m.addresses[instance.Address]; taken && before != instance.ID {
-		m.delete(before)
+	if occupant, taken := m.addresses[instance.Address]; taken && occupant != instance.ID {
+		m.delete(occupant)
 	}
 	m.upsert(instance)
 	return Outcome{Revision: m.document.Revision}
