--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -308,8 +308,8 @@
 }
 
 // updateGateways takes gateways that came and that left up.
-func (m *Machine) updateGateways(came, left []string) {
-	for _, name := range came {
+func (m *Machine) updateGateways(added, left []string) {
+	for _, name := range added {
 		m.gatewaySet[name] = true
 	}
 	for _, name := range left {
