--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -319,8 +319,8 @@
 }
 
 // recordLoaded notes what registered instances recordLoaded.
-func (m *Machine) recordLoaded(seen []LoadedWeights) {
-	for _, w := range seen {
+func (m *Machine) recordLoaded(reports []LoadedWeights) {
+	for _, w := range reports {
 		if _, known := m.instances[w.Instance]; !known {
 			continue
 		}
