--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -320,14 +320,14 @@
 
 // recordLoaded notes what registered instances recordLoaded.
 func (m *Machine) recordLoaded(reports []LoadedWeights) {
-	for _, w := range reports {
-		if _, known := m.instances[w.Instance]; !known {
+	for _, report := range reports {
+		if _, known := m.instances[report.Instance]; !known {
 			continue
 		}
-		if m.loaded[w.Instance] == nil {
-			m.loaded[w.Instance] = map[string]uint64{}
+		if m.loaded[report.Instance] == nil {
+			m.loaded[report.Instance] = map[string]uint64{}
 		}
-		m.loaded[w.Instance][w.Model] = max(m.loaded[w.Instance][w.Model], w.Version)
+		m.loaded[report.Instance][report.Model] = max(m.loaded[report.Instance][report.Model], report.Version)
 	}
 }
 
