--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -14,15 +14,15 @@
 // ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
 // forgotten.
 func (m *Machine) ResolveInstanceID(id string) string {
-	life := ParseInstanceID(id)
-	if _, known := m.instances[id]; known || life.StartedMS > 0 {
+	incarnation := ParseInstanceID(id)
+	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.incarnations.currentID(life.Name); tells {
+	if standing, tells := m.incarnations.currentID(incarnation.Name); tells {
 		return standing
 	}
 	for _, last := range slices.Backward(m.expiredIDs) {
-		if ParseInstanceID(last).Name == life.Name {
+		if ParseInstanceID(last).Name == incarnation.Name {
 			return last
 		}
 	}
