--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -18,8 +18,8 @@
 	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.incarnations.currentID(incarnation.Name); tells {
-		return standing
+	if registeredID, tells := m.incarnations.currentID(incarnation.Name); tells {
+		return registeredID
 	}
 	for _, last := range slices.Backward(m.expiredIDs) {
 		if ParseInstanceID(last).Name == incarnation.Name {
