--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -18,7 +18,7 @@
 	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
 		return id
 	}
-	if registeredID, tells := m.incarnations.currentID(incarnation.Name); tells {
+	if registeredID, found := m.incarnations.currentID(incarnation.Name); found {
 		return registeredID
 	}
 	for _, last := range slices.Backward(m.expiredIDs) {
