--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -21,9 +21,9 @@
 	if registeredID, found := m.incarnations.currentID(incarnation.Name); found {
 		return registeredID
 	}
-	for _, last := range slices.Backward(m.expiredIDs) {
-		if ParseInstanceID(last).Name == incarnation.Name {
-			return last
+	for _, expiredID := range slices.Backward(m.expiredIDs) {
+		if ParseInstanceID(expiredID).Name == incarnation.Name {
+			return expiredID
 		}
 	}
 	return id
