--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -33,11 +33,11 @@
 	if at < 0 {
 		return Incarnation{Name: id}
 	}
-	born, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, int64Bits)
+	startedMS, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, int64Bits)
 	if err != nil {
 		return Incarnation{Name: id}
 	}
-	return Incarnation{Name: id[:at], StartedMS: born}
+	return Incarnation{Name: id[:at], StartedMS: startedMS}
 }
 
 // StartedBefore reports whether both lives tell their start, and this one was started earlier.
