--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -29,15 +29,15 @@
 
 // ParseInstanceID returns the life that an id names.
 func ParseInstanceID(id string) Incarnation {
-	at := strings.LastIndex(id, startTimeSeparator)
-	if at < 0 {
+	separator := strings.LastIndex(id, startTimeSeparator)
+	if separator < 0 {
 		return Incarnation{Name: id}
 	}
-	startedMS, err := strconv.ParseInt(id[at+len(startTimeSeparator):], decimal, int64Bits)
+	startedMS, err := strconv.ParseInt(id[separator+len(startTimeSeparator):], decimal, int64Bits)
 	if err != nil {
 		return Incarnation{Name: id}
 	}
-	return Incarnation{Name: id[:at], StartedMS: startedMS}
+	return Incarnation{Name: id[:separator], StartedMS: startedMS}
 }
 
 // StartedBefore reports whether both lives tell their start, and this one was started earlier.
