--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -58,8 +58,8 @@
 
 // add notes a registered instance.
 func (l *incarnations) add(instance Instance) {
-	if life := ParseInstanceID(instance.ID); life.StartedMS > 0 {
-		l.registered[life.Name] = instance.ID
+	if incarnation := ParseInstanceID(instance.ID); incarnation.StartedMS > 0 {
+		l.registered[incarnation.Name] = instance.ID
 		l.withStartTime[instance.Service]++
 	}
 }
