--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -66,12 +66,12 @@
 
 // remove forgets a registered instance.
 func (l *incarnations) remove(instance Instance) {
-	life := ParseInstanceID(instance.ID)
-	if life.StartedMS == 0 {
+	incarnation := ParseInstanceID(instance.ID)
+	if incarnation.StartedMS == 0 {
 		return
 	}
-	if l.registered[life.Name] == instance.ID {
-		delete(l.registered, life.Name)
+	if l.registered[incarnation.Name] == instance.ID {
+		delete(l.registered, incarnation.Name)
 	}
 	if l.withStartTime[instance.Service]--; l.withStartTime[instance.Service] == 0 {
 		delete(l.withStartTime, instance.Service)
