--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -81,8 +81,8 @@
 // recordDeparted remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
 // whether the others were forgotten or never known.
 func (l *incarnations) recordDeparted(id string) {
-	if life := ParseInstanceID(id); life.StartedMS > 0 {
-		l.departed[life.Name] = append(l.departed[life.Name], life.StartedMS)
+	if incarnation := ParseInstanceID(id); incarnation.StartedMS > 0 {
+		l.departed[incarnation.Name] = append(l.departed[incarnation.Name], incarnation.StartedMS)
 	}
 }
 
