--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -87,13 +87,13 @@
 }
 
 func (l *incarnations) forgetDeparted(id string) {
-	life := ParseInstanceID(id)
-	left := slices.DeleteFunc(l.departed[life.Name], func(born int64) bool { return born == life.StartedMS })
+	incarnation := ParseInstanceID(id)
+	left := slices.DeleteFunc(l.departed[incarnation.Name], func(born int64) bool { return born == incarnation.StartedMS })
 	if len(left) == 0 {
-		delete(l.departed, life.Name)
+		delete(l.departed, incarnation.Name)
 		return
 	}
-	l.departed[life.Name] = left
+	l.departed[incarnation.Name] = left
 }
 
 // isSuperseded reports whether a later life is registered, or has left.
