--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -88,12 +88,12 @@
 
 func (l *incarnations) forgetDeparted(id string) {
 	incarnation := ParseInstanceID(id)
-	left := slices.DeleteFunc(l.departed[incarnation.Name], func(born int64) bool { return born == incarnation.StartedMS })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(l.departed[incarnation.Name], func(born int64) bool { return born == incarnation.StartedMS })
+	if len(remaining) == 0 {
 		delete(l.departed, incarnation.Name)
 		return
 	}
-	l.departed[incarnation.Name] = left
+	l.departed[incarnation.Name] = remaining
 }
 
 // isSuperseded reports whether a later life is registered, or has left.
