--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -88,7 +88,7 @@
 
 func (l *incarnations) forgetDeparted(id string) {
 	incarnation := ParseInstanceID(id)
-	remaining := slices.DeleteFunc(l.departed[incarnation.Name], func(born int64) bool { return born == incarnation.StartedMS })
+	remaining := slices.DeleteFunc(l.departed[incarnation.Name], func(startedMS int64) bool { return startedMS == incarnation.StartedMS })
 	if len(remaining) == 0 {
 		delete(l.departed, incarnation.Name)
 		return
