--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -98,8 +98,8 @@
 
 // isSuperseded reports whether a later life is registered, or has left.
 func (l *incarnations) isSuperseded(incarnation Incarnation) bool {
-	later := func(born int64) bool { return incarnation.StartedMS < born }
-	return later(ParseInstanceID(l.registered[incarnation.Name]).StartedMS) || slices.ContainsFunc(l.departed[incarnation.Name], later)
+	startedLater := func(born int64) bool { return incarnation.StartedMS < born }
+	return startedLater(ParseInstanceID(l.registered[incarnation.Name]).StartedMS) || slices.ContainsFunc(l.departed[incarnation.Name], startedLater)
 }
 
 // currentID returns the id of the registered life of the back end of a name, if it has one that tells its start.
