--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -98,7 +98,7 @@
 
 // isSuperseded reports whether a later life is registered, or has left.
 func (l *incarnations) isSuperseded(incarnation Incarnation) bool {
-	startedLater := func(born int64) bool { return incarnation.StartedMS < born }
+	startedLater := func(startedMS int64) bool { return incarnation.StartedMS < startedMS }
 	return startedLater(ParseInstanceID(l.registered[incarnation.Name]).StartedMS) || slices.ContainsFunc(l.departed[incarnation.Name], startedLater)
 }
 
