--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -34,33 +34,33 @@
 
 // UnmarshalJSON replaces the whole state.
 func (m *Machine) UnmarshalJSON(data []byte) error {
-	var form machineSnapshot
-	if err := json.Unmarshal(data, &form); err != nil {
+	var snapshot machineSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
-	for _, instance := range form.Instances {
+	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.Tombstones, snapshot.Fence, snapshot.Forgotten
+	for _, instance := range snapshot.Instances {
 		m.upsert(instance)
 	}
-	for id := range form.Ordered {
+	for id := range snapshot.Ordered {
 		m.commanded[id] = true
 	}
-	m.setGateways(form.Gateways)
-	maps.Copy(m.maxHashWeights, form.Bounds)
-	if form.Quarantine != nil {
-		m.quarantine = form.Quarantine
+	m.setGateways(snapshot.Gateways)
+	maps.Copy(m.maxHashWeights, snapshot.Bounds)
+	if snapshot.Quarantine != nil {
+		m.quarantine = snapshot.Quarantine
 	}
-	for id, versions := range form.Held {
+	for id, versions := range snapshot.Held {
 		m.loaded[id] = versions
 	}
-	for model, version := range form.Versions {
+	for model, version := range snapshot.Versions {
 		m.latestVersions[model] = version
-		m.restorePublications(model, form.Namings[model])
+		m.restorePublications(model, snapshot.Namings[model])
 	}
-	for _, id := range form.Tombstones {
+	for _, id := range snapshot.Tombstones {
 		m.departed[id] = true
 		m.incarnations.recordDeparted(id)
 	}
