--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -9,11 +9,11 @@
 
 // machineSnapshot is the snapshot form of a machine.
 type machineSnapshot struct {
-	Document   Document            `json:"document"`
-	Instances  map[string]Instance `json:"instances"`
-	Tombstones []string            `json:"tombstones"`
-	Versions   map[string]uint64   `json:"versions"`
-	Fence      uint64              `json:"fence"`
+	Document    Document            `json:"document"`
+	Instances   map[string]Instance `json:"instances"`
+	DepartedIDs []string            `json:"tombstones"`
+	Versions    map[string]uint64   `json:"versions"`
+	Fence       uint64              `json:"fence"`
 
 	Held     map[string]map[string]uint64 `json:"held,omitempty"`
 	Ordered  map[string]bool              `json:"ordered,omitempty"`
@@ -41,7 +41,7 @@
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.Tombstones, snapshot.Fence, snapshot.Forgotten
+	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.DepartedIDs, snapshot.Fence, snapshot.Forgotten
 	for _, instance := range snapshot.Instances {
 		m.upsert(instance)
 	}
@@ -60,7 +60,7 @@
 		m.latestVersions[model] = version
 		m.restorePublications(model, snapshot.Namings[model])
 	}
-	for _, id := range snapshot.Tombstones {
+	for _, id := range snapshot.DepartedIDs {
 		m.departed[id] = true
 		m.incarnations.recordDeparted(id)
 	}
