--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -15,7 +15,7 @@
 	Versions    map[string]uint64   `json:"versions"`
 	Fence       uint64              `json:"fence"`
 
-	Held     map[string]map[string]uint64 `json:"held,omitempty"`
+	Loaded   map[string]map[string]uint64 `json:"held,omitempty"`
 	Ordered  map[string]bool              `json:"ordered,omitempty"`
 	Gateways []string                     `json:"gateways,omitempty"`
 	Bounds   map[string]uint64            `json:"bounds,omitempty"`
@@ -53,7 +53,7 @@
 	if snapshot.Quarantine != nil {
 		m.quarantine = snapshot.Quarantine
 	}
-	for id, versions := range snapshot.Held {
+	for id, versions := range snapshot.Loaded {
 		m.loaded[id] = versions
 	}
 	for model, version := range snapshot.Versions {
