--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -15,10 +15,10 @@
 	Versions    map[string]uint64   `json:"versions"`
 	Fence       uint64              `json:"fence"`
 
-	Loaded   map[string]map[string]uint64 `json:"held,omitempty"`
-	Ordered  map[string]bool              `json:"ordered,omitempty"`
-	Gateways []string                     `json:"gateways,omitempty"`
-	Bounds   map[string]uint64            `json:"bounds,omitempty"`
+	Loaded    map[string]map[string]uint64 `json:"held,omitempty"`
+	Commanded map[string]bool              `json:"ordered,omitempty"`
+	Gateways  []string                     `json:"gateways,omitempty"`
+	Bounds    map[string]uint64            `json:"bounds,omitempty"`
 
 	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
@@ -45,7 +45,7 @@
 	for _, instance := range snapshot.Instances {
 		m.upsert(instance)
 	}
-	for id := range snapshot.Ordered {
+	for id := range snapshot.Commanded {
 		m.commanded[id] = true
 	}
 	m.setGateways(snapshot.Gateways)
