--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -15,10 +15,10 @@
 	Versions    map[string]uint64   `json:"versions"`
 	Fence       uint64              `json:"fence"`
 
-	Loaded    map[string]map[string]uint64 `json:"held,omitempty"`
-	Commanded map[string]bool              `json:"ordered,omitempty"`
-	Gateways  []string                     `json:"gateways,omitempty"`
-	Bounds    map[string]uint64            `json:"bounds,omitempty"`
+	Loaded         map[string]map[string]uint64 `json:"held,omitempty"`
+	Commanded      map[string]bool              `json:"ordered,omitempty"`
+	Gateways       []string                     `json:"gateways,omitempty"`
+	MaxHashWeights map[string]uint64            `json:"bounds,omitempty"`
 
 	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
@@ -49,7 +49,7 @@
 		m.commanded[id] = true
 	}
 	m.setGateways(snapshot.Gateways)
-	maps.Copy(m.maxHashWeights, snapshot.Bounds)
+	maps.Copy(m.maxHashWeights, snapshot.MaxHashWeights)
 	if snapshot.Quarantine != nil {
 		m.quarantine = snapshot.Quarantine
 	}
