--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -9,11 +9,11 @@
 
 // machineSnapshot is the snapshot form of a machine.
 type machineSnapshot struct {
-	Document    Document            `json:"document"`
-	Instances   map[string]Instance `json:"instances"`
-	DepartedIDs []string            `json:"tombstones"`
-	Versions    map[string]uint64   `json:"versions"`
-	Fence       uint64              `json:"fence"`
+	Document       Document            `json:"document"`
+	Instances      map[string]Instance `json:"instances"`
+	DepartedIDs    []string            `json:"tombstones"`
+	LatestVersions map[string]uint64   `json:"versions"`
+	Fence          uint64              `json:"fence"`
 
 	Loaded         map[string]map[string]uint64 `json:"held,omitempty"`
 	Commanded      map[string]bool              `json:"ordered,omitempty"`
@@ -56,7 +56,7 @@
 	for id, versions := range snapshot.Loaded {
 		m.loaded[id] = versions
 	}
-	for model, version := range snapshot.Versions {
+	for model, version := range snapshot.LatestVersions {
 		m.latestVersions[model] = version
 		m.restorePublications(model, snapshot.Namings[model])
 	}
