--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -22,7 +22,7 @@
 
 	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
-	Namings map[string][]Publication `json:"namings,omitempty"`
+	Publications map[string][]Publication `json:"namings,omitempty"`
 
 	Forgotten []string `json:"forgotten,omitempty"`
 }
@@ -58,7 +58,7 @@
 	}
 	for model, version := range snapshot.LatestVersions {
 		m.latestVersions[model] = version
-		m.restorePublications(model, snapshot.Namings[model])
+		m.restorePublications(model, snapshot.Publications[model])
 	}
 	for _, id := range snapshot.DepartedIDs {
 		m.departed[id] = true
