--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -24,7 +24,7 @@
 
 	Publications map[string][]Publication `json:"namings,omitempty"`
 
-	Forgotten []string `json:"forgotten,omitempty"`
+	ExpiredIDs []string `json:"forgotten,omitempty"`
 }
 
 // MarshalJSON writes the whole state.
@@ -41,7 +41,7 @@
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.DepartedIDs, snapshot.Fence, snapshot.Forgotten
+	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.DepartedIDs, snapshot.Fence, snapshot.ExpiredIDs
 	for _, instance := range snapshot.Instances {
 		m.upsert(instance)
 	}
