--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -15,13 +15,13 @@
 func (m *Machine) Publications(model string) []Publication { return m.publications[model] }
 
 // publish notes the newest version of a model. One that isn't newer than what was named before changes nothing.
-func (m *Machine) publish(named WeightsVersion, unixMS int64) {
-	if m.latestVersions[named.Model] >= named.Version {
+func (m *Machine) publish(weights WeightsVersion, unixMS int64) {
+	if m.latestVersions[weights.Model] >= weights.Version {
 		return
 	}
-	m.latestVersions[named.Model] = named.Version
-	namings := append(m.publications[named.Model], Publication{Version: named.Version, UnixMS: unixMS})
-	m.publications[named.Model] = namings[max(0, len(namings)-MaxPublications):]
+	m.latestVersions[weights.Model] = weights.Version
+	namings := append(m.publications[weights.Model], Publication{Version: weights.Version, UnixMS: unixMS})
+	m.publications[weights.Model] = namings[max(0, len(namings)-MaxPublications):]
 }
 
 // restorePublications takes the namings of a model from a snapshot. Where it tells none of the newest version, which is of a release that kept
