--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -112,20 +112,20 @@
 
 // Validate returns everything that is wrong with a document.
 func (d *Document) Validate() []Problem {
-	check := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keyOwners: map[string]string{}}
+	v := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keyOwners: map[string]string{}}
 	if d.Revision == 0 {
-		check.report("document", "its revision must be 1 or more")
+		v.report("document", "its revision must be 1 or more")
 	}
 	for _, service := range d.Services {
-		check.service(service)
+		v.service(service)
 	}
 	for i := range d.Routes {
-		check.route(&d.Routes[i])
+		v.route(&d.Routes[i])
 	}
 	for _, tenant := range d.Tenants {
-		check.tenant(tenant)
+		v.tenant(tenant)
 	}
-	return check.problems
+	return v.problems
 }
 
 // validator collects the problems of a document.
