--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -141,7 +141,7 @@
 // Claim decides a claim. sessionOpen tells whether the holder's session is open.
 func (l *Ledger) Claim(claim Claim, nowMS int64, sessionOpen bool) Outcome {
 	l.prune(nowMS)
-	if _, gone := l.withdrawn[claim.ClaimID]; gone {
+	if _, released := l.withdrawn[claim.ClaimID]; released {
 		return Outcome{Kind: Withdrawn}
 	}
 	if held, found := l.records[claim.Key]; found {
