--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -144,8 +144,8 @@
 	if _, released := l.withdrawn[claim.ClaimID]; released {
 		return Outcome{Kind: Withdrawn}
 	}
-	if held, found := l.records[claim.Key]; found {
-		return held.decide(claim, sessionOpen)
+	if existing, found := l.records[claim.Key]; found {
+		return existing.decide(claim, sessionOpen)
 	}
 	if !sessionOpen {
 		return Outcome{Kind: SessionClosed}
