--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -150,12 +150,12 @@
 	if !sessionOpen {
 		return Outcome{Kind: SessionClosed}
 	}
-	fresh := &record{
+	created := &record{
 		Key: claim.Key, Digest: claim.Digest, State: StateRunning, ClaimID: claim.ClaimID, Holder: claim.Holder,
 		Retention: claim.RetentionMS, ExpiresMS: nowMS + claim.RetentionMS,
 	}
-	l.records[claim.Key] = fresh
-	heap.Push(&l.expiry, expiryItem{key: claim.Key, at: fresh.ExpiresMS})
+	l.records[claim.Key] = created
+	heap.Push(&l.expiry, expiryItem{key: claim.Key, at: created.ExpiresMS})
 	return Outcome{Kind: Granted}
 }
 
