--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -185,26 +185,26 @@
 // End ends a claim. Ending it twice, or ending a claim that another one replaced, changes nothing.
 func (l *Ledger) End(end End, nowMS int64) {
 	l.prune(nowMS)
-	held, found := l.records[end.Key]
-	mine := found && held.ClaimID == end.ClaimID
+	existing, found := l.records[end.Key]
+	mine := found && existing.ClaimID == end.ClaimID
 	if end.Kind == EndReleased {
 		l.withdraw(end.ClaimID, nowMS)
 		// A closed session turned the claim to unknown, but its holder knows that it never dispatched.
-		if mine && (held.State == StateRunning || held.State == StateUnknown) {
+		if mine && (existing.State == StateRunning || existing.State == StateUnknown) {
 			delete(l.records, end.Key)
 		}
 		return
 	}
-	if !mine || held.State == StateFinished || held.State == StateExpired {
+	if !mine || existing.State == StateFinished || existing.State == StateExpired {
 		return
 	}
 	if end.Kind == EndUnknown {
-		held.State = StateUnknown
+		existing.State = StateUnknown
 		return
 	}
 	// A late answer replaces "unknown": it is the truth, and the key stays spent either way.
-	held.State = StateFinished
-	held.Answer = truncateResponse(end.Answer)
+	existing.State = StateFinished
+	existing.Answer = truncateResponse(end.Answer)
 }
 
 func truncateResponse(answer *Response) *Response {
