--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -186,16 +186,16 @@
 func (l *Ledger) End(end End, nowMS int64) {
 	l.prune(nowMS)
 	existing, found := l.records[end.Key]
-	mine := found && existing.ClaimID == end.ClaimID
+	owned := found && existing.ClaimID == end.ClaimID
 	if end.Kind == EndReleased {
 		l.withdraw(end.ClaimID, nowMS)
 		// A closed session turned the claim to unknown, but its holder knows that it never dispatched.
-		if mine && (existing.State == StateRunning || existing.State == StateUnknown) {
+		if owned && (existing.State == StateRunning || existing.State == StateUnknown) {
 			delete(l.records, end.Key)
 		}
 		return
 	}
-	if !mine || existing.State == StateFinished || existing.State == StateExpired {
+	if !owned || existing.State == StateFinished || existing.State == StateExpired {
 		return
 	}
 	if end.Kind == EndUnknown {
