--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -225,9 +225,9 @@
 
 // CloseSession marks every running claim of a session as unknown.
 func (l *Ledger) CloseSession(holder Holder) {
-	for _, held := range l.records {
-		if held.State == StateRunning && held.Holder == holder {
-			held.State = StateUnknown
+	for _, existing := range l.records {
+		if existing.State == StateRunning && existing.Holder == holder {
+			existing.State = StateUnknown
 		}
 	}
 }
