--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -240,11 +240,11 @@
 	}
 	for len(l.expiry) > 0 && l.expiry[0].at <= nowMS {
 		item := heap.Pop(&l.expiry).(expiryItem)
-		held, found := l.records[item.key]
-		if !found || held.ExpiresMS != item.at {
+		existing, found := l.records[item.key]
+		if !found || existing.ExpiresMS != item.at {
 			continue
 		}
-		l.expire(held, nowMS)
+		l.expire(existing, nowMS)
 	}
 }
 
