--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -248,15 +248,15 @@
 	}
 }
 
-func (l *Ledger) expire(held *record, nowMS int64) {
-	if held.State == StateExpired {
-		delete(l.records, held.Key)
+func (l *Ledger) expire(existing *record, nowMS int64) {
+	if existing.State == StateExpired {
+		delete(l.records, existing.Key)
 		return
 	}
-	held.State = StateExpired
-	held.Answer = nil
-	held.ExpiresMS = nowMS + expiredRetentionFactor*held.Retention
-	heap.Push(&l.expiry, expiryItem{key: held.Key, at: held.ExpiresMS})
+	existing.State = StateExpired
+	existing.Answer = nil
+	existing.ExpiresMS = nowMS + expiredRetentionFactor*existing.Retention
+	heap.Push(&l.expiry, expiryItem{key: existing.Key, at: existing.ExpiresMS})
 }
 
 // Digest identifies a request body.
