--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -271,8 +271,8 @@
 // MarshalJSON writes the whole state for a snapshot.
 func (l *Ledger) MarshalJSON() ([]byte, error) {
 	form := ledgerSnapshot{Withdrawals: l.withdrawals}
-	for _, held := range l.records {
-		form.Records = append(form.Records, held)
+	for _, existing := range l.records {
+		form.Records = append(form.Records, existing)
 	}
 	return json.Marshal(form)
 }
