--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -288,9 +288,9 @@
 	for _, item := range form.Withdrawals {
 		l.withdrawn[item.ClaimID] = item.ExpiresMS
 	}
-	for _, held := range form.Records {
-		l.records[held.Key] = held
-		l.expiry = append(l.expiry, expiryItem{key: held.Key, at: held.ExpiresMS})
+	for _, existing := range form.Records {
+		l.records[existing.Key] = existing
+		l.expiry = append(l.expiry, expiryItem{key: existing.Key, at: existing.ExpiresMS})
 	}
 	heap.Init(&l.expiry)
 	return nil
