--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -270,11 +270,11 @@
 
 // MarshalJSON writes the whole state for a snapshot.
 func (l *Ledger) MarshalJSON() ([]byte, error) {
-	form := ledgerSnapshot{Withdrawals: l.withdrawals}
+	snapshot := ledgerSnapshot{Withdrawals: l.withdrawals}
 	for _, existing := range l.records {
-		form.Records = append(form.Records, existing)
+		snapshot.Records = append(snapshot.Records, existing)
 	}
-	return json.Marshal(form)
+	return json.Marshal(snapshot)
 }
 
 // UnmarshalJSON restores a state written by MarshalJSON.
