--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -279,16 +279,16 @@
 
 // UnmarshalJSON restores a state written by MarshalJSON.
 func (l *Ledger) UnmarshalJSON(data []byte) error {
-	var form ledgerSnapshot
-	if err := json.Unmarshal(data, &form); err != nil {
+	var snapshot ledgerSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
 	*l = *New()
-	l.withdrawals = form.Withdrawals
-	for _, item := range form.Withdrawals {
+	l.withdrawals = snapshot.Withdrawals
+	for _, item := range snapshot.Withdrawals {
 		l.withdrawn[item.ClaimID] = item.ExpiresMS
 	}
-	for _, existing := range form.Records {
+	for _, existing := range snapshot.Records {
 		l.records[existing.Key] = existing
 		l.expiry = append(l.expiry, expiryItem{key: existing.Key, at: existing.ExpiresMS})
 	}
