--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -10,19 +10,19 @@
 	maxTrackedPrefixes = 4096 // prefixes whose rate is tracked
 )
 
-// rate is a decayed count of one prefix.
-type rate struct {
+// decayingCount is a decayed count of one prefix.
+type decayingCount struct {
 	count   float64
 	updated time.Duration
 }
 
 // RequestRates tracks how often each shared prefix is asked for, with exponential decay.
 type RequestRates struct {
-	rates map[Hash]*rate
+	rates map[Hash]*decayingCount
 }
 
 // NewRequestRates returns an empty table.
-func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*rate{}} }
+func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*decayingCount{}} }
 
 // Record counts a request for the prefix that ends with the given block and returns its rate per minute.
 func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
@@ -31,7 +31,7 @@
 		if len(t.rates) >= maxTrackedPrefixes {
 			t.evict(now)
 		}
-		entry = &rate{updated: now}
+		entry = &decayingCount{updated: now}
 		t.rates[hash] = entry
 	}
 	entry.count = entry.decayed(now) + 1
@@ -49,12 +49,12 @@
 	return entry.perMinute()
 }
 
-func (r *rate) decayed(now time.Duration) float64 {
+func (r *decayingCount) decayed(now time.Duration) float64 {
 	return r.count * math.Exp2(-float64(now-r.updated)/float64(rateHalfLife))
 }
 
 // perMinute converts a decayed count: a steady rate r leaves a count of r * halfLife / ln 2.
-func (r *rate) perMinute() float64 {
+func (r *decayingCount) perMinute() float64 {
 	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
