--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -18,21 +18,21 @@
 
 // RequestRates tracks how often each shared prefix is asked for, with exponential decay.
 type RequestRates struct {
-	rates map[Hash]*decayingCount
+	counts map[Hash]*decayingCount
 }
 
 // NewRequestRates returns an empty table.
-func NewRequestRates() *RequestRates { return &RequestRates{rates: map[Hash]*decayingCount{}} }
+func NewRequestRates() *RequestRates { return &RequestRates{counts: map[Hash]*decayingCount{}} }
 
 // Record counts a request for the prefix that ends with the given block and returns its rate per minute.
 func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
-	entry := t.rates[hash]
+	entry := t.counts[hash]
 	if entry == nil {
-		if len(t.rates) >= maxTrackedPrefixes {
+		if len(t.counts) >= maxTrackedPrefixes {
 			t.evict(now)
 		}
 		entry = &decayingCount{updated: now}
-		t.rates[hash] = entry
+		t.counts[hash] = entry
 	}
 	entry.count = entry.decayed(now) + 1
 	entry.updated = now
@@ -41,7 +41,7 @@
 
 // Rate returns the rate per minute of a prefix.
 func (t *RequestRates) Rate(hash Hash, now time.Duration) float64 {
-	entry := t.rates[hash]
+	entry := t.counts[hash]
 	if entry == nil {
 		return 0
 	}
@@ -60,10 +60,10 @@
 
 // evict drops prefixes that have gone cold, and half of the rest when that is not enough.
 func (t *RequestRates) evict(now time.Duration) {
-	for threshold := 0.5; len(t.rates) >= maxTrackedPrefixes; threshold *= 2 {
-		for hash, entry := range t.rates {
+	for threshold := 0.5; len(t.counts) >= maxTrackedPrefixes; threshold *= 2 {
+		for hash, entry := range t.counts {
 			if entry.decayed(now) < threshold {
-				delete(t.rates, hash)
+				delete(t.counts, hash)
 			}
 		}
 	}
