--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -27,13 +27,13 @@
 
 // node is one belief: an engine holds a block. Nodes of one block form a list. 36 bytes.
 type node struct {
-	hash     Hash
-	engine   EngineID
-	life     uint32
-	lastSeen uint32 // in clockUnit
-	next     uint32
-	used     bool
-	source   Source
+	hash       Hash
+	engine     EngineID
+	generation uint32
+	lastSeen   uint32 // in clockUnit
+	next       uint32
+	used       bool
+	source     Source
 }
 
 // engineState is what the index knows about an engine as a whole.
@@ -130,7 +130,7 @@
 // find returns the live belief about an engine and a block.
 func (x *Index) find(hash Hash, engine EngineID, life uint32) uint32 {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
-		if x.nodes[at].engine == engine && x.nodes[at].life == life {
+		if x.nodes[at].engine == engine && x.nodes[at].generation == life {
 			return at
 		}
 	}
@@ -148,7 +148,7 @@
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
 	}
-	x.nodes[at] = node{hash: hash, engine: engine, life: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
+	x.nodes[at] = node{hash: hash, engine: engine, generation: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
 	x.heads[hash] = at
 	x.live++
 }
@@ -158,7 +158,7 @@
 	dropped := &x.nodes[at]
 	x.unlink(dropped.hash, at)
 	state := x.engine(dropped.engine)
-	if dropped.life == state.life {
+	if dropped.generation == state.life {
 		state.entries--
 	}
 	*dropped = node{next: x.free}
@@ -189,7 +189,7 @@
 func (x *Index) isValid(at uint32, now uint32) (believed, doubtful bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
-	if held.life != state.life {
+	if held.generation != state.life {
 		return false, false
 	}
 	doubtful = held.lastSeen < state.staleBefore
@@ -212,7 +212,7 @@
 			continue
 		}
 		looked++
-		if x.nodes[x.clockHand].life != x.engines[x.nodes[x.clockHand].engine].life {
+		if x.nodes[x.clockHand].generation != x.engines[x.nodes[x.clockHand].engine].life {
 			oldest = x.clockHand
 			break
 		}
