--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -38,7 +38,7 @@
 
 // engineState is what the index knows about an engine as a whole.
 type engineState struct {
-	life        uint32
+	generation  uint32
 	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
 	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
 	entries     int
@@ -82,7 +82,7 @@
 // InvalidateEngine voids every belief about an engine: it restarted, died, or changed its weights.
 func (x *Index) InvalidateEngine(engine EngineID) {
 	state := x.engine(engine)
-	state.life++
+	state.generation++
 	state.entries = 0
 	state.staleBefore = 0
 }
@@ -105,14 +105,14 @@
 func (x *Index) Add(engine EngineID, chain []Hash, now time.Duration, source Source) {
 	state := x.engine(engine)
 	for _, hash := range chain {
-		if found := x.find(hash, engine, state.life); found != noNode {
+		if found := x.find(hash, engine, state.generation); found != noNode {
 			x.nodes[found].lastSeen = ticks(now)
 			if source != SourceDispatch { // a send does not confirm what the engine itself has said
 				x.nodes[found].source = source
 			}
 			continue
 		}
-		x.insert(hash, engine, state.life, ticks(now), source)
+		x.insert(hash, engine, state.generation, ticks(now), source)
 		state.entries++
 	}
 }
@@ -121,7 +121,7 @@
 func (x *Index) Remove(engine EngineID, hashes []Hash) {
 	state := x.engine(engine)
 	for _, hash := range hashes {
-		if found := x.find(hash, engine, state.life); found != noNode {
+		if found := x.find(hash, engine, state.generation); found != noNode {
 			x.freeNode(found)
 		}
 	}
@@ -158,7 +158,7 @@
 	dropped := &x.nodes[at]
 	x.unlink(dropped.hash, at)
 	state := x.engine(dropped.engine)
-	if dropped.generation == state.life {
+	if dropped.generation == state.generation {
 		state.entries--
 	}
 	*dropped = node{next: x.free}
@@ -189,7 +189,7 @@
 func (x *Index) isValid(at uint32, now uint32) (believed, doubtful bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
-	if held.generation != state.life {
+	if held.generation != state.generation {
 		return false, false
 	}
 	doubtful = held.lastSeen < state.staleBefore
@@ -212,7 +212,7 @@
 			continue
 		}
 		looked++
-		if x.nodes[x.clockHand].generation != x.engines[x.nodes[x.clockHand].engine].life {
+		if x.nodes[x.clockHand].generation != x.engines[x.nodes[x.clockHand].engine].generation {
 			oldest = x.clockHand
 			break
 		}
