--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -56,7 +56,7 @@
 	engines   []engineState
 	limit     int
 	clockHand uint32
-	live      int
+	count     int
 }
 
 // NewIndex returns an index of at most limit beliefs.
@@ -65,7 +65,7 @@
 }
 
 // Len returns the number of beliefs held, dead ones that were not yet swept included.
-func (x *Index) Len() int { return x.live }
+func (x *Index) Len() int { return x.count }
 
 // EngineEntries returns how many live beliefs are held about an engine.
 func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).entries }
@@ -138,7 +138,7 @@
 }
 
 func (x *Index) insert(hash Hash, engine EngineID, life, heard uint32, source Source) {
-	if x.live >= x.limit {
+	if x.count >= x.limit {
 		x.evictOne()
 	}
 	at := x.free
@@ -150,7 +150,7 @@
 	}
 	x.nodes[at] = node{hash: hash, engine: engine, generation: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
 	x.heads[hash] = at
-	x.live++
+	x.count++
 }
 
 // freeNode unlinks a belief and frees its node.
@@ -163,7 +163,7 @@
 	}
 	*dropped = node{next: x.free}
 	x.free = at
-	x.live--
+	x.count--
 }
 
 func (x *Index) unlink(hash Hash, at uint32) {
