--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -52,7 +52,7 @@
 type Index struct {
 	heads     map[Hash]uint32
 	nodes     []node
-	free      uint32
+	freeHead  uint32
 	engines   []engineState
 	limit     int
 	clockHand uint32
@@ -141,9 +141,9 @@
 	if x.count >= x.limit {
 		x.evictOne()
 	}
-	at := x.free
+	at := x.freeHead
 	if at != noNode {
-		x.free = x.nodes[at].next
+		x.freeHead = x.nodes[at].next
 	} else {
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
@@ -161,8 +161,8 @@
 	if dropped.generation == state.generation {
 		state.entries--
 	}
-	*dropped = node{next: x.free}
-	x.free = at
+	*dropped = node{next: x.freeHead}
+	x.freeHead = at
 	x.count--
 }
 
