--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -32,7 +32,7 @@
 	generation uint32
 	lastSeen   uint32 // in clockUnit
 	next       uint32
-	used       bool
+	inUse      bool
 	source     Source
 }
 
@@ -148,7 +148,7 @@
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
 	}
-	x.nodes[at] = node{hash: hash, engine: engine, generation: life, lastSeen: heard, next: x.heads[hash], used: true, source: source}
+	x.nodes[at] = node{hash: hash, engine: engine, generation: life, lastSeen: heard, next: x.heads[hash], inUse: true, source: source}
 	x.heads[hash] = at
 	x.count++
 }
@@ -208,7 +208,7 @@
 		if int(x.clockHand) >= len(x.nodes) {
 			x.clockHand = 1
 		}
-		if !x.nodes[x.clockHand].used {
+		if !x.nodes[x.clockHand].inUse {
 			continue
 		}
 		looked++
@@ -230,7 +230,7 @@
 		if int(x.clockHand) >= len(x.nodes) {
 			x.clockHand = 1
 		}
-		if !x.nodes[x.clockHand].used {
+		if !x.nodes[x.clockHand].inUse {
 			continue
 		}
 		if counts, _ := x.isValid(x.clockHand, ticks(now)); !counts {
