--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -128,9 +128,9 @@
 }
 
 // find returns the live belief about an engine and a block.
-func (x *Index) find(hash Hash, engine EngineID, life uint32) uint32 {
+func (x *Index) find(hash Hash, engine EngineID, generation uint32) uint32 {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
-		if x.nodes[at].engine == engine && x.nodes[at].generation == life {
+		if x.nodes[at].engine == engine && x.nodes[at].generation == generation {
 			return at
 		}
 	}
