--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -155,13 +155,13 @@
 
 // freeNode unlinks a belief and frees its node.
 func (x *Index) freeNode(at uint32) {
-	dropped := &x.nodes[at]
-	x.unlink(dropped.hash, at)
-	state := x.engine(dropped.engine)
-	if dropped.generation == state.generation {
+	freed := &x.nodes[at]
+	x.unlink(freed.hash, at)
+	state := x.engine(freed.engine)
+	if freed.generation == state.generation {
 		state.entries--
 	}
-	*dropped = node{next: x.freeHead}
+	*freed = node{next: x.freeHead}
 	x.freeHead = at
 	x.count--
 }
