--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -186,7 +186,7 @@
 }
 
 // isValid reports whether a node still counts, and whether it is doubtful.
-func (x *Index) isValid(at uint32, now uint32) (believed, doubtful bool) {
+func (x *Index) isValid(at uint32, now uint32) (valid, doubtful bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
 	if held.generation != state.generation {
