--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -186,18 +186,18 @@
 }
 
 // isValid reports whether a node still counts, and whether it is doubtful.
-func (x *Index) isValid(at uint32, now uint32) (valid, doubtful bool) {
+func (x *Index) isValid(at uint32, now uint32) (valid, stale bool) {
 	held := &x.nodes[at]
 	state := &x.engines[held.engine]
 	if held.generation != state.generation {
 		return false, false
 	}
-	doubtful = held.lastSeen < state.staleBefore
-	confirmed := held.source != SourceDispatch && !doubtful
+	stale = held.lastSeen < state.staleBefore
+	confirmed := held.source != SourceDispatch && !stale
 	if !confirmed && now-min(now, held.lastSeen) > state.maxAge {
 		return false, false
 	}
-	return true, doubtful
+	return true, stale
 }
 
 // evictOne drops a dead belief, or the oldest of a few.
