--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -187,14 +187,14 @@
 
 // isValid reports whether a node still counts, and whether it is doubtful.
 func (x *Index) isValid(at uint32, now uint32) (valid, stale bool) {
-	held := &x.nodes[at]
-	state := &x.engines[held.engine]
-	if held.generation != state.generation {
+	entry := &x.nodes[at]
+	state := &x.engines[entry.engine]
+	if entry.generation != state.generation {
 		return false, false
 	}
-	stale = held.lastSeen < state.staleBefore
-	confirmed := held.source != SourceDispatch && !stale
-	if !confirmed && now-min(now, held.lastSeen) > state.maxAge {
+	stale = entry.lastSeen < state.staleBefore
+	confirmed := entry.source != SourceDispatch && !stale
+	if !confirmed && now-min(now, entry.lastSeen) > state.maxAge {
 		return false, false
 	}
 	return true, stale
