--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -202,7 +202,7 @@
 
 // evictOne drops a dead belief, or the oldest of a few.
 func (x *Index) evictOne() {
-	oldest := uint32(noNode)
+	victim := uint32(noNode)
 	for looked := 0; looked < evictionSampleSize; {
 		x.clockHand++
 		if int(x.clockHand) >= len(x.nodes) {
@@ -213,14 +213,14 @@
 		}
 		looked++
 		if x.nodes[x.clockHand].generation != x.engines[x.nodes[x.clockHand].engine].generation {
-			oldest = x.clockHand
+			victim = x.clockHand
 			break
 		}
-		if oldest == noNode || x.nodes[x.clockHand].lastSeen < x.nodes[oldest].lastSeen {
-			oldest = x.clockHand
+		if victim == noNode || x.nodes[x.clockHand].lastSeen < x.nodes[victim].lastSeen {
+			victim = x.clockHand
 		}
 	}
-	x.freeNode(oldest)
+	x.freeNode(victim)
 }
 
 // Sweep looks at up to count nodes and drops those that no longer count.
