--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -203,7 +203,7 @@
 // evictOne drops a dead belief, or the oldest of a few.
 func (x *Index) evictOne() {
 	victim := uint32(noNode)
-	for looked := 0; looked < evictionSampleSize; {
+	for examined := 0; examined < evictionSampleSize; {
 		x.clockHand++
 		if int(x.clockHand) >= len(x.nodes) {
 			x.clockHand = 1
@@ -211,7 +211,7 @@
 		if !x.nodes[x.clockHand].inUse {
 			continue
 		}
-		looked++
+		examined++
 		if x.nodes[x.clockHand].generation != x.engines[x.nodes[x.clockHand].engine].generation {
 			victim = x.clockHand
 			break
