--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -233,7 +233,7 @@
 		if !x.nodes[x.clockHand].inUse {
 			continue
 		}
-		if counts, _ := x.isValid(x.clockHand, ticks(now)); !counts {
+		if valid, _ := x.isValid(x.clockHand, ticks(now)); !valid {
 			x.freeNode(x.clockHand)
 		}
 	}
