--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -258,8 +258,8 @@
 	}
 	start := len(matches)
 	last := -1
-	for _, share := range probeFractions {
-		position := int(share * float64(longestHeldPrefix-1))
+	for _, fraction := range probeFractions {
+		position := int(fraction * float64(longestHeldPrefix-1))
 		if position == last {
 			continue
 		}
