--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -265,9 +265,9 @@
 		}
 		last = position
 		for at := x.heads[chain[position]]; at != noNode; at = x.nodes[at].next {
-			valid, doubtful := x.isValid(at, ticks(now))
+			valid, stale := x.isValid(at, ticks(now))
 			if valid && !containsEngine(matches[start:], x.nodes[at].engine) {
-				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Stale: doubtful})
+				matches = append(matches, Match{Engine: x.nodes[at].engine, Blocks: position + 1, Stale: stale})
 			}
 		}
 	}
