--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -294,7 +294,7 @@
 
 func (x *Index) hasHolder(hash Hash, now uint32) bool {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
-		if counts, _ := x.isValid(at, now); counts {
+		if valid, _ := x.isValid(at, now); valid {
 			return true
 		}
 	}
