--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -40,21 +40,21 @@
 	guards   guard.Set
 	period   time.Duration
 	epoch    uint64
-	held     Settings
+	synced   Settings
 	peers    control.PeerList
 }
 
 // New returns a machine without a session. held is what the router's folder gave back; period is the pause
 // between heartbeats while nothing changes.
 func New(identity Identity, held Settings, period time.Duration, guards guard.Set) *Machine {
-	return &Machine{identity: identity, guards: guards, period: period, held: held}
+	return &Machine{identity: identity, guards: guards, period: period, synced: held}
 }
 
 // Heartbeat returns the next message to the control group.
 func (m *Machine) Heartbeat() control.Heartbeat {
 	return control.Heartbeat{
 		Router: m.identity.Router, Incarnation: m.identity.Incarnation, Zone: m.identity.Zone, Address: m.identity.Address,
-		Epoch: m.epoch, Acked: m.held.Version, HasSettings: m.held.Version > 0,
+		Epoch: m.epoch, Acked: m.synced.Version, HasSettings: m.synced.Version > 0,
 		PeersSeen: m.peers.Version,
 	}
 }
@@ -116,24 +116,24 @@
 }
 
 // MarkSynced records that a version is synced, so that the next heartbeat acknowledges it.
-func (m *Machine) MarkSynced(saved Settings) { m.held = saved }
+func (m *Machine) MarkSynced(saved Settings) { m.synced = saved }
 
 // Synced returns the newest synced version.
-func (m *Machine) Synced() Settings { return m.held }
+func (m *Machine) Synced() Settings { return m.synced }
 
 // next returns the tree of the reply's version, or why the reply cannot be used.
 func (m *Machine) next(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
 	switch {
-	case reply.Version < m.held.Version && m.guards.On(guard.SettingsMonotonic):
-		return tree, false, fmt.Sprintf("version %d offered, %d is held", reply.Version, m.held.Version)
-	case reply.Version == m.held.Version && m.held.Version > 0:
-		return m.held.Tree, false, ""
+	case reply.Version < m.synced.Version && m.guards.On(guard.SettingsMonotonic):
+		return tree, false, fmt.Sprintf("version %d offered, %d is held", reply.Version, m.synced.Version)
+	case reply.Version == m.synced.Version && m.synced.Version > 0:
+		return m.synced.Tree, false, ""
 	case reply.Tree != nil:
 		return *reply.Tree, true, ""
-	case reply.Base != m.held.Version:
-		return tree, false, fmt.Sprintf("edits start from version %d, %d is held", reply.Base, m.held.Version)
+	case reply.Base != m.synced.Version:
+		return tree, false, fmt.Sprintf("edits start from version %d, %d is held", reply.Base, m.synced.Version)
 	}
-	tree, problems := m.held.Tree.Apply(reply.Edits)
+	tree, problems := m.synced.Tree.Apply(reply.Edits)
 	if len(problems) > 0 {
 		return tree, false, "edits do not fit: " + problems[0].String()
 	}
