--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -38,7 +38,7 @@
 type Machine struct {
 	identity Identity
 	guards   guard.Set
-	period   time.Duration
+	interval time.Duration
 	epoch    uint64
 	synced   Settings
 	peers    control.PeerList
@@ -47,7 +47,7 @@
 // New returns a machine without a session. held is what the router's folder gave back; period is the pause
 // between heartbeats while nothing changes.
 func New(identity Identity, synced Settings, period time.Duration, guards guard.Set) *Machine {
-	return &Machine{identity: identity, guards: guards, period: period, synced: synced}
+	return &Machine{identity: identity, guards: guards, interval: period, synced: synced}
 }
 
 // Heartbeat returns the next message to the control group.
@@ -82,7 +82,7 @@
 		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
 	m.epoch = reply.Epoch
-	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.period}
+	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.interval}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
 		step.Peers = m.others()
