--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -46,8 +46,8 @@
 
 // New returns a machine without a session. held is what the router's folder gave back; period is the pause
 // between heartbeats while nothing changes.
-func New(identity Identity, synced Settings, period time.Duration, guards guard.Set) *Machine {
-	return &Machine{identity: identity, guards: guards, interval: period, synced: synced}
+func New(identity Identity, synced Settings, interval time.Duration, guards guard.Set) *Machine {
+	return &Machine{identity: identity, guards: guards, interval: interval, synced: synced}
 }
 
 // Heartbeat returns the next message to the control group.
