--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -61,9 +61,9 @@
 
 // ClosingHeartbeat returns the message that ends the session at a planned stop.
 func (m *Machine) ClosingHeartbeat() control.Heartbeat {
-	beat := m.Heartbeat()
-	beat.Closing = true
-	return beat
+	heartbeat := m.Heartbeat()
+	heartbeat.Closing = true
+	return heartbeat
 }
 
 // ReplyActions is what to do with a reply.
