--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -85,7 +85,7 @@
 	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.interval}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
-		step.Peers = m.others()
+		step.Peers = m.otherPeers()
 	}
 	if changed {
 		step.ToSync = &Settings{Version: reply.Version, Tree: next}
@@ -96,8 +96,8 @@
 	return step
 }
 
-// others returns the routers but this one, those of its own zone first.
-func (m *Machine) others() []control.Peer {
+// otherPeers returns the routers but this one, those of its own zone first.
+func (m *Machine) otherPeers() []control.Peer {
 	others := []control.Peer{}
 	for _, peer := range m.peers.Peers {
 		if peer.Name != m.identity.Router {
