--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -104,11 +104,11 @@
 			others = append(others, peer)
 		}
 	}
-	slices.SortStableFunc(others, func(a, b control.Peer) int { return m.distance(a) - m.distance(b) })
+	slices.SortStableFunc(others, func(a, b control.Peer) int { return m.zoneDistance(a) - m.zoneDistance(b) })
 	return others
 }
 
-func (m *Machine) distance(peer control.Peer) int {
+func (m *Machine) zoneDistance(peer control.Peer) int {
 	if peer.Zone == m.identity.Zone {
 		return 0
 	}
