--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -82,18 +82,18 @@
 		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
 	m.epoch = reply.Epoch
-	step := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.interval}
+	actions := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.interval}
 	if reply.Peers != nil {
 		m.peers = *reply.Peers
-		step.Peers = m.otherPeers()
+		actions.Peers = m.otherPeers()
 	}
 	if changed {
-		step.ToSync = &Settings{Version: reply.Version, Tree: next}
+		actions.ToSync = &Settings{Version: reply.Version, Tree: next}
 	}
 	if changed || reply.Lease == 0 {
-		step.NextHeartbeatIn = FastHeartbeatInterval
+		actions.NextHeartbeatIn = FastHeartbeatInterval
 	}
-	return step
+	return actions
 }
 
 // otherPeers returns the routers but this one, those of its own zone first.
