--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -62,7 +62,7 @@
 		switch {
 		case name == "":
 		case !slices.Contains(All(), name):
-			return Set{}, eris.Errorf("%q is no mechanism; known are %s", name, known())
+			return Set{}, eris.Errorf("%q is no mechanism; known are %s", name, knownNames())
 		case !slices.Contains(set.off, name):
 			set.off = append(set.off, name)
 		}
@@ -70,7 +70,7 @@
 	return set, nil
 }
 
-func known() string {
+func knownNames() string {
 	var names []string
 	for _, name := range All() {
 		names = append(names, string(name))
