--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -42,9 +42,9 @@
 
 // Shares of the slack for repeats: what comes in over a window, what may be lent at once, and the room for the rest.
 const (
-	retryRateFraction = 0.4
-	retryBurstShare   = 0.3
-	retryRoomShare    = 0.3
+	retryRateFraction  = 0.4
+	retryBurstFraction = 0.3
+	retryRoomShare     = 0.3
 )
 
 const (
@@ -88,6 +88,6 @@
 
 func (t Policy) repeats() allowance.Limit {
 	return allowance.Limit{
-		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
+		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstFraction * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
 	}
 }
