--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -44,7 +44,7 @@
 const (
 	retryRateFraction  = 0.4
 	retryBurstFraction = 0.3
-	retryRoomShare     = 0.3
+	retrySlackFraction = 0.3
 )
 
 const (
@@ -88,6 +88,6 @@
 
 func (t Policy) repeats() allowance.Limit {
 	return allowance.Limit{
-		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstFraction * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
+		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstFraction * t.RetrySlack, Slack: retrySlackFraction * t.RetrySlack,
 	}
 }
