--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -48,9 +48,9 @@
 )
 
 const (
-	tenantPrefix = "tenant/"
-	retryPrefix  = "repeats/"
-	backPrefix   = "back-end/"
+	tenantPrefix  = "tenant/"
+	retryPrefix   = "repeats/"
+	backendPrefix = "back-end/"
 )
 
 // Tenant names the resource of a tenant.
@@ -60,7 +60,7 @@
 func ServiceRetries(service string) string { return retryPrefix + service }
 
 // Backend names the resource of a life of a back end, which names its limit itself.
-func Backend(id string) string { return backPrefix + id }
+func Backend(id string) string { return backendPrefix + id }
 
 // Limits returns the limits that a document and terms set, by resource.
 func Limits(document *catalog.Document, terms Policy) map[string]allowance.Limit {
