--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -67,7 +67,7 @@
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
 		if tenant.Quota.Limited() {
-			limits[Tenant(tenant.Name)] = terms.tenant(tenant.Quota)
+			limits[Tenant(tenant.Name)] = terms.tenantLimit(tenant.Quota)
 		}
 	}
 	if terms.RetrySlack <= 0 || terms.RetryWindow <= 0 {
@@ -81,7 +81,7 @@
 	return limits
 }
 
-func (t Policy) tenant(quota catalog.Quota) allowance.Limit {
+func (t Policy) tenantLimit(quota catalog.Quota) allowance.Limit {
 	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
