--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -75,7 +75,7 @@
 	}
 	for _, service := range document.Services {
 		if service.StoreAddress == "" {
-			limits[ServiceRetries(service.Name)] = terms.repeats()
+			limits[ServiceRetries(service.Name)] = terms.retryLimit()
 		}
 	}
 	return limits
@@ -86,7 +86,7 @@
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
 
-func (t Policy) repeats() allowance.Limit {
+func (t Policy) retryLimit() allowance.Limit {
 	return allowance.Limit{
 		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstFraction * t.RetrySlack, Slack: retrySlackFraction * t.RetrySlack,
 	}
