--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -63,19 +63,19 @@
 func Backend(id string) string { return backendPrefix + id }
 
 // Limits returns the limits that a document and terms set, by resource.
-func Limits(document *catalog.Document, terms Policy) map[string]allowance.Limit {
+func Limits(document *catalog.Document, policy Policy) map[string]allowance.Limit {
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
 		if tenant.Quota.Limited() {
-			limits[Tenant(tenant.Name)] = terms.tenantLimit(tenant.Quota)
+			limits[Tenant(tenant.Name)] = policy.tenantLimit(tenant.Quota)
 		}
 	}
-	if terms.RetrySlack <= 0 || terms.RetryWindow <= 0 {
+	if policy.RetrySlack <= 0 || policy.RetryWindow <= 0 {
 		return limits
 	}
 	for _, service := range document.Services {
 		if service.StoreAddress == "" {
-			limits[ServiceRetries(service.Name)] = terms.retryLimit()
+			limits[ServiceRetries(service.Name)] = policy.retryLimit()
 		}
 	}
 	return limits
