--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -27,17 +27,17 @@
 )
 
 // WithDefaults returns the terms with defaults where nothing is set.
-func (t Policy) WithDefaults() Policy {
-	if t.Window == 0 {
-		t.Window = DefaultWindow
+func (p Policy) WithDefaults() Policy {
+	if p.Window == 0 {
+		p.Window = DefaultWindow
 	}
-	if t.Overage == 0 {
-		t.Overage = DefaultOverage
+	if p.Overage == 0 {
+		p.Overage = DefaultOverage
 	}
-	if t.RetryWindow == 0 {
-		t.RetryWindow = DefaultRetryWindow
+	if p.RetryWindow == 0 {
+		p.RetryWindow = DefaultRetryWindow
 	}
-	return t
+	return p
 }
 
 // Shares of the slack for repeats: what comes in over a window, what may be lent at once, and the room for the rest.
@@ -81,13 +81,13 @@
 	return limits
 }
 
-func (t Policy) tenantLimit(quota catalog.Quota) allowance.Limit {
-	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
+func (p Policy) tenantLimit(quota catalog.Quota) allowance.Limit {
+	room := p.Overage*(quota.Rate*p.Window.Seconds()+quota.Burst) + p.Slack
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
 
-func (t Policy) retryLimit() allowance.Limit {
+func (p Policy) retryLimit() allowance.Limit {
 	return allowance.Limit{
-		Rate: retryRateFraction * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstFraction * t.RetrySlack, Slack: retrySlackFraction * t.RetrySlack,
+		Rate: retryRateFraction * p.RetrySlack / p.RetryWindow.Seconds(), Burst: retryBurstFraction * p.RetrySlack, Slack: retrySlackFraction * p.RetrySlack,
 	}
 }
