--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -205,7 +205,7 @@
 	case len(command.Loaded) > 0:
 		m.recordLoaded(command.Loaded)
 	case len(command.WeightsCommandTargets) > 0:
-		m.order(command.WeightsCommandTargets)
+		m.recordWeightsCommands(command.WeightsCommandTargets)
 	case len(command.ReplaceGateways) > 0:
 		m.setGateways(command.ReplaceGateways)
 	case len(command.AddGateways)+len(command.RemoveGateways) > 0:
@@ -289,8 +289,8 @@
 	delete(m.commanded, id)
 }
 
-// order notes registered instances that are about to be given orders.
-func (m *Machine) order(ids []string) {
+// recordWeightsCommands notes registered instances that are about to be given orders.
+func (m *Machine) recordWeightsCommands(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
 			m.commanded[id] = true
