--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLifeAndIDAgree: an id leads back to its life, whatever the back end's name is, and no two lives share one.
-func TestLifeAndIDAgree(t *testing.T) {
+// TestInstanceIDRoundTrip: an id leads back to its life, whatever the back end's name is, and no two lives share one.
+func TestInstanceIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Incarnation {
 			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), StartedMS: rapid.Int64Range(0, 3).Draw(t, label+" born")}
