--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -24,9 +24,9 @@
 	})
 }
 
-// TestSnapshotTellsWhichLivesLeft: a replica that was sent a snapshot takes the same lives as the one that wrote it, also where an earlier life
+// TestSnapshotPreservesDepartedIncarnations: a replica that was sent a snapshot takes the same lives as the one that wrote it, also where an earlier life
 // said after a later one that it left, and the later one is remembered no more.
-func TestSnapshotTellsWhichLivesLeft(t *testing.T) {
+func TestSnapshotPreservesDepartedIncarnations(t *testing.T) {
 	m := NewMachine()
 	leave := func(id string) { m.Apply(Command{Deregister: id}) }
 	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
