--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestLeaveByNameEndsAForgottenLife: a back end that was silent for so long that it is registered no more may still say that it leaves, by its name
+// TestDeregisterByNameMatchesExpiredIncarnation: a back end that was silent for so long that it is registered no more may still say that it leaves, by its name
 // alone. A heartbeat that it sent before, and that comes later, doesn't bring it back; its next life is taken.
-func TestLeaveByNameEndsAForgottenLife(t *testing.T) {
+func TestDeregisterByNameMatchesExpiredIncarnation(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
 		held := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
