--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -55,19 +55,19 @@
 func TestDeregisterByNameMatchesExpiredIncarnation(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
-		held := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
+		current := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
 		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
-		m.Apply(Command{Register: &held})
-		m.Apply(Command{Expire: held.ID})
-		if !m.Accepts(held) {
+		m.Apply(Command{Register: &current})
+		m.Apply(Command{Expire: current.ID})
+		if !m.Accepts(current) {
 			t.Fatal("one that was silent can't register again")
 		}
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
 			t.Fatal("no snapshot")
 		}
 		m.Apply(Command{Deregister: "e"})
-		if m.Accepts(held) || !m.Accepts(next) {
-			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Accepts(held), m.Accepts(next))
+		if m.Accepts(current) || !m.Accepts(next) {
+			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Accepts(current), m.Accepts(next))
 		}
 	}
 }
