--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -28,11 +28,11 @@
 // said after a later one that it left, and the later one is remembered no more.
 func TestSnapshotPreservesDepartedIncarnations(t *testing.T) {
 	m := NewMachine()
-	leave := func(id string) { m.Apply(Command{Deregister: id}) }
-	leave(Incarnation{Name: "e", StartedMS: 9}.ID())
-	leave(Incarnation{Name: "e", StartedMS: 5}.ID())
+	deregister := func(id string) { m.Apply(Command{Deregister: id}) }
+	deregister(Incarnation{Name: "e", StartedMS: 9}.ID())
+	deregister(Incarnation{Name: "e", StartedMS: 5}.ID())
 	for i := range maxDepartedIDs - 1 {
-		leave(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
+		deregister(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
