--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// TestOneLifeOfEachBackEnd: whatever comes in whatever order, one life of a name is registered at most, one instance at an address; a life
+// TestOneIncarnationPerBackendAndAddress: whatever comes in whatever order, one life of a name is registered at most, one instance at an address; a life
 // that left is taken no more; and a replica that was sent a snapshot takes the same ones as its writer.
-func TestOneLifeOfEachBackEnd(t *testing.T) {
+func TestOneIncarnationPerBackendAndAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
 		left := map[string]bool{}
