--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -45,12 +45,12 @@
 			case "order":
 				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
 			}
-			checkLives(t, m, left)
+			checkInvariants(t, m, left)
 		}
 	})
 }
 
-func checkLives(t *rapid.T, m *Machine, left map[string]bool) {
+func checkInvariants(t *rapid.T, m *Machine, left map[string]bool) {
 	names, addresses := map[string]string{}, map[string]string{}
 	for id, instance := range m.Instances() {
 		name := ParseInstanceID(id).Name
