--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -22,7 +22,7 @@
 func TestOneIncarnationPerBackendAndAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
-		left := map[string]bool{}
+		departed := map[string]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			instance := drawInstance(t)
 			switch rapid.SampledFrom([]string{"register", "join", "drain", "forget", "leave", "leave by name", "order"}).Draw(t, "command") {
@@ -35,17 +35,17 @@
 			case "forget":
 				m.Apply(Command{Expire: instance.ID})
 			case "leave":
-				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
+				departed[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || departed[instance.ID]
 				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
 				if held, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
-					left[held.ID] = true
+					departed[held.ID] = true
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
 				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
 			}
-			checkInvariants(t, m, left)
+			checkInvariants(t, m, departed)
 		}
 	})
 }
