--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func checkInvariants(t *rapid.T, m *Machine, left map[string]bool) {
+func checkInvariants(t *rapid.T, m *Machine, departed map[string]bool) {
 	names, addresses := map[string]string{}, map[string]string{}
 	for id, instance := range m.Instances() {
 		name := ParseInstanceID(id).Name
@@ -67,7 +67,7 @@
 		if named, _ := m.InstanceByName(name); named.ID != id {
 			t.Fatalf("%s is registered, and named %q", id, named.ID)
 		}
-		if left[id] {
+		if departed[id] {
 			t.Fatalf("%s is registered after it left", id)
 		}
 	}
