--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -9,9 +9,9 @@
 
 // drawInstance draws one of few lives of few back ends, at one of few addresses.
 func drawInstance(t *rapid.T) Instance {
-	life := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
+	incarnation := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
 	return Instance{
-		ID: life.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
+		ID: incarnation.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
 		Address: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"),
 		State:   rapid.SampledFrom([]State{StateReady, StateDraining}).Draw(t, "state"),
 	}
