--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -38,8 +38,8 @@
 				departed[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || departed[instance.ID]
 				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
-				if held, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
-					departed[held.ID] = true
+				if current, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
+					departed[current.ID] = true
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
