--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -21,9 +21,9 @@
 	fence    uint64
 }
 
-// TestMachineAgreesWithOracle drives the machine with any order of commands, old and doubled ones among them, and through
+// TestMachineMatchesReferenceModel drives the machine with any order of commands, old and doubled ones among them, and through
 // snapshots.
-func TestMachineAgreesWithOracle(t *testing.T) {
+func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
 		expected := &oracle{left: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
