--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// oracle is what operators and back ends may rely on, kept as plainly as possible.
-type oracle struct {
+// referenceModel is what operators and back ends may rely on, kept as plainly as possible.
+type referenceModel struct {
 	revision uint64
 	content  string
 	left     map[string]bool // said that they leave
@@ -26,7 +26,7 @@
 func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
-		expected := &oracle{left: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
+		expected := &referenceModel{left: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
 		instance := func() string { return fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"replace": func(t *rapid.T) {
@@ -93,7 +93,7 @@
 	})
 }
 
-func (o *oracle) check(t *rapid.T, machine *Machine) {
+func (o *referenceModel) check(t *rapid.T, machine *Machine) {
 	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
 		t.Fatalf("document %+v, expected revision %d %q", machine.Document(), o.revision, o.content)
 	}
