--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -15,7 +15,7 @@
 type referenceModel struct {
 	revision uint64
 	content  string
-	left     map[string]bool // said that they leave
+	departed map[string]bool // said that they leave
 	draining map[string]bool
 	versions map[string]uint64
 	fence    uint64
@@ -26,7 +26,7 @@
 func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
-		expected := &referenceModel{left: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
+		expected := &referenceModel{departed: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
 		instance := func() string { return fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"replace": func(t *rapid.T) {
@@ -55,7 +55,7 @@
 			"remove": func(t *rapid.T) {
 				id := instance()
 				machine.Apply(Command{Deregister: id})
-				expected.left[id] = true
+				expected.departed[id] = true
 			},
 			"forget": func(t *rapid.T) {
 				id := instance()
@@ -102,7 +102,7 @@
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
-		if o.left[id] {
+		if o.departed[id] {
 			t.Fatalf("%s is listed after it left", id)
 		}
 		if other, taken := addresses[instance.Address]; taken {
