--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -68,11 +68,11 @@
 				expected.versions["m"] = max(expected.versions["m"], version)
 			},
 			"fence": func(t *rapid.T) {
-				given := machine.Apply(Command{Fence: true}).Fence
-				if given <= expected.fence {
-					t.Fatalf("fence %d after %d", given, expected.fence)
+				fence := machine.Apply(Command{Fence: true}).Fence
+				if fence <= expected.fence {
+					t.Fatalf("fence %d after %d", fence, expected.fence)
 				}
-				expected.fence = given
+				expected.fence = fence
 			},
 			"snapshot": func(t *rapid.T) {
 				data, err := json.Marshal(machine)
