--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// goodDocument passes every check.
-func goodDocument() Document {
+// validDocument passes every check.
+func validDocument() Document {
 	return Document{
 		Revision: 1, Services: []Service{{Name: "s"}},
 		Routes:  []Route{{Name: "r", Host: "h", PathPrefix: "/a/", Timeout: time.Second, Targets: []Target{{Service: "s", Weight: 1}}}},
@@ -123,7 +123,7 @@
 
 // TestCheckNamesWhatIsWrong: each fault is found and its place is named.
 func TestCheckNamesWhatIsWrong(t *testing.T) {
-	good := goodDocument()
+	good := validDocument()
 	if problems := good.Validate(); len(problems) > 0 {
 		t.Fatalf("problems %v", problems)
 	}
@@ -139,7 +139,7 @@
 		`service "s": stands there twice`:    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 	}
 	for wanted, spoil := range faults {
-		document := goodDocument()
+		document := validDocument()
 		spoil(&document)
 		problems := document.Validate()
 		found := false
