--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -123,8 +123,8 @@
 
 // TestCheckNamesWhatIsWrong: each fault is found and its place is named.
 func TestCheckNamesWhatIsWrong(t *testing.T) {
-	good := validDocument()
-	if problems := good.Validate(); len(problems) > 0 {
+	valid := validDocument()
+	if problems := valid.Validate(); len(problems) > 0 {
 		t.Fatalf("problems %v", problems)
 	}
 	faults := map[string]func(*Document){
