--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestCheckNamesWhatIsWrong: each fault is found and its place is named.
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+// TestValidateReportsEachProblem: each fault is found and its place is named.
+func TestValidateReportsEachProblem(t *testing.T) {
 	valid := validDocument()
 	if problems := valid.Validate(); len(problems) > 0 {
 		t.Fatalf("problems %v", problems)
