--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -138,9 +138,9 @@
 		`tenant "u": shares an API key with`: func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
 		`service "s": stands there twice`:    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 	}
-	for wanted, spoil := range faults {
+	for wanted, corrupt := range faults {
 		document := validDocument()
-		spoil(&document)
+		corrupt(&document)
 		problems := document.Validate()
 		found := false
 		for _, problem := range problems {
