--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -138,16 +138,16 @@
 		`tenant "u": shares an API key with`: func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
 		`service "s": stands there twice`:    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 	}
-	for wanted, corrupt := range faults {
+	for want, corrupt := range faults {
 		document := validDocument()
 		corrupt(&document)
 		problems := document.Validate()
 		found := false
 		for _, problem := range problems {
-			found = found || strings.HasPrefix(problem.String(), wanted)
+			found = found || strings.HasPrefix(problem.String(), want)
 		}
 		if !found {
-			t.Errorf("%q is not among %v", wanted, problems)
+			t.Errorf("%q is not among %v", want, problems)
 		}
 	}
 }
