--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestNamingsAreAgreed: replicas that applied the commands, and ones that got a snapshot at any point between, hold the same namings,
+// TestPublicationsMatchAfterSnapshots: replicas that applied the commands, and ones that got a snapshot at any point between, hold the same namings,
 // rising by version, the newest of them the newest version.
-func TestNamingsAreAgreed(t *testing.T) {
+func TestPublicationsMatchAfterSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		applied, restored := NewMachine(), NewMachine()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
