--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -22,12 +22,12 @@
 			newer := command.PublishWeights.Version > applied.LatestVersions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
-			namings := applied.Publications(command.PublishWeights.Model)
-			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
+			publications := applied.Publications(command.PublishWeights.Model)
+			if last := publications[len(publications)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
 				t.Fatalf("%+v is the last naming after %+v", last, command)
 			}
-			if !newer && len(namings) != before || len(namings) > MaxPublications {
-				t.Fatalf("%d namings after %d", len(namings), before)
+			if !newer && len(publications) != before || len(publications) > MaxPublications {
+				t.Fatalf("%d namings after %d", len(publications), before)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				data, err := json.Marshal(restored)
