--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -43,14 +43,14 @@
 		if !reflect.DeepEqual(applied.publications, restored.publications) {
 			t.Fatalf("namings %+v and, through snapshots, %+v", applied.publications, restored.publications)
 		}
-		for model, namings := range applied.publications {
-			for i := range namings[1:] {
-				if namings[i].Version >= namings[i+1].Version {
-					t.Fatalf("namings of %s: %+v", model, namings)
+		for model, publications := range applied.publications {
+			for i := range publications[1:] {
+				if publications[i].Version >= publications[i+1].Version {
+					t.Fatalf("namings of %s: %+v", model, publications)
 				}
 			}
-			if namings[len(namings)-1].Version != applied.latestVersions[model] {
-				t.Fatalf("namings of %s: %+v; the newest is %d", model, namings, applied.latestVersions[model])
+			if publications[len(publications)-1].Version != applied.latestVersions[model] {
+				t.Fatalf("namings of %s: %+v; the newest is %d", model, publications, applied.latestVersions[model])
 			}
 		}
 	})
