--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestReleasedClaimIsNeverGrantedLate(t *testing.T) {
+func TestReleasedClaimIsNotGrantedAgain(t *testing.T) {
 	l := New()
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndReleased}, 0)
 	if got := l.Claim(claim("k", "c1", 1), 0, true).Kind; got != Withdrawn {
