--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestClosedSessionLeavesUnknown(t *testing.T) {
+func TestClosedSessionMarksRunningClaimsUnknown(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
 	l.CloseSession(Holder{Router: "r", Epoch: 1})
