--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestExpiredKeyIsRefusedNotRerun(t *testing.T) {
+func TestExpiredKeyIsRejected(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 1)
