--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -71,8 +71,8 @@
 	claimID string
 }
 
-// TestLedgerAgainstSimpleModel drives claims, ends, lost sessions and restarts by snapshot.
-func TestLedgerAgainstSimpleModel(t *testing.T) {
+// TestLedgerMatchesReferenceModel drives claims, ends, lost sessions and restarts by snapshot.
+func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		model := map[string]*modelKey{}
