--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -110,14 +110,14 @@
 
 func checkClaim(t *rapid.T, l *Ledger, model map[string]*modelKey, name, id string) {
 	got := l.Claim(claim(name, id, 1), 0, true).Kind
-	held := model[name]
+	expected := model[name]
 	wanted := Granted
 	switch {
-	case held == nil:
+	case expected == nil:
 		model[name] = &modelKey{state: StateRunning, claimID: id}
-	case held.state == StateRunning:
+	case expected.state == StateRunning:
 		wanted = InProgress
-	case held.state == StateFinished:
+	case expected.state == StateFinished:
 		wanted = Replayed
 	default:
 		wanted = RunUnknown
