--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -128,18 +128,18 @@
 }
 
 func endClaim(l *Ledger, model map[string]*modelKey, name string, kind EndKind) {
-	held := model[name]
-	if held == nil {
+	expected := model[name]
+	if expected == nil {
 		return
 	}
-	l.End(End{Key: key(name), ClaimID: held.claimID, Kind: kind, Answer: &Response{Status: 200}}, 0)
+	l.End(End{Key: key(name), ClaimID: expected.claimID, Kind: kind, Answer: &Response{Status: 200}}, 0)
 	switch {
-	case held.state == StateFinished:
+	case expected.state == StateFinished:
 	case kind == EndReleased:
 		delete(model, name)
 	case kind == EndFinished:
-		held.state = StateFinished
+		expected.state = StateFinished
 	default:
-		held.state = StateUnknown
+		expected.state = StateUnknown
 	}
 }
