--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -88,9 +88,9 @@
 			},
 			"session ends": func(*rapid.T) {
 				l.CloseSession(Holder{Router: "r", Epoch: 1})
-				for _, held := range model {
-					if held.state == StateRunning {
-						held.state = StateUnknown
+				for _, expected := range model {
+					if expected.state == StateRunning {
+						expected.state = StateUnknown
 					}
 				}
 			},
