--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -111,19 +111,19 @@
 func checkClaim(t *rapid.T, l *Ledger, model map[string]*modelKey, name, id string) {
 	got := l.Claim(claim(name, id, 1), 0, true).Kind
 	expected := model[name]
-	wanted := Granted
+	want := Granted
 	switch {
 	case expected == nil:
 		model[name] = &modelKey{state: StateRunning, claimID: id}
 	case expected.state == StateRunning:
-		wanted = InProgress
+		want = InProgress
 	case expected.state == StateFinished:
-		wanted = Replayed
+		want = Replayed
 	default:
-		wanted = RunUnknown
+		want = RunUnknown
 	}
-	if got != wanted {
-		t.Fatalf("claim of %s: %s, want %s", name, got, wanted)
+	if got != want {
+		t.Fatalf("claim of %s: %s, want %s", name, got, want)
 	}
 }
 
