--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -14,7 +14,7 @@
 
 func testHasher() *Hasher { return NewHasher([KeyBytes]byte{1}, testBlock, guard.Set{}) }
 
-func TestChainsOfTenantsAndWeightsNeverMeet(t *testing.T) {
+func TestChainsOfTenantsAndWeightsShareNoHash(t *testing.T) {
 	prompt := []byte(strings.Repeat("the same text ", 40))
 	h := testHasher()
 	seen := map[Hash]string{}
