--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -55,8 +55,8 @@
 	return blocks
 }
 
-// TestIndexAgainstSimpleModel: with room for everything and no ageing, the index must know exactly what it was told.
-func TestIndexAgainstSimpleModel(t *testing.T) {
+// TestIndexMatchesReferenceModel: with room for everything and no ageing, the index must know exactly what it was told.
+func TestIndexMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, model := NewIndex(100_000), indexModel{}
 		engine := rapid.Map(rapid.IntRange(0, 4), func(i int) EngineID { return EngineID(i) })
