--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestOnlyUnconfirmedBeliefsAge(t *testing.T) {
+func TestOnlyUnconfirmedEntriesExpire(t *testing.T) {
 	index := NewIndex(100)
 	index.SetMaxAge(0, time.Second)
 	index.Add(0, chain(1, 2), 0, SourceDispatch)
