--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestHotRateOfSteadyRequests(t *testing.T) {
+func TestRequestRateOfSteadyRequests(t *testing.T) {
 	table := NewRequestRates()
 	var rate float64
 	for i := range 600 {
