--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -97,13 +97,13 @@
 
 // checkLookup compares the deepest holder and every reported depth with the model.
 func checkLookup(t *rapid.T, index *Index, model indexModel, blocks []Hash) {
-	deepest := 0
+	longest := 0
 	for _, held := range model {
-		deepest = max(deepest, depth(held, blocks))
+		longest = max(longest, depth(held, blocks))
 	}
 	matches := index.Lookup(blocks, 0, nil)
-	if deepest > 0 && (len(matches) == 0 || matches[0].Blocks != deepest) {
-		t.Fatalf("deepest match of %v, want %d blocks", matches, deepest)
+	if longest > 0 && (len(matches) == 0 || matches[0].Blocks != longest) {
+		t.Fatalf("deepest match of %v, want %d blocks", matches, longest)
 	}
 	for _, match := range matches {
 		if held := depth(model[match.Engine], blocks); match.Blocks > held {
