--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -99,20 +99,20 @@
 func checkLookup(t *rapid.T, index *Index, model indexModel, blocks []Hash) {
 	longest := 0
 	for _, held := range model {
-		longest = max(longest, depth(held, blocks))
+		longest = max(longest, heldPrefix(held, blocks))
 	}
 	matches := index.Lookup(blocks, 0, nil)
 	if longest > 0 && (len(matches) == 0 || matches[0].Blocks != longest) {
 		t.Fatalf("deepest match of %v, want %d blocks", matches, longest)
 	}
 	for _, match := range matches {
-		if held := depth(model[match.Engine], blocks); match.Blocks > held {
+		if held := heldPrefix(model[match.Engine], blocks); match.Blocks > held {
 			t.Fatalf("engine %d is said to hold %d blocks, it holds %d", match.Engine, match.Blocks, held)
 		}
 	}
 }
 
-func depth(held map[Hash]bool, blocks []Hash) int {
+func heldPrefix(held map[Hash]bool, blocks []Hash) int {
 	for i, hash := range blocks {
 		if !held[hash] {
 			return i
