--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -20,7 +20,7 @@
 	return &empty
 }
 
-func TestOlderVersionIsRefused(t *testing.T) {
+func TestOlderVersionIsRejected(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
 	if step.RejectReason == "" || step.ToSync != nil || step.Lease.Until != 0 {
 		t.Fatalf("step %+v", step)
