--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestVersionIsAcknowledgedOnlyAfterItIsSaved(t *testing.T) {
+func TestVersionIsAcknowledgedOnlyAfterSync(t *testing.T) {
 	m := newMachine(5)
 	step := m.HandleReply(0, control.HeartbeatReply{Epoch: 3, Version: 6, Tree: tree()})
 	if step.ToSync == nil {
