--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestEditsMustStartFromTheHeldVersion(t *testing.T) {
+func TestEditsMustApplyToTheSyncedVersion(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 7, Base: 6, Edits: []settings.Edit{{Path: "/z", Create: true}}})
 	if step.RejectReason == "" {
 		t.Fatal("edits of another base were taken")
