--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLeaseCountsFromTheSend(t *testing.T) {
+func TestLeaseStartsWhenHeartbeatWasSent(t *testing.T) {
 	step := newMachine(5).HandleReply(2*time.Second, control.HeartbeatReply{Epoch: 1, Version: 5, Lease: 3 * time.Second})
 	if step.Lease.Until != 5*time.Second {
 		t.Fatalf("lease until %v", step.Lease.Until)
