--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPeersOfTheOwnZoneComeFirst(t *testing.T) {
+func TestPeersOfSameZoneComeFirst(t *testing.T) {
 	list := &control.PeerList{Version: 9, Peers: []control.Peer{{Name: "a", Zone: "y"}, {Name: "r1", Zone: "z"}, {Name: "b", Zone: "z"}}}
 	m := newMachine(5)
 	step := m.HandleReply(0, control.HeartbeatReply{Version: 5, Peers: list})
