--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestVersionNeverGoesBack takes replies in any order, some twice, with saves that may be lost by a restart.
-func TestVersionNeverGoesBack(t *testing.T) {
+// TestSyncedVersionNeverDecreases takes replies in any order, some twice, with saves that may be lost by a restart.
+func TestSyncedVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(0)
 		var newest uint64
