--- a/internal/mechanism/fitting_test.go
+++ b/internal/mechanism/fitting_test.go
@@ -14,9 +14,9 @@
 var namesOfUsers = regexp.MustCompile(`(?i)ayni|\blima\b|kigali|nilewash|alumni|linen|donor|grad-portal|prompt-vault|prompt-keep|llm-pool|` +
 	`dossier|quick-query|transcript|reunion|manifest|housekeeping|stop-confirm|bag-count|pledge|thanks-draft|receipt`)
 
-// TestNothingDependsOnADeployment: no source of the product names a user's deployment, service, route or kind of request. The
+// TestSourcesNameNoDeployment: no source of the product names a user's deployment, service, route or kind of request. The
 // laboratory may: it plays deployments that the project wrote itself.
-func TestNothingDependsOnADeployment(t *testing.T) {
+func TestSourcesNameNoDeployment(t *testing.T) {
 	root := filepath.Join("..", "..")
 	read := 0
 	for _, folder := range []string{"internal", "platform", filepath.Join("cmd", "kitetiller")} {
