--- a/internal/mechanism/fitting_test.go
+++ b/internal/mechanism/fitting_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// namesOfUsers are names of the users' deployments, services, routes and kinds of requests. Wire names of the platform are not
+// deploymentNames are names of the users' deployments, services, routes and kinds of requests. Wire names of the platform are not
 // among them.
-var namesOfUsers = regexp.MustCompile(`(?i)ayni|\blima\b|kigali|nilewash|alumni|linen|donor|grad-portal|prompt-vault|prompt-keep|llm-pool|` +
+var deploymentNames = regexp.MustCompile(`(?i)ayni|\blima\b|kigali|nilewash|alumni|linen|donor|grad-portal|prompt-vault|prompt-keep|llm-pool|` +
 	`dossier|quick-query|transcript|reunion|manifest|housekeeping|stop-confirm|bag-count|pledge|thanks-draft|receipt`)
 
 // TestSourcesNameNoDeployment: no source of the product names a user's deployment, service, route or kind of request. The
@@ -35,7 +35,7 @@
 			}
 			read++
 			for number, line := range strings.Split(string(source), "\n") {
-				if found := namesOfUsers.FindString(line); found != "" {
+				if found := deploymentNames.FindString(line); found != "" {
 					t.Errorf("%s:%d names %q: %s", path, number+1, found, strings.TrimSpace(line))
 				}
 			}
@@ -48,7 +48,7 @@
 	if read < 100 {
 		t.Fatalf("only %d sources were read", read)
 	}
-	if !namesOfUsers.MatchString(`case "pledge-check":`) {
+	if !deploymentNames.MatchString(`case "pledge-check":`) {
 		t.Fatal("the check can find nothing")
 	}
 }
