--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMechanismsAreSwitchedOffByName: all are on by default, and an unknown name is refused with the known ones.
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
+// TestWithoutDisablesMechanismsByName: all are on by default, and an unknown name is refused with the known ones.
+func TestWithoutDisablesMechanismsByName(t *testing.T) {
 	none, err := Without("")
 	if err != nil || len(none.Off()) > 0 {
 		t.Fatalf("off %v, error %v", none.Off(), err)
