--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -145,9 +145,9 @@
 // LatestVersions returns the newest weights version by model; callers only read it.
 func (m *Machine) LatestVersions() map[string]uint64 { return m.latestVersions }
 
-// Held returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
+// LoadedVersions returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
 // or older ones where a late order was carried out.
-func (m *Machine) Held(id string) map[string]uint64 { return m.loaded[id] }
+func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
 // MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
 func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.commanded[id] }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -159,7 +159,7 @@
 	if state == nil {
 		state = &memberState{id: id, heardAt: now, versions: map[string]uint64{}}
 		if r.config.Mechanisms.On(mechanism.LoggedWeights) {
-			maps.Copy(state.versions, r.machine.catalog.Held(id)) // until its first heartbeat to this leader
+			maps.Copy(state.versions, r.machine.catalog.LoadedVersions(id)) // until its first heartbeat to this leader
 		}
 		r.lead.fleet[id] = state
 	}
@@ -195,7 +195,7 @@
 		return nil
 	}
 	var fresh []catalog.LoadedWeights
-	logged := r.machine.catalog.Held(id)
+	logged := r.machine.catalog.LoadedVersions(id)
 	for _, model := range sortedKeys(state.versions) {
 		if version := state.versions[model]; version > logged[model] {
 			fresh = append(fresh, catalog.LoadedWeights{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -129,18 +129,18 @@
 	machine := catalog.NewMachine()
 	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
-	if machine.Held("i-1") != nil {
+	if machine.LoadedVersions("i-1") != nil {
 		t.Fatal("an unknown instance holds weights")
 	}
 	machine.Apply(catalog.Command{Register: &catalog.Instance{ID: "i-1", Address: "a"}})
 	machine.Apply(held)
 	held.Loaded[0].Version = 2
 	machine.Apply(held)
-	if machine.Held("i-1")["m"] != 3 {
-		t.Fatalf("held %v after an older report", machine.Held("i-1"))
+	if machine.LoadedVersions("i-1")["m"] != 3 {
+		t.Fatalf("held %v after an older report", machine.LoadedVersions("i-1"))
 	}
 	machine.Apply(catalog.Command{Deregister: "i-1"})
-	if machine.Held("i-1") != nil {
+	if machine.LoadedVersions("i-1") != nil {
 		t.Fatal("an ended instance holds weights")
 	}
 }
