--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -77,7 +77,7 @@
 
 // HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
 func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) ReplyActions {
-	next, changed, problem := m.next(reply)
+	next, changed, problem := m.nextTree(reply)
 	if problem != "" {
 		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
 	}
@@ -121,8 +121,8 @@
 // Synced returns the newest synced version.
 func (m *Machine) Synced() Settings { return m.synced }
 
-// next returns the tree of the reply's version, or why the reply cannot be used.
-func (m *Machine) next(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
+// nextTree returns the tree of the reply's version, or why the reply cannot be used.
+func (m *Machine) nextTree(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
 	switch {
 	case reply.Version < m.synced.Version && m.guards.On(guard.SettingsMonotonic):
 		return tree, false, fmt.Sprintf("version %d offered, %d is held", reply.Version, m.synced.Version)
