--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -308,11 +308,11 @@
 }
 
 // updateGateways takes gateways that came and that left up.
-func (m *Machine) updateGateways(added, left []string) {
+func (m *Machine) updateGateways(added, removed []string) {
 	for _, name := range added {
 		m.gatewaySet[name] = true
 	}
-	for _, name := range left {
+	for _, name := range removed {
 		delete(m.gatewaySet, name)
 	}
 	m.gateways = slices.Sorted(maps.Keys(m.gatewaySet))
