--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -1,8 +1,8 @@
-// Package catalog is the replicated state of a gateway fleet: the routing document that operators replace as a
-// whole, the back ends that register themselves, the weights versions that were named, and the fence of orders.
+// Package catalog implements the replicated state of a gateway fleet: the routing document, the registered backend
+// instances, the published weights versions and the fencing token of weights commands.
 //
-// Machine is a pure state machine: it reads no clock, and every replica that applies the same commands in the same
-// order holds the same state.
+// Machine is a deterministic state machine that reads no clock: replicas that apply the same commands in the same order
+// hold the same state.
 package catalog
 
 import (
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// Document is the whole routing configuration of one revision. Documents only replace each other as a whole; the
-// highest revision is in force.
+// Document is the complete routing configuration of one revision. A document is always replaced as a whole; the highest
+// revision is in force.
 type Document struct {
 	Revision uint64          `json:"revision"`
 	Routes   []Route         `json:"routes"`
 	Services []Service       `json:"services"`
 	Tenants  []Tenant        `json:"tenants,omitempty"`
 	Limits   Limits          `json:"limits"`
-	Source   json.RawMessage `json:"source,omitempty"` // as the operator sent it, to be read back unchanged
+	Source   json.RawMessage `json:"source,omitempty"` // as the operator sent it, returned unchanged on reads
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name           string        `json:"name"`
 	Host           string        `json:"host"`
-	PathPrefix     string        `json:"path_prefix"` // begins and ends with a slash; the longest that fits wins
+	PathPrefix     string        `json:"path_prefix"` // starts and ends with a slash; the longest match wins
 	Targets        []Target      `json:"targets"`
-	Timeout        time.Duration `json:"timeout_ns"` // longest time until the final answer
+	Timeout        time.Duration `json:"timeout_ns"` // until the last byte of the response
 	Objective      time.Duration `json:"objective_ns"`
-	MaxEventGap    time.Duration `json:"pause_ns"` // longest pause between events that is still in time
-	MaxAttempts    int           `json:"attempts"` // back ends that one request may be sent to
+	MaxEventGap    time.Duration `json:"pause_ns"` // longest gap between stream events that meets the objective
+	MaxAttempts    int           `json:"attempts"` // backends that one request may be sent to
 	Priority       int           `json:"priority"` // 0 is the most urgent
 	Repeatable     bool          `json:"repeatable"`
 	Streaming      bool          `json:"streaming"`
-	Resumable      bool          `json:"resumable"` // a broken stream may go on at another back end
-	AllowAnonymous bool          `json:"open"`      // needs no API key
+	Resumable      bool          `json:"resumable"` // a broken stream may continue on another backend
+	AllowAnonymous bool          `json:"open"`      // requests need no API key
 }
 
 // Retryable reports whether a request of the route may run more than once.
@@ -49,40 +49,39 @@
 	Weight  int    `json:"weight"`
 }
 
-// Service is a set of back ends that serve the same requests.
+// Service is a set of interchangeable backends.
 type Service struct {
 	Name            string  `json:"name"`
 	HealthPath      string  `json:"health_path"`
-	Engine          bool    `json:"engine"`         // keeps prompt caches and takes orders
-	Slots           int     `json:"slots"`          // requests at once at one back end; 0 unknown
-	CacheTokens     int     `json:"cache_tokens"`   // tokens of one back end's memory; 0 unknown
-	KVBytesPerToken float64 `json:"token_bytes"`    // of a cached token; 0 unknown
-	LinkMbps        float64 `json:"link_mbps"`      // of one back end or of the store; 0 unknown
-	StoreAddress    string  `json:"store"`          // address, when the service is a store of kept caches
+	Engine          bool    `json:"engine"`         // keeps prompt caches and accepts weights commands
+	Slots           int     `json:"slots"`          // concurrent requests per backend; 0 if unknown
+	CacheTokens     int     `json:"cache_tokens"`   // cache capacity per backend in tokens; 0 if unknown
+	KVBytesPerToken float64 `json:"token_bytes"`    // size of a cached token; 0 if unknown
+	LinkMbps        float64 `json:"link_mbps"`      // bandwidth of one backend, or of the store; 0 if unknown
+	StoreAddress    string  `json:"store"`          // set if the service is a store of cached prompts
 	Zone            string  `json:"zone,omitempty"` // of the store
 }
 
-// Tenant owns API keys.
+// Tenant is an owner of API keys.
 type Tenant struct {
 	Name     string   `json:"name"`
 	Keys     []string `json:"keys"`
-	Priority int      `json:"priority"` // 0 is the most urgent; compared before a route's
-	Isolated bool     `json:"isolated"` // shares no cached prompt with another tenant
+	Priority int      `json:"priority"` // 0 is the most urgent; compared before the route's priority
+	Isolated bool     `json:"isolated"` // shares no cached prompts with other tenants
 	Quota    Quota    `json:"quota"`
 }
 
-// Quota bounds what all of a tenant's requests may use, over the whole fleet.
+// Quota limits the use of all requests of a tenant, over the whole fleet.
 type Quota struct {
-	Rate          float64 `json:"rate"`                   // units a second; 0 is no limit
-	Burst         float64 `json:"burst,omitempty"`        // units at once on top
-	Tokens        bool    `json:"tokens,omitempty"`       // units are prompt and output tokens; else requests
-	DefaultTokens float64 `json:"plain_tokens,omitempty"` // of a request that doesn't tell its tokens
+	Rate          float64 `json:"rate"`                   // units per second; 0 is unlimited
+	Burst         float64 `json:"burst,omitempty"`        // additional units available at once
+	Tokens        bool    `json:"tokens,omitempty"`       // units are prompt and output tokens instead of requests
+	DefaultTokens float64 `json:"plain_tokens,omitempty"` // cost of a request whose token count is unknown
 }
 
-// Limited reports whether there is a limit.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Cost returns how many units a request takes. counted tells whether it told its tokens.
+// Cost returns how many units a request costs. counted reports whether its token count is known.
 func (q Quota) Cost(tokens int, counted bool) float64 {
 	switch {
 	case !q.Tokens:
@@ -93,7 +92,7 @@
 	return float64(tokens)
 }
 
-// Limits bound what callers may send. Zero values mean the gateway's own defaults.
+// Limits bounds what clients may send. Zero values select the gateway's defaults.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int           `json:"body_bytes"`
@@ -101,20 +100,20 @@
 	IdleTimeout   time.Duration `json:"idle_timeout_ns"`
 }
 
-// Problem says what is wrong with a document, and where.
+// Problem is a validation error of a document and its location.
 type Problem struct {
-	Where   string `json:"where"` // such as route "a"
+	Where   string `json:"where"` // for example route "a"
 	Message string `json:"message"`
 }
 
-// String returns the problem in one line.
+// String formats the problem on one line.
 func (p Problem) String() string { return p.Where + ": " + p.Message }
 
-// Validate returns everything that is wrong with a document.
+// Validate returns all problems of a document.
 func (d *Document) Validate() []Problem {
 	v := &validator{services: map[string]bool{}, routesByPrefix: map[string]string{}, keyOwners: map[string]string{}}
 	if d.Revision == 0 {
-		v.report("document", "its revision must be 1 or more")
+		v.report("document", "revision must be at least 1")
 	}
 	for _, service := range d.Services {
 		v.service(service)
@@ -132,8 +131,8 @@
 type validator struct {
 	problems       []Problem
 	services       map[string]bool
-	routesByPrefix map[string]string // route by host and prefix
-	keyOwners      map[string]string // tenant by key
+	routesByPrefix map[string]string // route name by host and path prefix
+	keyOwners      map[string]string // tenant name by API key
 }
 
 func (c *validator) report(where, message string) {
@@ -143,10 +142,10 @@
 func (c *validator) service(service Service) {
 	where := fmt.Sprintf("service %q", service.Name)
 	if service.Name == "" {
-		c.report(where, "has no name")
+		c.report(where, "name is missing")
 	}
 	if c.services[service.Name] {
-		c.report(where, "stands there twice")
+		c.report(where, "is defined more than once")
 	}
 	c.services[service.Name] = true
 }
@@ -155,14 +154,14 @@
 	where := fmt.Sprintf("route %q", route.Name)
 	hostAndPrefix := route.Host + route.PathPrefix
 	if other, taken := c.routesByPrefix[hostAndPrefix]; taken {
-		c.report(where, fmt.Sprintf("has the host and path prefix of route %q", other))
+		c.report(where, fmt.Sprintf("has the same host and path prefix as route %q", other))
 	}
 	c.routesByPrefix[hostAndPrefix] = route.Name
 	if route.Host == "" || !hasOuterSlashes(route.PathPrefix) {
-		c.report(where, "needs a host, and a path prefix that begins and ends with a slash")
+		c.report(where, "needs a host and a path prefix that starts and ends with a slash")
 	}
 	if route.Timeout <= 0 {
-		c.report(where, "its time limit must be above 0")
+		c.report(where, "timeout must be positive")
 	}
 	c.targets(where, route.Targets)
 }
@@ -175,25 +174,25 @@
 	sum := 0
 	for _, target := range targets {
 		if !c.services[target.Service] {
-			c.report(where, fmt.Sprintf("names the unknown service %q", target.Service))
+			c.report(where, fmt.Sprintf("refers to unknown service %q", target.Service))
 		}
 		if target.Weight < 0 {
-			c.report(where, "has a weight below 0")
+			c.report(where, "has a negative weight")
 		}
 		sum += target.Weight
 	}
 	if sum <= 0 {
-		c.report(where, "its weights sum to 0")
+		c.report(where, "target weights sum to 0")
 	}
 }
 
 func (c *validator) tenant(tenant Tenant) {
 	where := fmt.Sprintf("tenant %q", tenant.Name)
 	if tenant.Name == "" {
-		c.report(where, "has no name")
+		c.report(where, "name is missing")
 	}
 	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.DefaultTokens < 0 {
-		c.report(where, "has a limit below 0")
+		c.report(where, "has a negative quota")
 	}
 	for _, key := range tenant.Keys {
 		if owner, taken := c.keyOwners[key]; taken && owner != tenant.Name {
@@ -203,7 +202,7 @@
 	}
 }
 
-// Service returns the service of a name.
+// Service returns the service with the given name.
 func (d *Document) Service(name string) (Service, bool) {
 	at := slices.IndexFunc(d.Services, func(service Service) bool { return service.Name == name })
 	if at < 0 {
