--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// expire drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
+// expire deletes an instance whose heartbeats stopped. Its id is kept so that a later deregistration by name still
+// resolves to it.
 func (m *Machine) expire(id string) {
 	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
 		m.expiredIDs = append(m.expiredIDs, id)
@@ -11,8 +12,8 @@
 	m.delete(id)
 }
 
-// ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
-// forgotten.
+// ResolveInstanceID returns the instance id that a deregistration refers to. An id without a start time refers to the
+// registered incarnation of that name or, if there is none, to the one that expired last.
 func (m *Machine) ResolveInstanceID(id string) string {
 	incarnation := ParseInstanceID(id)
 	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
@@ -29,7 +30,7 @@
 	return id
 }
 
-// deregister ends an instance for good.
+// deregister deletes an instance that announced that it leaves, and rejects later registrations of it.
 func (m *Machine) deregister(id string) {
 	id = m.ResolveInstanceID(id)
 	m.delete(id)
