--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Incarnation is one life of a back end. Back ends that take a new name with each start need no more than that; others tell when they
-// were started as well. Whatever is known of a back end is known of one life of it.
+// Incarnation is one run of a backend, from start to end. Backends that choose a new name at each start report no start
+// time; the others report when they were started.
 type Incarnation struct {
-	Name      string // under which the back end knows itself; a later life may have the same
-	StartedMS int64  // when it was started, in Unix ms by its own clock; 0 where it doesn't tell
+	Name      string // reported by the backend; a later incarnation may reuse it
+	StartedMS int64  // start in Unix milliseconds by the backend's clock; 0 if not reported
 }
 
 const (
@@ -19,7 +19,7 @@
 	int64Bits          = 64
 )
 
-// ID returns the name of this life alone, for use as Instance.ID.
+// ID returns the unique name of this incarnation, used as Instance.ID.
 func (l Incarnation) ID() string {
 	if l.StartedMS == 0 && !strings.Contains(l.Name, startTimeSeparator) {
 		return l.Name
@@ -27,7 +27,7 @@
 	return l.Name + startTimeSeparator + strconv.FormatInt(l.StartedMS, decimal)
 }
 
-// ParseInstanceID returns the life that an id names.
+// ParseInstanceID returns the incarnation with the given id.
 func ParseInstanceID(id string) Incarnation {
 	separator := strings.LastIndex(id, startTimeSeparator)
 	if separator < 0 {
@@ -40,23 +40,23 @@
 	return Incarnation{Name: id[:separator], StartedMS: startedMS}
 }
 
-// StartedBefore reports whether both lives tell their start, and this one was started earlier.
+// StartedBefore reports whether both incarnations have a start time and this one started earlier.
 func (l Incarnation) StartedBefore(other Incarnation) bool {
 	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
 }
 
-// incarnations tells which life of a back end counts. It holds those that tell their start; the others have a name for each life.
+// incarnations tracks the incarnations that have a start time, to find out which one of a backend is the latest.
 type incarnations struct {
-	registered    map[string]string  // by name: id of the registered life
-	departed      map[string][]int64 // by name: starts of the lives that said that they left, while that is remembered; none is empty
-	withStartTime map[string]int     // by service: registered lives; none is 0
+	registered    map[string]string  // by name: id of the registered incarnation
+	departed      map[string][]int64 // by name: start times of the remembered departed incarnations; no empty slices
+	withStartTime map[string]int     // by service: number of registered incarnations; no zero entries
 }
 
 func newIncarnations() incarnations {
 	return incarnations{registered: map[string]string{}, departed: map[string][]int64{}, withStartTime: map[string]int{}}
 }
 
-// add notes a registered instance.
+// add records a registered instance.
 func (l *incarnations) add(instance Instance) {
 	if incarnation := ParseInstanceID(instance.ID); incarnation.StartedMS > 0 {
 		l.registered[incarnation.Name] = instance.ID
@@ -64,7 +64,7 @@
 	}
 }
 
-// remove forgets a registered instance.
+// remove removes an instance that is no longer registered.
 func (l *incarnations) remove(instance Instance) {
 	incarnation := ParseInstanceID(instance.ID)
 	if incarnation.StartedMS == 0 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// recordDeparted remembers that a life said that it left; forget ends that. Each is noted by itself, so that what is left is the same
-// whether the others were forgotten or never known.
+// recordDeparted records that an incarnation departed; forgetDeparted reverts this. Departures are stored one by one,
+// so that a replica restored from a snapshot holds the same state as one that recorded and forgot the others.
 func (l *incarnations) recordDeparted(id string) {
 	if incarnation := ParseInstanceID(id); incarnation.StartedMS > 0 {
 		l.departed[incarnation.Name] = append(l.departed[incarnation.Name], incarnation.StartedMS)
@@ -96,13 +96,13 @@
 	l.departed[incarnation.Name] = remaining
 }
 
-// isSuperseded reports whether a later life is registered, or has left.
+// isSuperseded reports whether a later incarnation is registered or has departed.
 func (l *incarnations) isSuperseded(incarnation Incarnation) bool {
 	startedLater := func(startedMS int64) bool { return incarnation.StartedMS < startedMS }
 	return startedLater(ParseInstanceID(l.registered[incarnation.Name]).StartedMS) || slices.ContainsFunc(l.departed[incarnation.Name], startedLater)
 }
 
-// currentID returns the id of the registered life of the back end of a name, if it has one that tells its start.
+// currentID returns the id of the registered incarnation with the given name, if it has a start time.
 func (l *incarnations) currentID(name string) (string, bool) {
 	id, known := l.registered[name]
 	return id, known
