--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestInstanceIDRoundTrip: an id leads back to its life, whatever the back end's name is, and no two lives share one.
+// TestInstanceIDRoundTrip checks that ids are unique and parse back to their incarnation, whatever the backend's name
+// is.
 func TestInstanceIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) Incarnation {
@@ -16,16 +17,16 @@
 		}
 		first, second := draw("first"), draw("second")
 		if got := ParseInstanceID(first.ID()); got != first {
-			t.Fatalf("%+v has the id %q, which names %+v", first, first.ID(), got)
+			t.Fatalf("id of %+v is %q, which parses as %+v", first, first.ID(), got)
 		}
 		if first != second && first.ID() == second.ID() {
-			t.Fatalf("%+v and %+v have the id %q", first, second, first.ID())
+			t.Fatalf("%+v and %+v have the same id %q", first, second, first.ID())
 		}
 	})
 }
 
-// TestSnapshotPreservesDepartedIncarnations: a replica that was sent a snapshot takes the same lives as the one that wrote it, also where an earlier life
-// said after a later one that it left, and the later one is remembered no more.
+// TestSnapshotPreservesDepartedIncarnations checks that a restored replica accepts the same incarnations, also if an
+// earlier incarnation deregistered after a later one that is no longer remembered.
 func TestSnapshotPreservesDepartedIncarnations(t *testing.T) {
 	m := NewMachine()
 	deregister := func(id string) { m.Apply(Command{Deregister: id}) }
@@ -45,13 +46,13 @@
 	for born := int64(1); born < 12; born++ {
 		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
 		if m.Accepts(instance) != restored.Accepts(instance) {
-			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
+			t.Errorf("incarnation started at %d: accepted %t, after restoring the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
 		}
 	}
 }
 
-// TestDeregisterByNameMatchesExpiredIncarnation: a back end that was silent for so long that it is registered no more may still say that it leaves, by its name
-// alone. A heartbeat that it sent before, and that comes later, doesn't bring it back; its next life is taken.
+// TestDeregisterByNameMatchesExpiredIncarnation checks that an expired instance can still deregister by name: delayed
+// heartbeats of it are rejected then, and its next incarnation is accepted.
 func TestDeregisterByNameMatchesExpiredIncarnation(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
@@ -60,14 +61,14 @@
 		m.Apply(Command{Register: &current})
 		m.Apply(Command{Expire: current.ID})
 		if !m.Accepts(current) {
-			t.Fatal("one that was silent can't register again")
+			t.Fatal("expired instance can't register again")
 		}
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
-			t.Fatal("no snapshot")
+			t.Fatal("failed to restore a snapshot")
 		}
 		m.Apply(Command{Deregister: "e"})
 		if m.Accepts(current) || !m.Accepts(next) {
-			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Accepts(current), m.Accepts(next))
+			t.Fatalf("restored %t: departed incarnation accepted: %t, next incarnation accepted: %t", restored, m.Accepts(current), m.Accepts(next))
 		}
 	}
 }
