--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawInstance draws one of few lives of few back ends, at one of few addresses.
+// drawInstance draws an instance from a small set of incarnations and addresses, so that they often collide.
 func drawInstance(t *rapid.T) Instance {
 	incarnation := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
 	return Instance{
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestOneIncarnationPerBackendAndAddress: whatever comes in whatever order, one life of a name is registered at most, one instance at an address; a life
-// that left is taken no more; and a replica that was sent a snapshot takes the same ones as its writer.
+// TestOneIncarnationPerBackendAndAddress checks, for random commands, that at most one incarnation per name and one
+// instance per address is registered, that departed incarnations stay rejected, and that a snapshot preserves this.
 func TestOneIncarnationPerBackendAndAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
@@ -55,20 +55,20 @@
 	for id, instance := range m.Instances() {
 		name := ParseInstanceID(id).Name
 		if other, taken := names[name]; taken {
-			t.Fatalf("%s and %s are registered", id, other)
+			t.Fatalf("%s and %s are registered with the same name", id, other)
 		}
 		if other, taken := addresses[instance.Address]; taken {
-			t.Fatalf("%s and %s stand at %s", id, other, instance.Address)
+			t.Fatalf("%s and %s are both registered at %s", id, other, instance.Address)
 		}
 		names[name], addresses[instance.Address] = id, id
 		if at, _ := m.InstanceAt(instance.Address); at.ID != id {
-			t.Fatalf("%s stands at %s, where %q is known", id, instance.Address, at.ID)
+			t.Fatalf("%s is registered at %s, but InstanceAt returns %q", id, instance.Address, at.ID)
 		}
 		if named, _ := m.InstanceByName(name); named.ID != id {
-			t.Fatalf("%s is registered, and named %q", id, named.ID)
+			t.Fatalf("%s is registered, but InstanceByName returns %q", id, named.ID)
 		}
 		if departed[id] {
-			t.Fatalf("%s is registered after it left", id)
+			t.Fatalf("%s is registered after it was deregistered", id)
 		}
 	}
 	data, err := json.Marshal(m)
@@ -83,7 +83,7 @@
 		for born := range int64(4) {
 			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
 			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsCommand(instance.ID) != restored.MayHaveWeightsCommand(instance.ID) {
-				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
+				t.Fatalf("%s: accepted %t, may have weights command %t; differs after restoring the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
 			}
 		}
 	}
