--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -9,18 +9,18 @@
 	"kitetiller/internal/quarantine"
 )
 
-// State tells how far a back end's life has come. States only rise: a late message cannot take one back.
+// State is the lifecycle state of an instance. It never goes back from draining to ready.
 type State string
 
 // States of an instance.
 const (
 	StateReady    State = "ready"
-	StateDraining State = "draining" // finishes what it has; gets nothing new
+	StateDraining State = "draining" // finishes running requests and gets no new ones
 )
 
-// Instance is one life of a back end that registered itself.
+// Instance is a registered incarnation of a backend.
 type Instance struct {
-	ID      string `json:"id"` // of the life, as Life.ID makes it
+	ID      string `json:"id"` // see Incarnation.ID
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -28,33 +28,35 @@
 	State   State  `json:"state"`
 }
 
-// maxDepartedIDs bounds the ended instances that are remembered, so that a late heartbeat revives none of them.
+// maxDepartedIDs bounds the departed instances that are remembered so that a delayed heartbeat doesn't register them
+// again.
 const maxDepartedIDs = 2000
 
-// Command is one change of the replicated state. Exactly one field is set, beside UnixMS.
+// Command is a change of the replicated state. Exactly one field is set besides UnixMS; AddGateways and RemoveGateways
+// may be set together.
 type Command struct {
 	Replace               *Document         `json:"replace,omitempty"`
 	Register              *Instance         `json:"register,omitempty"`
-	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered together, in the order in which they came
-	Drain                 string            `json:"drain,omitempty"`   // instance
-	Deregister            string            `json:"remove,omitempty"`  // instance that said that it leaves
-	Expire                string            `json:"forget,omitempty"`  // instance that fell silent; it may register again
-	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // newest weights of a model
-	Fence                 bool              `json:"fence,omitempty"`   // a new holder of the right to give orders
-	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances were seen to hold
-	WeightsCommandTargets []string          `json:"order,omitempty"`   // instances that the leader is about to give orders
-	ReplaceGateways       []string          `json:"gates,omitempty"`   // gateways that ask the leader; it replaces those before
-	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: the highest weight of a back end in use
-	AddGateways           []string          `json:"came,omitempty"`    // gateways that ask the leader, beside those before
-	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that no longer do
-
-	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests under which back ends ended
-
-	// UnixMS is the time of day at which the command was proposed, by the proposer's clock. Whoever applies it takes it from the entry.
+	RegisterBatch         []Instance        `json:"joined,omitempty"`  // registered in this order
+	Drain                 string            `json:"drain,omitempty"`   // instance id
+	Deregister            string            `json:"remove,omitempty"`  // id of an instance that announced that it leaves
+	Expire                string            `json:"forget,omitempty"`  // id of an instance without heartbeats; may register again
+	PublishWeights        *WeightsVersion   `json:"version,omitempty"` // new version of a model's weights
+	Fence                 bool              `json:"fence,omitempty"`   // issue a new fencing token
+	Loaded                []LoadedWeights   `json:"held,omitempty"`    // weights that instances reported as loaded
+	WeightsCommandTargets []string          `json:"order,omitempty"`   // ids of instances about to be sent weights commands
+	ReplaceGateways       []string          `json:"gates,omitempty"`   // all gateways that poll the leader
+	MaxHashWeights        map[string]uint64 `json:"bounds,omitempty"`  // by service: highest hash weight in use
+	AddGateways           []string          `json:"came,omitempty"`    // gateways that started to poll the leader
+	RemoveGateways        []string          `json:"left,omitempty"`    // gateways that stopped polling the leader
+
+	Quarantine *quarantine.Change `json:"quarantine,omitempty"` // requests during which backends crashed
+
+	// UnixMS is the wall-clock time of the proposal by the proposer's clock, set from the log entry when it is applied.
 	UnixMS int64 `json:"-"`
 }
 
-// LoadedWeights is a version of a model's weights that an instance was seen to hold.
+// LoadedWeights is a weights version that an instance reported as loaded.
 type LoadedWeights struct {
 	Instance string `json:"instance"`
 	WeightsVersion
@@ -66,37 +68,37 @@
 	Version uint64 `json:"version"`
 }
 
-// Outcome is what a command did.
+// Outcome is the result of a command.
 type Outcome struct {
 	Revision        uint64 `json:"revision"`        // of the document in force
-	Fence           uint64 `json:"fence,omitempty"` // given to a new holder
-	AlreadyDeparted bool   `json:"gone,omitempty"`  // the instance had ended already
+	Fence           uint64 `json:"fence,omitempty"` // fencing token issued by the command
+	AlreadyDeparted bool   `json:"gone,omitempty"`  // the instance departed before, or a later one replaced it
 }
 
-// Machine is the replicated state.
+// Machine is the replicated state. It is not safe for concurrent use.
 type Machine struct {
 	Guards         guard.Set `json:"-"`
 	document       Document
 	instances      map[string]Instance
-	addresses      map[string]string // the one instance at each address
-	ids            []string          // of instances, rising; nil when they have changed
-	departedIDs    []string
-	departed       map[string]bool
-	expiredIDs     []string     // lives that fell silent and may register again, the newest last; at most tombstonesKept
-	incarnations   incarnations // of instances and tombstones
+	addresses      map[string]string // id of the instance at each address
+	ids            []string          // sorted ids of instances; nil when outdated
+	departedIDs    []string          // instances that deregistered, oldest first; at most maxDepartedIDs
+	departed       map[string]bool   // set of departedIDs
+	expiredIDs     []string          // may register again, oldest first; at most maxDepartedIDs
+	incarnations   incarnations      // of instances and departedIDs
 	latestVersions map[string]uint64
-	publications   map[string][]Publication     // by model, rising; the newest is of the version in versions
-	loaded         map[string]map[string]uint64 // by instance and model; of registered instances only; versions only rise
-	commanded      map[string]bool              // registered instances that, or whose last life, were ever to be given an order
-	gateways       []string                     // that asked the last leader that wrote them, rising
-	gatewaySet     map[string]bool              // the same
-	maxHashWeights map[string]uint64            // by service; of those that don't use all their back ends
-	changed        map[string]bool              // instances that changed since Touched was last called
+	publications   map[string][]Publication     // by model, ascending by version; the last one is the latest version
+	loaded         map[string]map[string]uint64 // by registered instance and model; versions never decrease
+	commanded      map[string]bool              // see MayHaveWeightsCommand; only registered instances
+	gateways       []string                     // gateways that poll the leader, sorted
+	gatewaySet     map[string]bool              // set of gateways
+	maxHashWeights map[string]uint64            // by service; no entry if all backends are in use
+	changed        map[string]bool              // ids of instances that changed since the last TakeChanged
 	fence          uint64
 	quarantine     *quarantine.Registry
 }
 
-// NewMachine returns the empty state.
+// NewMachine returns an empty state.
 func NewMachine() *Machine {
 	return &Machine{
 		instances: map[string]Instance{}, addresses: map[string]string{}, departed: map[string]bool{}, incarnations: newIncarnations(), latestVersions: map[string]uint64{}, publications: map[string][]Publication{}, loaded: map[string]map[string]uint64{},
@@ -104,13 +106,13 @@
 	}
 }
 
-// Document returns the document in force; callers only read it.
+// Document returns the document in force. Callers must not modify it.
 func (m *Machine) Document() *Document { return &m.document }
 
-// Instances returns the registered back ends by id; callers only read it.
+// Instances returns the registered instances by id. Callers must not modify the map.
 func (m *Machine) Instances() map[string]Instance { return m.instances }
 
-// IDs returns the ids of the registered back ends, rising; callers only read them.
+// IDs returns the sorted ids of the registered instances. Callers must not modify the slice.
 func (m *Machine) IDs() []string {
 	if m.ids == nil {
 		m.ids = slices.Sorted(maps.Keys(m.instances))
@@ -118,21 +120,21 @@
 	return m.ids
 }
 
-// Accepts reports whether an instance can be registered: it didn't say that it left, there is no later life of its back end, and it tells its
-// life where others of its service do. What doesn't is somebody else's word.
+// Accepts reports whether an instance may register: it has not deregistered, no later incarnation of its backend is
+// known, and it has a start time if other instances of its service have one.
 func (m *Machine) Accepts(instance Instance) bool {
 	incarnation := ParseInstanceID(instance.ID)
 	lacksStartTime := incarnation.StartedMS == 0 && m.incarnations.withStartTime[instance.Service] > 0
 	return !m.departed[instance.ID] && !m.incarnations.isSuperseded(incarnation) && !lacksStartTime
 }
 
-// InstanceAt returns the instance that is registered at an address, if there is one.
+// InstanceAt returns the instance that is registered at an address.
 func (m *Machine) InstanceAt(address string) (Instance, bool) {
 	instance, known := m.instances[m.addresses[address]]
 	return instance, known
 }
 
-// InstanceByName returns the registered life of the back end that has a name, if there is one.
+// InstanceByName returns the registered incarnation of the backend with the given name.
 func (m *Machine) InstanceByName(name string) (Instance, bool) {
 	id, tells := m.incarnations.currentID(name)
 	if !tells {
@@ -142,23 +144,23 @@
 	return instance, known
 }
 
-// LatestVersions returns the newest weights version by model; callers only read it.
+// LatestVersions returns the latest published weights version by model. Callers must not modify the map.
 func (m *Machine) LatestVersions() map[string]uint64 { return m.latestVersions }
 
-// LoadedVersions returns the newest weights that an instance was seen to hold, by model; callers only read it. It may hold others by now: newer ones,
-// or older ones where a late order was carried out.
+// LoadedVersions returns the highest weights version by model that an instance was known to have loaded. It may have
+// loaded others since: newer ones, or older ones after a delayed command. Callers must not modify the map.
 func (m *Machine) LoadedVersions(id string) map[string]uint64 { return m.loaded[id] }
 
-// MayHaveWeightsCommand reports whether an instance, or the life that it followed, may ever have been given an order.
+// MayHaveWeightsCommand reports whether an instance or its predecessor may have been sent a weights command.
 func (m *Machine) MayHaveWeightsCommand(id string) bool { return m.commanded[id] }
 
-// Gateways returns the gateways that were written last, rising; callers only read it.
+// Gateways returns the sorted names of the gateways that poll the leader. Callers must not modify the slice.
 func (m *Machine) Gateways() []string { return m.gateways }
 
-// HasGateway reports whether a gateway is among them.
+// HasGateway reports whether Gateways contains a gateway.
 func (m *Machine) HasGateway(gateway string) bool { return m.gatewaySet[gateway] }
 
-// MaxHashWeight returns the highest weight of the back ends of a service that are in use.
+// MaxHashWeight returns the highest hash weight of the backends of a service that are in use.
 func (m *Machine) MaxHashWeight(service string) uint64 {
 	if bound, known := m.maxHashWeights[service]; known {
 		return bound
@@ -166,13 +168,13 @@
 	return math.MaxUint64
 }
 
-// HasMaxHashWeight reports whether it was ever decided which back ends of a service are in use.
+// HasMaxHashWeight reports whether a maximum hash weight was set for a service.
 func (m *Machine) HasMaxHashWeight(service string) bool {
 	_, known := m.maxHashWeights[service]
 	return known
 }
 
-// TakeChanged returns the instances that changed since the last call, in no order.
+// TakeChanged returns the ids of the instances that changed since the last call, in no particular order.
 func (m *Machine) TakeChanged() []string {
 	if len(m.changed) == 0 {
 		return nil
@@ -182,10 +184,10 @@
 	return ids
 }
 
-// Quarantine returns the requests under which back ends ended; callers only read it.
+// Quarantine returns the requests during which backends crashed. Callers must not modify it.
 func (m *Machine) Quarantine() *quarantine.Registry { return m.quarantine }
 
-// Apply applies one committed command.
+// Apply applies a committed command.
 func (m *Machine) Apply(command Command) Outcome {
 	switch {
 	case command.Replace != nil:
@@ -223,16 +225,16 @@
 	return Outcome{Revision: m.document.Revision}
 }
 
-// replace puts a document in force unless the one held is as new.
+// replace puts a document in force if its revision is higher than the current one.
 func (m *Machine) replace(document Document) {
 	if document.Revision > m.document.Revision || !m.Guards.On(guard.HighestRevision) {
 		m.document = document
 	}
 }
 
-// register adds an instance. The last life of its back end has ended, and whoever held its address before is gone: an address has one
-// owner at a time. Of two that tell their lives the one that was started later holds it, since a heartbeat may come long after its
-// sender has ended.
+// register adds or updates an instance. It replaces the previous incarnation of its backend and the previous instance
+// at its address. An instance that started earlier than the one at its address is rejected, since a heartbeat may
+// arrive long after its sender ended.
 func (m *Machine) register(instance Instance) Outcome {
 	existing, known := m.instances[instance.ID]
 	if !known && !m.Accepts(instance) {
@@ -245,7 +247,7 @@
 		commanded := m.commanded[previous.ID]
 		m.delete(previous.ID)
 		if commanded {
-			m.commanded[instance.ID] = true // an order that is on its way names the back end, not its life
+			m.commanded[instance.ID] = true // a command in flight is addressed to the backend, not to the incarnation
 		}
 	}
 	if known && existing.State == StateDraining {
@@ -261,7 +263,7 @@
 	return Outcome{Revision: m.document.Revision}
 }
 
-// upsert notes an instance, at an address that no other one has.
+// upsert stores an instance. No other instance may have its address.
 func (m *Machine) upsert(instance Instance) {
 	existing, known := m.instances[instance.ID]
 	if !known {
@@ -276,7 +278,7 @@
 	m.addresses[instance.Address] = instance.ID
 }
 
-// delete forgets an instance and what it held.
+// delete deletes an instance and all that is recorded about it.
 func (m *Machine) delete(id string) {
 	existing, known := m.instances[id]
 	if known {
@@ -289,7 +291,7 @@
 	delete(m.commanded, id)
 }
 
-// recordWeightsCommands notes registered instances that are about to be given orders.
+// recordWeightsCommands records registered instances that are about to be sent weights commands.
 func (m *Machine) recordWeightsCommands(ids []string) {
 	for _, id := range ids {
 		if _, known := m.instances[id]; known {
@@ -298,7 +300,7 @@
 	}
 }
 
-// setGateways replaces the gateways; names rise.
+// setGateways replaces the list of gateways with sorted names.
 func (m *Machine) setGateways(names []string) {
 	m.gateways = names
 	clear(m.gatewaySet)
@@ -307,7 +309,7 @@
 	}
 }
 
-// updateGateways takes gateways that came and that left up.
+// updateGateways adds and removes gateways.
 func (m *Machine) updateGateways(added, removed []string) {
 	for _, name := range added {
 		m.gatewaySet[name] = true
@@ -318,7 +320,7 @@
 	m.gateways = slices.Sorted(maps.Keys(m.gatewaySet))
 }
 
-// recordLoaded notes what registered instances recordLoaded.
+// recordLoaded records the weights that registered instances have loaded.
 func (m *Machine) recordLoaded(reports []LoadedWeights) {
 	for _, report := range reports {
 		if _, known := m.instances[report.Instance]; !known {
