--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -11,17 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// referenceModel is what operators and back ends may rely on, kept as plainly as possible.
+// referenceModel is a minimal model of the guarantees to operators and backends.
 type referenceModel struct {
 	revision uint64
 	content  string
-	departed map[string]bool // said that they leave
+	departed map[string]bool // deregistered
 	draining map[string]bool
 	versions map[string]uint64
 	fence    uint64
 }
 
-// TestMachineMatchesReferenceModel drives the machine with any order of commands, old and doubled ones among them, and through
+// TestMachineMatchesReferenceModel applies random commands, including outdated and repeated ones, and restores
 // snapshots.
 func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,7 +70,7 @@
 			"fence": func(t *rapid.T) {
 				fence := machine.Apply(Command{Fence: true}).Fence
 				if fence <= expected.fence {
-					t.Fatalf("fence %d after %d", fence, expected.fence)
+					t.Fatalf("got fencing token %d after %d", fence, expected.fence)
 				}
 				expected.fence = fence
 			},
@@ -84,7 +84,7 @@
 					t.Fatal(err)
 				}
 				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.departed, machine.departed) {
-					t.Fatalf("restored %+v, was %+v", restored, machine)
+					t.Fatalf("restored %+v, want %+v", restored, machine)
 				}
 				machine = restored
 			},
@@ -95,24 +95,24 @@
 
 func (o *referenceModel) check(t *rapid.T, machine *Machine) {
 	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
-		t.Fatalf("document %+v, expected revision %d %q", machine.Document(), o.revision, o.content)
+		t.Fatalf("document %+v, want revision %d with content %q", machine.Document(), o.revision, o.content)
 	}
 	if machine.LatestVersions()["m"] != o.versions["m"] {
-		t.Fatalf("version %d, expected %d", machine.LatestVersions()["m"], o.versions["m"])
+		t.Fatalf("latest version %d, want %d", machine.LatestVersions()["m"], o.versions["m"])
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
 		if o.departed[id] {
-			t.Fatalf("%s is listed after it left", id)
+			t.Fatalf("%s is registered after it was deregistered", id)
 		}
 		if other, taken := addresses[instance.Address]; taken {
-			t.Fatalf("%s and %s have one address", id, other)
+			t.Fatalf("%s and %s are registered at the same address", id, other)
 		}
 		addresses[instance.Address] = id
 	}
 }
 
-// validDocument passes every check.
+// validDocument returns a document without problems.
 func validDocument() Document {
 	return Document{
 		Revision: 1, Services: []Service{{Name: "s"}},
@@ -121,22 +121,22 @@
 	}
 }
 
-// TestValidateReportsEachProblem: each fault is found and its place is named.
+// TestValidateReportsEachProblem checks that each problem is reported with its location.
 func TestValidateReportsEachProblem(t *testing.T) {
 	valid := validDocument()
 	if problems := valid.Validate(); len(problems) > 0 {
-		t.Fatalf("problems %v", problems)
+		t.Fatalf("problems of a valid document: %v", problems)
 	}
 	faults := map[string]func(*Document){
-		"document: its revision":             func(d *Document) { d.Revision = 0 },
-		`route "r": names the unknown`:       func(d *Document) { d.Routes[0].Targets[0].Service = "x" },
-		`route "r2": has the host and path`:  func(d *Document) { d.Routes = append(d.Routes, d.Routes[0]); d.Routes[1].Name = "r2" },
-		`route "r": its weights sum to 0`:    func(d *Document) { d.Routes[0].Targets[0].Weight = 0 },
-		`route "r": has a weight below 0`:    func(d *Document) { d.Routes[0].Targets[0].Weight = -1 },
-		`route "r": its time limit`:          func(d *Document) { d.Routes[0].Timeout = 0 },
-		`route "r": needs a host`:            func(d *Document) { d.Routes[0].PathPrefix = "/a" },
-		`tenant "u": shares an API key with`: func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
-		`service "s": stands there twice`:    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
+		"document: revision must":                func(d *Document) { d.Revision = 0 },
+		`route "r": refers to unknown`:           func(d *Document) { d.Routes[0].Targets[0].Service = "x" },
+		`route "r2": has the same host and path`: func(d *Document) { d.Routes = append(d.Routes, d.Routes[0]); d.Routes[1].Name = "r2" },
+		`route "r": target weights sum to 0`:     func(d *Document) { d.Routes[0].Targets[0].Weight = 0 },
+		`route "r": has a negative weight`:       func(d *Document) { d.Routes[0].Targets[0].Weight = -1 },
+		`route "r": timeout must`:                func(d *Document) { d.Routes[0].Timeout = 0 },
+		`route "r": needs a host`:                func(d *Document) { d.Routes[0].PathPrefix = "/a" },
+		`tenant "u": shares an API key with`:     func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
+		`service "s": is defined more than once`: func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 	}
 	for want, corrupt := range faults {
 		document := validDocument()
@@ -147,7 +147,7 @@
 			found = found || strings.HasPrefix(problem.String(), want)
 		}
 		if !found {
-			t.Errorf("%q is not among %v", want, problems)
+			t.Errorf("no problem with prefix %q in %v", want, problems)
 		}
 	}
 }
