--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPublicationsMatchAfterSnapshots: replicas that applied the commands, and ones that got a snapshot at any point between, hold the same namings,
-// rising by version, the newest of them the newest version.
+// TestPublicationsMatchAfterSnapshots checks that replicas hold the same publications whether or not they restored a
+// snapshot, ascending by version and ending with the latest one.
 func TestPublicationsMatchAfterSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		applied, restored := NewMachine(), NewMachine()
@@ -24,10 +24,10 @@
 			restored.Apply(command)
 			publications := applied.Publications(command.PublishWeights.Model)
 			if last := publications[len(publications)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
-				t.Fatalf("%+v is the last naming after %+v", last, command)
+				t.Fatalf("last publication is %+v after %+v", last, command)
 			}
 			if !newer && len(publications) != before || len(publications) > MaxPublications {
-				t.Fatalf("%d namings after %d", len(publications), before)
+				t.Fatalf("got %d publications, had %d before", len(publications), before)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				data, err := json.Marshal(restored)
@@ -41,16 +41,16 @@
 			}
 		}
 		if !reflect.DeepEqual(applied.publications, restored.publications) {
-			t.Fatalf("namings %+v and, through snapshots, %+v", applied.publications, restored.publications)
+			t.Fatalf("publications %+v, with restored snapshots %+v", applied.publications, restored.publications)
 		}
 		for model, publications := range applied.publications {
 			for i := range publications[1:] {
 				if publications[i].Version >= publications[i+1].Version {
-					t.Fatalf("namings of %s: %+v", model, publications)
+					t.Fatalf("publications of %s are not ascending: %+v", model, publications)
 				}
 			}
 			if publications[len(publications)-1].Version != applied.latestVersions[model] {
-				t.Fatalf("namings of %s: %+v; the newest is %d", model, publications, applied.latestVersions[model])
+				t.Fatalf("publications of %s: %+v; want the last one to be version %d", model, publications, applied.latestVersions[model])
 			}
 		}
 	})
