--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/quarantine"
 )
 
-// machineSnapshot is the snapshot form of a machine.
+// machineSnapshot is the JSON form of a machine.
 type machineSnapshot struct {
 	Document       Document            `json:"document"`
 	Instances      map[string]Instance `json:"instances"`
@@ -27,12 +27,12 @@
 	ExpiredIDs []string `json:"forgotten,omitempty"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON encodes the whole state as a snapshot.
 func (m *Machine) MarshalJSON() ([]byte, error) {
 	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.latestVersions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
 }
 
-// UnmarshalJSON replaces the whole state.
+// UnmarshalJSON replaces the whole state by a snapshot.
 func (m *Machine) UnmarshalJSON(data []byte) error {
 	var snapshot machineSnapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
