--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,8 +1,7 @@
-// Package events names the log lines that tell what a gateway or a control replica decided, or came to believe. Lines are
-// JSON; the name stands in the field msg. docs/LOGS.md lists every name, and a test holds the two together.
+// Package events defines the log events of gateways and control replicas. Log lines are JSON, with the event in the
+// field msg. A test checks that docs/LOGS.md lists all events and shared fields.
 package events
 
-// Events of a gateway.
 const (
 	GatewayStarted           = "gateway started"
 	GatewayStopping          = "gateway stopping"
@@ -12,27 +11,27 @@
 	InstanceJoined           = "instance joined"
 	InstanceLeaving          = "instance leaving"
 	InstanceGone             = "instance gone"
-	InstanceBackoffRequested = "instance asks for rest" // in an answer
-	// InstanceLimitAdvertised and InstanceUnlimited tell of the requests a second that a back end takes from all, once a change.
+	InstanceBackoffRequested = "instance asks for rest" // by a response of the instance
+	// InstanceLimitAdvertised and InstanceLimitWithdrawn report changes of the rate limit that a backend advertises
+	// for the requests of all gateways together.
 	InstanceLimitAdvertised  = "instance names limit"
 	InstanceLimitWithdrawn   = "instance names no limit"
-	UnknownBackendHeader     = "unknown word of back end" // a header of its own that nothing reads
+	UnknownBackendHeader     = "unknown word of back end" // a response header that the gateway doesn't know
 	WeightsDiscovered        = "weights learnt"
-	WeightsMismatch          = "other weights answered" // than were expected or believed, or older ones than were named
-	PublicationAgeRegression = "naming told younger"    // control tells that a version was named later than known
+	WeightsMismatch          = "other weights answered" // other weights than expected, or outdated ones
+	PublicationAgeRegression = "naming told younger"    // control reports a later publication time than before
 	CacheReadFailed          = "cache not read"
-	SchedulerTimeout         = "scheduler silent" // a scheduler did not answer a question for a placement in time
+	SchedulerTimeout         = "scheduler silent" // a scheduler did not answer a placement request in time
 	ControlDisconnected      = "control lost"
 	ControlReconnected       = "control regained"
 	AttemptFailed            = "attempt failed"
-	BackendCrashed           = "back end ended under requests" // runs broke off there, and its end is proved
-	CrashNotReported         = "ended back end not told"       // too many wait for control
+	BackendCrashed           = "back end ended under requests" // requests were aborted; the end of their backend is verified
+	CrashNotReported         = "ended back end not told"       // the queue of reports to control is full
 	RequestAnswered          = "request answered"
 	RequestRejected          = "request refused"
 	LogLinesDropped          = "log lines dropped"
 )
 
-// Events of a control replica.
 const (
 	ReplicaStarted   = "control replica started"
 	ReplicaStopped   = "control replica stopped"
@@ -45,60 +44,62 @@
 	RelayAvailable   = "leader answers for gateways again"
 	DocumentAccepted = "document accepted"
 	DocumentRejected = "document refused"
-	// RegistrationRejected tells of a heartbeat that can't be read in full: it names no back end to use.
+	// RegistrationRejected reports a heartbeat that can't be parsed completely and is not used.
 	RegistrationRejected = "registration refused"
 	WeightsPublished     = "weights named"
 	WeightsCommandSent   = "weights call"
-	LimitReached         = "limit reached"     // a limit over the fleet turns requests away
-	LimitCleared         = "limit left"        // it has turned none away for a while
-	RequestQuarantined   = "request held back" // enough back ends ended under it; no gateway sends it any more
-	RequestReleased      = "request released"  // it is held back no longer
+	LimitReached         = "limit reached"     // a fleet-wide limit rejects requests
+	LimitCleared         = "limit left"        // the limit has rejected no requests for some time
+	RequestQuarantined   = "request held back" // it crashed too many backends; gateways no longer send it
+	RequestReleased      = "request released"  // its quarantine ended
 	SettingsReloaded     = "settings reloaded"
 	SettingsReloadFailed = "settings not reloaded"
 )
 
-// IsRoutine reports whether an event is told for each request that went well. Such lines are the first to be dropped when
-// the reader of a log does not keep up.
+// IsRoutine reports whether an event is logged for every successful request. Routine events are dropped first when
+// the log can't be written fast enough.
 func IsRoutine(event string) bool { return event == RequestAnswered }
 
-// Names of fields that several events share.
 const (
-	FieldRequest            = "request"  // the caller's request id
-	FieldInstance           = "instance" // one life of a back end
+	FieldRequest            = "request"  // request id of the client
+	FieldInstance           = "instance" // incarnation of a backend
 	FieldReason             = "reason"
-	FieldRevision           = "revision" // of the routing document that decided
+	FieldRevision           = "revision" // of the routing document that applied
 	FieldRoute              = "route"
 	FieldStatus             = "status"
-	FieldAttempts           = "sent" // back ends that got the request so far
-	FieldElapsed            = "took" // seconds since the request arrived
+	FieldAttempts           = "sent" // number of backends that the request was sent to so far
+	FieldElapsed            = "took" // time since the request arrived
 	FieldCause              = "cause"
-	FieldDisabledMechanisms = "without" // mechanisms that this process was started without
-	// FieldPredictedWait is the time until a request begins that its placement expected, in milliseconds; FieldUncached the prompt tokens
-	// that were to be read, FieldFrom where cached parts were taken from, FieldScheduled whether another gateway placed it.
+	FieldDisabledMechanisms = "without" // mechanisms that are disabled in this process
+	// FieldPredictedWait is the predicted time until the request starts, in milliseconds, and FieldUncachedTokens the
+	// predicted number of prompt tokens to prefill, both at placement. FieldCacheSource is where cached parts are
+	// loaded from, and FieldScheduled reports whether another gateway placed the request.
 	FieldPredictedWait  = "predicted"
 	FieldUncachedTokens = "uncached"
-	// FieldRecomputedTokens is how many of these tokens are of shared parts, and FieldRereadWhy why nobody's copy of them serves.
+	// FieldRecomputedTokens is how many of the uncached tokens belong to shared parts, and FieldRecomputeReason why
+	// no cached copy of these is used.
 	FieldRecomputedTokens = "reread"
 	FieldRecomputeReason  = "reread_why"
 	FieldCacheSource      = "from"
 	FieldScheduled        = "scheduled"
-	FieldResource         = "resource" // what is limited: "tenant/NAME", or "repeats/SERVICE"
-	// FieldFingerprint names a request by what stays when it comes again.
+	FieldResource         = "resource" // limited resource: "tenant/NAME" or "repeats/SERVICE"
+	// FieldFingerprint identifies a request across retries.
 	FieldFingerprint  = "fingerprint"
-	FieldIncarnations = "lives" // of back ends that ended under a request
-	// FieldOutdatedFor is how long ago the oldest version was named that weights lack, as control told; FieldLimitLeft the seconds left
-	// until nothing may begin on them any more, below 0 once that has passed; FieldLimitChosen the same by the limit that was known
-	// when the place was chosen.
+	FieldIncarnations = "lives" // of backends that crashed during a request
+	// FieldOutdatedFor is the age of the oldest publication that the weights lack, as reported by control.
+	// FieldStartDeadline is the time left until no request may start on these weights, negative after that, and
+	// FieldPlacementDeadline the same by the limit that was known at placement.
 	FieldOutdatedFor       = "lacked"
 	FieldStartDeadline     = "limit_left"
 	FieldPlacementDeadline = "limit_chosen"
-	FieldObjectiveMissed   = "late" // true where the answer missed the route's objective
-	// FieldBackoff is how long a back end asked for rest, FieldRestLeft how much of that was left, both in seconds; FieldSentAtRest what was
-	// left when a request was sent there all the same, and FieldUnread such a wish that can't be read, as it came.
+	FieldObjectiveMissed   = "late" // true if the response missed the route's objective
+	// FieldBackoff is the backoff that a backend asked for, and FieldBackoffLeft how much of it was left, both in
+	// seconds. FieldBackoffLeftAtSend is what was left when a request was sent nevertheless, and FieldUnparsedValue a
+	// value that could not be parsed, as received.
 	FieldBackoff           = "rest"
 	FieldBackoffLeft       = "rest_left"
 	FieldBackoffLeftAtSend = "sent_at_rest"
 	FieldUnparsedValue     = "unread"
-	// FieldAdvertisedLimit is what a back end had named as its limit, in requests a second.
+	// FieldAdvertisedLimit is the limit that a backend advertises, in requests per second.
 	FieldAdvertisedLimit = "limit"
 )
