--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// TestEveryEventIsDocumented: docs/LOGS.md has a row for each name and for each shared field.
+// TestEveryEventIsDocumented checks that docs/LOGS.md has a table row for each event and for each shared field.
 func TestEveryEventIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/LOGS.md")
 	if err != nil {
@@ -37,6 +37,6 @@
 		return true
 	})
 	if found < 30 {
-		t.Fatalf("only %d names found", found)
+		t.Fatalf("found only %d names", found)
 	}
 }
