--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger records requests that may run at most once. It is a pure state machine applied from the
-// replicated log; every replica gets the same outcome.
+// Package ledger tracks idempotency keys of requests that may run at most once. It is a deterministic state machine
+// that is applied from the replicated log: all replicas compute the same outcomes.
 //
-// Rules: a key has at most one claim at a time; only the holder of the claim may dispatch, and only within
-// the session it claimed in. A claim ends as finished (with the answer), released (provably not run) or
-// unknown (the holder is gone, or cannot tell). A finished or unknown key is never granted again while it
-// is retained, and is refused as expired for a long time after that.
+// A key has at most one claim at a time. Only the holder of the claim may dispatch the request, and only during the
+// session in which it claimed the key. A claim ends as finished (with the response), released (the request provably
+// did not run) or unknown (the session closed, or the holder cannot tell). A finished or unknown key is not granted
+// again while it is retained, and is rejected as expired for a multiple of the retention time after that.
 package ledger
 
 import (
@@ -15,16 +15,16 @@
 )
 
 const (
-	// expiredRetentionFactor is how many retention times an expired key is still refused, without its answer.
+	// expiredRetentionFactor is how many retention times an expired key is still rejected, without a stored response.
 	expiredRetentionFactor = 30
-	// maxResponseBytes bounds a stored answer; a longer one is stored as finished without its body.
+	// maxResponseBytes bounds the body of a stored response; longer bodies are not stored.
 	maxResponseBytes = 256 << 10
 )
 
-// State is where the run of a key stands.
+// State is the state of a key.
 type State string
 
-// States of a record.
+// States of a key.
 const (
 	StateRunning  State = "running"
 	StateFinished State = "finished"
@@ -32,32 +32,32 @@
 	StateExpired  State = "expired"
 )
 
-// Key names a request that may run once. Tenants and services never share keys.
+// Key identifies a request that may run once. Tenants and services have separate key spaces.
 type Key struct {
 	Tenant  string `json:"tenant"`
 	Service string `json:"service"`
 	Key     string `json:"key"`
 }
 
-// Holder is a router's session; a session that was closed never holds claims again.
+// Holder is a session of a router. A closed session gets no new claims.
 type Holder struct {
 	Router string `json:"router"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-// Response is what the back end returned.
+// Response is the stored response of a backend.
 type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	Truncated   bool   `json:"truncated,omitempty"` // the body was too long to keep
+	Truncated   bool   `json:"truncated,omitempty"` // the body exceeded maxResponseBytes and was not stored
 }
 
-// Claim asks for the right to run a key once.
+// Claim requests the right to run a key once.
 type Claim struct {
 	Key         Key    `json:"key"`
 	Digest      uint64 `json:"digest"`   // of the request body
-	ClaimID     string `json:"claim_id"` // the same for every resend of this claim
+	ClaimID     string `json:"claim_id"` // the same for all retransmissions of this claim
 	Holder      Holder `json:"holder"`
 	RetentionMS int64  `json:"retention_ms"`
 }
@@ -70,38 +70,37 @@
 	Answer  *Response `json:"answer,omitempty"` // with EndFinished
 }
 
-// EndKind is how a claim ended.
+// EndKind is the result of a claim.
 type EndKind string
 
-// Kinds of end.
+// Results of a claim.
 const (
 	EndFinished EndKind = "finished"
-	EndReleased EndKind = "released" // provably never ran
+	EndReleased EndKind = "released" // the request provably never ran
 	EndUnknown  EndKind = "unknown"
 )
 
-// OutcomeKind is the answer to a claim.
+// OutcomeKind is the decision on a claim.
 type OutcomeKind string
 
-// Kinds of claim outcome.
+// Decisions on a claim.
 const (
 	Granted        OutcomeKind = "granted"
-	Replayed       OutcomeKind = "replayed" // Answer holds the stored answer
+	Replayed       OutcomeKind = "replayed" // with the stored response
 	InProgress     OutcomeKind = "in-progress"
 	RunUnknown     OutcomeKind = "unknown"
 	DigestMismatch OutcomeKind = "digest-mismatch"
 	KeyExpired     OutcomeKind = "expired"
 	Withdrawn      OutcomeKind = "withdrawn"      // this claim id was released before
-	SessionClosed  OutcomeKind = "session-closed" // the holder's session is gone
+	SessionClosed  OutcomeKind = "session-closed" // the holder's session is closed
 )
 
-// Outcome is the answer to a claim.
+// Outcome is the decision on a claim and, for Replayed, the stored response.
 type Outcome struct {
 	Kind   OutcomeKind `json:"kind"`
 	Answer *Response   `json:"answer,omitempty"`
 }
 
-// record is the state of one key.
 type record struct {
 	Key       Key       `json:"key"`
 	Digest    uint64    `json:"digest"`
@@ -113,21 +112,21 @@
 	ExpiresMS int64     `json:"expires_ms"`
 }
 
-// withdrawal remembers a released claim id, so that a late copy of the claim is not granted.
+// withdrawal remembers a released claim id, so that a delayed copy of the claim is not granted.
 type withdrawal struct {
 	ClaimID   string `json:"claim_id"`
 	ExpiresMS int64  `json:"expires_ms"`
 }
 
-// Ledger is the replicated state.
+// Ledger is the replicated state. It is not safe for concurrent use.
 type Ledger struct {
 	records     map[Key]*record
-	withdrawn   map[string]int64
+	withdrawn   map[string]int64 // expiry time by claim id
 	expiry      expiryHeap
-	withdrawals []withdrawal // in order of time
+	withdrawals []withdrawal // ordered by time
 }
 
-// withdrawalTTLMS is how long a released claim id is remembered; no message is delayed longer.
+// withdrawalTTLMS is how long a released claim id is remembered. It exceeds the longest possible delay of a message.
 const withdrawalTTLMS = 10 * 60 * 1000
 
 // New returns an empty ledger.
@@ -135,10 +134,10 @@
 	return &Ledger{records: map[Key]*record{}, withdrawn: map[string]int64{}}
 }
 
-// Len returns the number of keys held, expired ones included.
+// Len returns the number of keys, including expired ones.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Claim decides a claim. sessionOpen tells whether the holder's session is open.
+// Claim decides on a claim. sessionOpen reports whether the holder's session is open.
 func (l *Ledger) Claim(claim Claim, nowMS int64, sessionOpen bool) Outcome {
 	l.prune(nowMS)
 	if _, released := l.withdrawn[claim.ClaimID]; released {
@@ -159,7 +158,7 @@
 	return Outcome{Kind: Granted}
 }
 
-// decide decides a claim for a key that is held already.
+// decide decides on a claim for an existing key.
 func (r *record) decide(claim Claim, sessionOpen bool) Outcome {
 	if r.State == StateExpired {
 		return Outcome{Kind: KeyExpired}
@@ -182,14 +181,14 @@
 	return Outcome{Kind: InProgress}
 }
 
-// End ends a claim. Ending it twice, or ending a claim that another one replaced, changes nothing.
+// End ends a claim. It has no effect if the claim already finished or was replaced by another one.
 func (l *Ledger) End(end End, nowMS int64) {
 	l.prune(nowMS)
 	existing, found := l.records[end.Key]
 	owned := found && existing.ClaimID == end.ClaimID
 	if end.Kind == EndReleased {
 		l.withdraw(end.ClaimID, nowMS)
-		// A closed session turned the claim to unknown, but its holder knows that it never dispatched.
+		// Closing the session marked the claim as unknown, but its holder knows that it never dispatched the request.
 		if owned && (existing.State == StateRunning || existing.State == StateUnknown) {
 			delete(l.records, end.Key)
 		}
@@ -202,7 +201,7 @@
 		existing.State = StateUnknown
 		return
 	}
-	// A late answer replaces "unknown": it is the truth, and the key stays spent either way.
+	// A late response replaces "unknown": the key can't be granted again in either state.
 	existing.State = StateFinished
 	existing.Answer = truncateResponse(end.Answer)
 }
@@ -223,7 +222,7 @@
 	l.withdrawals = append(l.withdrawals, item)
 }
 
-// CloseSession marks every running claim of a session as unknown.
+// CloseSession marks all running claims of a session as unknown.
 func (l *Ledger) CloseSession(holder Holder) {
 	for _, existing := range l.records {
 		if existing.State == StateRunning && existing.Holder == holder {
@@ -232,7 +231,7 @@
 	}
 }
 
-// prune expires old records and forgets what has been expired for long.
+// prune expires records after their retention time, and deletes expired records and withdrawals whose time is over.
 func (l *Ledger) prune(nowMS int64) {
 	for len(l.withdrawals) > 0 && l.withdrawals[0].ExpiresMS <= nowMS {
 		delete(l.withdrawn, l.withdrawals[0].ClaimID)
@@ -259,7 +258,7 @@
 	heap.Push(&l.expiry, expiryItem{key: existing.Key, at: existing.ExpiresMS})
 }
 
-// Digest identifies a request body.
+// Digest returns a hash of a request body.
 func Digest(body []byte) uint64 { return xxhash.Sum64(body) }
 
 // ledgerSnapshot is the JSON form of a ledger.
@@ -268,7 +267,7 @@
 	Withdrawals []withdrawal `json:"withdrawals"`
 }
 
-// MarshalJSON writes the whole state for a snapshot.
+// MarshalJSON encodes the whole state as a snapshot.
 func (l *Ledger) MarshalJSON() ([]byte, error) {
 	snapshot := ledgerSnapshot{Withdrawals: l.withdrawals}
 	for _, existing := range l.records {
@@ -277,7 +276,7 @@
 	return json.Marshal(snapshot)
 }
 
-// UnmarshalJSON restores a state written by MarshalJSON.
+// UnmarshalJSON replaces the whole state by a snapshot.
 func (l *Ledger) UnmarshalJSON(data []byte) error {
 	var snapshot ledgerSnapshot
 	if err := json.Unmarshal(data, &snapshot); err != nil {
