--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,13 +22,13 @@
 		t.Fatalf("first claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c1", 1), 0, true).Kind; got != Granted {
-		t.Fatalf("resent claim: %s", got)
+		t.Fatalf("retransmitted claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != InProgress {
 		t.Fatalf("second claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c3", 2), 0, true).Kind; got != DigestMismatch {
-		t.Fatalf("other body: %s", got)
+		t.Fatalf("claim with another body: %s", got)
 	}
 }
 
@@ -36,10 +36,10 @@
 	l := New()
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndReleased}, 0)
 	if got := l.Claim(claim("k", "c1", 1), 0, true).Kind; got != Withdrawn {
-		t.Fatalf("late copy of a released claim: %s", got)
+		t.Fatalf("delayed copy of a released claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != Granted {
-		t.Fatalf("resend after the release: %s", got)
+		t.Fatalf("new claim after the release: %s", got)
 	}
 }
 
@@ -48,11 +48,11 @@
 	l.Claim(claim("k", "c1", 1), 0, true)
 	l.CloseSession(Holder{Router: "r", Epoch: 1})
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != RunUnknown {
-		t.Fatalf("after the session ended: %s", got)
+		t.Fatalf("claim after the session was closed: %s", got)
 	}
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 0)
 	if got := l.Claim(claim("k", "c3", 1), 0, true).Kind; got != Replayed {
-		t.Fatalf("after the late answer: %s", got)
+		t.Fatalf("claim after the late response: %s", got)
 	}
 }
 
@@ -61,17 +61,17 @@
 	l.Claim(claim("k", "c1", 1), 0, true)
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 1)
 	if got := l.Claim(claim("k", "c2", 1), testRetention+1, true).Kind; got != KeyExpired {
-		t.Fatalf("after the retention: %s", got)
+		t.Fatalf("claim after the retention time: %s", got)
 	}
 }
 
-// modelKey is the simple oracle's view of one key.
+// modelKey is the state of a key in the reference model.
 type modelKey struct {
 	state   State
 	claimID string
 }
 
-// TestLedgerMatchesReferenceModel drives claims, ends, lost sessions and restarts by snapshot.
+// TestLedgerMatchesReferenceModel applies random claims, ends, session closings and restarts from snapshots.
 func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
