--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -1,35 +1,37 @@
-// Package level tells apart builds that run side by side, by what they know of each other's records.
+// Package level defines the compatibility level of a build, so that members of different builds can run in one control
+// group.
 //
-// Each build has a level, its Own. Members of the control group tell theirs with every message. Once all of them have told one for a while,
-// the leader raises the level in force to it, by an entry of the replicated log. From then on the log and its snapshots may hold what a build of
-// that level knows, so that one of a lower level refuses to run: it would apply an entry only in part, and no longer hold what the others hold.
-// Before that, a member may go back to the build that it came from, and nothing is written that this one can't read.
+// Members announce the level of their build with every message. After all members have announced a level for some
+// time, the leader raises the level in force to it with a log entry. From then on, the log and its snapshots may
+// contain records of that level, and builds of a lower level refuse to run: they would apply such entries
+// incompletely, and their state would diverge. Before that, members can be rolled back to the previous build, and
+// nothing is written that it can't read.
 //
-// A change of what the log may hold, or of what an entry does, takes a level of its own and looks at the level in force. A field that may be left out,
-// of a message or a file that nobody else applies, doesn't: whoever doesn't know it passes over it.
+// A change to what the log may contain, or to the effect of an entry, requires a new level and must check the level in
+// force. Optional fields of messages and of files that are not replicated don't: older builds ignore them.
 package level
 
 import "github.com/rotisserie/eris"
 
-// Level is what a build knows: all that is written at this level or a lower one.
+// Level is the compatibility level of a build, which supports all records of this level and of lower ones.
 type Level uint64
 
 const (
-	// Unannounced is that of builds that tell none. They apply an entry that raises the level as one that does nothing.
+	// Unannounced is the level of builds that announce none. They ignore an entry that raises the level.
 	Unannounced Level = 0
-	// Announced is that of builds that tell theirs, and refuse what is above it.
+	// Announced is the level of the first builds that announce theirs and reject records of higher levels.
 	Announced Level = 1
-	// Current is that of this build.
+	// Current is the level of this build.
 	Current = Announced
 )
 
-// ErrTooOld says that a build met records of a higher level than its own. A caller can tell it with errors.Is.
-var ErrTooOld = eris.New("this program is too old for the control group")
+// ErrTooOld is returned if records have a higher level than this build supports. Check for it with errors.Is.
+var ErrTooOld = eris.New("this build is too old for the control group")
 
-// CheckSupports returns ErrTooOld if a build doesn't know all that is written while a level is in force.
+// CheckSupports returns ErrTooOld if a build of level l doesn't support the level in force.
 func (l Level) CheckSupports(inForce Level) error {
 	if inForce <= l {
 		return nil
 	}
-	return eris.Wrapf(ErrTooOld, "the group runs at level %d, this program knows levels up to %d; start a newer program", inForce, l)
+	return eris.Wrapf(ErrTooOld, "the control group runs at level %d, this build supports levels up to %d; upgrade to a newer build", inForce, l)
 }
