--- a/internal/mechanism/fitting_test.go
+++ b/internal/mechanism/fitting_test.go
@@ -9,13 +9,12 @@
 	"testing"
 )
 
-// deploymentNames are names of the users' deployments, services, routes and kinds of requests. Wire names of the platform are not
-// among them.
+// deploymentNames matches names of deployments and of their services, routes and kinds of requests.
 var deploymentNames = regexp.MustCompile(`(?i)ayni|\blima\b|kigali|nilewash|alumni|linen|donor|grad-portal|prompt-vault|prompt-keep|llm-pool|` +
 	`dossier|quick-query|transcript|reunion|manifest|housekeeping|stop-confirm|bag-count|pledge|thanks-draft|receipt`)
 
-// TestSourcesNameNoDeployment: no source of the product names a user's deployment, service, route or kind of request. The
-// laboratory may: it plays deployments that the project wrote itself.
+// TestSourcesNameNoDeployment guards against code that is specific to one deployment. The lab folder is exempt: it
+// simulates example deployments.
 func TestSourcesNameNoDeployment(t *testing.T) {
 	root := filepath.Join("..", "..")
 	read := 0
@@ -36,7 +35,7 @@
 			read++
 			for number, line := range strings.Split(string(source), "\n") {
 				if found := deploymentNames.FindString(line); found != "" {
-					t.Errorf("%s:%d names %q: %s", path, number+1, found, strings.TrimSpace(line))
+					t.Errorf("%s:%d contains %q: %s", path, number+1, found, strings.TrimSpace(line))
 				}
 			}
 			return nil
@@ -46,9 +45,9 @@
 		}
 	}
 	if read < 100 {
-		t.Fatalf("only %d sources were read", read)
+		t.Fatalf("read only %d source files", read)
 	}
 	if !deploymentNames.MatchString(`case "pledge-check":`) {
-		t.Fatal("the check can find nothing")
+		t.Fatal("deploymentNames does not match a known deployment name")
 	}
 }
