--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the parts of the decision that can be switched off one by one, to measure what each is worth. All are
-// on unless a process is started without them. No must-hold rule depends on one; those are in package guard.
+// Package mechanism names the optional parts of request placement, which can be disabled individually to measure their
+// effect. All are enabled by default. No safety invariant depends on them; those are in package guard.
 package mechanism
 
 import (
@@ -9,39 +9,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// Name is the name of one mechanism.
+// Name is the name of a mechanism.
 type Name string
 
 // Mechanisms of gateways.
 const (
-	Lanes              Name = "lanes"         // long and short requests keep to engines of their own
-	GatewayMesh        Name = "mesh"          // gateways tell each other of their requests
-	Occupancy          Name = "occupancy"     // slots and memory in use count
-	PeerFailureReports Name = "suspicion"     // others' reports of unreachable back ends count
-	StoreTransfers     Name = "store"         // shared parts are saved in and taken from stores
-	EngineTransfers    Name = "copies"        // shared parts are taken from other engines
-	EvictionCost       Name = "displacement"  // a copy costs what it displaces
-	LinkQueueing       Name = "links"         // moves from one engine or store wait for each other
-	AffinityOwner      Name = "owner"         // requests meet at one engine while nobody holds their prompt
-	AffinityMissCost   Name = "stray-cost"    // shared parts that are read elsewhere than at their owner cost more
-	CacheEvents        Name = "cache-events"  // what engines keep is read from them
-	SilenceTimeout     Name = "patience"      // a repeatable request leaves a silent back end
-	FailureAvoidance   Name = "avoidance"     // back ends that failed are avoided for a while
-	ViewWait           Name = "view-wait"     // a request waits for control that is expected
-	ZoneCost           Name = "zone-cost"     // back ends of other zones cost more
-	Interference       Name = "interference"  // reading a prompt costs for each request that runs beside it
-	EarlyRejection     Name = "refusal"       // a request that would wait too long is turned away at once
-	RecomputeCost      Name = "reread-weight" // reading shared parts again costs more than its time
+	Lanes              Name = "lanes"         // long and short requests use separate engines
+	GatewayMesh        Name = "mesh"          // gateways exchange information about their requests
+	Occupancy          Name = "occupancy"     // occupied slots and cache memory are taken into account
+	PeerFailureReports Name = "suspicion"     // reports of other gateways about unreachable backends are taken into account
+	StoreTransfers     Name = "store"         // shared parts are saved to and loaded from stores
+	EngineTransfers    Name = "copies"        // shared parts are copied from other engines
+	EvictionCost       Name = "displacement"  // a copy is charged for the cache entries that it evicts
+	LinkQueueing       Name = "links"         // concurrent transfers from one engine or store queue up
+	AffinityOwner      Name = "owner"         // requests go to one engine while no engine has cached their prompt
+	AffinityMissCost   Name = "stray-cost"    // prefilling shared parts elsewhere than at their owner costs more
+	CacheEvents        Name = "cache-events"  // cache contents are read from the engines
+	SilenceTimeout     Name = "patience"      // a repeatable request is retried elsewhere if its backend does not respond
+	FailureAvoidance   Name = "avoidance"     // backends are avoided for some time after a failure
+	ViewWait           Name = "view-wait"     // a request waits for an expected update from control
+	ZoneCost           Name = "zone-cost"     // backends in other zones cost more
+	Interference       Name = "interference"  // prefill costs more for each request that runs concurrently
+	EarlyRejection     Name = "refusal"       // a request that would wait too long is rejected immediately
+	RecomputeCost      Name = "reread-weight" // recomputing shared parts is weighted higher than its time
 )
 
 // Mechanisms of control replicas.
 const (
-	Schedulers    Name = "schedulers"    // a few gateways of each zone of a large fleet place requests for all
-	WeightsDrain  Name = "weights-drain" // running requests end before weights are replaced
-	LoggedWeights Name = "held-weights"  // a new leader knows from the log which weights engines hold
+	Schedulers    Name = "schedulers"    // in a large fleet, a few gateways per zone place the requests of all
+	WeightsDrain  Name = "weights-drain" // running requests complete before weights are replaced
+	LoggedWeights Name = "held-weights"  // a new leader learns from the log which weights engines have loaded
 )
 
-// All lists every mechanism in a fixed order.
+// All returns all mechanisms in a fixed order.
 func All() []Name {
 	return []Name{
 		Lanes, GatewayMesh, Occupancy, PeerFailureReports, StoreTransfers, EngineTransfers, EvictionCost, LinkQueueing, AffinityOwner, AffinityMissCost, CacheEvents, SilenceTimeout, FailureAvoidance,
@@ -49,12 +49,12 @@
 	}
 }
 
-// Set tells which mechanisms are on. The zero value has all of them on.
+// Set is a set of enabled mechanisms. In the zero value all are enabled.
 type Set struct {
-	off []Name // as they were given
+	off []Name // in the given order
 }
 
-// Without reads the mechanisms that are to be off, separated by commas. Unknown names are refused with the known ones.
+// Without parses a comma-separated list of mechanisms to disable. The error for an unknown name lists the known ones.
 func Without(names string) (Set, error) {
 	var set Set
 	for field := range strings.SplitSeq(names, ",") {
@@ -62,7 +62,7 @@
 		switch {
 		case name == "":
 		case !slices.Contains(All(), name):
-			return Set{}, eris.Errorf("%q is no mechanism; known are %s", name, knownNames())
+			return Set{}, eris.Errorf("unknown mechanism %q; known mechanisms are %s", name, knownNames())
 		case !slices.Contains(set.off, name):
 			set.off = append(set.off, name)
 		}
@@ -78,10 +78,10 @@
 	return strings.Join(names, ", ")
 }
 
-// On reports whether a mechanism is on.
+// On reports whether a mechanism is enabled.
 func (s Set) On(name Name) bool { return !slices.Contains(s.off, name) }
 
-// Off returns the mechanisms that are off.
+// Off returns the names of the disabled mechanisms.
 func (s Set) Off() []string {
 	names := []string{}
 	for _, name := range s.off {
