--- a/internal/membership/cursor.go
+++ b/internal/membership/cursor.go
@@ -1,20 +1,20 @@
-// Package membership follows the back ends' lives as their state polls show them.
+// Package membership tracks the incarnations of backends by their state polls.
 package membership
 
 import "kitetiller/internal/core"
 
-// Cursor remembers how far the cache events of one back end were read. The zero value starts at its first event.
+// Cursor is the read position in the cache events of a backend. The zero value starts at the first event.
 type Cursor struct {
 	next        uint64
 	incarnation uint64
 	weights     string
 }
 
-// Next returns the sequence from which events are wanted.
+// Next returns the sequence number of the next event to request.
 func (c *Cursor) Next() uint64 { return c.next }
 
-// Advance moves the cursor past a report. The events of a report that shows another life, or other weights, belong
-// to a sequence that was not asked for; they are dropped and the next poll starts from the first.
+// Advance moves the cursor past a report. If the report is of another incarnation or of other weights, its events
+// belong to a different sequence: they are dropped, and the next poll starts at the first event.
 func (c *Cursor) Advance(report *core.BackendReport) {
 	if report.Incarnation != c.incarnation || report.Weights != c.weights {
 		*c = Cursor{incarnation: report.Incarnation, weights: report.Weights}
