--- a/internal/prefix/hash.go
+++ b/internal/prefix/hash.go
@@ -1,5 +1,5 @@
-// Package prefix knows which engine is believed to hold which cached prompt prefix: block chain hashes, the
-// index of beliefs, and the rates of hot prefixes.
+// Package prefix tracks which engine is assumed to have cached which prompt prefix: hashes of block chains, an index
+// from blocks to engines, and the request rates of prefixes.
 package prefix
 
 import (
@@ -10,24 +10,24 @@
 	"kitetiller/internal/guard"
 )
 
-// HashBytes is the width of a block hash. 128 bits keep accidental collisions among 10^9 blocks below 10^-20;
-// the secret key keeps a tenant from making one on purpose.
+// HashBytes is the size of a block hash. With 128 bits, the probability of an accidental collision among 10^9 blocks is
+// below 10^-20; the secret key prevents deliberate ones.
 const HashBytes = 16
 
-// BytesPerToken is the length of text that counts as one token. Routers do not run a model's tokenizer; a
-// block is a fixed length of text, and engine adapters map it to their own blocks.
+// BytesPerToken is the text length that is counted as one token. Routers don't run the tokenizers of models; their
+// blocks have a fixed text length, which engine adapters map to blocks of the engine.
 const BytesPerToken = 4
 
-// Hash names a block together with everything before it, its tenant and the weights version.
+// Hash identifies a block together with all preceding blocks, the tenant and the weights version.
 type Hash [HashBytes]byte
 
-// String returns the hash in hex.
+// String encodes the hash in hex.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// MarshalText writes the hash in hex.
+// MarshalText encodes the hash in hex.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads a hash in hex.
+// UnmarshalText decodes a hash from hex.
 func (h *Hash) UnmarshalText(text []byte) error {
 	if len(text) != 2*HashBytes {
 		return hex.ErrLength
@@ -36,33 +36,33 @@
 	return err
 }
 
-// Hasher makes block chains under one secret key. It is safe for concurrent use.
+// Hasher computes block chains with a secret key. It is safe for concurrent use.
 type Hasher struct {
 	base        *blake3.Hasher
 	blockTokens int
 	guards      guard.Set
 }
 
-// KeyBytes is the length of the secret key.
+// KeyBytes is the size of the secret key.
 const KeyBytes = 32
 
 // NewHasher returns a hasher for blocks of blockTokens tokens.
 func NewHasher(key [KeyBytes]byte, blockTokens int, guards guard.Set) *Hasher {
 	base, err := blake3.NewKeyed(key[:])
 	if err != nil {
-		panic("prefix: key length is wrong: " + err.Error())
+		panic("prefix: invalid hash key: " + err.Error())
 	}
 	return &Hasher{base: base, blockTokens: blockTokens, guards: guards}
 }
 
-// BlockTokens returns the tokens of a block.
+// BlockTokens returns the number of tokens per block.
 func (h *Hasher) BlockTokens() int { return h.blockTokens }
 
-// EstimateTokens returns how many tokens a prompt counts.
+// EstimateTokens returns the estimated number of tokens of a prompt.
 func EstimateTokens(promptBytes int) int { return (promptBytes + BytesPerToken - 1) / BytesPerToken }
 
-// Chain returns the hash of each whole block of the prompt. The chain starts from the tenant and the weights
-// version, so that chains of two tenants or two versions share no hash.
+// Chain returns the hash of each complete block of the prompt. It is seeded with the tenant and the weights version, so
+// that the chains of different tenants or versions share no hash.
 func (h *Hasher) Chain(tenant, weights string, prompt []byte) []Hash {
 	blockBytes := h.blockTokens * BytesPerToken
 	chain := make([]Hash, 0, len(prompt)/blockBytes)
