--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -7,24 +7,23 @@
 
 const (
 	rateHalfLife       = 20 * time.Second
-	maxTrackedPrefixes = 4096 // prefixes whose rate is tracked
+	maxTrackedPrefixes = 4096
 )
 
-// decayingCount is a decayed count of one prefix.
+// decayingCount is an exponentially decaying count of the requests for a prefix.
 type decayingCount struct {
 	count   float64
 	updated time.Duration
 }
 
-// RequestRates tracks how often each shared prefix is asked for, with exponential decay.
+// RequestRates tracks how often each shared prefix is requested, with exponential decay.
 type RequestRates struct {
 	counts map[Hash]*decayingCount
 }
 
-// NewRequestRates returns an empty table.
 func NewRequestRates() *RequestRates { return &RequestRates{counts: map[Hash]*decayingCount{}} }
 
-// Record counts a request for the prefix that ends with the given block and returns its rate per minute.
+// Record counts a request for the prefix that ends with the given block and returns the prefix's rate per minute.
 func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
 	entry := t.counts[hash]
 	if entry == nil {
@@ -39,7 +38,7 @@
 	return entry.perMinute()
 }
 
-// Rate returns the rate per minute of a prefix.
+// Rate returns the requests per minute of a prefix.
 func (t *RequestRates) Rate(hash Hash, now time.Duration) float64 {
 	entry := t.counts[hash]
 	if entry == nil {
@@ -53,12 +52,12 @@
 	return r.count * math.Exp2(-float64(now-r.updated)/float64(rateHalfLife))
 }
 
-// perMinute converts a decayed count: a steady rate r leaves a count of r * halfLife / ln 2.
+// perMinute converts the count to a rate: a steady rate r leads to a count of r * rateHalfLife / ln 2.
 func (r *decayingCount) perMinute() float64 {
 	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
-// evict drops prefixes that have gone cold, and half of the rest when that is not enough.
+// evict deletes the prefixes with the lowest counts, doubling the threshold until there is room for a new one.
 func (t *RequestRates) evict(now time.Duration) {
 	for threshold := 0.5; len(t.counts) >= maxTrackedPrefixes; threshold *= 2 {
 		for hash, entry := range t.counts {
