--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -6,68 +6,67 @@
 	"time"
 )
 
-// EngineID is an engine's row in the router's table.
+// EngineID is the index of an engine in the router's table.
 type EngineID uint32
 
-// Source tells where a belief came from.
+// Source is the origin of an index entry.
 type Source uint8
 
-// Sources of a belief.
+// Origins of an index entry.
 const (
-	SourceDispatch Source = iota // we sent a request that leaves the block there
-	SourceEvent                  // the engine said so
-	SourceSnapshot               // the engine's full list said so
+	SourceDispatch Source = iota // a request was dispatched that leaves the block in the engine's cache
+	SourceEvent                  // a cache event of the engine
+	SourceSnapshot               // a complete block list of the engine
 )
 
 const (
 	noNode             = 0
-	tickPeriod         = 10 * time.Millisecond // grain of the times kept with beliefs
-	evictionSampleSize = 8                     // beliefs looked at to find one to drop when the index is full
+	tickPeriod         = 10 * time.Millisecond // resolution of the times in entries
+	evictionSampleSize = 8                     // entries compared to choose one to evict when the index is full
 )
 
-// node is one belief: an engine holds a block. Nodes of one block form a list. 36 bytes.
+// node is an index entry: an engine is assumed to hold a block. The entries of a block form a linked list. 36 bytes.
 type node struct {
 	hash       Hash
 	engine     EngineID
-	generation uint32
-	lastSeen   uint32 // in clockUnit
+	generation uint32 // of the engine when the entry was added
+	lastSeen   uint32 // in ticks
 	next       uint32
 	inUse      bool
 	source     Source
 }
 
-// engineState is what the index knows about an engine as a whole.
+// engineState is the state of an engine that applies to all of its entries.
 type engineState struct {
 	generation  uint32
-	maxAge      uint32 // beliefs older than this are taken as evicted; in clockUnit
-	staleBefore uint32 // beliefs older than this were heard before a gap in the engine's events
+	maxAge      uint32 // unconfirmed entries older than this count as evicted; in ticks
+	staleBefore uint32 // entries last seen before this may have missed an event; in ticks
 	entries     int
 }
 
-// Index maps blocks to the engines believed to hold them. Its size is bounded; it is not safe for
-// concurrent use.
+// Index maps blocks to the engines that are assumed to hold them. Its size is bounded. It is not safe for concurrent
+// use.
 //
-// Invariant: a belief counts only while its life equals the engine's, so that Forget voids all beliefs
-// about an engine in constant time.
+// An entry is valid only while its generation equals the engine's, so that InvalidateEngine takes constant time.
 type Index struct {
-	heads     map[Hash]uint32
+	heads     map[Hash]uint32 // first entry of each block
 	nodes     []node
-	freeHead  uint32
+	freeHead  uint32 // head of the list of free nodes
 	engines   []engineState
 	limit     int
-	clockHand uint32
+	clockHand uint32 // next node that evictOne and Sweep look at
 	count     int
 }
 
-// NewIndex returns an index of at most limit beliefs.
+// NewIndex returns an index of at most limit entries.
 func NewIndex(limit int) *Index {
 	return &Index{heads: map[Hash]uint32{}, nodes: make([]node, 1, 1024), limit: limit}
 }
 
-// Len returns the number of beliefs held, dead ones that were not yet swept included.
+// Len returns the number of entries, including invalid ones that were not swept yet.
 func (x *Index) Len() int { return x.count }
 
-// EngineEntries returns how many live beliefs are held about an engine.
+// EngineEntries returns the number of entries of an engine in its current generation.
 func (x *Index) EngineEntries(engine EngineID) int { return x.engine(engine).entries }
 
 func (x *Index) engine(id EngineID) *engineState {
@@ -79,7 +78,7 @@
 
 func ticks(t time.Duration) uint32 { return uint32(t / tickPeriod) }
 
-// InvalidateEngine voids every belief about an engine: it restarted, died, or changed its weights.
+// InvalidateEngine invalidates all entries of an engine after it restarted, died or changed its weights.
 func (x *Index) InvalidateEngine(engine EngineID) {
 	state := x.engine(engine)
 	state.generation++
@@ -87,12 +86,12 @@
 	state.staleBefore = 0
 }
 
-// MarkStale marks everything heard so far about an engine as doubtful, after a gap in its events.
+// MarkStale marks all entries of an engine as stale, after a gap in its cache events.
 func (x *Index) MarkStale(engine EngineID, now time.Duration) {
 	x.engine(engine).staleBefore = ticks(now)
 }
 
-// SetMaxAge sets how long unused blocks stay on an engine, as measured there; 0 is unknown.
+// SetMaxAge sets how long unused blocks stay in an engine's cache, as measured by the engine; 0 means unknown.
 func (x *Index) SetMaxAge(engine EngineID, age time.Duration) {
 	if age <= 0 {
 		x.engine(engine).maxAge = math.MaxUint32
@@ -101,13 +100,13 @@
 	x.engine(engine).maxAge = max(1, ticks(age))
 }
 
-// Add believes that an engine holds the blocks of a chain.
+// Add records that an engine holds the blocks of a chain.
 func (x *Index) Add(engine EngineID, chain []Hash, now time.Duration, source Source) {
 	state := x.engine(engine)
 	for _, hash := range chain {
 		if found := x.find(hash, engine, state.generation); found != noNode {
 			x.nodes[found].lastSeen = ticks(now)
-			if source != SourceDispatch { // a send does not confirm what the engine itself has said
+			if source != SourceDispatch { // a dispatch must not downgrade what the engine itself reported
 				x.nodes[found].source = source
 			}
 			continue
@@ -117,7 +116,7 @@
 	}
 }
 
-// Remove forgets that an engine holds the given blocks.
+// Remove deletes the entries of an engine for the given blocks.
 func (x *Index) Remove(engine EngineID, hashes []Hash) {
 	state := x.engine(engine)
 	for _, hash := range hashes {
@@ -127,7 +126,7 @@
 	}
 }
 
-// find returns the live belief about an engine and a block.
+// find returns the entry of an engine for a block in the given generation, or noNode.
 func (x *Index) find(hash Hash, engine EngineID, generation uint32) uint32 {
 	for at := x.heads[hash]; at != noNode; at = x.nodes[at].next {
 		if x.nodes[at].engine == engine && x.nodes[at].generation == generation {
@@ -153,7 +152,7 @@
 	x.count++
 }
 
-// freeNode unlinks a belief and frees its node.
+// freeNode unlinks an entry and adds its node to the free list.
 func (x *Index) freeNode(at uint32) {
 	freed := &x.nodes[at]
 	x.unlink(freed.hash, at)
@@ -185,7 +184,7 @@
 	}
 }
 
-// isValid reports whether a node still counts, and whether it is doubtful.
+// isValid reports whether an entry still counts, and whether it is stale.
 func (x *Index) isValid(at uint32, now uint32) (valid, stale bool) {
 	entry := &x.nodes[at]
 	state := &x.engines[entry.engine]
@@ -200,7 +199,8 @@
 	return true, stale
 }
 
-// evictOne drops a dead belief, or the oldest of a few.
+// evictOne evicts the first entry of an old generation within a sample or, if there is none, the oldest entry of the
+// sample.
 func (x *Index) evictOne() {
 	victim := uint32(noNode)
 	for examined := 0; examined < evictionSampleSize; {
@@ -223,7 +223,7 @@
 	x.freeNode(victim)
 }
 
-// Sweep looks at up to count nodes and drops those that no longer count.
+// Sweep checks up to count nodes and deletes entries that are no longer valid.
 func (x *Index) Sweep(now time.Duration, count int) {
 	for range min(count, len(x.nodes)-1) {
 		x.clockHand++
@@ -239,18 +239,19 @@
 	}
 }
 
-// Match is an engine that is believed to hold the first Blocks blocks of a chain.
+// Match is an engine that is assumed to hold the first Blocks blocks of a chain.
 type Match struct {
 	Engine EngineID
 	Blocks int
-	Stale  bool
+	Stale  bool // the entry predates a gap in the engine's events
 }
 
-// probeFractions are the depths, as shares of the deepest known block, at which shallower holders are looked
-// for. Engines evict the end of a chain first, so a holder of block i holds all blocks before it.
+// probeFractions are the depths, as fractions of the longest held prefix, at which Lookup looks for engines that hold
+// less of it. Engines evict the end of a chain first, so an engine that holds a block also holds all blocks before
+// it.
 var probeFractions = [...]float64{1, 0.75, 0.5, 0.25, 0}
 
-// Lookup appends to matches the engines that hold a prefix of the chain, deepest first, each once.
+// Lookup appends the engines that hold a prefix of the chain to matches, the longest prefix first, each engine once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
 	longestHeldPrefix := x.deepest(chain, ticks(now))
 	if longestHeldPrefix == 0 {
