--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -21,7 +21,7 @@
 	for _, place := range [][2]string{{"a", "w1"}, {"b", "w1"}, {"a", "w2"}, {"aw", "1"}, {"", "aw1"}} {
 		for _, hash := range h.Chain(place[0], place[1], prompt) {
 			if other, met := seen[hash]; met {
-				t.Fatalf("%v shares a block with %s", place, other)
+				t.Fatalf("%v has a block hash in common with %s", place, other)
 			}
 			seen[hash] = place[0] + "/" + place[1]
 		}
@@ -38,13 +38,13 @@
 		for i := range min(len(a), len(b)) {
 			end := (i + 1) * blockBytes
 			if same := string(left[:end]) == string(right[:end]); same != (a[i] == b[i]) {
-				t.Fatalf("block %d: same text %v, same hash %v", i, same, a[i] == b[i])
+				t.Fatalf("block %d: equal text %v, equal hash %v", i, same, a[i] == b[i])
 			}
 		}
 	})
 }
 
-// indexModel is the simple oracle: which engine was told to hold which block in its present life.
+// indexModel is the reference model: the blocks that were added for each engine since it was last invalidated.
 type indexModel map[EngineID]map[Hash]bool
 
 func chain(first byte, length int) []Hash {
@@ -55,7 +55,8 @@
 	return blocks
 }
 
-// TestIndexMatchesReferenceModel: with room for everything and no ageing, the index must know exactly what it was told.
+// TestIndexMatchesReferenceModel checks that nothing is lost while the index is not full and entries have no maximum
+// age.
 func TestIndexMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, model := NewIndex(100_000), indexModel{}
@@ -95,7 +96,7 @@
 	})
 }
 
-// checkLookup compares the deepest holder and every reported depth with the model.
+// checkLookup compares the longest match and the lengths of all matches with the model.
 func checkLookup(t *rapid.T, index *Index, model indexModel, blocks []Hash) {
 	longest := 0
 	for _, held := range model {
@@ -103,11 +104,11 @@
 	}
 	matches := index.Lookup(blocks, 0, nil)
 	if longest > 0 && (len(matches) == 0 || matches[0].Blocks != longest) {
-		t.Fatalf("deepest match of %v, want %d blocks", matches, longest)
+		t.Fatalf("longest match of %v, want %d blocks", matches, longest)
 	}
 	for _, match := range matches {
 		if held := heldPrefix(model[match.Engine], blocks); match.Blocks > held {
-			t.Fatalf("engine %d is said to hold %d blocks, it holds %d", match.Engine, match.Blocks, held)
+			t.Fatalf("engine %d matches %d blocks, but holds %d", match.Engine, match.Blocks, held)
 		}
 	}
 }
@@ -126,7 +127,7 @@
 	for i := range 40 {
 		index.Add(EngineID(i%3), chain(byte(i+1), 5), time.Duration(i)*time.Second, SourceEvent)
 		if index.Len() > 50 {
-			t.Fatalf("%d beliefs held, the limit is 50", index.Len())
+			t.Fatalf("got %d entries, the limit is 50", index.Len())
 		}
 	}
 }
@@ -137,14 +138,14 @@
 	index.Add(0, chain(1, 2), 0, SourceDispatch)
 	index.Add(0, chain(2, 2), 0, SourceEvent)
 	if found := index.Lookup(chain(1, 2), 2*time.Second, nil); len(found) != 0 {
-		t.Fatalf("a send of long ago still counts: %v", found)
+		t.Fatalf("entry of an old dispatch is still valid: %v", found)
 	}
 	if found := index.Lookup(chain(2, 2), 2*time.Second, nil); len(found) != 1 {
-		t.Fatal("what the engine said does not count any more")
+		t.Fatal("entry confirmed by the engine is no longer valid")
 	}
 	index.MarkStale(0, 3*time.Second)
 	if found := index.Lookup(chain(2, 2), 4*time.Second, nil); len(found) != 0 {
-		t.Fatalf("a doubtful old belief still counts: %v", found)
+		t.Fatalf("old stale entry is still valid: %v", found)
 	}
 }
 
@@ -155,9 +156,9 @@
 		rate = table.Record(Hash{1}, time.Duration(i)*time.Second/2)
 	}
 	if rate < 110 || rate > 130 {
-		t.Fatalf("rate %.1f a minute, want about 120", rate)
+		t.Fatalf("rate is %.1f per minute, want about 120", rate)
 	}
 	if cold := table.Rate(Hash{1}, 300*time.Second+2*rateHalfLife); cold > rate/3 {
-		t.Fatalf("rate %.1f after two half-lives", cold)
+		t.Fatalf("rate is still %.1f per minute after two half-lives", cold)
 	}
 }
