--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota says which resources of a gateway fleet are limited, and by how much: what tenants may use, and how often
-// requests to a service may be sent again. Control lends these, gateways borrow them.
+// Package quota defines the fleet-wide rate limits: the quotas of tenants and the retry budgets of services. Control
+// leases shares of these limits to gateways.
 package quota
 
 import (
@@ -9,20 +9,19 @@
 	"kitetiller/internal/catalog"
 )
 
-// Policy are how limits are judged. They are settings of the whole fleet.
+// Policy defines how limits are enforced over the whole fleet.
 type Policy struct {
-	Window      time.Duration // that a tenant's use is added up in
-	Overage     float64       // share by which use in a window may exceed a tenant's limit
-	Slack       float64       // units by which it may besides
-	RetryWindow time.Duration // that repeats are added up in
-	RetrySlack  float64       // repeats of a service in it, beyond a share of its requests
+	Window      time.Duration // over which a tenant's use is summed up
+	Overage     float64       // fraction by which the use in a window may exceed a tenant's quota
+	Slack       float64       // units by which it may exceed the quota in addition
+	RetryWindow time.Duration // over which retries are summed up
+	RetrySlack  float64       // retries per service in a RetryWindow, in addition to a fraction of its requests
 }
 
-// Defaults of Terms.
+// Default values of a Policy.
 const (
-	DefaultWindow  = 8 * time.Second
-	DefaultOverage = 0.1
-	// DefaultRetryWindow is the window for repeats.
+	DefaultWindow      = 8 * time.Second
+	DefaultOverage     = 0.1
 	DefaultRetryWindow = 10 * time.Second
 )
 
@@ -40,7 +39,7 @@
 	return p
 }
 
-// Shares of the slack for repeats: what comes in over a window, what may be lent at once, and the room for the rest.
+// Fractions of RetrySlack: the rate over a window, the burst, and the slack of the limit.
 const (
 	retryRateFraction  = 0.4
 	retryBurstFraction = 0.3
@@ -53,16 +52,16 @@
 	backendPrefix = "back-end/"
 )
 
-// Tenant names the resource of a tenant.
+// Tenant returns the resource name of a tenant's quota.
 func Tenant(name string) string { return tenantPrefix + name }
 
-// ServiceRetries names the resource of a service's repeats.
+// ServiceRetries returns the resource name of a service's retry budget.
 func ServiceRetries(service string) string { return retryPrefix + service }
 
-// Backend names the resource of a life of a back end, which names its limit itself.
+// Backend returns the resource name of the limit that an incarnation of a backend advertises.
 func Backend(id string) string { return backendPrefix + id }
 
-// Limits returns the limits that a document and terms set, by resource.
+// Limits returns the limits of a document under a policy, by resource name.
 func Limits(document *catalog.Document, policy Policy) map[string]allowance.Limit {
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
