--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,9 +1,9 @@
-// Package session is a router's side of its session with the control group: the heartbeats it sends, the
-// settings it takes up, and the lease it may serve under. Machine is pure; the router process and the simulator
-// drive it alike.
+// Package session implements the router's side of its session with the control group: the heartbeats that it sends,
+// the settings versions that it applies and the lease under which it may serve. Machine does no I/O; the router
+// process and the simulator both drive it.
 //
-// Invariants: a version is acknowledged only after Saved, which the caller invokes when it is synced; the
-// acknowledged version never goes back; the lease counts from before the heartbeat was sent.
+// A settings version is acknowledged only after the caller has synced it to disk and called MarkSynced. The
+// acknowledged version never decreases. A lease starts when the heartbeat was sent, not when the reply arrived.
 package session
 
 import (
@@ -17,16 +17,17 @@
 	"kitetiller/internal/settings"
 )
 
-// FastHeartbeatInterval is the pause between heartbeats until the first lease, and while a version waits to be acknowledged.
+// FastHeartbeatInterval is the heartbeat interval until the first lease, and while a version is waiting to be
+// acknowledged.
 const FastHeartbeatInterval = 20 * time.Millisecond
 
-// Settings is the newest version that a router synced.
+// Settings is a version of the settings that a router has synced to disk.
 type Settings struct {
 	Version uint64        `json:"version"`
 	Tree    settings.Tree `json:"tree"`
 }
 
-// Identity names one life of a router.
+// Identity identifies an incarnation of a router.
 type Identity struct {
 	Router      string
 	Incarnation uint64
@@ -44,13 +45,13 @@
 	peers    control.PeerList
 }
 
-// New returns a machine without a session. held is what the router's folder gave back; period is the pause
-// between heartbeats while nothing changes.
+// New returns a machine without a session. synced is the version read from the router's folder; interval is the
+// heartbeat interval while nothing changes.
 func New(identity Identity, synced Settings, interval time.Duration, guards guard.Set) *Machine {
 	return &Machine{identity: identity, guards: guards, interval: interval, synced: synced}
 }
 
-// Heartbeat returns the next message to the control group.
+// Heartbeat returns the next heartbeat for the control group.
 func (m *Machine) Heartbeat() control.Heartbeat {
 	return control.Heartbeat{
 		Router: m.identity.Router, Incarnation: m.identity.Incarnation, Zone: m.identity.Zone, Address: m.identity.Address,
@@ -59,23 +60,23 @@
 	}
 }
 
-// ClosingHeartbeat returns the message that ends the session at a planned stop.
+// ClosingHeartbeat returns the heartbeat that ends the session at a planned stop.
 func (m *Machine) ClosingHeartbeat() control.Heartbeat {
 	heartbeat := m.Heartbeat()
 	heartbeat.Closing = true
 	return heartbeat
 }
 
-// ReplyActions is what to do with a reply.
+// ReplyActions tells the caller what to do after a reply.
 type ReplyActions struct {
-	ToSync          *Settings       // to sync, and then to pass to Saved and to the core; nil when nothing changed
-	Lease           core.EventLease // for the core, after Save
-	Peers           []control.Peer  // the other routers, when they changed; never nil then
-	NextHeartbeatIn time.Duration   // until the next heartbeat
-	RejectReason    string          // why the reply was not used, or ""
+	ToSync          *Settings       // to sync, then pass to MarkSynced and the core; nil if unchanged
+	Lease           core.EventLease // to pass to the core, after ToSync
+	Peers           []control.Peer  // the other routers, non-nil if they changed
+	NextHeartbeatIn time.Duration   // delay until the next heartbeat
+	RejectReason    string          // why the reply was rejected, or ""
 }
 
-// HandleReply decides on a reply to the heartbeat that was sent at the given time of the router's clock.
+// HandleReply processes the reply to the heartbeat that was sent at the given time by the router's clock.
 func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) ReplyActions {
 	next, changed, problem := m.nextTree(reply)
 	if problem != "" {
@@ -96,7 +97,7 @@
 	return actions
 }
 
-// otherPeers returns the routers but this one, those of its own zone first.
+// otherPeers returns all routers but this one, those of its own zone first.
 func (m *Machine) otherPeers() []control.Peer {
 	others := []control.Peer{}
 	for _, peer := range m.peers.Peers {
@@ -115,27 +116,27 @@
 	return 1
 }
 
-// MarkSynced records that a version is synced, so that the next heartbeat acknowledges it.
+// MarkSynced records that a version is synced to disk, so that the next heartbeat acknowledges it.
 func (m *Machine) MarkSynced(saved Settings) { m.synced = saved }
 
 // Synced returns the newest synced version.
 func (m *Machine) Synced() Settings { return m.synced }
 
-// nextTree returns the tree of the reply's version, or why the reply cannot be used.
+// nextTree returns the settings tree of the reply's version, or why the reply is rejected.
 func (m *Machine) nextTree(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
 	switch {
 	case reply.Version < m.synced.Version && m.guards.On(guard.SettingsMonotonic):
-		return tree, false, fmt.Sprintf("version %d offered, %d is held", reply.Version, m.synced.Version)
+		return tree, false, fmt.Sprintf("version %d of the reply is older than synced version %d", reply.Version, m.synced.Version)
 	case reply.Version == m.synced.Version && m.synced.Version > 0:
 		return m.synced.Tree, false, ""
 	case reply.Tree != nil:
 		return *reply.Tree, true, ""
 	case reply.Base != m.synced.Version:
-		return tree, false, fmt.Sprintf("edits start from version %d, %d is held", reply.Base, m.synced.Version)
+		return tree, false, fmt.Sprintf("edits apply to version %d, but version %d is synced", reply.Base, m.synced.Version)
 	}
 	tree, problems := m.synced.Tree.Apply(reply.Edits)
 	if len(problems) > 0 {
-		return tree, false, "edits do not fit: " + problems[0].String()
+		return tree, false, "edits cannot be applied: " + problems[0].String()
 	}
 	return tree, true, ""
 }
