--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -23,7 +23,7 @@
 func TestOlderVersionIsRejected(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 4, Tree: tree(), Lease: time.Second})
 	if step.RejectReason == "" || step.ToSync != nil || step.Lease.Until != 0 {
-		t.Fatalf("step %+v", step)
+		t.Fatalf("older version was not rejected: %+v", step)
 	}
 }
 
@@ -31,28 +31,28 @@
 	m := newMachine(5)
 	step := m.HandleReply(0, control.HeartbeatReply{Epoch: 3, Version: 6, Tree: tree()})
 	if step.ToSync == nil {
-		t.Fatal("nothing to save")
+		t.Fatal("reply with a new version requests no sync")
 	}
 	if beat := m.Heartbeat(); beat.Acked != 5 {
-		t.Fatalf("version %d acknowledged before the sync", beat.Acked)
+		t.Fatalf("version %d acknowledged before version 6 was synced", beat.Acked)
 	}
 	m.MarkSynced(*step.ToSync)
 	if beat := m.Heartbeat(); beat.Acked != 6 || beat.Epoch != 3 {
-		t.Fatalf("heartbeat %+v", beat)
+		t.Fatalf("heartbeat after the sync: %+v", beat)
 	}
 }
 
 func TestEditsMustApplyToTheSyncedVersion(t *testing.T) {
 	step := newMachine(5).HandleReply(0, control.HeartbeatReply{Version: 7, Base: 6, Edits: []settings.Edit{{Path: "/z", Create: true}}})
 	if step.RejectReason == "" {
-		t.Fatal("edits of another base were taken")
+		t.Fatal("edits of another base version were accepted")
 	}
 }
 
 func TestLeaseStartsWhenHeartbeatWasSent(t *testing.T) {
 	step := newMachine(5).HandleReply(2*time.Second, control.HeartbeatReply{Epoch: 1, Version: 5, Lease: 3 * time.Second})
 	if step.Lease.Until != 5*time.Second {
-		t.Fatalf("lease until %v", step.Lease.Until)
+		t.Fatalf("lease ends at %v, want 5s", step.Lease.Until)
 	}
 }
 
@@ -61,11 +61,11 @@
 	m := newMachine(5)
 	step := m.HandleReply(0, control.HeartbeatReply{Version: 5, Peers: list})
 	if len(step.Peers) != 2 || step.Peers[0].Name != "b" || m.Heartbeat().PeersSeen != 9 {
-		t.Fatalf("peers %+v", step.Peers)
+		t.Fatalf("peers %+v, want only b", step.Peers)
 	}
 }
 
-// TestSyncedVersionNeverDecreases takes replies in any order, some twice, with saves that may be lost by a restart.
+// TestSyncedVersionNeverDecreases handles replies in random order; a restart loses versions that were not synced.
 func TestSyncedVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(0)
@@ -82,7 +82,7 @@
 			},
 			"": func(t *rapid.T) {
 				if held := m.Synced().Version; held < newest {
-					t.Fatalf("went back from %d to %d", newest, held)
+					t.Fatalf("synced version decreased from %d to %d", newest, held)
 				}
 				newest = m.Synced().Version
 			},
