--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -52,7 +52,7 @@
 		{OpenSession: &Session{Router: "r1", Incarnation: 1, Zone: "z1", Address: "10.0.0.9:80"}},
 		{Change: &settings.Change{OperationID: "o1", Author: "lea", Edits: []settings.Edit{{Path: "/", Setting: "queue_limit", Value: json.RawMessage("7")}}}},
 		{Claim: &ledger.Claim{Key: key, Digest: 5, ClaimID: "c1", Holder: holder, RetentionMS: time.Hour.Milliseconds()}},
-		{End: &ledger.End{Key: key, ClaimID: "c1", Kind: ledger.EndFinished, Answer: &ledger.Response{Status: 200, ContentType: "text/plain", Body: []byte("ok")}}},
+		{End: &ledger.End{Key: key, ClaimID: "c1", Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "text/plain", Body: []byte("ok")}}},
 		{Order: &Order{Engine: "e1", Incarnation: 2, Weights: "w1"}},
 	} {
 		command.UnixMS = testWallStart
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -242,7 +242,7 @@
 	case !r.claimed && r.state != stateClaiming:
 		return
 	case final.Reason == ReasonComplete:
-		end.Kind, end.Answer = ledger.EndFinished, final.Answer
+		end.Kind, end.Response = ledger.EndFinished, final.Answer
 	case !r.claimed && !claimLost(final.Reason):
 		return // the ledger refused the claim; there is nothing to end
 	case r.unproven == 0:
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -57,7 +57,7 @@
 			key := ledger.Key{Tenant: "rwanda-university", Service: "app-service", Key: fmt.Sprintf("transcript-%08d", i)}
 			id := fmt.Sprintf("router-1-%d-%d", 7, i)
 			book.Claim(ledger.Claim{Key: key, Digest: uint64(i), ClaimID: id, Holder: ledger.Holder{Router: "router-1", Epoch: 7}, RetentionMS: 86_400_000}, 0, true)
-			book.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Answer: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
+			book.End(ledger.End{Key: key, ClaimID: id, Kind: ledger.EndFinished, Response: &ledger.Response{Status: 200, ContentType: "application/json", Body: []byte(`{"confirmed":"54a9b2526a9cd9a1"}`)}}, 0)
 		}
 		memory = append(memory, Point{float64(size), heap() - before})
 		data, err := json.Marshal(book)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -64,10 +64,10 @@
 
 // End reports how a claim ended.
 type End struct {
-	Key     Key       `json:"key"`
-	ClaimID string    `json:"claim_id"`
-	Kind    EndKind   `json:"kind"`
-	Answer  *Response `json:"answer,omitempty"` // with EndFinished
+	Key      Key       `json:"key"`
+	ClaimID  string    `json:"claim_id"`
+	Kind     EndKind   `json:"kind"`
+	Response *Response `json:"answer,omitempty"` // with EndFinished
 }
 
 // EndKind is the result of a claim.
@@ -203,7 +203,7 @@
 	}
 	// A late response replaces "unknown": the key can't be granted again in either state.
 	existing.State = StateFinished
-	existing.Answer = truncateResponse(end.Answer)
+	existing.Answer = truncateResponse(end.Response)
 }
 
 func truncateResponse(answer *Response) *Response {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -50,7 +50,7 @@
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != RunUnknown {
 		t.Fatalf("claim after the session was closed: %s", got)
 	}
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 0)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Response: &Response{Status: 200}}, 0)
 	if got := l.Claim(claim("k", "c3", 1), 0, true).Kind; got != Replayed {
 		t.Fatalf("claim after the late response: %s", got)
 	}
@@ -59,7 +59,7 @@
 func TestExpiredKeyIsRejected(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 1)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Response: &Response{Status: 200}}, 1)
 	if got := l.Claim(claim("k", "c2", 1), testRetention+1, true).Kind; got != KeyExpired {
 		t.Fatalf("claim after the retention time: %s", got)
 	}
@@ -132,7 +132,7 @@
 	if expected == nil {
 		return
 	}
-	l.End(End{Key: key(name), ClaimID: expected.claimID, Kind: kind, Answer: &Response{Status: 200}}, 0)
+	l.End(End{Key: key(name), ClaimID: expected.claimID, Kind: kind, Response: &Response{Status: 200}}, 0)
 	switch {
 	case expected.state == StateFinished:
 	case kind == EndReleased:
