--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -161,7 +161,7 @@
 		r.claimed = true
 		c.enqueueNew(r)
 	case ledger.Replayed:
-		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Answer})
+		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Response})
 	case ledger.InProgress:
 		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: retrySoon})
 	case ledger.RunUnknown:
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -97,8 +97,8 @@
 
 // Outcome is the decision on a claim and, for Replayed, the stored response.
 type Outcome struct {
-	Kind   OutcomeKind `json:"kind"`
-	Answer *Response   `json:"answer,omitempty"`
+	Kind     OutcomeKind `json:"kind"`
+	Response *Response   `json:"answer,omitempty"`
 }
 
 type record struct {
@@ -168,7 +168,7 @@
 	}
 	switch r.State {
 	case StateFinished:
-		return Outcome{Kind: Replayed, Answer: r.Answer}
+		return Outcome{Kind: Replayed, Response: r.Answer}
 	case StateUnknown:
 		return Outcome{Kind: RunUnknown}
 	}
