--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -107,7 +107,7 @@
 	State     State     `json:"state"`
 	ClaimID   string    `json:"claim_id"`
 	Holder    Holder    `json:"holder"`
-	Answer    *Response `json:"answer,omitempty"`
+	Response  *Response `json:"answer,omitempty"`
 	Retention int64     `json:"retention_ms"`
 	ExpiresMS int64     `json:"expires_ms"`
 }
@@ -168,7 +168,7 @@
 	}
 	switch r.State {
 	case StateFinished:
-		return Outcome{Kind: Replayed, Response: r.Answer}
+		return Outcome{Kind: Replayed, Response: r.Response}
 	case StateUnknown:
 		return Outcome{Kind: RunUnknown}
 	}
@@ -203,7 +203,7 @@
 	}
 	// A late response replaces "unknown": the key can't be granted again in either state.
 	existing.State = StateFinished
-	existing.Answer = truncateResponse(end.Response)
+	existing.Response = truncateResponse(end.Response)
 }
 
 func truncateResponse(answer *Response) *Response {
@@ -253,7 +253,7 @@
 		return
 	}
 	existing.State = StateExpired
-	existing.Answer = nil
+	existing.Response = nil
 	existing.ExpiresMS = nowMS + expiredRetentionFactor*existing.Retention
 	heap.Push(&l.expiry, expiryItem{key: existing.Key, at: existing.ExpiresMS})
 }
