--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -253,7 +253,7 @@
 
 // Lookup appends the engines that hold a prefix of the chain to matches, the longest prefix first, each engine once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
-	longestHeldPrefix := x.deepest(chain, ticks(now))
+	longestHeldPrefix := x.longestHeldPrefix(chain, ticks(now))
 	if longestHeldPrefix == 0 {
 		return matches
 	}
@@ -279,8 +279,8 @@
 	return slices.ContainsFunc(matches, func(match Match) bool { return match.Engine == engine })
 }
 
-// deepest returns how many leading blocks of the chain some engine is believed to hold, by binary search.
-func (x *Index) deepest(chain []Hash, now uint32) int {
+// longestHeldPrefix returns how many leading blocks of the chain some engine is believed to hold, by binary search.
+func (x *Index) longestHeldPrefix(chain []Hash, now uint32) int {
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
