--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -206,11 +206,11 @@
 	existing.Response = truncateResponse(end.Response)
 }
 
-func truncateResponse(answer *Response) *Response {
-	if answer == nil || len(answer.Body) <= maxResponseBytes {
-		return answer
+func truncateResponse(response *Response) *Response {
+	if response == nil || len(response.Body) <= maxResponseBytes {
+		return response
 	}
-	return &Response{Status: answer.Status, ContentType: answer.ContentType, Truncated: true}
+	return &Response{Status: response.Status, ContentType: response.ContentType, Truncated: true}
 }
 
 func (l *Ledger) withdraw(claimID string, nowMS int64) {
