--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -67,7 +67,7 @@
 	Key      Key       `json:"key"`
 	ClaimID  string    `json:"claim_id"`
 	Kind     EndKind   `json:"kind"`
-	Response *Response `json:"answer,omitempty"` // with EndFinished
+	Response *Response `json:"answer,omitempty"` // only with EndFinished
 }
 
 // EndKind is the result of a claim.
