--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -279,7 +279,7 @@
 	return slices.ContainsFunc(matches, func(match Match) bool { return match.Engine == engine })
 }
 
-// longestHeldPrefix returns how many leading blocks of the chain some engine is believed to hold, by binary search.
+// longestHeldPrefix returns how many leading blocks of the chain at least one engine holds, by binary search.
 func (x *Index) longestHeldPrefix(chain []Hash, now uint32) int {
 	low, high := 0, len(chain)
 	for low < high {
