--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -25,7 +25,7 @@
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// WithDefaults returns the terms with defaults where nothing is set.
+// WithDefaults returns the policy with defaults for unset values.
 func (p Policy) WithDefaults() Policy {
 	if p.Window == 0 {
 		p.Window = DefaultWindow
