--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -79,6 +79,7 @@
 	DefaultTokens float64 `json:"plain_tokens,omitempty"` // cost of a request whose token count is unknown
 }
 
+// Limited reports whether the rate is limited.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
 // Cost returns how many units a request costs. counted reports whether its token count is known.
