--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -2,6 +2,7 @@
 // field msg. A test checks that docs/LOGS.md lists all events and shared fields.
 package events
 
+// Events of gateways.
 const (
 	GatewayStarted           = "gateway started"
 	GatewayStopping          = "gateway stopping"
@@ -32,6 +33,7 @@
 	LogLinesDropped          = "log lines dropped"
 )
 
+// Events of control replicas.
 const (
 	ReplicaStarted   = "control replica started"
 	ReplicaStopped   = "control replica stopped"
@@ -60,6 +62,7 @@
 // the log can't be written fast enough.
 func IsRoutine(event string) bool { return event == RequestAnswered }
 
+// Names of log fields that several events share.
 const (
 	FieldRequest            = "request"  // request id of the client
 	FieldInstance           = "instance" // incarnation of a backend
