--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -7,11 +7,11 @@
 
 // Safety checks.
 const (
-	FenceCheck               Guard = "fence-check"               // engines reject commands with a fencing token below the highest one seen
-	ClaimBeforeRun           Guard = "claim-before-dispatch"     // a non-repeatable request is claimed before it is dispatched
+	FenceCheck               Guard = "fence-check"               // engines reject commands with an old fencing token
+	ClaimBeforeRun           Guard = "claim-before-dispatch"     // non-repeatable requests are claimed before dispatch
 	TenantInHash             Guard = "tenant-in-hash"            // block chains are seeded with the tenant
 	WeightsInHash            Guard = "weights-in-hash"           // block chains are seeded with the weights version
-	IncarnationCheck         Guard = "incarnation-check"         // a new engine incarnation invalidates its index entries
+	IncarnationCheck         Guard = "incarnation-check"         // a new engine incarnation invalidates its entries
 	SyncBeforeAck            Guard = "synced-before-acknowledge" // nothing is acknowledged before it is synced to disk
 	LearnerBeforeVote        Guard = "learner-before-vote"       // a replica with an empty folder joins as a learner
 	LeaseAtDispatch          Guard = "lease-check-at-dispatch"
@@ -22,25 +22,25 @@
 	AttemptCheck             Guard = "attempt-check"         // a response must carry the current attempt
 	NotRunProof              Guard = "not-run-proof"         // not-run is reported only if it is proved
 	LeavingCheck             Guard = "leaving-check"         // draining backends get no new requests
-	LeavingSelfReported      Guard = "leaving-heard"         // a backend that reports itself as draining is, even if control disagrees
-	BackoffCheck             Guard = "rest-check"            // backends that asked for a backoff get no requests during it
+	LeavingSelfReported      Guard = "leaving-heard"         // a backend may announce its own draining
+	BackoffCheck             Guard = "rest-check"            // backoffs that backends ask for are observed
 	AdvertisedLimitCheck     Guard = "limit-check"           // advertised limits hold for all gateways together
 	DrainBeforeExit          Guard = "drain-before-exit"     // a planned stop waits for running streams
-	SettingsMonotonic        Guard = "settings-never-revert" // a router keeps the newest settings version that it acknowledged
+	SettingsMonotonic        Guard = "settings-never-revert" // acknowledged settings versions never decrease
 	PersistedSettings        Guard = "settings-synced-copy"  // a router restarts from its synced settings
 	LeaseMargin              Guard = "lease-margin"          // control assumes a longer lease than the router does
-	AmbiguousNotResent       Guard = "ambiguous-not-resent"  // a non-repeatable attempt with unknown result is not retried
-	ConfirmedView            Guard = "confirmed-view"        // a gateway's poll is answered only under the leader's lease
+	AmbiguousNotResent       Guard = "ambiguous-not-resent"  // non-repeatable attempts of unknown result are not retried
+	ConfirmedView            Guard = "confirmed-view"        // gateways are answered only under the leader lease
 	DrainCommitted           Guard = "drain-committed"       // draining is acknowledged only after a majority stored it
-	DrainBeforeWeightsChange Guard = "turn-away-first"       // weights are replaced only after gateways stopped dispatching
+	DrainBeforeWeightsChange Guard = "turn-away-first"       // weights change only after dispatching stopped
 	WeightsCommandDelay      Guard = "order-pause"           // a new leader waits before its first weights command
-	DropLateCommands         Guard = "late-calls-dropped"    // a command decided before a long sync is not sent after it
+	DropLateCommands         Guard = "late-calls-dropped"    // commands decided before a long sync are dropped
 	HighestRevision          Guard = "highest-revision"      // a document replaces only one of a lower revision
-	QuarantineCheck          Guard = "held-back"             // a request that crashes its backends is not dispatched any more
+	QuarantineCheck          Guard = "held-back"             // quarantined requests are not dispatched
 	SuspendAwareClock        Guard = "suspension-counts"     // clocks include the time that the machine was suspended
-	RelayConfirmed           Guard = "relay-confirmed"       // a replica answers a gateway only after the leader confirmed the poll
-	RelayReported            Guard = "relay-reported"        // the leader counts the gateways that other replicas answer
-	RelayApplied             Guard = "relay-applied"         // a replica answers only after it applied what the leader had applied
+	RelayConfirmed           Guard = "relay-confirmed"       // relayed answers need the leader.s confirmation
+	RelayReported            Guard = "relay-reported"        // the leader knows the gateways that replicas answer
+	RelayApplied             Guard = "relay-applied"         // relayed answers include what the leader had applied
 	PublicationTimeFromLog   Guard = "naming-agreed"         // the age of weights is computed from the log
 	PublicationAgeMonotonic  Guard = "naming-kept-older"     // publications never become younger for a gateway
 )
