--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -21,6 +21,7 @@
 	counts map[Hash]*decayingCount
 }
 
+// NewRequestRates returns an empty RequestRates.
 func NewRequestRates() *RequestRates { return &RequestRates{counts: map[Hash]*decayingCount{}} }
 
 // Record counts a request for the prefix that ends with the given block and returns the prefix's rate per minute.
