--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -40,7 +40,7 @@
 type engineState struct {
 	generation  uint32
 	maxAge      uint32 // unconfirmed entries older than this count as evicted; in ticks
-	staleBefore uint32 // entries last seen before this may have missed an event; in ticks
+	staleBefore uint32 // entries last seen before this predate a gap in the events; in ticks
 	entries     int
 }
 
