--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -20,8 +20,8 @@
 		return
 	}
 	m.latestVersions[weights.Model] = weights.Version
-	namings := append(m.publications[weights.Model], Publication{Version: weights.Version, UnixMS: unixMS})
-	m.publications[weights.Model] = namings[max(0, len(namings)-MaxPublications):]
+	publications := append(m.publications[weights.Model], Publication{Version: weights.Version, UnixMS: unixMS})
+	m.publications[weights.Model] = publications[max(0, len(publications)-MaxPublications):]
 }
 
 // restorePublications restores the publications of a model from a snapshot. Snapshots of older builds have no
