--- a/internal/catalog/naming.go
+++ b/internal/catalog/naming.go
@@ -27,9 +27,9 @@
 // restorePublications restores the publications of a model from a snapshot. Snapshots of older builds have no
 // publication times; the latest version then counts as published long ago, so that no request starts on older
 // weights.
-func (m *Machine) restorePublications(model string, namings []Publication) {
-	if last := len(namings) - 1; last < 0 || namings[last].Version != m.latestVersions[model] {
-		namings = append(namings, Publication{Version: m.latestVersions[model]})
+func (m *Machine) restorePublications(model string, publications []Publication) {
+	if last := len(publications) - 1; last < 0 || publications[last].Version != m.latestVersions[model] {
+		publications = append(publications, Publication{Version: m.latestVersions[model]})
 	}
-	m.publications[model] = namings
+	m.publications[model] = publications
 }
