--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -136,7 +136,7 @@
 	return noNode
 }
 
-func (x *Index) insert(hash Hash, engine EngineID, generation, heard uint32, source Source) {
+func (x *Index) insert(hash Hash, engine EngineID, generation, lastSeen uint32, source Source) {
 	if x.count >= x.limit {
 		x.evictOne()
 	}
@@ -147,7 +147,7 @@
 		at = uint32(len(x.nodes))
 		x.nodes = append(x.nodes, node{})
 	}
-	x.nodes[at] = node{hash: hash, engine: engine, generation: generation, lastSeen: heard, next: x.heads[hash], inUse: true, source: source}
+	x.nodes[at] = node{hash: hash, engine: engine, generation: generation, lastSeen: lastSeen, next: x.heads[hash], inUse: true, source: source}
 	x.heads[hash] = at
 	x.count++
 }
