--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -78,9 +78,9 @@
 
 // HandleReply processes the reply to the heartbeat that was sent at the given time by the router's clock.
 func (m *Machine) HandleReply(sent time.Duration, reply control.HeartbeatReply) ReplyActions {
-	next, changed, problem := m.nextTree(reply)
-	if problem != "" {
-		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: problem}
+	next, changed, rejectReason := m.nextTree(reply)
+	if rejectReason != "" {
+		return ReplyActions{NextHeartbeatIn: FastHeartbeatInterval, RejectReason: rejectReason}
 	}
 	m.epoch = reply.Epoch
 	actions := ReplyActions{Lease: core.EventLease{Epoch: reply.Epoch, Until: sent + reply.Lease}, NextHeartbeatIn: m.interval}
