--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -123,7 +123,7 @@
 func (m *Machine) Synced() Settings { return m.synced }
 
 // nextTree returns the settings tree of the reply's version, or why the reply is rejected.
-func (m *Machine) nextTree(reply control.HeartbeatReply) (tree settings.Tree, changed bool, problem string) {
+func (m *Machine) nextTree(reply control.HeartbeatReply) (tree settings.Tree, changed bool, rejectReason string) {
 	switch {
 	case reply.Version < m.synced.Version && m.guards.On(guard.SettingsMonotonic):
 		return tree, false, fmt.Sprintf("version %d of the reply is older than synced version %d", reply.Version, m.synced.Version)
