--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -16,17 +16,17 @@
 
 // Problem is an error answer. Run says whether the request ran.
 type Problem struct {
-	Type       string   `json:"type"`
-	Title      string   `json:"title"`
-	Status     int      `json:"status"`
-	Detail     string   `json:"detail,omitempty"`
-	RequestID  string   `json:"request_id,omitempty"`
-	Run        core.Run `json:"run"`
-	RetryAfter float64  `json:"retry_after_s,omitempty"` // seconds; 0 when trying again does not help
+	Type       string         `json:"type"`
+	Title      string         `json:"title"`
+	Status     int            `json:"status"`
+	Detail     string         `json:"detail,omitempty"`
+	RequestID  string         `json:"request_id,omitempty"`
+	Run        core.RunStatus `json:"run"`
+	RetryAfter float64        `json:"retry_after_s,omitempty"` // seconds; 0 when trying again does not help
 }
 
 // NewProblem returns a problem of a reason.
-func NewProblem(reason core.Reason, run core.Run, detail string) Problem {
+func NewProblem(reason core.Reason, run core.RunStatus, detail string) Problem {
 	status, title := Describe(reason)
 	return Problem{Type: "urn:kitetiller:" + string(reason), Title: title, Status: status, Detail: detail, Run: run}
 }
@@ -36,13 +36,13 @@
 	switch reason {
 	case core.ReasonRateLimit:
 		return http.StatusTooManyRequests, "The tenant's request rate is used up"
-	case core.ReasonConcurrency:
+	case core.ReasonConcurrencyLimit:
 		return http.StatusTooManyRequests, "The tenant has too many requests in progress"
 	case core.ReasonQueueFull:
 		return http.StatusServiceUnavailable, "The service's queue is full"
 	case core.ReasonDeadline:
 		return http.StatusServiceUnavailable, "The first token would come after the deadline"
-	case core.ReasonUnknownTarget:
+	case core.ReasonUnknownService:
 		return http.StatusNotFound, "No service answers this model or name"
 	case core.ReasonKeyRequired:
 		return http.StatusBadRequest, "This service needs an Idempotency-Key header"
@@ -54,7 +54,7 @@
 		return http.StatusConflict, "An earlier send with this Idempotency-Key is still running"
 	case core.ReasonRunUnknown:
 		return http.StatusBadGateway, "The request may have run; its result is lost"
-	case core.ReasonNoBackend, core.ReasonRetries:
+	case core.ReasonNoBackend, core.ReasonRetriesExhausted:
 		return http.StatusServiceUnavailable, "No back end could take the request"
 	case core.ReasonDraining:
 		return http.StatusServiceUnavailable, "This router is stopping; ask another one"
@@ -64,9 +64,9 @@
 		return http.StatusServiceUnavailable, "All back ends of the service asked for rest"
 	case core.ReasonLimited:
 		return http.StatusServiceUnavailable, "All back ends of the service have reached the limits that they name"
-	case core.ReasonHeldBack:
+	case core.ReasonQuarantined:
 		return http.StatusServiceUnavailable, "Back ends ended under this request again and again; it is sent to none until an operator releases it"
-	case core.ReasonLedger:
+	case core.ReasonLedgerUnavailable:
 		return http.StatusServiceUnavailable, "The run ledger did not answer"
 	}
 	return http.StatusInternalServerError, string(reason)
--- a/internal/control/forms_test.go
+++ b/internal/control/forms_test.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/settings"
 )
 
-// TestFormsStayReadable: all that a replica stores, and all that it is asked and answers.
-func TestFormsStayReadable(t *testing.T) {
+// TestEncodedMessagesMatchGoldenFiles guards against incompatible changes of what replicas store, send and receive.
+func TestEncodedMessagesMatchGoldenFiles(t *testing.T) {
 	forms.Check[Request](t, "request")
 	forms.Check[Response](t, "response")
 	forms.Check[raftBatch](t, "raft-batch")
@@ -28,20 +28,21 @@
 	forms.Check[consensus.Membership](t, "membership")
 }
 
-// state is the replicated state as a snapshot holds it.
-type state struct{ machine *Machine }
+// machineState encodes a Machine as its snapshot.
+type machineState struct{ machine *Machine }
 
-// MarshalJSON writes the state as a snapshot holds it.
-func (s *state) MarshalJSON() ([]byte, error) { return s.machine.Snapshot(), nil }
+// MarshalJSON returns a snapshot of the machine.
+func (s *machineState) MarshalJSON() ([]byte, error) { return s.machine.Snapshot(), nil }
 
-// UnmarshalJSON takes the state up as from a snapshot.
-func (s *state) UnmarshalJSON(data []byte) error {
+// UnmarshalJSON restores the machine from a snapshot.
+func (s *machineState) UnmarshalJSON(data []byte) error {
 	s.machine = NewMachine(guard.Set{})
 	return s.machine.Restore(data)
 }
 
-// TestStateStaysReadable: a snapshot of a state that holds something of everything.
-func TestStateStaysReadable(t *testing.T) {
+// TestSnapshotMatchesGoldenFile guards against incompatible changes of snapshots, with a state that has data of every
+// kind.
+func TestSnapshotMatchesGoldenFile(t *testing.T) {
 	machine := NewMachine(guard.Set{})
 	holder := ledger.Holder{Router: "r1", Epoch: 1}
 	key := ledger.Key{Tenant: "north", Service: "small", Key: "k1"}
@@ -70,7 +71,7 @@
 		command.UnixMS = testWallStart + int64(i)
 		machine.catalog.Apply(command)
 	}
-	forms.CheckValue(t, "state", &state{machine})
+	forms.CheckValue(t, "state", &machineState{machine})
 }
 
 func ptr[T any](value T) *T { return &value }
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -21,7 +21,7 @@
 	// orderWithin is how long after its announcement an order may leave this replica, after the sync that follows its decision.
 	orderWithin = 300 * time.Millisecond
 	// orderLeft is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
-	orderLeft = orderWithin + callFresh
+	orderLeft = orderWithin + maxCallAge
 )
 
 // orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
@@ -38,7 +38,7 @@
 func (r *Replica) noteOrdering(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
 		name := catalog.ParseInstanceID(id).Name
-		mark, known := r.orders[name]
+		mark, known := r.orderMarks[name]
 		if known && mark.term != term {
 			mark.foreign, mark.foreignAt = true, mark.at
 		}
@@ -46,7 +46,7 @@
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
 		mark.term, mark.at, mark.renewTo = term, now, 0
-		r.orders[name] = mark
+		r.orderMarks[name] = mark
 	}
 }
 
@@ -55,14 +55,14 @@
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.MayHaveWeightsCommand(id) {
-			r.orders[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
+			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
 }
 
 // orderedElsewhere returns when another leader was last about to order a back end, if one may have been.
 func (r *Replica) orderedElsewhere(id string) (time.Duration, bool) {
-	mark, known := r.orders[catalog.ParseInstanceID(id).Name]
+	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
 		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
@@ -76,7 +76,7 @@
 // end was handed over.
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
 	name := catalog.ParseInstanceID(id).Name
-	mark := r.orders[name]
+	mark := r.orderMarks[name]
 	if mark.term != r.node.Term() || !r.handedOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
 	}
@@ -85,7 +85,7 @@
 	}
 	if now >= mark.renewTo {
 		mark.renewTo = now + callPatience
-		r.orders[name] = mark
+		r.orderMarks[name] = mark
 		r.writeOrdering(id)
 	}
 	return false
@@ -93,14 +93,14 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orders[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
 func (r *Replica) dropLateOrders(now time.Duration, calls []WeightsCall) []WeightsCall {
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
 		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, orderWithin)
-		if state := r.lead.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
+		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
 			r.setPhase(state, phaseAnnounced, now)
 		}
 		return late
@@ -115,15 +115,17 @@
 }
 
 // writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
-func (r *Replica) writeOrdering(id string) { r.lead.ordering = append(r.lead.ordering, id) }
+func (r *Replica) writeOrdering(id string) {
+	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
+}
 
 // flushOrdering proposes them.
 func (r *Replica) flushOrdering(now time.Duration) {
-	if r.lead == nil || len(r.lead.ordering) == 0 {
+	if r.leader == nil || len(r.leader.pendingOrderAnnouncements) == 0 {
 		return
 	}
-	ids := r.lead.ordering
-	r.lead.ordering = nil
+	ids := r.leader.pendingOrderAnnouncements
+	r.leader.pendingOrderAnnouncements = nil
 	r.propose(now, 0, Command{Catalog: &catalog.Command{WeightsCommandTargets: ids}})
 }
 
@@ -145,23 +147,23 @@
 // noteGateways writes which gateways may trust this leader's views.
 func (r *Replica) noteGateways(now time.Duration) {
 	pause := gatewaysPeriod
-	if r.lead.unlisted {
+	if r.leader.gatewayUnlisted {
 		pause = listPause
 	}
-	if now < r.lead.gatewaysAt+pause {
+	if now < r.leader.gatewaysCheckedAt+pause {
 		return
 	}
-	r.lead.gatewaysAt, r.lead.unlisted = now, false
+	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
 	var came, left []string
-	for name, report := range r.lead.usage {
+	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
 			came = append(came, name)
 		}
 	}
 	slices.Sort(came)
-	if now >= r.lead.since+r.trustEnd() { // until then they may still trust a view of the last leader
+	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.lead.usage[name]; !asked || now-report.at > r.trustEnd() {
+			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
 				left = append(left, name)
 			}
 		}
@@ -177,10 +179,10 @@
 // gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
 func (r *Replica) gatewaysFollow(now time.Duration) bool {
-	if now >= r.lead.since+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
+	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
-	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.lead.usage[name]; return !asked })
+	missing := slices.ContainsFunc(known, func(name string) bool { _, asked := r.leader.usage[name]; return !asked })
 	return len(known) > 0 && !missing
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -10,12 +10,12 @@
 )
 
 // handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func handOver(t *testing.T) (next *solo, ordered, free string) {
+func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.pass(gatewaysPeriod + 100*time.Millisecond)
+	s.advance(gatewaysPeriod + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
@@ -36,14 +36,14 @@
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	next = openStartingIn(t, s.folder)
+	next = reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	return next, ordered, free
 }
 
 // ordersWhile lets time pass with a gateway that keeps asking, and returns which engines were ordered.
-func (s *solo) ordersWhile(gateway string, length time.Duration) []string {
+func (s *singleReplica) ordersWhile(gateway string, length time.Duration) []string {
 	var found []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
@@ -66,8 +66,8 @@
 	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
 	}
-	s.replica.lead.fleet[free].versions["m"] = 2
-	s.replica.setPhase(s.replica.lead.fleet[free], phaseIdle, s.now)
+	s.replica.leader.fleet[free].versions["m"] = 2
+	s.replica.setPhase(s.replica.leader.fleet[free], phaseIdle, s.now)
 	if later := s.ordersWhile("g1", 5*time.Second); !slices.Contains(later, ordered) {
 		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
 	}
@@ -91,7 +91,7 @@
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	clear(s.replica.orders)
+	clear(s.replica.orderMarks)
 	if _, elsewhere := s.replica.orderedElsewhere(ordered); !elsewhere {
 		t.Fatalf("%s was ordered by another leader", ordered)
 	}
@@ -107,10 +107,10 @@
 // orders are that it covers, nor whether one that was just announced has been given.
 func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
 	s, ordered, _ := handOver(t)
-	clear(s.replica.orders)
+	clear(s.replica.orderMarks)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
-	s.replica.install(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 	if s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
@@ -128,7 +128,7 @@
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	ask := func(client uint64, name string) {
-		s.pass(2 * listPause)
+		s.advance(2 * listPause)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
 			t.Fatalf("%s is confirmed before the log holds it", name)
@@ -140,7 +140,7 @@
 	}
 	ask(1001, "g1")
 	ask(1002, "g2")
-	s.pass(s.replica.trustEnd() + 2*gatewaysPeriod)
+	s.advance(s.replica.trustEnd() + 2*gatewaysPeriod)
 	ask(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
@@ -161,7 +161,7 @@
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
 			t.Fatal("a closing gateway is confirmed no more")
 		}
-		s.pass(gatewaysPeriod)
+		s.advance(gatewaysPeriod)
 	}
 }
 
@@ -189,9 +189,9 @@
 		t.Fatal("no order after g1 turned away")
 	}
 	id := orders[0].Instance
-	mark := s.replica.orders[id]
+	mark := s.replica.orderMarks[id]
 	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
-	s.replica.orders[id] = mark
+	s.replica.orderMarks[id] = mark
 	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
 		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.at, early, s.replica.config.OrderWait)
 	}
@@ -207,41 +207,41 @@
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
-		if len(s.replica.effects.Weights) > 0 {
+		if len(s.replica.effects.WeightsCalls) > 0 {
 			break
 		}
 		s.work()
 	}
-	if len(s.replica.effects.Weights) == 0 {
+	if len(s.replica.effects.WeightsCalls) == 0 {
 		t.Fatal("nothing was decided")
 	}
-	id := s.replica.effects.Weights[0].Instance
-	s.replica.Work()
-	left := s.replica.orders[id].at + orderWithin + time.Millisecond
-	if late := s.replica.Done(left).Weights; len(late) > 0 || s.replica.lead == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orders[id].at)
+	id := s.replica.effects.WeightsCalls[0].Instance
+	s.replica.Prepare()
+	left := s.replica.orderMarks[id].at + orderWithin + time.Millisecond
+	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
+		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
 	}
 }
 
 // TestOrderPauseOutlivesARestart: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
 func TestOrderPauseOutlivesARestart(t *testing.T) {
-	for what, forget := range map[string]func(*solo){
-		"seen in the log":  func(*solo) {},
-		"from a snapshot":  func(s *solo) { clear(s.replica.orders) },
-		"restored as well": func(s *solo) { clear(s.replica.orders); s.restore(t) },
+	for what, forget := range map[string]func(*singleReplica){
+		"seen in the log":  func(*singleReplica) {},
+		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
+		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(what, func(t *testing.T) {
 			s := openFleet(t)
 			s.config(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
 			s.replica.writeOrdering(life("e", 1000))
-			s.pass(100 * time.Millisecond)
+			s.advance(100 * time.Millisecond)
 			s.says(life("e", 2000), "a1", 1, 1)
 			forget(s)
-			for key, mark := range s.replica.orders {
+			for key, mark := range s.replica.orderMarks {
 				mark.term-- // another leader's
-				s.replica.orders[key] = mark
+				s.replica.orderMarks[key] = mark
 			}
 			if s.replica.handedOver(s.now, life("e", 2000)) {
 				t.Fatal("the next life may be ordered by another holder at once")
@@ -254,7 +254,7 @@
 }
 
 // restore replaces the state by its own snapshot.
-func (s *solo) restore(t *testing.T) {
+func (s *singleReplica) restore(t *testing.T) {
 	t.Helper()
 	if err := s.replica.Machine().Restore(s.replica.Machine().Snapshot()); err != nil {
 		t.Fatal(err)
--- a/internal/control/levels_test.go
+++ b/internal/control/levels_test.go
@@ -16,25 +16,25 @@
 	"kitetiller/internal/level"
 )
 
-// build is a member of a group whose members may run different builds.
-type build struct {
-	id      consensus.ID
-	level   level.Level
-	replica *Replica // nil while it doesn't run
-	disk    Checkpoint
-	cut     bool
+// groupMember is a member of a mixedGroup.
+type groupMember struct {
+	id          consensus.ID
+	level       level.Level
+	replica     *Replica // nil while it is stopped
+	disk        Checkpoint
+	partitioned bool
 }
 
-// mixed is a group in memory.
-type mixed struct {
+// mixedGroup is an in-memory group whose members may run builds of different levels.
+type mixedGroup struct {
 	t       rapid.TB
 	now     time.Duration
-	members []*build
-	chances *rand.Rand
+	members []*groupMember
+	random  *rand.Rand
 }
 
-func newMixed(t rapid.TB, levels ...level.Level) *mixed {
-	m := &mixed{t: t, chances: rand.New(rand.NewPCG(1, 1))}
+func newMixedGroup(t rapid.TB, levels ...level.Level) *mixedGroup {
+	m := &mixedGroup{t: t, random: rand.New(rand.NewPCG(1, 1))}
 	var membership consensus.Membership
 	for i := range levels {
 		id := consensus.ID(fmt.Sprint("c", i))
@@ -43,32 +43,32 @@
 	for i, l := range levels {
 		disk := Checkpoint{HardState: consensus.HardState{Term: 1}}
 		disk.Snapshot = consensus.Snapshot{Meta: consensus.SnapshotMeta{Index: 1, Term: 1, Membership: membership}, Data: NewMachine(guard.Set{}).Snapshot()}
-		b := &build{id: membership.Members[i].ID, level: l, disk: disk}
+		b := &groupMember{id: membership.Members[i].ID, level: l, disk: disk}
 		m.members = append(m.members, b)
 		m.start(b)
 	}
 	return m
 }
 
-// start starts a member from its disk; a build that is too old for that doesn't start, and leaves it as it is.
-func (m *mixed) start(b *build) {
-	config := soloConfig(b.id)
-	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.chances.Int64N
+// start starts a member from its disk. A build that is too old must refuse to start and leave the disk unchanged.
+func (m *mixedGroup) start(b *groupMember) {
+	config := singleReplicaConfig(b.id)
+	config.Replicas, config.Level, config.SnapshotEvery, config.Random = len(m.members), b.level, 5, m.random.Int64N
 	before := b.disk
 	restored := b.disk
 	restored.Entries = slices.Clone(restored.Entries)
 	replica, err := NewReplica(config, restored, m.now)
 	if err != nil {
 		if !errors.Is(err, level.ErrTooOld) || !reflect.DeepEqual(before, b.disk) {
-			m.t.Fatalf("%s at level %d: %v", b.id, b.level, err)
+			m.t.Fatalf("starting %s with level %d: %v", b.id, b.level, err)
 		}
 		return
 	}
 	b.replica = replica
 }
 
-// pass lets time pass.
-func (m *mixed) pass(length time.Duration) {
+// advance moves the clock forward and delivers messages.
+func (m *mixedGroup) advance(length time.Duration) {
 	for end := m.now + length; m.now < end; m.now += 20 * time.Millisecond {
 		var sent []consensus.Message
 		for _, b := range m.members {
@@ -84,31 +84,31 @@
 	}
 }
 
-func (m *mixed) work(b *build) (sent []consensus.Message) {
+func (m *mixedGroup) work(b *groupMember) (sent []consensus.Message) {
 	for b.replica.HasWork() {
-		if err := b.disk.Store(b.replica.Work()); err != nil {
+		if err := b.disk.Apply(b.replica.Prepare()); err != nil {
 			m.t.Fatal(err)
 		}
-		sent = append(sent, b.replica.Done(m.now).Messages...)
+		sent = append(sent, b.replica.Advance(m.now).Messages...)
 	}
-	m.check(b)
+	m.checkMember(b)
 	return sent
 }
 
-func (m *mixed) deliver(message consensus.Message) []consensus.Message {
+func (m *mixedGroup) deliver(message consensus.Message) []consensus.Message {
 	from, to := m.member(message.From), m.member(message.To)
-	if to == nil || to.replica == nil || from.cut || to.cut {
+	if to == nil || to.replica == nil || from.partitioned || to.partitioned {
 		return nil
 	}
 	entries, snapshot := len(to.disk.Entries), to.disk.Snapshot.Meta.Index
 	to.replica.Step(m.now, message)
-	if to.replica.Ended() != nil && (len(to.disk.Entries) != entries || to.disk.Snapshot.Meta.Index != snapshot) {
-		m.t.Fatalf("%s ended after it took what it doesn't know", to.id)
+	if to.replica.Err() != nil && (len(to.disk.Entries) != entries || to.disk.Snapshot.Meta.Index != snapshot) {
+		m.t.Fatalf("%s stopped only after it had stored data of an unsupported level", to.id)
 	}
 	return m.work(to)
 }
 
-func (m *mixed) member(id consensus.ID) *build {
+func (m *mixedGroup) member(id consensus.ID) *groupMember {
 	for _, b := range m.members {
 		if b.id == id {
 			return b
@@ -117,9 +117,10 @@
 	return nil
 }
 
-// check ends a replica that says so, and checks that no other one holds what its build doesn't know.
-func (m *mixed) check(b *build) {
-	if err := b.replica.Ended(); err != nil {
+// checkMember removes a replica that has stopped, and fails the test if a running one holds state of an unsupported
+// level.
+func (m *mixedGroup) checkMember(b *groupMember) {
+	if err := b.replica.Err(); err != nil {
 		if !errors.Is(err, level.ErrTooOld) {
 			m.t.Fatal(err)
 		}
@@ -127,12 +128,12 @@
 		return
 	}
 	if held := b.replica.Machine().Level(); held > b.level {
-		m.t.Fatalf("%s of level %d runs on a state of level %d", b.id, b.level, held)
+		m.t.Fatalf("%s supports level %d but runs with state of level %d", b.id, b.level, held)
 	}
 }
 
-// inForce returns the highest level that a running member holds.
-func (m *mixed) inForce() (highest level.Level) {
+// inForce returns the highest level in force at a running member.
+func (m *mixedGroup) inForce() (highest level.Level) {
 	for _, b := range m.members {
 		if b.replica != nil {
 			highest = max(highest, b.replica.Machine().Level())
@@ -141,42 +142,44 @@
 	return highest
 }
 
-// TestLevelRisesOnceAllMembersKnowIt: not while one runs an older build, nor while one says nothing.
-func TestLevelRisesOnceAllMembersKnowIt(t *testing.T) {
-	m := newMixed(t, 1, 2, 2)
-	m.pass(20 * time.Second)
+// TestLevelRisesOnlyWhenAllMembersSupportIt guards against a level that a member with an older build, or one that is
+// stopped or has just started, may not support.
+func TestLevelRisesOnlyWhenAllMembersSupportIt(t *testing.T) {
+	m := newMixedGroup(t, 1, 2, 2)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d with builds of 1, 2, 2", got)
+		t.Fatalf("level in force with builds of levels 1, 2 and 2: got %d, want 1", got)
 	}
 	m.members[0].replica, m.members[0].level = nil, 2
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d while one of three is silent", got)
+		t.Fatalf("level in force while one of three members is stopped: got %d, want 1", got)
 	}
 	m.start(m.members[0])
-	m.pass(levelCalm / 2)
+	m.advance(levelStablePeriod / 2)
 	m.members[0].replica = nil
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 1 {
-		t.Fatalf("level %d after one told 2 for a moment", got)
+		t.Fatalf("level in force after a member announced level 2 only briefly: got %d, want 1", got)
 	}
 	m.start(m.members[0])
-	m.pass(20 * time.Second)
+	m.advance(20 * time.Second)
 	if got := m.inForce(); got != 2 {
-		t.Fatalf("level %d with builds of 2", got)
+		t.Fatalf("level in force with all builds of level 2: got %d, want 2", got)
 	}
 }
 
-// TestBuildEndsAtAnEntryThatItDoesNotKnow: it may have taken the entry before it was known that it is too old, and lead the group since.
-func TestBuildEndsAtAnEntryThatItDoesNotKnow(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+// TestReplicaStopsAtEntryOfUnsupportedLevel guards against a replica that applies, or restarts from, an entry that its
+// build does not support.
+func TestReplicaStopsAtEntryOfUnsupportedLevel(t *testing.T) {
+	s := openSingleReplica(t, t.TempDir())
 	s.replica.propose(s.now, 0, Command{Level: level.Current + 1})
 	s.work()
-	if err := s.replica.Ended(); !errors.Is(err, level.ErrTooOld) {
-		t.Fatalf("ended: %v", err)
+	if err := s.replica.Err(); !errors.Is(err, level.ErrTooOld) {
+		t.Fatalf("replica stopped with error %v, want ErrTooOld", err)
 	}
 	if s.replica.Handle(s.now, 1, Request{Status: &StatusRequest{}}); s.replica.HasWork() {
-		t.Fatal("it goes on")
+		t.Fatal("stopped replica still handles requests")
 	}
 	disk, _, restored, err := OpenDisk(s.folder, "c1")
 	if err != nil {
@@ -184,42 +187,43 @@
 	}
 	defer disk.Close()
 	before := listFolder(t, s.folder)
-	if _, err := NewReplica(soloConfig(s.replica.config.ID), restored, 0); !errors.Is(err, level.ErrTooOld) {
-		t.Fatalf("started again: %v", err)
+	if _, err := NewReplica(singleReplicaConfig(s.replica.config.ID), restored, 0); !errors.Is(err, level.ErrTooOld) {
+		t.Fatalf("restart: error %v, want ErrTooOld", err)
 	}
 	if after := listFolder(t, s.folder); after != before {
-		t.Fatalf("the folder changed from %s to %s", before, after)
+		t.Fatalf("contents of the data folder changed from %s to %s", before, after)
 	}
 }
 
-// TestBuildThatIsTooOldTakesNothing: one that starts on what a newer one wrote, and one that was away when the level rose.
-func TestBuildThatIsTooOldTakesNothing(t *testing.T) {
-	m := newMixed(t, 2, 2, 2)
-	early := m.members[0].disk
-	early.Entries = slices.Clone(early.Entries)
-	m.pass(20 * time.Second)
-	away := m.members[0]
-	for _, disk := range []Checkpoint{away.disk, early} {
-		away.level, away.disk, away.replica = 1, disk, nil
-		m.start(away)
-		m.pass(2 * time.Second)
-		if away.replica != nil || !reflect.DeepEqual(away.disk, disk) {
-			t.Fatalf("runs: %t, on a state of %d entries, %d before", away.replica != nil, len(away.disk.Entries), len(disk.Entries))
+// TestOutdatedBuildLeavesStateUnchanged guards against an outdated build that modifies its disk, when started on state
+// of a newer build or after the level rose while it was stopped.
+func TestOutdatedBuildLeavesStateUnchanged(t *testing.T) {
+	m := newMixedGroup(t, 2, 2, 2)
+	outdatedDisk := m.members[0].disk
+	outdatedDisk.Entries = slices.Clone(outdatedDisk.Entries)
+	m.advance(20 * time.Second)
+	outdated := m.members[0]
+	for _, disk := range []Checkpoint{outdated.disk, outdatedDisk} {
+		outdated.level, outdated.disk, outdated.replica = 1, disk, nil
+		m.start(outdated)
+		m.advance(2 * time.Second)
+		if outdated.replica != nil || !reflect.DeepEqual(outdated.disk, disk) {
+			t.Fatalf("outdated build: running %t, %d entries on disk, %d before", outdated.replica != nil, len(outdated.disk.Entries), len(disk.Entries))
 		}
 	}
-	away.level = 2
-	m.start(away)
-	m.pass(2 * time.Second)
-	if away.replica == nil || away.replica.Machine().Level() != 2 {
-		t.Fatal("the newer build doesn't go on from there")
+	outdated.level = 2
+	m.start(outdated)
+	m.advance(2 * time.Second)
+	if outdated.replica == nil || outdated.replica.Machine().Level() != 2 {
+		t.Fatal("member does not reach level 2 after it was restarted with the newer build")
 	}
 }
 
-// TestLevelsHoldWhateverBuildsRun: members are ended, cut off and started as other builds at any time. None runs on what its build doesn't know;
-// before its files hold a higher level than its own it may go back, and once all know a level it comes into force.
-func TestLevelsHoldWhateverBuildsRun(t *testing.T) {
+// TestLevelsUnderRandomBuildChanges stops, partitions and replaces members at random. No build may run with state of an
+// unsupported level, and a level that all members support must come into force.
+func TestLevelsUnderRandomBuildChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMixed(t, 1, 1, 1)
+		m := newMixedGroup(t, 1, 1, 1)
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			b := m.members[rapid.IntRange(0, 2).Draw(t, "member")]
 			switch rapid.SampledFrom([]string{"replace", "cut", "heal", "end"}).Draw(t, "what") {
@@ -227,22 +231,22 @@
 				b.replica, b.level = nil, rapid.SampledFrom([]level.Level{1, 2, 3}).Draw(t, "build")
 				m.start(b)
 			case "cut":
-				b.cut = true
+				b.partitioned = true
 			case "heal":
-				b.cut = false
+				b.partitioned = false
 			case "end":
 				b.replica = nil
 			}
-			m.pass(time.Duration(rapid.IntRange(20, 8000).Draw(t, "ms")) * time.Millisecond)
+			m.advance(time.Duration(rapid.IntRange(20, 8000).Draw(t, "ms")) * time.Millisecond)
 		}
 		for _, b := range m.members {
-			b.cut, b.level, b.replica = false, 3, nil
+			b.partitioned, b.level, b.replica = false, 3, nil
 			m.start(b)
 		}
-		m.pass(20 * time.Second)
+		m.advance(20 * time.Second)
 		for _, b := range m.members {
 			if b.replica == nil || b.replica.Machine().Level() != 3 {
-				t.Fatalf("%s isn't at level 3", b.id)
+				t.Fatalf("%s did not reach level 3", b.id)
 			}
 		}
 	})
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -10,12 +10,12 @@
 )
 
 // name names a version of model m, as an operator does.
-func (s *solo) name(version uint64) {
+func (s *singleReplica) name(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
 // told returns the ages that a gateway is told, by version.
-func (s *solo) told() map[uint64]time.Duration {
+func (s *singleReplica) told() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
@@ -29,7 +29,7 @@
 }
 
 // wantAge fails unless a version is told to be of an age, give or take a step of the test's clock.
-func (s *solo) wantAge(version uint64, age time.Duration) {
+func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
 	if told, known := s.told()[version]; !known || told < age-step || told > age+step {
@@ -38,7 +38,7 @@
 }
 
 // successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
-func (s *solo) successor(data []byte, entries []consensus.Entry, wall time.Duration) *solo {
+func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wall time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
 	first := s.replica.applied
@@ -47,7 +47,7 @@
 	}
 	meta := consensus.SnapshotMeta{Index: first, Term: 1, Membership: consensus.Membership{Members: []consensus.Member{self}}}
 	restored := Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: data}, Entries: entries}
-	replica, err := NewReplica(soloConfig("c2"), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig("c2"), restored, 0)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &solo{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wall: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wall}
 }
 
 // TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
@@ -69,14 +69,14 @@
 	t.Run("restart", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
 		if err := s.disk.Close(); err != nil {
 			t.Fatal(err)
 		}
-		again := openStartingIn(t, s.folder)
-		again.wall = s.now + time.Second // it was away for a second
-		again.pass(3 * time.Second)
+		again := reopenUnelected(t, s.folder)
+		again.wallOffset = s.now + time.Second // it was away for a second
+		again.advance(3 * time.Second)
 		again.wantAge(2, 6*time.Second)
 	})
 	// A replica that had lost its disk got a snapshot a while after the naming, and led. It counted from its own start, or, with a long
@@ -84,21 +84,21 @@
 	t.Run("snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 7*time.Second)
 	})
 	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
 		s, other := openFleet(t), openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
-		other.pass(time.Minute)
-		other.wall = s.now - other.now
-		other.replica.Tick(other.now, testWallStart+(other.wall+other.now).Milliseconds())
+		s.advance(4 * time.Second)
+		other.advance(time.Minute)
+		other.wallOffset = s.now - other.now
+		other.replica.Tick(other.now, testWallStart+(other.wallOffset+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
-		other.replica.install(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 		wanted := other.replica.wantedVersions(other.now)
 		if len(wanted) != 1 || wanted[0].Age < 4*time.Second-100*time.Millisecond || wanted[0].Age > 4*time.Second+100*time.Millisecond {
 			t.Fatalf("told %+v, it is 4s old", wanted)
@@ -110,9 +110,9 @@
 		s := openFleet(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.name(2)
-		s.pass(5 * time.Second)
+		s.advance(5 * time.Second)
 		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
-		late.pass(3 * time.Second)
+		late.advance(3 * time.Second)
 		late.wantAge(2, 8*time.Second)
 	})
 	// Two versions were named before a snapshot was taken. A back end that lacks both is late by the older one, whose time the snapshot
@@ -120,11 +120,11 @@
 	t.Run("two before a snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(4 * time.Second)
+		s.advance(4 * time.Second)
 		s.name(3)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 8*time.Second)
 		next.wantAge(3, 4*time.Second)
 	})
@@ -132,10 +132,10 @@
 	t.Run("named again", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(3)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.name(3)
 		s.name(2)
-		s.pass(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
 		if told := s.told(); len(told) != 1 {
 			t.Fatalf("told %v", told)
@@ -145,9 +145,9 @@
 	t.Run("clock of the day behind", func(t *testing.T) {
 		s := openFleet(t)
 		s.name(2)
-		s.pass(time.Second)
-		s.wall -= time.Minute
-		s.pass(2 * time.Second)
+		s.advance(time.Second)
+		s.wallOffset -= time.Minute
+		s.advance(2 * time.Second)
 		s.wantAge(2, 3*time.Second)
 	})
 	// Snapshots of the release before tell no times. Namings of which no time is known are long past: nothing may begin on older weights.
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 		next := s.successor(machine.Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		if age, known := next.told()[4]; !known || age < time.Hour {
 			t.Fatalf("told to be %v old (known: %t)", age, known)
 		}
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -12,12 +12,12 @@
 var deadly, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // ended tells of a life as a gateway does.
-func (s *solo) ended(life string, requests ...quarantine.Fingerprint) Response {
+func (s *singleReplica) ended(life string, requests ...quarantine.Fingerprint) Response {
 	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-func (s *solo) ledger() *quarantine.Registry { return s.replica.machine.catalog.Quarantine() }
+func (s *singleReplica) ledger() *quarantine.Registry { return s.replica.machine.catalog.Quarantine() }
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
@@ -31,12 +31,12 @@
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
 	s.ended("i-1", deadly, other)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("told of requests under which one back end ended")
 	}
 	s.ended("i-2", deadly)
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
@@ -53,16 +53,16 @@
 // TestCountOutlivesTheLeader: and the loss of every process; a replica that starts from a snapshot releases as any other.
 func TestCountOutlivesTheLeader(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	seed := s.ledger().Update().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
 	}
 	for i := range 60 { // beyond a snapshot
-		s.set(uint64(i), i)
+		s.changeQueueLimit(uint64(i), i)
 	}
 	_ = s.disk.Close()
-	s = openSolo(t, folder)
+	s = openSingleReplica(t, folder)
 	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
@@ -75,14 +75,14 @@
 // TestOldLivesAreForgotten: what isn't held back after an hour; what is held back may be tried again after a day, and one more life holds
 // it back again.
 func TestOldLivesAreForgotten(t *testing.T) {
-	s := openSolo(t, t.TempDir())
+	s := openSingleReplica(t, t.TempDir())
 	s.ended("i-1", other)
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
 		s.ended(life, deadly)
 	}
 	skip := func(length time.Duration) {
 		s.now += length
-		s.pass(3 * time.Second)
+		s.advance(3 * time.Second)
 	}
 	skip(suspectFor - 10*time.Second)
 	if s.ledger().CrashCount(other) != 1 {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -14,110 +14,111 @@
 	"kitetiller/internal/quota"
 )
 
-// Config is what a replica needs to start.
+// Config holds the settings of a replica.
 type Config struct {
-	ID            consensus.ID
-	Name          string
-	Address       string
-	Zone          string
-	RelayAbove    int // gateways up to which the leader answers all of them by itself
-	Timing        consensus.Timing
-	Replicas      int           // voters the group should have
-	SettingsLease time.Duration // lease granted to routers
-	RepairAfter   time.Duration // silence after which a voter is replaced by a learner
-	SnapshotEvery uint64        // applied entries between snapshots
-	OrderWait     time.Duration // how long a new leader waits before its first order for weights
-	GatewayTrust  time.Duration // how long a gateway may use a view that is not confirmed
-	Quota         quota.Policy  // how limits over the fleet are judged
-	Guards        guard.Set
-	Mechanisms    mechanism.Set // parts of the decision that are on
-	Level         level.Level   // of this build
-	Random        func(n int64) int64
+	ID                consensus.ID
+	Name              string
+	Address           string
+	Zone              string
+	MaxDirectGateways int // number of gateways above which followers answer gateways for the leader
+	Timing            consensus.Timing
+	Replicas          int           // number of voters in a complete group
+	SettingsLease     time.Duration // duration of the settings lease of a router
+	RepairAfter       time.Duration // how long a voter may be unreachable before a learner replaces it
+	SnapshotEvery     uint64        // minimum number of applied entries between snapshots
+	OrderWait         time.Duration // how long a new leader waits before its first weights order
+	GatewayTrust      time.Duration // how long a gateway may use a view without a new confirmation
+	Quota             quota.Policy  // terms of the fleet-wide limits
+	Guards            guard.Set
+	Mechanisms        mechanism.Set // enabled mechanisms
+	Level             level.Level   // highest record level that this build supports
+	Random            func(n int64) int64
 }
 
-// toldDocument is a document as gateways are told it, and as JSON that they share.
-type toldDocument struct {
+// publishedDocument is the routing document sent to gateways, with an encoding that all replies share.
+type publishedDocument struct {
 	document *catalog.Document
 	shared   *payload.Shared
 }
 
-// waiter are the clients that wait for a log entry.
-type waiter struct {
+// pendingProposal holds the clients that wait for a proposed log entry.
+type pendingProposal struct {
 	clients []uint64
 	term    uint64
 }
 
-// first returns the client that waits where one does alone, or 0.
-func (w waiter) first() uint64 {
-	if len(w.clients) == 0 {
+// firstClient returns the first waiting client, or 0 if there is none.
+func (p pendingProposal) firstClient() uint64 {
+	if len(p.clients) == 0 {
 		return 0
 	}
-	return w.clients[0]
+	return p.clients[0]
 }
 
-// Persist is what the shell must write and sync before it calls Done.
+// Persist holds what the caller must write and sync before it calls Advance.
 type Persist struct {
 	HardState  *consensus.HardState
 	Entries    []consensus.Entry
-	Checkpoint *Checkpoint // replaces everything on disk; HardState and Entries are included in it
+	Checkpoint *Checkpoint // replaces everything on disk; includes HardState and Entries
 }
 
-// Empty reports whether nothing has to be written.
+// Empty reports whether there is nothing to write.
 func (p Persist) Empty() bool {
 	return p.HardState == nil && len(p.Entries) == 0 && p.Checkpoint == nil
 }
 
-// Checkpoint is the whole durable state of a replica.
+// Checkpoint is the complete durable state of a replica.
 type Checkpoint struct {
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
 }
 
-// Effects are what the shell sends after the sync.
+// Effects holds what the caller must send after the sync.
 type Effects struct {
-	Messages []consensus.Message
-	Replies  []Reply
-	Calls    []EngineCall
-	Weights  []WeightsCall
-	Relays   []RelayCall
+	Messages     []consensus.Message
+	Replies      []Reply
+	EngineCalls  []EngineCall
+	WeightsCalls []WeightsCall
+	RelayCalls   []RelayCall
 }
 
-// Replica is one control replica. It is pure: the shell passes in time, messages and requests, and carries
-// out Persist and Effects. The order is: inputs, Work, write and sync, Done, send.
+// Replica is one control replica. It does no I/O: the caller passes in the time, messages and requests, and carries
+// out Persist and Effects. The order of calls is: inputs, Prepare, write and sync, Advance, send.
 type Replica struct {
-	config   Config
-	node     *consensus.Node
-	machine  *Machine
-	snapshot consensus.Snapshot
-	hard     consensus.HardState
+	config    Config
+	node      *consensus.Node
+	machine   *Machine
+	snapshot  consensus.Snapshot
+	hardState consensus.HardState
 
 	applied     uint64
 	appliedTerm uint64
-	// appliedBytes are the bytes of the entries applied since the newest snapshot.
-	appliedBytes int
-	unixMS       int64         // time of day at tickedAt; 0 before the first tick
-	tickedAt     time.Duration // of the newest tick
-	now          time.Duration // of the newest tick or request
-	waiters      map[uint64]waiter
-	ready        consensus.Ready
-	effects      Effects
-	lead         *leadership
-	namings      map[string][]datedNaming // by model, rising by version: those of the catalog, since it applied here or was dated
-	orders       map[string]orderMark     // by name of the back end: what this process saw in the log
-	told         toldDocument             // newest document that gateways were told
-	relay        *relay.Relay             // of gateways' questions while another replica leads
-	leaderless   []watcher                // gateways' questions that wait for a leader; at most leaderlessMost
-	quarantined  quarantined              // when what was last counted, as this process saw it
-	checkpoint   bool                     // a snapshot must be written with the next Work
-	ended        error                    // the replica takes, writes and sends nothing more; nil while it goes on
+	// appliedBytes is the total size of the entries applied since the newest snapshot.
+	appliedBytes   int
+	unixMS         int64         // wall clock at tickedAt; 0 before the first tick
+	tickedAt       time.Duration // time of the newest tick
+	now            time.Duration // time of the newest tick or request
+	pending        map[uint64]pendingProposal
+	ready          consensus.Ready
+	effects        Effects
+	leader         *leaderState
+	namedVersions  map[string][]datedNaming // by model, in ascending order of version, with local times
+	orderMarks     map[string]orderMark     // newest order seen in the log, by back-end name
+	published      publishedDocument        // newest document sent to gateways
+	relay          *relay.Relay             // answers gateways while another replica leads
+	awaitingLeader []watcher                // watches held until a leader is known; at most leaderlessMost
+	quarantined    quarantined              // local times of the replicated crash counts
+	checkpointDue  bool                     // the next Prepare must write a checkpoint
+	stopErr        error                    // why the replica has stopped, or nil
 }
 
-// NewReplica restores a replica from its durable state.
+// NewReplica restores a replica from its durable state. It fails if the state requires a higher level than this build
+// supports.
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hard: restored.HardState, waiters: map[uint64]waiter{}, namings: map[string][]datedNaming{}, orders: map[string]orderMark{},
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]datedNaming{}, orderMarks: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
@@ -137,8 +138,8 @@
 	return replica, nil
 }
 
-// BootstrapState is the first durable state of the replica that founds a group: a log of one voter. All
-// other replicas join it as learners.
+// BootstrapState returns the initial durable state of the replica that founds a group, with self as the only voter.
+// All other replicas join as learners.
 func BootstrapState(self consensus.Member) Checkpoint {
 	meta := consensus.SnapshotMeta{Index: 1, Term: 1, Membership: consensus.Membership{Members: []consensus.Member{self}}}
 	empty := NewMachine(guard.Set{}).Snapshot()
@@ -154,15 +155,15 @@
 // Applied returns the index of the last applied entry.
 func (r *Replica) Applied() uint64 { return r.applied }
 
-// Tick lets timers run. unixMS is the wall clock, used only for retention, history, and how old namings are.
+// Tick runs the timers. unixMS is the wall clock, used only for retention, history and the age of named versions.
 func (r *Replica) Tick(now time.Duration, unixMS int64) {
-	if r.ended != nil {
+	if r.stopErr != nil {
 		return
 	}
 	r.unixMS, r.tickedAt, r.now = unixMS, now, now
 	r.node.Tick(now)
 	r.checkLeadership(now)
-	if r.lead != nil && r.current(now) {
+	if r.leader != nil && r.hasCurrentState(now) {
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
@@ -172,26 +173,26 @@
 		r.noteHeld(now)
 		r.noteGateways(now)
 		r.tendQuarantine(now)
-		r.tendLevel(now)
+		r.raiseLevel(now)
 		r.rollOut(now)
 	}
-	if r.lead != nil {
+	if r.leader != nil {
 		r.answerWatchers(now)
 	}
 	r.tendRelay(now)
 	r.endLeaderless(now)
 }
 
-// Step handles a message of another replica.
+// Step handles a message from another replica.
 func (r *Replica) Step(now time.Duration, message consensus.Message) {
-	if r.ended != nil || !r.knowsLevel(now, message) {
+	if r.stopErr != nil || !r.checkLevel(now, message) {
 		return
 	}
 	r.node.Step(now, message)
 	r.checkLeadership(now)
 }
 
-// NextDue returns when Tick must be called at the latest.
+// NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
 	if r.relays() {
 		return min(r.node.NextDue(), r.relay.Due())
@@ -199,27 +200,27 @@
 	return r.node.NextDue()
 }
 
-// checkLeadership notices gained and lost leadership.
+// checkLeadership creates the leader state after an election and discards it when leadership is lost.
 func (r *Replica) checkLeadership(now time.Duration) {
-	leads := r.node.Role() == consensus.Leader
-	if r.lead != nil && (!leads || r.lead.term != r.node.Term()) {
-		ended := r.lead
-		r.lead = nil
-		r.closeWatchers(ended)
-		r.replyAll(ended.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
-		r.failWaiters()
-	}
-	if r.lead == nil && leads {
-		r.lead = newLeadership(r.node.Term(), now, r.leaseEnd(now), r.machine)
+	isLeader := r.node.Role() == consensus.Leader
+	if r.leader != nil && (!isLeader || r.leader.term != r.node.Term()) {
+		previous := r.leader
+		r.leader = nil
+		r.closeWatchers(previous)
+		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
+		r.failPending()
+	}
+	if r.leader == nil && isLeader {
+		r.leader = newLeaderState(r.node.Term(), now, r.leaseEnd(now), r.machine)
 		r.dateNamings(now)
 	}
 }
 
-// failWaiters answers clients whose entry may or may not commit under another leader.
-func (r *Replica) failWaiters() {
-	for index, waiting := range r.waiters {
-		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
-		delete(r.waiters, index)
+// failPending answers ResponseUnknown to all waiting clients: their entries may still commit under another leader.
+func (r *Replica) failPending() {
+	for index, proposal := range r.pending {
+		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
+		delete(r.pending, index)
 	}
 }
 
@@ -243,87 +244,87 @@
 	}
 }
 
-// propose appends a command after the registrations that wait; client 0 waits for nothing.
+// propose appends a command after the queued registrations. With client 0, nobody waits for the entry.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
 	r.writeJoining(now)
-	r.append(now, []uint64{client}, command)
+	r.appendCommand(now, []uint64{client}, command)
 }
 
-// append writes a command into the log; the clients are answered once it has committed.
-func (r *Replica) append(now time.Duration, clients []uint64, command Command) {
+// appendCommand appends a command to the log; the clients are answered once it has committed.
+func (r *Replica) appendCommand(now time.Duration, clients []uint64, command Command) {
 	command.UnixMS = r.unixMS
 	index, term, ok := r.node.Propose(now, encodeCommand(command))
 	if !ok {
 		r.replyAll(clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		return
 	}
-	r.waiters[index] = waiter{clients: clients, term: term}
+	r.pending[index] = pendingProposal{clients: clients, term: term}
 }
 
-// Work returns what must be written and synced now.
-func (r *Replica) Work() Persist {
+// Prepare returns what the caller must write and sync before Advance.
+func (r *Replica) Prepare() Persist {
 	r.writeJoining(r.now)
 	r.flushOrdering(r.now)
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
 	if r.ready.HardState != nil {
-		r.hard = *r.ready.HardState
+		r.hardState = *r.ready.HardState
 	}
 	if r.ready.Snapshot != nil {
 		r.snapshot = *r.ready.Snapshot
-		r.checkpoint = true
+		r.checkpointDue = true
 	}
-	if r.checkpoint {
-		r.checkpoint = false
-		persist.Checkpoint = &Checkpoint{HardState: r.hard, Snapshot: r.snapshot, Entries: r.node.EntriesAfter(r.snapshot.Meta.Index)}
+	if r.checkpointDue {
+		r.checkpointDue = false
+		persist.Checkpoint = &Checkpoint{HardState: r.hardState, Snapshot: r.snapshot, Entries: r.node.EntriesAfter(r.snapshot.Meta.Index)}
 	}
 	return persist
 }
 
-// Done continues after the sync of Work: it applies what committed and returns what to send.
-func (r *Replica) Done(now time.Duration) Effects {
+// Advance continues after the writes of Prepare were synced: it applies committed entries and returns what to send.
+func (r *Replica) Advance(now time.Duration) Effects {
 	if last := len(r.ready.Entries); last > 0 {
 		r.node.Persisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
 	}
 	if r.ready.Snapshot != nil {
-		r.install(now, *r.ready.Snapshot)
+		r.installSnapshot(now, *r.ready.Snapshot)
 	}
 	for _, entry := range r.ready.Committed {
 		r.apply(now, entry)
 	}
-	if r.ended = r.config.Level.CheckSupports(r.machine.level); r.ended != nil {
+	if r.stopErr = r.config.Level.CheckSupports(r.machine.level); r.stopErr != nil {
 		return Effects{}
 	}
-	if r.lead != nil && r.lead.listedNews {
-		r.lead.listedNews = false
+	if r.leader != nil && r.leader.gatewayListChanged {
+		r.leader.gatewayListChanged = false
 		r.answerWatchers(now)
 	}
-	r.effects.Messages = append(r.effects.Messages, r.stamp(r.ready.Messages)...)
+	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
 	r.tendRelay(now)
 	r.endLeaderless(now)
 	effects := r.effects
 	r.effects = Effects{}
-	effects.Weights = r.dropLateCalls(now, effects.Weights)
+	effects.WeightsCalls = r.dropStaleCalls(now, effects.WeightsCalls)
 	return effects
 }
 
-// dropLateCalls forgets calls that were decided before a sync which took so long that this replica may lead no more, and orders that would
-// follow their announcements too late; the roll-out makes them again.
-func (r *Replica) dropLateCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
+// dropStaleCalls drops calls decided before a sync that took so long that this replica may have lost the leadership,
+// and orders that would follow their announcement too late. The rollout makes them again.
+func (r *Replica) dropStaleCalls(now time.Duration, calls []WeightsCall) []WeightsCall {
 	if len(calls) == 0 || !r.config.Guards.On(guard.DropLateCommands) {
 		return calls
 	}
-	if r.lead == nil || !r.mayOrder(now) {
+	if r.leader == nil || !r.mayOrder(now) {
 		return nil
 	}
 	return r.dropLateOrders(now, calls)
 }
 
-func (r *Replica) install(now time.Duration, snapshot consensus.Snapshot) {
+func (r *Replica) installSnapshot(now time.Duration, snapshot consensus.Snapshot) {
 	if err := r.machine.Restore(snapshot.Data); err != nil {
-		panic("control: snapshot of the leader cannot be read: " + err.Error())
+		panic("control: failed to decode the snapshot received from the leader: " + err.Error())
 	}
 	r.applied, r.appliedTerm, r.appliedBytes = snapshot.Meta.Index, snapshot.Meta.Term, 0
 	r.noteInstalled(now)
@@ -332,7 +333,7 @@
 
 func (r *Replica) apply(now time.Duration, entry consensus.Entry) {
 	if entry.Index != r.applied+1 {
-		panic("control: committed entries are not contiguous")
+		panic("control: gap in the indexes of committed entries")
 	}
 	r.applied, r.appliedTerm = entry.Index, entry.Term
 	r.appliedBytes += len(entry.Data)
@@ -347,36 +348,36 @@
 			result = r.machine.Apply(entry.Index, entry.Term, command)
 		}
 	}
-	waiting, found := r.waiters[entry.Index]
+	proposal, found := r.pending[entry.Index]
 	if found {
-		delete(r.waiters, entry.Index)
+		delete(r.pending, entry.Index)
 	}
-	r.afterApply(now, entry, result, waiting, found && waiting.term == entry.Term)
+	r.completeProposal(now, entry, result, proposal, found && proposal.term == entry.Term)
 }
 
-// afterApply answers the client of an entry. A waiter whose entry was replaced by another leader's gets
-// "unknown": its change did not commit here, but the client cannot tell and resends.
-func (r *Replica) afterApply(now time.Duration, entry consensus.Entry, result Result, waiting waiter, mine bool) {
-	if !mine {
-		r.replyAll(waiting.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
+// completeProposal answers the clients of an entry. If another leader's entry took its index, they get
+// ResponseUnknown and have to resend.
+func (r *Replica) completeProposal(now time.Duration, entry consensus.Entry, result Result, proposal pendingProposal, sameTerm bool) {
+	if !sameTerm {
+		r.replyAll(proposal.clients, Response{Kind: ResponseUnknown, Leader: r.leaderAddress()})
 		return
 	}
 	response := Response{Kind: ResponseOK, Claim: result.Claim, Change: result.Change, Catalog: result.Catalog}
-	if result.Catalog != nil && result.Catalog.Fence > 0 && r.lead != nil && entry.Term == r.node.Term() {
-		r.lead.fence = result.Catalog.Fence
+	if result.Catalog != nil && result.Catalog.Fence > 0 && r.leader != nil && entry.Term == r.node.Term() {
+		r.leader.orderFence = result.Catalog.Fence
 	}
 	if result.Session != nil {
-		response = r.sessionOpened(now, waiting.first(), *result.Session)
+		response = r.sessionOpened(now, proposal.firstClient(), *result.Session)
 	}
-	if result.Order != nil && r.lead != nil && entry.Term == r.node.Term() {
+	if result.Order != nil && r.leader != nil && entry.Term == r.node.Term() {
 		r.issueOrder(now, *result.Order)
 	}
-	r.replyCommitted(waiting.clients, response)
+	r.replyCommitted(proposal.clients, response)
 }
 
-// maybeSnapshot writes a snapshot when enough entries were applied since the last one, and they have as many bytes as that: what
-// snapshots cost then grows with what was written, however large the state is. The log keeps the entries since the last
-// snapshot, so that a replica which lags a little gets these and not all of the state.
+// maybeSnapshot takes a snapshot once SnapshotEvery entries have been applied since the last one and their total size
+// has reached that of the last snapshot, which keeps the cost of snapshots proportional to the size of the log. The log
+// keeps the entries between the last two snapshots, so that a follower that lags slightly does not need a snapshot.
 func (r *Replica) maybeSnapshot() {
 	if r.applied < r.snapshot.Meta.Index+r.config.SnapshotEvery || r.appliedBytes < len(r.snapshot.Data) {
 		return
@@ -386,18 +387,18 @@
 	r.snapshot = consensus.Snapshot{Meta: meta, Data: r.machine.Snapshot()}
 	r.appliedBytes = 0
 	r.node.Compact(before)
-	r.checkpoint = true
+	r.checkpointDue = true
 }
 
-// CallsWaiting returns how many calls to back ends wait for the next sync.
-func (r *Replica) CallsWaiting() int { return len(r.effects.Weights) }
+// PendingWeightsCalls returns the number of calls to back ends that wait for the next sync.
+func (r *Replica) PendingWeightsCalls() int { return len(r.effects.WeightsCalls) }
 
-// HasWork reports whether Work and Done should be called.
+// HasWork reports whether the caller should call Prepare and Advance.
 func (r *Replica) HasWork() bool {
-	if r.ended != nil {
+	if r.stopErr != nil {
 		return false
 	}
-	return r.checkpoint || r.lead != nil && len(r.lead.joining.instances)+len(r.lead.ordering) > 0 || len(r.effects.Replies) > 0 || len(r.effects.Calls) > 0 || len(r.effects.Weights)+len(r.effects.Relays) > 0 || r.node.HasReady()
+	return r.checkpointDue || r.leader != nil && len(r.leader.joining.instances)+len(r.leader.pendingOrderAnnouncements) > 0 || len(r.effects.Replies) > 0 || len(r.effects.EngineCalls) > 0 || len(r.effects.WeightsCalls)+len(r.effects.RelayCalls) > 0 || r.node.HasReady()
 }
 
 // members returns the membership sorted by name.
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -2,65 +2,67 @@
 
 import "time"
 
-// tenant returns the limit state of a request's tenant at its service.
+// tenant returns the row of a request's tenant at its service, creating it on first use.
 func (c *Core) tenant(r *request) *tenantState {
 	key := tenantKey{r.Service, r.Tenant}
 	state := c.tenants[key]
 	if state == nil {
-		state = &tenantState{tokens: float64(r.values.RequestBurst), refilledAt: c.now}
+		state = &tenantState{rateTokens: float64(r.values.RequestBurst), refilledAt: c.now}
 		c.tenants[key] = state
 	}
 	return state
 }
 
-// overLimit applies the tenant's rate and concurrency limits and returns when to come back.
-func (c *Core) overLimit(r *request) (Reason, time.Duration) {
+// tenantLimitExceeded applies the tenant's concurrency and rate limits. It returns the reason for a refusal, or "",
+// and the Retry-After.
+func (c *Core) tenantLimitExceeded(r *request) (Reason, time.Duration) {
 	tenant := c.tenant(r)
-	if r.values.MaxConcurrent > 0 && tenant.active >= r.values.MaxConcurrent {
-		return ReasonConcurrency, retrySoon
+	if r.values.MaxConcurrent > 0 && tenant.activeRequests >= r.values.MaxConcurrent {
+		return ReasonConcurrencyLimit, shortRetryAfter
 	}
 	rate := r.values.RequestsPerSecond
 	if rate <= 0 {
 		return "", 0
 	}
 	elapsed := (c.now - tenant.refilledAt).Seconds()
-	tenant.tokens = min(tenant.tokens+elapsed*rate, float64(r.values.RequestBurst))
+	tenant.rateTokens = min(tenant.rateTokens+elapsed*rate, float64(r.values.RequestBurst))
 	tenant.refilledAt = c.now
-	if tenant.tokens < 1 {
-		wait := (1 - tenant.tokens) / rate
-		return ReasonRateLimit, time.Duration(wait * float64(time.Second))
+	if tenant.rateTokens < 1 {
+		retryAfter := (1 - tenant.rateTokens) / rate
+		return ReasonRateLimit, time.Duration(retryAfter * float64(time.Second))
 	}
-	tenant.tokens--
+	tenant.rateTokens--
 	return "", 0
 }
 
 const (
-	minimumLimit    = 4   // least adaptive concurrency of an engine
-	limitIncrease   = 0.2 // added per answer in time
-	limitDecrease   = 0.9 // factor per answer that came far too late
-	lateFactor      = 3   // observed over predicted time that counts as far too late
-	lateSlack       = 300 * time.Millisecond
-	biasSmoothing   = 0.1
-	minimumBias     = 0.5
-	maximumBias     = 3.0
-	biasMinimumTime = time.Millisecond
+	minConcurrencyLimit  = 4   // lower bound of an engine's adaptive concurrency limit
+	limitIncrease        = 0.2 // added after a first token in time
+	limitDecrease        = 0.9 // factor after a late first token
+	lateFactor           = 3   // a first token is late after lateFactor times the predicted latency plus lateSlack
+	lateSlack            = 300 * time.Millisecond
+	latencyBiasSmoothing = 0.1
+	minLatencyBias       = 0.5
+	maxLatencyBias       = 3.0
+	minPredictedLatency  = time.Millisecond
 )
 
-// learn compares a prediction with its outcome: it corrects the engine's bias and its concurrency limit.
-func (c *Core) learn(row *backend, predicted, observed time.Duration) {
-	predicted = max(predicted, biasMinimumTime)
+// recordFirstTokenLatency compares predicted and observed time to first token, and adjusts the engine's latency bias
+// and its concurrency limit (additive increase, multiplicative decrease).
+func (c *Core) recordFirstTokenLatency(row *backend, predicted, observed time.Duration) {
+	predicted = max(predicted, minPredictedLatency)
 	ratio := float64(observed) / float64(predicted)
-	row.bias += biasSmoothing * (row.bias*ratio - row.bias)
-	row.bias = min(max(row.bias, minimumBias), maximumBias)
+	row.latencyBias += latencyBiasSmoothing * (row.latencyBias*ratio - row.latencyBias)
+	row.latencyBias = min(max(row.latencyBias, minLatencyBias), maxLatencyBias)
 	if observed > lateFactor*predicted+lateSlack {
-		row.limit = min(row.ceiling, max(minimumLimit, row.limit*limitDecrease))
+		row.concurrencyLimit = min(row.maxConcurrency, max(minConcurrencyLimit, row.concurrencyLimit*limitDecrease))
 		return
 	}
-	row.limit = min(row.ceiling, row.limit+limitIncrease)
+	row.concurrencyLimit = min(row.maxConcurrency, row.concurrencyLimit+limitIncrease)
 }
 
-// setCeiling takes up another highest limit; the limit keeps its share of it.
-func (row *backend) setCeiling(ceiling float64) {
-	row.limit = min(ceiling, max(minimumLimit, row.limit*ceiling/row.ceiling))
-	row.ceiling = ceiling
+// setMaxConcurrency changes the upper bound of the concurrency limit and scales the limit with it.
+func (row *backend) setMaxConcurrency(limit float64) {
+	row.concurrencyLimit = min(limit, max(minConcurrencyLimit, row.concurrencyLimit*limit/row.maxConcurrency))
+	row.maxConcurrency = limit
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -9,27 +9,27 @@
 	"kitetiller/internal/prefix"
 )
 
-// affinityDiscount makes an unknown prefix prefer its owner on the ring while engines are equally free, so
-// that later requests find it without any event.
-const affinityDiscount = 0.9
+// ringOwnerDiscount is the cost factor of the ring owner of a prefix that no engine holds. It sends requests with the
+// same prefix to the same engine before the prefix index knows of it.
+const ringOwnerDiscount = 0.9
 
-// runPlace serves the queues until no engine has room.
-func (c *Core) runPlace() {
-	if c.awaitsList() {
+// runPlacement dispatches queued requests of all services while engines have capacity.
+func (c *Core) runPlacement() {
+	if c.awaitsFreshList() {
 		return
 	}
-	for _, name := range c.serviceNames() {
+	for _, name := range c.queuedServices() {
 		service := c.services[name]
 		for c.placeNext(service) {
 		}
 	}
 }
 
-// serviceNames returns the services that have queued requests, sorted so that ticks are deterministic.
-func (c *Core) serviceNames() []string {
+// queuedServices returns the services with queued requests, sorted to keep ticks deterministic.
+func (c *Core) queuedServices() []string {
 	var names []string
 	for name, service := range c.services {
-		if service.queued() > 0 {
+		if service.queueLength() > 0 {
 			names = append(names, name)
 		}
 	}
@@ -37,43 +37,43 @@
 	return names
 }
 
-// placeNext places or refuses the next request of a service. It returns false when the request must wait.
+// placeNext dispatches or refuses the next request of a service. It returns false if the request must wait.
 func (c *Core) placeNext(service *serviceState) bool {
-	l, any := service.head()
-	if !any {
+	lane, found := service.nextLane()
+	if !found {
 		return false
 	}
-	r := service.lanes[l][0]
-	candidates := c.score(r, service)
-	c.preferOwner(r, service, candidates)
+	r := service.lanes[lane][0]
+	candidates := c.scoreCandidates(r, service)
+	c.discountRingOwner(r, service, candidates)
 	choice := -1
 	if len(candidates) > 0 {
-		choice = c.config.Placer.Pick(PlaceContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
+		choice = c.config.Placer.Pick(PlacementContext{Now: c.now, Request: &r.Request, Values: &r.values, Random: c.random}, candidates)
 	}
 	if choice < 0 {
-		return c.noCandidate(r, service)
+		return c.handleNoCandidate(r, service)
 	}
 	chosen := candidates[choice]
-	service.take(l)
+	service.dequeue(lane)
 	r.state = stateRunning
-	if !r.inStream() && c.now+chosen.Predicted > r.deadline {
-		c.refuse(r, ReasonDeadline, max(retrySoon, c.now+chosen.Predicted-r.deadline))
+	if !r.streamStarted() && c.now+chosen.Predicted > r.deadline {
+		c.refuse(r, ReasonDeadline, max(shortRetryAfter, c.now+chosen.Predicted-r.deadline))
 		return true
 	}
-	if reason := c.dispatchBar(r); reason != "" {
-		c.refuse(r, reason, retrySoon)
+	if reason := c.dispatchRefusal(r); reason != "" {
+		c.refuse(r, reason, shortRetryAfter)
 		return true
 	}
-	if queued := c.now - r.arrived; queued > 0 && service.queued() > 0 {
-		service.noteServed(queued / time.Duration(service.queued()+1))
+	if queued := c.now - r.arrivedAt; queued > 0 && service.queueLength() > 0 {
+		service.recordDispatchInterval(queued / time.Duration(service.queueLength()+1))
 	}
-	c.decisions.record(r, c.now, chosen, candidates, c.version)
+	c.decisions.record(r, c.now, chosen, candidates, c.settingsVersion)
 	c.dispatch(r, chosen)
 	return true
 }
 
-// preferOwner discounts the ring's owner when nobody is believed to hold any of the prefix.
-func (c *Core) preferOwner(r *request, service *serviceState, candidates []Candidate) {
+// discountRingOwner discounts the ring owner if no engine is assumed to hold any of the prefix.
+func (c *Core) discountRingOwner(r *request, service *serviceState, candidates []Candidate) {
 	if len(c.matches) > 0 || len(r.Chains) == 0 {
 		return
 	}
@@ -83,88 +83,88 @@
 	owners := c.ringOwners(r, service, 1)
 	for i := range candidates {
 		if len(owners) > 0 && candidates[i].Engine == owners[0] {
-			candidates[i].Cost *= affinityDiscount
+			candidates[i].Cost *= ringOwnerDiscount
 		}
 	}
 }
 
-// noCandidate decides what to do when no engine can take the head of the queue: wait if one is only busy,
-// otherwise give up.
-func (c *Core) noCandidate(r *request, service *serviceState) bool {
-	if left, reason := c.allBarred(service); left > 0 {
-		return c.restFor(r, service, left, reason)
+// handleNoCandidate handles the head of the queue when no engine can take it: it waits if some engine is only busy,
+// and is refused otherwise. It returns false if the request must wait.
+func (c *Core) handleNoCandidate(r *request, service *serviceState) bool {
+	if blocked, reason := c.allBlockedFor(service); blocked > 0 {
+		return c.waitOrRefuse(r, service, blocked, reason)
 	}
 	for _, id := range service.backends {
-		if row := &c.backends[id]; c.ready(row) && c.barred(row) == 0 && !slices.Contains(r.failedOn, id) {
+		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 && !slices.Contains(r.failedOn, id) {
 			return false
 		}
 	}
-	if len(r.failedOn) > 0 && r.inStream() {
-		r.failedOn = nil // a stream in progress may go back to an engine that failed it
-		return c.anyReady(service)
+	if len(r.failedOn) > 0 && r.streamStarted() {
+		r.failedOn = nil // a started stream may return to an engine on which it failed
+		return c.anyAvailable(service)
 	}
-	if c.now < r.arrived+noBackendGrace {
-		c.wakeAt(r, r.arrived+noBackendGrace)
+	if c.now < r.arrivedAt+backendWaitTimeout {
+		c.wakeAt(r, r.arrivedAt+backendWaitTimeout)
 		return false
 	}
 	service.remove(r)
 	r.state = stateRunning
-	c.refuse(r, ReasonNoBackend, retrySoon)
+	c.refuse(r, ReasonNoBackend, shortRetryAfter)
 	return true
 }
 
-// noBackendGrace is how long a request waits for a back end to appear.
-const noBackendGrace = 400 * time.Millisecond
+// backendWaitTimeout is how long a request waits for a back end to become available.
+const backendWaitTimeout = 400 * time.Millisecond
 
-func (c *Core) anyReady(service *serviceState) bool {
+func (c *Core) anyAvailable(service *serviceState) bool {
 	for _, id := range service.backends {
-		if row := &c.backends[id]; c.ready(row) && c.barred(row) == 0 {
+		if row := &c.backends[id]; c.isReady(row) && c.blockedFor(row) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// dispatchBar checks lease and claim at the last moment: the router may have been frozen since it admitted the
-// request. It returns why the request must not be sent, or "". Streams in progress are finished in any case.
-func (c *Core) dispatchBar(r *request) Reason {
+// dispatchRefusal checks lease and claim again right before the dispatch, since the process may have been paused after
+// admission. It returns the reason for a refusal, or "". Started streams are always completed.
+func (c *Core) dispatchRefusal(r *request) Reason {
 	switch {
-	case r.inStream() || !c.config.Guards.On(guard.LeaseAtDispatch):
+	case r.streamStarted() || !c.config.Guards.On(guard.LeaseAtDispatch):
 		return ""
-	case r.claimed && (r.epoch != c.epoch || !c.LeaseValid()):
-		return ReasonLedger // the claim ended with the session that made it
-	case !c.mayServe():
+	case r.claimGranted && (r.epoch != c.epoch || !c.LeaseValid()):
+		return ReasonLedgerUnavailable // the claim ended with its session
+	case !c.mayAdmit():
 		return ReasonNoLease
 	}
 	return ""
 }
 
-// dispatch sends an attempt to the chosen engine and believes at once that it will hold the prefix.
+// dispatch sends an attempt to the chosen engine and adds its prefix to the index right away.
 func (c *Core) dispatch(r *request, chosen Candidate) {
 	row := &c.backends[chosen.Engine]
-	c.nextID++
+	c.lastAttemptID++
 	c.counters.Attempts++
 	blocks := chainFor(r, row)
 	sent := attempt{
-		id: c.nextID, backend: row.id, life: row.incarnation, sentAt: c.now,
-		predicted: chosen.raw, base: r.emitted, uncached: chosen.Uncached,
+		id: c.lastAttemptID, backend: row.id, incarnation: row.incarnation, sentAt: c.now,
+		predicted: chosen.unbiased, resumeFrom: r.emitted, uncached: chosen.Uncached,
 	}
 	r.attempts = append(r.attempts, sent)
-	r.tries++
-	r.unproven++
-	if r.tries == 1 {
-		c.earnRetry(r)
+	r.attemptCount++
+	r.possibleRuns++
+	if r.attemptCount == 1 {
+		c.creditRetryBudget(r)
 	}
 	row.running++
-	c.usePermit(row)
+	c.takeRateToken(row)
 	row.pendingPrefill = append(row.pendingPrefill, pendingPrefill{attempt: sent.id, sentAt: c.now, tokens: chosen.Uncached, lane: r.Lane})
 	action := ActionDispatch{
 		ID: r.ID, Attempt: sent.id, Backend: row.machine.Name, Address: row.machine.Address,
-		Incarnation: row.incarnation, Weights: row.weights, Blocks: blocks, RelyTokens: chosen.Cached, PrefillTokens: chosen.Uncached,
+		Incarnation: row.incarnation, Weights: row.weights, Blocks: blocks, ExpectedCachedTokens: chosen.Cached, PrefillTokens: chosen.Uncached,
 		ResumeFrom: r.emitted, Lane: r.Lane, MaxTokens: min(r.MaxTokens, r.values.MaxOutputTokens),
-		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.version,
+		ImportFrom: chosen.ImportFrom, ImportBlocks: chosen.ImportBlocks, SettingsVersion: c.settingsVersion,
 	}
-	c.noteHot(r, blocks, &action)
+	c.trackHotPrefix(r, blocks, &action)
 	c.emit(action)
 	if len(blocks) > 0 {
 		c.index.Add(row.id, blocks, c.now, prefix.SourceDispatch)
@@ -175,17 +175,17 @@
 	}
 }
 
-// noteHot counts the shared part of the prompt and asks to keep it in the vault when it is hot.
-func (c *Core) noteHot(r *request, blocks []prefix.Hash, action *ActionDispatch) {
+// trackHotPrefix counts a use of the shared prefix and requests its storage in the vault if it is hot.
+func (c *Core) trackHotPrefix(r *request, blocks []prefix.Hash, action *ActionDispatch) {
 	if len(c.matches) == 0 || len(blocks) == 0 {
 		return
 	}
 	shared := min(c.matches[0].Blocks, len(blocks))
-	rate := c.hot.Record(blocks[shared-1], c.now)
+	rate := c.hotPrefixes.Record(blocks[shared-1], c.now)
 	if rate < r.values.HotRequestsPerMinute || !r.values.VaultKeep || c.config.Vault == "" {
 		return
 	}
-	if !c.vault[blocks[shared-1]] {
-		action.Keep, action.KeepBlocks = true, shared
+	if !c.vaultBlocks[blocks[shared-1]] {
+		action.StoreInVault, action.VaultBlocks = true, shared
 	}
 }
--- a/internal/core/score.go
+++ b/internal/core/score.go
@@ -11,73 +11,75 @@
 )
 
 const (
-	// scoreAllUpTo is the number of ready engines up to which every one is scored; beyond it only holders
-	// of the prefix, its rendezvous engines and a random sample are.
-	scoreAllUpTo = 64
-	sampleSize   = 12
-	ringProbes   = 2
-	maxHolders   = 24
-	// defaultPrefillRate is assumed until an engine reports its own, in tokens/s.
+	// maxExhaustiveEngines is the number of engines up to which all of them are scored. In larger services only
+	// engines that hold part of the prefix, its owners on the hash ring and a random sample are.
+	maxExhaustiveEngines = 64
+	sampleSize           = 12
+	ringCandidates       = 2
+	maxHolderCandidates  = 24
+	// defaultPrefillRate is assumed until an engine reports its rate, in tokens/s.
 	defaultPrefillRate = 4000
-	// doubtfulShare is how much of a doubtful match is counted on.
-	doubtfulShare = 0.5
-	// importGain is the factor by which copying must beat recomputing.
-	importGain = 0.8
-	// DisplacedShare is the share of copied blocks that drive out others which are asked for again.
-	DisplacedShare = 0.6
-	// importMinimumBlocks is the least run of blocks worth a copy.
-	importMinimumBlocks = 4
+	// staleMatchFraction is the fraction of a stale match that is counted as cached.
+	staleMatchFraction = 0.5
+	// maxImportTimeRatio is the maximum ratio of copy time to compute time at which blocks are copied.
+	maxImportTimeRatio = 0.8
+	// DisplacedFraction is the assumed fraction of copied blocks that evict blocks which are requested again.
+	DisplacedFraction = 0.6
+	// minImportBlocks is the minimum number of blocks to copy.
+	minImportBlocks = 4
 )
 
-// Candidate is one engine as placement sees it for one request.
+// Candidate is the score of one engine for one request. Decisions are shown to operators as JSON under these field
+// names.
 type Candidate struct {
 	Engine       prefix.EngineID
 	Name         string
 	Zone         string
-	Cached       int // prompt tokens believed to be cached
-	Uncached     int // prompt tokens to prefill after a copy, if any
-	ImportBlocks int // leading blocks to copy from elsewhere first; 0 for none
+	Cached       int // prompt tokens assumed to be cached
+	Uncached     int // prompt tokens to prefill after the copy, if any
+	ImportBlocks int // leading blocks to copy from ImportFrom first; 0 for none
 	ImportFrom   string
-	Running      int // own attempts, and those reported by the engine
-	Wait         time.Duration
+	Running      int           // attempts of this router, or running and waiting requests as reported if more
+	Wait         time.Duration // for prefill that is already pending
 	Predicted    time.Duration // time to first token
-	Cost         float64       // seconds, weighted
-	raw          time.Duration // Predicted before the bias
+	Cost         float64       // weighted seconds
+	unbiased     time.Duration // Predicted without bias correction and network latency
 }
 
-// PlaceContext is what a placer may look at besides the candidates.
-type PlaceContext struct {
+// PlacementContext is what a Placer may use besides the candidates.
+type PlacementContext struct {
 	Now     time.Duration
 	Request *Request
 	Values  *settings.Values
 	Random  *rand.Rand
 }
 
-// Placer picks one of the candidates, or -1 to leave the request queued.
+// Placer is a placement policy.
 type Placer interface {
-	Pick(context PlaceContext, candidates []Candidate) int
-	// Imports reports whether cached blocks may be copied between engines.
-	Imports() bool
+	// Pick returns the index of a candidate, or -1 to keep the request queued.
+	Pick(context PlacementContext, candidates []Candidate) int
+	// AllowsImport reports whether cached blocks may be copied between engines.
+	AllowsImport() bool
 }
 
-// CostPlacer picks the least cost; ties go to the first.
+// CostPlacer picks the candidate with the lowest cost; the first of equals.
 type CostPlacer struct{}
 
-// Pick returns the candidate of least cost.
-func (CostPlacer) Pick(_ PlaceContext, candidates []Candidate) int {
-	best := -1
+// Pick returns the candidate with the lowest cost.
+func (CostPlacer) Pick(_ PlacementContext, candidates []Candidate) int {
+	bestIndex := -1
 	for i := range candidates {
-		if best < 0 || candidates[i].Cost < candidates[best].Cost {
-			best = i
+		if bestIndex < 0 || candidates[i].Cost < candidates[bestIndex].Cost {
+			bestIndex = i
 		}
 	}
-	return best
+	return bestIndex
 }
 
-// Imports is true: copies are part of the default policy.
-func (CostPlacer) Imports() bool { return true }
+// AllowsImport returns true.
+func (CostPlacer) AllowsImport() bool { return true }
 
-// ringPoint is an engine's place on the consistent hash ring of its service.
+// ringPoint is a point of an engine on the consistent hash ring of its service.
 type ringPoint struct {
 	hash   uint64
 	engine prefix.EngineID
@@ -85,12 +87,12 @@
 
 const ringPointsPerEngine = 16
 
-// rebuildRing spreads the ready engines of a service over the ring.
+// rebuildRing rebuilds the hash ring of a service from its ready engines.
 func (c *Core) rebuildRing(service *serviceState) {
 	service.ring = service.ring[:0]
 	for _, id := range service.backends {
 		row := &c.backends[id]
-		if !c.ready(row) {
+		if !c.isReady(row) {
 			continue
 		}
 		for point := range ringPointsPerEngine {
@@ -109,53 +111,53 @@
 	service.ringStale = false
 }
 
-// filter collects the engines worth scoring: ready, not failed on before, below their limit.
-func (c *Core) filter(r *request, service *serviceState) []prefix.EngineID {
+// candidateEngines returns the eligible engines to score.
+func (c *Core) candidateEngines(r *request, service *serviceState) []prefix.EngineID {
 	if service.ringStale {
 		c.rebuildRing(service)
 	}
-	if len(service.backends) <= scoreAllUpTo {
-		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.eligible(r, id) })
+	if len(service.backends) <= maxExhaustiveEngines {
+		return slices.DeleteFunc(slices.Clone(service.backends), func(id prefix.EngineID) bool { return !c.isEligible(r, id) })
 	}
 	var picked []prefix.EngineID
-	add := func(id prefix.EngineID) {
-		if !slices.Contains(picked, id) && c.eligible(r, id) {
+	addIfEligible := func(id prefix.EngineID) {
+		if !slices.Contains(picked, id) && c.isEligible(r, id) {
 			picked = append(picked, id)
 		}
 	}
 	for i, match := range c.matches {
-		if i >= maxHolders {
+		if i >= maxHolderCandidates {
 			break
 		}
-		add(match.Engine)
+		addIfEligible(match.Engine)
 	}
-	for _, id := range c.ringOwners(r, service, ringProbes) {
-		add(id)
+	for _, id := range c.ringOwners(r, service, ringCandidates) {
+		addIfEligible(id)
 	}
 	for range sampleSize {
-		add(service.backends[c.random.IntN(len(service.backends))])
+		addIfEligible(service.backends[c.random.IntN(len(service.backends))])
 	}
 	return picked
 }
 
-// ringOwners returns the first engines on the ring after the root of the request's chain.
+// ringOwners returns the first count engines on the ring from the request's ring key on.
 func (c *Core) ringOwners(r *request, service *serviceState, count int) []prefix.EngineID {
 	if len(service.ring) == 0 {
 		return nil
 	}
-	target := chainRoot(r)
-	at, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, wanted uint64) int {
+	target := ringKey(r)
+	start, _ := slices.BinarySearchFunc(service.ring, target, func(point ringPoint, target uint64) int {
 		switch {
-		case point.hash < wanted:
+		case point.hash < target:
 			return -1
-		case point.hash > wanted:
+		case point.hash > target:
 			return 1
 		}
 		return 0
 	})
 	var owners []prefix.EngineID
 	for step := 0; step < len(service.ring) && len(owners) < count; step++ {
-		engine := service.ring[(at+step)%len(service.ring)].engine
+		engine := service.ring[(start+step)%len(service.ring)].engine
 		if !slices.Contains(owners, engine) {
 			owners = append(owners, engine)
 		}
@@ -163,15 +165,15 @@
 	return owners
 }
 
-func (c *Core) eligible(r *request, id prefix.EngineID) bool {
+func (c *Core) isEligible(r *request, id prefix.EngineID) bool {
 	row := &c.backends[id]
-	if !c.ready(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
+	if !c.isReady(row) && (c.config.Guards.On(guard.LeavingCheck) || row.state != BackendReady) {
 		return false
 	}
-	return !slices.Contains(r.failedOn, id) && row.running < int(row.limit) && c.barred(row) == 0
+	return !slices.Contains(r.failedOn, id) && row.running < int(row.concurrencyLimit) && c.blockedFor(row) == 0
 }
 
-// chainFor returns the request's chain under the engine's weights.
+// chainFor returns the request's block chain under the engine's weights.
 func chainFor(r *request, row *backend) []prefix.Hash {
 	for _, chain := range r.Chains {
 		if chain.Weights == row.weights {
@@ -181,17 +183,17 @@
 	return nil
 }
 
-// score fills c.scores with a candidate for each eligible engine.
-func (c *Core) score(r *request, service *serviceState) []Candidate {
+// scoreCandidates fills c.candidates with the scores of the eligible engines.
+func (c *Core) scoreCandidates(r *request, service *serviceState) []Candidate {
 	c.matches = c.matches[:0]
 	for _, chain := range r.Chains {
 		c.matches = c.index.Lookup(chain.Blocks, c.now, c.matches)
 	}
-	c.scores = c.scores[:0]
-	for _, id := range c.filter(r, service) {
-		c.scores = append(c.scores, c.scoreOne(r, &c.backends[id]))
+	c.candidates = c.candidates[:0]
+	for _, id := range c.candidateEngines(r, service) {
+		c.candidates = append(c.candidates, c.scoreEngine(r, &c.backends[id]))
 	}
-	return c.scores
+	return c.candidates
 }
 
 func (c *Core) matchFor(id prefix.EngineID) prefix.Match {
@@ -203,12 +205,12 @@
 	return prefix.Match{}
 }
 
-// scoreOne predicts what a request would cost on one engine.
-func (c *Core) scoreOne(r *request, row *backend) Candidate {
+// scoreEngine predicts the latency and cost of a request on one engine.
+func (c *Core) scoreEngine(r *request, row *backend) Candidate {
 	match := c.matchFor(row.id)
 	cached := match.Blocks * c.config.BlockTokens
 	if match.Stale {
-		cached = int(float64(cached) * doubtfulShare)
+		cached = int(float64(cached) * staleMatchFraction)
 	}
 	rate := row.load.PrefillRate
 	if rate <= 0 {
@@ -218,27 +220,28 @@
 		Engine: row.id, Name: row.machine.Name, Zone: row.machine.Zone, Cached: cached,
 		Uncached: max(1, r.PromptTokens+r.emitted-cached), Running: max(row.running, row.load.Running+row.load.Waiting),
 	}
-	copiedTokens, importTime := c.planImport(r, row, rate, &candidate)
+	importTokens, importTime := c.planImport(r, row, rate, &candidate)
 	compute := float64(candidate.Uncached) / rate
-	candidate.Wait = seconds(float64(c.pendingTokens(row, r.Lane)) / rate)
-	candidate.raw = candidate.Wait + seconds(compute) + importTime
+	candidate.Wait = secondsToDuration(float64(c.pendingPrefillTokens(row, r.Lane)) / rate)
+	candidate.unbiased = candidate.Wait + secondsToDuration(compute) + importTime
 	network := 2 * c.config.ZoneLatency[row.machine.Zone]
-	candidate.Predicted = network + time.Duration(float64(candidate.raw)*row.bias)
-	displaced := float64(copiedTokens) / rate
-	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedShare*displaced)
+	candidate.Predicted = network + time.Duration(float64(candidate.unbiased)*row.latencyBias)
+	displaced := float64(importTokens) / rate
+	candidate.Cost = r.values.TimeWeight*candidate.Predicted.Seconds() + r.values.RecomputeWeight*(compute+DisplacedFraction*displaced)
 	return candidate
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// pendingTokens is the prefill before a request of a lane: what the engine reported, and what we sent since.
-func (c *Core) pendingTokens(row *backend, l Lane) int {
+// pendingPrefillTokens returns the prefill tokens ahead of a request of a lane: those that the engine reported, and
+// those dispatched since by this router and by others.
+func (c *Core) pendingPrefillTokens(row *backend, l Lane) int {
 	pending := row.load.WaitingTokens
 	if l == LaneInteractive {
 		pending = row.load.InteractiveTokens
 	}
 	for _, sent := range row.pendingPrefill {
-		if sent.sentAt >= row.reportedAt && (l == LaneBatch || sent.lane == LaneInteractive) {
+		if sent.sentAt >= row.loadMeasuredAt && (l == LaneBatch || sent.lane == LaneInteractive) {
 			pending += sent.tokens
 		}
 	}
@@ -250,32 +253,32 @@
 	return pending
 }
 
-// planImport adds a copy from the best holder, or the vault, when that beats recomputing. It returns the tokens to
-// copy and the time that takes.
+// planImport adds a copy from another engine or the vault to the candidate if that is faster than recomputing. It
+// returns the tokens to copy and the time that this takes.
 func (c *Core) planImport(r *request, row *backend, rate float64, candidate *Candidate) (int, time.Duration) {
-	if c.config.ImportRate <= 0 || !c.config.Placer.Imports() {
+	if c.config.ImportRate <= 0 || !c.config.Placer.AllowsImport() {
 		return 0, 0
 	}
-	blocks, source := c.bestSource(r, row)
-	if c.holders(blocks) >= r.values.HotCopies {
+	blocks, source := c.bestImportSource(r, row)
+	if c.holderCount(blocks) >= r.values.HotCopies {
 		return 0, 0
 	}
 	missing := blocks - candidate.Cached/c.config.BlockTokens
-	if missing < importMinimumBlocks {
+	if missing < minImportBlocks {
 		return 0, 0
 	}
 	tokens := missing * c.config.BlockTokens
-	copyTime := seconds(float64(tokens) / c.config.ImportRate)
-	if copyTime > time.Duration(importGain*float64(seconds(float64(tokens)/rate))) {
+	importTime := secondsToDuration(float64(tokens) / c.config.ImportRate)
+	if importTime > time.Duration(maxImportTimeRatio*float64(secondsToDuration(float64(tokens)/rate))) {
 		return 0, 0
 	}
 	candidate.ImportBlocks, candidate.ImportFrom = blocks, source
 	candidate.Uncached = max(1, candidate.Uncached-tokens)
-	return tokens, copyTime
+	return tokens, importTime
 }
 
-// holders counts the engines that are believed to hold a prefix of a length.
-func (c *Core) holders(blocks int) int {
+// holderCount returns the number of engines assumed to hold a prefix of at least that many blocks.
+func (c *Core) holderCount(blocks int) int {
 	count := 0
 	for _, match := range c.matches {
 		if match.Blocks >= blocks && !match.Stale {
@@ -285,31 +288,32 @@
 	return count
 }
 
-// bestSource returns where the longest prefix of a chain can be copied from.
-func (c *Core) bestSource(r *request, row *backend) (int, string) {
+// bestImportSource returns the length in blocks of the longest cached prefix elsewhere, and the address to copy it
+// from.
+func (c *Core) bestImportSource(r *request, row *backend) (int, string) {
 	chain := chainFor(r, row)
 	blocks, source := 0, ""
 	for _, match := range c.matches {
 		other := &c.backends[match.Engine]
-		if match.Engine != row.id && !match.Stale && match.Blocks > blocks && other.weights == row.weights && c.ready(other) {
+		if match.Engine != row.id && !match.Stale && match.Blocks > blocks && other.weights == row.weights && c.isReady(other) {
 			blocks, source = match.Blocks, other.machine.Address
 		}
 	}
 	if c.config.Vault == "" || blocks == len(chain) {
 		return blocks, source
 	}
-	if held := c.vaultDepth(chain); held > blocks {
+	if held := c.vaultPrefixBlocks(chain); held > blocks {
 		return held, c.config.Vault
 	}
 	return blocks, source
 }
 
-// vaultDepth returns how many leading blocks the vault holds.
-func (c *Core) vaultDepth(chain []prefix.Hash) int {
+// vaultPrefixBlocks returns the number of leading blocks that the vault holds.
+func (c *Core) vaultPrefixBlocks(chain []prefix.Hash) int {
 	low, high := 0, len(chain)
 	for low < high {
 		middle := (low + high) / 2
-		if c.vault[chain[middle]] {
+		if c.vaultBlocks[chain[middle]] {
 			low = middle + 1
 		} else {
 			high = middle
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,43 +13,43 @@
 	"kitetiller/internal/events"
 )
 
-// receive reads the answer and passes it on.
+// receive reads the response and relays it, unless it is invalid or reports that the request did not run.
 func (a *attempt) receive() result {
-	answer, err := a.readHead()
+	response, err := a.readHead()
 	if err != nil {
 		if a.ctx.Err() == nil {
-			a.exchange.gateway.pool.forgotten(a.wire.rested)
+			a.exchange.gateway.pool.recordStale(a.conn.idleFor)
 		}
-		return a.failed(err)
+		return a.connectionFailed(err)
 	}
 	x := a.exchange
-	verdict := x.gateway.dialect.Judge(answer.StatusCode, answer.Header)
-	a.hear(answer.StatusCode, verdict)
-	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
-		return a.broken("answer of another request")
+	info := x.gateway.dialect.ReadResponse(response.StatusCode, response.Header)
+	a.hear(response.StatusCode, info)
+	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
+		return a.invalidResponse("response to another request")
 	}
-	a.logVersionMismatch(answer.StatusCode, verdict)
+	a.logVersionMismatch(response.StatusCode, info)
 	switch {
-	case verdict.NotRun:
-		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, verdict.Version) {
-			x.gateway.log.note(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", verdict.Version))
+	case info.NotRun:
+		if x.gateway.table.recordVersion(x.gateway.now(), a.row, x.call.Model, info.WeightsVersion) {
+			x.gateway.log.info(events.WeightsDiscovered, zap.String(events.FieldInstance, a.row.entry.ID), zap.Uint64("version", info.WeightsVersion))
 		}
-		return a.turnedAway(answer, verdict)
-	case !x.route.Retryable() && promisesNoRun(answer.StatusCode):
-		return a.broken("promise of a back end that doesn't say so: " + answer.Status)
-	case x.relayed && (!verdict.Signed || answer.StatusCode >= http.StatusMultipleChoices):
-		return a.broken("stream not taken up: " + answer.Status)
-	case answer.StatusCode < http.StatusMultipleChoices && !verdict.Signed:
-		return a.broken("success without signature")
-	case answer.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
-		return a.relayStream(answer)
-	}
-	return a.relayWhole(answer)
+		return a.rejected(response, info)
+	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
+		return a.invalidResponse("status implies that the request did not run, but the back end doesn't confirm it: " + response.Status)
+	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
+		return a.invalidResponse("stream not resumed: " + response.Status)
+	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
+		return a.invalidResponse("successful response without signature")
+	case response.StatusCode < http.StatusMultipleChoices && x.route.Streaming:
+		return a.relayStream(response)
+	}
+	return a.relayBuffered(response)
 }
 
-// promisesNoRun reports whether a status tells a caller that its request has not run and never will. A back end that doesn't say so itself may
-// have run it, and a caller who believes the status runs it twice.
-func promisesNoRun(status int) bool {
+// statusImpliesNotRun reports whether callers take a status to mean that the request has not run. Without an explicit
+// confirmation by the back end the request may have run, and a caller that retries it would run it twice.
+func statusImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -57,27 +57,28 @@
 	return false
 }
 
-// readHead reads the head of the final answer.
+// readHead reads the head of the response, skipping informational ones.
 func (a *attempt) readHead() (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(a.wire.reader, &http.Request{Method: a.exchange.request.Method})
+		response, err := http.ReadResponse(a.conn.reader, &http.Request{Method: a.exchange.request.Method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusOK {
+		if response.StatusCode >= http.StatusOK {
 			a.exchange.gateway.table.recordBytes(a.exchange.gateway.now(), a)
-			return answer, nil
+			return response, nil
 		}
 	}
 }
 
-// failed ends an attempt that broke off. It says something of the back end unless we ended it ourselves.
-func (a *attempt) failed(err error) result {
-	_ = a.wire.Close()
+// connectionFailed ends an attempt whose connection failed or was closed by its cancellation. It counts against the
+// back end, unless the cause was the start deadline or the end of the request.
+func (a *attempt) connectionFailed(err error) result {
+	_ = a.conn.Close()
 	cause := err.Error()
 	switch {
-	case context.Cause(a.ctx) == errOutdated:
-		cause = causeOutdated
+	case context.Cause(a.ctx) == errWeightsOutdated:
+		cause = causeWeightsOutdated
 	case context.Cause(a.ctx) == errSilent:
 		cause, a.grade = "silent", gradeBad
 	case a.exchange.ctx.Err() == nil:
@@ -87,129 +88,130 @@
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// broken ends an attempt whose connection carries bytes that do not belong there.
-func (a *attempt) broken(cause string) result {
-	_ = a.wire.Close()
+// invalidResponse ends an attempt whose response is inconsistent with the request. The connection is not reused.
+func (a *attempt) invalidResponse(cause string) result {
+	_ = a.conn.Close()
 	a.grade = gradeBad
 	return result{kind: resultUnknown, cause: cause}
 }
 
-// turnedAway ends an attempt that the back end did not run.
-func (a *attempt) turnedAway(answer *http.Response, verdict Verdict) result {
+// rejected ends an attempt whose back end reported that it did not run the request.
+func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
 	a.grade = gradeFull
-	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Backoff}
-	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, wholeAnswer))
-	a.release(answer, err)
-	return refused
+	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Signals.Backoff}
+	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
+	a.releaseConnection(response, err)
+	return rejection
 }
 
-// release keeps the connection for the next request if the request was written and the answer read, both whole.
-func (a *attempt) release(answer *http.Response, readErr error) {
-	whole := false
+// releaseConnection returns the connection to the pool if request and response were transferred completely.
+func (a *attempt) releaseConnection(response *http.Response, readErr error) {
+	written := false
 	select {
-	case err := <-a.written:
-		whole = err == nil
+	case err := <-a.writeDone:
+		written = err == nil
 	default:
 	}
-	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	if readErr != nil || !whole || !framed || a.ctx.Err() != nil || !a.wire.noteLimits(answer) {
-		_ = a.wire.Close()
+	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	if readErr != nil || !written || !framed || a.ctx.Err() != nil || !a.conn.readKeepAlive(response) {
+		_ = a.conn.Close()
 		return
 	}
-	a.exchange.gateway.pool.put(a.row.entry.ID, a.wire)
+	a.exchange.gateway.pool.put(a.row.entry.ID, a.conn)
 }
 
-// relayWhole reads an answer whole and passes it on. A failure that the back end gave may be tried elsewhere where the
-// request may be repeated.
-func (a *attempt) relayWhole(answer *http.Response) result {
+// relayBuffered reads the complete response before it relays it. If it reports a failure of the back end, a retryable
+// request is retried instead, within the retry budget.
+func (a *attempt) relayBuffered(response *http.Response) result {
 	x := a.exchange
-	length := answer.ContentLength
-	if !bodyAllowed(x.request.Method, answer.StatusCode) {
-		length = 0 // the head tells what another request would get
+	length := response.ContentLength
+	if !bodyAllowed(x.request.Method, response.StatusCode) {
+		length = 0 // Content-Length describes a body that is not sent
 	}
-	if length > wholeAnswer {
-		return a.relayLong(answer, nil)
+	if length > maxBufferedResponse {
+		return a.relayUnbuffered(response, nil)
 	}
-	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, wholeAnswer+1), length)
-	defer func() { x.gateway.held.give(room) }()
+	body, reserved, err := x.gateway.buffered.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
+	defer func() { x.gateway.buffered.give(reserved) }()
 	switch {
 	case errors.Is(err, errHeld):
-		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
+		return a.relayUnbuffered(response, body) // only gives up the retry if the response breaks off
 	case err != nil:
-		return a.failed(err)
-	case len(body) > wholeAnswer:
-		return a.relayLong(answer, body)
+		return a.connectionFailed(err)
+	case len(body) > maxBufferedResponse:
+		return a.relayUnbuffered(response, body)
 	}
-	a.release(answer, nil)
-	failure := answer.StatusCode >= http.StatusInternalServerError
+	a.releaseConnection(response, nil)
+	failure := response.StatusCode >= http.StatusInternalServerError
 	a.grade = gradeGood
 	if failure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.Retryable() && !x.relayed && x.spendRepeat() {
-		return result{kind: resultFailed, cause: answer.Status}
+	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
+		return result{kind: resultFailed, cause: response.Status}
 	}
-	x.passHead(answer, len(body))
+	x.relayHead(response, len(body))
 	if x.write(body) != nil {
-		x.endsAt(a)
+		x.recordServedBy(a)
 		x.abandon()
 	}
-	x.finish(a, answer.StatusCode)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
-// relayLong passes an answer on that is too long to be kept, or for which there is no room.
-func (a *attempt) relayLong(answer *http.Response, begun []byte) result {
+// relayUnbuffered relays a response that is too long for buffering, or for which the buffers are full. received is the
+// part of its body that was read already.
+func (a *attempt) relayUnbuffered(response *http.Response, received []byte) result {
 	x := a.exchange
-	x.passHead(answer, int(answer.ContentLength))
-	err := x.write(begun)
+	x.relayHead(response, int(response.ContentLength))
+	err := x.write(received)
 	if err == nil {
-		err = x.copyOn(answer.Body)
+		err = x.copyOn(response.Body)
 	}
 	if err != nil {
-		_ = a.wire.Close()
+		_ = a.conn.Close()
 		a.brokeOff()
-		x.giveUp(reasonBroken, 0)
+		x.giveUp(reasonStreamBroken, 0)
 	}
 	a.grade = gradeGood
-	a.release(answer, nil)
-	x.finish(a, answer.StatusCode)
+	a.releaseConnection(response, nil)
+	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
 }
 
-// passHead passes the head of a back end's answer on. length is that of the whole body, or -1.
-func (x *exchange) passHead(answer *http.Response, length int) {
+// relayHead sends the response head to the caller. length is the size of the body, or -1 if unknown.
+func (x *exchange) relayHead(response *http.Response, length int) {
 	header := x.writer.Header()
-	dropConnectionHeaders(answer.Header)
-	for name, values := range answer.Header {
+	removeHopByHopHeaders(response.Header)
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	if length >= 0 && bodyAllowed(x.request.Method, answer.StatusCode) {
+	if length >= 0 && bodyAllowed(x.request.Method, response.StatusCode) {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
 	if x.gateway.draining.Load() {
 		header.Set("Connection", "close")
 	}
-	x.relayed = true
+	x.headRelayed = true
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
-	x.writer.WriteHeader(answer.StatusCode)
+	x.writer.WriteHeader(response.StatusCode)
 }
 
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// endsAt notes whose answer a request got.
-func (x *exchange) endsAt(a *attempt) {
-	x.served = a.row.entry.ID
+// recordServedBy records whose response the caller got, and a successful completion with the quarantine.
+func (x *exchange) recordServedBy(a *attempt) {
+	x.servedBy = a.row.entry.ID
 	if a.grade == gradeGood {
 		x.endedWell()
 	}
 }
 
-// finish notes a request that got a back end's answer.
+// finish ends a request whose response was relayed completely.
 func (x *exchange) finish(a *attempt, status int) {
-	x.endsAt(a)
+	x.recordServedBy(a)
 	_ = http.NewResponseController(x.writer).SetWriteDeadline(time.Time{})
 	x.logEnd(events.RequestAnswered, "", status)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,337 +22,341 @@
 )
 
 const (
-	// joinedBody is the longest body that is written before the answer is looked for; a back end may answer a longer one
-	// before it has read it.
-	joinedBody = 16 << 10
-	// wholeAnswer is the longest answer that is read whole before anything of it is passed on, so that a broken one can
-	// still be replaced.
-	wholeAnswer = 256 << 10
-	// patienceShare of the route's objective is how long a back end may stay silent before a repeatable request goes
-	// elsewhere; an engine gets enginePatience of it, and waitFactor times the wait that the decision predicted: to move a
-	// request from an engine that is merely busy makes two engines read the prompt.
-	patienceShare   = 1.0
-	enginePatience  = 2.0
-	waitFactor      = 2.0
-	patienceMinimum = 300 * time.Millisecond
-	// resumePauses and resumeMinimum are how long a resumable stream may pause, as a multiple of the pause that is still in
-	// time and at least, before it may go elsewhere; it does only if the engine is silent towards control as well. An engine
-	// whose weights are replaced stands still for up to a second, one that is short of memory for longer.
-	resumePauses  = 4
-	resumeMinimum = 1800 * time.Millisecond
-	eventStream   = "text/event-stream"
-	// causeOutdated is the cause of an attempt that would have begun on weights that are too old.
-	causeOutdated = "weights outdated"
-	// causeLeaving, causeResting and causeLimited are those of one whose back end leaves, wants rest from this gateway, or has reached its limit.
-	causeLeaving = "leaving"
-	causeResting = "resting"
-	causeLimited = "limited"
+	// maxInlineBody is the maximum size of a body that is written before the response is read. A longer one is written
+	// concurrently, since a back end may respond before it has read all of it.
+	maxInlineBody = 16 << 10
+	// maxBufferedResponse is the maximum size of a response that is read completely before it is relayed, so that the
+	// request can still be retried if the response breaks off.
+	maxBufferedResponse = 256 << 10
+	// A retryable attempt is canceled if its back end sends nothing for silenceFactor times the route's objective. For
+	// engines the timeout is engineSilenceFactor times the objective plus predictedWaitFactor times the predicted wait,
+	// since a retry makes a second engine prefill the prompt.
+	silenceFactor       = 1.0
+	engineSilenceFactor = 2.0
+	predictedWaitFactor = 2.0
+	minSilenceTimeout   = 300 * time.Millisecond
+	// A started stream is canceled, to be resumed at another back end, if it pauses for resumeGapFactor times the
+	// route's maximum event gap, minResumeTimeout at least, and control gets no heartbeats of the back end either.
+	// Engines pause for up to a second while weights are replaced, and for longer when short of memory.
+	resumeGapFactor  = 4
+	minResumeTimeout = 1800 * time.Millisecond
+	eventStream      = "text/event-stream"
+	// causeWeightsOutdated: the request would have started on weights older than permitted.
+	causeWeightsOutdated = "weights outdated"
+	// Causes why a back end gets no request: it drains, it asked this gateway for a backoff, its limit is reached.
+	causeDraining     = "leaving"
+	causeBackingOff   = "resting"
+	causeLimitReached = "limited"
 )
 
-// resultKind tells how an attempt ended.
+// resultKind classifies how an attempt ended.
 type resultKind uint8
 
 const (
-	resultAnswered  resultKind = iota // the caller has its answer
-	resultUnreached                   // nothing was sent
-	resultNotRun                      // the back end says that it did not run the request
-	resultUnknown                     // the request may have run
-	resultFailed                      // the back end ran the request and answered with a failure; a repeat is paid for
+	resultAnswered    resultKind = iota // the caller got the response
+	resultUnreachable                   // the request was not sent
+	resultNotRun                        // the back end rejected the request without running it
+	resultUnknown                       // the request may have run
+	resultFailed                        // the back end ran the request and reported a failure; a retry was taken from the budget
 )
 
-// String returns the kind's name in logs.
+// String returns the name of the kind in logs and metrics.
 func (k resultKind) String() string {
 	return [...]string{"answered", "unreached", "not-run", "unknown", "failed"}[k]
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	kind       resultKind
 	cause      string
-	retryAfter time.Duration // that the back end advises
-	rest       time.Duration // that it asked for
+	retryAfter time.Duration // retry time for the caller given by the back end; 0 if none
+	backoff    time.Duration // backoff requested by the back end; 0 if none
 }
 
-// attempt is one sending of a request to one back end.
+// attempt is one try to have a request answered by one back end.
 type attempt struct {
-	exchange *exchange
-	row      *endpoint
-	began    time.Duration
-	uncached int
-	plan     candidate
-	grade    outcomeGrade
-	noWay    bool  // no connection came up
-	cover    cover // what the send took of the tenant's limit
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	silence  *time.Timer // ends the attempt of a request that may go elsewhere
-	limit    *time.Timer // ends it before it begins on weights that are too old; nil before there is a limit; guarded by the table's mutex
-	wire     *connection
-	written  chan error      // the end of writing the request
-	begun    atomic.Bool     // an event of the stream has come; it never turns false again
-	atRest   time.Duration   // what was left of a rest of the back end when the request was sent
-	asked    time.Duration   // rest that the back end asked for in its answer
-	limited  pushback.Limit  // that the back end had named when the request was sent
-	hold     allowance.Lease // of that limit, until the request is sent
-	looked   <-chan struct{} // closed when it is known whether the back end has ended, where the run broke off
+	exchange         *exchange
+	row              *endpoint
+	startedAt        time.Duration
+	uncached         int
+	plan             candidate
+	grade            outcomeGrade
+	unreachable      bool  // the connection could not be established
+	quotaLease       cover // lease on the tenant's limit that the attempt used
+	ctx              context.Context
+	cancel           context.CancelCauseFunc
+	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil if the request can't be retried
+	startTimer       *time.Timer // cancels the attempt at its start deadline; nil without one; guarded by the table's mutex
+	conn             *connection
+	writeDone        chan error      // receives the result of writing the request
+	streamStarted    atomic.Bool     // an event of the stream was received
+	backoffLeft      time.Duration   // backoff of the back end still running when the request was sent
+	requestedBackoff time.Duration   // backoff requested in the response
+	advertisedLimit  pushback.Limit  // limit advertised by the back end when the request was sent
+	limitLease       allowance.Lease // lease on the advertised limit; reset when the request is sent
+	crashChecked     <-chan struct{} // closed once the check whether the back end crashed is done; nil without a check
 }
 
 func (x *exchange) newAttempt(chosen *candidate) *attempt {
 	ctx, cancel := context.WithCancelCause(x.ctx)
-	made := &attempt{
-		exchange: x, row: chosen.row, began: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
-		plan: *chosen, written: make(chan error, 1),
+	a := &attempt{
+		exchange: x, row: chosen.row, startedAt: x.gateway.now(), uncached: chosen.uncached, ctx: ctx, cancel: cancel,
+		plan: *chosen, writeDone: make(chan error, 1),
 	}
 	x.tried = append(x.tried, chosen.row)
-	return made
+	return a
 }
 
-// errSilent ends an attempt whose back end says nothing.
+// errSilent is the cancellation cause of an attempt whose back end sent nothing in time.
 var errSilent = &net.OpError{Op: "wait", Err: context.DeadlineExceeded}
 
-// errOutdated ends an attempt that would begin on weights that are too old.
-var errOutdated = &net.OpError{Op: "begin", Err: context.DeadlineExceeded}
+// errWeightsOutdated is the cancellation cause of an attempt that did not start before its start deadline.
+var errWeightsOutdated = &net.OpError{Op: "begin", Err: context.DeadlineExceeded}
 
-// perform sends the request and passes the answer on.
+// perform sends the request and relays the response.
 func (a *attempt) perform() result {
 	x := a.exchange
 	defer a.cancel(nil)
 	defer a.settle()
-	rest := idleOnce
+	maxIdle := maxIdleOnce
 	if x.route.Retryable() {
-		rest = idleRepeatable
+		maxIdle = maxIdleRetryable
 	}
 	if !a.permit() {
-		return result{kind: resultUnreached, cause: causeLimited}
+		return result{kind: resultUnreachable, cause: causeLimitReached}
 	}
 	defer a.returnPermit()
-	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
+	conn, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, maxIdle)
 	if err != nil {
-		a.unreached(err)
-		return result{kind: resultUnreached, cause: err.Error()}
+		a.recordUnreachable(err)
+		return result{kind: resultUnreachable, cause: err.Error()}
 	}
-	a.wire = wire
-	stop := context.AfterFunc(a.ctx, func() { _ = wire.Close() })
+	a.conn = conn
+	stop := context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 	defer stop()
-	if bar := a.lastLook(); bar != "" {
-		_ = wire.Close()
-		return result{kind: resultUnreached, cause: bar}
+	if cause := a.recheck(); cause != "" {
+		_ = conn.Close()
+		return result{kind: resultUnreachable, cause: cause}
 	}
-	a.hold = allowance.Lease{} // used up
-	x.sent++
-	a.cover, x.cover = x.cover, cover{}
+	a.limitLease = allowance.Lease{} // used up
+	x.sentCount++
+	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
 	a.begin()
 	defer a.end()
-	a.watchSilence(a.patience())
+	a.startSilenceTimer(a.maxSilence())
 	a.watchStartDeadline()
-	a.send()
-	ended := a.receive()
-	if a.silence != nil {
-		a.silence.Stop()
+	a.writeRequest()
+	outcome := a.receive()
+	if a.silenceTimer != nil {
+		a.silenceTimer.Stop()
 	}
-	return ended
+	return outcome
 }
 
-// begin notes the send in the table, and tells the other gateways what runs where, and where prompts are read and kept.
+// begin records the start of the attempt in the table, and announces the placement to the other gateways.
 func (a *attempt) begin() {
 	x := a.exchange
 	now := x.gateway.now()
-	running := x.gateway.table.begin(now, a)
-	x.atRest, x.limited = max(x.atRest, a.atRest), a.limited
-	x.gateway.metrics.placed(a.uncached, x.call.PromptTokens)
+	load := x.gateway.table.begin(now, a)
+	x.backoffLeft, x.advertisedLimit = max(x.backoffLeft, a.backoffLeft), a.advertisedLimit
+	x.gateway.metrics.recordPrompt(a.uncached, x.call.PromptTokens)
 	if a.plan.scheduled != nil {
-		return // its scheduler has told the others
+		return // the scheduler has announced it
 	}
-	x.gateway.announce(now, &a.plan, x.call.Parts, running)
+	x.gateway.announcePlacement(now, &a.plan, x.call.Parts, load)
 }
 
-// announce notes which parts a placement leaves where, and tells the other gateways of it and of what now runs there.
-func (g *Gateway) announce(now time.Duration, placed *candidate, parts []prefix.Part, running belief.Load) {
-	made := send{
-		Gateway: g.nick, Load: running, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
-		Uncached: placed.uncached, Saved: placed.saveTo != "", Move: placed.transfer,
+// announcePlacement records which prompt parts a placement leaves in which cache, and announces them and the gateway's
+// load on the back end to the other gateways.
+func (g *Gateway) announcePlacement(now time.Duration, placed *candidate, parts []prefix.Part, load belief.Load) {
+	announced := announcement{
+		Gateway: g.shortName, Load: load, Instance: placed.row.entry.ID, Salt: placed.salt, Parts: parts,
+		Uncached: placed.uncached, SavedToStore: placed.saveTo != "", Transfer: placed.transfer,
 	}
-	g.table.recordOwnSend(now, made)
-	g.spread.own(made)
+	g.table.recordOwnSend(now, announced)
+	g.peers.announce(announced)
 }
 
-// end notes in the table that the attempt is over, and tells the other gateways.
+// end records the end of the attempt in the table, and announces the remaining load to the other gateways.
 func (a *attempt) end() {
 	x := a.exchange
-	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
+	load := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
 		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
-		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
+		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
+		x.gateway.peers.announce(announcement{Gateway: x.gateway.shortName, Load: load, Instance: a.row.entry.ID})
 	}
 }
 
-// unreached notes that no connection came up, and warns the other gateways.
-func (a *attempt) unreached(err error) {
+// recordUnreachable records a failed connection, and announces it to the other gateways unless the back end is avoided
+// already.
+func (a *attempt) recordUnreachable(err error) {
 	g := a.exchange.gateway
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
-	a.noWay = true
-	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
-		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreached: true})
+	a.unreachable = true
+	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
 
-// load is what the attempt takes of its back end while it runs.
+// load returns the load of the attempt on its back end while it runs.
 func (a *attempt) load() belief.Load { return loadOf(&a.exchange.call) }
 
-// loadOf is what a call takes of its back end while it runs.
-func loadOf(call *Call) belief.Load { return belief.Load{Running: 1, Tokens: memoryOf(call)} }
+// loadOf returns the load of a call on its back end while it runs.
+func loadOf(call *Call) belief.Load { return belief.Load{Running: 1, Tokens: promptMemory(call)} }
 
-// memoryOf is how many tokens of an engine's memory a call's prompt takes. Shared parts are there once for all requests
-// that run with them; they count half.
-func memoryOf(call *Call) int {
+// promptMemory estimates how many tokens of cache memory a call's prompt takes. Shared parts count half, since all
+// requests that run with them use the same copy.
+func promptMemory(call *Call) int {
 	shared := prefix.PartTokens(prefix.SharedParts(call.Parts))
 	return max(call.PromptTokens, prefix.PartTokens(call.Parts)) - shared/2
 }
 
-// lastLook returns why the request may not be sent after all, or "". What was taken of the back end's limit may have ended while the connection came
-// up, or the limit been named since.
-func (a *attempt) lastLook() string {
+// recheck returns why the request must not be sent after all, or "". While the connection was established, the lease on
+// the back end's limit may have expired, or the back end may have advertised a limit.
+func (a *attempt) recheck() string {
 	if !a.permit() {
-		return causeLimited
+		return causeLimitReached
 	}
-	return a.barred()
+	return a.recheckConditions()
 }
 
-// barred looks again at the last moment: the process may have stood still since the decision.
-func (a *attempt) barred() string {
+// recheckConditions checks right before the send whether the conditions of the placement still hold: the process may
+// have been paused since.
+func (a *attempt) recheckConditions() string {
 	x := a.exchange
 	now := x.gateway.now()
 	switch {
 	case a.ctx.Err() != nil, now >= x.deadline:
 		return "over"
-	case x.keyed && !x.gateway.trusted(now):
-		return reasonUntrusted
+	case x.keyRequired && !x.gateway.trusted(now):
+		return reasonViewUnconfirmed
 	case !x.covered():
-		return reasonUncounted
+		return reasonLimitUnknown
 	case x.lives() >= quarantine.QuarantineThreshold:
-		return reasonHeldBack
+		return reasonQuarantined
 	}
 	x.gateway.table.mutex.Lock()
 	defer x.gateway.table.mutex.Unlock()
 	if a.row.gone || a.row.entry.State != catalog.StateReady {
-		return causeLeaving
+		return causeDraining
 	}
 	if a.row.entry.Loading {
-		return "loading" // its order may come before the request, which control doesn't see yet
+		return "loading" // the weights command may reach the engine first, as control doesn't know of the request yet
 	}
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
-		return causeOutdated
+		return causeWeightsOutdated
 	}
-	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
-	if bar != "" {
-		x.gateway.metrics.putOff.WithLabelValues(bar).Inc()
+	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // may have arrived since the placement
+	if cause != "" {
+		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
-	return bar
+	return cause
 }
 
-// withPart returns what bars a back end, given what bars it from an attempt without a part of its limit. The caller holds the table's mutex.
-func (a *attempt) withPart(now time.Duration, bar string) string {
+// causeGivenLease returns why the back end gets no request, or "", given the cause for an attempt without a lease on
+// its limit. The caller holds the table's mutex.
+func (a *attempt) causeGivenLease(now time.Duration, cause string) string {
 	switch {
-	case bar != "" && bar != causeLimited, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
-		return bar
-	case a.hold.Valid(now):
+	case cause != "" && cause != causeLimitReached, !a.exchange.gateway.table.signals.Limit(a.row.incarnation).Advertised:
+		return cause
+	case a.limitLease.Valid(now):
 		return ""
 	}
-	return causeLimited
+	return causeLimitReached
 }
 
-// patience is how long the back end may stay silent; 0 leaves it all the time there is.
-func (a *attempt) patience() time.Duration {
+// maxSilence returns how long the back end may send nothing before the attempt is canceled; 0 means until the deadline.
+func (a *attempt) maxSilence() time.Duration {
 	x := a.exchange
-	if !x.route.Retryable() || x.sent >= max(1, x.route.MaxAttempts) || !x.gateway.on(mechanism.SilenceTimeout) {
+	if !x.route.Retryable() || x.sentCount >= max(1, x.route.MaxAttempts) || !x.gateway.enabled(mechanism.SilenceTimeout) {
 		return 0
 	}
 	if x.service.Engine {
-		predicted := belief.FromMilliseconds(waitFactor * a.plan.wait)
-		return predicted + max(patienceMinimum, time.Duration(enginePatience*float64(x.route.Objective)))
+		predicted := belief.FromMilliseconds(predictedWaitFactor * a.plan.wait)
+		return predicted + max(minSilenceTimeout, time.Duration(engineSilenceFactor*float64(x.route.Objective)))
 	}
-	return max(patienceMinimum, time.Duration(patienceShare*float64(x.route.Objective)))
+	return max(minSilenceTimeout, time.Duration(silenceFactor*float64(x.route.Objective)))
 }
 
-// watchSilence ends the attempt when the back end says nothing for so long.
-func (a *attempt) watchSilence(limit time.Duration) {
+// startSilenceTimer cancels the attempt if the back end sends nothing within the limit. A limit of 0 starts no timer.
+func (a *attempt) startSilenceTimer(limit time.Duration) {
 	if limit > 0 {
-		a.silence = time.AfterFunc(limit, a.silent)
+		a.silenceTimer = time.AfterFunc(limit, a.onSilence)
 	}
 }
 
-// silent ends the attempt, unless the back end is known to stand still for a reason, or works on the stream as far as
-// anybody can tell: the next back end may turn the stream away, and the caller's answer would be cut.
-func (a *attempt) silent() {
+// onSilence cancels the attempt, unless the back end loads weights, or the stream has started and control still
+// receives the back end's heartbeats: another back end might reject the stream, and the response would be cut off.
+func (a *attempt) onSilence() {
 	t := a.exchange.gateway.table
-	if t.weightsLoading(a.row) || a.begun.Load() && t.hasHeartbeat(a.row) {
-		a.silence.Reset(patienceMinimum)
+	if t.weightsLoading(a.row) || a.streamStarted.Load() && t.hasHeartbeat(a.row) {
+		a.silenceTimer.Reset(minSilenceTimeout)
 		return
 	}
 	a.cancel(errSilent)
 }
 
-// send writes the request. A long body is written beside the reading of the answer.
-func (a *attempt) send() {
-	head := a.head()
+// writeRequest writes the request, one with a long body in the background while the response is read.
+func (a *attempt) writeRequest() {
+	head := a.requestHead()
 	body := a.exchange.body
-	if len(body) <= joinedBody {
+	if len(body) <= maxInlineBody {
 		buffers := net.Buffers{head, body}
-		_, err := buffers.WriteTo(a.wire)
-		a.written <- err
+		_, err := buffers.WriteTo(a.conn)
+		a.writeDone <- err
 		return
 	}
 	go func() {
 		buffers := net.Buffers{head, body}
-		_, err := buffers.WriteTo(a.wire)
-		a.written <- err
+		_, err := buffers.WriteTo(a.conn)
+		a.writeDone <- err
 	}()
 }
 
-// head returns the request line and the header.
-func (a *attempt) head() []byte {
+// requestHead returns the request line and header as sent to the back end.
+func (a *attempt) requestHead() []byte {
 	x := a.exchange
 	header := x.request.Header.Clone()
-	dropConnectionHeaders(header)
+	removeHopByHopHeaders(header)
 	left := max(time.Millisecond, x.deadline-x.gateway.now())
-	sending := Sending{Instance: a.row.entry.ID, Left: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
+	forwarding := Forwarding{Instance: a.row.entry.ID, TimeLeft: left, Engine: x.service.Engine, LastEvent: x.call.LastEvent}
 	if x.tenant != nil {
-		sending.Tenant = x.tenant.Name
+		forwarding.Tenant = x.tenant.Name
 	}
 	if x.lastEvent != "" {
-		sending.LastEvent = x.lastEvent
+		forwarding.LastEvent = x.lastEvent
 	}
-	if sending.Engine {
-		sending.Salt, sending.Version, sending.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
-		sending.FetchFrom, sending.SaveTo = a.plan.fetchFrom, a.plan.saveTo
+	if forwarding.Engine {
+		forwarding.Salt, forwarding.WeightsVersion, forwarding.Priority = a.plan.salt, a.plan.version, enginePriority(x.tenant, x.route)
+		forwarding.FetchFrom, forwarding.SaveTo = a.plan.fetchFrom, a.plan.saveTo
 	}
-	x.gateway.dialect.Write(header, sending)
+	x.gateway.dialect.WriteForwarding(header, forwarding)
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
 		header.Set("Content-Length", strconv.Itoa(len(x.body)))
 	}
 	var out bytes.Buffer
 	out.WriteString(x.request.Method + " " + x.request.RequestURI + " HTTP/1.1\r\nHost: " + x.request.Host + "\r\n")
-	_ = header.Write(&out) // a buffer takes everything
+	_ = header.Write(&out) // writes to a bytes.Buffer don't fail
 	out.WriteString("\r\n")
 	return out.Bytes()
 }
 
-// connectionHeaders concern one connection only.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded. The body's length is set anew.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-func dropConnectionHeaders(header http.Header) {
+func removeHopByHopHeaders(header http.Header) {
 	for _, line := range header.Values("Connection") {
 		for _, name := range splitTokens(line) {
 			header.Del(name)
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -67,7 +67,7 @@
 	signals          *pushback.Tracker                 // load and limit signals of back ends
 	leaseRetryAt     time.Duration                     // no lease is requested until then, since the allocator did not answer
 	lastRetryAt      map[string]time.Duration          // by service: latest retry time given while all were at their limits
-	rosterChanged    *bell                             // signals each new roster
+	rosterChanged    *notifier                         // signals each new roster
 	waiting          map[*attempt]struct{}             // awaiting a response, also at removed back ends
 }
 
@@ -76,7 +76,7 @@
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
 		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewTracker(),
 		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Controller{},
-		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newBell(), lastRetryAt: map[string]time.Duration{},
+		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newNotifier(), lastRetryAt: map[string]time.Duration{},
 	}
 }
 
@@ -167,8 +167,8 @@
 	if sent.plan.scheduled == nil {
 		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
-	sent.limited = t.signals.Limit(sent.row.incarnation)
+	sent.backoffLeft = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
+	sent.advertisedLimit = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
 	return sent.row.occupancy.Local()
@@ -187,8 +187,8 @@
 func (t *table) endWait(sent *attempt) {
 	delete(sent.row.waiting, sent)
 	delete(t.waiting, sent)
-	if sent.limit != nil {
-		sent.limit.Stop()
+	if sent.startTimer != nil {
+		sent.startTimer.Stop()
 	}
 }
 
@@ -201,7 +201,7 @@
 	*own = own.Minus(sent.load())
 	sent.row.grade(now, grade)
 	if grade == gradeGood {
-		t.recordDuration(sent.row, now-sent.began)
+		t.recordDuration(sent.row, now-sent.startedAt)
 	}
 	return sent.row.occupancy.Local()
 }
@@ -221,7 +221,7 @@
 }
 
 // applySends applies announcements of other gateways, and returns the new signals of back ends among them.
-func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
+func (t *table) applySends(now time.Duration, sends []announcement) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, sent := range sends {
@@ -230,23 +230,23 @@
 			continue
 		}
 		at := now - min(now, sent.Age)
-		if sent.Kept {
+		if sent.CacheReport {
 			row.cache.ApplyPeerReport(at, sent.Salt, sent.Parts)
 			t.indexHolder(row, sent.Parts)
 			continue
 		}
-		if sent.Unreached {
+		if sent.Unreachable {
 			t.suspect(at, row, sent.Gateway)
 			continue
 		}
-		if !sent.Said.IsEmpty() {
-			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.IsEmpty() {
+		if !sent.Signals.IsEmpty() {
+			if fresh := t.hearOf(now, at, row, sent.Signals); !fresh.IsEmpty() {
 				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
 		}
-		if sent.Refused != "" {
-			t.judge(row.entry.Service).RecordRejection(at, sent.Refused)
+		if sent.RejectedRequest != "" {
+			t.judge(row.entry.Service).RecordRejection(at, sent.RejectedRequest)
 			continue
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -11,30 +11,31 @@
 	"kitetiller/internal/events"
 )
 
-// giveUp gives the final answer at once: 503 with the time to come back when the request has not run, else 502 or 504.
+// giveUp ends a request without a back end's response: with 503 and a retry time if it certainly has not run, else with
+// 504 after the deadline and 502 otherwise. A response already begun is cut off.
 func (x *exchange) giveUp(reason string, retryAfter time.Duration) {
-	if x.relayed {
-		x.logEnd(events.RequestRejected, reasonBroken, 0)
-		panic(http.ErrAbortHandler) // an answer that has begun must not look complete
+	if x.headRelayed {
+		x.logEnd(events.RequestRejected, reasonStreamBroken, 0)
+		panic(http.ErrAbortHandler) // a response that has begun must not look complete
 	}
 	switch {
-	case !x.mayHave:
-		x.refuse(http.StatusServiceUnavailable, reason, max(retrySoon, retryAfter))
+	case !x.mayHaveRun:
+		x.reject(http.StatusServiceUnavailable, reason, max(minRetryAfter, retryAfter))
 	case reason == reasonDeadline:
-		x.refuse(http.StatusGatewayTimeout, reason, 0)
+		x.reject(http.StatusGatewayTimeout, reason, 0)
 	default:
-		x.refuse(http.StatusBadGateway, reason, 0)
+		x.reject(http.StatusBadGateway, reason, 0)
 	}
 }
 
-// abandon ends a request whose caller has left.
+// abandon ends a request whose caller has disconnected.
 func (x *exchange) abandon() {
 	x.logEnd(events.RequestRejected, reasonCallerGone, 0)
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a request itself.
-func (x *exchange) refuse(status int, reason string, retryAfter time.Duration) {
+// reject responds with a status and reason of the gateway's own. retryAfter of 0 gives no retry time.
+func (x *exchange) reject(status int, reason string, retryAfter time.Duration) {
 	header := x.writer.Header()
 	header.Set("Content-Type", "application/problem+json")
 	if retryAfter > 0 {
@@ -45,10 +46,10 @@
 	_, _ = io.WriteString(x.writer, `{"type":"urn:kitetiller:`+reason+`","status":`+strconv.Itoa(status)+`}`)
 }
 
-// logEnd writes the one line that each request leaves.
+// logEnd logs the outcome of a request, once per request, and counts it.
 func (x *exchange) logEnd(event, reason string, status int) {
 	fields := []zap.Field{
-		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sent),
+		zap.String(events.FieldRequest, x.call.ID), zap.Int(events.FieldStatus, status), zap.Int(events.FieldAttempts, x.sentCount),
 		zap.Duration(events.FieldElapsed, x.gateway.now()-x.arrived),
 	}
 	if reason != "" {
@@ -57,65 +58,67 @@
 	if x.route != nil {
 		fields = append(fields, zap.String(events.FieldRoute, x.route.Name), zap.Uint64(events.FieldRevision, x.view.document.Revision))
 	}
-	if x.firstAt > 0 {
-		fields = append(fields, zap.Duration("first", x.firstAt-x.arrived), zap.Duration("pause", x.pause))
+	if x.firstEventAt > 0 {
+		fields = append(fields, zap.Duration("first", x.firstEventAt-x.arrived), zap.Duration("pause", x.longestGap))
 	}
-	if event == events.RequestAnswered && x.late() {
+	if event == events.RequestAnswered && x.missedObjective() {
 		fields = append(fields, zap.Bool(events.FieldObjectiveMissed, true))
 	}
-	if reason == reasonUntrusted {
-		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
+	if reason == reasonViewUnconfirmed {
+		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirmedAt.Load())))
 	}
-	if reason == reasonHeldBack {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldIncarnations, x.lives()))
+	if reason == reasonQuarantined {
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint), zap.Int(events.FieldIncarnations, x.lives()))
 	}
-	if x.plan != nil && x.service.Engine {
-		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.plan.wait), zap.Int(events.FieldUncachedTokens, x.plan.uncached), zap.String(events.FieldCacheSource, x.plan.fetchFrom),
-			zap.Bool(events.FieldScheduled, x.plan.scheduled != nil))
-		if x.plan.recomputed > 0 {
-			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.plan.recomputed), zap.String(events.FieldRecomputeReason, string(x.plan.recomputeReason)))
+	if x.placement != nil && x.service.Engine {
+		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.placement.wait), zap.Int(events.FieldUncachedTokens, x.placement.uncached), zap.String(events.FieldCacheSource, x.placement.fetchFrom),
+			zap.Bool(events.FieldScheduled, x.placement.scheduled != nil))
+		if x.placement.recomputed > 0 {
+			fields = append(fields, zap.Int(events.FieldRecomputedTokens, x.placement.recomputed), zap.String(events.FieldRecomputeReason, string(x.placement.recomputeReason)))
 		}
 	}
-	if x.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.atRest))
+	if x.backoffLeft > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, x.backoffLeft))
 	}
-	if x.limited.Advertised {
-		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.limited.Rate))
+	if x.advertisedLimit.Advertised {
+		fields = append(fields, zap.Float64(events.FieldAdvertisedLimit, x.advertisedLimit.Rate))
 	}
-	if x.served != "" {
-		fields = append(fields, zap.String(events.FieldInstance, x.served))
+	if x.servedBy != "" {
+		fields = append(fields, zap.String(events.FieldInstance, x.servedBy))
 	}
-	x.gateway.log.note(event, fields...)
-	x.gateway.metrics.ended(event, reason)
+	x.gateway.log.info(event, fields...)
+	x.gateway.metrics.recordOutcome(event, reason)
 }
 
-// late reports whether the answer, or its first event, came after the route's objective, or with too long a pause.
-func (x *exchange) late() bool {
-	took := x.gateway.now() - x.arrived
-	if x.firstAt > 0 {
-		took = x.firstAt - x.arrived
-	}
-	return x.route.Objective > 0 && took > x.route.Objective || x.route.MaxEventGap > 0 && x.pause > x.route.MaxEventGap
+// missedObjective reports whether the response, or the first event of a stream, took longer than the route's objective,
+// or whether a gap between events exceeded the route's maximum.
+func (x *exchange) missedObjective() bool {
+	elapsed := x.gateway.now() - x.arrived
+	if x.firstEventAt > 0 {
+		elapsed = x.firstEventAt - x.arrived
+	}
+	return x.route.Objective > 0 && elapsed > x.route.Objective || x.route.MaxEventGap > 0 && x.longestGap > x.route.MaxEventGap
 }
 
-func (x *exchange) logFailure(sent *attempt, failed result) {
-	x.gateway.metrics.attempts.WithLabelValues(failed.kind.String()).Inc()
+// logFailure logs and counts a failed attempt.
+func (x *exchange) logFailure(a *attempt, res result) {
+	x.gateway.metrics.attempts.WithLabelValues(res.kind.String()).Inc()
 	fields := []zap.Field{
-		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, sent.row.entry.ID),
-		zap.String("result", failed.kind.String()), zap.String(events.FieldCause, failed.cause), zap.Int(events.FieldAttempts, x.sent),
-		zap.Duration(events.FieldElapsed, x.gateway.now()-sent.began),
+		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID),
+		zap.String("result", res.kind.String()), zap.String(events.FieldCause, res.cause), zap.Int(events.FieldAttempts, x.sentCount),
+		zap.Duration(events.FieldElapsed, x.gateway.now()-a.startedAt),
 	}
-	if sent.looked != nil {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print))
+	if a.crashChecked != nil {
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint))
 	}
-	if sent.asked > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoff, sent.asked))
+	if a.requestedBackoff > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoff, a.requestedBackoff))
 	}
-	if sent.atRest > 0 {
-		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, sent.atRest))
+	if a.backoffLeft > 0 {
+		fields = append(fields, zap.Duration(events.FieldBackoffLeftAtSend, a.backoffLeft))
 	}
-	if failed.cause == causeOutdated {
-		fields = append(fields, sent.outdatedFields()...)
+	if res.cause == causeWeightsOutdated {
+		fields = append(fields, a.outdatedFields()...)
 	}
-	x.gateway.log.note(events.AttemptFailed, fields...)
+	x.gateway.log.info(events.AttemptFailed, fields...)
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,14 +21,14 @@
 		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
-			g.near.demoteFirst()
+			g.nearby.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
-				g.log.lost()
+				g.log.recordDisconnect()
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(watchPause):
+			case <-time.After(watchRetryDelay):
 			}
 			continue
 		}
@@ -44,13 +44,13 @@
 
 // patience is how long an answer may take beyond the time that it is held, after so many failures in a row.
 func patience(failures int) time.Duration {
-	return (watchTimeout - watchHold) << min(failures/failuresEach, longestPatience)
+	return (watchTimeout - watchHold) << min(failures/failuresPerStep, maxTimeoutDoublings)
 }
 
 // ask asks control for news once, after it has looked for who answers where that isn't known.
 func (g *Gateway) ask(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
 	question := control.Watch{
-		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
+		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.PeerAddress, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
 	if held := g.view.Load(); held != nil {
@@ -60,12 +60,12 @@
 		if !g.search(ctx, question, patience) {
 			return nil
 		}
-		patience = max(patience, wholePatience)
+		patience = max(patience, fullReplyTimeout)
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
 	ask := g.group.Once
-	if address, named := g.near.first(); named {
+	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
 			return g.group.At(ctx, address, request)
 		}
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.near.update(response.Watch.Near)
+	g.nearby.update(response.Watch.Near)
 	g.group.Use(response.Watch.Replicas)
 	return true
 }
@@ -99,7 +99,7 @@
 // requests have ended.
 func (g *Gateway) hold() time.Duration {
 	if g.table.weightsDraining() {
-		return drainHold
+		return drainingWatchHold
 	}
 	return watchHold
 }
@@ -113,36 +113,36 @@
 	held := g.view.Load()
 	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
-		g.log.note(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
+		g.leases.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
+		g.log.info(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
 		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
 		for _, change := range changes {
-			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
+			g.log.info(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
-		g.log.note(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
+		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
-		g.log.note(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
+		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.desk.RecordContact(asked, reply.Gateways)
-	g.gateways.Store(int64(reply.Gateways))
-	g.near.update(reply.Near)
-	g.spread.use(reply.Mesh)
+	g.leases.RecordContact(asked, reply.Gateways)
+	g.gatewayCount.Store(int64(reply.Gateways))
+	g.nearby.update(reply.Near)
+	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
-		g.confirm.Store(int64(asked))
+		g.confirmedAt.Store(int64(asked))
 		g.outage.end(g.now())
-		g.confirmed.Ring()
-		g.log.regained()
+		g.viewConfirmed.Notify()
+		g.log.recordReconnect()
 	}
 }
 
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -65,7 +65,7 @@
 
 // readCaches follows the caches that control has given this gateway.
 func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
-	if g.reader != nil && g.on(mechanism.CacheEvents) {
+	if g.cacheReader != nil && g.enabled(mechanism.CacheEvents) {
 		g.followers.use(ctx, reply.Reads, g.followCache)
 	}
 }
@@ -103,9 +103,9 @@
 // noteUnread counts a question that failed, and logs the first of a row.
 func (g *Gateway) noteUnread(id string, at *cacheCursor, err error) {
 	at.failures++
-	g.metrics.unread.Inc()
+	g.metrics.cacheReadFailures.Inc()
 	if at.failures == 1 {
-		g.log.note(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
+		g.log.info(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
 
@@ -118,7 +118,7 @@
 	if !at.known {
 		return g.listCache(ctx, id, address, at)
 	}
-	news, err := g.reader.Events(ctx, address, at.next)
+	news, err := g.cacheReader.Events(ctx, address, at.next)
 	g.hearAside(id, news)
 	if err != nil {
 		return true, err
@@ -138,7 +138,7 @@
 		return false, nil
 	}
 	at.listedAt = g.now()
-	news, err := g.reader.List(ctx, address)
+	news, err := g.cacheReader.List(ctx, address)
 	g.hearAside(id, news)
 	if err != nil {
 		return true, err
@@ -153,11 +153,11 @@
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
-		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
+		corrections = []announcement{{Gateway: g.shortName, Instance: id, CacheReport: true}}
 	}
 	for _, told := range corrections {
-		told.Gateway, told.Instance, told.Kept = g.nick, id, true
+		told.Gateway, told.Instance, told.CacheReport = g.shortName, id, true
 		at.aliveAt = now
-		g.spread.own(told)
+		g.peers.announce(told)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,13 @@
-// Package gateway is a data plane node without a disk: it takes callers' requests on the routes of the document in
-// force, chooses a back end, relays request and answer byte for byte, and decides what may be sent again.
+// Package gateway implements a stateless data plane node. It accepts callers' requests on the routes of the current
+// configuration document, selects a back end, relays bodies unchanged, and decides which failed requests may be retried.
 //
-// Everything it knows comes from control: it asks for news all the time, and counts its view as current from the
-// moment when it asked. A view that is too old serves no request with an API key. What callers and back ends are
-// told beside that is a Dialect's matter.
+// Its configuration and roster come from control, which it watches with long polls. A view counts as confirmed from
+// the time at which the poll was sent. Requests that need an API key are rejected while the confirmed view is older
+// than Settings.ViewTTL. Headers exchanged with callers and back ends are defined by a Dialect.
 //
-// Threads: one follows control; one asks it for amounts of what is limited; one tells it of ended
-// back ends; one sweeps idle connections; four tell other gateways; net/http's goroutines serve callers.
+// Goroutines: one watches control, one leases shares of fleet-wide limits from it, one reports crashed back ends to
+// it, one removes expired state, four send announcements to other gateways, and one per assigned engine reads cache
+// events. Callers are served on the goroutines of net/http.
 package gateway
 
 import (
@@ -37,110 +38,110 @@
 	settings Settings
 	dialect  Dialect
 	log      *decisionLog
-	now      clock.Source // since it was made
-
-	group   *control.Client
-	near    *nearbyReplicas // who answers for the control leader
-	view    atomic.Pointer[view]
-	confirm atomic.Int64 // when the newest confirmed view was asked for, in ns of this process's clock; 0 never
-	table   *table
-	budget  *retryBudget
-	desk    *desk.LeasePool // of what is limited over the fleet
-	pool    *pool
-	splits  *splits
-	spread  *spread
-	// schedulers place this gateway's requests in a large fleet.
+	now      clock.Source // time since the process started
+
+	group       *control.Client
+	nearby      *nearbyReplicas // control replicas that answer on behalf of the leader
+	view        atomic.Pointer[view]
+	confirmedAt atomic.Int64 // when the last poll that confirmed the view was sent, in ns on the clock now; 0 before the first
+	table       *table
+	budget      *retryBudget
+	leases      *desk.LeasePool // of fleet-wide limits
+	pool        *pool
+	splits      *splits
+	peers       *peerAnnouncer
+	// schedulers place this gateway's requests if the fleet is large.
 	schedulers *schedulers
-	// quarantine knows which requests end their back ends.
-	quarantine *reporter.Reporter
-	nick       string // short name of this life, under which other gateways are told of sends
-	outage     outage
-	reader     CacheReader // of engines' caches, or nil
-	followers  *followers
-	oldWeights *node.Sparse // lines of answers on other weights than believed or wanted, by instance
-	restLines  *node.Sparse // lines of back ends that ask for rest, by instance
-	limitLines *node.Sparse // lines of limits that can't be read, by instance
-	strange    strangeWords
-	// confirmed rings whenever control has confirmed the view.
-	confirmed *bell
-	gateways  atomic.Int64 // that share what is limited, as control told last
-	draining  atomic.Bool
-	closing   atomic.Bool // the end of a planned stop: nothing new is taken
-	active    atomic.Int64
-	held      held // for callers and back ends that take it slowly
-	metrics   *metrics
+	// quarantine tracks which requests crash their back ends.
+	quarantine        *reporter.Reporter
+	shortName         string // identifies this process in announcements to other gateways
+	outage            outage
+	cacheReader       CacheReader // nil if engines' caches are not read
+	followers         *followers
+	weightsLogLimiter *node.Sparse // for weight version mismatches, by instance
+	backoffLogLimiter *node.Sparse // for backoff requests of back ends, by instance
+	limitLogLimiter   *node.Sparse // for unparsable advertised limits, by instance
+	unknownHeaders    unknownHeaders
+	// viewConfirmed is notified whenever control confirms the view.
+	viewConfirmed *notifier
+	gatewayCount  atomic.Int64 // gateways sharing the fleet-wide limits, as last reported by control
+	draining      atomic.Bool
+	rejecting     atomic.Bool // final phase of a planned stop, in which new requests are rejected
+	active        atomic.Int64
+	buffered      held // bytes buffered for slow callers and back ends
+	metrics       *metrics
 }
 
-// nickRange keeps short names short, and apart in any fleet.
-const nickRange = 1 << 40
+// shortNameRange bounds short names: few characters, but large enough that random ones do not collide in a fleet.
+const shortNameRange = 1 << 40
 
-// New returns a gateway that knows nothing yet.
+// New returns a gateway without a view; Run obtains one from control.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
-	client := transport.NewClientWithin(settings.Token, nil, peerDial)
-	made := &Gateway{
+	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
+	g := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
-		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
-		confirmed: newBell(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
-		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
+		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
+		viewConfirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
+		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
+		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
-	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
-	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
-	made.spread.silent = !made.on(mechanism.GatewayMesh)
-	made.metrics = newMetrics(made)
-	return made
+	g.quarantine = reporter.New(reporter.Config{Submit: g.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&g.pool.dialer), Log: g.log.info, Now: g.now})
+	g.leases = desk.New(g.shortName, settings.ViewTTL, g.now, g.lend)
+	g.peers.disabled = !g.enabled(mechanism.GatewayMesh)
+	g.metrics = newMetrics(g)
+	return g
 }
 
-// on reports whether a part of the decision is on.
-func (g *Gateway) on(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
+// enabled reports whether a mechanism is switched on.
+func (g *Gateway) enabled(name mechanism.Name) bool { return g.settings.Mechanisms.On(name) }
 
-// UseCacheReader makes the gateway read what engines keep. It must be called before Run.
-func (g *Gateway) UseCacheReader(r CacheReader) { g.reader = r }
+// UseCacheReader makes the gateway read engines' cache contents. It must be called before Run.
+func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
 
-// UseControl replaces the control replicas to start from.
+// UseControl replaces the initial addresses of control replicas.
 func (g *Gateway) UseControl(addresses []string) { g.group.Use(addresses) }
 
-// Run serves until ctx ends, then finishes what is in flight.
+// Run serves requests until ctx is done, then shuts down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	listener, err := listenCallers(g.settings.Listen)
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", g.settings.Listen)
 	}
-	ready, err := g.listenReady()
+	ready, err := g.serveReadiness()
 	if err != nil {
 		return err
 	}
-	peers, err := g.listenPeers()
+	peers, err := g.servePeers()
 	if err != nil {
 		return err
 	}
 	defer closePeers(peers)
-	run, cancel := context.WithCancel(context.Background())
-	var threads sync.WaitGroup
-	threads.Go(func() { g.follow(run) })
-	threads.Go(func() { g.sweep(run) })
-	threads.Go(func() { g.desk.Run(run) })
-	threads.Go(func() { g.quarantine.Run(run) })
-	g.spread.run(run, threads.Go)
+	runCtx, cancel := context.WithCancel(context.Background())
+	var wg sync.WaitGroup
+	wg.Go(func() { g.follow(runCtx) })
+	wg.Go(func() { g.sweep(runCtx) })
+	wg.Go(func() { g.leases.Run(runCtx) })
+	wg.Go(func() { g.quarantine.Run(runCtx) })
+	g.peers.run(runCtx, wg.Go)
 	public := &http.Server{
 		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
 	}
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		if err := public.Serve(listener); err != http.ErrServerClosed {
-			failed <- err
+			serveErr <- err
 		}
 	}()
-	g.log.note(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
+	g.log.info(events.GatewayStarted, zap.String("listen", g.settings.Listen), zap.Strings(events.FieldDisabledMechanisms, g.settings.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 		g.drain(public)
-	case err = <-failed:
+	case err = <-serveErr:
 	}
-	g.log.note(events.GatewayStopped, zap.Int64("active", g.active.Load()))
+	g.log.info(events.GatewayStopped, zap.Int64("active", g.active.Load()))
 	cancel()
-	threads.Wait()
+	wg.Wait()
 	g.followers.threads.Wait()
 	if ready != nil {
 		_ = ready.Close()
@@ -148,40 +149,40 @@
 	return err
 }
 
-// drain is the planned stop: the readiness check fails at once, requests are served until whoever sends them has
-// noticed, and those in flight are finished.
+// drain performs a planned stop. The readiness check fails at once, new requests are still served until load balancers
+// have noticed, then rejected, and requests in flight are completed.
 func (g *Gateway) drain(public *http.Server) {
-	began := time.Now()
+	startedAt := time.Now()
 	g.draining.Store(true)
-	g.log.note(events.GatewayStopping, zap.Int64("active", g.active.Load()))
-	time.Sleep(min(stopNotice, g.settings.Grace/2))
-	g.closing.Store(true)
-	time.Sleep(min(stopRefusal, g.settings.Grace/8))
-	closing, done := context.WithDeadline(context.Background(), began.Add(g.settings.Grace-stopMargin))
-	defer done()
-	_ = public.Shutdown(closing) // what is left is cut with the process
+	g.log.info(events.GatewayStopping, zap.Int64("active", g.active.Load()))
+	time.Sleep(min(drainPeriod, g.settings.ShutdownTimeout/2))
+	g.rejecting.Store(true)
+	time.Sleep(min(rejectPeriod, g.settings.ShutdownTimeout/8))
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), startedAt.Add(g.settings.ShutdownTimeout-shutdownMargin))
+	defer cancel()
+	_ = public.Shutdown(shutdownCtx) // requests still running then are cut off when the process exits
 }
 
-// listenReady opens the listener of the readiness check.
-func (g *Gateway) listenReady() (*http.Server, error) {
-	if g.settings.Ready == "" {
+// serveReadiness starts the server of the readiness check, if an address is configured.
+func (g *Gateway) serveReadiness() (*http.Server, error) {
+	if g.settings.ReadyAddress == "" {
 		return nil, nil
 	}
-	listener, err := net.Listen("tcp", g.settings.Ready)
+	listener, err := net.Listen("tcp", g.settings.ReadyAddress)
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen on %s", g.settings.Ready)
+		return nil, eris.Wrapf(err, "listen on %s", g.settings.ReadyAddress)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: http.HandlerFunc(g.handleReadiness), ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-// Ready reports whether new connections are wanted.
+// Ready reports whether the gateway accepts new connections.
 func (g *Gateway) Ready() bool {
 	return !g.draining.Load() && g.view.Load() != nil && g.trusted(g.now())
 }
 
-func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -189,37 +190,38 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// trusted reports whether control confirmed the view so lately that its keys count.
+// trusted reports whether control confirmed the view within Settings.ViewTTL. API keys are checked only against such a
+// view.
 func (g *Gateway) trusted(now time.Duration) bool {
-	confirmed := time.Duration(g.confirm.Load())
-	return confirmed > 0 && now-confirmed < g.settings.Trust
+	confirmed := time.Duration(g.confirmedAt.Load())
+	return confirmed > 0 && now-confirmed < g.settings.ViewTTL
 }
 
-// untrustedFor returns for how long the view has not counted, or 0.
+// untrustedFor returns how long ago the confirmation of the view expired, or 0.
 func (g *Gateway) untrustedFor(now time.Duration) time.Duration {
-	confirmed := time.Duration(g.confirm.Load())
+	confirmed := time.Duration(g.confirmedAt.Load())
 	if confirmed == 0 {
 		return 0
 	}
-	return max(0, now-confirmed-g.settings.Trust)
+	return max(0, now-confirmed-g.settings.ViewTTL)
 }
 
-// sweepPeriod is how often what is long past is forgotten.
+// sweepPeriod is the interval at which expired state is removed.
 const sweepPeriod = 1500 * time.Millisecond
 
-// sweep is the thread that closes connections which rested too long.
+// sweep periodically closes idle connections and removes other expired state, until ctx is done.
 func (g *Gateway) sweep(ctx context.Context) {
 	transport.Every(ctx, sweepPeriod, func() {
 		g.pool.sweep()
 		g.table.sweep(g.now())
 		g.quarantine.Sweep()
-		g.oldWeights.Sweep(g.now())
-		g.restLines.Sweep(g.now())
-		g.limitLines.Sweep(g.now())
+		g.weightsLogLimiter.Sweep(g.now())
+		g.backoffLogLimiter.Sweep(g.now())
+		g.limitLogLimiter.Sweep(g.now())
 	})
 }
 
-// newRand returns a source of random numbers of this process's own.
+// newRand returns a randomly seeded source of random numbers.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func formatVersion(version uint64) string { return strconv.FormatUint(version, 10) }
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -14,15 +14,15 @@
 
 // fingerprint returns what stays of the request when it comes again; ok is false before control told the seed.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
-	if x.print != nil {
-		return *x.print, true
+	if x.cachedFingerprint != nil {
+		return *x.cachedFingerprint, true
 	}
 	again := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
 	if x.tenant != nil {
 		again.Caller = x.tenant.Name
 	}
 	if f, ok = x.gateway.quarantine.Fingerprint(again); ok {
-		x.print = &f
+		x.cachedFingerprint = &f
 	}
 	return f, ok
 }
@@ -44,7 +44,7 @@
 	if x.lives() < quarantine.QuarantineThreshold {
 		return false
 	}
-	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
+	x.giveUp(reasonQuarantined, quarantine.RetryAfter)
 	return true
 }
 
@@ -66,17 +66,17 @@
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
-		a.looked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
+		a.crashChecked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
 	}
 }
 
 // awaitProof waits a moment to learn whether the back end has ended under which the run broke off.
 func (a *attempt) awaitProof() {
-	if a.looked == nil {
+	if a.crashChecked == nil {
 		return
 	}
 	select {
-	case <-a.looked:
+	case <-a.crashChecked:
 	case <-time.After(proofPatience):
 	case <-a.exchange.ctx.Done():
 	}
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -9,27 +9,27 @@
 	"kitetiller/internal/node"
 )
 
-// decisionLog tells what the gateway decides and comes to believe. Writing to it never waits.
+// decisionLog logs the gateway's decisions and state changes. Writing to it does not block.
 type decisionLog struct {
-	out    *node.Log
-	cutOff atomic.Bool // control lost was told, and control regained not yet
+	out          *node.Log
+	disconnected atomic.Bool // the last of the two connection events logged was the loss of control
 }
 
 func newDecisionLog(out *node.Log) *decisionLog { return &decisionLog{out: out} }
 
-// note writes a line.
-func (l *decisionLog) note(event string, fields ...zap.Field) { l.out.Info(event, fields...) }
+// info logs an event.
+func (l *decisionLog) info(event string, fields ...zap.Field) { l.out.Info(event, fields...) }
 
-// lost notes once that the view is no longer confirmed.
-func (l *decisionLog) lost() {
-	if l.cutOff.CompareAndSwap(false, true) {
-		l.note(events.ControlDisconnected)
+// recordDisconnect logs that the view is no longer confirmed, once until recordReconnect.
+func (l *decisionLog) recordDisconnect() {
+	if l.disconnected.CompareAndSwap(false, true) {
+		l.info(events.ControlDisconnected)
 	}
 }
 
-// regained notes once that the view is confirmed again.
-func (l *decisionLog) regained() {
-	if l.cutOff.CompareAndSwap(true, false) {
-		l.note(events.ControlReconnected)
+// recordReconnect logs that the view is confirmed again, once after recordDisconnect.
+func (l *decisionLog) recordReconnect() {
+	if l.disconnected.CompareAndSwap(true, false) {
+		l.info(events.ControlReconnected)
 	}
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -32,9 +32,9 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, UnknownHeaders: []string{"Mood"}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
+	attemptAt(g, g.table.rows["i-1"]).hear(200, ResponseInfo{UnparsedLimit: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldAdvertisedLimit] != 4.0 || got[1].ContextMap()[events.FieldAdvertisedLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
@@ -44,20 +44,20 @@
 		t.Errorf("lines of words that nothing reads: %v", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
-	newLimitedGauge(g).Collect(gauges)
+	newAdvertisedLimitGauge(g).Collect(gauges)
 	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
-	sent.hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
+	sent.hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"}) // sent before the limit was heard
 	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"})
 	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
@@ -65,14 +65,14 @@
 
 // TestWordsThatNothingReadsAreBounded: their names come from outside.
 func TestWordsThatNothingReadsAreBounded(t *testing.T) {
-	var words strangeWords
+	var words unknownHeaders
 	logged := 0
-	for i := range 10 * strangeMost {
-		if words.first(fmt.Sprint(i)) {
+	for i := range 10 * maxUnknownHeaders {
+		if words.addNew(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != strangeMost || words.first("0") {
+	if logged != maxUnknownHeaders || words.addNew("0") {
 		t.Fatalf("%d were logged", logged)
 	}
 }
@@ -96,24 +96,24 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	chosen := chosenAttempt(g)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
 	names(g, "i-0", 4)
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q without a part", bar)
 	}
-	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
+	chosen.limitLease = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setDry(chosen.row, now+time.Second)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
 	now += 2 * allowance.LeaseTTL
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
 	ended(g, "i-0")
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q after the limit's end", bar)
 	}
 }
@@ -176,7 +176,7 @@
 	now := time.Minute
 	g := scheduler(2)
 	g.now = func() time.Duration { return now }
-	g.gateways.Store(2)
+	g.gatewayCount.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
 		names(g, id, 4)
 		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
@@ -185,7 +185,7 @@
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
-		if reason != reasonLimited || back < 200*time.Millisecond || back > longestTurn+time.Second {
+		if reason != reasonLimitReached || back < 200*time.Millisecond || back > longestTurn+time.Second {
 			t.Fatalf("%s after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, longestTurn)
@@ -213,11 +213,11 @@
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Second)
-	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimited {
+	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimitReached {
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Minute)
-	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
+	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeBackingOff {
 		t.Fatalf("%v, %q", first, cause)
 	}
 }
@@ -229,8 +229,8 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
+		g.table.applySends(now, []announcement{heard.toWire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
@@ -262,8 +262,8 @@
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
 	names(g, "i-0", 2)
-	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
-		t.Fatalf("%+v", older.send())
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.announcement().Signals.Limit.Rate != 3.5 {
+		t.Fatalf("%+v", older.announcement())
 	}
 }
 
@@ -275,12 +275,12 @@
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
+		if goes := x.continueAfter(result{kind: resultUnreachable, cause: causeLimitReached}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
-	if x.sent != 0 || x.unreached != 0 {
-		t.Fatalf("sent %d, unreached %d", x.sent, x.unreached)
+	if x.sentCount != 0 || x.unreachableCount != 0 {
+		t.Fatalf("sent %d, unreached %d", x.sentCount, x.unreachableCount)
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -18,13 +18,13 @@
 )
 
 // hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
-func (a *attempt) hear(status int, verdict Verdict) {
-	a.asked = verdict.Said.Backoff
+func (a *attempt) hear(status int, verdict ResponseInfo) {
+	a.requestedBackoff = verdict.Signals.Backoff
 	g := a.exchange.gateway
-	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
-	g.noteStrange(a.row, verdict.Strange)
-	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
-		g.hearUnlimited(a.row, a.began)
+	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Signals, unread: verdict.UnparsedBackoff, limitUnread: verdict.UnparsedLimit})
+	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
+	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
+		g.hearUnlimited(a.row, a.startedAt)
 	}
 }
 
@@ -53,7 +53,7 @@
 	now := g.now()
 	news := g.table.hear(now, row, told.said)
 	if !news.others.IsEmpty() {
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: news.others})
 	}
 	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
@@ -61,13 +61,13 @@
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
 	if news.others.Draining {
-		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
+		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
 	}
 	if told.said.Backoff <= 0 && told.unread == "" {
 		return
 	}
-	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
+	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
 			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, told.unread), zap.Int("held", held))...)
 	}
 }
@@ -131,11 +131,11 @@
 	bar := t.signals.Restriction(now, row.incarnation)
 	switch {
 	case bar.Draining:
-		return causeLeaving
+		return causeDraining
 	case bar.IsBackingOff(now) && !elsewhere:
-		return causeResting
+		return causeBackingOff
 	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
-		return causeLimited
+		return causeLimitReached
 	}
 	return ""
 }
@@ -150,10 +150,10 @@
 		if !row.open() || bar.Draining {
 			continue
 		}
-		left, why := max(0, bar.BackoffUntil-now), causeResting
+		left, why := max(0, bar.BackoffUntil-now), causeBackingOff
 		if bar.Limit.Advertised {
 			if dry := t.dry(now, row, false); dry > left {
-				left, why = dry, causeLimited
+				left, why = dry, causeLimitReached
 			}
 		}
 		if left == 0 {
@@ -171,18 +171,18 @@
 	g := x.gateway
 	now := g.now()
 	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
-	case causeResting:
-		return reasonResting, apart(first)
-	case causeLimited:
-		return reasonLimited, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
+	case causeBackingOff:
+		return reasonBackingOff, apart(first)
+	case causeLimitReached:
+		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gatewayCount.Load()))
 	}
-	return reasonNoBackend, retrySoon
+	return reasonNoBackend, minRetryAfter
 }
 
 // comeBackAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
 // whatever that one asked for, else when the first does again.
 func (x *exchange) comeBackAfter(refused result) time.Duration {
-	if refused.rest <= 0 {
+	if refused.backoff <= 0 {
 		return refused.retryAfter
 	}
 	if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > 0 {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,9 +26,9 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
+		sent.hear(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).hear(503, ResponseInfo{NotRun: true, UnparsedBackoff: "soon"})
 	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
@@ -51,7 +51,7 @@
 		t.Errorf("%d rest", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
-	newRestingGauge(g).Collect(gauges)
+	newBackoffGauge(g).Collect(gauges)
 	if len(gauges) != 1 {
 		t.Errorf("%d gauges of one service", len(gauges))
 	}
@@ -71,16 +71,16 @@
 // meanwhile holds for the request that waits as well.
 func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeResting: func(g *Gateway) { asks(g, "i-0", time.Second) },
-		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
+		causeBackingOff: func(g *Gateway) { asks(g, "i-0", time.Second) },
+		causeDraining:   func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := scheduler(1)
 		chosen := chosenAttempt(g)
-		if bar := chosen.barred(); bar != "" {
+		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
 		}
 		say(g)
-		if bar := chosen.barred(); bar != cause {
+		if bar := chosen.recheckConditions(); bar != cause {
 			t.Fatalf("barred %q, wanted %q", bar, cause)
 		}
 	}
@@ -182,13 +182,13 @@
 	g := scheduler(2)
 	x := newModelRequest(g)
 	asks(g, "i-0", 10*time.Second)
-	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
+	if back := x.comeBackAfter(result{backoff: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
 	}
 	asks(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
-		back := x.comeBackAfter(result{rest: 40 * time.Second})
+		back := x.comeBackAfter(result{backoff: 40 * time.Second})
 		if back < 9*time.Second || back > 10*time.Second+backSlack {
 			t.Fatalf("after %v", back)
 		}
@@ -200,7 +200,7 @@
 	if back := x.comeBackAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
 		t.Fatalf("advice beside no wish for rest: %v", back)
 	}
-	if reason, back := x.noBackend(); reason != reasonResting || back < 9*time.Second {
+	if reason, back := x.noBackend(); reason != reasonBackingOff || back < 9*time.Second {
 		t.Fatalf("%s after %v", reason, back)
 	}
 }
@@ -230,8 +230,8 @@
 func TestOtherGatewaysHearOfIt(t *testing.T) {
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = scheduler(2)
-		heard := send{Gateway: "other", Instance: "i-0", Said: said}
-		g.table.applySends(g.now(), []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Signals: said}
+		g.table.applySends(g.now(), []announcement{heard.toWire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
@@ -240,7 +240,7 @@
 		return g, chosen
 	}
 	g, chosen := told(pushback.Signals{Backoff: time.Second})
-	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
+	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).recheckConditions() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
@@ -250,7 +250,7 @@
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Signals{Draining: true})
-	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
+	if bar := attemptAt(g, g.table.rows["i-0"]).recheckConditions(); chosen["i-0"] > 0 || bar != causeDraining {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
 }
@@ -258,18 +258,18 @@
 // TestOlderGatewaysAreUnderstood: a message of a gateway that doesn't know what back ends say of themselves tells nothing of it, and one to it
 // holds what it knows.
 func TestOlderGatewaysAreUnderstood(t *testing.T) {
-	var from wireSend
+	var from wireAnnouncement
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
-	if got := from.send(); !got.Said.IsEmpty() || got.Load.Running != 2 {
+	if got := from.announcement(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
 		t.Fatalf("%+v", got)
 	}
 	var older struct {
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(announcement{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.toWire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -122,7 +122,7 @@
 	}
 	question := x.question(in)
 	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
+		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.shortName)}
 		question.Ticket = made.ticket
 		var answer wirePlacement
 		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.shortName}) // it may have placed the request
 	}
 	return nil
 }
@@ -143,22 +143,22 @@
 // noteSilent notes and logs that a scheduler gave no answer.
 func (g *Gateway) noteSilent(address string, err error) {
 	g.schedulers.noteFailed(g.now(), address)
-	g.metrics.unasked.Inc()
-	g.log.note(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
+	g.metrics.schedulerFailures.Inc()
+	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
 // question returns what schedulers are asked.
 func (x *exchange) question(in selectionInput) wireQuestion {
 	g := x.gateway
 	asked := wireQuestion{
-		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
+		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
 		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
 		asked.Wall = in.tenant.Name
 	}
-	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
+	asked.Parts, asked.Tokens = partsToWire(x.call.Parts)
 	return asked
 }
 
@@ -182,7 +182,7 @@
 		return nil
 	}
 	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.BackMS)}
+		return &candidate{wait: answer.WaitMS, retryAfter: durationFromMS(answer.BackMS)}
 	}
 	now := g.now()
 	g.hearScheduler(now, answer)
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
+		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.shortName})
 		return nil
 	}
 	return chosen
@@ -204,10 +204,10 @@
 
 // first returns how long after the send the first event came, or 0.
 func (a *attempt) first() time.Duration {
-	if !a.begun.Load() {
+	if !a.streamStarted.Load() {
 		return 0
 	}
-	return max(0, a.exchange.firstAt-a.began)
+	return max(0, a.exchange.firstEventAt-a.startedAt)
 }
 
 // settle tells the scheduler that placed an attempt how it ended.
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wireEnd{
 		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
+		Ticket:  made.ticket, Gateway: g.shortName, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -218,7 +218,7 @@
 // IDs are compared as numbers, not as strings.
 func TestLaterComparesIDsAsNumbers(t *testing.T) {
 	for _, pair := range [][2]string{{"9", "10"}, {"", "0"}, {"99", "100"}, {"4", "8"}} {
-		if !later(pair[1], pair[0]) || later(pair[0], pair[1]) || later(pair[0], pair[0]) {
+		if !followsEvent(pair[1], pair[0]) || followsEvent(pair[0], pair[1]) || followsEvent(pair[0], pair[0]) {
 			t.Errorf("later is wrong for %q and %q", pair[0], pair[1])
 		}
 	}
@@ -251,7 +251,7 @@
 func benchmarkDecision(b *testing.B, limitedFraction float64) {
 	for _, engines := range []int{18, 320, 3100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			g := &Gateway{settings: Settings{Zone: "z0", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
+			g := &Gateway{settings: Settings{Zone: "z0", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
 			parts := []prefix.Part{{ID: "aa", Tokens: 2500}, {ID: "bb", Tokens: 3800}, {ID: "cc", Tokens: 2900}}
 			var entries []control.RosterEntry
 			for i := range engines {
@@ -263,7 +263,7 @@
 			}
 			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
-				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
+				g.table.recordOwnSend(0, announcement{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
 			for i := range int(limitedFraction * float64(engines)) {
 				row := g.table.rows[fmt.Sprint(i)]
@@ -285,13 +285,13 @@
 
 // An announcement is decoded as it was encoded, except for its age, which grows by the time it waited.
 func TestSendSurvivesWireRoundTrip(t *testing.T) {
-	made := send{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, Saved: true, Age: time.Second}
-	got := made.wire(250 * time.Millisecond).send()
+	made := announcement{Instance: "i", Salt: "w3/t", Parts: []prefix.Part{{ID: "aa", Tokens: 5}, {ID: "bb", Tokens: 7}}, Uncached: 9, SavedToStore: true, Age: time.Second}
+	got := made.toWire(250 * time.Millisecond).announcement()
 	made.Age += 250 * time.Millisecond
 	if !reflect.DeepEqual(got, made) {
 		t.Fatalf("got %+v, want %+v", got, made)
 	}
-	if invalid := (wireSend{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).send(); invalid.Uncached != 0 || invalid.Age != 0 || len(invalid.Parts) != 0 {
+	if invalid := (wireAnnouncement{Parts: []string{"aa"}, Uncached: -1, AgeMS: -5}).announcement(); invalid.Uncached != 0 || invalid.Age != 0 || len(invalid.Parts) != 0 {
 		t.Fatalf("invalid message was decoded as %+v", invalid)
 	}
 }
@@ -327,7 +327,7 @@
 // the least recent.
 func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
-	g := &Gateway{settings: Settings{Zone: "z", VersionLimit: time.Second}, table: newTable(mechanism.Set{})}
+	g := &Gateway{settings: Settings{Zone: "z", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
 	news := &control.RosterNews{Whole: true}
 	for i := range engines {
 		news.Entries = append(news.Entries, control.RosterEntry{
@@ -342,7 +342,7 @@
 		if i == 0 {
 			parts[1] = dossier
 		}
-		g.table.recordOwnSend(time.Duration(i), send{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
+		g.table.recordOwnSend(time.Duration(i), announcement{Instance: fmt.Sprint(i), Salt: "w1", Parts: parts})
 	}
 	in := selectionInput{service: &catalog.Service{Name: "s", Engine: true}, trusted: true, call: &Call{Model: "m", Parts: []prefix.Part{preamble, dossier, own}}}
 	found := g.sources(time.Second, in)
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -86,7 +86,7 @@
 		Level: n.build,
 		ID:    n.identity.ID, Name: n.name, Address: n.name, Timing: controlTiming, Replicas: groupSize,
 		SettingsLease: settingsLease, RepairAfter: repairAfter, SnapshotEvery: snapshotEvery,
-		OrderWait: fleetOrderWait, GatewayTrust: fleetTrust, Zone: n.zone, RelayAbove: n.w.relayAbove(),
+		OrderWait: fleetOrderWait, GatewayTrust: fleetTrust, Zone: n.zone, MaxDirectGateways: n.w.relayAbove(),
 		Guards: n.w.guards, Random: n.w.random.Int64N,
 	}
 	replica, err := control.NewReplica(config, cloneCheckpoint(n.disk), 0)
@@ -129,7 +129,7 @@
 }
 
 func (n *controlNode) store(persist control.Persist) {
-	if err := n.disk.Store(persist); err != nil {
+	if err := n.disk.Apply(persist); err != nil {
 		panic("sim: " + n.name + " wrote what cannot be stored: " + err.Error())
 	}
 }
@@ -148,7 +148,7 @@
 func (n *controlNode) pump() {
 	n.replica.Tick(n.clock(), n.unixMS())
 	for n.replica.HasWork() {
-		persist := n.replica.Work()
+		persist := n.replica.Prepare()
 		if !persist.Empty() && n.w.guards.On(guard.SyncBeforeAck) {
 			n.beginSync(persist)
 			return
@@ -156,7 +156,7 @@
 		if !persist.Empty() {
 			n.syncLate(persist)
 		}
-		n.send(n.replica.Done(n.clock()))
+		n.send(n.replica.Advance(n.clock()))
 	}
 	if n.checkBuild(); n.up {
 		n.setWake()
@@ -166,7 +166,7 @@
 // beginSync writes; the replica goes on when the write is synced.
 func (n *controlNode) beginSync(persist control.Persist) {
 	n.syncing = &persist
-	if n.w.mischief.stallsOrder && n.replica.CallsWaiting() > 0 {
+	if n.w.mischief.stallsOrder && n.replica.PendingWeightsCalls() > 0 {
 		n.w.mischief.stallsOrder = false
 		n.stallDisk(n.w.between(3*time.Second, 6*time.Second))
 	}
@@ -174,7 +174,7 @@
 	n.after(delay, func() {
 		n.store(persist)
 		n.syncing = nil
-		n.send(n.replica.Done(n.clock()))
+		n.send(n.replica.Advance(n.clock()))
 		waiting := n.inbox
 		n.inbox = nil
 		for _, do := range waiting {
@@ -190,7 +190,7 @@
 func (n *controlNode) syncLate(persist control.Persist) {
 	n.unsynced = append(n.unsynced, persist)
 	n.after(n.w.between(lateSyncMin, lateSyncMax), func() {
-		if err := n.disk.Store(n.unsynced[0]); err != nil {
+		if err := n.disk.Apply(n.unsynced[0]); err != nil {
 			n.w.oracle.fail(SettingsHold, "%s acknowledged what it then couldn't store: %v", n.name, err)
 		}
 		n.unsynced = n.unsynced[1:]
@@ -217,13 +217,13 @@
 			answer(reply.Response)
 		}
 	}
-	for _, call := range effects.Calls {
+	for _, call := range effects.EngineCalls {
 		n.sendCall(call)
 	}
-	for _, call := range effects.Weights {
+	for _, call := range effects.WeightsCalls {
 		n.callBackend(call)
 	}
-	for _, call := range effects.Relays {
+	for _, call := range effects.RelayCalls {
 		n.askLeader(call)
 	}
 }
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -102,7 +102,7 @@
 	group     *control.Client
 	metrics   *metrics
 	disk      *diskState
-	announcer *transport.Announcer[core.Send]
+	announcer *transport.Announcer[core.PeerDispatch]
 	session   *session.Machine // owned by the session thread
 	draining  atomic.Bool
 	shed      atomic.Uint64
@@ -253,7 +253,7 @@
 }
 
 func (s *Server) untilDue() time.Duration {
-	due, any := s.core.NextDue()
+	due, any := s.core.NextWakeup()
 	if !any {
 		return maximumLinger
 	}
@@ -264,7 +264,7 @@
 func touchesView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
-		case core.EventSettings, core.EventBackend, core.EventPlatform, core.EventLease:
+		case core.EventSettings, core.EventBackendPoll, core.EventMachineList, core.EventLease:
 			return true
 		}
 	}
@@ -275,7 +275,7 @@
 // when the settings changed.
 func (s *Server) publishView() {
 	previous := s.view.Load()
-	next := &view{version: s.core.Version(), weights: map[string][]string{}}
+	next := &view{version: s.core.SettingsVersion(), weights: map[string][]string{}}
 	if previous != nil && previous.version == next.version {
 		next.tree, next.keys, next.models = previous.tree, previous.keys, previous.models
 		next.services, next.values = previous.services, previous.values
@@ -351,9 +351,9 @@
 			s.deliverFinish(typed)
 		case core.ActionClaim:
 			go s.claim(ctx, typed)
-		case core.ActionEnd:
+		case core.ActionEndClaim:
 			go s.endClaim(ctx, typed)
-		case core.ActionSnapshot:
+		case core.ActionRequestSnapshot:
 			go s.fetchSnapshot(ctx, typed)
 		}
 	}
