--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// expire drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
+// expire deletes an instance whose heartbeats stopped. Its id is kept so that a later deregistration by name still
+// resolves to it.
 func (m *Machine) expire(id string) {
 	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
 		m.expiredIDs = append(m.expiredIDs, id)
@@ -11,25 +12,25 @@
 	m.delete(id)
 }
 
-// ResolveInstanceID returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
-// forgotten.
+// ResolveInstanceID returns the instance id that a deregistration refers to. An id without a start time refers to the
+// registered incarnation of that name or, if there is none, to the one that expired last.
 func (m *Machine) ResolveInstanceID(id string) string {
-	life := ParseInstanceID(id)
-	if _, known := m.instances[id]; known || life.StartedMS > 0 {
+	incarnation := ParseInstanceID(id)
+	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.lives.currentID(life.Name); tells {
-		return standing
+	if registeredID, found := m.incarnations.currentID(incarnation.Name); found {
+		return registeredID
 	}
-	for _, last := range slices.Backward(m.expiredIDs) {
-		if ParseInstanceID(last).Name == life.Name {
-			return last
+	for _, expiredID := range slices.Backward(m.expiredIDs) {
+		if ParseInstanceID(expiredID).Name == incarnation.Name {
+			return expiredID
 		}
 	}
 	return id
 }
 
-// deregister ends an instance for good.
+// deregister deletes an instance that announced that it leaves, and rejects later registrations of it.
 func (m *Machine) deregister(id string) {
 	id = m.ResolveInstanceID(id)
 	m.delete(id)
@@ -37,11 +38,11 @@
 		return
 	}
 	m.departed[id] = true
-	m.lives.recordDeparted(id)
+	m.incarnations.recordDeparted(id)
 	m.departedIDs = append(m.departedIDs, id)
 	if len(m.departedIDs) > maxDepartedIDs {
 		delete(m.departed, m.departedIDs[0])
-		m.lives.forgetDeparted(m.departedIDs[0])
+		m.incarnations.forgetDeparted(m.departedIDs[0])
 		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -10,20 +10,20 @@
 // TestHeartbeatForUnconfiguredServiceIsIgnored guards against a well-formed heartbeat for a service missing from the
 // routing document that replaces, drains or alters a registered back end.
 func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
-	open := func(t *testing.T) *singleReplica {
+	openRegistered := func(t *testing.T) *singleReplica {
 		s := openFleet(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
 		s.says(life("e", 1000), "a1", 1, 1)
 		return s
 	}
-	forge := func(s *singleReplica, id, address string, state catalog.State) {
+	sendUnconfigured := func(s *singleReplica, id, address string, state catalog.State) {
 		s.ask(Request{Beat: &Beat{
 			Instance: catalog.Instance{ID: id, Service: "nobody", Address: address, State: state},
 			Sequence: 1000, Versions: map[string]uint64{"m": 9},
 		}})
 	}
-	holds := func(t *testing.T, s *singleReplica) {
+	checkUnchanged := func(t *testing.T, s *singleReplica) {
 		t.Helper()
 		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
@@ -34,25 +34,25 @@
 			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
 	}
-	t.Run("its life", func(t *testing.T) {
-		s := open(t)
-		forge(s, life("e", 1000), "a1", catalog.StateReady)
-		holds(t, s)
+	t.Run("same incarnation", func(t *testing.T) {
+		s := openRegistered(t)
+		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateReady)
+		checkUnchanged(t, s)
 	})
-	t.Run("its life, that leaves", func(t *testing.T) {
-		s := open(t)
-		forge(s, life("e", 1000), "a1", catalog.StateDraining)
-		holds(t, s)
+	t.Run("same incarnation, draining", func(t *testing.T) {
+		s := openRegistered(t)
+		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateDraining)
+		checkUnchanged(t, s)
 	})
-	t.Run("a later life of it", func(t *testing.T) {
-		s := open(t)
-		forge(s, life("e", 2000), "a2", catalog.StateReady)
-		holds(t, s)
+	t.Run("later incarnation", func(t *testing.T) {
+		s := openRegistered(t)
+		sendUnconfigured(s, life("e", 2000), "a2", catalog.StateReady)
+		checkUnchanged(t, s)
 	})
-	t.Run("the address of a silent one", func(t *testing.T) {
-		s := open(t)
+	t.Run("address of a silent back end", func(t *testing.T) {
+		s := openRegistered(t)
 		s.advance(silentAfter + time.Second)
-		forge(s, life("x", 2000), "a1", catalog.StateReady)
-		holds(t, s)
+		sendUnconfigured(s, life("x", 2000), "a1", catalog.StateReady)
+		checkUnchanged(t, s)
 	})
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -84,11 +84,11 @@
 // a group, provided that this replica is the first founder and all other founders have answered that they have no state.
 func (s *Server) joinOrFound(ctx context.Context) {
 	for {
-		groupExists, allEmpty := s.probeFounders(ctx)
+		groupExists, othersEmpty := s.probeFounders(ctx)
 		switch {
 		case groupExists && s.tryJoin(ctx):
 			return
-		case !groupExists && allEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
+		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
 			s.inputs <- input{foundGroup: true}
 			return
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-func (s *Server) probeFounders(ctx context.Context) (exists, allEmpty bool) {
-	allEmpty = true
+func (s *Server) probeFounders(ctx context.Context) (groupExists, othersEmpty bool) {
+	othersEmpty = true
 	for _, address := range s.file.Control.Founders {
 		if address == s.file.Control.Internal {
 			continue
@@ -110,10 +110,10 @@
 		var reply HelloReply
 		err := s.client.Post(attempt, address, PathHello, struct{}{}, &reply)
 		cancel()
-		exists = exists || (err == nil && reply.HasState)
-		allEmpty = allEmpty && err == nil && !reply.HasState
+		groupExists = groupExists || (err == nil && reply.HasState)
+		othersEmpty = othersEmpty && err == nil && !reply.HasState
 	}
-	return exists, allEmpty
+	return groupExists, othersEmpty
 }
 
 // tryJoin asks the leader to add this replica as a learner and reports whether it succeeded.
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestNewLeaderRestoresHeldWeightsFromLog guards against a leader that does not know the weights of back ends until
-// their first heartbeat, during which prefix caches cannot be shared.
+// TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
+// hold until their first heartbeats, so that prefix caches go unused.
 func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
 	s := openFleet(t)
 	s.advance(time.Second)
@@ -129,18 +129,18 @@
 	machine := catalog.NewMachine()
 	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
-	if machine.Held("i-1") != nil {
+	if machine.LoadedVersions("i-1") != nil {
 		t.Fatal("weights recorded for an unregistered instance")
 	}
 	machine.Apply(catalog.Command{Register: &catalog.Instance{ID: "i-1", Address: "a"}})
 	machine.Apply(held)
 	held.Loaded[0].Version = 2
 	machine.Apply(held)
-	if machine.Held("i-1")["m"] != 3 {
-		t.Fatalf("weights %v after a report of an older version, want version 3 of m", machine.Held("i-1"))
+	if machine.LoadedVersions("i-1")["m"] != 3 {
+		t.Fatalf("weights %v after a report of an older version, want version 3 of m", machine.LoadedVersions("i-1"))
 	}
 	machine.Apply(catalog.Command{Deregister: "i-1"})
-	if machine.Held("i-1") != nil {
+	if machine.LoadedVersions("i-1") != nil {
 		t.Fatal("weights kept for a removed instance")
 	}
 }
