--- a/internal/catalog/naming_test.go
+++ b/internal/catalog/naming_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestNamingsAreAgreed: replicas that applied the commands, and ones that got a snapshot at any point between, hold the same namings,
-// rising by version, the newest of them the newest version.
-func TestNamingsAreAgreed(t *testing.T) {
+// TestPublicationsMatchAfterSnapshots checks that replicas hold the same publications whether or not they restored a
+// snapshot, ascending by version and ending with the latest one.
+func TestPublicationsMatchAfterSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		applied, restored := NewMachine(), NewMachine()
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
@@ -22,12 +22,12 @@
 			newer := command.PublishWeights.Version > applied.LatestVersions()[command.PublishWeights.Model]
 			applied.Apply(command)
 			restored.Apply(command)
-			namings := applied.Publications(command.PublishWeights.Model)
-			if last := namings[len(namings)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
-				t.Fatalf("%+v is the last naming after %+v", last, command)
+			publications := applied.Publications(command.PublishWeights.Model)
+			if last := publications[len(publications)-1]; newer && last != (Publication{command.PublishWeights.Version, command.UnixMS}) {
+				t.Fatalf("last publication is %+v after %+v", last, command)
 			}
-			if !newer && len(namings) != before || len(namings) > MaxPublications {
-				t.Fatalf("%d namings after %d", len(namings), before)
+			if !newer && len(publications) != before || len(publications) > MaxPublications {
+				t.Fatalf("got %d publications, had %d before", len(publications), before)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				data, err := json.Marshal(restored)
@@ -41,16 +41,16 @@
 			}
 		}
 		if !reflect.DeepEqual(applied.publications, restored.publications) {
-			t.Fatalf("namings %+v and, through snapshots, %+v", applied.publications, restored.publications)
+			t.Fatalf("publications %+v, with restored snapshots %+v", applied.publications, restored.publications)
 		}
-		for model, namings := range applied.publications {
-			for i := range namings[1:] {
-				if namings[i].Version >= namings[i+1].Version {
-					t.Fatalf("namings of %s: %+v", model, namings)
+		for model, publications := range applied.publications {
+			for i := range publications[1:] {
+				if publications[i].Version >= publications[i+1].Version {
+					t.Fatalf("publications of %s are not ascending: %+v", model, publications)
 				}
 			}
-			if namings[len(namings)-1].Version != applied.versions[model] {
-				t.Fatalf("namings of %s: %+v; the newest is %d", model, namings, applied.versions[model])
+			if publications[len(publications)-1].Version != applied.latestVersions[model] {
+				t.Fatalf("publications of %s: %+v; want the last one to be version %d", model, publications, applied.latestVersions[model])
 			}
 		}
 	})
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -162,7 +162,7 @@
 		r.claimGranted = true
 		c.enqueueNew(r)
 	case ledger.Replayed:
-		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Answer})
+		c.finish(r, ActionFinish{Reason: ReasonReplayed, Run: RunYes, Answer: event.Outcome.Response})
 	case ledger.InProgress:
 		c.finish(r, ActionFinish{Reason: ReasonInProgress, Run: RunUnknown, RetryAfter: shortRetryAfter})
 	case ledger.RunUnknown:
@@ -243,7 +243,7 @@
 	case !r.claimGranted && r.state != stateClaiming:
 		return
 	case final.Reason == ReasonComplete:
-		end.Kind, end.Answer = ledger.EndFinished, final.Answer
+		end.Kind, end.Response = ledger.EndFinished, final.Answer
 	case !r.claimGranted && !claimOutcomeUnknown(final.Reason):
 		return // the ledger denied the claim
 	case r.possibleRuns == 0:
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota says which resources of a gateway fleet are limited, and by how much: what tenants may use, and how often
-// requests to a service may be sent again. Control lends these, gateways borrow them.
+// Package quota defines the fleet-wide rate limits: the quotas of tenants and the retry budgets of services. Control
+// leases shares of these limits to gateways.
 package quota
 
 import (
@@ -9,85 +9,84 @@
 	"kitetiller/internal/catalog"
 )
 
-// Policy are how limits are judged. They are settings of the whole fleet.
+// Policy defines how limits are enforced over the whole fleet.
 type Policy struct {
-	Window      time.Duration // that a tenant's use is added up in
-	Overage     float64       // share by which use in a window may exceed a tenant's limit
-	Slack       float64       // units by which it may besides
-	RetryWindow time.Duration // that repeats are added up in
-	RetrySlack  float64       // repeats of a service in it, beyond a share of its requests
+	Window      time.Duration // over which a tenant's use is summed up
+	Overage     float64       // fraction by which the use in a window may exceed a tenant's quota
+	Slack       float64       // units by which it may exceed the quota in addition
+	RetryWindow time.Duration // over which retries are summed up
+	RetrySlack  float64       // retries per service in a RetryWindow, in addition to a fraction of its requests
 }
 
-// Defaults of Terms.
+// Default values of a Policy.
 const (
-	DefaultWindow  = 8 * time.Second
-	DefaultOverage = 0.1
-	// DefaultRetryWindow is the window for repeats.
+	DefaultWindow      = 8 * time.Second
+	DefaultOverage     = 0.1
 	DefaultRetryWindow = 10 * time.Second
 )
 
-// WithDefaults returns the terms with defaults where nothing is set.
-func (t Policy) WithDefaults() Policy {
-	if t.Window == 0 {
-		t.Window = DefaultWindow
+// WithDefaults returns the policy with defaults for unset values.
+func (p Policy) WithDefaults() Policy {
+	if p.Window == 0 {
+		p.Window = DefaultWindow
 	}
-	if t.Overage == 0 {
-		t.Overage = DefaultOverage
+	if p.Overage == 0 {
+		p.Overage = DefaultOverage
 	}
-	if t.RetryWindow == 0 {
-		t.RetryWindow = DefaultRetryWindow
+	if p.RetryWindow == 0 {
+		p.RetryWindow = DefaultRetryWindow
 	}
-	return t
+	return p
 }
 
-// Shares of the slack for repeats: what comes in over a window, what may be lent at once, and the room for the rest.
+// Fractions of RetrySlack: the rate over a window, the burst, and the slack of the limit.
 const (
-	retryRateShare  = 0.4
-	retryBurstShare = 0.3
-	retryRoomShare  = 0.3
+	retryRateFraction  = 0.4
+	retryBurstFraction = 0.3
+	retrySlackFraction = 0.3
 )
 
 const (
-	tenantPrefix = "tenant/"
-	retryPrefix  = "repeats/"
-	backPrefix   = "back-end/"
+	tenantPrefix  = "tenant/"
+	retryPrefix   = "repeats/"
+	backendPrefix = "back-end/"
 )
 
-// Tenant names the resource of a tenant.
+// Tenant returns the resource name of a tenant's quota.
 func Tenant(name string) string { return tenantPrefix + name }
 
-// ServiceRetries names the resource of a service's repeats.
+// ServiceRetries returns the resource name of a service's retry budget.
 func ServiceRetries(service string) string { return retryPrefix + service }
 
-// Backend names the resource of a life of a back end, which names its limit itself.
-func Backend(id string) string { return backPrefix + id }
+// Backend returns the resource name of the limit that an incarnation of a backend advertises.
+func Backend(id string) string { return backendPrefix + id }
 
-// Limits returns the limits that a document and terms set, by resource.
-func Limits(document *catalog.Document, terms Policy) map[string]allowance.Limit {
+// Limits returns the limits of a document under a policy, by resource name.
+func Limits(document *catalog.Document, policy Policy) map[string]allowance.Limit {
 	limits := map[string]allowance.Limit{}
 	for _, tenant := range document.Tenants {
 		if tenant.Quota.Limited() {
-			limits[Tenant(tenant.Name)] = terms.tenant(tenant.Quota)
+			limits[Tenant(tenant.Name)] = policy.tenantLimit(tenant.Quota)
 		}
 	}
-	if terms.RetrySlack <= 0 || terms.RetryWindow <= 0 {
+	if policy.RetrySlack <= 0 || policy.RetryWindow <= 0 {
 		return limits
 	}
 	for _, service := range document.Services {
 		if service.StoreAddress == "" {
-			limits[ServiceRetries(service.Name)] = terms.repeats()
+			limits[ServiceRetries(service.Name)] = policy.retryLimit()
 		}
 	}
 	return limits
 }
 
-func (t Policy) tenant(quota catalog.Quota) allowance.Limit {
-	room := t.Overage*(quota.Rate*t.Window.Seconds()+quota.Burst) + t.Slack
+func (p Policy) tenantLimit(quota catalog.Quota) allowance.Limit {
+	room := p.Overage*(quota.Rate*p.Window.Seconds()+quota.Burst) + p.Slack
 	return allowance.Limit{Rate: quota.Rate, Burst: quota.Burst, Slack: room}
 }
 
-func (t Policy) repeats() allowance.Limit {
+func (p Policy) retryLimit() allowance.Limit {
 	return allowance.Limit{
-		Rate: retryRateShare * t.RetrySlack / t.RetryWindow.Seconds(), Burst: retryBurstShare * t.RetrySlack, Slack: retryRoomShare * t.RetrySlack,
+		Rate: retryRateFraction * p.RetrySlack / p.RetryWindow.Seconds(), Burst: retryBurstFraction * p.RetrySlack, Slack: retrySlackFraction * p.RetrySlack,
 	}
 }
