--- a/internal/allowance/borrower.go
+++ b/internal/allowance/borrower.go
@@ -7,265 +7,275 @@
 )
 
 const (
-	// demandMemory is how fast measured demand is forgotten.
-	demandMemory = time.Second
-	// demandShare of what the measured demand needs in a lease is asked for ahead, where that is aheadLeast times the amount that
-	// is needed now or more: else it would mostly end unused.
-	demandShare = 0.5
-	aheadLeast  = 2.0
-	// backAfter is how long before its end an amount that lies idle is given back with the next question.
-	backAfter = Lease / 2
+	// demandTimeConstant is the time constant of the measured demand's exponential decay.
+	demandTimeConstant = time.Second
+	// prefetchFraction of the demand expected during a lease is prefetched if that demand is at least
+	// minPrefetchRatio times the amount needed now; otherwise most of it would expire unused.
+	prefetchFraction = 0.5
+	minPrefetchRatio = 2.0
+	// returnMargin is the remaining lifetime below which unused leases are returned with the next request.
+	returnMargin = LeaseTTL / 2
 )
 
-// Hold is an amount that may be used once, before its time.
-type Hold struct {
-	Name   string
-	Amount float64
-	Until  time.Duration // by the borrower's clock
-	own    bool          // from the own part, not lent
+// Lease is an amount that may be used once before it expires.
+type Lease struct {
+	Name      string
+	Amount    float64
+	ExpiresAt time.Duration // by the client's clock
+	fallback  bool          // taken from the fallback share, not granted by the allocator
 }
 
 // Valid reports whether the amount may still be used.
-func (h Hold) Valid(now time.Duration) bool { return h.Amount > 0 && now <= h.Until }
+func (l Lease) Valid(now time.Duration) bool { return l.Amount > 0 && now <= l.ExpiresAt }
 
-// Borrower keeps what one process was lent.
-type Borrower struct {
-	name     string
-	sequence uint64 // of the newest question
-	answered uint64 // newest question that was answered
-	term     uint64 // newest lender heard of
-	touched  time.Duration
-	parts    float64       // borrowers that share the equal parts, at least 1
-	trust    time.Duration // how long a borrower out of touch may use its part
-	limits   map[string]Limit
-	pockets  map[string]*pocket
+// Client tracks the amounts leased to one process.
+type Client struct {
+	name            string
+	sequence        uint64 // of the newest request
+	repliedSequence uint64 // of the newest request that was answered
+	term            uint64 // highest term seen in a reply
+	lastContact     time.Duration
+	clients         float64       // number of clients that share the reserve and the rate equally, at least 1
+	fallbackPeriod  time.Duration // how long the fallback share may be used without contact to the allocator
+	limits          map[string]Limit
+	balances        map[string]*balance
 
-	named      map[string]heardLimit // of resources that name their limits
-	namedSwept time.Duration         // when those were last looked through that nobody asks for
+	advertised        map[string]knownLimit // resources that advertise their limits
+	advertisedSweptAt time.Duration         // when unused advertised limits were last removed
 }
 
-// pocket is what is held of one resource.
-type pocket struct {
-	pieces  []Hold        // lent and not used, rising by time
-	used    float64       // of the reserve and the own part, not made good yet
-	usedAt  time.Duration // when used was right
-	demand  float64       // units a second, of the last moments
-	takenAt time.Duration // when some was last taken
+// balance is what a client holds of one resource.
+type balance struct {
+	leases         []Lease       // unused, by ascending expiry
+	fallbackUsed   float64       // used of the fallback share, decaying over time
+	fallbackUsedAt time.Duration // when fallbackUsed was last updated
+	demandRate     float64       // units per second, exponentially decayed
+	demandAt       time.Duration // when demandRate was last updated
 }
 
-// NewBorrower returns a borrower that holds nothing. trust is how long it may use its own part without a lender.
-func NewBorrower(name string, trust time.Duration) *Borrower {
-	return &Borrower{name: name, trust: trust, parts: 1, limits: map[string]Limit{}, pockets: map[string]*pocket{}, named: map[string]heardLimit{}}
+// NewClient returns a client without leases. fallbackPeriod is how long it may use its fallback share without contact
+// to the allocator.
+func NewClient(name string, fallbackPeriod time.Duration) *Client {
+	return &Client{
+		name: name, fallbackPeriod: fallbackPeriod, clients: 1,
+		limits: map[string]Limit{}, balances: map[string]*balance{}, advertised: map[string]knownLimit{},
+	}
 }
 
-// Use replaces the limits.
-func (b *Borrower) Use(limits map[string]Limit) {
-	b.limits = limits
-	for name := range b.pockets {
-		if !b.Limited(name) {
-			delete(b.pockets, name)
+// SetLimits replaces the configured limits.
+func (c *Client) SetLimits(limits map[string]Limit) {
+	c.limits = limits
+	for name := range c.balances {
+		if !c.IsLimited(name) {
+			delete(c.balances, name)
 		}
 	}
 }
 
-// Limited reports whether a resource is limited.
-func (b *Borrower) Limited(name string) bool { _, limited := b.limit(name); return limited }
+// IsLimited reports whether a resource has a limit.
+func (c *Client) IsLimited(name string) bool { _, limited := c.limit(name); return limited }
 
-// Touch notes that what was asked at a time was answered by the lender of a term, and by how many borrowers own parts are
-// shared.
-func (b *Borrower) Touch(asked time.Duration, borrowers int) {
-	b.touched = max(b.touched, asked)
-	b.parts = max(1, float64(borrowers))
+// RecordContact records that a request made at the given time was answered, and the number of clients that share the
+// fallback amounts.
+func (c *Client) RecordContact(requestedAt time.Duration, clients int) {
+	c.lastContact = max(c.lastContact, requestedAt)
+	c.clients = max(1, float64(clients))
 }
 
-func (b *Borrower) pocket(name string) *pocket {
-	p := b.pockets[name]
-	if p == nil {
-		p = &pocket{}
-		b.pockets[name] = p
+func (c *Client) balance(name string) *balance {
+	b := c.balances[name]
+	if b == nil {
+		b = &balance{}
+		c.balances[name] = b
 	}
-	return p
+	return b
 }
 
-// Take takes an amount from what was lent.
-func (b *Borrower) Take(now time.Duration, name string, amount float64) (Hold, bool) {
-	p := b.pocket(name)
-	p.note(now, amount)
-	return p.take(now, name, amount)
+// Take takes an amount from the leases and counts it as demand.
+func (c *Client) Take(now time.Duration, name string, amount float64) (Lease, bool) {
+	b := c.balance(name)
+	b.observeDemand(now, amount)
+	return b.take(now, name, amount)
 }
 
-// TakeAgain takes an amount that was wanted before, so that it is not counted as demand once more.
-func (b *Borrower) TakeAgain(now time.Duration, name string, amount float64) (Hold, bool) {
-	return b.pocket(name).take(now, name, amount)
+// RetryTake takes an amount whose demand was already counted.
+func (c *Client) RetryTake(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.balance(name).take(now, name, amount)
 }
 
-func (p *pocket) take(now time.Duration, name string, amount float64) (Hold, bool) {
-	p.expire(now)
+func (b *balance) take(now time.Duration, name string, amount float64) (Lease, bool) {
+	b.expire(now)
 	held := 0.0
-	for _, piece := range p.pieces {
-		held += piece.Amount
+	for _, lease := range b.leases {
+		held += lease.Amount
 	}
 	if held < amount {
-		return Hold{}, false
+		return Lease{}, false
 	}
-	taken := Hold{Name: name, Amount: amount}
-	for left := amount; left > 0 && len(p.pieces) > 0; { // rounding may leave a trace of what the pieces add up to
-		piece := &p.pieces[0]
-		if taken.Until == 0 {
-			taken.Until = piece.Until // the first piece ends first
+	result := Lease{Name: name, Amount: amount}
+	for left := amount; left > 0 && len(b.leases) > 0; { // rounding may leave a remainder
+		lease := &b.leases[0]
+		if result.ExpiresAt == 0 {
+			result.ExpiresAt = lease.ExpiresAt // leases are sorted by expiry
 		}
-		part := min(left, piece.Amount)
+		part := min(left, lease.Amount)
 		left -= part
-		piece.Amount -= part
-		if piece.Amount <= 0 {
-			p.pieces = slices.Delete(p.pieces, 0, 1)
+		lease.Amount -= part
+		if lease.Amount <= 0 {
+			b.leases = slices.Delete(b.leases, 0, 1)
 		}
 	}
-	return taken, true
+	return result, true
 }
 
-// expire drops what may be used no more.
-func (p *pocket) expire(now time.Duration) {
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool { return !piece.Valid(now) })
+// expire drops expired leases.
+func (b *balance) expire(now time.Duration) {
+	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool { return !lease.Valid(now) })
 }
 
-// note counts a demand.
-func (p *pocket) note(now time.Duration, amount float64) {
-	p.demand = p.demand*math.Exp(-float64(now-p.takenAt)/float64(demandMemory)) + amount/demandMemory.Seconds()
-	p.takenAt = now
+// observeDemand adds an amount to the measured demand.
+func (b *balance) observeDemand(now time.Duration, amount float64) {
+	b.demandRate = b.demandRate*math.Exp(-float64(now-b.demandAt)/float64(demandTimeConstant)) + amount/demandTimeConstant.Seconds()
+	b.demandAt = now
 }
 
-// Put gives back to the pocket what was taken and not used.
-func (b *Borrower) Put(now time.Duration, h Hold) {
-	if !b.Limited(h.Name) || h.Amount <= 0 {
+// Release returns an unused lease to the client's balance.
+func (c *Client) Release(now time.Duration, lease Lease) {
+	if !c.IsLimited(lease.Name) || lease.Amount <= 0 {
 		return
 	}
-	p := b.pocket(h.Name)
-	if h.own {
-		p.used = max(0, p.used-h.Amount)
+	b := c.balance(lease.Name)
+	if lease.fallback {
+		b.fallbackUsed = max(0, b.fallbackUsed-lease.Amount)
 		return
 	}
-	if h.Valid(now) {
-		p.add(h)
+	if lease.Valid(now) {
+		b.add(lease)
 	}
 }
 
-func (p *pocket) add(piece Hold) {
-	at, _ := slices.BinarySearchFunc(p.pieces, piece.Until, func(other Hold, until time.Duration) int { return int(other.Until - until) })
-	p.pieces = slices.Insert(p.pieces, at, piece)
+func (b *balance) add(lease Lease) {
+	index, _ := slices.BinarySearchFunc(b.leases, lease.ExpiresAt, func(other Lease, expiresAt time.Duration) int {
+		return int(other.ExpiresAt - expiresAt)
+	})
+	b.leases = slices.Insert(b.leases, index, lease)
 }
 
-// Want is an amount that is waited for.
-type Want struct {
-	Name   string
-	Amount float64
-	Named  *Named // where the resource names its limit itself, else nil
+// Demand is an amount that a caller is waiting for.
+type Demand struct {
+	Name       string
+	Amount     float64
+	Advertised *AdvertisedLimit // set if the resource advertises its own limit
 }
 
-// Ask returns the question for what is wanted, which is sent once. What lies idle and ends soon goes back with it.
-func (b *Borrower) Ask(now time.Duration, wants []Want) Question {
-	b.sequence++
-	asked := Question{Borrower: b.name, Sequence: b.sequence}
-	for _, want := range wants {
-		p := b.pocket(want.Name)
-		asked.Asks = append(asked.Asks, Ask{Name: want.Name, Amount: want.Amount, Ahead: p.ahead(want.Amount), Named: want.Named})
+// NewRequest returns a request for the given demands, to be sent once. It also returns unused leases that expire
+// soon.
+func (c *Client) NewRequest(now time.Duration, demands []Demand) Request {
+	c.sequence++
+	request := Request{Client: c.name, Sequence: c.sequence}
+	for _, demand := range demands {
+		b := c.balance(demand.Name)
+		request.Items = append(request.Items, RequestItem{
+			Name: demand.Name, Amount: demand.Amount, Prefetch: b.prefetch(demand.Amount), Advertised: demand.Advertised,
+		})
 	}
-	for name, p := range b.pockets {
-		if idle := p.idle(now); idle > 0 {
-			asked.Back = append(asked.Back, Grant{Name: name, Amount: idle})
+	for name, b := range c.balances {
+		if expiring := b.takeExpiring(now); expiring > 0 {
+			request.Returned = append(request.Returned, Grant{Name: name, Amount: expiring})
 		}
 	}
-	return asked
+	return request
 }
 
-// ahead returns how much more than an amount is worth asking for: so many more of the kind.
-func (p *pocket) ahead(amount float64) float64 {
-	needed := p.demand * Lease.Seconds()
-	if needed < aheadLeast*amount {
+// prefetch returns how much to request in addition to an amount, as a multiple of it.
+func (b *balance) prefetch(amount float64) float64 {
+	needed := b.demandRate * LeaseTTL.Seconds()
+	if needed < minPrefetchRatio*amount {
 		return 0
 	}
-	return amount * math.Floor(demandShare*needed/amount)
+	return amount * math.Floor(prefetchFraction*needed/amount)
 }
 
-// idle takes out what ends soon and nobody has taken.
-func (p *pocket) idle(now time.Duration) float64 {
-	p.expire(now)
+// takeExpiring removes the leases that expire soon and returns their sum.
+func (b *balance) takeExpiring(now time.Duration) float64 {
+	b.expire(now)
 	amount := 0.0
-	p.pieces = slices.DeleteFunc(p.pieces, func(piece Hold) bool {
-		ends := piece.Until < now+backAfter
-		if ends {
-			amount += piece.Amount
+	b.leases = slices.DeleteFunc(b.leases, func(lease Lease) bool {
+		expiring := lease.ExpiresAt < now+returnMargin
+		if expiring {
+			amount += lease.Amount
 		}
-		return ends
+		return expiring
 	})
 	return amount
 }
 
-// Result is what became of a want: a hold, or what the lender said instead.
+// Result is the outcome of a demand: a lease, or the reason why there is none.
 type Result struct {
-	Hold      Hold
-	Wait      time.Duration
-	Young     bool
-	Uncounted bool // the lender doesn't count resources that name their limits
+	Lease      Lease
+	RetryAfter time.Duration
+	WarmingUp  bool
+	Unenforced bool // the allocator does not enforce advertised limits
 }
 
-// Granted takes the answer to the newest question, which was asked at a time, and returns what became of each want. An
-// answer that comes twice, or from a lender before the newest one, gives nothing.
-func (b *Borrower) Granted(now, asked time.Duration, wants []Want, answer Answer) []Result {
-	results := make([]Result, len(wants))
-	if answer.Term < b.term || answer.Sequence != b.sequence || b.answered == b.sequence || len(answer.Grants) != len(wants) {
+// ApplyReply applies the reply to the newest request, which was made at requestedAt, and returns the outcome of each
+// demand. Duplicate replies and replies of earlier allocators yield nothing.
+func (c *Client) ApplyReply(now, requestedAt time.Duration, demands []Demand, reply Reply) []Result {
+	results := make([]Result, len(demands))
+	if reply.Term < c.term || reply.Sequence != c.sequence || c.repliedSequence == c.sequence || len(reply.Grants) != len(demands) {
 		return results
 	}
-	b.term, b.answered = answer.Term, answer.Sequence
-	b.touched = max(b.touched, asked)
-	for i, want := range wants {
-		granted := answer.Grants[i]
-		results[i].Wait, results[i].Young = granted.Wait, granted.Young
-		results[i].Uncounted = want.Named != nil && !granted.Counted
-		piece := Hold{Name: want.Name, Amount: granted.Amount, Until: asked + Lease}
-		if granted.Amount <= 0 || !piece.Valid(now) || results[i].Uncounted {
+	c.term, c.repliedSequence = reply.Term, reply.Sequence
+	c.lastContact = max(c.lastContact, requestedAt)
+	for i, demand := range demands {
+		grant := reply.Grants[i]
+		results[i].RetryAfter, results[i].WarmingUp = grant.RetryAfter, grant.WarmingUp
+		results[i].Unenforced = demand.Advertised != nil && !grant.Enforced
+		lease := Lease{Name: demand.Name, Amount: grant.Amount, ExpiresAt: requestedAt + LeaseTTL}
+		if grant.Amount <= 0 || !lease.Valid(now) || results[i].Unenforced {
 			continue
 		}
-		p := b.pocket(want.Name)
-		p.add(piece)
-		results[i].Hold, _ = p.take(now, want.Name, want.Amount)
+		b := c.balance(demand.Name)
+		b.add(lease)
+		results[i].Lease, _ = b.take(now, demand.Name, demand.Amount)
 	}
 	return results
 }
 
-// TakeOwn takes an amount from the own part, for a borrower that gets no answer: its equal part of the reserve, and of the
-// rate since it was last in touch.
-func (b *Borrower) TakeOwn(now time.Duration, name string, amount float64) (Hold, bool) {
-	return b.takePart(now, name, amount, now-b.touched)
+// TakeFallback takes an amount from the fallback share, for a client that gets no reply: its equal share of the
+// reserve, and of the rate since the last contact.
+func (c *Client) TakeFallback(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.takeShare(now, name, amount, now-c.lastContact)
 }
 
-// TakeReserve takes an amount from the equal part of the reserve, for a borrower whose lender has just begun with nothing.
-func (b *Borrower) TakeReserve(now time.Duration, name string, amount float64) (Hold, bool) {
-	return b.takePart(now, name, amount, 0)
+// TakeReserve takes an amount from the equal share of the reserve, for a client whose allocator is warming up.
+func (c *Client) TakeReserve(now time.Duration, name string, amount float64) (Lease, bool) {
+	return c.takeShare(now, name, amount, 0)
 }
 
-// takePart takes an amount from the own part of the reserve, and of what the rate brought in so long a silence.
-func (b *Borrower) takePart(now time.Duration, name string, amount float64, silence time.Duration) (Hold, bool) {
-	limit, limited := b.limit(name)
-	if !limited || now-b.touched > b.trust || b.touched == 0 {
-		return Hold{}, false
+// takeShare takes an amount from the client's share of the reserve and of the rate during a silence.
+func (c *Client) takeShare(now time.Duration, name string, amount float64, silence time.Duration) (Lease, bool) {
+	limit, limited := c.limit(name)
+	if !limited || now-c.lastContact > c.fallbackPeriod || c.lastContact == 0 {
+		return Lease{}, false
 	}
-	p := b.pocket(name)
-	p.makeGood(now, limit.reserve()/b.parts)
-	part := limit.reserve()/b.parts + limit.Rate/b.parts*silence.Seconds()
-	if p.used+amount > part {
-		return Hold{}, false
+	b := c.balance(name)
+	b.decayFallbackUse(now, limit.reserve()/c.clients)
+	share := limit.reserve()/c.clients + limit.Rate/c.clients*silence.Seconds()
+	if b.fallbackUsed+amount > share {
+		return Lease{}, false
 	}
-	p.used += amount
-	return Hold{Name: name, Amount: amount, Until: now + Lease, own: true}, true
+	b.fallbackUsed += amount
+	return Lease{Name: name, Amount: amount, ExpiresAt: now + LeaseTTL, fallback: true}, true
 }
 
-// ownMemory is how long use of the own part counts: the longest window that limits are judged in.
-const ownMemory = 10 * time.Second
+// fallbackRecoveryPeriod is how long a fully used reserve takes to recover: the longest window in which limits are
+// checked.
+const fallbackRecoveryPeriod = 10 * time.Second
 
-// makeGood lets what was used of the own part be forgotten, a whole reserve in ownMemory.
-func (p *pocket) makeGood(now time.Duration, reserve float64) {
-	passed := now - p.usedAt
-	p.usedAt = now
-	p.used = max(0, p.used-reserve*float64(passed)/float64(ownMemory))
+// decayFallbackUse reduces the recorded use by a whole reserve per fallbackRecoveryPeriod.
+func (b *balance) decayFallbackUse(now time.Duration, reserve float64) {
+	elapsed := now - b.fallbackUsedAt
+	b.fallbackUsedAt = now
+	b.fallbackUsed = max(0, b.fallbackUsed-reserve*float64(elapsed)/float64(fallbackRecoveryPeriod))
 }
--- a/internal/allowance/machine_test.go
+++ b/internal/allowance/machine_test.go
@@ -10,247 +10,248 @@
 )
 
 const (
-	testTrust  = 3 * time.Second
-	testWindow = 8 * time.Second
-	testSilent = time.Second
+	testFallbackPeriod = 3 * time.Second
+	testWindow         = 8 * time.Second
+	testSilenceTimeout = time.Second
 )
 
-// use is an amount that a borrower used at a time.
-type use struct {
+// usage is an amount used by a client.
+type usage struct {
 	at     time.Duration
 	amount float64
 }
 
-// letter is an answer on its way.
-type letter struct {
-	to     int
-	asked  time.Duration
-	due    time.Duration
-	wants  []Want
-	answer Answer
+// message is a reply in flight.
+type message struct {
+	to          int
+	requestedAt time.Duration
+	deliverAt   time.Duration
+	demands     []Demand
+	reply       Reply
 }
 
-// Shares of what goes wrong on a link, drawn for each run.
-type weather struct{ lost, repeated, late float64 }
+// faultRates are the probabilities of network faults.
+type faultRates struct{ loss, duplication, delay float64 }
 
-// fleet is a lender and borrowers over a network that loses, delays and repeats, beside an oracle that counts all use. All its
-// chances come from one seed.
+// fleet simulates an allocator and its clients over a network that loses, delays and duplicates messages, and records
+// all use. All randomness comes from one seed.
 type fleet struct {
-	chance    *rand.Rand
-	weather   weather
-	now       time.Duration
-	limit     Limit
-	largest   float64
-	lender    *Lender // nil while nobody leads
-	term      uint64
-	since     time.Duration
-	borrowers []*Borrower
-	heard     []time.Duration // when a lender last heard each
-	paused    []time.Duration // until when each stands still
-	cut       []time.Duration // until when each reaches no lender
-	held      [][]Hold        // taken and not used yet
-	letters   []letter
-	uses      []use
-	words     []word // what each borrower heard of the limit that the resource names; nil where the lender knows it
+	rng              *rand.Rand
+	faults           faultRates
+	now              time.Duration
+	limit            Limit
+	maxAmount        float64
+	allocator        *Allocator // nil while there is no leader
+	term             uint64
+	electedAt        time.Duration
+	clients          []*Client
+	lastContact      []time.Duration // when an allocator last heard from each client
+	pausedUntil      []time.Duration
+	partitionedUntil []time.Duration // until when each client cannot reach the allocator
+	leases           [][]Lease       // taken and not used yet
+	inFlight         []message
+	usages           []usage
+	advertised       []advertisement // the limit known to each client; nil if the limit is configured
 }
 
 const resource = "r"
 
-func newFleet(limit Limit, size int, seed uint64) *fleet {
+func newFleet(limit Limit, clients int, seed uint64) *fleet {
 	f := &fleet{
-		chance: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, heard: make([]time.Duration, size),
-		paused: make([]time.Duration, size), cut: make([]time.Duration, size), held: make([][]Hold, size), borrowers: make([]*Borrower, size),
+		rng: rand.New(rand.NewPCG(seed, seed)), now: time.Second, limit: limit, lastContact: make([]time.Duration, clients),
+		pausedUntil: make([]time.Duration, clients), partitionedUntil: make([]time.Duration, clients),
+		leases: make([][]Lease, clients), clients: make([]*Client, clients),
 	}
-	for i := range size {
-		f.start(i)
+	for i := range clients {
+		f.startClient(i)
 	}
 	f.elect()
 	return f
 }
 
-func (f *fleet) start(i int) {
-	f.borrowers[i], f.held[i] = NewBorrower(fmt.Sprint("b", i, f.now), testTrust), nil
-	if f.words == nil {
-		f.borrowers[i].Use(map[string]Limit{resource: f.limit})
+func (f *fleet) startClient(i int) {
+	f.clients[i], f.leases[i] = NewClient(fmt.Sprint("b", i, f.now), testFallbackPeriod), nil
+	if f.advertised == nil {
+		f.clients[i].SetLimits(map[string]Limit{resource: f.limit})
 	}
 }
 
 func (f *fleet) elect() {
 	f.term++
-	f.lender, f.since = NewLender(f.term), f.now
-	if f.words == nil {
-		f.lender.Use(f.now, map[string]Limit{resource: f.limit})
+	f.allocator, f.electedAt = NewAllocator(f.term), f.now
+	if f.advertised == nil {
+		f.allocator.SetLimits(f.now, map[string]Limit{resource: f.limit})
 	}
 	f.withhold()
 }
 
-// withhold keeps back the parts of borrowers that are silent and may still trust what they know.
+// withhold withholds the shares of silent clients that may still use their fallback shares.
 func (f *fleet) withhold() {
 	silent := 0
-	for _, at := range f.heard {
-		byThis := at >= f.since
-		if byThis && f.now-at > testSilent && f.now-at < testTrust || !byThis && f.now-f.since < testTrust {
+	for _, at := range f.lastContact {
+		currentTerm := at >= f.electedAt
+		if currentTerm && f.now-at > testSilenceTimeout && f.now-at < testFallbackPeriod || !currentTerm && f.now-f.electedAt < testFallbackPeriod {
 			silent++
 		}
 	}
-	f.lender.Withhold(f.now, float64(silent)/float64(len(f.heard)))
+	f.allocator.Withhold(f.now, float64(silent)/float64(len(f.lastContact)))
 }
 
-func (f *fleet) happens(share float64) bool { return f.chance.Float64() < share }
+func (f *fleet) draw(probability float64) bool { return f.rng.Float64() < probability }
 
-// want makes a borrower want an amount: what it holds, what the lender lends in a moment, or its own part.
-func (f *fleet) want(i int) {
-	b, amount := f.borrowers[i], f.largest*(0.1+0.9*f.chance.Float64())
-	wants := []Want{{Name: resource, Amount: amount}}
-	if f.words != nil {
-		named := f.words[i].told(f.now)
-		wants[0].Amount, wants[0].Named = 1, &named
+// request makes a client acquire an amount from its leases, from the allocator or from its fallback share.
+func (f *fleet) request(i int) {
+	c, amount := f.clients[i], f.maxAmount*(0.1+0.9*f.rng.Float64())
+	demands := []Demand{{Name: resource, Amount: amount}}
+	if f.advertised != nil {
+		limit := f.advertised[i].limit(f.now)
+		demands[0].Amount, demands[0].Advertised = 1, &limit
 		amount = 1
-		b.Name(f.now, resource, named)
+		c.SetAdvertisedLimit(f.now, resource, limit)
 	}
-	if hold, ok := b.Take(f.now, resource, amount); ok {
-		f.held[i] = append(f.held[i], hold)
+	if lease, ok := c.Take(f.now, resource, amount); ok {
+		f.leases[i] = append(f.leases[i], lease)
 		return
 	}
-	question := b.Ask(f.now, wants)
-	if f.lender == nil || f.now < f.cut[i] || f.happens(f.weather.lost) {
-		if hold, ok := b.TakeOwn(f.now, resource, amount); ok {
-			f.held[i] = append(f.held[i], hold)
+	request := c.NewRequest(f.now, demands)
+	if f.allocator == nil || f.now < f.partitionedUntil[i] || f.draw(f.faults.loss) {
+		if lease, ok := c.TakeFallback(f.now, resource, amount); ok {
+			f.leases[i] = append(f.leases[i], lease)
 		}
 		return
 	}
-	f.heard[i] = f.now
-	answer := f.lender.Take(f.now, question)
-	if f.happens(f.weather.repeated) {
-		f.lender.Take(f.now, question)
+	f.lastContact[i] = f.now
+	reply := f.allocator.Allocate(f.now, request)
+	if f.draw(f.faults.duplication) {
+		f.allocator.Allocate(f.now, request)
 	}
-	sent := letter{to: i, asked: f.now, due: f.now + time.Millisecond, wants: wants, answer: answer}
-	if f.happens(f.weather.late) {
-		sent.due += time.Duration(f.chance.Int64N(int64(time.Second)))
+	m := message{to: i, requestedAt: f.now, deliverAt: f.now + time.Millisecond, demands: demands, reply: reply}
+	if f.draw(f.faults.delay) {
+		m.deliverAt += time.Duration(f.rng.Int64N(int64(time.Second)))
 	}
-	if !f.happens(f.weather.lost) {
-		f.letters = append(f.letters, sent)
+	if !f.draw(f.faults.loss) {
+		f.inFlight = append(f.inFlight, m)
 	}
-	if f.happens(f.weather.repeated) {
-		f.letters = append(f.letters, sent)
+	if f.draw(f.faults.duplication) {
+		f.inFlight = append(f.inFlight, m)
 	}
 }
 
-// deliver brings the letters that are due to those that run.
+// deliver applies the replies that are due at clients that are not paused.
 func (f *fleet) deliver() {
-	var later []letter
-	for _, l := range f.letters {
-		if f.now < l.due || f.now < f.paused[l.to] {
-			later = append(later, l)
+	var undelivered []message
+	for _, m := range f.inFlight {
+		if f.now < m.deliverAt || f.now < f.pausedUntil[m.to] {
+			undelivered = append(undelivered, m)
 			continue
 		}
-		b := f.borrowers[l.to]
-		got := b.Granted(f.now, l.asked, l.wants, l.answer)
-		b.Touch(l.asked, len(f.borrowers))
-		for _, result := range got {
-			if result.Young && result.Hold.Amount == 0 {
-				result.Hold, _ = b.TakeReserve(f.now, resource, l.wants[0].Amount)
+		c := f.clients[m.to]
+		results := c.ApplyReply(f.now, m.requestedAt, m.demands, m.reply)
+		c.RecordContact(m.requestedAt, len(f.clients))
+		for _, result := range results {
+			if result.WarmingUp && result.Lease.Amount == 0 {
+				result.Lease, _ = c.TakeReserve(f.now, resource, m.demands[0].Amount)
 			}
-			if result.Hold.Amount > 0 {
-				f.held[l.to] = append(f.held[l.to], result.Hold)
+			if result.Lease.Amount > 0 {
+				f.leases[m.to] = append(f.leases[m.to], result.Lease)
 			}
 		}
 	}
-	f.letters = later
+	f.inFlight = undelivered
 }
 
-// spend uses what a borrower took, or gives it back to the pocket; the borrower looks at its clock first.
-func (f *fleet) spend(i int) {
-	for _, hold := range f.held[i] {
+// use spends the leases that a client took and that are still valid, or releases them.
+func (f *fleet) use(i int) {
+	for _, lease := range f.leases[i] {
 		switch {
-		case f.happens(0.05):
-			f.borrowers[i].Put(f.now, hold)
-		case hold.Valid(f.now):
-			f.uses = append(f.uses, use{at: f.now, amount: hold.Amount})
+		case f.draw(0.05):
+			f.clients[i].Release(f.now, lease)
+		case lease.Valid(f.now):
+			f.usages = append(f.usages, usage{at: f.now, amount: lease.Amount})
 		}
 	}
-	f.held[i] = nil
+	f.leases[i] = nil
 }
 
-// step lets ten milliseconds pass, in which every borrower that runs wants something as often as given.
-func (f *fleet) step(eagerness float64) {
+// step advances the time by 10 ms; each running client requests an amount with the given probability.
+func (f *fleet) step(demandProbability float64) {
 	f.now += 10 * time.Millisecond
-	if f.lender != nil {
+	if f.allocator != nil {
 		f.withhold()
 	}
 	f.deliver()
-	for i := range f.borrowers {
-		if f.now < f.paused[i] {
+	for i := range f.clients {
+		if f.now < f.pausedUntil[i] {
 			continue
 		}
-		f.spend(i)
-		if f.happens(eagerness) {
-			f.want(i)
+		f.use(i)
+		if f.draw(demandProbability) {
+			f.request(i)
 		}
 	}
 }
 
-// trouble makes one thing go wrong.
-func (f *fleet) trouble(kind string, length time.Duration, share float64) {
-	for i := range f.borrowers {
-		if !f.happens(share) {
+// inject injects a fault.
+func (f *fleet) inject(kind string, duration time.Duration, fraction float64) {
+	for i := range f.clients {
+		if !f.draw(fraction) {
 			continue
 		}
 		switch kind {
 		case "pause":
-			f.paused[i] = f.now + length
+			f.pausedUntil[i] = f.now + duration
 		case "cut":
-			f.cut[i] = f.now + length
+			f.partitionedUntil[i] = f.now + duration
 		case "restart":
-			f.start(i)
+			f.startClient(i)
 		}
 	}
 	switch kind {
 	case "fall":
-		f.lender = nil
+		f.allocator = nil
 	case "elect":
 		f.elect()
 	}
 }
 
-// worst returns the most that was used in any window.
-func (f *fleet) worst() float64 {
-	most, sum, first := 0.0, 0.0, 0
-	for _, u := range f.uses {
-		for sum += u.amount; f.uses[first].at < u.at-testWindow; first++ {
-			sum -= f.uses[first].amount
+// maxWindowUsage returns the largest amount used in any window.
+func (f *fleet) maxWindowUsage() float64 {
+	maxUsed, sum, first := 0.0, 0.0, 0
+	for _, u := range f.usages {
+		for sum += u.amount; f.usages[first].at < u.at-testWindow; first++ {
+			sum -= f.usages[first].amount
 		}
-		most = max(most, sum)
+		maxUsed = max(maxUsed, sum)
 	}
-	return most
+	return maxUsed
 }
 
-// TestWindowsStayWithinTheLimit: whatever is lost, late, repeated, paused, cut off or led anew, all borrowers together use no
-// more in any window than the limit allows, however much is wanted.
-func TestWindowsStayWithinTheLimit(t *testing.T) {
+// Whatever is lost, delayed, duplicated, paused, partitioned or newly elected, all clients together stay within the
+// limit in every window.
+func TestUseInAnyWindowStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := 1000.0
 		limit := Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 2).Draw(t, "burst")}
-		limit.Room = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
+		limit.Slack = 0.1*(rate*testWindow.Seconds()+limit.Burst) + rate*rapid.Float64Range(0, 0.3).Draw(t, "slack")
 		f := newFleet(limit, rapid.IntRange(1, 12).Draw(t, "borrowers"), rapid.Uint64().Draw(t, "seed"))
-		f.largest = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
-		f.weather = weather{
-			lost: rapid.Float64Range(0, 0.2).Draw(t, "lost"), repeated: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
-			late: rapid.Float64Range(0, 0.2).Draw(t, "late"),
+		f.maxAmount = rate * rapid.Float64Range(0.001, 0.2).Draw(t, "largest")
+		f.faults = faultRates{
+			loss: rapid.Float64Range(0, 0.2).Draw(t, "lost"), duplication: rapid.Float64Range(0, 0.2).Draw(t, "repeated"),
+			delay: rapid.Float64Range(0, 0.2).Draw(t, "late"),
 		}
-		eagerness := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
+		demandProbability := rapid.Float64Range(0.05, 1).Draw(t, "eagerness")
 		for range rapid.IntRange(1, 8).Draw(t, "troubles") {
 			for range rapid.IntRange(1, 400).Draw(t, "steps") {
-				f.step(eagerness)
+				f.step(demandProbability)
 			}
 			kind := rapid.SampledFrom([]string{"pause", "cut", "restart", "fall", "elect"}).Draw(t, "kind")
-			f.trouble(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
+			f.inject(kind, time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond, rapid.Float64Range(0, 0.34).Draw(t, "share"))
 		}
 		for range 300 {
-			f.step(eagerness)
+			f.step(demandProbability)
 		}
-		if used, allowed := f.worst(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Room; used > allowed*1.000001 {
-			t.Fatalf("%.0f used in a window, %.0f allowed", used, allowed)
+		if used, allowed := f.maxWindowUsage(), limit.Rate*testWindow.Seconds()+limit.Burst+limit.Slack; used > allowed*1.000001 {
+			t.Fatalf("used %.0f in a window, %.0f allowed", used, allowed)
 		}
 	})
 }
--- a/internal/catalog/leaving.go
+++ b/internal/catalog/leaving.go
@@ -2,46 +2,47 @@
 
 import "slices"
 
-// forget drops an instance that fell silent. It is remembered for the word that it may still leave, by its name alone.
-func (m *Machine) forget(id string) {
-	if _, known := m.instances[id]; known && LifeOf(id).Born > 0 {
-		m.forgotten = append(m.forgotten, id)
-		m.forgotten = slices.Delete(m.forgotten, 0, max(0, len(m.forgotten)-tombstonesKept))
+// expire deletes an instance whose heartbeats stopped. Its id is kept so that a later deregistration by name still
+// resolves to it.
+func (m *Machine) expire(id string) {
+	if _, known := m.instances[id]; known && ParseInstanceID(id).StartedMS > 0 {
+		m.expiredIDs = append(m.expiredIDs, id)
+		m.expiredIDs = slices.Delete(m.expiredIDs, 0, max(0, len(m.expiredIDs)-maxDepartedIDs))
 	}
-	m.drop(id)
+	m.delete(id)
 }
 
-// Meant returns the id of the life that the id of one that leaves means: without a start it means the life that is registered, or that was last
-// forgotten.
-func (m *Machine) Meant(id string) string {
-	life := LifeOf(id)
-	if _, known := m.instances[id]; known || life.Born > 0 {
+// ResolveInstanceID returns the instance id that a deregistration refers to. An id without a start time refers to the
+// registered incarnation of that name or, if there is none, to the one that expired last.
+func (m *Machine) ResolveInstanceID(id string) string {
+	incarnation := ParseInstanceID(id)
+	if _, known := m.instances[id]; known || incarnation.StartedMS > 0 {
 		return id
 	}
-	if standing, tells := m.lives.standing(life.Name); tells {
-		return standing
+	if registeredID, found := m.incarnations.currentID(incarnation.Name); found {
+		return registeredID
 	}
-	for _, last := range slices.Backward(m.forgotten) {
-		if LifeOf(last).Name == life.Name {
-			return last
+	for _, expiredID := range slices.Backward(m.expiredIDs) {
+		if ParseInstanceID(expiredID).Name == incarnation.Name {
+			return expiredID
 		}
 	}
 	return id
 }
 
-// remove ends an instance for good.
-func (m *Machine) remove(id string) {
-	id = m.Meant(id)
-	m.drop(id)
-	if m.ended[id] {
+// deregister deletes an instance that announced that it leaves, and rejects later registrations of it.
+func (m *Machine) deregister(id string) {
+	id = m.ResolveInstanceID(id)
+	m.delete(id)
+	if m.departed[id] {
 		return
 	}
-	m.ended[id] = true
-	m.lives.end(id)
-	m.tombstones = append(m.tombstones, id)
-	if len(m.tombstones) > tombstonesKept {
-		delete(m.ended, m.tombstones[0])
-		m.lives.forget(m.tombstones[0])
-		m.tombstones = slices.Delete(m.tombstones, 0, 1)
+	m.departed[id] = true
+	m.incarnations.recordDeparted(id)
+	m.departedIDs = append(m.departedIDs, id)
+	if len(m.departedIDs) > maxDepartedIDs {
+		delete(m.departed, m.departedIDs[0])
+		m.incarnations.forgetDeparted(m.departedIDs[0])
+		m.departedIDs = slices.Delete(m.departedIDs, 0, 1)
 	}
 }
--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -8,31 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestLifeAndIDAgree: an id leads back to its life, whatever the back end's name is, and no two lives share one.
-func TestLifeAndIDAgree(t *testing.T) {
+// TestInstanceIDRoundTrip checks that ids are unique and parse back to their incarnation, whatever the backend's name
+// is.
+func TestInstanceIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) Life {
-			return Life{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), Born: rapid.Int64Range(0, 3).Draw(t, label+" born")}
+		draw := func(label string) Incarnation {
+			return Incarnation{Name: rapid.StringMatching(`[a-z@0-9-]{1,6}`).Draw(t, label), StartedMS: rapid.Int64Range(0, 3).Draw(t, label+" born")}
 		}
 		first, second := draw("first"), draw("second")
-		if got := LifeOf(first.ID()); got != first {
-			t.Fatalf("%+v has the id %q, which names %+v", first, first.ID(), got)
+		if got := ParseInstanceID(first.ID()); got != first {
+			t.Fatalf("id of %+v is %q, which parses as %+v", first, first.ID(), got)
 		}
 		if first != second && first.ID() == second.ID() {
-			t.Fatalf("%+v and %+v have the id %q", first, second, first.ID())
+			t.Fatalf("%+v and %+v have the same id %q", first, second, first.ID())
 		}
 	})
 }
 
-// TestSnapshotTellsWhichLivesLeft: a replica that was sent a snapshot takes the same lives as the one that wrote it, also where an earlier life
-// said after a later one that it left, and the later one is remembered no more.
-func TestSnapshotTellsWhichLivesLeft(t *testing.T) {
+// TestSnapshotPreservesDepartedIncarnations checks that a restored replica accepts the same incarnations, also if an
+// earlier incarnation deregistered after a later one that is no longer remembered.
+func TestSnapshotPreservesDepartedIncarnations(t *testing.T) {
 	m := NewMachine()
-	leave := func(id string) { m.Apply(Command{Remove: id}) }
-	leave(Life{Name: "e", Born: 9}.ID())
-	leave(Life{Name: "e", Born: 5}.ID())
-	for i := range tombstonesKept - 1 {
-		leave(Life{Name: strconv.Itoa(i), Born: 1}.ID())
+	deregister := func(id string) { m.Apply(Command{Deregister: id}) }
+	deregister(Incarnation{Name: "e", StartedMS: 9}.ID())
+	deregister(Incarnation{Name: "e", StartedMS: 5}.ID())
+	for i := range maxDepartedIDs - 1 {
+		deregister(Incarnation{Name: strconv.Itoa(i), StartedMS: 1}.ID())
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -43,31 +44,31 @@
 		t.Fatal(err)
 	}
 	for born := int64(1); born < 12; born++ {
-		instance := Instance{ID: Life{Name: "e", Born: born}.ID(), Service: "s", Address: "a"}
-		if m.Takes(instance) != restored.Takes(instance) {
-			t.Errorf("a life that began at %d: taken %t, from the snapshot %t", born, m.Takes(instance), restored.Takes(instance))
+		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
+		if m.Accepts(instance) != restored.Accepts(instance) {
+			t.Errorf("incarnation started at %d: accepted %t, after restoring the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
 		}
 	}
 }
 
-// TestLeaveByNameEndsAForgottenLife: a back end that was silent for so long that it is registered no more may still say that it leaves, by its name
-// alone. A heartbeat that it sent before, and that comes later, doesn't bring it back; its next life is taken.
-func TestLeaveByNameEndsAForgottenLife(t *testing.T) {
+// TestDeregisterByNameMatchesExpiredIncarnation checks that an expired instance can still deregister by name: delayed
+// heartbeats of it are rejected then, and its next incarnation is accepted.
+func TestDeregisterByNameMatchesExpiredIncarnation(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		m := NewMachine()
-		held := Instance{ID: Life{Name: "e", Born: 5}.ID(), Service: "s", Address: "a"}
-		next := Instance{ID: Life{Name: "e", Born: 6}.ID(), Service: "s", Address: "a"}
-		m.Apply(Command{Register: &held})
-		m.Apply(Command{Forget: held.ID})
-		if !m.Takes(held) {
-			t.Fatal("one that was silent can't register again")
+		current := Instance{ID: Incarnation{Name: "e", StartedMS: 5}.ID(), Service: "s", Address: "a"}
+		next := Instance{ID: Incarnation{Name: "e", StartedMS: 6}.ID(), Service: "s", Address: "a"}
+		m.Apply(Command{Register: &current})
+		m.Apply(Command{Expire: current.ID})
+		if !m.Accepts(current) {
+			t.Fatal("expired instance can't register again")
 		}
 		if data, err := json.Marshal(m); restored && (err != nil || json.Unmarshal(data, m) != nil) {
-			t.Fatal("no snapshot")
+			t.Fatal("failed to restore a snapshot")
 		}
-		m.Apply(Command{Remove: "e"})
-		if m.Takes(held) || !m.Takes(next) {
-			t.Fatalf("restored %t: the life that left is taken: %t, its next one: %t", restored, m.Takes(held), m.Takes(next))
+		m.Apply(Command{Deregister: "e"})
+		if m.Accepts(current) || !m.Accepts(next) {
+			t.Fatalf("restored %t: departed incarnation accepted: %t, next incarnation accepted: %t", restored, m.Accepts(current), m.Accepts(next))
 		}
 	}
 }
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -9,7 +9,7 @@
 
 // inUse reports whether gateways are told of a back end.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).weight <= r.machine.catalog.Bound(instance.Service)
+	return r.member(now, instance.ID).weight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
 // boundsPeriod is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
@@ -18,16 +18,16 @@
 // tendInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
 // the same.
 func (r *Replica) tendInUse(now time.Duration) {
-	if now < r.lead.boundsAt+boundsPeriod {
+	if now < r.leader.boundsCheckedAt+boundsPeriod {
 		return
 	}
-	r.lead.boundsAt = now
+	r.leader.boundsCheckedAt = now
 	used := r.totalUsage(now)
 	services := map[string]*serviceWork{}
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
 		if work == nil {
-			work = &serviceWork{bound: r.machine.catalog.Bound(instance.Service)}
+			work = &serviceWork{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
 			services[instance.Service] = work
 		}
 		work.running += used[id]
@@ -35,18 +35,18 @@
 	}
 	bounds := map[string]uint64{}
 	for service, work := range services {
-		size := r.lead.sizes[service]
-		if !r.machine.catalog.Bounded(service) {
+		size := r.leader.inUseSizes[service]
+		if !r.machine.catalog.HasMaxHashWeight(service) {
 			work.under = 0
 		}
 		wanted := size.Note(now, work.running, work.under)
-		r.lead.sizes[service] = size
+		r.leader.inUseSizes[service] = size
 		if bound := inuse.Bound(work.bound, work.able, work.unable, wanted); bound != work.bound {
 			bounds[service] = bound
 		}
 	}
 	if len(bounds) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Bounds: bounds}})
+		r.propose(now, 0, Command{Catalog: &catalog.Command{MaxHashWeights: bounds}})
 	}
 }
 
@@ -80,8 +80,8 @@
 			continue
 		}
 		weight := r.member(now, id).weight
-		if weight <= was != (weight <= r.machine.catalog.Bound(instance.Service)) {
-			r.lead.changed[id] = true
+		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
+			r.leader.rosterPending[id] = true
 		}
 	}
 }
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -24,7 +24,7 @@
 }
 
 // joinEngines registers so many engines of one service and lets it be decided which are in use.
-func joinEngines(s *solo, count int) {
+func joinEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
 		var batch []Beat
 		for i := first; i < min(first+500, count); i++ {
@@ -34,7 +34,7 @@
 		}
 		s.ask(Request{Beats: batch})
 	}
-	s.pass(500 * time.Millisecond)
+	s.advance(500 * time.Millisecond)
 }
 
 // TestRosterFollowsTheWorkAndNotTheFleet: what a gateway is told at first is the same for twice the engines at one load, in entries and
@@ -56,10 +56,10 @@
 // TestNextLeaderNamesTheSameEngines: from the log, before anybody tells it of any work.
 func TestNextLeaderNamesTheSameEngines(t *testing.T) {
 	folder := t.TempDir()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	joinEngines(s, 1500)
-	ids := func(s *solo) map[string]bool {
+	ids := func(s *singleReplica) map[string]bool {
 		named := map[string]bool{}
 		for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 			named[e.ID] = true
@@ -68,7 +68,7 @@
 	}
 	before := ids(s)
 	_ = s.disk.Close()
-	s = openSolo(t, folder)
+	s = openSingleReplica(t, folder)
 	after := ids(s)
 	for id := range before {
 		if !after[id] {
@@ -91,7 +91,7 @@
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
 	s.ask(Request{Beats: leaving})
-	s.pass(2 * boundsPeriod)
+	s.advance(2 * boundsPeriod)
 	ready := 0
 	for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 		if e.State == catalog.StateReady {
@@ -112,7 +112,7 @@
 		for i := range count {
 			before := s.replica.Node().LastIndex()
 			s.replica.Handle(s.now, 0, Request{Watch: &Watch{Gateway: fmt.Sprintf("gateway-%04d", i), Revision: 1}})
-			s.pass(50 * time.Millisecond)
+			s.advance(50 * time.Millisecond)
 			for _, entry := range s.replica.node.EntriesAfter(before) {
 				bytes += len(entry.Data)
 			}
@@ -130,19 +130,19 @@
 // TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
 func TestRelayedGatewaysCount(t *testing.T) {
 	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust, config.RelayAbove = 3*time.Second, 0 })
+	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Answer {
 		return s.ask(Request{Relay: &relay.Question{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Held: held}}}}).Relayed
 	}
 	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
 		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
 	}
-	s.pass(layoutEach)
+	s.advance(layoutInterval)
 	answer := asked(RosterVersion{})
 	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
 	}
-	s.ask(Request{Catalog: &catalog.Command{Version: &catalog.NamedWeight{Model: "m", Version: 2}}})
+	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	asked(answer.Version)
 	s.beats("i-1", "i-2")
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -12,114 +12,117 @@
 	"kitetiller/internal/mechanism"
 )
 
-// Mesh is whom one gateway tells of sends.
+// Mesh lists the other gateways that a gateway notifies of the requests it sends.
 type Mesh = mesh.Mesh
 
 const (
-	// layoutEach is how often gateways are laid out anew.
-	layoutEach = 250 * time.Millisecond
-	// nearFor is how long after its last question a replica counts as one that answers gateways.
-	nearFor = 900 * time.Millisecond
+	// layoutInterval is the minimum time between two layouts.
+	layoutInterval = 250 * time.Millisecond
+	// relayReplicaTTL is how long after its last relay request a follower counts as answering gateways.
+	relayReplicaTTL = 900 * time.Millisecond
 )
 
-// nearReplica is a replica that answers the gateways of its zone.
-type nearReplica struct {
+// relayReplica is a follower that answers the gateways of its zone.
+type relayReplica struct {
 	zone    string
 	address string
-	at      time.Duration // of its newest question
+	at      time.Duration // time of its last relay request
 }
 
-// layout returns the newest layout of the gateways that asked lately.
+// layout returns the layout of the recently seen gateways, replanned at most once per layoutInterval.
 func (r *Replica) layout(now time.Duration) *relay.Layout {
-	lead := r.lead
-	if lead.laidOut != nil && now < lead.laidOutAt+layoutEach {
-		return lead.laidOut
+	state := r.leader
+	if state.lastLayout != nil && now < state.lastLayoutAt+layoutInterval {
+		return state.lastLayout
 	}
-	lead.laidOutAt = now
+	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
-	for name, report := range lead.usage {
+	for name, report := range state.usage {
 		if report.address != "" && now-report.at <= usageCounts {
 			gateways = append(gateways, mesh.Gateway{Place: mesh.Place{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	lead.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
-	lead.planner.Plan(now, gateways)
-	made, count := lead.planner.Layout()
-	near := r.nearReplicas(now)
-	if lead.laidOut == nil || lead.plannedCount != count || !reflect.DeepEqual(near, lead.laidOut.Near) {
-		lead.plannedCount, lead.layoutCount, lead.reads = count, lead.layoutCount+1, nil
-		told := *made
-		lead.laidOut = &relay.Layout{Version: RosterVersion{Term: lead.term, Count: lead.layoutCount}, Mesh: &told, Near: near}
+	state.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
+	state.planner.Plan(now, gateways)
+	planned, count := state.planner.Layout()
+	addresses := r.relayReplicaAddresses(now)
+	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
+		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
+		meshCopy := *planned
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, Near: addresses}
 	}
-	return lead.laidOut
+	return state.lastLayout
 }
 
-// nearReplicas returns the replicas that answer gateways, by zone; none while the leader answers all by itself.
-func (r *Replica) nearReplicas(now time.Duration) map[string][]string {
-	if !r.manyGateways() {
+// relayReplicaAddresses returns the addresses of the replicas that answer gateways, by zone, or nil while the leader
+// answers all gateways itself.
+func (r *Replica) relayReplicaAddresses(now time.Duration) map[string][]string {
+	if !r.needsRelays() {
 		return nil
 	}
-	near := map[string][]string{}
-	for _, replica := range r.lead.replicas {
-		if now-replica.at <= nearFor {
-			near[replica.zone] = append(near[replica.zone], replica.address)
+	addressesByZone := map[string][]string{}
+	for _, replica := range r.leader.relayReplicas {
+		if now-replica.at <= relayReplicaTTL {
+			addressesByZone[replica.zone] = append(addressesByZone[replica.zone], replica.address)
 		}
 	}
-	near[r.config.Zone] = append(near[r.config.Zone], r.config.Address)
-	for _, addresses := range near {
+	addressesByZone[r.config.Zone] = append(addressesByZone[r.config.Zone], r.config.Address)
+	for _, addresses := range addressesByZone {
 		slices.Sort(addresses)
 	}
-	return near
+	return addressesByZone
 }
 
-// manyGateways reports whether there are more gateways than the leader answers by itself.
-func (r *Replica) manyGateways() bool { return len(r.machine.catalog.Gateways()) > r.config.RelayAbove }
+// needsRelays reports whether followers answer gateways, since there are too many for the leader.
+func (r *Replica) needsRelays() bool {
+	return len(r.machine.catalog.Gateways()) > r.config.MaxDirectGateways
+}
 
-// readsOf returns the engines whose cache events a gateway reads.
-func (r *Replica) readsOf(now time.Duration, gateway string) []string {
-	lead := r.lead
+// cacheEventSourcesOf returns the engines whose cache events a gateway reads on behalf of all.
+func (r *Replica) cacheEventSourcesOf(now time.Duration, gateway string) []string {
+	state := r.leader
 	layout := r.layout(now)
 	r.refreshRoster(now)
-	if lead.reads == nil || lead.readsCount != lead.roster.Count() {
-		lead.reads, lead.readsCount = relay.Readers(layout.Mesh, &lead.roster), lead.roster.Count()
+	if state.cacheEventSources == nil || state.cacheEventSourcesCount != state.roster.Count() {
+		state.cacheEventSources, state.cacheEventSourcesCount = relay.Readers(layout.Mesh, &state.roster), state.roster.Count()
 	}
-	return lead.reads[gateway]
+	return state.cacheEventSources[gateway]
 }
 
-// takeRelay answers a replica that asks for the gateways that ask it. Each of them counts as if it had asked here now, which is later
-// than it did.
-func (r *Replica) takeRelay(now time.Duration, client uint64, asked relay.Question) {
-	r.lead.replicas[asked.Name] = nearReplica{zone: asked.Zone, address: asked.Address, at: now}
+// handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
+// was.
+func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
+	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
-	for _, report := range asked.Reports {
-		if r.config.Guards.On(guard.RelayReported) && !r.noteReport(now, report) {
+	for _, report := range question.Reports {
+		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
 			unlisted = append(unlisted, report.Gateway)
 		}
 	}
 	if len(unlisted) > 0 {
-		r.lead.unlisted = true
+		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
-	answer := &relay.Answer{Number: asked.Number, Applied: r.applied, Version: r.lead.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
-	if asked.Roster != answer.Version {
-		answer.Roster = r.rosterNews(now, asked.Roster)
+	answer := &relay.Answer{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
+	if question.Roster != answer.Version {
+		answer.Roster = r.rosterNews(now, question.Roster)
 	}
-	if layout := r.layout(now); asked.Layout != layout.Version {
+	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
 	}
 	_, answer.Gateways = r.gatewaysThatTrust(now)
 	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
 }
 
-// noteReport notes what a gateway's question tells of it, and reports whether its view may be confirmed: not until the log holds
-// it, since the next leader wouldn't wait for it.
-func (r *Replica) noteReport(now time.Duration, report relay.Report) bool {
+// recordReport records a gateway's report and returns whether its view may be confirmed. That requires the gateway to be
+// in the log, since the next leader would not wait for it otherwise.
+func (r *Replica) recordReport(now time.Duration, report relay.Report) bool {
 	if report.Closing {
-		delete(r.lead.usage, report.Gateway)
-		r.lead.laidOutAt = now - layoutEach // others are told of it no longer
+		delete(r.leader.usage, report.Gateway)
+		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
-	r.lead.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
-	return r.machine.catalog.Listed(report.Gateway)
+	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
+	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -10,7 +10,7 @@
 )
 
 // openLimited is openFleet with a tenant of 100 units a second and a burst of 50.
-func openLimited(t *testing.T) *solo {
+func openLimited(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -18,15 +18,15 @@
 	return s
 }
 
-func (s *solo) limit(revision uint64, rate float64) {
+func (s *singleReplica) limit(revision uint64, rate float64) {
 	tenant := catalog.Tenant{Name: "north", Quota: catalog.Quota{Rate: rate, Burst: rate / 2}}
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: revision, Tenants: []catalog.Tenant{tenant}}}})
 }
 
 // borrow asks for an amount as a gateway does, and returns what was lent.
-func (s *solo) borrow(gateway string, amount float64) float64 {
+func (s *singleReplica) borrow(gateway string, amount float64) float64 {
 	s.t.Helper()
-	asked := allowance.Question{Borrower: gateway, Sequence: uint64(s.now), Asks: []allowance.Ask{{Name: quota.Tenant("north"), Amount: amount}}}
+	asked := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
 	response := s.ask(Request{Borrow: &asked})
 	if response.Lent == nil {
 		s.t.Fatalf("%+v", response)
@@ -40,7 +40,7 @@
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit that has just come", lent)
 	}
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	if lent := s.borrow("g1", 40); lent != 40 {
 		t.Fatalf("%v lent", lent)
 	}
@@ -48,13 +48,13 @@
 		t.Fatalf("%v lent beyond the burst", lent)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if lent := next.borrow("g3", 45); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
-	next.pass(time.Second)
+	next.advance(time.Second)
 	if lent := next.borrow("g3", 45); lent != 45 {
 		t.Fatalf("%v lent by the next leader", lent)
 	}
@@ -63,7 +63,7 @@
 // TestLoweredLimitBindsTheLeaderAtOnce.
 func TestLoweredLimitBindsTheLeaderAtOnce(t *testing.T) {
 	s := openLimited(t)
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	s.limit(3, 10)
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit of 10 a second", lent)
@@ -82,7 +82,7 @@
 	heard := func(length time.Duration) float64 {
 		for end := s.now + length; s.now < end; {
 			version = s.watchNow("g1", version).Version
-			s.pass(200 * time.Millisecond)
+			s.advance(200 * time.Millisecond)
 		}
 		return s.replica.partOutOfTouch(s.now)
 	}
@@ -99,12 +99,12 @@
 // TestStatusShowsLimits: the leader tells what is limited, lent and refused.
 func TestStatusShowsLimits(t *testing.T) {
 	s := openLimited(t)
-	s.pass(10 * time.Second)
+	s.advance(10 * time.Second)
 	s.borrow("g1", 40)
-	s.pass(50 * time.Millisecond)
+	s.advance(50 * time.Millisecond)
 	s.borrow("g1", 40)
 	limits := s.ask(Request{Status: &StatusRequest{}}).Status.Limits
-	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Lent != 40 || limits[0].Refused != 40 || !limits[0].Over {
+	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Granted != 40 || limits[0].Refused != 40 || !limits[0].OverLimit {
 		t.Fatalf("%+v", limits)
 	}
 }
@@ -116,25 +116,25 @@
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
 		s.watchNow(gateway, RosterVersion{})
 	}
-	s.pass(gatewaysPeriod + 200*time.Millisecond)
+	s.advance(gatewaysPeriod + 200*time.Millisecond)
 	if n := s.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("%d gateways before", n)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if n := next.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("the first gateway that asks the next leader is told of %d", n)
 	}
 }
 
 // borrowNamed asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
-func (s *solo) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
+func (s *singleReplica) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
-	ask := allowance.Ask{Name: quota.BackEnd("i-1"), Amount: 1, Named: &allowance.Named{Rate: rate, Age: age}}
-	response := s.ask(Request{Borrow: &allowance.Question{Borrower: gateway, Sequence: uint64(s.now), Asks: []allowance.Ask{ask}}})
-	if response.Lent == nil || !response.Lent.Grants[0].Counted {
+	ask := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
+	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{ask}}})
+	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
 	return response.Lent.Grants[0].Amount
@@ -144,10 +144,10 @@
 // from nothing again; status shows it.
 func TestLeaderLendsPartsOfNamedLimits(t *testing.T) {
 	s := openLimited(t)
-	ask := func(s *solo, length time.Duration) (lent float64) {
+	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
 			lent += s.borrowNamed([]string{"g1", "g2", "g3"}[i%3], 4, 0)
-			s.pass(20 * time.Millisecond)
+			s.advance(20 * time.Millisecond)
 		}
 		return lent
 	}
@@ -165,16 +165,16 @@
 		t.Fatalf("%+v", told)
 	}
 	_ = s.disk.Close()
-	next := openStartingIn(t, s.folder)
+	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	next.pass(400 * time.Millisecond)
+	next.advance(400 * time.Millisecond)
 	if lent := ask(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
 	if lent := ask(next, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s by the next leader", lent)
 	}
-	next.pass(20 * time.Second)
+	next.advance(20 * time.Second)
 	next.borrow("g1", 1)
 	if told := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(told) != 0 {
 		t.Fatalf("nobody asks for it any more: %+v", told)
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -31,7 +31,7 @@
 	count := loadCount{}
 	engines := 0
 	for id := range r.machine.catalog.Instances() {
-		state := r.lead.fleet[id]
+		state := r.leader.fleet[id]
 		if !state.engine() {
 			continue
 		}
@@ -53,23 +53,23 @@
 func (r *Replica) stressed(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
-		state := r.lead.fleet[id]
+		state := r.leader.fleet[id]
 		if state.engine() && !state.silent && instance.State == catalog.StateReady {
 			ready++
 		}
 	}
-	if ready >= r.lead.readyMost {
-		r.lead.readyMost, r.lead.readyMostAt = ready, now
+	if ready >= r.leader.readyPeak {
+		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	if now > r.lead.readyMostAt+stressMemory {
-		r.lead.readyMost, r.lead.readyMostAt = ready, now
+	if now > r.leader.readyPeakAt+stressMemory {
+		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	return float64(ready) < stressShare*float64(r.lead.readyMost) || now < r.lead.orderLostAt+stressMemory
+	return float64(ready) < stressShare*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
 }
 
 // firstCheck is how long after its order a load is first looked for.
-func (l *leadership) firstCheck() time.Duration {
-	expected := l.loadTime
+func (l *leaderState) firstCheck() time.Duration {
+	expected := l.smoothedLoadTime
 	if expected == 0 {
 		expected = loadFirst
 	}
@@ -77,12 +77,12 @@
 }
 
 // noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
-func (l *leadership) noteLoad(now, takenAt time.Duration) {
+func (l *leaderState) noteLoad(now, takenAt time.Duration) {
 	switch {
 	case takenAt == 0:
-	case l.loadTime == 0:
-		l.loadTime = now - takenAt
+	case l.smoothedLoadTime == 0:
+		l.smoothedLoadTime = now - takenAt
 	default:
-		l.loadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.loadTime))
+		l.smoothedLoadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.smoothedLoadTime))
 	}
 }
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -22,33 +22,33 @@
 // mayMeanLastLife reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
 // there: that one is forgotten then, and may register again.
 func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
-	meant := r.machine.catalog.Meant(id)
-	state := r.lead.fleet[meant]
+	meant := r.machine.catalog.ResolveInstanceID(id)
+	state := r.leader.fleet[meant]
 	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+youngFor
 }
 
 // admits reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
 // earlier than who stands at its address, or that is of no service that is routed to, may be anybody's, or long gone.
 func (r *Replica) admits(now time.Duration, instance catalog.Instance) bool {
-	if !r.machine.catalog.Takes(instance) {
+	if !r.machine.catalog.Accepts(instance) {
 		return false
 	}
-	last, known := r.machine.catalog.Named(catalog.LifeOf(instance.ID).Name)
+	last, known := r.machine.catalog.InstanceByName(catalog.ParseInstanceID(instance.ID).Name)
 	if known && !r.mayReplace(last, instance) {
 		return false
 	}
-	holder, taken := r.machine.catalog.At(instance.Address)
-	if !taken || catalog.LifeOf(holder.ID).Name == catalog.LifeOf(instance.ID).Name {
+	holder, taken := r.machine.catalog.InstanceAt(instance.Address)
+	if !taken || catalog.ParseInstanceID(holder.ID).Name == catalog.ParseInstanceID(instance.ID).Name {
 		return true
 	}
 	if !r.mayReplace(holder, instance) {
 		return false
 	}
 	if now-r.member(now, holder.ID).heardAt > silentAfter {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Forget: holder.ID}}) // its clock may have run ahead of the other's
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // its clock may have run ahead of the other's
 		return true
 	}
-	return !catalog.LifeOf(instance.ID).Precedes(catalog.LifeOf(holder.ID))
+	return !catalog.ParseInstanceID(instance.ID).StartedBefore(catalog.ParseInstanceID(holder.ID))
 }
 
 // mayReplace reports whether what a heartbeat tells may take the place of a registered instance. One of a service that isn't routed to
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -13,96 +13,96 @@
 	"kitetiller/internal/transport"
 )
 
-// openStarting opens a group of one that has just started and leads nothing yet.
-func openStarting(t *testing.T, folder string) *solo {
+// openUnelected opens a group of one that has just been restarted and has no leader yet.
+func openUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
-	s := openSolo(t, folder)
+	s := openSingleReplica(t, folder)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return openStartingIn(t, folder)
+	return reopenUnelected(t, folder)
 }
 
-// openStartingIn opens a replica on a folder that another life has left.
-func openStartingIn(t *testing.T, folder string) *solo {
+// reopenUnelected opens a replica, without a leader yet, on the folder of a previous one.
+func reopenUnelected(t *testing.T, folder string) *singleReplica {
 	t.Helper()
 	disk, identity, restored, err := OpenDisk(folder, "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica, err := NewReplica(soloConfig(identity.ID), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig(identity.ID), restored, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &solo{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
+	return &singleReplica{t: t, folder: folder, disk: disk, replica: replica, replies: map[uint64]Response{}}
 }
 
-// TestQuestionWaitsForALeader: a gateway's question is held while no leader is known, and answered by the replica itself as
-// soon as it may; one that finds none in its time is told so (ayni-lima trouble-1: gateways heard of the leader 0.6 s late).
-func TestQuestionWaitsForALeader(t *testing.T) {
-	s := openStarting(t, t.TempDir())
-	const patient, hasty = 1000, 1001
-	s.replica.Handle(s.now, patient, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
-	s.replica.Handle(s.now, hasty, Request{Watch: &Watch{Gateway: "g2"}})
+// TestWatchWaitsForLeaderElection guards against gateways that learn late of a new leader. A watch is held until a
+// leader is elected, and rejected only when its hold time ends first.
+func TestWatchWaitsForLeaderElection(t *testing.T) {
+	s := openUnelected(t, t.TempDir())
+	const holding, immediate = 1000, 1001
+	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: time.Second}})
+	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
 	s.work()
 	if len(s.replies) > 0 {
-		t.Fatalf("answered before there is a leader: %+v", s.replies)
+		t.Fatalf("watches answered before the election: %+v", s.replies)
 	}
 	s.replica.endLeaderless(s.now)
 	s.work()
-	if s.replies[hasty].Kind != ResponseNotLeader {
-		t.Fatalf("hasty question: %+v", s.replies[hasty])
+	if s.replies[immediate].Kind != ResponseNotLeader {
+		t.Fatalf("watch without hold time: reply %+v, want not-leader", s.replies[immediate])
 	}
-	s.pass(400 * time.Millisecond)
-	if reply := s.replies[patient]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
-		t.Fatalf("patient question: %+v", reply)
+	s.advance(400 * time.Millisecond)
+	if reply := s.replies[holding]; reply.Kind != ResponseOK && reply.Kind != ResponseNotFormed {
+		t.Fatalf("watch with hold time: reply %+v, want ok or not-formed", reply)
 	}
 }
 
-// TestHeldQuestionsAreBounded: the rest is turned away at once.
-func TestHeldQuestionsAreBounded(t *testing.T) {
-	s := openStarting(t, t.TempDir())
+// TestWatchesAwaitingLeaderAreBounded checks that watches above the bound are rejected at once.
+func TestWatchesAwaitingLeaderAreBounded(t *testing.T) {
+	s := openUnelected(t, t.TempDir())
 	for i := range leaderlessMost + 1 {
 		s.replica.Handle(s.now, uint64(i+1), Request{Watch: &Watch{Gateway: "g", Hold: time.Second}})
 	}
 	s.work()
 	if len(s.replies) != 1 {
-		t.Fatalf("%d of %d questions were turned away", len(s.replies), leaderlessMost+1)
+		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), leaderlessMost+1)
 	}
 }
 
-// TestNewLeaderKnowsWhatEnginesHold: from the log, before any heartbeat comes (ayni-lima trouble-1: shared prompts were read
-// again for 1.2 s after a restart of all, since unknown weights share nothing).
-func TestNewLeaderKnowsWhatEnginesHold(t *testing.T) {
+// TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
+// hold until their first heartbeats, so that prefix caches go unused.
+func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
 	s := openFleet(t)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := openSolo(t, s.folder)
+	again := openSingleReplica(t, s.folder)
 	entries := again.watchNow("g1", RosterVersion{}).Roster.Entries
 	if len(entries) != 2 || entries[0].Versions["m"] != 1 || entries[1].Versions["m"] != 1 {
-		t.Fatalf("roster %+v", entries)
+		t.Fatalf("roster %+v, want two back ends with version 1 of m", entries)
 	}
 }
 
-// TestHeldWeightsGrowNoLog: what is known already is not written again.
-func TestHeldWeightsGrowNoLog(t *testing.T) {
+// TestUnchangedWeightsAppendNoEntries guards against a log that grows with every heartbeat.
+func TestUnchangedWeightsAppendNoEntries(t *testing.T) {
 	s := openFleet(t)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
 	for range 10 {
 		s.beats("i-1", "i-2")
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
 	if grown := s.replica.Node().LastIndex() - before; grown > 0 {
-		t.Fatalf("the log grew by %d entries", grown)
+		t.Fatalf("log grew by %d entries, want 0", grown)
 	}
 }
 
-// TestAnyFindsTheLeaderBesideASilentAddress: one that takes connections and says nothing holds nobody up, and a follower's
-// word is followed at once, also when the leader failed a moment ago.
-func TestAnyFindsTheLeaderBesideASilentAddress(t *testing.T) {
+// TestAnyFindsLeaderDespiteUnresponsiveAddress guards against clients delayed by an address that accepts connections but
+// never answers, or by a recent failure of the leader that a follower names.
+func TestAnyFindsLeaderDespiteUnresponsiveAddress(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -117,53 +117,53 @@
 	defer cancel()
 	response, err := client.Any(ctx, Request{Status: &StatusRequest{}})
 	if err != nil || response.Kind != ResponseOK {
-		t.Fatalf("response %+v, error %v", response, err)
+		t.Fatalf("Any: response %+v, error %v", response, err)
 	}
 	if ctx.Err() != nil || client.target() != leader {
-		t.Fatalf("the next question goes to %s", client.target())
+		t.Fatalf("next request goes to %s, want the leader", client.target())
 	}
 }
 
-// TestHeldWeightsNeedARegistration: an instance that has ended leaves nothing behind.
-func TestHeldWeightsNeedARegistration(t *testing.T) {
+// TestHeldWeightsRequireRegistration guards against weights recorded for instances that are not or no longer registered.
+func TestHeldWeightsRequireRegistration(t *testing.T) {
 	machine := catalog.NewMachine()
-	held := catalog.Command{Held: []catalog.HeldWeight{{Instance: "i-1", NamedWeight: catalog.NamedWeight{Model: "m", Version: 3}}}}
+	held := catalog.Command{Loaded: []catalog.LoadedWeights{{Instance: "i-1", WeightsVersion: catalog.WeightsVersion{Model: "m", Version: 3}}}}
 	machine.Apply(held)
-	if machine.Held("i-1") != nil {
-		t.Fatal("an unknown instance holds weights")
+	if machine.LoadedVersions("i-1") != nil {
+		t.Fatal("weights recorded for an unregistered instance")
 	}
 	machine.Apply(catalog.Command{Register: &catalog.Instance{ID: "i-1", Address: "a"}})
 	machine.Apply(held)
-	held.Held[0].Version = 2
+	held.Loaded[0].Version = 2
 	machine.Apply(held)
-	if machine.Held("i-1")["m"] != 3 {
-		t.Fatalf("held %v after an older report", machine.Held("i-1"))
+	if machine.LoadedVersions("i-1")["m"] != 3 {
+		t.Fatalf("weights %v after a report of an older version, want version 3 of m", machine.LoadedVersions("i-1"))
 	}
-	machine.Apply(catalog.Command{Remove: "i-1"})
-	if machine.Held("i-1") != nil {
-		t.Fatal("an ended instance holds weights")
+	machine.Apply(catalog.Command{Deregister: "i-1"})
+	if machine.LoadedVersions("i-1") != nil {
+		t.Fatal("weights kept for a removed instance")
 	}
 }
 
-// countingDriver counts the calls that reach a back end.
+// countingDriver counts the calls made to back ends.
 type countingDriver struct{ calls int }
 
-func (d *countingDriver) Weights(context.Context, WeightsCall) WeightsResult {
+func (d *countingDriver) CallWeights(context.Context, WeightsCall) WeightsResult {
 	d.calls++
 	return WeightsResult{Kind: WeightsTaken}
 }
 
-// TestOrderDecidedBeforeASuspensionIsNotGiven: the machine was suspended between the decision and the call, and another replica may
-// lead by now.
-func TestOrderDecidedBeforeASuspensionIsNotGiven(t *testing.T) {
+// TestStaleWeightsCallIsRefusedAfterSuspension guards against an order given after the machine was suspended between the
+// decision and the call, when another replica may lead.
+func TestStaleWeightsCallIsRefusedAfterSuspension(t *testing.T) {
 	driver := &countingDriver{}
 	at := time.Second
 	s := &Server{driver: driver, log: zap.NewNop(), inputs: make(chan input, 2), now: func() time.Duration { return at }}
-	made := decidedCall{call: WeightsCall{Kind: WeightsOrder, Instance: "i-1"}, at: at}
+	made := queuedCall{call: WeightsCall{Kind: WeightsOrder, Instance: "i-1"}, queuedAt: at}
 	s.callBackend(t.Context(), made)
 	at += 2 * time.Second
 	s.callBackend(t.Context(), made)
 	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsTaken || second.Kind != WeightsRefused {
-		t.Fatalf("%d calls, results %+v and %+v", driver.calls, first, second)
+		t.Fatalf("%d calls, want 1; results %+v and %+v, want taken and refused", driver.calls, first, second)
 	}
 }
--- a/internal/core/move.go
+++ b/internal/core/move.go
@@ -6,18 +6,18 @@
 	"kitetiller/internal/prefix"
 )
 
-// sweepPerTick bounds the beliefs looked at in one tick, so that sweeping never delays a decision much.
-const sweepPerTick = 16
+// maxSweepPerTick bounds the index entries checked for expiry in one tick, and so the delay of decisions.
+const maxSweepPerTick = 16
 
-// runMove asks for cache snapshots after gaps and sweeps old beliefs.
-func (c *Core) runMove() {
-	c.gaps = slices.DeleteFunc(c.gaps, func(id prefix.EngineID) bool { return !c.backends[id].wantSnapshot })
-	for _, id := range c.gaps {
+// runIndexMaintenance requests cache snapshots after gaps in cache events and removes expired index entries.
+func (c *Core) runIndexMaintenance() {
+	c.snapshotsWanted = slices.DeleteFunc(c.snapshotsWanted, func(id prefix.EngineID) bool { return !c.backends[id].needsSnapshot })
+	for _, id := range c.snapshotsWanted {
 		row := &c.backends[id]
-		if c.now >= row.snapshotAsked+snapshotRetry && row.state == BackendReady {
-			row.snapshotAsked = c.now
-			c.emit(ActionSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
+		if c.now >= row.snapshotRequestedAt+snapshotRetryInterval && row.state == BackendReady {
+			row.snapshotRequestedAt = c.now
+			c.emit(ActionRequestSnapshot{Backend: row.machine.Name, Address: row.machine.Address})
 		}
 	}
-	c.index.Sweep(c.now, sweepPerTick)
+	c.index.Sweep(c.now, maxSweepPerTick)
 }
--- a/internal/core/named_test.go
+++ b/internal/core/named_test.go
@@ -11,115 +11,115 @@
 	"kitetiller/internal/pushback"
 )
 
-// named is what an engine says of its limit in an answer.
-func named(engine string, rate float64) EventSaid {
-	return EventSaid{Name: engine, Incarnation: 1, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}}
+// advertisedLimit returns the event of an answer in which an engine advertises its rate limit.
+func advertisedLimit(engine string, rate float64) EventPushback {
+	return EventPushback{Name: engine, Incarnation: 1, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}}
 }
 
-// askEach lets requests come for so long, one each step, of which each ends at once, and returns when one was sent to an engine, by its name.
-func (h *harness) askEach(step, length time.Duration, engines int) map[string][]time.Duration {
+// sendEvery sends a request every step for the given length, each of which completes at once, and returns the dispatch
+// times by engine.
+func (h *harness) sendEvery(step, length time.Duration, engines int) map[string][]time.Duration {
 	sends := map[string][]time.Duration{}
 	for end := h.now + length; h.now < end; {
 		h.now += step
 		for i := range engines {
 			h.report(engineName(i), 1)
 		}
-		if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(int(h.now/time.Millisecond), 4)})); found {
+		if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(int(h.now/time.Millisecond), 4)})); found {
 			sends[sent.Backend] = append(sends[sent.Backend], h.now)
-			h.tick(done(sent, 0))
+			h.tick(doneEvent(sent, 0))
 		}
 	}
 	return sends
 }
 
-// An engine named in its answers how many requests a second it takes, and got all that came, 80 in 4 s where 17 are allowed: the router read no
-// such word. The same cause as at the gateways, whose engines got 59 where 29 are allowed. It holds now since few routers, which all know without
-// a word who they are, send to such an engine, each its part.
-func TestNamedLimitBindsTheRouter(t *testing.T) {
+// TestAdvertisedLimitBindsRouter: a router must not exceed the rate limit that an engine advertises, and must use other
+// engines instead.
+func TestAdvertisedLimitBindsRouter(t *testing.T) {
 	const rate = 2.0
 	h := newHarness(t, 2)
-	h.tick(named(engineName(0), rate))
-	sends := h.askEach(50*time.Millisecond, 10*time.Second, 2)
+	h.tick(advertisedLimit(engineName(0), rate))
+	sends := h.sendEvery(50*time.Millisecond, 10*time.Second, 2)
 	if most, allowed := window.Fullest(sends[engineName(0)], 0), int(window.Allowed(rate)); most > allowed {
-		t.Fatalf("%d requests in %v, allowed %d", most, window.Length, allowed)
+		t.Fatalf("%d requests within %v, want at most %d", most, window.Length, allowed)
 	}
 	if all := len(sends[engineName(0)]) + len(sends[engineName(1)]); all != 200 {
-		t.Fatalf("%d of 200 were sent although another engine takes all", all)
+		t.Fatalf("%d of 200 requests were dispatched, want all: the other engine has no limit", all)
 	}
 }
 
-// TestRoutersShareANamedLimit: however many routers, whatever limits and however often it changes which of them there are, all together send no more
-// in any window than the limit allows, and where more is asked and nothing changes most of it.
+// TestRoutersShareANamedLimit: for any limit, number of routers and sequence of membership changes, all routers
+// together stay within the limit in every window. Without changes they use most of it.
 func TestRoutersShareANamedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0, 30).Draw(t, "limit")
-		all := rapid.IntRange(1, 40).Draw(t, "routers")
+		routerCount := rapid.IntRange(1, 40).Draw(t, "routers")
 		var routers []*Core
 		var rows []*backend
-		for i := range all {
+		for i := range routerCount {
 			c := New(Config{Router: fmt.Sprint("r", i), Seed: uint64(i)})
-			c.pushed.NoteLimit(0, lifeOf("e", 1), pushback.Limit{Named: true, Rate: limit})
+			c.pushback.ObserveLimit(0, backendIncarnation("e", 1), pushback.Limit{Advertised: true, Rate: limit})
 			routers = append(routers, c)
 			rows = append(rows, &backend{machine: Machine{Name: "e"}, incarnation: 1})
 		}
-		there := all
-		know := func() {
-			for _, c := range routers[:there] {
-				told := EventRouters{}
-				for _, other := range routers[:there] {
+		active := routerCount
+		announcePeers := func() {
+			for _, c := range routers[:active] {
+				update := EventPeerRouters{}
+				for _, other := range routers[:active] {
 					if other != c {
-						told.Others = append(told.Others, other.config.Router)
+						update.Names = append(update.Names, other.config.Router)
 					}
 				}
-				c.observeRouters(told)
+				c.observePeerRouters(update)
 			}
 		}
-		know()
+		announcePeers()
 		const step, length = 20 * time.Millisecond, 20 * time.Second
 		changes := map[time.Duration]int{}
 		for range rapid.IntRange(0, 10).Draw(t, "changes") {
 			at := time.Duration(rapid.IntRange(1, int(length/step)).Draw(t, "at")) * step
-			changes[at] = rapid.IntRange(1, all).Draw(t, "there")
+			changes[at] = rapid.IntRange(1, routerCount).Draw(t, "there")
 		}
 		var sends []time.Duration
 		for now := step; now <= length; now += step {
-			if changed, any := changes[now]; any {
-				there = changed // the others have no session any more, and send nothing
-				know()
+			if changed, found := changes[now]; found {
+				active = changed // the others lost their sessions and send nothing
+				announcePeers()
 			}
-			for i, c := range routers[:there] {
-				if c.now = now; c.limited(rows[i]) == 0 {
-					c.usePermit(rows[i])
+			for i, c := range routers[:active] {
+				if c.now = now; c.rateLimitedFor(rows[i]) == 0 {
+					c.takeRateToken(rows[i])
 					sends = append(sends, now)
 				}
 			}
 		}
 		if most, allowed := window.Fullest(sends, 0), window.Allowed(limit); float64(most) > allowed {
-			t.Fatalf("%d routers sent %d in %v, %.1f allowed", all, most, window.Length, allowed)
+			t.Fatalf("%d routers sent %d requests within %v, want at most %.1f", routerCount, most, window.Length, allowed)
 		}
 		if used := float64(len(sends)) / length.Seconds(); len(changes) == 0 && used < 0.8*limit-1/length.Seconds() {
-			t.Fatalf("%.2f a second were sent of %.2f", used, limit)
+			t.Fatalf("%.2f requests/s sent, limit %.2f", used, limit)
 		}
 	})
 }
 
-// TestNamedLimitEnds: with an answer that names none, to a request that was sent after the limit was heard; until then a service whose engines are
-// all at their limits refuses at once, with a reason of its own.
-func TestNamedLimitEnds(t *testing.T) {
+// TestAdvertisedLimitEndsWithUnlimitedAnswer: only an answer to a request that was sent after the limit was received
+// ends the limit. Until then the service refuses requests with ReasonLimited.
+func TestAdvertisedLimitEndsWithUnlimitedAnswer(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.after(time.Millisecond, named(engineName(0), 0.5))
-	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before
-	if final := need[ActionFinish](t, h.tick(EventRequest{prompt(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
-		t.Fatalf("%+v", final)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.advance(time.Millisecond, advertisedLimit(engineName(0), 0.5))
+	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted}) // sent before the limit
+	if final := requireAction[ActionFinish](t, h.tick(EventRequest{promptRequest(2, 4)})); final.Reason != ReasonLimited || final.Run != RunNot || final.RetryAfter <= 0 {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 	for range 6 {
-		h.after(400 * time.Millisecond)
+		h.advance(400 * time.Millisecond)
 		h.report(engineName(0), 1)
 	}
-	sent = need[ActionDispatch](t, h.tick(EventRequest{prompt(3, 4)}))
-	h.after(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
+	sent = requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(3, 4)}))
+	h.advance(time.Millisecond, EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptStarted})
 	for id := range 6 {
-		need[ActionDispatch](t, h.tick(EventRequest{prompt(10+id, 4)}))
+		requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(10+id, 4)}))
 	}
 }
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -7,54 +7,54 @@
 	"kitetiller/internal/settings"
 )
 
-// BackendState is the router's view of a back end's life.
+// BackendState is the router's view of the availability of a back end.
 type BackendState uint8
 
 // States of a back end.
 const (
-	BackendJoining BackendState = iota // listed, not heard yet
+	BackendJoining BackendState = iota // listed, but not reported or still loading
 	BackendReady
-	BackendSuspect // silent, or refused a connection
+	BackendSuspect // no recent report, or repeated connection failures
 	BackendLeaving
 	BackendDead
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s BackendState) String() string {
 	return [...]string{"joining", "ready", "suspect", "leaving", "dead"}[s]
 }
 
-// backend is a row of the back end table. Its position is its prefix.EngineID.
+// backend is a row of the back end table. Its index is its prefix.EngineID.
 type backend struct {
 	id      prefix.EngineID
 	machine Machine
-	listed  bool // in the newest platform list
+	listed  bool // in the newest machine list
 	kind    string
 
 	state       BackendState
-	heardAt     time.Duration
+	lastSeenAt  time.Duration // request time of the newest answered poll
 	incarnation uint64
 	weights     string
 	loading     bool
-	leaving     bool // by its newest report
-
-	load       Load
-	reportedAt time.Duration // when the load was true, by our clock
-
-	nextSequence   uint64 // next cache event expected
-	wantSnapshot   bool
-	snapshotAsked  time.Duration
-	running        int // own attempts
-	pendingPrefill []pendingPrefill
-	peerPrefill    []pendingPrefill // of other routers, as far as they told and no report shows it
-	limit          float64          // adaptive concurrency
-	ceiling        float64          // highest limit that the settings allow
-	bias           float64          // observed over predicted time to first token, smoothed
-	failures       int              // in a row
-	permits        permits          // of the limit that it names
+	leaving     bool // according to its newest report
+
+	load           Load
+	loadMeasuredAt time.Duration // when the load was measured, by the router's clock
+
+	nextSequence        uint64 // of the next cache event
+	needsSnapshot       bool
+	snapshotRequestedAt time.Duration
+	running             int // attempts of this router
+	pendingPrefill      []pendingPrefill
+	peerPrefill         []pendingPrefill // dispatches announced by other routers that no load report includes yet
+	concurrencyLimit    float64          // adaptive; attempts of this router
+	maxConcurrency      float64          // upper bound of concurrencyLimit from the settings
+	latencyBias         float64          // smoothed ratio of observed to predicted time to first token
+	consecutiveFailures int              // failed connections since the last report
+	rateBucket          rateBucket       // this router's share of the advertised rate limit
 }
 
-// pendingPrefill is an attempt of ours that has not given its first token yet.
+// pendingPrefill is a dispatched attempt without a first token.
 type pendingPrefill struct {
 	attempt AttemptID
 	sentAt  time.Duration
@@ -62,24 +62,24 @@
 	lane    Lane
 }
 
-// attempt is one sending of a request.
+// attempt is one dispatch of a request.
 type attempt struct {
-	id        AttemptID
-	backend   prefix.EngineID
-	life      uint64 // incarnation it was sent to
-	sentAt    time.Duration
-	predicted time.Duration // time to first token
-	base      int           // tokens the caller had when it was sent
-	started   bool
-	chunks    bool
-	uncached  int
+	id          AttemptID
+	backend     prefix.EngineID
+	incarnation uint64 // of the back end at dispatch
+	sentAt      time.Duration
+	predicted   time.Duration // time to first token, before bias correction and network latency
+	resumeFrom  int           // tokens that the client had at dispatch
+	started     bool          // the back end accepted it
+	streaming   bool          // a token was received
+	uncached    int           // prompt tokens expected to be prefilled
 }
 
-// requestState is where a request stands.
+// requestState is the stage of a request.
 type requestState uint8
 
 const (
-	stateHeld requestState = iota // waiting for the first lease after a start
+	stateAwaitingLease requestState = iota // until the first lease after startup
 	stateClaiming
 	stateQueued
 	stateRunning
@@ -89,49 +89,49 @@
 // request is a row of the request table.
 type request struct {
 	Request
-	values    settings.Values
-	state     requestState
-	arrived   time.Duration
-	deadline  time.Duration // absolute, for the first token
-	claimID   string
-	claimed   bool
-	epoch     uint64 // session in which the claim was made
-	attempts  []attempt
-	tries     int
-	failedOn  []prefix.EngineID
-	emitted   int           // tokens passed to the caller
-	emittedAt time.Duration // when the newest of them came
-	retryAt   time.Duration
-	hedged    bool
-	unproven  int     // attempts that may have run
-	cost      float64 // fair-queue cost in tokens
-	finishTag float64 // virtual finish time in the fair queue
-	decided   int     // number of its newest decision record, from 1
+	values        settings.Values
+	state         requestState
+	arrivedAt     time.Duration
+	deadline      time.Duration // absolute, for the first token
+	claimID       string
+	claimGranted  bool
+	epoch         uint64 // session in which the claim was made
+	attempts      []attempt
+	attemptCount  int
+	failedOn      []prefix.EngineID // back ends to avoid
+	emitted       int               // tokens passed to the client
+	lastEmittedAt time.Duration     // when the newest token was passed on
+	retryAt       time.Duration
+	hedged        bool
+	possibleRuns  int     // attempts that may have been executed
+	queueCost     float64 // in tokens, for fair queueing
+	finishTag     float64 // virtual finish time in the fair queue
+	lastDecision  int     // sequence number of its newest decision record, from 1; 0 for none
 }
 
 // tenantState is a row of the tenant table.
 type tenantState struct {
-	tokens     float64 // of the rate limit's bucket
-	refilledAt time.Duration
-	active     int
-	finishTag  float64
+	rateTokens     float64 // token bucket of the request rate limit
+	refilledAt     time.Duration
+	activeRequests int
+	finishTag      float64
 }
 
-// tenantKey separates tenants by service.
+// tenantKey identifies a tenant of a service.
 type tenantKey struct{ service, tenant string }
 
 // serviceState is a row of the service table.
 type serviceState struct {
-	name        string
-	backends    []prefix.EngineID // every known one, in order of appearance
-	ring        []ringPoint
-	ringStale   bool
-	lanes       [laneCount][]*request // heaps by finishTag
-	virtualTime float64
-	retryTokens float64
-	sinceBatch  int // interactive picks since the last batch pick
-	serviceTime time.Duration
+	name                  string
+	backends              []prefix.EngineID // all known ones, in order of discovery
+	ring                  []ringPoint
+	ringStale             bool                  // the ring must be rebuilt
+	lanes                 [laneCount][]*request // heaps ordered by finishTag
+	virtualTime           float64               // of fair queueing
+	retryTokens           float64               // token bucket of the retry budget
+	interactiveSinceBatch int                   // interactive requests dequeued since the last batch request
+	dispatchInterval      time.Duration         // smoothed, while requests are queued
 }
 
-// inStream reports whether the caller got a token from this router, so that the answer must be finished.
-func (r *request) inStream() bool { return r.emitted > r.ResumeFrom }
+// streamStarted reports whether this router has passed a token of the answer to the client.
+func (r *request) streamStarted() bool { return r.emitted > r.ResumeFrom }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timerItem asks to look at a request at a time; a request may have several.
+// timerItem is a wakeup for a request; a request may have several.
 type timerItem struct {
 	at time.Duration
 	id RequestID
 }
 
-// timerHeap orders items by time, then request; it implements heap.Interface.
+// timerHeap orders wakeups by time, then request.
 type timerHeap []timerItem
 
 func (h timerHeap) Len() int { return len(h) }
@@ -23,10 +23,10 @@
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an item; use heap.Push.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(item any) { *h = append(*h, item.(timerItem)) }
 
-// Pop removes the last item; use heap.Pop.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -34,47 +34,47 @@
 	return last
 }
 
-// wakeAt asks for a look at a request at a time.
+// wakeAt schedules a wakeup for a request.
 func (c *Core) wakeAt(r *request, at time.Duration) {
 	heap.Push(&c.timers, timerItem{at: at, id: r.ID})
 }
 
-// runTimers looks at every request whose time has come.
+// runTimers handles all wakeups that are due.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		item := heap.Pop(&c.timers).(timerItem)
-		if r, alive := c.requests[item.id]; alive {
-			c.expire(r)
+		if r, found := c.requests[item.id]; found {
+			c.handleTimer(r)
 		}
 	}
 }
 
-// expire acts on whatever of a request is due.
-func (c *Core) expire(r *request) {
+// handleTimer acts on a wakeup according to the stage of the request.
+func (c *Core) handleTimer(r *request) {
 	switch r.state {
-	case stateHeld:
+	case stateAwaitingLease:
 		c.admit(r)
 	case stateBackoff:
 		if c.now >= r.retryAt {
 			c.enqueue(r)
 		}
 	case stateQueued:
-		if c.now >= r.deadline && !r.inStream() {
-			c.refuse(r, ReasonDeadline, c.backlog(r))
+		if c.now >= r.deadline && !r.streamStarted() {
+			c.refuse(r, ReasonDeadline, c.queueDrainTime(r))
 		}
 	case stateClaiming:
 		if c.now >= r.deadline {
-			c.refuse(r, ReasonLedger, retrySoon)
+			c.refuse(r, ReasonLedgerUnavailable, shortRetryAfter)
 		}
 	case stateRunning:
-		c.expireRunning(r)
+		c.checkRunning(r)
 	}
 }
 
-// expireRunning hedges a silent attempt, and gives up on a stream whose first token is far too late.
-func (c *Core) expireRunning(r *request) {
-	if r.inStream() {
-		c.expireStalled(r)
+// checkRunning hedges an attempt without a first token, or ends the request once its grace period is over.
+func (c *Core) checkRunning(r *request) {
+	if r.streamStarted() {
+		c.checkStalled(r)
 		return
 	}
 	hedgeAt := r.attempts[0].sentAt + time.Duration(r.values.HedgeAfterMS)*time.Millisecond
@@ -82,27 +82,27 @@
 		c.hedge(r)
 	}
 	if c.now >= c.giveUpAt(r) {
-		c.failTimedOut(r)
+		c.finishTimedOut(r)
 	}
 }
 
-// expireStalled moves a stream that has stood still for too long to another engine.
-func (c *Core) expireStalled(r *request) {
+// checkStalled fails the attempt of a stalled stream, so that it resumes on another engine.
+func (c *Core) checkStalled(r *request) {
 	sent := r.attempts[0]
-	silentSince := max(r.emittedAt, sent.sentAt)
-	if due := silentSince + c.stallLimit(r); c.now < due {
+	silentSince := max(r.lastEmittedAt, sent.sentAt)
+	if due := silentSince + c.stallTimeout(r); c.now < due {
 		c.wakeAt(r, due)
 		return
 	}
-	c.attemptFailed(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
-	c.runRetry()
+	c.handleFailure(r, 0, EventAttempt{ID: r.ID, Attempt: sent.id, Kind: AttemptBroken})
+	c.runRetries()
 }
 
-func (c *Core) stallLimit(r *request) time.Duration {
+func (c *Core) stallTimeout(r *request) time.Duration {
 	return time.Duration(r.values.StallAfterMS) * time.Millisecond
 }
 
-// giveUpAt is when a dispatched request without a first token is given up on.
+// giveUpAt returns when a dispatched request without a first token is ended.
 func (c *Core) giveUpAt(r *request) time.Duration {
-	return r.deadline + max((r.deadline-r.arrived)/2, minimumGrace)
+	return r.deadline + max((r.deadline-r.arrivedAt)/2, minFirstTokenGrace)
 }
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -20,97 +20,98 @@
 	"kitetiller/internal/transport"
 )
 
-// Paths on which a gateway is told of sends, by what it does with them beside noting them.
+// Paths that receive announcements, by whom the receiver forwards them to after applying them.
 const (
-	pathSends   = "/internal/v1/sends"          // nothing
-	pathRow     = "/internal/v1/sends/row"      // it tells its column
-	pathImports = "/internal/v1/sends/imported" // it tells its row and its column
-	pathHanded  = "/internal/v1/sends/handed"   // it tells all others
+	pathSends        = "/internal/v1/sends"          // nobody
+	pathRow          = "/internal/v1/sends/row"      // its column
+	pathOtherZone    = "/internal/v1/sends/imported" // its row and its column
+	pathViaScheduler = "/internal/v1/sends/handed"   // all other schedulers
 )
 
-// Paths on which a scheduler is asked for placements, and told how the requests ended.
+// Paths on which a scheduler receives placement requests, and the ends of the placed requests.
 const (
 	pathPlace = "/internal/v1/place"
 	pathEnd   = "/internal/v1/place/end"
 )
 
 const (
-	announceRing    = 2048
-	announceTimeout = 250 * time.Millisecond
-	announceBatch   = 128
-	// ownPeriod, columnPeriod and abroadPeriod are how long a send waits for others to be told with it.
-	ownPeriod    = 15 * time.Millisecond
-	columnPeriod = 40 * time.Millisecond
-	abroadPeriod = 25 * time.Millisecond
+	announceQueueSize = 2048
+	announceTimeout   = 250 * time.Millisecond
+	announceBatchSize = 128
+	// Batching periods: how long an announcement waits for others to be sent in the same message.
+	ownPeriod        = 15 * time.Millisecond
+	columnPeriod     = 40 * time.Millisecond
+	otherZonesPeriod = 25 * time.Millisecond
 )
 
-// send is a request that a gateway sent to an engine, as the others are told: what the engine now has to read, and which
-// parts it will hold; the last of them is of use to nobody else, but takes its memory. Without a salt it tells of a
-// request that has ended.
-type send struct {
-	Gateway  string
-	Load     belief.Load // what the gateway now has running there
-	Instance string
-	Salt     string
-	Parts    []prefix.Part
-	Uncached int         // prompt tokens
-	Saved    bool        // the parts go to the store as well
-	Move     belief.Move // of cached parts to the engine, or to the store
-	// Unreached says that no connection came up; then nothing was sent, and there is no salt.
-	Unreached bool
-	// Kept says that parts and their tokens are what the engine itself says that it keeps; nothing was sent then.
-	Kept bool
-	// Refused names a request that was turned away from here for overload; nothing was sent then.
-	Refused string
-	// Said is what the back end said of itself in an answer to this gateway; nothing else is told then.
-	Said pushback.Said
-	Age  time.Duration
+// announcement informs other gateways of a request that its gateway sent to an engine, so that they can account for the
+// engine's prefill work and the parts it will have cached. The last part is specific to the request, but occupies cache
+// memory too. An empty Salt means that a request has ended. Other kinds are marked by the fields from Unreachable on.
+type announcement struct {
+	Gateway      string
+	Load         belief.Load // the gateway's current load on the instance
+	Instance     string
+	Salt         string
+	Parts        []prefix.Part
+	Uncached     int             // prompt tokens to prefill
+	SavedToStore bool            // the parts are saved to the store as well
+	Transfer     belief.Transfer // of cached parts to the engine or to the store
+	// Unreachable means that the connection failed, so that no request was sent.
+	Unreachable bool
+	// CacheReport means that Parts were reported as cached by the engine itself. No request was sent.
+	CacheReport bool
+	// RejectedRequest is the ID of a request that was rejected due to overload, so that none was sent.
+	RejectedRequest string
+	// Signals are load and limit signals of the back end. If there are any, only they are announced.
+	Signals pushback.Signals
+	Age     time.Duration // time since the announced event
 }
 
-// wireSend is a send in a message. Names are short since every send goes to every gateway.
-type wireSend struct {
-	Gateway   string   `json:"g"`
-	Running   int      `json:"n,omitempty"`
-	Held      int      `json:"m,omitempty"` // tokens of the running requests
-	Instance  string   `json:"i"`
-	Salt      string   `json:"s,omitempty"`
-	Parts     []string `json:"p,omitempty"`
-	Tokens    []int    `json:"t,omitempty"` // of each part
-	Uncached  int      `json:"u,omitempty"`
-	Saved     bool     `json:"v,omitempty"`
-	MoveFrom  string   `json:"f,omitempty"`
-	MoveMS    int64    `json:"d,omitempty"`
-	Unreached bool     `json:"x,omitempty"`
-	Kept      bool     `json:"k,omitempty"`
-	Refused   string   `json:"r,omitempty"`
-	RestMS    int64    `json:"q,omitempty"` // the back end asked the gateway for rest
-	Leaving   bool     `json:"l,omitempty"` // the back end says that it leaves
-	Limit     *float64 `json:"b,omitempty"` // requests a second that the back end takes from all
-	Unlimited bool     `json:"e,omitempty"` // the back end names no limit any more
-	AgeMS     int64    `json:"a"`
+// wireAnnouncement is the JSON form of an announcement. Its names are short since each announcement goes to every
+// scheduler.
+type wireAnnouncement struct {
+	Gateway         string   `json:"g"`
+	Running         int      `json:"n,omitempty"`
+	RunningTokens   int      `json:"m,omitempty"` // tokens of the running requests
+	Instance        string   `json:"i"`
+	Salt            string   `json:"s,omitempty"`
+	Parts           []string `json:"p,omitempty"`
+	Tokens          []int    `json:"t,omitempty"` // of each part
+	Uncached        int      `json:"u,omitempty"`
+	SavedToStore    bool     `json:"v,omitempty"`
+	TransferFrom    string   `json:"f,omitempty"`
+	TransferMS      int64    `json:"d,omitempty"`
+	Unreachable     bool     `json:"x,omitempty"`
+	CacheReport     bool     `json:"k,omitempty"`
+	RejectedRequest string   `json:"r,omitempty"`
+	BackoffMS       int64    `json:"q,omitempty"` // requested by the back end of the announcing gateway
+	Draining        bool     `json:"l,omitempty"` // the back end states that it is draining
+	Limit           *float64 `json:"b,omitempty"` // advertised by the back end, in requests per second of all gateways
+	LimitWithdrawn  bool     `json:"e,omitempty"` // the back end no longer advertises a limit
+	AgeMS           int64    `json:"a"`
 }
 
-func (s send) wire(waited time.Duration) wireSend {
-	w := wireSend{
-		Gateway: s.Gateway, Running: s.Load.Running, Held: s.Load.Tokens,
-		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, Saved: s.Saved, Unreached: s.Unreached, Kept: s.Kept, Refused: s.Refused,
-		RestMS: s.Said.Rest.Milliseconds(), Leaving: s.Said.Leaving, AgeMS: (s.Age + waited).Milliseconds(), MoveFrom: s.Move.From, MoveMS: s.Move.Time.Milliseconds(),
+func (s announcement) toWire(waited time.Duration) wireAnnouncement {
+	w := wireAnnouncement{
+		Gateway: s.Gateway, Running: s.Load.Running, RunningTokens: s.Load.Tokens,
+		Instance: s.Instance, Salt: s.Salt, Uncached: s.Uncached, SavedToStore: s.SavedToStore, Unreachable: s.Unreachable, CacheReport: s.CacheReport, RejectedRequest: s.RejectedRequest,
+		BackoffMS: s.Signals.Backoff.Milliseconds(), Draining: s.Signals.Draining, AgeMS: (s.Age + waited).Milliseconds(), TransferFrom: s.Transfer.From, TransferMS: s.Transfer.Time.Milliseconds(),
 	}
-	w.Parts, w.Tokens = wireParts(s.Parts)
-	w.Limit, w.Unlimited = wireLimit(s.Said.Limit)
+	w.Parts, w.Tokens = partsToWire(s.Parts)
+	w.Limit, w.LimitWithdrawn = limitToWire(s.Signals.Limit)
 	return w
 }
 
-// wireParts returns parts as messages carry them: their ids, and the tokens of each.
-func wireParts(parts []prefix.Part) (ids []string, tokens []int) {
+// partsToWire returns the IDs and token counts of parts, as sent in messages.
+func partsToWire(parts []prefix.Part) (ids []string, tokens []int) {
 	for _, p := range parts {
 		ids, tokens = append(ids, p.ID), append(tokens, p.Tokens)
 	}
 	return ids, tokens
 }
 
-// partsOfWire is the reverse; parts without a size are left out.
-func partsOfWire(ids []string, tokens []int) []prefix.Part {
+// partsFromWire is the inverse of partsToWire. IDs without a token count are dropped.
+func partsFromWire(ids []string, tokens []int) []prefix.Part {
 	var parts []prefix.Part
 	for i := range min(len(ids), len(tokens)) {
 		parts = append(parts, prefix.Part{ID: ids[i], Tokens: max(0, tokens[i])})
@@ -118,120 +119,121 @@
 	return parts
 }
 
-// wireTime returns a time that a message tells in milliseconds; none is below 0.
-func wireTime(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
+// durationFromMS converts received milliseconds to a duration; negative ones yield 0.
+func durationFromMS(ms int64) time.Duration { return time.Duration(max(0, ms)) * time.Millisecond }
 
-// send returns what a message tells; parts without a size are left out.
-func (w wireSend) send() send {
-	return send{
-		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.Held)},
-		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), Saved: w.Saved, Unreached: w.Unreached, Kept: w.Kept, Refused: w.Refused,
-		Said: pushback.Said{Rest: wireTime(min(w.RestMS, pushback.LongestRest.Milliseconds())), Leaving: w.Leaving, Limit: limitOfWire(w.Limit, w.Unlimited)}, Age: wireTime(w.AgeMS), Move: belief.Move{From: w.MoveFrom, Time: wireTime(w.MoveMS)}, Parts: partsOfWire(w.Parts, w.Tokens),
+// announcement converts a received announcement, and replaces negative numbers with 0.
+func (w wireAnnouncement) announcement() announcement {
+	return announcement{
+		Gateway: w.Gateway, Load: belief.Load{Running: max(0, w.Running), Tokens: max(0, w.RunningTokens)},
+		Instance: w.Instance, Salt: w.Salt, Uncached: max(0, w.Uncached), SavedToStore: w.SavedToStore, Unreachable: w.Unreachable, CacheReport: w.CacheReport, RejectedRequest: w.RejectedRequest,
+		Signals: pushback.Signals{Backoff: durationFromMS(min(w.BackoffMS, pushback.MaxBackoff.Milliseconds())), Draining: w.Draining, Limit: limitFromWire(w.Limit, w.LimitWithdrawn)}, Age: durationFromMS(w.AgeMS), Transfer: belief.Transfer{From: w.TransferFrom, Time: durationFromMS(w.TransferMS)}, Parts: partsFromWire(w.Parts, w.Tokens),
 	}
 }
 
-// wireLimit returns a limit as messages carry it.
-func wireLimit(limit pushback.Limit) (rate *float64, over bool) {
-	if limit.Named {
+// limitToWire returns a limit as sent in messages.
+func limitToWire(limit pushback.Limit) (rate *float64, withdrawn bool) {
+	if limit.Advertised {
 		rate = &limit.Rate
 	}
-	return rate, limit.Over
+	return rate, limit.Withdrawn
 }
 
-// limitOfWire is the reverse; no rate is below 0.
-func limitOfWire(rate *float64, over bool) pushback.Limit {
+// limitFromWire is the inverse of limitToWire; a negative rate yields 0.
+func limitFromWire(rate *float64, withdrawn bool) pushback.Limit {
 	if rate != nil {
-		return pushback.Limit{Named: true, Rate: max(0, *rate)}
+		return pushback.Limit{Advertised: true, Rate: max(0, *rate)}
 	}
-	return pushback.Limit{Over: over}
+	return pushback.Limit{Withdrawn: withdrawn}
 }
 
-// spread tells the other gateways of sends over the mesh that control laid out, so that all see the same queues and
-// holders without asking engines. It is safe for concurrent use.
-type spread struct {
-	row, column, abroad *transport.Announcer[send]
-	handed              *transport.Announcer[send] // to a scheduler that tells the others
-	hands               atomic.Bool                // this gateway is no scheduler
-	silent              bool                       // other gateways are told nothing
+// peerAnnouncer sends announcements along the mesh that control assigns to all gateways that place requests, the
+// schedulers. So all have the same view of engines' queues and caches without asking the engines. It is safe for
+// concurrent use.
+type peerAnnouncer struct {
+	row, column, otherZones *transport.Announcer[announcement]
+	viaScheduler            *transport.Announcer[announcement] // to a scheduler that forwards to all others
+	useScheduler            atomic.Bool                        // the mesh names schedulers for this gateway
+	disabled                bool                               // nothing is announced
 }
 
-func newSpread(c *transport.Client) *spread {
-	announcer := func(path string, period time.Duration) *transport.Announcer[send] {
+func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
+	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
-			Path: path, Ring: announceRing, Batch: announceBatch, Period: period, Timeout: announceTimeout,
+			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
 		}
-		return transport.NewAnnouncer(c, settings, wireBatch)
+		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
-	return &spread{
-		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), abroad: announcer(pathImports, abroadPeriod),
-		handed: announcer(pathHanded, ownPeriod),
+	return &peerAnnouncer{
+		row: announcer(pathRow, ownPeriod), column: announcer(pathSends, columnPeriod), otherZones: announcer(pathOtherZone, otherZonesPeriod),
+		viaScheduler: announcer(pathViaScheduler, ownPeriod),
 	}
 }
 
-func wireBatch(batch []transport.Aged[send]) any {
-	sends := make([]wireSend, 0, len(batch))
-	for _, told := range batch {
-		sends = append(sends, told.Item.wire(clock.Now()-told.At))
+func batchToWire(batch []transport.Aged[announcement]) any {
+	announcements := make([]wireAnnouncement, 0, len(batch))
+	for _, aged := range batch {
+		announcements = append(announcements, aged.Item.toWire(clock.Now()-aged.At))
 	}
-	return sends
+	return announcements
 }
 
-// use replaces the mesh.
-func (s *spread) use(mesh control.Mesh) {
-	s.row.SetPeers(mesh.Row)
-	s.column.SetPeers(mesh.Column)
-	s.abroad.SetPeers(mesh.Abroad)
-	s.hands.Store(len(mesh.Schedulers) > 0)
+// setMesh replaces the mesh.
+func (p *peerAnnouncer) setMesh(mesh control.Mesh) {
+	p.row.SetPeers(mesh.Row)
+	p.column.SetPeers(mesh.Column)
+	p.otherZones.SetPeers(mesh.Abroad)
+	p.useScheduler.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
-		s.handed.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
+		p.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
 	}
 }
 
-// run starts the threads that tell.
-func (s *spread) run(ctx context.Context, start func(func())) {
-	for _, a := range []*transport.Announcer[send]{s.row, s.column, s.abroad, s.handed} {
+// run starts the sending goroutines.
+func (p *peerAnnouncer) run(ctx context.Context, start func(func())) {
+	for _, a := range []*transport.Announcer[announcement]{p.row, p.column, p.otherZones, p.viaScheduler} {
 		start(func() { a.Run(ctx) })
 	}
 }
 
-// own tells of a send of this gateway.
-func (s *spread) own(made send) {
-	if s.silent {
+// announce sends an announcement to all other schedulers.
+func (p *peerAnnouncer) announce(item announcement) {
+	if p.disabled {
 		return
 	}
-	if s.hands.Load() {
-		s.handed.Announce(made)
+	if p.useScheduler.Load() {
+		p.viaScheduler.Announce(item)
 		return
 	}
-	s.abroad.Announce(made)
-	s.imported(made)
+	p.otherZones.Announce(item)
+	p.announceInZone(item)
 }
 
-// imported tells the own zone of a send from another one.
-func (s *spread) imported(made send) {
-	s.row.Announce(made)
-	s.column.Announce(made)
+// announceInZone sends an announcement to the other schedulers of the own zone.
+func (p *peerAnnouncer) announceInZone(item announcement) {
+	p.row.Announce(item)
+	p.column.Announce(item)
 }
 
-// listenPeers serves the other gateways, when there is an address for it.
-func (g *Gateway) listenPeers() (*transport.Server, error) {
-	if g.settings.Internal == "" {
+// servePeers starts the server for other gateways, if an address is configured.
+func (g *Gateway) servePeers() (*transport.Server, error) {
+	if g.settings.PeerAddress == "" {
 		return nil, nil
 	}
-	return transport.Listen(cmp.Or(g.settings.Bind, g.settings.Internal), g.settings.Token, g.handlePeer, zap.NewNop())
+	return transport.Listen(cmp.Or(g.settings.PeerListen, g.settings.PeerAddress), g.settings.Token, g.handlePeer, zap.NewNop())
 }
 
-func closePeers(listener *transport.Server) {
-	if listener == nil {
+func closePeers(server *transport.Server) {
+	if server == nil {
 		return
 	}
-	closing, done := context.WithTimeout(context.Background(), announceTimeout)
-	defer done()
-	_ = listener.Close(closing) // the process ends anyway
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
+	defer cancel()
+	_ = server.Close(ctx) // the process exits in any case
 }
 
 func (g *Gateway) handlePeer(request transport.Request, respond transport.Respond) {
-	var pass func(send)
+	var forward func(announcement)
 	switch request.Path {
 	case pathPlace:
 		g.takeQuestion(request, respond)
@@ -239,33 +241,33 @@
 	case pathEnd:
 		g.takeEnd(request, respond)
 		return
-	case pathHanded:
-		pass = g.spread.own
+	case pathViaScheduler:
+		forward = g.peers.announce
 	case pathSends:
-		pass = func(send) {}
+		forward = func(announcement) {}
 	case pathRow:
-		pass = g.spread.column.Announce
-	case pathImports:
-		pass = g.spread.imported
+		forward = g.peers.column.Announce
+	case pathOtherZone:
+		forward = g.peers.announceInZone
 	default:
 		respond(http.StatusNotFound, nil)
 		return
 	}
-	var told []wireSend
-	if json.Unmarshal(request.Body, &told) != nil {
+	var received []wireAnnouncement
+	if json.Unmarshal(request.Body, &received) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	sends := make([]send, 0, len(told))
-	for _, w := range told {
-		sends = append(sends, w.send())
-		pass(sends[len(sends)-1])
+	announcements := make([]announcement, 0, len(received))
+	for _, w := range received {
+		announcements = append(announcements, w.announcement())
+		forward(announcements[len(announcements)-1])
 	}
-	for _, told := range g.table.takeSends(g.now(), sends) {
-		if told.news.Leaving {
-			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
+	for _, signal := range g.table.applySends(g.now(), announcements) {
+		if signal.news.Draining {
+			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", toldByGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
+		g.noteLimit(g.now(), signal.instance, signal.news.Limit, toldByGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -18,163 +18,165 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take to come up.
+	// dialTimeout bounds the time to establish a connection to a back end.
 	dialTimeout = 300 * time.Millisecond
-	// unackedLimit is how long sent bytes may stay unacknowledged before the connection counts as dead.
-	unackedLimit = 1500 * time.Millisecond
-	// probeIdle, probeInterval and probeCount make a silent peer noticed on a connection that only waits.
-	probeIdle     = 1500 * time.Millisecond
-	probeInterval = 700 * time.Millisecond
-	probeCount    = 3
-	// idleRepeatable and idleOnce are how long a kept connection may have rested before it is used again. A request
-	// that must run at most once goes over one that was busy a moment ago, since a back end may be closing others.
-	idleRepeatable = 8 * time.Second
-	idleOnce       = 3 * time.Second
-	// forgottenShare of the rest after which a back end turned out to have forgotten a connection is how long others may
-	// rest for forgottenFor, and forgottenLeast the least that this may come to.
-	forgottenShare = 0.7
-	forgottenFor   = 10 * time.Second
-	forgottenLeast = 100 * time.Millisecond
-	// idleMargin is kept to a back end's own limit for idle connections.
-	idleMargin     = time.Second
-	readBuffer     = 4096
-	idlePerBackend = 16
+	// unackedTimeout is the TCP user timeout: how long sent data may remain unacknowledged.
+	unackedTimeout = 1500 * time.Millisecond
+	// TCP keep-alive detects an unreachable peer while a connection only waits for data.
+	keepAliveIdle     = 1500 * time.Millisecond
+	keepAliveInterval = 700 * time.Millisecond
+	keepAliveCount    = 3
+	// A connection idle for longer than maxIdleRetryable is not reused. For requests that must run at most once the
+	// limit is maxIdleOnce, as the back end may be about to close a connection that has been idle for longer.
+	maxIdleRetryable = 8 * time.Second
+	maxIdleOnce      = 3 * time.Second
+	// After a reused connection failed, connections idle for longer than staleIdleFactor times its idle time are not
+	// reused for staleIdleTTL. minStaleIdle is the minimum of this limit.
+	staleIdleFactor = 0.7
+	staleIdleTTL    = 10 * time.Second
+	minStaleIdle    = 100 * time.Millisecond
+	// idleMargin is subtracted from the keep-alive timeout that a back end announces.
+	idleMargin        = time.Second
+	readBufferSize    = 4096
+	maxIdlePerBackend = 16
 )
 
-// connection is one connection to a back end. It serves one request at a time.
+// connection is a connection to a back end. It carries one request at a time.
 type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	usedAt time.Duration
-	limit  time.Duration // longest rest that the back end announced; 0 unknown
-	rested time.Duration // before the request that it serves; 0 for a new connection
+	reader           *bufio.Reader
+	lastUsedAt       time.Duration
+	keepAliveTimeout time.Duration // announced by the back end; 0 if unknown
+	idleFor          time.Duration // idle time before the current request; 0 for a new connection
 }
 
-// pool keeps idle connections by instance, so that a connection never outlives the life it was made to.
+// pool keeps idle connections by instance ID, so that none is reused for another incarnation at the same address. It is
+// safe for concurrent use.
 type pool struct {
 	dialer net.Dialer
 	now    clock.Source
 	mutex  sync.Mutex
 	idle   map[string][]*connection
 
-	forgottenRest time.Duration // shortest rest after which a connection was lately found forgotten; guarded by mutex
-	forgottenAt   time.Duration // when; guarded by mutex
+	staleIdle   time.Duration // shortest idle time after which a reused connection recently failed; guarded by mutex
+	staleIdleAt time.Duration // when staleIdle was recorded; guarded by mutex
 }
 
 func newPool(source clock.Source) *pool {
-	made := &pool{now: clock.From(source), idle: map[string][]*connection{}}
-	made.dialer = net.Dialer{
-		Timeout: dialTimeout, Control: limitConnection,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
+	p := &pool{now: clock.From(source), idle: map[string][]*connection{}}
+	p.dialer = net.Dialer{
+		Timeout: dialTimeout, Control: setSocketOptions,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
-	return made
+	return p
 }
 
-// limitConnection bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
-func limitConnection(_, _ string, raw syscall.RawConn) error {
+// setSocketOptions sets the TCP user timeout and the size of the receive buffer.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
-		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit/time.Millisecond)),
+		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
 		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer),
 	)
 }
 
-// forgotten notes that a back end broke a connection off which had rested so long, before it answered anything. Back ends
-// may forget connections sooner than they say, so others are not trusted for as long either for a while.
-func (p *pool) forgotten(rested time.Duration) {
+// recordStale records that a connection reused after an idle time failed before any response. Back ends may close idle
+// connections earlier than they announce, so the idle limit of all connections is lowered for staleIdleTTL.
+func (p *pool) recordStale(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if rested < forgottenLeast || p.forgottenRest > 0 && p.now()-p.forgottenAt < forgottenFor && rested > p.forgottenRest {
+	if idleFor < minStaleIdle || p.staleIdle > 0 && p.now()-p.staleIdleAt < staleIdleTTL && idleFor > p.staleIdle {
 		return
 	}
-	p.forgottenRest, p.forgottenAt = rested, p.now()
+	p.staleIdle, p.staleIdleAt = idleFor, p.now()
 }
 
-// restLimit returns how long a connection may have rested, where rest is the most that the request allows.
-func (p *pool) restLimit(rest time.Duration) time.Duration {
+// idleLimit returns the idle time up to which connections are reused, maxIdle at most.
+func (p *pool) idleLimit(maxIdle time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.forgottenRest == 0 || p.now()-p.forgottenAt >= forgottenFor {
-		return rest
+	if p.staleIdle == 0 || p.now()-p.staleIdleAt >= staleIdleTTL {
+		return maxIdle
 	}
-	return min(rest, max(forgottenLeast, time.Duration(forgottenShare*float64(p.forgottenRest))))
+	return min(maxIdle, max(minStaleIdle, time.Duration(staleIdleFactor*float64(p.staleIdle))))
 }
 
-// get returns an idle connection that rested no longer than rest, or a new one. An error proves that nothing was sent.
-func (p *pool) get(ctx context.Context, instance, address string, rest time.Duration) (*connection, error) {
-	rest = p.restLimit(rest)
+// get returns a connection idle for less than maxIdle, or a new one. On an error nothing was sent.
+func (p *pool) get(ctx context.Context, instance, address string, maxIdle time.Duration) (*connection, error) {
+	maxIdle = p.idleLimit(maxIdle)
 	for {
-		kept := p.take(instance)
-		if kept == nil {
+		idle := p.takeIdle(instance)
+		if idle == nil {
 			break
 		}
-		if kept.fresh(p.now(), rest) && kept.quiet() {
-			kept.rested = p.now() - kept.usedAt
-			return kept, nil
+		if idle.isFresh(p.now(), maxIdle) && idle.isUsable() {
+			idle.idleFor = p.now() - idle.lastUsedAt
+			return idle, nil
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
-	made, err := p.dialer.DialContext(ctx, "tcp", address)
+	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: made, reader: bufio.NewReaderSize(made, readBuffer)}, nil
+	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// take removes the connection that was used last.
-func (p *pool) take(instance string) *connection {
+// takeIdle removes and returns the most recently used idle connection of an instance, or nil.
+func (p *pool) takeIdle(instance string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[instance]
-	if len(kept) == 0 {
+	idle := p.idle[instance]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[instance] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	p.idle[instance] = idle[:len(idle)-1]
 	return last
 }
 
-// put keeps a connection whose last answer was read whole.
+// put keeps a connection whose last response was read completely.
 func (p *pool) put(instance string, used *connection) {
-	used.usedAt = p.now()
+	used.lastUsedAt = p.now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle[instance]) >= idlePerBackend {
+	if len(p.idle[instance]) >= maxIdlePerBackend {
 		_ = used.Close()
 		return
 	}
 	p.idle[instance] = append(p.idle[instance], used)
 }
 
-// sweep closes connections that rested too long.
+// sweep closes connections that have been idle for too long to be reused.
 func (p *pool) sweep() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for instance, kept := range p.idle {
-		var left []*connection
-		for _, held := range kept {
-			if held.fresh(p.now(), idleRepeatable) {
-				left = append(left, held)
+	for instance, idle := range p.idle {
+		var remaining []*connection
+		for _, conn := range idle {
+			if conn.isFresh(p.now(), maxIdleRetryable) {
+				remaining = append(remaining, conn)
 				continue
 			}
-			_ = held.Close()
+			_ = conn.Close()
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, instance)
 			continue
 		}
-		p.idle[instance] = left
+		p.idle[instance] = remaining
 	}
 }
 
-func (c *connection) fresh(now, rest time.Duration) bool {
-	if c.limit > 0 {
-		rest = min(rest, c.limit-idleMargin)
+// isFresh reports whether the connection was idle for less than maxIdle and the announced keep-alive timeout.
+func (c *connection) isFresh(now, maxIdle time.Duration) bool {
+	if c.keepAliveTimeout > 0 {
+		maxIdle = min(maxIdle, c.keepAliveTimeout-idleMargin)
 	}
-	return now-c.usedAt < rest
+	return now-c.lastUsedAt < maxIdle
 }
 
-// quiet reports whether the back end has neither closed the connection nor sent bytes that nobody asked for.
-func (c *connection) quiet() bool {
+// isUsable reports whether the back end has neither closed the connection nor sent unsolicited data.
+func (c *connection) isUsable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -182,33 +184,33 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
-		_, _, failed := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failed == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(descriptor), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		noData = errno == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// noteLimits reads how long the back end keeps the connection, and reports whether it may be used again.
-func (c *connection) noteLimits(answer *http.Response) bool {
-	if answer.Close || hasToken(answer.Header, "Connection", "close") {
+// readKeepAlive reads the keep-alive timeout from a response, and reports whether the connection may be reused.
+func (c *connection) readKeepAlive(response *http.Response) bool {
+	if response.Close || hasToken(response.Header, "Connection", "close") {
 		return false
 	}
-	c.limit = 0
-	for field := range strings.SplitSeq(answer.Header.Get("Keep-Alive"), ",") {
+	c.keepAliveTimeout = 0
+	for field := range strings.SplitSeq(response.Header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		seconds, err := strconv.Atoi(value)
 		if found && err == nil {
-			c.limit = time.Duration(seconds) * time.Second
+			c.keepAliveTimeout = time.Duration(seconds) * time.Second
 		}
 	}
 	return true
 }
 
-// hasToken reports whether a header that lists tokens holds one.
+// hasToken reports whether a comma-separated header contains a token.
 func hasToken(header http.Header, name, token string) bool {
 	for _, line := range header.Values(name) {
 		for field := range strings.SplitSeq(line, ",") {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -13,42 +13,45 @@
 )
 
 const (
-	// moveBase is the least time of a copy, in milliseconds; farFactor is how much longer one between zones takes.
-	moveBase  = 4.0
-	farFactor = 2.0
-	// displaceWeight is what each copied token costs besides, as a part of the time of reading one.
-	displaceWeight = 0.8
-	// saveWait is how long a store's link may be busy for parts to be saved there: copies that requests wait for come first.
-	saveWait              = 60 * time.Millisecond
+	// minTransferTime is the minimum duration of a copy, in milliseconds; crossZoneFactor multiplies that of copies
+	// between zones.
+	minTransferTime = 4.0
+	crossZoneFactor = 2.0
+	// displacementWeight is the cost of each copied token for evicting others, as a fraction of the prefill time of a
+	// token.
+	displacementWeight = 0.8
+	// maxSaveWait is how long a store's link may be busy for parts to be saved there; copies that requests wait for
+	// take precedence.
+	maxSaveWait           = 60 * time.Millisecond
 	bitsPerByte           = 8
 	bitsPerMegabit        = 1e6
 	millisecondsPerSecond = 1e3
 )
 
-// source is a back end that is believed to hold leading parts of a prompt.
+// source is a back end that is estimated to have leading parts of a prompt cached.
 type source struct {
 	row     *endpoint
 	version uint64
 	tokens  int
 }
 
-// sources returns back ends that hold leading shared parts of the prompt, each under the salt of its own weights, the
-// deepest first, at most maximumHolders. Of the many that hold a common part a random sample is looked at, so that deciders
-// which know the same don't all choose among the same few.
-func (g *Gateway) sources(now time.Duration, wish need) []source {
-	shared := prefix.Shared(wish.call.Parts)
-	if !wish.service.Engine || len(shared) == 0 || !wish.trusted {
+// sources returns up to maxSources back ends that have leading shared parts of the prompt cached, each under the
+// salt of its own weights, those with the most tokens first. Of the many holders of a common part a random sample
+// is checked, so that gateways with equal knowledge do not all choose among the same few.
+func (g *Gateway) sources(now time.Duration, in selectionInput) []source {
+	shared := prefix.SharedParts(in.call.Parts)
+	if !in.service.Engine || len(shared) == 0 || !in.trusted {
 		return nil
 	}
-	found := make([]source, 0, maximumHolders)
-	var salts knownSalts
-	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maximumHolders; deepest-- {
-		for _, row := range sampled(g.table.holders[shared[deepest].ID], holdersSampled) {
-			if len(found) == maximumHolders || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
+	found := make([]source, 0, maxSources)
+	var salts saltCache
+	for deepest := len(shared) - 1; deepest >= 0 && len(found) < maxSources; deepest-- {
+		for _, row := range sampled(g.table.holders[shared[deepest].ID], holderSample) {
+			if len(found) == maxSources || slices.ContainsFunc(found, func(other source) bool { return other.row == row }) {
 				continue
 			}
-			if held, holds := g.sourceAt(now, row, wish, &salts); holds {
-				found = append(found, held)
+			if cached, ok := g.sourceFrom(now, row, in, &salts); ok {
+				found = append(found, cached)
 			}
 		}
 	}
@@ -56,7 +59,7 @@
 	return found
 }
 
-// sampled returns all of a few rows, and as many at random of more; a row may come twice then.
+// sampled returns all rows if there are at most count, else count random ones with replacement.
 func sampled(rows []*endpoint, count int) []*endpoint {
 	if len(rows) <= count {
 		return rows
@@ -68,117 +71,118 @@
 	return picked
 }
 
-// knownSalts keeps the salt of the weights that came last: few versions are about at a time, mostly one.
-type knownSalts struct {
+// saltCache caches the last computed salt; most back ends have the same version.
+type saltCache struct {
 	version uint64
 	name    string
 }
 
 // of returns the salt of a version for a tenant.
-func (k *knownSalts) of(version uint64, owner *catalog.Tenant) string {
+func (k *saltCache) of(version uint64, tenant *catalog.Tenant) string {
 	if k.name == "" || k.version != version {
-		k.version, k.name = version, salt(version, owner)
+		k.version, k.name = version, cacheSalt(version, tenant)
 	}
 	return k.name
 }
 
-// sourceAt returns what a back end holds of a prompt's shared parts under its own weights, whose salt is kept in salts.
-func (g *Gateway) sourceAt(now time.Duration, row *endpoint, wish need, salts *knownSalts) (source, bool) {
-	version := row.entry.Versions[wish.call.Model]
-	if version == 0 || row.entry.Service != wish.service.Name || now < row.avoidTo || row.entry.Loading {
+// sourceFrom returns what a back end has cached of a prompt's shared parts under its own weights.
+func (g *Gateway) sourceFrom(now time.Duration, row *endpoint, in selectionInput, salts *saltCache) (source, bool) {
+	version := row.entry.Versions[in.call.Model]
+	if version == 0 || row.entry.Service != in.service.Name || now < row.avoidUntil || row.entry.Loading {
 		return source{}, false
 	}
-	tokens := row.held.Cached(salts.of(version, wish.tenant), prefix.Shared(wish.call.Parts))
+	tokens := row.cache.Cached(salts.of(version, in.tenant), prefix.SharedParts(in.call.Parts))
 	return source{row: row, version: version, tokens: tokens}, tokens > 0
 }
 
-// copyPlan is one way to have missing shared parts at an engine.
+// copyPlan is a way to get missing shared parts to an engine.
 type copyPlan struct {
 	from   string  // address, or ""
-	tokens int     // held there from the first part on
-	time   float64 // milliseconds that the move takes
-	cost   float64 // milliseconds, with the wait for its turn and what it displaces
+	tokens int     // leading tokens cached there
+	time   float64 // duration of the transfer, in milliseconds
+	cost   float64 // milliseconds, including the wait for the link and displacement
 }
 
-// planFetch chooses how the engine gets the missing shared parts, and returns the tokens that need not be read. Reading them
-// again is one of the ways: a copy that waits long for its turn is worth less than that. Where nobody is known to hold more,
-// the store is asked: a miss costs next to nothing.
-func (g *Gateway) planFetch(now time.Duration, scored *candidate, wish need, cached int, sources []source) int {
-	shared := prefix.Shared(wish.call.Parts)
-	whole := prefix.PartTokens(shared)
-	stored := wish.store != nil && g.table.stored.Holds(now, scored.salt, shared)
+// planFetch decides how the engine gets the missing shared parts, and returns the tokens that it need not prefill.
+// They are copied from another engine or the store if that costs less than recomputing them. If the store is not
+// known to have them and its link is free, it is asked anyway, since a miss costs little, and they are saved
+// there.
+func (g *Gateway) planFetch(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) int {
+	shared := prefix.SharedParts(in.call.Parts)
+	sharedTokens := prefix.PartTokens(shared)
+	stored := in.store != nil && g.table.stored.Holds(now, scored.salt, shared)
 	best, found := copyPlan{tokens: cached}, false
-	if g.on(mechanism.Copies) {
-		best, found = g.bestEngineCopy(now, scored, wish, cached, sources)
+	if g.enabled(mechanism.EngineTransfers) {
+		best, found = g.bestEngineCopy(now, scored, in, cached, sources)
 	}
 	if stored {
-		fromStore := g.storeCopy(now, scored, wish, whole, cached)
-		if !found || fromStore.net(cached) < best.net(cached) {
+		fromStore := g.planStoreCopy(now, scored, in, sharedTokens, cached)
+		if !found || fromStore.netCost(cached) < best.netCost(cached) {
 			best, found = fromStore, true
 		}
 	}
-	scored.dearer = found && best.net(cached) >= 0
+	scored.copyCostsMore = found && best.netCost(cached) >= 0
 	switch {
-	case found && best.net(cached) < 0:
-		scored.fetch, scored.cost = best.from, scored.cost+best.cost
-		scored.move = belief.Move{From: best.from, Time: belief.FromMilliseconds(best.time)}
+	case found && best.netCost(cached) < 0:
+		scored.fetchFrom, scored.cost = best.from, scored.cost+best.cost
+		scored.transfer = belief.Transfer{From: best.from, Time: belief.FromMilliseconds(best.time)}
 		return best.tokens
-	case !stored && wish.store != nil && g.table.links.Wait(now, wish.store.Store) < saveWait:
-		scored.fetch, scored.save = wish.store.Store, wish.store.Store
-		saved := g.storeCopy(now, scored, wish, whole, cached) // the way there takes as long as the way back
-		scored.move = belief.Move{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
+	case !stored && in.store != nil && g.table.links.Wait(now, in.store.StoreAddress) < maxSaveWait:
+		scored.fetchFrom, scored.saveTo = in.store.StoreAddress, in.store.StoreAddress
+		saved := g.planStoreCopy(now, scored, in, sharedTokens, cached) // saving takes as long as fetching
+		scored.transfer = belief.Transfer{From: saved.from, Time: belief.FromMilliseconds(saved.time)}
 	}
 	return cached
 }
 
-// net is what a way costs more than to read the parts, in milliseconds; below 0 it is the better one.
-func (p copyPlan) net(cached int) float64 {
-	return p.cost - (1+rereadWeight)*float64(p.tokens-cached)/belief.PrefillRate
+// netCost returns the cost of a copy minus that of recomputing the parts, in milliseconds.
+func (p copyPlan) netCost(cached int) float64 {
+	return p.cost - (1+recomputeWeight)*float64(p.tokens-cached)/belief.PrefillRate
 }
 
-// bestEngineCopy returns the copy from an engine that costs least against reading.
-func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, wish need, cached int, sources []source) (best copyPlan, found bool) {
+// bestEngineCopy returns the copy from an engine with the least net cost.
+func (g *Gateway) bestEngineCopy(now time.Duration, scored *candidate, in selectionInput, cached int, sources []source) (best copyPlan, found bool) {
 	for _, other := range sources {
 		if other.row == scored.row || other.version != scored.version || other.tokens <= cached {
 			continue
 		}
-		far := other.row.entry.Zone != scored.row.entry.Zone
-		plan := g.copyPlan(now, wish, other.row.entry.Address, wish.service.LinkMbps, other.tokens, cached, far)
-		if !found || plan.net(cached) < best.net(cached) {
+		crossZone := other.row.entry.Zone != scored.row.entry.Zone
+		plan := g.planCopy(now, in, other.row.entry.Address, in.service.LinkMbps, other.tokens, cached, crossZone)
+		if !found || plan.netCost(cached) < best.netCost(cached) {
 			best, found = plan, true
 		}
 	}
 	return best, found
 }
 
-// storeCopy returns what a copy between the store and the engine costs.
-func (g *Gateway) storeCopy(now time.Duration, scored *candidate, wish need, tokens, cached int) copyPlan {
-	far := wish.store.Zone != scored.row.entry.Zone
-	return g.copyPlan(now, wish, wish.store.Store, wish.store.LinkMbps, tokens, cached, far)
+// planStoreCopy returns the cost of a copy between the store and the engine.
+func (g *Gateway) planStoreCopy(now time.Duration, scored *candidate, in selectionInput, tokens, cached int) copyPlan {
+	crossZone := in.store.Zone != scored.row.entry.Zone
+	return g.planCopy(now, in, in.store.StoreAddress, in.store.LinkMbps, tokens, cached, crossZone)
 }
 
-// copyPlan returns what a copy of the tokens beyond the cached ones costs over a link of so many Mbit/s.
-func (g *Gateway) copyPlan(now time.Duration, wish need, from string, linkMbps float64, tokens, cached int, far bool) copyPlan {
-	plan := copyPlan{from: from, tokens: tokens, time: moveTime(wish.service, linkMbps, tokens-cached, far)}
+// planCopy returns the cost of copying the tokens beyond the cached ones over a link of the given Mbit/s.
+func (g *Gateway) planCopy(now time.Duration, in selectionInput, from string, linkMbps float64, tokens, cached int, crossZone bool) copyPlan {
+	plan := copyPlan{from: from, tokens: tokens, time: transferTime(in.service, linkMbps, tokens-cached, crossZone)}
 	plan.cost = plan.time
-	if g.on(mechanism.Displacement) {
-		plan.cost += displaceWeight * float64(tokens-cached) / belief.PrefillRate
+	if g.enabled(mechanism.EvictionCost) {
+		plan.cost += displacementWeight * float64(tokens-cached) / belief.PrefillRate
 	}
-	if g.on(mechanism.Links) {
+	if g.enabled(mechanism.LinkQueueing) {
 		plan.cost += belief.Milliseconds(g.table.links.Wait(now, from))
 	}
 	return plan
 }
 
-// moveTime is how long copying cached tokens takes over the slower of two links, in milliseconds.
-func moveTime(service *catalog.Service, linkMbps float64, tokens int, far bool) float64 {
+// transferTime returns how long copying cached tokens over the slower of two links takes, in milliseconds.
+func transferTime(service *catalog.Service, linkMbps float64, tokens int, crossZone bool) float64 {
 	if service.LinkMbps <= 0 || linkMbps <= 0 {
-		return moveBase
+		return minTransferTime
 	}
-	bits := float64(tokens) * service.TokenBytes * bitsPerByte
+	bits := float64(tokens) * service.KVBytesPerToken * bitsPerByte
 	time := bits / (min(service.LinkMbps, linkMbps) * bitsPerMegabit) * millisecondsPerSecond
-	if far {
-		time *= farFactor
+	if crossZone {
+		time *= crossZoneFactor
 	}
-	return moveBase + time
+	return minTransferTime + time
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -16,278 +16,284 @@
 )
 
 const (
-	// muteAfter is how long a back end may leave a request without a word, while it says nothing else either, before it is
-	// avoided.
-	muteAfter = 1200 * time.Millisecond
-	// olderPause is how long a back end is avoided that holds older weights than believed: about a period of its heartbeats.
-	olderPause = time.Second
+	// silenceTimeout is how long a back end may leave a request without a response, and send no bytes of any other
+	// response, before it is avoided.
+	silenceTimeout = 1200 * time.Millisecond
+	// outdatedAvoidance is how long a back end that holds older weights than expected is avoided; it is about one
+	// heartbeat interval.
+	outdatedAvoidance = time.Second
 )
 
-// endpoint is a row of the back end table.
+// endpoint is an entry of the back end table.
 type endpoint struct {
-	life     catalog.Life        // never changes
-	entry    control.RosterEntry // with the newest weights that control or the back end itself told of
-	told     map[string]uint64   // weights by model, as control last told them
-	heardAt  time.Duration       // when the entry came
-	occupied belief.Occupancy
-	busyTo   time.Duration    // when the prompts sent so far, by any gateway, are taken to be read
-	held     *belief.Holdings // cached parts that it is believed to hold
-	hash     uint64           // of its address
-	long     bool             // it serves long requests rather than short ones
-	waiting  map[*attempt]time.Duration
-	spokeAt  time.Duration // newest bytes of any answer
-	failures int           // in a row
-	failing  float64       // share of failures, smoothed
-	avoidTo  time.Duration
-	dryTo    time.Duration // nothing of its limit can be had until then, as the lender says
-	pacedTo  time.Duration // no more of its limit is placed for other gateways until then
-	reports  suspicion     // of other gateways
-	gone     bool
-	home     bool // this gateway reads its cache events
+	incarnation         catalog.Incarnation // immutable
+	entry               control.RosterEntry // with the newest weight versions reported by control or by the back end
+	controlVersions     map[string]uint64   // weight versions by model, as last reported by control
+	entryAt             time.Duration       // when the entry was received
+	occupancy           belief.Occupancy
+	prefillBusyUntil    time.Duration         // estimated end of the prefills of all gateways' requests sent so far
+	cache               *belief.CacheEstimate // estimate of the cached parts
+	hash                uint64                // of the address
+	longLane            bool                  // assigned to long requests rather than short ones
+	waiting             map[*attempt]time.Duration
+	lastByteAt          time.Duration // when the last bytes of any response arrived
+	failures            int           // consecutive
+	failureRate         float64       // smoothed
+	avoidUntil          time.Duration
+	limitExhaustedUntil time.Duration // no lease on its advertised limit is available until then
+	limitPacedUntil     time.Duration // no more requests of other gateways are placed under its limit until then
+	reports             suspicion     // by other gateways that it is unreachable
+	gone                bool
+	assigned            bool // this gateway reads its cache events
 }
 
-// table holds the back ends of the newest roster.
+// table holds the back ends of the current roster, and state shared by requests.
 type table struct {
-	mechanisms mechanism.Set // that are on
-	mutex      sync.Mutex
-	rows       map[string]*endpoint
-	services   map[string][]*endpoint
-	named      *belief.Namings             // of weights
-	stored     *belief.Stored              // parts that were sent to a store
-	lanes      map[string]*lanes           // by service
-	stays      map[string]belief.Stays     // by service
-	placed     map[string]placement        // for other gateways, by ticket
-	links      belief.Links                // of engines and stores
-	paces      map[string]belief.Pace      // by service
-	met        map[string]time.Duration    // by shared part, the last of a prompt's: when it was last sent somewhere; at most metMost
-	judges     map[string]*admission.Judge // by service
-	homes      int                         // rows that are home
-	holders    map[string][]*endpoint      // that hold a shared part, under any salt, by its id
-	pushed     *pushback.Book              // what back ends said of themselves
-	unlentTo   time.Duration               // until then nobody is asked for a part of a limit: the lender gave no answer
-	turns      map[string]time.Duration    // by service: when the caller that was told last may come back that found all at their limits
-	changed    *bell                       // rings with each roster
-	waiting    map[*attempt]struct{}       // all that wait at any row, also at those that are gone
+	mechanisms       mechanism.Set // enabled ones
+	mutex            sync.Mutex
+	rows             map[string]*endpoint
+	services         map[string][]*endpoint
+	published        *belief.PublishTimes              // versions of weights
+	stored           *belief.StoredParts               // parts that were sent to a store
+	lanes            map[string]*lanes                 // by service
+	meanDurations    map[string]belief.MeanDuration    // by service
+	placed           map[string]placement              // placements for other gateways, by ticket
+	links            belief.Links                      // of engines and stores
+	prefillEstimates map[string]belief.PrefillEstimate // by service
+	lastSent         map[string]time.Duration          // of shared parts, by the ID of a prompt's last one; at most maxLastSent
+	admission        map[string]*admission.Controller  // by service
+	assignedCount    int                               // number of assigned rows
+	holders          map[string][]*endpoint            // with a shared part cached under any salt, by part ID
+	signals          *pushback.Tracker                 // load and limit signals of back ends
+	leaseRetryAt     time.Duration                     // no lease is requested until then, since the allocator did not answer
+	lastRetryAt      map[string]time.Duration          // by service: latest retry time given while all were at their limits
+	rosterChanged    *notifier                         // signals each new roster
+	waiting          map[*attempt]struct{}             // awaiting a response, also at removed back ends
 }
 
 func newTable(mechanisms mechanism.Set) *table {
 	return &table{
 		mechanisms: mechanisms, rows: map[string]*endpoint{}, services: map[string][]*endpoint{},
-		named: belief.NewNamings(guard.Set{}), stored: belief.NewStored(), links: belief.Links{}, pushed: pushback.NewBook(),
-		lanes: map[string]*lanes{}, stays: map[string]belief.Stays{}, paces: map[string]belief.Pace{}, met: map[string]time.Duration{}, judges: map[string]*admission.Judge{},
-		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, changed: newBell(), turns: map[string]time.Duration{},
+		published: belief.NewPublishTimes(guard.Set{}), stored: belief.NewStoredParts(), links: belief.Links{}, signals: pushback.NewTracker(),
+		lanes: map[string]*lanes{}, meanDurations: map[string]belief.MeanDuration{}, prefillEstimates: map[string]belief.PrefillEstimate{}, lastSent: map[string]time.Duration{}, admission: map[string]*admission.Controller{},
+		placed: map[string]placement{}, holders: map[string][]*endpoint{}, waiting: map[*attempt]struct{}{}, rosterChanged: newNotifier(), lastRetryAt: map[string]time.Duration{},
 	}
 }
 
-// learnVersion notes the weights that a back end itself told of when it turned a request away, and reports whether they are news. Where they are
-// older than believed it is left alone for a while: control hears of it with the next heartbeat.
-func (t *table) learnVersion(now time.Duration, row *endpoint, model string, version uint64) (news bool) {
+// recordVersion records the weight version that a back end reported when it rejected a request, and reports
+// whether it is newer than the known one. A back end with older weights than known is avoided until control has
+// received its next heartbeat.
+func (t *table) recordVersion(now time.Duration, row *endpoint, model string, version uint64) (newer bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if believed := row.entry.Versions[model]; version <= believed {
-		if version > 0 && version < believed {
-			row.avoidTo = max(row.avoidTo, now+olderPause)
+	if known := row.entry.Versions[model]; version <= known {
+		if version > 0 && version < known {
+			row.avoidUntil = max(row.avoidUntil, now+outdatedAvoidance)
 		}
 		return false
 	}
 	row.entry.Versions = newestVersions(row.entry.Versions, map[string]uint64{model: version})
-	row.held.Clear()
+	row.cache.Clear()
 	return true
 }
 
-// takeNews notes what every answer of control carries, and returns the versions of weights that it tells to be younger than known.
-func (t *table) takeNews(now, asked time.Duration, reply *control.WatchReply) []belief.Younger {
+// applyWatchReply applies the part of a watch reply that every reply carries, and returns the versions whose age
+// regressed.
+func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.named.Take(now, asked, reply.Version.Term, reply.Wanted)
+	return t.published.Update(now, asked, reply.Version.Term, reply.Wanted)
 }
 
-// setHome notes which back ends this gateway reads.
-func (t *table) setHome(ids []string) {
+// setAssigned sets the back ends whose cache events this gateway reads.
+func (t *table) setAssigned(ids []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.homes = 0
+	t.assignedCount = 0
 	for id, row := range t.rows {
-		row.home = slices.Contains(ids, id)
-		if row.home {
-			t.homes++
+		row.assigned = slices.Contains(ids, id)
+		if row.assigned {
+			t.assignedCount++
 		}
 	}
 }
 
-// usage returns the own requests by instance.
+// usage returns the number of this gateway's running requests by instance.
 func (t *table) usage() map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
 	for id, row := range t.rows {
-		if n := row.occupied.Own.Running; n > 0 {
+		if n := row.occupancy.Own.Running; n > 0 {
 			counts[id] = n
 		}
 	}
 	return counts
 }
 
-// loads reports whether a back end's weights are being replaced.
-func (t *table) loads(row *endpoint) bool {
+// weightsLoading reports whether a back end's weights are being replaced.
+func (t *table) weightsLoading(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return row.entry.Loading && !row.gone
 }
 
-// heard reports whether control hears a back end's heartbeats.
-func (t *table) heard(row *endpoint) bool {
+// hasHeartbeat reports whether control receives a back end's heartbeats.
+func (t *table) hasHeartbeat(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && !row.entry.Silent
 }
 
-// drains reports whether own requests run on a back end that gets no new ones, since its weights are to be replaced.
-func (t *table) drains() bool {
+// weightsDraining reports whether own requests run on a back end that gets no new ones because its weights are to
+// be replaced.
+func (t *table) weightsDraining() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.rows {
-		if row.entry.Loading && row.occupied.Own.Running > 0 {
+		if row.entry.Loading && row.occupancy.Own.Running > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// begin notes that an attempt is sent, and returns what this gateway now has running there.
+// begin records that an attempt is sent, and returns this gateway's load at its back end.
 func (t *table) begin(now time.Duration, sent *attempt) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	own := &sent.row.occupied.Own
+	own := &sent.row.occupancy.Own
 	*own = own.Plus(sent.load())
 	if sent.plan.scheduled == nil {
-		t.read(now, sent.row, sent.uncached)
+		t.addPrefill(now, sent.row, sent.uncached)
 	}
-	sent.atRest = max(0, t.pushed.At(now, sent.row.life).Until-now)
-	sent.limited = t.pushed.Limit(sent.row.life)
+	sent.backoffLeft = max(0, t.signals.Restriction(now, sent.row.incarnation).BackoffUntil-now)
+	sent.advertisedLimit = t.signals.Limit(sent.row.incarnation)
 	sent.row.waiting[sent] = now
 	t.waiting[sent] = struct{}{}
-	return sent.row.occupied.Here()
+	return sent.row.occupancy.Local()
 }
 
-// spoke notes bytes of an answer; the first ones end the wait.
-func (t *table) spoke(now time.Duration, sent *attempt) {
+// recordBytes records bytes of a response; the first ones end the attempt's wait.
+func (t *table) recordBytes(now time.Duration, sent *attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	sent.row.spokeAt = now
+	sent.row.lastByteAt = now
 	t.endWait(sent)
 }
 
-// endWait notes that an attempt waits no longer, and ends the watch of its limit. The caller holds the mutex.
+// endWait removes an attempt from those awaiting a response, and stops its start deadline timer. The caller holds
+// the mutex.
 func (t *table) endWait(sent *attempt) {
 	delete(sent.row.waiting, sent)
 	delete(t.waiting, sent)
-	if sent.limit != nil {
-		sent.limit.Stop()
+	if sent.startTimer != nil {
+		sent.startTimer.Stop()
 	}
 }
 
-// end notes that an attempt is over, and how it went. It returns what this gateway still has running there.
-func (t *table) end(now time.Duration, sent *attempt, good outcomeGrade) belief.Load {
+// end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
+func (t *table) end(now time.Duration, sent *attempt, grade outcomeGrade) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
-	own := &sent.row.occupied.Own
+	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.grade(now, good)
-	if good == gradeGood {
-		t.noteStay(sent.row, now-sent.began)
+	sent.row.grade(now, grade)
+	if grade == gradeGood {
+		t.recordDuration(sent.row, now-sent.startedAt)
 	}
-	return sent.row.occupied.Here()
+	return sent.row.occupancy.Local()
 }
 
-// noteStay learns how long a request stayed at a back end. The caller holds the mutex.
-func (t *table) noteStay(row *endpoint, length time.Duration) {
+// recordDuration updates the mean request duration of a back end's service. The caller holds the mutex.
+func (t *table) recordDuration(row *endpoint, length time.Duration) {
 	service := row.entry.Service
-	t.stays[service] = t.stay(service).Next(length)
+	t.meanDurations[service] = t.meanDuration(service).Observe(length)
 }
 
-// stay returns how long requests stay at the back ends of a service.
-func (t *table) stay(service string) belief.Stays {
-	if known, measured := t.stays[service]; measured {
+// meanDuration returns the mean request duration at the back ends of a service.
+func (t *table) meanDuration(service string) belief.MeanDuration {
+	if known, measured := t.meanDurations[service]; measured {
 		return known
 	}
-	return belief.StayFirst
+	return belief.InitialMeanDuration
 }
 
-// takeSends notes what other gateways sent, and returns what is news of what back ends said of themselves.
-func (t *table) takeSends(now time.Duration, sends []send) (told []said) {
+// applySends applies announcements of other gateways, and returns the new signals of back ends among them.
+func (t *table) applySends(now time.Duration, sends []announcement) (updates []said) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, made := range sends {
-		row := t.rows[made.Instance]
+	for _, sent := range sends {
+		row := t.rows[sent.Instance]
 		if row == nil {
 			continue
 		}
-		at := now - min(now, made.Age)
-		if made.Kept {
-			row.held.Keep(at, made.Salt, made.Parts)
-			t.index(row, made.Parts)
+		at := now - min(now, sent.Age)
+		if sent.CacheReport {
+			row.cache.ApplyPeerReport(at, sent.Salt, sent.Parts)
+			t.indexHolder(row, sent.Parts)
 			continue
 		}
-		if made.Unreached {
-			t.suspect(at, row, made.Gateway)
+		if sent.Unreachable {
+			t.suspect(at, row, sent.Gateway)
 			continue
 		}
-		if !made.Said.Nothing() {
-			if news := t.hearOf(now, at, row, made.Said); !news.Nothing() {
-				told = append(told, said{made.Instance, news})
+		if !sent.Signals.IsEmpty() {
+			if fresh := t.hearOf(now, at, row, sent.Signals); !fresh.IsEmpty() {
+				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
 		}
-		if made.Refused != "" {
-			t.judge(row.entry.Service).Remember(at, made.Refused)
+		if sent.RejectedRequest != "" {
+			t.judge(row.entry.Service).RecordRejection(at, sent.RejectedRequest)
 			continue
 		}
-		row.occupied.Note(made.Gateway, at, made.Load)
-		if made.Salt == "" {
-			continue // it tells of no prompt
+		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
+		if sent.Salt == "" {
+			continue // no prompt is described
 		}
-		t.read(at, row, made.Uncached)
-		t.hold(at, row, made)
-		t.noteDemand(at, row, made.Uncached)
+		t.addPrefill(at, row, sent.Uncached)
+		t.recordCached(at, row, sent)
+		t.recordDemand(at, row, sent.Uncached)
 	}
-	return told
+	return updates
 }
 
-// lane returns the lanes of a service, made when it is first named.
-func (t *table) lane(service string) *lanes {
-	held := t.lanes[service]
-	if held == nil {
-		held = &lanes{}
-		t.lanes[service] = held
+// lanesOf returns the lanes of a service, creating them on first use.
+func (t *table) lanesOf(service string) *lanes {
+	found := t.lanes[service]
+	if found == nil {
+		found = &lanes{}
+		t.lanes[service] = found
 	}
-	return held
+	return found
 }
 
-// sweep forgets what is long past.
+// sweep removes expired state.
 func (t *table) sweep(now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.stored.Sweep(now)
 	t.sweepPlacements(now)
-	for _, judge := range t.judges {
-		judge.Sweep(now)
+	for _, controller := range t.admission {
+		controller.Sweep(now)
 	}
 	t.links.Sweep(now)
-	t.forgetHolders()
-	t.forgetMet(now)
-	t.pushed.Sweep(now, func(life catalog.Life) bool { return t.rows[life.ID()] != nil })
+	t.sweepHolders()
+	t.sweepLastSent(now)
+	t.signals.Sweep(now, func(incarnation catalog.Incarnation) bool { return t.rows[incarnation.ID()] != nil })
 	for _, row := range t.rows {
-		row.occupied.Sweep(now)
+		row.occupancy.Sweep(now)
 	}
 }
 
-// mute reports whether a back end leaves requests without a word.
-func (e *endpoint) mute(now time.Duration) bool {
-	if len(e.waiting) == 0 || now-e.spokeAt < muteAfter {
+// unresponsive reports whether a back end has left a request without a response for longer than silenceTimeout and
+// sent no other bytes meanwhile.
+func (e *endpoint) unresponsive(now time.Duration) bool {
+	if len(e.waiting) == 0 || now-e.lastByteAt < silenceTimeout {
 		return false
 	}
 	oldest := slices.Min(slices.Collect(maps.Values(e.waiting)))
-	return now-oldest > muteAfter
+	return now-oldest > silenceTimeout
 }
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -6,9 +6,9 @@
 	"kitetiller/internal/lab/forms"
 )
 
-// TestFormsStayReadable: all that gateways tell and ask each other.
-func TestFormsStayReadable(t *testing.T) {
-	forms.Check[wireSend](t, "send")
+// TestWireFormatsCompatible guards against incompatible changes of the messages between gateways.
+func TestWireFormatsCompatible(t *testing.T) {
+	forms.Check[wireAnnouncement](t, "send")
 	forms.Check[wireQuestion](t, "question")
 	forms.Check[wirePlacement](t, "placement")
 	forms.Check[wireEnd](t, "end")
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -11,103 +11,103 @@
 	"kitetiller/internal/prefix"
 )
 
-// TestDecidersThatKnowTheSameSpread: fifteen schedulers that place a request each at the same moment, of the same preamble, which
-// all engines hold, choose nearly as many engines.
-func TestDecidersThatKnowTheSameSpread(t *testing.T) {
-	const deciders, engines, rounds = 15, 240, 20
-	fleet := make([]*Gateway, deciders)
+// Schedulers that each place a request with the same cached preamble at the same moment choose mostly different
+// engines.
+func TestConcurrentSchedulersSpreadRequests(t *testing.T) {
+	const schedulers, engines, rounds = 15, 240, 20
+	fleet := make([]*Gateway, schedulers)
 	for d := range fleet {
 		fleet[d] = scheduler(engines)
-		var home []string
-		for i := d; i < engines; i += deciders {
-			home = append(home, fmt.Sprint("i-", i))
+		var assigned []string
+		for i := d; i < engines; i += schedulers {
+			assigned = append(assigned, fmt.Sprint("i-", i))
 		}
-		fleet[d].table.setHome(home)
+		fleet[d].table.setAssigned(assigned)
 		for i := range engines {
 			parts := []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: fmt.Sprint("other-", i), Tokens: 3780}, {ID: "own", Tokens: 10}}
-			fleet[d].table.noteHeld(time.Duration(i), send{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
-			queued := send{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i} // the shortest are the same for all
-			fleet[d].table.takeSends(time.Second, []send{queued})
+			fleet[d].table.recordOwnSend(time.Duration(i), announcement{Instance: fmt.Sprint("i-", i), Salt: "w1", Parts: parts, Uncached: 6000})
+			// the shortest queues are the same for all schedulers
+			queued := announcement{Gateway: "other", Instance: fmt.Sprint("i-", i), Salt: "w1", Uncached: 100 * i}
+			fleet[d].table.applySends(time.Second, []announcement{queued})
 		}
 	}
-	met := 0
+	collisions := 0
 	for round := range rounds {
 		used := map[string]bool{}
 		for d, g := range fleet {
-			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*deciders+d)
+			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
 			answer := g.placeFor(time.Second, asked)
 			g.table.endPlacement(time.Second, &wireEnd{Ticket: asked.Ticket})
 			used[answer.Instance] = true
 		}
-		met += deciders - len(used)
+		collisions += schedulers - len(used)
 	}
-	t.Logf("%d of %d met another", met, rounds*deciders)
-	if met > 5*rounds/2 {
-		t.Fatalf("%d of %d requests met another one of the same moment", met, rounds*deciders)
+	t.Logf("%d of %d requests collided", collisions, rounds*schedulers)
+	if collisions > 5*rounds/2 {
+		t.Fatalf("%d of %d concurrent requests were placed at the engine of another", collisions, rounds*schedulers)
 	}
 }
 
-// TestMovesOverABusyLinkWait: a copy from a store is taken while its link is free, and not once many others are on their way;
-// the parts are read then.
-func TestMovesOverABusyLinkWait(t *testing.T) {
+// A copy from a store is used while the store's link is free, but the parts are recomputed once many transfers are
+// queued.
+func TestBusyStoreLinkPreventsCopy(t *testing.T) {
 	g := scheduler(1)
-	store := &catalog.Service{Name: "k", Store: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
-	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, TokenBytes: 163_840}
+	store := &catalog.Service{Name: "k", StoreAddress: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
+	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
 	parts := partsOf("own")
-	g.table.stored.Note(time.Second, "w1", prefix.Shared(parts))
-	wish := need{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
-	free := g.choose(time.Second, wish)
-	if free == nil || free.fetch != store.Store || free.uncached != 2890 || free.move.Time < 15*time.Millisecond {
-		t.Fatalf("over a free link: %+v", free)
+	g.table.stored.Record(time.Second, "w1", prefix.SharedParts(parts))
+	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
+	free := g.choose(time.Second, in)
+	if free == nil || free.fetchFrom != store.StoreAddress || free.uncached != 2890 || free.transfer.Time < 15*time.Millisecond {
+		t.Fatalf("with a free link: %+v", free)
 	}
 	for range 40 {
-		g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Move: free.move}})
+		g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "i-0", Salt: "w1", Transfer: free.transfer}})
 	}
-	if busy := g.choose(time.Second, wish); busy.fetch != "" || busy.uncached != 9190 {
-		t.Fatalf("over a busy link: %+v", busy)
+	if busy := g.choose(time.Second, in); busy.fetchFrom != "" || busy.uncached != 9190 {
+		t.Fatalf("with a busy link: %+v", busy)
 	}
 	g.table.sweep(5 * time.Second)
 	if len(g.table.links) > 0 {
-		t.Fatalf("links %v are remembered", g.table.links)
+		t.Fatalf("idle links were not removed: %v", g.table.links)
 	}
 }
 
-// TestLearntPaceTellsTheQueue: the same reading keeps an engine busy for longer where engines are slower.
-func TestLearntPaceTellsTheQueue(t *testing.T) {
+// The queue time of an engine follows from the observed prefill rate of its service.
+func TestObservedPrefillRateSetsQueueTime(t *testing.T) {
 	g := scheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
-		g.table.notePace(row, true, 8000, 400*time.Millisecond)   // 20 a ms
-		g.table.notePace(row, false, 8000, 4000*time.Millisecond) // known to have waited: it tells nothing
+		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 tokens per ms
+		g.table.observePrefill(row, false, 8000, 4000*time.Millisecond) // not alone at its engine, so ignored
 	}
-	g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
-	if busy := row.busyTo - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
-		t.Fatalf("8000 tokens keep the engine busy for %v", busy)
+	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "i-0", Salt: "w1", Uncached: 8000}})
+	if busy := row.prefillBusyUntil - time.Second; busy < 340*time.Millisecond || busy > 460*time.Millisecond {
+		t.Fatalf("estimated prefill time of 8000 tokens = %v, want 400 ms", busy)
 	}
 }
 
-// TestLanesLeaveRoomForKeptSlots: where short requests keep slots for long, as many engines are theirs as that needs, although
-// they read little.
-func TestLanesLeaveRoomForKeptSlots(t *testing.T) {
+// The short lane gets engines for the slots that short requests occupy, although these have few prompt tokens.
+func TestLaneDemandCountsSlotTime(t *testing.T) {
 	share := func(slotTime float64) float64 {
 		l := &lanes{}
 		for i := range 1000 {
 			now := time.Duration(i) * 10 * time.Millisecond
-			l.note(now, 6000, slotTime)
-			l.note(now, 545, slotTime)
+			l.recordDemand(now, 6000, slotTime)
+			l.recordDemand(now, 545, slotTime)
 		}
-		return l.longShare()
+		return l.longDemandFraction()
 	}
 	if tokens, slots := share(0), share(60); tokens < 0.85 || slots > 0.75 {
-		t.Fatalf("shares of long requests: %.2f by tokens, %.2f with slots of 60 ms", tokens, slots)
+		t.Fatalf("long fraction: %.2f by tokens, %.2f with a slot time of 60 ms", tokens, slots)
 	}
 }
 
-// TestPlainServicesAreSpread: requests of a service without engines that a scheduler places count at once, and are told to the others
-// like those of engines; what is told of other gateways counts as well.
-func TestPlainServicesAreSpread(t *testing.T) {
+// Requests that a scheduler places for a service without engines count at once and are spread, and the load that
+// other gateways report counts as well.
+func TestScheduledPlainRequestsAreSpread(t *testing.T) {
 	g := scheduler(1)
-	g.table.setHome([]string{"i-0"})
+	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
 	news := &control.RosterNews{}
 	for i := range 8 {
@@ -116,14 +116,14 @@
 		})
 	}
 	g.table.takeRoster(0, news, nil)
-	g.table.takeSends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
+	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
 		used[g.placeFor(time.Second, &wireQuestion{Ticket: fmt.Sprint("t", i), Service: "plain", WithinMS: 1000}).Instance]++
 	}
 	for id, n := range used {
 		if id == "" || id == "p-0" || n > 9 {
-			t.Errorf("%d of 42 requests at %q: %v", n, id, used)
+			t.Errorf("%d of 42 requests at %q, want at most 9 and none at p-0: %v", n, id, used)
 		}
 	}
 	if len(g.table.lanes) > 0 && g.table.lanes["plain"] != nil {
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // names lets a back end name a limit to a gateway.
 func names(g *Gateway, id string, rate float64) {
-	g.hear(g.table.rows[id], heard{said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, status: 200})
+	g.hear(g.table.rows[id], heard{said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
@@ -30,49 +30,49 @@
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
-	sent := placedOn(g, g.table.rows["i-0"])
+	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Said{Limit: pushback.Limit{Named: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.hear(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, UnknownHeaders: []string{"Mood"}})
 	}
-	placedOn(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
-	got := lines.FilterMessage(events.InstanceLimits).All()
-	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
-		got[2].ContextMap()[events.FieldUnread] != "3,8" {
+	attemptAt(g, g.table.rows["i-1"]).hear(200, ResponseInfo{UnparsedLimit: "3,8"})
+	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
+	if len(got) != 3 || got[0].ContextMap()[events.FieldAdvertisedLimit] != 4.0 || got[1].ContextMap()[events.FieldAdvertisedLimit] != 2.5 ||
+		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
 		t.Fatalf("lines %v", got)
 	}
-	if strange := lines.FilterMessage(events.WordUnknown).All(); len(strange) != 1 {
+	if strange := lines.FilterMessage(events.UnknownBackendHeader).All(); len(strange) != 1 {
 		t.Errorf("lines of words that nothing reads: %v", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
-	newLimitedGauge(g).Collect(gauges)
+	newAdvertisedLimitGauge(g).Collect(gauges)
 	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
-	sent.hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
-	if len(lines.FilterMessage(events.InstanceUnlimited).All()) > 0 {
+	sent.hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"}) // sent before the limit was heard
+	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	placedOn(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
-	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
+	attemptAt(g, g.table.rows["i-0"]).hear(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"})
+	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
 }
 
 // TestWordsThatNothingReadsAreBounded: their names come from outside.
 func TestWordsThatNothingReadsAreBounded(t *testing.T) {
-	var words strangeWords
+	var words unknownHeaders
 	logged := 0
-	for i := range 10 * strangeMost {
-		if words.first(fmt.Sprint(i)) {
+	for i := range 10 * maxUnknownHeaders {
+		if words.addNew(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != strangeMost || words.first("0") {
+	if logged != maxUnknownHeaders || words.addNew("0") {
 		t.Fatalf("%d were logged", logged)
 	}
 }
@@ -82,8 +82,8 @@
 
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
-	x := asking(g)
-	if chosen := g.choose(g.now(), need{service: x.service, call: &x.call, trusted: true}); chosen != nil {
+	x := newModelRequest(g)
+	if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		return chosen.row.entry.ID
 	}
 	return ""
@@ -95,25 +95,25 @@
 	now := time.Minute
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
-	chosen := placedAt(g)
-	if bar := chosen.barred(); bar != "" {
+	chosen := chosenAttempt(g)
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
 	names(g, "i-0", 4)
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q without a part", bar)
 	}
-	chosen.hold = allowance.Hold{Name: "x", Amount: 1, Until: now + allowance.Lease}
+	chosen.limitLease = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setDry(chosen.row, now+time.Second)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
-	now += 2 * allowance.Lease
-	if bar := chosen.barred(); bar != causeLimited {
+	now += 2 * allowance.LeaseTTL
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
 	ended(g, "i-0")
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("barred %q after the limit's end", bar)
 	}
 }
@@ -162,7 +162,7 @@
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
 	g := scheduler(2)
 	call := (&wireQuestion{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
-	held := need{service: g.view.Load().services["s"], call: &call, trusted: true}
+	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	names(g, owner.entry.ID, 4)
 	if next := g.owner(0, g.table.services["s"], held); next == nil || next == owner {
@@ -176,16 +176,16 @@
 	now := time.Minute
 	g := scheduler(2)
 	g.now = func() time.Duration { return now }
-	g.gateways.Store(2)
+	g.gatewayCount.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
 		names(g, id, 4)
 		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
-		if reason != reasonLimited || back < 200*time.Millisecond || back > longestTurn+time.Second {
+		if reason != reasonLimitReached || back < 200*time.Millisecond || back > longestTurn+time.Second {
 			t.Fatalf("%s after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, longestTurn)
@@ -213,11 +213,11 @@
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Second)
-	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimited {
+	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimitReached {
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setDry(g.table.rows["i-1"], now+time.Minute)
-	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
+	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeBackingOff {
 		t.Fatalf("%v, %q", first, cause)
 	}
 }
@@ -229,8 +229,8 @@
 	g := scheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Said{Limit: limit}}
-		g.table.takeSends(now, []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
+		g.table.applySends(now, []announcement{heard.toWire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
@@ -244,43 +244,43 @@
 		limit  pushback.Limit
 		wanted float64
 	}{
-		{time.Second, pushback.Limit{Named: true, Rate: 4}, 4},
-		{2 * time.Second, pushback.Limit{Named: true, Rate: 9}, 4},
-		{2 * time.Second, pushback.Limit{Over: true}, 4},
-		{500 * time.Millisecond, pushback.Limit{Named: true, Rate: 0}, 0},
-		{400 * time.Millisecond, pushback.Limit{Over: true}, -1},
+		{time.Second, pushback.Limit{Advertised: true, Rate: 4}, 4},
+		{2 * time.Second, pushback.Limit{Advertised: true, Rate: 9}, 4},
+		{2 * time.Second, pushback.Limit{Withdrawn: true}, 4},
+		{500 * time.Millisecond, pushback.Limit{Advertised: true, Rate: 0}, 0},
+		{400 * time.Millisecond, pushback.Limit{Withdrawn: true}, -1},
 	} {
 		if told(step.age, step.limit); rate() != step.wanted {
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
 		}
 	}
-	x := asking(g)
+	x := newModelRequest(g)
 	limit := 3.5
 	placed := &wirePlacement{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
-	g.scheduledCandidate(placed, scheduled{}, need{service: x.service, call: &x.call, trusted: true})
+	g.scheduledCandidate(placed, scheduled{}, selectionInput{service: x.service, call: &x.call, trusted: true})
 	if rate() != 3.5 {
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
 	names(g, "i-0", 2)
-	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
-		t.Fatalf("%+v", older.send())
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.announcement().Signals.Limit.Rate != 3.5 {
+		t.Fatalf("%+v", older.announcement())
 	}
 }
 
 // TestRequestGoesOnFromALimit: it may come back to that back end, which is full for a moment only, and gives up after a few.
 func TestRequestGoesOnFromALimit(t *testing.T) {
 	g := scheduler(1)
-	x := asking(g)
+	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
 	for i := range permitsMost {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
+		if goes := x.continueAfter(result{kind: resultUnreachable, cause: causeLimitReached}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
-	if x.sent != 0 || x.unreached != 0 {
-		t.Fatalf("sent %d, unreached %d", x.sent, x.unreached)
+	if x.sentCount != 0 || x.unreachableCount != 0 {
+		t.Fatalf("sent %d, unreached %d", x.sentCount, x.unreachableCount)
 	}
 }
 
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -9,74 +9,74 @@
 	"kitetiller/internal/events"
 )
 
-// weightsSeen is what an answer tells of a back end's weights, beside what was believed of them.
-type weightsSeen struct {
-	believed uint64        // now
-	answered uint64        // 0 unknown
-	named    time.Duration // when the oldest version was named that the weights lack
-	lacks    bool          // there is such a version
+// versionComparison is the weight version that a response reports, compared with what is known.
+type versionComparison struct {
+	known        uint64        // known version
+	reported     uint64        // version in the response, or 0
+	missingSince time.Duration // when the oldest version that the back end lacks was published
+	outdated     bool          // the back end lacks a version
 }
 
-// seeWeights compares the weights of an answer, or the believed ones where it names none, with what was named.
-func (g *Gateway) seeWeights(row *endpoint, model string, answered uint64) weightsSeen {
+// compareVersions compares the version of a response, or the known one if it reports none, with the published
+// versions.
+func (g *Gateway) compareVersions(row *endpoint, model string, reported uint64) versionComparison {
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
-	seen := weightsSeen{believed: row.entry.Versions[model], answered: answered}
-	held := answered
-	if held == 0 {
-		held = seen.believed
+	seen := versionComparison{known: row.entry.Versions[model], reported: reported}
+	version := reported
+	if version == 0 {
+		version = seen.known
 	}
-	seen.named, seen.lacks = g.table.named.Since(model, held)
+	seen.missingSince, seen.outdated = g.table.published.OldestMissing(model, version)
 	return seen
 }
 
-// noteWeights logs that an answer names other weights than were expected or believed, or that a request began on weights that
-// lack a named version: whether it was allowed to can't be told later without the limits that held.
-func (a *attempt) noteWeights(status int, verdict Verdict) {
+// logVersionMismatch logs that a response reports other weights than expected or known, or that a request started
+// on outdated weights, with the deadlines in force.
+func (a *attempt) logVersionMismatch(status int, verdict ResponseInfo) {
 	x := a.exchange
-	begun := status < http.StatusMultipleChoices && verdict.Signed
-	refused := verdict.NotRun && verdict.Version > 0
-	if !x.service.Engine || !begun && !refused {
+	started := status < http.StatusMultipleChoices && verdict.Signed
+	rejected := verdict.NotRun && verdict.WeightsVersion > 0
+	if !x.service.Engine || !started && !rejected {
 		return
 	}
 	g := x.gateway
-	seen := g.seeWeights(a.row, x.call.Model, verdict.Version)
+	seen := g.compareVersions(a.row, x.call.Model, verdict.WeightsVersion)
 	expected := a.plan.version
-	differs := seen.answered > 0 && (expected > 0 && seen.answered != expected || seen.answered != seen.believed)
-	if !differs && !(begun && seen.lacks) {
+	differs := seen.reported > 0 && (expected > 0 && seen.reported != expected || seen.reported != seen.known)
+	if !differs && !(started && seen.outdated) {
 		return
 	}
 	now := g.now()
-	held, due := g.oldWeights.Due(now, a.row.entry.ID)
+	suppressed, due := g.weightsLogLimiter.Due(now, a.row.entry.ID)
 	if !due {
 		return
 	}
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
-		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.believed),
-		zap.Uint64("answered", seen.answered), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", held),
+		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
+		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldElapsed, now-a.startedAt), zap.Int("held", suppressed),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.limitFields(now, seen.named, seen.lacks)...)...)
+	g.log.info(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
-// limitFields returns the limits of an attempt that began, or was to, on weights that lack a version: the one known when its
-// place was chosen, and the one that holds now.
-func (a *attempt) limitFields(now, named time.Duration, lacks bool) []zap.Field {
+// deadlineFields returns the log fields for the start deadline known at the decision and the current one.
+func (a *attempt) deadlineFields(now, publishedAt time.Duration, outdated bool) []zap.Field {
 	var fields []zap.Field
-	if a.plan.beginBy > 0 {
-		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.beginBy-now))
+	if a.plan.startDeadline > 0 {
+		fields = append(fields, zap.Duration(events.FieldPlacementDeadline, a.plan.startDeadline-now))
 	}
-	if lacks {
-		left := named + a.exchange.gateway.settings.VersionLimit - now
-		fields = append(fields, zap.Duration(events.FieldLacked, now-named), zap.Duration(events.FieldLimitLeft, left))
+	if outdated {
+		left := publishedAt + a.exchange.gateway.settings.OldWeightsStartLimit - now
+		fields = append(fields, zap.Duration(events.FieldOutdatedFor, now-publishedAt), zap.Duration(events.FieldStartDeadline, left))
 	}
 	return fields
 }
 
-// outdated returns the limits of an attempt that was ended for them.
-func (a *attempt) outdated() []zap.Field {
+// outdatedFields returns the log fields of an attempt that was canceled at its start deadline.
+func (a *attempt) outdatedFields() []zap.Field {
 	x := a.exchange
-	seen := x.gateway.seeWeights(a.row, x.call.Model, 0)
-	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.believed)}
-	return append(fields, a.limitFields(x.gateway.now(), seen.named, seen.lacks)...)
+	seen := x.gateway.compareVersions(a.row, x.call.Model, 0)
+	fields := []zap.Field{zap.String("model", x.call.Model), zap.Uint64("expected", a.plan.version), zap.Uint64("believed", seen.known)}
+	return append(fields, a.deadlineFields(x.gateway.now(), seen.missingSince, seen.outdated)...)
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -84,7 +84,7 @@
 func (x *exchange) awaitView() bool {
 	g := x.gateway
 	for {
-		next := g.confirmed.Next()
+		next := g.viewConfirmed.Next()
 		if g.trusted(g.now()) {
 			return true
 		}
@@ -104,14 +104,14 @@
 // expectsControl reports whether control is likely to confirm the view in a moment: a replica answers, so that there will be
 // a leader, or nobody could have answered yet.
 func (g *Gateway) expectsControl() bool {
-	return g.on(mechanism.ViewWait) && (g.group.HeardWithin(electionPatience) || g.now() < startPatience)
+	return g.enabled(mechanism.ViewWait) && (g.group.HeardWithin(electionPatience) || g.now() < startPatience)
 }
 
 // viewWait is how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
-	patience := x.call.Patience
+	patience := x.call.Timeout
 	if patience == 0 {
 		patience = defaultPatience
 	}
-	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitShare*float64(patience)))
+	return min(x.gateway.settings.MaxViewWait, time.Duration(viewWaitShare*float64(patience)))
 }
--- a/internal/gateway/strange.go
+++ b/internal/gateway/strange.go
@@ -9,32 +9,32 @@
 	"kitetiller/internal/events"
 )
 
-// strangeMost is how many different words of back ends that nothing reads are logged: their names come from outside.
-const strangeMost = 32
+// maxUnknownHeaders bounds the number of unknown header names that are remembered and logged, as back ends choose them.
+const maxUnknownHeaders = 32
 
-// strangeWords are the words of back ends that nothing reads. It is safe for concurrent use.
-type strangeWords struct {
-	mu    sync.Mutex
-	names []string // at most strangeMost; guarded by mu
+// unknownHeaders remembers which unknown headers of back ends were logged. It is safe for concurrent use.
+type unknownHeaders struct {
+	mu   sync.Mutex
+	seen []string // maxUnknownHeaders at most; guarded by mu
 }
 
-// first reports whether a word is to be logged: once, while there is room.
-func (s *strangeWords) first(name string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.names) >= strangeMost || slices.Contains(s.names, name) {
+// addNew adds a name and reports whether it was added, which it is not if it was seen before or the maximum is reached.
+func (u *unknownHeaders) addNew(name string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if len(u.seen) >= maxUnknownHeaders || slices.Contains(u.seen, name) {
 		return false
 	}
-	s.names = append(s.names, name)
+	u.seen = append(u.seen, name)
 	return true
 }
 
-// noteStrange counts words of a back end that nothing reads, and logs each name once.
-func (g *Gateway) noteStrange(row *endpoint, names []string) {
+// recordUnknownHeaders counts unknown headers of a back end, and logs each name once.
+func (g *Gateway) recordUnknownHeaders(row *endpoint, names []string) {
 	for _, name := range names {
-		g.metrics.strange.Inc()
-		if g.strange.first(name) {
-			g.log.note(events.WordUnknown, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
+		g.metrics.unknownHeaders.Inc()
+		if g.unknownHeaders.addNew(name) {
+			g.log.info(events.UnknownBackendHeader, zap.String("word", name), zap.String(events.FieldInstance, row.entry.ID))
 		}
 	}
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -141,12 +141,12 @@
 		ctx, cancel := context.WithTimeout(h.group.ctx, askTimeout)
 		response, err := h.client.Once(ctx, control.Request{Heartbeat: &beat})
 		cancel()
-		pause := session.EagerPeriod
+		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
-			step := machine.Take(time.Since(started), *response.Heartbeat)
-			pause = step.Pause
-			if step.Save != nil {
-				machine.Saved(*step.Save)
+			step := machine.HandleReply(time.Since(started), *response.Heartbeat)
+			pause = step.NextHeartbeatIn
+			if step.ToSync != nil {
+				machine.MarkSynced(*step.ToSync)
 			}
 			if response.Heartbeat.Lease > 0 && first {
 				first = false
--- a/internal/prefix/hot.go
+++ b/internal/prefix/hot.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	hotHalfLife = 20 * time.Second
-	hotLimit    = 4096 // prefixes whose rate is tracked
+	rateHalfLife       = 20 * time.Second
+	maxTrackedPrefixes = 4096
 )
 
-// rate is a decayed count of one prefix.
-type rate struct {
+// decayingCount is an exponentially decaying count of the requests for a prefix.
+type decayingCount struct {
 	count   float64
 	updated time.Duration
 }
 
-// HotTable tracks how often each shared prefix is asked for, with exponential decay.
-type HotTable struct {
-	rates map[Hash]*rate
+// RequestRates tracks how often each shared prefix is requested, with exponential decay.
+type RequestRates struct {
+	counts map[Hash]*decayingCount
 }
 
-// NewHotTable returns an empty table.
-func NewHotTable() *HotTable { return &HotTable{rates: map[Hash]*rate{}} }
+// NewRequestRates returns an empty RequestRates.
+func NewRequestRates() *RequestRates { return &RequestRates{counts: map[Hash]*decayingCount{}} }
 
-// Touch counts a request for the prefix that ends with the given block and returns its rate per minute.
-func (t *HotTable) Touch(hash Hash, now time.Duration) float64 {
-	entry := t.rates[hash]
+// Record counts a request for the prefix that ends with the given block and returns the prefix's rate per minute.
+func (t *RequestRates) Record(hash Hash, now time.Duration) float64 {
+	entry := t.counts[hash]
 	if entry == nil {
-		if len(t.rates) >= hotLimit {
-			t.shed(now)
+		if len(t.counts) >= maxTrackedPrefixes {
+			t.evict(now)
 		}
-		entry = &rate{updated: now}
-		t.rates[hash] = entry
+		entry = &decayingCount{updated: now}
+		t.counts[hash] = entry
 	}
 	entry.count = entry.decayed(now) + 1
 	entry.updated = now
 	return entry.perMinute()
 }
 
-// Rate returns the rate per minute of a prefix.
-func (t *HotTable) Rate(hash Hash, now time.Duration) float64 {
-	entry := t.rates[hash]
+// Rate returns the requests per minute of a prefix.
+func (t *RequestRates) Rate(hash Hash, now time.Duration) float64 {
+	entry := t.counts[hash]
 	if entry == nil {
 		return 0
 	}
@@ -49,21 +49,21 @@
 	return entry.perMinute()
 }
 
-func (r *rate) decayed(now time.Duration) float64 {
-	return r.count * math.Exp2(-float64(now-r.updated)/float64(hotHalfLife))
+func (r *decayingCount) decayed(now time.Duration) float64 {
+	return r.count * math.Exp2(-float64(now-r.updated)/float64(rateHalfLife))
 }
 
-// perMinute converts a decayed count: a steady rate r leaves a count of r * halfLife / ln 2.
-func (r *rate) perMinute() float64 {
-	return r.count * math.Ln2 / hotHalfLife.Minutes()
+// perMinute converts the count to a rate: a steady rate r leads to a count of r * rateHalfLife / ln 2.
+func (r *decayingCount) perMinute() float64 {
+	return r.count * math.Ln2 / rateHalfLife.Minutes()
 }
 
-// shed drops prefixes that have gone cold, and half of the rest when that is not enough.
-func (t *HotTable) shed(now time.Duration) {
-	for threshold := 0.5; len(t.rates) >= hotLimit; threshold *= 2 {
-		for hash, entry := range t.rates {
+// evict deletes the prefixes with the lowest counts, doubling the threshold until there is room for a new one.
+func (t *RequestRates) evict(now time.Duration) {
+	for threshold := 0.5; len(t.counts) >= maxTrackedPrefixes; threshold *= 2 {
+		for hash, entry := range t.counts {
 			if entry.decayed(now) < threshold {
-				delete(t.rates, hash)
+				delete(t.counts, hash)
 			}
 		}
 	}
