--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -14,14 +14,14 @@
 
 func testHasher() *Hasher { return NewHasher([KeyBytes]byte{1}, testBlock, guard.Set{}) }
 
-func TestChainsOfTenantsAndWeightsNeverMeet(t *testing.T) {
+func TestChainsOfTenantsAndWeightsShareNoHash(t *testing.T) {
 	prompt := []byte(strings.Repeat("the same text ", 40))
 	h := testHasher()
 	seen := map[Hash]string{}
 	for _, place := range [][2]string{{"a", "w1"}, {"b", "w1"}, {"a", "w2"}, {"aw", "1"}, {"", "aw1"}} {
 		for _, hash := range h.Chain(place[0], place[1], prompt) {
 			if other, met := seen[hash]; met {
-				t.Fatalf("%v shares a block with %s", place, other)
+				t.Fatalf("%v has a block hash in common with %s", place, other)
 			}
 			seen[hash] = place[0] + "/" + place[1]
 		}
@@ -38,13 +38,13 @@
 		for i := range min(len(a), len(b)) {
 			end := (i + 1) * blockBytes
 			if same := string(left[:end]) == string(right[:end]); same != (a[i] == b[i]) {
-				t.Fatalf("block %d: same text %v, same hash %v", i, same, a[i] == b[i])
+				t.Fatalf("block %d: equal text %v, equal hash %v", i, same, a[i] == b[i])
 			}
 		}
 	})
 }
 
-// indexModel is the simple oracle: which engine was told to hold which block in its present life.
+// indexModel is the reference model: the blocks that were added for each engine since it was last invalidated.
 type indexModel map[EngineID]map[Hash]bool
 
 func chain(first byte, length int) []Hash {
@@ -55,8 +55,9 @@
 	return blocks
 }
 
-// TestIndexAgainstSimpleModel: with room for everything and no ageing, the index must know exactly what it was told.
-func TestIndexAgainstSimpleModel(t *testing.T) {
+// TestIndexMatchesReferenceModel checks that nothing is lost while the index is not full and entries have no maximum
+// age.
+func TestIndexMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, model := NewIndex(100_000), indexModel{}
 		engine := rapid.Map(rapid.IntRange(0, 4), func(i int) EngineID { return EngineID(i) })
@@ -82,7 +83,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				id := engine.Draw(t, "engine")
-				index.Forget(id)
+				index.InvalidateEngine(id)
 				delete(model, id)
 			},
 			"sweep": func(*rapid.T) { index.Sweep(0, 10) },
@@ -95,24 +96,24 @@
 	})
 }
 
-// checkLookup compares the deepest holder and every reported depth with the model.
+// checkLookup compares the longest match and the lengths of all matches with the model.
 func checkLookup(t *rapid.T, index *Index, model indexModel, blocks []Hash) {
-	deepest := 0
+	longest := 0
 	for _, held := range model {
-		deepest = max(deepest, depth(held, blocks))
+		longest = max(longest, heldPrefix(held, blocks))
 	}
 	matches := index.Lookup(blocks, 0, nil)
-	if deepest > 0 && (len(matches) == 0 || matches[0].Blocks != deepest) {
-		t.Fatalf("deepest match of %v, want %d blocks", matches, deepest)
+	if longest > 0 && (len(matches) == 0 || matches[0].Blocks != longest) {
+		t.Fatalf("longest match of %v, want %d blocks", matches, longest)
 	}
 	for _, match := range matches {
-		if held := depth(model[match.Engine], blocks); match.Blocks > held {
-			t.Fatalf("engine %d is said to hold %d blocks, it holds %d", match.Engine, match.Blocks, held)
+		if held := heldPrefix(model[match.Engine], blocks); match.Blocks > held {
+			t.Fatalf("engine %d matches %d blocks, but holds %d", match.Engine, match.Blocks, held)
 		}
 	}
 }
 
-func depth(held map[Hash]bool, blocks []Hash) int {
+func heldPrefix(held map[Hash]bool, blocks []Hash) int {
 	for i, hash := range blocks {
 		if !held[hash] {
 			return i
@@ -126,38 +127,38 @@
 	for i := range 40 {
 		index.Add(EngineID(i%3), chain(byte(i+1), 5), time.Duration(i)*time.Second, SourceEvent)
 		if index.Len() > 50 {
-			t.Fatalf("%d beliefs held, the limit is 50", index.Len())
+			t.Fatalf("got %d entries, the limit is 50", index.Len())
 		}
 	}
 }
 
-func TestOnlyUnconfirmedBeliefsAge(t *testing.T) {
+func TestOnlyUnconfirmedEntriesExpire(t *testing.T) {
 	index := NewIndex(100)
 	index.SetMaxAge(0, time.Second)
 	index.Add(0, chain(1, 2), 0, SourceDispatch)
 	index.Add(0, chain(2, 2), 0, SourceEvent)
 	if found := index.Lookup(chain(1, 2), 2*time.Second, nil); len(found) != 0 {
-		t.Fatalf("a send of long ago still counts: %v", found)
+		t.Fatalf("entry of an old dispatch is still valid: %v", found)
 	}
 	if found := index.Lookup(chain(2, 2), 2*time.Second, nil); len(found) != 1 {
-		t.Fatal("what the engine said does not count any more")
+		t.Fatal("entry confirmed by the engine is no longer valid")
 	}
-	index.Doubt(0, 3*time.Second)
+	index.MarkStale(0, 3*time.Second)
 	if found := index.Lookup(chain(2, 2), 4*time.Second, nil); len(found) != 0 {
-		t.Fatalf("a doubtful old belief still counts: %v", found)
+		t.Fatalf("old stale entry is still valid: %v", found)
 	}
 }
 
-func TestHotRateOfSteadyRequests(t *testing.T) {
-	table := NewHotTable()
+func TestRequestRateOfSteadyRequests(t *testing.T) {
+	table := NewRequestRates()
 	var rate float64
 	for i := range 600 {
-		rate = table.Touch(Hash{1}, time.Duration(i)*time.Second/2)
+		rate = table.Record(Hash{1}, time.Duration(i)*time.Second/2)
 	}
 	if rate < 110 || rate > 130 {
-		t.Fatalf("rate %.1f a minute, want about 120", rate)
+		t.Fatalf("rate is %.1f per minute, want about 120", rate)
 	}
-	if cold := table.Rate(Hash{1}, 300*time.Second+2*hotHalfLife); cold > rate/3 {
-		t.Fatalf("rate %.1f after two half-lives", cold)
+	if cold := table.Rate(Hash{1}, 300*time.Second+2*rateHalfLife); cold > rate/3 {
+		t.Fatalf("rate is still %.1f per minute after two half-lives", cold)
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,242 +9,245 @@
 )
 
 const (
-	// Suspected is from how many lives on processes are told of a request: ordinary losses rarely hit one request twice.
-	Suspected = 2
-	// Held is from how many lives on a request is held back. Two may be chance where back ends end in numbers; who may repeat beyond a
-	// third is for the users' rules to say, and they allow three more.
-	Held = 3
-	// Advice is when a caller may come back whose request is held back. Nothing but an operator, or a day, releases it; the time keeps
-	// callers that repeat at once from doing so.
-	Advice = time.Hour
-	// livesKept bounds the lives that are remembered of one request: enough to count, and to show an operator.
-	livesKept = 8
-	// entriesMost bounds the requests that are remembered, some 90 bytes each in a snapshot. The loss of one back end brings as many as
-	// run there; a request is pushed out only by so many others that took part in as many losses as it, or more.
-	entriesMost = 4096
+	// SuspectThreshold is the number of crashes from which processes are told of a request: unrelated crashes rarely
+	// hit one request twice.
+	SuspectThreshold = 2
+	// QuarantineThreshold is the number of crashes from which a request is quarantined. Two may be a coincidence when
+	// many back ends crash.
+	QuarantineThreshold = 3
+	// RetryAfter is the retry delay sent to callers of quarantined requests. Only an operator, or a day without
+	// crashes, releases them; the delay discourages immediate retries.
+	RetryAfter = time.Hour
+	// maxIncarnations bounds the incarnations kept for one request.
+	maxIncarnations = 8
+	// maxEntries bounds the requests kept, at about 90 bytes each in a snapshot. The crash of one back end adds all
+	// requests that ran there. A request is evicted only by as many others with at least as many crashes.
+	maxEntries = 4096
 )
 
-// Ended says that a life of a back end ended while it ran requests.
-type Ended struct {
-	Life     string        `json:"life"`
-	Requests []Fingerprint `json:"requests"`
+// Crash reports that an incarnation of a back end ended while it ran requests.
+type Crash struct {
+	Incarnation string        `json:"life"`
+	Requests    []Fingerprint `json:"requests"`
 }
 
-// Change is one change of the ledger.
+// Change is one change of the registry.
 type Change struct {
-	Seed     []byte    `json:"seed,omitempty"` // taken if there is none
-	Ended    []Ended   `json:"ended,omitempty"`
-	Released []Release `json:"released,omitempty"`
+	Seed     []byte    `json:"seed,omitempty"` // ignored if the registry has one
+	Crashes  []Crash   `json:"ended,omitempty"`
+	Releases []Release `json:"released,omitempty"`
 }
 
-// Release says that requests are no longer held against lives that ended: all, or all but the newest few.
+// Release removes crashes from requests: all, or all but the newest Keep.
 type Release struct {
 	Requests []Fingerprint `json:"requests"`
 	Keep     int           `json:"keep,omitempty"`
-	Why      Reason        `json:"why"`
+	Reason   Reason        `json:"why"`
 }
 
 // Reason tells why requests are released.
 type Reason string
 
-// Reasons of a release.
+// Reasons for a release.
 const (
-	EndedWell Reason = "ended-well" // a back end ran one to a good end
-	Operator  Reason = "operator"
-	Age       Reason = "age" // nothing ended under it for long
+	ReasonCompleted Reason = "ended-well" // a back end completed the request
+	ReasonOperator  Reason = "operator"
+	ReasonExpired   Reason = "age" // no crash for a long time
 )
 
-// Entry is a request and the lives that ended under it, oldest first.
+// Entry is a request with the incarnations that crashed under it, oldest first.
 type Entry struct {
-	Request Fingerprint `json:"request"`
-	Lives   []string    `json:"lives"`
+	Request      Fingerprint `json:"request"`
+	Incarnations []string    `json:"lives"`
 }
 
-// News is all that a process is told.
-type News struct {
+// Update is the state sent to processes.
+type Update struct {
 	Version uint64  `json:"version"`
 	Seed    []byte  `json:"seed"`
-	Entries []Entry `json:"entries,omitempty"` // with Suspected lives or more
+	Entries []Entry `json:"entries,omitempty"` // with SuspectThreshold crashes or more
 }
 
-// counted is what the ledger holds of one request.
-type counted struct {
-	lives []string // distinct, oldest first; at most livesKept
-	order uint64   // of its newest life among all
+// entry is the registry's state of one request.
+type entry struct {
+	incarnations []string // distinct, oldest first; at most maxIncarnations
+	order        uint64   // of the newest crash among all requests
 }
 
-// Ledger is the fleet's count, a pure state machine: replicas that apply the same calls in the same order hold the same state.
-type Ledger struct {
+// Registry counts crashes for the whole fleet. It is a deterministic state machine: replicas that apply the same
+// changes in the same order hold the same state.
+type Registry struct {
 	seed    []byte
-	entries map[Fingerprint]*counted // at most entriesMost
+	entries map[Fingerprint]*entry // at most maxEntries
 	order   uint64
-	version uint64 // rises whenever News differ
-	news    *News  // of that version, or an older one; nil before somebody asked
+	version uint64  // increases whenever Update changes
+	update  *Update // cached; may be of an older version, or nil
 }
 
-// NewLedger returns an empty ledger without a seed.
-func NewLedger() *Ledger { return &Ledger{entries: map[Fingerprint]*counted{}} }
+// NewRegistry returns an empty registry without a seed.
+func NewRegistry() *Registry { return &Registry{entries: map[Fingerprint]*entry{}} }
 
-// Apply makes one change: first lives are released, then new ones counted.
-func (l *Ledger) Apply(c Change) {
-	l.plant(c.Seed)
-	for _, released := range c.Released {
-		for _, f := range released.Requests {
-			l.drop(f, max(0, released.Keep))
+// Apply applies a change: first its releases, then its crashes.
+func (r *Registry) Apply(c Change) {
+	r.setSeed(c.Seed)
+	for _, release := range c.Releases {
+		for _, f := range release.Requests {
+			r.trim(f, max(0, release.Keep))
 		}
 	}
-	for _, ended := range c.Ended {
-		l.note(ended)
+	for _, crash := range c.Crashes {
+		r.recordCrash(crash)
 	}
 }
 
-// Changes reports whether a change would change anything.
-func (l *Ledger) Changes(c Change) bool {
-	if len(c.Seed) > 0 && !l.Planted() {
+// WouldChange reports whether applying a change would have an effect.
+func (r *Registry) WouldChange(c Change) bool {
+	if len(c.Seed) > 0 && !r.HasSeed() {
 		return true
 	}
-	for _, released := range c.Released {
-		if slices.ContainsFunc(released.Requests, func(f Fingerprint) bool { return l.Lives(f) > released.Keep }) {
+	for _, release := range c.Releases {
+		if slices.ContainsFunc(release.Requests, func(f Fingerprint) bool { return r.CrashCount(f) > release.Keep }) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.Ended, func(ended Ended) bool { return !l.knows(ended) })
+	return slices.ContainsFunc(c.Crashes, func(crash Crash) bool { return !r.contains(crash) })
 }
 
-func (l *Ledger) plant(seed []byte) {
-	if len(l.seed) == 0 && len(seed) == SeedBytes {
-		l.seed = seed
-		l.version++
+func (r *Registry) setSeed(seed []byte) {
+	if len(r.seed) == 0 && len(seed) == SeedBytes {
+		r.seed = seed
+		r.version++
 	}
 }
 
-// Planted reports whether there is a seed.
-func (l *Ledger) Planted() bool { return len(l.seed) > 0 }
+// HasSeed reports whether a seed is set.
+func (r *Registry) HasSeed() bool { return len(r.seed) > 0 }
 
-// Version returns the version of the news.
-func (l *Ledger) Version() uint64 { return l.version }
+// Version returns the version of the current Update.
+func (r *Registry) Version() uint64 { return r.version }
 
-// note counts an ended life for each request that it ran.
-func (l *Ledger) note(ended Ended) {
-	for _, f := range ended.Requests {
-		e := l.entries[f]
+// recordCrash adds an incarnation to each request that it ran.
+func (r *Registry) recordCrash(crash Crash) {
+	for _, f := range crash.Requests {
+		e := r.entries[f]
 		if e == nil {
-			l.makeRoom()
-			e = &counted{}
-			l.entries[f] = e
+			r.evict()
+			e = &entry{}
+			r.entries[f] = e
 		}
-		if slices.Contains(e.lives, ended.Life) || len(e.lives) >= livesKept {
+		if slices.Contains(e.incarnations, crash.Incarnation) || len(e.incarnations) >= maxIncarnations {
 			continue
 		}
-		l.order++
-		e.lives, e.order = append(e.lives, ended.Life), l.order
-		if len(e.lives) >= Suspected {
-			l.version++
+		r.order++
+		e.incarnations, e.order = append(e.incarnations, crash.Incarnation), r.order
+		if len(e.incarnations) >= SuspectThreshold {
+			r.version++
 		}
 	}
 }
 
-// knows reports whether noting a life would change nothing.
-func (l *Ledger) knows(ended Ended) bool {
-	for _, f := range ended.Requests {
-		e := l.entries[f]
-		if e == nil || !slices.Contains(e.lives, ended.Life) && len(e.lives) < livesKept {
+// contains reports whether recording a crash would change nothing.
+func (r *Registry) contains(crash Crash) bool {
+	for _, f := range crash.Requests {
+		e := r.entries[f]
+		if e == nil || !slices.Contains(e.incarnations, crash.Incarnation) && len(e.incarnations) < maxIncarnations {
 			return false
 		}
 	}
 	return true
 }
 
-// makeRoom pushes out the request with the fewest lives, of these the one whose newest life is oldest.
-func (l *Ledger) makeRoom() {
-	if len(l.entries) < entriesMost {
+// evict removes an entry if the registry is full: the one with the fewest crashes, of these the one whose newest crash
+// is oldest.
+func (r *Registry) evict() {
+	if len(r.entries) < maxEntries {
 		return
 	}
-	var last Fingerprint
-	var least *counted
-	for f, e := range l.entries {
-		if least == nil || cmp.Or(cmp.Compare(len(e.lives), len(least.lives)), cmp.Compare(e.order, least.order)) < 0 {
-			last, least = f, e
+	var victim Fingerprint
+	var fewest *entry
+	for f, e := range r.entries {
+		if fewest == nil || cmp.Or(cmp.Compare(len(e.incarnations), len(fewest.incarnations)), cmp.Compare(e.order, fewest.order)) < 0 {
+			victim, fewest = f, e
 		}
 	}
-	l.drop(last, 0)
+	r.trim(victim, 0)
 }
 
-// drop forgets all but the newest lives of a request.
-func (l *Ledger) drop(f Fingerprint, keep int) {
-	e := l.entries[f]
-	if e == nil || len(e.lives) <= keep {
+// trim removes all but the newest crashes of a request.
+func (r *Registry) trim(f Fingerprint, keep int) {
+	e := r.entries[f]
+	if e == nil || len(e.incarnations) <= keep {
 		return
 	}
-	if len(e.lives) >= Suspected {
-		l.version++
+	if len(e.incarnations) >= SuspectThreshold {
+		r.version++
 	}
 	if keep == 0 {
-		delete(l.entries, f)
+		delete(r.entries, f)
 		return
 	}
-	e.lives = slices.Clone(e.lives[len(e.lives)-keep:])
+	e.incarnations = slices.Clone(e.incarnations[len(e.incarnations)-keep:])
 }
 
-// Lives returns how many lives ended under a request, as far as they are kept.
-func (l *Ledger) Lives(f Fingerprint) int {
-	if e := l.entries[f]; e != nil {
-		return len(e.lives)
+// CrashCount returns the number of crashes kept for a request.
+func (r *Registry) CrashCount(f Fingerprint) int {
+	if e := r.entries[f]; e != nil {
+		return len(e.incarnations)
 	}
 	return 0
 }
 
-// All returns every request in a fixed order.
-func (l *Ledger) All() []Fingerprint {
-	return slices.SortedFunc(maps.Keys(l.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
+// Fingerprints returns the fingerprints of all requests, sorted.
+func (r *Registry) Fingerprints() []Fingerprint {
+	return slices.SortedFunc(maps.Keys(r.entries), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// News returns what processes are told; callers only read it.
-func (l *Ledger) News() *News {
-	if l.news != nil && l.news.Version == l.version {
-		return l.news
+// Update returns the state to send to processes. Callers must not modify it.
+func (r *Registry) Update() *Update {
+	if r.update != nil && r.update.Version == r.version {
+		return r.update
 	}
-	news := &News{Version: l.version, Seed: l.seed}
-	for _, f := range l.All() {
-		if e := l.entries[f]; len(e.lives) >= Suspected {
-			news.Entries = append(news.Entries, Entry{Request: f, Lives: slices.Clip(e.lives)})
+	update := &Update{Version: r.version, Seed: r.seed}
+	for _, f := range r.Fingerprints() {
+		if e := r.entries[f]; len(e.incarnations) >= SuspectThreshold {
+			update.Entries = append(update.Entries, Entry{Request: f, Incarnations: slices.Clip(e.incarnations)})
 		}
 	}
-	l.news = news
-	return news
+	r.update = update
+	return update
 }
 
-// ledgerForm is a ledger in a snapshot.
-type ledgerForm struct {
+// registryJSON is the snapshot format of a Registry.
+type registryJSON struct {
 	Seed    []byte      `json:"seed,omitempty"`
 	Version uint64      `json:"version"`
 	Order   uint64      `json:"order"`
-	Entries []entryForm `json:"entries,omitempty"`
+	Entries []entryJSON `json:"entries,omitempty"`
 }
 
-type entryForm struct {
+type entryJSON struct {
 	Entry
 	Order uint64 `json:"order"`
 }
 
-// MarshalJSON writes the whole state.
-func (l *Ledger) MarshalJSON() ([]byte, error) {
-	form := ledgerForm{Seed: l.seed, Version: l.version, Order: l.order}
-	for _, f := range l.All() {
-		form.Entries = append(form.Entries, entryForm{Entry: Entry{Request: f, Lives: l.entries[f].lives}, Order: l.entries[f].order})
+// MarshalJSON encodes the whole state.
+func (r *Registry) MarshalJSON() ([]byte, error) {
+	state := registryJSON{Seed: r.seed, Version: r.version, Order: r.order}
+	for _, f := range r.Fingerprints() {
+		state.Entries = append(state.Entries, entryJSON{Entry: Entry{Request: f, Incarnations: r.entries[f].incarnations}, Order: r.entries[f].order})
 	}
-	return json.Marshal(form)
+	return json.Marshal(state)
 }
 
 // UnmarshalJSON replaces the whole state.
-func (l *Ledger) UnmarshalJSON(data []byte) error {
-	var form ledgerForm
-	if err := json.Unmarshal(data, &form); err != nil {
+func (r *Registry) UnmarshalJSON(data []byte) error {
+	var state registryJSON
+	if err := json.Unmarshal(data, &state); err != nil {
 		return err
 	}
-	*l = Ledger{seed: form.Seed, version: form.Version, order: form.Order, entries: make(map[Fingerprint]*counted, len(form.Entries))}
-	for _, e := range form.Entries {
-		l.entries[e.Request] = &counted{lives: e.Lives, order: e.Order}
+	*r = Registry{seed: state.Seed, version: state.Version, order: state.Order, entries: make(map[Fingerprint]*entry, len(state.Entries))}
+	for _, e := range state.Entries {
+		r.entries[e.Request] = &entry{incarnations: e.Incarnations, order: e.Order}
 	}
 	return nil
 }
