--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -56,16 +56,16 @@
 	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.sentVersion, Tree: &tree}}
 }
 
-// leaseMarginShare is the part of a lease, as its inverse, by which control counts it longer than the router, so that
+// leaseMarginDivisor is the part of a lease, as its inverse, by which control counts it longer than the router, so that
 // a router whose clock runs slowly has stopped when control thinks so.
-const leaseMarginShare = 8
+const leaseMarginDivisor = 8
 
 // leaseEnd returns when a lease granted now has ended at the router for certain.
 func (r *Replica) leaseEnd(now time.Duration) time.Duration {
 	if !r.config.Guards.On(guard.LeaseMargin) {
 		return now + r.config.SettingsLease
 	}
-	return now + r.config.SettingsLease + r.config.SettingsLease/leaseMarginShare
+	return now + r.config.SettingsLease + r.config.SettingsLease/leaseMarginDivisor
 }
 
 // renew extends a lease, unless the router has not taken up the version it was sent before.
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -241,7 +241,7 @@
 
 // trustEnd is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
 func (r *Replica) trustEnd() time.Duration {
-	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginShare
+	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
 // rosterTaken returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
