--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -43,8 +43,8 @@
 	r.propose(now, client, Command{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-// quarantineNews returns what a process is told that holds the news of a version; nil when it holds these.
-func (r *Replica) quarantineNews(held uint64) *quarantine.Update {
+// quarantineUpdate returns what a process is told that holds the news of a version; nil when it holds these.
+func (r *Replica) quarantineUpdate(held uint64) *quarantine.Update {
 	ledger := r.machine.catalog.Quarantine()
 	if held == ledger.Version() {
 		return nil
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -88,7 +88,7 @@
 	if beat.PeersSeen != r.machine.peersVersion {
 		reply.Peers = r.machine.Peers()
 	}
-	reply.Quarantine = r.quarantineNews(beat.Quarantine)
+	reply.Quarantine = r.quarantineUpdate(beat.Quarantine)
 	return reply
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -214,7 +214,7 @@
 	if watch.Revision < document.Revision && !watch.Brief {
 		reply.Document, reply.shared = r.toldDocument(document)
 	}
-	reply.Quarantine = r.quarantineNews(watch.Quarantine)
+	reply.Quarantine = r.quarantineUpdate(watch.Quarantine)
 	for _, member := range r.members() {
 		reply.Replicas = append(reply.Replicas, member.Address)
 	}
