--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -11,17 +11,17 @@
 	"kitetiller/internal/mechanism"
 )
 
-// phase tells where a back end stands in the replacement of its weights.
-type phase uint8
+// rolloutPhase tells where a back end stands in the replacement of its weights.
+type rolloutPhase uint8
 
 const (
-	phaseIdle      phase = iota
-	phaseReporting       // its order count is being read
-	phaseAnnounced       // gateways send nothing new; the order follows
-	phaseOrdered         // the order is on its way
-	phaseLoading         // the order was taken, or may have been
-	phaseUncertain       // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
-	phaseBackoff         // something failed; it is tried again later
+	phaseIdle      rolloutPhase = iota
+	phaseReporting              // its order count is being read
+	phaseAnnounced              // gateways send nothing new; the order follows
+	phaseOrdered                // the order is on its way
+	phaseLoading                // the order was taken, or may have been
+	phaseUncertain              // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
+	phaseBackoff                // something failed; it is tried again later
 )
 
 const (
@@ -46,7 +46,7 @@
 
 // rolloutState is the leader's view of one back end's weights.
 type rolloutState struct {
-	phase         phase
+	phase         rolloutPhase
 	due           time.Duration // when the next step is due
 	model         string
 	version       uint64        // of the order in progress
@@ -236,7 +236,7 @@
 }
 
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
-func (r *Replica) setPhase(state *memberState, next phase, due time.Duration) {
+func (r *Replica) setPhase(state *memberState, next rolloutPhase, due time.Duration) {
 	before := state.rollout.loading()
 	state.rollout.phase, state.rollout.due = next, due
 	if state.rollout.loading() != before {
