--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -16,7 +16,7 @@
 
 const (
 	phaseIdle      rolloutPhase = iota
-	phaseReporting              // its order count is being read
+	phaseQuerying               // its order count is being read
 	phaseAnnounced              // gateways send nothing new; the order follows
 	phaseOrdered                // the order is on its way
 	phaseLoading                // the order was taken, or may have been
@@ -134,7 +134,7 @@
 	for _, id := range ids {
 		state := r.member(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
-		if state.rollout.loading() || state.rollout.phase == phaseReporting {
+		if state.rollout.loading() || state.rollout.phase == phaseQuerying {
 			busy++
 		}
 	}
@@ -218,7 +218,7 @@
 func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
 	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
 	if !state.rollout.revisionKnown || state.doubted {
-		r.setPhase(state, phaseReporting, now+callPatience)
+		r.setPhase(state, phaseQuerying, now+callPatience)
 		r.callWeights(instance, state, WeightsReport)
 		return
 	}
@@ -251,7 +251,7 @@
 		return
 	}
 	switch state.rollout.phase {
-	case phaseReporting, phaseOrdered:
+	case phaseQuerying, phaseOrdered:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
 	case phaseAnnounced:
 		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announced {
@@ -348,7 +348,7 @@
 func (r *Replica) observeReport(now time.Duration, state *memberState, result WeightsResult) {
 	loads := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
-	if !loads && !uncertain && state.rollout.phase != phaseReporting {
+	if !loads && !uncertain && state.rollout.phase != phaseQuerying {
 		return
 	}
 	if result.Kind != WeightsReported || result.ofAnotherLife() {
