--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -101,7 +101,7 @@
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
 		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, orderWithin)
 		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
-			r.setPhase(state, phaseAnnounced, now)
+			r.setPhase(state, phaseDraining, now)
 		}
 		return late
 	})
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -17,7 +17,7 @@
 const (
 	phaseIdle      rolloutPhase = iota
 	phaseQuerying               // its order count is being read
-	phaseAnnounced              // gateways send nothing new; the order follows
+	phaseDraining               // gateways send nothing new; the order follows
 	phaseOrdered                // the order is on its way
 	phaseLoading                // the order was taken, or may have been
 	phaseUncertain              // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
@@ -60,7 +60,7 @@
 
 // loading reports whether gateways must send nothing new.
 func (s *rolloutState) loading() bool {
-	return s.phase == phaseAnnounced || s.phase == phaseOrdered || s.phase == phaseLoading
+	return s.phase == phaseDraining || s.phase == phaseOrdered || s.phase == phaseLoading
 }
 
 // WeightsCallKind tells what a driver shall ask of a back end.
@@ -232,7 +232,7 @@
 	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
 	}
-	r.setPhase(state, phaseAnnounced, now+announceLead)
+	r.setPhase(state, phaseDraining, now+announceLead)
 }
 
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
@@ -253,7 +253,7 @@
 	switch state.rollout.phase {
 	case phaseQuerying, phaseOrdered:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
-	case phaseAnnounced:
+	case phaseDraining:
 		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announced {
 			return
 		}
