--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -100,7 +100,7 @@
 func (r *Replica) dropLateOrders(now time.Duration, calls []WeightsCall) []WeightsCall {
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
 		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, orderWithin)
-		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrdered {
+		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrderSent {
 			r.setPhase(state, phaseDraining, now)
 		}
 		return late
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		engines++
-		if state.rollout.phase == phaseOrdered || state.rollout.phase == phaseLoading {
+		if state.rollout.phase == phaseOrderSent || state.rollout.phase == phaseLoading {
 			count.running++
 		}
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -18,7 +18,7 @@
 	phaseIdle      rolloutPhase = iota
 	phaseQuerying               // its order count is being read
 	phaseDraining               // gateways send nothing new; the order follows
-	phaseOrdered                // the order is on its way
+	phaseOrderSent              // the order is on its way
 	phaseLoading                // the order was taken, or may have been
 	phaseUncertain              // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
 	phaseBackoff                // something failed; it is tried again later
@@ -60,7 +60,7 @@
 
 // loading reports whether gateways must send nothing new.
 func (s *rolloutState) loading() bool {
-	return s.phase == phaseDraining || s.phase == phaseOrdered || s.phase == phaseLoading
+	return s.phase == phaseDraining || s.phase == phaseOrderSent || s.phase == phaseLoading
 }
 
 // WeightsCallKind tells what a driver shall ask of a back end.
@@ -251,7 +251,7 @@
 		return
 	}
 	switch state.rollout.phase {
-	case phaseQuerying, phaseOrdered:
+	case phaseQuerying, phaseOrderSent:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
 	case phaseDraining:
 		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announced {
@@ -264,7 +264,7 @@
 		loads.running++
 		state.rollout.version = max(state.rollout.version, r.machine.catalog.LatestVersions()[state.rollout.model])
 		state.rollout.orderedAt, state.rollout.takenAt = now, 0
-		r.setPhase(state, phaseOrdered, now+callPatience)
+		r.setPhase(state, phaseOrderSent, now+callPatience)
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
 		state.rollout.due = now + callPatience
@@ -298,7 +298,7 @@
 }
 
 func (r *Replica) observeOrder(now time.Duration, state *memberState, result WeightsResult) {
-	if state.rollout.phase != phaseOrdered {
+	if state.rollout.phase != phaseOrderSent {
 		return
 	}
 	switch result.Kind {
