--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// announceLead is how long requests that are on their way have to arrive, before the order is sent.
-	announceLead = 30 * time.Millisecond
+	// announceDelay is how long requests that are on their way have to arrive, before the order is sent.
+	announceDelay = 30 * time.Millisecond
 	// stepPace is the time between two steps of the roll-out, for each back end: a step looks at all of them.
 	stepPace = 10 * time.Microsecond
 	// loadPatience is how long an order may show no effect before it is given again.
@@ -232,7 +232,7 @@
 	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
 	}
-	r.setPhase(state, phaseDraining, now+announceLead)
+	r.setPhase(state, phaseDraining, now+announceDelay)
 }
 
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
