--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -27,8 +27,8 @@
 const (
 	// announceDelay is how long requests that are on their way have to arrive, before the order is sent.
 	announceDelay = 30 * time.Millisecond
-	// stepPace is the time between two steps of the roll-out, for each back end: a step looks at all of them.
-	stepPace = 10 * time.Microsecond
+	// stepIntervalPerBackend is the time between two steps of the roll-out, for each back end: a step looks at all of them.
+	stepIntervalPerBackend = 10 * time.Microsecond
 	// loadPatience is how long an order may show no effect before it is given again.
 	loadPatience = 2500 * time.Millisecond
 	// callPatience is how long a call of the driver may stay without a result.
@@ -117,7 +117,7 @@
 // rollOut takes the next steps towards the newest weights everywhere.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.leader.rolloutStepAt+stepPace*time.Duration(len(instances)) {
+	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.leader.rolloutStepAt+stepIntervalPerBackend*time.Duration(len(instances)) {
 		return
 	}
 	r.leader.rolloutStepAt = now
