--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -29,8 +29,8 @@
 	announceDelay = 30 * time.Millisecond
 	// stepIntervalPerBackend is the time between two steps of the roll-out, for each back end: a step looks at all of them.
 	stepIntervalPerBackend = 10 * time.Microsecond
-	// loadPatience is how long an order may show no effect before it is given again.
-	loadPatience = 2500 * time.Millisecond
+	// loadTimeout is how long an order may show no effect before it is given again.
+	loadTimeout = 2500 * time.Millisecond
 	// callPatience is how long a call of the driver may stay without a result.
 	callPatience = 3 * time.Second
 	// rolloutBackoff is the pause after a failure.
@@ -370,7 +370,7 @@
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
-	case loads && now < state.rollout.orderedAt+loadPatience:
+	case loads && now < state.rollout.orderedAt+loadTimeout:
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
