--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -84,7 +84,7 @@
 		return true
 	}
 	if now >= mark.renewTo {
-		mark.renewTo = now + callPatience
+		mark.renewTo = now + weightsCallTimeout
 		r.orderMarks[name] = mark
 		r.writeOrdering(id)
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -31,8 +31,8 @@
 	stepIntervalPerBackend = 10 * time.Microsecond
 	// loadTimeout is how long an order may show no effect before it is given again.
 	loadTimeout = 2500 * time.Millisecond
-	// callPatience is how long a call of the driver may stay without a result.
-	callPatience = 3 * time.Second
+	// weightsCallTimeout is how long a call of the driver may stay without a result.
+	weightsCallTimeout = 3 * time.Second
 	// rolloutBackoff is the pause after a failure.
 	rolloutBackoff = 300 * time.Millisecond
 	// drainPatience is how long requests that run on a back end may take to end before its order is sent; a load stops
@@ -157,7 +157,7 @@
 
 // takeFence asks for a fence of this leadership, once.
 func (r *Replica) takeFence(now time.Duration) {
-	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+callPatience {
+	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+weightsCallTimeout {
 		r.leader.fenceRequestedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
 	}
@@ -218,7 +218,7 @@
 func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
 	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
 	if !state.rollout.revisionKnown || state.doubted {
-		r.setPhase(state, phaseQuerying, now+callPatience)
+		r.setPhase(state, phaseQuerying, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsReport)
 		return
 	}
@@ -264,10 +264,10 @@
 		loads.running++
 		state.rollout.version = max(state.rollout.version, r.machine.catalog.LatestVersions()[state.rollout.model])
 		state.rollout.orderedAt, state.rollout.takenAt = now, 0
-		r.setPhase(state, phaseOrderSent, now+callPatience)
+		r.setPhase(state, phaseOrderSent, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
-		state.rollout.due = now + callPatience
+		state.rollout.due = now + weightsCallTimeout
 		r.callWeights(instance, state, WeightsReport)
 	case phaseBackoff:
 		r.setPhase(state, phaseIdle, now)
@@ -314,7 +314,7 @@
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
 	case WeightsFenced:
 		r.leader.orderFence = 0
-		r.setPhase(state, phaseBackoff, now+callPatience)
+		r.setPhase(state, phaseBackoff, now+weightsCallTimeout)
 	default:
 		state.rollout.revisionKnown = false
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
