--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -35,9 +35,9 @@
 	weightsCallTimeout = 3 * time.Second
 	// rolloutBackoff is the pause after a failure.
 	rolloutBackoff = 300 * time.Millisecond
-	// drainPatience is how long requests that run on a back end may take to end before its order is sent; a load stops
+	// drainTimeout is how long requests that run on a back end may take to end before its order is sent; a load stops
 	// them for its time.
-	drainPatience = 2000 * time.Millisecond
+	drainTimeout = 2000 * time.Millisecond
 	// uncertainPatience is how long an unanswered order may show no effect before it is given again, and uncertainCheck
 	// how often that is looked at.
 	uncertainPatience = 1200 * time.Millisecond
@@ -228,7 +228,7 @@
 // announce makes gateways turn away from a back end.
 func (r *Replica) announce(now time.Duration, id string, state *memberState) {
 	r.writeOrdering(id)
-	state.rollout.drainUntil = now + drainPatience
+	state.rollout.drainUntil = now + drainTimeout
 	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
 	}
