--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -38,10 +38,10 @@
 	// drainTimeout is how long requests that run on a back end may take to end before its order is sent; a load stops
 	// them for its time.
 	drainTimeout = 2000 * time.Millisecond
-	// uncertainPatience is how long an unanswered order may show no effect before it is given again, and uncertainCheck
+	// uncertainTimeout is how long an unanswered order may show no effect before it is given again, and uncertainCheck
 	// how often that is looked at.
-	uncertainPatience = 1200 * time.Millisecond
-	uncertainCheck    = 350 * time.Millisecond
+	uncertainTimeout = 1200 * time.Millisecond
+	uncertainCheck   = 350 * time.Millisecond
 )
 
 // rolloutState is the leader's view of one back end's weights.
@@ -368,7 +368,7 @@
 		r.leader.noteLoad(now, state.rollout.takenAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
-	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
+	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
 	case loads && now < state.rollout.orderedAt+loadTimeout:
 		r.setPhase(state, phaseLoading, now+nextCheck)
