--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -40,8 +40,8 @@
 	drainTimeout = 2000 * time.Millisecond
 	// uncertainTimeout is how long an unanswered order may show no effect before it is given again, and uncertainCheck
 	// how often that is looked at.
-	uncertainTimeout = 1200 * time.Millisecond
-	uncertainCheck   = 350 * time.Millisecond
+	uncertainTimeout      = 1200 * time.Millisecond
+	uncertainPollInterval = 350 * time.Millisecond
 )
 
 // rolloutState is the leader's view of one back end's weights.
@@ -311,7 +311,7 @@
 	case WeightsUnknown:
 		r.leader.orderLostAt = now
 		state.rollout.revisionKnown = false
-		r.setPhase(state, phaseUncertain, now+uncertainCheck)
+		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
 	case WeightsFenced:
 		r.leader.orderFence = 0
 		r.setPhase(state, phaseBackoff, now+weightsCallTimeout)
@@ -369,7 +369,7 @@
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
-		r.setPhase(state, phaseUncertain, now+uncertainCheck)
+		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
 	case loads && now < state.rollout.orderedAt+loadTimeout:
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	default:
