--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -47,7 +47,7 @@
 // rolloutState is the leader's view of one back end's weights.
 type rolloutState struct {
 	phase         rolloutPhase
-	due           time.Duration // when the next step is due
+	nextStepAt    time.Duration // when the next step is due
 	model         string
 	version       uint64        // of the order in progress
 	announced     uint64        // count of the roster that told gateways to turn away
@@ -238,7 +238,7 @@
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
 func (r *Replica) setPhase(state *memberState, next rolloutPhase, due time.Duration) {
 	before := state.rollout.loading()
-	state.rollout.phase, state.rollout.due = next, due
+	state.rollout.phase, state.rollout.nextStepAt = next, due
 	if state.rollout.loading() != before {
 		r.leader.rosterChanged(state.id)
 		state.rollout.announced = r.leader.rosterCount
@@ -247,7 +247,7 @@
 
 // stepRollout does what is due at one back end, on which so many requests still run.
 func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *memberState, loads *loadCount, running int) {
-	if now < state.rollout.due {
+	if now < state.rollout.nextStepAt {
 		return
 	}
 	switch state.rollout.phase {
@@ -267,7 +267,7 @@
 		r.setPhase(state, phaseOrderSent, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
-		state.rollout.due = now + weightsCallTimeout
+		state.rollout.nextStepAt = now + weightsCallTimeout
 		r.callWeights(instance, state, WeightsReport)
 	case phaseBackoff:
 		r.setPhase(state, phaseIdle, now)
