--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -46,16 +46,16 @@
 
 // rolloutState is the leader's view of one back end's weights.
 type rolloutState struct {
-	phase         rolloutPhase
-	nextStepAt    time.Duration // when the next step is due
-	model         string
-	version       uint64        // of the order in progress
-	announced     uint64        // count of the roster that told gateways to turn away
-	drainUntil    time.Duration // when the order is sent although requests still run
-	orderedAt     time.Duration
-	takenAt       time.Duration // when the order was taken; 0 when that is not known
-	revision      uint64        // orders that the back end has taken
-	revisionKnown bool
+	phase           rolloutPhase
+	nextStepAt      time.Duration // when the next step is due
+	model           string
+	version         uint64        // of the order in progress
+	announcedRoster uint64        // count of the roster that told gateways to turn away
+	drainUntil      time.Duration // when the order is sent although requests still run
+	orderedAt       time.Duration
+	takenAt         time.Duration // when the order was taken; 0 when that is not known
+	revision        uint64        // orders that the back end has taken
+	revisionKnown   bool
 }
 
 // loading reports whether gateways must send nothing new.
@@ -241,7 +241,7 @@
 	state.rollout.phase, state.rollout.nextStepAt = next, due
 	if state.rollout.loading() != before {
 		r.leader.rosterChanged(state.id)
-		state.rollout.announced = r.leader.rosterCount
+		state.rollout.announcedRoster = r.leader.rosterCount
 	}
 }
 
@@ -254,7 +254,7 @@
 	case phaseQuerying, phaseOrderSent:
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
 	case phaseDraining:
-		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announced {
+		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announcedRoster {
 			return
 		}
 		waits := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
