--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -53,7 +53,7 @@
 	announcedRoster uint64        // count of the roster that told gateways to turn away
 	drainUntil      time.Duration // when the order is sent although requests still run
 	orderedAt       time.Duration
-	takenAt         time.Duration // when the order was taken; 0 when that is not known
+	acceptedAt      time.Duration // when the order was taken; 0 when that is not known
 	revision        uint64        // orders that the back end has taken
 	revisionKnown   bool
 }
@@ -263,7 +263,7 @@
 		}
 		loads.running++
 		state.rollout.version = max(state.rollout.version, r.machine.catalog.LatestVersions()[state.rollout.model])
-		state.rollout.orderedAt, state.rollout.takenAt = now, 0
+		state.rollout.orderedAt, state.rollout.acceptedAt = now, 0
 		r.setPhase(state, phaseOrderSent, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
@@ -304,7 +304,7 @@
 	switch result.Kind {
 	case WeightsTaken:
 		state.rollout.revision++
-		state.rollout.takenAt = now
+		state.rollout.acceptedAt = now
 		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
 	case WeightsHeld:
 		r.finishRollout(now, state)
@@ -365,7 +365,7 @@
 	case result.Busy:
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	case done:
-		r.leader.noteLoad(now, state.rollout.takenAt)
+		r.leader.noteLoad(now, state.rollout.acceptedAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
