--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -58,8 +58,8 @@
 	revisionKnown   bool
 }
 
-// loading reports whether gateways must send nothing new.
-func (s *rolloutState) loading() bool {
+// blocksNewRequests reports whether gateways must send nothing new.
+func (s *rolloutState) blocksNewRequests() bool {
 	return s.phase == phaseDraining || s.phase == phaseOrderSent || s.phase == phaseLoading
 }
 
@@ -134,7 +134,7 @@
 	for _, id := range ids {
 		state := r.member(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
-		if state.rollout.loading() || state.rollout.phase == phaseQuerying {
+		if state.rollout.blocksNewRequests() || state.rollout.phase == phaseQuerying {
 			busy++
 		}
 	}
@@ -237,9 +237,9 @@
 
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
 func (r *Replica) setPhase(state *memberState, next rolloutPhase, due time.Duration) {
-	before := state.rollout.loading()
+	before := state.rollout.blocksNewRequests()
 	state.rollout.phase, state.rollout.nextStepAt = next, due
-	if state.rollout.loading() != before {
+	if state.rollout.blocksNewRequests() != before {
 		r.leader.rosterChanged(state.id)
 		state.rollout.announcedRoster = r.leader.rosterCount
 	}
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -53,7 +53,7 @@
 func (r *Replica) rosterEntry(now time.Duration, instance catalog.Instance) RosterEntry {
 	state := r.member(now, instance.ID)
 	return RosterEntry{
-		Instance: instance, Versions: maps.Clone(state.versions), Loading: state.rollout.loading(), Silent: state.silent,
+		Instance: instance, Versions: maps.Clone(state.versions), Loading: state.rollout.blocksNewRequests(), Silent: state.silent,
 		ColdLeft: max(0, state.coldUntil-now),
 	}
 }
