--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -41,7 +41,7 @@
 	s.advance(length)
 	var orders []WeightsCall
 	for _, call := range s.weightsCalls {
-		if call.Kind == WeightsReport {
+		if call.Kind == WeightsQuery {
 			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
 			s.work()
 			continue
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -68,8 +68,8 @@
 
 // Kinds of calls.
 const (
-	WeightsReport WeightsCallKind = iota // read which weights it holds and how many orders it took
-	WeightsOrder                         // replace its weights
+	WeightsQuery WeightsCallKind = iota // read which weights it holds and how many orders it took
+	WeightsOrder                        // replace its weights
 )
 
 // WeightsCall is a call that a driver makes to a back end on behalf of the leader.
@@ -219,7 +219,7 @@
 	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
 	if !state.rollout.revisionKnown || state.doubted {
 		r.setPhase(state, phaseQuerying, now+weightsCallTimeout)
-		r.callWeights(instance, state, WeightsReport)
+		r.callWeights(instance, state, WeightsQuery)
 		return
 	}
 	r.announce(now, instance.ID, state)
@@ -268,7 +268,7 @@
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
 		state.rollout.nextStepAt = now + weightsCallTimeout
-		r.callWeights(instance, state, WeightsReport)
+		r.callWeights(instance, state, WeightsQuery)
 	case phaseBackoff:
 		r.setPhase(state, phaseIdle, now)
 	}
@@ -290,7 +290,7 @@
 	if state == nil {
 		return
 	}
-	if result.Call.Kind == WeightsReport {
+	if result.Call.Kind == WeightsQuery {
 		r.observeReport(now, state, result)
 		return
 	}
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -221,7 +221,7 @@
 	switch {
 	case !b.isMeant(call.Instance):
 		return control.WeightsResult{Kind: control.WeightsRefused}
-	case call.Kind == control.WeightsReport:
+	case call.Kind == control.WeightsQuery:
 		return control.WeightsResult{Kind: control.WeightsReported, Versions: map[string]uint64{fleetModel: b.version}, Busy: loading, Revision: b.revision}
 	case call.Fence < b.fence:
 		return control.WeightsResult{Kind: control.WeightsFenced}
