--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -90,7 +90,7 @@
 // Results of calls.
 const (
 	WeightsReported WeightsResultKind = iota // a report came
-	WeightsTaken                             // the order is being carried out
+	WeightsAccepted                          // the order is being carried out
 	WeightsHeld                              // the back end holds the version already
 	WeightsBusy                              // another order is under way, or the count differs
 	WeightsFenced                            // a higher fence was seen
@@ -302,7 +302,7 @@
 		return
 	}
 	switch result.Kind {
-	case WeightsTaken:
+	case WeightsAccepted:
 		state.rollout.revision++
 		state.rollout.acceptedAt = now
 		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -232,7 +232,7 @@
 	b.revision++
 	b.loadsTo = b.w.now() + fleetLoad
 	b.after(fleetLoad, func() { b.version = call.Version })
-	return control.WeightsResult{Kind: control.WeightsTaken}
+	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
 
 // callBackend passes a leader's call on and its result back. Some answers are lost, and the order is then carried out
@@ -258,7 +258,7 @@
 	}
 	n.w.call(n.process, target.process, time.Second, func(respond func(func())) {
 		result := target.take(call)
-		if result.Kind == control.WeightsTaken {
+		if result.Kind == control.WeightsAccepted {
 			n.w.oracle.tookOrder(call)
 		}
 		respond(func() { report(result) })
