--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -89,13 +89,13 @@
 
 // Results of calls.
 const (
-	WeightsReported WeightsResultKind = iota // a report came
-	WeightsAccepted                          // the order is being carried out
-	WeightsHeld                              // the back end holds the version already
-	WeightsBusy                              // another order is under way, or the count differs
-	WeightsFenced                            // a higher fence was seen
-	WeightsRefused                           // provably not taken
-	WeightsUnknown                           // no answer: it may have been taken, or may be yet
+	WeightsReported      WeightsResultKind = iota // a report came
+	WeightsAccepted                               // the order is being carried out
+	WeightsAlreadyLoaded                          // the back end holds the version already
+	WeightsBusy                                   // another order is under way, or the count differs
+	WeightsFenced                                 // a higher fence was seen
+	WeightsRefused                                // provably not taken
+	WeightsUnknown                                // no answer: it may have been taken, or may be yet
 )
 
 // WeightsResult is how a call ended.
@@ -306,7 +306,7 @@
 		state.rollout.revision++
 		state.rollout.acceptedAt = now
 		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
-	case WeightsHeld:
+	case WeightsAlreadyLoaded:
 		r.finishRollout(now, state)
 	case WeightsUnknown:
 		r.leader.orderLostAt = now
