--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -49,7 +49,7 @@
 func (s *Server) callBackend(ctx context.Context, queued queuedCall) {
 	attempt, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
-	result := WeightsResult{Kind: WeightsRefused}
+	result := WeightsResult{Kind: WeightsRejected}
 	if s.now()-queued.queuedAt <= maxCallAge {
 		result = s.driver.CallWeights(attempt, queued.call)
 	}
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -163,7 +163,7 @@
 	s.callBackend(t.Context(), made)
 	at += 2 * time.Second
 	s.callBackend(t.Context(), made)
-	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsAccepted || second.Kind != WeightsRefused {
+	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsAccepted || second.Kind != WeightsRejected {
 		t.Fatalf("%d calls, want 1; results %+v and %+v, want taken and refused", driver.calls, first, second)
 	}
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -94,7 +94,7 @@
 	WeightsAlreadyLoaded                          // the back end holds the version already
 	WeightsBusy                                   // another order is under way, or the count differs
 	WeightsFenced                                 // a higher fence was seen
-	WeightsRefused                                // provably not taken
+	WeightsRejected                               // provably not taken
 	WeightsUnknown                                // no answer: it may have been taken, or may be yet
 )
 
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -220,7 +220,7 @@
 	loading := b.w.now() < b.loadsTo
 	switch {
 	case !b.isMeant(call.Instance):
-		return control.WeightsResult{Kind: control.WeightsRefused}
+		return control.WeightsResult{Kind: control.WeightsRejected}
 	case call.Kind == control.WeightsQuery:
 		return control.WeightsResult{Kind: control.WeightsReported, Versions: map[string]uint64{fleetModel: b.version}, Busy: loading, Revision: b.revision}
 	case call.Fence < b.fence:
