--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -100,12 +100,12 @@
 
 // WeightsResult is how a call ended.
 type WeightsResult struct {
-	Call     WeightsCall
-	Kind     WeightsResultKind
-	Versions map[string]uint64 // with WeightsReported
-	Busy     bool              // with WeightsReported: an order is under way
-	Revision uint64            // with WeightsReported
-	Born     int64             // with WeightsReported: start of the life that reports, in Unix ms; 0 where it doesn't tell
+	Call      WeightsCall
+	Kind      WeightsResultKind
+	Versions  map[string]uint64 // with WeightsReported
+	Busy      bool              // with WeightsReported: an order is under way
+	Revision  uint64            // with WeightsReported
+	StartedMS int64             // with WeightsReported: start of the life that reports, in Unix ms; 0 where it doesn't tell
 }
 
 // mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
@@ -332,7 +332,7 @@
 // their start, too.
 func (w *WeightsResult) ofAnotherLife() bool {
 	asked := catalog.ParseInstanceID(w.Call.Instance).StartedMS
-	return w.Born > 0 && asked > 0 && w.Born != asked
+	return w.StartedMS > 0 && asked > 0 && w.StartedMS != asked
 }
 
 // settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
