--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -184,7 +184,7 @@
 
 // startRollouts begins with the back ends that lag most, the least used first, a few at a time.
 func (r *Replica) startRollouts(now time.Duration, busy int, used map[string]int) {
-	var lagging []string
+	var outdated []string
 	engines := 0
 	instances := r.machine.catalog.Instances()
 	for _, id := range r.machine.catalog.IDs() {
@@ -194,14 +194,14 @@
 		}
 		_, _, lags := r.lagging(instances[id], state)
 		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
-			lagging = append(lagging, id)
+			outdated = append(outdated, id)
 		}
 	}
-	slices.SortStableFunc(lagging, func(a, b string) int {
+	slices.SortStableFunc(outdated, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(used[a], used[b]))
 	})
 	most := atOnce(engines, drainShare)
-	for _, id := range lagging {
+	for _, id := range outdated {
 		if busy >= most {
 			return
 		}
