--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -165,8 +165,8 @@
 
 // lagging returns the model and version that a back end should hold and does not, if any.
 func (r *Replica) lagging(instance catalog.Instance, state *memberState) (string, uint64, bool) {
-	for model, held := range state.versions {
-		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > held && instance.State == catalog.StateReady {
+	for model, loaded := range state.versions {
+		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
 			return model, wanted, true
 		}
 	}
