--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -200,9 +200,9 @@
 	slices.SortStableFunc(outdated, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(used[a], used[b]))
 	})
-	most := atOnce(engines, drainShare)
+	maxBusy := atOnce(engines, drainShare)
 	for _, id := range outdated {
-		if busy >= most {
+		if busy >= maxBusy {
 			return
 		}
 		busy++
