--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -257,8 +257,8 @@
 		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announcedRoster {
 			return
 		}
-		waits := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
-		if waits || !r.mayOrderBackend(now, instance.ID) {
+		draining := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
+		if draining || !r.mayOrderBackend(now, instance.ID) {
 			return
 		}
 		loads.running++
