--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -331,8 +331,8 @@
 // ofAnotherLife reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
 // their start, too.
 func (w *WeightsResult) ofAnotherLife() bool {
-	asked := catalog.ParseInstanceID(w.Call.Instance).StartedMS
-	return w.StartedMS > 0 && asked > 0 && w.StartedMS != asked
+	requested := catalog.ParseInstanceID(w.Call.Instance).StartedMS
+	return w.StartedMS > 0 && requested > 0 && w.StartedMS != requested
 }
 
 // settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
