--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -34,8 +34,8 @@
 	renewTo   time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
 }
 
-// noteOrdering remembers that a leader is about to order back ends.
-func (r *Replica) noteOrdering(now time.Duration, term uint64, ids []string) {
+// recordOrderAnnouncement remembers that a leader is about to order back ends.
+func (r *Replica) recordOrderAnnouncement(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
 		name := catalog.ParseInstanceID(id).Name
 		mark, known := r.orderMarks[name]
