--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -15,9 +15,9 @@
 // An order waits until gateways have turned away, requests have ended and others have loaded, for seconds; the next leader knows when it was
 // announced, not when it was given.
 const (
-	// orderDecided is how long after its announcement an order may be decided; later it is announced again. More than a step of the roll-out
+	// maxDecisionAge is how long after its announcement an order may be decided; later it is announced again. More than a step of the roll-out
 	// takes in a large fleet (100 ms).
-	orderDecided = 150 * time.Millisecond
+	maxDecisionAge = 150 * time.Millisecond
 	// orderWithin is how long after its announcement an order may leave this replica, after the sync that follows its decision.
 	orderWithin = 300 * time.Millisecond
 	// orderLeft is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
@@ -80,7 +80,7 @@
 	if mark.term != r.node.Term() || !r.handedOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
 	}
-	if r.announcedWithin(now, id, orderDecided) {
+	if r.announcedWithin(now, id, maxDecisionAge) {
 		return true
 	}
 	if now >= mark.renewTo {
