--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -18,10 +18,10 @@
 	// maxDecisionAge is how long after its announcement an order may be decided; later it is announced again. More than a step of the roll-out
 	// takes in a large fleet (100 ms).
 	maxDecisionAge = 150 * time.Millisecond
-	// orderWithin is how long after its announcement an order may leave this replica, after the sync that follows its decision.
-	orderWithin = 300 * time.Millisecond
+	// maxDispatchAge is how long after its announcement an order may leave this replica, after the sync that follows its decision.
+	maxDispatchAge = 300 * time.Millisecond
 	// orderLeft is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
-	orderLeft = orderWithin + maxCallAge
+	orderLeft = maxDispatchAge + maxCallAge
 )
 
 // orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
@@ -99,7 +99,7 @@
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
 func (r *Replica) dropLateOrders(now time.Duration, calls []WeightsCall) []WeightsCall {
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
-		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, orderWithin)
+		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, maxDispatchAge)
 		if state := r.leader.fleet[call.Instance]; late && state != nil && state.rollout.phase == phaseOrderSent {
 			r.setPhase(state, phaseDraining, now)
 		}
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -217,7 +217,7 @@
 	}
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
-	left := s.replica.orderMarks[id].at + orderWithin + time.Millisecond
+	left := s.replica.orderMarks[id].at + maxDispatchAge + time.Millisecond
 	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
 		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
 	}
