--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -20,8 +20,8 @@
 	maxDecisionAge = 150 * time.Millisecond
 	// maxDispatchAge is how long after its announcement an order may leave this replica, after the sync that follows its decision.
 	maxDispatchAge = 300 * time.Millisecond
-	// orderLeft is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
-	orderLeft = maxDispatchAge + maxCallAge
+	// maxOrderAge is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
+	maxOrderAge = maxDispatchAge + maxCallAge
 )
 
 // orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
@@ -111,7 +111,7 @@
 // younger than its announcement.
 func (r *Replica) handedOver(now time.Duration, id string) bool {
 	at, ordered := r.orderedElsewhere(id)
-	return !ordered || now >= at+orderLeft+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
 // writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -111,10 +111,10 @@
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	if s.replica.handedOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handedOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
