--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -27,11 +27,11 @@
 // orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
 // has: an order names it alone.
 type orderMark struct {
-	term      uint64        // of the leader that wrote the newest
-	at        time.Duration // when that was applied here
-	foreign   bool          // a leader before that one wrote one too
-	foreignAt time.Duration // when the newest of those was applied here
-	renewTo   time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
+	term             uint64        // of the leader that wrote the newest
+	at               time.Duration // when that was applied here
+	foreign          bool          // a leader before that one wrote one too
+	foreignAppliedAt time.Duration // when the newest of those was applied here
+	renewTo          time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
 }
 
 // recordOrderAnnouncement remembers that a leader is about to order back ends.
@@ -40,7 +40,7 @@
 		name := catalog.ParseInstanceID(id).Name
 		mark, known := r.orderMarks[name]
 		if known && mark.term != term {
-			mark.foreign, mark.foreignAt = true, mark.at
+			mark.foreign, mark.foreignAppliedAt = true, mark.at
 		}
 		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
@@ -69,7 +69,7 @@
 	case mark.term != r.node.Term():
 		return mark.at, true
 	}
-	return mark.foreignAt, mark.foreign
+	return mark.foreignAppliedAt, mark.foreign
 }
 
 // mayOrderBackend reports whether a back end may be ordered now: this leader's intent is in the log, has been for a moment only, and the back
