--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -230,7 +230,7 @@
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
 		for name, mark := range r.orderMarks {
-			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+forgetAfter {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.appliedAt+forgetAfter {
 				delete(r.orderMarks, name)
 			}
 		}
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -28,7 +28,7 @@
 // has: an order names it alone.
 type orderMark struct {
 	term             uint64        // of the leader that wrote the newest
-	at               time.Duration // when that was applied here
+	appliedAt        time.Duration // when that was applied here
 	foreign          bool          // a leader before that one wrote one too
 	foreignAppliedAt time.Duration // when the newest of those was applied here
 	renewTo          time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
@@ -40,12 +40,12 @@
 		name := catalog.ParseInstanceID(id).Name
 		mark, known := r.orderMarks[name]
 		if known && mark.term != term {
-			mark.foreign, mark.foreignAppliedAt = true, mark.at
+			mark.foreign, mark.foreignAppliedAt = true, mark.appliedAt
 		}
 		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
-		mark.term, mark.at, mark.renewTo = term, now, 0
+		mark.term, mark.appliedAt, mark.renewTo = term, now, 0
 		r.orderMarks[name] = mark
 	}
 }
@@ -55,7 +55,7 @@
 func (r *Replica) noteInstalled(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.MayHaveWeightsCommand(id) {
-			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{at: now} // of no leadership, so that it is another one's for whoever leads
+			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // of no leadership, so that it is another one's for whoever leads
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	case !known:
 		return 0, r.machine.catalog.MayHaveWeightsCommand(id)
 	case mark.term != r.node.Term():
-		return mark.at, true
+		return mark.appliedAt, true
 	}
 	return mark.foreignAppliedAt, mark.foreign
 }
@@ -93,7 +93,7 @@
 
 // announcedWithin reports whether the announcement of an order is so young.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
-	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].at+age || !r.config.Guards.On(guard.WeightsCommandDelay)
+	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
 // dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -193,7 +193,7 @@
 	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
 	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.at, early, s.replica.config.OrderWait)
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
 	}
 }
 
@@ -217,9 +217,9 @@
 	}
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
-	left := s.replica.orderMarks[id].at + maxDispatchAge + time.Millisecond
+	left := s.replica.orderMarks[id].appliedAt + maxDispatchAge + time.Millisecond
 	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
+		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].appliedAt)
 	}
 }
 
