--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -31,7 +31,7 @@
 	appliedAt        time.Duration // when that was applied here
 	foreign          bool          // a leader before that one wrote one too
 	foreignAppliedAt time.Duration // when the newest of those was applied here
-	renewTo          time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
+	renewalDeadline  time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
 }
 
 // recordOrderAnnouncement remembers that a leader is about to order back ends.
@@ -45,7 +45,7 @@
 		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
 			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
 		}
-		mark.term, mark.appliedAt, mark.renewTo = term, now, 0
+		mark.term, mark.appliedAt, mark.renewalDeadline = term, now, 0
 		r.orderMarks[name] = mark
 	}
 }
@@ -83,8 +83,8 @@
 	if r.announcedWithin(now, id, maxDecisionAge) {
 		return true
 	}
-	if now >= mark.renewTo {
-		mark.renewTo = now + weightsCallTimeout
+	if now >= mark.renewalDeadline {
+		mark.renewalDeadline = now + weightsCallTimeout
 		r.orderMarks[name] = mark
 		r.writeOrdering(id)
 	}
