--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -130,10 +130,10 @@
 }
 
 const (
-	// gatewaysPeriod is how often changes of the gateways that ask are written into the log; one that waits for it is written at once, with
+	// gatewayListInterval is how often changes of the gateways that ask are written into the log; one that waits for it is written at once, with
 	// those that come within listPause after the last.
-	gatewaysPeriod = time.Second
-	listPause      = 20 * time.Millisecond
+	gatewayListInterval = time.Second
+	listPause           = 20 * time.Millisecond
 	// listPatience is how long a question waits, beyond its own time, until the log holds who asks: some times what a write takes.
 	listPatience = 300 * time.Millisecond
 )
@@ -146,7 +146,7 @@
 
 // noteGateways writes which gateways may trust this leader's views.
 func (r *Replica) noteGateways(now time.Duration) {
-	pause := gatewaysPeriod
+	pause := gatewayListInterval
 	if r.leader.gatewayUnlisted {
 		pause = listPause
 	}
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -15,7 +15,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.advance(gatewaysPeriod + 100*time.Millisecond)
+	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
@@ -140,7 +140,7 @@
 	}
 	ask(1001, "g1")
 	ask(1002, "g2")
-	s.advance(s.replica.trustEnd() + 2*gatewaysPeriod)
+	s.advance(s.replica.trustEnd() + 2*gatewayListInterval)
 	ask(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
@@ -161,7 +161,7 @@
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
 			t.Fatal("a closing gateway is confirmed no more")
 		}
-		s.advance(gatewaysPeriod)
+		s.advance(gatewayListInterval)
 	}
 }
 
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -116,7 +116,7 @@
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
 		s.watchNow(gateway, RosterVersion{})
 	}
-	s.advance(gatewaysPeriod + 200*time.Millisecond)
+	s.advance(gatewayListInterval + 200*time.Millisecond)
 	if n := s.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("%d gateways before", n)
 	}
