--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -133,7 +133,7 @@
 	// gatewayListInterval is how often changes of the gateways that ask are written into the log; one that waits for it is written at once, with
 	// those that come within listPause after the last.
 	gatewayListInterval = time.Second
-	listPause           = 20 * time.Millisecond
+	gatewayListDelay    = 20 * time.Millisecond
 	// listPatience is how long a question waits, beyond its own time, until the log holds who asks: some times what a write takes.
 	listPatience = 300 * time.Millisecond
 )
@@ -148,7 +148,7 @@
 func (r *Replica) noteGateways(now time.Duration) {
 	pause := gatewayListInterval
 	if r.leader.gatewayUnlisted {
-		pause = listPause
+		pause = gatewayListDelay
 	}
 	if now < r.leader.gatewaysCheckedAt+pause {
 		return
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -128,7 +128,7 @@
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	ask := func(client uint64, name string) {
-		s.advance(2 * listPause)
+		s.advance(2 * gatewayListDelay)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
 			t.Fatalf("%s is confirmed before the log holds it", name)
