--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -134,8 +134,8 @@
 	// those that come within listPause after the last.
 	gatewayListInterval = time.Second
 	gatewayListDelay    = 20 * time.Millisecond
-	// listPatience is how long a question waits, beyond its own time, until the log holds who asks: some times what a write takes.
-	listPatience = 300 * time.Millisecond
+	// gatewayListTimeout is how long a question waits, beyond its own time, until the log holds who asks: some times what a write takes.
+	gatewayListTimeout = 300 * time.Millisecond
 )
 
 // unlisted reports whether the log doesn't hold a gateway yet, so that the next leader wouldn't wait for it: its view isn't confirmed. One
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -183,7 +183,7 @@
 		return false
 	}
 	unlisted := r.unlisted(held.watch)
-	if unlisted && now < held.due+listPatience {
+	if unlisted && now < held.due+gatewayListTimeout {
 		r.leader.gatewayUnlisted = true
 		return false
 	}
