--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -154,13 +154,13 @@
 		return
 	}
 	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
-	var came, left []string
+	var added, left []string
 	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
-			came = append(came, name)
+			added = append(added, name)
 		}
 	}
-	slices.Sort(came)
+	slices.Sort(added)
 	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
 			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
@@ -168,11 +168,11 @@
 			}
 		}
 	}
-	if len(came) == 0 && len(left) == len(r.machine.catalog.Gateways()) {
+	if len(added) == 0 && len(left) == len(r.machine.catalog.Gateways()) {
 		left = nil // all at once: nobody is left to mislead, and they come back soon
 	}
-	if len(came)+len(left) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: came, RemoveGateways: left}})
+	if len(added)+len(left) > 0 {
+		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: added, RemoveGateways: left}})
 	}
 }
 
