--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -154,7 +154,7 @@
 		return
 	}
 	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
-	var added, left []string
+	var added, removed []string
 	for name, report := range r.leader.usage {
 		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
 			added = append(added, name)
@@ -164,15 +164,15 @@
 	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
 			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
-				left = append(left, name)
+				removed = append(removed, name)
 			}
 		}
 	}
-	if len(added) == 0 && len(left) == len(r.machine.catalog.Gateways()) {
-		left = nil // all at once: nobody is left to mislead, and they come back soon
+	if len(added) == 0 && len(removed) == len(r.machine.catalog.Gateways()) {
+		removed = nil // all at once: nobody is left to mislead, and they come back soon
 	}
-	if len(added)+len(left) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: added, RemoveGateways: left}})
+	if len(added)+len(removed) > 0 {
+		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: added, RemoveGateways: removed}})
 	}
 }
 
