--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -9,8 +9,8 @@
 const (
 	// orderTimeout is how long an order may stay without effect before it is issued again.
 	orderTimeout = 5 * time.Second
-	// reconcilePeriod is how often wanted and reported weights are compared.
-	reconcilePeriod = 50 * time.Millisecond
+	// reconcileInterval is how often wanted and reported weights are compared.
+	reconcileInterval = 50 * time.Millisecond
 	// engineSilence is how long an engine's report counts.
 	engineSilence = 3 * time.Second
 )
@@ -37,7 +37,7 @@
 
 // reconcile orders engines whose weights differ from the tree, a few of each service at a time.
 func (r *Replica) reconcile(now time.Duration) {
-	if now < r.leader.reconciledAt+reconcilePeriod {
+	if now < r.leader.reconciledAt+reconcileInterval {
 		return
 	}
 	r.leader.reconciledAt = now
