--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -11,8 +11,8 @@
 	orderTimeout = 5 * time.Second
 	// reconcileInterval is how often wanted and reported weights are compared.
 	reconcileInterval = 50 * time.Millisecond
-	// engineSilence is how long an engine's report counts.
-	engineSilence = 3 * time.Second
+	// engineReportTTL is how long an engine's report counts.
+	engineReportTTL = 3 * time.Second
 )
 
 // Observe takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
@@ -47,7 +47,7 @@
 		state := r.leader.engines[name]
 		report := state.report
 		fenced := report.Fence.Term >= r.leader.term || !r.config.Guards.On(guard.FenceCheck)
-		if now > state.reportedAt+engineSilence || !fenced {
+		if now > state.reportedAt+engineReportTTL || !fenced {
 			continue
 		}
 		wanted := r.wanted(zoneService{report.Zone, report.Service})
@@ -80,7 +80,7 @@
 	loading := map[string]int{}
 	for _, name := range names {
 		state := r.leader.engines[name]
-		if now > state.reportedAt+engineSilence {
+		if now > state.reportedAt+engineReportTTL {
 			continue
 		}
 		if state.report.Loading || (state.orderedWeights != "" && now < state.orderedAt+orderTimeout) {
