--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -50,7 +50,7 @@
 		if now > state.reportedAt+engineReportTTL || !fenced {
 			continue
 		}
-		wanted := r.wanted(zoneService{report.Zone, report.Service})
+		wanted := r.desired(zoneService{report.Zone, report.Service})
 		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
 		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.maxLoads {
 			continue
@@ -61,8 +61,8 @@
 	}
 }
 
-// wanted returns what the tree wants at a place. It is resolved once for each settings version.
-func (r *Replica) wanted(at zoneService) desiredState {
+// desired returns what the tree wants at a place. It is resolved once for each settings version.
+func (r *Replica) desired(at zoneService) desiredState {
 	version := r.machine.settings.Version()
 	if r.leader.desired == nil || r.leader.desiredVersion != version {
 		r.leader.desired, r.leader.desiredVersion = map[zoneService]desiredState{}, version
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -51,7 +51,7 @@
 	}
 	for _, name := range sortedKeys(r.leader.engines) {
 		report := r.leader.engines[name].report
-		wanted := r.wanted(zoneService{report.Zone, report.Service}).weights
+		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
 	status.Limits = r.leader.lending.lender.States(now)
