--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -62,16 +62,16 @@
 }
 
 // desired returns what the tree wants at a place. It is resolved once for each settings version.
-func (r *Replica) desired(at zoneService) desiredState {
+func (r *Replica) desired(place zoneService) desiredState {
 	version := r.machine.settings.Version()
 	if r.leader.desired == nil || r.leader.desiredVersion != version {
 		r.leader.desired, r.leader.desiredVersion = map[zoneService]desiredState{}, version
 	}
-	held, known := r.leader.desired[at]
+	held, known := r.leader.desired[place]
 	if !known {
-		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
+		values := r.machine.settings.Tree().Resolve(place.zone, place.service)
 		held = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
-		r.leader.desired[at] = held
+		r.leader.desired[place] = held
 	}
 	return held
 }
