--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -67,13 +67,13 @@
 	if r.leader.desired == nil || r.leader.desiredVersion != version {
 		r.leader.desired, r.leader.desiredVersion = map[zoneService]desiredState{}, version
 	}
-	held, known := r.leader.desired[place]
+	state, known := r.leader.desired[place]
 	if !known {
 		values := r.machine.settings.Tree().Resolve(place.zone, place.service)
-		held = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
-		r.leader.desired[place] = held
+		state = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
+		r.leader.desired[place] = state
 	}
-	return held
+	return state
 }
 
 func (r *Replica) countLoading(now time.Duration, names []string) map[string]int {
