--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -15,9 +15,9 @@
 	engineReportTTL = 3 * time.Second
 )
 
-// Observe takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
+// ObserveEngineReport takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
 // first, so that an earlier leader can change nothing there any more.
-func (r *Replica) Observe(now time.Duration, report EngineReport) {
+func (r *Replica) ObserveEngineReport(now time.Duration, report EngineReport) {
 	if r.leader == nil || !r.hasCurrentState(now) {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -305,7 +305,7 @@
 	case item.hello != nil:
 		item.hello(http.StatusOK, HelloReply{HasState: s.replica.Node().LastIndex() > 0})
 	case item.report != nil:
-		s.replica.Observe(now, *item.report)
+		s.replica.ObserveEngineReport(now, *item.report)
 	case item.weights != nil:
 		s.replica.ObserveWeights(now, *item.weights)
 	case item.relayResult != nil:
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -294,7 +294,7 @@
 	for _, target := range n.w.engines {
 		n.w.call(n.process, target.process, pollTimeout, func(respond func(func())) {
 			report := target.controlReport()
-			respond(func() { n.input(func() { n.replica.Observe(n.clock(), report) }) })
+			respond(func() { n.input(func() { n.replica.ObserveEngineReport(n.clock(), report) }) })
 		}, func(bool) {})
 	}
 }
