--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/guard"
 )
 
-// datedNaming is a naming, and when it was by this process's clock.
-type datedNaming struct {
+// publishedVersion is a naming, and when it was by this process's clock.
+type publishedVersion struct {
 	version uint64
 	at      time.Duration
 }
@@ -22,8 +22,8 @@
 
 // dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) datedNaming {
-	dated := datedNaming{version: naming.Version, at: now}
+func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) publishedVersion {
+	dated := publishedVersion{version: naming.Version, at: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
 		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
 	}
@@ -41,11 +41,11 @@
 // since this process saw it and the difference of the times of day the larger counts. Between, no time changes, so that gateways
 // may take the best they heard of one leadership.
 func (r *Replica) dateNamings(now time.Duration) {
-	dated := map[string][]datedNaming{}
+	dated := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, naming := range r.machine.catalog.Publications(model) {
 			fresh := r.dateNaming(now, naming)
-			at := slices.IndexFunc(r.namedVersions[model], func(d datedNaming) bool { return d.version == naming.Version })
+			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == naming.Version })
 			if at >= 0 {
 				fresh.at = min(fresh.at, r.namedVersions[model][at].at)
 			}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -103,14 +103,14 @@
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namedVersions  map[string][]datedNaming // by model, in ascending order of version, with local times
-	orderMarks     map[string]orderMark     // newest order seen in the log, by back-end name
-	published      publishedDocument        // newest document sent to gateways
-	relay          *relay.Relay             // answers gateways while another replica leads
-	awaitingLeader []watcher                // watches held until a leader is known; at most leaderlessMost
-	quarantined    quarantined              // local times of the replicated crash counts
-	checkpointDue  bool                     // the next Prepare must write a checkpoint
-	stopErr        error                    // why the replica has stopped, or nil
+	namedVersions  map[string][]publishedVersion // by model, in ascending order of version, with local times
+	orderMarks     map[string]orderMark          // newest order seen in the log, by back-end name
+	published      publishedDocument             // newest document sent to gateways
+	relay          *relay.Relay                  // answers gateways while another replica leads
+	awaitingLeader []watcher                     // watches held until a leader is known; at most leaderlessMost
+	quarantined    quarantined                   // local times of the replicated crash counts
+	checkpointDue  bool                          // the next Prepare must write a checkpoint
+	stopErr        error                         // why the replica has stopped, or nil
 }
 
 // NewReplica restores a replica from its durable state. It fails if the state requires a higher level than this build
@@ -118,7 +118,7 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]datedNaming{}, orderMarks: map[string]orderMark{},
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
 		quarantined: newQuarantined(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
