--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -11,8 +11,8 @@
 
 // publishedVersion is a naming, and when it was by this process's clock.
 type publishedVersion struct {
-	version uint64
-	at      time.Duration
+	version     uint64
+	publishedAt time.Duration
 }
 
 // wallMS returns the time of day. The shell tells it with each tick.
@@ -23,9 +23,9 @@
 // dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
 func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) publishedVersion {
-	dated := publishedVersion{version: naming.Version, at: now}
+	dated := publishedVersion{version: naming.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
-		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
+		dated.publishedAt -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
 	}
 	return dated
 }
@@ -47,7 +47,7 @@
 			fresh := r.dateNaming(now, naming)
 			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == naming.Version })
 			if at >= 0 {
-				fresh.at = min(fresh.at, r.namedVersions[model][at].at)
+				fresh.publishedAt = min(fresh.publishedAt, r.namedVersions[model][at].publishedAt)
 			}
 			dated[model] = append(dated[model], fresh)
 		}
@@ -60,7 +60,7 @@
 	var wanted []WantedVersion
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, naming := range r.namedVersions[model] {
-			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
+			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.publishedAt)})
 		}
 	}
 	return wanted
