--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -66,15 +66,15 @@
 	return wanted
 }
 
-// namingsTold bounds the namings that the log tells of a new leader.
-const namingsTold = 8
+// maxLoggedPublications bounds the namings that the log tells of a new leader.
+const maxLoggedPublications = 8
 
 // namingsLine tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
 func (r *Replica) namingsLine(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
 	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var line []string
-	for _, w := range wanted[:min(len(wanted), namingsTold)] {
+	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
 		line = append(line, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
 	}
 	return line
