--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -15,8 +15,8 @@
 	publishedAt time.Duration
 }
 
-// wallMS returns the time of day. The shell tells it with each tick.
-func (r *Replica) wallMS(now time.Duration) int64 {
+// wallClockMS returns the time of day. The shell tells it with each tick.
+func (r *Replica) wallClockMS(now time.Duration) int64 {
 	return r.unixMS + (now - r.tickedAt).Milliseconds()
 }
 
@@ -25,7 +25,7 @@
 func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) publishedVersion {
 	dated := publishedVersion{version: naming.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
-		dated.publishedAt -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
+		dated.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-naming.UnixMS)*time.Millisecond)
 	}
 	return dated
 }
