--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -32,8 +32,8 @@
 
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
-	namings := r.machine.catalog.Publications(model)
-	dated := append(r.namedVersions[model], r.dateNaming(now, namings[len(namings)-1]))
+	publications := r.machine.catalog.Publications(model)
+	dated := append(r.namedVersions[model], r.dateNaming(now, publications[len(publications)-1]))
 	r.namedVersions[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
 }
 
