--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -43,9 +43,9 @@
 func (r *Replica) dateNamings(now time.Duration) {
 	dated := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
-		for _, naming := range r.machine.catalog.Publications(model) {
-			fresh := r.dateNaming(now, naming)
-			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == naming.Version })
+		for _, publication := range r.machine.catalog.Publications(model) {
+			fresh := r.dateNaming(now, publication)
+			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
 			if at >= 0 {
 				fresh.publishedAt = min(fresh.publishedAt, r.namedVersions[model][at].publishedAt)
 			}
