--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -59,8 +59,8 @@
 func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
 	var wanted []WantedVersion
 	for _, model := range sortedKeys(r.namedVersions) {
-		for _, naming := range r.namedVersions[model] {
-			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.publishedAt)})
+		for _, published := range r.namedVersions[model] {
+			wanted = append(wanted, WantedVersion{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
 	return wanted
