--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -23,11 +23,11 @@
 // dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
 func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) publishedVersion {
-	dated := publishedVersion{version: naming.Version, publishedAt: now}
+	local := publishedVersion{version: naming.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
-		dated.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-naming.UnixMS)*time.Millisecond)
+		local.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-naming.UnixMS)*time.Millisecond)
 	}
-	return dated
+	return local
 }
 
 // noteNaming remembers when a version was named that has just been applied.
