--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -33,8 +33,8 @@
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
 	publications := r.machine.catalog.Publications(model)
-	dated := append(r.namedVersions[model], r.dateNaming(now, publications[len(publications)-1]))
-	r.namedVersions[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
+	versions := append(r.namedVersions[model], r.dateNaming(now, publications[len(publications)-1]))
+	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
 // dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
