--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -41,7 +41,7 @@
 // since this process saw it and the difference of the times of day the larger counts. Between, no time changes, so that gateways
 // may take the best they heard of one leadership.
 func (r *Replica) dateNamings(now time.Duration) {
-	dated := map[string][]publishedVersion{}
+	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
 			fresh := r.dateNaming(now, publication)
@@ -49,10 +49,10 @@
 			if at >= 0 {
 				fresh.publishedAt = min(fresh.publishedAt, r.namedVersions[model][at].publishedAt)
 			}
-			dated[model] = append(dated[model], fresh)
+			refreshed[model] = append(refreshed[model], fresh)
 		}
 	}
-	r.namedVersions = dated
+	r.namedVersions = refreshed
 }
 
 // wantedVersions returns the versions that were named lately, with how long ago that was.
