--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -44,12 +44,12 @@
 	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
-			fresh := r.dateNaming(now, publication)
+			local := r.dateNaming(now, publication)
 			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
 			if at >= 0 {
-				fresh.publishedAt = min(fresh.publishedAt, r.namedVersions[model][at].publishedAt)
+				local.publishedAt = min(local.publishedAt, r.namedVersions[model][at].publishedAt)
 			}
-			refreshed[model] = append(refreshed[model], fresh)
+			refreshed[model] = append(refreshed[model], local)
 		}
 	}
 	r.namedVersions = refreshed
