--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -45,9 +45,9 @@
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
 			local := r.dateNaming(now, publication)
-			at := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
-			if at >= 0 {
-				local.publishedAt = min(local.publishedAt, r.namedVersions[model][at].publishedAt)
+			i := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
+			if i >= 0 {
+				local.publishedAt = min(local.publishedAt, r.namedVersions[model][i].publishedAt)
 			}
 			refreshed[model] = append(refreshed[model], local)
 		}
