--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -73,9 +73,9 @@
 func (r *Replica) namingsLine(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
 	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
-	var line []string
+	var lines []string
 	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
-		line = append(line, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
+		lines = append(lines, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
 	}
-	return line
+	return lines
 }
