--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	enginePoll    = 250 * time.Millisecond
-	platformPoll  = time.Second
-	engineTimeout = time.Second
-	pollersAtOnce = 16
+	enginePollInterval = 250 * time.Millisecond
+	platformPoll       = time.Second
+	engineTimeout      = time.Second
+	pollersAtOnce      = 16
 )
 
 // machine is the part of a platform line that control needs.
@@ -33,7 +33,7 @@
 	}
 	var machines []machine
 	var listed time.Time
-	ticker := time.NewTicker(enginePoll)
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
