--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	enginePollInterval = 250 * time.Millisecond
-	platformPoll       = time.Second
-	engineTimeout      = time.Second
-	pollersAtOnce      = 16
+	enginePollInterval  = 250 * time.Millisecond
+	machineListInterval = time.Second
+	engineTimeout       = time.Second
+	pollersAtOnce       = 16
 )
 
 // machine is the part of a platform line that control needs.
@@ -44,7 +44,7 @@
 		if !s.leading() {
 			continue
 		}
-		if time.Since(listed) >= platformPoll {
+		if time.Since(listed) >= machineListInterval {
 			if fresh, ok := s.readMachines(ctx); ok {
 				machines, listed = fresh, time.Now()
 			}
