--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -13,7 +13,7 @@
 const (
 	enginePollInterval  = 250 * time.Millisecond
 	machineListInterval = time.Second
-	engineTimeout       = time.Second
+	engineCallTimeout   = time.Second
 	pollersAtOnce       = 16
 )
 
@@ -70,13 +70,13 @@
 	select {
 	case holds := <-answer:
 		return holds
-	case <-time.After(engineTimeout):
+	case <-time.After(engineCallTimeout):
 		return false
 	}
 }
 
 func (s *Server) readMachines(ctx context.Context) ([]machine, bool) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct{ Machines []machine }
 	if err := s.client.Get(attempt, s.file.Control.Platform, "/v1/machines", &reply); err != nil {
@@ -101,7 +101,7 @@
 }
 
 func (s *Server) pollEngine(ctx context.Context, listed machine) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct {
 		Engine EngineReport `json:"engine"`
@@ -127,7 +127,7 @@
 }
 
 func (s *Server) sendCall(ctx context.Context, call EngineCall) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	err := s.client.Post(attempt, call.Address, "/v1/orders", call, nil)
 	if call.Order != nil {
