--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -14,7 +14,7 @@
 	enginePollInterval  = 250 * time.Millisecond
 	machineListInterval = time.Second
 	engineCallTimeout   = time.Second
-	pollersAtOnce       = 16
+	maxEnginePolls      = 16
 )
 
 // machine is the part of a platform line that control needs.
@@ -89,7 +89,7 @@
 // pollEngines asks every listed back end for its state, a few at a time.
 func (s *Server) pollEngines(ctx context.Context, machines []machine) {
 	var polls sync.WaitGroup
-	slots := make(chan struct{}, pollersAtOnce)
+	slots := make(chan struct{}, maxEnginePolls)
 	for _, listed := range machines {
 		slots <- struct{}{}
 		polls.Go(func() {
