--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -10,9 +10,9 @@
 	"kitetiller/internal/quota"
 )
 
-// silentGateway is the silence after which a gateway is taken to be out of touch, so that it uses its equal part of what is
+// gatewaySilenceThreshold is the silence after which a gateway is taken to be out of touch, so that it uses its equal part of what is
 // limited: some times the pause between its questions.
-const silentGateway = 700 * time.Millisecond
+const gatewaySilenceThreshold = 700 * time.Millisecond
 
 // lending is what a leader lends of limited resources; each leadership begins it anew.
 type lending struct {
@@ -84,7 +84,7 @@
 			continue
 		}
 		all++
-		if silence > silentGateway {
+		if silence > gatewaySilenceThreshold {
 			silent++
 		}
 	}
