--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -101,7 +101,7 @@
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
 		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - weightsCallTimeout, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
-		lending: lending{lender: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
+		lending: lending{allocator: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
 	for router := range machine.sessions {
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -16,9 +16,9 @@
 
 // lending is what a leader lends of limited resources; each leadership begins it anew.
 type lending struct {
-	lender   *allowance.Allocator
-	revision uint64 // of the document that the limits were taken from
-	forgotAt time.Duration
+	allocator *allowance.Allocator
+	revision  uint64 // of the document that the limits were taken from
+	forgotAt  time.Duration
 }
 
 // forgetEach is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
@@ -27,7 +27,7 @@
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
 func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
 	r.tendLimits(now)
-	answer := r.leader.lending.lender.Allocate(now, asked)
+	answer := r.leader.lending.allocator.Allocate(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
@@ -36,12 +36,12 @@
 	held := &r.leader.lending
 	if document := r.machine.catalog.Document(); document.Revision != held.revision {
 		held.revision = document.Revision
-		held.lender.SetLimits(now, quota.Limits(document, r.config.Quota))
+		held.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
-	held.lender.Withhold(now, r.partOutOfTouch(now))
+	held.allocator.Withhold(now, r.partOutOfTouch(now))
 	if now >= held.forgotAt+forgetEach {
 		held.forgotAt = now
-		held.lender.SweepAdvertised(now)
+		held.allocator.SweepAdvertised(now)
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	s.overLimitLog.at = now
 	reached := map[string]bool{}
-	for _, state := range s.replica.leader.lending.lender.States(now) {
+	for _, state := range s.replica.leader.lending.allocator.States(now) {
 		if state.OverLimit {
 			reached[state.Name] = true
 		}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -54,8 +54,8 @@
 		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
-	status.Limits = r.leader.lending.lender.States(now)
-	status.Named = r.leader.lending.lender.AdvertisedStates(now, namedTold)
+	status.Limits = r.leader.lending.allocator.States(now)
+	status.Named = r.leader.lending.allocator.AdvertisedStates(now, namedTold)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
