--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -18,7 +18,7 @@
 type lending struct {
 	allocator *allowance.Allocator
 	revision  uint64 // of the document that the limits were taken from
-	forgotAt  time.Duration
+	sweptAt   time.Duration
 }
 
 // forgetEach is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
@@ -39,8 +39,8 @@
 		held.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
 	held.allocator.Withhold(now, r.partOutOfTouch(now))
-	if now >= held.forgotAt+forgetEach {
-		held.forgotAt = now
+	if now >= held.sweptAt+forgetEach {
+		held.sweptAt = now
 		held.allocator.SweepAdvertised(now)
 	}
 }
