--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -21,8 +21,8 @@
 	sweptAt   time.Duration
 }
 
-// forgetEach is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
-const forgetEach = time.Second
+// advertisedSweepInterval is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
+const advertisedSweepInterval = time.Second
 
 // lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
 func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
@@ -39,7 +39,7 @@
 		held.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
 	held.allocator.Withhold(now, r.partOutOfTouch(now))
-	if now >= held.sweptAt+forgetEach {
+	if now >= held.sweptAt+advertisedSweepInterval {
 		held.sweptAt = now
 		held.allocator.SweepAdvertised(now)
 	}
