--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -161,7 +161,7 @@
 	case request.Relay != nil:
 		r.handleRelay(now, client, *request.Relay)
 	case request.Borrow != nil:
-		r.lend(now, client, *request.Borrow)
+		r.allocateShares(now, client, *request.Borrow)
 	case request.Document != nil:
 		r.reply(client, Response{Kind: ResponseOK, Document: r.machine.catalog.Document()})
 	case request.Read != nil:
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -24,8 +24,8 @@
 // advertisedSweepInterval is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
 const advertisedSweepInterval = time.Second
 
-// lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
-func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
+// allocateShares answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
+func (r *Replica) allocateShares(now time.Duration, client uint64, asked allowance.Request) {
 	r.tendLimits(now)
 	answer := r.leader.lending.allocator.Allocate(now, asked)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
