--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -25,9 +25,9 @@
 const advertisedSweepInterval = time.Second
 
 // allocateShares answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
-func (r *Replica) allocateShares(now time.Duration, client uint64, asked allowance.Request) {
+func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
 	r.tendLimits(now)
-	answer := r.leader.lending.allocator.Allocate(now, asked)
+	answer := r.leader.lending.allocator.Allocate(now, request)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
 }
 
