--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -33,15 +33,15 @@
 
 // tendLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
 func (r *Replica) tendLimits(now time.Duration) {
-	held := &r.leader.lending
-	if document := r.machine.catalog.Document(); document.Revision != held.revision {
-		held.revision = document.Revision
-		held.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
+	lending := &r.leader.lending
+	if document := r.machine.catalog.Document(); document.Revision != lending.revision {
+		lending.revision = document.Revision
+		lending.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
-	held.allocator.Withhold(now, r.partOutOfTouch(now))
-	if now >= held.sweptAt+advertisedSweepInterval {
-		held.sweptAt = now
-		held.allocator.SweepAdvertised(now)
+	lending.allocator.Withhold(now, r.partOutOfTouch(now))
+	if now >= lending.sweptAt+advertisedSweepInterval {
+		lending.sweptAt = now
+		lending.allocator.SweepAdvertised(now)
 	}
 }
 
