--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -68,12 +68,12 @@
 
 // gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
-	held := &r.leader.trusting
-	if !held.counted || now >= held.at+trustingEach {
-		held.silent, held.all = r.countTrusting(now)
-		held.counted, held.at = true, now
+	counts := &r.leader.trusting
+	if !counts.counted || now >= counts.at+trustingEach {
+		counts.silent, counts.all = r.countTrusting(now)
+		counts.counted, counts.at = true, now
 	}
-	return held.silent, held.all
+	return counts.silent, counts.all
 }
 
 // countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
