--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -63,13 +63,13 @@
 	silent, all int
 }
 
-// trustingEach is how often they are counted; silence is judged by 700 ms.
-const trustingEach = 20 * time.Millisecond
+// gatewayCountInterval is how often they are counted; silence is judged by 700 ms.
+const gatewayCountInterval = 20 * time.Millisecond
 
 // gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
 	counts := &r.leader.trusting
-	if !counts.counted || now >= counts.at+trustingEach {
+	if !counts.counted || now >= counts.at+gatewayCountInterval {
 		counts.silent, counts.all = r.countTrusting(now)
 		counts.counted, counts.at = true, now
 	}
