--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -58,7 +58,7 @@
 // trusting are the gateways that may still trust their view, counted now and then: a tick or a reply would otherwise cost the more the
 // more there are.
 type trusting struct {
-	at          time.Duration
+	countedAt   time.Duration
 	counted     bool
 	silent, all int
 }
@@ -69,9 +69,9 @@
 // gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
 	counts := &r.leader.trusting
-	if !counts.counted || now >= counts.at+gatewayCountInterval {
+	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
 		counts.silent, counts.all = r.countTrusting(now)
-		counts.counted, counts.at = true, now
+		counts.counted, counts.countedAt = true, now
 	}
 	return counts.silent, counts.all
 }
