--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -99,8 +99,8 @@
 	return silent, all
 }
 
-// overEach is how often a leader looks for limits that were reached or left, for the log.
-const overEach = 250 * time.Millisecond
+// limitLogInterval is how often a leader looks for limits that were reached or left, for the log.
+const limitLogInterval = 250 * time.Millisecond
 
 // overNotes are the limits that the log says are reached. They are owned by the decide thread.
 type overNotes struct {
@@ -111,7 +111,7 @@
 // noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
 func (s *Server) noteOverLimits() {
 	now := s.now()
-	if s.replica.leader == nil || now < s.overLimitLog.at+overEach {
+	if s.replica.leader == nil || now < s.overLimitLog.at+limitLogInterval {
 		return
 	}
 	s.overLimitLog.at = now
