--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -104,17 +104,17 @@
 
 // overNotes are the limits that the log says are reached. They are owned by the decide thread.
 type overNotes struct {
-	at      time.Duration
-	reached map[string]bool
+	checkedAt time.Duration
+	reached   map[string]bool
 }
 
 // noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
 func (s *Server) noteOverLimits() {
 	now := s.now()
-	if s.replica.leader == nil || now < s.overLimitLog.at+limitLogInterval {
+	if s.replica.leader == nil || now < s.overLimitLog.checkedAt+limitLogInterval {
 		return
 	}
-	s.overLimitLog.at = now
+	s.overLimitLog.checkedAt = now
 	reached := map[string]bool{}
 	for _, state := range s.replica.leader.lending.allocator.States(now) {
 		if state.OverLimit {
