--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// suspectFor is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
-	suspectFor = time.Hour
+	// suspectTTL is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
+	suspectTTL = time.Hour
 	// heldFor is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
 	// holds it back again: a day for whatever may have mended it, at the price of one back end if nothing did.
 	heldFor = 24 * time.Hour
@@ -96,7 +96,7 @@
 		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case held && now-at > heldFor:
 			tried.Requests = append(tried.Requests, f)
-		case !held && now-at > suspectFor:
+		case !held && now-at > suspectTTL:
 			forgotten.Requests = append(forgotten.Requests, f)
 		}
 	}
