--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -16,9 +16,9 @@
 const (
 	// suspectTTL is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
 	suspectTTL = time.Hour
-	// heldFor is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
+	// quarantineTTL is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
 	// holds it back again: a day for whatever may have mended it, at the price of one back end if nothing did.
-	heldFor = 24 * time.Hour
+	quarantineTTL = 24 * time.Hour
 	// quarantineEach is how often old entries are looked for.
 	quarantineEach = time.Second
 )
@@ -94,7 +94,7 @@
 		}
 		seen[f] = at
 		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
-		case held && now-at > heldFor:
+		case held && now-at > quarantineTTL:
 			tried.Requests = append(tried.Requests, f)
 		case !held && now-at > suspectTTL:
 			forgotten.Requests = append(forgotten.Requests, f)
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -92,7 +92,7 @@
 	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.QuarantineThreshold {
 		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(deadly))
 	}
-	skip(heldFor - suspectTTL)
+	skip(quarantineTTL - suspectTTL)
 	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
