--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -19,8 +19,8 @@
 	// quarantineTTL is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
 	// holds it back again: a day for whatever may have mended it, at the price of one back end if nothing did.
 	quarantineTTL = 24 * time.Hour
-	// quarantineEach is how often old entries are looked for.
-	quarantineEach = time.Second
+	// quarantineSweepInterval is how often old entries are looked for.
+	quarantineSweepInterval = time.Second
 )
 
 // quarantined is when lives were last counted against requests, as this process saw it, since the log has no time.
@@ -68,7 +68,7 @@
 
 // tendQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
 func (r *Replica) tendQuarantine(now time.Duration) {
-	if r.quarantined.lookedAt > 0 && now < r.quarantined.lookedAt+quarantineEach {
+	if r.quarantined.lookedAt > 0 && now < r.quarantined.lookedAt+quarantineSweepInterval {
 		return
 	}
 	r.quarantined.lookedAt = now
