--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -23,15 +23,15 @@
 	quarantineSweepInterval = time.Second
 )
 
-// quarantined is when lives were last counted against requests, as this process saw it, since the log has no time.
-type quarantined struct {
+// crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
+type crashTimes struct {
 	lookedAt time.Duration
 	seen     map[quarantine.Fingerprint]time.Duration
 	why      map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
-func newQuarantined() quarantined {
-	return quarantined{seen: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
+func newQuarantined() crashTimes {
+	return crashTimes{seen: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
 // quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -108,7 +108,7 @@
 	published      publishedDocument             // newest document sent to gateways
 	relay          *relay.Relay                  // answers gateways while another replica leads
 	awaitingLeader []watcher                     // watches held until a leader is known; at most leaderlessMost
-	quarantined    quarantined                   // local times of the replicated crash counts
+	quarantined    crashTimes                    // local times of the replicated crash counts
 	checkpointDue  bool                          // the next Prepare must write a checkpoint
 	stopErr        error                         // why the replica has stopped, or nil
 }
