--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -30,7 +30,7 @@
 	why      map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
-func newQuarantined() crashTimes {
+func newCrashTimes() crashTimes {
 	return crashTimes{seen: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -119,7 +119,7 @@
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
 		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
-		quarantined: newQuarantined(), relay: relay.New(config.Guards),
+		quarantined: newCrashTimes(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
 		if err := replica.machine.Restore(restored.Snapshot.Data); err != nil {
