--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -25,9 +25,9 @@
 
 // crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
 type crashTimes struct {
-	lookedAt time.Duration
-	seen     map[quarantine.Fingerprint]time.Duration
-	why      map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
+	sweptAt time.Duration
+	seen    map[quarantine.Fingerprint]time.Duration
+	why     map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
 func newCrashTimes() crashTimes {
@@ -68,10 +68,10 @@
 
 // tendQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
 func (r *Replica) tendQuarantine(now time.Duration) {
-	if r.quarantined.lookedAt > 0 && now < r.quarantined.lookedAt+quarantineSweepInterval {
+	if r.quarantined.sweptAt > 0 && now < r.quarantined.sweptAt+quarantineSweepInterval {
 		return
 	}
-	r.quarantined.lookedAt = now
+	r.quarantined.sweptAt = now
 	ledger := r.machine.catalog.Quarantine()
 	if !ledger.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
