--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -25,13 +25,13 @@
 
 // crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
 type crashTimes struct {
-	sweptAt time.Duration
-	seen    map[quarantine.Fingerprint]time.Duration
-	why     map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
+	sweptAt   time.Duration
+	changedAt map[quarantine.Fingerprint]time.Duration
+	why       map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
 func newCrashTimes() crashTimes {
-	return crashTimes{seen: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
+	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
 // quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
@@ -56,12 +56,12 @@
 func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
 	for _, ended := range change.Crashes {
 		for _, f := range ended.Requests {
-			r.quarantined.seen[f] = now
+			r.quarantined.changedAt[f] = now
 		}
 	}
 	for _, released := range change.Releases {
 		for _, f := range released.Requests {
-			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Reason
+			r.quarantined.changedAt[f], r.quarantined.why[f] = now, released.Reason
 		}
 	}
 }
@@ -86,9 +86,9 @@
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	forgotten := quarantine.Release{Reason: quarantine.ReasonExpired}
 	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
-	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
+	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range ledger.Fingerprints() {
-		at, known := r.quarantined.seen[f]
+		at, known := r.quarantined.changedAt[f]
 		if !known {
 			at = now
 		}
@@ -100,7 +100,7 @@
 			forgotten.Requests = append(forgotten.Requests, f)
 		}
 	}
-	r.quarantined.seen = seen
+	r.quarantined.changedAt = seen
 	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
 	for _, released := range []quarantine.Release{forgotten, tried} {
