--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -25,13 +25,13 @@
 
 // crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
 type crashTimes struct {
-	sweptAt   time.Duration
-	changedAt map[quarantine.Fingerprint]time.Duration
-	why       map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
+	sweptAt        time.Duration
+	changedAt      map[quarantine.Fingerprint]time.Duration
+	releaseReasons map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
 func newCrashTimes() crashTimes {
-	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
+	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, releaseReasons: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
 // quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
@@ -61,7 +61,7 @@
 	}
 	for _, released := range change.Releases {
 		for _, f := range released.Requests {
-			r.quarantined.changedAt[f], r.quarantined.why[f] = now, released.Reason
+			r.quarantined.changedAt[f], r.quarantined.releaseReasons[f] = now, released.Reason
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		}
 	}
 	r.quarantined.changedAt = seen
-	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
+	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
 	for _, released := range []quarantine.Release{forgotten, tried} {
 		if len(released.Requests) > 0 {
@@ -148,7 +148,7 @@
 	}
 	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
 		}
 	}
 	s.heldBackLog.since = since
