--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -149,7 +149,7 @@
 	case request.Change != nil:
 		r.propose(now, client, Command{Change: request.Change})
 	case request.Catalog != nil && request.Catalog.Quarantine != nil:
-		r.quarantine(now, client, *request.Catalog.Quarantine)
+		r.handleQuarantineChange(now, client, *request.Catalog.Quarantine)
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
 	case request.Beat != nil:
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -34,8 +34,8 @@
 	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, releaseReasons: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
-// quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
-func (r *Replica) quarantine(now time.Duration, client uint64, change quarantine.Change) {
+// handleQuarantineChange takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
+func (r *Replica) handleQuarantineChange(now time.Duration, client uint64, change quarantine.Change) {
 	if !r.machine.catalog.Quarantine().WouldChange(change) {
 		r.reply(client, Response{Kind: ResponseOK})
 		return
