--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -54,8 +54,8 @@
 
 // noteQuarantined remembers when lives were counted.
 func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
-	for _, ended := range change.Crashes {
-		for _, f := range ended.Requests {
+	for _, crash := range change.Crashes {
+		for _, f := range crash.Requests {
 			r.quarantined.changedAt[f] = now
 		}
 	}
