--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -77,8 +77,8 @@
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
-	if old := r.oldEntries(now, ledger); len(old) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: old}}})
+	if expired := r.oldEntries(now, ledger); len(expired) > 0 {
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: expired}}})
 	}
 }
 
