--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -84,7 +84,7 @@
 
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
-	forgotten := quarantine.Release{Reason: quarantine.ReasonExpired}
+	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
 	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range ledger.Fingerprints() {
@@ -97,13 +97,13 @@
 		case held && now-at > quarantineTTL:
 			tried.Requests = append(tried.Requests, f)
 		case !held && now-at > suspectTTL:
-			forgotten.Requests = append(forgotten.Requests, f)
+			dropped.Requests = append(dropped.Requests, f)
 		}
 	}
 	r.quarantined.changedAt = seen
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
-	for _, released := range []quarantine.Release{forgotten, tried} {
+	for _, released := range []quarantine.Release{dropped, tried} {
 		if len(released.Requests) > 0 {
 			old = append(old, released)
 		}
