--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -85,7 +85,7 @@
 // oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
-	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
+	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.changedAt[f]
@@ -95,7 +95,7 @@
 		seen[f] = at
 		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case held && now-at > quarantineTTL:
-			tried.Requests = append(tried.Requests, f)
+			retryable.Requests = append(retryable.Requests, f)
 		case !held && now-at > suspectTTL:
 			dropped.Requests = append(dropped.Requests, f)
 		}
@@ -103,7 +103,7 @@
 	r.quarantined.changedAt = seen
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
-	for _, released := range []quarantine.Release{dropped, tried} {
+	for _, released := range []quarantine.Release{dropped, retryable} {
 		if len(released.Requests) > 0 {
 			old = append(old, released)
 		}
