--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -86,13 +86,13 @@
 func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
 	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
-	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
+	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range ledger.Fingerprints() {
 		at, known := r.quarantined.changedAt[f]
 		if !known {
 			at = now
 		}
-		seen[f] = at
+		changedAt[f] = at
 		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case held && now-at > quarantineTTL:
 			retryable.Requests = append(retryable.Requests, f)
@@ -100,7 +100,7 @@
 			dropped.Requests = append(dropped.Requests, f)
 		}
 	}
-	r.quarantined.changedAt = seen
+	r.quarantined.changedAt = changedAt
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
 	var old []quarantine.Release
 	for _, released := range []quarantine.Release{dropped, retryable} {
