--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -93,10 +93,10 @@
 			at = now
 		}
 		changedAt[f] = at
-		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
-		case held && now-at > quarantineTTL:
+		switch quarantined := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
+		case quarantined && now-at > quarantineTTL:
 			retryable.Requests = append(retryable.Requests, f)
-		case !held && now-at > suspectTTL:
+		case !quarantined && now-at > suspectTTL:
 			dropped.Requests = append(dropped.Requests, f)
 		}
 	}
