--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -102,13 +102,13 @@
 	}
 	r.quarantined.changedAt = changedAt
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
-	var old []quarantine.Release
+	var expired []quarantine.Release
 	for _, released := range []quarantine.Release{dropped, retryable} {
 		if len(released.Requests) > 0 {
-			old = append(old, released)
+			expired = append(expired, released)
 		}
 	}
-	return old
+	return expired
 }
 
 // newSeed returns a secret for fingerprints.
