--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -45,11 +45,11 @@
 
 // quarantineUpdate returns what a process is told that holds the news of a version; nil when it holds these.
 func (r *Replica) quarantineUpdate(held uint64) *quarantine.Update {
-	ledger := r.machine.catalog.Quarantine()
-	if held == ledger.Version() {
+	registry := r.machine.catalog.Quarantine()
+	if held == registry.Version() {
 		return nil
 	}
-	return ledger.Update()
+	return registry.Update()
 }
 
 // noteQuarantined remembers when lives were counted.
