--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -72,12 +72,12 @@
 		return
 	}
 	r.quarantined.sweptAt = now
-	ledger := r.machine.catalog.Quarantine()
-	if !ledger.HasSeed() {
+	registry := r.machine.catalog.Quarantine()
+	if !registry.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
-	if expired := r.oldEntries(now, ledger); len(expired) > 0 {
+	if expired := r.oldEntries(now, registry); len(expired) > 0 {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: expired}}})
 	}
 }
