--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -128,14 +128,14 @@
 
 // noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
 func (s *Server) noteHeldBack() {
-	ledger := s.replica.machine.catalog.Quarantine()
-	if s.replica.leader == nil || ledger.Version() == s.heldBackLog.version {
+	registry := s.replica.machine.catalog.Quarantine()
+	if s.replica.leader == nil || registry.Version() == s.heldBackLog.version {
 		return
 	}
 	now := s.now()
-	s.heldBackLog.version = ledger.Version()
+	s.heldBackLog.version = registry.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
-	for _, e := range ledger.Update().Entries {
+	for _, e := range registry.Update().Entries {
 		if len(e.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
@@ -148,7 +148,7 @@
 	}
 	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
 		}
 	}
 	s.heldBackLog.since = since
