--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -44,9 +44,9 @@
 }
 
 // quarantineUpdate returns what a process is told that holds the news of a version; nil when it holds these.
-func (r *Replica) quarantineUpdate(held uint64) *quarantine.Update {
+func (r *Replica) quarantineUpdate(heldVersion uint64) *quarantine.Update {
 	registry := r.machine.catalog.Quarantine()
-	if held == registry.Version() {
+	if heldVersion == registry.Version() {
 		return nil
 	}
 	return registry.Update()
