--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -108,7 +108,7 @@
 	s := openFleet(t)
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(life("e@5", 1000), "a2", 1, 1)
-	s.advance(youngFor)
+	s.advance(lateDeregistrationWindow)
 	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaves: true}})
 	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
@@ -142,7 +142,7 @@
 	if !s.registered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
-	s.advance(youngFor)
+	s.advance(lateDeregistrationWindow)
 	s.ask(leave)
 	s.says(id, "a1", 3, 1)
 	if s.registered(id) {
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -9,9 +9,9 @@
 // Anybody may send a heartbeat, and one may come long after its sender has ended. What stands here says which of them register, replace or end
 // a back end; the catalog then holds to it for every replica.
 
-// youngFor is how long after a life was registered a leave that names the back end alone may be of the life before: some times what a
+// lateDeregistrationWindow is how long after a life was registered a leave that names the back end alone may be of the life before: some times what a
 // caller waits for one answer (1 s).
-const youngFor = 3 * time.Second
+const lateDeregistrationWindow = 3 * time.Second
 
 // lacksWeights reports whether a heartbeat names an engine and doesn't tell what it holds: nobody could say whether a request may begin there.
 func (r *Replica) lacksWeights(beat Beat) bool {
@@ -24,7 +24,7 @@
 func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
 	meant := r.machine.catalog.ResolveInstanceID(id)
 	state := r.leader.fleet[meant]
-	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+youngFor
+	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
 }
 
 // admits reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
