--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -33,8 +33,8 @@
 	if !r.machine.catalog.Accepts(instance) {
 		return false
 	}
-	last, known := r.machine.catalog.InstanceByName(catalog.ParseInstanceID(instance.ID).Name)
-	if known && !r.mayReplace(last, instance) {
+	registered, known := r.machine.catalog.InstanceByName(catalog.ParseInstanceID(instance.ID).Name)
+	if known && !r.mayReplace(registered, instance) {
 		return false
 	}
 	holder, taken := r.machine.catalog.InstanceAt(instance.Address)
