--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -22,9 +22,9 @@
 // mayMeanLastLife reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
 // there: that one is forgotten then, and may register again.
 func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
-	meant := r.machine.catalog.ResolveInstanceID(id)
-	state := r.leader.fleet[meant]
-	return meant != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
+	resolved := r.machine.catalog.ResolveInstanceID(id)
+	state := r.leader.fleet[resolved]
+	return resolved != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
 }
 
 // admits reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
