--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -53,10 +53,10 @@
 
 // mayReplace reports whether what a heartbeat tells may take the place of a registered instance. One of a service that isn't routed to
 // takes none of a service that is.
-func (r *Replica) mayReplace(registered, told catalog.Instance) bool {
+func (r *Replica) mayReplace(registered, reported catalog.Instance) bool {
 	routed := func(service string) bool {
 		_, named := r.machine.catalog.Document().Service(service)
 		return named
 	}
-	return told.Service == registered.Service || routed(told.Service) || !routed(registered.Service)
+	return reported.Service == registered.Service || routed(reported.Service) || !routed(registered.Service)
 }
