--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -55,8 +55,8 @@
 // takes none of a service that is.
 func (r *Replica) mayReplace(registered, reported catalog.Instance) bool {
 	routed := func(service string) bool {
-		_, named := r.machine.catalog.Document().Service(service)
-		return named
+		_, found := r.machine.catalog.Document().Service(service)
+		return found
 	}
 	return reported.Service == registered.Service || routed(reported.Service) || !routed(registered.Service)
 }
