--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// learnerLag is how many entries a learner may lack and still be promoted.
-	learnerLag = 64
+	// maxLearnerLag is how many entries a learner may lack and still be promoted.
+	maxLearnerLag = 64
 	// learnerSilence is how long a learner may be silent before it is dropped.
 	learnerSilence = 60 * time.Second
 	// alwaysHeard is the silence below which a replica counts as present for a repair.
@@ -56,7 +56,7 @@
 		member, _ := membership.Find(peer.ID)
 		silent := now - peer.HeardAt
 		if member.Learner {
-			caughtUp := peer.Match+learnerLag >= r.node.Commit() && peer.Match > 0 && silent < alwaysHeard
+			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < alwaysHeard
 			if caughtUp && (spare == nil || nameTaken(membership, member)) {
 				spare = &member
 			}
