--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -10,8 +10,8 @@
 const (
 	// maxLearnerLag is how many entries a learner may lack and still be promoted.
 	maxLearnerLag = 64
-	// learnerSilence is how long a learner may be silent before it is dropped.
-	learnerSilence = 60 * time.Second
+	// learnerTimeout is how long a learner may be silent before it is dropped.
+	learnerTimeout = 60 * time.Second
 	// alwaysHeard is the silence below which a replica counts as present for a repair.
 	alwaysHeard = time.Second
 )
@@ -80,7 +80,7 @@
 func (r *Replica) dropSilentLearner(now time.Duration, membership consensus.Membership) {
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
-		if member.Learner && now-peer.HeardAt > learnerSilence {
+		if member.Learner && now-peer.HeardAt > learnerTimeout {
 			r.node.ProposeMembership(now, membership.Without(peer.ID))
 			return
 		}
