--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -12,8 +12,8 @@
 	maxLearnerLag = 64
 	// learnerTimeout is how long a learner may be silent before it is dropped.
 	learnerTimeout = 60 * time.Second
-	// alwaysHeard is the silence below which a replica counts as present for a repair.
-	alwaysHeard = time.Second
+	// presenceTimeout is the silence below which a replica counts as present for a repair.
+	presenceTimeout = time.Second
 )
 
 // join adds a replica with an empty folder as a learner.
@@ -56,13 +56,13 @@
 		member, _ := membership.Find(peer.ID)
 		silent := now - peer.HeardAt
 		if member.Learner {
-			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < alwaysHeard
+			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < presenceTimeout
 			if caughtUp && (spare == nil || nameTaken(membership, member)) {
 				spare = &member
 			}
 			continue
 		}
-		replaced := nameTaken(membership, member) && silent > alwaysHeard
+		replaced := nameTaken(membership, member) && silent > presenceTimeout
 		if silent > r.config.RepairAfter || replaced {
 			lost = &member
 		}
