--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -35,14 +35,14 @@
 // then remove the voter it replaces.
 func (r *Replica) repair(now time.Duration) {
 	membership := r.node.Membership()
-	lost, spare := r.classifyPeers(now)
+	lost, learner := r.classifyPeers(now)
 	switch {
 	case membership.Voters() > r.config.Replicas && lost != nil:
 		r.node.ProposeMembership(now, membership.Without(lost.ID))
-	case spare == nil:
+	case learner == nil:
 		r.dropSilentLearner(now, membership)
 	case membership.Voters() < r.config.Replicas || lost != nil:
-		promoted := *spare
+		promoted := *learner
 		promoted.Learner = false
 		r.node.ProposeMembership(now, membership.With(promoted))
 	}
