--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -50,15 +50,15 @@
 
 // classifyPeers returns the voter to replace and the learner to promote, if any. A voter whose name belongs
 // to a newer replica was wiped and counts as lost at once.
-func (r *Replica) classifyPeers(now time.Duration) (lost, spare *consensus.Member) {
+func (r *Replica) classifyPeers(now time.Duration) (lost, learner *consensus.Member) {
 	membership := r.node.Membership()
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
 		silent := now - peer.HeardAt
 		if member.Learner {
 			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < presenceTimeout
-			if caughtUp && (spare == nil || nameTaken(membership, member)) {
-				spare = &member
+			if caughtUp && (learner == nil || nameTaken(membership, member)) {
+				learner = &member
 			}
 			continue
 		}
@@ -67,7 +67,7 @@
 			lost = &member
 		}
 	}
-	return lost, spare
+	return lost, learner
 }
 
 // nameTaken reports whether another replica has the same name.
