--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -35,8 +35,8 @@
 	return status
 }
 
-// namedTold is how many back ends that name their limits status shows: a large fleet may have thousands.
-const namedTold = 24
+// maxAdvertisedInStatus is how many back ends that name their limits status shows: a large fleet may have thousands.
+const maxAdvertisedInStatus = 24
 
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
 	if r.leader == nil {
@@ -55,7 +55,7 @@
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
 	status.Limits = r.leader.lending.allocator.States(now)
-	status.Named = r.leader.lending.allocator.AdvertisedStates(now, namedTold)
+	status.Named = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
