--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -22,7 +22,7 @@
 
 const (
 	attemptTimeout = 900 * time.Millisecond
-	askAgainAfter  = 50 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
 	// avoidFailed is how long an address that gave no answer is left alone, also when others still name it as leader: about
 	// an election, and no longer, since it may just have started.
 	avoidFailed = 600 * time.Millisecond
@@ -93,7 +93,7 @@
 		select {
 		case <-ctx.Done():
 			return Response{}, ErrNoAnswer
-		case <-time.After(askAgainAfter):
+		case <-time.After(retryDelay):
 		}
 	}
 }
