--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -23,9 +23,9 @@
 const (
 	attemptTimeout = 900 * time.Millisecond
 	retryDelay     = 50 * time.Millisecond
-	// avoidFailed is how long an address that gave no answer is left alone, also when others still name it as leader: about
+	// failureBackoff is how long an address that gave no answer is left alone, also when others still name it as leader: about
 	// an election, and no longer, since it may just have started.
-	avoidFailed = 600 * time.Millisecond
+	failureBackoff = 600 * time.Millisecond
 )
 
 // ErrNoAnswer says that no leader answered in time; a change may or may not have been made.
@@ -50,7 +50,7 @@
 // avoids reports whether an address failed so lately that it is asked only when there is no other.
 func (c *Client) avoids(address string) bool {
 	failed := c.failed.Load()
-	return failed != nil && failed.address == address && clock.Now()-failed.at < avoidFailed
+	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
 
 // NewClient returns a client of the replicas at the given internal addresses.
