--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -172,7 +172,7 @@
 			answers <- response
 		}()
 	}
-	for range anyAtOnce {
+	for range initialAttempts {
 		ask(c.target())
 	}
 	for done := 0; done < len(asked); done++ {
@@ -188,8 +188,8 @@
 }
 
 const (
-	// anyAtOnce is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
+	// initialAttempts is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
 	// that the first ones name.
-	anyAtOnce = 3
-	anyMost   = 6
+	initialAttempts = 3
+	anyMost         = 6
 )
