--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -158,9 +158,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	asked := map[string]bool{}
-	answers := make(chan Response, anyMost)
+	answers := make(chan Response, maxAttempts)
 	ask := func(address string) {
-		if asked[address] || len(asked) >= anyMost {
+		if asked[address] || len(asked) >= maxAttempts {
 			return
 		}
 		asked[address] = true
@@ -191,5 +191,5 @@
 	// initialAttempts is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
 	// that the first ones name.
 	initialAttempts = 3
-	anyMost         = 6
+	maxAttempts     = 6
 )
