--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -47,8 +47,8 @@
 	at      time.Duration
 }
 
-// avoids reports whether an address failed so lately that it is asked only when there is no other.
-func (c *Client) avoids(address string) bool {
+// recentlyFailed reports whether an address failed so lately that it is asked only when there is no other.
+func (c *Client) recentlyFailed(address string) bool {
 	failed := c.failed.Load()
 	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
@@ -74,7 +74,7 @@
 	}
 	addresses := *c.addresses.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
-	if c.avoids(address) {
+	if c.recentlyFailed(address) {
 		address = addresses[int(c.next.Add(1))%len(addresses)]
 	}
 	return address
@@ -138,7 +138,7 @@
 		c.leader.Store(&response.Leader) // another replica answered for it
 	case response.Kind == ResponseOK:
 		c.leader.Store(&address)
-	case response.Leader != "" && response.Leader != address && !c.avoids(response.Leader):
+	case response.Leader != "" && response.Leader != address && !c.recentlyFailed(response.Leader):
 		c.leader.Store(&response.Leader)
 	default:
 		c.leader.Store(nil)
