--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -33,12 +33,12 @@
 
 // Client asks the control group, finding the leader by itself. It is safe for concurrent use.
 type Client struct {
-	transport *transport.Client
-	addresses atomic.Pointer[[]string]
-	next      atomic.Uint32
-	leader    atomic.Pointer[string]
-	failed    atomic.Pointer[failure]       // the newest one
-	heard     atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
+	transport  *transport.Client
+	addresses  atomic.Pointer[[]string]
+	next       atomic.Uint32
+	leader     atomic.Pointer[string]
+	failed     atomic.Pointer[failure]       // the newest one
+	answeredAt atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
 }
 
 // failure is an address that gave no answer, and when.
@@ -115,7 +115,7 @@
 	err := c.transport.Post(ctx, address, PathRequest, request, &response)
 	if err == nil {
 		now := clock.Now()
-		c.heard.Store(&now)
+		c.answeredAt.Store(&now)
 	}
 	return response, err
 }
@@ -132,7 +132,7 @@
 		return response, err
 	}
 	now := clock.Now()
-	c.heard.Store(&now)
+	c.answeredAt.Store(&now)
 	switch {
 	case response.Kind == ResponseOK && response.Leader != "":
 		c.leader.Store(&response.Leader) // another replica answered for it
@@ -148,7 +148,7 @@
 
 // HeardWithin reports whether a replica has answered anything so lately.
 func (c *Client) HeardWithin(limit time.Duration) bool {
-	at := c.heard.Load()
+	at := c.answeredAt.Load()
 	return at != nil && clock.Now()-*at < limit
 }
 
