--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -33,12 +33,12 @@
 
 // Client asks the control group, finding the leader by itself. It is safe for concurrent use.
 type Client struct {
-	transport  *transport.Client
-	addresses  atomic.Pointer[[]string]
-	next       atomic.Uint32
-	leader     atomic.Pointer[string]
-	failed     atomic.Pointer[failure]       // the newest one
-	answeredAt atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
+	transport   *transport.Client
+	addresses   atomic.Pointer[[]string]
+	next        atomic.Uint32
+	leader      atomic.Pointer[string]
+	lastFailure atomic.Pointer[failure]       // the newest one
+	answeredAt  atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
 }
 
 // failure is an address that gave no answer, and when.
@@ -49,7 +49,7 @@
 
 // recentlyFailed reports whether an address failed so lately that it is asked only when there is no other.
 func (c *Client) recentlyFailed(address string) bool {
-	failed := c.failed.Load()
+	failed := c.lastFailure.Load()
 	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
 
@@ -128,7 +128,7 @@
 			return response, err // the caller has its answer from elsewhere
 		}
 		c.leader.Store(nil)
-		c.failed.Store(&failure{address: address, at: clock.Now()})
+		c.lastFailure.Store(&failure{address: address, at: clock.Now()})
 		return response, err
 	}
 	now := clock.Now()
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -112,7 +112,7 @@
 	listenWith(t, leader, Response{Kind: ResponseOK})
 	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client := NewClient(transport.NewClient("", nil), []string{silent.Addr().String(), follower})
-	client.failed.Store(&failure{address: leader, at: clock.Now()})
+	client.lastFailure.Store(&failure{address: leader, at: clock.Now()})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	response, err := client.Any(ctx, Request{Status: &StatusRequest{}})
