--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -55,9 +55,9 @@
 
 // NewClient returns a client of the replicas at the given internal addresses.
 func NewClient(client *transport.Client, addresses []string) *Client {
-	made := &Client{transport: client}
-	made.addresses.Store(&addresses)
-	return made
+	c := &Client{transport: client}
+	c.addresses.Store(&addresses)
+	return c
 }
 
 // Use replaces the addresses that are asked when no leader is known.
