--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/consensus"
 )
 
-// handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
+// replaceLeaderAfterOrder ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
+func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -62,7 +62,7 @@
 // two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
 // ordered at 7.5 s by a leader of 4.07 s).
 func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
-	s, ordered, free := handOver(t)
+	s, ordered, free := replaceLeaderAfterOrder(t)
 	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
 	}
@@ -75,7 +75,7 @@
 
 // TestNewLeaderWaitsForGatewaysOfTheLast: one that does not ask may still trust what the last leader told.
 func TestNewLeaderWaitsForGatewaysOfTheLast(t *testing.T) {
-	s, _, free := handOver(t)
+	s, _, free := replaceLeaderAfterOrder(t)
 	if early := s.ordersWhile("g2", 2*time.Second); len(early) > 0 {
 		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
 	}
@@ -86,7 +86,7 @@
 
 // TestOrderedEnginesAreKnownFromASnapshot: the entries themselves may be gone from the log.
 func TestOrderedEnginesAreKnownFromASnapshot(t *testing.T) {
-	s, ordered, free := handOver(t)
+	s, ordered, free := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 // TestOrdersInAnInstalledSnapshotCountAsYoung: a replica that has run for long and is sent a snapshot cannot know how old the
 // orders are that it covers, nor whether one that was just announced has been given.
 func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
-	s, ordered, _ := handOver(t)
+	s, ordered, _ := replaceLeaderAfterOrder(t)
 	clear(s.replica.orderMarks)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
