--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -10,8 +10,8 @@
 // An order is given to a back end under its name, and its next life takes it as well. The mark that another leader gave one stood under the
 // life: a back end that started again had none, and a new leader ordered it within the pause between two holders.
 
-// TestNextLifeWaitsForTheLastHoldersPause: also on a replica that knows of the order from a snapshot alone.
-func TestNextLifeWaitsForTheLastHoldersPause(t *testing.T) {
+// TestNextIncarnationKeepsOrderPause: also on a replica that knows of the order from a snapshot alone.
+func TestNextIncarnationKeepsOrderPause(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := life("e", 1000), life("e", 2000)
