--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/guard"
 )
 
-// name names a version of model m, as an operator does.
-func (s *singleReplica) name(version uint64) {
+// publish names a version of model m, as an operator does.
+func (s *singleReplica) publish(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
@@ -68,7 +68,7 @@
 	// as the reading, and told gateways so once it led.
 	t.Run("restart", func(t *testing.T) {
 		s := openFleet(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
 		if err := s.disk.Close(); err != nil {
@@ -83,7 +83,7 @@
 	// life behind it, would have told any age.
 	t.Run("snapshot", func(t *testing.T) {
 		s := openFleet(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
@@ -92,7 +92,7 @@
 	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
 		s, other := openFleet(t), openFleet(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
 		other.advance(time.Minute)
 		other.wallOffset = s.now - other.now
@@ -109,7 +109,7 @@
 	t.Run("cut off meanwhile", func(t *testing.T) {
 		s := openFleet(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
-		s.name(2)
+		s.publish(2)
 		s.advance(5 * time.Second)
 		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
 		late.advance(3 * time.Second)
@@ -119,9 +119,9 @@
 	// had lost.
 	t.Run("two before a snapshot", func(t *testing.T) {
 		s := openFleet(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
-		s.name(3)
+		s.publish(3)
 		s.advance(time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
@@ -131,10 +131,10 @@
 	// A version was named again, by an operator whose answer was lost, or one below it. Nothing newer was wanted by that, so no limit moves.
 	t.Run("named again", func(t *testing.T) {
 		s := openFleet(t)
-		s.name(3)
+		s.publish(3)
 		s.advance(2 * time.Second)
-		s.name(3)
-		s.name(2)
+		s.publish(3)
+		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
 		if told := s.told(); len(told) != 1 {
@@ -144,7 +144,7 @@
 	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
 	t.Run("clock of the day behind", func(t *testing.T) {
 		s := openFleet(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(time.Second)
 		s.wallOffset -= time.Minute
 		s.advance(2 * time.Second)
