--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -38,7 +38,7 @@
 }
 
 // successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
-func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wall time.Duration) *singleReplica {
+func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wallOffset time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
 	first := s.replica.applied
@@ -58,7 +58,7 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
 // TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
