--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -137,8 +137,8 @@
 		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
-		if told := s.told(); len(told) != 1 {
-			t.Fatalf("told %v", told)
+		if ages := s.told(); len(ages) != 1 {
+			t.Fatalf("told %v", ages)
 		}
 	})
 	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
