--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -8,9 +8,9 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestLoadTimeIsLearnt: whatever engines take for new weights, they are first looked at shortly before that; an order whose
+// TestFirstCheckFollowsLoadTime: whatever engines take for new weights, they are first looked at shortly before that; an order whose
 // time is not known teaches nothing.
-func TestLoadTimeIsLearnt(t *testing.T) {
+func TestFirstCheckFollowsLoadTime(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		lead := &leaderState{}
 		if first := lead.firstCheck(); first <= 0 || first > loadFirst {
