--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -12,20 +12,20 @@
 // time is not known teaches nothing.
 func TestFirstCheckFollowsLoadTime(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
-		lead := &leaderState{}
-		if first := lead.firstCheck(); first <= 0 || first > loadFirst {
+		leader := &leaderState{}
+		if first := leader.firstCheck(); first <= 0 || first > loadFirst {
 			t.Fatalf("before any load: %v", first)
 		}
-		lead.noteLoad(length, 0)
-		if lead.smoothedLoadTime != 0 {
-			t.Fatalf("learnt %v from nothing", lead.smoothedLoadTime)
+		leader.noteLoad(length, 0)
+		if leader.smoothedLoadTime != 0 {
+			t.Fatalf("learnt %v from nothing", leader.smoothedLoadTime)
 		}
-		lead.noteLoad(time.Second+5*time.Second, time.Second)
+		leader.noteLoad(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
 			taken := time.Duration(i+1) * time.Minute
-			lead.noteLoad(taken+length, taken)
+			leader.noteLoad(taken+length, taken)
 		}
-		first := lead.firstCheck()
+		first := leader.firstCheck()
 		if wanted := time.Duration(checkShare * float64(length)); first < wanted-nextCheck || first > wanted+nextCheck {
 			t.Fatalf("loads of %v are first looked at after %v", length, first)
 		}
