--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -11,23 +11,23 @@
 // TestFirstCheckFollowsLoadTime: whatever engines take for new weights, they are first looked at shortly before that; an order whose
 // time is not known teaches nothing.
 func TestFirstCheckFollowsLoadTime(t *testing.T) {
-	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
+	for _, loadTime := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		leader := &leaderState{}
 		if first := leader.firstCheck(); first <= 0 || first > loadFirst {
 			t.Fatalf("before any load: %v", first)
 		}
-		leader.noteLoad(length, 0)
+		leader.noteLoad(loadTime, 0)
 		if leader.smoothedLoadTime != 0 {
 			t.Fatalf("learnt %v from nothing", leader.smoothedLoadTime)
 		}
 		leader.noteLoad(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
 			taken := time.Duration(i+1) * time.Minute
-			leader.noteLoad(taken+length, taken)
+			leader.noteLoad(taken+loadTime, taken)
 		}
 		first := leader.firstCheck()
-		if wanted := time.Duration(checkShare * float64(length)); first < wanted-nextCheck || first > wanted+nextCheck {
-			t.Fatalf("loads of %v are first looked at after %v", length, first)
+		if wanted := time.Duration(checkShare * float64(loadTime)); first < wanted-nextCheck || first > wanted+nextCheck {
+			t.Fatalf("loads of %v are first looked at after %v", loadTime, first)
 		}
 	}
 }
