--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -22,8 +22,8 @@
 		}
 		leader.noteLoad(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
-			taken := time.Duration(i+1) * time.Minute
-			leader.noteLoad(taken+loadTime, taken)
+			acceptedAt := time.Duration(i+1) * time.Minute
+			leader.noteLoad(acceptedAt+loadTime, acceptedAt)
 		}
 		first := leader.firstCheck()
 		if wanted := time.Duration(checkShare * float64(loadTime)); first < wanted-nextCheck || first > wanted+nextCheck {
