--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/quota"
 )
 
-// openLimited is openFleet with a tenant of 100 units a second and a burst of 50.
-func openLimited(t *testing.T) *singleReplica {
+// openFleetWithQuota is openFleet with a tenant of 100 units a second and a burst of 50.
+func openFleetWithQuota(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -36,7 +36,7 @@
 
 // TestLeaderLendsNoMoreThanTheLimit, and begins with nothing: what an earlier leader lent is not lent again.
 func TestLeaderLendsNoMoreThanTheLimit(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit that has just come", lent)
 	}
@@ -62,7 +62,7 @@
 
 // TestLoweredLimitBindsTheLeaderAtOnce.
 func TestLoweredLimitBindsTheLeaderAtOnce(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
 	s.limit(3, 10)
 	if lent := s.borrow("g1", 40); lent != 0 {
@@ -76,7 +76,7 @@
 // TestSilentGatewaysKeepTheirParts: what gateways out of touch use by themselves is kept back until they may trust their view
 // no more.
 func TestSilentGatewaysKeepTheirParts(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.watchNow("g2", RosterVersion{})
 	heard := func(length time.Duration) float64 {
@@ -98,7 +98,7 @@
 
 // TestStatusShowsLimits: the leader tells what is limited, lent and refused.
 func TestStatusShowsLimits(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
 	s.borrow("g1", 40)
 	s.advance(50 * time.Millisecond)
@@ -112,7 +112,7 @@
 // TestNewLeaderKnowsHowManyShareTheParts: the first gateways that ask a new leader are told of all that asked the last one, else each
 // would take the whole for its equal part (soak, kept plan: 121,164 units in 4 s where 120,000 were allowed).
 func TestNewLeaderKnowsHowManyShareTheParts(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
 		s.watchNow(gateway, RosterVersion{})
 	}
@@ -143,7 +143,7 @@
 // TestLeaderLendsPartsOfNamedLimits: to all gateways together what a back end names, whatever documents say, from nothing on, and a new leader
 // from nothing again; status shows it.
 func TestLeaderLendsPartsOfNamedLimits(t *testing.T) {
-	s := openLimited(t)
+	s := openFleetWithQuota(t)
 	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
 			lent += s.borrowNamed([]string{"g1", "g2", "g3"}[i%3], 4, 0)
