--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -26,8 +26,8 @@
 // borrow asks for an amount as a gateway does, and returns what was lent.
 func (s *singleReplica) borrow(gateway string, amount float64) float64 {
 	s.t.Helper()
-	asked := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
-	response := s.ask(Request{Borrow: &asked})
+	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
+	response := s.ask(Request{Borrow: &request})
 	if response.Lent == nil {
 		s.t.Fatalf("%+v", response)
 	}
