--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -132,8 +132,8 @@
 // borrowNamed asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
 func (s *singleReplica) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
-	ask := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
-	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{ask}}})
+	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
+	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
 	if response.Lent == nil || !response.Lent.Grants[0].Enforced {
 		s.t.Fatalf("%+v", response)
 	}
