--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -87,11 +87,11 @@
 		return s.replica.partOutOfTouch(s.now)
 	}
 	for _, step := range []struct {
-		after time.Duration
-		part  float64
+		after    time.Duration
+		fraction float64
 	}{{600 * time.Millisecond, 0}, {time.Second, 0.5}, {2 * time.Second, 0}} {
-		if part := heard(step.after); part != step.part {
-			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, part, step.part)
+		if part := heard(step.after); part != step.fraction {
+			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, part, step.fraction)
 		}
 	}
 }
