--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -90,8 +90,8 @@
 		after    time.Duration
 		fraction float64
 	}{{600 * time.Millisecond, 0}, {time.Second, 0.5}, {2 * time.Second, 0}} {
-		if part := heard(step.after); part != step.fraction {
-			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, part, step.fraction)
+		if fraction := heard(step.after); fraction != step.fraction {
+			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, fraction, step.fraction)
 		}
 	}
 }
