--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -79,7 +79,7 @@
 	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.watchNow("g2", RosterVersion{})
-	heard := func(length time.Duration) float64 {
+	silentFractionAfter := func(length time.Duration) float64 {
 		for end := s.now + length; s.now < end; {
 			version = s.watchNow("g1", version).Version
 			s.advance(200 * time.Millisecond)
@@ -90,7 +90,7 @@
 		after    time.Duration
 		fraction float64
 	}{{600 * time.Millisecond, 0}, {time.Second, 0.5}, {2 * time.Second, 0}} {
-		if fraction := heard(step.after); fraction != step.fraction {
+		if fraction := silentFractionAfter(step.after); fraction != step.fraction {
 			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, fraction, step.fraction)
 		}
 	}
