--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -161,8 +161,8 @@
 	if lent := ask(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s after another document", lent)
 	}
-	if told := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(told) != 1 || told[0].Limit.Rate != 4 || told[0].Refused == 0 {
-		t.Fatalf("%+v", told)
+	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
+		t.Fatalf("%+v", advertised)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
