--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -176,7 +176,7 @@
 	}
 	next.advance(20 * time.Second)
 	next.borrow("g1", 1)
-	if told := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(told) != 0 {
-		t.Fatalf("nobody asks for it any more: %+v", told)
+	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 0 {
+		t.Fatalf("nobody asks for it any more: %+v", advertised)
 	}
 }
