--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -11,8 +11,8 @@
 
 var deadly, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
-// ended tells of a life as a gateway does.
-func (s *singleReplica) ended(life string, requests ...quarantine.Fingerprint) Response {
+// reportCrash tells of a life as a gateway does.
+func (s *singleReplica) reportCrash(life string, requests ...quarantine.Fingerprint) Response {
 	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
@@ -30,19 +30,19 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.ended("i-1", deadly, other)
+	s.reportCrash("i-1", deadly, other)
 	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("told of requests under which one back end ended")
 	}
-	s.ended("i-2", deadly)
+	s.reportCrash("i-2", deadly)
 	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
 	}
 	before := s.replica.node.LastIndex()
-	if got := s.ended("i-2", deadly); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
+	if got := s.reportCrash("i-2", deadly); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
 		t.Fatalf("%+v, %d entries for what is known", got, s.replica.node.LastIndex()-before)
 	}
 	if next := s.watchNow("g1", first.Version); next.Quarantine.Version <= first.Quarantine.Version {
@@ -56,7 +56,7 @@
 	s := openSingleReplica(t, folder)
 	seed := s.ledger().Update().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.ended(life, deadly)
+		s.reportCrash(life, deadly)
 	}
 	for i := range 60 { // beyond a snapshot
 		s.changeQueueLimit(uint64(i), i)
@@ -76,9 +76,9 @@
 // it back again.
 func TestOldLivesAreForgotten(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.ended("i-1", other)
+	s.reportCrash("i-1", other)
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.ended(life, deadly)
+		s.reportCrash(life, deadly)
 	}
 	skip := func(length time.Duration) {
 		s.now += length
@@ -96,7 +96,7 @@
 	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
-	s.ended("i-4", deadly)
+	s.reportCrash("i-4", deadly)
 	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d lives after one more", got)
 	}
