--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -12,8 +12,8 @@
 var deadly, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // reportCrash tells of a life as a gateway does.
-func (s *singleReplica) reportCrash(life string, requests ...quarantine.Fingerprint) Response {
-	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: life, Requests: requests}}}
+func (s *singleReplica) reportCrash(incarnation string, requests ...quarantine.Fingerprint) Response {
+	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: incarnation, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
