--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/quarantine"
 )
 
-var deadly, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
+var crashing, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // reportCrash tells of a life as a gateway does.
 func (s *singleReplica) reportCrash(incarnation string, requests ...quarantine.Fingerprint) Response {
@@ -30,19 +30,19 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.reportCrash("i-1", deadly, other)
+	s.reportCrash("i-1", crashing, other)
 	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("told of requests under which one back end ended")
 	}
-	s.reportCrash("i-2", deadly)
+	s.reportCrash("i-2", crashing)
 	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v", reply)
 	}
 	before := s.replica.node.LastIndex()
-	if got := s.reportCrash("i-2", deadly); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
+	if got := s.reportCrash("i-2", crashing); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
 		t.Fatalf("%+v, %d entries for what is known", got, s.replica.node.LastIndex()-before)
 	}
 	if next := s.watchNow("g1", first.Version); next.Quarantine.Version <= first.Quarantine.Version {
@@ -56,18 +56,18 @@
 	s := openSingleReplica(t, folder)
 	seed := s.ledger().Update().Seed
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(life, deadly)
+		s.reportCrash(life, crashing)
 	}
 	for i := range 60 { // beyond a snapshot
 		s.changeQueueLimit(uint64(i), i)
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
+	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
 		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
 	}
-	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{deadly}, Reason: quarantine.ReasonOperator}}}}})
-	if got := s.ledger().CrashCount(deadly); got != 0 {
+	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{crashing}, Reason: quarantine.ReasonOperator}}}}})
+	if got := s.ledger().CrashCount(crashing); got != 0 {
 		t.Fatalf("%d lives after an operator's release", got)
 	}
 }
@@ -78,7 +78,7 @@
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
 	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(life, deadly)
+		s.reportCrash(life, crashing)
 	}
 	skip := func(length time.Duration) {
 		s.now += length
@@ -89,15 +89,15 @@
 		t.Fatal("forgotten early")
 	}
 	skip(20 * time.Second)
-	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(deadly) != quarantine.QuarantineThreshold {
-		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(deadly))
+	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(crashing) != quarantine.QuarantineThreshold {
+		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(crashing))
 	}
 	skip(quarantineTTL - suspectTTL)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold-1 {
+	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
-	s.reportCrash("i-4", deadly)
-	if got := s.ledger().CrashCount(deadly); got != quarantine.QuarantineThreshold {
+	s.reportCrash("i-4", crashing)
+	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d lives after one more", got)
 	}
 }
