--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -55,8 +55,8 @@
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	seed := s.ledger().Update().Seed
-	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(life, crashing)
+	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
+		s.reportCrash(incarnation, crashing)
 	}
 	for i := range 60 { // beyond a snapshot
 		s.changeQueueLimit(uint64(i), i)
