--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -77,8 +77,8 @@
 func TestOldLivesAreForgotten(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
-	for _, life := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(life, crashing)
+	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
+		s.reportCrash(incarnation, crashing)
 	}
 	skip := func(length time.Duration) {
 		s.now += length
