--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -13,9 +13,9 @@
 	"kitetiller/internal/transport"
 )
 
-// TestClientLeavesADeadLeader: replicas name a leader that is gone until they have elected another one; the client asks
+// TestClientAvoidsUnresponsiveLeader: replicas name a leader that is gone until they have elected another one; the client asks
 // the dead one no second time meanwhile (sites' trouble-1: gateways lost control for seconds after a cut).
-func TestClientLeavesADeadLeader(t *testing.T) {
+func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
 	if err != nil {
 		t.Fatal(err)
