--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -328,9 +328,9 @@
 	r.setPhase(state, phaseIdle, now)
 }
 
-// ofAnotherLife reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
+// fromOtherIncarnation reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
 // their start, too.
-func (w *WeightsResult) ofAnotherLife() bool {
+func (w *WeightsResult) fromOtherIncarnation() bool {
 	requested := catalog.ParseInstanceID(w.Call.Instance).StartedMS
 	return w.StartedMS > 0 && requested > 0 && w.StartedMS != requested
 }
@@ -351,7 +351,7 @@
 	if !loads && !uncertain && state.rollout.phase != phaseQuerying {
 		return
 	}
-	if result.Kind != WeightsReported || result.ofAnotherLife() {
+	if result.Kind != WeightsReported || result.fromOtherIncarnation() {
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
 		return
 	}
