--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -121,7 +121,7 @@
 		return
 	}
 	r.leader.rolloutStepAt = now
-	r.takeFence(now)
+	r.requestFence(now)
 	if !r.mayOrder(now) {
 		return
 	}
@@ -155,8 +155,8 @@
 	return ids
 }
 
-// takeFence asks for a fence of this leadership, once.
-func (r *Replica) takeFence(now time.Duration) {
+// requestFence asks for a fence of this leadership, once.
+func (r *Replica) requestFence(now time.Duration) {
 	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+weightsCallTimeout {
 		r.leader.fenceRequestedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
