--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -126,7 +126,7 @@
 		return
 	}
 	busy := 0
-	ids := r.drainOrder()
+	ids := r.rolloutsByDrainDeadline()
 	loads := r.countLoads()
 	used := r.totalUsage(now)
 	r.leader.ackedRoster = r.rosterTaken(now)
@@ -141,8 +141,8 @@
 	r.startRollouts(now, busy, used)
 }
 
-// drainOrder returns the back ends whose weights are being replaced, those first that have been turned away from for longest.
-func (r *Replica) drainOrder() []string {
+// rolloutsByDrainDeadline returns the back ends whose weights are being replaced, those first that have been turned away from for longest.
+func (r *Replica) rolloutsByDrainDeadline() []string {
 	var ids []string
 	for _, id := range r.machine.catalog.IDs() {
 		if state := r.leader.fleet[id]; state != nil && state.rollout.phase != phaseIdle {
