--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// lagging returns the model and version that a back end should hold and does not, if any.
-func (r *Replica) lagging(instance catalog.Instance, state *memberState) (string, uint64, bool) {
+// outdatedModel returns the model and version that a back end should hold and does not, if any.
+func (r *Replica) outdatedModel(instance catalog.Instance, state *memberState) (string, uint64, bool) {
 	for model, loaded := range state.versions {
 		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
 			return model, wanted, true
@@ -192,7 +192,7 @@
 		if state.engine() {
 			engines++
 		}
-		_, _, lags := r.lagging(instances[id], state)
+		_, _, lags := r.outdatedModel(instances[id], state)
 		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
 			outdated = append(outdated, id)
 		}
@@ -216,7 +216,7 @@
 }
 
 func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
-	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
+	state.rollout.model, state.rollout.version, _ = r.outdatedModel(instance, state)
 	if !state.rollout.revisionKnown || state.doubted {
 		r.setPhase(state, phaseQuerying, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsQuery)
