--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -22,7 +22,7 @@
 		return
 	}
 	r.leader.boundsCheckedAt = now
-	used := r.totalUsage(now)
+	used := r.runningByInstance(now)
 	services := map[string]*serviceWork{}
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -128,7 +128,7 @@
 	busy := 0
 	ids := r.rolloutsByDrainDeadline()
 	loads := r.countLoads()
-	used := r.totalUsage(now)
+	used := r.runningByInstance(now)
 	r.leader.ackedRoster = r.rosterTaken(now)
 	r.leader.underCapacity = r.stressed(now)
 	for _, id := range ids {
@@ -210,8 +210,8 @@
 	}
 }
 
-// totalUsage returns the running requests of all gateways by instance.
-func (r *Replica) totalUsage(now time.Duration) map[string]int {
+// runningByInstance returns the running requests of all gateways by instance.
+func (r *Replica) runningByInstance(now time.Duration) map[string]int {
 	return r.usageSum(now).running
 }
 
