--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -222,11 +222,11 @@
 		r.callWeights(instance, state, WeightsQuery)
 		return
 	}
-	r.announce(now, instance.ID, state)
+	r.announceOrder(now, instance.ID, state)
 }
 
-// announce makes gateways turn away from a back end.
-func (r *Replica) announce(now time.Duration, id string, state *memberState) {
+// announceOrder makes gateways turn away from a back end.
+func (r *Replica) announceOrder(now time.Duration, id string, state *memberState) {
 	r.writeOrdering(id)
 	state.rollout.drainUntil = now + drainTimeout
 	if r.leader.underCapacity {
@@ -374,6 +374,6 @@
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
-		r.announce(now, result.Call.Instance, state)
+		r.announceOrder(now, result.Call.Instance, state)
 	}
 }
