--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -335,9 +335,9 @@
 	return w.StartedMS > 0 && requested > 0 && w.StartedMS != requested
 }
 
-// settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
+// adoptReport believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
 // carried out after one for newer weights. What it lacks is ordered again.
-func (r *Replica) settleDoubt(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) adoptReport(now time.Duration, state *memberState, result WeightsResult) {
 	state.doubted = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
@@ -356,7 +356,7 @@
 		return
 	}
 	if state.doubted && !result.Busy {
-		r.settleDoubt(now, state, result)
+		r.adoptReport(now, state, result)
 		return
 	}
 	r.takeVersions(now, state, result.Versions)
