--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -294,10 +294,10 @@
 		r.observeReport(now, state, result)
 		return
 	}
-	r.observeOrder(now, state, result)
+	r.handleOrderResult(now, state, result)
 }
 
-func (r *Replica) observeOrder(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) handleOrderResult(now time.Duration, state *memberState, result WeightsResult) {
 	if state.rollout.phase != phaseOrderSent {
 		return
 	}
