--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -291,7 +291,7 @@
 		return
 	}
 	if result.Call.Kind == WeightsQuery {
-		r.observeReport(now, state, result)
+		r.handleQueryResult(now, state, result)
 		return
 	}
 	r.handleOrderResult(now, state, result)
@@ -345,7 +345,7 @@
 	r.setPhase(state, phaseIdle, now)
 }
 
-func (r *Replica) observeReport(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) handleQueryResult(now time.Duration, state *memberState, result WeightsResult) {
 	loads := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
 	if !loads && !uncertain && state.rollout.phase != phaseQuerying {
