--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -42,7 +42,7 @@
 	var orders []WeightsCall
 	for _, call := range s.weightsCalls {
 		if call.Kind == WeightsQuery {
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
 			s.work()
 			continue
 		}
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -175,7 +175,7 @@
 				orders = append(orders, call)
 				continue
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": version}, Revision: revision})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": version}, Revision: revision})
 		}
 		s.work()
 	}
@@ -230,7 +230,7 @@
 			if call.Kind == WeightsOrder {
 				t.Fatalf("ordered by the report of another life: %+v", call)
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
 		}
 	}
 	if believed := s.replica.leader.fleet[id].versions["m"]; believed != 1 {
@@ -250,7 +250,7 @@
 			if call.Kind == WeightsOrder {
 				return
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 1}})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 1}})
 		}
 	}
 	t.Fatal("0 orders in 4 s")
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -281,8 +281,8 @@
 	})
 }
 
-// ObserveWeights takes the result of a call.
-func (r *Replica) ObserveWeights(now time.Duration, result WeightsResult) {
+// ObserveWeightsResult takes the result of a call.
+func (r *Replica) ObserveWeightsResult(now time.Duration, result WeightsResult) {
 	if r.leader == nil || result.Call.Fence != r.leader.orderFence {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -307,7 +307,7 @@
 	case item.report != nil:
 		s.replica.ObserveEngineReport(now, *item.report)
 	case item.weights != nil:
-		s.replica.ObserveWeights(now, *item.weights)
+		s.replica.ObserveWeightsResult(now, *item.weights)
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
