--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -86,7 +86,7 @@
 	if now >= mark.renewalDeadline {
 		mark.renewalDeadline = now + weightsCallTimeout
 		r.orderMarks[name] = mark
-		r.writeOrdering(id)
+		r.queueOrderAnnouncement(id)
 	}
 	return false
 }
@@ -114,8 +114,8 @@
 	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
-// writeOrdering has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
-func (r *Replica) writeOrdering(id string) {
+// queueOrderAnnouncement has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
+func (r *Replica) queueOrderAnnouncement(id string) {
 	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
 }
 
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -235,7 +235,7 @@
 			s := openFleet(t)
 			s.config(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
-			s.replica.writeOrdering(life("e", 1000))
+			s.replica.queueOrderAnnouncement(life("e", 1000))
 			s.advance(100 * time.Millisecond)
 			s.says(life("e", 2000), "a1", 1, 1)
 			forget(s)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -227,7 +227,7 @@
 
 // announceOrder makes gateways turn away from a back end.
 func (r *Replica) announceOrder(now time.Duration, id string, state *memberState) {
-	r.writeOrdering(id)
+	r.queueOrderAnnouncement(id)
 	state.rollout.drainUntil = now + drainTimeout
 	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
