--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -119,8 +119,8 @@
 	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
 }
 
-// flushOrdering proposes them.
-func (r *Replica) flushOrdering(now time.Duration) {
+// proposeOrderAnnouncements proposes them.
+func (r *Replica) proposeOrderAnnouncements(now time.Duration) {
 	if r.leader == nil || len(r.leader.pendingOrderAnnouncements) == 0 {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -264,7 +264,7 @@
 // Prepare returns what the caller must write and sync before Advance.
 func (r *Replica) Prepare() Persist {
 	r.writeJoining(r.now)
-	r.flushOrdering(r.now)
+	r.proposeOrderAnnouncements(r.now)
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
 	if r.ready.HardState != nil {
