--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// noteInstalled takes every order that an installed snapshot covers to be as young as the snapshot's arrival: its entry was
+// recordSnapshotOrders takes every order that an installed snapshot covers to be as young as the snapshot's arrival: its entry was
 // never applied here.
-func (r *Replica) noteInstalled(now time.Duration) {
+func (r *Replica) recordSnapshotOrders(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.MayHaveWeightsCommand(id) {
 			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // of no leadership, so that it is another one's for whoever leads
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -327,7 +327,7 @@
 		panic("control: failed to decode the snapshot received from the leader: " + err.Error())
 	}
 	r.applied, r.appliedTerm, r.appliedBytes = snapshot.Meta.Index, snapshot.Meta.Term, 0
-	r.noteInstalled(now)
+	r.recordSnapshotOrders(now)
 	r.dateNamings(now)
 }
 
