--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// orderedElsewhere returns when another leader was last about to order a back end, if one may have been.
-func (r *Replica) orderedElsewhere(id string) (time.Duration, bool) {
+// lastForeignOrder returns when another leader was last about to order a back end, if one may have been.
+func (r *Replica) lastForeignOrder(id string) (time.Duration, bool) {
 	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
 	case !known:
@@ -110,7 +110,7 @@
 // handedOver reports whether no other leader's order to a back end can be as young as the pause between two holders. Its order may be
 // younger than its announcement.
 func (r *Replica) handedOver(now time.Duration, id string) bool {
-	at, ordered := r.orderedElsewhere(id)
+	at, ordered := r.lastForeignOrder(id)
 	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -31,7 +31,7 @@
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if _, elsewhere := s.replica.orderedElsewhere(second); !elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(second); !elsewhere {
 		t.Fatal("after a snapshot nobody knows that its last life was ordered")
 	}
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -92,10 +92,10 @@
 		t.Fatal(err)
 	}
 	clear(s.replica.orderMarks)
-	if _, elsewhere := s.replica.orderedElsewhere(ordered); !elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(ordered); !elsewhere {
 		t.Fatalf("%s was ordered by another leader", ordered)
 	}
-	if _, elsewhere := s.replica.orderedElsewhere(free); elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(free); elsewhere {
 		t.Fatalf("%s was never ordered", free)
 	}
 	if known := s.replica.Machine().Catalog().Gateways(); !slices.Equal(known, []string{"g1"}) {
