--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -77,7 +77,7 @@
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
 	name := catalog.ParseInstanceID(id).Name
 	mark := r.orderMarks[name]
-	if mark.term != r.node.Term() || !r.handedOver(now, id) {
+	if mark.term != r.node.Term() || !r.handoverPauseOver(now, id) {
 		return false // what is announced is written in the same step; it commits in a moment
 	}
 	if r.announcedWithin(now, id, maxDecisionAge) {
@@ -107,9 +107,9 @@
 	})
 }
 
-// handedOver reports whether no other leader's order to a back end can be as young as the pause between two holders. Its order may be
+// handoverPauseOver reports whether no other leader's order to a back end can be as young as the pause between two holders. Its order may be
 // younger than its announcement.
-func (r *Replica) handedOver(now time.Duration, id string) bool {
+func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
 	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -23,7 +23,7 @@
 	}
 	orderedAt := s.now
 	s.says(second, "a1", 1, 1)
-	if s.replica.handedOver(orderedAt+s.replica.config.OrderWait, second) {
+	if s.replica.handoverPauseOver(orderedAt+s.replica.config.OrderWait, second) {
 		t.Fatal("the next life may be ordered within the pause")
 	}
 	clear(s.replica.orderMarks)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -111,10 +111,10 @@
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handedOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handedOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
@@ -192,7 +192,7 @@
 	mark := s.replica.orderMarks[id]
 	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
-	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
+	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
 		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
 	}
 }
@@ -243,10 +243,10 @@
 				mark.term-- // another leader's
 				s.replica.orderMarks[key] = mark
 			}
-			if s.replica.handedOver(s.now, life("e", 2000)) {
+			if s.replica.handoverPauseOver(s.now, life("e", 2000)) {
 				t.Fatal("the next life may be ordered by another holder at once")
 			}
-			if !s.replica.handedOver(s.now, "i-1") {
+			if !s.replica.handoverPauseOver(s.now, "i-1") {
 				t.Fatal("one that was never ordered has to wait")
 			}
 		})
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -193,7 +193,7 @@
 			engines++
 		}
 		_, _, lags := r.outdatedModel(instances[id], state)
-		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
+		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
 			outdated = append(outdated, id)
 		}
 	}
