--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
+// allGatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
-func (r *Replica) gatewaysFollow(now time.Duration) bool {
+func (r *Replica) allGatewaysFollow(now time.Duration) bool {
 	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -111,7 +111,7 @@
 // mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
 // trusts a view of another leader.
 func (r *Replica) mayOrder(now time.Duration) bool {
-	return r.hasCurrentState(now) && r.leader.orderFence > 0 && r.gatewaysFollow(now)
+	return r.hasCurrentState(now) && r.leader.orderFence > 0 && r.allGatewaysFollow(now)
 }
 
 // rollOut takes the next steps towards the newest weights everywhere.
