--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -144,8 +144,8 @@
 	return !r.machine.catalog.HasGateway(watch.Gateway) && !watch.Closing
 }
 
-// noteGateways writes which gateways may trust this leader's views.
-func (r *Replica) noteGateways(now time.Duration) {
+// updateGatewayList writes which gateways may trust this leader's views.
+func (r *Replica) updateGatewayList(now time.Duration) {
 	pause := gatewayListInterval
 	if r.leader.gatewayUnlisted {
 		pause = gatewayListDelay
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -102,7 +102,7 @@
 	}
 	if len(unlisted) > 0 {
 		r.leader.gatewayUnlisted = true
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 	}
 	answer := &relay.Answer{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
 	if question.Roster != answer.Version {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -171,7 +171,7 @@
 		r.tendInUse(now)
 		r.tendLimits(now)
 		r.noteHeld(now)
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 		r.tendQuarantine(now)
 		r.raiseLevel(now)
 		r.rollOut(now)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -99,7 +99,7 @@
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
 	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 	}
 	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
 	if !r.answerWatch(now, held) {
