--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -20,9 +20,9 @@
 	return r.unixMS + (now - r.tickedAt).Milliseconds()
 }
 
-// dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
+// localPublication returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) publishedVersion {
+func (r *Replica) localPublication(now time.Duration, naming catalog.Publication) publishedVersion {
 	local := publishedVersion{version: naming.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
 		local.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-naming.UnixMS)*time.Millisecond)
@@ -33,7 +33,7 @@
 // noteNaming remembers when a version was named that has just been applied.
 func (r *Replica) noteNaming(now time.Duration, model string) {
 	publications := r.machine.catalog.Publications(model)
-	versions := append(r.namedVersions[model], r.dateNaming(now, publications[len(publications)-1]))
+	versions := append(r.namedVersions[model], r.localPublication(now, publications[len(publications)-1]))
 	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
@@ -44,7 +44,7 @@
 	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
-			local := r.dateNaming(now, publication)
+			local := r.localPublication(now, publication)
 			i := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
 			if i >= 0 {
 				local.publishedAt = min(local.publishedAt, r.namedVersions[model][i].publishedAt)
