--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -258,7 +258,7 @@
 		r.noteQuarantined(now, *command.Quarantine)
 	}
 	if before {
-		r.noteNaming(now, command.PublishWeights.Model)
+		r.recordPublication(now, command.PublishWeights.Model)
 	}
 	touched := r.machine.catalog.TakeChanged()
 	if r.leader == nil {
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -30,8 +30,8 @@
 	return local
 }
 
-// noteNaming remembers when a version was named that has just been applied.
-func (r *Replica) noteNaming(now time.Duration, model string) {
+// recordPublication remembers when a version was named that has just been applied.
+func (r *Replica) recordPublication(now time.Duration, model string) {
 	publications := r.machine.catalog.Publications(model)
 	versions := append(r.namedVersions[model], r.localPublication(now, publications[len(publications)-1]))
 	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
