--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -37,10 +37,10 @@
 	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
-// dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
+// refreshPublicationTimes dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
 // since this process saw it and the difference of the times of day the larger counts. Between, no time changes, so that gateways
 // may take the best they heard of one leadership.
-func (r *Replica) dateNamings(now time.Duration) {
+func (r *Replica) refreshPublicationTimes(now time.Duration) {
 	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -212,7 +212,7 @@
 	}
 	if r.leader == nil && isLeader {
 		r.leader = newLeaderState(r.node.Term(), now, r.leaseEnd(now), r.machine)
-		r.dateNamings(now)
+		r.refreshPublicationTimes(now)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 	r.applied, r.appliedTerm, r.appliedBytes = snapshot.Meta.Index, snapshot.Meta.Term, 0
 	r.recordSnapshotOrders(now)
-	r.dateNamings(now)
+	r.refreshPublicationTimes(now)
 }
 
 func (r *Replica) apply(now time.Duration, entry consensus.Entry) {
