--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -69,8 +69,8 @@
 // maxLoggedPublications bounds the namings that the log tells of a new leader.
 const maxLoggedPublications = 8
 
-// namingsLine tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
-func (r *Replica) namingsLine(now time.Duration) []string {
+// recentPublications tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
+func (r *Replica) recentPublications(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
 	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -272,7 +272,7 @@
 		s.log.Info(events.LeadershipLost, fields...)
 		return
 	}
-	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
+	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.recentPublications(s.now())))...)
 }
 
 // logLevelChange logs when the level in force has changed.
