--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -22,10 +22,10 @@
 
 // localPublication returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
 // after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) localPublication(now time.Duration, naming catalog.Publication) publishedVersion {
-	local := publishedVersion{version: naming.Version, publishedAt: now}
+func (r *Replica) localPublication(now time.Duration, publication catalog.Publication) publishedVersion {
+	local := publishedVersion{version: publication.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
-		local.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-naming.UnixMS)*time.Millisecond)
+		local.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-publication.UnixMS)*time.Millisecond)
 	}
 	return local
 }
