--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -192,7 +192,7 @@
 			time.Sleep(newsWait)
 		}
 		if !formed {
-			formed = s.holds((*Replica).formed) // until then the leader takes none, however often it is asked
+			formed = s.queryReplica((*Replica).formed) // until then the leader takes none, however often it is asked
 		}
 		if !formed {
 			continue
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -58,11 +58,11 @@
 
 // leading reports whether this replica leads.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
+	return s.queryReplica(func(replica *Replica) bool { return replica.leader != nil })
 }
 
-// holds asks the decide thread whether something holds; without an answer in time it does not.
-func (s *Server) holds(check func(*Replica) bool) bool {
+// queryReplica asks the decide thread whether something queryReplica; without an answer in time it does not.
+func (s *Server) queryReplica(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
 	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
 		return false
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -142,7 +142,7 @@
 
 // hasStateWithoutLeader reports whether this replica has state but hears no leader.
 func (s *Server) hasStateWithoutLeader() bool {
-	return s.holds(func(replica *Replica) bool {
+	return s.queryReplica(func(replica *Replica) bool {
 		return replica.Node().LastIndex() > 0 && replica.Node().LeaderSilent(s.now())
 	})
 }
