--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if time.Since(listed) >= machineListInterval {
-			if fresh, ok := s.readMachines(ctx); ok {
+			if fresh, ok := s.fetchMachines(ctx); ok {
 				machines, listed = fresh, time.Now()
 			}
 		}
@@ -75,7 +75,7 @@
 	}
 }
 
-func (s *Server) readMachines(ctx context.Context) ([]machine, bool) {
+func (s *Server) fetchMachines(ctx context.Context) ([]machine, bool) {
 	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct{ Machines []machine }
