--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -114,8 +114,8 @@
 	s.submit(input{report: &report})
 }
 
-// sendCalls is the thread that passes orders and fences to engines.
-func (s *Server) sendCalls(ctx context.Context) {
+// sendEngineCalls is the thread that passes orders and fences to engines.
+func (s *Server) sendEngineCalls(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -161,7 +161,7 @@
 	defer cancel()
 	var workers sync.WaitGroup
 	workers.Go(func() { s.runReplica(run) })
-	workers.Go(func() { s.sendCalls(run) })
+	workers.Go(func() { s.sendEngineCalls(run) })
 	workers.Go(func() { s.watchEngines(run) })
 	workers.Go(func() { s.callBackends(run) })
 	workers.Go(func() { s.passBeats(run) })
