--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -121,12 +121,12 @@
 		case <-ctx.Done():
 			return
 		case call := <-s.engineCalls:
-			go s.sendCall(ctx, call)
+			go s.sendEngineCall(ctx, call)
 		}
 	}
 }
 
-func (s *Server) sendCall(ctx context.Context, call EngineCall) {
+func (s *Server) sendEngineCall(ctx context.Context, call EngineCall) {
 	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	err := s.client.Post(attempt, call.Address, "/v1/orders", call, nil)
