--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -26,13 +26,13 @@
 
 // allocateShares answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
 func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
-	r.tendLimits(now)
+	r.updateLimits(now)
 	reply := r.leader.lending.allocator.Allocate(now, request)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &reply})
 }
 
-// tendLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
-func (r *Replica) tendLimits(now time.Duration) {
+// updateLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
+func (r *Replica) updateLimits(now time.Duration) {
 	lending := &r.leader.lending
 	if document := r.machine.catalog.Document(); document.Revision != lending.revision {
 		lending.revision = document.Revision
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -169,7 +169,7 @@
 		r.repair(now)
 		r.watchFleet(now)
 		r.tendInUse(now)
-		r.tendLimits(now)
+		r.updateLimits(now)
 		r.noteHeld(now)
 		r.updateGatewayList(now)
 		r.tendQuarantine(now)
