--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -38,16 +38,16 @@
 		lending.revision = document.Revision
 		lending.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
-	lending.allocator.Withhold(now, r.partOutOfTouch(now))
+	lending.allocator.Withhold(now, r.silentFraction(now))
 	if now >= lending.sweptAt+advertisedSweepInterval {
 		lending.sweptAt = now
 		lending.allocator.SweepAdvertised(now)
 	}
 }
 
-// partOutOfTouch returns the part of the gateways that are silent but may still trust their view: they use their equal parts
+// silentFraction returns the part of the gateways that are silent but may still trust their view: they use their equal parts
 // of what is limited, on their own.
-func (r *Replica) partOutOfTouch(now time.Duration) float64 {
+func (r *Replica) silentFraction(now time.Duration) float64 {
 	silent, all := r.gatewaysThatTrust(now)
 	if silent == 0 {
 		return 0
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -84,7 +84,7 @@
 			version = s.watchNow("g1", version).Version
 			s.advance(200 * time.Millisecond)
 		}
-		return s.replica.partOutOfTouch(s.now)
+		return s.replica.silentFraction(s.now)
 	}
 	for _, step := range []struct {
 		after    time.Duration
