--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -55,9 +55,9 @@
 	return float64(silent) / float64(all)
 }
 
-// trusting are the gateways that may still trust their view, counted now and then: a tick or a reply would otherwise cost the more the
+// gatewayCounts are the gateways that may still trust their view, counted now and then: a tick or a reply would otherwise cost the more the
 // more there are.
-type trusting struct {
+type gatewayCounts struct {
 	countedAt   time.Duration
 	counted     bool
 	silent, all int
