--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -70,14 +70,14 @@
 func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
 	counts := &r.leader.trusting
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
-		counts.silent, counts.all = r.countTrusting(now)
+		counts.silent, counts.all = r.countTrustingGateways(now)
 		counts.counted, counts.countedAt = true, now
 	}
 	return counts.silent, counts.all
 }
 
-// countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
-func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
+// countTrustingGateways counts them. Those of an earlier leader's time count until they have asked this one.
+func (r *Replica) countTrustingGateways(now time.Duration) (silent, all int) {
 	for _, report := range r.leader.usage {
 		silence := now - report.at
 		if silence > r.trustEnd() {
