--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -111,7 +111,7 @@
 	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
 	}
-	_, answer.Gateways = r.gatewaysThatTrust(now)
+	_, answer.Gateways = r.trustingGateways(now)
 	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
 }
 
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -48,7 +48,7 @@
 // silentFraction returns the part of the gateways that are silent but may still trust their view: they use their equal parts
 // of what is limited, on their own.
 func (r *Replica) silentFraction(now time.Duration) float64 {
-	silent, all := r.gatewaysThatTrust(now)
+	silent, all := r.trustingGateways(now)
 	if silent == 0 {
 		return 0
 	}
@@ -66,8 +66,8 @@
 // gatewayCountInterval is how often they are counted; silence is judged by 700 ms.
 const gatewayCountInterval = 20 * time.Millisecond
 
-// gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
-func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
+// trustingGateways returns how many gateways may still trust their view, and how many of them are silent.
+func (r *Replica) trustingGateways(now time.Duration) (silent, all int) {
 	counts := &r.leader.trusting
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
 		counts.silent, counts.all = r.countTrustingGateways(now)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -201,7 +201,7 @@
 	if watch.Roster != reply.Version && !watch.Brief {
 		reply.Roster = r.rosterNews(now, watch.Roster)
 	}
-	_, reply.Gateways = r.gatewaysThatTrust(now)
+	_, reply.Gateways = r.trustingGateways(now)
 	reply.placed(r.layout(now), &watch)
 	reply.Reads = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
