--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -102,8 +102,8 @@
 // limitLogInterval is how often a leader looks for limits that were reached or left, for the log.
 const limitLogInterval = 250 * time.Millisecond
 
-// overNotes are the limits that the log says are reached. They are owned by the decide thread.
-type overNotes struct {
+// limitLogState are the limits that the log says are reached. They are owned by the decide thread.
+type limitLogState struct {
 	checkedAt time.Duration
 	reached   map[string]bool
 }
