--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -108,8 +108,8 @@
 	reached   map[string]bool
 }
 
-// noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
-func (s *Server) noteOverLimits() {
+// logLimitChanges logs when a limit begins and ends to turn requests away, one line each.
+func (s *Server) logLimitChanges() {
 	now := s.now()
 	if s.replica.leader == nil || now < s.overLimitLog.checkedAt+limitLogInterval {
 		return
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -254,7 +254,7 @@
 		}
 		s.logLeadershipChange()
 		s.logLevelChange()
-		s.noteOverLimits()
+		s.logLimitChanges()
 		s.noteHeldBack()
 		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
