--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -255,7 +255,7 @@
 	}
 	outcome := r.machine.catalog.Apply(command)
 	if command.Quarantine != nil {
-		r.noteQuarantined(now, *command.Quarantine)
+		r.recordQuarantineChange(now, *command.Quarantine)
 	}
 	if before {
 		r.recordPublication(now, command.PublishWeights.Model)
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -52,8 +52,8 @@
 	return registry.Update()
 }
 
-// noteQuarantined remembers when lives were counted.
-func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
+// recordQuarantineChange remembers when lives were counted.
+func (r *Replica) recordQuarantineChange(now time.Duration, change quarantine.Change) {
 	for _, crash := range change.Crashes {
 		for _, f := range crash.Requests {
 			r.quarantined.changedAt[f] = now
