--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// tendQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
-func (r *Replica) tendQuarantine(now time.Duration) {
+// maintainQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
+func (r *Replica) maintainQuarantine(now time.Duration) {
 	if r.quarantined.sweptAt > 0 && now < r.quarantined.sweptAt+quarantineSweepInterval {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -172,7 +172,7 @@
 		r.updateLimits(now)
 		r.noteHeld(now)
 		r.updateGatewayList(now)
-		r.tendQuarantine(now)
+		r.maintainQuarantine(now)
 		r.raiseLevel(now)
 		r.rollOut(now)
 	}
