--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -77,13 +77,13 @@
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
-	if expired := r.oldEntries(now, registry); len(expired) > 0 {
+	if expired := r.expiredEntries(now, registry); len(expired) > 0 {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: expired}}})
 	}
 }
 
-// oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
-func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
+// expiredEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
+func (r *Replica) expiredEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
 	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
 	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
