--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -83,17 +83,17 @@
 }
 
 // expiredEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
-func (r *Replica) expiredEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
+func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
 	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
 	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
-	for _, f := range ledger.Fingerprints() {
+	for _, f := range registry.Fingerprints() {
 		at, known := r.quarantined.changedAt[f]
 		if !known {
 			at = now
 		}
 		changedAt[f] = at
-		switch quarantined := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
+		switch quarantined := registry.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case quarantined && now-at > quarantineTTL:
 			retryable.Requests = append(retryable.Requests, f)
 		case !quarantined && now-at > suspectTTL:
@@ -101,7 +101,7 @@
 		}
 	}
 	r.quarantined.changedAt = changedAt
-	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
+	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
 	var expired []quarantine.Release
 	for _, released := range []quarantine.Release{dropped, retryable} {
 		if len(released.Requests) > 0 {
