--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -120,8 +120,8 @@
 	return seed
 }
 
-// heldNotes are the requests that the log says are held back. They are owned by the decide thread.
-type heldNotes struct {
+// quarantineLogState are the requests that the log says are held back. They are owned by the decide thread.
+type quarantineLogState struct {
 	version uint64
 	since   map[quarantine.Fingerprint]time.Duration
 }
