--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -126,8 +126,8 @@
 	since   map[quarantine.Fingerprint]time.Duration
 }
 
-// noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
-func (s *Server) noteHeldBack() {
+// logQuarantineChanges logs when a request begins and ends to be held back, one line each, from the leader.
+func (s *Server) logQuarantineChanges() {
 	registry := s.replica.machine.catalog.Quarantine()
 	if s.replica.leader == nil || registry.Version() == s.heldBackLog.version {
 		return
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -255,7 +255,7 @@
 		s.logLeadershipChange()
 		s.logLevelChange()
 		s.logLimitChanges()
-		s.noteHeldBack()
+		s.logQuarantineChanges()
 		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
 }
