--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -66,7 +66,7 @@
 	}
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
-	case beat.Leaves && r.mayMeanLastLife(now, id):
+	case beat.Leaves && r.mayMeanPreviousIncarnation(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -19,9 +19,9 @@
 	return service.Engine && len(beat.Versions) == 0
 }
 
-// mayMeanLastLife reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
+// mayMeanPreviousIncarnation reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
 // there: that one is forgotten then, and may register again.
-func (r *Replica) mayMeanLastLife(now time.Duration, id string) bool {
+func (r *Replica) mayMeanPreviousIncarnation(now time.Duration, id string) bool {
 	resolved := r.machine.catalog.ResolveInstanceID(id)
 	state := r.leader.fleet[resolved]
 	return resolved != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
