--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -70,7 +70,7 @@
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaves:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
-	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
+	case !known && (r.lacksWeights(beat) || !r.mayRegister(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
 	case known && !r.mayReplace(held, beat.Instance):
 		r.reply(client, Response{Kind: ResponseOK})
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -27,9 +27,9 @@
 	return resolved != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
 }
 
-// admits reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
+// mayRegister reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
 // earlier than who stands at its address, or that is of no service that is routed to, may be anybody's, or long gone.
-func (r *Replica) admits(now time.Duration, instance catalog.Instance) bool {
+func (r *Replica) mayRegister(now time.Duration, instance catalog.Instance) bool {
 	if !r.machine.catalog.Accepts(instance) {
 		return false
 	}
