--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -60,8 +60,8 @@
 	return c
 }
 
-// Use replaces the addresses that are asked when no leader is known.
-func (c *Client) Use(addresses []string) {
+// SetAddresses replaces the addresses that are asked when no leader is known.
+func (c *Client) SetAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		c.addresses.Store(&addresses)
 	}
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -89,7 +89,7 @@
 	follower := freeLoopback(t)
 	listenWith(t, leader, Response{Kind: ResponseOK})
 	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
-	client.Use([]string{follower})
+	client.SetAddresses([]string{follower})
 	if _, err := client.Ask(ctx, Request{Status: &StatusRequest{}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -61,7 +61,7 @@
 // refreshMembership keeps the addresses of the group client up to date.
 func (s *Server) refreshMembership(ctx context.Context) {
 	transport.Every(ctx, membershipInterval, func() {
-		s.submit(input{inspect: func(replica *Replica) { s.group.Use(replica.addresses()) }})
+		s.submit(input{inspect: func(replica *Replica) { s.group.SetAddresses(replica.addresses()) }})
 	})
 }
 
@@ -75,7 +75,7 @@
 }
 
 // UseSeeds replaces the addresses used until the members of the group are known.
-func (s *Server) UseSeeds(addresses []string) { s.group.Use(addresses) }
+func (s *Server) UseSeeds(addresses []string) { s.group.SetAddresses(addresses) }
 
 // Ask sends a request to the leader and retries until it is answered or ctx ends.
 func (s *Server) Ask(ctx context.Context, request Request) (Response, error) {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -37,7 +37,7 @@
 		g.take(ctx, asked, reply)
 		if len(reply.Replicas) != known {
 			known = len(reply.Replicas)
-			g.group.Use(reply.Replicas)
+			g.group.SetAddresses(reply.Replicas)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		return false
 	}
 	g.nearby.update(response.Watch.Near)
-	g.group.Use(response.Watch.Replicas)
+	g.group.SetAddresses(response.Watch.Replicas)
 	return true
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 func (g *Gateway) UseCacheReader(r CacheReader) { g.cacheReader = r }
 
 // UseControl replaces the initial addresses of control replicas.
-func (g *Gateway) UseControl(addresses []string) { g.group.Use(addresses) }
+func (g *Gateway) UseControl(addresses []string) { g.group.SetAddresses(addresses) }
 
 // Run serves requests until ctx is done, then shuts down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
