--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -152,9 +152,9 @@
 	return at != nil && clock.Now()-*at < limit
 }
 
-// Any asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
+// AskAny asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
 // is for callers without a leader: one address that is silent must not hold them up.
-func (c *Client) Any(ctx context.Context, request Request) (Response, error) {
+func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	asked := map[string]bool{}
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -115,7 +115,7 @@
 	client.lastFailure.Store(&failure{address: leader, at: clock.Now()})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	response, err := client.Any(ctx, Request{Status: &StatusRequest{}})
+	response, err := client.AskAny(ctx, Request{Status: &StatusRequest{}})
 	if err != nil || response.Kind != ResponseOK {
 		t.Fatalf("Any: response %+v, error %v", response, err)
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -86,7 +86,7 @@
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
-	response, err := g.group.Any(attempt, control.Request{Watch: &question})
+	response, err := g.group.AskAny(attempt, control.Request{Watch: &question})
 	if err != nil || response.Watch == nil {
 		return false
 	}
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -74,7 +74,7 @@
 func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(electionPatience) {
-		ask = g.group.Any
+		ask = g.group.AskAny
 	}
 	response, err := ask(ctx, control.Request{Borrow: &asked})
 	if err != nil {
