--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -85,7 +85,7 @@
 func (c *Client) Ask(ctx context.Context, request Request) (Response, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
-		response, err := c.Once(attempt, request)
+		response, err := c.AskOnce(attempt, request)
 		cancel()
 		if err == nil && response.Kind == ResponseOK {
 			return response, nil
@@ -104,8 +104,8 @@
 	return err
 }
 
-// Once asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
-func (c *Client) Once(ctx context.Context, request Request) (Response, error) {
+// AskOnce asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
+func (c *Client) AskOnce(ctx context.Context, request Request) (Response, error) {
 	return c.askAt(ctx, c.target(), request)
 }
 
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -46,7 +46,7 @@
 	client := NewClient(transport.NewClient("", nil), []string{follower, dead.Addr().String()})
 	for range 30 {
 		attempt, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-		_, _ = client.Once(attempt, Request{Status: &StatusRequest{}})
+		_, _ = client.AskOnce(attempt, Request{Status: &StatusRequest{}})
 		cancel()
 	}
 	if times := len(asked); times > 2 {
@@ -83,7 +83,7 @@
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	if _, err := client.Once(ctx, Request{Status: &StatusRequest{}}); err == nil {
+	if _, err := client.AskOnce(ctx, Request{Status: &StatusRequest{}}); err == nil {
 		t.Fatal("answered before it listened")
 	}
 	follower := freeLoopback(t)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -64,7 +64,7 @@
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
-	ask := g.group.Once
+	ask := g.group.AskOnce
 	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
 			return g.group.At(ctx, address, request)
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -139,7 +139,7 @@
 	for h.group.ctx.Err() == nil {
 		beat := machine.Heartbeat()
 		ctx, cancel := context.WithTimeout(h.group.ctx, askTimeout)
-		response, err := h.client.Once(ctx, control.Request{Heartbeat: &beat})
+		response, err := h.client.AskOnce(ctx, control.Request{Heartbeat: &beat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Heartbeat != nil {
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -25,7 +25,7 @@
 		attempt, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		beat := s.session.Heartbeat()
 		beat.Quarantine = s.quarantine.Version()
-		response, err := s.group.Once(attempt, control.Request{Heartbeat: &beat})
+		response, err := s.group.AskOnce(attempt, control.Request{Heartbeat: &beat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	beat := s.session.ClosingHeartbeat()
-	_, _ = s.group.Once(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
+	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
 }
 
 // claim asks the ledger and reports the outcome to the core.
