--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -109,8 +109,8 @@
 	return c.askAt(ctx, c.target(), request)
 }
 
-// At asks the replica at an address once, whoever leads. It learns nothing of the leader.
-func (c *Client) At(ctx context.Context, address string, request Request) (Response, error) {
+// AskReplica asks the replica at an address once, whoever leads. It learns nothing of the leader.
+func (c *Client) AskReplica(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	err := c.transport.Post(ctx, address, PathRequest, request, &response)
 	if err == nil {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -67,7 +67,7 @@
 	ask := g.group.AskOnce
 	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
-			return g.group.At(ctx, address, request)
+			return g.group.AskReplica(ctx, address, request)
 		}
 	}
 	response, err := ask(attempt, control.Request{Watch: &question})
