--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -106,7 +106,7 @@
 
 // AskOnce asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
 func (c *Client) AskOnce(ctx context.Context, request Request) (Response, error) {
-	return c.askAt(ctx, c.target(), request)
+	return c.askAndTrackLeader(ctx, c.target(), request)
 }
 
 // AskReplica asks the replica at an address once, whoever leads. It learns nothing of the leader.
@@ -120,8 +120,8 @@
 	return response, err
 }
 
-// askAt asks the replica at an address once.
-func (c *Client) askAt(ctx context.Context, address string, request Request) (Response, error) {
+// askAndTrackLeader asks the replica at an address once.
+func (c *Client) askAndTrackLeader(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	if err := c.transport.Post(ctx, address, PathRequest, request, &response); err != nil {
 		if ctx.Err() == context.Canceled {
@@ -165,7 +165,7 @@
 		}
 		asked[address] = true
 		go func() {
-			response, err := c.askAt(ctx, address, request)
+			response, err := c.askAndTrackLeader(ctx, address, request)
 			if err != nil {
 				response = Response{Kind: ResponseNoQuorum}
 			}
