--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -146,8 +146,8 @@
 	return response, nil
 }
 
-// HeardWithin reports whether a replica has answered anything so lately.
-func (c *Client) HeardWithin(limit time.Duration) bool {
+// AnsweredWithin reports whether a replica has answered anything so lately.
+func (c *Client) AnsweredWithin(limit time.Duration) bool {
 	at := c.answeredAt.Load()
 	return at != nil && clock.Now()-*at < limit
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -104,7 +104,7 @@
 // expectsControl reports whether control is likely to confirm the view in a moment: a replica answers, so that there will be
 // a leader, or nobody could have answered yet.
 func (g *Gateway) expectsControl() bool {
-	return g.enabled(mechanism.ViewWait) && (g.group.HeardWithin(electionPatience) || g.now() < startPatience)
+	return g.enabled(mechanism.ViewWait) && (g.group.AnsweredWithin(electionPatience) || g.now() < startPatience)
 }
 
 // viewWait is how long the request may wait for a confirmed view.
