--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -42,8 +42,8 @@
 	return next, ordered, free
 }
 
-// ordersWhile lets time pass with a gateway that keeps asking, and returns which engines were ordered.
-func (s *singleReplica) ordersWhile(gateway string, length time.Duration) []string {
+// ordersDuring lets time pass with a gateway that keeps asking, and returns which engines were ordered.
+func (s *singleReplica) ordersDuring(gateway string, length time.Duration) []string {
 	var found []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
@@ -63,12 +63,12 @@
 // ordered at 7.5 s by a leader of 4.07 s).
 func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
 	s, ordered, free := replaceLeaderAfterOrder(t)
-	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
+	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
 	}
 	s.replica.leader.fleet[free].versions["m"] = 2
 	s.replica.setPhase(s.replica.leader.fleet[free], phaseIdle, s.now)
-	if later := s.ordersWhile("g1", 5*time.Second); !slices.Contains(later, ordered) {
+	if later := s.ordersDuring("g1", 5*time.Second); !slices.Contains(later, ordered) {
 		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
 	}
 }
@@ -76,10 +76,10 @@
 // TestNewLeaderWaitsForGatewaysOfTheLast: one that does not ask may still trust what the last leader told.
 func TestNewLeaderWaitsForGatewaysOfTheLast(t *testing.T) {
 	s, _, free := replaceLeaderAfterOrder(t)
-	if early := s.ordersWhile("g2", 2*time.Second); len(early) > 0 {
+	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
 		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
 	}
-	if later := s.ordersWhile("g2", 3*time.Second); !slices.Contains(later, free) {
+	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, free) {
 		t.Fatalf("ordered %v after all views of the last leader had ended", later)
 	}
 }
