--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -58,10 +58,10 @@
 	return found
 }
 
-// TestNewLeaderWaitsOnlyForWhatWasOrdered: an engine that the last leader gave an order to is left alone for the pause between
+// TestNewLeaderPausesOnlyForOrderedEngines: an engine that the last leader gave an order to is left alone for the pause between
 // two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
 // ordered at 7.5 s by a leader of 4.07 s).
-func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
+func TestNewLeaderPausesOnlyForOrderedEngines(t *testing.T) {
 	s, ordered, free := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
