--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestNewLeaderWaitsForGatewaysOfTheLast: one that does not ask may still trust what the last leader told.
-func TestNewLeaderWaitsForGatewaysOfTheLast(t *testing.T) {
+// TestNewLeaderWaitsForPreviousLeadersGateways: one that does not ask may still trust what the last leader told.
+func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
 	s, _, free := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
 		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
