--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestOrderedEnginesAreKnownFromASnapshot: the entries themselves may be gone from the log.
-func TestOrderedEnginesAreKnownFromASnapshot(t *testing.T) {
+// TestSnapshotKeepsOrderedEnginesAndGateways: the entries themselves may be gone from the log.
+func TestSnapshotKeepsOrderedEnginesAndGateways(t *testing.T) {
 	s, ordered, free := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
