--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestOrdersInAnInstalledSnapshotCountAsYoung: a replica that has run for long and is sent a snapshot cannot know how old the
+// TestInstalledSnapshotRestartsOrderPause: a replica that has run for long and is sent a snapshot cannot know how old the
 // orders are that it covers, nor whether one that was just announced has been given.
-func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
+func TestInstalledSnapshotRestartsOrderPause(t *testing.T) {
 	s, ordered, _ := replaceLeaderAfterOrder(t)
 	clear(s.replica.orderMarks)
 	s.now += time.Hour
