--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -119,10 +119,10 @@
 	}
 }
 
-// TestViewIsConfirmedOnceTheLogHoldsTheGateway: the next leader waits for the gateways that the log holds before it orders weights; one that
+// TestWatchConfirmedOnlyAfterGatewayIsLogged: the next leader waits for the gateways that the log holds before it orders weights; one that
 // trusts a view and isn't among them would send to a back end that loads. A leader confirmed a gateway that came back from a cut, and its disk
 // stalled before the log held it again (simulator, seed 178).
-func TestViewIsConfirmedOnceTheLogHoldsTheGateway(t *testing.T) {
+func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
