--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestClosingGatewayIsAnsweredOn: it serves what it has until its end, though the log holds it no more.
-func TestClosingGatewayIsAnsweredOn(t *testing.T) {
+// TestClosingGatewayIsStillAnswered: it serves what it has until its end, though the log holds it no more.
+func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
