--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -165,10 +165,10 @@
 	}
 }
 
-// TestOrderFollowsItsAnnouncementSoon: the next leader waits since the announcement of an order, as it applied it. A leader had announced
+// TestDelayedOrderIsAnnouncedAgain: the next leader waits since the announcement of an order, as it applied it. A leader had announced
 // one and gave it seconds later, when others had ended their loads and requests had drained, then it was lost. The next one, which had applied
 // the announcement as it was written, took the pause between two holders for over and ordered at once.
-func TestOrderFollowsItsAnnouncementSoon(t *testing.T) {
+func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
