--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestOrderLeavesSoonAfterItsAnnouncement: the disk was slow between the decision and the send, for less than the lease runs. The order left
+// TestOrderDroppedAfterSlowSync: the disk was slow between the decision and the send, for less than the lease runs. The order left
 // later after its announcement than the next leader counts on.
-func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
+func TestOrderDroppedAfterSlowSync(t *testing.T) {
 	s := openFleet(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
