--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -223,9 +223,9 @@
 	}
 }
 
-// TestOrderPauseOutlivesARestart: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
+// TestOrderPauseCoversAllIncarnations: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
-func TestOrderPauseOutlivesARestart(t *testing.T) {
+func TestOrderPauseCoversAllIncarnations(t *testing.T) {
 	for what, forget := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
 		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
