--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -14,8 +14,8 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
-// told returns the ages that a gateway is told, by version.
-func (s *singleReplica) told() map[uint64]time.Duration {
+// reportedAges returns the ages that a gateway is reportedAges, by version.
+func (s *singleReplica) reportedAges() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
@@ -32,7 +32,7 @@
 func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
-	if told, known := s.told()[version]; !known || told < age-step || told > age+step {
+	if told, known := s.reportedAges()[version]; !known || told < age-step || told > age+step {
 		s.t.Fatalf("version %d is told to be %v old (known: %t), it is %v", version, told, known, age)
 	}
 }
@@ -137,7 +137,7 @@
 		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
-		if ages := s.told(); len(ages) != 1 {
+		if ages := s.reportedAges(); len(ages) != 1 {
 			t.Fatalf("told %v", ages)
 		}
 	})
@@ -159,7 +159,7 @@
 		}
 		next := s.successor(machine.Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
-		if age, known := next.told()[4]; !known || age < time.Hour {
+		if age, known := next.reportedAges()[4]; !known || age < time.Hour {
 			t.Fatalf("told to be %v old (known: %t)", age, known)
 		}
 	})
