--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -61,9 +61,9 @@
 	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
-// TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
+// TestPublicationAgeSurvivesLeaderChange: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
 // long ago that was, and must not tell less than is true, or requests begin on old weights after the limit.
-func TestNamingIsAsOldForEveryReplica(t *testing.T) {
+func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
 	// A replica was ended and started again while old weights were still in use. It read its log back, took each naming to be as young
 	// as the reading, and told gateways so once it led.
 	t.Run("restart", func(t *testing.T) {
