--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestLargeFleetRollsOutWhileItIsShortOfHands: while a third of the engines has crashed, as many load at once as before (ayni-
+// TestRolloutConcurrencyUnderCapacityLoss: while a third of the engines has crashed, as many load at once as before (ayni-
 // lima-grown scale-2: one at a time of 90, and those left on old weights got no requests).
-func TestLargeFleetRollsOutWhileItIsShortOfHands(t *testing.T) {
+func TestRolloutConcurrencyUnderCapacityLoss(t *testing.T) {
 	for _, engines := range []int{2, 9, 90, 300} {
 		s := openFleet(t)
 		var ids []string
