--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -14,11 +14,11 @@
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
-	s.limit(2, 100)
+	s.setQuota(2, 100)
 	return s
 }
 
-func (s *singleReplica) limit(revision uint64, rate float64) {
+func (s *singleReplica) setQuota(revision uint64, rate float64) {
 	tenant := catalog.Tenant{Name: "north", Quota: catalog.Quota{Rate: rate, Burst: rate / 2}}
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: revision, Tenants: []catalog.Tenant{tenant}}}})
 }
@@ -64,7 +64,7 @@
 func TestLoweredLimitBindsTheLeaderAtOnce(t *testing.T) {
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
-	s.limit(3, 10)
+	s.setQuota(3, 10)
 	if lent := s.borrow("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit of 10 a second", lent)
 	}
@@ -157,7 +157,7 @@
 	if lent := ask(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s of 4 a second", lent)
 	}
-	s.limit(3, 10)
+	s.setQuota(3, 10)
 	if lent := ask(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s after another document", lent)
 	}
