--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -23,8 +23,8 @@
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: revision, Tenants: []catalog.Tenant{tenant}}}})
 }
 
-// borrow asks for an amount as a gateway does, and returns what was lent.
-func (s *singleReplica) borrow(gateway string, amount float64) float64 {
+// requestShare asks for an amount as a gateway does, and returns what was lent.
+func (s *singleReplica) requestShare(gateway string, amount float64) float64 {
 	s.t.Helper()
 	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
 	response := s.ask(Request{Borrow: &request})
@@ -37,25 +37,25 @@
 // TestLeaderLendsNoMoreThanTheLimit, and begins with nothing: what an earlier leader lent is not lent again.
 func TestLeaderLendsNoMoreThanTheLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
-	if lent := s.borrow("g1", 40); lent != 0 {
+	if lent := s.requestShare("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit that has just come", lent)
 	}
 	s.advance(10 * time.Second)
-	if lent := s.borrow("g1", 40); lent != 40 {
+	if lent := s.requestShare("g1", 40); lent != 40 {
 		t.Fatalf("%v lent", lent)
 	}
-	if lent := s.borrow("g2", 40); lent != 0 {
+	if lent := s.requestShare("g2", 40); lent != 0 {
 		t.Fatalf("%v lent beyond the burst", lent)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
-	if lent := next.borrow("g3", 45); lent != 0 {
+	if lent := next.requestShare("g3", 45); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
 	next.advance(time.Second)
-	if lent := next.borrow("g3", 45); lent != 45 {
+	if lent := next.requestShare("g3", 45); lent != 45 {
 		t.Fatalf("%v lent by the next leader", lent)
 	}
 }
@@ -65,10 +65,10 @@
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
 	s.setQuota(3, 10)
-	if lent := s.borrow("g1", 40); lent != 0 {
+	if lent := s.requestShare("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit of 10 a second", lent)
 	}
-	if lent := s.borrow("g1", 5); lent != 5 {
+	if lent := s.requestShare("g1", 5); lent != 5 {
 		t.Fatalf("%v lent", lent)
 	}
 }
@@ -100,9 +100,9 @@
 func TestStatusShowsLimits(t *testing.T) {
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
-	s.borrow("g1", 40)
+	s.requestShare("g1", 40)
 	s.advance(50 * time.Millisecond)
-	s.borrow("g1", 40)
+	s.requestShare("g1", 40)
 	limits := s.ask(Request{Status: &StatusRequest{}}).Status.Limits
 	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Granted != 40 || limits[0].Refused != 40 || !limits[0].OverLimit {
 		t.Fatalf("%+v", limits)
@@ -175,7 +175,7 @@
 		t.Fatalf("%v lent in 4 s by the next leader", lent)
 	}
 	next.advance(20 * time.Second)
-	next.borrow("g1", 1)
+	next.requestShare("g1", 1)
 	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 0 {
 		t.Fatalf("nobody asks for it any more: %+v", advertised)
 	}
