--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// borrowNamed asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
-func (s *singleReplica) borrowNamed(gateway string, rate float64, age time.Duration) float64 {
+// requestAdvertisedShare asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
+func (s *singleReplica) requestAdvertisedShare(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
 	response := s.ask(Request{Borrow: &allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{item}}})
@@ -146,7 +146,7 @@
 	s := openFleetWithQuota(t)
 	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
-			lent += s.borrowNamed([]string{"g1", "g2", "g3"}[i%3], 4, 0)
+			lent += s.requestAdvertisedShare([]string{"g1", "g2", "g3"}[i%3], 4, 0)
 			s.advance(20 * time.Millisecond)
 		}
 		return lent
