--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -34,8 +34,8 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestLeaderLendsNoMoreThanTheLimit, and begins with nothing: what an earlier leader lent is not lent again.
-func TestLeaderLendsNoMoreThanTheLimit(t *testing.T) {
+// TestGrantsStayWithinLimit, and begins with nothing: what an earlier leader lent is not lent again.
+func TestGrantsStayWithinLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	if lent := s.requestShare("g1", 40); lent != 0 {
 		t.Fatalf("%v lent of a limit that has just come", lent)
