--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestLoweredLimitBindsTheLeaderAtOnce.
-func TestLoweredLimitBindsTheLeaderAtOnce(t *testing.T) {
+// TestLoweredLimitAppliesImmediately.
+func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
 	s.setQuota(3, 10)
