--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestSilentGatewaysKeepTheirParts: what gateways out of touch use by themselves is kept back until they may trust their view
+// TestSharesOfSilentGatewaysAreWithheld: what gateways out of touch use by themselves is kept back until they may trust their view
 // no more.
-func TestSilentGatewaysKeepTheirParts(t *testing.T) {
+func TestSharesOfSilentGatewaysAreWithheld(t *testing.T) {
 	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.watchNow("g2", RosterVersion{})
