--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestNewLeaderKnowsHowManyShareTheParts: the first gateways that ask a new leader are told of all that asked the last one, else each
+// TestNewLeaderReportsAllGateways: the first gateways that ask a new leader are told of all that asked the last one, else each
 // would take the whole for its equal part (soak, kept plan: 121,164 units in 4 s where 120,000 were allowed).
-func TestNewLeaderKnowsHowManyShareTheParts(t *testing.T) {
+func TestNewLeaderReportsAllGateways(t *testing.T) {
 	s := openFleetWithQuota(t)
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
 		s.watchNow(gateway, RosterVersion{})
