--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -140,9 +140,9 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestLeaderLendsPartsOfNamedLimits: to all gateways together what a back end names, whatever documents say, from nothing on, and a new leader
+// TestGrantsStayWithinAdvertisedLimit: to all gateways together what a back end names, whatever documents say, from nothing on, and a new leader
 // from nothing again; status shows it.
-func TestLeaderLendsPartsOfNamedLimits(t *testing.T) {
+func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	ask := func(s *singleReplica, length time.Duration) (lent float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
