--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -17,7 +17,9 @@
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-func (s *singleReplica) ledger() *quarantine.Registry { return s.replica.machine.catalog.Quarantine() }
+func (s *singleReplica) quarantineRegistry() *quarantine.Registry {
+	return s.replica.machine.catalog.Quarantine()
+}
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
@@ -54,7 +56,7 @@
 func TestCountOutlivesTheLeader(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
-	seed := s.ledger().Update().Seed
+	seed := s.quarantineRegistry().Update().Seed
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashing)
 	}
@@ -63,11 +65,11 @@
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
-	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold || !slices.Equal(s.ledger().Update().Seed, seed) {
-		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.ledger().Update().Seed, seed))
+	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold || !slices.Equal(s.quarantineRegistry().Update().Seed, seed) {
+		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.quarantineRegistry().Update().Seed, seed))
 	}
 	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{crashing}, Reason: quarantine.ReasonOperator}}}}})
-	if got := s.ledger().CrashCount(crashing); got != 0 {
+	if got := s.quarantineRegistry().CrashCount(crashing); got != 0 {
 		t.Fatalf("%d lives after an operator's release", got)
 	}
 }
@@ -85,19 +87,19 @@
 		s.advance(3 * time.Second)
 	}
 	skip(suspectTTL - 10*time.Second)
-	if s.ledger().CrashCount(other) != 1 {
+	if s.quarantineRegistry().CrashCount(other) != 1 {
 		t.Fatal("forgotten early")
 	}
 	skip(20 * time.Second)
-	if s.ledger().CrashCount(other) != 0 || s.ledger().CrashCount(crashing) != quarantine.QuarantineThreshold {
-		t.Fatalf("%d and %d lives after an hour", s.ledger().CrashCount(other), s.ledger().CrashCount(crashing))
+	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashing) != quarantine.QuarantineThreshold {
+		t.Fatalf("%d and %d lives after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
 	}
 	skip(quarantineTTL - suspectTTL)
-	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
+	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
 	s.reportCrash("i-4", crashing)
-	if got := s.ledger().CrashCount(crashing); got != quarantine.QuarantineThreshold {
+	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d lives after one more", got)
 	}
 }
