--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -21,8 +21,8 @@
 	return s.replica.machine.catalog.Quarantine()
 }
 
-// TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
-func TestEndedLivesAreToldToGateways(t *testing.T) {
+// TestCrashesAreReportedToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
+func TestCrashesAreReportedToGateways(t *testing.T) {
 	s := openFleet(t)
 	first := s.watchNow("g1", RosterVersion{})
 	if len(first.Quarantine.Seed) != quarantine.SeedBytes {
