--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestCountOutlivesTheLeader: and the loss of every process; a replica that starts from a snapshot releases as any other.
-func TestCountOutlivesTheLeader(t *testing.T) {
+// TestCrashCountsSurviveRestart: and the loss of every process; a replica that starts from a snapshot releases as any other.
+func TestCrashCountsSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	seed := s.quarantineRegistry().Update().Seed
