--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestOldLivesAreForgotten: what isn't held back after an hour; what is held back may be tried again after a day, and one more life holds
+// TestCrashCountsExpire: what isn't held back after an hour; what is held back may be tried again after a day, and one more life holds
 // it back again.
-func TestOldLivesAreForgotten(t *testing.T) {
+func TestCrashCountsExpire(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
