--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -76,9 +76,9 @@
 	t.Cleanup(func() { _ = server.Close(context.Background()) })
 }
 
-// TestClientComesBackToAStartedLeader: an address that gave no answer since its process was only starting is asked again
+// TestClientRetriesRestartedLeader: an address that gave no answer since its process was only starting is asked again
 // soon when it is named as leader (nilewash-ops, inc-8fe3: gateways found the leader 1.9 s after its election).
-func TestClientComesBackToAStartedLeader(t *testing.T) {
+func TestClientRetriesRestartedLeader(t *testing.T) {
 	leader := freeLoopback(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
