--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -64,8 +64,8 @@
 	return listener.Addr().String()
 }
 
-// listenWith gives the same answer to every question at an address until the test ends.
-func listenWith(t *testing.T, address string, response Response) {
+// serveResponse gives the same answer to every question at an address until the test ends.
+func serveResponse(t *testing.T, address string, response Response) {
 	t.Helper()
 	server, err := transport.Listen(address, "", func(_ transport.Request, respond transport.Respond) {
 		respond(http.StatusOK, response)
@@ -87,8 +87,8 @@
 		t.Fatal("answered before it listened")
 	}
 	follower := freeLoopback(t)
-	listenWith(t, leader, Response{Kind: ResponseOK})
-	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
+	serveResponse(t, leader, Response{Kind: ResponseOK})
+	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client.SetAddresses([]string{follower})
 	if _, err := client.Ask(ctx, Request{Status: &StatusRequest{}}); err != nil {
 		t.Fatal(err)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -109,8 +109,8 @@
 	}
 	defer silent.Close()
 	leader, follower := freeLoopback(t), freeLoopback(t)
-	listenWith(t, leader, Response{Kind: ResponseOK})
-	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
+	serveResponse(t, leader, Response{Kind: ResponseOK})
+	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client := NewClient(transport.NewClient("", nil), []string{silent.Addr().String(), follower})
 	client.lastFailure.Store(&failure{address: leader, at: clock.Now()})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
