--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -32,7 +32,7 @@
 			asked <- struct{}{}
 		}
 	}()
-	follower := freeLoopback(t)
+	follower := freeLoopbackAddress(t)
 	server, err := transport.Listen(follower, "", func(request transport.Request, respond transport.Respond) {
 		if !json.Valid(request.Body) {
 			t.Error("malformed request")
@@ -54,7 +54,7 @@
 	}
 }
 
-func freeLoopback(t *testing.T) string {
+func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,14 +79,14 @@
 // TestClientRetriesRestartedLeader: an address that gave no answer since its process was only starting is asked again
 // soon when it is named as leader (nilewash-ops, inc-8fe3: gateways found the leader 1.9 s after its election).
 func TestClientRetriesRestartedLeader(t *testing.T) {
-	leader := freeLoopback(t)
+	leader := freeLoopbackAddress(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	if _, err := client.AskOnce(ctx, Request{Status: &StatusRequest{}}); err == nil {
 		t.Fatal("answered before it listened")
 	}
-	follower := freeLoopback(t)
+	follower := freeLoopbackAddress(t)
 	serveResponse(t, leader, Response{Kind: ResponseOK})
 	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client.SetAddresses([]string{follower})
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	leader, follower := freeLoopback(t), freeLoopback(t)
+	leader, follower := freeLoopbackAddress(t), freeLoopbackAddress(t)
 	serveResponse(t, leader, Response{Kind: ResponseOK})
 	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client := NewClient(transport.NewClient("", nil), []string{silent.Addr().String(), follower})
