--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -183,7 +183,7 @@
 }
 
 // startRollouts begins with the back ends that lag most, the least used first, a few at a time.
-func (r *Replica) startRollouts(now time.Duration, busy int, used map[string]int) {
+func (r *Replica) startRollouts(now time.Duration, busy int, running map[string]int) {
 	var outdated []string
 	engines := 0
 	instances := r.machine.catalog.Instances()
@@ -198,7 +198,7 @@
 		}
 	}
 	slices.SortStableFunc(outdated, func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(used[a], used[b]))
+		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(running[a], running[b]))
 	})
 	maxBusy := atOnce(engines, drainShare)
 	for _, id := range outdated {
