--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -128,17 +128,17 @@
 	busy := 0
 	ids := r.rolloutsByDrainDeadline()
 	loads := r.countLoads()
-	used := r.runningByInstance(now)
+	running := r.runningByInstance(now)
 	r.leader.ackedRoster = r.rosterTaken(now)
 	r.leader.underCapacity = r.stressed(now)
 	for _, id := range ids {
 		state := r.member(now, id)
-		r.stepRollout(now, instances[id], state, &loads, used[id])
+		r.stepRollout(now, instances[id], state, &loads, running[id])
 		if state.rollout.blocksNewRequests() || state.rollout.phase == phaseQuerying {
 			busy++
 		}
 	}
-	r.startRollouts(now, busy, used)
+	r.startRollouts(now, busy, running)
 }
 
 // rolloutsByDrainDeadline returns the back ends whose weights are being replaced, those first that have been turned away from for longest.
