--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -192,8 +192,8 @@
 		if state.engine() {
 			engines++
 		}
-		_, _, lags := r.outdatedModel(instances[id], state)
-		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
+		_, _, isOutdated := r.outdatedModel(instances[id], state)
+		if (isOutdated || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
 			outdated = append(outdated, id)
 		}
 	}
