--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -360,11 +360,11 @@
 		return
 	}
 	r.takeVersions(now, state, result.Versions)
-	done := state.versions[state.rollout.model] >= state.rollout.version
+	loaded := state.versions[state.rollout.model] >= state.rollout.version
 	switch {
 	case result.Busy:
 		r.setPhase(state, phaseLoading, now+nextCheck)
-	case done:
+	case loaded:
 		r.leader.noteLoad(now, state.rollout.acceptedAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
