--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -346,9 +346,9 @@
 }
 
 func (r *Replica) handleQueryResult(now time.Duration, state *memberState, result WeightsResult) {
-	loads := state.rollout.phase == phaseLoading
+	loading := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
-	if !loads && !uncertain && state.rollout.phase != phaseQuerying {
+	if !loading && !uncertain && state.rollout.phase != phaseQuerying {
 		return
 	}
 	if result.Kind != WeightsReported || result.fromOtherIncarnation() {
@@ -370,7 +370,7 @@
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
 		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
-	case loads && now < state.rollout.orderedAt+loadTimeout:
+	case loading && now < state.rollout.orderedAt+loadTimeout:
 		r.setPhase(state, phaseLoading, now+nextCheck)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
