--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -136,70 +136,70 @@
 	keyOwners      map[string]string // tenant name by API key
 }
 
-func (c *validator) report(where, message string) {
-	c.problems = append(c.problems, Problem{Where: where, Message: message})
+func (v *validator) report(where, message string) {
+	v.problems = append(v.problems, Problem{Where: where, Message: message})
 }
 
-func (c *validator) service(service Service) {
+func (v *validator) service(service Service) {
 	where := fmt.Sprintf("service %q", service.Name)
 	if service.Name == "" {
-		c.report(where, "name is missing")
+		v.report(where, "name is missing")
 	}
-	if c.services[service.Name] {
-		c.report(where, "is defined more than once")
+	if v.services[service.Name] {
+		v.report(where, "is defined more than once")
 	}
-	c.services[service.Name] = true
+	v.services[service.Name] = true
 }
 
-func (c *validator) route(route *Route) {
+func (v *validator) route(route *Route) {
 	where := fmt.Sprintf("route %q", route.Name)
 	hostAndPrefix := route.Host + route.PathPrefix
-	if other, taken := c.routesByPrefix[hostAndPrefix]; taken {
-		c.report(where, fmt.Sprintf("has the same host and path prefix as route %q", other))
+	if other, taken := v.routesByPrefix[hostAndPrefix]; taken {
+		v.report(where, fmt.Sprintf("has the same host and path prefix as route %q", other))
 	}
-	c.routesByPrefix[hostAndPrefix] = route.Name
+	v.routesByPrefix[hostAndPrefix] = route.Name
 	if route.Host == "" || !hasOuterSlashes(route.PathPrefix) {
-		c.report(where, "needs a host and a path prefix that starts and ends with a slash")
+		v.report(where, "needs a host and a path prefix that starts and ends with a slash")
 	}
 	if route.Timeout <= 0 {
-		c.report(where, "timeout must be positive")
+		v.report(where, "timeout must be positive")
 	}
-	c.targets(where, route.Targets)
+	v.targets(where, route.Targets)
 }
 
 func hasOuterSlashes(prefix string) bool {
 	return len(prefix) > 0 && prefix[0] == '/' && prefix[len(prefix)-1] == '/'
 }
 
-func (c *validator) targets(where string, targets []Target) {
+func (v *validator) targets(where string, targets []Target) {
 	sum := 0
 	for _, target := range targets {
-		if !c.services[target.Service] {
-			c.report(where, fmt.Sprintf("refers to unknown service %q", target.Service))
+		if !v.services[target.Service] {
+			v.report(where, fmt.Sprintf("refers to unknown service %q", target.Service))
 		}
 		if target.Weight < 0 {
-			c.report(where, "has a negative weight")
+			v.report(where, "has a negative weight")
 		}
 		sum += target.Weight
 	}
 	if sum <= 0 {
-		c.report(where, "target weights sum to 0")
+		v.report(where, "target weights sum to 0")
 	}
 }
 
-func (c *validator) tenant(tenant Tenant) {
+func (v *validator) tenant(tenant Tenant) {
 	where := fmt.Sprintf("tenant %q", tenant.Name)
 	if tenant.Name == "" {
-		c.report(where, "name is missing")
+		v.report(where, "name is missing")
 	}
 	if quota := tenant.Quota; quota.Rate < 0 || quota.Burst < 0 || quota.DefaultTokens < 0 {
-		c.report(where, "has a negative quota")
+		v.report(where, "has a negative quota")
 	}
 	for _, key := range tenant.Keys {
-		if owner, taken := c.keyOwners[key]; taken && owner != tenant.Name {
-			c.report(where, fmt.Sprintf("shares an API key with tenant %q", owner))
+		if owner, taken := v.keyOwners[key]; taken && owner != tenant.Name {
+			v.report(where, fmt.Sprintf("shares an API key with tenant %q", owner))
 		}
-		c.keyOwners[key] = tenant.Name
+		v.keyOwners[key] = tenant.Name
 	}
 }
 
