--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -162,8 +162,8 @@
 
 // MaxHashWeight returns the highest hash weight of the backends of a service that are in use.
 func (m *Machine) MaxHashWeight(service string) uint64 {
-	if bound, known := m.maxHashWeights[service]; known {
-		return bound
+	if highest, known := m.maxHashWeights[service]; known {
+		return highest
 	}
 	return math.MaxUint64
 }
