--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -136,8 +136,8 @@
 
 // InstanceByName returns the registered incarnation of the backend with the given name.
 func (m *Machine) InstanceByName(name string) (Instance, bool) {
-	id, tells := m.incarnations.currentID(name)
-	if !tells {
+	id, found := m.incarnations.currentID(name)
+	if !found {
 		id = Incarnation{Name: name}.ID()
 	}
 	instance, known := m.instances[id]
