--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -253,14 +253,14 @@
 
 // Lookup appends the engines that hold a prefix of the chain to matches, the longest prefix first, each engine once.
 func (x *Index) Lookup(chain []Hash, now time.Duration, matches []Match) []Match {
-	longestHeldPrefix := x.longestHeldPrefix(chain, ticks(now))
-	if longestHeldPrefix == 0 {
+	longest := x.longestHeldPrefix(chain, ticks(now))
+	if longest == 0 {
 		return matches
 	}
 	start := len(matches)
 	last := -1
 	for _, fraction := range probeFractions {
-		position := int(fraction * float64(longestHeldPrefix-1))
+		position := int(fraction * float64(longest-1))
 		if position == last {
 			continue
 		}
