--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -117,7 +117,7 @@
 }
 
 // MarkSynced records that a version is synced to disk, so that the next heartbeat acknowledges it.
-func (m *Machine) MarkSynced(saved Settings) { m.synced = saved }
+func (m *Machine) MarkSynced(synced Settings) { m.synced = synced }
 
 // Synced returns the newest synced version.
 func (m *Machine) Synced() Settings { return m.synced }
