--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -99,14 +99,14 @@
 
 // otherPeers returns all routers but this one, those of its own zone first.
 func (m *Machine) otherPeers() []control.Peer {
-	others := []control.Peer{}
+	peers := []control.Peer{}
 	for _, peer := range m.peers.Peers {
 		if peer.Name != m.identity.Router {
-			others = append(others, peer)
+			peers = append(peers, peer)
 		}
 	}
-	slices.SortStableFunc(others, func(a, b control.Peer) int { return m.zoneDistance(a) - m.zoneDistance(b) })
-	return others
+	slices.SortStableFunc(peers, func(a, b control.Peer) int { return m.zoneDistance(a) - m.zoneDistance(b) })
+	return peers
 }
 
 func (m *Machine) zoneDistance(peer control.Peer) int {
