--- a/internal/catalog/life.go
+++ b/internal/catalog/life.go
@@ -20,11 +20,11 @@
 )
 
 // ID returns the unique name of this incarnation, used as Instance.ID.
-func (l Incarnation) ID() string {
-	if l.StartedMS == 0 && !strings.Contains(l.Name, startTimeSeparator) {
-		return l.Name
+func (i Incarnation) ID() string {
+	if i.StartedMS == 0 && !strings.Contains(i.Name, startTimeSeparator) {
+		return i.Name
 	}
-	return l.Name + startTimeSeparator + strconv.FormatInt(l.StartedMS, decimal)
+	return i.Name + startTimeSeparator + strconv.FormatInt(i.StartedMS, decimal)
 }
 
 // ParseInstanceID returns the incarnation with the given id.
@@ -41,8 +41,8 @@
 }
 
 // StartedBefore reports whether both incarnations have a start time and this one started earlier.
-func (l Incarnation) StartedBefore(other Incarnation) bool {
-	return l.StartedMS > 0 && l.StartedMS < other.StartedMS
+func (i Incarnation) StartedBefore(other Incarnation) bool {
+	return i.StartedMS > 0 && i.StartedMS < other.StartedMS
 }
 
 // incarnations tracks the incarnations that have a start time, to find out which one of a backend is the latest.
