--- a/internal/catalog/life_test.go
+++ b/internal/catalog/life_test.go
@@ -43,10 +43,10 @@
 	if err := json.Unmarshal(data, restored); err != nil {
 		t.Fatal(err)
 	}
-	for born := int64(1); born < 12; born++ {
-		instance := Instance{ID: Incarnation{Name: "e", StartedMS: born}.ID(), Service: "s", Address: "a"}
+	for startedMS := int64(1); startedMS < 12; startedMS++ {
+		instance := Instance{ID: Incarnation{Name: "e", StartedMS: startedMS}.ID(), Service: "s", Address: "a"}
 		if m.Accepts(instance) != restored.Accepts(instance) {
-			t.Errorf("incarnation started at %d: accepted %t, after restoring the snapshot %t", born, m.Accepts(instance), restored.Accepts(instance))
+			t.Errorf("incarnation started at %d: accepted %t, after restoring the snapshot %t", startedMS, m.Accepts(instance), restored.Accepts(instance))
 		}
 	}
 }
