--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -80,8 +80,8 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"e", "f"} {
-		for born := range int64(4) {
-			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
+		for startedMS := range int64(4) {
+			instance := Instance{ID: Incarnation{Name: name, StartedMS: startedMS}.ID(), Service: "s"}
 			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsCommand(instance.ID) != restored.MayHaveWeightsCommand(instance.ID) {
 				t.Fatalf("%s: accepted %t, may have weights command %t; differs after restoring the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
 			}
