--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -93,16 +93,16 @@
 	})
 }
 
-func (o *referenceModel) check(t *rapid.T, machine *Machine) {
-	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
-		t.Fatalf("document %+v, want revision %d with content %q", machine.Document(), o.revision, o.content)
+func (r *referenceModel) check(t *rapid.T, machine *Machine) {
+	if machine.Document().Revision != r.revision || strings.Trim(string(machine.Document().Source), `"`) != r.content {
+		t.Fatalf("document %+v, want revision %d with content %q", machine.Document(), r.revision, r.content)
 	}
-	if machine.LatestVersions()["m"] != o.versions["m"] {
-		t.Fatalf("latest version %d, want %d", machine.LatestVersions()["m"], o.versions["m"])
+	if machine.LatestVersions()["m"] != r.versions["m"] {
+		t.Fatalf("latest version %d, want %d", machine.LatestVersions()["m"], r.versions["m"])
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
-		if o.departed[id] {
+		if r.departed[id] {
 			t.Fatalf("%s is registered after it was deregistered", id)
 		}
 		if other, taken := addresses[instance.Address]; taken {
