--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -18,12 +18,12 @@
 	prompt := []byte(strings.Repeat("the same text ", 40))
 	h := testHasher()
 	seen := map[Hash]string{}
-	for _, place := range [][2]string{{"a", "w1"}, {"b", "w1"}, {"a", "w2"}, {"aw", "1"}, {"", "aw1"}} {
-		for _, hash := range h.Chain(place[0], place[1], prompt) {
+	for _, seed := range [][2]string{{"a", "w1"}, {"b", "w1"}, {"a", "w2"}, {"aw", "1"}, {"", "aw1"}} {
+		for _, hash := range h.Chain(seed[0], seed[1], prompt) {
 			if other, met := seen[hash]; met {
-				t.Fatalf("%v has a block hash in common with %s", place, other)
+				t.Fatalf("%v has a block hash in common with %s", seed, other)
 			}
-			seen[hash] = place[0] + "/" + place[1]
+			seen[hash] = seed[0] + "/" + seed[1]
 		}
 	}
 }
