--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -20,7 +20,7 @@
 	seen := map[Hash]string{}
 	for _, seed := range [][2]string{{"a", "w1"}, {"b", "w1"}, {"a", "w2"}, {"aw", "1"}, {"", "aw1"}} {
 		for _, hash := range h.Chain(seed[0], seed[1], prompt) {
-			if other, met := seen[hash]; met {
+			if other, shared := seen[hash]; shared {
 				t.Fatalf("%v has a block hash in common with %s", seed, other)
 			}
 			seen[hash] = seed[0] + "/" + seed[1]
