--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
 // Package gateway implements a stateless data plane node. It accepts callers' requests on the routes of the current
-// configuration document, selects a back end, relays bodies unchanged, and decides which failed requests may be retried.
+// configuration document, selects a back end, relays bodies unchanged, and decides which failed requests may be
+// retried.
 //
 // Its configuration and roster come from control, which it watches with long polls. A view counts as confirmed from
 // the time at which the poll was sent. Requests that need an API key are rejected while the confirmed view is older
