--- a/internal/catalog/lives_property_test.go
+++ b/internal/catalog/lives_property_test.go
@@ -7,22 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-// drawInstance draws one of few lives of few back ends, at one of few addresses.
+// drawInstance draws an instance from a small set of incarnations and addresses, so that they often collide.
 func drawInstance(t *rapid.T) Instance {
-	life := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
+	incarnation := Incarnation{Name: rapid.SampledFrom([]string{"e", "f"}).Draw(t, "name"), StartedMS: rapid.Int64Range(0, 3).Draw(t, "born")}
 	return Instance{
-		ID: life.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
+		ID: incarnation.ID(), Service: rapid.SampledFrom([]string{"s", "r"}).Draw(t, "service"),
 		Address: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"),
 		State:   rapid.SampledFrom([]State{StateReady, StateDraining}).Draw(t, "state"),
 	}
 }
 
-// TestOneLifeOfEachBackEnd: whatever comes in whatever order, one life of a name is registered at most, one instance at an address; a life
-// that left is taken no more; and a replica that was sent a snapshot takes the same ones as its writer.
-func TestOneLifeOfEachBackEnd(t *testing.T) {
+// TestOneIncarnationPerBackendAndAddress checks, for random commands, that at most one incarnation per name and one
+// instance per address is registered, that departed incarnations stay rejected, and that a snapshot preserves this.
+func TestOneIncarnationPerBackendAndAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
-		left := map[string]bool{}
+		departed := map[string]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			instance := drawInstance(t)
 			switch rapid.SampledFrom([]string{"register", "join", "drain", "forget", "leave", "leave by name", "order"}).Draw(t, "command") {
@@ -35,40 +35,40 @@
 			case "forget":
 				m.Apply(Command{Expire: instance.ID})
 			case "leave":
-				left[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || left[instance.ID]
+				departed[instance.ID] = ParseInstanceID(instance.ID).StartedMS > 0 || departed[instance.ID]
 				m.Apply(Command{Deregister: instance.ID})
 			case "leave by name":
-				if held, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
-					left[held.ID] = true
+				if current, known := m.InstanceByName(ParseInstanceID(instance.ID).Name); known {
+					departed[current.ID] = true
 				}
 				m.Apply(Command{Deregister: ParseInstanceID(instance.ID).Name})
 			case "order":
 				m.Apply(Command{WeightsCommandTargets: []string{instance.ID}})
 			}
-			checkLives(t, m, left)
+			checkInvariants(t, m, departed)
 		}
 	})
 }
 
-func checkLives(t *rapid.T, m *Machine, left map[string]bool) {
+func checkInvariants(t *rapid.T, m *Machine, departed map[string]bool) {
 	names, addresses := map[string]string{}, map[string]string{}
 	for id, instance := range m.Instances() {
 		name := ParseInstanceID(id).Name
 		if other, taken := names[name]; taken {
-			t.Fatalf("%s and %s are registered", id, other)
+			t.Fatalf("%s and %s are registered with the same name", id, other)
 		}
 		if other, taken := addresses[instance.Address]; taken {
-			t.Fatalf("%s and %s stand at %s", id, other, instance.Address)
+			t.Fatalf("%s and %s are both registered at %s", id, other, instance.Address)
 		}
 		names[name], addresses[instance.Address] = id, id
 		if at, _ := m.InstanceAt(instance.Address); at.ID != id {
-			t.Fatalf("%s stands at %s, where %q is known", id, instance.Address, at.ID)
+			t.Fatalf("%s is registered at %s, but InstanceAt returns %q", id, instance.Address, at.ID)
 		}
 		if named, _ := m.InstanceByName(name); named.ID != id {
-			t.Fatalf("%s is registered, and named %q", id, named.ID)
+			t.Fatalf("%s is registered, but InstanceByName returns %q", id, named.ID)
 		}
-		if left[id] {
-			t.Fatalf("%s is registered after it left", id)
+		if departed[id] {
+			t.Fatalf("%s is registered after it was deregistered", id)
 		}
 	}
 	data, err := json.Marshal(m)
@@ -80,10 +80,10 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"e", "f"} {
-		for born := range int64(4) {
-			instance := Instance{ID: Incarnation{Name: name, StartedMS: born}.ID(), Service: "s"}
+		for startedMS := range int64(4) {
+			instance := Instance{ID: Incarnation{Name: name, StartedMS: startedMS}.ID(), Service: "s"}
 			if m.Accepts(instance) != restored.Accepts(instance) || m.MayHaveWeightsCommand(instance.ID) != restored.MayHaveWeightsCommand(instance.ID) {
-				t.Fatalf("%s: taken %t, ordered %t, and otherwise from the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
+				t.Fatalf("%s: accepted %t, may have weights command %t; differs after restoring the snapshot", instance.ID, m.Accepts(instance), m.MayHaveWeightsCommand(instance.ID))
 			}
 		}
 	}
--- a/internal/catalog/machine_test.go
+++ b/internal/catalog/machine_test.go
@@ -11,22 +11,22 @@
 	"pgregory.net/rapid"
 )
 
-// oracle is what operators and back ends may rely on, kept as plainly as possible.
-type oracle struct {
+// referenceModel is a minimal model of the guarantees to operators and backends.
+type referenceModel struct {
 	revision uint64
 	content  string
-	left     map[string]bool // said that they leave
+	departed map[string]bool // deregistered
 	draining map[string]bool
 	versions map[string]uint64
 	fence    uint64
 }
 
-// TestMachineAgreesWithOracle drives the machine with any order of commands, old and doubled ones among them, and through
+// TestMachineMatchesReferenceModel applies random commands, including outdated and repeated ones, and restores
 // snapshots.
-func TestMachineAgreesWithOracle(t *testing.T) {
+func TestMachineMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
-		expected := &oracle{left: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
+		expected := &referenceModel{departed: map[string]bool{}, draining: map[string]bool{}, versions: map[string]uint64{}}
 		instance := func() string { return fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "instance")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"replace": func(t *rapid.T) {
@@ -55,7 +55,7 @@
 			"remove": func(t *rapid.T) {
 				id := instance()
 				machine.Apply(Command{Deregister: id})
-				expected.left[id] = true
+				expected.departed[id] = true
 			},
 			"forget": func(t *rapid.T) {
 				id := instance()
@@ -68,11 +68,11 @@
 				expected.versions["m"] = max(expected.versions["m"], version)
 			},
 			"fence": func(t *rapid.T) {
-				given := machine.Apply(Command{Fence: true}).Fence
-				if given <= expected.fence {
-					t.Fatalf("fence %d after %d", given, expected.fence)
+				fence := machine.Apply(Command{Fence: true}).Fence
+				if fence <= expected.fence {
+					t.Fatalf("got fencing token %d after %d", fence, expected.fence)
 				}
-				expected.fence = given
+				expected.fence = fence
 			},
 			"snapshot": func(t *rapid.T) {
 				data, err := json.Marshal(machine)
@@ -84,7 +84,7 @@
 					t.Fatal(err)
 				}
 				if !reflect.DeepEqual(restored.instances, machine.instances) || !reflect.DeepEqual(restored.departed, machine.departed) {
-					t.Fatalf("restored %+v, was %+v", restored, machine)
+					t.Fatalf("restored %+v, want %+v", restored, machine)
 				}
 				machine = restored
 			},
@@ -93,27 +93,27 @@
 	})
 }
 
-func (o *oracle) check(t *rapid.T, machine *Machine) {
-	if machine.Document().Revision != o.revision || strings.Trim(string(machine.Document().Source), `"`) != o.content {
-		t.Fatalf("document %+v, expected revision %d %q", machine.Document(), o.revision, o.content)
+func (r *referenceModel) check(t *rapid.T, machine *Machine) {
+	if machine.Document().Revision != r.revision || strings.Trim(string(machine.Document().Source), `"`) != r.content {
+		t.Fatalf("document %+v, want revision %d with content %q", machine.Document(), r.revision, r.content)
 	}
-	if machine.LatestVersions()["m"] != o.versions["m"] {
-		t.Fatalf("version %d, expected %d", machine.LatestVersions()["m"], o.versions["m"])
+	if machine.LatestVersions()["m"] != r.versions["m"] {
+		t.Fatalf("latest version %d, want %d", machine.LatestVersions()["m"], r.versions["m"])
 	}
 	addresses := map[string]string{}
 	for id, instance := range machine.Instances() {
-		if o.left[id] {
-			t.Fatalf("%s is listed after it left", id)
+		if r.departed[id] {
+			t.Fatalf("%s is registered after it was deregistered", id)
 		}
 		if other, taken := addresses[instance.Address]; taken {
-			t.Fatalf("%s and %s have one address", id, other)
+			t.Fatalf("%s and %s are registered at the same address", id, other)
 		}
 		addresses[instance.Address] = id
 	}
 }
 
-// goodDocument passes every check.
-func goodDocument() Document {
+// validDocument returns a document without problems.
+func validDocument() Document {
 	return Document{
 		Revision: 1, Services: []Service{{Name: "s"}},
 		Routes:  []Route{{Name: "r", Host: "h", PathPrefix: "/a/", Timeout: time.Second, Targets: []Target{{Service: "s", Weight: 1}}}},
@@ -121,33 +121,33 @@
 	}
 }
 
-// TestCheckNamesWhatIsWrong: each fault is found and its place is named.
-func TestCheckNamesWhatIsWrong(t *testing.T) {
-	good := goodDocument()
-	if problems := good.Validate(); len(problems) > 0 {
-		t.Fatalf("problems %v", problems)
+// TestValidateReportsEachProblem checks that each problem is reported with its location.
+func TestValidateReportsEachProblem(t *testing.T) {
+	valid := validDocument()
+	if problems := valid.Validate(); len(problems) > 0 {
+		t.Fatalf("problems of a valid document: %v", problems)
 	}
 	faults := map[string]func(*Document){
-		"document: its revision":             func(d *Document) { d.Revision = 0 },
-		`route "r": names the unknown`:       func(d *Document) { d.Routes[0].Targets[0].Service = "x" },
-		`route "r2": has the host and path`:  func(d *Document) { d.Routes = append(d.Routes, d.Routes[0]); d.Routes[1].Name = "r2" },
-		`route "r": its weights sum to 0`:    func(d *Document) { d.Routes[0].Targets[0].Weight = 0 },
-		`route "r": has a weight below 0`:    func(d *Document) { d.Routes[0].Targets[0].Weight = -1 },
-		`route "r": its time limit`:          func(d *Document) { d.Routes[0].Timeout = 0 },
-		`route "r": needs a host`:            func(d *Document) { d.Routes[0].PathPrefix = "/a" },
-		`tenant "u": shares an API key with`: func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
-		`service "s": stands there twice`:    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
+		"document: revision must":                func(d *Document) { d.Revision = 0 },
+		`route "r": refers to unknown`:           func(d *Document) { d.Routes[0].Targets[0].Service = "x" },
+		`route "r2": has the same host and path`: func(d *Document) { d.Routes = append(d.Routes, d.Routes[0]); d.Routes[1].Name = "r2" },
+		`route "r": target weights sum to 0`:     func(d *Document) { d.Routes[0].Targets[0].Weight = 0 },
+		`route "r": has a negative weight`:       func(d *Document) { d.Routes[0].Targets[0].Weight = -1 },
+		`route "r": timeout must`:                func(d *Document) { d.Routes[0].Timeout = 0 },
+		`route "r": needs a host`:                func(d *Document) { d.Routes[0].PathPrefix = "/a" },
+		`tenant "u": shares an API key with`:     func(d *Document) { d.Tenants = append(d.Tenants, Tenant{Name: "u", Keys: []string{"k"}}) },
+		`service "s": is defined more than once`: func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 	}
-	for wanted, spoil := range faults {
-		document := goodDocument()
-		spoil(&document)
+	for want, corrupt := range faults {
+		document := validDocument()
+		corrupt(&document)
 		problems := document.Validate()
 		found := false
 		for _, problem := range problems {
-			found = found || strings.HasPrefix(problem.String(), wanted)
+			found = found || strings.HasPrefix(problem.String(), want)
 		}
 		if !found {
-			t.Errorf("%q is not among %v", wanted, problems)
+			t.Errorf("no problem with prefix %q in %v", want, problems)
 		}
 	}
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -36,7 +36,7 @@
 		}
 		return a.rejected(response, info)
 	case !x.route.Retryable() && statusImpliesNotRun(response.StatusCode):
-		return a.invalidResponse("status implies that the request did not run, but the back end doesn't confirm it: " + response.Status)
+		return a.invalidResponse("not-run status without confirmation by the back end: " + response.Status)
 	case x.headRelayed && (!info.Signed || response.StatusCode >= http.StatusMultipleChoices):
 		return a.invalidResponse("stream not resumed: " + response.Status)
 	case response.StatusCode < http.StatusMultipleChoices && !info.Signed:
@@ -142,12 +142,12 @@
 		return a.relayUnbuffered(response, body)
 	}
 	a.releaseConnection(response, nil)
-	failure := response.StatusCode >= http.StatusInternalServerError
+	isFailure := response.StatusCode >= http.StatusInternalServerError
 	a.grade = gradeGood
-	if failure {
+	if isFailure {
 		a.grade = gradeBad
 	}
-	if failure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
+	if isFailure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: response.Status}
 	}
 	x.relayHead(response, len(body))
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -85,7 +85,7 @@
 	quotaLease       cover // lease on the tenant's limit that the attempt used
 	ctx              context.Context
 	cancel           context.CancelCauseFunc
-	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil if the request can't be retried
+	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil without a timeout
 	startTimer       *time.Timer // cancels the attempt at its start deadline; nil without one; guarded by the table's mutex
 	conn             *connection
 	writeDone        chan error      // receives the result of writing the request
@@ -249,7 +249,7 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // may have arrived since the placement
+	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // a signal may have arrived meanwhile
 	if cause != "" {
 		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -19,12 +19,12 @@
 }
 
 // Describe implements prometheus.Collector.
-func (r backoffGauge) Describe(out chan<- *prometheus.Desc) { out <- r.description }
+func (g backoffGauge) Describe(out chan<- *prometheus.Desc) { out <- g.description }
 
 // Collect implements prometheus.Collector.
-func (r backoffGauge) Collect(out chan<- prometheus.Metric) {
-	for service, n := range r.gateway.table.resting(r.gateway.now()) {
-		out <- prometheus.MustNewConstMetric(r.description, prometheus.GaugeValue, float64(n), service)
+func (g backoffGauge) Collect(out chan<- prometheus.Metric) {
+	for service, n := range g.gateway.table.resting(g.gateway.now()) {
+		out <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, float64(n), service)
 	}
 }
 
@@ -108,10 +108,10 @@
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "kitetiller_gateway_" + name, Help: help}, value)
 	}
 	m.registry.MustRegister(m.requests, m.attempts, m.recheckFailures, m.limitLeases, m.firstEvent, m.unknownHeaders, m.retries, m.cacheReadFailures, m.schedulerFailures, m.uncachedTokens, m.cachedTokens, newBackoffGauge(g), newAdvertisedLimitGauge(g),
-		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { asked, _ := g.leases.RequestCounts(); return float64(asked) }),
+		gauge("limit_questions_total", "Questions to the leader for amounts of what is limited.", func() float64 { sent, _ := g.leases.RequestCounts(); return float64(sent) }),
 		gauge("limit_questions_failed_total", "Such questions that got no answer.", func() float64 { _, failed := g.leases.RequestCounts(); return float64(failed) }),
-		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
-		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, held := g.quarantine.SuspectCounts(); return float64(held) }),
+		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { suspected, _ := g.quarantine.SuspectCounts(); return float64(suspected) }),
+		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, quarantined := g.quarantine.SuspectCounts(); return float64(quarantined) }),
 		gauge("view_age_seconds", "Time since control confirmed the view; -1 never.", g.viewAge),
 		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.buffered.bytes.Load()) }),
 		gauge("active_requests", "Requests in progress.", func() float64 { return float64(g.active.Load()) }),
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,57 +22,57 @@
 		t.Fatalf("first claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c1", 1), 0, true).Kind; got != Granted {
-		t.Fatalf("resent claim: %s", got)
+		t.Fatalf("retransmitted claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != InProgress {
 		t.Fatalf("second claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c3", 2), 0, true).Kind; got != DigestMismatch {
-		t.Fatalf("other body: %s", got)
+		t.Fatalf("claim with another body: %s", got)
 	}
 }
 
-func TestReleasedClaimIsNeverGrantedLate(t *testing.T) {
+func TestReleasedClaimIsNotGrantedAgain(t *testing.T) {
 	l := New()
 	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndReleased}, 0)
 	if got := l.Claim(claim("k", "c1", 1), 0, true).Kind; got != Withdrawn {
-		t.Fatalf("late copy of a released claim: %s", got)
+		t.Fatalf("delayed copy of a released claim: %s", got)
 	}
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != Granted {
-		t.Fatalf("resend after the release: %s", got)
+		t.Fatalf("new claim after the release: %s", got)
 	}
 }
 
-func TestClosedSessionLeavesUnknown(t *testing.T) {
+func TestClosedSessionMarksRunningClaimsUnknown(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
 	l.CloseSession(Holder{Router: "r", Epoch: 1})
 	if got := l.Claim(claim("k", "c2", 1), 0, true).Kind; got != RunUnknown {
-		t.Fatalf("after the session ended: %s", got)
+		t.Fatalf("claim after the session was closed: %s", got)
 	}
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 0)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Response: &Response{Status: 200}}, 0)
 	if got := l.Claim(claim("k", "c3", 1), 0, true).Kind; got != Replayed {
-		t.Fatalf("after the late answer: %s", got)
+		t.Fatalf("claim after the late response: %s", got)
 	}
 }
 
-func TestExpiredKeyIsRefusedNotRerun(t *testing.T) {
+func TestExpiredKeyIsRejected(t *testing.T) {
 	l := New()
 	l.Claim(claim("k", "c1", 1), 0, true)
-	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Answer: &Response{Status: 200}}, 1)
+	l.End(End{Key: key("k"), ClaimID: "c1", Kind: EndFinished, Response: &Response{Status: 200}}, 1)
 	if got := l.Claim(claim("k", "c2", 1), testRetention+1, true).Kind; got != KeyExpired {
-		t.Fatalf("after the retention: %s", got)
+		t.Fatalf("claim after the retention time: %s", got)
 	}
 }
 
-// modelKey is the simple oracle's view of one key.
+// modelKey is the state of a key in the reference model.
 type modelKey struct {
 	state   State
 	claimID string
 }
 
-// TestLedgerAgainstSimpleModel drives claims, ends, lost sessions and restarts by snapshot.
-func TestLedgerAgainstSimpleModel(t *testing.T) {
+// TestLedgerMatchesReferenceModel applies random claims, ends, session closings and restarts from snapshots.
+func TestLedgerMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		model := map[string]*modelKey{}
@@ -88,9 +88,9 @@
 			},
 			"session ends": func(*rapid.T) {
 				l.CloseSession(Holder{Router: "r", Epoch: 1})
-				for _, held := range model {
-					if held.state == StateRunning {
-						held.state = StateUnknown
+				for _, expected := range model {
+					if expected.state == StateRunning {
+						expected.state = StateUnknown
 					}
 				}
 			},
@@ -110,36 +110,36 @@
 
 func checkClaim(t *rapid.T, l *Ledger, model map[string]*modelKey, name, id string) {
 	got := l.Claim(claim(name, id, 1), 0, true).Kind
-	held := model[name]
-	wanted := Granted
+	expected := model[name]
+	want := Granted
 	switch {
-	case held == nil:
+	case expected == nil:
 		model[name] = &modelKey{state: StateRunning, claimID: id}
-	case held.state == StateRunning:
-		wanted = InProgress
-	case held.state == StateFinished:
-		wanted = Replayed
+	case expected.state == StateRunning:
+		want = InProgress
+	case expected.state == StateFinished:
+		want = Replayed
 	default:
-		wanted = RunUnknown
+		want = RunUnknown
 	}
-	if got != wanted {
-		t.Fatalf("claim of %s: %s, want %s", name, got, wanted)
+	if got != want {
+		t.Fatalf("claim of %s: %s, want %s", name, got, want)
 	}
 }
 
 func endClaim(l *Ledger, model map[string]*modelKey, name string, kind EndKind) {
-	held := model[name]
-	if held == nil {
+	expected := model[name]
+	if expected == nil {
 		return
 	}
-	l.End(End{Key: key(name), ClaimID: held.claimID, Kind: kind, Answer: &Response{Status: 200}}, 0)
+	l.End(End{Key: key(name), ClaimID: expected.claimID, Kind: kind, Response: &Response{Status: 200}}, 0)
 	switch {
-	case held.state == StateFinished:
+	case expected.state == StateFinished:
 	case kind == EndReleased:
 		delete(model, name)
 	case kind == EndFinished:
-		held.state = StateFinished
+		expected.state = StateFinished
 	default:
-		held.state = StateUnknown
+		expected.state = StateUnknown
 	}
 }
