--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -7,6 +7,7 @@
 	"kitetiller/internal/ledger"
 )
 
+// heartbeat renews, opens or closes a router's session.
 func (r *Replica) heartbeat(now time.Duration, client uint64, beat Heartbeat) {
 	session, found := r.machine.sessions[beat.Router]
 	lease := r.leader.routers[beat.Router]
@@ -39,15 +40,15 @@
 	}})
 }
 
-// sessionOpened answers the heartbeat that opened a session. The lease comes with the next heartbeat, when
-// the router has acknowledged the version sent here.
+// sessionOpened returns the reply to the heartbeat that opened a session. The lease is granted by the next heartbeat,
+// once the router has acknowledged the settings version sent in this reply.
 func (r *Replica) sessionOpened(now time.Duration, client uint64, session Session) Response {
 	if r.leader == nil {
 		return Response{Kind: ResponseUnknown}
 	}
 	delete(r.leader.openProposed, session.Router)
 	if session.Epoch == 0 {
-		return Response{Kind: ResponseNoQuorum} // an older incarnation
+		return Response{Kind: ResponseNoQuorum} // the router has a newer incarnation
 	}
 	lease := &routerLease{expires: r.leaseEnd(now)}
 	r.leader.routers[session.Router] = lease
@@ -56,11 +57,11 @@
 	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.sentVersion, Tree: &tree}}
 }
 
-// leaseMarginDivisor is the part of a lease, as its inverse, by which control counts it longer than the router, so that
-// a router whose clock runs slowly has stopped when control thinks so.
+// leaseMarginDivisor sets the safety margin of a lease: the leader counts it longer than the router by this fraction
+// (1/leaseMarginDivisor) of its duration, which allows for a router whose clock runs slow.
 const leaseMarginDivisor = 8
 
-// leaseEnd returns when a lease granted now has ended at the router for certain.
+// leaseEnd returns the time by which a lease granted now has certainly expired at the router.
 func (r *Replica) leaseEnd(now time.Duration) time.Duration {
 	if !r.config.Guards.On(guard.LeaseMargin) {
 		return now + r.config.SettingsLease
@@ -68,7 +69,7 @@
 	return now + r.config.SettingsLease + r.config.SettingsLease/leaseMarginDivisor
 }
 
-// renew extends a lease, unless the router has not taken up the version it was sent before.
+// renew extends a lease, unless the router has yet to apply the settings version sent with an earlier reply.
 func (r *Replica) renew(now time.Duration, lease *routerLease, beat Heartbeat) *HeartbeatReply {
 	lease.acked = max(lease.acked, beat.Acked)
 	version := r.machine.settings.Version()
@@ -92,7 +93,7 @@
 	return reply
 }
 
-// expireSessions closes sessions whose lease has run out, which marks their running claims unknown.
+// expireSessions closes the sessions whose lease has expired, which sets their running claims to unknown.
 func (r *Replica) expireSessions(now time.Duration) {
 	for router := range r.machine.sessions {
 		if r.leader.routers[router] == nil { // opened under an earlier leader, applied after the election
@@ -113,8 +114,8 @@
 	}
 }
 
-// InForce returns the newest version that no serving router is behind: every session acknowledged it, or
-// its lease has run out.
+// InForce returns the newest settings version that no serving router is behind: every router with a session has
+// acknowledged it or its lease has expired.
 func (r *Replica) InForce(now time.Duration) uint64 {
 	inForce := r.machine.settings.Version()
 	if r.leader == nil {
