--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -11,65 +11,65 @@
 	"kitetiller/internal/mechanism"
 )
 
-// rolloutPhase tells where a back end stands in the replacement of its weights.
+// rolloutPhase is the progress of a back end's weights update.
 type rolloutPhase uint8
 
 const (
 	phaseIdle      rolloutPhase = iota
-	phaseQuerying               // its order count is being read
-	phaseDraining               // gateways send nothing new; the order follows
-	phaseOrderSent              // the order is on its way
-	phaseLoading                // the order was taken, or may have been
-	phaseUncertain              // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
-	phaseBackoff                // something failed; it is tried again later
+	phaseQuerying               // waits for a report of its weights and of the number of orders it accepted
+	phaseDraining               // gateways send no new requests; the order follows
+	phaseOrderSent              // waits for the result of the order
+	phaseLoading                // the back end loads the weights, or may
+	phaseUncertain              // the order got no answer, so it may be carried out at any time or never; requests continue
+	phaseBackoff                // waits before the next attempt after a failure
 )
 
 const (
-	// announceDelay is how long requests that are on their way have to arrive, before the order is sent.
+	// announceDelay is the minimum time between announcing and sending an order, for requests in flight to arrive.
 	announceDelay = 30 * time.Millisecond
-	// stepIntervalPerBackend is the time between two steps of the roll-out, for each back end: a step looks at all of them.
+	// stepIntervalPerBackend, times the number of back ends, is the interval between rollout steps: a step visits each
+	// of them.
 	stepIntervalPerBackend = 10 * time.Microsecond
-	// loadTimeout is how long an order may show no effect before it is given again.
+	// loadTimeout is how long after an accepted order the weights may still be missing before it is sent again.
 	loadTimeout = 2500 * time.Millisecond
-	// weightsCallTimeout is how long a call of the driver may stay without a result.
+	// weightsCallTimeout is how long the leader waits for the result of a driver call.
 	weightsCallTimeout = 3 * time.Second
-	// rolloutBackoff is the pause after a failure.
+	// rolloutBackoff is the delay after a failed call.
 	rolloutBackoff = 300 * time.Millisecond
-	// drainTimeout is how long requests that run on a back end may take to end before its order is sent; a load stops
-	// them for its time.
+	// drainTimeout is how long running requests may delay an order. A load suspends requests that still run.
 	drainTimeout = 2000 * time.Millisecond
-	// uncertainTimeout is how long an unanswered order may show no effect before it is given again, and uncertainCheck
-	// how often that is looked at.
+	// uncertainTimeout is how long after an unanswered order the weights may still be missing before it is sent again,
+	// and uncertainPollInterval how often they are queried meanwhile.
 	uncertainTimeout      = 1200 * time.Millisecond
 	uncertainPollInterval = 350 * time.Millisecond
 )
 
-// rolloutState is the leader's view of one back end's weights.
+// rolloutState is the leader's state of the weights update of one back end.
 type rolloutState struct {
 	phase           rolloutPhase
-	nextStepAt      time.Duration // when the next step is due
+	nextStepAt      time.Duration // when the next step is due or the current phase times out
 	model           string
-	version         uint64        // of the order in progress
-	announcedRoster uint64        // count of the roster that told gateways to turn away
-	drainUntil      time.Duration // when the order is sent although requests still run
+	version         uint64        // to be loaded by the current update
+	announcedRoster uint64        // roster version that tells gateways to send no new requests
+	drainUntil      time.Duration // when the order is sent even if requests still run
 	orderedAt       time.Duration
-	acceptedAt      time.Duration // when the order was taken; 0 when that is not known
-	revision        uint64        // orders that the back end has taken
+	acceptedAt      time.Duration // when the order was accepted; 0 if unknown
+	revision        uint64        // number of orders that the back end has accepted
 	revisionKnown   bool
 }
 
-// blocksNewRequests reports whether gateways must send nothing new.
+// blocksNewRequests reports whether gateways must send no new requests to the back end.
 func (s *rolloutState) blocksNewRequests() bool {
 	return s.phase == phaseDraining || s.phase == phaseOrderSent || s.phase == phaseLoading
 }
 
-// WeightsCallKind tells what a driver shall ask of a back end.
+// WeightsCallKind is the purpose of a call to a back end.
 type WeightsCallKind uint8
 
-// Kinds of calls.
+// Kinds of call.
 const (
-	WeightsQuery WeightsCallKind = iota // read which weights it holds and how many orders it took
-	WeightsOrder                        // replace its weights
+	WeightsQuery WeightsCallKind = iota // read the loaded weights and the number of accepted orders
+	WeightsOrder                        // load other weights
 )
 
 // WeightsCall is a call that a driver makes to a back end on behalf of the leader.
@@ -79,42 +79,42 @@
 	Address  string
 	Model    string
 	Version  uint64
-	Fence    uint64 // rises with every leader; back ends refuse lower ones
-	Revision uint64 // orders that the back end is expected to have taken; another count refuses the order
-	Holder   string // name of the process that gives the order
+	Fence    uint64 // rises with every leader; back ends reject lower ones
+	Revision uint64 // expected number of accepted orders; the back end rejects the order if it differs
+	Holder   string // name of the process that sends the order
 }
 
-// WeightsResultKind tells how a call ended.
+// WeightsResultKind is the outcome of a call.
 type WeightsResultKind uint8
 
-// Results of calls.
+// Outcomes of calls.
 const (
-	WeightsReported      WeightsResultKind = iota // a report came
-	WeightsAccepted                               // the order is being carried out
-	WeightsAlreadyLoaded                          // the back end holds the version already
-	WeightsBusy                                   // another order is under way, or the count differs
-	WeightsFenced                                 // a higher fence was seen
-	WeightsRejected                               // provably not taken
-	WeightsUnknown                                // no answer: it may have been taken, or may be yet
+	WeightsReported      WeightsResultKind = iota // the back end sent a report
+	WeightsAccepted                               // the back end carries out the order
+	WeightsAlreadyLoaded                          // the back end has loaded the version already
+	WeightsBusy                                   // another order is in progress, or the revision differs
+	WeightsFenced                                 // the back end has seen a higher fence
+	WeightsRejected                               // the order was certainly not accepted
+	WeightsUnknown                                // no answer: the order may have been accepted, or may be later
 )
 
-// WeightsResult is how a call ended.
+// WeightsResult is the result of a call. Versions and the fields after it are set with WeightsReported only.
 type WeightsResult struct {
 	Call      WeightsCall
 	Kind      WeightsResultKind
-	Versions  map[string]uint64 // with WeightsReported
-	Busy      bool              // with WeightsReported: an order is under way
-	Revision  uint64            // with WeightsReported
-	StartedMS int64             // with WeightsReported: start of the life that reports, in Unix ms; 0 where it doesn't tell
+	Versions  map[string]uint64 // loaded weights version, by model
+	Busy      bool              // an order is in progress
+	Revision  uint64            // number of orders that the back end has accepted
+	StartedMS int64             // start of the reporting incarnation, in Unix ms; 0 if unknown
 }
 
-// mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
-// trusts a view of another leader.
+// mayOrder reports whether this replica may send orders at all: it holds the leader lease, its fence has committed, and
+// no gateway may still use another leader's view.
 func (r *Replica) mayOrder(now time.Duration) bool {
 	return r.hasCurrentState(now) && r.leader.orderFence > 0 && r.allGatewaysFollow(now)
 }
 
-// rollOut takes the next steps towards the newest weights everywhere.
+// rollOut advances the update of all back ends to the latest published weights.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
 	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.leader.rolloutStepAt+stepIntervalPerBackend*time.Duration(len(instances)) {
@@ -141,7 +141,7 @@
 	r.startRollouts(now, busy, running)
 }
 
-// rolloutsByDrainDeadline returns the back ends whose weights are being replaced, those first that have been turned away from for longest.
+// rolloutsByDrainDeadline returns the back ends with an update in progress, in ascending order of drain deadline.
 func (r *Replica) rolloutsByDrainDeadline() []string {
 	var ids []string
 	for _, id := range r.machine.catalog.IDs() {
@@ -155,7 +155,7 @@
 	return ids
 }
 
-// requestFence asks for a fence of this leadership, once.
+// requestFence proposes a fence for this leader's orders until one has committed, at most once per weightsCallTimeout.
 func (r *Replica) requestFence(now time.Duration) {
 	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+weightsCallTimeout {
 		r.leader.fenceRequestedAt = now
@@ -163,7 +163,7 @@
 	}
 }
 
-// outdatedModel returns the model and version that a back end should hold and does not, if any.
+// outdatedModel returns a model of which a ready back end holds an old version, and the version it should load.
 func (r *Replica) outdatedModel(instance catalog.Instance, state *memberState) (string, uint64, bool) {
 	for model, loaded := range state.versions {
 		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
@@ -173,7 +173,7 @@
 	return "", 0, false
 }
 
-// oldestVersion returns the lowest weights version that a back end holds.
+// oldestVersion returns the lowest weights version loaded by a back end.
 func (r *Replica) oldestVersion(id string) uint64 {
 	oldest := uint64(math.MaxUint64)
 	for _, version := range r.leader.fleet[id].versions {
@@ -182,7 +182,8 @@
 	return oldest
 }
 
-// startRollouts begins with the back ends that lag most, the least used first, a few at a time.
+// startRollouts starts updates, limited to a fraction of the fleet at a time: those with the oldest weights first, among
+// them those with the fewest running requests.
 func (r *Replica) startRollouts(now time.Duration, busy int, running map[string]int) {
 	var outdated []string
 	engines := 0
@@ -210,7 +211,7 @@
 	}
 }
 
-// runningByInstance returns the running requests of all gateways by instance.
+// runningByInstance returns the number of running requests of all gateways, by instance ID.
 func (r *Replica) runningByInstance(now time.Duration) map[string]int {
 	return r.usageSum(now).running
 }
@@ -225,7 +226,7 @@
 	r.announceOrder(now, instance.ID, state)
 }
 
-// announceOrder makes gateways turn away from a back end.
+// announceOrder announces an order in the log and to the gateways, which stop sending new requests to the back end.
 func (r *Replica) announceOrder(now time.Duration, id string, state *memberState) {
 	r.queueOrderAnnouncement(id)
 	state.rollout.drainUntil = now + drainTimeout
@@ -235,7 +236,7 @@
 	r.setPhase(state, phaseDraining, now+announceDelay)
 }
 
-// setPhase moves a back end to another phase and tells watchers when that changes what they may send.
+// setPhase sets the phase of a back end, and updates the roster if that changes whether it gets new requests.
 func (r *Replica) setPhase(state *memberState, next rolloutPhase, due time.Duration) {
 	before := state.rollout.blocksNewRequests()
 	state.rollout.phase, state.rollout.nextStepAt = next, due
@@ -245,14 +246,14 @@
 	}
 }
 
-// stepRollout does what is due at one back end, on which so many requests still run.
+// stepRollout advances the update of one back end, on which the given number of requests run.
 func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *memberState, loads *loadCount, running int) {
 	if now < state.rollout.nextStepAt {
 		return
 	}
 	switch state.rollout.phase {
 	case phaseQuerying, phaseOrderSent:
-		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
+		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // the call timed out
 	case phaseDraining:
 		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announcedRoster {
 			return
@@ -281,7 +282,7 @@
 	})
 }
 
-// ObserveWeightsResult takes the result of a call.
+// ObserveWeightsResult handles the result of a driver call.
 func (r *Replica) ObserveWeightsResult(now time.Duration, result WeightsResult) {
 	if r.leader == nil || result.Call.Fence != r.leader.orderFence {
 		return
@@ -328,15 +329,15 @@
 	r.setPhase(state, phaseIdle, now)
 }
 
-// fromOtherIncarnation reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
-// their start, too.
+// fromOtherIncarnation reports whether the result comes from another incarnation of the back end than the one called.
+// It returns false if either start time is unknown.
 func (w *WeightsResult) fromOtherIncarnation() bool {
 	requested := catalog.ParseInstanceID(w.Call.Instance).StartedMS
 	return w.StartedMS > 0 && requested > 0 && w.StartedMS != requested
 }
 
-// adoptReport believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
-// carried out after one for newer weights. What it lacks is ordered again.
+// adoptReport replaces the recorded versions by those of the report, even by older ones: an unanswered order may be
+// carried out after one for newer weights. Missing versions are ordered again.
 func (r *Replica) adoptReport(now time.Duration, state *memberState, result WeightsResult) {
 	state.doubted = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
