--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// orderTimeout is how long an order may stay without effect before it is issued again.
+	// orderTimeout is how long an order may have no effect before it is issued again.
 	orderTimeout = 5 * time.Second
-	// reconcileInterval is how often wanted and reported weights are compared.
+	// reconcileInterval is the interval between comparisons of desired and reported weights.
 	reconcileInterval = 50 * time.Millisecond
-	// engineReportTTL is how long an engine's report counts.
+	// engineReportTTL is how long an engine's report stays valid.
 	engineReportTTL = 3 * time.Second
 )
 
-// ObserveEngineReport takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
-// first, so that an earlier leader can change nothing there any more.
+// ObserveEngineReport handles an engine's report. If the engine has not seen the leader's term, the leader first raises
+// the engine's fence, so that the engine rejects orders of earlier leaders.
 func (r *Replica) ObserveEngineReport(now time.Duration, report EngineReport) {
 	if r.leader == nil || !r.hasCurrentState(now) {
 		return
@@ -35,7 +35,8 @@
 	}
 }
 
-// reconcile orders engines whose weights differ from the tree, a few of each service at a time.
+// reconcile orders engines to load the weights that the settings tree requires, within the limit of concurrent loads of
+// each service.
 func (r *Replica) reconcile(now time.Duration) {
 	if now < r.leader.reconciledAt+reconcileInterval {
 		return
@@ -61,7 +62,7 @@
 	}
 }
 
-// desired returns what the tree wants at a place. It is resolved once for each settings version.
+// desired returns the state that the settings tree requires at a place. It is resolved once per settings version.
 func (r *Replica) desired(place zoneService) desiredState {
 	version := r.machine.settings.Version()
 	if r.leader.desired == nil || r.leader.desiredVersion != version {
@@ -76,6 +77,7 @@
 	return state
 }
 
+// countLoading returns the number of engines that load weights or have been ordered to, by service.
 func (r *Replica) countLoading(now time.Duration, names []string) map[string]int {
 	loading := map[string]int{}
 	for _, name := range names {
@@ -90,6 +92,7 @@
 	return loading
 }
 
+// issueOrder sends a committed order to its engine.
 func (r *Replica) issueOrder(now time.Duration, order Order) {
 	state := r.leader.engines[order.Engine]
 	if state == nil || !r.node.LeaseValid(now) {
