--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxLearnerLag is how many entries a learner may lack and still be promoted.
+	// maxLearnerLag is the number of entries that a learner may lack and still be promoted.
 	maxLearnerLag = 64
-	// learnerTimeout is how long a learner may be silent before it is dropped.
+	// learnerTimeout is how long a learner may be silent before it is removed.
 	learnerTimeout = 60 * time.Second
-	// presenceTimeout is the silence below which a replica counts as present for a repair.
+	// presenceTimeout is how long a replica counts as present after its last message.
 	presenceTimeout = time.Second
 )
 
-// join adds a replica with an empty folder as a learner.
+// join adds a replica that has no durable state as a learner.
 func (r *Replica) join(now time.Duration, client uint64, member consensus.Member) {
 	membership := r.node.Membership()
 	if _, known := membership.Find(member.ID); known {
@@ -31,8 +31,8 @@
 	r.reply(client, Response{Kind: ResponseOK})
 }
 
-// repair takes one step towards the wanted number of live voters: promote a learner that has caught up,
-// then remove the voter it replaces.
+// repair takes one step towards the configured number of live voters: it promotes a learner that has caught up, then
+// removes the voter that the learner replaces.
 func (r *Replica) repair(now time.Duration) {
 	membership := r.node.Membership()
 	lost, learner := r.classifyPeers(now)
@@ -48,8 +48,8 @@
 	}
 }
 
-// classifyPeers returns the voter to replace and the learner to promote, if any. A voter whose name belongs
-// to a newer replica was wiped and counts as lost at once.
+// classifyPeers returns the voter to replace and the learner to promote, if any. A voter whose name another replica has
+// taken lost its disk and is replaced after presenceTimeout instead of RepairAfter.
 func (r *Replica) classifyPeers(now time.Duration) (lost, learner *consensus.Member) {
 	membership := r.node.Membership()
 	for _, peer := range r.node.Peers() {
@@ -70,13 +70,14 @@
 	return lost, learner
 }
 
-// nameTaken reports whether another replica has the same name.
+// nameTaken reports whether another replica has the member's name.
 func nameTaken(membership consensus.Membership, member consensus.Member) bool {
 	return slices.ContainsFunc(membership.Members, func(other consensus.Member) bool {
 		return other.Name == member.Name && other.ID != member.ID
 	})
 }
 
+// dropSilentLearner removes a learner that has been silent for longer than learnerTimeout.
 func (r *Replica) dropSilentLearner(now time.Duration, membership consensus.Membership) {
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
