--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,6 +7,7 @@
 	"kitetiller/internal/consensus"
 )
 
+// status returns the status of this replica and its view of the group.
 func (r *Replica) status(now time.Duration) *StatusReply {
 	status := &StatusReply{
 		ID: r.config.ID, Name: r.config.Name, Role: r.node.Role().String(), Term: r.node.Term(),
@@ -35,9 +36,10 @@
 	return status
 }
 
-// maxAdvertisedInStatus is how many back ends that name their limits status shows: a large fleet may have thousands.
+// maxAdvertisedInStatus bounds the number of advertised limits in a status reply.
 const maxAdvertisedInStatus = 24
 
+// addLeaderStatus adds what only the leader knows.
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
 	if r.leader == nil {
 		return
@@ -59,6 +61,7 @@
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
