--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -23,51 +23,51 @@
 const (
 	attemptTimeout = 900 * time.Millisecond
 	retryDelay     = 50 * time.Millisecond
-	// failureBackoff is how long an address that gave no answer is left alone, also when others still name it as leader: about
-	// an election, and no longer, since it may just have started.
+	// failureBackoff is how long an address that failed to answer is avoided, even if other replicas name it as leader.
+	// It is about the length of an election, since a process that was starting may lead soon.
 	failureBackoff = 600 * time.Millisecond
 )
 
-// ErrNoAnswer says that no leader answered in time; a change may or may not have been made.
+// ErrNoAnswer is returned if no leader answered in time; the change may or may not have been made.
 var ErrNoAnswer = eris.New("no control leader answered in time")
 
-// Client asks the control group, finding the leader by itself. It is safe for concurrent use.
+// Client sends requests to the leader of the control group, which it discovers by itself. It is safe for concurrent use.
 type Client struct {
 	transport   *transport.Client
 	addresses   atomic.Pointer[[]string]
 	next        atomic.Uint32
 	leader      atomic.Pointer[string]
-	lastFailure atomic.Pointer[failure]       // the newest one
-	answeredAt  atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
+	lastFailure atomic.Pointer[failure]       // the most recent one
+	answeredAt  atomic.Pointer[time.Duration] // when a replica last answered; nil if none has
 }
 
-// failure is an address that gave no answer, and when.
+// failure is a failed attempt at an address.
 type failure struct {
 	address string
 	at      time.Duration
 }
 
-// recentlyFailed reports whether an address failed so lately that it is asked only when there is no other.
+// recentlyFailed reports whether the last failure was at the address and within failureBackoff.
 func (c *Client) recentlyFailed(address string) bool {
 	failed := c.lastFailure.Load()
 	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
 
-// NewClient returns a client of the replicas at the given internal addresses.
+// NewClient returns a client for the replicas at the given internal addresses.
 func NewClient(client *transport.Client, addresses []string) *Client {
 	c := &Client{transport: client}
 	c.addresses.Store(&addresses)
 	return c
 }
 
-// SetAddresses replaces the addresses that are asked when no leader is known.
+// SetAddresses replaces the addresses that are tried while no leader is known.
 func (c *Client) SetAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		c.addresses.Store(&addresses)
 	}
 }
 
-// target returns the address to ask next.
+// target returns the address for the next attempt.
 func (c *Client) target() string {
 	if leader := c.leader.Load(); leader != nil {
 		return *leader
@@ -80,8 +80,8 @@
 	return address
 }
 
-// Ask sends a request until a leader has decided it or ctx ends. Requests are safe to repeat: changes carry
-// operation ids, claims carry claim ids.
+// Ask retries a request until a leader has answered it or ctx is done. Requests are idempotent: changes carry operation
+// IDs, and claims carry claim IDs.
 func (c *Client) Ask(ctx context.Context, request Request) (Response, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -98,18 +98,19 @@
 	}
 }
 
-// Quarantine has the leader change what is known of requests that end their back ends. Such changes are safe to repeat.
+// Quarantine sends a change of the quarantine registry to the leader. Such changes are idempotent.
 func (c *Client) Quarantine(ctx context.Context, change quarantine.Change) error {
 	_, err := c.Ask(ctx, Request{Catalog: &catalog.Command{Quarantine: &change}})
 	return err
 }
 
-// AskOnce asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
+// AskOnce makes one attempt at one replica and learns the leader from the response. It is for callers that retry by
+// themselves.
 func (c *Client) AskOnce(ctx context.Context, request Request) (Response, error) {
 	return c.askAndTrackLeader(ctx, c.target(), request)
 }
 
-// AskReplica asks the replica at an address once, whoever leads. It learns nothing of the leader.
+// AskReplica makes one attempt at the replica with the given address, and does not learn the leader.
 func (c *Client) AskReplica(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	err := c.transport.Post(ctx, address, PathRequest, request, &response)
@@ -120,12 +121,12 @@
 	return response, err
 }
 
-// askAndTrackLeader asks the replica at an address once.
+// askAndTrackLeader makes one attempt at the given address and records who leads.
 func (c *Client) askAndTrackLeader(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	if err := c.transport.Post(ctx, address, PathRequest, request, &response); err != nil {
 		if ctx.Err() == context.Canceled {
-			return response, err // the caller has its answer from elsewhere
+			return response, err // the caller got an answer from another replica
 		}
 		c.leader.Store(nil)
 		c.lastFailure.Store(&failure{address: address, at: clock.Now()})
@@ -135,7 +136,7 @@
 	c.answeredAt.Store(&now)
 	switch {
 	case response.Kind == ResponseOK && response.Leader != "":
-		c.leader.Store(&response.Leader) // another replica answered for it
+		c.leader.Store(&response.Leader) // a follower answered for the leader
 	case response.Kind == ResponseOK:
 		c.leader.Store(&address)
 	case response.Leader != "" && response.Leader != address && !c.recentlyFailed(response.Leader):
@@ -146,14 +147,14 @@
 	return response, nil
 }
 
-// AnsweredWithin reports whether a replica has answered anything so lately.
+// AnsweredWithin reports whether any replica has answered within the given time.
 func (c *Client) AnsweredWithin(limit time.Duration) bool {
 	at := c.answeredAt.Load()
 	return at != nil && clock.Now()-*at < limit
 }
 
-// AskAny asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
-// is for callers without a leader: one address that is silent must not hold them up.
+// AskAny asks several replicas concurrently, and the leaders that they name, each once. It returns the first ResponseOK.
+// It is for callers that know no leader, so that an unresponsive address does not delay them.
 func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -188,8 +189,8 @@
 }
 
 const (
-	// initialAttempts is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
-	// that the first ones name.
+	// initialAttempts is the number of replicas that AskAny asks at first, and maxAttempts the total, including the leaders
+	// named in responses.
 	initialAttempts = 3
 	maxAttempts     = 6
 )
