--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -30,7 +30,7 @@
 	// stepIntervalPerBackend, times the number of back ends, is the interval between rollout steps: a step visits each
 	// of them.
 	stepIntervalPerBackend = 10 * time.Microsecond
-	// loadTimeout is how long after an accepted order the weights may still be missing before it is sent again.
+	// loadTimeout is how long after an order the weights may be missing before it is sent again.
 	loadTimeout = 2500 * time.Millisecond
 	// weightsCallTimeout is how long the leader waits for the result of a driver call.
 	weightsCallTimeout = 3 * time.Second
@@ -38,7 +38,7 @@
 	rolloutBackoff = 300 * time.Millisecond
 	// drainTimeout is how long running requests may delay an order. A load suspends requests that still run.
 	drainTimeout = 2000 * time.Millisecond
-	// uncertainTimeout is how long after an unanswered order the weights may still be missing before it is sent again,
+	// uncertainTimeout is how long after an unanswered order the weights may be missing before it is sent again,
 	// and uncertainPollInterval how often they are queried meanwhile.
 	uncertainTimeout      = 1200 * time.Millisecond
 	uncertainPollInterval = 350 * time.Millisecond
