--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -8,33 +8,35 @@
 	"kitetiller/internal/guard"
 )
 
-// A new leader must not give an order to a back end that the last leader gave one a moment ago, nor one that gateways do
-// not know of which still trust a view of the last leader. Both are written into the log, so that a new leader waits only
-// for what there is to wait for: for the back ends that were ordered, and for the gateways that asked.
+// A new leader must not send an order to a back end that an earlier leader has just ordered, nor one that is unknown to
+// gateways that still use an earlier leader's view. Upcoming orders and the watching gateways are therefore recorded in
+// the log, so that a new leader waits only for the back ends and gateways concerned.
 
-// An order waits until gateways have turned away, requests have ended and others have loaded, for seconds; the next leader knows when it was
-// announced, not when it was given.
+// An order may be sent seconds after its announcement, once gateways have stopped sending, requests have drained and other
+// loads have ended. The next leader knows only the time of the announcement, so the delay is bounded and late orders are
+// announced again.
 const (
-	// maxDecisionAge is how long after its announcement an order may be decided; later it is announced again. More than a step of the roll-out
-	// takes in a large fleet (100 ms).
+	// maxDecisionAge is how long after its announcement an order may be decided. It exceeds the interval between rollout
+	// steps in a large fleet (100 ms).
 	maxDecisionAge = 150 * time.Millisecond
-	// maxDispatchAge is how long after its announcement an order may leave this replica, after the sync that follows its decision.
+	// maxDispatchAge is how long after its announcement an order may be passed to the driver, once the sync that follows
+	// its decision is complete.
 	maxDispatchAge = 300 * time.Millisecond
-	// maxOrderAge is how long after its announcement an order has left the process at the latest, little of the pause between two holders (3 s).
+	// maxOrderAge is how long after its announcement an order may be sent at the latest.
 	maxOrderAge = maxDispatchAge + maxCallAge
 )
 
-// orderMark is when a back end was last about to be given orders, as far as this process knows. It is of the back end, whatever lives it
-// has: an order names it alone.
+// orderMark records the announcements of orders to a back end that this process has applied. It covers all incarnations
+// of the back end, since an order names the back end only.
 type orderMark struct {
-	term             uint64        // of the leader that wrote the newest
-	appliedAt        time.Duration // when that was applied here
-	foreign          bool          // a leader before that one wrote one too
-	foreignAppliedAt time.Duration // when the newest of those was applied here
-	renewalDeadline  time.Duration // until when this leader waits for one that it writes again; 0 when it waits for none
+	term             uint64        // of the leader that wrote the newest announcement
+	appliedAt        time.Duration // when the newest announcement was applied here
+	foreign          bool          // an earlier leader wrote one, too
+	foreignAppliedAt time.Duration // when the newest announcement of an earlier leader was applied here
+	renewalDeadline  time.Duration // how long this leader waits for a repeated announcement to commit; 0 if it waits for none
 }
 
-// recordOrderAnnouncement remembers that a leader is about to order back ends.
+// recordOrderAnnouncement records the announcement by a leader of orders to back ends.
 func (r *Replica) recordOrderAnnouncement(now time.Duration, term uint64, ids []string) {
 	for _, id := range ids {
 		name := catalog.ParseInstanceID(id).Name
@@ -43,24 +45,25 @@
 			mark.foreign, mark.foreignAppliedAt = true, mark.appliedAt
 		}
 		if !known && r.machine.catalog.MayHaveWeightsCommand(id) {
-			mark.foreign = true // by an entry that a snapshot covers: it counts from the start of this process
+			mark.foreign = true // its entry is part of a snapshot, so its age counts from the start of this process
 		}
 		mark.term, mark.appliedAt, mark.renewalDeadline = term, now, 0
 		r.orderMarks[name] = mark
 	}
 }
 
-// recordSnapshotOrders takes every order that an installed snapshot covers to be as young as the snapshot's arrival: its entry was
-// never applied here.
+// recordSnapshotOrders records an announcement at the current time for every back end that may have been ordered, after a
+// snapshot was installed: the entries that it covers were never applied here.
 func (r *Replica) recordSnapshotOrders(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.MayHaveWeightsCommand(id) {
-			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // of no leadership, so that it is another one's for whoever leads
+			r.orderMarks[catalog.ParseInstanceID(id).Name] = orderMark{appliedAt: now} // term 0 counts as another leader's
 		}
 	}
 }
 
-// lastForeignOrder returns when another leader was last about to order a back end, if one may have been.
+// lastForeignOrder returns when another leader's last announcement of an order to a back end was applied here, and whether
+// there may have been one. The time is 0 if it is unknown.
 func (r *Replica) lastForeignOrder(id string) (time.Duration, bool) {
 	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
@@ -72,13 +75,13 @@
 	return mark.foreignAppliedAt, mark.foreign
 }
 
-// mayOrderBackend reports whether a back end may be ordered now: this leader's intent is in the log, has been for a moment only, and the back
-// end was handed over.
+// mayOrderBackend reports whether a back end may be ordered now: this leader's announcement has committed recently, and
+// the pause after another leader's order is over. It repeats an announcement that is too old.
 func (r *Replica) mayOrderBackend(now time.Duration, id string) bool {
 	name := catalog.ParseInstanceID(id).Name
 	mark := r.orderMarks[name]
 	if mark.term != r.node.Term() || !r.handoverPauseOver(now, id) {
-		return false // what is announced is written in the same step; it commits in a moment
+		return false // the announcement was proposed already and has yet to commit
 	}
 	if r.announcedWithin(now, id, maxDecisionAge) {
 		return true
@@ -91,12 +94,13 @@
 	return false
 }
 
-// announcedWithin reports whether the announcement of an order is so young.
+// announcedWithin reports whether an order to a back end was announced no longer ago than age.
 func (r *Replica) announcedWithin(now time.Duration, id string, age time.Duration) bool {
 	return now <= r.orderMarks[catalog.ParseInstanceID(id).Name].appliedAt+age || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
-// dropLateOrders forgets orders that would follow their announcements too late, and has them announced again.
+// dropLateOrders removes the orders whose announcement is older than maxDispatchAge and returns their back ends to
+// phaseDraining, where the order is announced again.
 func (r *Replica) dropLateOrders(now time.Duration, calls []WeightsCall) []WeightsCall {
 	return slices.DeleteFunc(calls, func(call WeightsCall) bool {
 		late := call.Kind == WeightsOrder && !r.announcedWithin(now, call.Instance, maxDispatchAge)
@@ -107,19 +111,20 @@
 	})
 }
 
-// handoverPauseOver reports whether no other leader's order to a back end can be as young as the pause between two holders. Its order may be
-// younger than its announcement.
+// handoverPauseOver reports whether every other leader's order to a back end was sent at least Config.OrderWait ago. An
+// order may be sent up to maxOrderAge after its announcement.
 func (r *Replica) handoverPauseOver(now time.Duration, id string) bool {
 	at, ordered := r.lastForeignOrder(id)
 	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
-// queueOrderAnnouncement has the log tell that a back end is about to be ordered. All that are decided in one cycle share an entry.
+// queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a log
+// entry.
 func (r *Replica) queueOrderAnnouncement(id string) {
 	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
 }
 
-// proposeOrderAnnouncements proposes them.
+// proposeOrderAnnouncements proposes the queued announcements.
 func (r *Replica) proposeOrderAnnouncements(now time.Duration) {
 	if r.leader == nil || len(r.leader.pendingOrderAnnouncements) == 0 {
 		return
@@ -130,21 +135,22 @@
 }
 
 const (
-	// gatewayListInterval is how often changes of the gateways that ask are written into the log; one that waits for it is written at once, with
-	// those that come within listPause after the last.
+	// gatewayListInterval is the interval between updates of the list of watching gateways in the log. While a gateway
+	// waits to be listed, it is gatewayListDelay.
 	gatewayListInterval = time.Second
 	gatewayListDelay    = 20 * time.Millisecond
-	// gatewayListTimeout is how long a question waits, beyond its own time, until the log holds who asks: some times what a write takes.
+	// gatewayListTimeout is how long a watch is held beyond its deadline until its gateway is in the log. It is several
+	// times the duration of a log write.
 	gatewayListTimeout = 300 * time.Millisecond
 )
 
-// unlisted reports whether the log doesn't hold a gateway yet, so that the next leader wouldn't wait for it: its view isn't confirmed. One
-// that closes is written no more.
+// unlisted reports whether a gateway has yet to be added to the log. Its view must not be confirmed before, since the next
+// leader would not wait for it. A closing gateway is no longer added.
 func (r *Replica) unlisted(watch Watch) bool {
 	return !r.machine.catalog.HasGateway(watch.Gateway) && !watch.Closing
 }
 
-// updateGatewayList writes which gateways may trust this leader's views.
+// updateGatewayList proposes changes to the list of gateways that may use a view of this leader.
 func (r *Replica) updateGatewayList(now time.Duration) {
 	pause := gatewayListInterval
 	if r.leader.gatewayUnlisted {
@@ -161,7 +167,7 @@
 		}
 	}
 	slices.Sort(added)
-	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
+	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still use a view of the previous leader
 		for _, name := range r.machine.catalog.Gateways() {
 			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
 				removed = append(removed, name)
@@ -169,15 +175,15 @@
 		}
 	}
 	if len(added) == 0 && len(removed) == len(r.machine.catalog.Gateways()) {
-		removed = nil // all at once: nobody is left to mislead, and they come back soon
+		removed = nil // keep the list if all gateways are silent at once: they are likely to return soon
 	}
 	if len(added)+len(removed) > 0 {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{AddGateways: added, RemoveGateways: removed}})
 	}
 }
 
-// allGatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
-// asked this one, or the time for that is over.
+// allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has sent a
+// watch to this one, or all views of earlier leaders have expired.
 func (r *Replica) allGatewaysFollow(now time.Duration) bool {
 	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
