--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -9,19 +9,20 @@
 	"kitetiller/internal/guard"
 )
 
-// publishedVersion is a naming, and when it was by this process's clock.
+// publishedVersion is a published weights version with its publication time by this process's clock.
 type publishedVersion struct {
 	version     uint64
 	publishedAt time.Duration
 }
 
-// wallClockMS returns the time of day. The shell tells it with each tick.
+// wallClockMS returns the wall clock, extrapolated from the last tick.
 func (r *Replica) wallClockMS(now time.Duration) int64 {
 	return r.unixMS + (now - r.tickedAt).Milliseconds()
 }
 
-// localPublication returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
-// after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
+// localPublication converts the publication time from the proposer's wall clock to this process's clock; it is at most
+// now. The time of applying the entry would not do, since a replica that restarts, was partitioned or paused, or installs
+// a snapshot applies it late.
 func (r *Replica) localPublication(now time.Duration, publication catalog.Publication) publishedVersion {
 	local := publishedVersion{version: publication.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
@@ -30,16 +31,16 @@
 	return local
 }
 
-// recordPublication remembers when a version was named that has just been applied.
+// recordPublication records the publication time of a version that has just been applied.
 func (r *Replica) recordPublication(now time.Duration, model string) {
 	publications := r.machine.catalog.Publications(model)
 	versions := append(r.namedVersions[model], r.localPublication(now, publications[len(publications)-1]))
 	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
-// refreshPublicationTimes dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
-// since this process saw it and the difference of the times of day the larger counts. Between, no time changes, so that gateways
-// may take the best they heard of one leadership.
+// refreshPublicationTimes computes all publication times again, at the start of a term as leader and after a snapshot was
+// installed. It keeps the earlier of the recorded and the computed time. Times do not change in between, so that a gateway
+// may keep the highest age reported during one leader's term.
 func (r *Replica) refreshPublicationTimes(now time.Duration) {
 	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
@@ -55,7 +56,7 @@
 	r.namedVersions = refreshed
 }
 
-// wantedVersions returns the versions that were named lately, with how long ago that was.
+// wantedVersions returns the recently published versions with their ages.
 func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
 	var wanted []WantedVersion
 	for _, model := range sortedKeys(r.namedVersions) {
@@ -66,10 +67,10 @@
 	return wanted
 }
 
-// maxLoggedPublications bounds the namings that the log tells of a new leader.
+// maxLoggedPublications bounds the number of versions in a new leader's log line.
 const maxLoggedPublications = 8
 
-// recentPublications tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
+// recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
 	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
