--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -17,7 +17,7 @@
 	maxEnginePolls      = 16
 )
 
-// machine is the part of a platform line that control needs.
+// machine is an entry of the platform's machine list.
 type machine struct {
 	Name    string
 	Zone    string
@@ -26,7 +26,7 @@
 	Leaving bool
 }
 
-// watchEngines is the thread that reads the machine list and the engines' weights and fences.
+// watchEngines polls the machine list and the weights and fences of the engines while this replica leads.
 func (s *Server) watchEngines(ctx context.Context) {
 	if s.file.Control.Platform == "" {
 		return
@@ -53,10 +53,10 @@
 	}
 }
 
-// Leads reports whether this replica leads, as far as it knows.
+// Leads reports whether this replica is the leader as far as it knows, and ctx is not done.
 func (s *Server) Leads(ctx context.Context) bool { return ctx.Err() == nil && s.leading() }
 
-// leading reports whether this replica leads.
+// leading reports whether this replica is the leader.
 func (s *Server) leading() bool {
 	return s.queryReplica(func(replica *Replica) bool { return replica.leader != nil })
 }
@@ -75,18 +75,19 @@
 	}
 }
 
+// fetchMachines reads the platform's machine list.
 func (s *Server) fetchMachines(ctx context.Context) ([]machine, bool) {
 	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct{ Machines []machine }
 	if err := s.client.Get(attempt, s.file.Control.Platform, "/v1/machines", &reply); err != nil {
-		s.log.Warn("machine list not read", zap.Error(err))
+		s.log.Warn("failed to read the machine list", zap.Error(err))
 		return nil, false
 	}
 	return reply.Machines, true
 }
 
-// pollEngines asks every listed back end for its state, a few at a time.
+// pollEngines polls the state of all listed back ends, with at most maxEnginePolls concurrent calls.
 func (s *Server) pollEngines(ctx context.Context, machines []machine) {
 	var polls sync.WaitGroup
 	slots := make(chan struct{}, maxEnginePolls)
@@ -100,6 +101,7 @@
 	polls.Wait()
 }
 
+// pollEngine reads the state of a back end and passes it to the replica if it is an engine's.
 func (s *Server) pollEngine(ctx context.Context, listed machine) {
 	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
@@ -114,7 +116,7 @@
 	s.submit(input{report: &report})
 }
 
-// sendEngineCalls is the thread that passes orders and fences to engines.
+// sendEngineCalls sends orders and fences to engines, each in its own goroutine.
 func (s *Server) sendEngineCalls(ctx context.Context) {
 	for {
 		select {
@@ -136,7 +138,7 @@
 	}
 }
 
-// logWeights writes one line for each call about weights.
+// logWeights logs the result of a weights call.
 func (s *Server) logWeights(result WeightsResult) {
 	call := result.Call
 	s.log.Info(events.WeightsCommandSent, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
