--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -10,28 +10,29 @@
 	"kitetiller/internal/quota"
 )
 
-// gatewaySilenceThreshold is the silence after which a gateway is taken to be out of touch, so that it uses its equal part of what is
-// limited: some times the pause between its questions.
+// gatewaySilenceThreshold is the silence after which a gateway is assumed to be disconnected and to use its fallback
+// share. It is several times the interval between its requests.
 const gatewaySilenceThreshold = 700 * time.Millisecond
 
-// lending is what a leader lends of limited resources; each leadership begins it anew.
+// lending is the leader's allocation of fleet-wide limits. A new leader starts without any grants.
 type lending struct {
 	allocator *allowance.Allocator
-	revision  uint64 // of the document that the limits were taken from
+	revision  uint64 // of the routing document that the limits come from
 	sweptAt   time.Duration
 }
 
-// advertisedSweepInterval is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
+// advertisedSweepInterval is the interval between sweeps of unused advertised limits.
 const advertisedSweepInterval = time.Second
 
-// allocateShares answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
+// allocateShares answers a gateway's request for shares of limits. It is called only while this replica holds the leader
+// lease, so that no two replicas allocate the same limit.
 func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
 	r.updateLimits(now)
 	reply := r.leader.lending.allocator.Allocate(now, request)
 	r.reply(client, Response{Kind: ResponseOK, Lent: &reply})
 }
 
-// updateLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
+// updateLimits applies the limits of the document in force and withholds the fallback shares of disconnected gateways.
 func (r *Replica) updateLimits(now time.Duration) {
 	lending := &r.leader.lending
 	if document := r.machine.catalog.Document(); document.Revision != lending.revision {
@@ -45,8 +46,8 @@
 	}
 }
 
-// silentFraction returns the part of the gateways that are silent but may still trust their view: they use their equal parts
-// of what is limited, on their own.
+// silentFraction returns the fraction of gateways that are silent but may still use their view. They use their fallback
+// shares without asking the leader.
 func (r *Replica) silentFraction(now time.Duration) float64 {
 	silent, all := r.trustingGateways(now)
 	if silent == 0 {
@@ -55,18 +56,18 @@
 	return float64(silent) / float64(all)
 }
 
-// gatewayCounts are the gateways that may still trust their view, counted now and then: a tick or a reply would otherwise cost the more the
-// more there are.
+// gatewayCounts caches the number of gateways that may still use their view, since counting them on each tick and reply
+// would be expensive with many gateways.
 type gatewayCounts struct {
 	countedAt   time.Duration
 	counted     bool
 	silent, all int
 }
 
-// gatewayCountInterval is how often they are counted; silence is judged by 700 ms.
+// gatewayCountInterval is the lifetime of gatewayCounts, short compared with gatewaySilenceThreshold.
 const gatewayCountInterval = 20 * time.Millisecond
 
-// trustingGateways returns how many gateways may still trust their view, and how many of them are silent.
+// trustingGateways returns how many gateways may still use their view, and how many of them are silent.
 func (r *Replica) trustingGateways(now time.Duration) (silent, all int) {
 	counts := &r.leader.trusting
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
@@ -76,7 +77,8 @@
 	return counts.silent, counts.all
 }
 
-// countTrustingGateways counts them. Those of an earlier leader's time count until they have asked this one.
+// countTrustingGateways computes trustingGateways. Gateways that the log lists from an earlier leader's term count as
+// silent until they send this leader a request or their views have expired.
 func (r *Replica) countTrustingGateways(now time.Duration) (silent, all int) {
 	for _, report := range r.leader.usage {
 		silence := now - report.at
@@ -99,16 +101,16 @@
 	return silent, all
 }
 
-// limitLogInterval is how often a leader looks for limits that were reached or left, for the log.
+// limitLogInterval is the interval at which a leader checks limits for changes to log.
 const limitLogInterval = 250 * time.Millisecond
 
-// limitLogState are the limits that the log says are reached. They are owned by the decide thread.
+// limitLogState holds the limits last logged as reached. It is owned by the goroutine that owns the replica.
 type limitLogState struct {
 	checkedAt time.Duration
 	reached   map[string]bool
 }
 
-// logLimitChanges logs when a limit begins and ends to turn requests away, one line each.
+// logLimitChanges logs each limit that starts or stops rejecting requests.
 func (s *Server) logLimitChanges() {
 	now := s.now()
 	if s.replica.leader == nil || now < s.overLimitLog.checkedAt+limitLogInterval {
