--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -14,27 +14,30 @@
 )
 
 const (
-	// suspectTTL is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
+	// suspectTTL is how long crashes count against a request that is not quarantined. Unrelated crashes within it rarely
+	// reach the threshold for one request.
 	suspectTTL = time.Hour
-	// quarantineTTL is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
-	// holds it back again: a day for whatever may have mended it, at the price of one back end if nothing did.
+	// quarantineTTL is how long a request stays quarantined after its last crash. Then it may run again, and a single
+	// further crash quarantines it again.
 	quarantineTTL = 24 * time.Hour
-	// quarantineSweepInterval is how often old entries are looked for.
+	// quarantineSweepInterval is the interval between sweeps of expired entries.
 	quarantineSweepInterval = time.Second
 )
 
-// crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
+// crashTimes records when the crash count of each request last changed, by this process's clock, since the replicated
+// registry stores no times.
 type crashTimes struct {
 	sweptAt        time.Duration
 	changedAt      map[quarantine.Fingerprint]time.Duration
-	releaseReasons map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
+	releaseReasons map[quarantine.Fingerprint]quarantine.Reason // of the newest release of a request
 }
 
 func newCrashTimes() crashTimes {
 	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, releaseReasons: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
-// handleQuarantineChange takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
+// handleQuarantineChange handles reported crashes and releases. A change without effect is acknowledged without a log
+// entry.
 func (r *Replica) handleQuarantineChange(now time.Duration, client uint64, change quarantine.Change) {
 	if !r.machine.catalog.Quarantine().WouldChange(change) {
 		r.reply(client, Response{Kind: ResponseOK})
@@ -43,7 +46,7 @@
 	r.propose(now, client, Command{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-// quarantineUpdate returns what a process is told that holds the news of a version; nil when it holds these.
+// quarantineUpdate returns the update for a process that holds the given version, or nil if that is current.
 func (r *Replica) quarantineUpdate(heldVersion uint64) *quarantine.Update {
 	registry := r.machine.catalog.Quarantine()
 	if heldVersion == registry.Version() {
@@ -52,7 +55,7 @@
 	return registry.Update()
 }
 
-// recordQuarantineChange remembers when lives were counted.
+// recordQuarantineChange records the time of an applied change and the reasons of its releases.
 func (r *Replica) recordQuarantineChange(now time.Duration, change quarantine.Change) {
 	for _, crash := range change.Crashes {
 		for _, f := range crash.Requests {
@@ -66,7 +69,7 @@
 	}
 }
 
-// maintainQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
+// maintainQuarantine proposes the seed of the fingerprints if there is none, and the release of expired entries.
 func (r *Replica) maintainQuarantine(now time.Duration) {
 	if r.quarantined.sweptAt > 0 && now < r.quarantined.sweptAt+quarantineSweepInterval {
 		return
@@ -82,7 +85,8 @@
 	}
 }
 
-// expiredEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
+// expiredEntries returns the releases of entries that have expired. The age of an entry from a snapshot counts from the
+// first sweep that sees it.
 func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
 	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
 	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
@@ -111,7 +115,7 @@
 	return expired
 }
 
-// newSeed returns a secret for fingerprints.
+// newSeed returns a random seed for fingerprints.
 func (r *Replica) newSeed() []byte {
 	seed := make([]byte, 0, quarantine.SeedBytes)
 	for len(seed) < quarantine.SeedBytes {
@@ -120,13 +124,13 @@
 	return seed
 }
 
-// quarantineLogState are the requests that the log says are held back. They are owned by the decide thread.
+// quarantineLogState holds the requests last logged as quarantined. It is owned by the goroutine that owns the replica.
 type quarantineLogState struct {
 	version uint64
 	since   map[quarantine.Fingerprint]time.Duration
 }
 
-// logQuarantineChanges logs when a request begins and ends to be held back, one line each, from the leader.
+// logQuarantineChanges logs the start and end of each quarantine, on the leader only.
 func (s *Server) logQuarantineChanges() {
 	registry := s.replica.machine.catalog.Quarantine()
 	if s.replica.leader == nil || registry.Version() == s.heldBackLog.version {
