--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -6,29 +6,30 @@
 	"kitetiller/internal/catalog"
 )
 
-// Anybody may send a heartbeat, and one may come long after its sender has ended. What stands here says which of them register, replace or end
-// a back end; the catalog then holds to it for every replica.
+// Heartbeats are not authenticated and may arrive long after their sender has stopped. The checks in this file decide which
+// of them may register, replace or deregister a back end.
 
-// lateDeregistrationWindow is how long after a life was registered a leave that names the back end alone may be of the life before: some times what a
-// caller waits for one answer (1 s).
+// lateDeregistrationWindow is how long after the registration of an incarnation a deregistration without an incarnation may
+// come from the previous one. It is several times the timeout of a call (1 s).
 const lateDeregistrationWindow = 3 * time.Second
 
-// lacksWeights reports whether a heartbeat names an engine and doesn't tell what it holds: nobody could say whether a request may begin there.
+// lacksWeights reports whether the heartbeat of an engine names no loaded weights, so that no gateway could tell whether a
+// request may start there.
 func (r *Replica) lacksWeights(beat Beat) bool {
 	service, _ := r.machine.catalog.Document().Service(beat.Instance.Service)
 	return service.Engine && len(beat.Versions) == 0
 }
 
-// mayMeanPreviousIncarnation reports whether a leave that names a back end alone may have been passed on late, by the life before the one that stands
-// there: that one is forgotten then, and may register again.
+// mayMeanPreviousIncarnation reports whether a deregistration that names no incarnation may be a late one from the previous
+// incarnation. The caller then expires the current incarnation, which may register again.
 func (r *Replica) mayMeanPreviousIncarnation(now time.Duration, id string) bool {
 	resolved := r.machine.catalog.ResolveInstanceID(id)
 	state := r.leader.fleet[resolved]
 	return resolved != id && state != nil && state.registeredAt > 0 && now < state.registeredAt+lateDeregistrationWindow
 }
 
-// mayRegister reports whether a heartbeat may register an instance. Only the catalog's word and what is heard now count: one that was started
-// earlier than who stands at its address, or that is of no service that is routed to, may be anybody's, or long gone.
+// mayRegister reports whether a heartbeat may register an instance. It may not if the instance started before the one at
+// its address, unless that one is silent, or if it would replace one of a routed service with one of an unrouted service.
 func (r *Replica) mayRegister(now time.Duration, instance catalog.Instance) bool {
 	if !r.machine.catalog.Accepts(instance) {
 		return false
@@ -45,14 +46,14 @@
 		return false
 	}
 	if now-r.member(now, holder.ID).heardAt > silentAfter {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // its clock may have run ahead of the other's
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // the clock of the silent instance may have been ahead
 		return true
 	}
 	return !catalog.ParseInstanceID(instance.ID).StartedBefore(catalog.ParseInstanceID(holder.ID))
 }
 
-// mayReplace reports whether what a heartbeat tells may take the place of a registered instance. One of a service that isn't routed to
-// takes none of a service that is.
+// mayReplace reports whether a reported instance may replace a registered one. An instance of an unrouted service must not
+// replace one of a routed service.
 func (r *Replica) mayReplace(registered, reported catalog.Instance) bool {
 	routed := func(service string) bool {
 		_, found := r.machine.catalog.Document().Service(service)
