--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -61,7 +61,7 @@
 	return s.queryReplica(func(replica *Replica) bool { return replica.leader != nil })
 }
 
-// queryReplica asks the decide thread whether something queryReplica; without an answer in time it does not.
+// queryReplica runs check in the goroutine that owns the replica. It returns false if there is no answer in time.
 func (s *Server) queryReplica(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
 	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -12,9 +12,9 @@
 // gateways that still use an earlier leader's view. Upcoming orders and the watching gateways are therefore recorded in
 // the log, so that a new leader waits only for the back ends and gateways concerned.
 
-// An order may be sent seconds after its announcement, once gateways have stopped sending, requests have drained and other
-// loads have ended. The next leader knows only the time of the announcement, so the delay is bounded and late orders are
-// announced again.
+// An order may be sent seconds after its announcement, once gateways have stopped sending, requests have drained and
+// other loads have ended. The next leader knows only the time of the announcement, so the delay is bounded and late
+// orders are announced again.
 const (
 	// maxDecisionAge is how long after its announcement an order may be decided. It exceeds the interval between rollout
 	// steps in a large fleet (100 ms).
@@ -33,7 +33,7 @@
 	appliedAt        time.Duration // when the newest announcement was applied here
 	foreign          bool          // an earlier leader wrote one, too
 	foreignAppliedAt time.Duration // when the newest announcement of an earlier leader was applied here
-	renewalDeadline  time.Duration // how long this leader waits for a repeated announcement to commit; 0 if it waits for none
+	renewalDeadline  time.Duration // how long to wait for a repeated announcement to commit; 0 if there is none
 }
 
 // recordOrderAnnouncement records the announcement by a leader of orders to back ends.
@@ -52,8 +52,8 @@
 	}
 }
 
-// recordSnapshotOrders records an announcement at the current time for every back end that may have been ordered, after a
-// snapshot was installed: the entries that it covers were never applied here.
+// recordSnapshotOrders records an announcement at the current time for every back end that may have been ordered, after
+// a snapshot was installed: the entries that it covers were never applied here.
 func (r *Replica) recordSnapshotOrders(now time.Duration) {
 	for id := range r.machine.catalog.Instances() {
 		if r.machine.catalog.MayHaveWeightsCommand(id) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// lastForeignOrder returns when another leader's last announcement of an order to a back end was applied here, and whether
-// there may have been one. The time is 0 if it is unknown.
+// lastForeignOrder returns when another leader's last announcement of an order to a back end was applied here, and
+// whether there may have been one. The time is 0 if it is unknown.
 func (r *Replica) lastForeignOrder(id string) (time.Duration, bool) {
 	mark, known := r.orderMarks[catalog.ParseInstanceID(id).Name]
 	switch {
@@ -118,8 +118,8 @@
 	return !ordered || now >= at+maxOrderAge+r.config.OrderWait || !r.config.Guards.On(guard.WeightsCommandDelay)
 }
 
-// queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a log
-// entry.
+// queueOrderAnnouncement queues the announcement of an order to a back end. Announcements queued in one cycle share a
+// log entry.
 func (r *Replica) queueOrderAnnouncement(id string) {
 	r.leader.pendingOrderAnnouncements = append(r.leader.pendingOrderAnnouncements, id)
 }
@@ -144,8 +144,8 @@
 	gatewayListTimeout = 300 * time.Millisecond
 )
 
-// unlisted reports whether a gateway has yet to be added to the log. Its view must not be confirmed before, since the next
-// leader would not wait for it. A closing gateway is no longer added.
+// unlisted reports whether a gateway has yet to be added to the log. Its view must not be confirmed before, since the
+// next leader would not wait for it. A closing gateway is no longer added.
 func (r *Replica) unlisted(watch Watch) bool {
 	return !r.machine.catalog.HasGateway(watch.Gateway) && !watch.Closing
 }
@@ -182,8 +182,8 @@
 	}
 }
 
-// allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has sent a
-// watch to this one, or all views of earlier leaders have expired.
+// allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has
+// sent a watch to this one, or all views of earlier leaders have expired.
 func (r *Replica) allGatewaysFollow(now time.Duration) bool {
 	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -21,8 +21,8 @@
 }
 
 // localPublication converts the publication time from the proposer's wall clock to this process's clock; it is at most
-// now. The time of applying the entry would not do, since a replica that restarts, was partitioned or paused, or installs
-// a snapshot applies it late.
+// now. The time of applying the entry would not do, since a replica that restarts, was partitioned or paused, or
+// installs a snapshot applies it late.
 func (r *Replica) localPublication(now time.Duration, publication catalog.Publication) publishedVersion {
 	local := publishedVersion{version: publication.Version, publishedAt: now}
 	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
@@ -38,9 +38,9 @@
 	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
-// refreshPublicationTimes computes all publication times again, at the start of a term as leader and after a snapshot was
-// installed. It keeps the earlier of the recorded and the computed time. Times do not change in between, so that a gateway
-// may keep the highest age reported during one leader's term.
+// refreshPublicationTimes computes all publication times again, at the start of a term as leader and after a snapshot
+// was installed. It keeps the earlier of the recorded and the computed time. Times do not change in between, so that a
+// gateway may keep the highest age reported during one leader's term.
 func (r *Replica) refreshPublicationTimes(now time.Duration) {
 	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
