--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -332,8 +332,8 @@
 // fromOtherIncarnation reports whether the result comes from another incarnation of the back end than the one called.
 // It returns false if either start time is unknown.
 func (w *WeightsResult) fromOtherIncarnation() bool {
-	requested := catalog.ParseInstanceID(w.Call.Instance).StartedMS
-	return w.StartedMS > 0 && requested > 0 && w.StartedMS != requested
+	expected := catalog.ParseInstanceID(w.Call.Instance).StartedMS
+	return w.StartedMS > 0 && expected > 0 && w.StartedMS != expected
 }
 
 // adoptReport replaces the recorded versions by those of the report, even by older ones: an unanswered order may be
