--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -237,9 +237,9 @@
 }
 
 // setPhase sets the phase of a back end, and updates the roster if that changes whether it gets new requests.
-func (r *Replica) setPhase(state *memberState, next rolloutPhase, due time.Duration) {
+func (r *Replica) setPhase(state *memberState, next rolloutPhase, nextStepAt time.Duration) {
 	before := state.rollout.blocksNewRequests()
-	state.rollout.phase, state.rollout.nextStepAt = next, due
+	state.rollout.phase, state.rollout.nextStepAt = next, nextStepAt
 	if state.rollout.blocksNewRequests() != before {
 		r.leader.rosterChanged(state.id)
 		state.rollout.announcedRoster = r.leader.rosterCount
