--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -32,7 +32,7 @@
 		return
 	}
 	var machines []machine
-	var listed time.Time
+	var listedAt time.Time
 	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
@@ -44,9 +44,9 @@
 		if !s.leading() {
 			continue
 		}
-		if time.Since(listed) >= machineListInterval {
+		if time.Since(listedAt) >= machineListInterval {
 			if fresh, ok := s.fetchMachines(ctx); ok {
-				machines, listed = fresh, time.Now()
+				machines, listedAt = fresh, time.Now()
 			}
 		}
 		s.pollEngines(ctx, machines)
