--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -91,11 +91,11 @@
 func (s *Server) pollEngines(ctx context.Context, machines []machine) {
 	var polls sync.WaitGroup
 	slots := make(chan struct{}, maxEnginePolls)
-	for _, listed := range machines {
+	for _, entry := range machines {
 		slots <- struct{}{}
 		polls.Go(func() {
 			defer func() { <-slots }()
-			s.pollEngine(ctx, listed)
+			s.pollEngine(ctx, entry)
 		})
 	}
 	polls.Wait()
