--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -102,17 +102,17 @@
 }
 
 // pollEngine reads the state of a back end and passes it to the replica if it is an engine's.
-func (s *Server) pollEngine(ctx context.Context, listed machine) {
+func (s *Server) pollEngine(ctx context.Context, entry machine) {
 	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct {
 		Engine EngineReport `json:"engine"`
 	}
-	if err := s.client.Get(attempt, listed.Address, "/v1/state?events=none", &reply); err != nil || reply.Engine.Weights == "" {
+	if err := s.client.Get(attempt, entry.Address, "/v1/state?events=none", &reply); err != nil || reply.Engine.Weights == "" {
 		return
 	}
 	report := reply.Engine
-	report.Name, report.Zone, report.Service, report.Address = listed.Name, listed.Zone, listed.Service, listed.Address
+	report.Name, report.Zone, report.Service, report.Address = entry.Name, entry.Zone, entry.Service, entry.Address
 	s.submit(input{report: &report})
 }
 
