--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -45,8 +45,8 @@
 			continue
 		}
 		if time.Since(listedAt) >= machineListInterval {
-			if fresh, ok := s.fetchMachines(ctx); ok {
-				machines, listedAt = fresh, time.Now()
+			if updated, ok := s.fetchMachines(ctx); ok {
+				machines, listedAt = updated, time.Now()
 			}
 		}
 		s.pollEngines(ctx, machines)
