--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -63,12 +63,12 @@
 
 // queryReplica runs check in the goroutine that owns the replica. It returns false if there is no answer in time.
 func (s *Server) queryReplica(check func(*Replica) bool) bool {
-	answer := make(chan bool, 1)
-	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
+	result := make(chan bool, 1)
+	if !s.submit(input{inspect: func(replica *Replica) { result <- check(replica) }}) {
 		return false
 	}
 	select {
-	case holds := <-answer:
+	case holds := <-result:
 		return holds
 	case <-time.After(engineCallTimeout):
 		return false
