--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -68,8 +68,8 @@
 		return false
 	}
 	select {
-	case holds := <-result:
-		return holds
+	case checked := <-result:
+		return checked
 	case <-time.After(engineCallTimeout):
 		return false
 	}
