--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -62,9 +62,9 @@
 			r.quarantined.changedAt[f] = now
 		}
 	}
-	for _, released := range change.Releases {
-		for _, f := range released.Requests {
-			r.quarantined.changedAt[f], r.quarantined.releaseReasons[f] = now, released.Reason
+	for _, release := range change.Releases {
+		for _, f := range release.Requests {
+			r.quarantined.changedAt[f], r.quarantined.releaseReasons[f] = now, release.Reason
 		}
 	}
 }
