--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -107,9 +107,9 @@
 	r.quarantined.changedAt = changedAt
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
 	var expired []quarantine.Release
-	for _, released := range []quarantine.Release{dropped, retryable} {
-		if len(released.Requests) > 0 {
-			expired = append(expired, released)
+	for _, release := range []quarantine.Release{dropped, retryable} {
+		if len(release.Requests) > 0 {
+			expired = append(expired, release)
 		}
 	}
 	return expired
