--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -139,16 +139,16 @@
 	now := s.now()
 	s.heldBackLog.version = registry.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
-	for _, e := range registry.Update().Entries {
-		if len(e.Incarnations) < quarantine.QuarantineThreshold {
+	for _, entry := range registry.Update().Entries {
+		if len(entry.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
-		at, known := s.heldBackLog.since[e.Request]
+		at, known := s.heldBackLog.since[entry.Request]
 		if !known {
 			at = now
-			s.log.Info(events.RequestQuarantined, zap.Stringer(events.FieldFingerprint, e.Request), zap.Strings("ended", e.Incarnations))
+			s.log.Info(events.RequestQuarantined, zap.Stringer(events.FieldFingerprint, entry.Request), zap.Strings("ended", entry.Incarnations))
 		}
-		since[e.Request] = at
+		since[entry.Request] = at
 	}
 	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
