--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -151,7 +151,7 @@
 		since[entry.Request] = at
 	}
 	for f, at := range s.heldBackLog.since {
-		if _, held := since[f]; !held {
+		if _, quarantined := since[f]; !quarantined {
 			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
 		}
 	}
