--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -68,7 +68,7 @@
 const gatewayCountInterval = 20 * time.Millisecond
 
 // trustingGateways returns how many gateways may still use their view, and how many of them are silent.
-func (r *Replica) trustingGateways(now time.Duration) (silent, all int) {
+func (r *Replica) trustingGateways(now time.Duration) (silent, total int) {
 	counts := &r.leader.trusting
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
 		counts.silent, counts.all = r.countTrustingGateways(now)
