--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -79,13 +79,13 @@
 
 // countTrustingGateways computes trustingGateways. Gateways that the log lists from an earlier leader's term count as
 // silent until they send this leader a request or their views have expired.
-func (r *Replica) countTrustingGateways(now time.Duration) (silent, all int) {
+func (r *Replica) countTrustingGateways(now time.Duration) (silent, total int) {
 	for _, report := range r.leader.usage {
 		silence := now - report.at
 		if silence > r.trustEnd() {
 			continue
 		}
-		all++
+		total++
 		if silence > gatewaySilenceThreshold {
 			silent++
 		}
@@ -93,12 +93,12 @@
 	if now < r.leader.startedAt+r.trustEnd() {
 		for _, name := range r.machine.catalog.Gateways() {
 			if _, asked := r.leader.usage[name]; !asked {
-				all++
+				total++
 				silent++
 			}
 		}
 	}
-	return silent, all
+	return silent, total
 }
 
 // limitLogInterval is the interval at which a leader checks limits for changes to log.
