--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -49,11 +49,11 @@
 // silentFraction returns the fraction of gateways that are silent but may still use their view. They use their fallback
 // shares without asking the leader.
 func (r *Replica) silentFraction(now time.Duration) float64 {
-	silent, all := r.trustingGateways(now)
+	silent, total := r.trustingGateways(now)
 	if silent == 0 {
 		return 0
 	}
-	return float64(silent) / float64(all)
+	return float64(silent) / float64(total)
 }
 
 // gatewayCounts caches the number of gateways that may still use their view, since counting them on each tick and reply
