--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -59,9 +59,9 @@
 // gatewayCounts caches the number of gateways that may still use their view, since counting them on each tick and reply
 // would be expensive with many gateways.
 type gatewayCounts struct {
-	countedAt   time.Duration
-	counted     bool
-	silent, all int
+	countedAt     time.Duration
+	counted       bool
+	silent, total int
 }
 
 // gatewayCountInterval is the lifetime of gatewayCounts, short compared with gatewaySilenceThreshold.
@@ -71,10 +71,10 @@
 func (r *Replica) trustingGateways(now time.Duration) (silent, total int) {
 	counts := &r.leader.trusting
 	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
-		counts.silent, counts.all = r.countTrustingGateways(now)
+		counts.silent, counts.total = r.countTrustingGateways(now)
 		counts.counted, counts.countedAt = true, now
 	}
-	return counts.silent, counts.all
+	return counts.silent, counts.total
 }
 
 // countTrustingGateways computes trustingGateways. Gateways that the log lists from an earlier leader's term count as
