--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -46,7 +46,7 @@
 	for model := range r.machine.catalog.LatestVersions() {
 		for _, publication := range r.machine.catalog.Publications(model) {
 			local := r.localPublication(now, publication)
-			i := slices.IndexFunc(r.namedVersions[model], func(d publishedVersion) bool { return d.version == publication.Version })
+			i := slices.IndexFunc(r.namedVersions[model], func(p publishedVersion) bool { return p.version == publication.Version })
 			if i >= 0 {
 				local.publishedAt = min(local.publishedAt, r.namedVersions[model][i].publishedAt)
 			}
