--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -144,12 +144,12 @@
 // from nothing again; status shows it.
 func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
-	ask := func(s *singleReplica, length time.Duration) (lent float64) {
+	ask := func(s *singleReplica, length time.Duration) (granted float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
-			lent += s.requestAdvertisedShare([]string{"g1", "g2", "g3"}[i%3], 4, 0)
+			granted += s.requestAdvertisedShare([]string{"g1", "g2", "g3"}[i%3], 4, 0)
 			s.advance(20 * time.Millisecond)
 		}
-		return lent
+		return granted
 	}
 	if lent := ask(s, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent of a limit that was just heard", lent)
