--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -144,21 +144,21 @@
 // from nothing again; status shows it.
 func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
-	ask := func(s *singleReplica, length time.Duration) (granted float64) {
+	grantedWithin := func(s *singleReplica, length time.Duration) (granted float64) {
 		for i, end := 0, s.now+length; s.now < end; i++ {
 			granted += s.requestAdvertisedShare([]string{"g1", "g2", "g3"}[i%3], 4, 0)
 			s.advance(20 * time.Millisecond)
 		}
 		return granted
 	}
-	if lent := ask(s, 200*time.Millisecond); lent != 0 {
+	if lent := grantedWithin(s, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent of a limit that was just heard", lent)
 	}
-	if lent := ask(s, 4*time.Second); lent < 12 || lent > 17 {
+	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s of 4 a second", lent)
 	}
 	s.setQuota(3, 10)
-	if lent := ask(s, 4*time.Second); lent < 12 || lent > 17 {
+	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s after another document", lent)
 	}
 	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
@@ -168,10 +168,10 @@
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
-	if lent := ask(next, 200*time.Millisecond); lent != 0 {
+	if lent := grantedWithin(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
 	}
-	if lent := ask(next, 4*time.Second); lent < 12 || lent > 17 {
+	if lent := grantedWithin(next, 4*time.Second); lent < 12 || lent > 17 {
 		t.Fatalf("%v lent in 4 s by the next leader", lent)
 	}
 	next.advance(20 * time.Second)
