--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -117,8 +117,8 @@
 		s.watchNow(gateway, RosterVersion{})
 	}
 	s.advance(gatewayListInterval + 200*time.Millisecond)
-	if n := s.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
-		t.Fatalf("%d gateways before", n)
+	if gateways := s.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
+		t.Fatalf("%d gateways before", gateways)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
