--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -124,8 +124,8 @@
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
-	if n := next.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
-		t.Fatalf("the first gateway that asks the next leader is told of %d", n)
+	if gateways := next.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
+		t.Fatalf("the first gateway that asks the next leader is told of %d", gateways)
 	}
 }
 
