--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -173,7 +173,7 @@
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	ask := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
+	watchAndBeat := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
 		for end := s.now + length; s.now < end && len(orders) == 0; {
 			s.beats("i-1", "i-2")
 			s.watchNow("g1", held)
@@ -181,10 +181,10 @@
 		}
 		return orders, s.now - 50*time.Millisecond
 	}
-	if early, _ := ask(version, 4*time.Second); len(early) > 0 {
+	if early, _ := watchAndBeat(version, 4*time.Second); len(early) > 0 {
 		t.Fatalf("ordered before g1 turned away: %+v", early)
 	}
-	orders, orderedAt := ask(s.watchNow("g1", version).Version, time.Second)
+	orders, orderedAt := watchAndBeat(s.watchNow("g1", version).Version, time.Second)
 	if len(orders) == 0 {
 		t.Fatal("no order after g1 turned away")
 	}
