--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -127,7 +127,7 @@
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
-	ask := func(client uint64, name string) {
+	watch := func(client uint64, name string) {
 		s.advance(2 * gatewayListDelay)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
@@ -138,14 +138,14 @@
 			t.Fatalf("%s: confirmed %t, held %t", name, confirmed(client), holds(name))
 		}
 	}
-	ask(1001, "g1")
-	ask(1002, "g2")
+	watch(1001, "g1")
+	watch(1002, "g2")
 	s.advance(s.replica.trustEnd() + 2*gatewayListInterval)
-	ask(1003, "g3")
+	watch(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
 	}
-	ask(1004, "g1")
+	watch(1004, "g1")
 	if !holds("g3") {
 		t.Fatal("the log forgot a gateway")
 	}
