--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -226,7 +226,7 @@
 // TestOrderPauseCoversAllIncarnations: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
 func TestOrderPauseCoversAllIncarnations(t *testing.T) {
-	for what, forget := range map[string]func(*singleReplica){
+	for what, dropMarks := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
 		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
 		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
@@ -238,7 +238,7 @@
 			s.replica.queueOrderAnnouncement(life("e", 1000))
 			s.advance(100 * time.Millisecond)
 			s.says(life("e", 2000), "a1", 1, 1)
-			forget(s)
+			dropMarks(s)
 			for key, mark := range s.replica.orderMarks {
 				mark.term-- // another leader's
 				s.replica.orderMarks[key] = mark
