--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -226,12 +226,12 @@
 // TestOrderPauseCoversAllIncarnations: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
 func TestOrderPauseCoversAllIncarnations(t *testing.T) {
-	for what, dropMarks := range map[string]func(*singleReplica){
+	for name, dropMarks := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
 		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
 		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			s := openFleet(t)
 			s.config(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
