--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -44,7 +44,7 @@
 
 // ordersDuring lets time pass with a gateway that keeps asking, and returns which engines were ordered.
 func (s *singleReplica) ordersDuring(gateway string, length time.Duration) []string {
-	var found []string
+	var instances []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
 		s.beats("i-1", "i-2")
@@ -52,10 +52,10 @@
 			version = s.watchNow(gateway, version).Version
 		}
 		for _, call := range s.orders(50 * time.Millisecond) {
-			found = append(found, call.Instance)
+			instances = append(instances, call.Instance)
 		}
 	}
-	return found
+	return instances
 }
 
 // TestNewLeaderPausesOnlyForOrderedEngines: an engine that the last leader gave an order to is left alone for the pause between
