--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -10,7 +10,7 @@
 )
 
 // replaceLeaderAfterOrder ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, free string) {
+func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -29,9 +29,9 @@
 	if len(orders) != 1 {
 		t.Fatalf("%d orders by the first leader", len(orders))
 	}
-	ordered, free = orders[0].Instance, "i-1"
-	if ordered == free {
-		free = "i-2"
+	ordered, unordered = orders[0].Instance, "i-1"
+	if ordered == unordered {
+		unordered = "i-2"
 	}
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	next = reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
-	return next, ordered, free
+	return next, ordered, unordered
 }
 
 // ordersDuring lets time pass with a gateway that keeps asking, and returns which engines were ordered.
