--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -62,12 +62,12 @@
 // two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
 // ordered at 7.5 s by a leader of 4.07 s).
 func TestNewLeaderPausesOnlyForOrderedEngines(t *testing.T) {
-	s, ordered, free := replaceLeaderAfterOrder(t)
-	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
-		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
+	s, ordered, unordered := replaceLeaderAfterOrder(t)
+	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
+		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, unordered)
 	}
-	s.replica.leader.fleet[free].versions["m"] = 2
-	s.replica.setPhase(s.replica.leader.fleet[free], phaseIdle, s.now)
+	s.replica.leader.fleet[unordered].versions["m"] = 2
+	s.replica.setPhase(s.replica.leader.fleet[unordered], phaseIdle, s.now)
 	if later := s.ordersDuring("g1", 5*time.Second); !slices.Contains(later, ordered) {
 		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
 	}
