--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -75,11 +75,11 @@
 
 // TestNewLeaderWaitsForPreviousLeadersGateways: one that does not ask may still trust what the last leader told.
 func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
-	s, _, free := replaceLeaderAfterOrder(t)
+	s, _, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
 		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
 	}
-	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, free) {
+	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, unordered) {
 		t.Fatalf("ordered %v after all views of the last leader had ended", later)
 	}
 }
