--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -86,7 +86,7 @@
 
 // TestSnapshotKeepsOrderedEnginesAndGateways: the entries themselves may be gone from the log.
 func TestSnapshotKeepsOrderedEnginesAndGateways(t *testing.T) {
-	s, ordered, free := replaceLeaderAfterOrder(t)
+	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
@@ -95,8 +95,8 @@
 	if _, elsewhere := s.replica.lastForeignOrder(ordered); !elsewhere {
 		t.Fatalf("%s was ordered by another leader", ordered)
 	}
-	if _, elsewhere := s.replica.lastForeignOrder(free); elsewhere {
-		t.Fatalf("%s was never ordered", free)
+	if _, elsewhere := s.replica.lastForeignOrder(unordered); elsewhere {
+		t.Fatalf("%s was never ordered", unordered)
 	}
 	if known := s.replica.Machine().Catalog().Gateways(); !slices.Equal(known, []string{"g1"}) {
 		t.Fatalf("gateways %v", known)
