--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -82,19 +82,19 @@
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashing)
 	}
-	skip := func(length time.Duration) {
+	advanceTo := func(length time.Duration) {
 		s.now += length
 		s.advance(3 * time.Second)
 	}
-	skip(suspectTTL - 10*time.Second)
+	advanceTo(suspectTTL - 10*time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 1 {
 		t.Fatal("forgotten early")
 	}
-	skip(20 * time.Second)
+	advanceTo(20 * time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashing) != quarantine.QuarantineThreshold {
 		t.Fatalf("%d and %d lives after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
 	}
-	skip(quarantineTTL - suspectTTL)
+	advanceTo(quarantineTTL - suspectTTL)
 	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d lives after a day", got)
 	}
