--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -26,7 +26,7 @@
 			leader.noteLoad(acceptedAt+loadTime, acceptedAt)
 		}
 		first := leader.firstCheck()
-		if wanted := time.Duration(checkShare * float64(loadTime)); first < wanted-nextCheck || first > wanted+nextCheck {
+		if want := time.Duration(checkShare * float64(loadTime)); first < want-nextCheck || first > want+nextCheck {
 			t.Fatalf("loads of %v are first looked at after %v", loadTime, first)
 		}
 	}
