--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -54,8 +54,8 @@
 		s.orders(200 * time.Millisecond) // the reports
 		s.beats(ids...)
 		ordered := len(s.orders(time.Second))
-		if wanted := max(1, engines/loadShare); ordered < wanted || ordered > max(1, engines/drainShare) {
-			t.Errorf("%d of %d engines were ordered at once, wanted %d", ordered, engines, wanted)
+		if want := max(1, engines/loadShare); ordered < want || ordered > max(1, engines/drainShare) {
+			t.Errorf("%d of %d engines were ordered at once, wanted %d", ordered, engines, want)
 		}
 	}
 }
