--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/quota"
 )
 
-// openFleetWithQuota is openFleet with a tenant of 100 units a second and a burst of 50.
+// openFleetWithQuota is openFleet with a tenant quota of 100 units per second and a burst of 50.
 func openFleetWithQuota(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openFleet(t)
@@ -23,7 +23,7 @@
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: revision, Tenants: []catalog.Tenant{tenant}}}})
 }
 
-// requestShare asks for an amount as a gateway does, and returns what was lent.
+// requestShare requests an amount of the tenant quota for a gateway and returns the granted amount.
 func (s *singleReplica) requestShare(gateway string, amount float64) float64 {
 	s.t.Helper()
 	request := allowance.Request{Client: gateway, Sequence: uint64(s.now), Items: []allowance.RequestItem{{Name: quota.Tenant("north"), Amount: amount}}}
@@ -34,47 +34,47 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestGrantsStayWithinLimit, and begins with nothing: what an earlier leader lent is not lent again.
+// TestGrantsStayWithinLimit also checks that a new leader starts with nothing to grant, so that it does not grant again what
+// an earlier leader granted.
 func TestGrantsStayWithinLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	if lent := s.requestShare("g1", 40); lent != 0 {
-		t.Fatalf("%v lent of a limit that has just come", lent)
+		t.Fatalf("granted %v of a limit just set, want 0", lent)
 	}
 	s.advance(10 * time.Second)
 	if lent := s.requestShare("g1", 40); lent != 40 {
-		t.Fatalf("%v lent", lent)
+		t.Fatalf("granted %v, want 40", lent)
 	}
 	if lent := s.requestShare("g2", 40); lent != 0 {
-		t.Fatalf("%v lent beyond the burst", lent)
+		t.Fatalf("granted %v beyond the burst, want 0", lent)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := next.requestShare("g3", 45); lent != 0 {
-		t.Fatalf("%v lent by a leader that has just begun", lent)
+		t.Fatalf("a new leader granted %v at once, want 0", lent)
 	}
 	next.advance(time.Second)
 	if lent := next.requestShare("g3", 45); lent != 45 {
-		t.Fatalf("%v lent by the next leader", lent)
+		t.Fatalf("the new leader granted %v after 1 s, want 45", lent)
 	}
 }
 
-// TestLoweredLimitAppliesImmediately.
 func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
 	s.setQuota(3, 10)
 	if lent := s.requestShare("g1", 40); lent != 0 {
-		t.Fatalf("%v lent of a limit of 10 a second", lent)
+		t.Fatalf("granted %v of a limit lowered to 10 per second, want 0", lent)
 	}
 	if lent := s.requestShare("g1", 5); lent != 5 {
-		t.Fatalf("%v lent", lent)
+		t.Fatalf("granted %v, want 5", lent)
 	}
 }
 
-// TestSharesOfSilentGatewaysAreWithheld: what gateways out of touch use by themselves is kept back until they may trust their view
-// no more.
+// TestSharesOfSilentGatewaysAreWithheld checks that the fallback shares of silent gateways are withheld until their views
+// have expired.
 func TestSharesOfSilentGatewaysAreWithheld(t *testing.T) {
 	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
@@ -91,12 +91,11 @@
 		fraction float64
 	}{{600 * time.Millisecond, 0}, {time.Second, 0.5}, {2 * time.Second, 0}} {
 		if fraction := silentFractionAfter(step.after); fraction != step.fraction {
-			t.Fatalf("at %v the part %v is kept back, wanted %v", s.now, fraction, step.fraction)
+			t.Fatalf("at %v: withheld fraction %v, want %v", s.now, fraction, step.fraction)
 		}
 	}
 }
 
-// TestStatusShowsLimits: the leader tells what is limited, lent and refused.
 func TestStatusShowsLimits(t *testing.T) {
 	s := openFleetWithQuota(t)
 	s.advance(10 * time.Second)
@@ -105,12 +104,12 @@
 	s.requestShare("g1", 40)
 	limits := s.ask(Request{Status: &StatusRequest{}}).Status.Limits
 	if len(limits) != 1 || limits[0].Name != quota.Tenant("north") || limits[0].Granted != 40 || limits[0].Refused != 40 || !limits[0].OverLimit {
-		t.Fatalf("%+v", limits)
+		t.Fatalf("limits in the status: %+v", limits)
 	}
 }
 
-// TestNewLeaderReportsAllGateways: the first gateways that ask a new leader are told of all that asked the last one, else each
-// would take the whole for its equal part (soak, kept plan: 121,164 units in 4 s where 120,000 were allowed).
+// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways it has heard from: the first
+// ones would then use too large a fallback share.
 func TestNewLeaderReportsAllGateways(t *testing.T) {
 	s := openFleetWithQuota(t)
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
@@ -118,18 +117,19 @@
 	}
 	s.advance(gatewayListInterval + 200*time.Millisecond)
 	if gateways := s.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
-		t.Fatalf("%d gateways before", gateways)
+		t.Fatalf("the first leader reports %d gateways, want 4", gateways)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if gateways := next.watchNow("g1", RosterVersion{}).Gateways; gateways != 4 {
-		t.Fatalf("the first gateway that asks the next leader is told of %d", gateways)
+		t.Fatalf("the next leader reports %d gateways to the first one, want 4", gateways)
 	}
 }
 
-// requestAdvertisedShare asks for a part of a back end's limit as a gateway does that heard of it some time ago, and returns what was lent.
+// requestAdvertisedShare requests one unit of a back end's advertised limit for a gateway that learned of it some time
+// ago, and returns the granted amount.
 func (s *singleReplica) requestAdvertisedShare(gateway string, rate float64, age time.Duration) float64 {
 	s.t.Helper()
 	item := allowance.RequestItem{Name: quota.Backend("i-1"), Amount: 1, Advertised: &allowance.AdvertisedLimit{Rate: rate, Age: age}}
@@ -140,8 +140,8 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestGrantsStayWithinAdvertisedLimit: to all gateways together what a back end names, whatever documents say, from nothing on, and a new leader
-// from nothing again; status shows it.
+// TestGrantsStayWithinAdvertisedLimit checks that the gateways together get no more than a back end advertises, from nothing
+// at first and under a new leader, across changes of the routing document.
 func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	grantedWithin := func(s *singleReplica, length time.Duration) (granted float64) {
@@ -152,31 +152,31 @@
 		return granted
 	}
 	if lent := grantedWithin(s, 200*time.Millisecond); lent != 0 {
-		t.Fatalf("%v lent of a limit that was just heard", lent)
+		t.Fatalf("granted %v of a limit just learned, want 0", lent)
 	}
 	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
-		t.Fatalf("%v lent in 4 s of 4 a second", lent)
+		t.Fatalf("granted %v in 4 s of 4 per second, want 12 to 17", lent)
 	}
 	s.setQuota(3, 10)
 	if lent := grantedWithin(s, 4*time.Second); lent < 12 || lent > 17 {
-		t.Fatalf("%v lent in 4 s after another document", lent)
+		t.Fatalf("granted %v in 4 s after a document change, want 12 to 17", lent)
 	}
 	if advertised := s.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 1 || advertised[0].Limit.Rate != 4 || advertised[0].Refused == 0 {
-		t.Fatalf("%+v", advertised)
+		t.Fatalf("advertised limits in the status: %+v", advertised)
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
 	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := grantedWithin(next, 200*time.Millisecond); lent != 0 {
-		t.Fatalf("%v lent by a leader that has just begun", lent)
+		t.Fatalf("a new leader granted %v at once, want 0", lent)
 	}
 	if lent := grantedWithin(next, 4*time.Second); lent < 12 || lent > 17 {
-		t.Fatalf("%v lent in 4 s by the next leader", lent)
+		t.Fatalf("the new leader granted %v in 4 s of 4 per second, want 12 to 17", lent)
 	}
 	next.advance(20 * time.Second)
 	next.requestShare("g1", 1)
 	if advertised := next.ask(Request{Status: &StatusRequest{}}).Status.Named; len(advertised) != 0 {
-		t.Fatalf("nobody asks for it any more: %+v", advertised)
+		t.Fatalf("status shows an advertised limit that is no longer used: %+v", advertised)
 	}
 }
