--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -9,7 +9,8 @@
 	"kitetiller/internal/consensus"
 )
 
-// replaceLeaderAfterOrder ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
+// replaceLeaderAfterOrder stops a leader that gateway g1 watches once it has ordered one of two engines, and starts the
+// next leader.
 func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
 	s := openFleet(t)
@@ -27,7 +28,7 @@
 		}
 	}
 	if len(orders) != 1 {
-		t.Fatalf("%d orders by the first leader", len(orders))
+		t.Fatalf("the first leader sent %d orders, want 1", len(orders))
 	}
 	ordered, unordered = orders[0].Instance, "i-1"
 	if ordered == unordered {
@@ -42,7 +43,7 @@
 	return next, ordered, unordered
 }
 
-// ordersDuring lets time pass with a gateway that keeps asking, and returns which engines were ordered.
+// ordersDuring advances the time while a gateway keeps watching, and returns the ordered engines.
 func (s *singleReplica) ordersDuring(gateway string, length time.Duration) []string {
 	var instances []string
 	version := RosterVersion{}
@@ -58,33 +59,33 @@
 	return instances
 }
 
-// TestNewLeaderPausesOnlyForOrderedEngines: an engine that the last leader gave an order to is left alone for the pause between
-// two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
-// ordered at 7.5 s by a leader of 4.07 s).
+// TestNewLeaderPausesOnlyForOrderedEngines checks that a new leader waits before it orders an engine that the previous
+// leader ordered, and orders others as soon as the gateways follow it.
 func TestNewLeaderPausesOnlyForOrderedEngines(t *testing.T) {
 	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
-		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, unordered)
+		t.Fatalf("ordered %v early; the previous leader ordered %s, and not %s", early, ordered, unordered)
 	}
 	s.replica.leader.fleet[unordered].versions["m"] = 2
 	s.replica.setPhase(s.replica.leader.fleet[unordered], phaseIdle, s.now)
 	if later := s.ordersDuring("g1", 5*time.Second); !slices.Contains(later, ordered) {
-		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
+		t.Fatalf("ordered %v after the pause, want also %s", later, ordered)
 	}
 }
 
-// TestNewLeaderWaitsForPreviousLeadersGateways: one that does not ask may still trust what the last leader told.
+// TestNewLeaderWaitsForPreviousLeadersGateways guards against orders while a gateway that has not contacted the new leader
+// may still use a view of the previous one.
 func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
 	s, _, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
-		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
+		t.Fatalf("ordered %v while g1 may use a view of the previous leader", early)
 	}
 	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, unordered) {
-		t.Fatalf("ordered %v after all views of the last leader had ended", later)
+		t.Fatalf("ordered %v after all views of the previous leader expired", later)
 	}
 }
 
-// TestSnapshotKeepsOrderedEnginesAndGateways: the entries themselves may be gone from the log.
+// TestSnapshotKeepsOrderedEnginesAndGateways covers the case that the log entries have been compacted.
 func TestSnapshotKeepsOrderedEnginesAndGateways(t *testing.T) {
 	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
@@ -93,18 +94,18 @@
 	}
 	clear(s.replica.orderMarks)
 	if _, elsewhere := s.replica.lastForeignOrder(ordered); !elsewhere {
-		t.Fatalf("%s was ordered by another leader", ordered)
+		t.Fatalf("%s counts as not ordered by another leader, but was", ordered)
 	}
 	if _, elsewhere := s.replica.lastForeignOrder(unordered); elsewhere {
-		t.Fatalf("%s was never ordered", unordered)
+		t.Fatalf("%s counts as ordered by another leader, but was not", unordered)
 	}
 	if known := s.replica.Machine().Catalog().Gateways(); !slices.Equal(known, []string{"g1"}) {
-		t.Fatalf("gateways %v", known)
+		t.Fatalf("gateways %v, want g1", known)
 	}
 }
 
-// TestInstalledSnapshotRestartsOrderPause: a replica that has run for long and is sent a snapshot cannot know how old the
-// orders are that it covers, nor whether one that was just announced has been given.
+// TestInstalledSnapshotRestartsOrderPause: a replica that receives a snapshot cannot know how old the announcements in it
+// are, nor whether their orders have been sent.
 func TestInstalledSnapshotRestartsOrderPause(t *testing.T) {
 	s, ordered, _ := replaceLeaderAfterOrder(t)
 	clear(s.replica.orderMarks)
@@ -119,9 +120,8 @@
 	}
 }
 
-// TestWatchConfirmedOnlyAfterGatewayIsLogged: the next leader waits for the gateways that the log holds before it orders weights; one that
-// trusts a view and isn't among them would send to a back end that loads. A leader confirmed a gateway that came back from a cut, and its disk
-// stalled before the log held it again (simulator, seed 178).
+// TestWatchConfirmedOnlyAfterGatewayIsLogged guards against a gateway that uses a view but is not in the log: the next leader
+// would not wait for it, and the gateway would send to a back end that loads weights.
 func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -131,11 +131,11 @@
 		s.advance(2 * gatewayListDelay)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
-			t.Fatalf("%s is confirmed before the log holds it", name)
+			t.Fatalf("%s is confirmed before it is in the log", name)
 		}
 		s.work() // no time passes
 		if !confirmed(client) || !holds(name) {
-			t.Fatalf("%s: confirmed %t, held %t", name, confirmed(client), holds(name))
+			t.Fatalf("%s: confirmed %t, in the log %t, want both", name, confirmed(client), holds(name))
 		}
 	}
 	watch(1001, "g1")
@@ -143,15 +143,16 @@
 	s.advance(s.replica.trustEnd() + 2*gatewayListInterval)
 	watch(1003, "g3")
 	if holds("g1") {
-		t.Fatal("the log holds a gateway that was silent for long")
+		t.Fatal("a gateway that was silent for long is still in the log")
 	}
 	watch(1004, "g1")
 	if !holds("g3") {
-		t.Fatal("the log forgot a gateway")
+		t.Fatal("an active gateway was removed from the log")
 	}
 }
 
-// TestClosingGatewayIsStillAnswered: it serves what it has until its end, though the log holds it no more.
+// TestClosingGatewayIsStillAnswered: a closing gateway needs a confirmed view for its remaining requests, though it is no
+// longer added to the log.
 func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -159,15 +160,14 @@
 	for range 5 {
 		s.watchNow("g2", held)
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
-			t.Fatal("a closing gateway is confirmed no more")
+			t.Fatal("a closing gateway got no answer")
 		}
 		s.advance(gatewayListInterval)
 	}
 }
 
-// TestDelayedOrderIsAnnouncedAgain: the next leader waits since the announcement of an order, as it applied it. A leader had announced
-// one and gave it seconds later, when others had ended their loads and requests had drained, then it was lost. The next one, which had applied
-// the announcement as it was written, took the pause between two holders for over and ordered at once.
+// TestDelayedOrderIsAnnouncedAgain: the next leader counts its pause from the announcement of an order. If the order were
+// sent seconds later without a new announcement, the next leader's order could follow it too soon.
 func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
@@ -182,23 +182,23 @@
 		return orders, s.now - 50*time.Millisecond
 	}
 	if early, _ := watchAndBeat(version, 4*time.Second); len(early) > 0 {
-		t.Fatalf("ordered before g1 turned away: %+v", early)
+		t.Fatalf("ordered before g1 applied the roster: %+v", early)
 	}
 	orders, orderedAt := watchAndBeat(s.watchNow("g1", version).Version, time.Second)
 	if len(orders) == 0 {
-		t.Fatal("no order after g1 turned away")
+		t.Fatal("no order after g1 applied the roster")
 	}
 	id := orders[0].Instance
 	mark := s.replica.orderMarks[id]
-	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
+	mark.term-- // as seen by the next leader, which applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
 	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
 	}
 }
 
-// TestOrderDroppedAfterSlowSync: the disk was slow between the decision and the send, for less than the lease runs. The order left
-// later after its announcement than the next leader counts on.
+// TestOrderDroppedAfterSlowSync: after a slow sync, an order would be sent later after its announcement than the next leader
+// allows for, even though the lease is still valid.
 func TestOrderDroppedAfterSlowSync(t *testing.T) {
 	s := openFleet(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -213,18 +213,18 @@
 		s.work()
 	}
 	if len(s.replica.effects.WeightsCalls) == 0 {
-		t.Fatal("nothing was decided")
+		t.Fatal("no order was decided")
 	}
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
 	left := s.replica.orderMarks[id].appliedAt + maxDispatchAge + time.Millisecond
 	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].appliedAt)
+		t.Fatalf("%+v sent %v after its announcement, want no orders and a leader", late, left-s.replica.orderMarks[id].appliedAt)
 	}
 }
 
-// TestOrderPauseCoversAllIncarnations: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
-// starts again under its name is told by no order from whom the last one came.
+// TestOrderPauseCoversAllIncarnations checks that the pause after another leader's order also covers a later incarnation of
+// the back end, since an order does not name an incarnation.
 func TestOrderPauseCoversAllIncarnations(t *testing.T) {
 	for name, dropMarks := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
@@ -240,20 +240,20 @@
 			s.says(life("e", 2000), "a1", 1, 1)
 			dropMarks(s)
 			for key, mark := range s.replica.orderMarks {
-				mark.term-- // another leader's
+				mark.term-- // as if by another leader
 				s.replica.orderMarks[key] = mark
 			}
 			if s.replica.handoverPauseOver(s.now, life("e", 2000)) {
-				t.Fatal("the next life may be ordered by another holder at once")
+				t.Fatal("another leader may order the next incarnation at once")
 			}
 			if !s.replica.handoverPauseOver(s.now, "i-1") {
-				t.Fatal("one that was never ordered has to wait")
+				t.Fatal("an engine that was never ordered has to wait")
 			}
 		})
 	}
 }
 
-// restore replaces the state by its own snapshot.
+// restore replaces the replicated state by its own snapshot.
 func (s *singleReplica) restore(t *testing.T) {
 	t.Helper()
 	if err := s.replica.Machine().Restore(s.replica.Machine().Snapshot()); err != nil {
