--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -7,10 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// An order is given to a back end under its name, and its next life takes it as well. The mark that another leader gave one stood under the
-// life: a back end that started again had none, and a new leader ordered it within the pause between two holders.
-
-// TestNextIncarnationKeepsOrderPause: also on a replica that knows of the order from a snapshot alone.
+// TestNextIncarnationKeepsOrderPause guards against marks kept per incarnation: an order names the back end only, so the next
+// incarnation may accept it. It includes a replica that knows of the order only from a snapshot.
 func TestNextIncarnationKeepsOrderPause(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
@@ -18,13 +16,13 @@
 	s.says(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
 	for name, mark := range s.replica.orderMarks {
-		mark.term-- // as whoever leads next sees it
+		mark.term-- // as seen by the next leader
 		s.replica.orderMarks[name] = mark
 	}
 	orderedAt := s.now
 	s.says(second, "a1", 1, 1)
 	if s.replica.handoverPauseOver(orderedAt+s.replica.config.OrderWait, second) {
-		t.Fatal("the next life may be ordered within the pause")
+		t.Fatal("the next incarnation may be ordered within the pause")
 	}
 	clear(s.replica.orderMarks)
 	snapshot := s.replica.Machine().Snapshot()
@@ -32,6 +30,6 @@
 		t.Fatal(err)
 	}
 	if _, elsewhere := s.replica.lastForeignOrder(second); !elsewhere {
-		t.Fatal("after a snapshot nobody knows that its last life was ordered")
+		t.Fatal("the order to the previous incarnation is unknown after a snapshot")
 	}
 }
