--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestNextIncarnationKeepsOrderPause guards against marks kept per incarnation: an order names the back end only, so the next
-// incarnation may accept it. It includes a replica that knows of the order only from a snapshot.
+// TestNextIncarnationKeepsOrderPause guards against marks kept per incarnation: an order names the back end only, so
+// the next incarnation may accept it. It includes a replica that knows of the order only from a snapshot.
 func TestNextIncarnationKeepsOrderPause(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestNewLeaderWaitsForPreviousLeadersGateways guards against orders while a gateway that has not contacted the new leader
-// may still use a view of the previous one.
+// TestNewLeaderWaitsForPreviousLeadersGateways guards against orders while a gateway that has not contacted the new
+// leader may still use a view of the previous one.
 func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
 	s, _, unordered := replaceLeaderAfterOrder(t)
 	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestInstalledSnapshotRestartsOrderPause: a replica that receives a snapshot cannot know how old the announcements in it
-// are, nor whether their orders have been sent.
+// TestInstalledSnapshotRestartsOrderPause: a replica that receives a snapshot cannot know how old the announcements in
+// it are, nor whether their orders have been sent.
 func TestInstalledSnapshotRestartsOrderPause(t *testing.T) {
 	s, ordered, _ := replaceLeaderAfterOrder(t)
 	clear(s.replica.orderMarks)
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestWatchConfirmedOnlyAfterGatewayIsLogged guards against a gateway that uses a view but is not in the log: the next leader
-// would not wait for it, and the gateway would send to a back end that loads weights.
+// TestWatchConfirmedOnlyAfterGatewayIsLogged guards against a gateway that uses a view but is not in the log: the next
+// leader would not wait for it, and the gateway would send to a back end that loads weights.
 func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestClosingGatewayIsStillAnswered: a closing gateway needs a confirmed view for its remaining requests, though it is no
-// longer added to the log.
+// TestClosingGatewayIsStillAnswered: a closing gateway needs a confirmed view for its remaining requests, though it is
+// no longer added to the log.
 func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestDelayedOrderIsAnnouncedAgain: the next leader counts its pause from the announcement of an order. If the order were
-// sent seconds later without a new announcement, the next leader's order could follow it too soon.
+// TestDelayedOrderIsAnnouncedAgain: the next leader counts its pause from the announcement of an order. If the order
+// were sent seconds later without a new announcement, the next leader's order could follow it too soon.
 func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestOrderDroppedAfterSlowSync: after a slow sync, an order would be sent later after its announcement than the next leader
-// allows for, even though the lease is still valid.
+// TestOrderDroppedAfterSlowSync: after a slow sync, an order would be sent later after its announcement than the next
+// leader allows for, even though the lease is still valid.
 func TestOrderDroppedAfterSlowSync(t *testing.T) {
 	s := openFleet(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestOrderPauseCoversAllIncarnations checks that the pause after another leader's order also covers a later incarnation of
-// the back end, since an order does not name an incarnation.
+// TestOrderPauseCoversAllIncarnations checks that the pause after another leader's order also covers a later
+// incarnation of the back end, since an order does not name an incarnation.
 func TestOrderPauseCoversAllIncarnations(t *testing.T) {
 	for name, dropMarks := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -34,8 +34,8 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestGrantsStayWithinLimit also checks that a new leader starts with nothing to grant, so that it does not grant again what
-// an earlier leader granted.
+// TestGrantsStayWithinLimit also checks that a new leader starts with nothing to grant, so that it does not grant again
+// what an earlier leader granted.
 func TestGrantsStayWithinLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	if lent := s.requestShare("g1", 40); lent != 0 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestSharesOfSilentGatewaysAreWithheld checks that the fallback shares of silent gateways are withheld until their views
-// have expired.
+// TestSharesOfSilentGatewaysAreWithheld checks that the fallback shares of silent gateways are withheld until their
+// views have expired.
 func TestSharesOfSilentGatewaysAreWithheld(t *testing.T) {
 	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways it has heard from: the first
-// ones would then use too large a fallback share.
+// TestNewLeaderReportsAllGateways guards against a new leader that counts only the gateways it has heard from: the
+// first ones would then use too large a fallback share.
 func TestNewLeaderReportsAllGateways(t *testing.T) {
 	s := openFleetWithQuota(t)
 	for _, gateway := range []string{"g1", "g2", "g3", "g4"} {
@@ -140,8 +140,8 @@
 	return response.Lent.Grants[0].Amount
 }
 
-// TestGrantsStayWithinAdvertisedLimit checks that the gateways together get no more than a back end advertises, from nothing
-// at first and under a new leader, across changes of the routing document.
+// TestGrantsStayWithinAdvertisedLimit checks that the gateways together get no more than a back end advertises, from
+// nothing at first and under a new leader, across changes of the routing document.
 func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
 	grantedWithin := func(s *singleReplica, length time.Duration) (granted float64) {
