--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -9,17 +9,17 @@
 	"kitetiller/internal/guard"
 )
 
-// publish names a version of model m, as an operator does.
+// publish publishes a weights version of model m.
 func (s *singleReplica) publish(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
-// reportedAges returns the ages that a gateway is reportedAges, by version.
+// reportedAges returns the ages of the published versions as reported to a gateway, by version.
 func (s *singleReplica) reportedAges() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
-		s.t.Fatal("the gateway gets no answer")
+		s.t.Fatal("the gateway got no answer")
 	}
 	ages := map[uint64]time.Duration{}
 	for _, w := range reply.Wanted {
@@ -28,16 +28,16 @@
 	return ages
 }
 
-// wantAge fails unless a version is told to be of an age, give or take a step of the test's clock.
+// wantAge fails unless the reported age of a version is within one step of the test's clock of the given one.
 func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
 	if told, known := s.reportedAges()[version]; !known || told < age-step || told > age+step {
-		s.t.Fatalf("version %d is told to be %v old (known: %t), it is %v", version, told, known, age)
+		s.t.Fatalf("version %d: reported age %v (reported: %t), want %v", version, told, known, age)
 	}
 }
 
-// successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
+// successor returns a replica with its own clock that leads next, restored from a snapshot and the log entries after it.
 func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wallOffset time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
@@ -61,11 +61,10 @@
 	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
-// TestPublicationAgeSurvivesLeaderChange: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
-// long ago that was, and must not tell less than is true, or requests begin on old weights after the limit.
+// TestPublicationAgeSurvivesLeaderChange guards against a leader that reports too low an age of a published version: requests
+// would then start on old weights after the limit.
 func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
-	// A replica was ended and started again while old weights were still in use. It read its log back, took each naming to be as young
-	// as the reading, and told gateways so once it led.
+	// A replica that restarts and reads its log must not count the age from the time of reading.
 	t.Run("restart", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
@@ -75,12 +74,11 @@
 			t.Fatal(err)
 		}
 		again := reopenUnelected(t, s.folder)
-		again.wallOffset = s.now + time.Second // it was away for a second
+		again.wallOffset = s.now + time.Second // it was stopped for a second
 		again.advance(3 * time.Second)
 		again.wantAge(2, 6*time.Second)
 	})
-	// A replica that had lost its disk got a snapshot a while after the naming, and led. It counted from its own start, or, with a long
-	// life behind it, would have told any age.
+	// A replica that lost its disk and restored a snapshot must not count from its own start.
 	t.Run("snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
@@ -89,7 +87,7 @@
 		next.advance(3 * time.Second)
 		next.wantAge(2, 7*time.Second)
 	})
-	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
+	// A follower that has run for a while and installs a snapshot must not count from its own start.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
 		s, other := openFleet(t), openFleet(t)
 		s.publish(2)
@@ -101,11 +99,10 @@
 		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 		wanted := other.replica.wantedVersions(other.now)
 		if len(wanted) != 1 || wanted[0].Age < 4*time.Second-100*time.Millisecond || wanted[0].Age > 4*time.Second+100*time.Millisecond {
-			t.Fatalf("told %+v, it is 4s old", wanted)
+			t.Fatalf("wanted versions %+v, want one of age 4s", wanted)
 		}
 	})
-	// A replica was cut off, or frozen, when the version was named. It applied the entry as soon as it heard the leader again, led a moment
-	// later, and told gateways that the naming was as young as that.
+	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
 	t.Run("cut off meanwhile", func(t *testing.T) {
 		s := openFleet(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
@@ -115,8 +112,7 @@
 		late.advance(3 * time.Second)
 		late.wantAge(2, 8*time.Second)
 	})
-	// Two versions were named before a snapshot was taken. A back end that lacks both is late by the older one, whose time the snapshot
-	// had lost.
+	// A snapshot keeps the time of every version: a back end that lacks two is outdated since the earlier publication.
 	t.Run("two before a snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
@@ -128,7 +124,7 @@
 		next.wantAge(2, 8*time.Second)
 		next.wantAge(3, 4*time.Second)
 	})
-	// A version was named again, by an operator whose answer was lost, or one below it. Nothing newer was wanted by that, so no limit moves.
+	// Publishing the same version again, or a lower one, changes no age.
 	t.Run("named again", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(3)
@@ -138,10 +134,10 @@
 		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
 		if ages := s.reportedAges(); len(ages) != 1 {
-			t.Fatalf("told %v", ages)
+			t.Fatalf("reported ages %v, want only that of version 3", ages)
 		}
 	})
-	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
+	// If the wall clock is behind by more than the age, the time since the replica applied the entry is a lower bound.
 	t.Run("clock of the day behind", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
@@ -150,7 +146,7 @@
 		s.advance(2 * time.Second)
 		s.wantAge(2, 3*time.Second)
 	})
-	// Snapshots of the release before tell no times. Namings of which no time is known are long past: nothing may begin on older weights.
+	// Snapshots of the previous release hold no publication times. Such versions count as published long ago.
 	t.Run("snapshot of the release before", func(t *testing.T) {
 		s := openFleet(t)
 		machine := NewMachine(guard.Set{})
@@ -160,7 +156,7 @@
 		next := s.successor(machine.Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
 		if age, known := next.reportedAges()[4]; !known || age < time.Hour {
-			t.Fatalf("told to be %v old (known: %t)", age, known)
+			t.Fatalf("reported age %v (reported: %t), want at least 1h", age, known)
 		}
 	})
 }
