--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -11,7 +11,7 @@
 
 var crashing, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
-// reportCrash tells of a life as a gateway does.
+// reportCrash reports the crash of an incarnation during the given requests, as a gateway does.
 func (s *singleReplica) reportCrash(incarnation string, requests ...quarantine.Fingerprint) Response {
 	change := quarantine.Change{Crashes: []quarantine.Crash{{Incarnation: incarnation, Requests: requests}}}
 	return s.ask(Request{Catalog: &catalog.Command{Quarantine: &change}})
@@ -21,12 +21,13 @@
 	return s.replica.machine.catalog.Quarantine()
 }
 
-// TestCrashesAreReportedToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
+// TestCrashesAreReportedToGateways checks that a held watch is answered when a request becomes suspect, and that a known
+// crash adds no log entry.
 func TestCrashesAreReportedToGateways(t *testing.T) {
 	s := openFleet(t)
 	first := s.watchNow("g1", RosterVersion{})
 	if len(first.Quarantine.Seed) != quarantine.SeedBytes {
-		t.Fatalf("no seed: %+v", first.Quarantine)
+		t.Fatalf("no seed in %+v", first.Quarantine)
 	}
 	client := uint64(1000)
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
@@ -35,24 +36,24 @@
 	s.reportCrash("i-1", crashing, other)
 	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
-		t.Fatal("told of requests under which one back end ended")
+		t.Fatal("a watch was answered after a single crash")
 	}
 	s.reportCrash("i-2", crashing)
 	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
-		t.Fatalf("reply %+v", reply)
+		t.Fatalf("reply %+v, want one entry with the crashes of i-1 and i-2", reply)
 	}
 	before := s.replica.node.LastIndex()
 	if got := s.reportCrash("i-2", crashing); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
-		t.Fatalf("%+v, %d entries for what is known", got, s.replica.node.LastIndex()-before)
+		t.Fatalf("response %+v and %d log entries for a known crash", got, s.replica.node.LastIndex()-before)
 	}
 	if next := s.watchNow("g1", first.Version); next.Quarantine.Version <= first.Quarantine.Version {
-		t.Fatalf("version %d after %d", next.Quarantine.Version, first.Quarantine.Version)
+		t.Fatalf("quarantine version %d, want more than %d", next.Quarantine.Version, first.Quarantine.Version)
 	}
 }
 
-// TestCrashCountsSurviveRestart: and the loss of every process; a replica that starts from a snapshot releases as any other.
+// TestCrashCountsSurviveRestart includes the restart from a snapshot, after which an operator can still release a request.
 func TestCrashCountsSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
@@ -60,22 +61,22 @@
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashing)
 	}
-	for i := range 60 { // beyond a snapshot
+	for i := range 60 { // enough entries for a snapshot
 		s.changeQueueLimit(uint64(i), i)
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
 	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold || !slices.Equal(s.quarantineRegistry().Update().Seed, seed) {
-		t.Fatalf("%d lives, another seed: %t", got, !slices.Equal(s.quarantineRegistry().Update().Seed, seed))
+		t.Fatalf("%d crashes, seed changed: %t", got, !slices.Equal(s.quarantineRegistry().Update().Seed, seed))
 	}
 	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{crashing}, Reason: quarantine.ReasonOperator}}}}})
 	if got := s.quarantineRegistry().CrashCount(crashing); got != 0 {
-		t.Fatalf("%d lives after an operator's release", got)
+		t.Fatalf("%d crashes after an operator's release, want 0", got)
 	}
 }
 
-// TestCrashCountsExpire: what isn't held back after an hour; what is held back may be tried again after a day, and one more life holds
-// it back again.
+// TestCrashCountsExpire checks that the crashes of a suspect expire after suspectTTL, and that a quarantined request may run
+// again after quarantineTTL until one further crash.
 func TestCrashCountsExpire(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
@@ -88,18 +89,18 @@
 	}
 	advanceTo(suspectTTL - 10*time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 1 {
-		t.Fatal("forgotten early")
+		t.Fatal("the crash of a suspect expired early")
 	}
 	advanceTo(20 * time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashing) != quarantine.QuarantineThreshold {
-		t.Fatalf("%d and %d lives after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
+		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
 	}
 	advanceTo(quarantineTTL - suspectTTL)
 	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
-		t.Fatalf("%d lives after a day", got)
+		t.Fatalf("%d crashes after a day", got)
 	}
 	s.reportCrash("i-4", crashing)
 	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold {
-		t.Fatalf("%d lives after one more", got)
+		t.Fatalf("%d crashes after one more", got)
 	}
 }
