--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -13,10 +13,10 @@
 	"kitetiller/internal/transport"
 )
 
-// TestClientAvoidsUnresponsiveLeader: replicas name a leader that is gone until they have elected another one; the client asks
-// the dead one no second time meanwhile (sites' trouble-1: gateways lost control for seconds after a cut).
+// TestClientAvoidsUnresponsiveLeader checks that a client does not retry an unresponsive leader while followers still name
+// it.
 func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		cancel()
 	}
 	if times := len(asked); times > 2 {
-		t.Fatalf("the dead leader was asked %d times", times)
+		t.Fatalf("the unresponsive leader was asked %d times, want at most 2", times)
 	}
 }
 
@@ -64,7 +64,7 @@
 	return listener.Addr().String()
 }
 
-// serveResponse gives the same answer to every question at an address until the test ends.
+// serveResponse answers every request to the address with the same response until the test ends.
 func serveResponse(t *testing.T, address string, response Response) {
 	t.Helper()
 	server, err := transport.Listen(address, "", func(_ transport.Request, respond transport.Respond) {
@@ -76,15 +76,15 @@
 	t.Cleanup(func() { _ = server.Close(context.Background()) })
 }
 
-// TestClientRetriesRestartedLeader: an address that gave no answer since its process was only starting is asked again
-// soon when it is named as leader (nilewash-ops, inc-8fe3: gateways found the leader 1.9 s after its election).
+// TestClientRetriesRestartedLeader checks that an address that failed while its process was starting is retried soon once it
+// is named as leader.
 func TestClientRetriesRestartedLeader(t *testing.T) {
 	leader := freeLoopbackAddress(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	if _, err := client.AskOnce(ctx, Request{Status: &StatusRequest{}}); err == nil {
-		t.Fatal("answered before it listened")
+		t.Fatal("got an answer before the address was listening")
 	}
 	follower := freeLoopbackAddress(t)
 	serveResponse(t, leader, Response{Kind: ResponseOK})
