--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -31,7 +31,8 @@
 // ErrNoAnswer is returned if no leader answered in time; the change may or may not have been made.
 var ErrNoAnswer = eris.New("no control leader answered in time")
 
-// Client sends requests to the leader of the control group, which it discovers by itself. It is safe for concurrent use.
+// Client sends requests to the leader of the control group, which it discovers by itself. It is safe for concurrent
+// use.
 type Client struct {
 	transport   *transport.Client
 	addresses   atomic.Pointer[[]string]
@@ -153,8 +154,8 @@
 	return at != nil && clock.Now()-*at < limit
 }
 
-// AskAny asks several replicas concurrently, and the leaders that they name, each once. It returns the first ResponseOK.
-// It is for callers that know no leader, so that an unresponsive address does not delay them.
+// AskAny asks several replicas concurrently, and the leaders that they name, each once. It returns the first
+// ResponseOK. It is for callers that know no leader, so that an unresponsive address does not delay them.
 func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -189,8 +190,8 @@
 }
 
 const (
-	// initialAttempts is the number of replicas that AskAny asks at first, and maxAttempts the total, including the leaders
-	// named in responses.
+	// initialAttempts is the number of replicas that AskAny asks at first, and maxAttempts the total, including the
+	// leaders named in responses.
 	initialAttempts = 3
 	maxAttempts     = 6
 )
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -13,8 +13,8 @@
 	"kitetiller/internal/transport"
 )
 
-// TestClientAvoidsUnresponsiveLeader checks that a client does not retry an unresponsive leader while followers still name
-// it.
+// TestClientAvoidsUnresponsiveLeader checks that a client does not retry an unresponsive leader while followers still
+// name it.
 func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
@@ -76,8 +76,8 @@
 	t.Cleanup(func() { _ = server.Close(context.Background()) })
 }
 
-// TestClientRetriesRestartedLeader checks that an address that failed while its process was starting is retried soon once it
-// is named as leader.
+// TestClientRetriesRestartedLeader checks that an address that failed while its process was starting is retried soon
+// once it is named as leader.
 func TestClientRetriesRestartedLeader(t *testing.T) {
 	leader := freeLoopbackAddress(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -24,8 +24,8 @@
 // advertisedSweepInterval is the interval between sweeps of unused advertised limits.
 const advertisedSweepInterval = time.Second
 
-// allocateShares answers a gateway's request for shares of limits. It is called only while this replica holds the leader
-// lease, so that no two replicas allocate the same limit.
+// allocateShares answers a gateway's request for shares of limits. It is called only while this replica holds the
+// leader lease, so that no two replicas allocate the same limit.
 func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
 	r.updateLimits(now)
 	reply := r.leader.lending.allocator.Allocate(now, request)
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// successor returns a replica with its own clock that leads next, restored from a snapshot and the log entries after it.
+// successor returns a replica with its own clock that leads next, restored from a snapshot and the log entries after
+// it.
 func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wallOffset time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
@@ -61,8 +62,8 @@
 	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
-// TestPublicationAgeSurvivesLeaderChange guards against a leader that reports too low an age of a published version: requests
-// would then start on old weights after the limit.
+// TestPublicationAgeSurvivesLeaderChange guards against a leader that reports too low an age of a published version:
+// requests would then start on old weights after the limit.
 func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
 	// A replica that restarts and reads its log must not count the age from the time of reading.
 	t.Run("restart", func(t *testing.T) {
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -21,8 +21,8 @@
 	return s.replica.machine.catalog.Quarantine()
 }
 
-// TestCrashesAreReportedToGateways checks that a held watch is answered when a request becomes suspect, and that a known
-// crash adds no log entry.
+// TestCrashesAreReportedToGateways checks that a held watch is answered when a request becomes suspect, and that a
+// known crash adds no log entry.
 func TestCrashesAreReportedToGateways(t *testing.T) {
 	s := openFleet(t)
 	first := s.watchNow("g1", RosterVersion{})
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestCrashCountsSurviveRestart includes the restart from a snapshot, after which an operator can still release a request.
+// TestCrashCountsSurviveRestart includes the restart from a snapshot, after which an operator can still release a
+// request.
 func TestCrashCountsSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestCrashCountsExpire checks that the crashes of a suspect expire after suspectTTL, and that a quarantined request may run
-// again after quarantineTTL until one further crash.
+// TestCrashCountsExpire checks that the crashes of a suspect expire after suspectTTL, and that a quarantined request
+// may run again after quarantineTTL until one further crash.
 func TestCrashCountsExpire(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -182,8 +182,8 @@
 	return oldest
 }
 
-// startRollouts starts updates, limited to a fraction of the fleet at a time: those with the oldest weights first, among
-// them those with the fewest running requests.
+// startRollouts starts updates, limited to a fraction of the fleet at a time: those with the oldest weights first,
+// among them those with the fewest running requests.
 func (r *Replica) startRollouts(now time.Duration, busy int, running map[string]int) {
 	var outdated []string
 	engines := 0
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestFirstCheckFollowsLoadTime checks that a load is first queried shortly before its expected end, and that an order whose
-// time is unknown does not change the expectation.
+// TestFirstCheckFollowsLoadTime checks that a load is first queried shortly before its expected end, and that an order
+// whose time is unknown does not change the expectation.
 func TestFirstCheckFollowsLoadTime(t *testing.T) {
 	for _, loadTime := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		leader := &leaderState{}
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestRolloutConcurrencyUnderCapacityLoss checks that as many engines load at once while others have crashed: engines left
-// on old weights get no requests.
+// TestRolloutConcurrencyUnderCapacityLoss checks that as many engines load at once while others have crashed: engines
+// left on old weights get no requests.
 func TestRolloutConcurrencyUnderCapacityLoss(t *testing.T) {
 	for _, engines := range []int{2, 9, 90, 300} {
 		s := openFleet(t)
