--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -84,19 +84,19 @@
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashing)
 	}
-	advanceTo := func(length time.Duration) {
+	skipTime := func(length time.Duration) {
 		s.now += length
 		s.advance(3 * time.Second)
 	}
-	advanceTo(suspectTTL - 10*time.Second)
+	skipTime(suspectTTL - 10*time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 1 {
 		t.Fatal("the crash of a suspect expired early")
 	}
-	advanceTo(20 * time.Second)
+	skipTime(20 * time.Second)
 	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashing) != quarantine.QuarantineThreshold {
 		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
 	}
-	advanceTo(quarantineTTL - suspectTTL)
+	skipTime(quarantineTTL - suspectTTL)
 	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d crashes after a day", got)
 	}
