--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -88,7 +88,7 @@
 // expiredEntries returns the releases of entries that have expired. The age of an entry from a snapshot counts from the
 // first sweep that sees it.
 func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
-	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
+	expiredSuspects := quarantine.Release{Reason: quarantine.ReasonExpired}
 	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range registry.Fingerprints() {
@@ -101,13 +101,13 @@
 		case quarantined && now-at > quarantineTTL:
 			retryable.Requests = append(retryable.Requests, f)
 		case !quarantined && now-at > suspectTTL:
-			dropped.Requests = append(dropped.Requests, f)
+			expiredSuspects.Requests = append(expiredSuspects.Requests, f)
 		}
 	}
 	r.quarantined.changedAt = changedAt
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
 	var expired []quarantine.Release
-	for _, release := range []quarantine.Release{dropped, retryable} {
+	for _, release := range []quarantine.Release{expiredSuspects, retryable} {
 		if len(release.Requests) > 0 {
 			expired = append(expired, release)
 		}
