--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -89,7 +89,7 @@
 // first sweep that sees it.
 func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
 	expiredSuspects := quarantine.Release{Reason: quarantine.ReasonExpired}
-	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
+	expiredQuarantines := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
 	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
 	for _, f := range registry.Fingerprints() {
 		at, known := r.quarantined.changedAt[f]
@@ -99,7 +99,7 @@
 		changedAt[f] = at
 		switch quarantined := registry.CrashCount(f) >= quarantine.QuarantineThreshold; {
 		case quarantined && now-at > quarantineTTL:
-			retryable.Requests = append(retryable.Requests, f)
+			expiredQuarantines.Requests = append(expiredQuarantines.Requests, f)
 		case !quarantined && now-at > suspectTTL:
 			expiredSuspects.Requests = append(expiredSuspects.Requests, f)
 		}
@@ -107,7 +107,7 @@
 	r.quarantined.changedAt = changedAt
 	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
 	var expired []quarantine.Release
-	for _, release := range []quarantine.Release{expiredSuspects, retryable} {
+	for _, release := range []quarantine.Release{expiredSuspects, expiredQuarantines} {
 		if len(release.Requests) > 0 {
 			expired = append(expired, release)
 		}
