--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -160,7 +160,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	asked := map[string]bool{}
-	answers := make(chan Response, maxAttempts)
+	responses := make(chan Response, maxAttempts)
 	ask := func(address string) {
 		if asked[address] || len(asked) >= maxAttempts {
 			return
@@ -171,14 +171,14 @@
 			if err != nil {
 				response = Response{Kind: ResponseNoQuorum}
 			}
-			answers <- response
+			responses <- response
 		}()
 	}
 	for range initialAttempts {
 		ask(c.target())
 	}
 	for done := 0; done < len(asked); done++ {
-		response := <-answers
+		response := <-responses
 		if response.Kind == ResponseOK {
 			return response, nil
 		}
