--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -177,7 +177,7 @@
 	for range initialAttempts {
 		ask(c.target())
 	}
-	for done := 0; done < len(asked); done++ {
+	for received := 0; received < len(asked); received++ {
 		response := <-responses
 		if response.Kind == ResponseOK {
 			return response, nil
