--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -161,7 +161,7 @@
 	defer cancel()
 	asked := map[string]bool{}
 	responses := make(chan Response, maxAttempts)
-	ask := func(address string) {
+	start := func(address string) {
 		if asked[address] || len(asked) >= maxAttempts {
 			return
 		}
@@ -175,7 +175,7 @@
 		}()
 	}
 	for range initialAttempts {
-		ask(c.target())
+		start(c.target())
 	}
 	for received := 0; received < len(asked); received++ {
 		response := <-responses
@@ -183,7 +183,7 @@
 			return response, nil
 		}
 		if response.Leader != "" {
-			ask(response.Leader)
+			start(response.Leader)
 		}
 	}
 	return Response{}, ErrNoAnswer
