--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -32,8 +32,8 @@
 func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
-	if told, known := s.reportedAges()[version]; !known || told < age-step || told > age+step {
-		s.t.Fatalf("version %d: reported age %v (reported: %t), want %v", version, told, known, age)
+	if reported, known := s.reportedAges()[version]; !known || reported < age-step || reported > age+step {
+		s.t.Fatalf("version %d: reported age %v (reported: %t), want %v", version, reported, known, age)
 	}
 }
 
