--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -74,10 +74,10 @@
 		if err := s.disk.Close(); err != nil {
 			t.Fatal(err)
 		}
-		again := reopenUnelected(t, s.folder)
-		again.wallOffset = s.now + time.Second // it was stopped for a second
-		again.advance(3 * time.Second)
-		again.wantAge(2, 6*time.Second)
+		restarted := reopenUnelected(t, s.folder)
+		restarted.wallOffset = s.now + time.Second // it was stopped for a second
+		restarted.advance(3 * time.Second)
+		restarted.wantAge(2, 6*time.Second)
 	})
 	// A replica that lost its disk and restored a snapshot must not count from its own start.
 	t.Run("snapshot", func(t *testing.T) {
