--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -109,9 +109,9 @@
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.publish(2)
 		s.advance(5 * time.Second)
-		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
-		late.advance(3 * time.Second)
-		late.wantAge(2, 8*time.Second)
+		partitioned := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
+		partitioned.advance(3 * time.Second)
+		partitioned.wantAge(2, 8*time.Second)
 	})
 	// A snapshot keeps the time of every version: a back end that lacks two is outdated since the earlier publication.
 	t.Run("two before a snapshot", func(t *testing.T) {
