--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -16,15 +16,15 @@
 // TestClientAvoidsUnresponsiveLeader checks that a client does not retry an unresponsive leader while followers still
 // name it.
 func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dead.Close()
+	defer unresponsive.Close()
 	asked := make(chan struct{}, 100)
 	go func() {
 		for {
-			connection, err := dead.Accept()
+			connection, err := unresponsive.Accept()
 			if err != nil {
 				return
 			}
@@ -37,13 +37,13 @@
 		if !json.Valid(request.Body) {
 			t.Error("malformed request")
 		}
-		respond(http.StatusOK, Response{Kind: ResponseNotLeader, Leader: dead.Addr().String()})
+		respond(http.StatusOK, Response{Kind: ResponseNotLeader, Leader: unresponsive.Addr().String()})
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close(context.Background()) }()
-	client := NewClient(transport.NewClient("", nil), []string{follower, dead.Addr().String()})
+	client := NewClient(transport.NewClient("", nil), []string{follower, unresponsive.Addr().String()})
 	for range 30 {
 		attempt, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		_, _ = client.AskOnce(attempt, Request{Status: &StatusRequest{}})
