--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -49,8 +49,8 @@
 		_, _ = client.AskOnce(attempt, Request{Status: &StatusRequest{}})
 		cancel()
 	}
-	if times := len(asked); times > 2 {
-		t.Fatalf("the unresponsive leader was asked %d times, want at most 2", times)
+	if attempts := len(asked); attempts > 2 {
+		t.Fatalf("the unresponsive leader was asked %d times, want at most 2", attempts)
 	}
 }
 
