--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -141,7 +141,7 @@
 	case !r.formed():
 		r.reply(client, Response{Kind: ResponseNotFormed})
 	case request.Heartbeat != nil:
-		r.heartbeat(now, client, *request.Heartbeat)
+		r.handleHeartbeat(now, client, *request.Heartbeat)
 	case request.Claim != nil:
 		r.propose(now, client, Command{Claim: request.Claim})
 	case request.End != nil:
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/ledger"
 )
 
-// heartbeat renews, opens or closes a router's session.
-func (r *Replica) heartbeat(now time.Duration, client uint64, beat Heartbeat) {
+// handleHeartbeat renews, opens or closes a router's session.
+func (r *Replica) handleHeartbeat(now time.Duration, client uint64, beat Heartbeat) {
 	session, found := r.machine.sessions[beat.Router]
 	lease := r.leader.routers[beat.Router]
 	current := found && lease != nil && !lease.closeProposed && beat.Epoch == session.Epoch &&
