--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -78,8 +78,8 @@
 		reply.Lease = r.config.SettingsLease
 		lease.expires = r.leaseEnd(now)
 	}
-	edits, reachable := r.machine.settings.EditsSince(beat.Acked)
-	if beat.HasSettings && reachable {
+	edits, available := r.machine.settings.EditsSince(beat.Acked)
+	if beat.HasSettings && available {
 		reply.Edits = edits
 	} else {
 		tree := r.machine.settings.Tree()
