--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -144,8 +144,8 @@
 // nothing at first and under a new leader, across changes of the routing document.
 func TestGrantsStayWithinAdvertisedLimit(t *testing.T) {
 	s := openFleetWithQuota(t)
-	grantedWithin := func(s *singleReplica, length time.Duration) (granted float64) {
-		for i, end := 0, s.now+length; s.now < end; i++ {
+	grantedWithin := func(s *singleReplica, duration time.Duration) (granted float64) {
+		for i, end := 0, s.now+duration; s.now < end; i++ {
 			granted += s.requestAdvertisedShare([]string{"g1", "g2", "g3"}[i%3], 4, 0)
 			s.advance(20 * time.Millisecond)
 		}
