--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -79,8 +79,8 @@
 	s := openFleetWithQuota(t)
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.watchNow("g2", RosterVersion{})
-	silentFractionAfter := func(length time.Duration) float64 {
-		for end := s.now + length; s.now < end; {
+	silentFractionAfter := func(duration time.Duration) float64 {
+		for end := s.now + duration; s.now < end; {
 			version = s.watchNow("g1", version).Version
 			s.advance(200 * time.Millisecond)
 		}
