--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -84,8 +84,8 @@
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashing)
 	}
-	skipTime := func(length time.Duration) {
-		s.now += length
+	skipTime := func(duration time.Duration) {
+		s.now += duration
 		s.advance(3 * time.Second)
 	}
 	skipTime(suspectTTL - 10*time.Second)
