--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -44,10 +44,10 @@
 }
 
 // ordersDuring advances the time while a gateway keeps watching, and returns the ordered engines.
-func (s *singleReplica) ordersDuring(gateway string, length time.Duration) []string {
+func (s *singleReplica) ordersDuring(gateway string, duration time.Duration) []string {
 	var instances []string
 	version := RosterVersion{}
-	for end := s.now + length; s.now < end; {
+	for end := s.now + duration; s.now < end; {
 		s.beats("i-1", "i-2")
 		if gateway != "" {
 			version = s.watchNow(gateway, version).Version
