--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -173,8 +173,8 @@
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	watchAndBeat := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
-		for end := s.now + length; s.now < end && len(orders) == 0; {
+	watchAndBeat := func(held RosterVersion, duration time.Duration) (orders []WeightsCall, at time.Duration) {
+		for end := s.now + duration; s.now < end && len(orders) == 0; {
 			s.beats("i-1", "i-2")
 			s.watchNow("g1", held)
 			orders = s.orders(50 * time.Millisecond)
