--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -77,8 +77,8 @@
 // leader may still use a view of the previous one.
 func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
 	s, _, unordered := replaceLeaderAfterOrder(t)
-	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
-		t.Fatalf("ordered %v while g1 may use a view of the previous leader", early)
+	if orders := s.ordersDuring("g2", 2*time.Second); len(orders) > 0 {
+		t.Fatalf("ordered %v while g1 may use a view of the previous leader", orders)
 	}
 	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, unordered) {
 		t.Fatalf("ordered %v after all views of the previous leader expired", later)
