--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/quarantine"
 )
 
-var crashing, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
+var crashingRequest, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // reportCrash reports the crash of an incarnation during the given requests, as a gateway does.
 func (s *singleReplica) reportCrash(incarnation string, requests ...quarantine.Fingerprint) Response {
@@ -33,19 +33,19 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.reportCrash("i-1", crashing, other)
+	s.reportCrash("i-1", crashingRequest, other)
 	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("a watch was answered after a single crash")
 	}
-	s.reportCrash("i-2", crashing)
+	s.reportCrash("i-2", crashingRequest)
 	s.advance(100 * time.Millisecond)
 	reply := s.replies[client].Watch
 	if reply == nil || reply.Quarantine == nil || len(reply.Quarantine.Entries) != 1 || !slices.Equal(reply.Quarantine.Entries[0].Incarnations, []string{"i-1", "i-2"}) {
 		t.Fatalf("reply %+v, want one entry with the crashes of i-1 and i-2", reply)
 	}
 	before := s.replica.node.LastIndex()
-	if got := s.reportCrash("i-2", crashing); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
+	if got := s.reportCrash("i-2", crashingRequest); got.Kind != ResponseOK || s.replica.node.LastIndex() != before {
 		t.Fatalf("response %+v and %d log entries for a known crash", got, s.replica.node.LastIndex()-before)
 	}
 	if next := s.watchNow("g1", first.Version); next.Quarantine.Version <= first.Quarantine.Version {
@@ -60,18 +60,18 @@
 	s := openSingleReplica(t, folder)
 	seed := s.quarantineRegistry().Update().Seed
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(incarnation, crashing)
+		s.reportCrash(incarnation, crashingRequest)
 	}
 	for i := range 60 { // enough entries for a snapshot
 		s.changeQueueLimit(uint64(i), i)
 	}
 	_ = s.disk.Close()
 	s = openSingleReplica(t, folder)
-	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold || !slices.Equal(s.quarantineRegistry().Update().Seed, seed) {
+	if got := s.quarantineRegistry().CrashCount(crashingRequest); got != quarantine.QuarantineThreshold || !slices.Equal(s.quarantineRegistry().Update().Seed, seed) {
 		t.Fatalf("%d crashes, seed changed: %t", got, !slices.Equal(s.quarantineRegistry().Update().Seed, seed))
 	}
-	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{crashing}, Reason: quarantine.ReasonOperator}}}}})
-	if got := s.quarantineRegistry().CrashCount(crashing); got != 0 {
+	s.ask(Request{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: []quarantine.Release{{Requests: []quarantine.Fingerprint{crashingRequest}, Reason: quarantine.ReasonOperator}}}}})
+	if got := s.quarantineRegistry().CrashCount(crashingRequest); got != 0 {
 		t.Fatalf("%d crashes after an operator's release, want 0", got)
 	}
 }
@@ -82,7 +82,7 @@
 	s := openSingleReplica(t, t.TempDir())
 	s.reportCrash("i-1", other)
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
-		s.reportCrash(incarnation, crashing)
+		s.reportCrash(incarnation, crashingRequest)
 	}
 	skipTime := func(duration time.Duration) {
 		s.now += duration
@@ -93,15 +93,15 @@
 		t.Fatal("the crash of a suspect expired early")
 	}
 	skipTime(20 * time.Second)
-	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashing) != quarantine.QuarantineThreshold {
-		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashing))
+	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashingRequest) != quarantine.QuarantineThreshold {
+		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashingRequest))
 	}
 	skipTime(quarantineTTL - suspectTTL)
-	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold-1 {
+	if got := s.quarantineRegistry().CrashCount(crashingRequest); got != quarantine.QuarantineThreshold-1 {
 		t.Fatalf("%d crashes after a day", got)
 	}
-	s.reportCrash("i-4", crashing)
-	if got := s.quarantineRegistry().CrashCount(crashing); got != quarantine.QuarantineThreshold {
+	s.reportCrash("i-4", crashingRequest)
+	if got := s.quarantineRegistry().CrashCount(crashingRequest); got != quarantine.QuarantineThreshold {
 		t.Fatalf("%d crashes after one more", got)
 	}
 }
