--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/quarantine"
 )
 
-var crashingRequest, other = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
+var crashingRequest, otherRequest = quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 
 // reportCrash reports the crash of an incarnation during the given requests, as a gateway does.
 func (s *singleReplica) reportCrash(incarnation string, requests ...quarantine.Fingerprint) Response {
@@ -33,7 +33,7 @@
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
 		Gateway: "g1", Revision: 1, Roster: first.Version, Hold: time.Second, Quarantine: first.Quarantine.Version,
 	}})
-	s.reportCrash("i-1", crashingRequest, other)
+	s.reportCrash("i-1", crashingRequest, otherRequest)
 	s.advance(100 * time.Millisecond)
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("a watch was answered after a single crash")
@@ -80,7 +80,7 @@
 // may run again after quarantineTTL until one further crash.
 func TestCrashCountsExpire(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.reportCrash("i-1", other)
+	s.reportCrash("i-1", otherRequest)
 	for _, incarnation := range []string{"i-1", "i-2", "i-3"} {
 		s.reportCrash(incarnation, crashingRequest)
 	}
@@ -89,12 +89,12 @@
 		s.advance(3 * time.Second)
 	}
 	skipTime(suspectTTL - 10*time.Second)
-	if s.quarantineRegistry().CrashCount(other) != 1 {
+	if s.quarantineRegistry().CrashCount(otherRequest) != 1 {
 		t.Fatal("the crash of a suspect expired early")
 	}
 	skipTime(20 * time.Second)
-	if s.quarantineRegistry().CrashCount(other) != 0 || s.quarantineRegistry().CrashCount(crashingRequest) != quarantine.QuarantineThreshold {
-		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(other), s.quarantineRegistry().CrashCount(crashingRequest))
+	if s.quarantineRegistry().CrashCount(otherRequest) != 0 || s.quarantineRegistry().CrashCount(crashingRequest) != quarantine.QuarantineThreshold {
+		t.Fatalf("%d crashes of the suspect and %d of the quarantined request after an hour", s.quarantineRegistry().CrashCount(otherRequest), s.quarantineRegistry().CrashCount(crashingRequest))
 	}
 	skipTime(quarantineTTL - suspectTTL)
 	if got := s.quarantineRegistry().CrashCount(crashingRequest); got != quarantine.QuarantineThreshold-1 {
