--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -227,9 +227,9 @@
 // incarnation of the back end, since an order does not name an incarnation.
 func TestOrderPauseCoversAllIncarnations(t *testing.T) {
 	for name, dropMarks := range map[string]func(*singleReplica){
-		"seen in the log":  func(*singleReplica) {},
-		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
-		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
+		"applied from the log":     func(*singleReplica) {},
+		"marks cleared":            func(s *singleReplica) { clear(s.replica.orderMarks) },
+		"from a restored snapshot": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openFleet(t)
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -89,7 +89,7 @@
 		next.wantAge(2, 7*time.Second)
 	})
 	// A follower that has run for a while and installs a snapshot must not count from its own start.
-	t.Run("snapshot in the middle of a life", func(t *testing.T) {
+	t.Run("snapshot while running", func(t *testing.T) {
 		s, other := openFleet(t), openFleet(t)
 		s.publish(2)
 		s.advance(4 * time.Second)
@@ -104,7 +104,7 @@
 		}
 	})
 	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
-	t.Run("cut off meanwhile", func(t *testing.T) {
+	t.Run("partitioned during the publication", func(t *testing.T) {
 		s := openFleet(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.publish(2)
@@ -114,7 +114,7 @@
 		partitioned.wantAge(2, 8*time.Second)
 	})
 	// A snapshot keeps the time of every version: a back end that lacks two is outdated since the earlier publication.
-	t.Run("two before a snapshot", func(t *testing.T) {
+	t.Run("two versions before a snapshot", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
 		s.advance(4 * time.Second)
@@ -126,7 +126,7 @@
 		next.wantAge(3, 4*time.Second)
 	})
 	// Publishing the same version again, or a lower one, changes no age.
-	t.Run("named again", func(t *testing.T) {
+	t.Run("published again", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(3)
 		s.advance(2 * time.Second)
@@ -139,7 +139,7 @@
 		}
 	})
 	// If the wall clock is behind by more than the age, the time since the replica applied the entry is a lower bound.
-	t.Run("clock of the day behind", func(t *testing.T) {
+	t.Run("wall clock behind", func(t *testing.T) {
 		s := openFleet(t)
 		s.publish(2)
 		s.advance(time.Second)
@@ -148,7 +148,7 @@
 		s.wantAge(2, 3*time.Second)
 	})
 	// Snapshots of the previous release hold no publication times. Such versions count as published long ago.
-	t.Run("snapshot of the release before", func(t *testing.T) {
+	t.Run("snapshot of the previous release", func(t *testing.T) {
 		s := openFleet(t)
 		machine := NewMachine(guard.Set{})
 		if err := machine.Restore([]byte(`{"sessions":{},"orders":{},"now_ms":0,"peers_at":0,"catalog":{"document":{"revision":1},"instances":{},"tombstones":[],"versions":{"m":4},"fence":0}}`)); err != nil {
