--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// All is the bound under which every back end lies.
-	All = uint64(math.MaxUint64)
+	// Unbounded is the bound under which every back end lies.
+	Unbounded = uint64(math.MaxUint64)
 	// Least is how many back ends of a service are used at the least. The knowledge of so many costs a gateway some 2 MB, and they hold
 	// several copies of the shared prompts of a large fleet.
 	Least = 512
@@ -74,8 +74,8 @@
 	if unable > len(able) {
 		return inForce
 	}
-	if len(able) <= wanted || len(able) <= wanted+wanted/slack && inForce == All {
-		return All
+	if len(able) <= wanted || len(able) <= wanted+wanted/slack && inForce == Unbounded {
+		return Unbounded
 	}
 	under := 0
 	for _, weight := range able {
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -30,7 +30,7 @@
 // TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
 func TestSmallServicesUseAll(t *testing.T) {
 	for _, size := range []int{0, 1, 12, 240, Least, Least + Least/slack} {
-		if bound := Bound(All, fleet(size), 0, Least); bound != All {
+		if bound := Bound(Unbounded, fleet(size), 0, Least); bound != Unbounded {
 			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
 		}
 	}
@@ -43,7 +43,7 @@
 		wanted := size.Note(0, running, 0)
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
-			bound := Bound(All, slices.Clone(all), 0, wanted)
+			bound := Bound(Unbounded, slices.Clone(all), 0, wanted)
 			if used := under(all, bound); used < wanted || used > wanted+wanted/slack || used > Least+Least/slack+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
 			}
@@ -60,7 +60,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	var size Size
 	wanted := size.Note(0, running, 0)
-	first := Bound(All, slices.Clone(all), 0, wanted)
+	first := Bound(Unbounded, slices.Clone(all), 0, wanted)
 	lose := func(share float64) []uint64 {
 		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < share })
 	}
@@ -102,7 +102,7 @@
 // TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
 func TestBoundRests(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(All, slices.Clone(all), 0, Least)
+	bound := Bound(Unbounded, slices.Clone(all), 0, Least)
 	changes := 0
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
@@ -119,7 +119,7 @@
 // TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
 func TestSilenceOfMostChangesNothing(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(All, slices.Clone(all), 0, Least)
+	bound := Bound(Unbounded, slices.Clone(all), 0, Least)
 	for _, heard := range []int{0, 100, 2400} {
 		if next := Bound(bound, slices.Clone(all[:heard]), len(all)-heard, Least); next != bound {
 			t.Fatalf("%d are used when %d of %d are heard", under(all, next), heard, len(all))
@@ -132,7 +132,7 @@
 func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
 	all := fleet(5000)
 	var before, after Size
-	bound := Bound(All, slices.Clone(all), 0, before.Note(0, 1000, 0))
+	bound := Bound(Unbounded, slices.Clone(all), 0, before.Note(0, 1000, 0))
 	used := under(all, bound)
 	for now := time.Duration(0); now < peakFor; now += time.Second {
 		if next := Bound(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
