--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -29,8 +29,8 @@
 
 // TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
 func TestSmallServicesUseAll(t *testing.T) {
-	for _, size := range []int{0, 1, 12, 240, Least, Least + Least/slack} {
-		if bound := Bound(Unbounded, fleet(size), 0, Least); bound != Unbounded {
+	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slack} {
+		if bound := Bound(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
 			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
 		}
 	}
@@ -44,7 +44,7 @@
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
 			bound := Bound(Unbounded, slices.Clone(all), 0, wanted)
-			if used := under(all, bound); used < wanted || used > wanted+wanted/slack || used > Least+Least/slack+3*running {
+			if used := under(all, bound); used < wanted || used > wanted+wanted/slack || used > MinBackends+MinBackends/slack+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
 			}
 		}
@@ -94,7 +94,7 @@
 		now += peakFor
 		size.Note(now, 10, 0)
 	}
-	if wanted := size.Note(now, 10, 0); wanted > 2*Least {
+	if wanted := size.Note(now, 10, 0); wanted > 2*MinBackends {
 		t.Fatalf("%d are wanted at rest", wanted)
 	}
 }
@@ -102,12 +102,12 @@
 // TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
 func TestBoundRests(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(Unbounded, slices.Clone(all), 0, Least)
+	bound := Bound(Unbounded, slices.Clone(all), 0, MinBackends)
 	changes := 0
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		able := slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < 0.02 })
-		if next := Bound(bound, able, len(all)-len(able), Least); next != bound {
+		if next := Bound(bound, able, len(all)-len(able), MinBackends); next != bound {
 			bound, changes = next, changes+1
 		}
 	}
@@ -119,9 +119,9 @@
 // TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
 func TestSilenceOfMostChangesNothing(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(Unbounded, slices.Clone(all), 0, Least)
+	bound := Bound(Unbounded, slices.Clone(all), 0, MinBackends)
 	for _, heard := range []int{0, 100, 2400} {
-		if next := Bound(bound, slices.Clone(all[:heard]), len(all)-heard, Least); next != bound {
+		if next := Bound(bound, slices.Clone(all[:heard]), len(all)-heard, MinBackends); next != bound {
 			t.Fatalf("%d are used when %d of %d are heard", under(all, next), heard, len(all))
 		}
 	}
@@ -143,7 +143,7 @@
 	for now := time.Hour + peakFor; now < time.Hour+10*peakFor; now += peakFor {
 		wanted = after.Note(now, 0, used)
 	}
-	if wanted > 2*Least {
+	if wanted > 2*MinBackends {
 		t.Fatalf("%d are wanted at rest", wanted)
 	}
 }
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -48,7 +48,7 @@
 	}
 	entries, bytes := told(1500)
 	more, moreBytes := told(3000)
-	if entries > 2*inuse.Least || more > entries+inuse.Least/8 || moreBytes > bytes+bytes/8 {
+	if entries > 2*inuse.MinBackends || more > entries+inuse.MinBackends/8 || moreBytes > bytes+bytes/8 {
 		t.Fatalf("%d entries in %d bytes of 1,500 engines, %d in %d of 3,000", entries, bytes, more, moreBytes)
 	}
 }
@@ -98,8 +98,8 @@
 			ready++
 		}
 	}
-	if ready < inuse.Least {
-		t.Fatalf("%d engines are ready after %d began to leave, wanted %d", ready, len(leaving), inuse.Least)
+	if ready < inuse.MinBackends {
+		t.Fatalf("%d engines are ready after %d began to leave, wanted %d", ready, len(leaving), inuse.MinBackends)
 	}
 }
 
