--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -20,9 +20,9 @@
 	// MinBackends is how many back ends of a service are used at the least. The knowledge of so many costs a gateway some 2 MB, and they hold
 	// several copies of the shared prompts of a large fleet.
 	MinBackends = 512
-	// perRunning is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
+	// backendsPerRequest is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
 	// fails, so that half of them may go before requests wait for each other.
-	perRunning = 2
+	backendsPerRequest = 2
 	// slack is the inverse of the share by which more than wanted may be able to work before the bound falls.
 	slack = 8
 	// growth is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
@@ -49,13 +49,13 @@
 func (s *Size) Note(now time.Duration, running, inUse int) int {
 	if s.wanted == 0 {
 		wanted := inUse - inUse/(2*slack+1) // the bound was put a little beyond
-		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/perRunning, now
+		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
 	if now >= s.beganAt+peakFor {
 		s.former, s.peak, s.beganAt = s.peak, 0, now
 	}
 	s.peak = max(s.peak, running)
-	needed := max(MinBackends, perRunning*max(s.peak, s.former))
+	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.former))
 	switch {
 	case needed > s.wanted:
 		s.wanted = needed + needed/growth
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -82,7 +82,7 @@
 func TestUseGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	var size Size
 	size.Note(0, 10, 0)
-	if wanted := size.Note(time.Second, 2000, 0); wanted < 2000*perRunning {
+	if wanted := size.Note(time.Second, 2000, 0); wanted < 2000*backendsPerRequest {
 		t.Fatalf("%d are wanted for 2,000 running requests", wanted)
 	}
 	before := size.Note(2*time.Second, 2000, 0)
