--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -23,8 +23,8 @@
 	// backendsPerRequest is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
 	// fails, so that half of them may go before requests wait for each other.
 	backendsPerRequest = 2
-	// slack is the inverse of the share by which more than wanted may be able to work before the bound falls.
-	slack = 8
+	// slackDivisor is the inverse of the share by which more than wanted may be able to work before the bound falls.
+	slackDivisor = 8
 	// growth is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
 	growth = 4
 	// peakFor is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
@@ -48,7 +48,7 @@
 // has decided yet it is 0.
 func (s *Size) Note(now time.Duration, running, inUse int) int {
 	if s.wanted == 0 {
-		wanted := inUse - inUse/(2*slack+1) // the bound was put a little beyond
+		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
 		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
 	if now >= s.beganAt+peakFor {
@@ -74,7 +74,7 @@
 	if unable > len(able) {
 		return inForce
 	}
-	if len(able) <= wanted || len(able) <= wanted+wanted/slack && inForce == Unbounded {
+	if len(able) <= wanted || len(able) <= wanted+wanted/slackDivisor && inForce == Unbounded {
 		return Unbounded
 	}
 	under := 0
@@ -83,9 +83,9 @@
 			under++
 		}
 	}
-	if under >= wanted && under <= wanted+wanted/slack {
+	if under >= wanted && under <= wanted+wanted/slackDivisor {
 		return inForce
 	}
 	slices.Sort(able)
-	return able[min(len(able), wanted+wanted/slack/2)-1] // the middle, so that it rests there
+	return able[min(len(able), wanted+wanted/slackDivisor/2)-1] // the middle, so that it rests there
 }
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -29,7 +29,7 @@
 
 // TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
 func TestSmallServicesUseAll(t *testing.T) {
-	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slack} {
+	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slackDivisor} {
 		if bound := Bound(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
 			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
 		}
@@ -44,7 +44,7 @@
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
 			bound := Bound(Unbounded, slices.Clone(all), 0, wanted)
-			if used := under(all, bound); used < wanted || used > wanted+wanted/slack || used > MinBackends+MinBackends/slack+3*running {
+			if used := under(all, bound); used < wanted || used > wanted+wanted/slackDivisor || used > MinBackends+MinBackends/slackDivisor+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
 			}
 		}
