--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -25,8 +25,8 @@
 	backendsPerRequest = 2
 	// slackDivisor is the inverse of the share by which more than wanted may be able to work before the bound falls.
 	slackDivisor = 8
-	// growth is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
-	growth = 4
+	// growthDivisor is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
+	growthDivisor = 4
 	// peakFor is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
 	// nothing runs.
 	peakFor = 30 * time.Second
@@ -58,7 +58,7 @@
 	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.former))
 	switch {
 	case needed > s.wanted:
-		s.wanted = needed + needed/growth
+		s.wanted = needed + needed/growthDivisor
 	case needed < s.wanted/2:
 		s.wanted = max(needed, s.wanted/2)
 	}
