--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -27,9 +27,9 @@
 	slackDivisor = 8
 	// growthDivisor is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
 	growthDivisor = 4
-	// peakFor is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
+	// peakWindow is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
 	// nothing runs.
-	peakFor = 30 * time.Second
+	peakWindow = 30 * time.Second
 )
 
 // Weight returns the weight of the back end at an address.
@@ -51,7 +51,7 @@
 		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
 		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
-	if now >= s.beganAt+peakFor {
+	if now >= s.beganAt+peakWindow {
 		s.former, s.peak, s.beganAt = s.peak, 0, now
 	}
 	s.peak = max(s.peak, running)
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -86,12 +86,12 @@
 		t.Fatalf("%d are wanted for 2,000 running requests", wanted)
 	}
 	before := size.Note(2*time.Second, 2000, 0)
-	if wanted := size.Note(peakFor-time.Second, 0, 0); wanted != before {
+	if wanted := size.Note(peakWindow-time.Second, 0, 0); wanted != before {
 		t.Fatalf("%d are wanted after a pause, %d before", wanted, before)
 	}
-	now := peakFor
+	now := peakWindow
 	for range 20 {
-		now += peakFor
+		now += peakWindow
 		size.Note(now, 10, 0)
 	}
 	if wanted := size.Note(now, 10, 0); wanted > 2*MinBackends {
@@ -134,13 +134,13 @@
 	var before, after Size
 	bound := Bound(Unbounded, slices.Clone(all), 0, before.Note(0, 1000, 0))
 	used := under(all, bound)
-	for now := time.Duration(0); now < peakFor; now += time.Second {
+	for now := time.Duration(0); now < peakWindow; now += time.Second {
 		if next := Bound(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
 			t.Fatalf("%d were in use, %d are %v after a change of leader", used, under(all, next), now)
 		}
 	}
 	wanted := 0
-	for now := time.Hour + peakFor; now < time.Hour+10*peakFor; now += peakFor {
+	for now := time.Hour + peakWindow; now < time.Hour+10*peakWindow; now += peakWindow {
 		wanted = after.Note(now, 0, used)
 	}
 	if wanted > 2*MinBackends {
