--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -164,7 +164,7 @@
 		r.leader.fleet[id] = state
 	}
 	if instance, known := r.machine.catalog.Instances()[id]; known && state.weight == 0 {
-		state.weight = inuse.Weight(instance.Address) // its first heartbeat comes before the log tells where it is
+		state.weight = inuse.HashWeight(instance.Address) // its first heartbeat comes before the log tells where it is
 	}
 	return state
 }
--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -32,8 +32,8 @@
 	peakWindow = 30 * time.Second
 )
 
-// Weight returns the weight of the back end at an address.
-func Weight(address string) uint64 { return xxhash.Sum64String(address) }
+// HashWeight returns the weight of the back end at an address.
+func HashWeight(address string) uint64 { return xxhash.Sum64String(address) }
 
 // Size is how many back ends of a service are wanted. Its zero value is the least.
 type Size struct {
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -12,7 +12,7 @@
 func fleet(size int) []uint64 {
 	weights := make([]uint64, size)
 	for i := range weights {
-		weights[i] = Weight(fmt.Sprintf("10.%d.%d.%d:8000", i%5, i/200, i%200))
+		weights[i] = HashWeight(fmt.Sprintf("10.%d.%d.%d:8000", i%5, i/200, i%200))
 	}
 	return weights
 }
