--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -41,7 +41,7 @@
 		}
 		wanted := size.Note(now, work.running, work.under)
 		r.leader.inUseSizes[service] = size
-		if bound := inuse.Bound(work.bound, work.able, work.unable, wanted); bound != work.bound {
+		if bound := inuse.MaxHashWeight(work.bound, work.able, work.unable, wanted); bound != work.bound {
 			bounds[service] = bound
 		}
 	}
--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -65,12 +65,12 @@
 	return s.wanted
 }
 
-// Bound returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
+// MaxHashWeight returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
 // besides that don't leave, and how many are wanted. It orders weights, and reorders the given ones.
 //
 // While more are unable than able, the bound stays: that many at once fall silent where control doesn't hear, and to tell every gateway
 // of the whole fleet would add to what went wrong.
-func Bound(inForce uint64, able []uint64, unable, wanted int) uint64 {
+func MaxHashWeight(inForce uint64, able []uint64, unable, wanted int) uint64 {
 	if unable > len(able) {
 		return inForce
 	}
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -30,7 +30,7 @@
 // TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
 func TestSmallServicesUseAll(t *testing.T) {
 	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slackDivisor} {
-		if bound := Bound(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
+		if bound := MaxHashWeight(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
 			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
 		}
 	}
@@ -43,7 +43,7 @@
 		wanted := size.Note(0, running, 0)
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
-			bound := Bound(Unbounded, slices.Clone(all), 0, wanted)
+			bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
 			if used := under(all, bound); used < wanted || used > wanted+wanted/slackDivisor || used > MinBackends+MinBackends/slackDivisor+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
 			}
@@ -60,7 +60,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	var size Size
 	wanted := size.Note(0, running, 0)
-	first := Bound(Unbounded, slices.Clone(all), 0, wanted)
+	first := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
 	lose := func(share float64) []uint64 {
 		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < share })
 	}
@@ -68,7 +68,7 @@
 		if left := under(able, first); left < running {
 			t.Fatalf("%s: %d are left of %d for %d requests", name, left, wanted, running)
 		}
-		bound := Bound(first, slices.Clone(able), len(all)-len(able), wanted)
+		bound := MaxHashWeight(first, slices.Clone(able), len(all)-len(able), wanted)
 		if used := under(able, bound); used < wanted {
 			t.Fatalf("%s: %d are used after one step, wanted %d", name, used, wanted)
 		}
@@ -102,12 +102,12 @@
 // TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
 func TestBoundRests(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(Unbounded, slices.Clone(all), 0, MinBackends)
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	changes := 0
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
 		able := slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < 0.02 })
-		if next := Bound(bound, able, len(all)-len(able), MinBackends); next != bound {
+		if next := MaxHashWeight(bound, able, len(all)-len(able), MinBackends); next != bound {
 			bound, changes = next, changes+1
 		}
 	}
@@ -119,9 +119,9 @@
 // TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
 func TestSilenceOfMostChangesNothing(t *testing.T) {
 	all := fleet(5000)
-	bound := Bound(Unbounded, slices.Clone(all), 0, MinBackends)
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	for _, heard := range []int{0, 100, 2400} {
-		if next := Bound(bound, slices.Clone(all[:heard]), len(all)-heard, MinBackends); next != bound {
+		if next := MaxHashWeight(bound, slices.Clone(all[:heard]), len(all)-heard, MinBackends); next != bound {
 			t.Fatalf("%d are used when %d of %d are heard", under(all, next), heard, len(all))
 		}
 	}
@@ -132,10 +132,10 @@
 func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
 	all := fleet(5000)
 	var before, after Size
-	bound := Bound(Unbounded, slices.Clone(all), 0, before.Note(0, 1000, 0))
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Note(0, 1000, 0))
 	used := under(all, bound)
 	for now := time.Duration(0); now < peakWindow; now += time.Second {
-		if next := Bound(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
+		if next := MaxHashWeight(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
 			t.Fatalf("%d were in use, %d are %v after a change of leader", used, under(all, next), now)
 		}
 	}
