--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -39,7 +39,7 @@
 		if !r.machine.catalog.HasMaxHashWeight(service) {
 			work.under = 0
 		}
-		wanted := size.Note(now, work.running, work.under)
+		wanted := size.Update(now, work.running, work.under)
 		r.leader.inUseSizes[service] = size
 		if bound := inuse.MaxHashWeight(work.bound, work.able, work.unable, wanted); bound != work.bound {
 			bounds[service] = bound
--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -43,10 +43,10 @@
 	beganAt time.Duration
 }
 
-// Note takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
+// Update takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
 // these are wanted. What is in use at first, as a former leader left it, counts as work seen: this leader has heard of none yet. Where nobody
 // has decided yet it is 0.
-func (s *Size) Note(now time.Duration, running, inUse int) int {
+func (s *Size) Update(now time.Duration, running, inUse int) int {
 	if s.wanted == 0 {
 		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
 		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -40,7 +40,7 @@
 func TestUseFollowsTheWork(t *testing.T) {
 	for _, running := range []int{0, 100, 800} {
 		var size Size
-		wanted := size.Note(0, running, 0)
+		wanted := size.Update(0, running, 0)
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
 			bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
@@ -59,7 +59,7 @@
 	all := fleet(5000)
 	random := rand.New(rand.NewPCG(1, 2))
 	var size Size
-	wanted := size.Note(0, running, 0)
+	wanted := size.Update(0, running, 0)
 	first := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
 	lose := func(share float64) []uint64 {
 		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < share })
@@ -81,20 +81,20 @@
 // TestUseGrowsAtOnceAndShrinksSlowly: a restart of all, during which nothing runs, makes nobody forget what is needed.
 func TestUseGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	var size Size
-	size.Note(0, 10, 0)
-	if wanted := size.Note(time.Second, 2000, 0); wanted < 2000*backendsPerRequest {
+	size.Update(0, 10, 0)
+	if wanted := size.Update(time.Second, 2000, 0); wanted < 2000*backendsPerRequest {
 		t.Fatalf("%d are wanted for 2,000 running requests", wanted)
 	}
-	before := size.Note(2*time.Second, 2000, 0)
-	if wanted := size.Note(peakWindow-time.Second, 0, 0); wanted != before {
+	before := size.Update(2*time.Second, 2000, 0)
+	if wanted := size.Update(peakWindow-time.Second, 0, 0); wanted != before {
 		t.Fatalf("%d are wanted after a pause, %d before", wanted, before)
 	}
 	now := peakWindow
 	for range 20 {
 		now += peakWindow
-		size.Note(now, 10, 0)
+		size.Update(now, 10, 0)
 	}
-	if wanted := size.Note(now, 10, 0); wanted > 2*MinBackends {
+	if wanted := size.Update(now, 10, 0); wanted > 2*MinBackends {
 		t.Fatalf("%d are wanted at rest", wanted)
 	}
 }
@@ -132,16 +132,16 @@
 func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
 	all := fleet(5000)
 	var before, after Size
-	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Note(0, 1000, 0))
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Update(0, 1000, 0))
 	used := under(all, bound)
 	for now := time.Duration(0); now < peakWindow; now += time.Second {
-		if next := MaxHashWeight(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
+		if next := MaxHashWeight(bound, slices.Clone(all), 0, after.Update(time.Hour+now, 0, used)); next != bound {
 			t.Fatalf("%d were in use, %d are %v after a change of leader", used, under(all, next), now)
 		}
 	}
 	wanted := 0
 	for now := time.Hour + peakWindow; now < time.Hour+10*peakWindow; now += peakWindow {
-		wanted = after.Note(now, 0, used)
+		wanted = after.Update(now, 0, used)
 	}
 	if wanted > 2*MinBackends {
 		t.Fatalf("%d are wanted at rest", wanted)
