--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -37,7 +37,7 @@
 
 // Size is how many back ends of a service are wanted. Its zero value is the least.
 type Size struct {
-	wanted  int
+	target  int
 	peak    int // most requests that ran together since began
 	former  int // the same, in the time before
 	beganAt time.Duration
@@ -47,9 +47,9 @@
 // these are wanted. What is in use at first, as a former leader left it, counts as work seen: this leader has heard of none yet. Where nobody
 // has decided yet it is 0.
 func (s *Size) Update(now time.Duration, running, inUse int) int {
-	if s.wanted == 0 {
+	if s.target == 0 {
 		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
-		s.wanted, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
+		s.target, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
 	if now >= s.beganAt+peakWindow {
 		s.former, s.peak, s.beganAt = s.peak, 0, now
@@ -57,12 +57,12 @@
 	s.peak = max(s.peak, running)
 	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.former))
 	switch {
-	case needed > s.wanted:
-		s.wanted = needed + needed/growthDivisor
-	case needed < s.wanted/2:
-		s.wanted = max(needed, s.wanted/2)
+	case needed > s.target:
+		s.target = needed + needed/growthDivisor
+	case needed < s.target/2:
+		s.target = max(needed, s.target/2)
 	}
-	return s.wanted
+	return s.target
 }
 
 // MaxHashWeight returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
