--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -37,10 +37,10 @@
 
 // Size is how many back ends of a service are wanted. Its zero value is the least.
 type Size struct {
-	target  int
-	peak    int // most requests that ran together since began
-	former  int // the same, in the time before
-	beganAt time.Duration
+	target       int
+	peak         int // most requests that ran together since began
+	previousPeak int // the same, in the time before
+	beganAt      time.Duration
 }
 
 // Update takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
@@ -49,13 +49,13 @@
 func (s *Size) Update(now time.Duration, running, inUse int) int {
 	if s.target == 0 {
 		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
-		s.target, s.former, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
+		s.target, s.previousPeak, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
 	if now >= s.beganAt+peakWindow {
-		s.former, s.peak, s.beganAt = s.peak, 0, now
+		s.previousPeak, s.peak, s.beganAt = s.peak, 0, now
 	}
 	s.peak = max(s.peak, running)
-	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.former))
+	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.previousPeak))
 	switch {
 	case needed > s.target:
 		s.target = needed + needed/growthDivisor
