--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -40,7 +40,7 @@
 	target       int
 	peak         int // most requests that ran together since began
 	previousPeak int // the same, in the time before
-	beganAt      time.Duration
+	windowStart  time.Duration
 }
 
 // Update takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
@@ -49,10 +49,10 @@
 func (s *Size) Update(now time.Duration, running, inUse int) int {
 	if s.target == 0 {
 		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
-		s.target, s.previousPeak, s.beganAt = max(MinBackends, wanted), wanted/backendsPerRequest, now
+		s.target, s.previousPeak, s.windowStart = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
-	if now >= s.beganAt+peakWindow {
-		s.previousPeak, s.peak, s.beganAt = s.peak, 0, now
+	if now >= s.windowStart+peakWindow {
+		s.previousPeak, s.peak, s.windowStart = s.peak, 0, now
 	}
 	s.peak = max(s.peak, running)
 	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.previousPeak))
