--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -39,7 +39,7 @@
 	var gateways []mesh.Gateway
 	for name, report := range state.usage {
 		if report.address != "" && now-report.at <= usageCounts {
-			gateways = append(gateways, mesh.Gateway{Place: mesh.Place{Name: name, Address: report.address}, Zone: report.zone})
+			gateways = append(gateways, mesh.Gateway{Peer: mesh.Peer{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -15,15 +15,15 @@
 	Schedulers []string `json:"schedulers,omitempty"` // addresses to ask for a placement; empty at a scheduler
 }
 
-// Place is where a gateway is reached by others.
-type Place struct {
+// Peer is where a gateway is reached by others.
+type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
 // Zone is the layout of one zone.
 type Zone struct {
-	Schedulers []Place  `json:"schedulers,omitempty"` // rising by name
+	Schedulers []Peer   `json:"schedulers,omitempty"` // rising by name
 	Asked      []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
 	All        bool     `json:"all,omitempty"`        // every gateway is a scheduler
 }
@@ -65,7 +65,7 @@
 
 // find returns the place of a gateway among the schedulers.
 func (z Zone) find(name string) (int, bool) {
-	at := slices.IndexFunc(z.Schedulers, func(p Place) bool { return p.Name == name })
+	at := slices.IndexFunc(z.Schedulers, func(p Peer) bool { return p.Name == name })
 	return at, at >= 0
 }
 
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -13,7 +13,7 @@
 	for zone, size := range sizes {
 		for i := range size {
 			name := fmt.Sprintf("g-%d-%02d", zone, i)
-			gateways = append(gateways, Gateway{Place: Place{Name: name, Address: name}, Zone: fmt.Sprint(zone)})
+			gateways = append(gateways, Gateway{Peer: Peer{Name: name, Address: name}, Zone: fmt.Sprint(zone)})
 			zoneOf[name] = zone
 		}
 	}
@@ -156,9 +156,9 @@
 		engines = append(engines, e)
 		zoneOf[e.ID] = e.Zone
 	}
-	placesOf := func(names ...string) (places []Place) {
+	placesOf := func(names ...string) (places []Peer) {
 		for _, name := range names {
-			places = append(places, Place{Name: name, Address: name})
+			places = append(places, Peer{Name: name, Address: name})
 		}
 		return places
 	}
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -21,7 +21,7 @@
 
 // Gateway is one that asked lately and can be reached by others.
 type Gateway struct {
-	Place
+	Peer
 	Zone string
 }
 
@@ -40,9 +40,9 @@
 
 // Plan lays the gateways out.
 func (p *Planner) Plan(now time.Duration, gateways []Gateway) {
-	zones := map[string][]Place{}
+	zones := map[string][]Peer{}
 	for _, g := range gateways {
-		zones[g.Zone] = append(zones[g.Zone], g.Place)
+		zones[g.Zone] = append(zones[g.Zone], g.Peer)
 	}
 	before := p.since
 	p.since = map[string]time.Duration{}
@@ -66,7 +66,7 @@
 
 // choose returns the gateways of a zone that place requests, rising by name: those of the highest random weights, so that few
 // change when gateways come and go.
-func (p *Planner) choose(places []Place, zones int) (chosen []Place, all bool) {
+func (p *Planner) choose(places []Peer, zones int) (chosen []Peer, all bool) {
 	count := max(schedulersLeast, (schedulersWanted+zones-1)/zones)
 	all = len(places) <= count || p.EveryoneSchedules
 	if !all {
@@ -74,16 +74,16 @@
 		for _, place := range places {
 			weights[place.Name] = xxhash.Sum64String(place.Name)
 		}
-		slices.SortFunc(places, func(a, b Place) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
+		slices.SortFunc(places, func(a, b Peer) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
 		places = places[:count]
 	}
 	chosen = slices.Clone(places)
-	slices.SortFunc(chosen, func(a, b Place) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(chosen, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	return chosen, all
 }
 
 // asked returns the schedulers that others may ask: all but those that became one a moment ago, unless all did.
-func (p *Planner) asked(now time.Duration, schedulers []Place) []string {
+func (p *Planner) asked(now time.Duration, schedulers []Peer) []string {
 	var warm, all []string
 	for _, s := range schedulers {
 		all = append(all, s.Address)
@@ -105,7 +105,7 @@
 // each reader.
 func (l *Layout) Readers(engines []Engine) map[string][]string {
 	reads := map[string][]string{}
-	var everywhere []Place
+	var everywhere []Peer
 	for _, zone := range l.zones() {
 		everywhere = append(everywhere, l.Zones[zone].Schedulers...)
 	}
@@ -122,7 +122,7 @@
 }
 
 // highestWeight returns the name of the highest random weight for a key (rendezvous hashing), or "" of none.
-func highestWeight(key string, places []Place) string {
+func highestWeight(key string, places []Peer) string {
 	best, highest := "", uint64(0)
 	for _, place := range places {
 		if weight := xxhash.Sum64String(key + "/" + place.Name); best == "" || weight > highest {
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -148,7 +148,7 @@
 	entry := func(id string, versions map[string]uint64) roster.Entry {
 		return roster.Entry{Instance: catalog.Instance{ID: id, Zone: "z"}, Versions: versions}
 	}
-	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Place{{Name: "s", Address: "s"}}}}}}
+	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Peer{{Name: "s", Address: "s"}}}}}}
 	ask(t, r, 0)
 	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.News{
 		Whole: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
