--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -11,7 +11,7 @@
 type Mesh struct {
 	Row        []string `json:"row,omitempty"`        // addresses in the own row: they pass what they are told to their columns
 	Column     []string `json:"column,omitempty"`     // addresses in the own column: they keep what they are told
-	Abroad     []string `json:"abroad,omitempty"`     // one address in each other zone: it tells its row and column
+	OtherZones []string `json:"abroad,omitempty"`     // one address in each other zone: it tells its row and column
 	Schedulers []string `json:"schedulers,omitempty"` // addresses to ask for a placement; empty at a scheduler
 }
 
@@ -47,7 +47,7 @@
 	made := Mesh{Row: own.addresses(row), Column: own.addresses(column)}
 	for _, other := range l.zones() {
 		if members := l.Zones[other].Schedulers; other != zone && len(members) > 0 {
-			made.Abroad = append(made.Abroad, members[at%len(members)].Address)
+			made.OtherZones = append(made.OtherZones, members[at%len(members)].Address)
 		}
 	}
 	return made
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -64,7 +64,7 @@
 	}
 	told[first]++
 	within(first)
-	tell(meshes[first].Abroad, first, within)
+	tell(meshes[first].OtherZones, first, within)
 	wanted := map[string]bool{}
 	for name, mesh := range meshes {
 		if len(mesh.Schedulers) == 0 {
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -182,7 +182,7 @@
 func (p *peerAnnouncer) setMesh(mesh control.Mesh) {
 	p.row.SetPeers(mesh.Row)
 	p.column.SetPeers(mesh.Column)
-	p.otherZones.SetPeers(mesh.Abroad)
+	p.otherZones.SetPeers(mesh.OtherZones)
 	p.useScheduler.Store(len(mesh.Schedulers) > 0)
 	if n := len(mesh.Schedulers); n > 0 {
 		p.viaScheduler.SetPeers([]string{mesh.Schedulers[rand.IntN(n)]})
