--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -24,7 +24,7 @@
 // Zone is the layout of one zone.
 type Zone struct {
 	Schedulers []Peer   `json:"schedulers,omitempty"` // rising by name
-	Asked      []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
+	Serving    []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
 	All        bool     `json:"all,omitempty"`        // every gateway is a scheduler
 }
 
@@ -41,7 +41,7 @@
 	case !schedules && own.All:
 		return Mesh{}
 	case !schedules:
-		return Mesh{Schedulers: own.Asked}
+		return Mesh{Schedulers: own.Serving}
 	}
 	row, column := gridPeers(len(own.Schedulers), at)
 	made := Mesh{Row: own.addresses(row), Column: own.addresses(column)}
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -97,7 +97,7 @@
 		for _, place := range layout.Zones["2"].Schedulers {
 			names = append(names, place.Name)
 		}
-		return names, layout.Zones["2"].Asked
+		return names, layout.Zones["2"].Serving
 	}
 	before, _ := schedulers(time.Second)
 	if want := (schedulersWanted + 4) / 5; len(before) != want {
