--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -23,9 +23,9 @@
 
 // Zone is the layout of one zone.
 type Zone struct {
-	Schedulers []Peer   `json:"schedulers,omitempty"` // rising by name
-	Serving    []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
-	All        bool     `json:"all,omitempty"`        // every gateway is a scheduler
+	Schedulers  []Peer   `json:"schedulers,omitempty"` // rising by name
+	Serving     []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
+	AllSchedule bool     `json:"all,omitempty"`        // every gateway is a scheduler
 }
 
 // Layout is how all gateways are laid out. It never changes once it was told.
@@ -38,7 +38,7 @@
 	own := l.Zones[zone]
 	at, schedules := own.find(name)
 	switch {
-	case !schedules && own.All:
+	case !schedules && own.AllSchedule:
 		return Mesh{}
 	case !schedules:
 		return Mesh{Schedulers: own.Serving}
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -56,7 +56,7 @@
 			}
 			p.since[place.Name] = since
 		}
-		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.asked(now, chosen), All: all}
+		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.asked(now, chosen), AllSchedule: all}
 	}
 	if p.count == 0 || !reflect.DeepEqual(next, p.layout) {
 		p.layout = next
