--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -33,8 +33,8 @@
 	Zones map[string]Zone `json:"zones,omitempty"`
 }
 
-// Of returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
-func (l *Layout) Of(zone, name string) Mesh {
+// MeshOf returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
+func (l *Layout) MeshOf(zone, name string) Mesh {
 	own := l.Zones[zone]
 	at, schedules := own.find(name)
 	switch {
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -31,7 +31,7 @@
 			layout, _ := planner.Layout()
 			meshes := map[string]Mesh{}
 			for _, g := range gateways {
-				meshes[g.Name] = layout.Of(g.Zone, g.Name)
+				meshes[g.Name] = layout.MeshOf(g.Zone, g.Name)
 			}
 			for origin := range meshes {
 				checkReach(t, origin, meshes, zoneOf, sizes, !everyone)
@@ -121,11 +121,11 @@
 	calm.Plan(time.Second, small)
 	layout, _ := calm.Layout()
 	for _, g := range small {
-		if mesh := layout.Of(g.Zone, g.Name); len(mesh.Schedulers) > 0 {
+		if mesh := layout.MeshOf(g.Zone, g.Name); len(mesh.Schedulers) > 0 {
 			t.Fatalf("%s of a small fleet asks %v", g.Name, mesh.Schedulers)
 		}
 	}
-	if mesh := layout.Of("0", "newcomer"); len(mesh.Schedulers)+len(mesh.Row) > 0 {
+	if mesh := layout.MeshOf("0", "newcomer"); len(mesh.Schedulers)+len(mesh.Row) > 0 {
 		t.Fatalf("a gateway that isn't laid out yet has %+v", mesh)
 	}
 }
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -17,7 +17,7 @@
 		"c": {zone: "z", address: "c", at: 10 * time.Second}, "d": {zone: "y", address: "d", at: time.Second},
 	}}}
 	r.leader.planner = &mesh.Planner{}
-	if made := r.layout(10*time.Second).Mesh.Of("z", "a"); len(made.Row) != 1 || made.Row[0] != "c" || len(made.OtherZones) > 0 {
+	if made := r.layout(10*time.Second).Mesh.MeshOf("z", "a"); len(made.Row) != 1 || made.Row[0] != "c" || len(made.OtherZones) > 0 {
 		t.Fatalf("mesh %+v", made)
 	}
 }
