--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -45,7 +45,7 @@
 	}
 	row, column := gridPeers(len(own.Schedulers), at)
 	made := Mesh{Row: own.addresses(row), Column: own.addresses(column)}
-	for _, other := range l.zones() {
+	for _, other := range l.sortedZones() {
 		if members := l.Zones[other].Schedulers; other != zone && len(members) > 0 {
 			made.OtherZones = append(made.OtherZones, members[at%len(members)].Address)
 		}
@@ -53,8 +53,8 @@
 	return made
 }
 
-// zones returns the names of the zones, rising.
-func (l *Layout) zones() []string {
+// sortedZones returns the names of the sortedZones, rising.
+func (l *Layout) sortedZones() []string {
 	names := make([]string, 0, len(l.Zones))
 	for name := range l.Zones {
 		names = append(names, name)
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -106,7 +106,7 @@
 func (l *Layout) Readers(engines []Engine) map[string][]string {
 	reads := map[string][]string{}
 	var everywhere []Peer
-	for _, zone := range l.zones() {
+	for _, zone := range l.sortedZones() {
 		everywhere = append(everywhere, l.Zones[zone].Schedulers...)
 	}
 	for _, e := range engines {
