--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -36,7 +36,7 @@
 // MeshOf returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
 func (l *Layout) MeshOf(zone, name string) Mesh {
 	own := l.Zones[zone]
-	at, schedules := own.find(name)
+	at, schedules := own.schedulerIndex(name)
 	switch {
 	case !schedules && own.AllSchedule:
 		return Mesh{}
@@ -63,8 +63,8 @@
 	return names
 }
 
-// find returns the place of a gateway among the schedulers.
-func (z Zone) find(name string) (int, bool) {
+// schedulerIndex returns the place of a gateway among the schedulers.
+func (z Zone) schedulerIndex(name string) (int, bool) {
 	at := slices.IndexFunc(z.Schedulers, func(p Peer) bool { return p.Name == name })
 	return at, at >= 0
 }
