--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -77,8 +77,8 @@
 	return found
 }
 
-// gridAbove is the size up to which everybody tells everybody.
-const gridAbove = 9
+// maxFullMesh is the size up to which everybody tells everybody.
+const maxFullMesh = 9
 
 // gridPeers returns the row and the column of one of so many places in a grid as wide as high. A place in a short last
 // row stands for the columns that the row lacks, so that row and columns together reach every place.
@@ -87,7 +87,7 @@
 	for width*width < size {
 		width++
 	}
-	if size <= gridAbove {
+	if size <= maxFullMesh {
 		width = size
 	}
 	first := at / width * width
