--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -100,7 +100,7 @@
 		return names, layout.Zones["2"].Serving
 	}
 	before, _ := schedulers(time.Second)
-	if want := (schedulersWanted + 4) / 5; len(before) != want {
+	if want := (targetSchedulers + 4) / 5; len(before) != want {
 		t.Fatalf("%d schedulers of 61 gateways in one of five zones, wanted %d", len(before), want)
 	}
 	gateways = slices.DeleteFunc(gateways, func(g Gateway) bool { return g.Name == before[0] })
