--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -13,8 +13,8 @@
 	// targetSchedulers is how many gateways of a large fleet place requests, and schedulersLeast how many of each zone. Each
 	// hears of every send, so the work of all grows with their number, while each of so few sees enough requests to know
 	// the engines well (design/015).
-	targetSchedulers = 12
-	schedulersLeast  = 2
+	targetSchedulers     = 12
+	minSchedulersPerZone = 2
 	// schedulerWarmUp is how long a new scheduler only hears of sends, while its zone has others, before it is asked.
 	schedulerWarmUp = 1500 * time.Millisecond
 )
@@ -67,7 +67,7 @@
 // choose returns the gateways of a zone that place requests, rising by name: those of the highest random weights, so that few
 // change when gateways come and go.
 func (p *Planner) choose(places []Peer, zones int) (chosen []Peer, all bool) {
-	count := max(schedulersLeast, (targetSchedulers+zones-1)/zones)
+	count := max(minSchedulersPerZone, (targetSchedulers+zones-1)/zones)
 	all = len(places) <= count || p.EveryoneSchedules
 	if !all {
 		weights := make(map[string]uint64, len(places))
