--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -43,7 +43,7 @@
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	state.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
+	state.planner.AllSchedule = !r.config.Mechanisms.On(mechanism.Schedulers)
 	state.planner.Plan(now, gateways)
 	planned, count := state.planner.Layout()
 	addresses := r.relayReplicaAddresses(now)
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -26,7 +26,7 @@
 	for _, everyone := range []bool{false, true} {
 		for _, sizes := range [][]int{{1}, {2}, {9}, {10}, {3, 2, 2}, {28, 26, 24}, {1, 30}, {17, 5, 40}, {25, 25, 25, 24, 26}, {58, 54, 61, 60, 62}} {
 			gateways, zoneOf := fleetOf(sizes...)
-			planner := Planner{EveryoneSchedules: everyone}
+			planner := Planner{AllSchedule: everyone}
 			planner.Plan(time.Second, gateways)
 			layout, _ := planner.Layout()
 			meshes := map[string]Mesh{}
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -27,8 +27,8 @@
 
 // Planner lays gateways out, again and again. Its zero value has laid nobody out.
 type Planner struct {
-	// EveryoneSchedules is set where the choice of a few is switched off.
-	EveryoneSchedules bool
+	// AllSchedule is set where the choice of a few is switched off.
+	AllSchedule bool
 
 	layout Layout
 	count  uint64                   // of layouts that differed from the one before
@@ -68,7 +68,7 @@
 // change when gateways come and go.
 func (p *Planner) choose(places []Peer, zones int) (chosen []Peer, all bool) {
 	count := max(minSchedulersPerZone, (targetSchedulers+zones-1)/zones)
-	all = len(places) <= count || p.EveryoneSchedules
+	all = len(places) <= count || p.AllSchedule
 	if !all {
 		weights := make(map[string]uint64, len(places))
 		for _, place := range places {
