--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -30,9 +30,9 @@
 	// AllSchedule is set where the choice of a few is switched off.
 	AllSchedule bool
 
-	layout Layout
-	count  uint64                   // of layouts that differed from the one before
-	since  map[string]time.Duration // by scheduler: when it became one
+	layout         Layout
+	count          uint64                   // of layouts that differed from the one before
+	schedulerSince map[string]time.Duration // by scheduler: when it became one
 }
 
 // Layout returns the newest layout and its count, which rises with each that differs.
@@ -44,8 +44,8 @@
 	for _, g := range gateways {
 		zones[g.Zone] = append(zones[g.Zone], g.Peer)
 	}
-	before := p.since
-	p.since = map[string]time.Duration{}
+	before := p.schedulerSince
+	p.schedulerSince = map[string]time.Duration{}
 	next := Layout{Zones: make(map[string]Zone, len(zones))}
 	for name, places := range zones {
 		chosen, all := p.choose(places, len(zones))
@@ -54,7 +54,7 @@
 			if !stays {
 				since = now
 			}
-			p.since[place.Name] = since
+			p.schedulerSince[place.Name] = since
 		}
 		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.asked(now, chosen), AllSchedule: all}
 	}
@@ -87,7 +87,7 @@
 	var warm, all []string
 	for _, s := range schedulers {
 		all = append(all, s.Address)
-		if now >= p.since[s.Name]+schedulerWarmUp {
+		if now >= p.schedulerSince[s.Name]+schedulerWarmUp {
 			warm = append(warm, s.Address)
 		}
 	}
