--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -48,7 +48,7 @@
 	p.schedulerSince = map[string]time.Duration{}
 	next := Layout{Zones: make(map[string]Zone, len(zones))}
 	for name, places := range zones {
-		chosen, all := p.choose(places, len(zones))
+		chosen, all := p.chooseSchedulers(places, len(zones))
 		for _, place := range chosen {
 			since, stays := before[place.Name]
 			if !stays {
@@ -64,9 +64,9 @@
 	}
 }
 
-// choose returns the gateways of a zone that place requests, rising by name: those of the highest random weights, so that few
+// chooseSchedulers returns the gateways of a zone that place requests, rising by name: those of the highest random weights, so that few
 // change when gateways come and go.
-func (p *Planner) choose(places []Peer, zones int) (chosen []Peer, all bool) {
+func (p *Planner) chooseSchedulers(places []Peer, zones int) (chosen []Peer, all bool) {
 	count := max(minSchedulersPerZone, (targetSchedulers+zones-1)/zones)
 	all = len(places) <= count || p.AllSchedule
 	if !all {
