--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -56,7 +56,7 @@
 			}
 			p.schedulerSince[place.Name] = since
 		}
-		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.asked(now, chosen), AllSchedule: all}
+		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.serving(now, chosen), AllSchedule: all}
 	}
 	if p.count == 0 || !reflect.DeepEqual(next, p.layout) {
 		p.layout = next
@@ -82,8 +82,8 @@
 	return chosen, all
 }
 
-// asked returns the schedulers that others may ask: all but those that became one a moment ago, unless all did.
-func (p *Planner) asked(now time.Duration, schedulers []Peer) []string {
+// serving returns the schedulers that others may ask: all but those that became one a moment ago, unless all did.
+func (p *Planner) serving(now time.Duration, schedulers []Peer) []string {
 	var warm, all []string
 	for _, s := range schedulers {
 		all = append(all, s.Address)
