--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -165,7 +165,7 @@
 	layout := Layout{Zones: map[string]Zone{"z0": {Schedulers: placesOf("g-0-0", "g-0-1", "g-0-2", "g-0-3")}, "z1": {Schedulers: placesOf("g-1-0")}}}
 	readerOf := func() map[string]string {
 		found := map[string]string{}
-		for name, ids := range layout.Readers(engines) {
+		for name, ids := range layout.CacheEventSources(engines) {
 			for _, id := range ids {
 				if found[id] != "" {
 					t.Fatalf("%s is read by %s and %s", id, found[id], name)
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -100,10 +100,10 @@
 // Engine is an engine whose cache events are to be read.
 type Engine struct{ ID, Zone string }
 
-// Readers gives each engine a scheduler that reads its cache events: the one of the highest random weight in the engine's
+// CacheEventSources gives each engine a scheduler that reads its cache events: the one of the highest random weight in the engine's
 // zone, or anywhere if that zone has none, so that few change when gateways come and go. Engines rise by id, and so do those of
 // each reader.
-func (l *Layout) Readers(engines []Engine) map[string][]string {
+func (l *Layout) CacheEventSources(engines []Engine) map[string][]string {
 	reads := map[string][]string{}
 	var everywhere []Peer
 	for _, zone := range l.sortedZones() {
--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -26,5 +26,5 @@
 			engines = append(engines, mesh.Engine{ID: id, Zone: e.Zone})
 		}
 	}
-	return layout.Readers(engines)
+	return layout.CacheEventSources(engines)
 }
