--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -114,15 +114,15 @@
 		if len(near) == 0 {
 			near = everywhere
 		}
-		if reader := highestWeight(e.ID, near); reader != "" {
+		if reader := rendezvousHash(e.ID, near); reader != "" {
 			reads[reader] = append(reads[reader], e.ID)
 		}
 	}
 	return reads
 }
 
-// highestWeight returns the name of the highest random weight for a key (rendezvous hashing), or "" of none.
-func highestWeight(key string, places []Peer) string {
+// rendezvousHash returns the name of the highest random weight for a key (rendezvous hashing), or "" of none.
+func rendezvousHash(key string, places []Peer) string {
 	best, highest := "", uint64(0)
 	for _, place := range places {
 		if weight := xxhash.Sum64String(key + "/" + place.Name); best == "" || weight > highest {
