--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// goneKept bounds the back ends whose removal is remembered; whoever lacks more of them gets the whole roster.
-const goneKept = 256
+// maxRemovedKept bounds the back ends whose removal is remembered; whoever lacks more of them gets the whole roster.
+const maxRemovedKept = 256
 
 // change is that an entry became another one, or none, in the roster of a count.
 type change struct {
@@ -77,7 +77,7 @@
 		delete(l.entries, id)
 		l.changes = append(l.changes, change{count: count, id: id})
 	}
-	if len(l.changes) > 2*(len(l.entries)+goneKept) {
+	if len(l.changes) > 2*(len(l.entries)+maxRemovedKept) {
 		l.trim()
 	}
 }
@@ -102,7 +102,7 @@
 		}
 		seen[c.id] = true
 		if _, stays := l.entries[c.id]; !stays {
-			if gone++; gone > goneKept {
+			if gone++; gone > maxRemovedKept {
 				l.floor = max(l.floor, c.count)
 				continue
 			}
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -142,7 +142,7 @@
 			entries[i].Loading = count%2 == 0
 		}
 		l.Update(count, entries, nil)
-		if len(l.changes) > 2*(300+goneKept) {
+		if len(l.changes) > 2*(300+maxRemovedKept) {
 			t.Fatalf("%d changes are kept", len(l.changes))
 		}
 	}
@@ -151,7 +151,7 @@
 		l.Update(uint64(100+2*i), []Entry{{Instance: catalog.Instance{ID: id}}}, nil)
 		l.Update(uint64(101+2*i), nil, []string{id})
 	}
-	if len(l.changes) > 2*(300+goneKept) {
+	if len(l.changes) > 2*(300+maxRemovedKept) {
 		t.Fatalf("%d changes are kept", len(l.changes))
 	}
 	if !l.Since(1).Whole || l.Since(l.Count()-2).Whole {
