--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -58,7 +58,7 @@
 	Number   uint64          `json:"number"`  // of the question
 	Applied  uint64          `json:"applied"` // index of the log up to which the leader had applied it
 	Version  roster.Version  `json:"version"`
-	Roster   *roster.News    `json:"roster,omitempty"` // when it differs from the replica's
+	Roster   *roster.Update  `json:"roster,omitempty"` // when it differs from the replica's
 	Layout   *Layout         `json:"layout,omitempty"` // the same
 	Wanted   []roster.Wanted `json:"wanted,omitempty"`
 	Gateways int             `json:"gateways"`
@@ -246,7 +246,7 @@
 }
 
 // News returns what a gateway lacks of the roster, or nil.
-func (r *Relay) News(held roster.Version) *roster.News {
+func (r *Relay) News(held roster.Version) *roster.Update {
 	switch {
 	case held == r.version:
 		return nil
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -12,7 +12,7 @@
 type (
 	RosterVersion = roster.Version
 	RosterEntry   = roster.Entry
-	RosterNews    = roster.News
+	RosterNews    = roster.Update
 	WantedVersion = roster.Wanted
 )
 
--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -17,12 +17,12 @@
 // Log knows what changed from one roster to the next, so that only that is told. What an update costs grows with what changed, what news
 // cost with what is told; neither grows with the roster. Its zero value is the empty roster of count 0.
 type Log struct {
-	count   uint64           // of the newest roster
-	entries map[string]Entry // of the newest roster
-	ids     []string         // of entries, rising; nil when they have changed
-	changes []change         // rising by count; at most twice the entries and what is kept of those gone
-	floor   uint64           // changes holds all after the roster of this count
-	told    map[uint64]*News // by the count that was held: news of the newest roster that somebody asked for
+	count   uint64             // of the newest roster
+	entries map[string]Entry   // of the newest roster
+	ids     []string           // of entries, rising; nil when they have changed
+	changes []change           // rising by count; at most twice the entries and what is kept of those gone
+	floor   uint64             // changes holds all after the roster of this count
+	told    map[uint64]*Update // by the count that was held: news of the newest roster that somebody asked for
 }
 
 // Count returns the count of the newest roster.
@@ -51,12 +51,12 @@
 		}
 	}
 	gone = slices.DeleteFunc(slices.Clone(gone), func(id string) bool { _, known := l.entries[id]; return !known })
-	l.Follow(count, &News{Entries: changed, Gone: gone})
+	l.Follow(count, &Update{Entries: changed, Gone: gone})
 }
 
 // Follow makes the roster of a count from the news of another log. All of them are told on, also what comes back to what it was here: somebody
 // may hold a roster in between that the other log told.
-func (l *Log) Follow(count uint64, news *News) {
+func (l *Log) Follow(count uint64, news *Update) {
 	if news.Whole {
 		l.replace(count, news.Entries)
 		return
@@ -114,7 +114,7 @@
 }
 
 // Since returns what changed after the roster of a count; 0 asks for everything. Callers only read it.
-func (l *Log) Since(count uint64) *News {
+func (l *Log) Since(count uint64) *Update {
 	if count < l.floor {
 		count = 0
 	}
@@ -122,7 +122,7 @@
 		return news
 	}
 	if l.told == nil {
-		l.told = map[uint64]*News{}
+		l.told = map[uint64]*Update{}
 	}
 	news := l.changed(count)
 	if count == 0 {
@@ -132,21 +132,21 @@
 	return news
 }
 
-func (l *Log) all() *News {
-	news := &News{Whole: true, Entries: make([]Entry, 0, len(l.entries))}
+func (l *Log) all() *Update {
+	news := &Update{Whole: true, Entries: make([]Entry, 0, len(l.entries))}
 	for _, id := range l.IDs() {
 		news.Entries = append(news.Entries, l.entries[id])
 	}
 	return news
 }
 
-func (l *Log) changed(count uint64) *News {
+func (l *Log) changed(count uint64) *Update {
 	var ids []string
 	for i := len(l.changes) - 1; i >= 0 && l.changes[i].count > count; i-- {
 		ids = append(ids, l.changes[i].id)
 	}
 	slices.Sort(ids)
-	news := &News{}
+	news := &Update{}
 	for _, id := range slices.Compact(ids) {
 		if e, stays := l.entries[id]; stays {
 			news.Entries = append(news.Entries, e)
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -41,8 +41,8 @@
 		(e.ColdLeft > 0) == (other.ColdLeft > 0)
 }
 
-// News is what somebody lacks of the roster.
-type News struct {
+// Update is what somebody lacks of the roster.
+type Update struct {
 	Whole   bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
 	Entries []Entry  `json:"entries,omitempty"` // rising by id
 	Gone    []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
@@ -51,19 +51,19 @@
 }
 
 // MarshalJSON encodes the news, once for all who lack the same.
-func (n *News) MarshalJSON() ([]byte, error) {
+func (n *Update) MarshalJSON() ([]byte, error) {
 	if n.shared != nil {
 		return n.shared.MarshalJSON()
 	}
-	type plain News
+	type plain Update
 	return json.Marshal((*plain)(n))
 }
 
 // Shared returns the news as JSON that many messages share, or nil where they aren't told to many.
-func (n *News) Shared() *payload.Shared { return n.shared }
+func (n *Update) Shared() *payload.Shared { return n.shared }
 
 // share encodes the news for many.
-func (n *News) share() *News {
+func (n *Update) share() *Update {
 	if shared, err := payload.NewShared(n); err == nil {
 		n.shared = shared // else whoever tells it meets the error
 	}
@@ -71,7 +71,7 @@
 }
 
 // Merge returns the roster that follows from the one that was held, rising by id.
-func (n *News) Merge(held []Entry) []Entry {
+func (n *Update) Merge(held []Entry) []Entry {
 	if n.Whole {
 		return n.Entries
 	}
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -124,7 +124,7 @@
 		t.Fatalf("%v allocations for news that are encoded already", allocated)
 	}
 	encoded, err := json.Marshal(first)
-	var back News
+	var back Update
 	if err == nil {
 		err = json.Unmarshal(encoded, &back)
 	}
