--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -55,14 +55,14 @@
 
 // Answer confirms that the leader held this state, with a valid lease, after the question had arrived.
 type Answer struct {
-	Number   uint64          `json:"number"`  // of the question
-	Applied  uint64          `json:"applied"` // index of the log up to which the leader had applied it
-	Version  roster.Version  `json:"version"`
-	Roster   *roster.Update  `json:"roster,omitempty"` // when it differs from the replica's
-	Layout   *Layout         `json:"layout,omitempty"` // the same
-	Wanted   []roster.Wanted `json:"wanted,omitempty"`
-	Gateways int             `json:"gateways"`
-	Unlisted []string        `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
+	Number   uint64               `json:"number"`  // of the question
+	Applied  uint64               `json:"applied"` // index of the log up to which the leader had applied it
+	Version  roster.Version       `json:"version"`
+	Roster   *roster.Update       `json:"roster,omitempty"` // when it differs from the replica's
+	Layout   *Layout              `json:"layout,omitempty"` // the same
+	Wanted   []roster.Publication `json:"wanted,omitempty"`
+	Gateways int                  `json:"gateways"`
+	Unlisted []string             `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
 }
 
 // Layout is how gateways are laid out, and which replicas answer those of each zone.
@@ -92,7 +92,7 @@
 	told     roster.Version // newest one that waiting questions are answered for
 	toldAt   time.Duration
 	layout   *Layout
-	wanted   []roster.Wanted
+	wanted   []roster.Publication
 	wantedAt time.Duration // no later than the ages in wanted are of: when the question left
 	gateways int
 	waiting  []Waiting // in the order in which they came; at most waitingMost
@@ -257,7 +257,7 @@
 }
 
 // Wanted returns the weights that were named lately, as of now.
-func (r *Relay) Wanted(now time.Duration) []roster.Wanted {
+func (r *Relay) Wanted(now time.Duration) []roster.Publication {
 	wanted := slices.Clone(r.wanted)
 	for i := range wanted {
 		wanted[i].Age += now - r.wantedAt
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -13,7 +13,7 @@
 	RosterVersion = roster.Version
 	RosterEntry   = roster.Entry
 	RosterNews    = roster.Update
-	WantedVersion = roster.Wanted
+	WantedVersion = roster.Publication
 )
 
 // rosterNews returns what a gateway lacks of the current roster.
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -27,9 +27,9 @@
 	ColdLeft time.Duration     `json:"cold_left_ns,omitempty"`
 }
 
-// Wanted is a weights version of a model that was named lately. A list of them rises by version; each one has its own
+// Publication is a weights version of a model that was named lately. A list of them rises by version; each one has its own
 // time, since a back end that lacks several is late by the oldest of them.
-type Wanted struct {
+type Publication struct {
 	Model   string        `json:"model"`
 	Version uint64        `json:"version"`
 	Age     time.Duration `json:"age_ns"` // since it was named, as far as whoever tells it knows
--- a/internal/gateway/belief/namings.go
+++ b/internal/gateway/belief/namings.go
@@ -48,7 +48,7 @@
 
 // Update applies an answer of control to a request sent at the time asked, and returns each version's first age
 // regression. term is that of the leader that confirmed the answer.
-func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Wanted) []AgeRegression {
+func (n *PublishTimes) Update(now, asked time.Duration, term uint64, wanted []roster.Publication) []AgeRegression {
 	if !n.guards.On(guard.PublicationAgeMonotonic) {
 		clear(n.models)
 	}
--- a/internal/gateway/belief/namings_test.go
+++ b/internal/gateway/belief/namings_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/guard"
 )
 
-func wantedVersion(version uint64, age time.Duration) []roster.Wanted {
-	return []roster.Wanted{{Model: "m", Version: version, Age: age}}
+func wantedVersion(version uint64, age time.Duration) []roster.Publication {
+	return []roster.Publication{{Model: "m", Version: version, Age: age}}
 }
 
 // Guards against a new leader with a later record or a slower clock moving the deadline for old weights later
