--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -48,7 +48,7 @@
 	if answered, _ := told(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
 		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
 	}
-	r.Observe(&Answer{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Whole: true}, Unlisted: []string{"g-2"}})
+	r.Observe(&Answer{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
 	if answered, _ := told(r, time.Millisecond, 4, true); len(answered) > 0 {
 		t.Fatalf("%v were answered before this replica had applied what the leader had", answered)
 	}
@@ -70,7 +70,7 @@
 	r := New(guard.Set{})
 	r.Take(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
 	ask(t, r, 0)
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Whole: true}})
+	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
 	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
@@ -80,7 +80,7 @@
 	if r.Version().Count != 8 {
 		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
 	}
-	r.Observe(&Answer{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Whole: true}})
+	r.Observe(&Answer{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Full: true}})
 	if r.Version().Term != 2 {
 		t.Fatalf("an answer of a leader before made the roster %+v", r.Version())
 	}
@@ -151,7 +151,7 @@
 	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Peer{{Name: "s", Address: "s"}}}}}}
 	ask(t, r, 0)
 	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
-		Whole: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
+		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
 	if reads := r.Reads("s"); len(reads) != 1 || reads[0] != "engine" || len(r.Reads("other")) > 0 {
 		t.Fatalf("reads %v", reads)
--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -57,7 +57,7 @@
 // Follow makes the roster of a count from the news of another log. All of them are told on, also what comes back to what it was here: somebody
 // may hold a roster in between that the other log told.
 func (l *Log) Follow(count uint64, news *Update) {
-	if news.Whole {
+	if news.Full {
 		l.replace(count, news.Entries)
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 func (l *Log) all() *Update {
-	news := &Update{Whole: true, Entries: make([]Entry, 0, len(l.entries))}
+	news := &Update{Full: true, Entries: make([]Entry, 0, len(l.entries))}
 	for _, id := range l.IDs() {
 		news.Entries = append(news.Entries, l.entries[id])
 	}
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -43,7 +43,7 @@
 
 // Update is what somebody lacks of the roster.
 type Update struct {
-	Whole   bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
+	Full    bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
 	Entries []Entry  `json:"entries,omitempty"` // rising by id
 	Gone    []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
 
@@ -72,7 +72,7 @@
 
 // Merge returns the roster that follows from the one that was held, rising by id.
 func (n *Update) Merge(held []Entry) []Entry {
-	if n.Whole {
+	if n.Full {
 		return n.Entries
 	}
 	merged := map[string]Entry{}
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -82,10 +82,10 @@
 	changed.Loading = true
 	l.Update(2, []Entry{changed}, []string{"i-00099"})
 	news := l.Since(1)
-	if news.Whole || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Gone) != 1 || news.Gone[0] != "i-00099" {
+	if news.Full || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Gone) != 1 || news.Gone[0] != "i-00099" {
 		t.Fatalf("news %+v", news)
 	}
-	if whole := l.Since(0); !whole.Whole || len(whole.Entries) != 99 {
+	if whole := l.Since(0); !whole.Full || len(whole.Entries) != 99 {
 		t.Fatalf("whole roster: %d entries", len(whole.Entries))
 	}
 }
@@ -154,7 +154,7 @@
 	if len(l.changes) > 2*(300+maxRemovedKept) {
 		t.Fatalf("%d changes are kept", len(l.changes))
 	}
-	if !l.Since(1).Whole || l.Since(l.Count()-2).Whole {
+	if !l.Since(1).Full || l.Since(l.Count()-2).Full {
 		t.Fatal("who lacks too many removals is to get everything, who lacks few isn't")
 	}
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -25,7 +25,7 @@
 	defer t.mutex.Unlock()
 	var changes []rosterChange
 	fresh := map[string]*endpoint{}
-	if !news.Whole {
+	if !news.Full {
 		maps.Copy(fresh, t.rows)
 	}
 	for _, id := range news.Gone {
