--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -157,7 +157,7 @@
 		t.Fatalf("reads %v", reads)
 	}
 	ask(t, r, restEach)
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Gone: []string{"engine"}}})
+	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
 	if reads := r.Reads("s"); len(reads) > 0 {
 		t.Fatalf("reads %v after the engine had gone", reads)
 	}
--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -51,7 +51,7 @@
 		}
 	}
 	gone = slices.DeleteFunc(slices.Clone(gone), func(id string) bool { _, known := l.entries[id]; return !known })
-	l.Follow(count, &Update{Entries: changed, Gone: gone})
+	l.Follow(count, &Update{Entries: changed, Removed: gone})
 }
 
 // Follow makes the roster of a count from the news of another log. All of them are told on, also what comes back to what it was here: somebody
@@ -72,7 +72,7 @@
 		l.entries[e.ID] = e
 		l.changes = append(l.changes, change{count: count, id: e.ID})
 	}
-	for _, id := range news.Gone {
+	for _, id := range news.Removed {
 		l.ids = nil
 		delete(l.entries, id)
 		l.changes = append(l.changes, change{count: count, id: id})
@@ -151,7 +151,7 @@
 		if e, stays := l.entries[id]; stays {
 			news.Entries = append(news.Entries, e)
 		} else {
-			news.Gone = append(news.Gone, id)
+			news.Removed = append(news.Removed, id)
 		}
 	}
 	return news
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -45,7 +45,7 @@
 type Update struct {
 	Full    bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
 	Entries []Entry  `json:"entries,omitempty"` // rising by id
-	Gone    []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
+	Removed []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
 
 	shared *payload.Shared // the same as JSON, where many are told it; or nil
 }
@@ -79,7 +79,7 @@
 	for _, e := range held {
 		merged[e.ID] = e
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		delete(merged, id)
 	}
 	for _, e := range n.Entries {
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -82,7 +82,7 @@
 	changed.Loading = true
 	l.Update(2, []Entry{changed}, []string{"i-00099"})
 	news := l.Since(1)
-	if news.Full || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Gone) != 1 || news.Gone[0] != "i-00099" {
+	if news.Full || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Removed) != 1 || news.Removed[0] != "i-00099" {
 		t.Fatalf("news %+v", news)
 	}
 	if whole := l.Since(0); !whole.Full || len(whole.Entries) != 99 {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -124,7 +124,7 @@
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
 		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
-			zap.Bool("whole", reply.Roster.Full), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
+			zap.Bool("whole", reply.Roster.Full), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Removed)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
 		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -28,7 +28,7 @@
 	if !news.Full {
 		maps.Copy(fresh, t.rows)
 	}
-	for _, id := range news.Gone {
+	for _, id := range news.Removed {
 		delete(fresh, id)
 	}
 	for _, entry := range news.Entries {
