--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -46,7 +46,7 @@
 func (l *Log) Update(count uint64, entries []Entry, gone []string) {
 	var changed []Entry
 	for _, e := range entries {
-		if before, known := l.entries[e.ID]; !known || !before.same(e) {
+		if before, known := l.entries[e.ID]; !known || !before.equivalent(e) {
 			changed = append(changed, e)
 		}
 	}
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -35,8 +35,8 @@
 	Age     time.Duration `json:"age_ns"` // since it was named, as far as whoever tells it knows
 }
 
-// same compares what gateways decide by. The time that a back end is still cold passes by itself.
-func (e Entry) same(other Entry) bool {
+// equivalent compares what gateways decide by. The time that a back end is still cold passes by itself.
+func (e Entry) equivalent(other Entry) bool {
 	return e.Instance == other.Instance && e.Loading == other.Loading && e.Silent == other.Silent && maps.Equal(e.Versions, other.Versions) &&
 		(e.ColdLeft > 0) == (other.ColdLeft > 0)
 }
