--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -128,7 +128,7 @@
 	if count == 0 {
 		news = l.all()
 	}
-	l.told[count] = news.share()
+	l.told[count] = news.encodeShared()
 	return news
 }
 
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -62,8 +62,8 @@
 // Shared returns the news as JSON that many messages share, or nil where they aren't told to many.
 func (n *Update) Shared() *payload.Shared { return n.shared }
 
-// share encodes the news for many.
-func (n *Update) share() *Update {
+// encodeShared encodes the news for many.
+func (n *Update) encodeShared() *Update {
 	if shared, err := payload.NewShared(n); err == nil {
 		n.shared = shared // else whoever tells it meets the error
 	}
