--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -93,13 +93,13 @@
 }
 
 const (
-	// tellingPace and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
+	// publishIntervalPerGateway and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
 	// that many changes at once don't cost it more.
-	tellingPace    = time.Millisecond
-	longestTelling = 250 * time.Millisecond
+	publishIntervalPerGateway = time.Millisecond
+	longestTelling            = 250 * time.Millisecond
 )
 
 // Pause returns the least time between two tellings to so many gateways.
 func Pause(gateways int) time.Duration {
-	return min(tellingPace*time.Duration(gateways), longestTelling)
+	return min(publishIntervalPerGateway*time.Duration(gateways), longestTelling)
 }
