--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -96,10 +96,10 @@
 	// publishIntervalPerGateway and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
 	// that many changes at once don't cost it more.
 	publishIntervalPerGateway = time.Millisecond
-	longestTelling            = 250 * time.Millisecond
+	maxPublishInterval        = 250 * time.Millisecond
 )
 
 // Pause returns the least time between two tellings to so many gateways.
 func Pause(gateways int) time.Duration {
-	return min(publishIntervalPerGateway*time.Duration(gateways), longestTelling)
+	return min(publishIntervalPerGateway*time.Duration(gateways), maxPublishInterval)
 }
