--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -234,7 +234,7 @@
 
 // Pace lets the newest roster be told if the last telling is long enough ago.
 func (r *Relay) Pace(now time.Duration) {
-	if r.told == r.version || r.told.Term == r.version.Term && now < r.toldAt+roster.Pause(r.gateways) {
+	if r.told == r.version || r.told.Term == r.version.Term && now < r.toldAt+roster.PublishInterval(r.gateways) {
 		return
 	}
 	r.told, r.toldAt = r.version, now
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -60,7 +60,7 @@
 
 // pace lets the newest roster be told if the last telling is long enough ago.
 func (l *leaderState) pace(now time.Duration) {
-	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.Pause(len(l.usage)) {
+	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.PublishInterval(len(l.usage)) {
 		return
 	}
 	l.publishedCount, l.publishedAt = l.rosterCount, now
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -99,7 +99,7 @@
 	maxPublishInterval        = 250 * time.Millisecond
 )
 
-// Pause returns the least time between two tellings to so many gateways.
-func Pause(gateways int) time.Duration {
+// PublishInterval returns the least time between two tellings to so many gateways.
+func PublishInterval(gateways int) time.Duration {
 	return min(publishIntervalPerGateway*time.Duration(gateways), maxPublishInterval)
 }
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -45,7 +45,7 @@
 	for i := range 1000 {
 		l.usage[fmt.Sprint(i)] = usageReport{}
 	}
-	if !tells(110*time.Millisecond + roster.Pause(1<<20)) {
+	if !tells(110*time.Millisecond + roster.PublishInterval(1<<20)) {
 		t.Fatal("a change is held back for longer than the longest telling")
 	}
 	if !l.tellsRoster(RosterVersion{Term: 2, Count: 1 << 40}) {
