--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -170,7 +170,7 @@
 	}
 	r.onItsWay = false
 	if answer.Roster != nil {
-		r.roster.Follow(answer.Version.Count, answer.Roster)
+		r.roster.Apply(answer.Version.Count, answer.Roster)
 		r.readers.stale = true
 	}
 	r.version = answer.Version
--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -51,12 +51,12 @@
 		}
 	}
 	gone = slices.DeleteFunc(slices.Clone(gone), func(id string) bool { _, known := l.entries[id]; return !known })
-	l.Follow(count, &Update{Entries: changed, Removed: gone})
+	l.Apply(count, &Update{Entries: changed, Removed: gone})
 }
 
-// Follow makes the roster of a count from the news of another log. All of them are told on, also what comes back to what it was here: somebody
+// Apply makes the roster of a count from the news of another log. All of them are told on, also what comes back to what it was here: somebody
 // may hold a roster in between that the other log told.
-func (l *Log) Follow(count uint64, news *Update) {
+func (l *Log) Apply(count uint64, news *Update) {
 	if news.Full {
 		l.replace(count, news.Entries)
 		return
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -43,7 +43,7 @@
 			maps.DeleteFunc(gone, func(_ string, is bool) bool { return !is })
 			first.Update(count, slices.Collect(maps.Values(changed)), slices.Collect(maps.Keys(gone)))
 			if rapid.Bool().Draw(t, "passed on") {
-				second.Follow(count, first.Since(second.Count()))
+				second.Apply(count, first.Since(second.Count()))
 			}
 			asked := rapid.SampledFrom([]*Log{&first, &second}).Draw(t, "asked")
 			g := &gateways[rapid.IntRange(0, len(gateways)-1).Draw(t, "gateway")]
