--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -17,12 +17,12 @@
 // Log knows what changed from one roster to the next, so that only that is told. What an update costs grows with what changed, what news
 // cost with what is told; neither grows with the roster. Its zero value is the empty roster of count 0.
 type Log struct {
-	count   uint64             // of the newest roster
-	entries map[string]Entry   // of the newest roster
-	ids     []string           // of entries, rising; nil when they have changed
-	changes []change           // rising by count; at most twice the entries and what is kept of those gone
-	floor   uint64             // changes holds all after the roster of this count
-	told    map[uint64]*Update // by the count that was held: news of the newest roster that somebody asked for
+	count       uint64             // of the newest roster
+	entries     map[string]Entry   // of the newest roster
+	ids         []string           // of entries, rising; nil when they have changed
+	changes     []change           // rising by count; at most twice the entries and what is kept of those gone
+	oldestCount uint64             // changes holds all after the roster of this count
+	told        map[uint64]*Update // by the count that was held: news of the newest roster that somebody asked for
 }
 
 // Count returns the count of the newest roster.
@@ -84,7 +84,7 @@
 
 // replace makes the roster of a count from all its entries. Whoever held an earlier one gets it whole.
 func (l *Log) replace(count uint64, entries []Entry) {
-	*l = Log{count: count, floor: count, entries: make(map[string]Entry, len(entries))}
+	*l = Log{count: count, oldestCount: count, entries: make(map[string]Entry, len(entries))}
 	for _, e := range entries {
 		l.entries[e.ID] = e
 	}
@@ -103,7 +103,7 @@
 		seen[c.id] = true
 		if _, stays := l.entries[c.id]; !stays {
 			if gone++; gone > maxRemovedKept {
-				l.floor = max(l.floor, c.count)
+				l.oldestCount = max(l.oldestCount, c.count)
 				continue
 			}
 		}
@@ -115,7 +115,7 @@
 
 // Since returns what changed after the roster of a count; 0 asks for everything. Callers only read it.
 func (l *Log) Since(count uint64) *Update {
-	if count < l.floor {
+	if count < l.oldestCount {
 		count = 0
 	}
 	if news := l.told[count]; news != nil {
