--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -17,12 +17,12 @@
 // Log knows what changed from one roster to the next, so that only that is told. What an update costs grows with what changed, what news
 // cost with what is told; neither grows with the roster. Its zero value is the empty roster of count 0.
 type Log struct {
-	count       uint64             // of the newest roster
-	entries     map[string]Entry   // of the newest roster
-	ids         []string           // of entries, rising; nil when they have changed
-	changes     []change           // rising by count; at most twice the entries and what is kept of those gone
-	oldestCount uint64             // changes holds all after the roster of this count
-	told        map[uint64]*Update // by the count that was held: news of the newest roster that somebody asked for
+	count         uint64             // of the newest roster
+	entries       map[string]Entry   // of the newest roster
+	ids           []string           // of entries, rising; nil when they have changed
+	changes       []change           // rising by count; at most twice the entries and what is kept of those gone
+	oldestCount   uint64             // changes holds all after the roster of this count
+	cachedUpdates map[uint64]*Update // by the count that was held: news of the newest roster that somebody asked for
 }
 
 // Count returns the count of the newest roster.
@@ -64,7 +64,7 @@
 	if l.entries == nil {
 		l.entries = map[string]Entry{}
 	}
-	l.count, l.told = count, nil
+	l.count, l.cachedUpdates = count, nil
 	for _, e := range news.Entries {
 		if _, known := l.entries[e.ID]; !known {
 			l.ids = nil
@@ -118,17 +118,17 @@
 	if count < l.oldestCount {
 		count = 0
 	}
-	if news := l.told[count]; news != nil {
+	if news := l.cachedUpdates[count]; news != nil {
 		return news
 	}
-	if l.told == nil {
-		l.told = map[uint64]*Update{}
+	if l.cachedUpdates == nil {
+		l.cachedUpdates = map[uint64]*Update{}
 	}
 	news := l.changed(count)
 	if count == 0 {
 		news = l.all()
 	}
-	l.told[count] = news.encodeShared()
+	l.cachedUpdates[count] = news.encodeShared()
 	return news
 }
 
