--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -78,7 +78,7 @@
 		l.changes = append(l.changes, change{count: count, id: id})
 	}
 	if len(l.changes) > 2*(len(l.entries)+maxRemovedKept) {
-		l.trim()
+		l.compact()
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// trim keeps the newest change of each entry, and those of the last that are gone.
-func (l *Log) trim() {
+// compact keeps the newest change of each entry, and those of the last that are gone.
+func (l *Log) compact() {
 	seen := make(map[string]bool, len(l.entries))
 	var kept []change
 	gone := 0
