--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -126,13 +126,13 @@
 	}
 	news := l.changed(count)
 	if count == 0 {
-		news = l.all()
+		news = l.fullUpdate()
 	}
 	l.cachedUpdates[count] = news.encodeShared()
 	return news
 }
 
-func (l *Log) all() *Update {
+func (l *Log) fullUpdate() *Update {
 	news := &Update{Full: true, Entries: make([]Entry, 0, len(l.entries))}
 	for _, id := range l.IDs() {
 		news.Entries = append(news.Entries, l.entries[id])
