--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -124,7 +124,7 @@
 	if l.cachedUpdates == nil {
 		l.cachedUpdates = map[uint64]*Update{}
 	}
-	news := l.changed(count)
+	news := l.updateSince(count)
 	if count == 0 {
 		news = l.fullUpdate()
 	}
@@ -140,7 +140,7 @@
 	return news
 }
 
-func (l *Log) changed(count uint64) *Update {
+func (l *Log) updateSince(count uint64) *Update {
 	var ids []string
 	for i := len(l.changes) - 1; i >= 0 && l.changes[i].count > count; i-- {
 		ids = append(ids, l.changes[i].id)
