--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -92,7 +92,7 @@
 
 // handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
 // was.
-func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
+func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Request) {
 	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
 	for _, report := range question.Reports {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -30,7 +30,7 @@
 	Watch     *Watch            `json:"watch,omitempty"`
 	Document  *DocumentRequest  `json:"document,omitempty"`
 
-	Relay  *relay.Question    `json:"relay,omitempty"`  // from a follower that answers gateways
+	Relay  *relay.Request     `json:"relay,omitempty"`  // from a follower that answers gateways
 	Borrow *allowance.Request `json:"borrow,omitempty"` // from a gateway: requests shares of fleet-wide limits
 }
 
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -42,8 +42,8 @@
 	Closing bool           `json:"closing,omitempty"`
 }
 
-// Question is what a replica asks the leader for the gateways that ask it.
-type Question struct {
+// Request is what a replica asks the leader for the gateways that ask it.
+type Request struct {
 	Number  uint64         `json:"number"` // rises with each of a replica's life
 	Name    string         `json:"name"`   // of the replica
 	Zone    string         `json:"zone"`
@@ -140,13 +140,13 @@
 }
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
-func (r *Relay) Ask(now time.Duration) (Question, bool) {
+func (r *Relay) Ask(now time.Duration) (Request, bool) {
 	if r.number > 0 && now < r.Due() {
-		return Question{}, false
+		return Request{}, false
 	}
 	r.number++
 	r.onItsWay, r.askedAt = true, now
-	question := Question{Number: r.number, Roster: r.version, Layout: r.layout.Version}
+	question := Request{Number: r.number, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.waiting {
 		if w := &r.waiting[i]; !w.covered {
 			w.named = r.number
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -12,7 +12,7 @@
 )
 
 // ask returns a question that must be due.
-func ask(t *testing.T, r *Relay, now time.Duration) Question {
+func ask(t *testing.T, r *Relay, now time.Duration) Request {
 	t.Helper()
 	question, due := r.Ask(now)
 	if !due {
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -9,7 +9,7 @@
 // RelayCall is a question that the shell passes to the leader. Its answer goes to ObserveRelay, nil if there is none.
 type RelayCall struct {
 	Address  string
-	Question relay.Question
+	Question relay.Request
 }
 
 // relays reports whether this replica answers gateways for the leader.
