--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -164,7 +164,7 @@
 	Watch           *WatchReply       `json:"watch,omitempty"`
 	Document        *catalog.Document `json:"document,omitempty"`
 	Lent            *allowance.Reply  `json:"lent,omitempty"`
-	Relayed         *relay.Answer     `json:"relayed,omitempty"`
+	Relayed         *relay.Reply      `json:"relayed,omitempty"`
 	UnknownBackends []string          `json:"strangers,omitempty"` // back ends whose next heartbeat must be a full one
 }
 
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -53,8 +53,8 @@
 	Reports []Report       `json:"reports,omitempty"`
 }
 
-// Answer confirms that the leader held this state, with a valid lease, after the question had arrived.
-type Answer struct {
+// Reply confirms that the leader held this state, with a valid lease, after the question had arrived.
+type Reply struct {
 	Number   uint64               `json:"number"`  // of the question
 	Applied  uint64               `json:"applied"` // index of the log up to which the leader had applied it
 	Version  roster.Version       `json:"version"`
@@ -164,7 +164,7 @@
 }
 
 // Observe takes the leader's answer up.
-func (r *Relay) Observe(answer *Answer) {
+func (r *Relay) Observe(answer *Reply) {
 	if !r.onItsWay || answer.Number != r.number || answer.Version.Term < r.version.Term {
 		return // of a question that was given up, or of a leader before
 	}
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -48,7 +48,7 @@
 	if answered, _ := told(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
 		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
 	}
-	r.Observe(&Answer{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
+	r.Observe(&Reply{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
 	if answered, _ := told(r, time.Millisecond, 4, true); len(answered) > 0 {
 		t.Fatalf("%v were answered before this replica had applied what the leader had", answered)
 	}
@@ -58,7 +58,7 @@
 	if again := ask(t, r, askEach); len(again.Reports) != 2 {
 		t.Fatalf("the next question names %+v", again.Reports)
 	}
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
 	if answered, _ := told(r, askEach, 5, true); len(answered) != 2 {
 		t.Fatalf("%v were answered, wanted 2 and 3", answered)
 	}
@@ -70,17 +70,17 @@
 	r := New(guard.Set{})
 	r.Take(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
 	ask(t, r, 0)
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
 	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
 	ask(t, r, restEach)
 	ask(t, r, restEach+AskTimeout)
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
 		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
 	}
-	r.Observe(&Answer{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Full: true}})
+	r.Observe(&Reply{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Full: true}})
 	if r.Version().Term != 2 {
 		t.Fatalf("an answer of a leader before made the roster %+v", r.Version())
 	}
@@ -126,7 +126,7 @@
 			}
 			if question, due := r.Ask(now); due {
 				questions, reports = questions+1, reports+len(question.Reports)
-				r.Observe(&Answer{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
+				r.Observe(&Reply{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
 			}
 			told(r, now, 0, false)
 		}
@@ -150,14 +150,14 @@
 	}
 	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Peer{{Name: "s", Address: "s"}}}}}}
 	ask(t, r, 0)
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
 		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
 	if reads := r.Reads("s"); len(reads) != 1 || reads[0] != "engine" || len(r.Reads("other")) > 0 {
 		t.Fatalf("reads %v", reads)
 	}
 	ask(t, r, restEach)
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
 	if reads := r.Reads("s"); len(reads) > 0 {
 		t.Fatalf("reads %v after the engine had gone", reads)
 	}
@@ -170,7 +170,7 @@
 	r.Take(waiting(1, 0, roster.Version{}))
 	ask(t, r, 0)
 	const way = 300 * time.Millisecond
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Wanted: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Wanted: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
 	if told := r.Wanted(way)[0].Age; told < time.Second+way {
 		t.Fatalf("told to be %v old, it may be %v", told, time.Second+way)
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -54,9 +54,9 @@
 // relayResult is the result of a relay request to the leader.
 type relayResult struct {
 	number uint64
-	leader string        // address of the leader that was asked
-	answer *relay.Answer // nil if the request failed
-	cause  string        // why the request failed
+	leader string       // address of the leader that was asked
+	answer *relay.Reply // nil if the request failed
+	cause  string       // why the request failed
 }
 
 // HelloReply tells a replica with an empty data folder whether the answering founder already has state.
