--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -72,8 +72,8 @@
 	Near    map[string][]string `json:"near,omitempty"` // addresses by zone, rising
 }
 
-// Waiting is a gateway's question that isn't answered yet.
-type Waiting struct {
+// PendingWatch is a gateway's question that isn't answered yet.
+type PendingWatch struct {
 	Client uint64
 	Report Report
 	Due    time.Duration // when it is answered although there are no news
@@ -95,9 +95,9 @@
 	wanted   []roster.Publication
 	wantedAt time.Duration // no later than the ages in wanted are of: when the question left
 	gateways int
-	waiting  []Waiting // in the order in which they came; at most waitingMost
-	number   uint64    // of the newest question
-	onItsWay bool      // it has no answer yet
+	waiting  []PendingWatch // in the order in which they came; at most waitingMost
+	number   uint64         // of the newest question
+	onItsWay bool           // it has no answer yet
 	askedAt  time.Duration
 	readers  readers
 }
@@ -108,7 +108,7 @@
 }
 
 // Take takes a gateway's question, or returns false when too many wait.
-func (r *Relay) Take(w Waiting) bool {
+func (r *Relay) Take(w PendingWatch) bool {
 	if len(r.waiting) >= waitingMost {
 		return false
 	}
@@ -118,7 +118,7 @@
 }
 
 // Drop returns all questions that wait and forgets them.
-func (r *Relay) Drop() []Waiting {
+func (r *Relay) Drop() []PendingWatch {
 	dropped := r.waiting
 	r.waiting, r.onItsWay = nil, false
 	return dropped
@@ -136,7 +136,7 @@
 }
 
 func (r *Relay) uncovered() bool {
-	return slices.ContainsFunc(r.waiting, func(w Waiting) bool { return !w.covered })
+	return slices.ContainsFunc(r.waiting, func(w PendingWatch) bool { return !w.covered })
 }
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
@@ -198,8 +198,8 @@
 
 // Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
 // is something new for a confirmed one; applied is the index up to which this replica has applied the log.
-func (r *Relay) Sort(now time.Duration, applied uint64, news func(Waiting) bool, visit func(Waiting, Result)) {
-	r.waiting = slices.DeleteFunc(r.waiting, func(w Waiting) bool {
+func (r *Relay) Sort(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
+	r.waiting = slices.DeleteFunc(r.waiting, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, news)
 		if result != Waits {
 			visit(w, result)
@@ -208,7 +208,7 @@
 	})
 }
 
-func (r *Relay) resultOf(now time.Duration, applied uint64, w Waiting, news func(Waiting) bool) Result {
+func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
 	covered := w.covered || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
 	current := applied >= w.applied || !r.guards.On(guard.RelayApplied)
 	confirmed := covered && current && !r.behind(w.Report.Held)
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -23,7 +23,7 @@
 
 // told returns the clients that are answered now, and those that nobody confirmed.
 func told(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
-	r.Sort(now, applied, func(Waiting) bool { return news }, func(w Waiting, result Result) {
+	r.Sort(now, applied, func(PendingWatch) bool { return news }, func(w PendingWatch, result Result) {
 		if result == Told {
 			answered = append(answered, w.Client)
 		} else {
@@ -33,8 +33,8 @@
 	return answered, failed
 }
 
-func waiting(client uint64, due time.Duration, held roster.Version) Waiting {
-	return Waiting{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Held: held}}
+func waiting(client uint64, due time.Duration, held roster.Version) PendingWatch {
+	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Held: held}}
 }
 
 // TestOnlyConfirmedQuestionsAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -19,7 +19,7 @@
 
 // takeWaiting takes a gateway's question to be answered for the leader.
 func (r *Replica) takeWaiting(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Take(relay.Waiting{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Asked: watch})
+	taken := r.relay.Take(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Asked: watch})
 	r.tendRelay(now)
 	return taken
 }
@@ -44,12 +44,12 @@
 // answerWaiting answers the gateways that were confirmed and have news, or whose time has come.
 func (r *Replica) answerWaiting(now time.Duration) {
 	r.relay.Pace(now)
-	news := func(w relay.Waiting) bool {
+	news := func(w relay.PendingWatch) bool {
 		watch := w.Asked.(Watch)
 		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
-	r.relay.Sort(now, r.applied, news, func(w relay.Waiting, result relay.Result) {
+	r.relay.Sort(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
 		if result == relay.Failed {
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
