--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// askEach is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
+	// minRequestInterval is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
 	// may be confirmed later than by the leader itself.
-	askEach = 40 * time.Millisecond
+	minRequestInterval = 40 * time.Millisecond
 	// restEach is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
 	restEach = 200 * time.Millisecond
 	// AskTimeout is how long an answer may take before the leader is asked again.
@@ -130,7 +130,7 @@
 	case r.onItsWay:
 		return r.askedAt + AskTimeout
 	case r.uncovered():
-		return r.askedAt + askEach
+		return r.askedAt + minRequestInterval
 	}
 	return r.askedAt + restEach
 }
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -55,11 +55,11 @@
 	if answered, _ := told(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
 		t.Fatalf("%v were answered, wanted 1", answered)
 	}
-	if again := ask(t, r, askEach); len(again.Reports) != 2 {
+	if again := ask(t, r, minRequestInterval); len(again.Reports) != 2 {
 		t.Fatalf("the next question names %+v", again.Reports)
 	}
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
-	if answered, _ := told(r, askEach, 5, true); len(answered) != 2 {
+	if answered, _ := told(r, minRequestInterval, 5, true); len(answered) != 2 {
 		t.Fatalf("%v were answered, wanted 2 and 3", answered)
 	}
 }
@@ -134,7 +134,7 @@
 	}
 	few, fewReports := asked(1000)
 	many, manyReports := asked(2000)
-	if many != few || many > int(time.Second/askEach)+1 {
+	if many != few || many > int(time.Second/minRequestInterval)+1 {
 		t.Fatalf("%d questions for 1,000 gateways, %d for 2,000", few, many)
 	}
 	if fewReports > 3000 || manyReports > 2*3000 {
