--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -22,8 +22,8 @@
 	// minRequestInterval is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
 	// may be confirmed later than by the leader itself.
 	minRequestInterval = 40 * time.Millisecond
-	// restEach is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
-	restEach = 200 * time.Millisecond
+	// idleRequestInterval is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
+	idleRequestInterval = 200 * time.Millisecond
 	// AskTimeout is how long an answer may take before the leader is asked again.
 	AskTimeout = 400 * time.Millisecond
 	// lostPatience is how long a gateway's question waits, beyond its own time, for the leader.
@@ -132,7 +132,7 @@
 	case r.uncovered():
 		return r.askedAt + minRequestInterval
 	}
-	return r.askedAt + restEach
+	return r.askedAt + idleRequestInterval
 }
 
 func (r *Relay) uncovered() bool {
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -74,8 +74,8 @@
 	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
-	ask(t, r, restEach)
-	ask(t, r, restEach+AskTimeout)
+	ask(t, r, idleRequestInterval)
+	ask(t, r, idleRequestInterval+AskTimeout)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
 		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
@@ -156,7 +156,7 @@
 	if reads := r.Reads("s"); len(reads) != 1 || reads[0] != "engine" || len(r.Reads("other")) > 0 {
 		t.Fatalf("reads %v", reads)
 	}
-	ask(t, r, restEach)
+	ask(t, r, idleRequestInterval)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
 	if reads := r.Reads("s"); len(reads) > 0 {
 		t.Fatalf("reads %v after the engine had gone", reads)
