--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -24,8 +24,8 @@
 	minRequestInterval = 40 * time.Millisecond
 	// idleRequestInterval is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
 	idleRequestInterval = 200 * time.Millisecond
-	// AskTimeout is how long an answer may take before the leader is asked again.
-	AskTimeout = 400 * time.Millisecond
+	// RequestTimeout is how long an answer may take before the leader is asked again.
+	RequestTimeout = 400 * time.Millisecond
 	// lostPatience is how long a gateway's question waits, beyond its own time, for the leader.
 	lostPatience = 150 * time.Millisecond
 	// waitingMost bounds the questions that wait.
@@ -128,7 +128,7 @@
 func (r *Relay) Due() time.Duration {
 	switch {
 	case r.onItsWay:
-		return r.askedAt + AskTimeout
+		return r.askedAt + RequestTimeout
 	case r.uncovered():
 		return r.askedAt + minRequestInterval
 	}
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -75,7 +75,7 @@
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
 	ask(t, r, idleRequestInterval)
-	ask(t, r, idleRequestInterval+AskTimeout)
+	ask(t, r, idleRequestInterval+RequestTimeout)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
 		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -325,7 +325,7 @@
 
 // relayToLeader sends a relay request to the leader and submits the result.
 func (s *Server) relayToLeader(call RelayCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), relay.RequestTimeout)
 	defer cancel()
 	result := &relayResult{number: call.Question.Number, leader: call.Address}
 	var response Response
