--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -26,8 +26,8 @@
 	idleRequestInterval = 200 * time.Millisecond
 	// RequestTimeout is how long an answer may take before the leader is asked again.
 	RequestTimeout = 400 * time.Millisecond
-	// lostPatience is how long a gateway's question waits, beyond its own time, for the leader.
-	lostPatience = 150 * time.Millisecond
+	// leaderGracePeriod is how long a gateway's question waits, beyond its own time, for the leader.
+	leaderGracePeriod = 150 * time.Millisecond
 	// waitingMost bounds the questions that wait.
 	waitingMost = 4096
 )
@@ -215,7 +215,7 @@
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
 		return Told
-	case !confirmed && now >= w.Due+lostPatience:
+	case !confirmed && now >= w.Due+leaderGracePeriod:
 		return Failed
 	}
 	return Waits
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -95,7 +95,7 @@
 	if _, failed := told(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
 		t.Fatalf("%v ended in their time", failed)
 	}
-	if _, failed := told(r, 100*time.Millisecond+lostPatience, 0, false); len(failed) != 1 {
+	if _, failed := told(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(failed) != 1 {
 		t.Fatalf("%v ended", failed)
 	}
 }
