--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -28,8 +28,8 @@
 	RequestTimeout = 400 * time.Millisecond
 	// leaderGracePeriod is how long a gateway's question waits, beyond its own time, for the leader.
 	leaderGracePeriod = 150 * time.Millisecond
-	// waitingMost bounds the questions that wait.
-	waitingMost = 4096
+	// maxPendingWatches bounds the questions that wait.
+	maxPendingWatches = 4096
 )
 
 // Report is what a gateway's question tells of it.
@@ -109,7 +109,7 @@
 
 // Take takes a gateway's question, or returns false when too many wait.
 func (r *Relay) Take(w PendingWatch) bool {
-	if len(r.waiting) >= waitingMost {
+	if len(r.waiting) >= maxPendingWatches {
 		return false
 	}
 	w.named, w.covered, w.applied = 0, false, 0
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -103,7 +103,7 @@
 // TestWaitingQuestionsAreBounded: the rest is turned away at once.
 func TestWaitingQuestionsAreBounded(t *testing.T) {
 	r := New(guard.Set{})
-	for i := range waitingMost {
+	for i := range maxPendingWatches {
 		if !r.Take(waiting(uint64(i), 0, roster.Version{})) {
 			t.Fatalf("question %d was turned away", i)
 		}
