--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -132,7 +132,7 @@
 	s := openFleet(t)
 	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Reply {
-		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Held: held}}}}).Relayed
+		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
 	}
 	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
 		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -37,7 +37,7 @@
 	Gateway string         `json:"gateway"`
 	Zone    string         `json:"zone"`
 	Address string         `json:"address,omitempty"` // for other gateways
-	Held    roster.Version `json:"held"`              // newest roster that it has taken up
+	Roster  roster.Version `json:"held"`              // newest roster that it has taken up
 	Running map[string]int `json:"running,omitempty"` // its requests by instance
 	Closing bool           `json:"closing,omitempty"`
 }
@@ -211,7 +211,7 @@
 func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
 	covered := w.covered || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
 	current := applied >= w.applied || !r.guards.On(guard.RelayApplied)
-	confirmed := covered && current && !r.behind(w.Report.Held)
+	confirmed := covered && current && !r.behind(w.Report.Roster)
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
 		return Told
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -34,7 +34,7 @@
 }
 
 func waiting(client uint64, due time.Duration, held roster.Version) PendingWatch {
-	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Held: held}}
+	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
 // TestOnlyConfirmedQuestionsAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -109,7 +109,7 @@
 
 // report returns what a question tells of its gateway.
 func (w *Watch) report() relay.Report {
-	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Held: w.Roster, Running: w.Usage, Closing: w.Closing}
+	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Roster: w.Roster, Running: w.Usage, Closing: w.Closing}
 }
 
 // turnAway answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
