--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -55,14 +55,14 @@
 
 // Reply confirms that the leader held this state, with a valid lease, after the question had arrived.
 type Reply struct {
-	Number   uint64               `json:"number"`  // of the question
-	Applied  uint64               `json:"applied"` // index of the log up to which the leader had applied it
-	Version  roster.Version       `json:"version"`
-	Roster   *roster.Update       `json:"roster,omitempty"` // when it differs from the replica's
-	Layout   *Layout              `json:"layout,omitempty"` // the same
-	Wanted   []roster.Publication `json:"wanted,omitempty"`
-	Gateways int                  `json:"gateways"`
-	Unlisted []string             `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
+	Number       uint64               `json:"number"`  // of the question
+	Applied      uint64               `json:"applied"` // index of the log up to which the leader had applied it
+	Version      roster.Version       `json:"version"`
+	Roster       *roster.Update       `json:"roster,omitempty"` // when it differs from the replica's
+	Layout       *Layout              `json:"layout,omitempty"` // the same
+	Publications []roster.Publication `json:"wanted,omitempty"`
+	Gateways     int                  `json:"gateways"`
+	Unlisted     []string             `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
 }
 
 // Layout is how gateways are laid out, and which replicas answer those of each zone.
@@ -177,7 +177,7 @@
 	if answer.Layout != nil {
 		r.layout, r.readers.stale = answer.Layout, true
 	}
-	r.wanted, r.wantedAt, r.gateways = answer.Wanted, r.askedAt, answer.Gateways
+	r.wanted, r.wantedAt, r.gateways = answer.Publications, r.askedAt, answer.Gateways
 	for i := range r.waiting {
 		w := &r.waiting[i]
 		if w.named == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
