--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -139,7 +139,7 @@
 	}
 	s.advance(layoutInterval)
 	answer := asked(RosterVersion{})
-	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
+	if len(answer.Unlisted) > 0 || answer.Layout.NearbyReplicas["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
 	}
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -47,10 +47,10 @@
 	state.planner.Plan(now, gateways)
 	planned, count := state.planner.Layout()
 	addresses := r.relayReplicaAddresses(now)
-	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
+	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.NearbyReplicas) {
 		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
 		meshCopy := *planned
-		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, Near: addresses}
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, NearbyReplicas: addresses}
 	}
 	return state.lastLayout
 }
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -67,9 +67,9 @@
 
 // Layout is how gateways are laid out, and which replicas answer those of each zone.
 type Layout struct {
-	Version roster.Version      `json:"version"`
-	Mesh    *mesh.Layout        `json:"mesh"`
-	Near    map[string][]string `json:"near,omitempty"` // addresses by zone, rising
+	Version        roster.Version      `json:"version"`
+	Mesh           *mesh.Layout        `json:"mesh"`
+	NearbyReplicas map[string][]string `json:"near,omitempty"` // addresses by zone, rising
 }
 
 // PendingWatch is a gateway's question that isn't answered yet.
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -236,7 +236,7 @@
 
 // placed adds where the gateway is laid out.
 func (w *WatchReply) placed(layout *relay.Layout, watch *Watch) {
-	w.Mesh, w.Near = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.Near[watch.Zone]
+	w.Mesh, w.Near = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
 // trustEnd is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
