--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -77,7 +77,7 @@
 	Client uint64
 	Report Report
 	Due    time.Duration // when it is answered although there are no news
-	Asked  any           // what else the question says; the caller's
+	Watch  any           // what else the question says; the caller's
 
 	named   uint64 // number of the question to the leader that names it; 0 when none on its way does
 	covered bool   // the leader has confirmed it
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -19,7 +19,7 @@
 
 // takeWaiting takes a gateway's question to be answered for the leader.
 func (r *Replica) takeWaiting(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Take(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Asked: watch})
+	taken := r.relay.Take(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
 	r.tendRelay(now)
 	return taken
 }
@@ -28,7 +28,7 @@
 func (r *Replica) tendRelay(now time.Duration) {
 	if r.leader != nil {
 		for _, w := range r.relay.Drop() {
-			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Asked.(Watch), due: w.Due})
+			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
 		}
 		return
 	}
@@ -45,7 +45,7 @@
 func (r *Replica) answerWaiting(now time.Duration) {
 	r.relay.Pace(now)
 	news := func(w relay.PendingWatch) bool {
-		watch := w.Asked.(Watch)
+		watch := w.Watch.(Watch)
 		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
@@ -54,7 +54,7 @@
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
 		}
-		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedReply(now, w.Asked.(Watch))})
+		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedReply(now, w.Watch.(Watch))})
 	})
 }
 
