--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -79,9 +79,9 @@
 	Due    time.Duration // when it is answered although there are no news
 	Watch  any           // what else the question says; the caller's
 
-	named   uint64 // number of the question to the leader that names it; 0 when none on its way does
-	covered bool   // the leader has confirmed it
-	applied uint64 // index that must be applied here before it is answered
+	requestNumber uint64 // number of the question to the leader that names it; 0 when none on its way does
+	covered       bool   // the leader has confirmed it
+	applied       uint64 // index that must be applied here before it is answered
 }
 
 // Relay is a replica that doesn't lead.
@@ -112,7 +112,7 @@
 	if len(r.waiting) >= maxPendingWatches {
 		return false
 	}
-	w.named, w.covered, w.applied = 0, false, 0
+	w.requestNumber, w.covered, w.applied = 0, false, 0
 	r.waiting = append(r.waiting, w)
 	return true
 }
@@ -149,7 +149,7 @@
 	question := Request{Number: r.number, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.waiting {
 		if w := &r.waiting[i]; !w.covered {
-			w.named = r.number
+			w.requestNumber = r.number
 			question.Reports = append(question.Reports, w.Report)
 		}
 	}
@@ -180,7 +180,7 @@
 	r.wanted, r.wantedAt, r.gateways = answer.Publications, r.askedAt, answer.Gateways
 	for i := range r.waiting {
 		w := &r.waiting[i]
-		if w.named == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
+		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
 			w.covered, w.applied = true, answer.Applied
 		}
 	}
