--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -80,7 +80,7 @@
 	Watch  any           // what else the question says; the caller's
 
 	requestNumber uint64 // number of the question to the leader that names it; 0 when none on its way does
-	covered       bool   // the leader has confirmed it
+	confirmed     bool   // the leader has confirmed it
 	applied       uint64 // index that must be applied here before it is answered
 }
 
@@ -112,7 +112,7 @@
 	if len(r.waiting) >= maxPendingWatches {
 		return false
 	}
-	w.requestNumber, w.covered, w.applied = 0, false, 0
+	w.requestNumber, w.confirmed, w.applied = 0, false, 0
 	r.waiting = append(r.waiting, w)
 	return true
 }
@@ -136,7 +136,7 @@
 }
 
 func (r *Relay) uncovered() bool {
-	return slices.ContainsFunc(r.waiting, func(w PendingWatch) bool { return !w.covered })
+	return slices.ContainsFunc(r.waiting, func(w PendingWatch) bool { return !w.confirmed })
 }
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
@@ -148,7 +148,7 @@
 	r.onItsWay, r.askedAt = true, now
 	question := Request{Number: r.number, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.waiting {
-		if w := &r.waiting[i]; !w.covered {
+		if w := &r.waiting[i]; !w.confirmed {
 			w.requestNumber = r.number
 			question.Reports = append(question.Reports, w.Report)
 		}
@@ -181,7 +181,7 @@
 	for i := range r.waiting {
 		w := &r.waiting[i]
 		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
-			w.covered, w.applied = true, answer.Applied
+			w.confirmed, w.applied = true, answer.Applied
 		}
 	}
 }
@@ -209,7 +209,7 @@
 }
 
 func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
-	covered := w.covered || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
+	covered := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
 	current := applied >= w.applied || !r.guards.On(guard.RelayApplied)
 	confirmed := covered && current && !r.behind(w.Report.Roster)
 	switch {
