--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -81,7 +81,7 @@
 
 	requestNumber uint64 // number of the question to the leader that names it; 0 when none on its way does
 	confirmed     bool   // the leader has confirmed it
-	applied       uint64 // index that must be applied here before it is answered
+	minApplied    uint64 // index that must be applied here before it is answered
 }
 
 // Relay is a replica that doesn't lead.
@@ -112,7 +112,7 @@
 	if len(r.waiting) >= maxPendingWatches {
 		return false
 	}
-	w.requestNumber, w.confirmed, w.applied = 0, false, 0
+	w.requestNumber, w.confirmed, w.minApplied = 0, false, 0
 	r.waiting = append(r.waiting, w)
 	return true
 }
@@ -181,7 +181,7 @@
 	for i := range r.waiting {
 		w := &r.waiting[i]
 		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
-			w.confirmed, w.applied = true, answer.Applied
+			w.confirmed, w.minApplied = true, answer.Applied
 		}
 	}
 }
@@ -210,7 +210,7 @@
 
 func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
 	covered := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
-	current := applied >= w.applied || !r.guards.On(guard.RelayApplied)
+	current := applied >= w.minApplied || !r.guards.On(guard.RelayApplied)
 	confirmed := covered && current && !r.behind(w.Report.Roster)
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
