--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -86,20 +86,20 @@
 
 // Relay is a replica that doesn't lead.
 type Relay struct {
-	guards    guard.Set
-	roster    roster.Log
-	version   roster.Version
-	published roster.Version // newest one that waiting questions are answered for
-	toldAt    time.Duration
-	layout    *Layout
-	wanted    []roster.Publication
-	wantedAt  time.Duration // no later than the ages in wanted are of: when the question left
-	gateways  int
-	waiting   []PendingWatch // in the order in which they came; at most waitingMost
-	number    uint64         // of the newest question
-	onItsWay  bool           // it has no answer yet
-	askedAt   time.Duration
-	readers   readers
+	guards      guard.Set
+	roster      roster.Log
+	version     roster.Version
+	published   roster.Version // newest one that waiting questions are answered for
+	publishedAt time.Duration
+	layout      *Layout
+	wanted      []roster.Publication
+	wantedAt    time.Duration // no later than the ages in wanted are of: when the question left
+	gateways    int
+	waiting     []PendingWatch // in the order in which they came; at most waitingMost
+	number      uint64         // of the newest question
+	onItsWay    bool           // it has no answer yet
+	askedAt     time.Duration
+	readers     readers
 }
 
 // New returns a relay that knows nothing yet.
@@ -234,10 +234,10 @@
 
 // Pace lets the newest roster be told if the last telling is long enough ago.
 func (r *Relay) Pace(now time.Duration) {
-	if r.published == r.version || r.published.Term == r.version.Term && now < r.toldAt+roster.PublishInterval(r.gateways) {
+	if r.published == r.version || r.published.Term == r.version.Term && now < r.publishedAt+roster.PublishInterval(r.gateways) {
 		return
 	}
-	r.published, r.toldAt = r.version, now
+	r.published, r.publishedAt = r.version, now
 }
 
 // Tells reports whether a question is to be answered for the roster's sake.
