--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -86,20 +86,20 @@
 
 // Relay is a replica that doesn't lead.
 type Relay struct {
-	guards       guard.Set
-	roster       roster.Log
-	version      roster.Version
-	published    roster.Version // newest one that waiting questions are answered for
-	publishedAt  time.Duration
-	layout       *Layout
-	publications []roster.Publication
-	wantedAt     time.Duration // no later than the ages in wanted are of: when the question left
-	gateways     int
-	waiting      []PendingWatch // in the order in which they came; at most waitingMost
-	number       uint64         // of the newest question
-	onItsWay     bool           // it has no answer yet
-	askedAt      time.Duration
-	readers      readers
+	guards           guard.Set
+	roster           roster.Log
+	version          roster.Version
+	published        roster.Version // newest one that waiting questions are answered for
+	publishedAt      time.Duration
+	layout           *Layout
+	publications     []roster.Publication
+	publicationsAsOf time.Duration // no later than the ages in wanted are of: when the question left
+	gateways         int
+	waiting          []PendingWatch // in the order in which they came; at most waitingMost
+	number           uint64         // of the newest question
+	onItsWay         bool           // it has no answer yet
+	askedAt          time.Duration
+	readers          readers
 }
 
 // New returns a relay that knows nothing yet.
@@ -177,7 +177,7 @@
 	if answer.Layout != nil {
 		r.layout, r.readers.stale = answer.Layout, true
 	}
-	r.publications, r.wantedAt, r.gateways = answer.Publications, r.askedAt, answer.Gateways
+	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.askedAt, answer.Gateways
 	for i := range r.waiting {
 		w := &r.waiting[i]
 		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
@@ -260,7 +260,7 @@
 func (r *Relay) Wanted(now time.Duration) []roster.Publication {
 	wanted := slices.Clone(r.publications)
 	for i := range wanted {
-		wanted[i].Age += now - r.wantedAt
+		wanted[i].Age += now - r.publicationsAsOf
 	}
 	return wanted
 }
