--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -95,7 +95,7 @@
 	publications     []roster.Publication
 	publicationsAsOf time.Duration // no later than the ages in wanted are of: when the question left
 	gateways         int
-	waiting          []PendingWatch // in the order in which they came; at most waitingMost
+	pending          []PendingWatch // in the order in which they came; at most waitingMost
 	number           uint64         // of the newest question
 	onItsWay         bool           // it has no answer yet
 	askedAt          time.Duration
@@ -109,18 +109,18 @@
 
 // Take takes a gateway's question, or returns false when too many wait.
 func (r *Relay) Take(w PendingWatch) bool {
-	if len(r.waiting) >= maxPendingWatches {
+	if len(r.pending) >= maxPendingWatches {
 		return false
 	}
 	w.requestNumber, w.confirmed, w.minApplied = 0, false, 0
-	r.waiting = append(r.waiting, w)
+	r.pending = append(r.pending, w)
 	return true
 }
 
 // Drop returns all questions that wait and forgets them.
 func (r *Relay) Drop() []PendingWatch {
-	dropped := r.waiting
-	r.waiting, r.onItsWay = nil, false
+	dropped := r.pending
+	r.pending, r.onItsWay = nil, false
 	return dropped
 }
 
@@ -136,7 +136,7 @@
 }
 
 func (r *Relay) uncovered() bool {
-	return slices.ContainsFunc(r.waiting, func(w PendingWatch) bool { return !w.confirmed })
+	return slices.ContainsFunc(r.pending, func(w PendingWatch) bool { return !w.confirmed })
 }
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
@@ -147,8 +147,8 @@
 	r.number++
 	r.onItsWay, r.askedAt = true, now
 	question := Request{Number: r.number, Roster: r.version, Layout: r.layout.Version}
-	for i := range r.waiting {
-		if w := &r.waiting[i]; !w.confirmed {
+	for i := range r.pending {
+		if w := &r.pending[i]; !w.confirmed {
 			w.requestNumber = r.number
 			question.Reports = append(question.Reports, w.Report)
 		}
@@ -178,8 +178,8 @@
 		r.layout, r.readers.stale = answer.Layout, true
 	}
 	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.askedAt, answer.Gateways
-	for i := range r.waiting {
-		w := &r.waiting[i]
+	for i := range r.pending {
+		w := &r.pending[i]
 		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
 			w.confirmed, w.minApplied = true, answer.Applied
 		}
@@ -199,7 +199,7 @@
 // Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
 // is something new for a confirmed one; applied is the index up to which this replica has applied the log.
 func (r *Relay) Sort(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
-	r.waiting = slices.DeleteFunc(r.waiting, func(w PendingWatch) bool {
+	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, news)
 		if result != Waits {
 			visit(w, result)
