--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -96,7 +96,7 @@
 	publicationsAsOf time.Duration // no later than the ages in wanted are of: when the question left
 	gateways         int
 	pending          []PendingWatch // in the order in which they came; at most waitingMost
-	number           uint64         // of the newest question
+	requestNumber    uint64         // of the newest question
 	onItsWay         bool           // it has no answer yet
 	askedAt          time.Duration
 	readers          readers
@@ -141,15 +141,15 @@
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
 func (r *Relay) Ask(now time.Duration) (Request, bool) {
-	if r.number > 0 && now < r.Due() {
+	if r.requestNumber > 0 && now < r.Due() {
 		return Request{}, false
 	}
-	r.number++
+	r.requestNumber++
 	r.onItsWay, r.askedAt = true, now
-	question := Request{Number: r.number, Roster: r.version, Layout: r.layout.Version}
+	question := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.pending {
 		if w := &r.pending[i]; !w.confirmed {
-			w.requestNumber = r.number
+			w.requestNumber = r.requestNumber
 			question.Reports = append(question.Reports, w.Report)
 		}
 	}
@@ -158,14 +158,14 @@
 
 // Failed notes that a question got no answer, or none of a leader.
 func (r *Relay) Failed(number uint64) {
-	if number == r.number {
+	if number == r.requestNumber {
 		r.onItsWay = false
 	}
 }
 
 // Observe takes the leader's answer up.
 func (r *Relay) Observe(answer *Reply) {
-	if !r.onItsWay || answer.Number != r.number || answer.Version.Term < r.version.Term {
+	if !r.onItsWay || answer.Number != r.requestNumber || answer.Version.Term < r.version.Term {
 		return // of a question that was given up, or of a leader before
 	}
 	r.onItsWay = false
@@ -180,7 +180,7 @@
 	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.askedAt, answer.Gateways
 	for i := range r.pending {
 		w := &r.pending[i]
-		if w.requestNumber == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
+		if w.requestNumber == r.requestNumber && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
 			w.confirmed, w.minApplied = true, answer.Applied
 		}
 	}
