--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -97,7 +97,7 @@
 	gateways         int
 	pending          []PendingWatch // in the order in which they came; at most waitingMost
 	requestNumber    uint64         // of the newest question
-	onItsWay         bool           // it has no answer yet
+	inFlight         bool           // it has no answer yet
 	askedAt          time.Duration
 	readers          readers
 }
@@ -120,14 +120,14 @@
 // Drop returns all questions that wait and forgets them.
 func (r *Relay) Drop() []PendingWatch {
 	dropped := r.pending
-	r.pending, r.onItsWay = nil, false
+	r.pending, r.inFlight = nil, false
 	return dropped
 }
 
 // Due returns when Ask has something to do at the latest, if nothing comes.
 func (r *Relay) Due() time.Duration {
 	switch {
-	case r.onItsWay:
+	case r.inFlight:
 		return r.askedAt + RequestTimeout
 	case r.uncovered():
 		return r.askedAt + minRequestInterval
@@ -145,7 +145,7 @@
 		return Request{}, false
 	}
 	r.requestNumber++
-	r.onItsWay, r.askedAt = true, now
+	r.inFlight, r.askedAt = true, now
 	question := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.pending {
 		if w := &r.pending[i]; !w.confirmed {
@@ -159,16 +159,16 @@
 // Failed notes that a question got no answer, or none of a leader.
 func (r *Relay) Failed(number uint64) {
 	if number == r.requestNumber {
-		r.onItsWay = false
+		r.inFlight = false
 	}
 }
 
 // Observe takes the leader's answer up.
 func (r *Relay) Observe(answer *Reply) {
-	if !r.onItsWay || answer.Number != r.requestNumber || answer.Version.Term < r.version.Term {
+	if !r.inFlight || answer.Number != r.requestNumber || answer.Version.Term < r.version.Term {
 		return // of a question that was given up, or of a leader before
 	}
-	r.onItsWay = false
+	r.inFlight = false
 	if answer.Roster != nil {
 		r.roster.Apply(answer.Version.Count, answer.Roster)
 		r.readers.stale = true
