--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -98,7 +98,7 @@
 	pending          []PendingWatch // in the order in which they came; at most waitingMost
 	requestNumber    uint64         // of the newest question
 	inFlight         bool           // it has no answer yet
-	askedAt          time.Duration
+	requestedAt      time.Duration
 	readers          readers
 }
 
@@ -128,11 +128,11 @@
 func (r *Relay) Due() time.Duration {
 	switch {
 	case r.inFlight:
-		return r.askedAt + RequestTimeout
+		return r.requestedAt + RequestTimeout
 	case r.uncovered():
-		return r.askedAt + minRequestInterval
+		return r.requestedAt + minRequestInterval
 	}
-	return r.askedAt + idleRequestInterval
+	return r.requestedAt + idleRequestInterval
 }
 
 func (r *Relay) uncovered() bool {
@@ -145,7 +145,7 @@
 		return Request{}, false
 	}
 	r.requestNumber++
-	r.inFlight, r.askedAt = true, now
+	r.inFlight, r.requestedAt = true, now
 	question := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.pending {
 		if w := &r.pending[i]; !w.confirmed {
@@ -177,7 +177,7 @@
 	if answer.Layout != nil {
 		r.layout, r.readers.stale = answer.Layout, true
 	}
-	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.askedAt, answer.Gateways
+	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.requestedAt, answer.Gateways
 	for i := range r.pending {
 		w := &r.pending[i]
 		if w.requestNumber == r.requestNumber && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
