--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -107,8 +107,8 @@
 	return &Relay{guards: guards, layout: &Layout{Mesh: &mesh.Layout{}}}
 }
 
-// Take takes a gateway's question, or returns false when too many wait.
-func (r *Relay) Take(w PendingWatch) bool {
+// Add takes a gateway's question, or returns false when too many wait.
+func (r *Relay) Add(w PendingWatch) bool {
 	if len(r.pending) >= maxPendingWatches {
 		return false
 	}
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -19,7 +19,7 @@
 
 // takeWaiting takes a gateway's question to be answered for the leader.
 func (r *Replica) takeWaiting(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Take(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
+	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
 	r.tendRelay(now)
 	return taken
 }
