--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -117,8 +117,8 @@
 	return true
 }
 
-// Drop returns all questions that wait and forgets them.
-func (r *Relay) Drop() []PendingWatch {
+// Drain returns all questions that wait and forgets them.
+func (r *Relay) Drain() []PendingWatch {
 	dropped := r.pending
 	r.pending, r.inFlight = nil, false
 	return dropped
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -27,7 +27,7 @@
 // tendRelay asks the leader when that is due, and answers the gateways that can be answered.
 func (r *Replica) tendRelay(now time.Duration) {
 	if r.leader != nil {
-		for _, w := range r.relay.Drop() {
+		for _, w := range r.relay.Drain() {
 			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
 		}
 		return
