--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -124,8 +124,8 @@
 	return dropped
 }
 
-// Due returns when Ask has something to do at the latest, if nothing comes.
-func (r *Relay) Due() time.Duration {
+// NextRequestAt returns when Ask has something to do at the latest, if nothing comes.
+func (r *Relay) NextRequestAt() time.Duration {
 	switch {
 	case r.inFlight:
 		return r.requestedAt + RequestTimeout
@@ -141,7 +141,7 @@
 
 // Ask returns the next question to the leader, if one is due. The caller adds who asks.
 func (r *Relay) Ask(now time.Duration) (Request, bool) {
-	if r.requestNumber > 0 && now < r.Due() {
+	if r.requestNumber > 0 && now < r.NextRequestAt() {
 		return Request{}, false
 	}
 	r.requestNumber++
