--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -139,8 +139,8 @@
 	return slices.ContainsFunc(r.pending, func(w PendingWatch) bool { return !w.confirmed })
 }
 
-// Ask returns the next question to the leader, if one is due. The caller adds who asks.
-func (r *Relay) Ask(now time.Duration) (Request, bool) {
+// NextRequest returns the next question to the leader, if one is due. The caller adds who asks.
+func (r *Relay) NextRequest(now time.Duration) (Request, bool) {
 	if r.requestNumber > 0 && now < r.NextRequestAt() {
 		return Request{}, false
 	}
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -14,7 +14,7 @@
 // ask returns a question that must be due.
 func ask(t *testing.T, r *Relay, now time.Duration) Request {
 	t.Helper()
-	question, due := r.Ask(now)
+	question, due := r.NextRequest(now)
 	if !due {
 		t.Fatalf("no question at %v", now)
 	}
@@ -124,7 +124,7 @@
 				client++
 				r.Add(waiting(client, now+400*time.Millisecond, roster.Version{}))
 			}
-			if question, due := r.Ask(now); due {
+			if question, due := r.NextRequest(now); due {
 				questions, reports = questions+1, reports+len(question.Reports)
 				r.Observe(&Reply{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
 			}
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if r.relays() {
-		if question, due := r.relay.Ask(now); due {
+		if question, due := r.relay.NextRequest(now); due {
 			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
 			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Question: question})
 		}
