--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -129,13 +129,13 @@
 	switch {
 	case r.inFlight:
 		return r.requestedAt + RequestTimeout
-	case r.uncovered():
+	case r.hasUnconfirmed():
 		return r.requestedAt + minRequestInterval
 	}
 	return r.requestedAt + idleRequestInterval
 }
 
-func (r *Relay) uncovered() bool {
+func (r *Relay) hasUnconfirmed() bool {
 	return slices.ContainsFunc(r.pending, func(w PendingWatch) bool { return !w.confirmed })
 }
 
