--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -156,8 +156,8 @@
 	return question, true
 }
 
-// Failed notes that a question got no answer, or none of a leader.
-func (r *Relay) Failed(number uint64) {
+// RecordFailure notes that a question got no answer, or none of a leader.
+func (r *Relay) RecordFailure(number uint64) {
 	if number == r.requestNumber {
 		r.inFlight = false
 	}
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -91,7 +91,7 @@
 	r := New(guard.Set{})
 	r.Add(waiting(1, 100*time.Millisecond, roster.Version{}))
 	ask(t, r, 0)
-	r.Failed(1)
+	r.RecordFailure(1)
 	if _, failed := told(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
 		t.Fatalf("%v ended in their time", failed)
 	}
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -74,7 +74,7 @@
 // ObserveRelay takes the leader's answer to a relayed question, or nil when there was none of a leader.
 func (r *Replica) ObserveRelay(now time.Duration, number uint64, answer *relay.Reply) {
 	if answer == nil {
-		r.relay.Failed(number)
+		r.relay.RecordFailure(number)
 		return
 	}
 	r.relay.Observe(answer)
