--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -191,9 +191,9 @@
 
 // Results.
 const (
-	Waits  Result = iota
-	Told          // it is to be answered
-	Failed        // the leader confirmed nothing in its time
+	Waiting Result = iota
+	Told           // it is to be answered
+	Failed         // the leader confirmed nothing in its time
 )
 
 // Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
@@ -201,10 +201,10 @@
 func (r *Relay) Sort(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
 	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, news)
-		if result != Waits {
+		if result != Waiting {
 			visit(w, result)
 		}
-		return result != Waits
+		return result != Waiting
 	})
 }
 
@@ -218,7 +218,7 @@
 	case !confirmed && now >= w.Due+leaderGracePeriod:
 		return Failed
 	}
-	return Waits
+	return Waiting
 }
 
 // behind reports whether somebody holds a newer roster than this replica.
