--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -192,7 +192,7 @@
 // Results.
 const (
 	Waiting Result = iota
-	Told           // it is to be answered
+	Ready          // it is to be answered
 	Failed         // the leader confirmed nothing in its time
 )
 
@@ -214,7 +214,7 @@
 	confirmed := covered && current && !r.behind(w.Report.Roster)
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
-		return Told
+		return Ready
 	case !confirmed && now >= w.Due+leaderGracePeriod:
 		return Failed
 	}
