--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -193,7 +193,7 @@
 const (
 	Waiting Result = iota
 	Ready          // it is to be answered
-	Failed         // the leader confirmed nothing in its time
+	Expired        // the leader confirmed nothing in its time
 )
 
 // Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
@@ -216,7 +216,7 @@
 	case confirmed && (now >= w.Due || news(w)):
 		return Ready
 	case !confirmed && now >= w.Due+leaderGracePeriod:
-		return Failed
+		return Expired
 	}
 	return Waiting
 }
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -50,7 +50,7 @@
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
 	r.relay.Sort(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
-		if result == relay.Failed {
+		if result == relay.Expired {
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
 		}
