--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -196,9 +196,9 @@
 	Expired        // the leader confirmed nothing in its time
 )
 
-// Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
+// Resolve calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
 // is something new for a confirmed one; applied is the index up to which this replica has applied the log.
-func (r *Relay) Sort(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
+func (r *Relay) Resolve(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
 	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, news)
 		if result != Waiting {
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -23,7 +23,7 @@
 
 // told returns the clients that are answered now, and those that nobody confirmed.
 func told(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
-	r.Sort(now, applied, func(PendingWatch) bool { return news }, func(w PendingWatch, result Result) {
+	r.Resolve(now, applied, func(PendingWatch) bool { return news }, func(w PendingWatch, result Result) {
 		if result == Ready {
 			answered = append(answered, w.Client)
 		} else {
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -49,7 +49,7 @@
 		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
-	r.relay.Sort(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
+	r.relay.Resolve(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
 		if result == relay.Expired {
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
