--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -211,7 +211,7 @@
 func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
 	covered := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
 	current := applied >= w.minApplied || !r.guards.On(guard.RelayApplied)
-	confirmed := covered && current && !r.behind(w.Report.Roster)
+	confirmed := covered && current && !r.isBehind(w.Report.Roster)
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
 		return Ready
@@ -221,8 +221,8 @@
 	return Waiting
 }
 
-// behind reports whether somebody holds a newer roster than this replica.
-func (r *Relay) behind(held roster.Version) bool {
+// isBehind reports whether somebody holds a newer roster than this replica.
+func (r *Relay) isBehind(held roster.Version) bool {
 	return held.Term > r.version.Term || held.Term == r.version.Term && held.Count > r.version.Count
 }
 
