--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -232,8 +232,8 @@
 // Gateways returns how many gateways may trust their view.
 func (r *Relay) Gateways() int { return r.gateways }
 
-// Pace lets the newest roster be told if the last telling is long enough ago.
-func (r *Relay) Pace(now time.Duration) {
+// PublishIfDue lets the newest roster be told if the last telling is long enough ago.
+func (r *Relay) PublishIfDue(now time.Duration) {
 	if r.published == r.version || r.published.Term == r.version.Term && now < r.publishedAt+roster.PublishInterval(r.gateways) {
 		return
 	}
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -43,7 +43,7 @@
 
 // answerWaiting answers the gateways that were confirmed and have news, or whose time has come.
 func (r *Replica) answerWaiting(now time.Duration) {
-	r.relay.Pace(now)
+	r.relay.PublishIfDue(now)
 	news := func(w relay.PendingWatch) bool {
 		watch := w.Watch.(Watch)
 		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
