--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -240,8 +240,8 @@
 	r.published, r.publishedAt = r.version, now
 }
 
-// Tells reports whether a question is to be answered for the roster's sake.
-func (r *Relay) Tells(held roster.Version) bool {
+// HasRosterUpdate reports whether a question is to be answered for the roster's sake.
+func (r *Relay) HasRosterUpdate(held roster.Version) bool {
 	return held.Term != r.published.Term || held.Count < r.published.Count
 }
 
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -46,7 +46,7 @@
 	r.relay.PublishIfDue(now)
 	news := func(w relay.PendingWatch) bool {
 		watch := w.Watch.(Watch)
-		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
+		return r.relay.HasRosterUpdate(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
 	r.relay.Resolve(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
