--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -245,8 +245,8 @@
 	return held.Term != r.published.Term || held.Count < r.published.Count
 }
 
-// News returns what a gateway lacks of the roster, or nil.
-func (r *Relay) News(held roster.Version) *roster.Update {
+// RosterUpdate returns what a gateway lacks of the roster, or nil.
+func (r *Relay) RosterUpdate(held roster.Version) *roster.Update {
 	switch {
 	case held == r.version:
 		return nil
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -63,7 +63,7 @@
 	reply := r.ownReply(&watch)
 	reply.Version, reply.Wanted = r.relay.Version(), r.relay.Wanted(now)
 	if !watch.Brief {
-		reply.Roster = r.relay.News(watch.Roster)
+		reply.Roster = r.relay.RosterUpdate(watch.Roster)
 	}
 	reply.Gateways = r.relay.Gateways()
 	reply.placed(r.relay.Layout(), &watch)
