--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -256,8 +256,8 @@
 	return r.roster.Since(held.Count)
 }
 
-// Wanted returns the weights that were named lately, as of now.
-func (r *Relay) Wanted(now time.Duration) []roster.Publication {
+// Publications returns the weights that were named lately, as of now.
+func (r *Relay) Publications(now time.Duration) []roster.Publication {
 	wanted := slices.Clone(r.publications)
 	for i := range wanted {
 		wanted[i].Age += now - r.publicationsAsOf
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -171,7 +171,7 @@
 	ask(t, r, 0)
 	const way = 300 * time.Millisecond
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Publications: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
-	if told := r.Wanted(way)[0].Age; told < time.Second+way {
+	if told := r.Publications(way)[0].Age; told < time.Second+way {
 		t.Fatalf("told to be %v old, it may be %v", told, time.Second+way)
 	}
 }
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -61,7 +61,7 @@
 // relayedReply returns the reply to a gateway whose view the leader has confirmed.
 func (r *Replica) relayedReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
-	reply.Version, reply.Wanted = r.relay.Version(), r.relay.Wanted(now)
+	reply.Version, reply.Wanted = r.relay.Version(), r.relay.Publications(now)
 	if !watch.Brief {
 		reply.Roster = r.relay.RosterUpdate(watch.Roster)
 	}
