--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -268,7 +268,7 @@
 // Layout returns how gateways are laid out.
 func (r *Relay) Layout() *Layout { return r.layout }
 
-// Reads returns the engines whose cache events a gateway reads, rising.
-func (r *Relay) Reads(gateway string) []string {
+// CacheEventSources returns the engines whose cache events a gateway reads, rising.
+func (r *Relay) CacheEventSources(gateway string) []string {
 	return r.readers.of(gateway, r.layout.Mesh, &r.roster)
 }
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -153,12 +153,12 @@
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
 		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
-	if reads := r.Reads("s"); len(reads) != 1 || reads[0] != "engine" || len(r.Reads("other")) > 0 {
+	if reads := r.CacheEventSources("s"); len(reads) != 1 || reads[0] != "engine" || len(r.CacheEventSources("other")) > 0 {
 		t.Fatalf("reads %v", reads)
 	}
 	ask(t, r, idleRequestInterval)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
-	if reads := r.Reads("s"); len(reads) > 0 {
+	if reads := r.CacheEventSources("s"); len(reads) > 0 {
 		t.Fatalf("reads %v after the engine had gone", reads)
 	}
 }
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -67,7 +67,7 @@
 	}
 	reply.Gateways = r.relay.Gateways()
 	reply.placed(r.relay.Layout(), &watch)
-	reply.Reads = r.relay.Reads(watch.Gateway)
+	reply.Reads = r.relay.CacheEventSources(watch.Gateway)
 	return reply
 }
 
