--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -5,13 +5,13 @@
 	"kitetiller/internal/control/roster"
 )
 
-// readers are which engines' cache events each gateway reads. They follow from layout and roster, so they are told to nobody else.
-type readers struct {
+// cacheEventReaders are which engines' cache events each gateway reads. They follow from layout and roster, so they are told to nobody else.
+type cacheEventReaders struct {
 	stale  bool // layout or roster have changed since
 	byName map[string][]string
 }
 
-func (r *readers) of(gateway string, layout *mesh.Layout, log *roster.Log) []string {
+func (r *cacheEventReaders) of(gateway string, layout *mesh.Layout, log *roster.Log) []string {
 	if r.stale || r.byName == nil {
 		r.stale, r.byName = false, Readers(layout, log)
 	}
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -99,7 +99,7 @@
 	requestNumber    uint64         // of the newest question
 	inFlight         bool           // it has no answer yet
 	requestedAt      time.Duration
-	readers          readers
+	readers          cacheEventReaders
 }
 
 // New returns a relay that knows nothing yet.
