--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -7,15 +7,15 @@
 
 // cacheEventReaders are which engines' cache events each gateway reads. They follow from layout and roster, so they are told to nobody else.
 type cacheEventReaders struct {
-	stale  bool // layout or roster have changed since
-	byName map[string][]string
+	stale            bool // layout or roster have changed since
+	sourcesByGateway map[string][]string
 }
 
 func (r *cacheEventReaders) of(gateway string, layout *mesh.Layout, log *roster.Log) []string {
-	if r.stale || r.byName == nil {
-		r.stale, r.byName = false, Readers(layout, log)
+	if r.stale || r.sourcesByGateway == nil {
+		r.stale, r.sourcesByGateway = false, Readers(layout, log)
 	}
-	return r.byName[gateway]
+	return r.sourcesByGateway[gateway]
 }
 
 // Readers returns which engines of a roster each gateway reads, by name. Back ends without weights keep no prompts.
