--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -11,7 +11,7 @@
 	sourcesByGateway map[string][]string
 }
 
-func (r *cacheEventReaders) of(gateway string, layout *mesh.Layout, log *roster.Log) []string {
+func (r *cacheEventReaders) sourcesOf(gateway string, layout *mesh.Layout, log *roster.Log) []string {
 	if r.stale || r.sourcesByGateway == nil {
 		r.stale, r.sourcesByGateway = false, Readers(layout, log)
 	}
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -270,5 +270,5 @@
 
 // CacheEventSources returns the engines whose cache events a gateway reads, rising.
 func (r *Relay) CacheEventSources(gateway string) []string {
-	return r.readers.of(gateway, r.layout.Mesh, &r.roster)
+	return r.readers.sourcesOf(gateway, r.layout.Mesh, &r.roster)
 }
