--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -85,7 +85,7 @@
 	layout := r.layout(now)
 	r.refreshRoster(now)
 	if state.cacheEventSources == nil || state.cacheEventSourcesCount != state.roster.Count() {
-		state.cacheEventSources, state.cacheEventSourcesCount = relay.Readers(layout.Mesh, &state.roster), state.roster.Count()
+		state.cacheEventSources, state.cacheEventSourcesCount = relay.CacheEventSources(layout.Mesh, &state.roster), state.roster.Count()
 	}
 	return state.cacheEventSources[gateway]
 }
--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -13,13 +13,13 @@
 
 func (r *cacheEventReaders) sourcesOf(gateway string, layout *mesh.Layout, log *roster.Log) []string {
 	if r.stale || r.sourcesByGateway == nil {
-		r.stale, r.sourcesByGateway = false, Readers(layout, log)
+		r.stale, r.sourcesByGateway = false, CacheEventSources(layout, log)
 	}
 	return r.sourcesByGateway[gateway]
 }
 
-// Readers returns which engines of a roster each gateway reads, by name. Back ends without weights keep no prompts.
-func Readers(layout *mesh.Layout, log *roster.Log) map[string][]string {
+// CacheEventSources returns which engines of a roster each gateway reads, by name. Back ends without weights keep no prompts.
+func CacheEventSources(layout *mesh.Layout, log *roster.Log) map[string][]string {
 	var engines []mesh.Engine
 	for _, id := range log.IDs() {
 		if e, _ := log.Entry(id); len(e.Versions) > 0 {
