--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -12,12 +12,12 @@
 type (
 	RosterVersion = roster.Version
 	RosterEntry   = roster.Entry
-	RosterNews    = roster.Update
+	RosterUpdate  = roster.Update
 	WantedVersion = roster.Publication
 )
 
 // rosterNews returns what a gateway lacks of the current roster.
-func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterNews {
+func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterUpdate {
 	r.refreshRoster(now)
 	if held.Term != r.leader.term {
 		return r.leader.roster.Since(0)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -36,7 +36,7 @@
 	Revision uint64            `json:"revision"`
 	Document *catalog.Document `json:"document,omitempty"` // when it is newer than the gateway's
 	Version  RosterVersion     `json:"version"`
-	Roster   *RosterNews       `json:"roster,omitempty"` // when it differs from the gateway's
+	Roster   *RosterUpdate     `json:"roster,omitempty"` // when it differs from the gateway's
 	Wanted   []WantedVersion   `json:"wanted,omitempty"`
 	Gateways int               `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
 	Mesh     Mesh              `json:"mesh"`            // other gateways to tell of sends
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -109,7 +109,7 @@
 	g := scheduler(1)
 	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
-	news := &control.RosterNews{}
+	news := &control.RosterUpdate{}
 	for i := range 8 {
 		news.Entries = append(news.Entries, control.RosterEntry{
 			Instance: catalog.Instance{ID: fmt.Sprint("p-", i), Service: "plain", Zone: "z", Slots: 6, State: catalog.StateReady},
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -23,7 +23,7 @@
 		t.Run(what, func(t *testing.T) {
 			g := scheduler(1)
 			chosen := chosenAttempt(g)
-			news := &control.RosterNews{Full: true}
+			news := &control.RosterUpdate{Full: true}
 			if change != nil {
 				entry := g.table.rows["i-0"].entry
 				change(&entry)
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -20,7 +20,7 @@
 }
 
 // takeRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
-func (t *table) takeRoster(now time.Duration, news *control.RosterNews, cacheLimits map[string]int) []rosterChange {
+func (t *table) takeRoster(now time.Duration, news *control.RosterUpdate, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -261,7 +261,7 @@
 					Versions: map[string]uint64{"m": 1},
 				})
 			}
-			g.table.takeRoster(0, &control.RosterNews{Full: true, Entries: entries}, nil)
+			g.table.takeRoster(0, &control.RosterUpdate{Full: true, Entries: entries}, nil)
 			for i := range engines / 2 {
 				g.table.recordOwnSend(0, announcement{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
@@ -328,7 +328,7 @@
 func TestSourcesPreferDeepestHolder(t *testing.T) {
 	const engines = 200
 	g := &Gateway{settings: Settings{Zone: "z", OldWeightsStartLimit: time.Second}, table: newTable(mechanism.Set{})}
-	news := &control.RosterNews{Full: true}
+	news := &control.RosterUpdate{Full: true}
 	for i := range engines {
 		news.Entries = append(news.Entries, control.RosterEntry{
 			Instance: catalog.Instance{ID: fmt.Sprint(i), Service: "s", Address: fmt.Sprint(i), State: catalog.StateReady},
