--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -56,11 +56,11 @@
 }
 
 // wantedVersions returns the versions that were named lately, with how long ago that was.
-func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
-	var wanted []WantedVersion
+func (r *Replica) wantedVersions(now time.Duration) []WeightsPublication {
+	var wanted []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, naming := range r.namedVersions[model] {
-			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
+			wanted = append(wanted, WeightsPublication{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
 		}
 	}
 	return wanted
@@ -72,7 +72,7 @@
 // namingsLine tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
 func (r *Replica) namingsLine(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
-	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
+	slices.SortStableFunc(wanted, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var line []string
 	for _, w := range wanted[:min(len(wanted), namingsTold)] {
 		line = append(line, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -10,10 +10,10 @@
 
 // What gateways are told of back ends, by the names of the messages.
 type (
-	RosterVersion = roster.Version
-	RosterEntry   = roster.Entry
-	RosterUpdate  = roster.Update
-	WantedVersion = roster.Publication
+	RosterVersion      = roster.Version
+	RosterEntry        = roster.Entry
+	RosterUpdate       = roster.Update
+	WeightsPublication = roster.Publication
 )
 
 // rosterNews returns what a gateway lacks of the current roster.
--- a/internal/lab/sim/namings.go
+++ b/internal/lab/sim/namings.go
@@ -81,7 +81,7 @@
 }
 
 // namingsTold notes when a gateway first heard of each naming, in its current life.
-func (o *oracle) namingsTold(gateway string, wanted []control.WantedVersion) {
+func (o *oracle) namingsTold(gateway string, wanted []control.WeightsPublication) {
 	for _, w := range wanted {
 		if _, told := o.fleet.told[gateway][w.Version]; !told {
 			o.fleet.told[gateway][w.Version] = o.w.now()
