--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -106,7 +106,7 @@
 	}
 	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
 	if question.Roster != answer.Version {
-		answer.Roster = r.rosterNews(now, question.Roster)
+		answer.Roster = r.rosterUpdate(now, question.Roster)
 	}
 	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -16,8 +16,8 @@
 	WeightsPublication = roster.Publication
 )
 
-// rosterNews returns what a gateway lacks of the current roster.
-func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterUpdate {
+// rosterUpdate returns what a gateway lacks of the current roster.
+func (r *Replica) rosterUpdate(now time.Duration, held RosterVersion) *RosterUpdate {
 	r.refreshRoster(now)
 	if held.Term != r.leader.term {
 		return r.leader.roster.Since(0)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -199,7 +199,7 @@
 	reply := r.ownReply(&watch)
 	reply.Version, reply.Wanted = r.leader.rosterVersion(), r.wantedVersions(now)
 	if watch.Roster != reply.Version && !watch.Brief {
-		reply.Roster = r.rosterNews(now, watch.Roster)
+		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
 	reply.placed(r.layout(now), &watch)
