--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// pace lets the newest roster be told if the last telling is long enough ago.
-func (l *leaderState) pace(now time.Duration) {
+// publishRosterIfDue lets the newest roster be told if the last telling is long enough ago.
+func (l *leaderState) publishRosterIfDue(now time.Duration) {
 	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.PublishInterval(len(l.usage)) {
 		return
 	}
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -31,7 +31,7 @@
 	held := RosterVersion{Term: 1}
 	tells := func(now time.Duration) bool {
 		l.rosterChanged()
-		l.pace(now)
+		l.publishRosterIfDue(now)
 		return l.tellsRoster(held)
 	}
 	if !tells(0) {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -172,7 +172,7 @@
 
 // answerWatchers answers the questions for which there is news, or whose time has come.
 func (r *Replica) answerWatchers(now time.Duration) {
-	r.leader.pace(now)
+	r.leader.publishRosterIfDue(now)
 	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
 }
 
