--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -66,8 +66,8 @@
 	l.publishedCount, l.publishedAt = l.rosterCount, now
 }
 
-// tellsRoster reports whether a held question is to be answered for the roster's sake.
-func (l *leaderState) tellsRoster(held RosterVersion) bool {
+// hasRosterUpdate reports whether a held question is to be answered for the roster's sake.
+func (l *leaderState) hasRosterUpdate(held RosterVersion) bool {
 	return held.Term != l.term || held.Count < l.publishedCount
 }
 
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -32,7 +32,7 @@
 	tells := func(now time.Duration) bool {
 		l.rosterChanged()
 		l.publishRosterIfDue(now)
-		return l.tellsRoster(held)
+		return l.hasRosterUpdate(held)
 	}
 	if !tells(0) {
 		t.Fatal("the first change is held back")
@@ -48,7 +48,7 @@
 	if !tells(110*time.Millisecond + roster.PublishInterval(1<<20)) {
 		t.Fatal("a change is held back for longer than the longest telling")
 	}
-	if !l.tellsRoster(RosterVersion{Term: 2, Count: 1 << 40}) {
+	if !l.hasRosterUpdate(RosterVersion{Term: 2, Count: 1 << 40}) {
 		t.Fatal("a gateway with another leader's roster is not told")
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -177,7 +177,7 @@
 }
 
 func (r *Replica) answerWatch(now time.Duration, held watcher) bool {
-	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.tellsRoster(held.watch.Roster) ||
+	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	if !news && now < held.due {
 		return false
