--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -102,7 +102,7 @@
 	state.heardAt, state.sequence = now, max(state.sequence, sign.Sequence)
 	if state.silent {
 		state.silent = false
-		r.leader.rosterChanged(sign.ID)
+		r.leader.markRosterChanged(sign.ID)
 	}
 	return true
 }
@@ -125,7 +125,7 @@
 		state.doubted = state.doubted || now > state.roseAt+doubtAfter && state.holdsNewer(beat.Versions)
 	}
 	if news {
-		r.leader.rosterChanged(state.id)
+		r.leader.markRosterChanged(state.id)
 	}
 }
 
@@ -215,7 +215,7 @@
 		silence := now - state.heardAt
 		if silence > silentAfter && !state.silent {
 			state.silent = true
-			r.leader.rosterChanged(id)
+			r.leader.markRosterChanged(id)
 		}
 		if silence > forgetAfter {
 			r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: id}})
@@ -271,7 +271,7 @@
 	}
 	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
-		r.leader.rosterChanged(touched...)
+		r.leader.markRosterChanged(touched...)
 	}
 	return &outcome
 }
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -240,7 +240,7 @@
 	before := state.rollout.loading()
 	state.rollout.phase, state.rollout.due = next, due
 	if state.rollout.loading() != before {
-		r.leader.rosterChanged(state.id)
+		r.leader.markRosterChanged(state.id)
 		state.rollout.announced = r.leader.rosterCount
 	}
 }
@@ -324,7 +324,7 @@
 func (r *Replica) finishRollout(now time.Duration, state *memberState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
 	r.leader.unlogged[state.id] = true
-	r.leader.rosterChanged(state.id)
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
@@ -341,7 +341,7 @@
 	state.doubted = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
-	r.leader.rosterChanged(state.id)
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -71,8 +71,8 @@
 	return held.Term != l.term || held.Count < l.publishedCount
 }
 
-// rosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
-func (l *leaderState) rosterChanged(ids ...string) {
+// markRosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
+func (l *leaderState) markRosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
 		l.rosterPending[id] = true
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -30,7 +30,7 @@
 	}
 	held := RosterVersion{Term: 1}
 	tells := func(now time.Duration) bool {
-		l.rosterChanged()
+		l.markRosterChanged()
 		l.publishRosterIfDue(now)
 		return l.hasRosterUpdate(held)
 	}
