--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -8,8 +8,8 @@
 
 // RelayCall is a question that the shell passes to the leader. Its answer goes to ObserveRelay, nil if there is none.
 type RelayCall struct {
-	Address  string
-	Question relay.Request
+	Address string
+	Request relay.Request
 }
 
 // relays reports whether this replica answers gateways for the leader.
@@ -35,7 +35,7 @@
 	if r.relays() {
 		if question, due := r.relay.NextRequest(now); due {
 			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
-			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Question: question})
+			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: question})
 		}
 	}
 	r.answerWaiting(now)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -327,9 +327,9 @@
 func (s *Server) relayToLeader(call RelayCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), relay.RequestTimeout)
 	defer cancel()
-	result := &relayResult{number: call.Question.Number, leader: call.Address}
+	result := &relayResult{number: call.Request.Number, leader: call.Address}
 	var response Response
-	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
+	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Request}, &response)
 	switch {
 	case err != nil:
 		result.cause = err.Error()
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -230,14 +230,14 @@
 
 // askLeader passes a question for gateways on.
 func (n *controlNode) askLeader(call control.RelayCall) {
-	number := call.Question.Number
+	number := call.Request.Number
 	failed := func(bool) { n.input(func() { n.replica.ObserveRelay(n.clock(), number, nil) }) }
 	for _, peer := range n.w.controls {
 		if peer.name != call.Address {
 			continue
 		}
 		n.w.call(n.process, peer.process, relayTimeout, func(respond func(func())) {
-			peer.handle(control.Request{Relay: &call.Question}, func(response control.Response) {
+			peer.handle(control.Request{Relay: &call.Request}, func(response control.Response) {
 				respond(func() {
 					n.input(func() { n.replica.ObserveRelay(n.clock(), number, response.Relayed) })
 				})
