--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -12,8 +12,8 @@
 	Request relay.Request
 }
 
-// relays reports whether this replica answers gateways for the leader.
-func (r *Replica) relays() bool {
+// actsAsRelay reports whether this replica answers gateways for the leader.
+func (r *Replica) actsAsRelay() bool {
 	return r.leader == nil && r.needsRelays() && r.leaderAddress() != ""
 }
 
@@ -32,7 +32,7 @@
 		}
 		return
 	}
-	if r.relays() {
+	if r.actsAsRelay() {
 		if question, due := r.relay.NextRequest(now); due {
 			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
 			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: question})
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -194,7 +194,7 @@
 
 // NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
-	if r.relays() {
+	if r.actsAsRelay() {
 		return min(r.node.NextDue(), r.relay.NextRequestAt())
 	}
 	return r.node.NextDue()
