--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -17,8 +17,8 @@
 	return r.leader == nil && r.needsRelays() && r.leaderAddress() != ""
 }
 
-// takeWaiting takes a gateway's question to be answered for the leader.
-func (r *Replica) takeWaiting(now time.Duration, client uint64, watch Watch) bool {
+// relayWatch takes a gateway's question to be answered for the leader.
+func (r *Replica) relayWatch(now time.Duration, client uint64, watch Watch) bool {
 	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
 	r.tendRelay(now)
 	return taken
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -115,7 +115,7 @@
 // turnAway answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
 // held while no leader is known, so that gateways hear of a new one at once and need not ask again and again.
 func (r *Replica) turnAway(now time.Duration, client uint64, request Request) {
-	if request.Watch != nil && r.actsAsRelay() && r.takeWaiting(now, client, *request.Watch) {
+	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
 	}
 	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
@@ -158,7 +158,7 @@
 			r.Handle(now, held.client, Request{Watch: &held.watch})
 		case leader == "" && now < held.due:
 			r.awaitingLeader = append(r.awaitingLeader, held)
-		case r.actsAsRelay() && r.takeWaiting(now, held.client, held.watch):
+		case r.actsAsRelay() && r.relayWatch(now, held.client, held.watch):
 		default:
 			r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: leader})
 		}
