--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -20,12 +20,12 @@
 // relayWatch takes a gateway's question to be answered for the leader.
 func (r *Replica) relayWatch(now time.Duration, client uint64, watch Watch) bool {
 	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
-	r.tendRelay(now)
+	r.advanceRelay(now)
 	return taken
 }
 
-// tendRelay asks the leader when that is due, and answers the gateways that can be answered.
-func (r *Replica) tendRelay(now time.Duration) {
+// advanceRelay asks the leader when that is due, and answers the gateways that can be answered.
+func (r *Replica) advanceRelay(now time.Duration) {
 	if r.leader != nil {
 		for _, w := range r.relay.Drain() {
 			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
@@ -78,5 +78,5 @@
 		return
 	}
 	r.relay.Observe(answer)
-	r.tendRelay(now)
+	r.advanceRelay(now)
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -179,7 +179,7 @@
 	if r.leader != nil {
 		r.answerWatchers(now)
 	}
-	r.tendRelay(now)
+	r.advanceRelay(now)
 	r.endLeaderless(now)
 }
 
@@ -302,7 +302,7 @@
 	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
-	r.tendRelay(now)
+	r.advanceRelay(now)
 	r.endLeaderless(now)
 	effects := r.effects
 	r.effects = Effects{}
