--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -38,11 +38,11 @@
 			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: question})
 		}
 	}
-	r.answerWaiting(now)
+	r.answerRelayedWatches(now)
 }
 
-// answerWaiting answers the gateways that were confirmed and have news, or whose time has come.
-func (r *Replica) answerWaiting(now time.Duration) {
+// answerRelayedWatches answers the gateways that were confirmed and have news, or whose time has come.
+func (r *Replica) answerRelayedWatches(now time.Duration) {
 	r.relay.PublishIfDue(now)
 	news := func(w relay.PendingWatch) bool {
 		watch := w.Watch.(Watch)
