--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -54,12 +54,12 @@
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
 		}
-		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedReply(now, w.Watch.(Watch))})
+		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedWatchReply(now, w.Watch.(Watch))})
 	})
 }
 
-// relayedReply returns the reply to a gateway whose view the leader has confirmed.
-func (r *Replica) relayedReply(now time.Duration, watch Watch) *WatchReply {
+// relayedWatchReply returns the reply to a gateway whose view the leader has confirmed.
+func (r *Replica) relayedWatchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
 	reply.Version, reply.Wanted = r.relay.Version(), r.relay.Publications(now)
 	if !watch.Brief {
