--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -22,7 +22,7 @@
 		s.t.Fatal("the gateway gets no answer")
 	}
 	ages := map[uint64]time.Duration{}
-	for _, w := range reply.Wanted {
+	for _, w := range reply.Publications {
 		ages[w.Version] = w.Age
 	}
 	return ages
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -102,7 +102,7 @@
 func (t *table) applyWatchReply(now, asked time.Duration, reply *control.WatchReply) []belief.AgeRegression {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.published.Update(now, asked, reply.Version.Term, reply.Wanted)
+	return t.published.Update(now, asked, reply.Version.Term, reply.Publications)
 }
 
 // setAssigned sets the back ends whose cache events this gateway reads.
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -19,7 +19,7 @@
 
 // publishVersion reports to a gateway that a version of the model m was published an age ago.
 func publishVersion(g *Gateway, version uint64, age time.Duration) {
-	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Wanted: []control.WeightsPublication{{Model: "m", Version: version, Age: age}}})
+	g.table.applyWatchReply(g.now(), g.now(), &control.WatchReply{Publications: []control.WeightsPublication{{Model: "m", Version: version, Age: age}}})
 }
 
 // newModelRequest returns a request for the model m.
@@ -228,7 +228,7 @@
 						if known {
 							publishedAt[version] = min(publishedAt[version], at)
 						}
-						reply.Wanted = append(reply.Wanted, control.WeightsPublication{Model: "m", Version: version, Age: age})
+						reply.Publications = append(reply.Publications, control.WeightsPublication{Model: "m", Version: version, Age: age})
 					}
 				}
 				g.table.applyWatchReply(g.now(), g.now(), reply)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -343,8 +343,8 @@
 		g.record.RecordIdle(g.clock(), g.clock()-g.confirmed-fleetTrust)
 	}
 	g.takeQuarantine(reply, before)
-	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Wanted)
-	g.w.oracle.namingsTold(g.process.name, reply.Wanted)
+	g.namings.Update(g.clock(), asked, reply.Version.Term, reply.Publications)
+	g.w.oracle.namingsTold(g.process.name, reply.Publications)
 	g.version, g.confirmed = reply.Version, asked
 	g.borrower.RecordContact(asked, reply.Gateways)
 }
