--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -33,16 +33,16 @@
 // WatchReply confirms that a leader with a valid lease held this state after the question had arrived, so a gateway may
 // count its view as current from the moment when it asked.
 type WatchReply struct {
-	Revision     uint64               `json:"revision"`
-	Document     *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
-	Version      RosterVersion        `json:"version"`
-	Roster       *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
-	Publications []WeightsPublication `json:"wanted,omitempty"`
-	Gateways     int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
-	Mesh         Mesh                 `json:"mesh"`            // other gateways to tell of sends
-	Replicas     []string             `json:"replicas"`        // addresses of the control group
-	Near         []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
-	Reads        []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
+	Revision       uint64               `json:"revision"`
+	Document       *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
+	Version        RosterVersion        `json:"version"`
+	Roster         *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
+	Publications   []WeightsPublication `json:"wanted,omitempty"`
+	Gateways       int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
+	Mesh           Mesh                 `json:"mesh"`            // other gateways to tell of sends
+	Replicas       []string             `json:"replicas"`        // addresses of the control group
+	NearbyReplicas []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
+	Reads          []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
@@ -236,7 +236,7 @@
 
 // placed adds where the gateway is laid out.
 func (w *WatchReply) placed(layout *relay.Layout, watch *Watch) {
-	w.Mesh, w.Near = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
+	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
 // trustEnd is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.nearby.update(response.Watch.Near)
+	g.nearby.update(response.Watch.NearbyReplicas)
 	g.group.Use(response.Watch.Replicas)
 	return true
 }
@@ -133,7 +133,7 @@
 	g.watchStartDeadlines()
 	g.leases.RecordContact(asked, reply.Gateways)
 	g.gatewayCount.Store(int64(reply.Gateways))
-	g.nearby.update(reply.Near)
+	g.nearby.update(reply.NearbyReplicas)
 	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -36,7 +36,7 @@
 				respond(http.StatusOK, control.Response{Kind: control.ResponseNotLeader})
 				return
 			}
-			reply := &control.WatchReply{Revision: 1, Replicas: addresses, Near: addresses[i : i+1]}
+			reply := &control.WatchReply{Revision: 1, Replicas: addresses, NearbyReplicas: addresses[i : i+1]}
 			if !request.Watch.Brief {
 				whole.Add(1)
 				reply.Document = &catalog.Document{Revision: 1}
