--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -67,7 +67,7 @@
 	}
 	reply.Gateways = r.relay.Gateways()
 	reply.placed(r.relay.Layout(), &watch)
-	reply.Reads = r.relay.CacheEventSources(watch.Gateway)
+	reply.CacheEventSources = r.relay.CacheEventSources(watch.Gateway)
 	return reply
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -33,16 +33,16 @@
 // WatchReply confirms that a leader with a valid lease held this state after the question had arrived, so a gateway may
 // count its view as current from the moment when it asked.
 type WatchReply struct {
-	Revision       uint64               `json:"revision"`
-	Document       *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
-	Version        RosterVersion        `json:"version"`
-	Roster         *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
-	Publications   []WeightsPublication `json:"wanted,omitempty"`
-	Gateways       int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
-	Mesh           Mesh                 `json:"mesh"`            // other gateways to tell of sends
-	Replicas       []string             `json:"replicas"`        // addresses of the control group
-	NearbyReplicas []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
-	Reads          []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
+	Revision          uint64               `json:"revision"`
+	Document          *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
+	Version           RosterVersion        `json:"version"`
+	Roster            *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
+	Publications      []WeightsPublication `json:"wanted,omitempty"`
+	Gateways          int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
+	Mesh              Mesh                 `json:"mesh"`            // other gateways to tell of sends
+	Replicas          []string             `json:"replicas"`        // addresses of the control group
+	NearbyReplicas    []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
+	CacheEventSources []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
@@ -203,7 +203,7 @@
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
 	reply.placed(r.layout(now), &watch)
-	reply.Reads = r.cacheEventSourcesOf(now, watch.Gateway)
+	reply.CacheEventSources = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -136,7 +136,7 @@
 	g.nearby.update(reply.NearbyReplicas)
 	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
-	g.table.setAssigned(reply.Reads)
+	g.table.setAssigned(reply.CacheEventSources)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
 		g.confirmedAt.Store(int64(asked))
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -66,7 +66,7 @@
 // readCaches follows the caches that control has given this gateway.
 func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
 	if g.cacheReader != nil && g.enabled(mechanism.CacheEvents) {
-		g.followers.use(ctx, reply.Reads, g.followCache)
+		g.followers.use(ctx, reply.CacheEventSources, g.followCache)
 	}
 }
 
