--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -62,7 +62,7 @@
 func (r *Replica) relayedWatchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
 	reply.Version, reply.Publications = r.relay.Version(), r.relay.Publications(now)
-	if !watch.Brief {
+	if !watch.ProbeOnly {
 		reply.Roster = r.relay.RosterUpdate(watch.Roster)
 	}
 	reply.Gateways = r.relay.Gateways()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -17,15 +17,15 @@
 // Watch is a gateway's question for news. It is answered at once when the gateway lacks something, else when
 // something changes or Hold has passed.
 type Watch struct {
-	Gateway  string         `json:"gateway"`
-	Zone     string         `json:"zone"`
-	Address  string         `json:"address"`  // for other gateways, or ""
-	Revision uint64         `json:"revision"` // of the document it holds
-	Roster   RosterVersion  `json:"roster"`   // it holds
-	Hold     time.Duration  `json:"hold_ns"`
-	Usage    map[string]int `json:"usage,omitempty"` // its running requests by instance
-	Closing  bool           `json:"closing,omitempty"`
-	Brief    bool           `json:"brief,omitempty"` // it only looks for who answers: document and roster are left out
+	Gateway   string         `json:"gateway"`
+	Zone      string         `json:"zone"`
+	Address   string         `json:"address"`  // for other gateways, or ""
+	Revision  uint64         `json:"revision"` // of the document it holds
+	Roster    RosterVersion  `json:"roster"`   // it holds
+	Hold      time.Duration  `json:"hold_ns"`
+	Usage     map[string]int `json:"usage,omitempty"` // its running requests by instance
+	Closing   bool           `json:"closing,omitempty"`
+	ProbeOnly bool           `json:"brief,omitempty"` // it only looks for who answers: document and roster are left out
 
 	Quarantine uint64 `json:"quarantine"` // version of the news that it holds
 }
@@ -198,7 +198,7 @@
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.ownReply(&watch)
 	reply.Version, reply.Publications = r.leader.rosterVersion(), r.wantedVersions(now)
-	if watch.Roster != reply.Version && !watch.Brief {
+	if watch.Roster != reply.Version && !watch.ProbeOnly {
 		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
@@ -211,7 +211,7 @@
 func (r *Replica) ownReply(watch *Watch) *WatchReply {
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
-	if watch.Revision < document.Revision && !watch.Brief {
+	if watch.Revision < document.Revision && !watch.ProbeOnly {
 		reply.Document, reply.shared = r.toldDocument(document)
 	}
 	reply.Quarantine = r.quarantineNews(watch.Quarantine)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -80,7 +80,7 @@
 // search looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
 // patience for one answer on reading several of them.
 func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
-	question.Brief = true
+	question.ProbeOnly = true
 	if !g.group.HeardWithin(electionPatience) {
 		question.Hold = 0 // to learn soon whether there is anybody
 	}
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -37,7 +37,7 @@
 				return
 			}
 			reply := &control.WatchReply{Revision: 1, Replicas: addresses, NearbyReplicas: addresses[i : i+1]}
-			if !request.Watch.Brief {
+			if !request.Watch.ProbeOnly {
 				whole.Add(1)
 				reply.Document = &catalog.Document{Revision: 1}
 			}
