--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -46,7 +46,7 @@
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
-	shared *payload.Shared // Document as JSON; or nil
+	sharedDocument *payload.Shared // Document as JSON; or nil
 }
 
 // Parts returns a response as it travels. What many gateways are told, document and roster, is encoded and compressed once for all of them:
@@ -55,8 +55,8 @@
 	var parts []payload.Part
 	if r.Watch != nil {
 		own := *r.Watch
-		if own.shared != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: own.shared})
+		if own.sharedDocument != nil {
+			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: own.sharedDocument})
 			own.Document = nil
 		}
 		if own.Roster != nil && own.Roster.Shared() != nil {
@@ -212,7 +212,7 @@
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
 	if watch.Revision < document.Revision && !watch.ProbeOnly {
-		reply.Document, reply.shared = r.toldDocument(document)
+		reply.Document, reply.sharedDocument = r.toldDocument(document)
 	}
 	reply.Quarantine = r.quarantineNews(watch.Quarantine)
 	for _, member := range r.members() {
