--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -28,7 +28,7 @@
 func (r *Replica) advanceRelay(now time.Duration) {
 	if r.leader != nil {
 		for _, w := range r.relay.Drain() {
-			r.awaitingLeader = append(r.awaitingLeader, watcher{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
+			r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
 		}
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -107,7 +107,7 @@
 	orderMarks     map[string]orderMark     // newest order seen in the log, by back-end name
 	published      publishedDocument        // newest document sent to gateways
 	relay          *relay.Relay             // answers gateways while another replica leads
-	awaitingLeader []watcher                // watches held until a leader is known; at most leaderlessMost
+	awaitingLeader []heldWatch              // watches held until a leader is known; at most leaderlessMost
 	quarantined    quarantined              // local times of the replicated crash counts
 	checkpointDue  bool                     // the next Prepare must write a checkpoint
 	stopErr        error                    // why the replica has stopped, or nil
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -77,8 +77,8 @@
 	return append(append([]payload.Part{{Own: open}}, parts...), payload.Part{Own: []byte("}}")}), nil
 }
 
-// watcher is a question that is being held.
-type watcher struct {
+// heldWatch is a question that is being held.
+type heldWatch struct {
 	client uint64
 	watch  Watch
 	due    time.Duration
@@ -101,7 +101,7 @@
 		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
-	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
+	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
 	if !r.answerWatch(now, held) {
 		r.leader.watchers = append(r.leader.watchers, held)
 	}
@@ -120,7 +120,7 @@
 	}
 	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
 		due := now + min(request.Watch.Hold, maximumHold)
-		r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: *request.Watch, due: due})
+		r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: *request.Watch, due: due})
 		return
 	}
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
@@ -133,7 +133,7 @@
 	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
 		return false
 	}
-	r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: watch, due: due})
+	r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: watch, due: due})
 	return true
 }
 
@@ -173,10 +173,10 @@
 // answerWatchers answers the questions for which there is news, or whose time has come.
 func (r *Replica) answerWatchers(now time.Duration) {
 	r.leader.publishRosterIfDue(now)
-	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
+	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
 
-func (r *Replica) answerWatch(now time.Duration, held watcher) bool {
+func (r *Replica) answerWatch(now time.Duration, held heldWatch) bool {
 	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	if !news && now < held.due {
