--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -156,14 +156,14 @@
 	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
 	var came, left []string
 	for name, report := range r.leader.usage {
-		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
+		if now-report.receivedAt <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
 			came = append(came, name)
 		}
 	}
 	slices.Sort(came)
 	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
+			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.trustEnd() {
 				left = append(left, name)
 			}
 		}
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -38,7 +38,7 @@
 	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
 	for name, report := range state.usage {
-		if report.address != "" && now-report.at <= usageCounts {
+		if report.address != "" && now-report.receivedAt <= usageCounts {
 			gateways = append(gateways, mesh.Gateway{Peer: mesh.Peer{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
@@ -123,6 +123,6 @@
 		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
-	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Roster, running: report.Running}
+	r.leader.usage[report.Gateway] = usageReport{receivedAt: now, zone: report.Zone, address: report.Address, held: report.Roster, running: report.Running}
 	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -79,7 +79,7 @@
 // countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
 func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
 	for _, report := range r.leader.usage {
-		silence := now - report.at
+		silence := now - report.receivedAt
 		if silence > r.trustEnd() {
 			continue
 		}
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -13,8 +13,8 @@
 // TestMeshLeavesSilentGatewaysOut: who has not asked lately is not told, and is not counted on to tell others.
 func TestMeshLeavesSilentGatewaysOut(t *testing.T) {
 	r := &Replica{machine: NewMachine(guard.Set{}), leader: &leaderState{usage: map[string]usageReport{
-		"a": {zone: "z", address: "a", at: 10 * time.Second}, "b": {zone: "z", address: "b", at: time.Second},
-		"c": {zone: "z", address: "c", at: 10 * time.Second}, "d": {zone: "y", address: "d", at: time.Second},
+		"a": {zone: "z", address: "a", receivedAt: 10 * time.Second}, "b": {zone: "z", address: "b", receivedAt: time.Second},
+		"c": {zone: "z", address: "c", receivedAt: 10 * time.Second}, "d": {zone: "y", address: "d", receivedAt: time.Second},
 	}}}
 	r.leader.planner = &mesh.Planner{}
 	if made := r.layout(10*time.Second).Mesh.MeshOf("z", "a"); len(made.Row) != 1 || made.Row[0] != "c" || len(made.OtherZones) > 0 {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -86,11 +86,11 @@
 
 // usageReport is a gateway's figures of its own work.
 type usageReport struct {
-	at      time.Duration
-	zone    string
-	address string        // for other gateways, or ""
-	held    RosterVersion // newest roster that it has taken up
-	running map[string]int
+	receivedAt time.Duration
+	zone       string
+	address    string        // for other gateways, or ""
+	held       RosterVersion // newest roster that it has taken up
+	running    map[string]int
 }
 
 // maximumHold bounds how long a question may be held.
@@ -253,7 +253,7 @@
 	}
 	for _, report := range r.leader.usage {
 		switch {
-		case now-report.at >= r.trustEnd():
+		case now-report.receivedAt >= r.trustEnd():
 		case report.held.Term != r.leader.term:
 			return 0
 		default:
@@ -280,7 +280,7 @@
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
 	for _, report := range r.leader.usage {
-		if now-report.at > usageCounts {
+		if now-report.receivedAt > usageCounts {
 			continue
 		}
 		for id, running := range report.running {
