--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -123,6 +123,6 @@
 		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
-	r.leader.usage[report.Gateway] = usageReport{receivedAt: now, zone: report.Zone, address: report.Address, held: report.Roster, running: report.Running}
+	r.leader.usage[report.Gateway] = usageReport{receivedAt: now, zone: report.Zone, address: report.Address, roster: report.Roster, running: report.Running}
 	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -89,7 +89,7 @@
 	receivedAt time.Duration
 	zone       string
 	address    string        // for other gateways, or ""
-	held       RosterVersion // newest roster that it has taken up
+	roster     RosterVersion // newest roster that it has taken up
 	running    map[string]int
 }
 
@@ -254,10 +254,10 @@
 	for _, report := range r.leader.usage {
 		switch {
 		case now-report.receivedAt >= r.trustEnd():
-		case report.held.Term != r.leader.term:
+		case report.roster.Term != r.leader.term:
 			return 0
 		default:
-			taken = min(taken, report.held.Count)
+			taken = min(taken, report.roster.Count)
 		}
 	}
 	return taken
