--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -19,7 +19,7 @@
 
 // relayWatch takes a gateway's question to be answered for the leader.
 func (r *Replica) relayWatch(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Watch: watch})
+	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maxWatchHold), Watch: watch})
 	r.advanceRelay(now)
 	return taken
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -93,15 +93,15 @@
 	running    map[string]int
 }
 
-// maximumHold bounds how long a question may be held.
-const maximumHold = time.Second
+// maxWatchHold bounds how long a question may be held.
+const maxWatchHold = time.Second
 
 func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
 	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
 	}
-	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
+	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maxWatchHold)}
 	if !r.answerWatch(now, held) {
 		r.leader.watchers = append(r.leader.watchers, held)
 	}
@@ -119,7 +119,7 @@
 		return
 	}
 	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
-		due := now + min(request.Watch.Hold, maximumHold)
+		due := now + min(request.Watch.Hold, maxWatchHold)
 		r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: *request.Watch, due: due})
 		return
 	}
@@ -129,7 +129,7 @@
 // holdUnformed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
 // meanwhile. One whose time is over is not held.
 func (r *Replica) holdUnformed(now time.Duration, client uint64, watch Watch) bool {
-	due := now + min(watch.Hold, maximumHold)
+	due := now + min(watch.Hold, maxWatchHold)
 	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
 		return false
 	}
