--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -157,7 +157,7 @@
 	case len(request.Beats)+len(request.Signs) > 0:
 		r.takeBeats(now, client, request.Beats, request.Signs)
 	case request.Watch != nil:
-		r.watch(now, client, *request.Watch)
+		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
 		r.handleRelay(now, client, *request.Relay)
 	case request.Borrow != nil:
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -96,7 +96,7 @@
 // maxWatchHold bounds how long a question may be held.
 const maxWatchHold = time.Second
 
-func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
+func (r *Replica) handleWatch(now time.Duration, client uint64, watch Watch) {
 	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
 		r.noteGateways(now)
