--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -127,7 +127,7 @@
 		return
 	}
 	if r.leader == nil {
-		r.turnAway(now, client, request)
+		r.handleAsFollower(now, client, request)
 		return
 	}
 	if !r.hasCurrentState(now) && (request.Watch == nil || !r.confirms(now)) {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -112,9 +112,9 @@
 	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Roster: w.Roster, Running: w.Usage, Closing: w.Closing}
 }
 
-// turnAway answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
+// handleAsFollower answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
 // held while no leader is known, so that gateways hear of a new one at once and need not ask again and again.
-func (r *Replica) turnAway(now time.Duration, client uint64, request Request) {
+func (r *Replica) handleAsFollower(now time.Duration, client uint64, request Request) {
 	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
 	}
