--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -137,7 +137,7 @@
 	switch {
 	case request.Join != nil:
 		r.join(now, client, *request.Join)
-	case !r.formed() && request.Watch != nil && r.holdUnformed(now, client, *request.Watch):
+	case !r.formed() && request.Watch != nil && r.holdUntilFormed(now, client, *request.Watch):
 	case !r.formed():
 		r.reply(client, Response{Kind: ResponseNotFormed})
 	case request.Heartbeat != nil:
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -126,9 +126,9 @@
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 }
 
-// holdUnformed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
+// holdUntilFormed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
 // meanwhile. One whose time is over is not held.
-func (r *Replica) holdUnformed(now time.Duration, client uint64, watch Watch) bool {
+func (r *Replica) holdUntilFormed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maxWatchHold)
 	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
 		return false
