--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -180,7 +180,7 @@
 		r.answerWatchers(now)
 	}
 	r.advanceRelay(now)
-	r.endLeaderless(now)
+	r.resolveAwaitingLeader(now)
 }
 
 // Step handles a message from another replica.
@@ -303,7 +303,7 @@
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
 	r.advanceRelay(now)
-	r.endLeaderless(now)
+	r.resolveAwaitingLeader(now)
 	effects := r.effects
 	r.effects = Effects{}
 	effects.WeightsCalls = r.dropStaleCalls(now, effects.WeightsCalls)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -48,7 +48,7 @@
 	if len(s.replies) > 0 {
 		t.Fatalf("watches answered before the election: %+v", s.replies)
 	}
-	s.replica.endLeaderless(s.now)
+	s.replica.resolveAwaitingLeader(s.now)
 	s.work()
 	if s.replies[immediate].Kind != ResponseNotLeader {
 		t.Fatalf("watch without hold time: reply %+v, want not-leader", s.replies[immediate])
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -140,9 +140,9 @@
 // leaderlessMost bounds the questions that are held while no leader is known.
 const leaderlessMost = 4096
 
-// endLeaderless takes up the held questions when this replica leads, and answers them when it hears of a leader or their
+// resolveAwaitingLeader takes up the held questions when this replica leads, and answers them when it hears of a leader or their
 // time is over.
-func (r *Replica) endLeaderless(now time.Duration) {
+func (r *Replica) resolveAwaitingLeader(now time.Duration) {
 	if len(r.awaitingLeader) == 0 {
 		return
 	}
