--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -130,7 +130,7 @@
 		r.handleAsFollower(now, client, request)
 		return
 	}
-	if !r.hasCurrentState(now) && (request.Watch == nil || !r.confirms(now)) {
+	if !r.hasCurrentState(now) && (request.Watch == nil || !r.mayConfirmViews(now)) {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// confirms reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
-func (r *Replica) confirms(now time.Duration) bool {
+// mayConfirmViews reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
+func (r *Replica) mayConfirmViews(now time.Duration) bool {
 	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
@@ -187,7 +187,7 @@
 		r.leader.gatewayUnlisted = true
 		return false
 	}
-	if !r.confirms(now) || unlisted {
+	if !r.mayConfirmViews(now) || unlisted {
 		r.reply(held.client, Response{Kind: ResponseNoQuorum})
 		return true
 	}
