--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -177,7 +177,7 @@
 		r.rollOut(now)
 	}
 	if r.leader != nil {
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
 	r.advanceRelay(now)
 	r.resolveAwaitingLeader(now)
@@ -297,7 +297,7 @@
 	}
 	if r.leader != nil && r.leader.gatewayListChanged {
 		r.leader.gatewayListChanged = false
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
 	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -170,8 +170,8 @@
 	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
-// answerWatchers answers the questions for which there is news, or whose time has come.
-func (r *Replica) answerWatchers(now time.Duration) {
+// answerWatches answers the questions for which there is news, or whose time has come.
+func (r *Replica) answerWatches(now time.Duration) {
 	r.leader.publishRosterIfDue(now)
 	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
