--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -60,7 +60,7 @@
 
 // relayedWatchReply returns the reply to a gateway whose view the leader has confirmed.
 func (r *Replica) relayedWatchReply(now time.Duration, watch Watch) *WatchReply {
-	reply := r.ownReply(&watch)
+	reply := r.localWatchReply(&watch)
 	reply.Version, reply.Publications = r.relay.Version(), r.relay.Publications(now)
 	if !watch.ProbeOnly {
 		reply.Roster = r.relay.RosterUpdate(watch.Roster)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -196,7 +196,7 @@
 }
 
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
-	reply := r.ownReply(&watch)
+	reply := r.localWatchReply(&watch)
 	reply.Version, reply.Publications = r.leader.rosterVersion(), r.wantedVersions(now)
 	if watch.Roster != reply.Version && !watch.ProbeOnly {
 		reply.Roster = r.rosterUpdate(now, watch.Roster)
@@ -207,8 +207,8 @@
 	return reply
 }
 
-// ownReply returns the part of a reply that follows from what this replica has applied.
-func (r *Replica) ownReply(watch *Watch) *WatchReply {
+// localWatchReply returns the part of a reply that follows from what this replica has applied.
+func (r *Replica) localWatchReply(watch *Watch) *WatchReply {
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
 	if watch.Revision < document.Revision && !watch.ProbeOnly {
