--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -212,7 +212,7 @@
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
 	if watch.Revision < document.Revision && !watch.ProbeOnly {
-		reply.Document, reply.sharedDocument = r.toldDocument(document)
+		reply.Document, reply.sharedDocument = r.publishedDocument(document)
 	}
 	reply.Quarantine = r.quarantineNews(watch.Quarantine)
 	for _, member := range r.members() {
@@ -221,8 +221,8 @@
 	return reply
 }
 
-// toldDocument returns the document as gateways are told it, and as JSON that all who lack it share.
-func (r *Replica) toldDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
+// publishedDocument returns the document as gateways are told it, and as JSON that all who lack it share.
+func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
 	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
