--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -66,7 +66,7 @@
 		reply.Roster = r.relay.RosterUpdate(watch.Roster)
 	}
 	reply.Gateways = r.relay.Gateways()
-	reply.placed(r.relay.Layout(), &watch)
+	reply.setLayout(r.relay.Layout(), &watch)
 	reply.CacheEventSources = r.relay.CacheEventSources(watch.Gateway)
 	return reply
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -202,7 +202,7 @@
 		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
 	_, reply.Gateways = r.gatewaysThatTrust(now)
-	reply.placed(r.layout(now), &watch)
+	reply.setLayout(r.layout(now), &watch)
 	reply.CacheEventSources = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
 }
@@ -234,8 +234,8 @@
 	return r.published.document, r.published.shared
 }
 
-// placed adds where the gateway is laid out.
-func (w *WatchReply) placed(layout *relay.Layout, watch *Watch) {
+// setLayout adds where the gateway is laid out.
+func (w *WatchReply) setLayout(layout *relay.Layout, watch *Watch) {
 	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
