--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -156,14 +156,14 @@
 	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
 	var came, left []string
 	for name, report := range r.leader.usage {
-		if now-report.receivedAt <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
+		if now-report.receivedAt <= r.viewExpiry() && !r.machine.catalog.HasGateway(name) {
 			came = append(came, name)
 		}
 	}
 	slices.Sort(came)
-	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still trust a view of the last leader
+	if now >= r.leader.startedAt+r.viewExpiry() { // until then they may still trust a view of the last leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.trustEnd() {
+			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.viewExpiry() {
 				left = append(left, name)
 			}
 		}
@@ -179,7 +179,7 @@
 // gatewaysFollow reports whether no gateway can trust a view of another leader any more: all that asked the last one have
 // asked this one, or the time for that is over.
 func (r *Replica) gatewaysFollow(now time.Duration) bool {
-	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
+	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -140,7 +140,7 @@
 	}
 	ask(1001, "g1")
 	ask(1002, "g2")
-	s.advance(s.replica.trustEnd() + 2*gatewaysPeriod)
+	s.advance(s.replica.viewExpiry() + 2*gatewaysPeriod)
 	ask(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -80,7 +80,7 @@
 func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
 	for _, report := range r.leader.usage {
 		silence := now - report.receivedAt
-		if silence > r.trustEnd() {
+		if silence > r.viewExpiry() {
 			continue
 		}
 		all++
@@ -88,7 +88,7 @@
 			silent++
 		}
 	}
-	if now < r.leader.startedAt+r.trustEnd() {
+	if now < r.leader.startedAt+r.viewExpiry() {
 		for _, name := range r.machine.catalog.Gateways() {
 			if _, asked := r.leader.usage[name]; !asked {
 				all++
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -239,8 +239,8 @@
 	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
-// trustEnd is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
-func (r *Replica) trustEnd() time.Duration {
+// viewExpiry is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
+func (r *Replica) viewExpiry() time.Duration {
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginShare
 }
 
@@ -253,7 +253,7 @@
 	}
 	for _, report := range r.leader.usage {
 		switch {
-		case now-report.receivedAt >= r.trustEnd():
+		case now-report.receivedAt >= r.viewExpiry():
 		case report.roster.Term != r.leader.term:
 			return 0
 		default:
