--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -129,7 +129,7 @@
 	ids := r.drainOrder()
 	loads := r.countLoads()
 	used := r.totalUsage(now)
-	r.leader.ackedRoster = r.rosterTaken(now)
+	r.leader.ackedRoster = r.ackedRosterCount(now)
 	r.leader.underCapacity = r.stressed(now)
 	for _, id := range ids {
 		state := r.member(now, id)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -244,9 +244,9 @@
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginShare
 }
 
-// rosterTaken returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
+// ackedRosterCount returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
 // longer than it may trust its view sends nothing any more; those of an earlier leader's time have had to ask this one.
-func (r *Replica) rosterTaken(now time.Duration) uint64 {
+func (r *Replica) ackedRosterCount(now time.Duration) uint64 {
 	taken := uint64(math.MaxUint64)
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
 		return taken
