--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -212,7 +212,7 @@
 
 // totalUsage returns the running requests of all gateways by instance.
 func (r *Replica) totalUsage(now time.Duration) map[string]int {
-	return r.usageSum(now).running
+	return r.currentUsage(now).running
 }
 
 func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -272,8 +272,8 @@
 // totalsEach is how often the work of all gateways is added up.
 const totalsEach = 50 * time.Millisecond
 
-// usageSum returns the work of all gateways that asked lately.
-func (r *Replica) usageSum(now time.Duration) *usageTotals {
+// currentUsage returns the work of all gateways that asked lately.
+func (r *Replica) currentUsage(now time.Duration) *usageTotals {
 	sum := &r.leader.totals
 	if sum.running != nil && now < sum.at+totalsEach {
 		return sum
