--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -206,7 +206,7 @@
 	if r.leader != nil && (!isLeader || r.leader.term != r.node.Term()) {
 		previous := r.leader
 		r.leader = nil
-		r.closeWatchers(previous)
+		r.closeWatches(previous)
 		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -290,8 +290,8 @@
 	return sum
 }
 
-// closeWatchers answers every held question when the leadership ends.
-func (r *Replica) closeWatchers(lead *leaderState) {
+// closeWatches answers every held question when the leadership ends.
+func (r *Replica) closeWatches(lead *leaderState) {
 	for _, held := range lead.watchers {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
