--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -8,9 +8,9 @@
 
 // How many engines are taken out of service together for new weights, and how long a load is taken to last.
 const (
-	// loadShare and drainShare: one of so many back ends may load, or be turned away from, at the same time.
-	loadShare  = 4
-	drainShare = 3
+	// loadDivisor and drainShare: one of so many back ends may load, or be turned away from, at the same time.
+	loadDivisor = 4
+	drainShare  = 3
 	// stressShare of the engines that were ready within stressMemory must still be, for any to be kept idle.
 	stressShare  = 0.9
 	stressMemory = 10 * time.Second
@@ -40,7 +40,7 @@
 			count.running++
 		}
 	}
-	count.limit = atOnce(engines, loadShare)
+	count.limit = atOnce(engines, loadDivisor)
 	return count
 }
 
