--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -9,8 +9,8 @@
 // How many engines are taken out of service together for new weights, and how long a load is taken to last.
 const (
 	// loadDivisor and drainShare: one of so many back ends may load, or be turned away from, at the same time.
-	loadDivisor = 4
-	drainShare  = 3
+	loadDivisor  = 4
+	drainDivisor = 3
 	// stressShare of the engines that were ready within stressMemory must still be, for any to be kept idle.
 	stressShare  = 0.9
 	stressMemory = 10 * time.Second
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -54,7 +54,7 @@
 		s.orders(200 * time.Millisecond) // the reports
 		s.beats(ids...)
 		ordered := len(s.orders(time.Second))
-		if wanted := max(1, engines/loadDivisor); ordered < wanted || ordered > max(1, engines/drainShare) {
+		if wanted := max(1, engines/loadDivisor); ordered < wanted || ordered > max(1, engines/drainDivisor) {
 			t.Errorf("%d of %d engines were ordered at once, wanted %d", ordered, engines, wanted)
 		}
 	}
