--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -11,9 +11,9 @@
 	// loadDivisor and drainShare: one of so many back ends may load, or be turned away from, at the same time.
 	loadDivisor  = 4
 	drainDivisor = 3
-	// stressShare of the engines that were ready within stressMemory must still be, for any to be kept idle.
-	stressShare  = 0.9
-	stressMemory = 10 * time.Second
+	// minReadyFraction of the engines that were ready within stressMemory must still be, for any to be kept idle.
+	minReadyFraction = 0.9
+	stressMemory     = 10 * time.Second
 	// loadFirst is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
 	loadFirst     = 600 * time.Millisecond
@@ -64,7 +64,7 @@
 	if now > r.leader.readyPeakAt+stressMemory {
 		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	return float64(ready) < stressShare*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
+	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
 }
 
 // firstCheck is how long after its order a load is first looked for.
