--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -13,7 +13,7 @@
 	drainDivisor = 3
 	// minReadyFraction of the engines that were ready within stressMemory must still be, for any to be kept idle.
 	minReadyFraction = 0.9
-	stressMemory     = 10 * time.Second
+	capacityWindow   = 10 * time.Second
 	// loadFirst is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
 	loadFirst     = 600 * time.Millisecond
@@ -61,10 +61,10 @@
 	if ready >= r.leader.readyPeak {
 		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	if now > r.leader.readyPeakAt+stressMemory {
+	if now > r.leader.readyPeakAt+capacityWindow {
 		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
+	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+capacityWindow
 }
 
 // firstCheck is how long after its order a load is first looked for.
