--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -14,13 +14,13 @@
 	// minReadyFraction of the engines that were ready within stressMemory must still be, for any to be kept idle.
 	minReadyFraction = 0.9
 	capacityWindow   = 10 * time.Second
-	// loadFirst is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
+	// initialLoadTime is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
-	loadFirst     = 600 * time.Millisecond
-	loadSmoothing = 0.3
-	checkShare    = 0.9
-	checkLeast    = 200 * time.Millisecond
-	nextCheck     = 60 * time.Millisecond
+	initialLoadTime = 600 * time.Millisecond
+	loadSmoothing   = 0.3
+	checkShare      = 0.9
+	checkLeast      = 200 * time.Millisecond
+	nextCheck       = 60 * time.Millisecond
 )
 
 // loadCount tells how many loads run, and how many may.
@@ -71,7 +71,7 @@
 func (l *leaderState) firstCheck() time.Duration {
 	expected := l.smoothedLoadTime
 	if expected == 0 {
-		expected = loadFirst
+		expected = initialLoadTime
 	}
 	return max(checkLeast, time.Duration(checkShare*float64(expected)))
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -13,7 +13,7 @@
 func TestLoadTimeIsLearnt(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		lead := &leaderState{}
-		if first := lead.firstCheck(); first <= 0 || first > loadFirst {
+		if first := lead.firstCheck(); first <= 0 || first > initialLoadTime {
 			t.Fatalf("before any load: %v", first)
 		}
 		lead.noteLoad(length, 0)
