--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -16,11 +16,11 @@
 	capacityWindow   = 10 * time.Second
 	// initialLoadTime is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
-	initialLoadTime = 600 * time.Millisecond
-	loadSmoothing   = 0.3
-	checkShare      = 0.9
-	checkLeast      = 200 * time.Millisecond
-	nextCheck       = 60 * time.Millisecond
+	initialLoadTime   = 600 * time.Millisecond
+	loadTimeSmoothing = 0.3
+	checkShare        = 0.9
+	checkLeast        = 200 * time.Millisecond
+	nextCheck         = 60 * time.Millisecond
 )
 
 // loadCount tells how many loads run, and how many may.
@@ -83,6 +83,6 @@
 	case l.smoothedLoadTime == 0:
 		l.smoothedLoadTime = now - takenAt
 	default:
-		l.smoothedLoadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.smoothedLoadTime))
+		l.smoothedLoadTime += time.Duration(loadTimeSmoothing * float64(now-takenAt-l.smoothedLoadTime))
 	}
 }
