--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -16,11 +16,11 @@
 	capacityWindow   = 10 * time.Second
 	// initialLoadTime is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
-	initialLoadTime   = 600 * time.Millisecond
-	loadTimeSmoothing = 0.3
-	checkShare        = 0.9
-	checkLeast        = 200 * time.Millisecond
-	nextCheck         = 60 * time.Millisecond
+	initialLoadTime        = 600 * time.Millisecond
+	loadTimeSmoothing      = 0.3
+	firstLoadCheckFraction = 0.9
+	checkLeast             = 200 * time.Millisecond
+	nextCheck              = 60 * time.Millisecond
 )
 
 // loadCount tells how many loads run, and how many may.
@@ -73,7 +73,7 @@
 	if expected == 0 {
 		expected = initialLoadTime
 	}
-	return max(checkLeast, time.Duration(checkShare*float64(expected)))
+	return max(checkLeast, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
 // noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
