--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -19,7 +19,7 @@
 	initialLoadTime        = 600 * time.Millisecond
 	loadTimeSmoothing      = 0.3
 	firstLoadCheckFraction = 0.9
-	checkLeast             = 200 * time.Millisecond
+	minFirstLoadCheck      = 200 * time.Millisecond
 	nextCheck              = 60 * time.Millisecond
 )
 
@@ -73,7 +73,7 @@
 	if expected == 0 {
 		expected = initialLoadTime
 	}
-	return max(checkLeast, time.Duration(firstLoadCheckFraction*float64(expected)))
+	return max(minFirstLoadCheck, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
 // noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
