--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -20,7 +20,7 @@
 	loadTimeSmoothing      = 0.3
 	firstLoadCheckFraction = 0.9
 	minFirstLoadCheck      = 200 * time.Millisecond
-	nextCheck              = 60 * time.Millisecond
+	loadCheckInterval      = 60 * time.Millisecond
 )
 
 // loadCount tells how many loads run, and how many may.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -363,7 +363,7 @@
 	done := state.versions[state.rollout.model] >= state.rollout.version
 	switch {
 	case result.Busy:
-		r.setPhase(state, phaseLoading, now+nextCheck)
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	case done:
 		r.leader.noteLoad(now, state.rollout.takenAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
@@ -371,7 +371,7 @@
 	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
 		r.setPhase(state, phaseUncertain, now+uncertainCheck)
 	case loads && now < state.rollout.orderedAt+loadPatience:
-		r.setPhase(state, phaseLoading, now+nextCheck)
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 		r.announce(now, result.Call.Instance, state)
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -26,7 +26,7 @@
 			lead.noteLoad(taken+length, taken)
 		}
 		first := lead.firstCheck()
-		if wanted := time.Duration(firstLoadCheckFraction * float64(length)); first < wanted-nextCheck || first > wanted+nextCheck {
+		if wanted := time.Duration(firstLoadCheckFraction * float64(length)); first < wanted-loadCheckInterval || first > wanted+loadCheckInterval {
 			t.Fatalf("loads of %v are first looked at after %v", length, first)
 		}
 	}
