--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -40,13 +40,13 @@
 			count.running++
 		}
 	}
-	count.limit = atOnce(engines, loadDivisor)
+	count.limit = maxConcurrent(engines, loadDivisor)
 	return count
 }
 
-// atOnce returns how many engines may be taken out of service together: one of so many, also while they are short of hands,
+// maxConcurrent returns how many engines may be taken out of service together: one of so many, also while they are short of hands,
 // since those whose weights stay old for too long get no requests at all.
-func atOnce(engines, share int) int { return max(1, engines/share) }
+func maxConcurrent(engines, share int) int { return max(1, engines/share) }
 
 // stressed reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
 // end.
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -200,7 +200,7 @@
 	slices.SortStableFunc(lagging, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(used[a], used[b]))
 	})
-	most := atOnce(engines, drainDivisor)
+	most := maxConcurrent(engines, drainDivisor)
 	for _, id := range lagging {
 		if busy >= most {
 			return
