--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -48,9 +48,9 @@
 // since those whose weights stay old for too long get no requests at all.
 func maxConcurrent(engines, share int) int { return max(1, engines/share) }
 
-// stressed reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
+// lacksCapacity reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
 // end.
-func (r *Replica) stressed(now time.Duration) bool {
+func (r *Replica) lacksCapacity(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
 		state := r.leader.fleet[id]
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -130,7 +130,7 @@
 	loads := r.countLoads()
 	used := r.totalUsage(now)
 	r.leader.ackedRoster = r.ackedRosterCount(now)
-	r.leader.underCapacity = r.stressed(now)
+	r.leader.underCapacity = r.lacksCapacity(now)
 	for _, id := range ids {
 		state := r.member(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -46,7 +46,7 @@
 		}
 		s.beats(ids...)
 		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
-		if !s.replica.stressed(s.now) {
+		if !s.replica.lacksCapacity(s.now) {
 			t.Fatal("the fleet is not short of hands")
 		}
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
