--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -67,8 +67,8 @@
 	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+capacityWindow
 }
 
-// firstCheck is how long after its order a load is first looked for.
-func (l *leaderState) firstCheck() time.Duration {
+// firstLoadCheck is how long after its order a load is first looked for.
+func (l *leaderState) firstLoadCheck() time.Duration {
 	expected := l.smoothedLoadTime
 	if expected == 0 {
 		expected = initialLoadTime
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -305,7 +305,7 @@
 	case WeightsTaken:
 		state.rollout.revision++
 		state.rollout.takenAt = now
-		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
+		r.setPhase(state, phaseLoading, now+r.leader.firstLoadCheck())
 	case WeightsHeld:
 		r.finishRollout(now, state)
 	case WeightsUnknown:
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -13,7 +13,7 @@
 func TestLoadTimeIsLearnt(t *testing.T) {
 	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		lead := &leaderState{}
-		if first := lead.firstCheck(); first <= 0 || first > initialLoadTime {
+		if first := lead.firstLoadCheck(); first <= 0 || first > initialLoadTime {
 			t.Fatalf("before any load: %v", first)
 		}
 		lead.noteLoad(length, 0)
@@ -25,7 +25,7 @@
 			taken := time.Duration(i+1) * time.Minute
 			lead.noteLoad(taken+length, taken)
 		}
-		first := lead.firstCheck()
+		first := lead.firstLoadCheck()
 		if wanted := time.Duration(firstLoadCheckFraction * float64(length)); first < wanted-loadCheckInterval || first > wanted+loadCheckInterval {
 			t.Fatalf("loads of %v are first looked at after %v", length, first)
 		}
