--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -76,8 +76,8 @@
 	return max(minFirstLoadCheck, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
-// noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
-func (l *leaderState) noteLoad(now, takenAt time.Duration) {
+// observeLoadTime learns how long a load lasts, from when its order was taken until a report shows the weights.
+func (l *leaderState) observeLoadTime(now, takenAt time.Duration) {
 	switch {
 	case takenAt == 0:
 	case l.smoothedLoadTime == 0:
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -365,7 +365,7 @@
 	case result.Busy:
 		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	case done:
-		r.leader.noteLoad(now, state.rollout.takenAt)
+		r.leader.observeLoadTime(now, state.rollout.takenAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -16,14 +16,14 @@
 		if first := lead.firstLoadCheck(); first <= 0 || first > initialLoadTime {
 			t.Fatalf("before any load: %v", first)
 		}
-		lead.noteLoad(length, 0)
+		lead.observeLoadTime(length, 0)
 		if lead.smoothedLoadTime != 0 {
 			t.Fatalf("learnt %v from nothing", lead.smoothedLoadTime)
 		}
-		lead.noteLoad(time.Second+5*time.Second, time.Second)
+		lead.observeLoadTime(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
 			taken := time.Duration(i+1) * time.Minute
-			lead.noteLoad(taken+length, taken)
+			lead.observeLoadTime(taken+length, taken)
 		}
 		first := lead.firstLoadCheck()
 		if wanted := time.Duration(firstLoadCheckFraction * float64(length)); first < wanted-loadCheckInterval || first > wanted+loadCheckInterval {
