--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -91,7 +91,7 @@
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
 	s.ask(Request{Beats: leaving})
-	s.advance(2 * boundsPeriod)
+	s.advance(2 * inUseCheckInterval)
 	ready := 0
 	for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 		if e.State == catalog.StateReady {
