--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -15,9 +15,9 @@
 // inUseCheckInterval is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
 const inUseCheckInterval = 100 * time.Millisecond
 
-// tendInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
+// updateInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
 // the same.
-func (r *Replica) tendInUse(now time.Duration) {
+func (r *Replica) updateInUse(now time.Duration) {
 	if now < r.leader.boundsCheckedAt+inUseCheckInterval {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -168,7 +168,7 @@
 		r.reconcile(now)
 		r.repair(now)
 		r.watchFleet(now)
-		r.tendInUse(now)
+		r.updateInUse(now)
 		r.tendLimits(now)
 		r.noteHeld(now)
 		r.noteGateways(now)
