--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// noteBounds notes for the roster which back ends come into use or go out of it between two sets of bounds.
-func (r *Replica) noteBounds(now time.Duration, before map[string]uint64) {
+// markInUseChanges notes for the roster which back ends come into use or go out of it between two sets of bounds.
+func (r *Replica) markInUseChanges(now time.Duration, before map[string]uint64) {
 	for id, instance := range r.machine.catalog.Instances() {
 		was, known := before[instance.Service]
 		if !known {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -267,7 +267,7 @@
 	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
 	r.leader.gatewayListChanged = r.leader.gatewayListChanged || listed
 	if len(command.MaxHashWeights) > 0 {
-		r.noteBounds(now, bounds)
+		r.markInUseChanges(now, bounds)
 	}
 	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
