--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -23,11 +23,11 @@
 	}
 	r.leader.boundsCheckedAt = now
 	used := r.totalUsage(now)
-	services := map[string]*serviceWork{}
+	services := map[string]*serviceLoad{}
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
 		if work == nil {
-			work = &serviceWork{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
+			work = &serviceLoad{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
 			services[instance.Service] = work
 		}
 		work.running += used[id]
@@ -50,8 +50,8 @@
 	}
 }
 
-// serviceWork is what decides which back ends of a service are in use.
-type serviceWork struct {
+// serviceLoad is what decides which back ends of a service are in use.
+type serviceLoad struct {
 	bound   uint64   // in force
 	able    []uint64 // weights of those that are able to work
 	under   int      // of them, those in use
@@ -59,7 +59,7 @@
 	running int      // requests
 }
 
-func (w *serviceWork) count(instance catalog.Instance, state *memberState) {
+func (w *serviceLoad) count(instance catalog.Instance, state *memberState) {
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
