--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -31,7 +31,7 @@
 			services[instance.Service] = work
 		}
 		work.running += used[id]
-		work.count(instance, r.member(now, id))
+		work.add(instance, r.member(now, id))
 	}
 	bounds := map[string]uint64{}
 	for service, work := range services {
@@ -59,7 +59,7 @@
 	running int      // requests
 }
 
-func (w *serviceLoad) count(instance catalog.Instance, state *memberState) {
+func (w *serviceLoad) add(instance catalog.Instance, state *memberState) {
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
