--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -27,7 +27,7 @@
 	for id, instance := range r.machine.catalog.Instances() {
 		work := services[instance.Service]
 		if work == nil {
-			work = &serviceLoad{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
+			work = &serviceLoad{maxHashWeight: r.machine.catalog.MaxHashWeight(instance.Service)}
 			services[instance.Service] = work
 		}
 		work.running += used[id]
@@ -41,7 +41,7 @@
 		}
 		wanted := size.Update(now, work.running, work.under)
 		r.leader.inUseSizes[service] = size
-		if bound := inuse.MaxHashWeight(work.bound, work.able, work.unable, wanted); bound != work.bound {
+		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.able, work.unable, wanted); bound != work.maxHashWeight {
 			bounds[service] = bound
 		}
 	}
@@ -52,11 +52,11 @@
 
 // serviceLoad is what decides which back ends of a service are in use.
 type serviceLoad struct {
-	bound   uint64   // in force
-	able    []uint64 // weights of those that are able to work
-	under   int      // of them, those in use
-	unable  int      // that are silent, and don't leave
-	running int      // requests
+	maxHashWeight uint64   // in force
+	able          []uint64 // weights of those that are able to work
+	under         int      // of them, those in use
+	unable        int      // that are silent, and don't leave
+	running       int      // requests
 }
 
 func (w *serviceLoad) add(instance catalog.Instance, state *memberState) {
@@ -66,7 +66,7 @@
 		w.unable++
 	default:
 		w.able = append(w.able, state.weight)
-		if state.weight <= w.bound {
+		if state.weight <= w.maxHashWeight {
 			w.under++
 		}
 	}
