--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -41,7 +41,7 @@
 		}
 		wanted := size.Update(now, work.running, work.under)
 		r.leader.inUseSizes[service] = size
-		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.able, work.unable, wanted); bound != work.maxHashWeight {
+		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.reachable, work.unable, wanted); bound != work.maxHashWeight {
 			bounds[service] = bound
 		}
 	}
@@ -53,7 +53,7 @@
 // serviceLoad is what decides which back ends of a service are in use.
 type serviceLoad struct {
 	maxHashWeight uint64   // in force
-	able          []uint64 // weights of those that are able to work
+	reachable     []uint64 // weights of those that are able to work
 	under         int      // of them, those in use
 	unable        int      // that are silent, and don't leave
 	running       int      // requests
@@ -65,7 +65,7 @@
 	case state.silent:
 		w.unable++
 	default:
-		w.able = append(w.able, state.weight)
+		w.reachable = append(w.reachable, state.weight)
 		if state.weight <= w.maxHashWeight {
 			w.under++
 		}
