--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -37,9 +37,9 @@
 	for service, work := range services {
 		size := r.leader.inUseSizes[service]
 		if !r.machine.catalog.HasMaxHashWeight(service) {
-			work.under = 0
+			work.reachableInUse = 0
 		}
-		wanted := size.Update(now, work.running, work.under)
+		wanted := size.Update(now, work.running, work.reachableInUse)
 		r.leader.inUseSizes[service] = size
 		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.reachable, work.unable, wanted); bound != work.maxHashWeight {
 			bounds[service] = bound
@@ -52,11 +52,11 @@
 
 // serviceLoad is what decides which back ends of a service are in use.
 type serviceLoad struct {
-	maxHashWeight uint64   // in force
-	reachable     []uint64 // weights of those that are able to work
-	under         int      // of them, those in use
-	unable        int      // that are silent, and don't leave
-	running       int      // requests
+	maxHashWeight  uint64   // in force
+	reachable      []uint64 // weights of those that are able to work
+	reachableInUse int      // of them, those in use
+	unable         int      // that are silent, and don't leave
+	running        int      // requests
 }
 
 func (w *serviceLoad) add(instance catalog.Instance, state *memberState) {
@@ -67,7 +67,7 @@
 	default:
 		w.reachable = append(w.reachable, state.weight)
 		if state.weight <= w.maxHashWeight {
-			w.under++
+			w.reachableInUse++
 		}
 	}
 }
