--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -41,7 +41,7 @@
 		}
 		wanted := size.Update(now, work.running, work.reachableInUse)
 		r.leader.inUseSizes[service] = size
-		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.reachable, work.unable, wanted); bound != work.maxHashWeight {
+		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.reachable, work.unreachable, wanted); bound != work.maxHashWeight {
 			bounds[service] = bound
 		}
 	}
@@ -55,7 +55,7 @@
 	maxHashWeight  uint64   // in force
 	reachable      []uint64 // weights of those that are able to work
 	reachableInUse int      // of them, those in use
-	unable         int      // that are silent, and don't leave
+	unreachable    int      // that are silent, and don't leave
 	running        int      // requests
 }
 
@@ -63,7 +63,7 @@
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
-		w.unable++
+		w.unreachable++
 	default:
 		w.reachable = append(w.reachable, state.weight)
 		if state.weight <= w.maxHashWeight {
