--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// silentAfter is the silence after which a back end is shown as silent: it may be cut off from control only.
-	silentAfter = 3500 * time.Millisecond
+	// silenceTimeout is the silence after which a back end is shown as silent: it may be cut off from control only.
+	silenceTimeout = 3500 * time.Millisecond
 	// forgetAfter is the silence after which a back end is taken off the roster. It may register again.
 	forgetAfter = 12 * time.Second
 	// fleetPeriod is how often the roster is looked through.
@@ -213,7 +213,7 @@
 	for _, id := range r.machine.catalog.IDs() {
 		state := r.member(now, id)
 		silence := now - state.heardAt
-		if silence > silentAfter && !state.silent {
+		if silence > silenceTimeout && !state.silent {
 			state.silent = true
 			r.leader.markRosterChanged(id)
 		}
@@ -239,7 +239,7 @@
 		return
 	}
 	for id, state := range r.leader.fleet {
-		if _, known := instances[id]; !known && now-state.heardAt > silentAfter {
+		if _, known := instances[id]; !known && now-state.heardAt > silenceTimeout {
 			delete(r.leader.fleet, id)
 			delete(r.leader.unlogged, id)
 		}
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -51,7 +51,7 @@
 	})
 	t.Run("address of a silent back end", func(t *testing.T) {
 		s := openRegistered(t)
-		s.advance(silentAfter + time.Second)
+		s.advance(silenceTimeout + time.Second)
 		sendUnconfigured(s, life("x", 2000), "a1", catalog.StateReady)
 		checkUnchanged(t, s)
 	})
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -78,7 +78,7 @@
 	if s.registered(life("before", 1000)) || !s.registered(life("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
-	s.advance(silentAfter + time.Second)
+	s.advance(silenceTimeout + time.Second)
 	s.says(life("other", 1500), "a1", 1, 1)
 	if !s.registered(life("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
