--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -13,8 +13,8 @@
 const (
 	// silenceTimeout is the silence after which a back end is shown as silent: it may be cut off from control only.
 	silenceTimeout = 3500 * time.Millisecond
-	// forgetAfter is the silence after which a back end is taken off the roster. It may register again.
-	forgetAfter = 12 * time.Second
+	// expiryTimeout is the silence after which a back end is taken off the roster. It may register again.
+	expiryTimeout = 12 * time.Second
 	// fleetPeriod is how often the roster is looked through.
 	fleetPeriod = 100 * time.Millisecond
 	// doubtAfter is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
@@ -217,7 +217,7 @@
 			state.silent = true
 			r.leader.markRosterChanged(id)
 		}
-		if silence > forgetAfter {
+		if silence > expiryTimeout {
 			r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: id}})
 			state.heardAt = now
 		}
@@ -230,7 +230,7 @@
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
 		for name, mark := range r.orderMarks {
-			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+forgetAfter {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+expiryTimeout {
 				delete(r.orderMarks, name)
 			}
 		}
