--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -15,8 +15,8 @@
 	silenceTimeout = 3500 * time.Millisecond
 	// expiryTimeout is the silence after which a back end is taken off the roster. It may register again.
 	expiryTimeout = 12 * time.Second
-	// fleetPeriod is how often the roster is looked through.
-	fleetPeriod = 100 * time.Millisecond
+	// fleetCheckInterval is how often the roster is looked through.
+	fleetCheckInterval = 100 * time.Millisecond
 	// doubtAfter is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
 	// more than a period of heartbeats, and than most are late.
 	doubtAfter = 2 * time.Second
@@ -206,7 +206,7 @@
 
 // watchFleet marks silent back ends and forgets those that stay silent.
 func (r *Replica) watchFleet(now time.Duration) {
-	if now < r.leader.fleetCheckedAt+fleetPeriod {
+	if now < r.leader.fleetCheckedAt+fleetCheckInterval {
 		return
 	}
 	r.leader.fleetCheckedAt = now
