--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -17,9 +17,9 @@
 	expiryTimeout = 12 * time.Second
 	// fleetCheckInterval is how often the roster is looked through.
 	fleetCheckInterval = 100 * time.Millisecond
-	// doubtAfter is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
+	// lateHeartbeatWindow is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
 	// more than a period of heartbeats, and than most are late.
-	doubtAfter = 2 * time.Second
+	lateHeartbeatWindow = 2 * time.Second
 	// heldPeriod is how often the weights that back ends hold are written into the log, all in one entry.
 	heldPeriod = 300 * time.Millisecond
 	// usageCounts is how long a router's figures of its work count.
@@ -122,7 +122,7 @@
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
 		news = r.takeVersions(now, state, beat.Versions) || news
-		state.doubted = state.doubted || now > state.roseAt+doubtAfter && state.holdsNewer(beat.Versions)
+		state.doubted = state.doubted || now > state.roseAt+lateHeartbeatWindow && state.holdsNewer(beat.Versions)
 	}
 	if news {
 		r.leader.markRosterChanged(state.id)
