--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -20,8 +20,8 @@
 	// lateHeartbeatWindow is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
 	// more than a period of heartbeats, and than most are late.
 	lateHeartbeatWindow = 2 * time.Second
-	// heldPeriod is how often the weights that back ends hold are written into the log, all in one entry.
-	heldPeriod = 300 * time.Millisecond
+	// loadedLogInterval is how often the weights that back ends hold are written into the log, all in one entry.
+	loadedLogInterval = 300 * time.Millisecond
 	// usageCounts is how long a router's figures of its work count.
 	usageCounts = 2 * time.Second
 )
@@ -171,7 +171,7 @@
 
 // noteHeld writes into the log what back ends hold, so that the next leader knows it from the start.
 func (r *Replica) noteHeld(now time.Duration) {
-	if now < r.leader.heldLoggedAt+heldPeriod {
+	if now < r.leader.heldLoggedAt+loadedLogInterval {
 		return
 	}
 	r.leader.heldLoggedAt = now
