--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -22,8 +22,8 @@
 	lateHeartbeatWindow = 2 * time.Second
 	// loadedLogInterval is how often the weights that back ends hold are written into the log, all in one entry.
 	loadedLogInterval = 300 * time.Millisecond
-	// usageCounts is how long a router's figures of its work count.
-	usageCounts = 2 * time.Second
+	// usageTTL is how long a router's figures of its work count.
+	usageTTL = 2 * time.Second
 )
 
 // Beat is a back end's heartbeat. The first one registers it.
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -38,7 +38,7 @@
 	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
 	for name, report := range state.usage {
-		if report.address != "" && now-report.receivedAt <= usageCounts {
+		if report.address != "" && now-report.receivedAt <= usageTTL {
 			gateways = append(gateways, mesh.Gateway{Peer: mesh.Peer{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -280,7 +280,7 @@
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
 	for _, report := range r.leader.usage {
-		if now-report.receivedAt > usageCounts {
+		if now-report.receivedAt > usageTTL {
 			continue
 		}
 		for id, running := range report.running {
