--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -26,18 +26,18 @@
 
 // pendingBeat is a heartbeat whose sender waits for the leader's answer.
 type pendingBeat struct {
-	beat Beat
+	beat BackendHeartbeat
 	done chan error // has room for the one answer
 }
 
 // registration is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
 type registration struct {
 	at   time.Duration
-	beat Beat
+	beat BackendHeartbeat
 }
 
 // tells reports whether a heartbeat tells what the leader doesn't know.
-func (r registration) tells(beat Beat) bool {
+func (r registration) tells(beat BackendHeartbeat) bool {
 	return beat.Instance != r.beat.Instance || beat.ColdLeft > 0 || r.beat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.beat.Versions)
 }
 
@@ -46,7 +46,7 @@
 // tells nothing new is answered at once.
 type beatCollector struct {
 	mu         sync.Mutex
-	waiting    []Beat                  // without news; at most beatsMost
+	waiting    []BackendHeartbeat      // without news; at most beatsMost
 	signs      []Sign                  // instead of those that differ from the one before by their number alone
 	pending    []pendingBeat           // with news; at most beatsMost
 	wake       chan struct{}           // has an item when pending does; room for one
@@ -55,7 +55,7 @@
 }
 
 // add takes a heartbeat if it needs no answer of the leader.
-func (c *beatCollector) add(now time.Duration, beat Beat) bool {
+func (c *beatCollector) add(now time.Duration, beat BackendHeartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
@@ -78,7 +78,7 @@
 }
 
 // taken notes that the leader has answered a heartbeat.
-func (c *beatCollector) taken(now time.Duration, beat Beat) {
+func (c *beatCollector) taken(now time.Duration, beat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaves && beat.Instance.State == catalog.StateReady {
@@ -87,7 +87,7 @@
 }
 
 // wait takes a heartbeat that needs the leader's answer, or returns nil when too many wait.
-func (c *beatCollector) wait(beat Beat) chan error {
+func (c *beatCollector) wait(beat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= beatsMost {
@@ -104,9 +104,9 @@
 
 // gathered are heartbeats to be passed on together.
 type gathered struct {
-	beats   []Beat        // those whose senders wait come last, in the order in which they came
-	signs   []Sign        // of back ends of which there is nothing new
-	pending []pendingBeat // senders that wait
+	beats   []BackendHeartbeat // those whose senders wait come last, in the order in which they came
+	signs   []Sign             // of back ends of which there is nothing new
+	pending []pendingBeat      // senders that wait
 }
 
 func (g *gathered) empty() bool { return len(g.beats)+len(g.signs) == 0 }
@@ -162,7 +162,7 @@
 var errBeatsFull = eris.New("too many heartbeats wait for the leader")
 
 // Beat takes a back end's heartbeat; an error says that it has no clear answer.
-func (s *Server) Beat(ctx context.Context, beat Beat) error {
+func (s *Server) Beat(ctx context.Context, beat BackendHeartbeat) error {
 	if s.beats.add(s.now(), beat) {
 		return nil
 	}
@@ -248,7 +248,7 @@
 
 // takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
 // they changed: entries commit in order, so it waits for the last.
-func (r *Replica) takeBeats(now time.Duration, client uint64, beats []Beat, signs []Sign) {
+func (r *Replica) takeBeats(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Sign) {
 	before := r.node.LastIndex()
 	for _, beat := range beats {
 		r.beat(now, 0, beat)
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -7,15 +7,15 @@
 	"kitetiller/internal/catalog"
 )
 
-func beatOf(id string, state catalog.State, sequence uint64) Beat {
-	return Beat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
+func beatOf(id string, state catalog.State, sequence uint64) BackendHeartbeat {
+	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
 // TestOnlyBeatsWithoutNewsAreGathered: registering, draining and leaving are answered by the leader, and so is everything
 // while batches don't reach it.
 func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
 	c := &beatCollector{registered: map[string]registration{}}
-	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), Beat{Instance: catalog.Instance{ID: "i"}, Leaves: true}
+	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaves: true}
 	if c.add(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
@@ -27,7 +27,7 @@
 	if !c.add(time.Second, ready) || count() != 1 || count() != 0 {
 		t.Fatal("a heartbeat without news is not gathered once")
 	}
-	for name, news := range map[string]Beat{"draining": draining, "leaving": leaves} {
+	for name, news := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaves} {
 		c.taken(0, ready)
 		if c.add(time.Second, news) || c.add(time.Second, ready) {
 			t.Fatalf("%s, or a heartbeat after it, is gathered", name)
@@ -52,8 +52,8 @@
 // TestGatheredBeatsCountAsIfAlone: they keep a back end heard, bring a forgotten one back, and take back no draining.
 func TestGatheredBeatsCountAsIfAlone(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
-	s.ask(Request{Beats: []Beat{beatOf("i-1", catalog.StateReady, 10), beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-3", catalog.StateReady, 1)}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{Beats: []BackendHeartbeat{beatOf("i-1", catalog.StateReady, 10), beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
@@ -69,7 +69,7 @@
 func TestBatchIsAnsweredOnceAllIsHeld(t *testing.T) {
 	s := openFleet(t)
 	const client = 5000
-	s.replica.Handle(s.now, client, Request{Beats: []Beat{
+	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
 		beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-7", catalog.StateReady, 1), beatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
 		beatOf("i-8", catalog.StateReady, 1),
 	}})
@@ -107,7 +107,7 @@
 	beat := beatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
 	c.taken(0, beat)
-	passes := func(beat Beat) gathered {
+	passes := func(beat BackendHeartbeat) gathered {
 		t.Helper()
 		if !c.add(time.Second, beat) {
 			t.Fatalf("%+v is not gathered", beat)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -26,8 +26,8 @@
 	usageTTL = 2 * time.Second
 )
 
-// Beat is a back end's heartbeat. The first one registers it.
-type Beat struct {
+// BackendHeartbeat is a back end's heartbeat. The first one registers it.
+type BackendHeartbeat struct {
 	Instance catalog.Instance  `json:"instance"`
 	Sequence uint64            `json:"sequence"` // rises with each heartbeat of a life
 	ColdLeft time.Duration     `json:"cold_left_ns"`
@@ -58,7 +58,7 @@
 
 // beat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
 // relies on it; everything else is soft state of the leader.
-func (r *Replica) beat(now time.Duration, client uint64, beat Beat) {
+func (r *Replica) beat(now time.Duration, client uint64, beat BackendHeartbeat) {
 	id := beat.Instance.ID
 	if !r.config.Guards.On(guard.DrainCommitted) {
 		r.reply(client, Response{Kind: ResponseOK})
@@ -108,7 +108,7 @@
 }
 
 // heard updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
-func (r *Replica) heard(now time.Duration, beat Beat) {
+func (r *Replica) heard(now time.Duration, beat BackendHeartbeat) {
 	state := r.member(now, beat.Instance.ID)
 	state.heardAt = now
 	if beat.Sequence < state.sequence {
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -23,7 +23,7 @@
 // beats sends a heartbeat of each engine.
 func (s *singleReplica) beats(ids ...string) {
 	for _, id := range ids {
-		s.ask(Request{Beat: &Beat{
+		s.ask(Request{Beat: &BackendHeartbeat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
 			Sequence: uint64(s.now), Versions: map[string]uint64{"m": 1},
 		}})
@@ -92,7 +92,7 @@
 // back neither then nor after the instance left.
 func TestDrainIsAnsweredOnceItIsHeld(t *testing.T) {
 	s := openFleet(t)
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q", state)
 	}
@@ -100,7 +100,7 @@
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("after a late heartbeat: state %q", state)
 	}
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "i-1"}, Leaves: true}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaves: true}})
 	s.beats("i-1")
 	if _, known := s.replica.Machine().Catalog().Instances()["i-1"]; known {
 		t.Fatal("an instance that left came back with a late heartbeat")
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -26,7 +26,7 @@
 // joinEngines registers so many engines of one service and lets it be decided which are in use.
 func joinEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
-		var batch []Beat
+		var batch []BackendHeartbeat
 		for i := first; i < min(first+500, count); i++ {
 			beat := beatOf(fmt.Sprintf("e-%05d", i), catalog.StateReady, 1)
 			beat.Versions = map[string]uint64{"m": 1}
@@ -85,9 +85,9 @@
 	s := openFleet(t)
 	joinEngines(s, 1500)
 	reply := s.watchNow("g1", RosterVersion{})
-	var leaving []Beat
+	var leaving []BackendHeartbeat
 	for _, e := range reply.Roster.Entries[:len(reply.Roster.Entries)/4] {
-		leaving = append(leaving, Beat{Instance: e.Instance, Sequence: 2})
+		leaving = append(leaving, BackendHeartbeat{Instance: e.Instance, Sequence: 2})
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
 	s.ask(Request{Beats: leaving})
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -14,7 +14,7 @@
 const youngFor = 3 * time.Second
 
 // lacksWeights reports whether a heartbeat names an engine and doesn't tell what it holds: nobody could say whether a request may begin there.
-func (r *Replica) lacksWeights(beat Beat) bool {
+func (r *Replica) lacksWeights(beat BackendHeartbeat) bool {
 	service, _ := r.machine.catalog.Document().Service(beat.Instance.Service)
 	return service.Engine && len(beat.Versions) == 0
 }
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -16,7 +16,7 @@
 	before := s.replica.Node().LastIndex()
 	const batchSize = 50
 	for first := 0; first < count; first += batchSize {
-		var batch []Beat
+		var batch []BackendHeartbeat
 		for i := first; i < min(first+batchSize, count); i++ {
 			batch = append(batch, beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1))
 		}
@@ -49,7 +49,7 @@
 // in the same batch.
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
 	s := openFleet(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{
+	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{
 		beatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaves: true}, beatOf("i-9", catalog.StateReady, 1),
 		beatOf("i-9", catalog.StateDraining, 2),
 	}})
@@ -64,7 +64,7 @@
 // appended.
 func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
 	s := openFleet(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{beatOf("i-8", catalog.StateReady, 1)}})
+	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{beatOf("i-8", catalog.StateReady, 1)}})
 	s.replica.leader.term = 0 // simulates the start of another term
 	s.replica.checkLeadership(s.now)
 	s.work()
@@ -77,7 +77,7 @@
 func countSnapshots(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
-		s.replica.Handle(s.now, 0, Request{Beats: []Beat{beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
+		s.replica.Handle(s.now, 0, Request{Beats: []BackendHeartbeat{beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
 		s.work()
 		if index := s.replica.snapshot.Meta.Index; index != last {
 			last, snapshots, bytes = index, snapshots+1, bytes+len(s.replica.snapshot.Data)
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -155,7 +155,7 @@
 // beat sends a heartbeat; some arrive seconds late.
 func (b *fleetBackend) beat() {
 	b.sequence++
-	beat := &control.Beat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
+	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence, Versions: map[string]uint64{fleetModel: b.version}}
 	late := time.Duration(0)
 	if b.w.chance(0.05) {
 		late = b.w.between(0, 3*time.Second)
@@ -164,7 +164,7 @@
 }
 
 // sendBeat sends a heartbeat, or a sign where the leader has taken a whole one that told the same.
-func (b *fleetBackend) sendBeat(beat *control.Beat) {
+func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
 		request = control.Request{Signs: []control.Sign{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
@@ -180,14 +180,14 @@
 }
 
 // toldOf names what a heartbeat tells beside its number.
-func toldOf(beat *control.Beat) string {
+func toldOf(beat *control.BackendHeartbeat) string {
 	return fmt.Sprint(beat.Instance.ID, beat.Instance.State, beat.Versions[fleetModel])
 }
 
 // request puts a heartbeat into a call: every other one as a replica that gathers heartbeats passes them on.
-func (b *fleetBackend) request(beat *control.Beat) control.Request {
+func (b *fleetBackend) request(beat *control.BackendHeartbeat) control.Request {
 	if beat.Sequence%2 == 0 {
-		return control.Request{Beats: []control.Beat{*beat}}
+		return control.Request{Beats: []control.BackendHeartbeat{*beat}}
 	}
 	return control.Request{Beat: beat}
 }
@@ -200,13 +200,13 @@
 	b.draining = true
 	b.sequence++
 	id := b.id
-	beat := &control.Beat{Instance: b.instance(), Sequence: b.sequence}
+	beat := &control.BackendHeartbeat{Instance: b.instance(), Sequence: b.sequence}
 	b.asker.ask(b.request(beat), b.w.now()+10*time.Second, func(_ control.Response, decided bool) {
 		if decided {
 			b.w.oracle.fleet.leaving[id] = b.w.now()
 		}
 		b.after(fleetDrain, func() {
-			leave := &control.Beat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaves: true}
+			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaves: true}
 			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
