--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
-	if beat.Leaves || beat.Instance.State != catalog.StateReady {
+	if beat.Leaving || beat.Instance.State != catalog.StateReady {
 		delete(c.registered, id)
 		return false
 	}
@@ -81,7 +81,7 @@
 func (c *beatCollector) taken(now time.Duration, beat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !beat.Leaves && beat.Instance.State == catalog.StateReady {
+	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
 		c.registered[beat.Instance.ID] = registration{at: now, beat: beat}
 	}
 }
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -15,7 +15,7 @@
 // while batches don't reach it.
 func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
 	c := &beatCollector{registered: map[string]registration{}}
-	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaves: true}
+	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
 	if c.add(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -32,7 +32,7 @@
 	Sequence uint64            `json:"sequence"` // rises with each heartbeat of a life
 	ColdLeft time.Duration     `json:"cold_left_ns"`
 	Versions map[string]uint64 `json:"versions,omitempty"` // weights by model
-	Leaves   bool              `json:"leaves,omitempty"`   // the instance ends
+	Leaving  bool              `json:"leaves,omitempty"`   // the instance ends
 }
 
 // memberState is what the leader keeps of a back end in memory.
@@ -66,9 +66,9 @@
 	}
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
-	case beat.Leaves && r.mayMeanLastLife(now, id):
+	case beat.Leaving && r.mayMeanLastLife(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
-	case beat.Leaves:
+	case beat.Leaving:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
 	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -100,7 +100,7 @@
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("after a late heartbeat: state %q", state)
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaves: true}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
 	s.beats("i-1")
 	if _, known := s.replica.Machine().Catalog().Instances()["i-1"]; known {
 		t.Fatal("an instance that left came back with a late heartbeat")
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	s := openFleet(t)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
 	return s
 }
@@ -63,7 +63,7 @@
 	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
 		t.Fatal("a late heartbeat brought the last life back")
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e", 1000)}, Leaves: true}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e", 1000)}, Leaving: true}})
 	if !s.registered(life("e", 2000)) {
 		t.Fatal("a late leave of the last life ended the new one")
 	}
@@ -90,7 +90,7 @@
 	s := openFleet(t)
 	s.says("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says("e", "a1", 90, 7)
@@ -109,11 +109,11 @@
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(life("e@5", 1000), "a2", 1, 1)
 	s.advance(youngFor)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaves: true}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaving: true}})
 	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaves: true}})
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
 	if s.registered(life("e", 1000)) {
 		t.Fatal("it is registered after it left")
 	}
@@ -134,7 +134,7 @@
 func TestLateLeaveEndsNoYoungLifeForGood(t *testing.T) {
 	s := openFleet(t)
 	id := life("e", 2000)
-	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaves: true}}
+	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(id, "a1", 1, 1)
 	s.ask(leave)
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -42,7 +42,7 @@
 			ids = append(ids, fmt.Sprint("e-", i))
 		}
 		for _, id := range []string{"i-1", "i-2"} {
-			s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+			s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 		}
 		s.beats(ids...)
 		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -50,7 +50,7 @@
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
 	s := openFleet(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{
-		beatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaves: true}, beatOf("i-9", catalog.StateReady, 1),
+		beatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaving: true}, beatOf("i-9", catalog.StateReady, 1),
 		beatOf("i-9", catalog.StateDraining, 2),
 	}})
 	s.work()
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -206,7 +206,7 @@
 			b.w.oracle.fleet.leaving[id] = b.w.now()
 		}
 		b.after(fleetDrain, func() {
-			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaves: true}
+			leave := &control.BackendHeartbeat{Instance: catalog.Instance{ID: catalog.ParseInstanceID(id).Name}, Leaving: true}
 			b.asker.ask(control.Request{Beat: leave}, b.w.now()+10*time.Second, func(control.Response, bool) {
 				b.kill(false)
 				b.w.restart(b, b.w.between(200*time.Millisecond, 2*time.Second))
