--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -59,7 +59,7 @@
 	running        int      // requests
 }
 
-func (w *serviceLoad) add(instance catalog.Instance, state *memberState) {
+func (w *serviceLoad) add(instance catalog.Instance, state *backendState) {
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -35,8 +35,8 @@
 	Leaving  bool              `json:"leaves,omitempty"`   // the instance ends
 }
 
-// memberState is what the leader keeps of a back end in memory.
-type memberState struct {
+// backendState is what the leader keeps of a back end in memory.
+type backendState struct {
 	id      string
 	weight  uint64 // by which it is in use
 	heardAt time.Duration
@@ -54,7 +54,7 @@
 
 // engine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
 // requests there. It may be called on nil.
-func (s *memberState) engine() bool { return s != nil && len(s.versions) > 0 }
+func (s *backendState) engine() bool { return s != nil && len(s.versions) > 0 }
 
 // beat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
 // relies on it; everything else is soft state of the leader.
@@ -131,7 +131,7 @@
 
 // takeVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
 // than a report, so that versions only rise by it; whether they fell is asked of the back end.
-func (r *Replica) takeVersions(now time.Duration, state *memberState, versions map[string]uint64) bool {
+func (r *Replica) takeVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
 	changed := false
 	for model, version := range versions {
 		if state.versions[model] < version {
@@ -144,7 +144,7 @@
 }
 
 // holdsNewer reports whether newer weights are believed than these.
-func (s *memberState) holdsNewer(versions map[string]uint64) bool {
+func (s *backendState) holdsNewer(versions map[string]uint64) bool {
 	for model, version := range versions {
 		if s.versions[model] > version {
 			return true
@@ -154,10 +154,10 @@
 }
 
 // member returns the soft state of a back end, made when it is first named.
-func (r *Replica) member(now time.Duration, id string) *memberState {
+func (r *Replica) member(now time.Duration, id string) *backendState {
 	state := r.leader.fleet[id]
 	if state == nil {
-		state = &memberState{id: id, heardAt: now, versions: map[string]uint64{}}
+		state = &backendState{id: id, heardAt: now, versions: map[string]uint64{}}
 		if r.config.Mechanisms.On(mechanism.LoggedWeights) {
 			maps.Copy(state.versions, r.machine.catalog.LoadedVersions(id)) // until its first heartbeat to this leader
 		}
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -45,7 +45,7 @@
 	startedAt                 time.Duration // when this replica became the leader
 	orderFence                uint64        // fence of this leader's weights orders; 0 until its entry has committed
 	fenceRequestedAt          time.Duration
-	fleet                     map[string]*memberState // by instance ID
+	fleet                     map[string]*backendState // by instance ID
 	fleetCheckedAt            time.Duration
 	heldLoggedAt              time.Duration // when the weights held by back ends were last checked for changes to log
 	rolloutStepAt             time.Duration // time of the last rollout step
@@ -99,7 +99,7 @@
 		rosterCount: 1, // 0 stands for a gateway without a roster
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
-		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
+		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - callPatience, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
 		lending: lending{lender: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -164,7 +164,7 @@
 }
 
 // lagging returns the model and version that a back end should hold and does not, if any.
-func (r *Replica) lagging(instance catalog.Instance, state *memberState) (string, uint64, bool) {
+func (r *Replica) lagging(instance catalog.Instance, state *backendState) (string, uint64, bool) {
 	for model, held := range state.versions {
 		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > held && instance.State == catalog.StateReady {
 			return model, wanted, true
@@ -215,7 +215,7 @@
 	return r.currentUsage(now).running
 }
 
-func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
+func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *backendState) {
 	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
 	if !state.rollout.revisionKnown || state.doubted {
 		r.setPhase(state, phaseReporting, now+callPatience)
@@ -226,7 +226,7 @@
 }
 
 // announce makes gateways turn away from a back end.
-func (r *Replica) announce(now time.Duration, id string, state *memberState) {
+func (r *Replica) announce(now time.Duration, id string, state *backendState) {
 	r.writeOrdering(id)
 	state.rollout.drainUntil = now + drainPatience
 	if r.leader.underCapacity {
@@ -236,7 +236,7 @@
 }
 
 // setPhase moves a back end to another phase and tells watchers when that changes what they may send.
-func (r *Replica) setPhase(state *memberState, next phase, due time.Duration) {
+func (r *Replica) setPhase(state *backendState, next phase, due time.Duration) {
 	before := state.rollout.loading()
 	state.rollout.phase, state.rollout.due = next, due
 	if state.rollout.loading() != before {
@@ -246,7 +246,7 @@
 }
 
 // stepRollout does what is due at one back end, on which so many requests still run.
-func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *memberState, loads *loadCount, running int) {
+func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *backendState, loads *loadCount, running int) {
 	if now < state.rollout.due {
 		return
 	}
@@ -274,7 +274,7 @@
 	}
 }
 
-func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
+func (r *Replica) callWeights(instance catalog.Instance, state *backendState, kind WeightsCallKind) {
 	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
 		Fence: r.leader.orderFence, Revision: state.rollout.revision, Holder: r.config.Name,
@@ -297,7 +297,7 @@
 	r.observeOrder(now, state, result)
 }
 
-func (r *Replica) observeOrder(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) observeOrder(now time.Duration, state *backendState, result WeightsResult) {
 	if state.rollout.phase != phaseOrdered {
 		return
 	}
@@ -321,7 +321,7 @@
 	}
 }
 
-func (r *Replica) finishRollout(now time.Duration, state *memberState) {
+func (r *Replica) finishRollout(now time.Duration, state *backendState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
 	r.leader.unlogged[state.id] = true
 	r.leader.markRosterChanged(state.id)
@@ -337,7 +337,7 @@
 
 // settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
 // carried out after one for newer weights. What it lacks is ordered again.
-func (r *Replica) settleDoubt(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) settleDoubt(now time.Duration, state *backendState, result WeightsResult) {
 	state.doubted = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
@@ -345,7 +345,7 @@
 	r.setPhase(state, phaseIdle, now)
 }
 
-func (r *Replica) observeReport(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) observeReport(now time.Duration, state *backendState, result WeightsResult) {
 	loads := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
 	if !loads && !uncertain && state.rollout.phase != phaseReporting {
