--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -9,7 +9,7 @@
 
 // inUse reports whether gateways are told of a back end.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).weight <= r.machine.catalog.MaxHashWeight(instance.Service)
+	return r.member(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
 // inUseCheckInterval is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
@@ -65,8 +65,8 @@
 	case state.silent:
 		w.unreachable++
 	default:
-		w.reachable = append(w.reachable, state.weight)
-		if state.weight <= w.maxHashWeight {
+		w.reachable = append(w.reachable, state.hashWeight)
+		if state.hashWeight <= w.maxHashWeight {
 			w.reachableInUse++
 		}
 	}
@@ -79,7 +79,7 @@
 		if !known {
 			continue
 		}
-		weight := r.member(now, id).weight
+		weight := r.member(now, id).hashWeight
 		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
 			r.leader.rosterPending[id] = true
 		}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -37,9 +37,9 @@
 
 // backendState is what the leader keeps of a back end in memory.
 type backendState struct {
-	id      string
-	weight  uint64 // by which it is in use
-	heardAt time.Duration
+	id         string
+	hashWeight uint64 // by which it is in use
+	heardAt    time.Duration
 	// registeredAt is when this leader took its registration; 0 where an earlier one did.
 	registeredAt time.Duration
 	sequence     uint64
@@ -163,8 +163,8 @@
 		}
 		r.leader.fleet[id] = state
 	}
-	if instance, known := r.machine.catalog.Instances()[id]; known && state.weight == 0 {
-		state.weight = inuse.HashWeight(instance.Address) // its first heartbeat comes before the log tells where it is
+	if instance, known := r.machine.catalog.Instances()[id]; known && state.hashWeight == 0 {
+		state.hashWeight = inuse.HashWeight(instance.Address) // its first heartbeat comes before the log tells where it is
 	}
 	return state
 }
