--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -41,15 +41,15 @@
 	hashWeight uint64 // by which it is in use
 	heardAt    time.Duration
 	// registeredAt is when this leader took its registration; 0 where an earlier one did.
-	registeredAt   time.Duration
-	sequence       uint64
-	coldUntil      time.Duration
-	versions       map[string]uint64 // that it is believed to hold, by model
-	versionsRoseAt time.Duration     // when one of them last rose
-	doubted        bool              // a heartbeat told older ones than are believed; its report decides
-	silent         bool
-	told           bool // a whole heartbeat came to this leader
-	rollout        rolloutState
+	registeredAt     time.Duration
+	sequence         uint64
+	coldUntil        time.Duration
+	versions         map[string]uint64 // that it is believed to hold, by model
+	versionsRoseAt   time.Duration     // when one of them last rose
+	versionsDisputed bool              // a heartbeat told older ones than are believed; its report decides
+	silent           bool
+	told             bool // a whole heartbeat came to this leader
+	rollout          rolloutState
 }
 
 // engine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
@@ -122,7 +122,7 @@
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
 		news = r.takeVersions(now, state, beat.Versions) || news
-		state.doubted = state.doubted || now > state.versionsRoseAt+lateHeartbeatWindow && state.holdsNewer(beat.Versions)
+		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.holdsNewer(beat.Versions)
 	}
 	if news {
 		r.leader.markRosterChanged(state.id)
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -193,7 +193,7 @@
 			engines++
 		}
 		_, _, lags := r.lagging(instances[id], state)
-		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
+		if (lags || state.versionsDisputed) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
 			lagging = append(lagging, id)
 		}
 	}
@@ -217,7 +217,7 @@
 
 func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *backendState) {
 	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
-	if !state.rollout.revisionKnown || state.doubted {
+	if !state.rollout.revisionKnown || state.versionsDisputed {
 		r.setPhase(state, phaseReporting, now+callPatience)
 		r.callWeights(instance, state, WeightsReport)
 		return
@@ -338,7 +338,7 @@
 // settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
 // carried out after one for newer weights. What it lacks is ordered again.
 func (r *Replica) settleDoubt(now time.Duration, state *backendState, result WeightsResult) {
-	state.doubted = false
+	state.versionsDisputed = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
 	r.leader.markRosterChanged(state.id)
@@ -355,7 +355,7 @@
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
 		return
 	}
-	if state.doubted && !result.Busy {
+	if state.versionsDisputed && !result.Busy {
 		r.settleDoubt(now, state, result)
 		return
 	}
