--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -139,7 +139,7 @@
 func TestNewLeaderAsksForWholeHeartbeats(t *testing.T) {
 	s := openFleet(t)
 	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
-	s.replica.leader.fleet["i-2"].told = false
+	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
 	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
 		t.Fatalf("answer %+v", answer)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -41,15 +41,15 @@
 	hashWeight uint64 // by which it is in use
 	heardAt    time.Duration
 	// registeredAt is when this leader took its registration; 0 where an earlier one did.
-	registeredAt     time.Duration
-	sequence         uint64
-	coldUntil        time.Duration
-	versions         map[string]uint64 // that it is believed to hold, by model
-	versionsRoseAt   time.Duration     // when one of them last rose
-	versionsDisputed bool              // a heartbeat told older ones than are believed; its report decides
-	silent           bool
-	told             bool // a whole heartbeat came to this leader
-	rollout          rolloutState
+	registeredAt      time.Duration
+	sequence          uint64
+	coldUntil         time.Duration
+	versions          map[string]uint64 // that it is believed to hold, by model
+	versionsRoseAt    time.Duration     // when one of them last rose
+	versionsDisputed  bool              // a heartbeat told older ones than are believed; its report decides
+	silent            bool
+	fullHeartbeatSeen bool // a whole heartbeat came to this leader
+	rollout           rolloutState
 }
 
 // engine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
@@ -96,7 +96,7 @@
 // tell of a life that has ended.
 func (r *Replica) heardSign(now time.Duration, sign Sign) bool {
 	state := r.leader.fleet[sign.ID]
-	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.told {
+	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.fullHeartbeatSeen {
 		return false
 	}
 	state.heardAt, state.sequence = now, max(state.sequence, sign.Sequence)
@@ -114,7 +114,7 @@
 	if beat.Sequence < state.sequence {
 		return
 	}
-	state.told = true
+	state.fullHeartbeatSeen = true
 	warm := now >= state.coldUntil
 	state.sequence = beat.Sequence
 	state.coldUntil = now + beat.ColdLeft
