--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -52,9 +52,9 @@
 	rollout           rolloutState
 }
 
-// engine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
+// isEngine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
 // requests there. It may be called on nil.
-func (s *backendState) engine() bool { return s != nil && len(s.versions) > 0 }
+func (s *backendState) isEngine() bool { return s != nil && len(s.versions) > 0 }
 
 // beat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
 // relies on it; everything else is soft state of the leader.
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -32,7 +32,7 @@
 	engines := 0
 	for id := range r.machine.catalog.Instances() {
 		state := r.leader.fleet[id]
-		if !state.engine() {
+		if !state.isEngine() {
 			continue
 		}
 		engines++
@@ -54,7 +54,7 @@
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
 		state := r.leader.fleet[id]
-		if state.engine() && !state.silent && instance.State == catalog.StateReady {
+		if state.isEngine() && !state.silent && instance.State == catalog.StateReady {
 			ready++
 		}
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -189,7 +189,7 @@
 	instances := r.machine.catalog.Instances()
 	for _, id := range r.machine.catalog.IDs() {
 		state := r.member(now, id)
-		if state.engine() {
+		if state.isEngine() {
 			engines++
 		}
 		_, _, lags := r.lagging(instances[id], state)
