--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -251,7 +251,7 @@
 func (r *Replica) takeBeats(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Sign) {
 	before := r.node.LastIndex()
 	for _, beat := range beats {
-		r.beat(now, 0, beat)
+		r.handleBackendHeartbeat(now, 0, beat)
 	}
 	var strangers []string
 	for _, sign := range signs {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -56,9 +56,9 @@
 // requests there. It may be called on nil.
 func (s *backendState) isEngine() bool { return s != nil && len(s.versions) > 0 }
 
-// beat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
+// handleBackendHeartbeat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
 // relies on it; everything else is soft state of the leader.
-func (r *Replica) beat(now time.Duration, client uint64, beat BackendHeartbeat) {
+func (r *Replica) handleBackendHeartbeat(now time.Duration, client uint64, beat BackendHeartbeat) {
 	id := beat.Instance.ID
 	if !r.config.Guards.On(guard.DrainCommitted) {
 		r.reply(client, Response{Kind: ResponseOK})
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -153,7 +153,7 @@
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
 	case request.Beat != nil:
-		r.beat(now, client, *request.Beat)
+		r.handleBackendHeartbeat(now, client, *request.Beat)
 	case len(request.Beats)+len(request.Signs) > 0:
 		r.takeBeats(now, client, request.Beats, request.Signs)
 	case request.Watch != nil:
