--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -47,7 +47,7 @@
 type beatCollector struct {
 	mu         sync.Mutex
 	waiting    []BackendHeartbeat      // without news; at most beatsMost
-	signs      []Sign                  // instead of those that differ from the one before by their number alone
+	signs      []Keepalive             // instead of those that differ from the one before by their number alone
 	pending    []pendingBeat           // with news; at most beatsMost
 	wake       chan struct{}           // has an item when pending does; room for one
 	registered map[string]registration // by id: what the leader last took of it
@@ -68,7 +68,7 @@
 		return false
 	}
 	if !held.tells(beat) {
-		c.signs = append(c.signs, Sign{ID: id, Sequence: beat.Sequence})
+		c.signs = append(c.signs, Keepalive{ID: id, Sequence: beat.Sequence})
 		return true
 	}
 	held.beat = beat
@@ -105,7 +105,7 @@
 // gathered are heartbeats to be passed on together.
 type gathered struct {
 	beats   []BackendHeartbeat // those whose senders wait come last, in the order in which they came
-	signs   []Sign             // of back ends of which there is nothing new
+	signs   []Keepalive        // of back ends of which there is nothing new
 	pending []pendingBeat      // senders that wait
 }
 
@@ -248,7 +248,7 @@
 
 // takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
 // they changed: entries commit in order, so it waits for the last.
-func (r *Replica) takeBeats(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Sign) {
+func (r *Replica) takeBeats(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Keepalive) {
 	before := r.node.LastIndex()
 	for _, beat := range beats {
 		r.handleBackendHeartbeat(now, 0, beat)
--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -18,8 +18,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := openFleet(t)
 			const first, second, plain = 5000, 5001, 5002
-			s.replica.Handle(s.now, first, Request{Beats: []BackendHeartbeat{changing}, Signs: []Sign{{ID: "i-8", Sequence: 1}}})
-			s.replica.Handle(s.now, second, Request{Beats: []BackendHeartbeat{beatOf("i-9", catalog.StateReady, 1)}, Signs: []Sign{{ID: "i-10", Sequence: 1}}})
+			s.replica.Handle(s.now, first, Request{Beats: []BackendHeartbeat{changing}, Signs: []Keepalive{{ID: "i-8", Sequence: 1}}})
+			s.replica.Handle(s.now, second, Request{Beats: []BackendHeartbeat{beatOf("i-9", catalog.StateReady, 1)}, Signs: []Keepalive{{ID: "i-10", Sequence: 1}}})
 			s.replica.Handle(s.now, plain, Request{Beats: []BackendHeartbeat{beatOf("i-11", catalog.StateReady, 1)}})
 			s.work()
 			for client, wanted := range map[uint64][]string{first: {"i-8"}, second: {"i-10"}, plain: nil} {
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -138,10 +138,10 @@
 // TestNewLeaderAsksForWholeHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
 func TestNewLeaderAsksForWholeHeartbeats(t *testing.T) {
 	s := openFleet(t)
-	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
+	same := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
-	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
+	if answer := s.ask(Request{Signs: []Keepalive{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
 		t.Fatalf("answer %+v", answer)
 	}
 	if heard := s.replica.leader.fleet["i-1"].heardAt; heard != s.now {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -86,15 +86,15 @@
 	}
 }
 
-// Sign is a heartbeat that tells nothing new: the back end lives.
-type Sign struct {
+// Keepalive is a heartbeat that tells nothing new: the back end lives.
+type Keepalive struct {
 	ID       string `json:"id"`
 	Sequence uint64 `json:"seq"`
 }
 
 // heardSign takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
 // tell of a life that has ended.
-func (r *Replica) heardSign(now time.Duration, sign Sign) bool {
+func (r *Replica) heardSign(now time.Duration, sign Keepalive) bool {
 	state := r.leader.fleet[sign.ID]
 	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.fullHeartbeatSeen {
 		return false
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -167,7 +167,7 @@
 func (b *fleetBackend) sendBeat(beat *control.BackendHeartbeat) {
 	request := b.request(beat)
 	if b.told == toldOf(beat) && beat.Sequence%3 == 0 {
-		request = control.Request{Signs: []control.Sign{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
+		request = control.Request{Signs: []control.Keepalive{{ID: beat.Instance.ID, Sequence: beat.Sequence}}}
 	}
 	b.asker.once(request, askTimeout, func(response control.Response, answered bool) {
 		switch {
