--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -255,7 +255,7 @@
 	}
 	var strangers []string
 	for _, sign := range signs {
-		if !r.heardSign(now, sign) {
+		if !r.handleKeepalive(now, sign) {
 			strangers = append(strangers, sign.ID)
 		}
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -92,9 +92,9 @@
 	Sequence uint64 `json:"seq"`
 }
 
-// heardSign takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
+// handleKeepalive takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
 // tell of a life that has ended.
-func (r *Replica) heardSign(now time.Duration, sign Keepalive) bool {
+func (r *Replica) handleKeepalive(now time.Duration, sign Keepalive) bool {
 	state := r.leader.fleet[sign.ID]
 	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.fullHeartbeatSeen {
 		return false
