--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -75,13 +75,13 @@
 	case known && !r.mayReplace(held, beat.Instance):
 		r.reply(client, Response{Kind: ResponseOK})
 	case !known || beat.Instance.Service != held.Service:
-		r.heard(now, beat)
+		r.recordHeartbeat(now, beat)
 		r.member(now, id).registeredAt = now
 		r.register(client, beat.Instance)
 	case beat.Instance.State == catalog.StateDraining && held.State != catalog.StateDraining:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Drain: id}})
 	default:
-		r.heard(now, beat)
+		r.recordHeartbeat(now, beat)
 		r.reply(client, Response{Kind: ResponseOK})
 	}
 }
@@ -107,8 +107,8 @@
 	return true
 }
 
-// heard updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
-func (r *Replica) heard(now time.Duration, beat BackendHeartbeat) {
+// recordHeartbeat updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
+func (r *Replica) recordHeartbeat(now time.Duration, beat BackendHeartbeat) {
 	state := r.member(now, beat.Instance.ID)
 	state.heardAt = now
 	if beat.Sequence < state.sequence {
