--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -121,7 +121,7 @@
 	news := state.silent || warm && beat.ColdLeft > 0
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
-		news = r.takeVersions(now, state, beat.Versions) || news
+		news = r.raiseVersions(now, state, beat.Versions) || news
 		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.holdsNewer(beat.Versions)
 	}
 	if news {
@@ -129,9 +129,9 @@
 	}
 }
 
-// takeVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
+// raiseVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
 // than a report, so that versions only rise by it; whether they fell is asked of the back end.
-func (r *Replica) takeVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
+func (r *Replica) raiseVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
 	changed := false
 	for model, version := range versions {
 		if state.versions[model] < version {
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -359,7 +359,7 @@
 		r.settleDoubt(now, state, result)
 		return
 	}
-	r.takeVersions(now, state, result.Versions)
+	r.raiseVersions(now, state, result.Versions)
 	done := state.versions[state.rollout.model] >= state.rollout.version
 	switch {
 	case result.Busy:
