--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -122,7 +122,7 @@
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
 		news = r.raiseVersions(now, state, beat.Versions) || news
-		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.holdsNewer(beat.Versions)
+		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.hasNewerThan(beat.Versions)
 	}
 	if news {
 		r.leader.markRosterChanged(state.id)
@@ -143,8 +143,8 @@
 	return changed
 }
 
-// holdsNewer reports whether newer weights are believed than these.
-func (s *backendState) holdsNewer(versions map[string]uint64) bool {
+// hasNewerThan reports whether newer weights are believed than these.
+func (s *backendState) hasNewerThan(versions map[string]uint64) bool {
 	for model, version := range versions {
 		if s.versions[model] > version {
 			return true
