--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -9,7 +9,7 @@
 
 // inUse reports whether gateways are told of a back end.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
+	return r.ensureBackend(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
 // inUseCheckInterval is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
@@ -31,7 +31,7 @@
 			services[instance.Service] = work
 		}
 		work.running += used[id]
-		work.add(instance, r.member(now, id))
+		work.add(instance, r.ensureBackend(now, id))
 	}
 	bounds := map[string]uint64{}
 	for service, work := range services {
@@ -79,7 +79,7 @@
 		if !known {
 			continue
 		}
-		weight := r.member(now, id).hashWeight
+		weight := r.ensureBackend(now, id).hashWeight
 		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
 			r.leader.rosterPending[id] = true
 		}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -76,7 +76,7 @@
 		r.reply(client, Response{Kind: ResponseOK})
 	case !known || beat.Instance.Service != held.Service:
 		r.recordHeartbeat(now, beat)
-		r.member(now, id).registeredAt = now
+		r.ensureBackend(now, id).registeredAt = now
 		r.register(client, beat.Instance)
 	case beat.Instance.State == catalog.StateDraining && held.State != catalog.StateDraining:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Drain: id}})
@@ -109,7 +109,7 @@
 
 // recordHeartbeat updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
 func (r *Replica) recordHeartbeat(now time.Duration, beat BackendHeartbeat) {
-	state := r.member(now, beat.Instance.ID)
+	state := r.ensureBackend(now, beat.Instance.ID)
 	state.heardAt = now
 	if beat.Sequence < state.sequence {
 		return
@@ -153,8 +153,8 @@
 	return false
 }
 
-// member returns the soft state of a back end, made when it is first named.
-func (r *Replica) member(now time.Duration, id string) *backendState {
+// ensureBackend returns the soft state of a back end, made when it is first named.
+func (r *Replica) ensureBackend(now time.Duration, id string) *backendState {
 	state := r.leader.fleet[id]
 	if state == nil {
 		state = &backendState{id: id, heardAt: now, versions: map[string]uint64{}}
@@ -211,7 +211,7 @@
 	}
 	r.leader.fleetCheckedAt = now
 	for _, id := range r.machine.catalog.IDs() {
-		state := r.member(now, id)
+		state := r.ensureBackend(now, id)
 		silence := now - state.heardAt
 		if silence > silenceTimeout && !state.silent {
 			state.silent = true
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -44,7 +44,7 @@
 	if !r.mayReplace(holder, instance) {
 		return false
 	}
-	if now-r.member(now, holder.ID).heardAt > silenceTimeout {
+	if now-r.ensureBackend(now, holder.ID).heardAt > silenceTimeout {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // its clock may have run ahead of the other's
 		return true
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -132,7 +132,7 @@
 	r.leader.ackedRoster = r.ackedRosterCount(now)
 	r.leader.underCapacity = r.lacksCapacity(now)
 	for _, id := range ids {
-		state := r.member(now, id)
+		state := r.ensureBackend(now, id)
 		r.stepRollout(now, instances[id], state, &loads, used[id])
 		if state.rollout.loading() || state.rollout.phase == phaseReporting {
 			busy++
@@ -188,7 +188,7 @@
 	engines := 0
 	instances := r.machine.catalog.Instances()
 	for _, id := range r.machine.catalog.IDs() {
-		state := r.member(now, id)
+		state := r.ensureBackend(now, id)
 		if state.isEngine() {
 			engines++
 		}
@@ -206,7 +206,7 @@
 			return
 		}
 		busy++
-		r.beginRollout(now, instances[id], r.member(now, id))
+		r.beginRollout(now, instances[id], r.ensureBackend(now, id))
 	}
 }
 
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -51,7 +51,7 @@
 
 // rosterEntry returns a back end as gateways see it.
 func (r *Replica) rosterEntry(now time.Duration, instance catalog.Instance) RosterEntry {
-	state := r.member(now, instance.ID)
+	state := r.ensureBackend(now, instance.ID)
 	return RosterEntry{
 		Instance: instance, Versions: maps.Clone(state.versions), Loading: state.rollout.loading(), Silent: state.silent,
 		ColdLeft: max(0, state.coldUntil-now),
