--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -169,8 +169,8 @@
 	return state
 }
 
-// noteHeld writes into the log what back ends hold, so that the next leader knows it from the start.
-func (r *Replica) noteHeld(now time.Duration) {
+// logLoadedWeights writes into the log what back ends hold, so that the next leader knows it from the start.
+func (r *Replica) logLoadedWeights(now time.Duration) {
 	if now < r.leader.heldLoggedAt+loadedLogInterval {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -170,7 +170,7 @@
 		r.watchFleet(now)
 		r.updateInUse(now)
 		r.tendLimits(now)
-		r.noteHeld(now)
+		r.logLoadedWeights(now)
 		r.noteGateways(now)
 		r.tendQuarantine(now)
 		r.raiseLevel(now)
