--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -204,8 +204,8 @@
 	return fresh
 }
 
-// watchFleet marks silent back ends and forgets those that stay silent.
-func (r *Replica) watchFleet(now time.Duration) {
+// checkFleet marks silent back ends and forgets those that stay silent.
+func (r *Replica) checkFleet(now time.Duration) {
 	if now < r.leader.fleetCheckedAt+fleetCheckInterval {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -167,7 +167,7 @@
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
-		r.watchFleet(now)
+		r.checkFleet(now)
 		r.updateInUse(now)
 		r.tendLimits(now)
 		r.logLoadedWeights(now)
