--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -222,11 +222,11 @@
 			state.heardAt = now
 		}
 	}
-	r.forgetStrangers(now)
+	r.pruneUnregistered(now)
 }
 
-// forgetStrangers drops what is kept of back ends that are long gone.
-func (r *Replica) forgetStrangers(now time.Duration) {
+// pruneUnregistered drops what is kept of back ends that are long gone.
+func (r *Replica) pruneUnregistered(now time.Duration) {
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
 		for name, mark := range r.orderMarks {
