--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// beatsEach is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
+	// heartbeatBatchInterval is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
 	// those wait that need its answer, and beatsMost how many of each may.
-	beatsEach = 100 * time.Millisecond
-	newsWait  = 10 * time.Millisecond
-	beatsMost = 8192
+	heartbeatBatchInterval = 100 * time.Millisecond
+	newsWait               = 10 * time.Millisecond
+	beatsMost              = 8192
 	// registeredFor is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
 	// changes nothing.
 	registeredFor = 10 * time.Second
@@ -180,7 +180,7 @@
 
 // passBeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
 func (s *Server) passBeats(ctx context.Context) {
-	ticker := time.NewTicker(beatsEach)
+	ticker := time.NewTicker(heartbeatBatchInterval)
 	defer ticker.Stop()
 	formed := false
 	for {
