--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -15,7 +15,7 @@
 	// heartbeatBatchInterval is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
 	// those wait that need its answer, and beatsMost how many of each may.
 	heartbeatBatchInterval = 100 * time.Millisecond
-	newsWait               = 10 * time.Millisecond
+	heartbeatBatchDelay    = 10 * time.Millisecond
 	beatsMost              = 8192
 	// registeredFor is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
 	// changes nothing.
@@ -189,7 +189,7 @@
 			return
 		case <-ticker.C:
 		case <-s.beats.wake:
-			time.Sleep(newsWait)
+			time.Sleep(heartbeatBatchDelay)
 		}
 		if !formed {
 			formed = s.holds((*Replica).formed) // until then the leader takes none, however often it is asked
