--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -16,7 +16,7 @@
 	// those wait that need its answer, and beatsMost how many of each may.
 	heartbeatBatchInterval = 100 * time.Millisecond
 	heartbeatBatchDelay    = 10 * time.Millisecond
-	beatsMost              = 8192
+	maxQueuedHeartbeats    = 8192
 	// registeredFor is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
 	// changes nothing.
 	registeredFor = 10 * time.Second
@@ -64,7 +64,7 @@
 		return false
 	}
 	held, known := c.registered[id]
-	if !known || now-held.at > registeredFor || c.failing || len(c.waiting)+len(c.signs) >= beatsMost {
+	if !known || now-held.at > registeredFor || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.tells(beat) {
@@ -90,7 +90,7 @@
 func (c *beatCollector) wait(beat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= beatsMost {
+	if len(c.pending) >= maxQueuedHeartbeats {
 		return nil
 	}
 	done := make(chan error, 1)
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -86,7 +86,7 @@
 // TestSendersOfNewsWaitForTheBatch: in the order in which they came, and no more than may wait.
 func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
 	c := &beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)}
-	for i := range beatsMost {
+	for i := range maxQueuedHeartbeats {
 		if c.wait(beatOf("i", catalog.StateReady, uint64(i))) == nil {
 			t.Fatalf("no room for news %d", i)
 		}
@@ -95,7 +95,7 @@
 		t.Fatal("room for more than may wait")
 	}
 	batch := c.batch()
-	if len(batch.beats) != beatsMost || len(batch.pending) != beatsMost || batch.pending[7].beat.Sequence != 7 || len(c.wake) != 1 {
+	if len(batch.beats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].beat.Sequence != 7 || len(c.wake) != 1 {
 		t.Fatalf("batch of %d, %d wait", len(batch.beats), len(batch.pending))
 	}
 }
