--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -17,9 +17,9 @@
 	heartbeatBatchInterval = 100 * time.Millisecond
 	heartbeatBatchDelay    = 10 * time.Millisecond
 	maxQueuedHeartbeats    = 8192
-	// registeredFor is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
+	// ackTTL is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
 	// changes nothing.
-	registeredFor = 10 * time.Second
+	ackTTL = 10 * time.Second
 	// batchTimeout is how long the leader may take to answer a batch.
 	batchTimeout = 800 * time.Millisecond
 )
@@ -64,7 +64,7 @@
 		return false
 	}
 	held, known := c.registered[id]
-	if !known || now-held.at > registeredFor || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
+	if !known || now-held.at > ackTTL || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.tells(beat) {
@@ -139,7 +139,7 @@
 		delete(c.registered, id)
 	}
 	for id, held := range c.registered {
-		if now-held.at > registeredFor {
+		if now-held.at > ackTTL {
 			delete(c.registered, id)
 		}
 	}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	c.taken(0, ready)
-	if c.add(registeredFor+time.Second, ready) {
+	if c.add(ackTTL+time.Second, ready) {
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
 	c.taken(0, ready)
