--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -24,8 +24,8 @@
 	batchTimeout = 800 * time.Millisecond
 )
 
-// pendingBeat is a heartbeat whose sender waits for the leader's answer.
-type pendingBeat struct {
+// pendingHeartbeat is a heartbeat whose sender waits for the leader's answer.
+type pendingHeartbeat struct {
 	beat BackendHeartbeat
 	done chan error // has room for the one answer
 }
@@ -48,7 +48,7 @@
 	mu         sync.Mutex
 	waiting    []BackendHeartbeat      // without news; at most beatsMost
 	signs      []Keepalive             // instead of those that differ from the one before by their number alone
-	pending    []pendingBeat           // with news; at most beatsMost
+	pending    []pendingHeartbeat      // with news; at most beatsMost
 	wake       chan struct{}           // has an item when pending does; room for one
 	registered map[string]registration // by id: what the leader last took of it
 	failing    bool                    // the newest batch did not reach the leader
@@ -94,7 +94,7 @@
 		return nil
 	}
 	done := make(chan error, 1)
-	c.pending = append(c.pending, pendingBeat{beat: beat, done: done})
+	c.pending = append(c.pending, pendingHeartbeat{beat: beat, done: done})
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -106,7 +106,7 @@
 type gathered struct {
 	beats   []BackendHeartbeat // those whose senders wait come last, in the order in which they came
 	signs   []Keepalive        // of back ends of which there is nothing new
-	pending []pendingBeat      // senders that wait
+	pending []pendingHeartbeat // senders that wait
 }
 
 func (g *gathered) empty() bool { return len(g.beats)+len(g.signs) == 0 }
