--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -26,8 +26,8 @@
 
 // pendingHeartbeat is a heartbeat whose sender waits for the leader's answer.
 type pendingHeartbeat struct {
-	beat BackendHeartbeat
-	done chan error // has room for the one answer
+	heartbeat BackendHeartbeat
+	done      chan error // has room for the one answer
 }
 
 // registration is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
@@ -94,7 +94,7 @@
 		return nil
 	}
 	done := make(chan error, 1)
-	c.pending = append(c.pending, pendingHeartbeat{beat: beat, done: done})
+	c.pending = append(c.pending, pendingHeartbeat{heartbeat: beat, done: done})
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -118,7 +118,7 @@
 	batch := gathered{beats: c.waiting, signs: c.signs, pending: c.pending}
 	c.waiting, c.signs, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
-		batch.beats = append(batch.beats, p.beat)
+		batch.beats = append(batch.beats, p.heartbeat)
 	}
 	return batch
 }
@@ -207,7 +207,7 @@
 		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
-				s.beats.taken(s.now(), p.beat)
+				s.beats.taken(s.now(), p.heartbeat)
 			}
 			p.done <- err
 		}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -95,7 +95,7 @@
 		t.Fatal("room for more than may wait")
 	}
 	batch := c.batch()
-	if len(batch.beats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].beat.Sequence != 7 || len(c.wake) != 1 {
+	if len(batch.beats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
 		t.Fatalf("batch of %d, %d wait", len(batch.beats), len(batch.pending))
 	}
 }
