--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -30,14 +30,14 @@
 	done      chan error // has room for the one answer
 }
 
-// registration is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
-type registration struct {
+// ackedHeartbeat is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
+type ackedHeartbeat struct {
 	at   time.Duration
 	beat BackendHeartbeat
 }
 
 // tells reports whether a heartbeat tells what the leader doesn't know.
-func (r registration) tells(beat BackendHeartbeat) bool {
+func (r ackedHeartbeat) tells(beat BackendHeartbeat) bool {
 	return beat.Instance != r.beat.Instance || beat.ColdLeft > 0 || r.beat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.beat.Versions)
 }
 
@@ -46,12 +46,12 @@
 // tells nothing new is answered at once.
 type beatCollector struct {
 	mu         sync.Mutex
-	waiting    []BackendHeartbeat      // without news; at most beatsMost
-	signs      []Keepalive             // instead of those that differ from the one before by their number alone
-	pending    []pendingHeartbeat      // with news; at most beatsMost
-	wake       chan struct{}           // has an item when pending does; room for one
-	registered map[string]registration // by id: what the leader last took of it
-	failing    bool                    // the newest batch did not reach the leader
+	waiting    []BackendHeartbeat        // without news; at most beatsMost
+	signs      []Keepalive               // instead of those that differ from the one before by their number alone
+	pending    []pendingHeartbeat        // with news; at most beatsMost
+	wake       chan struct{}             // has an item when pending does; room for one
+	registered map[string]ackedHeartbeat // by id: what the leader last took of it
+	failing    bool                      // the newest batch did not reach the leader
 }
 
 // add takes a heartbeat if it needs no answer of the leader.
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
-		c.registered[beat.Instance.ID] = registration{at: now, beat: beat}
+		c.registered[beat.Instance.ID] = ackedHeartbeat{at: now, beat: beat}
 	}
 }
 
