--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -32,8 +32,8 @@
 
 // ackedHeartbeat is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
 type ackedHeartbeat struct {
-	at   time.Duration
-	beat BackendHeartbeat
+	ackedAt time.Duration
+	beat    BackendHeartbeat
 }
 
 // tells reports whether a heartbeat tells what the leader doesn't know.
@@ -64,7 +64,7 @@
 		return false
 	}
 	held, known := c.registered[id]
-	if !known || now-held.at > ackTTL || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
+	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.tells(beat) {
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
-		c.registered[beat.Instance.ID] = ackedHeartbeat{at: now, beat: beat}
+		c.registered[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, beat: beat}
 	}
 }
 
@@ -139,7 +139,7 @@
 		delete(c.registered, id)
 	}
 	for id, held := range c.registered {
-		if now-held.at > ackTTL {
+		if now-held.ackedAt > ackTTL {
 			delete(c.registered, id)
 		}
 	}
@@ -153,7 +153,7 @@
 	case !reached:
 		delete(c.registered, id)
 	default:
-		held.at = now
+		held.ackedAt = now
 		c.registered[id] = held
 	}
 }
