--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -32,13 +32,13 @@
 
 // ackedHeartbeat is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
 type ackedHeartbeat struct {
-	ackedAt time.Duration
-	beat    BackendHeartbeat
+	ackedAt   time.Duration
+	heartbeat BackendHeartbeat
 }
 
 // tells reports whether a heartbeat tells what the leader doesn't know.
 func (r ackedHeartbeat) tells(beat BackendHeartbeat) bool {
-	return beat.Instance != r.beat.Instance || beat.ColdLeft > 0 || r.beat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.beat.Versions)
+	return beat.Instance != r.heartbeat.Instance || beat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.heartbeat.Versions)
 }
 
 // beatCollector gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
@@ -71,7 +71,7 @@
 		c.signs = append(c.signs, Keepalive{ID: id, Sequence: beat.Sequence})
 		return true
 	}
-	held.beat = beat
+	held.heartbeat = beat
 	c.registered[id] = held
 	c.waiting = append(c.waiting, beat)
 	return true
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
-		c.registered[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, beat: beat}
+		c.registered[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: beat}
 	}
 }
 
