--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -36,8 +36,8 @@
 	heartbeat BackendHeartbeat
 }
 
-// tells reports whether a heartbeat tells what the leader doesn't know.
-func (r ackedHeartbeat) tells(beat BackendHeartbeat) bool {
+// isChangedBy reports whether a heartbeat isChangedBy what the leader doesn't know.
+func (r ackedHeartbeat) isChangedBy(beat BackendHeartbeat) bool {
 	return beat.Instance != r.heartbeat.Instance || beat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.heartbeat.Versions)
 }
 
@@ -67,7 +67,7 @@
 	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
 		return false
 	}
-	if !held.tells(beat) {
+	if !held.isChangedBy(beat) {
 		c.signs = append(c.signs, Keepalive{ID: id, Sequence: beat.Sequence})
 		return true
 	}
