--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -41,10 +41,10 @@
 	return beat.Instance != r.heartbeat.Instance || beat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.heartbeat.Versions)
 }
 
-// beatCollector gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
+// heartbeatBatcher gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
 // messages a second. What registers, drains or ends a back end is answered once a majority holds the whole batch; what
 // tells nothing new is answered at once.
-type beatCollector struct {
+type heartbeatBatcher struct {
 	mu         sync.Mutex
 	waiting    []BackendHeartbeat        // without news; at most beatsMost
 	signs      []Keepalive               // instead of those that differ from the one before by their number alone
@@ -55,7 +55,7 @@
 }
 
 // add takes a heartbeat if it needs no answer of the leader.
-func (c *beatCollector) add(now time.Duration, beat BackendHeartbeat) bool {
+func (c *heartbeatBatcher) add(now time.Duration, beat BackendHeartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
@@ -78,7 +78,7 @@
 }
 
 // taken notes that the leader has answered a heartbeat.
-func (c *beatCollector) taken(now time.Duration, beat BackendHeartbeat) {
+func (c *heartbeatBatcher) taken(now time.Duration, beat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
@@ -87,7 +87,7 @@
 }
 
 // wait takes a heartbeat that needs the leader's answer, or returns nil when too many wait.
-func (c *beatCollector) wait(beat BackendHeartbeat) chan error {
+func (c *heartbeatBatcher) wait(beat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= maxQueuedHeartbeats {
@@ -112,7 +112,7 @@
 func (g *gathered) empty() bool { return len(g.beats)+len(g.signs) == 0 }
 
 // batch returns the heartbeats that wait.
-func (c *beatCollector) batch() gathered {
+func (c *heartbeatBatcher) batch() gathered {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := gathered{beats: c.waiting, signs: c.signs, pending: c.pending}
@@ -125,7 +125,7 @@
 
 // passed notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
 // may have been lost, the next heartbeat is passed whole.
-func (c *beatCollector) passed(now time.Duration, batch gathered, reached bool, strangers []string) {
+func (c *heartbeatBatcher) passed(now time.Duration, batch gathered, reached bool, strangers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failing = !reached
@@ -146,7 +146,7 @@
 }
 
 // count notes whether a heartbeat reached the leader. The caller holds the mutex.
-func (c *beatCollector) count(now time.Duration, id string, reached bool) {
+func (c *heartbeatBatcher) count(now time.Duration, id string, reached bool) {
 	held, known := c.registered[id]
 	switch {
 	case !known:
