--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -46,7 +46,7 @@
 // tells nothing new is answered at once.
 type heartbeatBatcher struct {
 	mu         sync.Mutex
-	waiting    []BackendHeartbeat        // without news; at most beatsMost
+	updates    []BackendHeartbeat        // without news; at most beatsMost
 	signs      []Keepalive               // instead of those that differ from the one before by their number alone
 	pending    []pendingHeartbeat        // with news; at most beatsMost
 	wake       chan struct{}             // has an item when pending does; room for one
@@ -64,7 +64,7 @@
 		return false
 	}
 	held, known := c.registered[id]
-	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.waiting)+len(c.signs) >= maxQueuedHeartbeats {
+	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.updates)+len(c.signs) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.isChangedBy(beat) {
@@ -73,7 +73,7 @@
 	}
 	held.heartbeat = beat
 	c.registered[id] = held
-	c.waiting = append(c.waiting, beat)
+	c.updates = append(c.updates, beat)
 	return true
 }
 
@@ -115,8 +115,8 @@
 func (c *heartbeatBatcher) batch() gathered {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := gathered{beats: c.waiting, signs: c.signs, pending: c.pending}
-	c.waiting, c.signs, c.pending = nil, nil, nil
+	batch := gathered{beats: c.updates, signs: c.signs, pending: c.pending}
+	c.updates, c.signs, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
 		batch.beats = append(batch.beats, p.heartbeat)
 	}
