--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -47,7 +47,7 @@
 type heartbeatBatcher struct {
 	mu         sync.Mutex
 	updates    []BackendHeartbeat        // without news; at most beatsMost
-	signs      []Keepalive               // instead of those that differ from the one before by their number alone
+	keepalives []Keepalive               // instead of those that differ from the one before by their number alone
 	pending    []pendingHeartbeat        // with news; at most beatsMost
 	wake       chan struct{}             // has an item when pending does; room for one
 	registered map[string]ackedHeartbeat // by id: what the leader last took of it
@@ -64,11 +64,11 @@
 		return false
 	}
 	held, known := c.registered[id]
-	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.updates)+len(c.signs) >= maxQueuedHeartbeats {
+	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.isChangedBy(beat) {
-		c.signs = append(c.signs, Keepalive{ID: id, Sequence: beat.Sequence})
+		c.keepalives = append(c.keepalives, Keepalive{ID: id, Sequence: beat.Sequence})
 		return true
 	}
 	held.heartbeat = beat
@@ -115,8 +115,8 @@
 func (c *heartbeatBatcher) batch() gathered {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := gathered{beats: c.updates, signs: c.signs, pending: c.pending}
-	c.updates, c.signs, c.pending = nil, nil, nil
+	batch := gathered{beats: c.updates, signs: c.keepalives, pending: c.pending}
+	c.updates, c.keepalives, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
 		batch.beats = append(batch.beats, p.heartbeat)
 	}
