--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -50,7 +50,7 @@
 	keepalives []Keepalive               // instead of those that differ from the one before by their number alone
 	pending    []pendingHeartbeat        // with news; at most beatsMost
 	wake       chan struct{}             // has an item when pending does; room for one
-	registered map[string]ackedHeartbeat // by id: what the leader last took of it
+	acked      map[string]ackedHeartbeat // by id: what the leader last took of it
 	failing    bool                      // the newest batch did not reach the leader
 }
 
@@ -60,10 +60,10 @@
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
 	if beat.Leaving || beat.Instance.State != catalog.StateReady {
-		delete(c.registered, id)
+		delete(c.acked, id)
 		return false
 	}
-	held, known := c.registered[id]
+	held, known := c.acked[id]
 	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
 		return false
 	}
@@ -72,7 +72,7 @@
 		return true
 	}
 	held.heartbeat = beat
-	c.registered[id] = held
+	c.acked[id] = held
 	c.updates = append(c.updates, beat)
 	return true
 }
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
-		c.registered[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: beat}
+		c.acked[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: beat}
 	}
 }
 
@@ -136,25 +136,25 @@
 		c.count(now, sign.ID, reached)
 	}
 	for _, id := range strangers {
-		delete(c.registered, id)
+		delete(c.acked, id)
 	}
-	for id, held := range c.registered {
+	for id, held := range c.acked {
 		if now-held.ackedAt > ackTTL {
-			delete(c.registered, id)
+			delete(c.acked, id)
 		}
 	}
 }
 
 // count notes whether a heartbeat reached the leader. The caller holds the mutex.
 func (c *heartbeatBatcher) count(now time.Duration, id string, reached bool) {
-	held, known := c.registered[id]
+	held, known := c.acked[id]
 	switch {
 	case !known:
 	case !reached:
-		delete(c.registered, id)
+		delete(c.acked, id)
 	default:
 		held.ackedAt = now
-		c.registered[id] = held
+		c.acked[id] = held
 	}
 }
 
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -14,7 +14,7 @@
 // TestOnlyBeatsWithoutNewsAreGathered: registering, draining and leaving are answered by the leader, and so is everything
 // while batches don't reach it.
 func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
-	c := &heartbeatBatcher{registered: map[string]ackedHeartbeat{}}
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
 	if c.add(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
@@ -85,7 +85,7 @@
 
 // TestSendersOfNewsWaitForTheBatch: in the order in which they came, and no more than may wait.
 func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
-	c := &heartbeatBatcher{registered: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
 		if c.wait(beatOf("i", catalog.StateReady, uint64(i))) == nil {
 			t.Fatalf("no room for news %d", i)
@@ -103,7 +103,7 @@
 // TestHeartbeatsTellOnlyWhatIsNew: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
 // lost, and where the leader asks for it, it is passed whole.
 func TestHeartbeatsTellOnlyWhatIsNew(t *testing.T) {
-	c := &heartbeatBatcher{registered: map[string]ackedHeartbeat{}}
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	beat := beatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
 	c.taken(0, beat)
