--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -45,13 +45,13 @@
 // messages a second. What registers, drains or ends a back end is answered once a majority holds the whole batch; what
 // tells nothing new is answered at once.
 type heartbeatBatcher struct {
-	mu         sync.Mutex
-	updates    []BackendHeartbeat        // without news; at most beatsMost
-	keepalives []Keepalive               // instead of those that differ from the one before by their number alone
-	pending    []pendingHeartbeat        // with news; at most beatsMost
-	wake       chan struct{}             // has an item when pending does; room for one
-	acked      map[string]ackedHeartbeat // by id: what the leader last took of it
-	failing    bool                      // the newest batch did not reach the leader
+	mu              sync.Mutex
+	updates         []BackendHeartbeat        // without news; at most beatsMost
+	keepalives      []Keepalive               // instead of those that differ from the one before by their number alone
+	pending         []pendingHeartbeat        // with news; at most beatsMost
+	wake            chan struct{}             // has an item when pending does; room for one
+	acked           map[string]ackedHeartbeat // by id: what the leader last took of it
+	lastBatchFailed bool                      // the newest batch did not reach the leader
 }
 
 // add takes a heartbeat if it needs no answer of the leader.
@@ -64,7 +64,7 @@
 		return false
 	}
 	held, known := c.acked[id]
-	if !known || now-held.ackedAt > ackTTL || c.failing || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
+	if !known || now-held.ackedAt > ackTTL || c.lastBatchFailed || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
 		return false
 	}
 	if !held.isChangedBy(beat) {
@@ -128,7 +128,7 @@
 func (c *heartbeatBatcher) passed(now time.Duration, batch gathered, reached bool, strangers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failing = !reached
+	c.lastBatchFailed = !reached
 	for _, beat := range batch.beats {
 		c.count(now, beat.Instance.ID, reached)
 	}
