--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -54,8 +54,8 @@
 	lastBatchFailed bool                      // the newest batch did not reach the leader
 }
 
-// add takes a heartbeat if it needs no answer of the leader.
-func (c *heartbeatBatcher) add(now time.Duration, beat BackendHeartbeat) bool {
+// enqueueWithoutReply takes a heartbeat if it needs no answer of the leader.
+func (c *heartbeatBatcher) enqueueWithoutReply(now time.Duration, beat BackendHeartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
@@ -163,7 +163,7 @@
 
 // Beat takes a back end's heartbeat; an error says that it has no clear answer.
 func (s *Server) Beat(ctx context.Context, beat BackendHeartbeat) error {
-	if s.beats.add(s.now(), beat) {
+	if s.beats.enqueueWithoutReply(s.now(), beat) {
 		return nil
 	}
 	done := s.beats.wait(beat)
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -16,7 +16,7 @@
 func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
-	if c.add(0, ready) {
+	if c.enqueueWithoutReply(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
 	c.taken(0, ready)
@@ -24,27 +24,27 @@
 		batch := c.batch()
 		return len(batch.beats) + len(batch.signs)
 	}
-	if !c.add(time.Second, ready) || count() != 1 || count() != 0 {
+	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
 		t.Fatal("a heartbeat without news is not gathered once")
 	}
 	for name, news := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaves} {
 		c.taken(0, ready)
-		if c.add(time.Second, news) || c.add(time.Second, ready) {
+		if c.enqueueWithoutReply(time.Second, news) || c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s, or a heartbeat after it, is gathered", name)
 		}
-		if c.taken(0, news); c.add(time.Second, ready) {
+		if c.taken(0, news); c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s counts as registered", name)
 		}
 	}
 	c.taken(0, ready)
-	if c.add(ackTTL+time.Second, ready) {
+	if c.enqueueWithoutReply(ackTTL+time.Second, ready) {
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
 	c.taken(0, ready)
-	if c.passed(time.Second, gathered{}, false, nil); c.add(time.Second, ready) {
+	if c.passed(time.Second, gathered{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("a heartbeat is gathered while batches fail")
 	}
-	if c.passed(time.Second, gathered{}, true, nil); !c.add(time.Second, ready) {
+	if c.passed(time.Second, gathered{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("no heartbeat is gathered after a batch has passed")
 	}
 }
@@ -109,7 +109,7 @@
 	c.taken(0, beat)
 	passes := func(beat BackendHeartbeat) gathered {
 		t.Helper()
-		if !c.add(time.Second, beat) {
+		if !c.enqueueWithoutReply(time.Second, beat) {
 			t.Fatalf("%+v is not gathered", beat)
 		}
 		return c.batch()
@@ -125,12 +125,12 @@
 		t.Fatalf("known weights are passed as %+v", got)
 	}
 	c.passed(time.Second, gathered{}, true, []string{"i"})
-	if c.add(time.Second, beat) {
+	if c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a stranger's heartbeat needs no answer")
 	}
 	c.taken(time.Second, beat)
 	c.passed(time.Second, passes(beat), false, nil)
-	if c.passed(time.Second, gathered{}, true, nil); c.add(time.Second, beat) {
+	if c.passed(time.Second, gathered{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a heartbeat is shortened after one that may have been lost")
 	}
 }
