--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// taken notes that the leader has answered a heartbeat.
-func (c *heartbeatBatcher) taken(now time.Duration, beat BackendHeartbeat) {
+// recordAck notes that the leader has answered a heartbeat.
+func (c *heartbeatBatcher) recordAck(now time.Duration, beat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
@@ -207,7 +207,7 @@
 		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
-				s.beats.taken(s.now(), p.heartbeat)
+				s.beats.recordAck(s.now(), p.heartbeat)
 			}
 			p.done <- err
 		}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -19,7 +19,7 @@
 	if c.enqueueWithoutReply(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
-	c.taken(0, ready)
+	c.recordAck(0, ready)
 	count := func() int {
 		batch := c.batch()
 		return len(batch.beats) + len(batch.signs)
@@ -28,19 +28,19 @@
 		t.Fatal("a heartbeat without news is not gathered once")
 	}
 	for name, news := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaves} {
-		c.taken(0, ready)
+		c.recordAck(0, ready)
 		if c.enqueueWithoutReply(time.Second, news) || c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s, or a heartbeat after it, is gathered", name)
 		}
-		if c.taken(0, news); c.enqueueWithoutReply(time.Second, ready) {
+		if c.recordAck(0, news); c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s counts as registered", name)
 		}
 	}
-	c.taken(0, ready)
+	c.recordAck(0, ready)
 	if c.enqueueWithoutReply(ackTTL+time.Second, ready) {
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
-	c.taken(0, ready)
+	c.recordAck(0, ready)
 	if c.passed(time.Second, gathered{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("a heartbeat is gathered while batches fail")
 	}
@@ -106,7 +106,7 @@
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	beat := beatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
-	c.taken(0, beat)
+	c.recordAck(0, beat)
 	passes := func(beat BackendHeartbeat) gathered {
 		t.Helper()
 		if !c.enqueueWithoutReply(time.Second, beat) {
@@ -128,7 +128,7 @@
 	if c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a stranger's heartbeat needs no answer")
 	}
-	c.taken(time.Second, beat)
+	c.recordAck(time.Second, beat)
 	c.passed(time.Second, passes(beat), false, nil)
 	if c.passed(time.Second, gathered{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a heartbeat is shortened after one that may have been lost")
