--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// wait takes a heartbeat that needs the leader's answer, or returns nil when too many wait.
-func (c *heartbeatBatcher) wait(beat BackendHeartbeat) chan error {
+// enqueueForReply takes a heartbeat that needs the leader's answer, or returns nil when too many enqueueForReply.
+func (c *heartbeatBatcher) enqueueForReply(beat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= maxQueuedHeartbeats {
@@ -166,7 +166,7 @@
 	if s.beats.enqueueWithoutReply(s.now(), beat) {
 		return nil
 	}
-	done := s.beats.wait(beat)
+	done := s.beats.enqueueForReply(beat)
 	if done == nil {
 		return errBeatsFull
 	}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -87,11 +87,11 @@
 func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
-		if c.wait(beatOf("i", catalog.StateReady, uint64(i))) == nil {
+		if c.enqueueForReply(beatOf("i", catalog.StateReady, uint64(i))) == nil {
 			t.Fatalf("no room for news %d", i)
 		}
 	}
-	if c.wait(beatOf("i", catalog.StateReady, 0)) != nil {
+	if c.enqueueForReply(beatOf("i", catalog.StateReady, 0)) != nil {
 		t.Fatal("room for more than may wait")
 	}
 	batch := c.batch()
