--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -102,20 +102,20 @@
 	return done
 }
 
-// gathered are heartbeats to be passed on together.
-type gathered struct {
+// heartbeatBatch are heartbeats to be passed on together.
+type heartbeatBatch struct {
 	beats   []BackendHeartbeat // those whose senders wait come last, in the order in which they came
 	signs   []Keepalive        // of back ends of which there is nothing new
 	pending []pendingHeartbeat // senders that wait
 }
 
-func (g *gathered) empty() bool { return len(g.beats)+len(g.signs) == 0 }
+func (g *heartbeatBatch) empty() bool { return len(g.beats)+len(g.signs) == 0 }
 
 // batch returns the heartbeats that wait.
-func (c *heartbeatBatcher) batch() gathered {
+func (c *heartbeatBatcher) batch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := gathered{beats: c.updates, signs: c.keepalives, pending: c.pending}
+	batch := heartbeatBatch{beats: c.updates, signs: c.keepalives, pending: c.pending}
 	c.updates, c.keepalives, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
 		batch.beats = append(batch.beats, p.heartbeat)
@@ -125,7 +125,7 @@
 
 // passed notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
 // may have been lost, the next heartbeat is passed whole.
-func (c *heartbeatBatcher) passed(now time.Duration, batch gathered, reached bool, strangers []string) {
+func (c *heartbeatBatcher) passed(now time.Duration, batch heartbeatBatch, reached bool, strangers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastBatchFailed = !reached
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -41,10 +41,10 @@
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
 	c.recordAck(0, ready)
-	if c.passed(time.Second, gathered{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
+	if c.passed(time.Second, heartbeatBatch{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("a heartbeat is gathered while batches fail")
 	}
-	if c.passed(time.Second, gathered{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
+	if c.passed(time.Second, heartbeatBatch{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("no heartbeat is gathered after a batch has passed")
 	}
 }
@@ -107,7 +107,7 @@
 	beat := beatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
 	c.recordAck(0, beat)
-	passes := func(beat BackendHeartbeat) gathered {
+	passes := func(beat BackendHeartbeat) heartbeatBatch {
 		t.Helper()
 		if !c.enqueueWithoutReply(time.Second, beat) {
 			t.Fatalf("%+v is not gathered", beat)
@@ -124,13 +124,13 @@
 	if got := passes(beat); len(got.signs) != 1 {
 		t.Fatalf("known weights are passed as %+v", got)
 	}
-	c.passed(time.Second, gathered{}, true, []string{"i"})
+	c.passed(time.Second, heartbeatBatch{}, true, []string{"i"})
 	if c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a stranger's heartbeat needs no answer")
 	}
 	c.recordAck(time.Second, beat)
 	c.passed(time.Second, passes(beat), false, nil)
-	if c.passed(time.Second, gathered{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
+	if c.passed(time.Second, heartbeatBatch{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a heartbeat is shortened after one that may have been lost")
 	}
 }
