--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -104,21 +104,21 @@
 
 // heartbeatBatch are heartbeats to be passed on together.
 type heartbeatBatch struct {
-	beats   []BackendHeartbeat // those whose senders wait come last, in the order in which they came
-	signs   []Keepalive        // of back ends of which there is nothing new
-	pending []pendingHeartbeat // senders that wait
+	heartbeats []BackendHeartbeat // those whose senders wait come last, in the order in which they came
+	signs      []Keepalive        // of back ends of which there is nothing new
+	pending    []pendingHeartbeat // senders that wait
 }
 
-func (g *heartbeatBatch) empty() bool { return len(g.beats)+len(g.signs) == 0 }
+func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.signs) == 0 }
 
 // batch returns the heartbeats that wait.
 func (c *heartbeatBatcher) batch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := heartbeatBatch{beats: c.updates, signs: c.keepalives, pending: c.pending}
+	batch := heartbeatBatch{heartbeats: c.updates, signs: c.keepalives, pending: c.pending}
 	c.updates, c.keepalives, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
-		batch.beats = append(batch.beats, p.heartbeat)
+		batch.heartbeats = append(batch.heartbeats, p.heartbeat)
 	}
 	return batch
 }
@@ -129,7 +129,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastBatchFailed = !reached
-	for _, beat := range batch.beats {
+	for _, beat := range batch.heartbeats {
 		c.count(now, beat.Instance.ID, reached)
 	}
 	for _, sign := range batch.signs {
@@ -202,7 +202,7 @@
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		answer, err := s.group.Ask(attempt, Request{Beats: batch.beats, Signs: batch.signs})
+		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.signs})
 		cancel()
 		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -22,7 +22,7 @@
 	c.recordAck(0, ready)
 	count := func() int {
 		batch := c.batch()
-		return len(batch.beats) + len(batch.signs)
+		return len(batch.heartbeats) + len(batch.signs)
 	}
 	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
 		t.Fatal("a heartbeat without news is not gathered once")
@@ -95,8 +95,8 @@
 		t.Fatal("room for more than may wait")
 	}
 	batch := c.batch()
-	if len(batch.beats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
-		t.Fatalf("batch of %d, %d wait", len(batch.beats), len(batch.pending))
+	if len(batch.heartbeats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
+		t.Fatalf("batch of %d, %d wait", len(batch.heartbeats), len(batch.pending))
 	}
 }
 
@@ -114,11 +114,11 @@
 		}
 		return c.batch()
 	}
-	if got := passes(beat); len(got.signs) != 1 || len(got.beats) > 0 || jsonLength(t, got.signs[0])*3 > jsonLength(t, beat) {
+	if got := passes(beat); len(got.signs) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.signs[0])*3 > jsonLength(t, beat) {
 		t.Fatalf("passed on: %+v", got)
 	}
 	beat.Versions = map[string]uint64{"m": 2}
-	if got := passes(beat); len(got.beats) != 1 {
+	if got := passes(beat); len(got.heartbeats) != 1 {
 		t.Fatalf("new weights are passed as %+v", got)
 	}
 	if got := passes(beat); len(got.signs) != 1 {
