--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -105,17 +105,17 @@
 // heartbeatBatch are heartbeats to be passed on together.
 type heartbeatBatch struct {
 	heartbeats []BackendHeartbeat // those whose senders wait come last, in the order in which they came
-	signs      []Keepalive        // of back ends of which there is nothing new
+	keepalives []Keepalive        // of back ends of which there is nothing new
 	pending    []pendingHeartbeat // senders that wait
 }
 
-func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.signs) == 0 }
+func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.keepalives) == 0 }
 
 // batch returns the heartbeats that wait.
 func (c *heartbeatBatcher) batch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := heartbeatBatch{heartbeats: c.updates, signs: c.keepalives, pending: c.pending}
+	batch := heartbeatBatch{heartbeats: c.updates, keepalives: c.keepalives, pending: c.pending}
 	c.updates, c.keepalives, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
 		batch.heartbeats = append(batch.heartbeats, p.heartbeat)
@@ -132,7 +132,7 @@
 	for _, beat := range batch.heartbeats {
 		c.count(now, beat.Instance.ID, reached)
 	}
-	for _, sign := range batch.signs {
+	for _, sign := range batch.keepalives {
 		c.count(now, sign.ID, reached)
 	}
 	for _, id := range strangers {
@@ -202,7 +202,7 @@
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.signs})
+		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
 		cancel()
 		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -22,7 +22,7 @@
 	c.recordAck(0, ready)
 	count := func() int {
 		batch := c.batch()
-		return len(batch.heartbeats) + len(batch.signs)
+		return len(batch.heartbeats) + len(batch.keepalives)
 	}
 	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
 		t.Fatal("a heartbeat without news is not gathered once")
@@ -114,14 +114,14 @@
 		}
 		return c.batch()
 	}
-	if got := passes(beat); len(got.signs) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.signs[0])*3 > jsonLength(t, beat) {
+	if got := passes(beat); len(got.keepalives) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.keepalives[0])*3 > jsonLength(t, beat) {
 		t.Fatalf("passed on: %+v", got)
 	}
 	beat.Versions = map[string]uint64{"m": 2}
 	if got := passes(beat); len(got.heartbeats) != 1 {
 		t.Fatalf("new weights are passed as %+v", got)
 	}
-	if got := passes(beat); len(got.signs) != 1 {
+	if got := passes(beat); len(got.keepalives) != 1 {
 		t.Fatalf("known weights are passed as %+v", got)
 	}
 	c.passed(time.Second, heartbeatBatch{}, true, []string{"i"})
