--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -111,8 +111,8 @@
 
 func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.keepalives) == 0 }
 
-// batch returns the heartbeats that wait.
-func (c *heartbeatBatcher) batch() heartbeatBatch {
+// takeBatch returns the heartbeats that wait.
+func (c *heartbeatBatcher) takeBatch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := heartbeatBatch{heartbeats: c.updates, keepalives: c.keepalives, pending: c.pending}
@@ -197,7 +197,7 @@
 		if !formed {
 			continue
 		}
-		batch := s.beats.batch()
+		batch := s.beats.takeBatch()
 		if batch.empty() {
 			continue
 		}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -21,7 +21,7 @@
 	}
 	c.recordAck(0, ready)
 	count := func() int {
-		batch := c.batch()
+		batch := c.takeBatch()
 		return len(batch.heartbeats) + len(batch.keepalives)
 	}
 	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
@@ -94,7 +94,7 @@
 	if c.enqueueForReply(beatOf("i", catalog.StateReady, 0)) != nil {
 		t.Fatal("room for more than may wait")
 	}
-	batch := c.batch()
+	batch := c.takeBatch()
 	if len(batch.heartbeats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
 		t.Fatalf("batch of %d, %d wait", len(batch.heartbeats), len(batch.pending))
 	}
@@ -112,7 +112,7 @@
 		if !c.enqueueWithoutReply(time.Second, beat) {
 			t.Fatalf("%+v is not gathered", beat)
 		}
-		return c.batch()
+		return c.takeBatch()
 	}
 	if got := passes(beat); len(got.keepalives) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.keepalives[0])*3 > jsonLength(t, beat) {
 		t.Fatalf("passed on: %+v", got)
