--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -123,9 +123,9 @@
 	return batch
 }
 
-// passed notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
-// may have been lost, the next heartbeat is passed whole.
-func (c *heartbeatBatcher) passed(now time.Duration, batch heartbeatBatch, reached bool, strangers []string) {
+// recordBatch notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
+// may have been lost, the next heartbeat is recordBatch whole.
+func (c *heartbeatBatcher) recordBatch(now time.Duration, batch heartbeatBatch, reached bool, strangers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastBatchFailed = !reached
@@ -204,7 +204,7 @@
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
 		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
 		cancel()
-		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
+		s.beats.recordBatch(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
 				s.beats.recordAck(s.now(), p.heartbeat)
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -41,10 +41,10 @@
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
 	c.recordAck(0, ready)
-	if c.passed(time.Second, heartbeatBatch{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
+	if c.recordBatch(time.Second, heartbeatBatch{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("a heartbeat is gathered while batches fail")
 	}
-	if c.passed(time.Second, heartbeatBatch{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
+	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("no heartbeat is gathered after a batch has passed")
 	}
 }
@@ -124,13 +124,13 @@
 	if got := passes(beat); len(got.keepalives) != 1 {
 		t.Fatalf("known weights are passed as %+v", got)
 	}
-	c.passed(time.Second, heartbeatBatch{}, true, []string{"i"})
+	c.recordBatch(time.Second, heartbeatBatch{}, true, []string{"i"})
 	if c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a stranger's heartbeat needs no answer")
 	}
 	c.recordAck(time.Second, beat)
-	c.passed(time.Second, passes(beat), false, nil)
-	if c.passed(time.Second, heartbeatBatch{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
+	c.recordBatch(time.Second, passes(beat), false, nil)
+	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a heartbeat is shortened after one that may have been lost")
 	}
 }
