--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -130,10 +130,10 @@
 	defer c.mu.Unlock()
 	c.lastBatchFailed = !reached
 	for _, beat := range batch.heartbeats {
-		c.count(now, beat.Instance.ID, reached)
+		c.recordDelivery(now, beat.Instance.ID, reached)
 	}
 	for _, sign := range batch.keepalives {
-		c.count(now, sign.ID, reached)
+		c.recordDelivery(now, sign.ID, reached)
 	}
 	for _, id := range strangers {
 		delete(c.acked, id)
@@ -145,8 +145,8 @@
 	}
 }
 
-// count notes whether a heartbeat reached the leader. The caller holds the mutex.
-func (c *heartbeatBatcher) count(now time.Duration, id string, reached bool) {
+// recordDelivery notes whether a heartbeat reached the leader. The caller holds the mutex.
+func (c *heartbeatBatcher) recordDelivery(now time.Duration, id string, reached bool) {
 	held, known := c.acked[id]
 	switch {
 	case !known:
