--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// errBeatsFull says that more heartbeats wait for the leader than this replica takes.
-var errBeatsFull = eris.New("too many heartbeats wait for the leader")
+// errTooManyHeartbeats says that more heartbeats wait for the leader than this replica takes.
+var errTooManyHeartbeats = eris.New("too many heartbeats wait for the leader")
 
 // Beat takes a back end's heartbeat; an error says that it has no clear answer.
 func (s *Server) Beat(ctx context.Context, beat BackendHeartbeat) error {
@@ -168,7 +168,7 @@
 	}
 	done := s.beats.enqueueForReply(beat)
 	if done == nil {
-		return errBeatsFull
+		return errTooManyHeartbeats
 	}
 	select {
 	case err := <-done:
