--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -161,8 +161,8 @@
 // errTooManyHeartbeats says that more heartbeats wait for the leader than this replica takes.
 var errTooManyHeartbeats = eris.New("too many heartbeats wait for the leader")
 
-// Beat takes a back end's heartbeat; an error says that it has no clear answer.
-func (s *Server) Beat(ctx context.Context, beat BackendHeartbeat) error {
+// HandleBackendHeartbeat takes a back end's heartbeat; an error says that it has no clear answer.
+func (s *Server) HandleBackendHeartbeat(ctx context.Context, beat BackendHeartbeat) error {
 	if s.beats.enqueueWithoutReply(s.now(), beat) {
 		return nil
 	}
