--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// passBeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
-func (s *Server) passBeats(ctx context.Context) {
+// forwardHeartbeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
+func (s *Server) forwardHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatBatchInterval)
 	defer ticker.Stop()
 	formed := false
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -164,7 +164,7 @@
 	workers.Go(func() { s.sendCalls(run) })
 	workers.Go(func() { s.watchEngines(run) })
 	workers.Go(func() { s.callBackends(run) })
-	workers.Go(func() { s.passBeats(run) })
+	workers.Go(func() { s.forwardHeartbeats(run) })
 	workers.Go(func() { s.refreshMembership(run) })
 	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
