--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -214,9 +214,9 @@
 	}
 }
 
-// joining are registrations that wait for the next write. All that come within one cycle of the replica become one entry of the
+// registrationBatch are registrations that wait for the next write. All that come within one cycle of the replica become one entry of the
 // log, so that entries grow with time and not with back ends when a whole fleet starts.
-type joining struct {
+type registrationBatch struct {
 	instances []catalog.Instance // in the order in which they came
 	clients   []uint64           // that wait for the entry
 }
@@ -229,7 +229,7 @@
 }
 
 // wait adds a client that is answered with the entry.
-func (j *joining) wait(client uint64) {
+func (j *registrationBatch) wait(client uint64) {
 	if client != 0 {
 		j.clients = append(j.clients, client)
 	}
@@ -242,7 +242,7 @@
 		return
 	}
 	waiting := r.leader.joining
-	r.leader.joining = joining{}
+	r.leader.joining = registrationBatch{}
 	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{RegisterBatch: waiting.instances}})
 }
 
