--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -221,8 +221,8 @@
 	clients   []uint64           // that wait for the entry
 }
 
-// register takes a registration; client 0 waits for nothing.
-func (r *Replica) register(client uint64, instance catalog.Instance) {
+// queueRegistration takes a registration; client 0 waits for nothing.
+func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
 	waiting := &r.leader.joining
 	waiting.instances = append(waiting.instances, instance)
 	waiting.wait(client)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -77,7 +77,7 @@
 	case !known || beat.Instance.Service != held.Service:
 		r.recordHeartbeat(now, beat)
 		r.ensureBackend(now, id).registeredAt = now
-		r.register(client, beat.Instance)
+		r.queueRegistration(client, beat.Instance)
 	case beat.Instance.State == catalog.StateDraining && held.State != catalog.StateDraining:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Drain: id}})
 	default:
