--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -225,11 +225,11 @@
 func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
 	waiting := &r.leader.joining
 	waiting.instances = append(waiting.instances, instance)
-	waiting.wait(client)
+	waiting.addClient(client)
 }
 
-// wait adds a client that is answered with the entry.
-func (j *registrationBatch) wait(client uint64) {
+// addClient adds a client that is answered with the entry.
+func (j *registrationBatch) addClient(client uint64) {
 	if client != 0 {
 		j.clients = append(j.clients, client)
 	}
@@ -263,7 +263,7 @@
 	switch {
 	case len(r.leader.joining.instances) > 0:
 		r.leader.oweStrangers(client, strangers)
-		r.leader.joining.wait(client)
+		r.leader.joining.addClient(client)
 	case last > before:
 		r.leader.oweStrangers(client, strangers)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
