--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -235,9 +235,9 @@
 	}
 }
 
-// writeJoining proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
+// proposeRegistrations proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
 // back end in the order in which they came.
-func (r *Replica) writeJoining(now time.Duration) {
+func (r *Replica) proposeRegistrations(now time.Duration) {
 	if r.leader == nil || len(r.leader.joining.instances) == 0 {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -246,7 +246,7 @@
 
 // propose appends a command after the queued registrations. With client 0, nobody waits for the entry.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
-	r.writeJoining(now)
+	r.proposeRegistrations(now)
 	r.appendCommand(now, []uint64{client}, command)
 }
 
@@ -263,7 +263,7 @@
 
 // Prepare returns what the caller must write and sync before Advance.
 func (r *Replica) Prepare() Persist {
-	r.writeJoining(r.now)
+	r.proposeRegistrations(r.now)
 	r.flushOrdering(r.now)
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
