--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -246,9 +246,9 @@
 	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{RegisterBatch: waiting.instances}})
 }
 
-// takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
+// handleHeartbeatBatch takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
 // they changed: entries commit in order, so it waits for the last.
-func (r *Replica) takeBeats(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Keepalive) {
+func (r *Replica) handleHeartbeatBatch(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Keepalive) {
 	before := r.node.LastIndex()
 	for _, beat := range beats {
 		r.handleBackendHeartbeat(now, 0, beat)
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -155,7 +155,7 @@
 	case request.Beat != nil:
 		r.handleBackendHeartbeat(now, client, *request.Beat)
 	case len(request.Beats)+len(request.Signs) > 0:
-		r.takeBeats(now, client, request.Beats, request.Signs)
+		r.handleHeartbeatBatch(now, client, request.Beats, request.Signs)
 	case request.Watch != nil:
 		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
