--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -262,19 +262,19 @@
 	last := r.node.LastIndex()
 	switch {
 	case len(r.leader.joining.instances) > 0:
-		r.leader.oweStrangers(client, strangers)
+		r.leader.recordUnknownBackends(client, strangers)
 		r.leader.joining.addClient(client)
 	case last > before:
-		r.leader.oweStrangers(client, strangers)
+		r.leader.recordUnknownBackends(client, strangers)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
 		r.reply(client, Response{Kind: ResponseOK, UnknownBackends: strangers})
 	}
 }
 
-// oweStrangers keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
+// recordUnknownBackends keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
 // stay silent to this leader for as long as every batch changes something.
-func (l *leaderState) oweStrangers(client uint64, strangers []string) {
+func (l *leaderState) recordUnknownBackends(client uint64, strangers []string) {
 	if client != 0 && len(strangers) > 0 {
 		l.unknownBackends[client] = strangers
 	}
