--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -62,12 +62,12 @@
 // TestWatchesAwaitingLeaderAreBounded checks that watches above the bound are rejected at once.
 func TestWatchesAwaitingLeaderAreBounded(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
-	for i := range leaderlessMost + 1 {
+	for i := range maxAwaitingLeader + 1 {
 		s.replica.Handle(s.now, uint64(i+1), Request{Watch: &Watch{Gateway: "g", Hold: time.Second}})
 	}
 	s.work()
 	if len(s.replies) != 1 {
-		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), leaderlessMost+1)
+		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), maxAwaitingLeader+1)
 	}
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -118,7 +118,7 @@
 	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
 	}
-	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
+	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < maxAwaitingLeader {
 		due := now + min(request.Watch.Hold, maxWatchHold)
 		r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: *request.Watch, due: due})
 		return
@@ -130,15 +130,15 @@
 // meanwhile. One whose time is over is not held.
 func (r *Replica) holdUntilFormed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maxWatchHold)
-	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
+	if now >= due || len(r.awaitingLeader) >= maxAwaitingLeader {
 		return false
 	}
 	r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: watch, due: due})
 	return true
 }
 
-// leaderlessMost bounds the questions that are held while no leader is known.
-const leaderlessMost = 4096
+// maxAwaitingLeader bounds the questions that are held while no leader is known.
+const maxAwaitingLeader = 4096
 
 // resolveAwaitingLeader takes up the held questions when this replica leads, and answers them when it hears of a leader or their
 // time is over.
