--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -269,13 +269,13 @@
 	running map[string]int // requests by instance; nil before the first sum
 }
 
-// totalsEach is how often the work of all gateways is added up.
-const totalsEach = 50 * time.Millisecond
+// usageTotalsInterval is how often the work of all gateways is added up.
+const usageTotalsInterval = 50 * time.Millisecond
 
 // currentUsage returns the work of all gateways that asked lately.
 func (r *Replica) currentUsage(now time.Duration) *usageTotals {
 	sum := &r.leader.totals
-	if sum.running != nil && now < sum.at+totalsEach {
+	if sum.running != nil && now < sum.at+usageTotalsInterval {
 		return sum
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
