--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -12,15 +12,15 @@
 // are only signs is silent to a new leader for as long as every batch changes something.
 func TestBatchThatChangesNamesItsStrangers(t *testing.T) {
 	for name, changing := range map[string]BackendHeartbeat{
-		"a registration":    beatOf("i-7", catalog.StateReady, 1),
-		"a change of state": beatOf("i-2", catalog.StateDraining, 1<<60),
+		"a registration":    heartbeatOf("i-7", catalog.StateReady, 1),
+		"a change of state": heartbeatOf("i-2", catalog.StateDraining, 1<<60),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openFleet(t)
 			const first, second, plain = 5000, 5001, 5002
 			s.replica.Handle(s.now, first, Request{Beats: []BackendHeartbeat{changing}, Signs: []Keepalive{{ID: "i-8", Sequence: 1}}})
-			s.replica.Handle(s.now, second, Request{Beats: []BackendHeartbeat{beatOf("i-9", catalog.StateReady, 1)}, Signs: []Keepalive{{ID: "i-10", Sequence: 1}}})
-			s.replica.Handle(s.now, plain, Request{Beats: []BackendHeartbeat{beatOf("i-11", catalog.StateReady, 1)}})
+			s.replica.Handle(s.now, second, Request{Beats: []BackendHeartbeat{heartbeatOf("i-9", catalog.StateReady, 1)}, Signs: []Keepalive{{ID: "i-10", Sequence: 1}}})
+			s.replica.Handle(s.now, plain, Request{Beats: []BackendHeartbeat{heartbeatOf("i-11", catalog.StateReady, 1)}})
 			s.work()
 			for client, wanted := range map[uint64][]string{first: {"i-8"}, second: {"i-10"}, plain: nil} {
 				if got := s.replies[client]; got.Kind != ResponseOK || !slices.Equal(got.UnknownBackends, wanted) {
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/catalog"
 )
 
-func beatOf(id string, state catalog.State, sequence uint64) BackendHeartbeat {
+func heartbeatOf(id string, state catalog.State, sequence uint64) BackendHeartbeat {
 	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
@@ -15,7 +15,7 @@
 // while batches don't reach it.
 func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
-	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
+	ready, draining, leaves := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
 	if c.enqueueWithoutReply(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
@@ -53,7 +53,7 @@
 func TestGatheredBeatsCountAsIfAlone(t *testing.T) {
 	s := openFleet(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
-	s.ask(Request{Beats: []BackendHeartbeat{beatOf("i-1", catalog.StateReady, 10), beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-3", catalog.StateReady, 1)}})
+	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
@@ -70,8 +70,8 @@
 	s := openFleet(t)
 	const client = 5000
 	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
-		beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-7", catalog.StateReady, 1), beatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
-		beatOf("i-8", catalog.StateReady, 1),
+		heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-7", catalog.StateReady, 1), heartbeatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
+		heartbeatOf("i-8", catalog.StateReady, 1),
 	}})
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("answered before anything was written")
@@ -87,11 +87,11 @@
 func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
-		if c.enqueueForReply(beatOf("i", catalog.StateReady, uint64(i))) == nil {
+		if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, uint64(i))) == nil {
 			t.Fatalf("no room for news %d", i)
 		}
 	}
-	if c.enqueueForReply(beatOf("i", catalog.StateReady, 0)) != nil {
+	if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, 0)) != nil {
 		t.Fatal("room for more than may wait")
 	}
 	batch := c.takeBatch()
@@ -104,7 +104,7 @@
 // lost, and where the leader asks for it, it is passed whole.
 func TestHeartbeatsTellOnlyWhatIsNew(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
-	beat := beatOf("i", catalog.StateReady, 1)
+	beat := heartbeatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
 	c.recordAck(0, beat)
 	passes := func(beat BackendHeartbeat) heartbeatBatch {
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -28,7 +28,7 @@
 	for first := 0; first < count; first += 500 {
 		var batch []BackendHeartbeat
 		for i := first; i < min(first+500, count); i++ {
-			beat := beatOf(fmt.Sprintf("e-%05d", i), catalog.StateReady, 1)
+			beat := heartbeatOf(fmt.Sprintf("e-%05d", i), catalog.StateReady, 1)
 			beat.Versions = map[string]uint64{"m": 1}
 			batch = append(batch, beat)
 		}
