--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -7,10 +7,10 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestBatchThatChangesNamesItsStrangers: the answer of a batch that waits for an entry names the back ends of which the leader wants a whole
+// TestBatchReplyListsUnknownBackends: the answer of a batch that waits for an entry names the back ends of which the leader wants a whole
 // heartbeat, like that of one that changes nothing; each of several that wait for one entry names its own. Else a back end whose heartbeats
 // are only signs is silent to a new leader for as long as every batch changes something.
-func TestBatchThatChangesNamesItsStrangers(t *testing.T) {
+func TestBatchReplyListsUnknownBackends(t *testing.T) {
 	for name, changing := range map[string]BackendHeartbeat{
 		"a registration":    heartbeatOf("i-7", catalog.StateReady, 1),
 		"a change of state": heartbeatOf("i-2", catalog.StateDraining, 1<<60),
