--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -11,9 +11,9 @@
 	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
-// TestOnlyBeatsWithoutNewsAreGathered: registering, draining and leaving are answered by the leader, and so is everything
+// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: registering, draining and leaving are answered by the leader, and so is everything
 // while batches don't reach it.
-func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
+func TestOnlyHeartbeatsThatNeedNoReplyAreBatched(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	ready, draining, leaves := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
 	if c.enqueueWithoutReply(0, ready) {
