--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestGatheredBeatsCountAsIfAlone: they keep a back end heard, bring a forgotten one back, and take back no draining.
-func TestGatheredBeatsCountAsIfAlone(t *testing.T) {
+// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: they keep a back end heard, bring a forgotten one back, and take back no draining.
+func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openFleet(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
