--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestBatchIsAnsweredOnceAllIsHeld: a batch that changes something is answered once its last entry has committed, one that
+// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, one that
 // changes nothing at once.
-func TestBatchIsAnsweredOnceAllIsHeld(t *testing.T) {
+func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
 	s := openFleet(t)
 	const client = 5000
 	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
