--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestSendersOfNewsWaitForTheBatch: in the order in which they came, and no more than may wait.
-func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
+// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: in the order in which they came, and no more than may wait.
+func TestHeartbeatsForReplyAreQueuedInOrderAndBounded(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
 		if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, uint64(i))) == nil {
