--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestHeartbeatsTellOnlyWhatIsNew: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
+// TestUnchangedHeartbeatsAreSentAsKeepalives: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
 // lost, and where the leader asks for it, it is passed whole.
-func TestHeartbeatsTellOnlyWhatIsNew(t *testing.T) {
+func TestUnchangedHeartbeatsAreSentAsKeepalives(t *testing.T) {
 	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	beat := heartbeatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
