--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestNewLeaderAsksForWholeHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
-func TestNewLeaderAsksForWholeHeartbeats(t *testing.T) {
+// TestNewLeaderRequestsFullHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
+func TestNewLeaderRequestsFullHeartbeats(t *testing.T) {
 	s := openFleet(t)
 	same := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
