--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -16,7 +16,7 @@
 		"a change of state": heartbeatOf("i-2", catalog.StateDraining, 1<<60),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := openFleet(t)
+			s := openWithEngines(t)
 			const first, second, plain = 5000, 5001, 5002
 			s.replica.Handle(s.now, first, Request{Beats: []BackendHeartbeat{changing}, Signs: []Keepalive{{ID: "i-8", Sequence: 1}}})
 			s.replica.Handle(s.now, second, Request{Beats: []BackendHeartbeat{heartbeatOf("i-9", catalog.StateReady, 1)}, Signs: []Keepalive{{ID: "i-10", Sequence: 1}}})
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -51,7 +51,7 @@
 
 // TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: they keep a back end heard, bring a forgotten one back, and take back no draining.
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
@@ -67,7 +67,7 @@
 // TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, one that
 // changes nothing at once.
 func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	const client = 5000
 	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
 		heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-7", catalog.StateReady, 1), heartbeatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
@@ -137,7 +137,7 @@
 
 // TestNewLeaderRequestsFullHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
 func TestNewLeaderRequestsFullHeartbeats(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	same := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// openFleet is a solo group with a document, two engines on version 1 of model m, and its time to order passed.
-func openFleet(t *testing.T) *singleReplica {
+// openWithEngines is a solo group with a document, two engines on version 1 of model m, and its time to order passed.
+func openWithEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
 	s.config(func(config *Config) { config.OrderWait = time.Second })
@@ -55,7 +55,7 @@
 // that the back end is loading; one that fell silent has stopped trusting its view by then (site ralca-kigali, trouble-1:
 // STALE).
 func TestOrderWaitsUntilGatewaysTurnedAway(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -74,7 +74,7 @@
 
 // TestOrderDoesNotWaitForSilentGateways: a gateway that is gone holds up nothing for longer than it may trust its view.
 func TestOrderDoesNotWaitForSilentGateways(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -91,7 +91,7 @@
 // TestDrainIsAnsweredOnceItIsHeld: the answer to draining comes after its entry committed, and a late heartbeat takes it
 // back neither then nor after the instance left.
 func TestDrainIsAnsweredOnceItIsHeld(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q", state)
@@ -109,7 +109,7 @@
 
 // TestWatchIsHeldUntilThereIsNews: and answered with the document when that changes.
 func TestWatchIsHeldUntilThereIsNews(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	first := s.watchNow("g1", RosterVersion{})
 	client := uint64(1000)
 	s.replica.Handle(s.now, client, Request{Watch: &Watch{
@@ -147,7 +147,7 @@
 // TestOrderDecidedBeforeALongSyncIsNotGiven: the disk stalls between the decision and the send; the lease has run out by
 // then, and another replica may lead (simulator, seeds 147 and 5210 with stalled disks).
 func TestOrderDecidedBeforeALongSyncIsNotGiven(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	s.beats("i-1", "i-2")
--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -11,7 +11,7 @@
 // routing document that replaces, drains or alters a registered back end.
 func TestHeartbeatForUnconfiguredServiceIsIgnored(t *testing.T) {
 	openRegistered := func(t *testing.T) *singleReplica {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
 		s.says(life("e", 1000), "a1", 1, 1)
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -12,7 +12,7 @@
 // handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
 func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.advance(gatewaysPeriod + 100*time.Millisecond)
@@ -123,7 +123,7 @@
 // trusts a view and isn't among them would send to a back end that loads. A leader confirmed a gateway that came back from a cut, and its disk
 // stalled before the log held it again (simulator, seed 178).
 func TestViewIsConfirmedOnceTheLogHoldsTheGateway(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
@@ -153,7 +153,7 @@
 
 // TestClosingGatewayIsAnsweredOn: it serves what it has until its end, though the log holds it no more.
 func TestClosingGatewayIsAnsweredOn(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
@@ -169,7 +169,7 @@
 // one and gave it seconds later, when others had ended their loads and requests had drained, then it was lost. The next one, which had applied
 // the announcement as it was written, took the pause between two holders for over and ordered at once.
 func TestOrderFollowsItsAnnouncementSoon(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -200,7 +200,7 @@
 // TestOrderLeavesSoonAfterItsAnnouncement: the disk was slow between the decision and the send, for less than the lease runs. The order left
 // later after its announcement than the next leader counts on.
 func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
 	s.beats("i-1", "i-2")
@@ -232,7 +232,7 @@
 		"restored as well": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(what, func(t *testing.T) {
-			s := openFleet(t)
+			s := openWithEngines(t)
 			s.config(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
 			s.replica.writeOrdering(life("e", 1000))
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -41,7 +41,7 @@
 // about in bytes.
 func TestRosterFollowsTheWorkAndNotTheFleet(t *testing.T) {
 	told := func(count int) (entries, bytes int) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		joinEngines(s, count)
 		news := s.watchNow("g1", RosterVersion{}).Roster
 		return len(news.Entries), jsonLength(t, news)
@@ -82,7 +82,7 @@
 
 // TestLostEnginesAreReplaced: when a part of those in use leaves, as many others come into use in the next look.
 func TestLostEnginesAreReplaced(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	joinEngines(s, 1500)
 	reply := s.watchNow("g1", RosterVersion{})
 	var leaving []BackendHeartbeat
@@ -106,7 +106,7 @@
 // TestGatewaysAreListedByWhoCame: what the log tells of gateways that come one after the other grows with their number, not its square.
 func TestGatewaysAreListedByWhoCame(t *testing.T) {
 	written := func(count int) int {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.config(func(config *Config) { config.GatewayTrust = time.Minute })
 		bytes := 0
 		for i := range count {
@@ -129,7 +129,7 @@
 
 // TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
 func TestRelayedGatewaysCount(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Reply {
 		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
@@ -159,7 +159,7 @@
 // the back ends, and it reads as if it had been encoded in one piece.
 func TestWholeAnswersShareTheirParts(t *testing.T) {
 	own := func(count int) int {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		joinEngines(s, count)
 		response := s.ask(Request{Watch: &Watch{Gateway: "g1"}})
 		parts, err := response.Parts()
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -12,7 +12,7 @@
 // openLimited is openFleet with a tenant of 100 units a second and a burst of 50.
 func openLimited(t *testing.T) *singleReplica {
 	t.Helper()
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.limit(2, 100)
 	return s
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -30,7 +30,7 @@
 // openAlone is a fleet whose two engines have left, so that the next one stands alone.
 func openAlone(t *testing.T) *singleReplica {
 	t.Helper()
-	s := openFleet(t)
+	s := openWithEngines(t)
 	for _, id := range []string{"i-1", "i-2"} {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
@@ -53,7 +53,7 @@
 
 // laterLifeHolds: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
 func laterLifeHolds(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.says(life("e", 1000), "a1", 90, 1)
 	s.says(life("e", 2000), "a2", 1, 1)
 	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
@@ -71,7 +71,7 @@
 
 // lateHeartbeatTakesNoAddress: of two back ends that name one address the one that was started later stands there while it is heard.
 func lateHeartbeatTakesNoAddress(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.says(life("before", 1000), "a1", 90, 1)
 	s.says(life("after", 2000), "a1", 1, 1)
 	s.says(life("before", 1000), "a1", 91, 1)
@@ -87,7 +87,7 @@
 
 // untoldLifeTakesNothing: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
 func untoldLifeTakesNothing(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.says("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
@@ -105,7 +105,7 @@
 
 // leaveNamesTheLifeThereIs: a back end that leaves may give its name alone.
 func leaveNamesTheLifeThereIs(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.says(life("e", 1000), "a1", 1, 1)
 	s.says(life("e@5", 1000), "a2", 1, 1)
 	s.advance(youngFor)
@@ -132,7 +132,7 @@
 
 // TestLateLeaveEndsNoYoungLifeForGood: the next heartbeat registers it again; one that has stood for a while has left.
 func TestLateLeaveEndsNoYoungLifeForGood(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	id := life("e", 2000)
 	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
 	s.says(life("e", 1000), "a1", 1, 1)
@@ -152,7 +152,7 @@
 
 // TestEngineTellsItsWeights: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
 func TestEngineTellsItsWeights(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
 	tell := func(id, service string) {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
@@ -240,7 +240,7 @@
 
 // TestUntoldLifeIsOrderedByItsReport: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
 func TestUntoldLifeIsOrderedByItsReport(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
 		s.weightsCalls = nil
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -67,7 +67,7 @@
 	// A replica was ended and started again while old weights were still in use. It read its log back, took each naming to be as young
 	// as the reading, and told gateways so once it led.
 	t.Run("restart", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.name(2)
 		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
@@ -82,7 +82,7 @@
 	// A replica that had lost its disk got a snapshot a while after the naming, and led. It counted from its own start, or, with a long
 	// life behind it, would have told any age.
 	t.Run("snapshot", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.name(2)
 		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
@@ -91,7 +91,7 @@
 	})
 	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
-		s, other := openFleet(t), openFleet(t)
+		s, other := openWithEngines(t), openWithEngines(t)
 		s.name(2)
 		s.advance(4 * time.Second)
 		other.advance(time.Minute)
@@ -107,7 +107,7 @@
 	// A replica was cut off, or frozen, when the version was named. It applied the entry as soon as it heard the leader again, led a moment
 	// later, and told gateways that the naming was as young as that.
 	t.Run("cut off meanwhile", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.name(2)
 		s.advance(5 * time.Second)
@@ -118,7 +118,7 @@
 	// Two versions were named before a snapshot was taken. A back end that lacks both is late by the older one, whose time the snapshot
 	// had lost.
 	t.Run("two before a snapshot", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.name(2)
 		s.advance(4 * time.Second)
 		s.name(3)
@@ -130,7 +130,7 @@
 	})
 	// A version was named again, by an operator whose answer was lost, or one below it. Nothing newer was wanted by that, so no limit moves.
 	t.Run("named again", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.name(3)
 		s.advance(2 * time.Second)
 		s.name(3)
@@ -143,7 +143,7 @@
 	})
 	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
 	t.Run("clock of the day behind", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.name(2)
 		s.advance(time.Second)
 		s.wallOffset -= time.Minute
@@ -152,7 +152,7 @@
 	})
 	// Snapshots of the release before tell no times. Namings of which no time is known are long past: nothing may begin on older weights.
 	t.Run("snapshot of the release before", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		machine := NewMachine(guard.Set{})
 		if err := machine.Restore([]byte(`{"sessions":{},"orders":{},"now_ms":0,"peers_at":0,"catalog":{"document":{"revision":1},"instances":{},"tombstones":[],"versions":{"m":4},"fence":0}}`)); err != nil {
 			t.Fatal(err)
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -21,7 +21,7 @@
 
 // TestEndedLivesAreToldToGateways: a held question is answered when a request becomes suspect, and what is known takes no entry of the log.
 func TestEndedLivesAreToldToGateways(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	first := s.watchNow("g1", RosterVersion{})
 	if len(first.Quarantine.Seed) != quarantine.SeedBytes {
 		t.Fatalf("no seed: %+v", first.Quarantine)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -74,7 +74,7 @@
 // TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
 // hold until their first heartbeats, so that prefix caches go unused.
 func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 
 // TestUnchangedWeightsAppendNoEntries guards against a log that grows with every heartbeat.
 func TestUnchangedWeightsAppendNoEntries(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
 	for range 10 {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -36,7 +36,7 @@
 // lima-grown scale-2: one at a time of 90, and those left on old weights got no requests).
 func TestLargeFleetRollsOutWhileItIsShortOfHands(t *testing.T) {
 	for _, engines := range []int{2, 9, 90, 300} {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		var ids []string
 		for i := range engines {
 			ids = append(ids, fmt.Sprint("e-", i))
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -29,7 +29,7 @@
 // TestConcurrentRegistrationsShareOneEntry guards against a number of log entries that grows with the fleet at start.
 func TestConcurrentRegistrationsShareOneEntry(t *testing.T) {
 	for _, count := range []int{500, 1000} {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
 		if entries := registerBackends(s, count); entries != 1 {
 			t.Fatalf("registration of %d back ends used %d entries, want 1", count, entries)
@@ -48,7 +48,7 @@
 // TestRegisterAndLeaveInOneBatchKeepOrder guards against back ends that stay registered although they register and leave
 // in the same batch.
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{
 		heartbeatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaving: true}, heartbeatOf("i-9", catalog.StateReady, 1),
 		heartbeatOf("i-9", catalog.StateDraining, 2),
@@ -63,7 +63,7 @@
 // TestPendingRegistrationsAreAnsweredOnLeadershipLoss guards against clients that wait for an entry that was never
 // appended.
 func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{heartbeatOf("i-8", catalog.StateReady, 1)}})
 	s.replica.leader.term = 0 // simulates the start of another term
 	s.replica.checkLeadership(s.now)
@@ -90,7 +90,7 @@
 // total size grows with the square of the fleet.
 func TestSnapshotBytesGrowLinearlyWithRegistrations(t *testing.T) {
 	written := func(count int) int {
-		_, bytes := countSnapshots(openFleet(t), count)
+		_, bytes := countSnapshots(openWithEngines(t), count)
 		return bytes
 	}
 	half, whole := written(1000), written(2000)
@@ -102,7 +102,7 @@
 // TestLogKeepsEntriesBeforeNewestSnapshot guards against followers that need a full snapshot although they lack only the
 // newest entries.
 func TestLogKeepsEntriesBeforeNewestSnapshot(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	snapshots, _ := countSnapshots(s, 400)
 	if snapshots < 2 {
 		t.Fatalf("%d snapshots, want at least 2", snapshots)
