--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -11,14 +11,14 @@
 func openWithEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
-	s.config(func(config *Config) { config.OrderWait = time.Second })
+	s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
 	s.advance(2 * time.Second) // until views that an earlier leader confirmed have ended
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	s.beats("i-1", "i-2")
 	return s
 }
 
-func (s *singleReplica) config(change func(*Config)) { change(&s.replica.config) }
+func (s *singleReplica) changeConfig(change func(*Config)) { change(&s.replica.config) }
 
 // beats sends a heartbeat of each engine.
 func (s *singleReplica) beats(ids ...string) {
@@ -56,7 +56,7 @@
 // STALE).
 func TestOrderWaitsUntilGatewaysTurnedAway(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
@@ -75,7 +75,7 @@
 // TestOrderDoesNotWaitForSilentGateways: a gateway that is gone holds up nothing for longer than it may trust its view.
 func TestOrderDoesNotWaitForSilentGateways(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
@@ -133,7 +133,7 @@
 	var last uint64
 	for life := range 3 {
 		s := openSingleReplica(t, folder)
-		s.config(func(config *Config) { config.OrderWait = time.Second })
+		s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: uint64(life + 2)}}})
 		s.advance(time.Second)
 		if s.replica.leader.orderFence <= last {
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -13,7 +13,7 @@
 // TestNextLifeWaitsForTheLastHoldersPause: also on a replica that knows of the order from a snapshot alone.
 func TestNextLifeWaitsForTheLastHoldersPause(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
+	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := life("e", 1000), life("e", 2000)
 	s.says(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -13,7 +13,7 @@
 func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.advance(gatewaysPeriod + 100*time.Millisecond)
 	s.watchNow("g1", version)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	next = reopenUnelected(t, s.folder)
-	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.changeConfig(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, free
 }
@@ -124,7 +124,7 @@
 // stalled before the log held it again (simulator, seed 178).
 func TestViewIsConfirmedOnceTheLogHoldsTheGateway(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	ask := func(client uint64, name string) {
@@ -154,7 +154,7 @@
 // TestClosingGatewayIsAnsweredOn: it serves what it has until its end, though the log holds it no more.
 func TestClosingGatewayIsAnsweredOn(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
 		s.watchNow("g2", held)
@@ -170,7 +170,7 @@
 // the announcement as it was written, took the pause between two holders for over and ordered at once.
 func TestOrderFollowsItsAnnouncementSoon(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	ask := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
@@ -233,7 +233,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			s := openWithEngines(t)
-			s.config(func(config *Config) { config.OrderWait = time.Hour })
+			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
 			s.says(life("e", 1000), "a1", 1, 1)
 			s.replica.writeOrdering(life("e", 1000))
 			s.advance(100 * time.Millisecond)
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -107,7 +107,7 @@
 func TestGatewaysAreListedByWhoCame(t *testing.T) {
 	written := func(count int) int {
 		s := openWithEngines(t)
-		s.config(func(config *Config) { config.GatewayTrust = time.Minute })
+		s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 		bytes := 0
 		for i := range count {
 			before := s.replica.Node().LastIndex()
@@ -130,7 +130,7 @@
 // TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
 func TestRelayedGatewaysCount(t *testing.T) {
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
+	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Reply {
 		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
 	}
--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -13,7 +13,7 @@
 func openLimited(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.limit(2, 100)
 	return s
 }
@@ -49,7 +49,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := next.borrow("g3", 45); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
@@ -122,7 +122,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if n := next.watchNow("g1", RosterVersion{}).Gateways; n != 4 {
 		t.Fatalf("the first gateway that asks the next leader is told of %d", n)
@@ -166,7 +166,7 @@
 	}
 	_ = s.disk.Close()
 	next := reopenUnelected(t, s.folder)
-	next.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	next.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	next.advance(400 * time.Millisecond)
 	if lent := ask(next, 200*time.Millisecond); lent != 0 {
 		t.Fatalf("%v lent by a leader that has just begun", lent)
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -30,7 +30,7 @@
 func TestConcurrentRegistrationsShareOneEntry(t *testing.T) {
 	for _, count := range []int{500, 1000} {
 		s := openWithEngines(t)
-		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
+		s.changeConfig(func(config *Config) { config.SnapshotEvery = 1 << 20 })
 		if entries := registerBackends(s, count); entries != 1 {
 			t.Fatalf("registration of %d back ends used %d entries, want 1", count, entries)
 		}
@@ -117,7 +117,7 @@
 // watches are held for their hold time.
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.config(func(config *Config) { config.Replicas = 3 })
+	s.changeConfig(func(config *Config) { config.Replicas = 3 })
 	const holding, immediate = 1000, 1001
 	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
 	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
