--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -14,14 +14,14 @@
 	s.changeConfig(func(config *Config) { config.OrderWait = time.Second })
 	s.advance(2 * time.Second) // until views that an earlier leader confirmed have ended
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	return s
 }
 
 func (s *singleReplica) changeConfig(change func(*Config)) { change(&s.replica.config) }
 
-// beats sends a heartbeat of each engine.
-func (s *singleReplica) beats(ids ...string) {
+// sendHeartbeats sends a heartbeat of each engine.
+func (s *singleReplica) sendHeartbeats(ids ...string) {
 	for _, id := range ids {
 		s.ask(Request{Beat: &BackendHeartbeat{
 			Instance: catalog.Instance{ID: id, Service: "engine", Address: id, State: catalog.StateReady},
@@ -61,7 +61,7 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	s.watchNow("g1", held)
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	if early := s.orders(time.Second); len(early) > 0 {
 		t.Fatalf("ordered although g1 has not turned away: %+v", early)
 	}
@@ -82,7 +82,7 @@
 	if early := s.orders(2 * time.Second); len(early) > 0 {
 		t.Fatalf("ordered while g1 may trust its view: %+v", early)
 	}
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	if orders := s.orders(1500 * time.Millisecond); len(orders) == 0 {
 		t.Fatal("no order after g1 was silent for long")
 	}
@@ -96,12 +96,12 @@
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("state %q", state)
 	}
-	s.beats("i-1")
+	s.sendHeartbeats("i-1")
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
 		t.Fatalf("after a late heartbeat: state %q", state)
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1"}, Leaving: true}})
-	s.beats("i-1")
+	s.sendHeartbeats("i-1")
 	if _, known := s.replica.Machine().Catalog().Instances()["i-1"]; known {
 		t.Fatal("an instance that left came back with a late heartbeat")
 	}
@@ -150,7 +150,7 @@
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	s.replica.Tick(s.now, 0)
 	for range 20 {
 		s.now += 50 * time.Millisecond
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -20,7 +20,7 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
 	for range 20 {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		version = s.watchNow("g1", version).Version
 		if orders = append(orders, s.orders(50*time.Millisecond)...); len(orders) > 0 {
 			break
@@ -47,7 +47,7 @@
 	var found []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		if gateway != "" {
 			version = s.watchNow(gateway, version).Version
 		}
@@ -175,7 +175,7 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	ask := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
 		for end := s.now + length; s.now < end && len(orders) == 0; {
-			s.beats("i-1", "i-2")
+			s.sendHeartbeats("i-1", "i-2")
 			s.watchNow("g1", held)
 			orders = s.orders(50 * time.Millisecond)
 		}
@@ -203,7 +203,7 @@
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond)
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -145,7 +145,7 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.orders(200 * time.Millisecond) // the reports
 	asked(answer.Version)
-	s.beats("i-1", "i-2")
+	s.sendHeartbeats("i-1", "i-2")
 	if early := s.orders(time.Second); len(early) > 0 {
 		t.Fatalf("ordered although g1 has not turned away: %+v", early)
 	}
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -244,7 +244,7 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
 		s.weightsCalls = nil
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		s.advance(100 * time.Millisecond)
 		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -92,7 +92,7 @@
 	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
 	for range 10 {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		s.advance(time.Second)
 	}
 	if grown := s.replica.Node().LastIndex() - before; grown > 0 {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -44,15 +44,15 @@
 		for _, id := range []string{"i-1", "i-2"} {
 			s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 		}
-		s.beats(ids...)
+		s.sendHeartbeats(ids...)
 		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
 		if !s.replica.lacksCapacity(s.now) {
 			t.Fatal("the fleet is not short of hands")
 		}
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-		s.beats(ids...)
+		s.sendHeartbeats(ids...)
 		s.orders(200 * time.Millisecond) // the reports
-		s.beats(ids...)
+		s.sendHeartbeats(ids...)
 		ordered := len(s.orders(time.Second))
 		if wanted := max(1, engines/loadDivisor); ordered < wanted || ordered > max(1, engines/drainDivisor) {
 			t.Errorf("%d of %d engines were ordered at once, wanted %d", ordered, engines, wanted)
