--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -35,8 +35,8 @@
 	return s.ask(Request{Watch: &Watch{Gateway: gateway, Revision: 1, Roster: held}}).Watch
 }
 
-// orders passes time and returns the orders that were issued.
-func (s *singleReplica) orders(length time.Duration) []WeightsCall {
+// weightsOrders passes time and returns the weightsOrders that were issued.
+func (s *singleReplica) weightsOrders(length time.Duration) []WeightsCall {
 	s.weightsCalls = nil
 	s.advance(length)
 	var orders []WeightsCall
@@ -59,15 +59,15 @@
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond) // the reports
+	s.weightsOrders(200 * time.Millisecond) // the reports
 	s.watchNow("g1", held)
 	s.sendHeartbeats("i-1", "i-2")
-	if early := s.orders(time.Second); len(early) > 0 {
+	if early := s.weightsOrders(time.Second); len(early) > 0 {
 		t.Fatalf("ordered although g1 has not turned away: %+v", early)
 	}
 	newest := s.watchNow("g1", held).Version
 	s.watchNow("g1", newest)
-	if orders := s.orders(300 * time.Millisecond); len(orders) == 0 {
+	if orders := s.weightsOrders(300 * time.Millisecond); len(orders) == 0 {
 		t.Fatal("no order after g1 had turned away")
 	}
 }
@@ -78,12 +78,12 @@
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	s.watchNow("g1", RosterVersion{})
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond)
-	if early := s.orders(2 * time.Second); len(early) > 0 {
+	s.weightsOrders(200 * time.Millisecond)
+	if early := s.weightsOrders(2 * time.Second); len(early) > 0 {
 		t.Fatalf("ordered while g1 may trust its view: %+v", early)
 	}
 	s.sendHeartbeats("i-1", "i-2")
-	if orders := s.orders(1500 * time.Millisecond); len(orders) == 0 {
+	if orders := s.weightsOrders(1500 * time.Millisecond); len(orders) == 0 {
 		t.Fatal("no order after g1 was silent for long")
 	}
 }
@@ -149,7 +149,7 @@
 func TestOrderDecidedBeforeALongSyncIsNotGiven(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond)
+	s.weightsOrders(200 * time.Millisecond)
 	s.sendHeartbeats("i-1", "i-2")
 	s.replica.Tick(s.now, 0)
 	for range 20 {
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -22,7 +22,7 @@
 	for range 20 {
 		s.sendHeartbeats("i-1", "i-2")
 		version = s.watchNow("g1", version).Version
-		if orders = append(orders, s.orders(50*time.Millisecond)...); len(orders) > 0 {
+		if orders = append(orders, s.weightsOrders(50*time.Millisecond)...); len(orders) > 0 {
 			break
 		}
 	}
@@ -51,7 +51,7 @@
 		if gateway != "" {
 			version = s.watchNow(gateway, version).Version
 		}
-		for _, call := range s.orders(50 * time.Millisecond) {
+		for _, call := range s.weightsOrders(50 * time.Millisecond) {
 			found = append(found, call.Instance)
 		}
 	}
@@ -177,7 +177,7 @@
 		for end := s.now + length; s.now < end && len(orders) == 0; {
 			s.sendHeartbeats("i-1", "i-2")
 			s.watchNow("g1", held)
-			orders = s.orders(50 * time.Millisecond)
+			orders = s.weightsOrders(50 * time.Millisecond)
 		}
 		return orders, s.now - 50*time.Millisecond
 	}
@@ -202,7 +202,7 @@
 func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond)
+	s.weightsOrders(200 * time.Millisecond)
 	s.sendHeartbeats("i-1", "i-2")
 	for range 20 {
 		s.now += 50 * time.Millisecond
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -143,14 +143,14 @@
 		t.Fatalf("answer %+v", answer)
 	}
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond) // the reports
+	s.weightsOrders(200 * time.Millisecond) // the reports
 	asked(answer.Version)
 	s.sendHeartbeats("i-1", "i-2")
-	if early := s.orders(time.Second); len(early) > 0 {
+	if early := s.weightsOrders(time.Second); len(early) > 0 {
 		t.Fatalf("ordered although g1 has not turned away: %+v", early)
 	}
 	asked(asked(answer.Version).Version)
-	if orders := s.orders(300 * time.Millisecond); len(orders) == 0 {
+	if orders := s.weightsOrders(300 * time.Millisecond); len(orders) == 0 {
 		t.Fatal("no order after g1 had turned away")
 	}
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -51,9 +51,9 @@
 		}
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 		s.sendHeartbeats(ids...)
-		s.orders(200 * time.Millisecond) // the reports
+		s.weightsOrders(200 * time.Millisecond) // the reports
 		s.sendHeartbeats(ids...)
-		ordered := len(s.orders(time.Second))
+		ordered := len(s.weightsOrders(time.Second))
 		if wanted := max(1, engines/loadDivisor); ordered < wanted || ordered > max(1, engines/drainDivisor) {
 			t.Errorf("%d of %d engines were ordered at once, wanted %d", ordered, engines, wanted)
 		}
