--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -51,10 +51,10 @@
 	return orders
 }
 
-// TestOrderWaitsUntilGatewaysTurnedAway: weights are replaced only once every gateway that may still send has taken up
+// TestOrderWaitsUntilGatewaysStopSending: weights are replaced only once every gateway that may still send has taken up
 // that the back end is loading; one that fell silent has stopped trusting its view by then (site ralca-kigali, trouble-1:
 // STALE).
-func TestOrderWaitsUntilGatewaysTurnedAway(t *testing.T) {
+func TestOrderWaitsUntilGatewaysStopSending(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
