--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestDrainIsAnsweredOnceItIsHeld: the answer to draining comes after its entry committed, and a late heartbeat takes it
+// TestDrainIsAnsweredOnceCommitted: the answer to draining comes after its entry committed, and a late heartbeat takes it
 // back neither then nor after the instance left.
-func TestDrainIsAnsweredOnceItIsHeld(t *testing.T) {
+func TestDrainIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
 	if state := s.replica.Machine().Catalog().Instances()["i-1"].State; state != catalog.StateDraining {
