--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestWatchIsHeldUntilThereIsNews: and answered with the document when that changes.
-func TestWatchIsHeldUntilThereIsNews(t *testing.T) {
+// TestWatchIsHeldUntilSomethingChanges: and answered with the document when that changes.
+func TestWatchIsHeldUntilSomethingChanges(t *testing.T) {
 	s := openWithEngines(t)
 	first := s.watchNow("g1", RosterVersion{})
 	client := uint64(1000)
