--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestOrderDecidedBeforeALongSyncIsNotGiven: the disk stalls between the decision and the send; the lease has run out by
+// TestOrderIsDroppedIfLeaseEndsDuringSync: the disk stalls between the decision and the send; the lease has run out by
 // then, and another replica may lead (simulator, seeds 147 and 5210 with stalled disks).
-func TestOrderDecidedBeforeALongSyncIsNotGiven(t *testing.T) {
+func TestOrderIsDroppedIfLeaseEndsDuringSync(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond)
