--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -23,8 +23,8 @@
 	return len(encoded)
 }
 
-// joinEngines registers so many engines of one service and lets it be decided which are in use.
-func joinEngines(s *singleReplica, count int) {
+// registerEngines registers so many engines of one service and lets it be decided which are in use.
+func registerEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
 		var batch []BackendHeartbeat
 		for i := first; i < min(first+500, count); i++ {
@@ -42,7 +42,7 @@
 func TestRosterFollowsTheWorkAndNotTheFleet(t *testing.T) {
 	told := func(count int) (entries, bytes int) {
 		s := openWithEngines(t)
-		joinEngines(s, count)
+		registerEngines(s, count)
 		news := s.watchNow("g1", RosterVersion{}).Roster
 		return len(news.Entries), jsonLength(t, news)
 	}
@@ -58,7 +58,7 @@
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
-	joinEngines(s, 1500)
+	registerEngines(s, 1500)
 	ids := func(s *singleReplica) map[string]bool {
 		named := map[string]bool{}
 		for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
@@ -83,7 +83,7 @@
 // TestLostEnginesAreReplaced: when a part of those in use leaves, as many others come into use in the next look.
 func TestLostEnginesAreReplaced(t *testing.T) {
 	s := openWithEngines(t)
-	joinEngines(s, 1500)
+	registerEngines(s, 1500)
 	reply := s.watchNow("g1", RosterVersion{})
 	var leaving []BackendHeartbeat
 	for _, e := range reply.Roster.Entries[:len(reply.Roster.Entries)/4] {
@@ -160,7 +160,7 @@
 func TestWholeAnswersShareTheirParts(t *testing.T) {
 	own := func(count int) int {
 		s := openWithEngines(t)
-		joinEngines(s, count)
+		registerEngines(s, count)
 		response := s.ask(Request{Watch: &Watch{Gateway: "g1"}})
 		parts, err := response.Parts()
 		if err != nil || response.Watch.Document == nil || len(response.Watch.Roster.Entries) < count {
