--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -37,9 +37,9 @@
 	s.advance(500 * time.Millisecond)
 }
 
-// TestRosterFollowsTheWorkAndNotTheFleet: what a gateway is told at first is the same for twice the engines at one load, in entries and
+// TestRosterSizeIsIndependentOfFleetSize: what a gateway is told at first is the same for twice the engines at one load, in entries and
 // about in bytes.
-func TestRosterFollowsTheWorkAndNotTheFleet(t *testing.T) {
+func TestRosterSizeIsIndependentOfFleetSize(t *testing.T) {
 	told := func(count int) (entries, bytes int) {
 		s := openWithEngines(t)
 		registerEngines(s, count)
