--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestNextLeaderNamesTheSameEngines: from the log, before anybody tells it of any work.
-func TestNextLeaderNamesTheSameEngines(t *testing.T) {
+// TestNextLeaderUsesTheSameEngines: from the log, before anybody tells it of any work.
+func TestNextLeaderUsesTheSameEngines(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
