--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestGatewaysAreListedByWhoCame: what the log tells of gateways that come one after the other grows with their number, not its square.
-func TestGatewaysAreListedByWhoCame(t *testing.T) {
+// TestGatewayListIsLoggedAsChanges: what the log tells of gateways that come one after the other grows with their number, not its square.
+func TestGatewayListIsLoggedAsChanges(t *testing.T) {
 	written := func(count int) int {
 		s := openWithEngines(t)
 		s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
