--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
-func TestRelayedGatewaysCount(t *testing.T) {
+// TestOrderWaitsForRelayedGateways: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
+func TestOrderWaitsForRelayedGateways(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
 	asked := func(held RosterVersion) *relay.Reply {
