--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestWholeAnswersShareTheirParts: what an answer to a gateway that knows nothing costs beside the parts that all share doesn't grow with
+// TestFullRepliesShareEncodedParts: what an answer to a gateway that knows nothing costs beside the parts that all share doesn't grow with
 // the back ends, and it reads as if it had been encoded in one piece.
-func TestWholeAnswersShareTheirParts(t *testing.T) {
+func TestFullRepliesShareEncodedParts(t *testing.T) {
 	own := func(count int) int {
 		s := openWithEngines(t)
 		registerEngines(s, count)
