--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -13,8 +13,8 @@
 // had delayed brought the last life back. On the code as it was, an engine that held version 2 and believed to hold 3 got no order in
 // 20 s: "0 orders, believed map[m:3]".
 
-// TestWhatIsKnownBelongsToALife: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
-func TestWhatIsKnownBelongsToALife(t *testing.T) {
+// TestStateBelongsToOneIncarnation: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
+func TestStateBelongsToOneIncarnation(t *testing.T) {
 	t.Run("the later life holds", laterLifeHolds)
 	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
 	t.Run("an untold life takes nothing", untoldLifeTakesNothing)
