--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -14,7 +14,7 @@
 		s := openWithEngines(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
-		s.says(life("e", 1000), "a1", 1, 1)
+		s.says(incarnationID("e", 1000), "a1", 1, 1)
 		return s
 	}
 	sendUnconfigured := func(s *singleReplica, id, address string, state catalog.State) {
@@ -25,34 +25,34 @@
 	}
 	checkUnchanged := func(t *testing.T, s *singleReplica) {
 		t.Helper()
-		held, known := s.replica.Machine().Catalog().Instances()[life("e", 1000)]
+		held, known := s.replica.Machine().Catalog().Instances()[incarnationID("e", 1000)]
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
 			t.Fatalf("registered: %t, instance %+v, want it ready with service engine", known, held)
 		}
-		s.says(life("e", 1000), "a1", 2, 1)
-		if state := s.replica.leader.fleet[life("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
+		s.says(incarnationID("e", 1000), "a1", 2, 1)
+		if state := s.replica.leader.fleet[incarnationID("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
 			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
 	}
 	t.Run("same incarnation", func(t *testing.T) {
 		s := openRegistered(t)
-		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateReady)
+		sendUnconfigured(s, incarnationID("e", 1000), "a1", catalog.StateReady)
 		checkUnchanged(t, s)
 	})
 	t.Run("same incarnation, draining", func(t *testing.T) {
 		s := openRegistered(t)
-		sendUnconfigured(s, life("e", 1000), "a1", catalog.StateDraining)
+		sendUnconfigured(s, incarnationID("e", 1000), "a1", catalog.StateDraining)
 		checkUnchanged(t, s)
 	})
 	t.Run("later incarnation", func(t *testing.T) {
 		s := openRegistered(t)
-		sendUnconfigured(s, life("e", 2000), "a2", catalog.StateReady)
+		sendUnconfigured(s, incarnationID("e", 2000), "a2", catalog.StateReady)
 		checkUnchanged(t, s)
 	})
 	t.Run("address of a silent back end", func(t *testing.T) {
 		s := openRegistered(t)
 		s.advance(silenceTimeout + time.Second)
-		sendUnconfigured(s, life("x", 2000), "a1", catalog.StateReady)
+		sendUnconfigured(s, incarnationID("x", 2000), "a1", catalog.StateReady)
 		checkUnchanged(t, s)
 	})
 }
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -14,7 +14,7 @@
 func TestNextLifeWaitsForTheLastHoldersPause(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
-	first, second := life("e", 1000), life("e", 2000)
+	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
 	s.says(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
 	for name, mark := range s.replica.orderMarks {
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -234,16 +234,16 @@
 		t.Run(what, func(t *testing.T) {
 			s := openWithEngines(t)
 			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
-			s.says(life("e", 1000), "a1", 1, 1)
-			s.replica.writeOrdering(life("e", 1000))
+			s.says(incarnationID("e", 1000), "a1", 1, 1)
+			s.replica.writeOrdering(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
-			s.says(life("e", 2000), "a1", 1, 1)
+			s.says(incarnationID("e", 2000), "a1", 1, 1)
 			forget(s)
 			for key, mark := range s.replica.orderMarks {
 				mark.term-- // another leader's
 				s.replica.orderMarks[key] = mark
 			}
-			if s.replica.handedOver(s.now, life("e", 2000)) {
+			if s.replica.handedOver(s.now, incarnationID("e", 2000)) {
 				t.Fatal("the next life may be ordered by another holder at once")
 			}
 			if !s.replica.handedOver(s.now, "i-1") {
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -22,8 +22,8 @@
 	t.Run("a report of another life is none", reportOfAnotherLifeIsNone)
 }
 
-// life returns the id of one life of a back end.
-func life(name string, born int64) string {
+// incarnationID returns the id of one incarnationID of a back end.
+func incarnationID(name string, born int64) string {
 	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
 }
 
@@ -54,17 +54,17 @@
 // laterLifeHolds: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
 func laterLifeHolds(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(life("e", 1000), "a1", 90, 1)
-	s.says(life("e", 2000), "a2", 1, 1)
-	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
+	s.says(incarnationID("e", 1000), "a1", 90, 1)
+	s.says(incarnationID("e", 2000), "a2", 1, 1)
+	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("the last life is registered beside the new one")
 	}
-	s.says(life("e", 1000), "a1", 91, 1)
-	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
+	s.says(incarnationID("e", 1000), "a1", 91, 1)
+	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("a late heartbeat brought the last life back")
 	}
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e", 1000)}, Leaving: true}})
-	if !s.registered(life("e", 2000)) {
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
+	if !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("a late leave of the last life ended the new one")
 	}
 }
@@ -72,15 +72,15 @@
 // lateHeartbeatTakesNoAddress: of two back ends that name one address the one that was started later stands there while it is heard.
 func lateHeartbeatTakesNoAddress(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(life("before", 1000), "a1", 90, 1)
-	s.says(life("after", 2000), "a1", 1, 1)
-	s.says(life("before", 1000), "a1", 91, 1)
-	if s.registered(life("before", 1000)) || !s.registered(life("after", 2000)) {
+	s.says(incarnationID("before", 1000), "a1", 90, 1)
+	s.says(incarnationID("after", 2000), "a1", 1, 1)
+	s.says(incarnationID("before", 1000), "a1", 91, 1)
+	if s.registered(incarnationID("before", 1000)) || !s.registered(incarnationID("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
 	s.advance(silenceTimeout + time.Second)
-	s.says(life("other", 1500), "a1", 1, 1)
-	if !s.registered(life("other", 1500)) {
+	s.says(incarnationID("other", 1500), "a1", 1, 1)
+	if !s.registered(incarnationID("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
 	}
 }
@@ -92,10 +92,10 @@
 	for _, id := range []string{"i-1", "i-2"} {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
-	s.says(life("e", 1000), "a1", 1, 1)
+	s.says(incarnationID("e", 1000), "a1", 1, 1)
 	s.says("e", "a1", 90, 7)
 	s.says("x", "a2", 1, 7)
-	if s.registered("e") || s.registered("x") || !s.registered(life("e", 1000)) {
+	if s.registered("e") || s.registered("x") || !s.registered(incarnationID("e", 1000)) {
 		t.Fatal("a heartbeat without a life registered")
 	}
 	if !s.registered("early") {
@@ -106,23 +106,23 @@
 // leaveNamesTheLifeThereIs: a back end that leaves may give its name alone.
 func leaveNamesTheLifeThereIs(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(life("e", 1000), "a1", 1, 1)
-	s.says(life("e@5", 1000), "a2", 1, 1)
+	s.says(incarnationID("e", 1000), "a1", 1, 1)
+	s.says(incarnationID("e@5", 1000), "a2", 1, 1)
 	s.advance(youngFor)
-	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaving: true}})
-	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
+	if s.registered(incarnationID("e@5", 1000)) || !s.registered(incarnationID("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
-	if s.registered(life("e", 1000)) {
+	if s.registered(incarnationID("e", 1000)) {
 		t.Fatal("it is registered after it left")
 	}
-	s.says(life("e", 1000), "a1", 2, 1)
-	if s.registered(life("e", 1000)) {
+	s.says(incarnationID("e", 1000), "a1", 2, 1)
+	if s.registered(incarnationID("e", 1000)) {
 		t.Fatal("a late heartbeat brought it back")
 	}
-	s.says(life("e", 2000), "a1", 1, 1)
-	if !s.registered(life("e", 2000)) {
+	s.says(incarnationID("e", 2000), "a1", 1, 1)
+	if !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("its next life isn't registered")
 	}
 }
@@ -133,9 +133,9 @@
 // TestLateLeaveEndsNoYoungLifeForGood: the next heartbeat registers it again; one that has stood for a while has left.
 func TestLateLeaveEndsNoYoungLifeForGood(t *testing.T) {
 	s := openWithEngines(t)
-	id := life("e", 2000)
+	id := incarnationID("e", 2000)
 	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
-	s.says(life("e", 1000), "a1", 1, 1)
+	s.says(incarnationID("e", 1000), "a1", 1, 1)
 	s.says(id, "a1", 1, 1)
 	s.ask(leave)
 	s.says(id, "a1", 2, 1)
@@ -187,7 +187,7 @@
 func TestWeightsThatFellAreReplaced(t *testing.T) {
 	s := openAlone(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
-	id := life("e", 1000)
+	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(2*time.Second, 3, 1)
 	held := s.watchNow("g1", RosterVersion{})
@@ -208,7 +208,7 @@
 func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
 	s := openAlone(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
-	id := life("e", 1000)
+	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
 	s.says(id, "a1", 2, 2)
@@ -220,7 +220,7 @@
 // reportOfAnotherLifeIsNone: a report says whose it is; one of another life tells nothing of the life that was asked.
 func reportOfAnotherLifeIsNone(t *testing.T) {
 	s := openAlone(t)
-	id := life("e", 1000)
+	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
