--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -27,8 +27,8 @@
 	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
 }
 
-// openAlone is a fleet whose two engines have left, so that the next one stands alone.
-func openAlone(t *testing.T) *singleReplica {
+// openWithoutEngines is a fleet whose two engines have left, so that the next one stands alone.
+func openWithoutEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
 	for _, id := range []string{"i-1", "i-2"} {
@@ -185,7 +185,7 @@
 // TestWeightsThatFellAreReplaced: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
 // own word is believed, and it is ordered again.
 func TestWeightsThatFellAreReplaced(t *testing.T) {
-	s := openAlone(t)
+	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 3)
@@ -206,7 +206,7 @@
 
 // TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
 func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
-	s := openAlone(t)
+	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 3)
@@ -219,7 +219,7 @@
 
 // reportOfAnotherLifeIsNone: a report says whose it is; one of another life tells nothing of the life that was asked.
 func reportOfAnotherLifeIsNone(t *testing.T) {
-	s := openAlone(t)
+	s := openWithoutEngines(t)
 	id := incarnationID("e", 1000)
 	s.says(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
