--- a/internal/control/forged_test.go
+++ b/internal/control/forged_test.go
@@ -14,7 +14,7 @@
 		s := openWithEngines(t)
 		routed := catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}}}
 		s.ask(Request{Catalog: &catalog.Command{Replace: &routed}})
-		s.says(incarnationID("e", 1000), "a1", 1, 1)
+		s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 		return s
 	}
 	sendUnconfigured := func(s *singleReplica, id, address string, state catalog.State) {
@@ -29,7 +29,7 @@
 		if !known || held.State != catalog.StateReady || held.Service != "engine" {
 			t.Fatalf("registered: %t, instance %+v, want it ready with service engine", known, held)
 		}
-		s.says(incarnationID("e", 1000), "a1", 2, 1)
+		s.sendHeartbeat(incarnationID("e", 1000), "a1", 2, 1)
 		if state := s.replica.leader.fleet[incarnationID("e", 1000)]; state.versions["m"] != 1 || state.sequence != 2 {
 			t.Fatalf("versions %v, sequence %d, want version 1 of m and sequence 2", state.versions, state.sequence)
 		}
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -15,14 +15,14 @@
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
-	s.says(first, "a1", 1, 1)
+	s.sendHeartbeat(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
 	for name, mark := range s.replica.orderMarks {
 		mark.term-- // as whoever leads next sees it
 		s.replica.orderMarks[name] = mark
 	}
 	orderedAt := s.now
-	s.says(second, "a1", 1, 1)
+	s.sendHeartbeat(second, "a1", 1, 1)
 	if s.replica.handedOver(orderedAt+s.replica.config.OrderWait, second) {
 		t.Fatal("the next life may be ordered within the pause")
 	}
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -234,10 +234,10 @@
 		t.Run(what, func(t *testing.T) {
 			s := openWithEngines(t)
 			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
-			s.says(incarnationID("e", 1000), "a1", 1, 1)
+			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 			s.replica.writeOrdering(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
-			s.says(incarnationID("e", 2000), "a1", 1, 1)
+			s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
 			forget(s)
 			for key, mark := range s.replica.orderMarks {
 				mark.term-- // another leader's
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -37,8 +37,8 @@
 	return s
 }
 
-// says sends a heartbeat of an engine at an address.
-func (s *singleReplica) says(id, address string, sequence, version uint64) {
+// sendHeartbeat sends a heartbeat of an engine at an address.
+func (s *singleReplica) sendHeartbeat(id, address string, sequence, version uint64) {
 	s.ask(Request{Beat: &BackendHeartbeat{
 		Instance: catalog.Instance{ID: id, Service: "engine", Address: address, State: catalog.StateReady},
 		Sequence: sequence, Versions: map[string]uint64{"m": version},
@@ -54,12 +54,12 @@
 // laterLifeHolds: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
 func laterLifeHolds(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(incarnationID("e", 1000), "a1", 90, 1)
-	s.says(incarnationID("e", 2000), "a2", 1, 1)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
+	s.sendHeartbeat(incarnationID("e", 2000), "a2", 1, 1)
 	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("the last life is registered beside the new one")
 	}
-	s.says(incarnationID("e", 1000), "a1", 91, 1)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 91, 1)
 	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("a late heartbeat brought the last life back")
 	}
@@ -72,14 +72,14 @@
 // lateHeartbeatTakesNoAddress: of two back ends that name one address the one that was started later stands there while it is heard.
 func lateHeartbeatTakesNoAddress(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(incarnationID("before", 1000), "a1", 90, 1)
-	s.says(incarnationID("after", 2000), "a1", 1, 1)
-	s.says(incarnationID("before", 1000), "a1", 91, 1)
+	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
+	s.sendHeartbeat(incarnationID("after", 2000), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("before", 1000), "a1", 91, 1)
 	if s.registered(incarnationID("before", 1000)) || !s.registered(incarnationID("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
 	s.advance(silenceTimeout + time.Second)
-	s.says(incarnationID("other", 1500), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("other", 1500), "a1", 1, 1)
 	if !s.registered(incarnationID("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
 	}
@@ -88,13 +88,13 @@
 // untoldLifeTakesNothing: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
 func untoldLifeTakesNothing(t *testing.T) {
 	s := openWithEngines(t)
-	s.says("early", "a9", 1, 1)
+	s.sendHeartbeat("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
-	s.says(incarnationID("e", 1000), "a1", 1, 1)
-	s.says("e", "a1", 90, 7)
-	s.says("x", "a2", 1, 7)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat("e", "a1", 90, 7)
+	s.sendHeartbeat("x", "a2", 1, 7)
 	if s.registered("e") || s.registered("x") || !s.registered(incarnationID("e", 1000)) {
 		t.Fatal("a heartbeat without a life registered")
 	}
@@ -106,8 +106,8 @@
 // leaveNamesTheLifeThereIs: a back end that leaves may give its name alone.
 func leaveNamesTheLifeThereIs(t *testing.T) {
 	s := openWithEngines(t)
-	s.says(incarnationID("e", 1000), "a1", 1, 1)
-	s.says(incarnationID("e@5", 1000), "a2", 1, 1)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
 	s.advance(youngFor)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
 	if s.registered(incarnationID("e@5", 1000)) || !s.registered(incarnationID("e", 1000)) {
@@ -117,11 +117,11 @@
 	if s.registered(incarnationID("e", 1000)) {
 		t.Fatal("it is registered after it left")
 	}
-	s.says(incarnationID("e", 1000), "a1", 2, 1)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 2, 1)
 	if s.registered(incarnationID("e", 1000)) {
 		t.Fatal("a late heartbeat brought it back")
 	}
-	s.says(incarnationID("e", 2000), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
 	if !s.registered(incarnationID("e", 2000)) {
 		t.Fatal("its next life isn't registered")
 	}
@@ -135,16 +135,16 @@
 	s := openWithEngines(t)
 	id := incarnationID("e", 2000)
 	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
-	s.says(incarnationID("e", 1000), "a1", 1, 1)
-	s.says(id, "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(leave)
-	s.says(id, "a1", 2, 1)
+	s.sendHeartbeat(id, "a1", 2, 1)
 	if !s.registered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
 	s.advance(youngFor)
 	s.ask(leave)
-	s.says(id, "a1", 3, 1)
+	s.sendHeartbeat(id, "a1", 3, 1)
 	if s.registered(id) {
 		t.Fatal("a life that has left came back with a late heartbeat")
 	}
@@ -188,11 +188,11 @@
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
-	s.says(id, "a1", 1, 3)
+	s.sendHeartbeat(id, "a1", 1, 3)
 	s.reports(2*time.Second, 3, 1)
 	held := s.watchNow("g1", RosterVersion{})
 	for number := range 10 {
-		s.says(id, "a1", uint64(number+2), 2)
+		s.sendHeartbeat(id, "a1", uint64(number+2), 2)
 		if orders := s.reports(2*time.Second, 2, 2); len(orders) > 0 {
 			if orders[0].Version != 3 || orders[0].Revision != 2 {
 				t.Fatalf("order %+v", orders[0])
@@ -209,9 +209,9 @@
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
-	s.says(id, "a1", 1, 3)
+	s.sendHeartbeat(id, "a1", 1, 3)
 	s.reports(5*time.Second, 3, 1)
-	s.says(id, "a1", 2, 2)
+	s.sendHeartbeat(id, "a1", 2, 2)
 	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
 		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
 	}
@@ -221,7 +221,7 @@
 func reportOfAnotherLifeIsNone(t *testing.T) {
 	s := openWithoutEngines(t)
 	id := incarnationID("e", 1000)
-	s.says(id, "a1", 1, 1)
+	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
 		s.weightsCalls = nil
