--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -45,8 +45,8 @@
 	}})
 }
 
-// registered reports whether an id is registered.
-func (s *singleReplica) registered(id string) bool {
+// isRegistered reports whether an id is isRegistered.
+func (s *singleReplica) isRegistered(id string) bool {
 	_, known := s.replica.Machine().Catalog().Instances()[id]
 	return known
 }
@@ -56,15 +56,15 @@
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("e", 2000), "a2", 1, 1)
-	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
+	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("the last life is registered beside the new one")
 	}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 91, 1)
-	if s.registered(incarnationID("e", 1000)) || !s.registered(incarnationID("e", 2000)) {
+	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a late heartbeat brought the last life back")
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
-	if !s.registered(incarnationID("e", 2000)) {
+	if !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a late leave of the last life ended the new one")
 	}
 }
@@ -75,12 +75,12 @@
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("after", 2000), "a1", 1, 1)
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 91, 1)
-	if s.registered(incarnationID("before", 1000)) || !s.registered(incarnationID("after", 2000)) {
+	if s.isRegistered(incarnationID("before", 1000)) || !s.isRegistered(incarnationID("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
 	s.advance(silenceTimeout + time.Second)
 	s.sendHeartbeat(incarnationID("other", 1500), "a1", 1, 1)
-	if !s.registered(incarnationID("other", 1500)) {
+	if !s.isRegistered(incarnationID("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
 	}
 }
@@ -95,10 +95,10 @@
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat("e", "a1", 90, 7)
 	s.sendHeartbeat("x", "a2", 1, 7)
-	if s.registered("e") || s.registered("x") || !s.registered(incarnationID("e", 1000)) {
+	if s.isRegistered("e") || s.isRegistered("x") || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a heartbeat without a life registered")
 	}
-	if !s.registered("early") {
+	if !s.isRegistered("early") {
 		t.Fatal("a back end that was there before was dropped")
 	}
 }
@@ -110,19 +110,19 @@
 	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
 	s.advance(youngFor)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
-	if s.registered(incarnationID("e@5", 1000)) || !s.registered(incarnationID("e", 1000)) {
+	if s.isRegistered(incarnationID("e@5", 1000)) || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
-	if s.registered(incarnationID("e", 1000)) {
+	if s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("it is registered after it left")
 	}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 2, 1)
-	if s.registered(incarnationID("e", 1000)) {
+	if s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a late heartbeat brought it back")
 	}
 	s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
-	if !s.registered(incarnationID("e", 2000)) {
+	if !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("its next life isn't registered")
 	}
 }
@@ -139,13 +139,13 @@
 	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(leave)
 	s.sendHeartbeat(id, "a1", 2, 1)
-	if !s.registered(id) {
+	if !s.isRegistered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
 	s.advance(youngFor)
 	s.ask(leave)
 	s.sendHeartbeat(id, "a1", 3, 1)
-	if s.registered(id) {
+	if s.isRegistered(id) {
 		t.Fatal("a life that has left came back with a late heartbeat")
 	}
 }
@@ -159,8 +159,8 @@
 	}
 	tell("e", "engine")
 	tell("p", "plain")
-	if s.registered("e") || !s.registered("p") {
-		t.Fatalf("engine %t, plain %t", s.registered("e"), s.registered("p"))
+	if s.isRegistered("e") || !s.isRegistered("p") {
+		t.Fatalf("engine %t, plain %t", s.isRegistered("e"), s.isRegistered("p"))
 	}
 }
 
