--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -15,7 +15,7 @@
 
 // TestStateBelongsToOneIncarnation: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
 func TestStateBelongsToOneIncarnation(t *testing.T) {
-	t.Run("the later life holds", laterLifeHolds)
+	t.Run("the later life holds", laterIncarnationWins)
 	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
 	t.Run("an untold life takes nothing", untoldLifeTakesNothing)
 	t.Run("a leave names the life there is", leaveNamesTheLifeThereIs)
@@ -51,8 +51,8 @@
 	return known
 }
 
-// laterLifeHolds: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
-func laterLifeHolds(t *testing.T) {
+// laterIncarnationWins: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
+func laterIncarnationWins(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("e", 2000), "a2", 1, 1)
