--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -17,7 +17,7 @@
 func TestStateBelongsToOneIncarnation(t *testing.T) {
 	t.Run("the later life holds", laterIncarnationWins)
 	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
-	t.Run("an untold life takes nothing", untoldLifeTakesNothing)
+	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
 	t.Run("a leave names the life there is", leaveNamesTheLifeThereIs)
 	t.Run("a report of another life is none", reportOfAnotherLifeIsNone)
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// untoldLifeTakesNothing: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
-func untoldLifeTakesNothing(t *testing.T) {
+// unknownIncarnationIsIgnored: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
+func unknownIncarnationIsIgnored(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
