--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -18,7 +18,7 @@
 	t.Run("the later life holds", laterIncarnationWins)
 	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
 	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
-	t.Run("a leave names the life there is", leaveNamesTheLifeThereIs)
+	t.Run("a leave names the life there is", leaveByNameEndsCurrentIncarnation)
 	t.Run("a report of another life is none", reportOfAnotherLifeIsNone)
 }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// leaveNamesTheLifeThereIs: a back end that leaves may give its name alone.
-func leaveNamesTheLifeThereIs(t *testing.T) {
+// leaveByNameEndsCurrentIncarnation: a back end that leaves may give its name alone.
+func leaveByNameEndsCurrentIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
