--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -19,7 +19,7 @@
 	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
 	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
 	t.Run("a leave names the life there is", leaveByNameEndsCurrentIncarnation)
-	t.Run("a report of another life is none", reportOfAnotherLifeIsNone)
+	t.Run("a report of another life is none", reportOfAnotherIncarnationIsIgnored)
 }
 
 // incarnationID returns the id of one incarnationID of a back end.
@@ -217,8 +217,8 @@
 	}
 }
 
-// reportOfAnotherLifeIsNone: a report says whose it is; one of another life tells nothing of the life that was asked.
-func reportOfAnotherLifeIsNone(t *testing.T) {
+// reportOfAnotherIncarnationIsIgnored: a report says whose it is; one of another life tells nothing of the life that was asked.
+func reportOfAnotherIncarnationIsIgnored(t *testing.T) {
 	s := openWithoutEngines(t)
 	id := incarnationID("e", 1000)
 	s.sendHeartbeat(id, "a1", 1, 1)
