--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -130,8 +130,8 @@
 // A leave may be passed on late, when its sender has started again, and give its name alone: it then meant the last life. Taken for the one
 // that stands there now, that one was never registered again however long it lived.
 
-// TestLateLeaveEndsNoYoungLifeForGood: the next heartbeat registers it again; one that has stood for a while has left.
-func TestLateLeaveEndsNoYoungLifeForGood(t *testing.T) {
+// TestLateLeaveDoesNotBlockNewIncarnation: the next heartbeat registers it again; one that has stood for a while has left.
+func TestLateLeaveDoesNotBlockNewIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	id := incarnationID("e", 2000)
 	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
