--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestEngineTellsItsWeights: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
-func TestEngineTellsItsWeights(t *testing.T) {
+// TestEngineWithoutWeightsIsNotRegistered: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
+func TestEngineWithoutWeightsIsNotRegistered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
 	tell := func(id, service string) {
