--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// reports answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
-func (s *singleReplica) reports(length time.Duration, version, revision uint64) []WeightsCall {
+// answerWeightsCalls answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
+func (s *singleReplica) answerWeightsCalls(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
 		s.weightsCalls = nil
@@ -189,11 +189,11 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
 	s.sendHeartbeat(id, "a1", 1, 3)
-	s.reports(2*time.Second, 3, 1)
+	s.answerWeightsCalls(2*time.Second, 3, 1)
 	held := s.watchNow("g1", RosterVersion{})
 	for number := range 10 {
 		s.sendHeartbeat(id, "a1", uint64(number+2), 2)
-		if orders := s.reports(2*time.Second, 2, 2); len(orders) > 0 {
+		if orders := s.answerWeightsCalls(2*time.Second, 2, 2); len(orders) > 0 {
 			if orders[0].Version != 3 || orders[0].Revision != 2 {
 				t.Fatalf("order %+v", orders[0])
 			}
@@ -210,9 +210,9 @@
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
 	s.sendHeartbeat(id, "a1", 1, 3)
-	s.reports(5*time.Second, 3, 1)
+	s.answerWeightsCalls(5*time.Second, 3, 1)
 	s.sendHeartbeat(id, "a1", 2, 2)
-	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
+	if orders := s.answerWeightsCalls(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
 		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
 	}
 }
