--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -182,9 +182,9 @@
 	return orders
 }
 
-// TestWeightsThatFellAreReplaced: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
+// TestEngineWithLowerWeightsIsOrderedAgain: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
 // own word is believed, and it is ordered again.
-func TestWeightsThatFellAreReplaced(t *testing.T) {
+func TestEngineWithLowerWeightsIsOrderedAgain(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
