--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -204,8 +204,8 @@
 	t.Fatalf("0 orders, believed %v", s.replica.leader.fleet[id].versions)
 }
 
-// TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
-func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
+// TestLateHeartbeatDoesNotLowerWeights: one that was sent before a load and arrives after it is not believed against the engine's report.
+func TestLateHeartbeatDoesNotLowerWeights(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
 	id := incarnationID("e", 1000)
