--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestUntoldLifeIsOrderedByItsReport: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
-func TestUntoldLifeIsOrderedByItsReport(t *testing.T) {
+// TestBackendWithoutIncarnationIsOrdered: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
+func TestBackendWithoutIncarnationIsOrdered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
