--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -10,8 +10,8 @@
 	"kitetiller/internal/guard"
 )
 
-// TestMeshLeavesSilentGatewaysOut: who has not asked lately is not told, and is not counted on to tell others.
-func TestMeshLeavesSilentGatewaysOut(t *testing.T) {
+// TestMeshExcludesSilentGateways: who has not asked lately is not told, and is not counted on to tell others.
+func TestMeshExcludesSilentGateways(t *testing.T) {
 	r := &Replica{machine: NewMachine(guard.Set{}), leader: &leaderState{usage: map[string]usageReport{
 		"a": {zone: "z", address: "a", receivedAt: 10 * time.Second}, "b": {zone: "z", address: "b", receivedAt: time.Second},
 		"c": {zone: "z", address: "c", receivedAt: 10 * time.Second}, "d": {zone: "y", address: "d", receivedAt: time.Second},
