--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestRosterIsToldAtAPace: changes that follow each other are told together, the sooner the fewer gateways there are.
-func TestRosterIsToldAtAPace(t *testing.T) {
+// TestRosterUpdatesAreRateLimited: changes that follow each other are told together, the sooner the fewer gateways there are.
+func TestRosterUpdatesAreRateLimited(t *testing.T) {
 	l := &leaderState{term: 1, usage: map[string]usageReport{}, publishedAt: -time.Second}
 	for i := range 100 {
 		l.usage[fmt.Sprint(i)] = usageReport{}
