--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -17,7 +17,7 @@
 	return weights
 }
 
-func under(weights []uint64, bound uint64) int {
+func countUpTo(weights []uint64, bound uint64) int {
 	count := 0
 	for _, w := range weights {
 		if w <= bound {
@@ -31,7 +31,7 @@
 func TestSmallServicesUseAll(t *testing.T) {
 	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slackDivisor} {
 		if bound := MaxHashWeight(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
-			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
+			t.Fatalf("%d of %d back ends are used", countUpTo(fleet(size), bound), size)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		for _, count := range []int{5000, 10000, 20000} {
 			all := fleet(count)
 			bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
-			if used := under(all, bound); used < wanted || used > wanted+wanted/slackDivisor || used > MinBackends+MinBackends/slackDivisor+3*running {
+			if used := countUpTo(all, bound); used < wanted || used > wanted+wanted/slackDivisor || used > MinBackends+MinBackends/slackDivisor+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
 			}
 		}
@@ -65,14 +65,14 @@
 		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < share })
 	}
 	for name, able := range map[string][]uint64{"a zone": lose(0.2), "a quarter": lose(0.25), "a release": lose(89.0 / 5000)} {
-		if left := under(able, first); left < running {
+		if left := countUpTo(able, first); left < running {
 			t.Fatalf("%s: %d are left of %d for %d requests", name, left, wanted, running)
 		}
 		bound := MaxHashWeight(first, slices.Clone(able), len(all)-len(able), wanted)
-		if used := under(able, bound); used < wanted {
+		if used := countUpTo(able, bound); used < wanted {
 			t.Fatalf("%s: %d are used after one step, wanted %d", name, used, wanted)
 		}
-		if stay := under(all, min(first, bound)); stay < under(all, first) {
+		if stay := countUpTo(all, min(first, bound)); stay < countUpTo(all, first) {
 			t.Fatalf("%s: only %d of those in use before are used on", name, stay)
 		}
 	}
@@ -122,7 +122,7 @@
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	for _, heard := range []int{0, 100, 2400} {
 		if next := MaxHashWeight(bound, slices.Clone(all[:heard]), len(all)-heard, MinBackends); next != bound {
-			t.Fatalf("%d are used when %d of %d are heard", under(all, next), heard, len(all))
+			t.Fatalf("%d are used when %d of %d are heard", countUpTo(all, next), heard, len(all))
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	all := fleet(5000)
 	var before, after Size
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Update(0, 1000, 0))
-	used := under(all, bound)
+	used := countUpTo(all, bound)
 	for now := time.Duration(0); now < peakWindow; now += time.Second {
 		if next := MaxHashWeight(bound, slices.Clone(all), 0, after.Update(time.Hour+now, 0, used)); next != bound {
-			t.Fatalf("%d were in use, %d are %v after a change of leader", used, under(all, next), now)
+			t.Fatalf("%d were in use, %d are %v after a change of leader", used, countUpTo(all, next), now)
 		}
 	}
 	wanted := 0
