--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// fleet are the weights of so many back ends, all able to work.
-func fleet(size int) []uint64 {
+// weightsOf are the weights of so many back ends, all able to work.
+func weightsOf(size int) []uint64 {
 	weights := make([]uint64, size)
 	for i := range weights {
 		weights[i] = HashWeight(fmt.Sprintf("10.%d.%d.%d:8000", i%5, i/200, i%200))
@@ -30,8 +30,8 @@
 // TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
 func TestSmallServicesUseAll(t *testing.T) {
 	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slackDivisor} {
-		if bound := MaxHashWeight(Unbounded, fleet(size), 0, MinBackends); bound != Unbounded {
-			t.Fatalf("%d of %d back ends are used", countUpTo(fleet(size), bound), size)
+		if bound := MaxHashWeight(Unbounded, weightsOf(size), 0, MinBackends); bound != Unbounded {
+			t.Fatalf("%d of %d back ends are used", countUpTo(weightsOf(size), bound), size)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 		var size Size
 		wanted := size.Update(0, running, 0)
 		for _, count := range []int{5000, 10000, 20000} {
-			all := fleet(count)
+			all := weightsOf(count)
 			bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, wanted)
 			if used := countUpTo(all, bound); used < wanted || used > wanted+wanted/slackDivisor || used > MinBackends+MinBackends/slackDivisor+3*running {
 				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
@@ -56,7 +56,7 @@
 // replaces what is lost in one step.
 func TestUseIsReadyBeforeQueues(t *testing.T) {
 	const running = 600
-	all := fleet(5000)
+	all := weightsOf(5000)
 	random := rand.New(rand.NewPCG(1, 2))
 	var size Size
 	wanted := size.Update(0, running, 0)
@@ -101,7 +101,7 @@
 
 // TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
 func TestBoundRests(t *testing.T) {
-	all := fleet(5000)
+	all := weightsOf(5000)
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	changes := 0
 	random := rand.New(rand.NewPCG(3, 4))
@@ -118,7 +118,7 @@
 
 // TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
 func TestSilenceOfMostChangesNothing(t *testing.T) {
-	all := fleet(5000)
+	all := weightsOf(5000)
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	for _, heard := range []int{0, 100, 2400} {
 		if next := MaxHashWeight(bound, slices.Clone(all[:heard]), len(all)-heard, MinBackends); next != bound {
@@ -130,7 +130,7 @@
 // TestNextLeaderKeepsWhatWorkNeeded: it has heard of no work yet; what is in use when it begins stays for as long as work seen would count,
 // and shrinks after that.
 func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
-	all := fleet(5000)
+	all := weightsOf(5000)
 	var before, after Size
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Update(0, 1000, 0))
 	used := countUpTo(all, bound)
