--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestUseFollowsTheWork: at one load, twice the back ends or four times as many change nothing in how many are used.
-func TestUseFollowsTheWork(t *testing.T) {
+// TestBackendsInUseFollowLoad: at one load, twice the back ends or four times as many change nothing in how many are used.
+func TestBackendsInUseFollowLoad(t *testing.T) {
 	for _, running := range []int{0, 100, 800} {
 		var size Size
 		wanted := size.Update(0, running, 0)
