--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestUseIsReadyBeforeQueues replays losses of a fleet of 5,000 with 600 requests running: a zone, a quarter in the dark, a release of
+// TestEnoughBackendsRemainAfterLosses replays losses of a fleet of 5,000 with 600 requests running: a zone, a quarter in the dark, a release of
 // 45% in which 89 are away at a time. Those that are in use and able never fall under one for each running request, and the bound
 // replaces what is lost in one step.
-func TestUseIsReadyBeforeQueues(t *testing.T) {
+func TestEnoughBackendsRemainAfterLosses(t *testing.T) {
 	const running = 600
 	all := weightsOf(5000)
 	random := rand.New(rand.NewPCG(1, 2))
