--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestUseGrowsAtOnceAndShrinksSlowly: a restart of all, during which nothing runs, makes nobody forget what is needed.
-func TestUseGrowsAtOnceAndShrinksSlowly(t *testing.T) {
+// TestTargetGrowsAtOnceAndShrinksSlowly: a restart of all, during which nothing runs, makes nobody forget what is needed.
+func TestTargetGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	var size Size
 	size.Update(0, 10, 0)
 	if wanted := size.Update(time.Second, 2000, 0); wanted < 2000*backendsPerRequest {
