--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
-func TestBoundRests(t *testing.T) {
+// TestBoundIsStableUnderSmallChanges: as long as what is able stays near what is wanted, nobody joins or leaves.
+func TestBoundIsStableUnderSmallChanges(t *testing.T) {
 	all := weightsOf(5000)
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	changes := 0
