--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
-func TestSilenceOfMostChangesNothing(t *testing.T) {
+// TestBoundIsKeptWhileMostAreUnreachable: when control hears of less than half, or of nobody, who is in use stays.
+func TestBoundIsKeptWhileMostAreUnreachable(t *testing.T) {
 	all := weightsOf(5000)
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	for _, heard := range []int{0, 100, 2400} {
