--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestNextLeaderKeepsWhatWorkNeeded: it has heard of no work yet; what is in use when it begins stays for as long as work seen would count,
+// TestNextLeaderKeepsBackendsInUse: it has heard of no work yet; what is in use when it begins stays for as long as work seen would count,
 // and shrinks after that.
-func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
+func TestNextLeaderKeepsBackendsInUse(t *testing.T) {
 	all := weightsOf(5000)
 	var before, after Size
 	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Update(0, 1000, 0))
