--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// fleetOf returns gateways, so many in each zone, and the zone of each.
-func fleetOf(sizes ...int) (gateways []Gateway, zoneOf map[string]int) {
+// gatewaysInZones returns gateways, so many in each zone, and the zone of each.
+func gatewaysInZones(sizes ...int) (gateways []Gateway, zoneOf map[string]int) {
 	zoneOf = map[string]int{}
 	for zone, size := range sizes {
 		for i := range size {
@@ -25,7 +25,7 @@
 func TestMeshReachesEverySchedulerOnce(t *testing.T) {
 	for _, everyone := range []bool{false, true} {
 		for _, sizes := range [][]int{{1}, {2}, {9}, {10}, {3, 2, 2}, {28, 26, 24}, {1, 30}, {17, 5, 40}, {25, 25, 25, 24, 26}, {58, 54, 61, 60, 62}} {
-			gateways, zoneOf := fleetOf(sizes...)
+			gateways, zoneOf := gatewaysInZones(sizes...)
 			planner := Planner{AllSchedule: everyone}
 			planner.Plan(time.Second, gateways)
 			layout, _ := planner.Layout()
@@ -89,7 +89,7 @@
 // TestSchedulersAreFewAndStay: a small zone has no others than schedulers, a large one a few; when one goes, the others stay, and
 // the one in its place is asked once it has heard of sends for a while.
 func TestSchedulersAreFewAndStay(t *testing.T) {
-	gateways, _ := fleetOf(58, 54, 61, 60, 62)
+	gateways, _ := gatewaysInZones(58, 54, 61, 60, 62)
 	var planner Planner
 	schedulers := func(now time.Duration) (names []string, asked []string) {
 		planner.Plan(now, gateways)
@@ -116,7 +116,7 @@
 	if _, asked = schedulers(now + schedulerWarmUp); !slices.Contains(asked, fresh[0]) {
 		t.Fatalf("asked %v, without %v", asked, fresh)
 	}
-	small, _ := fleetOf(3, 2, 2)
+	small, _ := gatewaysInZones(3, 2, 2)
 	var calm Planner
 	calm.Plan(time.Second, small)
 	layout, _ := calm.Layout()
@@ -132,7 +132,7 @@
 
 // TestLayoutIsNewOnlyWhereItDiffers: gateways that ask again and again change nothing.
 func TestLayoutIsNewOnlyWhereItDiffers(t *testing.T) {
-	gateways, _ := fleetOf(30, 30)
+	gateways, _ := gatewaysInZones(30, 30)
 	var planner Planner
 	planner.Plan(time.Second, gateways)
 	_, first := planner.Layout()
