--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestSchedulersAreFewAndStay: a small zone has no others than schedulers, a large one a few; when one goes, the others stay, and
+// TestSchedulersAreFewAndStable: a small zone has no others than schedulers, a large one a few; when one goes, the others stay, and
 // the one in its place is asked once it has heard of sends for a while.
-func TestSchedulersAreFewAndStay(t *testing.T) {
+func TestSchedulersAreFewAndStable(t *testing.T) {
 	gateways, _ := gatewaysInZones(58, 54, 61, 60, 62)
 	var planner Planner
 	schedulers := func(now time.Duration) (names []string, asked []string) {
