--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestLayoutIsNewOnlyWhereItDiffers: gateways that ask again and again change nothing.
-func TestLayoutIsNewOnlyWhereItDiffers(t *testing.T) {
+// TestLayoutCountRisesOnlyOnChange: gateways that ask again and again change nothing.
+func TestLayoutCountRisesOnlyOnChange(t *testing.T) {
 	gateways, _ := gatewaysInZones(30, 30)
 	var planner Planner
 	planner.Plan(time.Second, gateways)
