--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestEachEngineHasOneReader: in its own zone where that has a gateway, and few change when a gateway goes.
-func TestEachEngineHasOneReader(t *testing.T) {
+// TestEachEngineHasOneCacheEventReader: in its own zone where that has a gateway, and few change when a gateway goes.
+func TestEachEngineHasOneCacheEventReader(t *testing.T) {
 	var engines []Engine
 	zoneOf := map[string]string{}
 	for i := range 60 {
