--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -11,8 +11,8 @@
 	"kitetiller/internal/guard"
 )
 
-// ask returns a question that must be due.
-func ask(t *testing.T, r *Relay, now time.Duration) Request {
+// nextRequest returns a question that must be due.
+func nextRequest(t *testing.T, r *Relay, now time.Duration) Request {
 	t.Helper()
 	question, due := r.NextRequest(now)
 	if !due {
@@ -43,7 +43,7 @@
 	r := New(guard.Set{})
 	r.Add(waiting(1, 0, roster.Version{}))
 	r.Add(waiting(2, 0, roster.Version{}))
-	first := ask(t, r, 0)
+	first := nextRequest(t, r, 0)
 	r.Add(waiting(3, 0, roster.Version{}))
 	if answered, _ := told(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
 		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
@@ -55,7 +55,7 @@
 	if answered, _ := told(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
 		t.Fatalf("%v were answered, wanted 1", answered)
 	}
-	if again := ask(t, r, minRequestInterval); len(again.Reports) != 2 {
+	if again := nextRequest(t, r, minRequestInterval); len(again.Reports) != 2 {
 		t.Fatalf("the next question names %+v", again.Reports)
 	}
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
@@ -69,13 +69,13 @@
 func TestNobodyIsTakenBack(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
-	ask(t, r, 0)
+	nextRequest(t, r, 0)
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
 	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
-	ask(t, r, idleRequestInterval)
-	ask(t, r, idleRequestInterval+RequestTimeout)
+	nextRequest(t, r, idleRequestInterval)
+	nextRequest(t, r, idleRequestInterval+RequestTimeout)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
 		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
@@ -90,7 +90,7 @@
 func TestUnconfirmedQuestionsEnd(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(waiting(1, 100*time.Millisecond, roster.Version{}))
-	ask(t, r, 0)
+	nextRequest(t, r, 0)
 	r.RecordFailure(1)
 	if _, failed := told(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
 		t.Fatalf("%v ended in their time", failed)
@@ -149,14 +149,14 @@
 		return roster.Entry{Instance: catalog.Instance{ID: id, Zone: "z"}, Versions: versions}
 	}
 	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Peer{{Name: "s", Address: "s"}}}}}}
-	ask(t, r, 0)
+	nextRequest(t, r, 0)
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
 		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
 	if reads := r.CacheEventSources("s"); len(reads) != 1 || reads[0] != "engine" || len(r.CacheEventSources("other")) > 0 {
 		t.Fatalf("reads %v", reads)
 	}
-	ask(t, r, idleRequestInterval)
+	nextRequest(t, r, idleRequestInterval)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
 	if reads := r.CacheEventSources("s"); len(reads) > 0 {
 		t.Fatalf("reads %v after the engine had gone", reads)
@@ -168,7 +168,7 @@
 func TestNamingGrowsNoYounger(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(waiting(1, 0, roster.Version{}))
-	ask(t, r, 0)
+	nextRequest(t, r, 0)
 	const way = 300 * time.Millisecond
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Publications: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
 	if told := r.Publications(way)[0].Age; told < time.Second+way {
