--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -21,8 +21,8 @@
 	return question
 }
 
-// told returns the clients that are answered now, and those that nobody confirmed.
-func told(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
+// resolve returns the clients that are answered now, and those that nobody confirmed.
+func resolve(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
 	r.Resolve(now, applied, func(PendingWatch) bool { return news }, func(w PendingWatch, result Result) {
 		if result == Ready {
 			answered = append(answered, w.Client)
@@ -45,21 +45,21 @@
 	r.Add(waiting(2, 0, roster.Version{}))
 	first := nextRequest(t, r, 0)
 	r.Add(waiting(3, 0, roster.Version{}))
-	if answered, _ := told(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
+	if answered, _ := resolve(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
 		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
 	}
 	r.Observe(&Reply{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
-	if answered, _ := told(r, time.Millisecond, 4, true); len(answered) > 0 {
+	if answered, _ := resolve(r, time.Millisecond, 4, true); len(answered) > 0 {
 		t.Fatalf("%v were answered before this replica had applied what the leader had", answered)
 	}
-	if answered, _ := told(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
+	if answered, _ := resolve(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
 		t.Fatalf("%v were answered, wanted 1", answered)
 	}
 	if again := nextRequest(t, r, minRequestInterval); len(again.Reports) != 2 {
 		t.Fatalf("the next question names %+v", again.Reports)
 	}
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
-	if answered, _ := told(r, minRequestInterval, 5, true); len(answered) != 2 {
+	if answered, _ := resolve(r, minRequestInterval, 5, true); len(answered) != 2 {
 		t.Fatalf("%v were answered, wanted 2 and 3", answered)
 	}
 }
@@ -71,7 +71,7 @@
 	r.Add(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
 	nextRequest(t, r, 0)
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
-	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
+	if answered, _ := resolve(r, 0, 0, true); len(answered) > 0 {
 		t.Fatalf("%v were taken back to roster 8", answered)
 	}
 	nextRequest(t, r, idleRequestInterval)
@@ -92,10 +92,10 @@
 	r.Add(waiting(1, 100*time.Millisecond, roster.Version{}))
 	nextRequest(t, r, 0)
 	r.RecordFailure(1)
-	if _, failed := told(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
+	if _, failed := resolve(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
 		t.Fatalf("%v ended in their time", failed)
 	}
-	if _, failed := told(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(failed) != 1 {
+	if _, failed := resolve(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(failed) != 1 {
 		t.Fatalf("%v ended", failed)
 	}
 }
@@ -128,7 +128,7 @@
 				questions, reports = questions+1, reports+len(question.Reports)
 				r.Observe(&Reply{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
 			}
-			told(r, now, 0, false)
+			resolve(r, now, 0, false)
 		}
 		return questions, reports
 	}
