--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -33,7 +33,7 @@
 	return answered, failed
 }
 
-func waiting(client uint64, due time.Duration, held roster.Version) PendingWatch {
+func pendingWatch(client uint64, due time.Duration, held roster.Version) PendingWatch {
 	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
@@ -41,10 +41,10 @@
 // leader doesn't list yet does too.
 func TestOnlyConfirmedQuestionsAreAnswered(t *testing.T) {
 	r := New(guard.Set{})
-	r.Add(waiting(1, 0, roster.Version{}))
-	r.Add(waiting(2, 0, roster.Version{}))
+	r.Add(pendingWatch(1, 0, roster.Version{}))
+	r.Add(pendingWatch(2, 0, roster.Version{}))
 	first := nextRequest(t, r, 0)
-	r.Add(waiting(3, 0, roster.Version{}))
+	r.Add(pendingWatch(3, 0, roster.Version{}))
 	if answered, _ := resolve(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
 		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
 	}
@@ -68,7 +68,7 @@
 // a question that was given up, change nothing.
 func TestNobodyIsTakenBack(t *testing.T) {
 	r := New(guard.Set{})
-	r.Add(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
+	r.Add(pendingWatch(1, 0, roster.Version{Term: 2, Count: 9}))
 	nextRequest(t, r, 0)
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
 	if answered, _ := resolve(r, 0, 0, true); len(answered) > 0 {
@@ -89,7 +89,7 @@
 // TestUnconfirmedQuestionsEnd: while the leader is silent, shortly after their time.
 func TestUnconfirmedQuestionsEnd(t *testing.T) {
 	r := New(guard.Set{})
-	r.Add(waiting(1, 100*time.Millisecond, roster.Version{}))
+	r.Add(pendingWatch(1, 100*time.Millisecond, roster.Version{}))
 	nextRequest(t, r, 0)
 	r.RecordFailure(1)
 	if _, failed := resolve(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
@@ -104,11 +104,11 @@
 func TestWaitingQuestionsAreBounded(t *testing.T) {
 	r := New(guard.Set{})
 	for i := range maxPendingWatches {
-		if !r.Add(waiting(uint64(i), 0, roster.Version{})) {
+		if !r.Add(pendingWatch(uint64(i), 0, roster.Version{})) {
 			t.Fatalf("question %d was turned away", i)
 		}
 	}
-	if r.Add(waiting(1, 0, roster.Version{})) {
+	if r.Add(pendingWatch(1, 0, roster.Version{})) {
 		t.Fatal("one more than may wait was taken")
 	}
 }
@@ -122,7 +122,7 @@
 		for now := time.Duration(0); now < time.Second; now += time.Millisecond {
 			for range gateways * 3 / 1000 {
 				client++
-				r.Add(waiting(client, now+400*time.Millisecond, roster.Version{}))
+				r.Add(pendingWatch(client, now+400*time.Millisecond, roster.Version{}))
 			}
 			if question, due := r.NextRequest(now); due {
 				questions, reports = questions+1, reports+len(question.Reports)
@@ -167,7 +167,7 @@
 // left, and the replica told them as of when it came.
 func TestNamingGrowsNoYounger(t *testing.T) {
 	r := New(guard.Set{})
-	r.Add(waiting(1, 0, roster.Version{}))
+	r.Add(pendingWatch(1, 0, roster.Version{}))
 	nextRequest(t, r, 0)
 	const way = 300 * time.Millisecond
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Publications: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
