--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -37,9 +37,9 @@
 	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
-// TestOnlyConfirmedQuestionsAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
+// TestOnlyConfirmedWatchesAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
 // leader doesn't list yet does too.
-func TestOnlyConfirmedQuestionsAreAnswered(t *testing.T) {
+func TestOnlyConfirmedWatchesAreAnswered(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
 	r.Add(pendingWatch(2, 0, roster.Version{}))
