--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestNobodyIsTakenBack: a gateway that holds a newer roster waits until this replica has caught up; answers of a leader before, or to
+// TestRosterNeverGoesBack: a gateway that holds a newer roster waits until this replica has caught up; answers of a leader before, or to
 // a question that was given up, change nothing.
-func TestNobodyIsTakenBack(t *testing.T) {
+func TestRosterNeverGoesBack(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{Term: 2, Count: 9}))
 	nextRequest(t, r, 0)
