--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestUnconfirmedQuestionsEnd: while the leader is silent, shortly after their time.
-func TestUnconfirmedQuestionsEnd(t *testing.T) {
+// TestUnconfirmedWatchesExpire: while the leader is silent, shortly after their time.
+func TestUnconfirmedWatchesExpire(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 100*time.Millisecond, roster.Version{}))
 	nextRequest(t, r, 0)
