--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestWaitingQuestionsAreBounded: the rest is turned away at once.
-func TestWaitingQuestionsAreBounded(t *testing.T) {
+// TestPendingWatchesAreBounded: the rest is turned away at once.
+func TestPendingWatchesAreBounded(t *testing.T) {
 	r := New(guard.Set{})
 	for i := range maxPendingWatches {
 		if !r.Add(pendingWatch(uint64(i), 0, roster.Version{})) {
