--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestLeaderIsAskedAsOftenForMoreGateways: in a second, by a replica whose gateways ask three times each; twice the gateways are the same
+// TestRequestRateIsIndependentOfGateways: in a second, by a replica whose gateways ask three times each; twice the gateways are the same
 // number of questions, and each gateway is named once for each of its own.
-func TestLeaderIsAskedAsOftenForMoreGateways(t *testing.T) {
+func TestRequestRateIsIndependentOfGateways(t *testing.T) {
 	asked := func(gateways int) (questions, reports int) {
 		r := New(guard.Set{})
 		client := uint64(0)
