--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestOnlyEnginesAreRead: back ends without weights keep no prompts; what is read follows layout and roster.
-func TestOnlyEnginesAreRead(t *testing.T) {
+// TestOnlyEnginesAreCacheEventSources: back ends without weights keep no prompts; what is read follows layout and roster.
+func TestOnlyEnginesAreCacheEventSources(t *testing.T) {
 	r := New(guard.Set{})
 	entry := func(id string, versions map[string]uint64) roster.Entry {
 		return roster.Entry{Instance: catalog.Instance{ID: id, Zone: "z"}, Versions: versions}
