--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestNamingGrowsNoYounger: an answer of the leader took a while to reach the replica that asked for gateways. The ages in it are of when it
+// TestPublicationAgeIncludesReplyDelay: an answer of the leader took a while to reach the replica that asked for gateways. The ages in it are of when it
 // left, and the replica told them as of when it came.
-func TestNamingGrowsNoYounger(t *testing.T) {
+func TestPublicationAgeIncludesReplyDelay(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
 	nextRequest(t, r, 0)
