--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// of returns so many entries.
-func of(count int) []Entry {
+// entriesOf returns so many entries.
+func entriesOf(count int) []Entry {
 	entries := make([]Entry, count)
 	for i := range entries {
 		entries[i].ID = fmt.Sprintf("i-%05d", i)
@@ -77,8 +77,8 @@
 // TestNewsAreSmall: a gateway that lacks one change is told that one.
 func TestNewsAreSmall(t *testing.T) {
 	var l Log
-	l.Update(1, of(100), nil)
-	changed := of(100)[7]
+	l.Update(1, entriesOf(100), nil)
+	changed := entriesOf(100)[7]
 	changed.Loading = true
 	l.Update(2, []Entry{changed}, []string{"i-00099"})
 	news := l.Since(1)
@@ -94,10 +94,10 @@
 func TestAChangeCostsWhatItIs(t *testing.T) {
 	allocations := func(size int) float64 {
 		var l Log
-		l.Update(1, of(size), nil)
+		l.Update(1, entriesOf(size), nil)
 		l.IDs()
 		count := uint64(1)
-		changed := of(size)[size/2]
+		changed := entriesOf(size)[size/2]
 		return testing.AllocsPerRun(20, func() {
 			count++
 			changed.Loading = !changed.Loading
@@ -115,7 +115,7 @@
 // TestNewsAreEncodedOnce: however many lack the same.
 func TestNewsAreEncodedOnce(t *testing.T) {
 	var l Log
-	l.Update(1, of(500), nil)
+	l.Update(1, entriesOf(500), nil)
 	first := l.Since(0)
 	if again := l.Since(0); again != first {
 		t.Fatal("the same news were made twice")
@@ -136,7 +136,7 @@
 // TestLogIsBounded: a roster in which everything changes again and again keeps no more than its newest changes.
 func TestLogIsBounded(t *testing.T) {
 	var l Log
-	entries := of(300)
+	entries := entriesOf(300)
 	for count := uint64(1); count < 100; count++ {
 		for i := range entries {
 			entries[i].Loading = count%2 == 0
