--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -74,8 +74,8 @@
 	return entries
 }
 
-// TestNewsAreSmall: a gateway that lacks one change is told that one.
-func TestNewsAreSmall(t *testing.T) {
+// TestUpdateHoldsOnlyChanges: a gateway that lacks one change is told that one.
+func TestUpdateHoldsOnlyChanges(t *testing.T) {
 	var l Log
 	l.Update(1, entriesOf(100), nil)
 	changed := entriesOf(100)[7]
