--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestAChangeCostsWhatItIs: what it allocates to take one change up and to tell it doesn't grow with the roster.
-func TestAChangeCostsWhatItIs(t *testing.T) {
+// TestUpdateCostIsIndependentOfRosterSize: what it allocates to take one change up and to tell it doesn't grow with the roster.
+func TestUpdateCostIsIndependentOfRosterSize(t *testing.T) {
 	allocations := func(size int) float64 {
 		var l Log
 		l.Update(1, entriesOf(size), nil)
