--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestNewsAreEncodedOnce: however many lack the same.
-func TestNewsAreEncodedOnce(t *testing.T) {
+// TestUpdateIsEncodedOnce: however many lack the same.
+func TestUpdateIsEncodedOnce(t *testing.T) {
 	var l Log
 	l.Update(1, entriesOf(500), nil)
 	first := l.Since(0)
