--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -16,7 +16,7 @@
 // TestStateBelongsToOneIncarnation: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
 func TestStateBelongsToOneIncarnation(t *testing.T) {
 	t.Run("the later life holds", laterIncarnationWins)
-	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
+	t.Run("a late heartbeat takes no address", lateHeartbeatDoesNotTakeAddress)
 	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
 	t.Run("a leave names the life there is", leaveByNameEndsCurrentIncarnation)
 	t.Run("a report of another life is none", reportOfAnotherIncarnationIsIgnored)
@@ -69,8 +69,8 @@
 	}
 }
 
-// lateHeartbeatTakesNoAddress: of two back ends that name one address the one that was started later stands there while it is heard.
-func lateHeartbeatTakesNoAddress(t *testing.T) {
+// lateHeartbeatDoesNotTakeAddress: of two back ends that name one address the one that was started later stands there while it is heard.
+func lateHeartbeatDoesNotTakeAddress(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("after", 2000), "a1", 1, 1)
