--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -22,10 +22,10 @@
 
 const (
 	attemptTimeout = 900 * time.Millisecond
-	askAgainAfter  = 50 * time.Millisecond
-	// avoidFailed is how long an address that gave no answer is left alone, also when others still name it as leader: about
+	retryDelay     = 50 * time.Millisecond
+	// failureBackoff is how long an address that gave no answer is left alone, also when others still name it as leader: about
 	// an election, and no longer, since it may just have started.
-	avoidFailed = 600 * time.Millisecond
+	failureBackoff = 600 * time.Millisecond
 )
 
 // ErrNoAnswer says that no leader answered in time; a change may or may not have been made.
@@ -33,12 +33,12 @@
 
 // Client asks the control group, finding the leader by itself. It is safe for concurrent use.
 type Client struct {
-	transport *transport.Client
-	addresses atomic.Pointer[[]string]
-	next      atomic.Uint32
-	leader    atomic.Pointer[string]
-	failed    atomic.Pointer[failure]       // the newest one
-	heard     atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
+	transport   *transport.Client
+	addresses   atomic.Pointer[[]string]
+	next        atomic.Uint32
+	leader      atomic.Pointer[string]
+	lastFailure atomic.Pointer[failure]       // the newest one
+	answeredAt  atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
 }
 
 // failure is an address that gave no answer, and when.
@@ -47,21 +47,21 @@
 	at      time.Duration
 }
 
-// avoids reports whether an address failed so lately that it is asked only when there is no other.
-func (c *Client) avoids(address string) bool {
-	failed := c.failed.Load()
-	return failed != nil && failed.address == address && clock.Now()-failed.at < avoidFailed
+// recentlyFailed reports whether an address failed so lately that it is asked only when there is no other.
+func (c *Client) recentlyFailed(address string) bool {
+	failed := c.lastFailure.Load()
+	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
 
 // NewClient returns a client of the replicas at the given internal addresses.
 func NewClient(client *transport.Client, addresses []string) *Client {
-	made := &Client{transport: client}
-	made.addresses.Store(&addresses)
-	return made
+	c := &Client{transport: client}
+	c.addresses.Store(&addresses)
+	return c
 }
 
-// Use replaces the addresses that are asked when no leader is known.
-func (c *Client) Use(addresses []string) {
+// SetAddresses replaces the addresses that are asked when no leader is known.
+func (c *Client) SetAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		c.addresses.Store(&addresses)
 	}
@@ -74,7 +74,7 @@
 	}
 	addresses := *c.addresses.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
-	if c.avoids(address) {
+	if c.recentlyFailed(address) {
 		address = addresses[int(c.next.Add(1))%len(addresses)]
 	}
 	return address
@@ -85,7 +85,7 @@
 func (c *Client) Ask(ctx context.Context, request Request) (Response, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
-		response, err := c.Once(attempt, request)
+		response, err := c.AskOnce(attempt, request)
 		cancel()
 		if err == nil && response.Kind == ResponseOK {
 			return response, nil
@@ -93,7 +93,7 @@
 		select {
 		case <-ctx.Done():
 			return Response{}, ErrNoAnswer
-		case <-time.After(askAgainAfter):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -104,41 +104,41 @@
 	return err
 }
 
-// Once asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
-func (c *Client) Once(ctx context.Context, request Request) (Response, error) {
-	return c.askAt(ctx, c.target(), request)
+// AskOnce asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
+func (c *Client) AskOnce(ctx context.Context, request Request) (Response, error) {
+	return c.askAndTrackLeader(ctx, c.target(), request)
 }
 
-// At asks the replica at an address once, whoever leads. It learns nothing of the leader.
-func (c *Client) At(ctx context.Context, address string, request Request) (Response, error) {
+// AskReplica asks the replica at an address once, whoever leads. It learns nothing of the leader.
+func (c *Client) AskReplica(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	err := c.transport.Post(ctx, address, PathRequest, request, &response)
 	if err == nil {
 		now := clock.Now()
-		c.heard.Store(&now)
+		c.answeredAt.Store(&now)
 	}
 	return response, err
 }
 
-// askAt asks the replica at an address once.
-func (c *Client) askAt(ctx context.Context, address string, request Request) (Response, error) {
+// askAndTrackLeader asks the replica at an address once.
+func (c *Client) askAndTrackLeader(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	if err := c.transport.Post(ctx, address, PathRequest, request, &response); err != nil {
 		if ctx.Err() == context.Canceled {
 			return response, err // the caller has its answer from elsewhere
 		}
 		c.leader.Store(nil)
-		c.failed.Store(&failure{address: address, at: clock.Now()})
+		c.lastFailure.Store(&failure{address: address, at: clock.Now()})
 		return response, err
 	}
 	now := clock.Now()
-	c.heard.Store(&now)
+	c.answeredAt.Store(&now)
 	switch {
 	case response.Kind == ResponseOK && response.Leader != "":
 		c.leader.Store(&response.Leader) // another replica answered for it
 	case response.Kind == ResponseOK:
 		c.leader.Store(&address)
-	case response.Leader != "" && response.Leader != address && !c.avoids(response.Leader):
+	case response.Leader != "" && response.Leader != address && !c.recentlyFailed(response.Leader):
 		c.leader.Store(&response.Leader)
 	default:
 		c.leader.Store(nil)
@@ -146,33 +146,33 @@
 	return response, nil
 }
 
-// HeardWithin reports whether a replica has answered anything so lately.
-func (c *Client) HeardWithin(limit time.Duration) bool {
-	at := c.heard.Load()
+// AnsweredWithin reports whether a replica has answered anything so lately.
+func (c *Client) AnsweredWithin(limit time.Duration) bool {
+	at := c.answeredAt.Load()
 	return at != nil && clock.Now()-*at < limit
 }
 
-// Any asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
+// AskAny asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
 // is for callers without a leader: one address that is silent must not hold them up.
-func (c *Client) Any(ctx context.Context, request Request) (Response, error) {
+func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	asked := map[string]bool{}
-	answers := make(chan Response, anyMost)
+	answers := make(chan Response, maxAttempts)
 	ask := func(address string) {
-		if asked[address] || len(asked) >= anyMost {
+		if asked[address] || len(asked) >= maxAttempts {
 			return
 		}
 		asked[address] = true
 		go func() {
-			response, err := c.askAt(ctx, address, request)
+			response, err := c.askAndTrackLeader(ctx, address, request)
 			if err != nil {
 				response = Response{Kind: ResponseNoQuorum}
 			}
 			answers <- response
 		}()
 	}
-	for range anyAtOnce {
+	for range initialAttempts {
 		ask(c.target())
 	}
 	for done := 0; done < len(asked); done++ {
@@ -188,8 +188,8 @@
 }
 
 const (
-	// anyAtOnce is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
+	// initialAttempts is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
 	// that the first ones name.
-	anyAtOnce = 3
-	anyMost   = 6
+	initialAttempts = 3
+	maxAttempts     = 6
 )
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -13,9 +13,9 @@
 	"kitetiller/internal/transport"
 )
 
-// TestClientLeavesADeadLeader: replicas name a leader that is gone until they have elected another one; the client asks
+// TestClientAvoidsUnresponsiveLeader: replicas name a leader that is gone until they have elected another one; the client asks
 // the dead one no second time meanwhile (sites' trouble-1: gateways lost control for seconds after a cut).
-func TestClientLeavesADeadLeader(t *testing.T) {
+func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 			asked <- struct{}{}
 		}
 	}()
-	follower := freeLoopback(t)
+	follower := freeLoopbackAddress(t)
 	server, err := transport.Listen(follower, "", func(request transport.Request, respond transport.Respond) {
 		if !json.Valid(request.Body) {
 			t.Error("malformed request")
@@ -46,7 +46,7 @@
 	client := NewClient(transport.NewClient("", nil), []string{follower, dead.Addr().String()})
 	for range 30 {
 		attempt, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-		_, _ = client.Once(attempt, Request{Status: &StatusRequest{}})
+		_, _ = client.AskOnce(attempt, Request{Status: &StatusRequest{}})
 		cancel()
 	}
 	if times := len(asked); times > 2 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func freeLoopback(t *testing.T) string {
+func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return listener.Addr().String()
 }
 
-// listenWith gives the same answer to every question at an address until the test ends.
-func listenWith(t *testing.T, address string, response Response) {
+// serveResponse gives the same answer to every question at an address until the test ends.
+func serveResponse(t *testing.T, address string, response Response) {
 	t.Helper()
 	server, err := transport.Listen(address, "", func(_ transport.Request, respond transport.Respond) {
 		respond(http.StatusOK, response)
@@ -76,20 +76,20 @@
 	t.Cleanup(func() { _ = server.Close(context.Background()) })
 }
 
-// TestClientComesBackToAStartedLeader: an address that gave no answer since its process was only starting is asked again
+// TestClientRetriesRestartedLeader: an address that gave no answer since its process was only starting is asked again
 // soon when it is named as leader (nilewash-ops, inc-8fe3: gateways found the leader 1.9 s after its election).
-func TestClientComesBackToAStartedLeader(t *testing.T) {
-	leader := freeLoopback(t)
+func TestClientRetriesRestartedLeader(t *testing.T) {
+	leader := freeLoopbackAddress(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	if _, err := client.Once(ctx, Request{Status: &StatusRequest{}}); err == nil {
+	if _, err := client.AskOnce(ctx, Request{Status: &StatusRequest{}}); err == nil {
 		t.Fatal("answered before it listened")
 	}
-	follower := freeLoopback(t)
-	listenWith(t, leader, Response{Kind: ResponseOK})
-	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
-	client.Use([]string{follower})
+	follower := freeLoopbackAddress(t)
+	serveResponse(t, leader, Response{Kind: ResponseOK})
+	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
+	client.SetAddresses([]string{follower})
 	if _, err := client.Ask(ctx, Request{Status: &StatusRequest{}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	enginePoll    = 250 * time.Millisecond
-	platformPoll  = time.Second
-	engineTimeout = time.Second
-	pollersAtOnce = 16
+	enginePollInterval  = 250 * time.Millisecond
+	machineListInterval = time.Second
+	engineCallTimeout   = time.Second
+	maxEnginePolls      = 16
 )
 
 // machine is the part of a platform line that control needs.
@@ -33,7 +33,7 @@
 	}
 	var machines []machine
 	var listed time.Time
-	ticker := time.NewTicker(enginePoll)
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -44,8 +44,8 @@
 		if !s.leading() {
 			continue
 		}
-		if time.Since(listed) >= platformPoll {
-			if fresh, ok := s.readMachines(ctx); ok {
+		if time.Since(listed) >= machineListInterval {
+			if fresh, ok := s.fetchMachines(ctx); ok {
 				machines, listed = fresh, time.Now()
 			}
 		}
@@ -58,11 +58,11 @@
 
 // leading reports whether this replica leads.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
+	return s.queryReplica(func(replica *Replica) bool { return replica.leader != nil })
 }
 
-// holds asks the decide thread whether something holds; without an answer in time it does not.
-func (s *Server) holds(check func(*Replica) bool) bool {
+// queryReplica asks the decide thread whether something queryReplica; without an answer in time it does not.
+func (s *Server) queryReplica(check func(*Replica) bool) bool {
 	answer := make(chan bool, 1)
 	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
 		return false
@@ -70,13 +70,13 @@
 	select {
 	case holds := <-answer:
 		return holds
-	case <-time.After(engineTimeout):
+	case <-time.After(engineCallTimeout):
 		return false
 	}
 }
 
-func (s *Server) readMachines(ctx context.Context) ([]machine, bool) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+func (s *Server) fetchMachines(ctx context.Context) ([]machine, bool) {
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct{ Machines []machine }
 	if err := s.client.Get(attempt, s.file.Control.Platform, "/v1/machines", &reply); err != nil {
@@ -89,7 +89,7 @@
 // pollEngines asks every listed back end for its state, a few at a time.
 func (s *Server) pollEngines(ctx context.Context, machines []machine) {
 	var polls sync.WaitGroup
-	slots := make(chan struct{}, pollersAtOnce)
+	slots := make(chan struct{}, maxEnginePolls)
 	for _, listed := range machines {
 		slots <- struct{}{}
 		polls.Go(func() {
@@ -101,7 +101,7 @@
 }
 
 func (s *Server) pollEngine(ctx context.Context, listed machine) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct {
 		Engine EngineReport `json:"engine"`
@@ -114,20 +114,20 @@
 	s.submit(input{report: &report})
 }
 
-// sendCalls is the thread that passes orders and fences to engines.
-func (s *Server) sendCalls(ctx context.Context) {
+// sendEngineCalls is the thread that passes orders and fences to engines.
+func (s *Server) sendEngineCalls(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-s.engineCalls:
-			go s.sendCall(ctx, call)
+			go s.sendEngineCall(ctx, call)
 		}
 	}
 }
 
-func (s *Server) sendCall(ctx context.Context, call EngineCall) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+func (s *Server) sendEngineCall(ctx context.Context, call EngineCall) {
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	err := s.client.Post(attempt, call.Address, "/v1/orders", call, nil)
 	if call.Order != nil {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -66,11 +66,11 @@
 	}
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
-	case beat.Leaving && r.mayMeanLastLife(now, id):
+	case beat.Leaving && r.mayMeanPreviousIncarnation(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
 	case beat.Leaving:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
-	case !known && (r.lacksWeights(beat) || !r.admits(now, beat.Instance)):
+	case !known && (r.lacksWeights(beat) || !r.mayRegister(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
 	case known && !r.mayReplace(held, beat.Instance):
 		r.reply(client, Response{Kind: ResponseOK})
@@ -230,7 +230,7 @@
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
 		for name, mark := range r.orderMarks {
-			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.at+expiryTimeout {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.appliedAt+expiryTimeout {
 				delete(r.orderMarks, name)
 			}
 		}
@@ -255,10 +255,10 @@
 	}
 	outcome := r.machine.catalog.Apply(command)
 	if command.Quarantine != nil {
-		r.noteQuarantined(now, *command.Quarantine)
+		r.recordQuarantineChange(now, *command.Quarantine)
 	}
 	if before {
-		r.noteNaming(now, command.PublishWeights.Model)
+		r.recordPublication(now, command.PublishWeights.Model)
 	}
 	touched := r.machine.catalog.TakeChanged()
 	if r.leader == nil {
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -41,8 +41,8 @@
 	s.advance(length)
 	var orders []WeightsCall
 	for _, call := range s.weightsCalls {
-		if call.Kind == WeightsReport {
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
+		if call.Kind == WeightsQuery {
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": 1}})
 			s.work()
 			continue
 		}
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -10,8 +10,8 @@
 // An order is given to a back end under its name, and its next life takes it as well. The mark that another leader gave one stood under the
 // life: a back end that started again had none, and a new leader ordered it within the pause between two holders.
 
-// TestNextLifeWaitsForTheLastHoldersPause: also on a replica that knows of the order from a snapshot alone.
-func TestNextLifeWaitsForTheLastHoldersPause(t *testing.T) {
+// TestNextIncarnationKeepsOrderPause: also on a replica that knows of the order from a snapshot alone.
+func TestNextIncarnationKeepsOrderPause(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
 	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
@@ -23,7 +23,7 @@
 	}
 	orderedAt := s.now
 	s.sendHeartbeat(second, "a1", 1, 1)
-	if s.replica.handedOver(orderedAt+s.replica.config.OrderWait, second) {
+	if s.replica.handoverPauseOver(orderedAt+s.replica.config.OrderWait, second) {
 		t.Fatal("the next life may be ordered within the pause")
 	}
 	clear(s.replica.orderMarks)
@@ -31,7 +31,7 @@
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if _, elsewhere := s.replica.orderedElsewhere(second); !elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(second); !elsewhere {
 		t.Fatal("after a snapshot nobody knows that its last life was ordered")
 	}
 }
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -9,13 +9,13 @@
 	"kitetiller/internal/consensus"
 )
 
-// handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func handOver(t *testing.T) (next *singleReplica, ordered, free string) {
+// replaceLeaderAfterOrder ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
+func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, free string) {
 	t.Helper()
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.advance(gatewaysPeriod + 100*time.Millisecond)
+	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
@@ -42,8 +42,8 @@
 	return next, ordered, free
 }
 
-// ordersWhile lets time pass with a gateway that keeps asking, and returns which engines were ordered.
-func (s *singleReplica) ordersWhile(gateway string, length time.Duration) []string {
+// ordersDuring lets time pass with a gateway that keeps asking, and returns which engines were ordered.
+func (s *singleReplica) ordersDuring(gateway string, length time.Duration) []string {
 	var found []string
 	version := RosterVersion{}
 	for end := s.now + length; s.now < end; {
@@ -58,44 +58,44 @@
 	return found
 }
 
-// TestNewLeaderWaitsOnlyForWhatWasOrdered: an engine that the last leader gave an order to is left alone for the pause between
+// TestNewLeaderPausesOnlyForOrderedEngines: an engine that the last leader gave an order to is left alone for the pause between
 // two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
 // ordered at 7.5 s by a leader of 4.07 s).
-func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
-	s, ordered, free := handOver(t)
-	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
+func TestNewLeaderPausesOnlyForOrderedEngines(t *testing.T) {
+	s, ordered, free := replaceLeaderAfterOrder(t)
+	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
 		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
 	}
 	s.replica.leader.fleet[free].versions["m"] = 2
 	s.replica.setPhase(s.replica.leader.fleet[free], phaseIdle, s.now)
-	if later := s.ordersWhile("g1", 5*time.Second); !slices.Contains(later, ordered) {
+	if later := s.ordersDuring("g1", 5*time.Second); !slices.Contains(later, ordered) {
 		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
 	}
 }
 
-// TestNewLeaderWaitsForGatewaysOfTheLast: one that does not ask may still trust what the last leader told.
-func TestNewLeaderWaitsForGatewaysOfTheLast(t *testing.T) {
-	s, _, free := handOver(t)
-	if early := s.ordersWhile("g2", 2*time.Second); len(early) > 0 {
+// TestNewLeaderWaitsForPreviousLeadersGateways: one that does not ask may still trust what the last leader told.
+func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
+	s, _, free := replaceLeaderAfterOrder(t)
+	if early := s.ordersDuring("g2", 2*time.Second); len(early) > 0 {
 		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
 	}
-	if later := s.ordersWhile("g2", 3*time.Second); !slices.Contains(later, free) {
+	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, free) {
 		t.Fatalf("ordered %v after all views of the last leader had ended", later)
 	}
 }
 
-// TestOrderedEnginesAreKnownFromASnapshot: the entries themselves may be gone from the log.
-func TestOrderedEnginesAreKnownFromASnapshot(t *testing.T) {
-	s, ordered, free := handOver(t)
+// TestSnapshotKeepsOrderedEnginesAndGateways: the entries themselves may be gone from the log.
+func TestSnapshotKeepsOrderedEnginesAndGateways(t *testing.T) {
+	s, ordered, free := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	clear(s.replica.orderMarks)
-	if _, elsewhere := s.replica.orderedElsewhere(ordered); !elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(ordered); !elsewhere {
 		t.Fatalf("%s was ordered by another leader", ordered)
 	}
-	if _, elsewhere := s.replica.orderedElsewhere(free); elsewhere {
+	if _, elsewhere := s.replica.lastForeignOrder(free); elsewhere {
 		t.Fatalf("%s was never ordered", free)
 	}
 	if known := s.replica.Machine().Catalog().Gateways(); !slices.Equal(known, []string{"g1"}) {
@@ -103,32 +103,32 @@
 	}
 }
 
-// TestOrdersInAnInstalledSnapshotCountAsYoung: a replica that has run for long and is sent a snapshot cannot know how old the
+// TestInstalledSnapshotRestartsOrderPause: a replica that has run for long and is sent a snapshot cannot know how old the
 // orders are that it covers, nor whether one that was just announced has been given.
-func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
-	s, ordered, _ := handOver(t)
+func TestInstalledSnapshotRestartsOrderPause(t *testing.T) {
+	s, ordered, _ := replaceLeaderAfterOrder(t)
 	clear(s.replica.orderMarks)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
 	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
 
-// TestViewIsConfirmedOnceTheLogHoldsTheGateway: the next leader waits for the gateways that the log holds before it orders weights; one that
+// TestWatchConfirmedOnlyAfterGatewayIsLogged: the next leader waits for the gateways that the log holds before it orders weights; one that
 // trusts a view and isn't among them would send to a back end that loads. A leader confirmed a gateway that came back from a cut, and its disk
 // stalled before the log held it again (simulator, seed 178).
-func TestViewIsConfirmedOnceTheLogHoldsTheGateway(t *testing.T) {
+func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	ask := func(client uint64, name string) {
-		s.advance(2 * listPause)
+		s.advance(2 * gatewayListDelay)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
 			t.Fatalf("%s is confirmed before the log holds it", name)
@@ -140,7 +140,7 @@
 	}
 	ask(1001, "g1")
 	ask(1002, "g2")
-	s.advance(s.replica.viewExpiry() + 2*gatewaysPeriod)
+	s.advance(s.replica.viewExpiry() + 2*gatewayListInterval)
 	ask(1003, "g3")
 	if holds("g1") {
 		t.Fatal("the log holds a gateway that was silent for long")
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestClosingGatewayIsAnsweredOn: it serves what it has until its end, though the log holds it no more.
-func TestClosingGatewayIsAnsweredOn(t *testing.T) {
+// TestClosingGatewayIsStillAnswered: it serves what it has until its end, though the log holds it no more.
+func TestClosingGatewayIsStillAnswered(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
@@ -161,14 +161,14 @@
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
 			t.Fatal("a closing gateway is confirmed no more")
 		}
-		s.advance(gatewaysPeriod)
+		s.advance(gatewayListInterval)
 	}
 }
 
-// TestOrderFollowsItsAnnouncementSoon: the next leader waits since the announcement of an order, as it applied it. A leader had announced
+// TestDelayedOrderIsAnnouncedAgain: the next leader waits since the announcement of an order, as it applied it. A leader had announced
 // one and gave it seconds later, when others had ended their loads and requests had drained, then it was lost. The next one, which had applied
 // the announcement as it was written, took the pause between two holders for over and ordered at once.
-func TestOrderFollowsItsAnnouncementSoon(t *testing.T) {
+func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
@@ -192,14 +192,14 @@
 	mark := s.replica.orderMarks[id]
 	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
 	s.replica.orderMarks[id] = mark
-	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.at, early, s.replica.config.OrderWait)
+	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
 	}
 }
 
-// TestOrderLeavesSoonAfterItsAnnouncement: the disk was slow between the decision and the send, for less than the lease runs. The order left
+// TestOrderDroppedAfterSlowSync: the disk was slow between the decision and the send, for less than the lease runs. The order left
 // later after its announcement than the next leader counts on.
-func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
+func TestOrderDroppedAfterSlowSync(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	s.weightsOrders(200 * time.Millisecond)
@@ -217,15 +217,15 @@
 	}
 	id := s.replica.effects.WeightsCalls[0].Instance
 	s.replica.Prepare()
-	left := s.replica.orderMarks[id].at + orderWithin + time.Millisecond
+	left := s.replica.orderMarks[id].appliedAt + maxDispatchAge + time.Millisecond
 	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].at)
+		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orderMarks[id].appliedAt)
 	}
 }
 
-// TestOrderPauseOutlivesARestart: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
+// TestOrderPauseCoversAllIncarnations: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
 // starts again under its name is told by no order from whom the last one came.
-func TestOrderPauseOutlivesARestart(t *testing.T) {
+func TestOrderPauseCoversAllIncarnations(t *testing.T) {
 	for what, forget := range map[string]func(*singleReplica){
 		"seen in the log":  func(*singleReplica) {},
 		"from a snapshot":  func(s *singleReplica) { clear(s.replica.orderMarks) },
@@ -235,7 +235,7 @@
 			s := openWithEngines(t)
 			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
 			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
-			s.replica.writeOrdering(incarnationID("e", 1000))
+			s.replica.queueOrderAnnouncement(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
 			s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
 			forget(s)
@@ -243,10 +243,10 @@
 				mark.term-- // another leader's
 				s.replica.orderMarks[key] = mark
 			}
-			if s.replica.handedOver(s.now, incarnationID("e", 2000)) {
+			if s.replica.handoverPauseOver(s.now, incarnationID("e", 2000)) {
 				t.Fatal("the next life may be ordered by another holder at once")
 			}
-			if !s.replica.handedOver(s.now, "i-1") {
+			if !s.replica.handoverPauseOver(s.now, "i-1") {
 				t.Fatal("one that was never ordered has to wait")
 			}
 		})
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -102,7 +102,7 @@
 	}
 	if len(unlisted) > 0 {
 		r.leader.gatewayUnlisted = true
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 	}
 	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
 	if question.Roster != answer.Version {
@@ -111,7 +111,7 @@
 	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
 	}
-	_, answer.Gateways = r.gatewaysThatTrust(now)
+	_, answer.Gateways = r.trustingGateways(now)
 	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
 }
 
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -60,7 +60,7 @@
 	relayReplicas             map[string]relayReplica // followers that answer gateways, by name
 	cacheEventSources         map[string][]string     // engines whose cache events a gateway reads, by gateway; nil after a change of layout
 	cacheEventSourcesCount    uint64                  // roster count that cacheEventSources was computed from
-	trusting                  trusting
+	trusting                  gatewayCounts
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
@@ -99,9 +99,9 @@
 		rosterCount: 1, // 0 stands for a gateway without a roster
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
-		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - callPatience, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
+		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - weightsCallTimeout, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
-		lending: lending{lender: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
+		lending: lending{allocator: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
 	for router := range machine.sessions {
@@ -149,7 +149,7 @@
 	case request.Change != nil:
 		r.propose(now, client, Command{Change: request.Change})
 	case request.Catalog != nil && request.Catalog.Quarantine != nil:
-		r.quarantine(now, client, *request.Catalog.Quarantine)
+		r.handleQuarantineChange(now, client, *request.Catalog.Quarantine)
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
 	case request.Beat != nil:
@@ -161,7 +161,7 @@
 	case request.Relay != nil:
 		r.handleRelay(now, client, *request.Relay)
 	case request.Borrow != nil:
-		r.lend(now, client, *request.Borrow)
+		r.allocateShares(now, client, *request.Borrow)
 	case request.Document != nil:
 		r.reply(client, Response{Kind: ResponseOK, Document: r.machine.catalog.Document()})
 	case request.Read != nil:
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -108,7 +108,7 @@
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
 	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
-	s.advance(youngFor)
+	s.advance(lateDeregistrationWindow)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
 	if s.isRegistered(incarnationID("e@5", 1000)) || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
@@ -142,7 +142,7 @@
 	if !s.isRegistered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
-	s.advance(youngFor)
+	s.advance(lateDeregistrationWindow)
 	s.ask(leave)
 	s.sendHeartbeat(id, "a1", 3, 1)
 	if s.isRegistered(id) {
@@ -175,7 +175,7 @@
 				orders = append(orders, call)
 				continue
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": version}, Revision: revision})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, Versions: map[string]uint64{"m": version}, Revision: revision})
 		}
 		s.work()
 	}
@@ -230,7 +230,7 @@
 			if call.Kind == WeightsOrder {
 				t.Fatalf("ordered by the report of another life: %+v", call)
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Born: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
 		}
 	}
 	if believed := s.replica.leader.fleet[id].versions["m"]; believed != 1 {
@@ -250,7 +250,7 @@
 			if call.Kind == WeightsOrder {
 				return
 			}
-			s.replica.ObserveWeights(s.now, WeightsResult{Call: call, Kind: WeightsReported, Born: 2000, Versions: map[string]uint64{"m": 1}})
+			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 1}})
 		}
 	}
 	t.Fatal("0 orders in 4 s")
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -9,13 +9,13 @@
 	"kitetiller/internal/guard"
 )
 
-// name names a version of model m, as an operator does.
-func (s *singleReplica) name(version uint64) {
+// publish names a version of model m, as an operator does.
+func (s *singleReplica) publish(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
-// told returns the ages that a gateway is told, by version.
-func (s *singleReplica) told() map[uint64]time.Duration {
+// reportedAges returns the ages that a gateway is reportedAges, by version.
+func (s *singleReplica) reportedAges() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
@@ -32,13 +32,13 @@
 func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
-	if told, known := s.told()[version]; !known || told < age-step || told > age+step {
+	if told, known := s.reportedAges()[version]; !known || told < age-step || told > age+step {
 		s.t.Fatalf("version %d is told to be %v old (known: %t), it is %v", version, told, known, age)
 	}
 }
 
 // successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
-func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wall time.Duration) *singleReplica {
+func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wallOffset time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
 	first := s.replica.applied
@@ -58,17 +58,17 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
-// TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
+// TestPublicationAgeSurvivesLeaderChange: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
 // long ago that was, and must not tell less than is true, or requests begin on old weights after the limit.
-func TestNamingIsAsOldForEveryReplica(t *testing.T) {
+func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
 	// A replica was ended and started again while old weights were still in use. It read its log back, took each naming to be as young
 	// as the reading, and told gateways so once it led.
 	t.Run("restart", func(t *testing.T) {
 		s := openWithEngines(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
 		if err := s.disk.Close(); err != nil {
@@ -83,7 +83,7 @@
 	// life behind it, would have told any age.
 	t.Run("snapshot", func(t *testing.T) {
 		s := openWithEngines(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
@@ -92,7 +92,7 @@
 	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
 	t.Run("snapshot in the middle of a life", func(t *testing.T) {
 		s, other := openWithEngines(t), openWithEngines(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
 		other.advance(time.Minute)
 		other.wallOffset = s.now - other.now
@@ -109,7 +109,7 @@
 	t.Run("cut off meanwhile", func(t *testing.T) {
 		s := openWithEngines(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
-		s.name(2)
+		s.publish(2)
 		s.advance(5 * time.Second)
 		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
 		late.advance(3 * time.Second)
@@ -119,9 +119,9 @@
 	// had lost.
 	t.Run("two before a snapshot", func(t *testing.T) {
 		s := openWithEngines(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(4 * time.Second)
-		s.name(3)
+		s.publish(3)
 		s.advance(time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
@@ -131,20 +131,20 @@
 	// A version was named again, by an operator whose answer was lost, or one below it. Nothing newer was wanted by that, so no limit moves.
 	t.Run("named again", func(t *testing.T) {
 		s := openWithEngines(t)
-		s.name(3)
+		s.publish(3)
 		s.advance(2 * time.Second)
-		s.name(3)
-		s.name(2)
+		s.publish(3)
+		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
-		if told := s.told(); len(told) != 1 {
-			t.Fatalf("told %v", told)
+		if ages := s.reportedAges(); len(ages) != 1 {
+			t.Fatalf("told %v", ages)
 		}
 	})
 	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
 	t.Run("clock of the day behind", func(t *testing.T) {
 		s := openWithEngines(t)
-		s.name(2)
+		s.publish(2)
 		s.advance(time.Second)
 		s.wallOffset -= time.Minute
 		s.advance(2 * time.Second)
@@ -159,7 +159,7 @@
 		}
 		next := s.successor(machine.Snapshot(), nil, s.now)
 		next.advance(3 * time.Second)
-		if age, known := next.told()[4]; !known || age < time.Hour {
+		if age, known := next.reportedAges()[4]; !known || age < time.Hour {
 			t.Fatalf("told to be %v old (known: %t)", age, known)
 		}
 	})
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// suspectFor is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
-	suspectFor = time.Hour
-	// heldFor is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
+	// suspectTTL is how long a life counts against a request that isn't held back: ordinary losses of an hour rarely add up under one.
+	suspectTTL = time.Hour
+	// quarantineTTL is how long a request is held back after the last life that ended under it. Then it may be tried again, and one more life
 	// holds it back again: a day for whatever may have mended it, at the price of one back end if nothing did.
-	heldFor = 24 * time.Hour
-	// quarantineEach is how often old entries are looked for.
-	quarantineEach = time.Second
+	quarantineTTL = 24 * time.Hour
+	// quarantineSweepInterval is how often old entries are looked for.
+	quarantineSweepInterval = time.Second
 )
 
-// quarantined is when lives were last counted against requests, as this process saw it, since the log has no time.
-type quarantined struct {
-	lookedAt time.Duration
-	seen     map[quarantine.Fingerprint]time.Duration
-	why      map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
+// crashTimes is when lives were last counted against requests, as this process saw it, since the log has no time.
+type crashTimes struct {
+	sweptAt        time.Duration
+	changedAt      map[quarantine.Fingerprint]time.Duration
+	releaseReasons map[quarantine.Fingerprint]quarantine.Reason // of the newest release; of those in seen
 }
 
-func newQuarantined() quarantined {
-	return quarantined{seen: map[quarantine.Fingerprint]time.Duration{}, why: map[quarantine.Fingerprint]quarantine.Reason{}}
+func newCrashTimes() crashTimes {
+	return crashTimes{changedAt: map[quarantine.Fingerprint]time.Duration{}, releaseReasons: map[quarantine.Fingerprint]quarantine.Reason{}}
 }
 
-// quarantine takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
-func (r *Replica) quarantine(now time.Duration, client uint64, change quarantine.Change) {
+// handleQuarantineChange takes what a process tells of requests under which back ends ended. What is known already needs no entry of the log.
+func (r *Replica) handleQuarantineChange(now time.Duration, client uint64, change quarantine.Change) {
 	if !r.machine.catalog.Quarantine().WouldChange(change) {
 		r.reply(client, Response{Kind: ResponseOK})
 		return
@@ -43,72 +43,72 @@
 	r.propose(now, client, Command{Catalog: &catalog.Command{Quarantine: &change}})
 }
 
-// quarantineNews returns what a process is told that holds the news of a version; nil when it holds these.
-func (r *Replica) quarantineNews(held uint64) *quarantine.Update {
-	ledger := r.machine.catalog.Quarantine()
-	if held == ledger.Version() {
+// quarantineUpdate returns what a process is told that holds the news of a version; nil when it holds these.
+func (r *Replica) quarantineUpdate(heldVersion uint64) *quarantine.Update {
+	registry := r.machine.catalog.Quarantine()
+	if heldVersion == registry.Version() {
 		return nil
 	}
-	return ledger.Update()
+	return registry.Update()
 }
 
-// noteQuarantined remembers when lives were counted.
-func (r *Replica) noteQuarantined(now time.Duration, change quarantine.Change) {
-	for _, ended := range change.Crashes {
-		for _, f := range ended.Requests {
-			r.quarantined.seen[f] = now
+// recordQuarantineChange remembers when lives were counted.
+func (r *Replica) recordQuarantineChange(now time.Duration, change quarantine.Change) {
+	for _, crash := range change.Crashes {
+		for _, f := range crash.Requests {
+			r.quarantined.changedAt[f] = now
 		}
 	}
 	for _, released := range change.Releases {
 		for _, f := range released.Requests {
-			r.quarantined.seen[f], r.quarantined.why[f] = now, released.Reason
+			r.quarantined.changedAt[f], r.quarantined.releaseReasons[f] = now, released.Reason
 		}
 	}
 }
 
-// tendQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
-func (r *Replica) tendQuarantine(now time.Duration) {
-	if r.quarantined.lookedAt > 0 && now < r.quarantined.lookedAt+quarantineEach {
+// maintainQuarantine plants the seed of fingerprints, and releases requests under which nothing ended for long.
+func (r *Replica) maintainQuarantine(now time.Duration) {
+	if r.quarantined.sweptAt > 0 && now < r.quarantined.sweptAt+quarantineSweepInterval {
 		return
 	}
-	r.quarantined.lookedAt = now
-	ledger := r.machine.catalog.Quarantine()
-	if !ledger.HasSeed() {
+	r.quarantined.sweptAt = now
+	registry := r.machine.catalog.Quarantine()
+	if !registry.HasSeed() {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Seed: r.newSeed()}}})
 		return
 	}
-	if old := r.oldEntries(now, ledger); len(old) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: old}}})
+	if expired := r.expiredEntries(now, registry); len(expired) > 0 {
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Quarantine: &quarantine.Change{Releases: expired}}})
 	}
 }
 
-// oldEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
-func (r *Replica) oldEntries(now time.Duration, ledger *quarantine.Registry) []quarantine.Release {
-	forgotten := quarantine.Release{Reason: quarantine.ReasonExpired}
-	tried := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
-	seen := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.seen))
-	for _, f := range ledger.Fingerprints() {
-		at, known := r.quarantined.seen[f]
+// expiredEntries returns what is to be released for its age. Entries that came with a snapshot count from their first look.
+func (r *Replica) expiredEntries(now time.Duration, registry *quarantine.Registry) []quarantine.Release {
+	dropped := quarantine.Release{Reason: quarantine.ReasonExpired}
+	retryable := quarantine.Release{Reason: quarantine.ReasonExpired, Keep: quarantine.QuarantineThreshold - 1}
+	changedAt := make(map[quarantine.Fingerprint]time.Duration, len(r.quarantined.changedAt))
+	for _, f := range registry.Fingerprints() {
+		at, known := r.quarantined.changedAt[f]
 		if !known {
 			at = now
 		}
-		seen[f] = at
-		switch held := ledger.CrashCount(f) >= quarantine.QuarantineThreshold; {
-		case held && now-at > heldFor:
-			tried.Requests = append(tried.Requests, f)
-		case !held && now-at > suspectFor:
-			forgotten.Requests = append(forgotten.Requests, f)
+		changedAt[f] = at
+		switch quarantined := registry.CrashCount(f) >= quarantine.QuarantineThreshold; {
+		case quarantined && now-at > quarantineTTL:
+			retryable.Requests = append(retryable.Requests, f)
+		case !quarantined && now-at > suspectTTL:
+			dropped.Requests = append(dropped.Requests, f)
 		}
 	}
-	r.quarantined.seen = seen
-	maps.DeleteFunc(r.quarantined.why, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return ledger.CrashCount(f) == 0 })
-	var old []quarantine.Release
-	for _, released := range []quarantine.Release{forgotten, tried} {
+	r.quarantined.changedAt = changedAt
+	maps.DeleteFunc(r.quarantined.releaseReasons, func(f quarantine.Fingerprint, _ quarantine.Reason) bool { return registry.CrashCount(f) == 0 })
+	var expired []quarantine.Release
+	for _, released := range []quarantine.Release{dropped, retryable} {
 		if len(released.Requests) > 0 {
-			old = append(old, released)
+			expired = append(expired, released)
 		}
 	}
-	return old
+	return expired
 }
 
 // newSeed returns a secret for fingerprints.
@@ -120,22 +120,22 @@
 	return seed
 }
 
-// heldNotes are the requests that the log says are held back. They are owned by the decide thread.
-type heldNotes struct {
+// quarantineLogState are the requests that the log says are held back. They are owned by the decide thread.
+type quarantineLogState struct {
 	version uint64
 	since   map[quarantine.Fingerprint]time.Duration
 }
 
-// noteHeldBack logs when a request begins and ends to be held back, one line each, from the leader.
-func (s *Server) noteHeldBack() {
-	ledger := s.replica.machine.catalog.Quarantine()
-	if s.replica.leader == nil || ledger.Version() == s.heldBackLog.version {
+// logQuarantineChanges logs when a request begins and ends to be held back, one line each, from the leader.
+func (s *Server) logQuarantineChanges() {
+	registry := s.replica.machine.catalog.Quarantine()
+	if s.replica.leader == nil || registry.Version() == s.heldBackLog.version {
 		return
 	}
 	now := s.now()
-	s.heldBackLog.version = ledger.Version()
+	s.heldBackLog.version = registry.Version()
 	since := map[quarantine.Fingerprint]time.Duration{}
-	for _, e := range ledger.Update().Entries {
+	for _, e := range registry.Update().Entries {
 		if len(e.Incarnations) < quarantine.QuarantineThreshold {
 			continue
 		}
@@ -148,7 +148,7 @@
 	}
 	for f, at := range s.heldBackLog.since {
 		if _, held := since[f]; !held {
-			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.why[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, ledger.CrashCount(f)))
+			s.log.Info(events.RequestReleased, zap.Stringer(events.FieldFingerprint, f), zap.String("why", string(s.replica.quarantined.releaseReasons[f])), zap.Duration("held", now-at), zap.Int(events.FieldIncarnations, registry.CrashCount(f)))
 		}
 	}
 	s.heldBackLog.since = since
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -108,14 +108,14 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	leader, follower := freeLoopback(t), freeLoopback(t)
-	listenWith(t, leader, Response{Kind: ResponseOK})
-	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
+	leader, follower := freeLoopbackAddress(t), freeLoopbackAddress(t)
+	serveResponse(t, leader, Response{Kind: ResponseOK})
+	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
 	client := NewClient(transport.NewClient("", nil), []string{silent.Addr().String(), follower})
-	client.failed.Store(&failure{address: leader, at: clock.Now()})
+	client.lastFailure.Store(&failure{address: leader, at: clock.Now()})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	response, err := client.Any(ctx, Request{Status: &StatusRequest{}})
+	response, err := client.AskAny(ctx, Request{Status: &StatusRequest{}})
 	if err != nil || response.Kind != ResponseOK {
 		t.Fatalf("Any: response %+v, error %v", response, err)
 	}
@@ -150,7 +150,7 @@
 
 func (d *countingDriver) CallWeights(context.Context, WeightsCall) WeightsResult {
 	d.calls++
-	return WeightsResult{Kind: WeightsTaken}
+	return WeightsResult{Kind: WeightsAccepted}
 }
 
 // TestStaleWeightsCallIsRefusedAfterSuspension guards against an order given after the machine was suspended between the
@@ -163,7 +163,7 @@
 	s.callBackend(t.Context(), made)
 	at += 2 * time.Second
 	s.callBackend(t.Context(), made)
-	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsTaken || second.Kind != WeightsRefused {
+	if first, second := *(<-s.inputs).weights, *(<-s.inputs).weights; driver.calls != 1 || first.Kind != WeightsAccepted || second.Kind != WeightsRejected {
 		t.Fatalf("%d calls, want 1; results %+v and %+v, want taken and refused", driver.calls, first, second)
 	}
 }
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -8,33 +8,33 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestLoadTimeIsLearnt: whatever engines take for new weights, they are first looked at shortly before that; an order whose
+// TestFirstCheckFollowsLoadTime: whatever engines take for new weights, they are first looked at shortly before that; an order whose
 // time is not known teaches nothing.
-func TestLoadTimeIsLearnt(t *testing.T) {
-	for _, length := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
-		lead := &leaderState{}
-		if first := lead.firstLoadCheck(); first <= 0 || first > initialLoadTime {
+func TestFirstCheckFollowsLoadTime(t *testing.T) {
+	for _, loadTime := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
+		leader := &leaderState{}
+		if first := leader.firstLoadCheck(); first <= 0 || first > initialLoadTime {
 			t.Fatalf("before any load: %v", first)
 		}
-		lead.observeLoadTime(length, 0)
-		if lead.smoothedLoadTime != 0 {
-			t.Fatalf("learnt %v from nothing", lead.smoothedLoadTime)
+		leader.observeLoadTime(loadTime, 0)
+		if leader.smoothedLoadTime != 0 {
+			t.Fatalf("learnt %v from nothing", leader.smoothedLoadTime)
 		}
-		lead.observeLoadTime(time.Second+5*time.Second, time.Second)
+		leader.observeLoadTime(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
-			taken := time.Duration(i+1) * time.Minute
-			lead.observeLoadTime(taken+length, taken)
+			acceptedAt := time.Duration(i+1) * time.Minute
+			leader.observeLoadTime(acceptedAt+loadTime, acceptedAt)
 		}
-		first := lead.firstLoadCheck()
-		if wanted := time.Duration(firstLoadCheckFraction * float64(length)); first < wanted-loadCheckInterval || first > wanted+loadCheckInterval {
-			t.Fatalf("loads of %v are first looked at after %v", length, first)
+		first := leader.firstLoadCheck()
+		if wanted := time.Duration(firstLoadCheckFraction * float64(loadTime)); first < wanted-loadCheckInterval || first > wanted+loadCheckInterval {
+			t.Fatalf("loads of %v are first looked at after %v", loadTime, first)
 		}
 	}
 }
 
-// TestLargeFleetRollsOutWhileItIsShortOfHands: while a third of the engines has crashed, as many load at once as before (ayni-
+// TestRolloutConcurrencyUnderCapacityLoss: while a third of the engines has crashed, as many load at once as before (ayni-
 // lima-grown scale-2: one at a time of 90, and those left on old weights got no requests).
-func TestLargeFleetRollsOutWhileItIsShortOfHands(t *testing.T) {
+func TestRolloutConcurrencyUnderCapacityLoss(t *testing.T) {
 	for _, engines := range []int{2, 9, 90, 300} {
 		s := openWithEngines(t)
 		var ids []string
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -75,8 +75,8 @@
 	wasLeader       bool        // last logged leadership; owned by runReplica
 	loggedLevel     level.Level // last logged level in force; owned by runReplica
 	relayFailing    bool        // the last relay request failed; owned by runReplica
-	overLimitLog    overNotes
-	heldBackLog     heldNotes
+	overLimitLog    limitLogState
+	heldBackLog     quarantineLogState
 	config          Config
 	now             clock.Source // time since the server was created
 	inputs          chan input
@@ -161,7 +161,7 @@
 	defer cancel()
 	var workers sync.WaitGroup
 	workers.Go(func() { s.runReplica(run) })
-	workers.Go(func() { s.sendCalls(run) })
+	workers.Go(func() { s.sendEngineCalls(run) })
 	workers.Go(func() { s.watchEngines(run) })
 	workers.Go(func() { s.callBackends(run) })
 	workers.Go(func() { s.forwardHeartbeats(run) })
@@ -254,8 +254,8 @@
 		}
 		s.logLeadershipChange()
 		s.logLevelChange()
-		s.noteOverLimits()
-		s.noteHeldBack()
+		s.logLimitChanges()
+		s.logQuarantineChanges()
 		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
 }
@@ -272,7 +272,7 @@
 		s.log.Info(events.LeadershipLost, fields...)
 		return
 	}
-	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
+	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.recentPublications(s.now())))...)
 }
 
 // logLevelChange logs when the level in force has changed.
@@ -305,9 +305,9 @@
 	case item.hello != nil:
 		item.hello(http.StatusOK, HelloReply{HasState: s.replica.Node().LastIndex() > 0})
 	case item.report != nil:
-		s.replica.Observe(now, *item.report)
+		s.replica.ObserveEngineReport(now, *item.report)
 	case item.weights != nil:
-		s.replica.ObserveWeights(now, *item.weights)
+		s.replica.ObserveWeightsResult(now, *item.weights)
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
 		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -35,8 +35,8 @@
 	return status
 }
 
-// namedTold is how many back ends that name their limits status shows: a large fleet may have thousands.
-const namedTold = 24
+// maxAdvertisedInStatus is how many back ends that name their limits status shows: a large fleet may have thousands.
+const maxAdvertisedInStatus = 24
 
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
 	if r.leader == nil {
@@ -51,11 +51,11 @@
 	}
 	for _, name := range sortedKeys(r.leader.engines) {
 		report := r.leader.engines[name].report
-		wanted := r.wanted(zoneService{report.Zone, report.Service}).weights
+		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
-	status.Limits = r.leader.lending.lender.States(now)
-	status.Named = r.leader.lending.lender.AdvertisedStates(now, namedTold)
+	status.Limits = r.leader.lending.allocator.States(now)
+	status.Named = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -99,7 +99,7 @@
 func (r *Replica) handleWatch(now time.Duration, client uint64, watch Watch) {
 	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 	}
 	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maxWatchHold)}
 	if !r.answerWatch(now, held) {
@@ -183,7 +183,7 @@
 		return false
 	}
 	unlisted := r.unlisted(held.watch)
-	if unlisted && now < held.due+listPatience {
+	if unlisted && now < held.due+gatewayListTimeout {
 		r.leader.gatewayUnlisted = true
 		return false
 	}
@@ -201,7 +201,7 @@
 	if watch.Roster != reply.Version && !watch.ProbeOnly {
 		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
-	_, reply.Gateways = r.gatewaysThatTrust(now)
+	_, reply.Gateways = r.trustingGateways(now)
 	reply.setLayout(r.layout(now), &watch)
 	reply.CacheEventSources = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
@@ -214,7 +214,7 @@
 	if watch.Revision < document.Revision && !watch.ProbeOnly {
 		reply.Document, reply.sharedDocument = r.publishedDocument(document)
 	}
-	reply.Quarantine = r.quarantineNews(watch.Quarantine)
+	reply.Quarantine = r.quarantineUpdate(watch.Quarantine)
 	for _, member := range r.members() {
 		reply.Replicas = append(reply.Replicas, member.Address)
 	}
@@ -241,7 +241,7 @@
 
 // viewExpiry is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
 func (r *Replica) viewExpiry() time.Duration {
-	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginShare
+	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
 // ackedRosterCount returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -37,7 +37,7 @@
 		g.take(ctx, asked, reply)
 		if len(reply.Replicas) != known {
 			known = len(reply.Replicas)
-			g.group.Use(reply.Replicas)
+			g.group.SetAddresses(reply.Replicas)
 		}
 	}
 }
@@ -64,10 +64,10 @@
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
-	ask := g.group.Once
+	ask := g.group.AskOnce
 	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
-			return g.group.At(ctx, address, request)
+			return g.group.AskReplica(ctx, address, request)
 		}
 	}
 	response, err := ask(attempt, control.Request{Watch: &question})
@@ -81,17 +81,17 @@
 // patience for one answer on reading several of them.
 func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
 	question.ProbeOnly = true
-	if !g.group.HeardWithin(electionPatience) {
+	if !g.group.AnsweredWithin(electionPatience) {
 		question.Hold = 0 // to learn soon whether there is anybody
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
 	defer cancel()
-	response, err := g.group.Any(attempt, control.Request{Watch: &question})
+	response, err := g.group.AskAny(attempt, control.Request{Watch: &question})
 	if err != nil || response.Watch == nil {
 		return false
 	}
 	g.nearby.update(response.Watch.NearbyReplicas)
-	g.group.Use(response.Watch.Replicas)
+	g.group.SetAddresses(response.Watch.Replicas)
 	return true
 }
 
--- a/internal/lab/sim/fleet.go
+++ b/internal/lab/sim/fleet.go
@@ -220,8 +220,8 @@
 	loading := b.w.now() < b.loadsTo
 	switch {
 	case !b.isMeant(call.Instance):
-		return control.WeightsResult{Kind: control.WeightsRefused}
-	case call.Kind == control.WeightsReport:
+		return control.WeightsResult{Kind: control.WeightsRejected}
+	case call.Kind == control.WeightsQuery:
 		return control.WeightsResult{Kind: control.WeightsReported, Versions: map[string]uint64{fleetModel: b.version}, Busy: loading, Revision: b.revision}
 	case call.Fence < b.fence:
 		return control.WeightsResult{Kind: control.WeightsFenced}
@@ -232,7 +232,7 @@
 	b.revision++
 	b.loadsTo = b.w.now() + fleetLoad
 	b.after(fleetLoad, func() { b.version = call.Version })
-	return control.WeightsResult{Kind: control.WeightsTaken}
+	return control.WeightsResult{Kind: control.WeightsAccepted}
 }
 
 // callBackend passes a leader's call on and its result back. Some answers are lost, and the order is then carried out
@@ -247,7 +247,7 @@
 	}
 	report := func(result control.WeightsResult) {
 		result.Call = call
-		n.input(func() { n.replica.ObserveWeights(n.clock(), result) })
+		n.input(func() { n.replica.ObserveWeightsResult(n.clock(), result) })
 	}
 	if call.Kind == control.WeightsOrder && n.w.chance(0.15) {
 		n.after(time.Second, func() { report(control.WeightsResult{Kind: control.WeightsUnknown}) })
@@ -258,7 +258,7 @@
 	}
 	n.w.call(n.process, target.process, time.Second, func(respond func(func())) {
 		result := target.take(call)
-		if result.Kind == control.WeightsTaken {
+		if result.Kind == control.WeightsAccepted {
 			n.w.oracle.tookOrder(call)
 		}
 		respond(func() { report(result) })
