--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -12,89 +12,89 @@
 )
 
 const (
-	// beatsEach is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
+	// heartbeatBatchInterval is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
 	// those wait that need its answer, and beatsMost how many of each may.
-	beatsEach = 100 * time.Millisecond
-	newsWait  = 10 * time.Millisecond
-	beatsMost = 8192
-	// registeredFor is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
+	heartbeatBatchInterval = 100 * time.Millisecond
+	heartbeatBatchDelay    = 10 * time.Millisecond
+	maxQueuedHeartbeats    = 8192
+	// ackTTL is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
 	// changes nothing.
-	registeredFor = 10 * time.Second
+	ackTTL = 10 * time.Second
 	// batchTimeout is how long the leader may take to answer a batch.
 	batchTimeout = 800 * time.Millisecond
 )
 
-// pendingBeat is a heartbeat whose sender waits for the leader's answer.
-type pendingBeat struct {
-	beat Beat
-	done chan error // has room for the one answer
+// pendingHeartbeat is a heartbeat whose sender waits for the leader's answer.
+type pendingHeartbeat struct {
+	heartbeat BackendHeartbeat
+	done      chan error // has room for the one answer
 }
 
-// registration is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
-type registration struct {
-	at   time.Duration
-	beat Beat
+// ackedHeartbeat is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
+type ackedHeartbeat struct {
+	ackedAt   time.Duration
+	heartbeat BackendHeartbeat
 }
 
-// tells reports whether a heartbeat tells what the leader doesn't know.
-func (r registration) tells(beat Beat) bool {
-	return beat.Instance != r.beat.Instance || beat.ColdLeft > 0 || r.beat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.beat.Versions)
+// isChangedBy reports whether a heartbeat isChangedBy what the leader doesn't know.
+func (r ackedHeartbeat) isChangedBy(beat BackendHeartbeat) bool {
+	return beat.Instance != r.heartbeat.Instance || beat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.heartbeat.Versions)
 }
 
-// beatCollector gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
+// heartbeatBatcher gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
 // messages a second. What registers, drains or ends a back end is answered once a majority holds the whole batch; what
 // tells nothing new is answered at once.
-type beatCollector struct {
-	mu         sync.Mutex
-	waiting    []Beat                  // without news; at most beatsMost
-	signs      []Sign                  // instead of those that differ from the one before by their number alone
-	pending    []pendingBeat           // with news; at most beatsMost
-	wake       chan struct{}           // has an item when pending does; room for one
-	registered map[string]registration // by id: what the leader last took of it
-	failing    bool                    // the newest batch did not reach the leader
+type heartbeatBatcher struct {
+	mu              sync.Mutex
+	updates         []BackendHeartbeat        // without news; at most beatsMost
+	keepalives      []Keepalive               // instead of those that differ from the one before by their number alone
+	pending         []pendingHeartbeat        // with news; at most beatsMost
+	wake            chan struct{}             // has an item when pending does; room for one
+	acked           map[string]ackedHeartbeat // by id: what the leader last took of it
+	lastBatchFailed bool                      // the newest batch did not reach the leader
 }
 
-// add takes a heartbeat if it needs no answer of the leader.
-func (c *beatCollector) add(now time.Duration, beat Beat) bool {
+// enqueueWithoutReply takes a heartbeat if it needs no answer of the leader.
+func (c *heartbeatBatcher) enqueueWithoutReply(now time.Duration, beat BackendHeartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := beat.Instance.ID
-	if beat.Leaves || beat.Instance.State != catalog.StateReady {
-		delete(c.registered, id)
+	if beat.Leaving || beat.Instance.State != catalog.StateReady {
+		delete(c.acked, id)
 		return false
 	}
-	held, known := c.registered[id]
-	if !known || now-held.at > registeredFor || c.failing || len(c.waiting)+len(c.signs) >= beatsMost {
+	held, known := c.acked[id]
+	if !known || now-held.ackedAt > ackTTL || c.lastBatchFailed || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
 		return false
 	}
-	if !held.tells(beat) {
-		c.signs = append(c.signs, Sign{ID: id, Sequence: beat.Sequence})
+	if !held.isChangedBy(beat) {
+		c.keepalives = append(c.keepalives, Keepalive{ID: id, Sequence: beat.Sequence})
 		return true
 	}
-	held.beat = beat
-	c.registered[id] = held
-	c.waiting = append(c.waiting, beat)
+	held.heartbeat = beat
+	c.acked[id] = held
+	c.updates = append(c.updates, beat)
 	return true
 }
 
-// taken notes that the leader has answered a heartbeat.
-func (c *beatCollector) taken(now time.Duration, beat Beat) {
+// recordAck notes that the leader has answered a heartbeat.
+func (c *heartbeatBatcher) recordAck(now time.Duration, beat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !beat.Leaves && beat.Instance.State == catalog.StateReady {
-		c.registered[beat.Instance.ID] = registration{at: now, beat: beat}
+	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
+		c.acked[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: beat}
 	}
 }
 
-// wait takes a heartbeat that needs the leader's answer, or returns nil when too many wait.
-func (c *beatCollector) wait(beat Beat) chan error {
+// enqueueForReply takes a heartbeat that needs the leader's answer, or returns nil when too many enqueueForReply.
+func (c *heartbeatBatcher) enqueueForReply(beat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending) >= beatsMost {
+	if len(c.pending) >= maxQueuedHeartbeats {
 		return nil
 	}
 	done := make(chan error, 1)
-	c.pending = append(c.pending, pendingBeat{beat: beat, done: done})
+	c.pending = append(c.pending, pendingHeartbeat{heartbeat: beat, done: done})
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -102,73 +102,73 @@
 	return done
 }
 
-// gathered are heartbeats to be passed on together.
-type gathered struct {
-	beats   []Beat        // those whose senders wait come last, in the order in which they came
-	signs   []Sign        // of back ends of which there is nothing new
-	pending []pendingBeat // senders that wait
+// heartbeatBatch are heartbeats to be passed on together.
+type heartbeatBatch struct {
+	heartbeats []BackendHeartbeat // those whose senders wait come last, in the order in which they came
+	keepalives []Keepalive        // of back ends of which there is nothing new
+	pending    []pendingHeartbeat // senders that wait
 }
 
-func (g *gathered) empty() bool { return len(g.beats)+len(g.signs) == 0 }
+func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.keepalives) == 0 }
 
-// batch returns the heartbeats that wait.
-func (c *beatCollector) batch() gathered {
+// takeBatch returns the heartbeats that wait.
+func (c *heartbeatBatcher) takeBatch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := gathered{beats: c.waiting, signs: c.signs, pending: c.pending}
-	c.waiting, c.signs, c.pending = nil, nil, nil
+	batch := heartbeatBatch{heartbeats: c.updates, keepalives: c.keepalives, pending: c.pending}
+	c.updates, c.keepalives, c.pending = nil, nil, nil
 	for _, p := range batch.pending {
-		batch.beats = append(batch.beats, p.beat)
+		batch.heartbeats = append(batch.heartbeats, p.heartbeat)
 	}
 	return batch
 }
 
-// passed notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
-// may have been lost, the next heartbeat is passed whole.
-func (c *beatCollector) passed(now time.Duration, batch gathered, reached bool, strangers []string) {
+// recordBatch notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
+// may have been lost, the next heartbeat is recordBatch whole.
+func (c *heartbeatBatcher) recordBatch(now time.Duration, batch heartbeatBatch, reached bool, strangers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failing = !reached
-	for _, beat := range batch.beats {
-		c.count(now, beat.Instance.ID, reached)
+	c.lastBatchFailed = !reached
+	for _, beat := range batch.heartbeats {
+		c.recordDelivery(now, beat.Instance.ID, reached)
 	}
-	for _, sign := range batch.signs {
-		c.count(now, sign.ID, reached)
+	for _, sign := range batch.keepalives {
+		c.recordDelivery(now, sign.ID, reached)
 	}
 	for _, id := range strangers {
-		delete(c.registered, id)
+		delete(c.acked, id)
 	}
-	for id, held := range c.registered {
-		if now-held.at > registeredFor {
-			delete(c.registered, id)
+	for id, held := range c.acked {
+		if now-held.ackedAt > ackTTL {
+			delete(c.acked, id)
 		}
 	}
 }
 
-// count notes whether a heartbeat reached the leader. The caller holds the mutex.
-func (c *beatCollector) count(now time.Duration, id string, reached bool) {
-	held, known := c.registered[id]
+// recordDelivery notes whether a heartbeat reached the leader. The caller holds the mutex.
+func (c *heartbeatBatcher) recordDelivery(now time.Duration, id string, reached bool) {
+	held, known := c.acked[id]
 	switch {
 	case !known:
 	case !reached:
-		delete(c.registered, id)
+		delete(c.acked, id)
 	default:
-		held.at = now
-		c.registered[id] = held
+		held.ackedAt = now
+		c.acked[id] = held
 	}
 }
 
-// errBeatsFull says that more heartbeats wait for the leader than this replica takes.
-var errBeatsFull = eris.New("too many heartbeats wait for the leader")
+// errTooManyHeartbeats says that more heartbeats wait for the leader than this replica takes.
+var errTooManyHeartbeats = eris.New("too many heartbeats wait for the leader")
 
-// Beat takes a back end's heartbeat; an error says that it has no clear answer.
-func (s *Server) Beat(ctx context.Context, beat Beat) error {
-	if s.beats.add(s.now(), beat) {
+// HandleBackendHeartbeat takes a back end's heartbeat; an error says that it has no clear answer.
+func (s *Server) HandleBackendHeartbeat(ctx context.Context, beat BackendHeartbeat) error {
+	if s.beats.enqueueWithoutReply(s.now(), beat) {
 		return nil
 	}
-	done := s.beats.wait(beat)
+	done := s.beats.enqueueForReply(beat)
 	if done == nil {
-		return errBeatsFull
+		return errTooManyHeartbeats
 	}
 	select {
 	case err := <-done:
@@ -178,9 +178,9 @@
 	}
 }
 
-// passBeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
-func (s *Server) passBeats(ctx context.Context) {
-	ticker := time.NewTicker(beatsEach)
+// forwardHeartbeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
+func (s *Server) forwardHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatBatchInterval)
 	defer ticker.Stop()
 	formed := false
 	for {
@@ -189,7 +189,7 @@
 			return
 		case <-ticker.C:
 		case <-s.beats.wake:
-			time.Sleep(newsWait)
+			time.Sleep(heartbeatBatchDelay)
 		}
 		if !formed {
 			formed = s.queryReplica((*Replica).formed) // until then the leader takes none, however often it is asked
@@ -197,84 +197,84 @@
 		if !formed {
 			continue
 		}
-		batch := s.beats.batch()
+		batch := s.beats.takeBatch()
 		if batch.empty() {
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		answer, err := s.group.Ask(attempt, Request{Beats: batch.beats, Signs: batch.signs})
+		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
 		cancel()
-		s.beats.passed(s.now(), batch, err == nil, answer.UnknownBackends)
+		s.beats.recordBatch(s.now(), batch, err == nil, answer.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
-				s.beats.taken(s.now(), p.beat)
+				s.beats.recordAck(s.now(), p.heartbeat)
 			}
 			p.done <- err
 		}
 	}
 }
 
-// joining are registrations that wait for the next write. All that come within one cycle of the replica become one entry of the
+// registrationBatch are registrations that wait for the next write. All that come within one cycle of the replica become one entry of the
 // log, so that entries grow with time and not with back ends when a whole fleet starts.
-type joining struct {
+type registrationBatch struct {
 	instances []catalog.Instance // in the order in which they came
 	clients   []uint64           // that wait for the entry
 }
 
-// register takes a registration; client 0 waits for nothing.
-func (r *Replica) register(client uint64, instance catalog.Instance) {
+// queueRegistration takes a registration; client 0 waits for nothing.
+func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
 	waiting := &r.leader.joining
 	waiting.instances = append(waiting.instances, instance)
-	waiting.wait(client)
+	waiting.addClient(client)
 }
 
-// wait adds a client that is answered with the entry.
-func (j *joining) wait(client uint64) {
+// addClient adds a client that is answered with the entry.
+func (j *registrationBatch) addClient(client uint64) {
 	if client != 0 {
 		j.clients = append(j.clients, client)
 	}
 }
 
-// writeJoining proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
+// proposeRegistrations proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
 // back end in the order in which they came.
-func (r *Replica) writeJoining(now time.Duration) {
+func (r *Replica) proposeRegistrations(now time.Duration) {
 	if r.leader == nil || len(r.leader.joining.instances) == 0 {
 		return
 	}
 	waiting := r.leader.joining
-	r.leader.joining = joining{}
+	r.leader.joining = registrationBatch{}
 	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{RegisterBatch: waiting.instances}})
 }
 
-// takeBeats takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
+// handleHeartbeatBatch takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
 // they changed: entries commit in order, so it waits for the last.
-func (r *Replica) takeBeats(now time.Duration, client uint64, beats []Beat, signs []Sign) {
+func (r *Replica) handleHeartbeatBatch(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Keepalive) {
 	before := r.node.LastIndex()
 	for _, beat := range beats {
-		r.beat(now, 0, beat)
+		r.handleBackendHeartbeat(now, 0, beat)
 	}
 	var strangers []string
 	for _, sign := range signs {
-		if !r.heardSign(now, sign) {
+		if !r.handleKeepalive(now, sign) {
 			strangers = append(strangers, sign.ID)
 		}
 	}
 	last := r.node.LastIndex()
 	switch {
 	case len(r.leader.joining.instances) > 0:
-		r.leader.oweStrangers(client, strangers)
-		r.leader.joining.wait(client)
+		r.leader.recordUnknownBackends(client, strangers)
+		r.leader.joining.addClient(client)
 	case last > before:
-		r.leader.oweStrangers(client, strangers)
+		r.leader.recordUnknownBackends(client, strangers)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
 		r.reply(client, Response{Kind: ResponseOK, UnknownBackends: strangers})
 	}
 }
 
-// oweStrangers keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
+// recordUnknownBackends keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
 // stay silent to this leader for as long as every batch changes something.
-func (l *leaderState) oweStrangers(client uint64, strangers []string) {
+func (l *leaderState) recordUnknownBackends(client uint64, strangers []string) {
 	if client != 0 && len(strangers) > 0 {
 		l.unknownBackends[client] = strangers
 	}
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -7,53 +7,53 @@
 	"kitetiller/internal/catalog"
 )
 
-func beatOf(id string, state catalog.State, sequence uint64) Beat {
-	return Beat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
+func heartbeatOf(id string, state catalog.State, sequence uint64) BackendHeartbeat {
+	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
-// TestOnlyBeatsWithoutNewsAreGathered: registering, draining and leaving are answered by the leader, and so is everything
+// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: registering, draining and leaving are answered by the leader, and so is everything
 // while batches don't reach it.
-func TestOnlyBeatsWithoutNewsAreGathered(t *testing.T) {
-	c := &beatCollector{registered: map[string]registration{}}
-	ready, draining, leaves := beatOf("i", catalog.StateReady, 1), beatOf("i", catalog.StateDraining, 2), Beat{Instance: catalog.Instance{ID: "i"}, Leaves: true}
-	if c.add(0, ready) {
+func TestOnlyHeartbeatsThatNeedNoReplyAreBatched(t *testing.T) {
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
+	ready, draining, leaves := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
+	if c.enqueueWithoutReply(0, ready) {
 		t.Fatal("the first heartbeat is gathered")
 	}
-	c.taken(0, ready)
+	c.recordAck(0, ready)
 	count := func() int {
-		batch := c.batch()
-		return len(batch.beats) + len(batch.signs)
+		batch := c.takeBatch()
+		return len(batch.heartbeats) + len(batch.keepalives)
 	}
-	if !c.add(time.Second, ready) || count() != 1 || count() != 0 {
+	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
 		t.Fatal("a heartbeat without news is not gathered once")
 	}
-	for name, news := range map[string]Beat{"draining": draining, "leaving": leaves} {
-		c.taken(0, ready)
-		if c.add(time.Second, news) || c.add(time.Second, ready) {
+	for name, news := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaves} {
+		c.recordAck(0, ready)
+		if c.enqueueWithoutReply(time.Second, news) || c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s, or a heartbeat after it, is gathered", name)
 		}
-		if c.taken(0, news); c.add(time.Second, ready) {
+		if c.recordAck(0, news); c.enqueueWithoutReply(time.Second, ready) {
 			t.Fatalf("%s counts as registered", name)
 		}
 	}
-	c.taken(0, ready)
-	if c.add(registeredFor+time.Second, ready) {
+	c.recordAck(0, ready)
+	if c.enqueueWithoutReply(ackTTL+time.Second, ready) {
 		t.Fatal("a heartbeat is gathered long after the leader took one")
 	}
-	c.taken(0, ready)
-	if c.passed(time.Second, gathered{}, false, nil); c.add(time.Second, ready) {
+	c.recordAck(0, ready)
+	if c.recordBatch(time.Second, heartbeatBatch{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("a heartbeat is gathered while batches fail")
 	}
-	if c.passed(time.Second, gathered{}, true, nil); !c.add(time.Second, ready) {
+	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
 		t.Fatal("no heartbeat is gathered after a batch has passed")
 	}
 }
 
-// TestGatheredBeatsCountAsIfAlone: they keep a back end heard, bring a forgotten one back, and take back no draining.
-func TestGatheredBeatsCountAsIfAlone(t *testing.T) {
-	s := openFleet(t)
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
-	s.ask(Request{Beats: []Beat{beatOf("i-1", catalog.StateReady, 10), beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-3", catalog.StateReady, 1)}})
+// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: they keep a back end heard, bring a forgotten one back, and take back no draining.
+func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
+	s := openWithEngines(t)
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
+	s.ask(Request{Beats: []BackendHeartbeat{heartbeatOf("i-1", catalog.StateReady, 10), heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-3", catalog.StateReady, 1)}})
 	s.advance(100 * time.Millisecond)
 	instances := s.replica.Machine().Catalog().Instances()
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
@@ -64,14 +64,14 @@
 	}
 }
 
-// TestBatchIsAnsweredOnceAllIsHeld: a batch that changes something is answered once its last entry has committed, one that
+// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, one that
 // changes nothing at once.
-func TestBatchIsAnsweredOnceAllIsHeld(t *testing.T) {
-	s := openFleet(t)
+func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
+	s := openWithEngines(t)
 	const client = 5000
-	s.replica.Handle(s.now, client, Request{Beats: []Beat{
-		beatOf("i-2", catalog.StateReady, uint64(s.now)), beatOf("i-7", catalog.StateReady, 1), beatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
-		beatOf("i-8", catalog.StateReady, 1),
+	s.replica.Handle(s.now, client, Request{Beats: []BackendHeartbeat{
+		heartbeatOf("i-2", catalog.StateReady, uint64(s.now)), heartbeatOf("i-7", catalog.StateReady, 1), heartbeatOf("i-2", catalog.StateDraining, uint64(s.now)+1),
+		heartbeatOf("i-8", catalog.StateReady, 1),
 	}})
 	if _, answered := s.replies[client]; answered {
 		t.Fatal("answered before anything was written")
@@ -83,65 +83,65 @@
 	}
 }
 
-// TestSendersOfNewsWaitForTheBatch: in the order in which they came, and no more than may wait.
-func TestSendersOfNewsWaitForTheBatch(t *testing.T) {
-	c := &beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)}
-	for i := range beatsMost {
-		if c.wait(beatOf("i", catalog.StateReady, uint64(i))) == nil {
+// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: in the order in which they came, and no more than may wait.
+func TestHeartbeatsForReplyAreQueuedInOrderAndBounded(t *testing.T) {
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
+	for i := range maxQueuedHeartbeats {
+		if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, uint64(i))) == nil {
 			t.Fatalf("no room for news %d", i)
 		}
 	}
-	if c.wait(beatOf("i", catalog.StateReady, 0)) != nil {
+	if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, 0)) != nil {
 		t.Fatal("room for more than may wait")
 	}
-	batch := c.batch()
-	if len(batch.beats) != beatsMost || len(batch.pending) != beatsMost || batch.pending[7].beat.Sequence != 7 || len(c.wake) != 1 {
-		t.Fatalf("batch of %d, %d wait", len(batch.beats), len(batch.pending))
+	batch := c.takeBatch()
+	if len(batch.heartbeats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
+		t.Fatalf("batch of %d, %d wait", len(batch.heartbeats), len(batch.pending))
 	}
 }
 
-// TestHeartbeatsTellOnlyWhatIsNew: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
+// TestUnchangedHeartbeatsAreSentAsKeepalives: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
 // lost, and where the leader asks for it, it is passed whole.
-func TestHeartbeatsTellOnlyWhatIsNew(t *testing.T) {
-	c := &beatCollector{registered: map[string]registration{}}
-	beat := beatOf("i", catalog.StateReady, 1)
+func TestUnchangedHeartbeatsAreSentAsKeepalives(t *testing.T) {
+	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
+	beat := heartbeatOf("i", catalog.StateReady, 1)
 	beat.Versions = map[string]uint64{"m": 1}
-	c.taken(0, beat)
-	passes := func(beat Beat) gathered {
+	c.recordAck(0, beat)
+	passes := func(beat BackendHeartbeat) heartbeatBatch {
 		t.Helper()
-		if !c.add(time.Second, beat) {
+		if !c.enqueueWithoutReply(time.Second, beat) {
 			t.Fatalf("%+v is not gathered", beat)
 		}
-		return c.batch()
+		return c.takeBatch()
 	}
-	if got := passes(beat); len(got.signs) != 1 || len(got.beats) > 0 || jsonLength(t, got.signs[0])*3 > jsonLength(t, beat) {
+	if got := passes(beat); len(got.keepalives) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.keepalives[0])*3 > jsonLength(t, beat) {
 		t.Fatalf("passed on: %+v", got)
 	}
 	beat.Versions = map[string]uint64{"m": 2}
-	if got := passes(beat); len(got.beats) != 1 {
+	if got := passes(beat); len(got.heartbeats) != 1 {
 		t.Fatalf("new weights are passed as %+v", got)
 	}
-	if got := passes(beat); len(got.signs) != 1 {
+	if got := passes(beat); len(got.keepalives) != 1 {
 		t.Fatalf("known weights are passed as %+v", got)
 	}
-	c.passed(time.Second, gathered{}, true, []string{"i"})
-	if c.add(time.Second, beat) {
+	c.recordBatch(time.Second, heartbeatBatch{}, true, []string{"i"})
+	if c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a stranger's heartbeat needs no answer")
 	}
-	c.taken(time.Second, beat)
-	c.passed(time.Second, passes(beat), false, nil)
-	if c.passed(time.Second, gathered{}, true, nil); c.add(time.Second, beat) {
+	c.recordAck(time.Second, beat)
+	c.recordBatch(time.Second, passes(beat), false, nil)
+	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
 		t.Fatal("a heartbeat is shortened after one that may have been lost")
 	}
 }
 
-// TestNewLeaderAsksForWholeHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
-func TestNewLeaderAsksForWholeHeartbeats(t *testing.T) {
-	s := openFleet(t)
-	same := func(id string) Sign { return Sign{ID: id, Sequence: uint64(s.now)} }
-	s.replica.leader.fleet["i-2"].told = false
+// TestNewLeaderRequestsFullHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
+func TestNewLeaderRequestsFullHeartbeats(t *testing.T) {
+	s := openWithEngines(t)
+	same := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
+	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
-	if answer := s.ask(Request{Signs: []Sign{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
+	if answer := s.ask(Request{Signs: []Keepalive{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
 		t.Fatalf("answer %+v", answer)
 	}
 	if heard := s.replica.leader.fleet["i-1"].heardAt; heard != s.now {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// silentAfter is the silence after which a back end is shown as silent: it may be cut off from control only.
-	silentAfter = 3500 * time.Millisecond
-	// forgetAfter is the silence after which a back end is taken off the roster. It may register again.
-	forgetAfter = 12 * time.Second
-	// fleetPeriod is how often the roster is looked through.
-	fleetPeriod = 100 * time.Millisecond
-	// doubtAfter is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
+	// silenceTimeout is the silence after which a back end is shown as silent: it may be cut off from control only.
+	silenceTimeout = 3500 * time.Millisecond
+	// expiryTimeout is the silence after which a back end is taken off the roster. It may register again.
+	expiryTimeout = 12 * time.Second
+	// fleetCheckInterval is how often the roster is looked through.
+	fleetCheckInterval = 100 * time.Millisecond
+	// lateHeartbeatWindow is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
 	// more than a period of heartbeats, and than most are late.
-	doubtAfter = 2 * time.Second
-	// heldPeriod is how often the weights that back ends hold are written into the log, all in one entry.
-	heldPeriod = 300 * time.Millisecond
-	// usageCounts is how long a router's figures of its work count.
-	usageCounts = 2 * time.Second
+	lateHeartbeatWindow = 2 * time.Second
+	// loadedLogInterval is how often the weights that back ends hold are written into the log, all in one entry.
+	loadedLogInterval = 300 * time.Millisecond
+	// usageTTL is how long a router's figures of its work count.
+	usageTTL = 2 * time.Second
 )
 
-// Beat is a back end's heartbeat. The first one registers it.
-type Beat struct {
+// BackendHeartbeat is a back end's heartbeat. The first one registers it.
+type BackendHeartbeat struct {
 	Instance catalog.Instance  `json:"instance"`
 	Sequence uint64            `json:"sequence"` // rises with each heartbeat of a life
 	ColdLeft time.Duration     `json:"cold_left_ns"`
 	Versions map[string]uint64 `json:"versions,omitempty"` // weights by model
-	Leaves   bool              `json:"leaves,omitempty"`   // the instance ends
+	Leaving  bool              `json:"leaves,omitempty"`   // the instance ends
 }
 
-// memberState is what the leader keeps of a back end in memory.
-type memberState struct {
-	id      string
-	weight  uint64 // by which it is in use
-	heardAt time.Duration
+// backendState is what the leader keeps of a back end in memory.
+type backendState struct {
+	id         string
+	hashWeight uint64 // by which it is in use
+	heardAt    time.Duration
 	// registeredAt is when this leader took its registration; 0 where an earlier one did.
-	registeredAt time.Duration
-	sequence     uint64
-	coldUntil    time.Duration
-	versions     map[string]uint64 // that it is believed to hold, by model
-	roseAt       time.Duration     // when one of them last rose
-	doubted      bool              // a heartbeat told older ones than are believed; its report decides
-	silent       bool
-	told         bool // a whole heartbeat came to this leader
-	rollout      rolloutState
+	registeredAt      time.Duration
+	sequence          uint64
+	coldUntil         time.Duration
+	versions          map[string]uint64 // that it is believed to hold, by model
+	versionsRoseAt    time.Duration     // when one of them last rose
+	versionsDisputed  bool              // a heartbeat told older ones than are believed; its report decides
+	silent            bool
+	fullHeartbeatSeen bool // a whole heartbeat came to this leader
+	rollout           rolloutState
 }
 
-// engine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
+// isEngine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
 // requests there. It may be called on nil.
-func (s *memberState) engine() bool { return s != nil && len(s.versions) > 0 }
+func (s *backendState) isEngine() bool { return s != nil && len(s.versions) > 0 }
 
-// beat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
+// handleBackendHeartbeat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
 // relies on it; everything else is soft state of the leader.
-func (r *Replica) beat(now time.Duration, client uint64, beat Beat) {
+func (r *Replica) handleBackendHeartbeat(now time.Duration, client uint64, beat BackendHeartbeat) {
 	id := beat.Instance.ID
 	if !r.config.Guards.On(guard.DrainCommitted) {
 		r.reply(client, Response{Kind: ResponseOK})
@@ -66,76 +66,76 @@
 	}
 	held, known := r.machine.catalog.Instances()[id]
 	switch {
-	case beat.Leaves && r.mayMeanPreviousIncarnation(now, id):
+	case beat.Leaving && r.mayMeanPreviousIncarnation(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
-	case beat.Leaves:
+	case beat.Leaving:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
 	case !known && (r.lacksWeights(beat) || !r.mayRegister(now, beat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
 	case known && !r.mayReplace(held, beat.Instance):
 		r.reply(client, Response{Kind: ResponseOK})
 	case !known || beat.Instance.Service != held.Service:
-		r.heard(now, beat)
-		r.member(now, id).registeredAt = now
-		r.register(client, beat.Instance)
+		r.recordHeartbeat(now, beat)
+		r.ensureBackend(now, id).registeredAt = now
+		r.queueRegistration(client, beat.Instance)
 	case beat.Instance.State == catalog.StateDraining && held.State != catalog.StateDraining:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Drain: id}})
 	default:
-		r.heard(now, beat)
+		r.recordHeartbeat(now, beat)
 		r.reply(client, Response{Kind: ResponseOK})
 	}
 }
 
-// Sign is a heartbeat that tells nothing new: the back end lives.
-type Sign struct {
+// Keepalive is a heartbeat that tells nothing new: the back end lives.
+type Keepalive struct {
 	ID       string `json:"id"`
 	Sequence uint64 `json:"seq"`
 }
 
-// heardSign takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
+// handleKeepalive takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
 // tell of a life that has ended.
-func (r *Replica) heardSign(now time.Duration, sign Sign) bool {
+func (r *Replica) handleKeepalive(now time.Duration, sign Keepalive) bool {
 	state := r.leader.fleet[sign.ID]
-	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.told {
+	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.fullHeartbeatSeen {
 		return false
 	}
 	state.heardAt, state.sequence = now, max(state.sequence, sign.Sequence)
 	if state.silent {
 		state.silent = false
-		r.leader.rosterChanged(sign.ID)
+		r.leader.markRosterChanged(sign.ID)
 	}
 	return true
 }
 
-// heard updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
-func (r *Replica) heard(now time.Duration, beat Beat) {
-	state := r.member(now, beat.Instance.ID)
+// recordHeartbeat updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
+func (r *Replica) recordHeartbeat(now time.Duration, beat BackendHeartbeat) {
+	state := r.ensureBackend(now, beat.Instance.ID)
 	state.heardAt = now
 	if beat.Sequence < state.sequence {
 		return
 	}
-	state.told = true
+	state.fullHeartbeatSeen = true
 	warm := now >= state.coldUntil
 	state.sequence = beat.Sequence
 	state.coldUntil = now + beat.ColdLeft
 	news := state.silent || warm && beat.ColdLeft > 0
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
-		news = r.takeVersions(now, state, beat.Versions) || news
-		state.doubted = state.doubted || now > state.roseAt+doubtAfter && state.holdsNewer(beat.Versions)
+		news = r.raiseVersions(now, state, beat.Versions) || news
+		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.hasNewerThan(beat.Versions)
 	}
 	if news {
-		r.leader.rosterChanged(state.id)
+		r.leader.markRosterChanged(state.id)
 	}
 }
 
-// takeVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
+// raiseVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
 // than a report, so that versions only rise by it; whether they fell is asked of the back end.
-func (r *Replica) takeVersions(now time.Duration, state *memberState, versions map[string]uint64) bool {
+func (r *Replica) raiseVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
 	changed := false
 	for model, version := range versions {
 		if state.versions[model] < version {
-			state.versions[model], state.roseAt = version, now
+			state.versions[model], state.versionsRoseAt = version, now
 			r.leader.unlogged[state.id] = true
 			changed = true
 		}
@@ -143,8 +143,8 @@
 	return changed
 }
 
-// holdsNewer reports whether newer weights are believed than these.
-func (s *memberState) holdsNewer(versions map[string]uint64) bool {
+// hasNewerThan reports whether newer weights are believed than these.
+func (s *backendState) hasNewerThan(versions map[string]uint64) bool {
 	for model, version := range versions {
 		if s.versions[model] > version {
 			return true
@@ -153,25 +153,25 @@
 	return false
 }
 
-// member returns the soft state of a back end, made when it is first named.
-func (r *Replica) member(now time.Duration, id string) *memberState {
+// ensureBackend returns the soft state of a back end, made when it is first named.
+func (r *Replica) ensureBackend(now time.Duration, id string) *backendState {
 	state := r.leader.fleet[id]
 	if state == nil {
-		state = &memberState{id: id, heardAt: now, versions: map[string]uint64{}}
+		state = &backendState{id: id, heardAt: now, versions: map[string]uint64{}}
 		if r.config.Mechanisms.On(mechanism.LoggedWeights) {
 			maps.Copy(state.versions, r.machine.catalog.LoadedVersions(id)) // until its first heartbeat to this leader
 		}
 		r.leader.fleet[id] = state
 	}
-	if instance, known := r.machine.catalog.Instances()[id]; known && state.weight == 0 {
-		state.weight = inuse.Weight(instance.Address) // its first heartbeat comes before the log tells where it is
+	if instance, known := r.machine.catalog.Instances()[id]; known && state.hashWeight == 0 {
+		state.hashWeight = inuse.HashWeight(instance.Address) // its first heartbeat comes before the log tells where it is
 	}
 	return state
 }
 
-// noteHeld writes into the log what back ends hold, so that the next leader knows it from the start.
-func (r *Replica) noteHeld(now time.Duration) {
-	if now < r.leader.heldLoggedAt+heldPeriod {
+// logLoadedWeights writes into the log what back ends hold, so that the next leader knows it from the start.
+func (r *Replica) logLoadedWeights(now time.Duration) {
+	if now < r.leader.heldLoggedAt+loadedLogInterval {
 		return
 	}
 	r.leader.heldLoggedAt = now
@@ -204,33 +204,33 @@
 	return fresh
 }
 
-// watchFleet marks silent back ends and forgets those that stay silent.
-func (r *Replica) watchFleet(now time.Duration) {
-	if now < r.leader.fleetCheckedAt+fleetPeriod {
+// checkFleet marks silent back ends and forgets those that stay silent.
+func (r *Replica) checkFleet(now time.Duration) {
+	if now < r.leader.fleetCheckedAt+fleetCheckInterval {
 		return
 	}
 	r.leader.fleetCheckedAt = now
 	for _, id := range r.machine.catalog.IDs() {
-		state := r.member(now, id)
+		state := r.ensureBackend(now, id)
 		silence := now - state.heardAt
-		if silence > silentAfter && !state.silent {
+		if silence > silenceTimeout && !state.silent {
 			state.silent = true
-			r.leader.rosterChanged(id)
+			r.leader.markRosterChanged(id)
 		}
-		if silence > forgetAfter {
+		if silence > expiryTimeout {
 			r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: id}})
 			state.heardAt = now
 		}
 	}
-	r.forgetStrangers(now)
+	r.pruneUnregistered(now)
 }
 
-// forgetStrangers drops what is kept of back ends that are long gone.
-func (r *Replica) forgetStrangers(now time.Duration) {
+// pruneUnregistered drops what is kept of back ends that are long gone.
+func (r *Replica) pruneUnregistered(now time.Duration) {
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
 		for name, mark := range r.orderMarks {
-			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.appliedAt+forgetAfter {
+			if _, known := r.machine.catalog.InstanceByName(name); !known && now > mark.appliedAt+expiryTimeout {
 				delete(r.orderMarks, name)
 			}
 		}
@@ -239,7 +239,7 @@
 		return
 	}
 	for id, state := range r.leader.fleet {
-		if _, known := instances[id]; !known && now-state.heardAt > silentAfter {
+		if _, known := instances[id]; !known && now-state.heardAt > silenceTimeout {
 			delete(r.leader.fleet, id)
 			delete(r.leader.unlogged, id)
 		}
@@ -267,11 +267,11 @@
 	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
 	r.leader.gatewayListChanged = r.leader.gatewayListChanged || listed
 	if len(command.MaxHashWeights) > 0 {
-		r.noteBounds(now, bounds)
+		r.markInUseChanges(now, bounds)
 	}
 	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
 	if !quiet {
-		r.leader.rosterChanged(touched...)
+		r.leader.markRosterChanged(touched...)
 	}
 	return &outcome
 }
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -162,14 +162,14 @@
 	r.leader.gatewaysCheckedAt, r.leader.gatewayUnlisted = now, false
 	var added, removed []string
 	for name, report := range r.leader.usage {
-		if now-report.at <= r.trustEnd() && !r.machine.catalog.HasGateway(name) {
+		if now-report.receivedAt <= r.viewExpiry() && !r.machine.catalog.HasGateway(name) {
 			added = append(added, name)
 		}
 	}
 	slices.Sort(added)
-	if now >= r.leader.startedAt+r.trustEnd() { // until then they may still use a view of the previous leader
+	if now >= r.leader.startedAt+r.viewExpiry() { // until then they may still use a view of the previous leader
 		for _, name := range r.machine.catalog.Gateways() {
-			if report, asked := r.leader.usage[name]; !asked || now-report.at > r.trustEnd() {
+			if report, asked := r.leader.usage[name]; !asked || now-report.receivedAt > r.viewExpiry() {
 				removed = append(removed, name)
 			}
 		}
@@ -185,7 +185,7 @@
 // allGatewaysFollow reports whether no gateway can still use a view of another leader: every gateway in the log has
 // sent a watch to this one, or all views of earlier leaders have expired.
 func (r *Replica) allGatewaysFollow(now time.Duration) bool {
-	if now >= r.leader.startedAt+r.trustEnd() || !r.config.Guards.On(guard.WeightsCommandDelay) {
+	if now >= r.leader.startedAt+r.viewExpiry() || !r.config.Guards.On(guard.WeightsCommandDelay) {
 		return true
 	}
 	known := r.machine.catalog.Gateways()
--- a/internal/control/handover_lives_test.go
+++ b/internal/control/handover_lives_test.go
@@ -10,17 +10,17 @@
 // TestNextIncarnationKeepsOrderPause guards against marks kept per incarnation: an order names the back end only, so
 // the next incarnation may accept it. It includes a replica that knows of the order only from a snapshot.
 func TestNextIncarnationKeepsOrderPause(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.OrderWait = 5 * time.Second })
-	first, second := life("e", 1000), life("e", 2000)
-	s.says(first, "a1", 1, 1)
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.OrderWait = 5 * time.Second })
+	first, second := incarnationID("e", 1000), incarnationID("e", 2000)
+	s.sendHeartbeat(first, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{WeightsCommandTargets: []string{first}}})
 	for name, mark := range s.replica.orderMarks {
 		mark.term-- // as seen by the next leader
 		s.replica.orderMarks[name] = mark
 	}
 	orderedAt := s.now
-	s.says(second, "a1", 1, 1)
+	s.sendHeartbeat(second, "a1", 1, 1)
 	if s.replica.handoverPauseOver(orderedAt+s.replica.config.OrderWait, second) {
 		t.Fatal("the next incarnation may be ordered within the pause")
 	}
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -13,17 +13,17 @@
 // next leader.
 func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
 	for range 20 {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		version = s.watchNow("g1", version).Version
-		if orders = append(orders, s.orders(50*time.Millisecond)...); len(orders) > 0 {
+		if orders = append(orders, s.weightsOrders(50*time.Millisecond)...); len(orders) > 0 {
 			break
 		}
 	}
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	next = reopenUnelected(t, s.folder)
-	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.changeConfig(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
 	next.advance(400 * time.Millisecond)
 	return next, ordered, unordered
 }
@@ -48,11 +48,11 @@
 	var instances []string
 	version := RosterVersion{}
 	for end := s.now + duration; s.now < end; {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		if gateway != "" {
 			version = s.watchNow(gateway, version).Version
 		}
-		for _, call := range s.orders(50 * time.Millisecond) {
+		for _, call := range s.weightsOrders(50 * time.Millisecond) {
 			instances = append(instances, call.Instance)
 		}
 	}
@@ -123,8 +123,8 @@
 // TestWatchConfirmedOnlyAfterGatewayIsLogged guards against a gateway that uses a view but is not in the log: the next
 // leader would not wait for it, and the gateway would send to a back end that loads weights.
 func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
 	watch := func(client uint64, name string) {
@@ -140,7 +140,7 @@
 	}
 	watch(1001, "g1")
 	watch(1002, "g2")
-	s.advance(s.replica.trustEnd() + 2*gatewayListInterval)
+	s.advance(s.replica.viewExpiry() + 2*gatewayListInterval)
 	watch(1003, "g3")
 	if holds("g1") {
 		t.Fatal("a gateway that was silent for long is still in the log")
@@ -154,8 +154,8 @@
 // TestClosingGatewayIsStillAnswered: a closing gateway needs a confirmed view for its remaining requests, though it is
 // no longer added to the log.
 func TestClosingGatewayIsStillAnswered(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
 		s.watchNow("g2", held)
@@ -169,15 +169,15 @@
 // TestDelayedOrderIsAnnouncedAgain: the next leader counts its pause from the announcement of an order. If the order
 // were sent seconds later without a new announcement, the next leader's order could follow it too soon.
 func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	watchAndBeat := func(held RosterVersion, duration time.Duration) (orders []WeightsCall, at time.Duration) {
 		for end := s.now + duration; s.now < end && len(orders) == 0; {
-			s.beats("i-1", "i-2")
+			s.sendHeartbeats("i-1", "i-2")
 			s.watchNow("g1", held)
-			orders = s.orders(50 * time.Millisecond)
+			orders = s.weightsOrders(50 * time.Millisecond)
 		}
 		return orders, s.now - 50*time.Millisecond
 	}
@@ -200,10 +200,10 @@
 // TestOrderDroppedAfterSlowSync: after a slow sync, an order would be sent later after its announcement than the next
 // leader allows for, even though the lease is still valid.
 func TestOrderDroppedAfterSlowSync(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond)
-	s.beats("i-1", "i-2")
+	s.weightsOrders(200 * time.Millisecond)
+	s.sendHeartbeats("i-1", "i-2")
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
@@ -232,18 +232,18 @@
 		"from a restored snapshot": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := openFleet(t)
-			s.config(func(config *Config) { config.OrderWait = time.Hour })
-			s.says(life("e", 1000), "a1", 1, 1)
-			s.replica.queueOrderAnnouncement(life("e", 1000))
+			s := openWithEngines(t)
+			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
+			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+			s.replica.queueOrderAnnouncement(incarnationID("e", 1000))
 			s.advance(100 * time.Millisecond)
-			s.says(life("e", 2000), "a1", 1, 1)
+			s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
 			dropMarks(s)
 			for key, mark := range s.replica.orderMarks {
 				mark.term-- // as if by another leader
 				s.replica.orderMarks[key] = mark
 			}
-			if s.replica.handoverPauseOver(s.now, life("e", 2000)) {
+			if s.replica.handoverPauseOver(s.now, incarnationID("e", 2000)) {
 				t.Fatal("another leader may order the next incarnation at once")
 			}
 			if !s.replica.handoverPauseOver(s.now, "i-1") {
--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -15,67 +15,67 @@
 )
 
 const (
-	// All is the bound under which every back end lies.
-	All = uint64(math.MaxUint64)
-	// Least is how many back ends of a service are used at the least. The knowledge of so many costs a gateway some 2 MB, and they hold
+	// Unbounded is the bound under which every back end lies.
+	Unbounded = uint64(math.MaxUint64)
+	// MinBackends is how many back ends of a service are used at the least. The knowledge of so many costs a gateway some 2 MB, and they hold
 	// several copies of the shared prompts of a large fleet.
-	Least = 512
-	// perRunning is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
+	MinBackends = 512
+	// backendsPerRequest is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
 	// fails, so that half of them may go before requests wait for each other.
-	perRunning = 2
-	// slack is the inverse of the share by which more than wanted may be able to work before the bound falls.
-	slack = 8
-	// growth is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
-	growth = 4
-	// peakFor is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
+	backendsPerRequest = 2
+	// slackDivisor is the inverse of the share by which more than wanted may be able to work before the bound falls.
+	slackDivisor = 8
+	// growthDivisor is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
+	growthDivisor = 4
+	// peakWindow is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
 	// nothing runs.
-	peakFor = 30 * time.Second
+	peakWindow = 30 * time.Second
 )
 
-// Weight returns the weight of the back end at an address.
-func Weight(address string) uint64 { return xxhash.Sum64String(address) }
+// HashWeight returns the weight of the back end at an address.
+func HashWeight(address string) uint64 { return xxhash.Sum64String(address) }
 
 // Size is how many back ends of a service are wanted. Its zero value is the least.
 type Size struct {
-	wanted  int
-	peak    int // most requests that ran together since began
-	former  int // the same, in the time before
-	beganAt time.Duration
+	target       int
+	peak         int // most requests that ran together since began
+	previousPeak int // the same, in the time before
+	windowStart  time.Duration
 }
 
-// Note takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
+// Update takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
 // these are wanted. What is in use at first, as a former leader left it, counts as work seen: this leader has heard of none yet. Where nobody
 // has decided yet it is 0.
-func (s *Size) Note(now time.Duration, running, inUse int) int {
-	if s.wanted == 0 {
-		wanted := inUse - inUse/(2*slack+1) // the bound was put a little beyond
-		s.wanted, s.former, s.beganAt = max(Least, wanted), wanted/perRunning, now
+func (s *Size) Update(now time.Duration, running, inUse int) int {
+	if s.target == 0 {
+		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
+		s.target, s.previousPeak, s.windowStart = max(MinBackends, wanted), wanted/backendsPerRequest, now
 	}
-	if now >= s.beganAt+peakFor {
-		s.former, s.peak, s.beganAt = s.peak, 0, now
+	if now >= s.windowStart+peakWindow {
+		s.previousPeak, s.peak, s.windowStart = s.peak, 0, now
 	}
 	s.peak = max(s.peak, running)
-	needed := max(Least, perRunning*max(s.peak, s.former))
+	needed := max(MinBackends, backendsPerRequest*max(s.peak, s.previousPeak))
 	switch {
-	case needed > s.wanted:
-		s.wanted = needed + needed/growth
-	case needed < s.wanted/2:
-		s.wanted = max(needed, s.wanted/2)
+	case needed > s.target:
+		s.target = needed + needed/growthDivisor
+	case needed < s.target/2:
+		s.target = max(needed, s.target/2)
 	}
-	return s.wanted
+	return s.target
 }
 
-// Bound returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
+// MaxHashWeight returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
 // besides that don't leave, and how many are wanted. It orders weights, and reorders the given ones.
 //
 // While more are unable than able, the bound stays: that many at once fall silent where control doesn't hear, and to tell every gateway
 // of the whole fleet would add to what went wrong.
-func Bound(inForce uint64, able []uint64, unable, wanted int) uint64 {
+func MaxHashWeight(inForce uint64, able []uint64, unable, wanted int) uint64 {
 	if unable > len(able) {
 		return inForce
 	}
-	if len(able) <= wanted || len(able) <= wanted+wanted/slack && inForce == All {
-		return All
+	if len(able) <= wanted || len(able) <= wanted+wanted/slackDivisor && inForce == Unbounded {
+		return Unbounded
 	}
 	under := 0
 	for _, weight := range able {
@@ -83,9 +83,9 @@
 			under++
 		}
 	}
-	if under >= wanted && under <= wanted+wanted/slack {
+	if under >= wanted && under <= wanted+wanted/slackDivisor {
 		return inForce
 	}
 	slices.Sort(able)
-	return able[min(len(able), wanted+wanted/slack/2)-1] // the middle, so that it rests there
+	return able[min(len(able), wanted+wanted/slackDivisor/2)-1] // the middle, so that it rests there
 }
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -23,12 +23,12 @@
 	return len(encoded)
 }
 
-// joinEngines registers so many engines of one service and lets it be decided which are in use.
-func joinEngines(s *singleReplica, count int) {
+// registerEngines registers so many engines of one service and lets it be decided which are in use.
+func registerEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
-		var batch []Beat
+		var batch []BackendHeartbeat
 		for i := first; i < min(first+500, count); i++ {
-			beat := beatOf(fmt.Sprintf("e-%05d", i), catalog.StateReady, 1)
+			beat := heartbeatOf(fmt.Sprintf("e-%05d", i), catalog.StateReady, 1)
 			beat.Versions = map[string]uint64{"m": 1}
 			batch = append(batch, beat)
 		}
@@ -37,28 +37,28 @@
 	s.advance(500 * time.Millisecond)
 }
 
-// TestRosterFollowsTheWorkAndNotTheFleet: what a gateway is told at first is the same for twice the engines at one load, in entries and
+// TestRosterSizeIsIndependentOfFleetSize: what a gateway is told at first is the same for twice the engines at one load, in entries and
 // about in bytes.
-func TestRosterFollowsTheWorkAndNotTheFleet(t *testing.T) {
+func TestRosterSizeIsIndependentOfFleetSize(t *testing.T) {
 	told := func(count int) (entries, bytes int) {
-		s := openFleet(t)
-		joinEngines(s, count)
+		s := openWithEngines(t)
+		registerEngines(s, count)
 		news := s.watchNow("g1", RosterVersion{}).Roster
 		return len(news.Entries), jsonLength(t, news)
 	}
 	entries, bytes := told(1500)
 	more, moreBytes := told(3000)
-	if entries > 2*inuse.Least || more > entries+inuse.Least/8 || moreBytes > bytes+bytes/8 {
+	if entries > 2*inuse.MinBackends || more > entries+inuse.MinBackends/8 || moreBytes > bytes+bytes/8 {
 		t.Fatalf("%d entries in %d bytes of 1,500 engines, %d in %d of 3,000", entries, bytes, more, moreBytes)
 	}
 }
 
-// TestNextLeaderNamesTheSameEngines: from the log, before anybody tells it of any work.
-func TestNextLeaderNamesTheSameEngines(t *testing.T) {
+// TestNextLeaderUsesTheSameEngines: from the log, before anybody tells it of any work.
+func TestNextLeaderUsesTheSameEngines(t *testing.T) {
 	folder := t.TempDir()
 	s := openSingleReplica(t, folder)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
-	joinEngines(s, 1500)
+	registerEngines(s, 1500)
 	ids := func(s *singleReplica) map[string]bool {
 		named := map[string]bool{}
 		for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
@@ -82,32 +82,32 @@
 
 // TestLostEnginesAreReplaced: when a part of those in use leaves, as many others come into use in the next look.
 func TestLostEnginesAreReplaced(t *testing.T) {
-	s := openFleet(t)
-	joinEngines(s, 1500)
+	s := openWithEngines(t)
+	registerEngines(s, 1500)
 	reply := s.watchNow("g1", RosterVersion{})
-	var leaving []Beat
+	var leaving []BackendHeartbeat
 	for _, e := range reply.Roster.Entries[:len(reply.Roster.Entries)/4] {
-		leaving = append(leaving, Beat{Instance: e.Instance, Sequence: 2})
+		leaving = append(leaving, BackendHeartbeat{Instance: e.Instance, Sequence: 2})
 		leaving[len(leaving)-1].Instance.State = catalog.StateDraining
 	}
 	s.ask(Request{Beats: leaving})
-	s.advance(2 * boundsPeriod)
+	s.advance(2 * inUseCheckInterval)
 	ready := 0
 	for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
 		if e.State == catalog.StateReady {
 			ready++
 		}
 	}
-	if ready < inuse.Least {
-		t.Fatalf("%d engines are ready after %d began to leave, wanted %d", ready, len(leaving), inuse.Least)
+	if ready < inuse.MinBackends {
+		t.Fatalf("%d engines are ready after %d began to leave, wanted %d", ready, len(leaving), inuse.MinBackends)
 	}
 }
 
-// TestGatewaysAreListedByWhoCame: what the log tells of gateways that come one after the other grows with their number, not its square.
-func TestGatewaysAreListedByWhoCame(t *testing.T) {
+// TestGatewayListIsLoggedAsChanges: what the log tells of gateways that come one after the other grows with their number, not its square.
+func TestGatewayListIsLoggedAsChanges(t *testing.T) {
 	written := func(count int) int {
-		s := openFleet(t)
-		s.config(func(config *Config) { config.GatewayTrust = time.Minute })
+		s := openWithEngines(t)
+		s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 		bytes := 0
 		for i := range count {
 			before := s.replica.Node().LastIndex()
@@ -127,40 +127,40 @@
 	}
 }
 
-// TestRelayedGatewaysCount: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
-func TestRelayedGatewaysCount(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
-	asked := func(held RosterVersion) *relay.Answer {
-		return s.ask(Request{Relay: &relay.Question{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Held: held}}}}).Relayed
+// TestOrderWaitsForRelayedGateways: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
+func TestOrderWaitsForRelayedGateways(t *testing.T) {
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
+	asked := func(held RosterVersion) *relay.Reply {
+		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
 	}
 	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
 		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
 	}
 	s.advance(layoutInterval)
 	answer := asked(RosterVersion{})
-	if len(answer.Unlisted) > 0 || answer.Layout.Near["z"][0] != "c2" {
+	if len(answer.Unlisted) > 0 || answer.Layout.NearbyReplicas["z"][0] != "c2" {
 		t.Fatalf("answer %+v", answer)
 	}
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond) // the reports
+	s.weightsOrders(200 * time.Millisecond) // the reports
 	asked(answer.Version)
-	s.beats("i-1", "i-2")
-	if early := s.orders(time.Second); len(early) > 0 {
+	s.sendHeartbeats("i-1", "i-2")
+	if early := s.weightsOrders(time.Second); len(early) > 0 {
 		t.Fatalf("ordered although g1 has not turned away: %+v", early)
 	}
 	asked(asked(answer.Version).Version)
-	if orders := s.orders(300 * time.Millisecond); len(orders) == 0 {
+	if orders := s.weightsOrders(300 * time.Millisecond); len(orders) == 0 {
 		t.Fatal("no order after g1 had turned away")
 	}
 }
 
-// TestWholeAnswersShareTheirParts: what an answer to a gateway that knows nothing costs beside the parts that all share doesn't grow with
+// TestFullRepliesShareEncodedParts: what an answer to a gateway that knows nothing costs beside the parts that all share doesn't grow with
 // the back ends, and it reads as if it had been encoded in one piece.
-func TestWholeAnswersShareTheirParts(t *testing.T) {
+func TestFullRepliesShareEncodedParts(t *testing.T) {
 	own := func(count int) int {
-		s := openFleet(t)
-		joinEngines(s, count)
+		s := openWithEngines(t)
+		registerEngines(s, count)
 		response := s.ask(Request{Watch: &Watch{Gateway: "g1"}})
 		parts, err := response.Parts()
 		if err != nil || response.Watch.Document == nil || len(response.Watch.Roster.Entries) < count {
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -38,19 +38,19 @@
 	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
 	for name, report := range state.usage {
-		if report.address != "" && now-report.at <= usageCounts {
-			gateways = append(gateways, mesh.Gateway{Place: mesh.Place{Name: name, Address: report.address}, Zone: report.zone})
+		if report.address != "" && now-report.receivedAt <= usageTTL {
+			gateways = append(gateways, mesh.Gateway{Peer: mesh.Peer{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	state.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
+	state.planner.AllSchedule = !r.config.Mechanisms.On(mechanism.Schedulers)
 	state.planner.Plan(now, gateways)
 	planned, count := state.planner.Layout()
 	addresses := r.relayReplicaAddresses(now)
-	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
+	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.NearbyReplicas) {
 		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
 		meshCopy := *planned
-		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, Near: addresses}
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, NearbyReplicas: addresses}
 	}
 	return state.lastLayout
 }
@@ -85,14 +85,14 @@
 	layout := r.layout(now)
 	r.refreshRoster(now)
 	if state.cacheEventSources == nil || state.cacheEventSourcesCount != state.roster.Count() {
-		state.cacheEventSources, state.cacheEventSourcesCount = relay.Readers(layout.Mesh, &state.roster), state.roster.Count()
+		state.cacheEventSources, state.cacheEventSourcesCount = relay.CacheEventSources(layout.Mesh, &state.roster), state.roster.Count()
 	}
 	return state.cacheEventSources[gateway]
 }
 
 // handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
 // was.
-func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
+func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Request) {
 	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
 	var unlisted []string
 	for _, report := range question.Reports {
@@ -104,9 +104,9 @@
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	answer := &relay.Answer{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
+	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
 	if question.Roster != answer.Version {
-		answer.Roster = r.rosterNews(now, question.Roster)
+		answer.Roster = r.rosterUpdate(now, question.Roster)
 	}
 	if layout := r.layout(now); question.Layout != layout.Version {
 		answer.Layout = layout
@@ -123,6 +123,6 @@
 		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
-	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
+	r.leader.usage[report.Gateway] = usageReport{receivedAt: now, zone: report.Zone, address: report.Address, roster: report.Roster, running: report.Running}
 	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -81,8 +81,8 @@
 // silent until they send this leader a request or their views have expired.
 func (r *Replica) countTrustingGateways(now time.Duration) (silent, total int) {
 	for _, report := range r.leader.usage {
-		silence := now - report.at
-		if silence > r.trustEnd() {
+		silence := now - report.receivedAt
+		if silence > r.viewExpiry() {
 			continue
 		}
 		total++
@@ -90,7 +90,7 @@
 			silent++
 		}
 	}
-	if now < r.leader.startedAt+r.trustEnd() {
+	if now < r.leader.startedAt+r.viewExpiry() {
 		for _, name := range r.machine.catalog.Gateways() {
 			if _, asked := r.leader.usage[name]; !asked {
 				total++
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -13,116 +13,116 @@
 // had delayed brought the last life back. On the code as it was, an engine that held version 2 and believed to hold 3 got no order in
 // 20 s: "0 orders, believed map[m:3]".
 
-// TestWhatIsKnownBelongsToALife: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
-func TestWhatIsKnownBelongsToALife(t *testing.T) {
-	t.Run("the later life holds", laterLifeHolds)
-	t.Run("a late heartbeat takes no address", lateHeartbeatTakesNoAddress)
-	t.Run("an untold life takes nothing", untoldLifeTakesNothing)
-	t.Run("a leave names the life there is", leaveNamesTheLifeThereIs)
-	t.Run("a report of another life is none", reportOfAnotherLifeIsNone)
+// TestStateBelongsToOneIncarnation: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
+func TestStateBelongsToOneIncarnation(t *testing.T) {
+	t.Run("the later life holds", laterIncarnationWins)
+	t.Run("a late heartbeat takes no address", lateHeartbeatDoesNotTakeAddress)
+	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
+	t.Run("a leave names the life there is", leaveByNameEndsCurrentIncarnation)
+	t.Run("a report of another life is none", reportOfAnotherIncarnationIsIgnored)
 }
 
-// life returns the id of one life of a back end.
-func life(name string, born int64) string {
+// incarnationID returns the id of one incarnationID of a back end.
+func incarnationID(name string, born int64) string {
 	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
 }
 
-// openAlone is a fleet whose two engines have left, so that the next one stands alone.
-func openAlone(t *testing.T) *singleReplica {
+// openWithoutEngines is a fleet whose two engines have left, so that the next one stands alone.
+func openWithoutEngines(t *testing.T) *singleReplica {
 	t.Helper()
-	s := openFleet(t)
+	s := openWithEngines(t)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
 	return s
 }
 
-// says sends a heartbeat of an engine at an address.
-func (s *singleReplica) says(id, address string, sequence, version uint64) {
-	s.ask(Request{Beat: &Beat{
+// sendHeartbeat sends a heartbeat of an engine at an address.
+func (s *singleReplica) sendHeartbeat(id, address string, sequence, version uint64) {
+	s.ask(Request{Beat: &BackendHeartbeat{
 		Instance: catalog.Instance{ID: id, Service: "engine", Address: address, State: catalog.StateReady},
 		Sequence: sequence, Versions: map[string]uint64{"m": version},
 	}})
 }
 
-// registered reports whether an id is registered.
-func (s *singleReplica) registered(id string) bool {
+// isRegistered reports whether an id is isRegistered.
+func (s *singleReplica) isRegistered(id string) bool {
 	_, known := s.replica.Machine().Catalog().Instances()[id]
 	return known
 }
 
-// laterLifeHolds: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
-func laterLifeHolds(t *testing.T) {
-	s := openFleet(t)
-	s.says(life("e", 1000), "a1", 90, 1)
-	s.says(life("e", 2000), "a2", 1, 1)
-	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
+// laterIncarnationWins: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
+func laterIncarnationWins(t *testing.T) {
+	s := openWithEngines(t)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
+	s.sendHeartbeat(incarnationID("e", 2000), "a2", 1, 1)
+	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("the last life is registered beside the new one")
 	}
-	s.says(life("e", 1000), "a1", 91, 1)
-	if s.registered(life("e", 1000)) || !s.registered(life("e", 2000)) {
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 91, 1)
+	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a late heartbeat brought the last life back")
 	}
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: life("e", 1000)}, Leaves: true}})
-	if !s.registered(life("e", 2000)) {
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
+	if !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("a late leave of the last life ended the new one")
 	}
 }
 
-// lateHeartbeatTakesNoAddress: of two back ends that name one address the one that was started later stands there while it is heard.
-func lateHeartbeatTakesNoAddress(t *testing.T) {
-	s := openFleet(t)
-	s.says(life("before", 1000), "a1", 90, 1)
-	s.says(life("after", 2000), "a1", 1, 1)
-	s.says(life("before", 1000), "a1", 91, 1)
-	if s.registered(life("before", 1000)) || !s.registered(life("after", 2000)) {
+// lateHeartbeatDoesNotTakeAddress: of two back ends that name one address the one that was started later stands there while it is heard.
+func lateHeartbeatDoesNotTakeAddress(t *testing.T) {
+	s := openWithEngines(t)
+	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
+	s.sendHeartbeat(incarnationID("after", 2000), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("before", 1000), "a1", 91, 1)
+	if s.isRegistered(incarnationID("before", 1000)) || !s.isRegistered(incarnationID("after", 2000)) {
 		t.Fatal("a late heartbeat took the address from the back end that stands there")
 	}
-	s.advance(silentAfter + time.Second)
-	s.says(life("other", 1500), "a1", 1, 1)
-	if !s.registered(life("other", 1500)) {
+	s.advance(silenceTimeout + time.Second)
+	s.sendHeartbeat(incarnationID("other", 1500), "a1", 1, 1)
+	if !s.isRegistered(incarnationID("other", 1500)) {
 		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
 	}
 }
 
-// untoldLifeTakesNothing: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
-func untoldLifeTakesNothing(t *testing.T) {
-	s := openFleet(t)
-	s.says("early", "a9", 1, 1)
+// unknownIncarnationIsIgnored: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
+func unknownIncarnationIsIgnored(t *testing.T) {
+	s := openWithEngines(t)
+	s.sendHeartbeat("early", "a9", 1, 1)
 	for _, id := range []string{"i-1", "i-2"} {
-		s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 	}
-	s.says(life("e", 1000), "a1", 1, 1)
-	s.says("e", "a1", 90, 7)
-	s.says("x", "a2", 1, 7)
-	if s.registered("e") || s.registered("x") || !s.registered(life("e", 1000)) {
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat("e", "a1", 90, 7)
+	s.sendHeartbeat("x", "a2", 1, 7)
+	if s.isRegistered("e") || s.isRegistered("x") || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a heartbeat without a life registered")
 	}
-	if !s.registered("early") {
+	if !s.isRegistered("early") {
 		t.Fatal("a back end that was there before was dropped")
 	}
 }
 
-// leaveNamesTheLifeThereIs: a back end that leaves may give its name alone.
-func leaveNamesTheLifeThereIs(t *testing.T) {
-	s := openFleet(t)
-	s.says(life("e", 1000), "a1", 1, 1)
-	s.says(life("e@5", 1000), "a2", 1, 1)
+// leaveByNameEndsCurrentIncarnation: a back end that leaves may give its name alone.
+func leaveByNameEndsCurrentIncarnation(t *testing.T) {
+	s := openWithEngines(t)
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat(incarnationID("e@5", 1000), "a2", 1, 1)
 	s.advance(lateDeregistrationWindow)
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: life("e@5", 0)}, Leaves: true}})
-	if s.registered(life("e@5", 1000)) || !s.registered(life("e", 1000)) {
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
+	if s.isRegistered(incarnationID("e@5", 1000)) || !s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a name with the mark in it means another back end")
 	}
-	s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: "e"}, Leaves: true}})
-	if s.registered(life("e", 1000)) {
+	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
+	if s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("it is registered after it left")
 	}
-	s.says(life("e", 1000), "a1", 2, 1)
-	if s.registered(life("e", 1000)) {
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 2, 1)
+	if s.isRegistered(incarnationID("e", 1000)) {
 		t.Fatal("a late heartbeat brought it back")
 	}
-	s.says(life("e", 2000), "a1", 1, 1)
-	if !s.registered(life("e", 2000)) {
+	s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
+	if !s.isRegistered(incarnationID("e", 2000)) {
 		t.Fatal("its next life isn't registered")
 	}
 }
@@ -130,42 +130,42 @@
 // A leave may be passed on late, when its sender has started again, and give its name alone: it then meant the last life. Taken for the one
 // that stands there now, that one was never registered again however long it lived.
 
-// TestLateLeaveEndsNoYoungLifeForGood: the next heartbeat registers it again; one that has stood for a while has left.
-func TestLateLeaveEndsNoYoungLifeForGood(t *testing.T) {
-	s := openFleet(t)
-	id := life("e", 2000)
-	leave := Request{Beat: &Beat{Instance: catalog.Instance{ID: "e"}, Leaves: true}}
-	s.says(life("e", 1000), "a1", 1, 1)
-	s.says(id, "a1", 1, 1)
+// TestLateLeaveDoesNotBlockNewIncarnation: the next heartbeat registers it again; one that has stood for a while has left.
+func TestLateLeaveDoesNotBlockNewIncarnation(t *testing.T) {
+	s := openWithEngines(t)
+	id := incarnationID("e", 2000)
+	leave := Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}}
+	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(leave)
-	s.says(id, "a1", 2, 1)
-	if !s.registered(id) {
+	s.sendHeartbeat(id, "a1", 2, 1)
+	if !s.isRegistered(id) {
 		t.Fatal("a late leave of the last life ended the next one for good")
 	}
 	s.advance(lateDeregistrationWindow)
 	s.ask(leave)
-	s.says(id, "a1", 3, 1)
-	if s.registered(id) {
+	s.sendHeartbeat(id, "a1", 3, 1)
+	if s.isRegistered(id) {
 		t.Fatal("a life that has left came back with a late heartbeat")
 	}
 }
 
-// TestEngineTellsItsWeights: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
-func TestEngineTellsItsWeights(t *testing.T) {
-	s := openFleet(t)
+// TestEngineWithoutWeightsIsNotRegistered: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
+func TestEngineWithoutWeightsIsNotRegistered(t *testing.T) {
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
 	tell := func(id, service string) {
-		s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
+		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
 	}
 	tell("e", "engine")
 	tell("p", "plain")
-	if s.registered("e") || !s.registered("p") {
-		t.Fatalf("engine %t, plain %t", s.registered("e"), s.registered("p"))
+	if s.isRegistered("e") || !s.isRegistered("p") {
+		t.Fatalf("engine %t, plain %t", s.isRegistered("e"), s.isRegistered("p"))
 	}
 }
 
-// reports answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
-func (s *singleReplica) reports(length time.Duration, version, revision uint64) []WeightsCall {
+// answerWeightsCalls answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
+func (s *singleReplica) answerWeightsCalls(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
 		s.weightsCalls = nil
@@ -182,18 +182,18 @@
 	return orders
 }
 
-// TestWeightsThatFellAreReplaced: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
+// TestEngineWithLowerWeightsIsOrderedAgain: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
 // own word is believed, and it is ordered again.
-func TestWeightsThatFellAreReplaced(t *testing.T) {
-	s := openAlone(t)
+func TestEngineWithLowerWeightsIsOrderedAgain(t *testing.T) {
+	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
-	id := life("e", 1000)
-	s.says(id, "a1", 1, 3)
-	s.reports(2*time.Second, 3, 1)
+	id := incarnationID("e", 1000)
+	s.sendHeartbeat(id, "a1", 1, 3)
+	s.answerWeightsCalls(2*time.Second, 3, 1)
 	held := s.watchNow("g1", RosterVersion{})
 	for number := range 10 {
-		s.says(id, "a1", uint64(number+2), 2)
-		if orders := s.reports(2*time.Second, 2, 2); len(orders) > 0 {
+		s.sendHeartbeat(id, "a1", uint64(number+2), 2)
+		if orders := s.answerWeightsCalls(2*time.Second, 2, 2); len(orders) > 0 {
 			if orders[0].Version != 3 || orders[0].Revision != 2 {
 				t.Fatalf("order %+v", orders[0])
 			}
@@ -204,24 +204,24 @@
 	t.Fatalf("0 orders, believed %v", s.replica.leader.fleet[id].versions)
 }
 
-// TestLateHeartbeatMakesNoWeightsFall: one that was sent before a load and arrives after it is not believed against the engine's report.
-func TestLateHeartbeatMakesNoWeightsFall(t *testing.T) {
-	s := openAlone(t)
+// TestLateHeartbeatDoesNotLowerWeights: one that was sent before a load and arrives after it is not believed against the engine's report.
+func TestLateHeartbeatDoesNotLowerWeights(t *testing.T) {
+	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
-	id := life("e", 1000)
-	s.says(id, "a1", 1, 3)
-	s.reports(5*time.Second, 3, 1)
-	s.says(id, "a1", 2, 2)
-	if orders := s.reports(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
+	id := incarnationID("e", 1000)
+	s.sendHeartbeat(id, "a1", 1, 3)
+	s.answerWeightsCalls(5*time.Second, 3, 1)
+	s.sendHeartbeat(id, "a1", 2, 2)
+	if orders := s.answerWeightsCalls(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
 		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
 	}
 }
 
-// reportOfAnotherLifeIsNone: a report says whose it is; one of another life tells nothing of the life that was asked.
-func reportOfAnotherLifeIsNone(t *testing.T) {
-	s := openAlone(t)
-	id := life("e", 1000)
-	s.says(id, "a1", 1, 1)
+// reportOfAnotherIncarnationIsIgnored: a report says whose it is; one of another life tells nothing of the life that was asked.
+func reportOfAnotherIncarnationIsIgnored(t *testing.T) {
+	s := openWithoutEngines(t)
+	id := incarnationID("e", 1000)
+	s.sendHeartbeat(id, "a1", 1, 1)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 20 {
 		s.weightsCalls = nil
@@ -238,13 +238,13 @@
 	}
 }
 
-// TestUntoldLifeIsOrderedByItsReport: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
-func TestUntoldLifeIsOrderedByItsReport(t *testing.T) {
-	s := openFleet(t)
+// TestBackendWithoutIncarnationIsOrdered: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
+func TestBackendWithoutIncarnationIsOrdered(t *testing.T) {
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	for range 40 {
 		s.weightsCalls = nil
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		s.advance(100 * time.Millisecond)
 		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -11,21 +11,21 @@
 type Mesh struct {
 	Row        []string `json:"row,omitempty"`        // addresses in the own row: they pass what they are told to their columns
 	Column     []string `json:"column,omitempty"`     // addresses in the own column: they keep what they are told
-	Abroad     []string `json:"abroad,omitempty"`     // one address in each other zone: it tells its row and column
+	OtherZones []string `json:"abroad,omitempty"`     // one address in each other zone: it tells its row and column
 	Schedulers []string `json:"schedulers,omitempty"` // addresses to ask for a placement; empty at a scheduler
 }
 
-// Place is where a gateway is reached by others.
-type Place struct {
+// Peer is where a gateway is reached by others.
+type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
 // Zone is the layout of one zone.
 type Zone struct {
-	Schedulers []Place  `json:"schedulers,omitempty"` // rising by name
-	Asked      []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
-	All        bool     `json:"all,omitempty"`        // every gateway is a scheduler
+	Schedulers  []Peer   `json:"schedulers,omitempty"` // rising by name
+	Serving     []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
+	AllSchedule bool     `json:"all,omitempty"`        // every gateway is a scheduler
 }
 
 // Layout is how all gateways are laid out. It never changes once it was told.
@@ -33,28 +33,28 @@
 	Zones map[string]Zone `json:"zones,omitempty"`
 }
 
-// Of returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
-func (l *Layout) Of(zone, name string) Mesh {
+// MeshOf returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
+func (l *Layout) MeshOf(zone, name string) Mesh {
 	own := l.Zones[zone]
-	at, schedules := own.find(name)
+	at, schedules := own.schedulerIndex(name)
 	switch {
-	case !schedules && own.All:
+	case !schedules && own.AllSchedule:
 		return Mesh{}
 	case !schedules:
-		return Mesh{Schedulers: own.Asked}
+		return Mesh{Schedulers: own.Serving}
 	}
 	row, column := gridPeers(len(own.Schedulers), at)
 	made := Mesh{Row: own.addresses(row), Column: own.addresses(column)}
-	for _, other := range l.zones() {
+	for _, other := range l.sortedZones() {
 		if members := l.Zones[other].Schedulers; other != zone && len(members) > 0 {
-			made.Abroad = append(made.Abroad, members[at%len(members)].Address)
+			made.OtherZones = append(made.OtherZones, members[at%len(members)].Address)
 		}
 	}
 	return made
 }
 
-// zones returns the names of the zones, rising.
-func (l *Layout) zones() []string {
+// sortedZones returns the names of the sortedZones, rising.
+func (l *Layout) sortedZones() []string {
 	names := make([]string, 0, len(l.Zones))
 	for name := range l.Zones {
 		names = append(names, name)
@@ -63,9 +63,9 @@
 	return names
 }
 
-// find returns the place of a gateway among the schedulers.
-func (z Zone) find(name string) (int, bool) {
-	at := slices.IndexFunc(z.Schedulers, func(p Place) bool { return p.Name == name })
+// schedulerIndex returns the place of a gateway among the schedulers.
+func (z Zone) schedulerIndex(name string) (int, bool) {
+	at := slices.IndexFunc(z.Schedulers, func(p Peer) bool { return p.Name == name })
 	return at, at >= 0
 }
 
@@ -77,8 +77,8 @@
 	return found
 }
 
-// gridAbove is the size up to which everybody tells everybody.
-const gridAbove = 9
+// maxFullMesh is the size up to which everybody tells everybody.
+const maxFullMesh = 9
 
 // gridPeers returns the row and the column of one of so many places in a grid as wide as high. A place in a short last
 // row stands for the columns that the row lacks, so that row and columns together reach every place.
@@ -87,7 +87,7 @@
 	for width*width < size {
 		width++
 	}
-	if size <= gridAbove {
+	if size <= maxFullMesh {
 		width = size
 	}
 	first := at / width * width
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// fleetOf returns gateways, so many in each zone, and the zone of each.
-func fleetOf(sizes ...int) (gateways []Gateway, zoneOf map[string]int) {
+// gatewaysInZones returns gateways, so many in each zone, and the zone of each.
+func gatewaysInZones(sizes ...int) (gateways []Gateway, zoneOf map[string]int) {
 	zoneOf = map[string]int{}
 	for zone, size := range sizes {
 		for i := range size {
 			name := fmt.Sprintf("g-%d-%02d", zone, i)
-			gateways = append(gateways, Gateway{Place: Place{Name: name, Address: name}, Zone: fmt.Sprint(zone)})
+			gateways = append(gateways, Gateway{Peer: Peer{Name: name, Address: name}, Zone: fmt.Sprint(zone)})
 			zoneOf[name] = zone
 		}
 	}
@@ -25,13 +25,13 @@
 func TestMeshReachesEverySchedulerOnce(t *testing.T) {
 	for _, everyone := range []bool{false, true} {
 		for _, sizes := range [][]int{{1}, {2}, {9}, {10}, {3, 2, 2}, {28, 26, 24}, {1, 30}, {17, 5, 40}, {25, 25, 25, 24, 26}, {58, 54, 61, 60, 62}} {
-			gateways, zoneOf := fleetOf(sizes...)
-			planner := Planner{EveryoneSchedules: everyone}
+			gateways, zoneOf := gatewaysInZones(sizes...)
+			planner := Planner{AllSchedule: everyone}
 			planner.Plan(time.Second, gateways)
 			layout, _ := planner.Layout()
 			meshes := map[string]Mesh{}
 			for _, g := range gateways {
-				meshes[g.Name] = layout.Of(g.Zone, g.Name)
+				meshes[g.Name] = layout.MeshOf(g.Zone, g.Name)
 			}
 			for origin := range meshes {
 				checkReach(t, origin, meshes, zoneOf, sizes, !everyone)
@@ -64,7 +64,7 @@
 	}
 	told[first]++
 	within(first)
-	tell(meshes[first].Abroad, first, within)
+	tell(meshes[first].OtherZones, first, within)
 	wanted := map[string]bool{}
 	for name, mesh := range meshes {
 		if len(mesh.Schedulers) == 0 {
@@ -86,10 +86,10 @@
 	}
 }
 
-// TestSchedulersAreFewAndStay: a small zone has no others than schedulers, a large one a few; when one goes, the others stay, and
+// TestSchedulersAreFewAndStable: a small zone has no others than schedulers, a large one a few; when one goes, the others stay, and
 // the one in its place is asked once it has heard of sends for a while.
-func TestSchedulersAreFewAndStay(t *testing.T) {
-	gateways, _ := fleetOf(58, 54, 61, 60, 62)
+func TestSchedulersAreFewAndStable(t *testing.T) {
+	gateways, _ := gatewaysInZones(58, 54, 61, 60, 62)
 	var planner Planner
 	schedulers := func(now time.Duration) (names []string, asked []string) {
 		planner.Plan(now, gateways)
@@ -97,10 +97,10 @@
 		for _, place := range layout.Zones["2"].Schedulers {
 			names = append(names, place.Name)
 		}
-		return names, layout.Zones["2"].Asked
+		return names, layout.Zones["2"].Serving
 	}
 	before, _ := schedulers(time.Second)
-	if want := (schedulersWanted + 4) / 5; len(before) != want {
+	if want := (targetSchedulers + 4) / 5; len(before) != want {
 		t.Fatalf("%d schedulers of 61 gateways in one of five zones, wanted %d", len(before), want)
 	}
 	gateways = slices.DeleteFunc(gateways, func(g Gateway) bool { return g.Name == before[0] })
@@ -116,23 +116,23 @@
 	if _, asked = schedulers(now + schedulerWarmUp); !slices.Contains(asked, fresh[0]) {
 		t.Fatalf("asked %v, without %v", asked, fresh)
 	}
-	small, _ := fleetOf(3, 2, 2)
+	small, _ := gatewaysInZones(3, 2, 2)
 	var calm Planner
 	calm.Plan(time.Second, small)
 	layout, _ := calm.Layout()
 	for _, g := range small {
-		if mesh := layout.Of(g.Zone, g.Name); len(mesh.Schedulers) > 0 {
+		if mesh := layout.MeshOf(g.Zone, g.Name); len(mesh.Schedulers) > 0 {
 			t.Fatalf("%s of a small fleet asks %v", g.Name, mesh.Schedulers)
 		}
 	}
-	if mesh := layout.Of("0", "newcomer"); len(mesh.Schedulers)+len(mesh.Row) > 0 {
+	if mesh := layout.MeshOf("0", "newcomer"); len(mesh.Schedulers)+len(mesh.Row) > 0 {
 		t.Fatalf("a gateway that isn't laid out yet has %+v", mesh)
 	}
 }
 
-// TestLayoutIsNewOnlyWhereItDiffers: gateways that ask again and again change nothing.
-func TestLayoutIsNewOnlyWhereItDiffers(t *testing.T) {
-	gateways, _ := fleetOf(30, 30)
+// TestLayoutCountRisesOnlyOnChange: gateways that ask again and again change nothing.
+func TestLayoutCountRisesOnlyOnChange(t *testing.T) {
+	gateways, _ := gatewaysInZones(30, 30)
 	var planner Planner
 	planner.Plan(time.Second, gateways)
 	_, first := planner.Layout()
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestEachEngineHasOneReader: in its own zone where that has a gateway, and few change when a gateway goes.
-func TestEachEngineHasOneReader(t *testing.T) {
+// TestEachEngineHasOneCacheEventReader: in its own zone where that has a gateway, and few change when a gateway goes.
+func TestEachEngineHasOneCacheEventReader(t *testing.T) {
 	var engines []Engine
 	zoneOf := map[string]string{}
 	for i := range 60 {
@@ -156,16 +156,16 @@
 		engines = append(engines, e)
 		zoneOf[e.ID] = e.Zone
 	}
-	placesOf := func(names ...string) (places []Place) {
+	placesOf := func(names ...string) (places []Peer) {
 		for _, name := range names {
-			places = append(places, Place{Name: name, Address: name})
+			places = append(places, Peer{Name: name, Address: name})
 		}
 		return places
 	}
 	layout := Layout{Zones: map[string]Zone{"z0": {Schedulers: placesOf("g-0-0", "g-0-1", "g-0-2", "g-0-3")}, "z1": {Schedulers: placesOf("g-1-0")}}}
 	readerOf := func() map[string]string {
 		found := map[string]string{}
-		for name, ids := range layout.Readers(engines) {
+		for name, ids := range layout.CacheEventSources(engines) {
 			for _, id := range ids {
 				if found[id] != "" {
 					t.Fatalf("%s is read by %s and %s", id, found[id], name)
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -57,11 +57,11 @@
 }
 
 // wantedVersions returns the recently published versions with their ages.
-func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
-	var wanted []WantedVersion
+func (r *Replica) wantedVersions(now time.Duration) []WeightsPublication {
+	var wanted []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, published := range r.namedVersions[model] {
-			wanted = append(wanted, WantedVersion{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
+			wanted = append(wanted, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
 	return wanted
@@ -73,7 +73,7 @@
 // recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
 	wanted := r.wantedVersions(now)
-	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
+	slices.SortStableFunc(wanted, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
 	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
 		lines = append(lines, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -22,7 +22,7 @@
 		s.t.Fatal("the gateway got no answer")
 	}
 	ages := map[uint64]time.Duration{}
-	for _, w := range reply.Wanted {
+	for _, w := range reply.Publications {
 		ages[w.Version] = w.Age
 	}
 	return ages
@@ -67,7 +67,7 @@
 func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
 	// A replica that restarts and reads its log must not count the age from the time of reading.
 	t.Run("restart", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.publish(2)
 		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
@@ -81,7 +81,7 @@
 	})
 	// A replica that lost its disk and restored a snapshot must not count from its own start.
 	t.Run("snapshot", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.publish(2)
 		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
@@ -90,7 +90,7 @@
 	})
 	// A follower that has run for a while and installs a snapshot must not count from its own start.
 	t.Run("snapshot while running", func(t *testing.T) {
-		s, other := openFleet(t), openFleet(t)
+		s, other := openWithEngines(t), openWithEngines(t)
 		s.publish(2)
 		s.advance(4 * time.Second)
 		other.advance(time.Minute)
@@ -105,7 +105,7 @@
 	})
 	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
 	t.Run("partitioned during the publication", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
 		s.publish(2)
 		s.advance(5 * time.Second)
@@ -115,7 +115,7 @@
 	})
 	// A snapshot keeps the time of every version: a back end that lacks two is outdated since the earlier publication.
 	t.Run("two versions before a snapshot", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.publish(2)
 		s.advance(4 * time.Second)
 		s.publish(3)
@@ -127,7 +127,7 @@
 	})
 	// Publishing the same version again, or a lower one, changes no age.
 	t.Run("published again", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.publish(3)
 		s.advance(2 * time.Second)
 		s.publish(3)
@@ -140,7 +140,7 @@
 	})
 	// If the wall clock is behind by more than the age, the time since the replica applied the entry is a lower bound.
 	t.Run("wall clock behind", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		s.publish(2)
 		s.advance(time.Second)
 		s.wallOffset -= time.Minute
@@ -149,7 +149,7 @@
 	})
 	// Snapshots of the previous release hold no publication times. Such versions count as published long ago.
 	t.Run("snapshot of the previous release", func(t *testing.T) {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		machine := NewMachine(guard.Set{})
 		if err := machine.Restore([]byte(`{"sessions":{},"orders":{},"now_ms":0,"peers_at":0,"catalog":{"document":{"revision":1},"instances":{},"tombstones":[],"versions":{"m":4},"fence":0}}`)); err != nil {
 			t.Fatal(err)
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -8,19 +8,19 @@
 
 // How many engines are taken out of service together for new weights, and how long a load is taken to last.
 const (
-	// loadShare and drainShare: one of so many back ends may load, or be turned away from, at the same time.
-	loadShare  = 4
-	drainShare = 3
-	// stressShare of the engines that were ready within stressMemory must still be, for any to be kept idle.
-	stressShare  = 0.9
-	stressMemory = 10 * time.Second
-	// loadFirst is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
+	// loadDivisor and drainShare: one of so many back ends may load, or be turned away from, at the same time.
+	loadDivisor  = 4
+	drainDivisor = 3
+	// minReadyFraction of the engines that were ready within stressMemory must still be, for any to be kept idle.
+	minReadyFraction = 0.9
+	capacityWindow   = 10 * time.Second
+	// initialLoadTime is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
 	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
-	loadFirst     = 600 * time.Millisecond
-	loadSmoothing = 0.3
-	checkShare    = 0.9
-	checkLeast    = 200 * time.Millisecond
-	nextCheck     = 60 * time.Millisecond
+	initialLoadTime        = 600 * time.Millisecond
+	loadTimeSmoothing      = 0.3
+	firstLoadCheckFraction = 0.9
+	minFirstLoadCheck      = 200 * time.Millisecond
+	loadCheckInterval      = 60 * time.Millisecond
 )
 
 // loadCount tells how many loads run, and how many may.
@@ -32,7 +32,7 @@
 	engines := 0
 	for id := range r.machine.catalog.Instances() {
 		state := r.leader.fleet[id]
-		if !state.engine() {
+		if !state.isEngine() {
 			continue
 		}
 		engines++
@@ -40,49 +40,49 @@
 			count.running++
 		}
 	}
-	count.limit = atOnce(engines, loadShare)
+	count.limit = maxConcurrent(engines, loadDivisor)
 	return count
 }
 
-// atOnce returns how many engines may be taken out of service together: one of so many, also while they are short of hands,
+// maxConcurrent returns how many engines may be taken out of service together: one of so many, also while they are short of hands,
 // since those whose weights stay old for too long get no requests at all.
-func atOnce(engines, share int) int { return max(1, engines/share) }
+func maxConcurrent(engines, share int) int { return max(1, engines/share) }
 
-// stressed reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
+// lacksCapacity reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
 // end.
-func (r *Replica) stressed(now time.Duration) bool {
+func (r *Replica) lacksCapacity(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
 		state := r.leader.fleet[id]
-		if state.engine() && !state.silent && instance.State == catalog.StateReady {
+		if state.isEngine() && !state.silent && instance.State == catalog.StateReady {
 			ready++
 		}
 	}
 	if ready >= r.leader.readyPeak {
 		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	if now > r.leader.readyPeakAt+stressMemory {
+	if now > r.leader.readyPeakAt+capacityWindow {
 		r.leader.readyPeak, r.leader.readyPeakAt = ready, now
 	}
-	return float64(ready) < stressShare*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+stressMemory
+	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+capacityWindow
 }
 
-// firstCheck is how long after its order a load is first looked for.
-func (l *leaderState) firstCheck() time.Duration {
+// firstLoadCheck is how long after its order a load is first looked for.
+func (l *leaderState) firstLoadCheck() time.Duration {
 	expected := l.smoothedLoadTime
 	if expected == 0 {
-		expected = loadFirst
+		expected = initialLoadTime
 	}
-	return max(checkLeast, time.Duration(checkShare*float64(expected)))
+	return max(minFirstLoadCheck, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
-// noteLoad learns how long a load lasts, from when its order was taken until a report shows the weights.
-func (l *leaderState) noteLoad(now, takenAt time.Duration) {
+// observeLoadTime learns how long a load lasts, from when its order was taken until a report shows the weights.
+func (l *leaderState) observeLoadTime(now, takenAt time.Duration) {
 	switch {
 	case takenAt == 0:
 	case l.smoothedLoadTime == 0:
 		l.smoothedLoadTime = now - takenAt
 	default:
-		l.smoothedLoadTime += time.Duration(loadSmoothing * float64(now-takenAt-l.smoothedLoadTime))
+		l.smoothedLoadTime += time.Duration(loadTimeSmoothing * float64(now-takenAt-l.smoothedLoadTime))
 	}
 }
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -24,7 +24,7 @@
 // TestCrashesAreReportedToGateways checks that a held watch is answered when a request becomes suspect, and that a
 // known crash adds no log entry.
 func TestCrashesAreReportedToGateways(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	first := s.watchNow("g1", RosterVersion{})
 	if len(first.Quarantine.Seed) != quarantine.SeedBytes {
 		t.Fatalf("no seed in %+v", first.Quarantine)
--- a/internal/control/registering.go
+++ b/internal/control/registering.go
@@ -15,7 +15,7 @@
 
 // lacksWeights reports whether the heartbeat of an engine names no loaded weights, so that no gateway could tell
 // whether a request may start there.
-func (r *Replica) lacksWeights(beat Beat) bool {
+func (r *Replica) lacksWeights(beat BackendHeartbeat) bool {
 	service, _ := r.machine.catalog.Document().Service(beat.Instance.Service)
 	return service.Engine && len(beat.Versions) == 0
 }
@@ -46,7 +46,7 @@
 	if !r.mayReplace(holder, instance) {
 		return false
 	}
-	if now-r.member(now, holder.ID).heardAt > silentAfter {
+	if now-r.ensureBackend(now, holder.ID).heardAt > silenceTimeout {
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Expire: holder.ID}}) // its start time may be from a fast clock
 		return true
 	}
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// askEach is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
+	// minRequestInterval is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
 	// may be confirmed later than by the leader itself.
-	askEach = 40 * time.Millisecond
-	// restEach is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
-	restEach = 200 * time.Millisecond
-	// AskTimeout is how long an answer may take before the leader is asked again.
-	AskTimeout = 400 * time.Millisecond
-	// lostPatience is how long a gateway's question waits, beyond its own time, for the leader.
-	lostPatience = 150 * time.Millisecond
-	// waitingMost bounds the questions that wait.
-	waitingMost = 4096
+	minRequestInterval = 40 * time.Millisecond
+	// idleRequestInterval is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
+	idleRequestInterval = 200 * time.Millisecond
+	// RequestTimeout is how long an answer may take before the leader is asked again.
+	RequestTimeout = 400 * time.Millisecond
+	// leaderGracePeriod is how long a gateway's question waits, beyond its own time, for the leader.
+	leaderGracePeriod = 150 * time.Millisecond
+	// maxPendingWatches bounds the questions that wait.
+	maxPendingWatches = 4096
 )
 
 // Report is what a gateway's question tells of it.
@@ -37,13 +37,13 @@
 	Gateway string         `json:"gateway"`
 	Zone    string         `json:"zone"`
 	Address string         `json:"address,omitempty"` // for other gateways
-	Held    roster.Version `json:"held"`              // newest roster that it has taken up
+	Roster  roster.Version `json:"held"`              // newest roster that it has taken up
 	Running map[string]int `json:"running,omitempty"` // its requests by instance
 	Closing bool           `json:"closing,omitempty"`
 }
 
-// Question is what a replica asks the leader for the gateways that ask it.
-type Question struct {
+// Request is what a replica asks the leader for the gateways that ask it.
+type Request struct {
 	Number  uint64         `json:"number"` // rises with each of a replica's life
 	Name    string         `json:"name"`   // of the replica
 	Zone    string         `json:"zone"`
@@ -53,53 +53,53 @@
 	Reports []Report       `json:"reports,omitempty"`
 }
 
-// Answer confirms that the leader held this state, with a valid lease, after the question had arrived.
-type Answer struct {
-	Number   uint64          `json:"number"`  // of the question
-	Applied  uint64          `json:"applied"` // index of the log up to which the leader had applied it
-	Version  roster.Version  `json:"version"`
-	Roster   *roster.News    `json:"roster,omitempty"` // when it differs from the replica's
-	Layout   *Layout         `json:"layout,omitempty"` // the same
-	Wanted   []roster.Wanted `json:"wanted,omitempty"`
-	Gateways int             `json:"gateways"`
-	Unlisted []string        `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
+// Reply confirms that the leader held this state, with a valid lease, after the question had arrived.
+type Reply struct {
+	Number       uint64               `json:"number"`  // of the question
+	Applied      uint64               `json:"applied"` // index of the log up to which the leader had applied it
+	Version      roster.Version       `json:"version"`
+	Roster       *roster.Update       `json:"roster,omitempty"` // when it differs from the replica's
+	Layout       *Layout              `json:"layout,omitempty"` // the same
+	Publications []roster.Publication `json:"wanted,omitempty"`
+	Gateways     int                  `json:"gateways"`
+	Unlisted     []string             `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
 }
 
 // Layout is how gateways are laid out, and which replicas answer those of each zone.
 type Layout struct {
-	Version roster.Version      `json:"version"`
-	Mesh    *mesh.Layout        `json:"mesh"`
-	Near    map[string][]string `json:"near,omitempty"` // addresses by zone, rising
+	Version        roster.Version      `json:"version"`
+	Mesh           *mesh.Layout        `json:"mesh"`
+	NearbyReplicas map[string][]string `json:"near,omitempty"` // addresses by zone, rising
 }
 
-// Waiting is a gateway's question that isn't answered yet.
-type Waiting struct {
+// PendingWatch is a gateway's question that isn't answered yet.
+type PendingWatch struct {
 	Client uint64
 	Report Report
 	Due    time.Duration // when it is answered although there are no news
-	Asked  any           // what else the question says; the caller's
+	Watch  any           // what else the question says; the caller's
 
-	named   uint64 // number of the question to the leader that names it; 0 when none on its way does
-	covered bool   // the leader has confirmed it
-	applied uint64 // index that must be applied here before it is answered
+	requestNumber uint64 // number of the question to the leader that names it; 0 when none on its way does
+	confirmed     bool   // the leader has confirmed it
+	minApplied    uint64 // index that must be applied here before it is answered
 }
 
 // Relay is a replica that doesn't lead.
 type Relay struct {
-	guards   guard.Set
-	roster   roster.Log
-	version  roster.Version
-	told     roster.Version // newest one that waiting questions are answered for
-	toldAt   time.Duration
-	layout   *Layout
-	wanted   []roster.Wanted
-	wantedAt time.Duration // no later than the ages in wanted are of: when the question left
-	gateways int
-	waiting  []Waiting // in the order in which they came; at most waitingMost
-	number   uint64    // of the newest question
-	onItsWay bool      // it has no answer yet
-	askedAt  time.Duration
-	readers  readers
+	guards           guard.Set
+	roster           roster.Log
+	version          roster.Version
+	published        roster.Version // newest one that waiting questions are answered for
+	publishedAt      time.Duration
+	layout           *Layout
+	publications     []roster.Publication
+	publicationsAsOf time.Duration // no later than the ages in wanted are of: when the question left
+	gateways         int
+	pending          []PendingWatch // in the order in which they came; at most waitingMost
+	requestNumber    uint64         // of the newest question
+	inFlight         bool           // it has no answer yet
+	requestedAt      time.Duration
+	readers          cacheEventReaders
 }
 
 // New returns a relay that knows nothing yet.
@@ -107,81 +107,81 @@
 	return &Relay{guards: guards, layout: &Layout{Mesh: &mesh.Layout{}}}
 }
 
-// Take takes a gateway's question, or returns false when too many wait.
-func (r *Relay) Take(w Waiting) bool {
-	if len(r.waiting) >= waitingMost {
+// Add takes a gateway's question, or returns false when too many wait.
+func (r *Relay) Add(w PendingWatch) bool {
+	if len(r.pending) >= maxPendingWatches {
 		return false
 	}
-	w.named, w.covered, w.applied = 0, false, 0
-	r.waiting = append(r.waiting, w)
+	w.requestNumber, w.confirmed, w.minApplied = 0, false, 0
+	r.pending = append(r.pending, w)
 	return true
 }
 
-// Drop returns all questions that wait and forgets them.
-func (r *Relay) Drop() []Waiting {
-	dropped := r.waiting
-	r.waiting, r.onItsWay = nil, false
+// Drain returns all questions that wait and forgets them.
+func (r *Relay) Drain() []PendingWatch {
+	dropped := r.pending
+	r.pending, r.inFlight = nil, false
 	return dropped
 }
 
-// Due returns when Ask has something to do at the latest, if nothing comes.
-func (r *Relay) Due() time.Duration {
+// NextRequestAt returns when Ask has something to do at the latest, if nothing comes.
+func (r *Relay) NextRequestAt() time.Duration {
 	switch {
-	case r.onItsWay:
-		return r.askedAt + AskTimeout
-	case r.uncovered():
-		return r.askedAt + askEach
+	case r.inFlight:
+		return r.requestedAt + RequestTimeout
+	case r.hasUnconfirmed():
+		return r.requestedAt + minRequestInterval
 	}
-	return r.askedAt + restEach
+	return r.requestedAt + idleRequestInterval
 }
 
-func (r *Relay) uncovered() bool {
-	return slices.ContainsFunc(r.waiting, func(w Waiting) bool { return !w.covered })
+func (r *Relay) hasUnconfirmed() bool {
+	return slices.ContainsFunc(r.pending, func(w PendingWatch) bool { return !w.confirmed })
 }
 
-// Ask returns the next question to the leader, if one is due. The caller adds who asks.
-func (r *Relay) Ask(now time.Duration) (Question, bool) {
-	if r.number > 0 && now < r.Due() {
-		return Question{}, false
+// NextRequest returns the next question to the leader, if one is due. The caller adds who asks.
+func (r *Relay) NextRequest(now time.Duration) (Request, bool) {
+	if r.requestNumber > 0 && now < r.NextRequestAt() {
+		return Request{}, false
 	}
-	r.number++
-	r.onItsWay, r.askedAt = true, now
-	question := Question{Number: r.number, Roster: r.version, Layout: r.layout.Version}
-	for i := range r.waiting {
-		if w := &r.waiting[i]; !w.covered {
-			w.named = r.number
+	r.requestNumber++
+	r.inFlight, r.requestedAt = true, now
+	question := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
+	for i := range r.pending {
+		if w := &r.pending[i]; !w.confirmed {
+			w.requestNumber = r.requestNumber
 			question.Reports = append(question.Reports, w.Report)
 		}
 	}
 	return question, true
 }
 
-// Failed notes that a question got no answer, or none of a leader.
-func (r *Relay) Failed(number uint64) {
-	if number == r.number {
-		r.onItsWay = false
+// RecordFailure notes that a question got no answer, or none of a leader.
+func (r *Relay) RecordFailure(number uint64) {
+	if number == r.requestNumber {
+		r.inFlight = false
 	}
 }
 
 // Observe takes the leader's answer up.
-func (r *Relay) Observe(answer *Answer) {
-	if !r.onItsWay || answer.Number != r.number || answer.Version.Term < r.version.Term {
+func (r *Relay) Observe(answer *Reply) {
+	if !r.inFlight || answer.Number != r.requestNumber || answer.Version.Term < r.version.Term {
 		return // of a question that was given up, or of a leader before
 	}
-	r.onItsWay = false
+	r.inFlight = false
 	if answer.Roster != nil {
-		r.roster.Follow(answer.Version.Count, answer.Roster)
+		r.roster.Apply(answer.Version.Count, answer.Roster)
 		r.readers.stale = true
 	}
 	r.version = answer.Version
 	if answer.Layout != nil {
 		r.layout, r.readers.stale = answer.Layout, true
 	}
-	r.wanted, r.wantedAt, r.gateways = answer.Wanted, r.askedAt, answer.Gateways
-	for i := range r.waiting {
-		w := &r.waiting[i]
-		if w.named == r.number && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
-			w.covered, w.applied = true, answer.Applied
+	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.requestedAt, answer.Gateways
+	for i := range r.pending {
+		w := &r.pending[i]
+		if w.requestNumber == r.requestNumber && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
+			w.confirmed, w.minApplied = true, answer.Applied
 		}
 	}
 }
@@ -191,38 +191,38 @@
 
 // Results.
 const (
-	Waits  Result = iota
-	Told          // it is to be answered
-	Failed        // the leader confirmed nothing in its time
+	Waiting Result = iota
+	Ready          // it is to be answered
+	Expired        // the leader confirmed nothing in its time
 )
 
-// Sort calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
+// Resolve calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
 // is something new for a confirmed one; applied is the index up to which this replica has applied the log.
-func (r *Relay) Sort(now time.Duration, applied uint64, news func(Waiting) bool, visit func(Waiting, Result)) {
-	r.waiting = slices.DeleteFunc(r.waiting, func(w Waiting) bool {
+func (r *Relay) Resolve(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
+	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, news)
-		if result != Waits {
+		if result != Waiting {
 			visit(w, result)
 		}
-		return result != Waits
+		return result != Waiting
 	})
 }
 
-func (r *Relay) resultOf(now time.Duration, applied uint64, w Waiting, news func(Waiting) bool) Result {
-	covered := w.covered || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
-	current := applied >= w.applied || !r.guards.On(guard.RelayApplied)
-	confirmed := covered && current && !r.behind(w.Report.Held)
+func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
+	covered := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
+	current := applied >= w.minApplied || !r.guards.On(guard.RelayApplied)
+	confirmed := covered && current && !r.isBehind(w.Report.Roster)
 	switch {
 	case confirmed && (now >= w.Due || news(w)):
-		return Told
-	case !confirmed && now >= w.Due+lostPatience:
-		return Failed
+		return Ready
+	case !confirmed && now >= w.Due+leaderGracePeriod:
+		return Expired
 	}
-	return Waits
+	return Waiting
 }
 
-// behind reports whether somebody holds a newer roster than this replica.
-func (r *Relay) behind(held roster.Version) bool {
+// isBehind reports whether somebody holds a newer roster than this replica.
+func (r *Relay) isBehind(held roster.Version) bool {
 	return held.Term > r.version.Term || held.Term == r.version.Term && held.Count > r.version.Count
 }
 
@@ -232,21 +232,21 @@
 // Gateways returns how many gateways may trust their view.
 func (r *Relay) Gateways() int { return r.gateways }
 
-// Pace lets the newest roster be told if the last telling is long enough ago.
-func (r *Relay) Pace(now time.Duration) {
-	if r.told == r.version || r.told.Term == r.version.Term && now < r.toldAt+roster.Pause(r.gateways) {
+// PublishIfDue lets the newest roster be told if the last telling is long enough ago.
+func (r *Relay) PublishIfDue(now time.Duration) {
+	if r.published == r.version || r.published.Term == r.version.Term && now < r.publishedAt+roster.PublishInterval(r.gateways) {
 		return
 	}
-	r.told, r.toldAt = r.version, now
+	r.published, r.publishedAt = r.version, now
 }
 
-// Tells reports whether a question is to be answered for the roster's sake.
-func (r *Relay) Tells(held roster.Version) bool {
-	return held.Term != r.told.Term || held.Count < r.told.Count
+// HasRosterUpdate reports whether a question is to be answered for the roster's sake.
+func (r *Relay) HasRosterUpdate(held roster.Version) bool {
+	return held.Term != r.published.Term || held.Count < r.published.Count
 }
 
-// News returns what a gateway lacks of the roster, or nil.
-func (r *Relay) News(held roster.Version) *roster.News {
+// RosterUpdate returns what a gateway lacks of the roster, or nil.
+func (r *Relay) RosterUpdate(held roster.Version) *roster.Update {
 	switch {
 	case held == r.version:
 		return nil
@@ -256,11 +256,11 @@
 	return r.roster.Since(held.Count)
 }
 
-// Wanted returns the weights that were named lately, as of now.
-func (r *Relay) Wanted(now time.Duration) []roster.Wanted {
-	wanted := slices.Clone(r.wanted)
+// Publications returns the weights that were named lately, as of now.
+func (r *Relay) Publications(now time.Duration) []roster.Publication {
+	wanted := slices.Clone(r.publications)
 	for i := range wanted {
-		wanted[i].Age += now - r.wantedAt
+		wanted[i].Age += now - r.publicationsAsOf
 	}
 	return wanted
 }
@@ -268,7 +268,7 @@
 // Layout returns how gateways are laid out.
 func (r *Relay) Layout() *Layout { return r.layout }
 
-// Reads returns the engines whose cache events a gateway reads, rising.
-func (r *Relay) Reads(gateway string) []string {
-	return r.readers.of(gateway, r.layout.Mesh, &r.roster)
+// CacheEventSources returns the engines whose cache events a gateway reads, rising.
+func (r *Relay) CacheEventSources(gateway string) []string {
+	return r.readers.sourcesOf(gateway, r.layout.Mesh, &r.roster)
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -107,7 +107,7 @@
 	orderMarks     map[string]orderMark          // newest order seen in the log, by back-end name
 	published      publishedDocument             // newest document sent to gateways
 	relay          *relay.Relay                  // answers gateways while another replica leads
-	awaitingLeader []watcher                     // watches held until a leader is known; at most leaderlessMost
+	awaitingLeader []heldWatch                   // watches held until a leader is known; at most maxAwaitingLeader
 	quarantined    crashTimes                    // local times of the replicated crash counts
 	checkpointDue  bool                          // the next Prepare must write a checkpoint
 	stopErr        error                         // why the replica has stopped, or nil
@@ -167,20 +167,20 @@
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
-		r.watchFleet(now)
-		r.tendInUse(now)
+		r.checkFleet(now)
+		r.updateInUse(now)
 		r.updateLimits(now)
-		r.noteHeld(now)
+		r.logLoadedWeights(now)
 		r.updateGatewayList(now)
 		r.maintainQuarantine(now)
 		r.raiseLevel(now)
 		r.rollOut(now)
 	}
 	if r.leader != nil {
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
-	r.tendRelay(now)
-	r.endLeaderless(now)
+	r.advanceRelay(now)
+	r.resolveAwaitingLeader(now)
 }
 
 // Step handles a message from another replica.
@@ -194,8 +194,8 @@
 
 // NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
-	if r.relays() {
-		return min(r.node.NextDue(), r.relay.Due())
+	if r.actsAsRelay() {
+		return min(r.node.NextDue(), r.relay.NextRequestAt())
 	}
 	return r.node.NextDue()
 }
@@ -206,7 +206,7 @@
 	if r.leader != nil && (!isLeader || r.leader.term != r.node.Term()) {
 		previous := r.leader
 		r.leader = nil
-		r.closeWatchers(previous)
+		r.closeWatches(previous)
 		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
@@ -246,7 +246,7 @@
 
 // propose appends a command after the queued registrations. With client 0, nobody waits for the entry.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
-	r.writeJoining(now)
+	r.proposeRegistrations(now)
 	r.appendCommand(now, []uint64{client}, command)
 }
 
@@ -263,7 +263,7 @@
 
 // Prepare returns what the caller must write and sync before Advance.
 func (r *Replica) Prepare() Persist {
-	r.writeJoining(r.now)
+	r.proposeRegistrations(r.now)
 	r.proposeOrderAnnouncements(r.now)
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
@@ -297,13 +297,13 @@
 	}
 	if r.leader != nil && r.leader.gatewayListChanged {
 		r.leader.gatewayListChanged = false
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
 	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
-	r.tendRelay(now)
-	r.endLeaderless(now)
+	r.advanceRelay(now)
+	r.resolveAwaitingLeader(now)
 	effects := r.effects
 	r.effects = Effects{}
 	effects.WeightsCalls = r.dropStaleCalls(now, effects.WeightsCalls)
--- a/internal/control/restart_test.go
+++ b/internal/control/restart_test.go
@@ -48,7 +48,7 @@
 	if len(s.replies) > 0 {
 		t.Fatalf("watches answered before the election: %+v", s.replies)
 	}
-	s.replica.endLeaderless(s.now)
+	s.replica.resolveAwaitingLeader(s.now)
 	s.work()
 	if s.replies[immediate].Kind != ResponseNotLeader {
 		t.Fatalf("watch without hold time: reply %+v, want not-leader", s.replies[immediate])
@@ -62,19 +62,19 @@
 // TestWatchesAwaitingLeaderAreBounded checks that watches above the bound are rejected at once.
 func TestWatchesAwaitingLeaderAreBounded(t *testing.T) {
 	s := openUnelected(t, t.TempDir())
-	for i := range leaderlessMost + 1 {
+	for i := range maxAwaitingLeader + 1 {
 		s.replica.Handle(s.now, uint64(i+1), Request{Watch: &Watch{Gateway: "g", Hold: time.Second}})
 	}
 	s.work()
 	if len(s.replies) != 1 {
-		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), leaderlessMost+1)
+		t.Fatalf("%d of %d watches were rejected, want 1", len(s.replies), maxAwaitingLeader+1)
 	}
 }
 
 // TestNewLeaderRestoresHeldWeightsFromLog guards against a new leader that does not know which weights back ends
 // hold until their first heartbeats, so that prefix caches go unused.
 func TestNewLeaderRestoresHeldWeightsFromLog(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.advance(time.Second)
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
@@ -88,11 +88,11 @@
 
 // TestUnchangedWeightsAppendNoEntries guards against a log that grows with every heartbeat.
 func TestUnchangedWeightsAppendNoEntries(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	s.advance(time.Second)
 	before := s.replica.Node().LastIndex()
 	for range 10 {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		s.advance(time.Second)
 	}
 	if grown := s.replica.Node().LastIndex() - before; grown > 0 {
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -129,10 +129,10 @@
 	ids := r.rolloutsByDrainDeadline()
 	loads := r.countLoads()
 	running := r.runningByInstance(now)
-	r.leader.ackedRoster = r.rosterTaken(now)
-	r.leader.underCapacity = r.stressed(now)
+	r.leader.ackedRoster = r.ackedRosterCount(now)
+	r.leader.underCapacity = r.lacksCapacity(now)
 	for _, id := range ids {
-		state := r.member(now, id)
+		state := r.ensureBackend(now, id)
 		r.stepRollout(now, instances[id], state, &loads, running[id])
 		if state.rollout.blocksNewRequests() || state.rollout.phase == phaseQuerying {
 			busy++
@@ -164,7 +164,7 @@
 }
 
 // outdatedModel returns a model of which a ready back end holds an old version, and the version it should load.
-func (r *Replica) outdatedModel(instance catalog.Instance, state *memberState) (string, uint64, bool) {
+func (r *Replica) outdatedModel(instance catalog.Instance, state *backendState) (string, uint64, bool) {
 	for model, loaded := range state.versions {
 		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
 			return model, wanted, true
@@ -189,36 +189,36 @@
 	engines := 0
 	instances := r.machine.catalog.Instances()
 	for _, id := range r.machine.catalog.IDs() {
-		state := r.member(now, id)
-		if state.engine() {
+		state := r.ensureBackend(now, id)
+		if state.isEngine() {
 			engines++
 		}
 		_, _, isOutdated := r.outdatedModel(instances[id], state)
-		if (isOutdated || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
+		if (isOutdated || state.versionsDisputed) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
 			outdated = append(outdated, id)
 		}
 	}
 	slices.SortStableFunc(outdated, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(running[a], running[b]))
 	})
-	maxBusy := atOnce(engines, drainShare)
+	maxBusy := maxConcurrent(engines, drainDivisor)
 	for _, id := range outdated {
 		if busy >= maxBusy {
 			return
 		}
 		busy++
-		r.beginRollout(now, instances[id], r.member(now, id))
+		r.beginRollout(now, instances[id], r.ensureBackend(now, id))
 	}
 }
 
 // runningByInstance returns the number of running requests of all gateways, by instance ID.
 func (r *Replica) runningByInstance(now time.Duration) map[string]int {
-	return r.usageSum(now).running
+	return r.currentUsage(now).running
 }
 
-func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
+func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *backendState) {
 	state.rollout.model, state.rollout.version, _ = r.outdatedModel(instance, state)
-	if !state.rollout.revisionKnown || state.doubted {
+	if !state.rollout.revisionKnown || state.versionsDisputed {
 		r.setPhase(state, phaseQuerying, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsQuery)
 		return
@@ -227,7 +227,7 @@
 }
 
 // announceOrder announces an order in the log and to the gateways, which stop sending new requests to the back end.
-func (r *Replica) announceOrder(now time.Duration, id string, state *memberState) {
+func (r *Replica) announceOrder(now time.Duration, id string, state *backendState) {
 	r.queueOrderAnnouncement(id)
 	state.rollout.drainUntil = now + drainTimeout
 	if r.leader.underCapacity {
@@ -237,17 +237,17 @@
 }
 
 // setPhase sets the phase of a back end, and updates the roster if that changes whether it gets new requests.
-func (r *Replica) setPhase(state *memberState, next rolloutPhase, nextStepAt time.Duration) {
+func (r *Replica) setPhase(state *backendState, next rolloutPhase, nextStepAt time.Duration) {
 	before := state.rollout.blocksNewRequests()
 	state.rollout.phase, state.rollout.nextStepAt = next, nextStepAt
 	if state.rollout.blocksNewRequests() != before {
-		r.leader.rosterChanged(state.id)
+		r.leader.markRosterChanged(state.id)
 		state.rollout.announcedRoster = r.leader.rosterCount
 	}
 }
 
 // stepRollout advances the update of one back end, on which the given number of requests run.
-func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *memberState, loads *loadCount, running int) {
+func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *backendState, loads *loadCount, running int) {
 	if now < state.rollout.nextStepAt {
 		return
 	}
@@ -275,7 +275,7 @@
 	}
 }
 
-func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
+func (r *Replica) callWeights(instance catalog.Instance, state *backendState, kind WeightsCallKind) {
 	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
 		Fence: r.leader.orderFence, Revision: state.rollout.revision, Holder: r.config.Name,
@@ -298,7 +298,7 @@
 	r.handleOrderResult(now, state, result)
 }
 
-func (r *Replica) handleOrderResult(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) handleOrderResult(now time.Duration, state *backendState, result WeightsResult) {
 	if state.rollout.phase != phaseOrderSent {
 		return
 	}
@@ -306,7 +306,7 @@
 	case WeightsAccepted:
 		state.rollout.revision++
 		state.rollout.acceptedAt = now
-		r.setPhase(state, phaseLoading, now+r.leader.firstCheck())
+		r.setPhase(state, phaseLoading, now+r.leader.firstLoadCheck())
 	case WeightsAlreadyLoaded:
 		r.finishRollout(now, state)
 	case WeightsUnknown:
@@ -322,10 +322,10 @@
 	}
 }
 
-func (r *Replica) finishRollout(now time.Duration, state *memberState) {
+func (r *Replica) finishRollout(now time.Duration, state *backendState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
 	r.leader.unlogged[state.id] = true
-	r.leader.rosterChanged(state.id)
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
@@ -338,15 +338,15 @@
 
 // adoptReport replaces the recorded versions by those of the report, even by older ones: an unanswered order may be
 // carried out after one for newer weights. Missing versions are ordered again.
-func (r *Replica) adoptReport(now time.Duration, state *memberState, result WeightsResult) {
-	state.doubted = false
+func (r *Replica) adoptReport(now time.Duration, state *backendState, result WeightsResult) {
+	state.versionsDisputed = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
-	r.leader.rosterChanged(state.id)
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
-func (r *Replica) handleQueryResult(now time.Duration, state *memberState, result WeightsResult) {
+func (r *Replica) handleQueryResult(now time.Duration, state *backendState, result WeightsResult) {
 	loading := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
 	if !loading && !uncertain && state.rollout.phase != phaseQuerying {
@@ -356,23 +356,23 @@
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
 		return
 	}
-	if state.doubted && !result.Busy {
+	if state.versionsDisputed && !result.Busy {
 		r.adoptReport(now, state, result)
 		return
 	}
-	r.takeVersions(now, state, result.Versions)
+	r.raiseVersions(now, state, result.Versions)
 	loaded := state.versions[state.rollout.model] >= state.rollout.version
 	switch {
 	case result.Busy:
-		r.setPhase(state, phaseLoading, now+nextCheck)
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	case loaded:
-		r.leader.noteLoad(now, state.rollout.acceptedAt)
+		r.leader.observeLoadTime(now, state.rollout.acceptedAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
 	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
 		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
 	case loading && now < state.rollout.orderedAt+loadTimeout:
-		r.setPhase(state, phaseLoading, now+nextCheck)
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 		r.announceOrder(now, result.Call.Instance, state)
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -13,20 +13,20 @@
 func TestFirstCheckFollowsLoadTime(t *testing.T) {
 	for _, loadTime := range []time.Duration{250 * time.Millisecond, 760 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		leader := &leaderState{}
-		if first := leader.firstCheck(); first <= 0 || first > loadFirst {
+		if first := leader.firstLoadCheck(); first <= 0 || first > initialLoadTime {
 			t.Fatalf("first check %v before any load, want at most the default", first)
 		}
-		leader.noteLoad(loadTime, 0)
+		leader.observeLoadTime(loadTime, 0)
 		if leader.smoothedLoadTime != 0 {
 			t.Fatalf("load time %v from an order of unknown time, want 0", leader.smoothedLoadTime)
 		}
-		leader.noteLoad(time.Second+5*time.Second, time.Second)
+		leader.observeLoadTime(time.Second+5*time.Second, time.Second)
 		for i := range 20 {
 			acceptedAt := time.Duration(i+1) * time.Minute
-			leader.noteLoad(acceptedAt+loadTime, acceptedAt)
+			leader.observeLoadTime(acceptedAt+loadTime, acceptedAt)
 		}
-		first := leader.firstCheck()
-		if want := time.Duration(checkShare * float64(loadTime)); first < want-nextCheck || first > want+nextCheck {
+		first := leader.firstLoadCheck()
+		if want := time.Duration(firstLoadCheckFraction * float64(loadTime)); first < want-loadCheckInterval || first > want+loadCheckInterval {
 			t.Fatalf("loads of %v are first queried after %v", loadTime, first)
 		}
 	}
@@ -36,25 +36,25 @@
 // left on old weights get no requests.
 func TestRolloutConcurrencyUnderCapacityLoss(t *testing.T) {
 	for _, engines := range []int{2, 9, 90, 300} {
-		s := openFleet(t)
+		s := openWithEngines(t)
 		var ids []string
 		for i := range engines {
 			ids = append(ids, fmt.Sprint("e-", i))
 		}
 		for _, id := range []string{"i-1", "i-2"} {
-			s.ask(Request{Beat: &Beat{Instance: catalog.Instance{ID: id}, Leaves: true}})
+			s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id}, Leaving: true}})
 		}
-		s.beats(ids...)
+		s.sendHeartbeats(ids...)
 		s.replica.leader.readyPeak, s.replica.leader.readyPeakAt = 2*engines, s.now // half have crashed
-		if !s.replica.stressed(s.now) {
+		if !s.replica.lacksCapacity(s.now) {
 			t.Fatal("the fleet does not count as under capacity")
 		}
 		s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-		s.beats(ids...)
-		s.orders(200 * time.Millisecond) // collects the reports
-		s.beats(ids...)
-		ordered := len(s.orders(time.Second))
-		if want := max(1, engines/loadShare); ordered < want || ordered > max(1, engines/drainShare) {
+		s.sendHeartbeats(ids...)
+		s.weightsOrders(200 * time.Millisecond) // collects the reports
+		s.sendHeartbeats(ids...)
+		ordered := len(s.weightsOrders(time.Second))
+		if want := max(1, engines/loadDivisor); ordered < want || ordered > max(1, engines/drainDivisor) {
 			t.Errorf("%d of %d engines were ordered at once, want at least %d", ordered, engines, want)
 		}
 	}
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -10,14 +10,14 @@
 
 // What gateways are told of back ends, by the names of the messages.
 type (
-	RosterVersion = roster.Version
-	RosterEntry   = roster.Entry
-	RosterNews    = roster.News
-	WantedVersion = roster.Wanted
+	RosterVersion      = roster.Version
+	RosterEntry        = roster.Entry
+	RosterUpdate       = roster.Update
+	WeightsPublication = roster.Publication
 )
 
-// rosterNews returns what a gateway lacks of the current roster.
-func (r *Replica) rosterNews(now time.Duration, held RosterVersion) *RosterNews {
+// rosterUpdate returns what a gateway lacks of the current roster.
+func (r *Replica) rosterUpdate(now time.Duration, held RosterVersion) *RosterUpdate {
 	r.refreshRoster(now)
 	if held.Term != r.leader.term {
 		return r.leader.roster.Since(0)
@@ -51,28 +51,28 @@
 
 // rosterEntry returns a back end as gateways see it.
 func (r *Replica) rosterEntry(now time.Duration, instance catalog.Instance) RosterEntry {
-	state := r.member(now, instance.ID)
+	state := r.ensureBackend(now, instance.ID)
 	return RosterEntry{
 		Instance: instance, Versions: maps.Clone(state.versions), Loading: state.rollout.blocksNewRequests(), Silent: state.silent,
 		ColdLeft: max(0, state.coldUntil-now),
 	}
 }
 
-// pace lets the newest roster be told if the last telling is long enough ago.
-func (l *leaderState) pace(now time.Duration) {
-	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.Pause(len(l.usage)) {
+// publishRosterIfDue lets the newest roster be told if the last telling is long enough ago.
+func (l *leaderState) publishRosterIfDue(now time.Duration) {
+	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.PublishInterval(len(l.usage)) {
 		return
 	}
 	l.publishedCount, l.publishedAt = l.rosterCount, now
 }
 
-// tellsRoster reports whether a held question is to be answered for the roster's sake.
-func (l *leaderState) tellsRoster(held RosterVersion) bool {
+// hasRosterUpdate reports whether a held question is to be answered for the roster's sake.
+func (l *leaderState) hasRosterUpdate(held RosterVersion) bool {
 	return held.Term != l.term || held.Count < l.publishedCount
 }
 
-// rosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
-func (l *leaderState) rosterChanged(ids ...string) {
+// markRosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
+func (l *leaderState) markRosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
 		l.rosterPending[id] = true
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -27,43 +27,43 @@
 	ColdLeft time.Duration     `json:"cold_left_ns,omitempty"`
 }
 
-// Wanted is a weights version of a model that was named lately. A list of them rises by version; each one has its own
+// Publication is a weights version of a model that was named lately. A list of them rises by version; each one has its own
 // time, since a back end that lacks several is late by the oldest of them.
-type Wanted struct {
+type Publication struct {
 	Model   string        `json:"model"`
 	Version uint64        `json:"version"`
 	Age     time.Duration `json:"age_ns"` // since it was named, as far as whoever tells it knows
 }
 
-// same compares what gateways decide by. The time that a back end is still cold passes by itself.
-func (e Entry) same(other Entry) bool {
+// equivalent compares what gateways decide by. The time that a back end is still cold passes by itself.
+func (e Entry) equivalent(other Entry) bool {
 	return e.Instance == other.Instance && e.Loading == other.Loading && e.Silent == other.Silent && maps.Equal(e.Versions, other.Versions) &&
 		(e.ColdLeft > 0) == (other.ColdLeft > 0)
 }
 
-// News is what somebody lacks of the roster.
-type News struct {
-	Whole   bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
+// Update is what somebody lacks of the roster.
+type Update struct {
+	Full    bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
 	Entries []Entry  `json:"entries,omitempty"` // rising by id
-	Gone    []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
+	Removed []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
 
 	shared *payload.Shared // the same as JSON, where many are told it; or nil
 }
 
 // MarshalJSON encodes the news, once for all who lack the same.
-func (n *News) MarshalJSON() ([]byte, error) {
+func (n *Update) MarshalJSON() ([]byte, error) {
 	if n.shared != nil {
 		return n.shared.MarshalJSON()
 	}
-	type plain News
+	type plain Update
 	return json.Marshal((*plain)(n))
 }
 
 // Shared returns the news as JSON that many messages share, or nil where they aren't told to many.
-func (n *News) Shared() *payload.Shared { return n.shared }
+func (n *Update) Shared() *payload.Shared { return n.shared }
 
-// share encodes the news for many.
-func (n *News) share() *News {
+// encodeShared encodes the news for many.
+func (n *Update) encodeShared() *Update {
 	if shared, err := payload.NewShared(n); err == nil {
 		n.shared = shared // else whoever tells it meets the error
 	}
@@ -71,15 +71,15 @@
 }
 
 // Merge returns the roster that follows from the one that was held, rising by id.
-func (n *News) Merge(held []Entry) []Entry {
-	if n.Whole {
+func (n *Update) Merge(held []Entry) []Entry {
+	if n.Full {
 		return n.Entries
 	}
 	merged := map[string]Entry{}
 	for _, e := range held {
 		merged[e.ID] = e
 	}
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		delete(merged, id)
 	}
 	for _, e := range n.Entries {
@@ -93,13 +93,13 @@
 }
 
 const (
-	// tellingPace and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
+	// publishIntervalPerGateway and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
 	// that many changes at once don't cost it more.
-	tellingPace    = time.Millisecond
-	longestTelling = 250 * time.Millisecond
+	publishIntervalPerGateway = time.Millisecond
+	maxPublishInterval        = 250 * time.Millisecond
 )
 
-// Pause returns the least time between two tellings to so many gateways.
-func Pause(gateways int) time.Duration {
-	return min(tellingPace*time.Duration(gateways), longestTelling)
+// PublishInterval returns the least time between two tellings to so many gateways.
+func PublishInterval(gateways int) time.Duration {
+	return min(publishIntervalPerGateway*time.Duration(gateways), maxPublishInterval)
 }
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -43,7 +43,7 @@
 			maps.DeleteFunc(gone, func(_ string, is bool) bool { return !is })
 			first.Update(count, slices.Collect(maps.Values(changed)), slices.Collect(maps.Keys(gone)))
 			if rapid.Bool().Draw(t, "passed on") {
-				second.Follow(count, first.Since(second.Count()))
+				second.Apply(count, first.Since(second.Count()))
 			}
 			asked := rapid.SampledFrom([]*Log{&first, &second}).Draw(t, "asked")
 			g := &gateways[rapid.IntRange(0, len(gateways)-1).Draw(t, "gateway")]
@@ -65,8 +65,8 @@
 	})
 }
 
-// of returns so many entries.
-func of(count int) []Entry {
+// entriesOf returns so many entries.
+func entriesOf(count int) []Entry {
 	entries := make([]Entry, count)
 	for i := range entries {
 		entries[i].ID = fmt.Sprintf("i-%05d", i)
@@ -74,30 +74,30 @@
 	return entries
 }
 
-// TestNewsAreSmall: a gateway that lacks one change is told that one.
-func TestNewsAreSmall(t *testing.T) {
+// TestUpdateHoldsOnlyChanges: a gateway that lacks one change is told that one.
+func TestUpdateHoldsOnlyChanges(t *testing.T) {
 	var l Log
-	l.Update(1, of(100), nil)
-	changed := of(100)[7]
+	l.Update(1, entriesOf(100), nil)
+	changed := entriesOf(100)[7]
 	changed.Loading = true
 	l.Update(2, []Entry{changed}, []string{"i-00099"})
 	news := l.Since(1)
-	if news.Whole || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Gone) != 1 || news.Gone[0] != "i-00099" {
+	if news.Full || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Removed) != 1 || news.Removed[0] != "i-00099" {
 		t.Fatalf("news %+v", news)
 	}
-	if whole := l.Since(0); !whole.Whole || len(whole.Entries) != 99 {
+	if whole := l.Since(0); !whole.Full || len(whole.Entries) != 99 {
 		t.Fatalf("whole roster: %d entries", len(whole.Entries))
 	}
 }
 
-// TestAChangeCostsWhatItIs: what it allocates to take one change up and to tell it doesn't grow with the roster.
-func TestAChangeCostsWhatItIs(t *testing.T) {
+// TestUpdateCostIsIndependentOfRosterSize: what it allocates to take one change up and to tell it doesn't grow with the roster.
+func TestUpdateCostIsIndependentOfRosterSize(t *testing.T) {
 	allocations := func(size int) float64 {
 		var l Log
-		l.Update(1, of(size), nil)
+		l.Update(1, entriesOf(size), nil)
 		l.IDs()
 		count := uint64(1)
-		changed := of(size)[size/2]
+		changed := entriesOf(size)[size/2]
 		return testing.AllocsPerRun(20, func() {
 			count++
 			changed.Loading = !changed.Loading
@@ -112,10 +112,10 @@
 	}
 }
 
-// TestNewsAreEncodedOnce: however many lack the same.
-func TestNewsAreEncodedOnce(t *testing.T) {
+// TestUpdateIsEncodedOnce: however many lack the same.
+func TestUpdateIsEncodedOnce(t *testing.T) {
 	var l Log
-	l.Update(1, of(500), nil)
+	l.Update(1, entriesOf(500), nil)
 	first := l.Since(0)
 	if again := l.Since(0); again != first {
 		t.Fatal("the same news were made twice")
@@ -124,7 +124,7 @@
 		t.Fatalf("%v allocations for news that are encoded already", allocated)
 	}
 	encoded, err := json.Marshal(first)
-	var back News
+	var back Update
 	if err == nil {
 		err = json.Unmarshal(encoded, &back)
 	}
@@ -136,13 +136,13 @@
 // TestLogIsBounded: a roster in which everything changes again and again keeps no more than its newest changes.
 func TestLogIsBounded(t *testing.T) {
 	var l Log
-	entries := of(300)
+	entries := entriesOf(300)
 	for count := uint64(1); count < 100; count++ {
 		for i := range entries {
 			entries[i].Loading = count%2 == 0
 		}
 		l.Update(count, entries, nil)
-		if len(l.changes) > 2*(300+goneKept) {
+		if len(l.changes) > 2*(300+maxRemovedKept) {
 			t.Fatalf("%d changes are kept", len(l.changes))
 		}
 	}
@@ -151,10 +151,10 @@
 		l.Update(uint64(100+2*i), []Entry{{Instance: catalog.Instance{ID: id}}}, nil)
 		l.Update(uint64(101+2*i), nil, []string{id})
 	}
-	if len(l.changes) > 2*(300+goneKept) {
+	if len(l.changes) > 2*(300+maxRemovedKept) {
 		t.Fatalf("%d changes are kept", len(l.changes))
 	}
-	if !l.Since(1).Whole || l.Since(l.Count()-2).Whole {
+	if !l.Since(1).Full || l.Since(l.Count()-2).Full {
 		t.Fatal("who lacks too many removals is to get everything, who lacks few isn't")
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -54,9 +54,9 @@
 // relayResult is the result of a relay request to the leader.
 type relayResult struct {
 	number uint64
-	leader string        // address of the leader that was asked
-	answer *relay.Answer // nil if the request failed
-	cause  string        // why the request failed
+	leader string       // address of the leader that was asked
+	answer *relay.Reply // nil if the request failed
+	cause  string       // why the request failed
 }
 
 // HelloReply tells a replica with an empty data folder whether the answering founder already has state.
@@ -89,7 +89,7 @@
 	group           *Client
 	driver          Driver
 	weightsCalls    chan queuedCall
-	beats           beatCollector
+	beats           heartbeatBatcher
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -116,7 +116,7 @@
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
-		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
+		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
@@ -164,7 +164,7 @@
 	workers.Go(func() { s.sendEngineCalls(run) })
 	workers.Go(func() { s.watchEngines(run) })
 	workers.Go(func() { s.callBackends(run) })
-	workers.Go(func() { s.passBeats(run) })
+	workers.Go(func() { s.forwardHeartbeats(run) })
 	workers.Go(func() { s.refreshMembership(run) })
 	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
@@ -325,11 +325,11 @@
 
 // relayToLeader sends a relay request to the leader and submits the result.
 func (s *Server) relayToLeader(call RelayCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), relay.RequestTimeout)
 	defer cancel()
-	result := &relayResult{number: call.Question.Number, leader: call.Address}
+	result := &relayResult{number: call.Request.Number, leader: call.Address}
 	var response Response
-	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
+	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Request}, &response)
 	switch {
 	case err != nil:
 		result.cause = err.Error()
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -16,9 +16,9 @@
 	before := s.replica.Node().LastIndex()
 	const batchSize = 50
 	for first := 0; first < count; first += batchSize {
-		var batch []Beat
+		var batch []BackendHeartbeat
 		for i := first; i < min(first+batchSize, count); i++ {
-			batch = append(batch, beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1))
+			batch = append(batch, heartbeatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1))
 		}
 		s.replica.Handle(s.now, uint64(100_000+first), Request{Beats: batch})
 	}
@@ -29,8 +29,8 @@
 // TestConcurrentRegistrationsShareOneEntry guards against a number of log entries that grows with the fleet at start.
 func TestConcurrentRegistrationsShareOneEntry(t *testing.T) {
 	for _, count := range []int{500, 1000} {
-		s := openFleet(t)
-		s.config(func(config *Config) { config.SnapshotEvery = 1 << 20 })
+		s := openWithEngines(t)
+		s.changeConfig(func(config *Config) { config.SnapshotEvery = 1 << 20 })
 		if entries := registerBackends(s, count); entries != 1 {
 			t.Fatalf("registration of %d back ends used %d entries, want 1", count, entries)
 		}
@@ -48,10 +48,10 @@
 // TestRegisterAndLeaveInOneBatchKeepOrder guards against back ends that stay registered although they register and leave
 // in the same batch.
 func TestRegisterAndLeaveInOneBatchKeepOrder(t *testing.T) {
-	s := openFleet(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{
-		beatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaves: true}, beatOf("i-9", catalog.StateReady, 1),
-		beatOf("i-9", catalog.StateDraining, 2),
+	s := openWithEngines(t)
+	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{
+		heartbeatOf("i-8", catalog.StateReady, 1), {Instance: catalog.Instance{ID: "i-8"}, Leaving: true}, heartbeatOf("i-9", catalog.StateReady, 1),
+		heartbeatOf("i-9", catalog.StateDraining, 2),
 	}})
 	s.work()
 	instances := s.replica.Machine().Catalog().Instances()
@@ -63,8 +63,8 @@
 // TestPendingRegistrationsAreAnsweredOnLeadershipLoss guards against clients that wait for an entry that was never
 // appended.
 func TestPendingRegistrationsAreAnsweredOnLeadershipLoss(t *testing.T) {
-	s := openFleet(t)
-	s.replica.Handle(s.now, 7000, Request{Beats: []Beat{beatOf("i-8", catalog.StateReady, 1)}})
+	s := openWithEngines(t)
+	s.replica.Handle(s.now, 7000, Request{Beats: []BackendHeartbeat{heartbeatOf("i-8", catalog.StateReady, 1)}})
 	s.replica.leader.term = 0 // simulates the start of another term
 	s.replica.checkLeadership(s.now)
 	s.work()
@@ -77,7 +77,7 @@
 func countSnapshots(s *singleReplica, count int) (snapshots, bytes int) {
 	last := s.replica.snapshot.Meta.Index
 	for i := range count {
-		s.replica.Handle(s.now, 0, Request{Beats: []Beat{beatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
+		s.replica.Handle(s.now, 0, Request{Beats: []BackendHeartbeat{heartbeatOf(fmt.Sprintf("b-%05d", i), catalog.StateReady, 1)}})
 		s.work()
 		if index := s.replica.snapshot.Meta.Index; index != last {
 			last, snapshots, bytes = index, snapshots+1, bytes+len(s.replica.snapshot.Data)
@@ -90,7 +90,7 @@
 // total size grows with the square of the fleet.
 func TestSnapshotBytesGrowLinearlyWithRegistrations(t *testing.T) {
 	written := func(count int) int {
-		_, bytes := countSnapshots(openFleet(t), count)
+		_, bytes := countSnapshots(openWithEngines(t), count)
 		return bytes
 	}
 	half, whole := written(1000), written(2000)
@@ -102,7 +102,7 @@
 // TestLogKeepsEntriesBeforeNewestSnapshot guards against followers that need a full snapshot although they lack only the
 // newest entries.
 func TestLogKeepsEntriesBeforeNewestSnapshot(t *testing.T) {
-	s := openFleet(t)
+	s := openWithEngines(t)
 	snapshots, _ := countSnapshots(s, 400)
 	if snapshots < 2 {
 		t.Fatalf("%d snapshots, want at least 2", snapshots)
@@ -117,7 +117,7 @@
 // watches are held for their hold time.
 func TestWatchIsHeldUntilGroupIsFormed(t *testing.T) {
 	s := openSingleReplica(t, t.TempDir())
-	s.config(func(config *Config) { config.Replicas = 3 })
+	s.changeConfig(func(config *Config) { config.Replicas = 3 })
 	const holding, immediate = 1000, 1001
 	s.replica.Handle(s.now, holding, Request{Watch: &Watch{Gateway: "g1", Hold: 400 * time.Millisecond}})
 	s.replica.Handle(s.now, immediate, Request{Watch: &Watch{Gateway: "g2"}})
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -17,15 +17,15 @@
 // Watch is a gateway's question for news. It is answered at once when the gateway lacks something, else when
 // something changes or Hold has passed.
 type Watch struct {
-	Gateway  string         `json:"gateway"`
-	Zone     string         `json:"zone"`
-	Address  string         `json:"address"`  // for other gateways, or ""
-	Revision uint64         `json:"revision"` // of the document it holds
-	Roster   RosterVersion  `json:"roster"`   // it holds
-	Hold     time.Duration  `json:"hold_ns"`
-	Usage    map[string]int `json:"usage,omitempty"` // its running requests by instance
-	Closing  bool           `json:"closing,omitempty"`
-	Brief    bool           `json:"brief,omitempty"` // it only looks for who answers: document and roster are left out
+	Gateway   string         `json:"gateway"`
+	Zone      string         `json:"zone"`
+	Address   string         `json:"address"`  // for other gateways, or ""
+	Revision  uint64         `json:"revision"` // of the document it holds
+	Roster    RosterVersion  `json:"roster"`   // it holds
+	Hold      time.Duration  `json:"hold_ns"`
+	Usage     map[string]int `json:"usage,omitempty"` // its running requests by instance
+	Closing   bool           `json:"closing,omitempty"`
+	ProbeOnly bool           `json:"brief,omitempty"` // it only looks for who answers: document and roster are left out
 
 	Quarantine uint64 `json:"quarantine"` // version of the news that it holds
 }
@@ -33,20 +33,20 @@
 // WatchReply confirms that a leader with a valid lease held this state after the question had arrived, so a gateway may
 // count its view as current from the moment when it asked.
 type WatchReply struct {
-	Revision uint64            `json:"revision"`
-	Document *catalog.Document `json:"document,omitempty"` // when it is newer than the gateway's
-	Version  RosterVersion     `json:"version"`
-	Roster   *RosterNews       `json:"roster,omitempty"` // when it differs from the gateway's
-	Wanted   []WantedVersion   `json:"wanted,omitempty"`
-	Gateways int               `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
-	Mesh     Mesh              `json:"mesh"`            // other gateways to tell of sends
-	Replicas []string          `json:"replicas"`        // addresses of the control group
-	Near     []string          `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
-	Reads    []string          `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
+	Revision          uint64               `json:"revision"`
+	Document          *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
+	Version           RosterVersion        `json:"version"`
+	Roster            *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
+	Publications      []WeightsPublication `json:"wanted,omitempty"`
+	Gateways          int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
+	Mesh              Mesh                 `json:"mesh"`            // other gateways to tell of sends
+	Replicas          []string             `json:"replicas"`        // addresses of the control group
+	NearbyReplicas    []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
+	CacheEventSources []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
 
-	shared *payload.Shared // Document as JSON; or nil
+	sharedDocument *payload.Shared // Document as JSON; or nil
 }
 
 // Parts returns a response as it travels. What many gateways are told, document and roster, is encoded and compressed once for all of them:
@@ -55,8 +55,8 @@
 	var parts []payload.Part
 	if r.Watch != nil {
 		own := *r.Watch
-		if own.shared != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: own.shared})
+		if own.sharedDocument != nil {
+			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: own.sharedDocument})
 			own.Document = nil
 		}
 		if own.Roster != nil && own.Roster.Shared() != nil {
@@ -77,8 +77,8 @@
 	return append(append([]payload.Part{{Own: open}}, parts...), payload.Part{Own: []byte("}}")}), nil
 }
 
-// watcher is a question that is being held.
-type watcher struct {
+// heldWatch is a question that is being held.
+type heldWatch struct {
 	client uint64
 	watch  Watch
 	due    time.Duration
@@ -86,22 +86,22 @@
 
 // usageReport is a gateway's figures of its own work.
 type usageReport struct {
-	at      time.Duration
-	zone    string
-	address string        // for other gateways, or ""
-	held    RosterVersion // newest roster that it has taken up
-	running map[string]int
+	receivedAt time.Duration
+	zone       string
+	address    string        // for other gateways, or ""
+	roster     RosterVersion // newest roster that it has taken up
+	running    map[string]int
 }
 
-// maximumHold bounds how long a question may be held.
-const maximumHold = time.Second
+// maxWatchHold bounds how long a question may be held.
+const maxWatchHold = time.Second
 
-func (r *Replica) watch(now time.Duration, client uint64, watch Watch) {
+func (r *Replica) handleWatch(now time.Duration, client uint64, watch Watch) {
 	if !r.recordReport(now, watch.report()) {
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	held := watcher{client: client, watch: watch, due: now + min(watch.Hold, maximumHold)}
+	held := heldWatch{client: client, watch: watch, due: now + min(watch.Hold, maxWatchHold)}
 	if !r.answerWatch(now, held) {
 		r.leader.watchers = append(r.leader.watchers, held)
 	}
@@ -109,40 +109,40 @@
 
 // report returns what a question tells of its gateway.
 func (w *Watch) report() relay.Report {
-	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Held: w.Roster, Running: w.Usage, Closing: w.Closing}
+	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Roster: w.Roster, Running: w.Usage, Closing: w.Closing}
 }
 
-// turnAway answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
+// handleAsFollower answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
 // held while no leader is known, so that gateways hear of a new one at once and need not ask again and again.
-func (r *Replica) turnAway(now time.Duration, client uint64, request Request) {
-	if request.Watch != nil && r.relays() && r.takeWaiting(now, client, *request.Watch) {
+func (r *Replica) handleAsFollower(now time.Duration, client uint64, request Request) {
+	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
 	}
-	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < leaderlessMost {
-		due := now + min(request.Watch.Hold, maximumHold)
-		r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: *request.Watch, due: due})
+	if request.Watch != nil && r.leaderAddress() == "" && len(r.awaitingLeader) < maxAwaitingLeader {
+		due := now + min(request.Watch.Hold, maxWatchHold)
+		r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: *request.Watch, due: due})
 		return
 	}
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 }
 
-// holdUnformed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
+// holdUntilFormed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
 // meanwhile. One whose time is over is not held.
-func (r *Replica) holdUnformed(now time.Duration, client uint64, watch Watch) bool {
-	due := now + min(watch.Hold, maximumHold)
-	if now >= due || len(r.awaitingLeader) >= leaderlessMost {
+func (r *Replica) holdUntilFormed(now time.Duration, client uint64, watch Watch) bool {
+	due := now + min(watch.Hold, maxWatchHold)
+	if now >= due || len(r.awaitingLeader) >= maxAwaitingLeader {
 		return false
 	}
-	r.awaitingLeader = append(r.awaitingLeader, watcher{client: client, watch: watch, due: due})
+	r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: client, watch: watch, due: due})
 	return true
 }
 
-// leaderlessMost bounds the questions that are held while no leader is known.
-const leaderlessMost = 4096
+// maxAwaitingLeader bounds the questions that are held while no leader is known.
+const maxAwaitingLeader = 4096
 
-// endLeaderless takes up the held questions when this replica leads, and answers them when it hears of a leader or their
+// resolveAwaitingLeader takes up the held questions when this replica leads, and answers them when it hears of a leader or their
 // time is over.
-func (r *Replica) endLeaderless(now time.Duration) {
+func (r *Replica) resolveAwaitingLeader(now time.Duration) {
 	if len(r.awaitingLeader) == 0 {
 		return
 	}
@@ -158,26 +158,26 @@
 			r.Handle(now, held.client, Request{Watch: &held.watch})
 		case leader == "" && now < held.due:
 			r.awaitingLeader = append(r.awaitingLeader, held)
-		case r.relays() && r.takeWaiting(now, held.client, held.watch):
+		case r.actsAsRelay() && r.relayWatch(now, held.client, held.watch):
 		default:
 			r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: leader})
 		}
 	}
 }
 
-// confirms reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
-func (r *Replica) confirms(now time.Duration) bool {
+// mayConfirmViews reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
+func (r *Replica) mayConfirmViews(now time.Duration) bool {
 	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
-// answerWatchers answers the questions for which there is news, or whose time has come.
-func (r *Replica) answerWatchers(now time.Duration) {
-	r.leader.pace(now)
-	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held watcher) bool { return r.answerWatch(now, held) })
+// answerWatches answers the questions for which there is news, or whose time has come.
+func (r *Replica) answerWatches(now time.Duration) {
+	r.leader.publishRosterIfDue(now)
+	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
 
-func (r *Replica) answerWatch(now time.Duration, held watcher) bool {
-	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.tellsRoster(held.watch.Roster) ||
+func (r *Replica) answerWatch(now time.Duration, held heldWatch) bool {
+	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	if !news && now < held.due {
 		return false
@@ -187,7 +187,7 @@
 		r.leader.gatewayUnlisted = true
 		return false
 	}
-	if !r.confirms(now) || unlisted {
+	if !r.mayConfirmViews(now) || unlisted {
 		r.reply(held.client, Response{Kind: ResponseNoQuorum})
 		return true
 	}
@@ -196,23 +196,23 @@
 }
 
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
-	reply := r.ownReply(&watch)
-	reply.Version, reply.Wanted = r.leader.rosterVersion(), r.wantedVersions(now)
-	if watch.Roster != reply.Version && !watch.Brief {
-		reply.Roster = r.rosterNews(now, watch.Roster)
+	reply := r.localWatchReply(&watch)
+	reply.Version, reply.Publications = r.leader.rosterVersion(), r.wantedVersions(now)
+	if watch.Roster != reply.Version && !watch.ProbeOnly {
+		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
 	_, reply.Gateways = r.trustingGateways(now)
-	reply.placed(r.layout(now), &watch)
-	reply.Reads = r.cacheEventSourcesOf(now, watch.Gateway)
+	reply.setLayout(r.layout(now), &watch)
+	reply.CacheEventSources = r.cacheEventSourcesOf(now, watch.Gateway)
 	return reply
 }
 
-// ownReply returns the part of a reply that follows from what this replica has applied.
-func (r *Replica) ownReply(watch *Watch) *WatchReply {
+// localWatchReply returns the part of a reply that follows from what this replica has applied.
+func (r *Replica) localWatchReply(watch *Watch) *WatchReply {
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
-	if watch.Revision < document.Revision && !watch.Brief {
-		reply.Document, reply.shared = r.toldDocument(document)
+	if watch.Revision < document.Revision && !watch.ProbeOnly {
+		reply.Document, reply.sharedDocument = r.publishedDocument(document)
 	}
 	reply.Quarantine = r.quarantineUpdate(watch.Quarantine)
 	for _, member := range r.members() {
@@ -221,8 +221,8 @@
 	return reply
 }
 
-// toldDocument returns the document as gateways are told it, and as JSON that all who lack it share.
-func (r *Replica) toldDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
+// publishedDocument returns the document as gateways are told it, and as JSON that all who lack it share.
+func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
 	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
@@ -234,30 +234,30 @@
 	return r.published.document, r.published.shared
 }
 
-// placed adds where the gateway is laid out.
-func (w *WatchReply) placed(layout *relay.Layout, watch *Watch) {
-	w.Mesh, w.Near = layout.Mesh.Of(watch.Zone, watch.Gateway), layout.Near[watch.Zone]
+// setLayout adds where the gateway is laid out.
+func (w *WatchReply) setLayout(layout *relay.Layout, watch *Watch) {
+	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
-// trustEnd is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
-func (r *Replica) trustEnd() time.Duration {
+// viewExpiry is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
+func (r *Replica) viewExpiry() time.Duration {
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
-// rosterTaken returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
+// ackedRosterCount returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
 // longer than it may trust its view sends nothing any more; those of an earlier leader's time have had to ask this one.
-func (r *Replica) rosterTaken(now time.Duration) uint64 {
+func (r *Replica) ackedRosterCount(now time.Duration) uint64 {
 	taken := uint64(math.MaxUint64)
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
 		return taken
 	}
 	for _, report := range r.leader.usage {
 		switch {
-		case now-report.at >= r.trustEnd():
-		case report.held.Term != r.leader.term:
+		case now-report.receivedAt >= r.viewExpiry():
+		case report.roster.Term != r.leader.term:
 			return 0
 		default:
-			taken = min(taken, report.held.Count)
+			taken = min(taken, report.roster.Count)
 		}
 	}
 	return taken
@@ -269,18 +269,18 @@
 	running map[string]int // requests by instance; nil before the first sum
 }
 
-// totalsEach is how often the work of all gateways is added up.
-const totalsEach = 50 * time.Millisecond
+// usageTotalsInterval is how often the work of all gateways is added up.
+const usageTotalsInterval = 50 * time.Millisecond
 
-// usageSum returns the work of all gateways that asked lately.
-func (r *Replica) usageSum(now time.Duration) *usageTotals {
+// currentUsage returns the work of all gateways that asked lately.
+func (r *Replica) currentUsage(now time.Duration) *usageTotals {
 	sum := &r.leader.totals
-	if sum.running != nil && now < sum.at+totalsEach {
+	if sum.running != nil && now < sum.at+usageTotalsInterval {
 		return sum
 	}
 	*sum = usageTotals{at: now, running: map[string]int{}}
 	for _, report := range r.leader.usage {
-		if now-report.at > usageCounts {
+		if now-report.receivedAt > usageTTL {
 			continue
 		}
 		for id, running := range report.running {
@@ -290,8 +290,8 @@
 	return sum
 }
 
-// closeWatchers answers every held question when the leadership ends.
-func (r *Replica) closeWatchers(lead *leaderState) {
+// closeWatches answers every held question when the leadership ends.
+func (r *Replica) closeWatches(lead *leaderState) {
 	for _, held := range lead.watchers {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -80,7 +80,7 @@
 // search looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
 // patience for one answer on reading several of them.
 func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
-	question.Brief = true
+	question.ProbeOnly = true
 	if !g.group.AnsweredWithin(electionPatience) {
 		question.Hold = 0 // to learn soon whether there is anybody
 	}
@@ -90,7 +90,7 @@
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.nearby.update(response.Watch.Near)
+	g.nearby.update(response.Watch.NearbyReplicas)
 	g.group.SetAddresses(response.Watch.Replicas)
 	return true
 }
@@ -124,7 +124,7 @@
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
 		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
-			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
+			zap.Bool("whole", reply.Roster.Full), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Removed)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
 		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
@@ -133,10 +133,10 @@
 	g.watchStartDeadlines()
 	g.leases.RecordContact(asked, reply.Gateways)
 	g.gatewayCount.Store(int64(reply.Gateways))
-	g.nearby.update(reply.Near)
+	g.nearby.update(reply.NearbyReplicas)
 	g.peers.setMesh(reply.Mesh)
 	g.schedulers.use(reply.Mesh.Schedulers)
-	g.table.setAssigned(reply.Reads)
+	g.table.setAssigned(reply.CacheEventSources)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
 		g.confirmedAt.Store(int64(asked))
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -20,15 +20,15 @@
 }
 
 // takeRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
-func (t *table) takeRoster(now time.Duration, news *control.RosterNews, cacheLimits map[string]int) []rosterChange {
+func (t *table) takeRoster(now time.Duration, news *control.RosterUpdate, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
 	fresh := map[string]*endpoint{}
-	if !news.Whole {
+	if !news.Full {
 		maps.Copy(fresh, t.rows)
 	}
-	for _, id := range news.Gone {
+	for _, id := range news.Removed {
 		delete(fresh, id)
 	}
 	for _, entry := range news.Entries {
