--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -104,7 +104,7 @@
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
+	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.weightsPublications(now), Unlisted: unlisted}
 	if question.Roster != answer.Version {
 		answer.Roster = r.rosterUpdate(now, question.Roster)
 	}
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -56,8 +56,8 @@
 	r.namedVersions = refreshed
 }
 
-// wantedVersions returns the recently published versions with their ages.
-func (r *Replica) wantedVersions(now time.Duration) []WeightsPublication {
+// weightsPublications returns the recently published versions with their ages.
+func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
 	var wanted []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, published := range r.namedVersions[model] {
@@ -72,7 +72,7 @@
 
 // recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
-	wanted := r.wantedVersions(now)
+	wanted := r.weightsPublications(now)
 	slices.SortStableFunc(wanted, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
 	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -197,7 +197,7 @@
 
 func (r *Replica) watchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.localWatchReply(&watch)
-	reply.Version, reply.Publications = r.leader.rosterVersion(), r.wantedVersions(now)
+	reply.Version, reply.Publications = r.leader.rosterVersion(), r.weightsPublications(now)
 	if watch.Roster != reply.Version && !watch.ProbeOnly {
 		reply.Roster = r.rosterUpdate(now, watch.Roster)
 	}
