--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -58,13 +58,13 @@
 
 // weightsPublications returns the recently published versions with their ages.
 func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
-	var wanted []WeightsPublication
+	var publications []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, published := range r.namedVersions[model] {
-			wanted = append(wanted, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
+			publications = append(publications, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
-	return wanted
+	return publications
 }
 
 // maxLoggedPublications bounds the number of versions in a new leader's log line.
