--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -72,10 +72,10 @@
 
 // recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
-	wanted := r.weightsPublications(now)
-	slices.SortStableFunc(wanted, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
+	publications := r.weightsPublications(now)
+	slices.SortStableFunc(publications, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
-	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
+	for _, w := range publications[:min(len(publications), maxLoggedPublications)] {
 		lines = append(lines, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
 	}
 	return lines
