--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -75,8 +75,8 @@
 	publications := r.weightsPublications(now)
 	slices.SortStableFunc(publications, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
-	for _, w := range publications[:min(len(publications), maxLoggedPublications)] {
-		lines = append(lines, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
+	for _, p := range publications[:min(len(publications), maxLoggedPublications)] {
+		lines = append(lines, fmt.Sprintf("%s/%d %v", p.Model, p.Version, p.Age.Round(time.Millisecond)))
 	}
 	return lines
 }
