--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -98,9 +98,9 @@
 		other.replica.Tick(other.now, testWallStart+(other.wallOffset+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
 		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-		wanted := other.replica.weightsPublications(other.now)
-		if len(wanted) != 1 || wanted[0].Age < 4*time.Second-100*time.Millisecond || wanted[0].Age > 4*time.Second+100*time.Millisecond {
-			t.Fatalf("wanted versions %+v, want one of age 4s", wanted)
+		publications := other.replica.weightsPublications(other.now)
+		if len(publications) != 1 || publications[0].Age < 4*time.Second-100*time.Millisecond || publications[0].Age > 4*time.Second+100*time.Millisecond {
+			t.Fatalf("wanted versions %+v, want one of age 4s", publications)
 		}
 	})
 	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
