--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -56,7 +56,7 @@
 	r.namedVersions = refreshed
 }
 
-// weightsPublications returns the recently published versions with their ages.
+// weightsPublications returns the recently published weights versions with their ages.
 func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
 	var publications []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
@@ -70,7 +70,7 @@
 // maxLoggedPublications bounds the number of versions in a new leader's log line.
 const maxLoggedPublications = 8
 
-// recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
+// recentPublications formats the latest published versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
 	publications := r.weightsPublications(now)
 	slices.SortStableFunc(publications, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -100,7 +100,7 @@
 		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
 		publications := other.replica.weightsPublications(other.now)
 		if len(publications) != 1 || publications[0].Age < 4*time.Second-100*time.Millisecond || publications[0].Age > 4*time.Second+100*time.Millisecond {
-			t.Fatalf("wanted versions %+v, want one of age 4s", publications)
+			t.Fatalf("publications %+v, want one of age 4s", publications)
 		}
 	})
 	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
