--- a/internal/control/inuse/inuse.go
+++ b/internal/control/inuse/inuse.go
@@ -1,9 +1,9 @@
-// Package inuse decides which back ends of a service are in use, so that what gateways know, read and connect to follows the work and not
-// the size of the fleet. It has no I/O, lock or clock.
+// Package inuse selects the back ends of a service that gateways use, so that what gateways know, read and connect to grows with the load
+// and not with the size of the fleet. It has no I/O, locks or clock.
 //
-// Each back end has a weight that follows from its address, and a service uses those of up to a bound. Who is in use then follows from the
-// bound alone: every leader names the same ones, a new life at an address takes the place of the one before, and few change with
-// the bound. The bound moves when too few, or clearly too many, of the back ends under it can work.
+// Each back end has a weight, which is a hash of its address. A service uses the back ends whose weight is at most a bound. The set in use
+// thus follows from the bound alone: every leader selects the same back ends, a new incarnation at an address replaces the previous one,
+// and a change of the bound changes few members. The bound moves when too few, or clearly too many, of the back ends in use are reachable.
 package inuse
 
 import (
@@ -15,41 +15,41 @@
 )
 
 const (
-	// Unbounded is the bound under which every back end lies.
+	// Unbounded is the bound that includes every back end.
 	Unbounded = uint64(math.MaxUint64)
-	// MinBackends is how many back ends of a service are used at the least. The knowledge of so many costs a gateway some 2 MB, and they hold
-	// several copies of the shared prompts of a large fleet.
+	// MinBackends is the minimum number of back ends in use per service. State for that many takes about 2 MB in a gateway, and they
+	// hold several copies of the shared prompts of a large fleet.
 	MinBackends = 512
-	// backendsPerRequest is how many back ends are used for each request that runs: at the most every second one is then at work when nothing
-	// fails, so that half of them may go before requests wait for each other.
+	// backendsPerRequest is the number of back ends used per running request. With 2, half of the back ends may fail before requests
+	// have to share one.
 	backendsPerRequest = 2
-	// slackDivisor is the inverse of the share by which more than wanted may be able to work before the bound falls.
+	// slackDivisor is the inverse of the fraction by which the reachable back ends may exceed the target before the bound is lowered.
 	slackDivisor = 8
-	// growthDivisor is the inverse of the share that is taken beyond what is wanted now, so that the bound moves seldom while work grows.
+	// growthDivisor is the inverse of the fraction added when the target grows, so that the bound seldom moves while load rises.
 	growthDivisor = 4
-	// peakWindow is how long the most work seen counts at the least, and at most twice that: longer than a restart of all, during which
-	// nothing runs.
+	// peakWindow is the minimum time for which a load peak counts; it counts for at most twice that. It exceeds the time that a restart
+	// of the whole fleet takes, during which nothing runs.
 	peakWindow = 30 * time.Second
 )
 
 // HashWeight returns the weight of the back end at an address.
 func HashWeight(address string) uint64 { return xxhash.Sum64String(address) }
 
-// Size is how many back ends of a service are wanted. Its zero value is the least.
+// Size tracks the target number of back ends in use for a service. The zero value is ready to use.
 type Size struct {
 	target       int
-	peak         int // most requests that ran together since began
-	previousPeak int // the same, in the time before
+	peak         int // most concurrent requests since windowStart
+	previousPeak int // most concurrent requests in the window before
 	windowStart  time.Duration
 }
 
-// Update takes how many requests of the service run now, and how many back ends that are able to work are in use, and returns how many of
-// these are wanted. What is in use at first, as a former leader left it, counts as work seen: this leader has heard of none yet. Where nobody
-// has decided yet it is 0.
+// Update records the number of running requests of the service and returns the target number of back ends in use. On the first call the
+// target is derived from inUse, the number of reachable back ends in use under the previous leader or 0 if there was none, since a new
+// leader has no load reports yet.
 func (s *Size) Update(now time.Duration, running, inUse int) int {
 	if s.target == 0 {
-		wanted := inUse - inUse/(2*slackDivisor+1) // the bound was put a little beyond
-		s.target, s.previousPeak, s.windowStart = max(MinBackends, wanted), wanted/backendsPerRequest, now
+		target := inUse - inUse/(2*slackDivisor+1) // MaxHashWeight puts the bound slightly above the target
+		s.target, s.previousPeak, s.windowStart = max(MinBackends, target), target/backendsPerRequest, now
 	}
 	if now >= s.windowStart+peakWindow {
 		s.previousPeak, s.peak, s.windowStart = s.peak, 0, now
@@ -65,27 +65,27 @@
 	return s.target
 }
 
-// MaxHashWeight returns the bound that follows from the one in force, the weights of all back ends that are able to work, how many there are
-// besides that don't leave, and how many are wanted. It orders weights, and reorders the given ones.
+// MaxHashWeight returns the new bound, given the current one, the weights of the reachable back ends, the number of unreachable back ends
+// and the target. It sorts reachable in place.
 //
-// While more are unable than able, the bound stays: that many at once fall silent where control doesn't hear, and to tell every gateway
-// of the whole fleet would add to what went wrong.
-func MaxHashWeight(inForce uint64, able []uint64, unable, wanted int) uint64 {
-	if unable > len(able) {
-		return inForce
+// The bound is kept while more back ends are unreachable than reachable: so many silent at once point to a fault between them and the
+// control plane, and sending the rest of the fleet to every gateway would add load to it.
+func MaxHashWeight(current uint64, reachable []uint64, unreachable, target int) uint64 {
+	if unreachable > len(reachable) {
+		return current
 	}
-	if len(able) <= wanted || len(able) <= wanted+wanted/slackDivisor && inForce == Unbounded {
+	if len(reachable) <= target || len(reachable) <= target+target/slackDivisor && current == Unbounded {
 		return Unbounded
 	}
-	under := 0
-	for _, weight := range able {
-		if weight <= inForce {
-			under++
+	inUse := 0
+	for _, weight := range reachable {
+		if weight <= current {
+			inUse++
 		}
 	}
-	if under >= wanted && under <= wanted+wanted/slackDivisor {
-		return inForce
+	if inUse >= target && inUse <= target+target/slackDivisor {
+		return current
 	}
-	slices.Sort(able)
-	return able[min(len(able), wanted+wanted/slackDivisor/2)-1] // the middle, so that it rests there
+	slices.Sort(reachable)
+	return reachable[min(len(reachable), target+target/slackDivisor/2)-1] // the middle of the tolerated range, so that the bound is stable
 }
