--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -1,21 +1,23 @@
-// Package mesh lays gateways out: which of them place requests, whom each tells of sends, and who reads which engine's cache events. It has
-// no I/O, lock or clock.
+// Package mesh computes the layout of the gateways: which of them are schedulers that place requests, which peers each announces dispatched
+// requests to, and which scheduler reads the cache events of each engine. It has no I/O, locks or clock.
 package mesh
 
 import "slices"
 
-// Mesh is whom one gateway tells of sends, so that each send reaches every scheduler in a few steps and passes between two
-// zones once. Schedulers are the gateways that place requests: all of a small fleet, a few of each zone of a large one,
-// which place for the others as well. The schedulers of a zone form a grid: a send goes along the row of the one that made
-// it, and from there down the columns. One scheduler of each other zone gets it too and spreads it there.
+// Mesh lists the peers of a gateway. Announcements of dispatched requests travel over it, so that each reaches every scheduler in a few
+// hops and crosses between two zones once.
+//
+// Schedulers are the gateways that place requests: all gateways of a small fleet, or a few per zone of a large one, which also place
+// requests for the others. The schedulers of a zone form a grid. An announcement goes along the row of its origin and from there down the
+// columns. One scheduler of every other zone receives it too and forwards it there.
 type Mesh struct {
-	Row        []string `json:"row,omitempty"`        // addresses in the own row: they pass what they are told to their columns
-	Column     []string `json:"column,omitempty"`     // addresses in the own column: they keep what they are told
-	OtherZones []string `json:"abroad,omitempty"`     // one address in each other zone: it tells its row and column
-	Schedulers []string `json:"schedulers,omitempty"` // addresses to ask for a placement; empty at a scheduler
+	Row        []string `json:"row,omitempty"`        // addresses of the peers in the same row; they forward announcements to their columns
+	Column     []string `json:"column,omitempty"`     // addresses of the peers in the same column; they forward nothing
+	OtherZones []string `json:"abroad,omitempty"`     // one address per other zone; that peer forwards to its row and column
+	Schedulers []string `json:"schedulers,omitempty"` // addresses for placement requests; empty for a scheduler
 }
 
-// Peer is where a gateway is reached by others.
+// Peer is a gateway's name and its address for other gateways.
 type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -23,37 +25,37 @@
 
 // Zone is the layout of one zone.
 type Zone struct {
-	Schedulers  []Peer   `json:"schedulers,omitempty"` // rising by name
-	Serving     []string `json:"asked,omitempty"`      // addresses of those that others ask for placements
+	Schedulers  []Peer   `json:"schedulers,omitempty"` // in ascending order of name
+	Serving     []string `json:"asked,omitempty"`      // addresses of the schedulers that accept placement requests
 	AllSchedule bool     `json:"all,omitempty"`        // every gateway is a scheduler
 }
 
-// Layout is how all gateways are laid out. It never changes once it was told.
+// Layout is the layout of all gateways. It is immutable once published.
 type Layout struct {
 	Zones map[string]Zone `json:"zones,omitempty"`
 }
 
-// MeshOf returns the mesh of a gateway. It is empty until a gateway that is to schedule has been laid out.
+// MeshOf returns the mesh of a gateway. It is empty if the gateway is not part of the layout yet and all gateways of its zone are
+// schedulers.
 func (l *Layout) MeshOf(zone, name string) Mesh {
-	own := l.Zones[zone]
-	at, schedules := own.schedulerIndex(name)
+	zoneLayout := l.Zones[zone]
+	index, schedules := zoneLayout.schedulerIndex(name)
 	switch {
-	case !schedules && own.AllSchedule:
+	case !schedules && zoneLayout.AllSchedule:
 		return Mesh{}
 	case !schedules:
-		return Mesh{Schedulers: own.Serving}
+		return Mesh{Schedulers: zoneLayout.Serving}
 	}
-	row, column := gridPeers(len(own.Schedulers), at)
-	made := Mesh{Row: own.addresses(row), Column: own.addresses(column)}
+	row, column := gridPeers(len(zoneLayout.Schedulers), index)
+	mesh := Mesh{Row: zoneLayout.addresses(row), Column: zoneLayout.addresses(column)}
 	for _, other := range l.sortedZones() {
 		if members := l.Zones[other].Schedulers; other != zone && len(members) > 0 {
-			made.OtherZones = append(made.OtherZones, members[at%len(members)].Address)
+			mesh.OtherZones = append(mesh.OtherZones, members[index%len(members)].Address)
 		}
 	}
-	return made
+	return mesh
 }
 
-// sortedZones returns the names of the sortedZones, rising.
 func (l *Layout) sortedZones() []string {
 	names := make([]string, 0, len(l.Zones))
 	for name := range l.Zones {
@@ -63,26 +65,26 @@
 	return names
 }
 
-// schedulerIndex returns the place of a gateway among the schedulers.
+// schedulerIndex returns the index of a gateway among the schedulers.
 func (z Zone) schedulerIndex(name string) (int, bool) {
-	at := slices.IndexFunc(z.Schedulers, func(p Peer) bool { return p.Name == name })
-	return at, at >= 0
+	index := slices.IndexFunc(z.Schedulers, func(p Peer) bool { return p.Name == name })
+	return index, index >= 0
 }
 
-func (z Zone) addresses(places []int) []string {
-	var found []string
-	for _, at := range places {
-		found = append(found, z.Schedulers[at].Address)
+func (z Zone) addresses(indexes []int) []string {
+	var addresses []string
+	for _, index := range indexes {
+		addresses = append(addresses, z.Schedulers[index].Address)
 	}
-	return found
+	return addresses
 }
 
-// maxFullMesh is the size up to which everybody tells everybody.
+// maxFullMesh is the number of schedulers up to which each one sends to all others directly.
 const maxFullMesh = 9
 
-// gridPeers returns the row and the column of one of so many places in a grid as wide as high. A place in a short last
-// row stands for the columns that the row lacks, so that row and columns together reach every place.
-func gridPeers(size, at int) (row, column []int) {
+// gridPeers returns the row and the column of the scheduler at index in a square grid of size cells. A cell of a short last row also
+// takes the columns that the row lacks, so that row and columns together reach every cell.
+func gridPeers(size, index int) (row, column []int) {
 	width := 1
 	for width*width < size {
 		width++
@@ -90,15 +92,15 @@
 	if size <= maxFullMesh {
 		width = size
 	}
-	first := at / width * width
-	length := min(width, size-first)
-	for place := range size {
+	rowStart := index / width * width
+	rowLength := min(width, size-rowStart)
+	for cell := range size {
 		switch {
-		case place == at:
-		case place >= first && place < first+length:
-			row = append(row, place)
-		case place%width%length == at-first:
-			column = append(column, place)
+		case cell == index:
+		case cell >= rowStart && cell < rowStart+rowLength:
+			row = append(row, cell)
+		case cell%width%rowLength == index-rowStart:
+			column = append(column, cell)
 		}
 	}
 	return row, column
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// targetSchedulers is how many gateways of a large fleet place requests, and schedulersLeast how many of each zone. Each
-	// hears of every send, so the work of all grows with their number, while each of so few sees enough requests to know
-	// the engines well (design/015).
+	// targetSchedulers is the number of schedulers in a large fleet, minSchedulersPerZone the minimum in each zone. Every scheduler
+	// receives every announcement, so total work grows with their number; with few schedulers, each sees enough requests to estimate
+	// the state of the engines well.
 	targetSchedulers     = 12
 	minSchedulersPerZone = 2
-	// schedulerWarmUp is how long a new scheduler only hears of sends, while its zone has others, before it is asked.
+	// schedulerWarmUp is how long a new scheduler only receives announcements before it accepts placement requests, if its zone has others.
 	schedulerWarmUp = 1500 * time.Millisecond
 )
 
-// Gateway is one that asked lately and can be reached by others.
+// Gateway is a gateway that was seen recently and that other gateways can reach.
 type Gateway struct {
 	Peer
 	Zone string
 }
 
-// Planner lays gateways out, again and again. Its zero value has laid nobody out.
+// Planner computes layouts. The zero value has an empty layout.
 type Planner struct {
-	// AllSchedule is set where the choice of a few is switched off.
+	// AllSchedule makes every gateway a scheduler.
 	AllSchedule bool
 
 	layout         Layout
-	count          uint64                   // of layouts that differed from the one before
-	schedulerSince map[string]time.Duration // by scheduler: when it became one
+	count          uint64                   // of changes of layout
+	schedulerSince map[string]time.Duration // when each scheduler became one, by name
 }
 
-// Layout returns the newest layout and its count, which rises with each that differs.
+// Layout returns the newest layout and a count that increases whenever the layout changes.
 func (p *Planner) Layout() (*Layout, uint64) { return &p.layout, p.count }
 
-// Plan lays the gateways out.
+// Plan computes the layout of the given gateways.
 func (p *Planner) Plan(now time.Duration, gateways []Gateway) {
 	zones := map[string][]Peer{}
 	for _, g := range gateways {
 		zones[g.Zone] = append(zones[g.Zone], g.Peer)
 	}
-	before := p.schedulerSince
+	previous := p.schedulerSince
 	p.schedulerSince = map[string]time.Duration{}
 	next := Layout{Zones: make(map[string]Zone, len(zones))}
-	for name, places := range zones {
-		chosen, all := p.chooseSchedulers(places, len(zones))
-		for _, place := range chosen {
-			since, stays := before[place.Name]
+	for name, peers := range zones {
+		schedulers, all := p.chooseSchedulers(peers, len(zones))
+		for _, peer := range schedulers {
+			since, stays := previous[peer.Name]
 			if !stays {
 				since = now
 			}
-			p.schedulerSince[place.Name] = since
+			p.schedulerSince[peer.Name] = since
 		}
-		next.Zones[name] = Zone{Schedulers: chosen, Serving: p.serving(now, chosen), AllSchedule: all}
+		next.Zones[name] = Zone{Schedulers: schedulers, Serving: p.serving(now, schedulers), AllSchedule: all}
 	}
 	if p.count == 0 || !reflect.DeepEqual(next, p.layout) {
 		p.layout = next
@@ -64,25 +64,25 @@
 	}
 }
 
-// chooseSchedulers returns the gateways of a zone that place requests, rising by name: those of the highest random weights, so that few
-// change when gateways come and go.
-func (p *Planner) chooseSchedulers(places []Peer, zones int) (chosen []Peer, all bool) {
+// chooseSchedulers returns the schedulers of a zone in ascending order of name. It selects the gateways with the highest hash weights, so
+// that few schedulers change when gateways come and go.
+func (p *Planner) chooseSchedulers(peers []Peer, zones int) (schedulers []Peer, all bool) {
 	count := max(minSchedulersPerZone, (targetSchedulers+zones-1)/zones)
-	all = len(places) <= count || p.AllSchedule
+	all = len(peers) <= count || p.AllSchedule
 	if !all {
-		weights := make(map[string]uint64, len(places))
-		for _, place := range places {
-			weights[place.Name] = xxhash.Sum64String(place.Name)
+		weights := make(map[string]uint64, len(peers))
+		for _, peer := range peers {
+			weights[peer.Name] = xxhash.Sum64String(peer.Name)
 		}
-		slices.SortFunc(places, func(a, b Peer) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
-		places = places[:count]
+		slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(weights[b.Name], weights[a.Name]) })
+		peers = peers[:count]
 	}
-	chosen = slices.Clone(places)
-	slices.SortFunc(chosen, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
-	return chosen, all
+	schedulers = slices.Clone(peers)
+	slices.SortFunc(schedulers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
+	return schedulers, all
 }
 
-// serving returns the schedulers that others may ask: all but those that became one a moment ago, unless all did.
+// serving returns the addresses of the schedulers that have warmed up, or of all schedulers if none has.
 func (p *Planner) serving(now time.Duration, schedulers []Peer) []string {
 	var warm, all []string
 	for _, s := range schedulers {
@@ -97,36 +97,36 @@
 	return warm
 }
 
-// Engine is an engine whose cache events are to be read.
+// Engine is an engine that publishes cache events.
 type Engine struct{ ID, Zone string }
 
-// CacheEventSources gives each engine a scheduler that reads its cache events: the one of the highest random weight in the engine's
-// zone, or anywhere if that zone has none, so that few change when gateways come and go. Engines rise by id, and so do those of
-// each reader.
+// CacheEventSources assigns each engine to one scheduler that reads its cache events, and returns the IDs of the engines by scheduler.
+// It uses rendezvous hashing over the schedulers of the engine's zone, or over all schedulers if the zone has none, so that few
+// assignments change when gateways come and go. The IDs of each scheduler keep the order of engines.
 func (l *Layout) CacheEventSources(engines []Engine) map[string][]string {
-	reads := map[string][]string{}
-	var everywhere []Peer
+	sources := map[string][]string{}
+	var allSchedulers []Peer
 	for _, zone := range l.sortedZones() {
-		everywhere = append(everywhere, l.Zones[zone].Schedulers...)
+		allSchedulers = append(allSchedulers, l.Zones[zone].Schedulers...)
 	}
 	for _, e := range engines {
-		near := l.Zones[e.Zone].Schedulers
-		if len(near) == 0 {
-			near = everywhere
+		candidates := l.Zones[e.Zone].Schedulers
+		if len(candidates) == 0 {
+			candidates = allSchedulers
 		}
-		if reader := rendezvousHash(e.ID, near); reader != "" {
-			reads[reader] = append(reads[reader], e.ID)
+		if reader := rendezvousHash(e.ID, candidates); reader != "" {
+			sources[reader] = append(sources[reader], e.ID)
 		}
 	}
-	return reads
+	return sources
 }
 
-// rendezvousHash returns the name of the highest random weight for a key (rendezvous hashing), or "" of none.
-func rendezvousHash(key string, places []Peer) string {
+// rendezvousHash returns the name of the peer with the highest hash weight for a key, or "" if there are no peers.
+func rendezvousHash(key string, peers []Peer) string {
 	best, highest := "", uint64(0)
-	for _, place := range places {
-		if weight := xxhash.Sum64String(key + "/" + place.Name); best == "" || weight > highest {
-			best, highest = place.Name, weight
+	for _, peer := range peers {
+		if weight := xxhash.Sum64String(key + "/" + peer.Name); best == "" || weight > highest {
+			best, highest = peer.Name, weight
 		}
 	}
 	return best
