--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is what control tells gateways of back ends: entries, what changed from one roster to the next, and the versions that
-// tell rosters apart. It has no I/O, lock or clock.
+// Package roster holds what the control plane sends to gateways about back ends: roster entries, updates from one roster to the next, and
+// roster versions. It has no I/O, locks or clock.
 package roster
 
 import (
@@ -12,77 +12,78 @@
 	"kitetiller/internal/payload"
 )
 
-// Version tells rosters apart. Versions of one term are ordered by their count; each leader counts anew.
+// Version identifies a roster. Versions of one term are ordered by count. Every leader starts a new count.
 type Version struct {
 	Term  uint64 `json:"term"`
 	Count uint64 `json:"count"`
 }
 
-// Entry is a back end as gateways see it.
+// Entry is the state of a back end as sent to gateways.
 type Entry struct {
 	catalog.Instance
-	Versions map[string]uint64 `json:"versions,omitempty"` // weights by model
-	Loading  bool              `json:"loading,omitempty"`  // weights are being replaced: nothing new may be sent
-	Silent   bool              `json:"silent,omitempty"`   // no heartbeat came for a while
+	Versions map[string]uint64 `json:"versions,omitempty"` // weights versions by model
+	Loading  bool              `json:"loading,omitempty"`  // weights are being replaced; no new requests may be sent to it
+	Silent   bool              `json:"silent,omitempty"`   // heartbeats have stopped
 	ColdLeft time.Duration     `json:"cold_left_ns,omitempty"`
 }
 
-// Publication is a weights version of a model that was named lately. A list of them rises by version; each one has its own
-// time, since a back end that lacks several is late by the oldest of them.
+// Publication is a recently published weights version of a model. Lists of publications are in ascending order of version. Each has its own
+// age, since a back end that lacks several is outdated since the oldest of them.
 type Publication struct {
 	Model   string        `json:"model"`
 	Version uint64        `json:"version"`
-	Age     time.Duration `json:"age_ns"` // since it was named, as far as whoever tells it knows
+	Age     time.Duration `json:"age_ns"` // since publication, as far as the sender knows
 }
 
-// equivalent compares what gateways decide by. The time that a back end is still cold passes by itself.
+// equivalent reports whether two entries lead to the same decisions in gateways. ColdLeft counts only as zero or non-zero, since gateways
+// count it down by themselves.
 func (e Entry) equivalent(other Entry) bool {
 	return e.Instance == other.Instance && e.Loading == other.Loading && e.Silent == other.Silent && maps.Equal(e.Versions, other.Versions) &&
 		(e.ColdLeft > 0) == (other.ColdLeft > 0)
 }
 
-// Update is what somebody lacks of the roster.
+// Update holds the changes from one roster to another.
 type Update struct {
-	Full    bool     `json:"whole,omitempty"`   // Entries are all there are; else those that are new or changed
-	Entries []Entry  `json:"entries,omitempty"` // rising by id
-	Removed []string `json:"gone,omitempty"`    // ids that are no longer in the roster, rising; empty with Whole
+	Full    bool     `json:"whole,omitempty"`   // Entries is the whole roster; otherwise it holds added and changed entries
+	Entries []Entry  `json:"entries,omitempty"` // in ascending order of ID
+	Removed []string `json:"gone,omitempty"`    // sorted IDs of removed entries; empty if Full is set
 
-	shared *payload.Shared // the same as JSON, where many are told it; or nil
+	shared *payload.Shared // the update encoded as JSON for many recipients, or nil
 }
 
-// MarshalJSON encodes the news, once for all who lack the same.
-func (n *Update) MarshalJSON() ([]byte, error) {
-	if n.shared != nil {
-		return n.shared.MarshalJSON()
+// MarshalJSON returns the shared encoding if there is one.
+func (u *Update) MarshalJSON() ([]byte, error) {
+	if u.shared != nil {
+		return u.shared.MarshalJSON()
 	}
 	type plain Update
-	return json.Marshal((*plain)(n))
+	return json.Marshal((*plain)(u))
 }
 
-// Shared returns the news as JSON that many messages share, or nil where they aren't told to many.
-func (n *Update) Shared() *payload.Shared { return n.shared }
+// Shared returns the encoding that many messages share, or nil.
+func (u *Update) Shared() *payload.Shared { return u.shared }
 
-// encodeShared encodes the news for many.
-func (n *Update) encodeShared() *Update {
-	if shared, err := payload.NewShared(n); err == nil {
-		n.shared = shared // else whoever tells it meets the error
+// encodeShared stores the shared encoding.
+func (u *Update) encodeShared() *Update {
+	if shared, err := payload.NewShared(u); err == nil {
+		u.shared = shared // on failure, MarshalJSON reports the error
 	}
-	return n
+	return u
 }
 
-// Merge returns the roster that follows from the one that was held, rising by id.
-func (n *Update) Merge(held []Entry) []Entry {
-	if n.Full {
-		return n.Entries
+// Merge returns the roster that results from applying the update to held, in ascending order of ID.
+func (u *Update) Merge(held []Entry) []Entry {
+	if u.Full {
+		return u.Entries
 	}
 	merged := map[string]Entry{}
 	for _, e := range held {
 		merged[e.ID] = e
 	}
-	for _, id := range n.Removed {
+	for _, id := range u.Removed {
 		delete(merged, id)
 	}
-	for _, e := range n.Entries {
+	for _, e := range u.Entries {
 		merged[e.ID] = e
 	}
 	entries := make([]Entry, 0, len(merged))
@@ -93,13 +94,13 @@
 }
 
 const (
-	// publishIntervalPerGateway and longestTelling bound how often a changed roster is told: a telling takes who tells it this long for each gateway, so
-	// that many changes at once don't cost it more.
+	// publishIntervalPerGateway and maxPublishInterval limit how often a changed roster is published. The cost of publishing grows with
+	// the number of gateways, and so does the interval.
 	publishIntervalPerGateway = time.Millisecond
 	maxPublishInterval        = 250 * time.Millisecond
 )
 
-// PublishInterval returns the least time between two tellings to so many gateways.
+// PublishInterval returns the minimum interval between two publications of the roster to a number of gateways.
 func PublishInterval(gateways int) time.Duration {
 	return min(publishIntervalPerGateway*time.Duration(gateways), maxPublishInterval)
 }
