--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -13,12 +13,11 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestNewsLeadToTheWholeRoster: whatever rosters follow each other, and however long a gateway asks for nothing, the news that it gets make
-// its roster the newest one. So do those of a second log that is kept up with the news of the first, as a replica's is, also for gateways
-// that go from one to the other.
+// TestNewsLeadToTheWholeRoster: applying updates gives a gateway the newest roster, whatever changes it missed. The same holds for a second
+// log that follows the first through its updates, as in a follower, and for gateways that switch between the two.
 func TestNewsLeadToTheWholeRoster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var first, second Log
+		var leader, follower Log
 		entries := map[string]Entry{}
 		type gateway struct {
 			count uint64
@@ -26,11 +25,11 @@
 		}
 		gateways := make([]gateway, 3)
 		for count := uint64(1); count <= uint64(rapid.IntRange(1, 120).Draw(t, "rosters")); count++ {
-			changed, gone := map[string]Entry{}, map[string]bool{}
+			changed, removed := map[string]Entry{}, map[string]bool{}
 			for range rapid.IntRange(0, 12).Draw(t, "changes") {
 				id := fmt.Sprint("i-", rapid.IntRange(0, 60).Draw(t, "id"))
 				delete(changed, id)
-				if gone[id] = rapid.Bool().Draw(t, "gone"); gone[id] {
+				if removed[id] = rapid.Bool().Draw(t, "gone"); removed[id] {
 					delete(entries, id)
 					continue
 				}
@@ -40,32 +39,32 @@
 				}
 				changed[id] = entries[id]
 			}
-			maps.DeleteFunc(gone, func(_ string, is bool) bool { return !is })
-			first.Update(count, slices.Collect(maps.Values(changed)), slices.Collect(maps.Keys(gone)))
+			maps.DeleteFunc(removed, func(_ string, isRemoved bool) bool { return !isRemoved })
+			leader.Update(count, slices.Collect(maps.Values(changed)), slices.Collect(maps.Keys(removed)))
 			if rapid.Bool().Draw(t, "passed on") {
-				second.Apply(count, first.Since(second.Count()))
+				follower.Apply(count, leader.Since(follower.Count()))
 			}
-			asked := rapid.SampledFrom([]*Log{&first, &second}).Draw(t, "asked")
+			log := rapid.SampledFrom([]*Log{&leader, &follower}).Draw(t, "asked")
 			g := &gateways[rapid.IntRange(0, len(gateways)-1).Draw(t, "gateway")]
-			if asked.Count() < max(g.count, 1) {
-				continue // it waits until it has caught up
+			if log.Count() < max(g.count, 1) {
+				continue // the gateway waits until this log has caught up
 			}
-			g.held, g.count = asked.Since(g.count).Merge(g.held), asked.Count()
-			var wanted []Entry
-			for _, id := range slices.Sorted(maps.Keys(asked.entries)) {
-				wanted = append(wanted, asked.entries[id])
+			g.held, g.count = log.Since(g.count).Merge(g.held), log.Count()
+			var want []Entry
+			for _, id := range slices.Sorted(maps.Keys(log.entries)) {
+				want = append(want, log.entries[id])
 			}
-			if len(g.held)+len(wanted) > 0 && !reflect.DeepEqual(g.held, wanted) {
-				t.Fatalf("after roster %d a gateway holds %v, wanted %v", count, g.held, wanted)
+			if len(g.held)+len(want) > 0 && !reflect.DeepEqual(g.held, want) {
+				t.Fatalf("after roster %d the gateway holds %v, want %v", count, g.held, want)
 			}
-			if asked == &first && len(wanted) != len(entries) {
-				t.Fatalf("the log holds %d entries, wanted %d", len(wanted), len(entries))
+			if log == &leader && len(want) != len(entries) {
+				t.Fatalf("the log holds %d entries, want %d", len(want), len(entries))
 			}
 		}
 	})
 }
 
-// entriesOf returns so many entries.
+// entriesOf returns count entries.
 func entriesOf(count int) []Entry {
 	entries := make([]Entry, count)
 	for i := range entries {
@@ -74,23 +73,23 @@
 	return entries
 }
 
-// TestUpdateHoldsOnlyChanges: a gateway that lacks one change is told that one.
+// TestUpdateHoldsOnlyChanges: a gateway that lacks one change gets only that one.
 func TestUpdateHoldsOnlyChanges(t *testing.T) {
 	var l Log
 	l.Update(1, entriesOf(100), nil)
 	changed := entriesOf(100)[7]
 	changed.Loading = true
 	l.Update(2, []Entry{changed}, []string{"i-00099"})
-	news := l.Since(1)
-	if news.Full || len(news.Entries) != 1 || news.Entries[0].ID != "i-00007" || len(news.Removed) != 1 || news.Removed[0] != "i-00099" {
-		t.Fatalf("news %+v", news)
+	update := l.Since(1)
+	if update.Full || len(update.Entries) != 1 || update.Entries[0].ID != "i-00007" || len(update.Removed) != 1 || update.Removed[0] != "i-00099" {
+		t.Fatalf("update %+v", update)
 	}
-	if whole := l.Since(0); !whole.Full || len(whole.Entries) != 99 {
-		t.Fatalf("whole roster: %d entries", len(whole.Entries))
+	if full := l.Since(0); !full.Full || len(full.Entries) != 99 {
+		t.Fatalf("full update: %d entries", len(full.Entries))
 	}
 }
 
-// TestUpdateCostIsIndependentOfRosterSize: what it allocates to take one change up and to tell it doesn't grow with the roster.
+// TestUpdateCostIsIndependentOfRosterSize: the allocations for recording one change and computing its update do not grow with the roster.
 func TestUpdateCostIsIndependentOfRosterSize(t *testing.T) {
 	allocations := func(size int) float64 {
 		var l Log
@@ -102,8 +101,8 @@
 			count++
 			changed.Loading = !changed.Loading
 			l.Update(count, []Entry{changed}, nil)
-			if news := l.Since(count - 1); len(news.Entries) != 1 {
-				t.Fatalf("news %+v", news)
+			if update := l.Since(count - 1); len(update.Entries) != 1 {
+				t.Fatalf("update %+v", update)
 			}
 		})
 	}
@@ -112,28 +111,28 @@
 	}
 }
 
-// TestUpdateIsEncodedOnce: however many lack the same.
+// TestUpdateIsEncodedOnce: gateways that lack the same changes share one encoding.
 func TestUpdateIsEncodedOnce(t *testing.T) {
 	var l Log
 	l.Update(1, entriesOf(500), nil)
-	first := l.Since(0)
-	if again := l.Since(0); again != first {
-		t.Fatal("the same news were made twice")
+	update := l.Since(0)
+	if again := l.Since(0); again != update {
+		t.Fatal("the same update was computed twice")
 	}
 	if allocated := testing.AllocsPerRun(10, func() { _, _ = l.Since(0).MarshalJSON() }); allocated > 0 {
-		t.Fatalf("%v allocations for news that are encoded already", allocated)
+		t.Fatalf("%v allocations for an update that is already encoded", allocated)
 	}
-	encoded, err := json.Marshal(first)
-	var back Update
+	encoded, err := json.Marshal(update)
+	var decoded Update
 	if err == nil {
-		err = json.Unmarshal(encoded, &back)
+		err = json.Unmarshal(encoded, &decoded)
 	}
-	if err != nil || len(back.Entries) != 500 {
-		t.Fatalf("%d entries came back: %v", len(back.Entries), err)
+	if err != nil || len(decoded.Entries) != 500 {
+		t.Fatalf("decoded %d entries, want 500: %v", len(decoded.Entries), err)
 	}
 }
 
-// TestLogIsBounded: a roster in which everything changes again and again keeps no more than its newest changes.
+// TestLogIsBounded: the number of kept changes stays bounded while entries keep changing, coming and going.
 func TestLogIsBounded(t *testing.T) {
 	var l Log
 	entries := entriesOf(300)
@@ -143,7 +142,7 @@
 		}
 		l.Update(count, entries, nil)
 		if len(l.changes) > 2*(300+maxRemovedKept) {
-			t.Fatalf("%d changes are kept", len(l.changes))
+			t.Fatalf("%d changes kept, more than the bound", len(l.changes))
 		}
 	}
 	for i := range 2000 {
@@ -152,9 +151,9 @@
 		l.Update(uint64(101+2*i), nil, []string{id})
 	}
 	if len(l.changes) > 2*(300+maxRemovedKept) {
-		t.Fatalf("%d changes are kept", len(l.changes))
+		t.Fatalf("%d changes kept, more than the bound", len(l.changes))
 	}
 	if !l.Since(1).Full || l.Since(l.Count()-2).Full {
-		t.Fatal("who lacks too many removals is to get everything, who lacks few isn't")
+		t.Fatal("want a full update if too many removals are missing, and only then")
 	}
 }
