--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -5,9 +5,10 @@
 	"kitetiller/internal/control/roster"
 )
 
-// cacheEventReaders are which engines' cache events each gateway reads. They follow from layout and roster, so they are told to nobody else.
+// cacheEventReaders caches which engines' cache events each gateway reads. Every replica derives it from layout and roster, so it is never
+// sent between replicas.
 type cacheEventReaders struct {
-	stale            bool // layout or roster have changed since
+	stale            bool // layout or roster has changed since sourcesByGateway was computed
 	sourcesByGateway map[string][]string
 }
 
@@ -18,7 +19,8 @@
 	return r.sourcesByGateway[gateway]
 }
 
-// CacheEventSources returns which engines of a roster each gateway reads, by name. Back ends without weights keep no prompts.
+// CacheEventSources returns the IDs of the engines whose cache events each gateway reads, by gateway. Back ends without weights have no
+// prefix cache.
 func CacheEventSources(layout *mesh.Layout, log *roster.Log) map[string][]string {
 	var engines []mesh.Engine
 	for _, id := range log.IDs() {
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -1,12 +1,13 @@
-// Package relay is how a replica answers gateways for the leader. It has no I/O, lock or clock.
+// Package relay lets a follower answer the watches of gateways on behalf of the leader. It has no I/O, locks or clock.
 //
-// The leader alone can confirm a view, and there is one of it however many gateways ask. So a replica gathers the questions of the gateways
-// that ask it, has the leader confirm them all with one question, and tells each what it lacks from a copy of what the leader tells. What
-// the leader answers grows with the replicas.
+// Only the leader can confirm that a view is current. A follower collects the watches of its gateways, has the leader confirm all of them
+// with one request, and sends each gateway what it lacks from its own copy of the roster. The load of the leader thus grows with the number
+// of replicas and not of gateways.
 //
-// Invariants: a gateway is answered only after an answer of the leader to a question that named it and left after the gateway's own had
-// come, so that its view may count from when it asked; what it is told is at least as new as that answer; and the leader counts each
-// gateway that a question names as heard when that question arrives, which is later than the gateway asked.
+// Invariants: a watch is answered only after the leader replied to a request that names it. The follower sent that request after the watch
+// had arrived, so the gateway may count its view as current from when it sent the watch. The content of the answer is at least as new as
+// the leader's reply. The leader counts each gateway named in a request as seen when the request arrives, which is later than when the
+// gateway sent its watch.
 package relay
 
 import (
@@ -19,95 +20,96 @@
 )
 
 const (
-	// minRequestInterval is the least time between two questions to the leader, so that what it answers doesn't grow with the gateways. It is what a view
-	// may be confirmed later than by the leader itself.
+	// minRequestInterval is the minimum interval between two requests to the leader, so that the load of the leader does not grow with the
+	// number of gateways. It is also the delay that relaying may add to the confirmation of a view.
 	minRequestInterval = 40 * time.Millisecond
-	// idleRequestInterval is the pause between two questions while no gateway waits, to go on being known as a replica that answers.
+	// idleRequestInterval is the interval between two requests while no watch is pending. They keep the leader informed that this follower
+	// answers gateways.
 	idleRequestInterval = 200 * time.Millisecond
-	// RequestTimeout is how long an answer may take before the leader is asked again.
+	// RequestTimeout is how long a reply may take before the next request is sent.
 	RequestTimeout = 400 * time.Millisecond
-	// leaderGracePeriod is how long a gateway's question waits, beyond its own time, for the leader.
+	// leaderGracePeriod is how long beyond its due time a watch waits for confirmation by the leader.
 	leaderGracePeriod = 150 * time.Millisecond
-	// maxPendingWatches bounds the questions that wait.
+	// maxPendingWatches limits the number of pending watches.
 	maxPendingWatches = 4096
 )
 
-// Report is what a gateway's question tells of it.
+// Report is the state of a gateway as stated in its watch.
 type Report struct {
 	Gateway string         `json:"gateway"`
 	Zone    string         `json:"zone"`
-	Address string         `json:"address,omitempty"` // for other gateways
-	Roster  roster.Version `json:"held"`              // newest roster that it has taken up
-	Running map[string]int `json:"running,omitempty"` // its requests by instance
+	Address string         `json:"address,omitempty"` // for other gateways; may be empty
+	Roster  roster.Version `json:"held"`              // newest roster that the gateway uses
+	Running map[string]int `json:"running,omitempty"` // running requests by instance
 	Closing bool           `json:"closing,omitempty"`
 }
 
-// Request is what a replica asks the leader for the gateways that ask it.
+// Request asks the leader to confirm the views of the gateways that the reports are from.
 type Request struct {
-	Number  uint64         `json:"number"` // rises with each of a replica's life
-	Name    string         `json:"name"`   // of the replica
+	Number  uint64         `json:"number"` // incremented with each request of a process
+	Name    string         `json:"name"`   // of the follower
 	Zone    string         `json:"zone"`
-	Address string         `json:"address"` // that gateways are to ask it at
-	Roster  roster.Version `json:"roster"`  // that it holds
-	Layout  roster.Version `json:"layout"`  // the same
+	Address string         `json:"address"` // at which the follower answers gateways
+	Roster  roster.Version `json:"roster"`  // version that the follower holds
+	Layout  roster.Version `json:"layout"`  // version that the follower holds
 	Reports []Report       `json:"reports,omitempty"`
 }
 
-// Reply confirms that the leader held this state, with a valid lease, after the question had arrived.
+// Reply holds the state of the leader, which had a valid lease after the request arrived.
 type Reply struct {
-	Number       uint64               `json:"number"`  // of the question
-	Applied      uint64               `json:"applied"` // index of the log up to which the leader had applied it
+	Number       uint64               `json:"number"`  // of the request
+	Applied      uint64               `json:"applied"` // log index that the leader has applied
 	Version      roster.Version       `json:"version"`
-	Roster       *roster.Update       `json:"roster,omitempty"` // when it differs from the replica's
-	Layout       *Layout              `json:"layout,omitempty"` // the same
+	Roster       *roster.Update       `json:"roster,omitempty"` // set if it differs from the version that the follower holds
+	Layout       *Layout              `json:"layout,omitempty"` // set if it differs from the version that the follower holds
 	Publications []roster.Publication `json:"wanted,omitempty"`
 	Gateways     int                  `json:"gateways"`
-	Unlisted     []string             `json:"unlisted,omitempty"` // gateways that the question named and that aren't confirmed yet
+	Unlisted     []string             `json:"unlisted,omitempty"` // gateways in the request that are not in the log yet, so their views are not confirmed
 }
 
-// Layout is how gateways are laid out, and which replicas answer those of each zone.
+// Layout is the layout of the gateways and the followers that answer the gateways of each zone.
 type Layout struct {
 	Version        roster.Version      `json:"version"`
 	Mesh           *mesh.Layout        `json:"mesh"`
-	NearbyReplicas map[string][]string `json:"near,omitempty"` // addresses by zone, rising
+	NearbyReplicas map[string][]string `json:"near,omitempty"` // sorted addresses by zone
 }
 
-// PendingWatch is a gateway's question that isn't answered yet.
+// PendingWatch is a watch of a gateway that is not answered yet.
 type PendingWatch struct {
 	Client uint64
 	Report Report
-	Due    time.Duration // when it is answered although there are no news
-	Watch  any           // what else the question says; the caller's
+	Due    time.Duration // when it is answered even if nothing has changed
+	Watch  any           // the watch itself; opaque to this package
 
-	requestNumber uint64 // number of the question to the leader that names it; 0 when none on its way does
-	confirmed     bool   // the leader has confirmed it
-	minApplied    uint64 // index that must be applied here before it is answered
+	requestNumber uint64 // number of the latest request that names it, or 0
+	confirmed     bool   // the leader has confirmed the gateway's view
+	minApplied    uint64 // log index that must be applied here before it is answered
 }
 
-// Relay is a replica that doesn't lead.
+// Relay holds the pending watches of a follower and its copy of the leader's state.
 type Relay struct {
 	guards           guard.Set
 	roster           roster.Log
-	version          roster.Version
-	published        roster.Version // newest one that waiting questions are answered for
+	version          roster.Version // of roster
+	published        roster.Version // newest version for which pending watches are answered
 	publishedAt      time.Duration
 	layout           *Layout
 	publications     []roster.Publication
-	publicationsAsOf time.Duration // no later than the ages in wanted are of: when the question left
+	publicationsAsOf time.Duration // time from which the ages in publications are counted on: when the request was sent
 	gateways         int
-	pending          []PendingWatch // in the order in which they came; at most waitingMost
-	requestNumber    uint64         // of the newest question
-	inFlight         bool           // it has no answer yet
+	pending          []PendingWatch // in order of arrival; at most maxPendingWatches
+	requestNumber    uint64         // of the latest request
+	inFlight         bool           // the latest request has no reply yet
 	requestedAt      time.Duration
 	readers          cacheEventReaders
 }
 
-// New returns a relay that knows nothing yet.
+// New returns a relay without any state of the leader.
 func New(guards guard.Set) *Relay {
 	return &Relay{guards: guards, layout: &Layout{Mesh: &mesh.Layout{}}}
 }
 
-// Add takes a gateway's question, or returns false when too many wait.
+// Add adds a watch. It returns false if too many are pending.
 func (r *Relay) Add(w PendingWatch) bool {
 	if len(r.pending) >= maxPendingWatches {
 		return false
@@ -117,14 +119,14 @@
 	return true
 }
 
-// Drain returns all questions that wait and forgets them.
+// Drain removes and returns all pending watches.
 func (r *Relay) Drain() []PendingWatch {
-	dropped := r.pending
+	drained := r.pending
 	r.pending, r.inFlight = nil, false
-	return dropped
+	return drained
 }
 
-// NextRequestAt returns when Ask has something to do at the latest, if nothing comes.
+// NextRequestAt returns when the next request is due if no watch is added until then.
 func (r *Relay) NextRequestAt() time.Duration {
 	switch {
 	case r.inFlight:
@@ -139,68 +141,68 @@
 	return slices.ContainsFunc(r.pending, func(w PendingWatch) bool { return !w.confirmed })
 }
 
-// NextRequest returns the next question to the leader, if one is due. The caller adds who asks.
+// NextRequest returns the next request to the leader, if one is due. The caller fills in Name, Zone and Address.
 func (r *Relay) NextRequest(now time.Duration) (Request, bool) {
 	if r.requestNumber > 0 && now < r.NextRequestAt() {
 		return Request{}, false
 	}
 	r.requestNumber++
 	r.inFlight, r.requestedAt = true, now
-	question := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
+	request := Request{Number: r.requestNumber, Roster: r.version, Layout: r.layout.Version}
 	for i := range r.pending {
 		if w := &r.pending[i]; !w.confirmed {
 			w.requestNumber = r.requestNumber
-			question.Reports = append(question.Reports, w.Report)
+			request.Reports = append(request.Reports, w.Report)
 		}
 	}
-	return question, true
+	return request, true
 }
 
-// RecordFailure notes that a question got no answer, or none of a leader.
+// RecordFailure records that a request got no reply from a leader.
 func (r *Relay) RecordFailure(number uint64) {
 	if number == r.requestNumber {
 		r.inFlight = false
 	}
 }
 
-// Observe takes the leader's answer up.
-func (r *Relay) Observe(answer *Reply) {
-	if !r.inFlight || answer.Number != r.requestNumber || answer.Version.Term < r.version.Term {
-		return // of a question that was given up, or of a leader before
+// Observe applies a reply of the leader.
+func (r *Relay) Observe(reply *Reply) {
+	if !r.inFlight || reply.Number != r.requestNumber || reply.Version.Term < r.version.Term {
+		return // reply to an abandoned request, or from a previous leader
 	}
 	r.inFlight = false
-	if answer.Roster != nil {
-		r.roster.Apply(answer.Version.Count, answer.Roster)
+	if reply.Roster != nil {
+		r.roster.Apply(reply.Version.Count, reply.Roster)
 		r.readers.stale = true
 	}
-	r.version = answer.Version
-	if answer.Layout != nil {
-		r.layout, r.readers.stale = answer.Layout, true
+	r.version = reply.Version
+	if reply.Layout != nil {
+		r.layout, r.readers.stale = reply.Layout, true
 	}
-	r.publications, r.publicationsAsOf, r.gateways = answer.Publications, r.requestedAt, answer.Gateways
+	r.publications, r.publicationsAsOf, r.gateways = reply.Publications, r.requestedAt, reply.Gateways
 	for i := range r.pending {
 		w := &r.pending[i]
-		if w.requestNumber == r.requestNumber && !slices.Contains(answer.Unlisted, w.Report.Gateway) {
-			w.confirmed, w.minApplied = true, answer.Applied
+		if w.requestNumber == r.requestNumber && !slices.Contains(reply.Unlisted, w.Report.Gateway) {
+			w.confirmed, w.minApplied = true, reply.Applied
 		}
 	}
 }
 
-// Result is what becomes of a question that waits.
+// Result is the state of a pending watch.
 type Result uint8
 
 // Results.
 const (
 	Waiting Result = iota
-	Ready          // it is to be answered
-	Expired        // the leader confirmed nothing in its time
+	Ready          // to be answered
+	Expired        // the leader did not confirm it in time
 )
 
-// Resolve calls visit for each question that is to be answered, or that nobody confirmed, and forgets these. news says whether there
-// is something new for a confirmed one; applied is the index up to which this replica has applied the log.
-func (r *Relay) Resolve(now time.Duration, applied uint64, news func(PendingWatch) bool, visit func(PendingWatch, Result)) {
+// Resolve removes each watch that is ready or has expired and calls visit for it. changed reports whether there is something new for a
+// confirmed watch, and applied is the log index that this replica has applied.
+func (r *Relay) Resolve(now time.Duration, applied uint64, changed func(PendingWatch) bool, visit func(PendingWatch, Result)) {
 	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
-		result := r.resultOf(now, applied, w, news)
+		result := r.resultOf(now, applied, w, changed)
 		if result != Waiting {
 			visit(w, result)
 		}
@@ -208,31 +210,31 @@
 	})
 }
 
-func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, news func(PendingWatch) bool) Result {
-	covered := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
+func (r *Relay) resultOf(now time.Duration, applied uint64, w PendingWatch, changed func(PendingWatch) bool) Result {
+	confirmed := w.confirmed || !r.guards.On(guard.RelayConfirmed) && r.version.Term > 0
 	current := applied >= w.minApplied || !r.guards.On(guard.RelayApplied)
-	confirmed := covered && current && !r.isBehind(w.Report.Roster)
+	answerable := confirmed && current && !r.isBehind(w.Report.Roster)
 	switch {
-	case confirmed && (now >= w.Due || news(w)):
+	case answerable && (now >= w.Due || changed(w)):
 		return Ready
-	case !confirmed && now >= w.Due+leaderGracePeriod:
+	case !answerable && now >= w.Due+leaderGracePeriod:
 		return Expired
 	}
 	return Waiting
 }
 
-// isBehind reports whether somebody holds a newer roster than this replica.
+// isBehind reports whether a gateway holds a newer roster than this replica.
 func (r *Relay) isBehind(held roster.Version) bool {
 	return held.Term > r.version.Term || held.Term == r.version.Term && held.Count > r.version.Count
 }
 
-// Version returns the version of the roster that is told.
+// Version returns the version of the roster that gateways get.
 func (r *Relay) Version() roster.Version { return r.version }
 
-// Gateways returns how many gateways may trust their view.
+// Gateways returns the number of gateways that may trust their view.
 func (r *Relay) Gateways() int { return r.gateways }
 
-// PublishIfDue lets the newest roster be told if the last telling is long enough ago.
+// PublishIfDue marks the newest roster as published if the minimum interval has passed since the last publication.
 func (r *Relay) PublishIfDue(now time.Duration) {
 	if r.published == r.version || r.published.Term == r.version.Term && now < r.publishedAt+roster.PublishInterval(r.gateways) {
 		return
@@ -240,12 +242,12 @@
 	r.published, r.publishedAt = r.version, now
 }
 
-// HasRosterUpdate reports whether a question is to be answered for the roster's sake.
+// HasRosterUpdate reports whether the published roster is newer than the one held or from another term.
 func (r *Relay) HasRosterUpdate(held roster.Version) bool {
 	return held.Term != r.published.Term || held.Count < r.published.Count
 }
 
-// RosterUpdate returns what a gateway lacks of the roster, or nil.
+// RosterUpdate returns the update from the roster held by a gateway to the newest one, or nil if there is none.
 func (r *Relay) RosterUpdate(held roster.Version) *roster.Update {
 	switch {
 	case held == r.version:
@@ -256,19 +258,19 @@
 	return r.roster.Since(held.Count)
 }
 
-// Publications returns the weights that were named lately, as of now.
+// Publications returns the recently published weights versions with their ages at now.
 func (r *Relay) Publications(now time.Duration) []roster.Publication {
-	wanted := slices.Clone(r.publications)
-	for i := range wanted {
-		wanted[i].Age += now - r.publicationsAsOf
+	publications := slices.Clone(r.publications)
+	for i := range publications {
+		publications[i].Age += now - r.publicationsAsOf
 	}
-	return wanted
+	return publications
 }
 
-// Layout returns how gateways are laid out.
+// Layout returns the layout that the leader sent last.
 func (r *Relay) Layout() *Layout { return r.layout }
 
-// CacheEventSources returns the engines whose cache events a gateway reads, rising.
+// CacheEventSources returns the sorted IDs of the engines whose cache events a gateway reads.
 func (r *Relay) CacheEventSources(gateway string) []string {
 	return r.readers.sourcesOf(gateway, r.layout.Mesh, &r.roster)
 }
