--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -11,34 +11,34 @@
 	"kitetiller/internal/guard"
 )
 
-// nextRequest returns a question that must be due.
+// nextRequest returns the next request, which must be due.
 func nextRequest(t *testing.T, r *Relay, now time.Duration) Request {
 	t.Helper()
-	question, due := r.NextRequest(now)
+	request, due := r.NextRequest(now)
 	if !due {
-		t.Fatalf("no question at %v", now)
+		t.Fatalf("no request is due at %v", now)
 	}
-	return question
+	return request
 }
 
-// resolve returns the clients that are answered now, and those that nobody confirmed.
-func resolve(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
-	r.Resolve(now, applied, func(PendingWatch) bool { return news }, func(w PendingWatch, result Result) {
+// resolve returns the clients whose watches are answered at now, and those whose watches expire.
+func resolve(r *Relay, now time.Duration, applied uint64, changed bool) (answered, expired []uint64) {
+	r.Resolve(now, applied, func(PendingWatch) bool { return changed }, func(w PendingWatch, result Result) {
 		if result == Ready {
 			answered = append(answered, w.Client)
 		} else {
-			failed = append(failed, w.Client)
+			expired = append(expired, w.Client)
 		}
 	})
-	return answered, failed
+	return answered, expired
 }
 
 func pendingWatch(client uint64, due time.Duration, held roster.Version) PendingWatch {
 	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
-// TestOnlyConfirmedWatchesAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
-// leader doesn't list yet does too.
+// TestOnlyConfirmedWatchesAreAnswered: a watch that arrives after a request was sent waits for the next request, and so does the watch of a
+// gateway that the leader has not listed yet.
 func TestOnlyConfirmedWatchesAreAnswered(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
@@ -46,77 +46,77 @@
 	first := nextRequest(t, r, 0)
 	r.Add(pendingWatch(3, 0, roster.Version{}))
 	if answered, _ := resolve(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
-		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
+		t.Fatalf("request %+v; watches %v were answered before the leader's reply", first, answered)
 	}
 	r.Observe(&Reply{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
 	if answered, _ := resolve(r, time.Millisecond, 4, true); len(answered) > 0 {
-		t.Fatalf("%v were answered before this replica had applied what the leader had", answered)
+		t.Fatalf("watches %v were answered before this replica had applied the leader's log index", answered)
 	}
 	if answered, _ := resolve(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
-		t.Fatalf("%v were answered, wanted 1", answered)
+		t.Fatalf("watches %v were answered, want 1", answered)
 	}
-	if again := nextRequest(t, r, minRequestInterval); len(again.Reports) != 2 {
-		t.Fatalf("the next question names %+v", again.Reports)
+	if next := nextRequest(t, r, minRequestInterval); len(next.Reports) != 2 {
+		t.Fatalf("the next request has reports %+v, want 2", next.Reports)
 	}
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
 	if answered, _ := resolve(r, minRequestInterval, 5, true); len(answered) != 2 {
-		t.Fatalf("%v were answered, wanted 2 and 3", answered)
+		t.Fatalf("watches %v were answered, want 2 and 3", answered)
 	}
 }
 
-// TestRosterNeverGoesBack: a gateway that holds a newer roster waits until this replica has caught up; answers of a leader before, or to
-// a question that was given up, change nothing.
+// TestRosterNeverGoesBack: a gateway with a newer roster waits until this replica has caught up. Replies from a previous leader or to an
+// abandoned request are ignored.
 func TestRosterNeverGoesBack(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{Term: 2, Count: 9}))
 	nextRequest(t, r, 0)
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
 	if answered, _ := resolve(r, 0, 0, true); len(answered) > 0 {
-		t.Fatalf("%v were taken back to roster 8", answered)
+		t.Fatalf("watches %v were answered with the older roster 8", answered)
 	}
 	nextRequest(t, r, idleRequestInterval)
 	nextRequest(t, r, idleRequestInterval+RequestTimeout)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
-		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
+		t.Fatalf("roster %+v after a reply to an abandoned request", r.Version())
 	}
 	r.Observe(&Reply{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Full: true}})
 	if r.Version().Term != 2 {
-		t.Fatalf("an answer of a leader before made the roster %+v", r.Version())
+		t.Fatalf("roster %+v after a reply from a previous leader", r.Version())
 	}
 }
 
-// TestUnconfirmedWatchesExpire: while the leader is silent, shortly after their time.
+// TestUnconfirmedWatchesExpire: watches that the leader does not confirm expire a grace period after they are due.
 func TestUnconfirmedWatchesExpire(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 100*time.Millisecond, roster.Version{}))
 	nextRequest(t, r, 0)
 	r.RecordFailure(1)
-	if _, failed := resolve(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
-		t.Fatalf("%v ended in their time", failed)
+	if _, expired := resolve(r, 100*time.Millisecond, 0, false); len(expired) > 0 {
+		t.Fatalf("watches %v expired before the grace period", expired)
 	}
-	if _, failed := resolve(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(failed) != 1 {
-		t.Fatalf("%v ended", failed)
+	if _, expired := resolve(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(expired) != 1 {
+		t.Fatalf("watches %v expired, want 1", expired)
 	}
 }
 
-// TestPendingWatchesAreBounded: the rest is turned away at once.
+// TestPendingWatchesAreBounded: further watches are rejected.
 func TestPendingWatchesAreBounded(t *testing.T) {
 	r := New(guard.Set{})
 	for i := range maxPendingWatches {
 		if !r.Add(pendingWatch(uint64(i), 0, roster.Version{})) {
-			t.Fatalf("question %d was turned away", i)
+			t.Fatalf("watch %d was rejected", i)
 		}
 	}
 	if r.Add(pendingWatch(1, 0, roster.Version{})) {
-		t.Fatal("one more than may wait was taken")
+		t.Fatal("a watch beyond the limit was accepted")
 	}
 }
 
-// TestRequestRateIsIndependentOfGateways: in a second, by a replica whose gateways ask three times each; twice the gateways are the same
-// number of questions, and each gateway is named once for each of its own.
+// TestRequestRateIsIndependentOfGateways: a follower sends as many requests per second for twice the gateways, and names each gateway once
+// per watch.
 func TestRequestRateIsIndependentOfGateways(t *testing.T) {
-	asked := func(gateways int) (questions, reports int) {
+	relayOneSecond := func(gateways int) (requests, reports int) {
 		r := New(guard.Set{})
 		client := uint64(0)
 		for now := time.Duration(0); now < time.Second; now += time.Millisecond {
@@ -124,25 +124,25 @@
 				client++
 				r.Add(pendingWatch(client, now+400*time.Millisecond, roster.Version{}))
 			}
-			if question, due := r.NextRequest(now); due {
-				questions, reports = questions+1, reports+len(question.Reports)
-				r.Observe(&Reply{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
+			if request, due := r.NextRequest(now); due {
+				requests, reports = requests+1, reports+len(request.Reports)
+				r.Observe(&Reply{Number: request.Number, Version: roster.Version{Term: 1, Count: 1}})
 			}
 			resolve(r, now, 0, false)
 		}
-		return questions, reports
+		return requests, reports
 	}
-	few, fewReports := asked(1000)
-	many, manyReports := asked(2000)
+	few, fewReports := relayOneSecond(1000)
+	many, manyReports := relayOneSecond(2000)
 	if many != few || many > int(time.Second/minRequestInterval)+1 {
-		t.Fatalf("%d questions for 1,000 gateways, %d for 2,000", few, many)
+		t.Fatalf("%d requests for 1,000 gateways, %d for 2,000", few, many)
 	}
 	if fewReports > 3000 || manyReports > 2*3000 {
-		t.Fatalf("gateways were named %d and %d times", fewReports, manyReports)
+		t.Fatalf("requests named gateways %d times for 1,000 gateways and %d times for 2,000", fewReports, manyReports)
 	}
 }
 
-// TestOnlyEnginesAreCacheEventSources: back ends without weights keep no prompts; what is read follows layout and roster.
+// TestOnlyEnginesAreCacheEventSources: the sources follow layout and roster, without back ends that have no weights.
 func TestOnlyEnginesAreCacheEventSources(t *testing.T) {
 	r := New(guard.Set{})
 	entry := func(id string, versions map[string]uint64) roster.Entry {
@@ -153,25 +153,25 @@
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
 		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
-	if reads := r.CacheEventSources("s"); len(reads) != 1 || reads[0] != "engine" || len(r.CacheEventSources("other")) > 0 {
-		t.Fatalf("reads %v", reads)
+	if sources := r.CacheEventSources("s"); len(sources) != 1 || sources[0] != "engine" || len(r.CacheEventSources("other")) > 0 {
+		t.Fatalf("sources %v", sources)
 	}
 	nextRequest(t, r, idleRequestInterval)
 	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
-	if reads := r.CacheEventSources("s"); len(reads) > 0 {
-		t.Fatalf("reads %v after the engine had gone", reads)
+	if sources := r.CacheEventSources("s"); len(sources) > 0 {
+		t.Fatalf("sources %v after the engine was removed", sources)
 	}
 }
 
-// TestPublicationAgeIncludesReplyDelay: an answer of the leader took a while to reach the replica that asked for gateways. The ages in it are of when it
-// left, and the replica told them as of when it came.
+// TestPublicationAgeIncludesReplyDelay: the ages in a reply are as of when the leader sent it. Taking them as of its arrival would make
+// publications appear younger than they are.
 func TestPublicationAgeIncludesReplyDelay(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
 	nextRequest(t, r, 0)
-	const way = 300 * time.Millisecond
+	const delay = 300 * time.Millisecond
 	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Publications: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
-	if told := r.Publications(way)[0].Age; told < time.Second+way {
-		t.Fatalf("told to be %v old, it may be %v", told, time.Second+way)
+	if age := r.Publications(delay)[0].Age; age < time.Second+delay {
+		t.Fatalf("age %v, want at least %v", age, time.Second+delay)
 	}
 }
