--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -7,41 +7,41 @@
 	"kitetiller/internal/control/inuse"
 )
 
-// inUse reports whether gateways are told of a back end.
+// inUse reports whether a back end is in the set that gateways use.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
 	return r.ensureBackend(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
-// inUseCheckInterval is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
+// inUseCheckInterval is how often the set of back ends in use is checked. It is short so that a lost zone is replaced quickly.
 const inUseCheckInterval = 100 * time.Millisecond
 
-// updateInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
-// the same.
+// updateInUse adapts the set of back ends in use to the load. It logs the bounds that define the set, so that the next leader uses the same
+// one.
 func (r *Replica) updateInUse(now time.Duration) {
 	if now < r.leader.boundsCheckedAt+inUseCheckInterval {
 		return
 	}
 	r.leader.boundsCheckedAt = now
-	used := r.runningByInstance(now)
+	running := r.runningByInstance(now)
 	services := map[string]*serviceLoad{}
 	for id, instance := range r.machine.catalog.Instances() {
-		work := services[instance.Service]
-		if work == nil {
-			work = &serviceLoad{maxHashWeight: r.machine.catalog.MaxHashWeight(instance.Service)}
-			services[instance.Service] = work
+		load := services[instance.Service]
+		if load == nil {
+			load = &serviceLoad{maxHashWeight: r.machine.catalog.MaxHashWeight(instance.Service)}
+			services[instance.Service] = load
 		}
-		work.running += used[id]
-		work.add(instance, r.ensureBackend(now, id))
+		load.running += running[id]
+		load.add(instance, r.ensureBackend(now, id))
 	}
 	bounds := map[string]uint64{}
-	for service, work := range services {
+	for service, load := range services {
 		size := r.leader.inUseSizes[service]
 		if !r.machine.catalog.HasMaxHashWeight(service) {
-			work.reachableInUse = 0
+			load.reachableInUse = 0
 		}
-		wanted := size.Update(now, work.running, work.reachableInUse)
+		target := size.Update(now, load.running, load.reachableInUse)
 		r.leader.inUseSizes[service] = size
-		if bound := inuse.MaxHashWeight(work.maxHashWeight, work.reachable, work.unreachable, wanted); bound != work.maxHashWeight {
+		if bound := inuse.MaxHashWeight(load.maxHashWeight, load.reachable, load.unreachable, target); bound != load.maxHashWeight {
 			bounds[service] = bound
 		}
 	}
@@ -50,37 +50,37 @@
 	}
 }
 
-// serviceLoad is what decides which back ends of a service are in use.
+// serviceLoad is the input for the selection of the back ends of a service that are in use.
 type serviceLoad struct {
-	maxHashWeight  uint64   // in force
-	reachable      []uint64 // weights of those that are able to work
-	reachableInUse int      // of them, those in use
-	unreachable    int      // that are silent, and don't leave
-	running        int      // requests
+	maxHashWeight  uint64   // bound in force
+	reachable      []uint64 // hash weights of the reachable back ends
+	reachableInUse int      // number of reachable back ends in use
+	unreachable    int      // number of silent back ends that are not draining
+	running        int      // number of running requests
 }
 
-func (w *serviceLoad) add(instance catalog.Instance, state *backendState) {
+func (l *serviceLoad) add(instance catalog.Instance, state *backendState) {
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
-		w.unreachable++
+		l.unreachable++
 	default:
-		w.reachable = append(w.reachable, state.hashWeight)
-		if state.hashWeight <= w.maxHashWeight {
-			w.reachableInUse++
+		l.reachable = append(l.reachable, state.hashWeight)
+		if state.hashWeight <= l.maxHashWeight {
+			l.reachableInUse++
 		}
 	}
 }
 
-// markInUseChanges notes for the roster which back ends come into use or go out of it between two sets of bounds.
-func (r *Replica) markInUseChanges(now time.Duration, before map[string]uint64) {
+// markInUseChanges marks for the next roster the back ends that a change of bounds has added to the set in use or removed from it.
+func (r *Replica) markInUseChanges(now time.Duration, oldBounds map[string]uint64) {
 	for id, instance := range r.machine.catalog.Instances() {
-		was, known := before[instance.Service]
+		oldBound, known := oldBounds[instance.Service]
 		if !known {
 			continue
 		}
 		weight := r.ensureBackend(now, id).hashWeight
-		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
+		if weight <= oldBound != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
 			r.leader.rosterPending[id] = true
 		}
 	}
