--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// heartbeatBatchInterval is how long heartbeats without news wait for others to be passed to the leader with them, newsWait how long
-	// those wait that need its answer, and beatsMost how many of each may.
+	// heartbeatBatchInterval is how often the heartbeats that need no answer of the leader are forwarded.
 	heartbeatBatchInterval = 100 * time.Millisecond
-	heartbeatBatchDelay    = 10 * time.Millisecond
-	maxQueuedHeartbeats    = 8192
-	// ackTTL is how long a back end that the leader has taken needs no answer of the leader to a heartbeat that
-	// changes nothing.
+	// heartbeatBatchDelay is how long a heartbeat that needs an answer waits for others to share its batch.
+	heartbeatBatchDelay = 10 * time.Millisecond
+	// maxQueuedHeartbeats limits the queued heartbeats of either kind.
+	maxQueuedHeartbeats = 8192
+	// ackTTL is how long after the leader last acknowledged a heartbeat of a back end its further heartbeats need no answer of the
+	// leader, unless the back end changes state.
 	ackTTL = 10 * time.Second
-	// batchTimeout is how long the leader may take to answer a batch.
+	// batchTimeout limits how long the leader may take to answer a batch.
 	batchTimeout = 800 * time.Millisecond
 )
 
 // pendingHeartbeat is a heartbeat whose sender waits for the leader's answer.
 type pendingHeartbeat struct {
 	heartbeat BackendHeartbeat
-	done      chan error // has room for the one answer
+	done      chan error // buffered for the one answer
 }
 
-// ackedHeartbeat is the newest whole heartbeat that the leader has taken of a back end, and when it last took any, by the server's clock.
+// ackedHeartbeat is the latest full heartbeat of a back end that was sent to the leader, and when the leader last acknowledged any.
 type ackedHeartbeat struct {
 	ackedAt   time.Duration
 	heartbeat BackendHeartbeat
 }
 
-// isChangedBy reports whether a heartbeat isChangedBy what the leader doesn't know.
-func (r ackedHeartbeat) isChangedBy(beat BackendHeartbeat) bool {
-	return beat.Instance != r.heartbeat.Instance || beat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(beat.Versions, r.heartbeat.Versions)
+// isChangedBy reports whether a heartbeat holds anything that the leader does not know.
+func (r ackedHeartbeat) isChangedBy(heartbeat BackendHeartbeat) bool {
+	return heartbeat.Instance != r.heartbeat.Instance || heartbeat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(heartbeat.Versions, r.heartbeat.Versions)
 }
 
-// heartbeatBatcher gathers the heartbeats of a replica's callers, so that the leader takes thousands of back ends' in a few
-// messages a second. What registers, drains or ends a back end is answered once a majority holds the whole batch; what
-// tells nothing new is answered at once.
+// heartbeatBatcher collects the heartbeats that a replica receives, so that the leader gets those of thousands of back ends in a few
+// messages per second. Heartbeats that register, drain or deregister a back end are answered once the whole batch has committed, and all
+// others at once.
 type heartbeatBatcher struct {
 	mu              sync.Mutex
-	updates         []BackendHeartbeat        // without news; at most beatsMost
-	keepalives      []Keepalive               // instead of those that differ from the one before by their number alone
-	pending         []pendingHeartbeat        // with news; at most beatsMost
-	wake            chan struct{}             // has an item when pending does; room for one
-	acked           map[string]ackedHeartbeat // by id: what the leader last took of it
-	lastBatchFailed bool                      // the newest batch did not reach the leader
+	updates         []BackendHeartbeat        // changed heartbeats that need no answer; with keepalives, at most maxQueuedHeartbeats
+	keepalives      []Keepalive               // in place of heartbeats that differ from the previous one only in their sequence number
+	pending         []pendingHeartbeat        // heartbeats that need an answer; at most maxQueuedHeartbeats
+	wake            chan struct{}             // signals that pending is not empty; buffer of one
+	acked           map[string]ackedHeartbeat // by instance ID
+	lastBatchFailed bool                      // the latest batch did not reach the leader
 }
 
-// enqueueWithoutReply takes a heartbeat if it needs no answer of the leader.
-func (c *heartbeatBatcher) enqueueWithoutReply(now time.Duration, beat BackendHeartbeat) bool {
+// enqueueWithoutReply queues a heartbeat if it needs no answer of the leader, and reports whether it did.
+func (c *heartbeatBatcher) enqueueWithoutReply(now time.Duration, heartbeat BackendHeartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := beat.Instance.ID
-	if beat.Leaving || beat.Instance.State != catalog.StateReady {
+	id := heartbeat.Instance.ID
+	if heartbeat.Leaving || heartbeat.Instance.State != catalog.StateReady {
 		delete(c.acked, id)
 		return false
 	}
@@ -67,34 +68,34 @@
 	if !known || now-held.ackedAt > ackTTL || c.lastBatchFailed || len(c.updates)+len(c.keepalives) >= maxQueuedHeartbeats {
 		return false
 	}
-	if !held.isChangedBy(beat) {
-		c.keepalives = append(c.keepalives, Keepalive{ID: id, Sequence: beat.Sequence})
+	if !held.isChangedBy(heartbeat) {
+		c.keepalives = append(c.keepalives, Keepalive{ID: id, Sequence: heartbeat.Sequence})
 		return true
 	}
-	held.heartbeat = beat
+	held.heartbeat = heartbeat
 	c.acked[id] = held
-	c.updates = append(c.updates, beat)
+	c.updates = append(c.updates, heartbeat)
 	return true
 }
 
-// recordAck notes that the leader has answered a heartbeat.
-func (c *heartbeatBatcher) recordAck(now time.Duration, beat BackendHeartbeat) {
+// recordAck records that the leader has answered a heartbeat.
+func (c *heartbeatBatcher) recordAck(now time.Duration, heartbeat BackendHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !beat.Leaving && beat.Instance.State == catalog.StateReady {
-		c.acked[beat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: beat}
+	if !heartbeat.Leaving && heartbeat.Instance.State == catalog.StateReady {
+		c.acked[heartbeat.Instance.ID] = ackedHeartbeat{ackedAt: now, heartbeat: heartbeat}
 	}
 }
 
-// enqueueForReply takes a heartbeat that needs the leader's answer, or returns nil when too many enqueueForReply.
-func (c *heartbeatBatcher) enqueueForReply(beat BackendHeartbeat) chan error {
+// enqueueForReply queues a heartbeat that needs an answer of the leader and returns the channel for it, or nil if the queue is full.
+func (c *heartbeatBatcher) enqueueForReply(heartbeat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) >= maxQueuedHeartbeats {
 		return nil
 	}
 	done := make(chan error, 1)
-	c.pending = append(c.pending, pendingHeartbeat{heartbeat: beat, done: done})
+	c.pending = append(c.pending, pendingHeartbeat{heartbeat: heartbeat, done: done})
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -102,16 +103,16 @@
 	return done
 }
 
-// heartbeatBatch are heartbeats to be passed on together.
+// heartbeatBatch is a set of heartbeats forwarded in one request.
 type heartbeatBatch struct {
-	heartbeats []BackendHeartbeat // those whose senders wait come last, in the order in which they came
-	keepalives []Keepalive        // of back ends of which there is nothing new
-	pending    []pendingHeartbeat // senders that wait
+	heartbeats []BackendHeartbeat // the pending ones come last, in order of arrival
+	keepalives []Keepalive        // of back ends without changes
+	pending    []pendingHeartbeat // heartbeats whose senders wait for the answer
 }
 
-func (g *heartbeatBatch) empty() bool { return len(g.heartbeats)+len(g.keepalives) == 0 }
+func (b *heartbeatBatch) empty() bool { return len(b.heartbeats)+len(b.keepalives) == 0 }
 
-// takeBatch returns the heartbeats that wait.
+// takeBatch removes and returns all queued heartbeats.
 func (c *heartbeatBatcher) takeBatch() heartbeatBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,19 +124,19 @@
 	return batch
 }
 
-// recordBatch notes whether a batch reached the leader. Those in a batch that did count as registered on; of strangers, and of all of a batch that
-// may have been lost, the next heartbeat is recordBatch whole.
-func (c *heartbeatBatcher) recordBatch(now time.Duration, batch heartbeatBatch, reached bool, strangers []string) {
+// recordBatch records whether a batch reached the leader. If it did, the acknowledgements of its back ends are extended. The next heartbeat
+// of a back end that the leader does not know, or of one in a batch that may have been lost, is sent in full.
+func (c *heartbeatBatcher) recordBatch(now time.Duration, batch heartbeatBatch, delivered bool, unknownBackends []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastBatchFailed = !reached
-	for _, beat := range batch.heartbeats {
-		c.recordDelivery(now, beat.Instance.ID, reached)
+	c.lastBatchFailed = !delivered
+	for _, heartbeat := range batch.heartbeats {
+		c.recordDelivery(now, heartbeat.Instance.ID, delivered)
 	}
-	for _, sign := range batch.keepalives {
-		c.recordDelivery(now, sign.ID, reached)
+	for _, keepalive := range batch.keepalives {
+		c.recordDelivery(now, keepalive.ID, delivered)
 	}
-	for _, id := range strangers {
+	for _, id := range unknownBackends {
 		delete(c.acked, id)
 	}
 	for id, held := range c.acked {
@@ -145,12 +146,12 @@
 	}
 }
 
-// recordDelivery notes whether a heartbeat reached the leader. The caller holds the mutex.
-func (c *heartbeatBatcher) recordDelivery(now time.Duration, id string, reached bool) {
+// recordDelivery records whether a heartbeat of a back end reached the leader. The caller holds the mutex.
+func (c *heartbeatBatcher) recordDelivery(now time.Duration, id string, delivered bool) {
 	held, known := c.acked[id]
 	switch {
 	case !known:
-	case !reached:
+	case !delivered:
 		delete(c.acked, id)
 	default:
 		held.ackedAt = now
@@ -158,15 +159,15 @@
 	}
 }
 
-// errTooManyHeartbeats says that more heartbeats wait for the leader than this replica takes.
-var errTooManyHeartbeats = eris.New("too many heartbeats wait for the leader")
+// errTooManyHeartbeats is returned if the queue of heartbeats for the leader is full.
+var errTooManyHeartbeats = eris.New("too many heartbeats are queued for the leader")
 
-// HandleBackendHeartbeat takes a back end's heartbeat; an error says that it has no clear answer.
-func (s *Server) HandleBackendHeartbeat(ctx context.Context, beat BackendHeartbeat) error {
-	if s.beats.enqueueWithoutReply(s.now(), beat) {
+// HandleBackendHeartbeat handles a heartbeat of a back end. After an error, the heartbeat may or may not have taken effect.
+func (s *Server) HandleBackendHeartbeat(ctx context.Context, heartbeat BackendHeartbeat) error {
+	if s.beats.enqueueWithoutReply(s.now(), heartbeat) {
 		return nil
 	}
-	done := s.beats.enqueueForReply(beat)
+	done := s.beats.enqueueForReply(heartbeat)
 	if done == nil {
 		return errTooManyHeartbeats
 	}
@@ -178,7 +179,7 @@
 	}
 }
 
-// forwardHeartbeats is the thread that passes gathered heartbeats to the leader, one batch after the other.
+// forwardHeartbeats forwards queued heartbeats to the leader until ctx is done, one batch at a time.
 func (s *Server) forwardHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatBatchInterval)
 	defer ticker.Stop()
@@ -192,7 +193,7 @@
 			time.Sleep(heartbeatBatchDelay)
 		}
 		if !formed {
-			formed = s.queryReplica((*Replica).formed) // until then the leader takes none, however often it is asked
+			formed = s.queryReplica((*Replica).formed) // the leader accepts no heartbeats before that
 		}
 		if !formed {
 			continue
@@ -202,9 +203,9 @@
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, batchTimeout)
-		answer, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
+		response, err := s.group.Ask(attempt, Request{Beats: batch.heartbeats, Signs: batch.keepalives})
 		cancel()
-		s.beats.recordBatch(s.now(), batch, err == nil, answer.UnknownBackends)
+		s.beats.recordBatch(s.now(), batch, err == nil, response.UnknownBackends)
 		for _, p := range batch.pending {
 			if err == nil {
 				s.beats.recordAck(s.now(), p.heartbeat)
@@ -214,80 +215,80 @@
 	}
 }
 
-// registrationBatch are registrations that wait for the next write. All that come within one cycle of the replica become one entry of the
-// log, so that entries grow with time and not with back ends when a whole fleet starts.
+// registrationBatch holds registrations to be proposed in one log entry with the next write, so that the start of a whole fleet does not
+// create an entry per back end.
 type registrationBatch struct {
-	instances []catalog.Instance // in the order in which they came
-	clients   []uint64           // that wait for the entry
+	instances []catalog.Instance // in order of arrival
+	clients   []uint64           // answered when the entry has committed
 }
 
-// queueRegistration takes a registration; client 0 waits for nothing.
+// queueRegistration adds a registration to the next batch. Client 0 gets no answer.
 func (r *Replica) queueRegistration(client uint64, instance catalog.Instance) {
-	waiting := &r.leader.joining
-	waiting.instances = append(waiting.instances, instance)
-	waiting.addClient(client)
+	batch := &r.leader.joining
+	batch.instances = append(batch.instances, instance)
+	batch.addClient(client)
 }
 
-// addClient adds a client that is answered with the entry.
-func (j *registrationBatch) addClient(client uint64) {
+// addClient adds a client to be answered when the entry has committed.
+func (b *registrationBatch) addClient(client uint64) {
 	if client != 0 {
-		j.clients = append(j.clients, client)
+		b.clients = append(b.clients, client)
 	}
 }
 
-// proposeRegistrations proposes the registrations that wait. Whatever else is proposed comes after them, so that the log holds changes of a
-// back end in the order in which they came.
+// proposeRegistrations proposes the queued registrations. It must run before any other proposal, so that the log holds the changes of a back
+// end in order of arrival.
 func (r *Replica) proposeRegistrations(now time.Duration) {
 	if r.leader == nil || len(r.leader.joining.instances) == 0 {
 		return
 	}
-	waiting := r.leader.joining
+	batch := r.leader.joining
 	r.leader.joining = registrationBatch{}
-	r.appendCommand(now, waiting.clients, Command{Catalog: &catalog.Command{RegisterBatch: waiting.instances}})
+	r.appendCommand(now, batch.clients, Command{Catalog: &catalog.Command{RegisterBatch: batch.instances}})
 }
 
-// handleHeartbeatBatch takes gathered heartbeats; each counts as if it had come alone. The answer comes once a majority holds all that
-// they changed: entries commit in order, so it waits for the last.
-func (r *Replica) handleHeartbeatBatch(now time.Duration, client uint64, beats []BackendHeartbeat, signs []Keepalive) {
+// handleHeartbeatBatch handles a batch of heartbeats as if each had arrived alone. The answer is sent once the last entry that they caused has
+// committed; entries commit in order.
+func (r *Replica) handleHeartbeatBatch(now time.Duration, client uint64, heartbeats []BackendHeartbeat, keepalives []Keepalive) {
 	before := r.node.LastIndex()
-	for _, beat := range beats {
-		r.handleBackendHeartbeat(now, 0, beat)
+	for _, heartbeat := range heartbeats {
+		r.handleBackendHeartbeat(now, 0, heartbeat)
 	}
-	var strangers []string
-	for _, sign := range signs {
-		if !r.handleKeepalive(now, sign) {
-			strangers = append(strangers, sign.ID)
+	var unknownBackends []string
+	for _, keepalive := range keepalives {
+		if !r.handleKeepalive(now, keepalive) {
+			unknownBackends = append(unknownBackends, keepalive.ID)
 		}
 	}
 	last := r.node.LastIndex()
 	switch {
 	case len(r.leader.joining.instances) > 0:
-		r.leader.recordUnknownBackends(client, strangers)
+		r.leader.recordUnknownBackends(client, unknownBackends)
 		r.leader.joining.addClient(client)
 	case last > before:
-		r.leader.recordUnknownBackends(client, strangers)
+		r.leader.recordUnknownBackends(client, unknownBackends)
 		r.pending[last] = pendingProposal{clients: []uint64{client}, term: r.node.Term()}
 	default:
-		r.reply(client, Response{Kind: ResponseOK, UnknownBackends: strangers})
+		r.reply(client, Response{Kind: ResponseOK, UnknownBackends: unknownBackends})
 	}
 }
 
-// recordUnknownBackends keeps the strangers of a batch for its answer, which waits for an entry. A back end whose heartbeats are only signs would else
-// stay silent to this leader for as long as every batch changes something.
-func (l *leaderState) recordUnknownBackends(client uint64, strangers []string) {
-	if client != 0 && len(strangers) > 0 {
-		l.unknownBackends[client] = strangers
+// recordUnknownBackends keeps the unknown back ends of a batch for its answer, which waits for an entry. Without it, a back end that sends
+// only keepalives would stay unknown to this leader for as long as every batch changes something.
+func (l *leaderState) recordUnknownBackends(client uint64, unknownBackends []string) {
+	if client != 0 && len(unknownBackends) > 0 {
+		l.unknownBackends[client] = unknownBackends
 	}
 }
 
-// replyCommitted answers the clients of an entry that has committed; each is told the strangers of its own batch.
+// replyCommitted answers the clients of a committed entry, each with the unknown back ends of its own batch.
 func (r *Replica) replyCommitted(clients []uint64, response Response) {
 	for _, client := range clients {
-		answer := response
+		clientResponse := response
 		if r.leader != nil {
-			answer.UnknownBackends = r.leader.unknownBackends[client]
+			clientResponse.UnknownBackends = r.leader.unknownBackends[client]
 			delete(r.leader.unknownBackends, client)
 		}
-		r.reply(client, answer)
+		r.reply(client, clientResponse)
 	}
 }
