--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -11,126 +11,127 @@
 )
 
 const (
-	// silenceTimeout is the silence after which a back end is shown as silent: it may be cut off from control only.
+	// silenceTimeout is the time without heartbeats after which a back end is marked silent. It may only have lost its connection to the
+	// control plane.
 	silenceTimeout = 3500 * time.Millisecond
-	// expiryTimeout is the silence after which a back end is taken off the roster. It may register again.
+	// expiryTimeout is the time without heartbeats after which a back end is deregistered. It may register again.
 	expiryTimeout = 12 * time.Second
-	// fleetCheckInterval is how often the roster is looked through.
+	// fleetCheckInterval is how often back ends are checked for silence.
 	fleetCheckInterval = 100 * time.Millisecond
-	// lateHeartbeatWindow is how long after its weights were seen to rise a heartbeat that tells older ones is taken for one that was sent before:
-	// more than a period of heartbeats, and than most are late.
+	// lateHeartbeatWindow is how long after a rise of its weights version a back end's heartbeat with a lower one is taken to be delayed.
+	// It exceeds the heartbeat interval and the usual delay.
 	lateHeartbeatWindow = 2 * time.Second
-	// loadedLogInterval is how often the weights that back ends hold are written into the log, all in one entry.
+	// loadedLogInterval is how often changes of the weights versions that back ends hold are logged, in one entry.
 	loadedLogInterval = 300 * time.Millisecond
-	// usageTTL is how long a router's figures of its work count.
+	// usageTTL is how long a gateway's usage report counts.
 	usageTTL = 2 * time.Second
 )
 
-// BackendHeartbeat is a back end's heartbeat. The first one registers it.
+// BackendHeartbeat is a heartbeat of a back end. The first one registers it.
 type BackendHeartbeat struct {
 	Instance catalog.Instance  `json:"instance"`
-	Sequence uint64            `json:"sequence"` // rises with each heartbeat of a life
+	Sequence uint64            `json:"sequence"` // increases with each heartbeat of an incarnation
 	ColdLeft time.Duration     `json:"cold_left_ns"`
-	Versions map[string]uint64 `json:"versions,omitempty"` // weights by model
-	Leaving  bool              `json:"leaves,omitempty"`   // the instance ends
+	Versions map[string]uint64 `json:"versions,omitempty"` // weights versions by model
+	Leaving  bool              `json:"leaves,omitempty"`   // deregisters the back end
 }
 
-// backendState is what the leader keeps of a back end in memory.
+// backendState is the leader's in-memory state of a back end.
 type backendState struct {
 	id         string
-	hashWeight uint64 // by which it is in use
+	hashWeight uint64 // in use if at most the bound of its service
 	heardAt    time.Duration
-	// registeredAt is when this leader took its registration; 0 where an earlier one did.
+	// registeredAt is when this leader handled its registration; 0 if an earlier leader did.
 	registeredAt      time.Duration
 	sequence          uint64
 	coldUntil         time.Duration
-	versions          map[string]uint64 // that it is believed to hold, by model
-	versionsRoseAt    time.Duration     // when one of them last rose
-	versionsDisputed  bool              // a heartbeat told older ones than are believed; its report decides
+	versions          map[string]uint64 // weights versions that it is assumed to hold, by model
+	versionsRoseAt    time.Duration     // when one of versions last rose
+	versionsDisputed  bool              // a heartbeat held lower versions; the back end must be queried
 	silent            bool
-	fullHeartbeatSeen bool // a whole heartbeat came to this leader
+	fullHeartbeatSeen bool // this leader has received a full heartbeat
 	rollout           rolloutState
 }
 
-// isEngine reports whether the back end holds weights; only such a one takes orders, and gateways tell each other of their
-// requests there. It may be called on nil.
+// isEngine reports whether the back end holds weights. Only engines receive weights orders, and gateways announce dispatched requests to
+// each other for engines only. It may be called on nil.
 func (s *backendState) isEngine() bool { return s != nil && len(s.versions) > 0 }
 
-// handleBackendHeartbeat takes a heartbeat. What ends or registers a life is answered once a majority holds it, since the back end
-// relies on it; everything else is soft state of the leader.
-func (r *Replica) handleBackendHeartbeat(now time.Duration, client uint64, beat BackendHeartbeat) {
-	id := beat.Instance.ID
+// handleBackendHeartbeat handles a full heartbeat. A registration, drain or deregistration is answered once it has committed, since the back
+// end relies on it. Everything else only changes in-memory state of the leader.
+func (r *Replica) handleBackendHeartbeat(now time.Duration, client uint64, heartbeat BackendHeartbeat) {
+	id := heartbeat.Instance.ID
 	if !r.config.Guards.On(guard.DrainCommitted) {
 		r.reply(client, Response{Kind: ResponseOK})
 		client = 0
 	}
-	held, known := r.machine.catalog.Instances()[id]
+	registered, known := r.machine.catalog.Instances()[id]
 	switch {
-	case beat.Leaving && r.mayMeanPreviousIncarnation(now, id):
+	case heartbeat.Leaving && r.mayMeanPreviousIncarnation(now, id):
 		r.propose(now, client, Command{Catalog: &catalog.Command{Expire: r.machine.catalog.ResolveInstanceID(id)}})
-	case beat.Leaving:
+	case heartbeat.Leaving:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Deregister: id}})
-	case !known && (r.lacksWeights(beat) || !r.mayRegister(now, beat.Instance)):
+	case !known && (r.lacksWeights(heartbeat) || !r.mayRegister(now, heartbeat.Instance)):
 		r.reply(client, Response{Kind: ResponseOK})
-	case known && !r.mayReplace(held, beat.Instance):
+	case known && !r.mayReplace(registered, heartbeat.Instance):
 		r.reply(client, Response{Kind: ResponseOK})
-	case !known || beat.Instance.Service != held.Service:
-		r.recordHeartbeat(now, beat)
+	case !known || heartbeat.Instance.Service != registered.Service:
+		r.recordHeartbeat(now, heartbeat)
 		r.ensureBackend(now, id).registeredAt = now
-		r.queueRegistration(client, beat.Instance)
-	case beat.Instance.State == catalog.StateDraining && held.State != catalog.StateDraining:
+		r.queueRegistration(client, heartbeat.Instance)
+	case heartbeat.Instance.State == catalog.StateDraining && registered.State != catalog.StateDraining:
 		r.propose(now, client, Command{Catalog: &catalog.Command{Drain: id}})
 	default:
-		r.recordHeartbeat(now, beat)
+		r.recordHeartbeat(now, heartbeat)
 		r.reply(client, Response{Kind: ResponseOK})
 	}
 }
 
-// Keepalive is a heartbeat that tells nothing new: the back end lives.
+// Keepalive stands for a heartbeat that differs from the previous one only in its sequence number.
 type Keepalive struct {
 	ID       string `json:"id"`
 	Sequence uint64 `json:"seq"`
 }
 
-// handleKeepalive takes a heartbeat that tells nothing new, and reports whether this leader knows the back end it is of. It may be late, and
-// tell of a life that has ended.
-func (r *Replica) handleKeepalive(now time.Duration, sign Keepalive) bool {
-	state := r.leader.fleet[sign.ID]
-	if _, known := r.machine.catalog.Instances()[sign.ID]; !known || state == nil || !state.fullHeartbeatSeen {
+// handleKeepalive handles a keepalive and reports whether this leader knows the back end. It does not know one whose incarnation has ended,
+// which a delayed keepalive may be from, or one without a full heartbeat to this leader.
+func (r *Replica) handleKeepalive(now time.Duration, keepalive Keepalive) bool {
+	state := r.leader.fleet[keepalive.ID]
+	if _, known := r.machine.catalog.Instances()[keepalive.ID]; !known || state == nil || !state.fullHeartbeatSeen {
 		return false
 	}
-	state.heardAt, state.sequence = now, max(state.sequence, sign.Sequence)
+	state.heardAt, state.sequence = now, max(state.sequence, keepalive.Sequence)
 	if state.silent {
 		state.silent = false
-		r.leader.markRosterChanged(sign.ID)
+		r.leader.markRosterChanged(keepalive.ID)
 	}
 	return true
 }
 
-// recordHeartbeat updates the soft state of a back end. Heartbeats may overtake each other; an older one changes nothing.
-func (r *Replica) recordHeartbeat(now time.Duration, beat BackendHeartbeat) {
-	state := r.ensureBackend(now, beat.Instance.ID)
+// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only counts as a sign of life.
+func (r *Replica) recordHeartbeat(now time.Duration, heartbeat BackendHeartbeat) {
+	state := r.ensureBackend(now, heartbeat.Instance.ID)
 	state.heardAt = now
-	if beat.Sequence < state.sequence {
+	if heartbeat.Sequence < state.sequence {
 		return
 	}
 	state.fullHeartbeatSeen = true
-	warm := now >= state.coldUntil
-	state.sequence = beat.Sequence
-	state.coldUntil = now + beat.ColdLeft
-	news := state.silent || warm && beat.ColdLeft > 0
+	wasWarm := now >= state.coldUntil
+	state.sequence = heartbeat.Sequence
+	state.coldUntil = now + heartbeat.ColdLeft
+	changed := state.silent || wasWarm && heartbeat.ColdLeft > 0
 	state.silent = false
 	if state.rollout.phase == phaseIdle {
-		news = r.raiseVersions(now, state, beat.Versions) || news
-		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.hasNewerThan(beat.Versions)
+		changed = r.raiseVersions(now, state, heartbeat.Versions) || changed
+		state.versionsDisputed = state.versionsDisputed || now > state.versionsRoseAt+lateHeartbeatWindow && state.hasNewerThan(heartbeat.Versions)
 	}
-	if news {
+	if changed {
 		r.leader.markRosterChanged(state.id)
 	}
 }
 
-// raiseVersions notes the weights that a back end holds and reports whether they are news. A heartbeat may be older
-// than a report, so that versions only rise by it; whether they fell is asked of the back end.
+// raiseVersions records the weights versions in a heartbeat and reports whether any rose. A heartbeat may be older than a report of the back
+// end, so it only raises versions. Whether they fell is learned by querying the back end.
 func (r *Replica) raiseVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
 	changed := false
 	for model, version := range versions {
@@ -143,7 +144,7 @@
 	return changed
 }
 
-// hasNewerThan reports whether newer weights are believed than these.
+// hasNewerThan reports whether the back end is assumed to hold a higher weights version than one of the given versions.
 func (s *backendState) hasNewerThan(versions map[string]uint64) bool {
 	for model, version := range versions {
 		if s.versions[model] > version {
@@ -153,7 +154,7 @@
 	return false
 }
 
-// ensureBackend returns the soft state of a back end, made when it is first named.
+// ensureBackend returns the in-memory state of a back end, creating it if needed.
 func (r *Replica) ensureBackend(now time.Duration, id string) *backendState {
 	state := r.leader.fleet[id]
 	if state == nil {
@@ -164,47 +165,47 @@
 		r.leader.fleet[id] = state
 	}
 	if instance, known := r.machine.catalog.Instances()[id]; known && state.hashWeight == 0 {
-		state.hashWeight = inuse.HashWeight(instance.Address) // its first heartbeat comes before the log tells where it is
+		state.hashWeight = inuse.HashWeight(instance.Address) // its address is known once the registration has committed
 	}
 	return state
 }
 
-// logLoadedWeights writes into the log what back ends hold, so that the next leader knows it from the start.
+// logLoadedWeights logs changes of the weights versions that back ends hold, so that the next leader knows them from the start.
 func (r *Replica) logLoadedWeights(now time.Duration) {
 	if now < r.leader.heldLoggedAt+loadedLogInterval {
 		return
 	}
 	r.leader.heldLoggedAt = now
-	var seen []catalog.LoadedWeights
+	var loaded []catalog.LoadedWeights
 	for _, id := range sortedKeys(r.leader.unlogged) {
-		fresh := r.unloggedWeights(id)
-		if _, known := r.machine.catalog.Instances()[id]; len(fresh) == 0 && known {
+		unlogged := r.unloggedWeights(id)
+		if _, known := r.machine.catalog.Instances()[id]; len(unlogged) == 0 && known {
 			delete(r.leader.unlogged, id)
 		}
-		seen = append(seen, fresh...)
+		loaded = append(loaded, unlogged...)
 	}
-	if len(seen) > 0 {
-		r.propose(now, 0, Command{Catalog: &catalog.Command{Loaded: seen}})
+	if len(loaded) > 0 {
+		r.propose(now, 0, Command{Catalog: &catalog.Command{Loaded: loaded}})
 	}
 }
 
-// unloggedWeights returns what a registered back end holds that the log doesn't tell.
+// unloggedWeights returns the weights versions of a registered back end that are higher than those in the log.
 func (r *Replica) unloggedWeights(id string) []catalog.LoadedWeights {
 	state := r.leader.fleet[id]
 	if _, known := r.machine.catalog.Instances()[id]; !known || state == nil {
 		return nil
 	}
-	var fresh []catalog.LoadedWeights
+	var unlogged []catalog.LoadedWeights
 	logged := r.machine.catalog.LoadedVersions(id)
 	for _, model := range sortedKeys(state.versions) {
 		if version := state.versions[model]; version > logged[model] {
-			fresh = append(fresh, catalog.LoadedWeights{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
+			unlogged = append(unlogged, catalog.LoadedWeights{Instance: id, WeightsVersion: catalog.WeightsVersion{Model: model, Version: version}})
 		}
 	}
-	return fresh
+	return unlogged
 }
 
-// checkFleet marks silent back ends and forgets those that stay silent.
+// checkFleet marks back ends as silent and expires those that stay silent.
 func (r *Replica) checkFleet(now time.Duration) {
 	if now < r.leader.fleetCheckedAt+fleetCheckInterval {
 		return
@@ -225,7 +226,7 @@
 	r.pruneUnregistered(now)
 }
 
-// pruneUnregistered drops what is kept of back ends that are long gone.
+// pruneUnregistered deletes in-memory state of back ends that have been deregistered for a while.
 func (r *Replica) pruneUnregistered(now time.Duration) {
 	instances := r.machine.catalog.Instances()
 	if len(r.orderMarks) > len(instances) {
@@ -246,32 +247,32 @@
 	}
 }
 
-// applyCatalog applies a command of the catalog and tells watchers of it.
+// applyCatalog applies a catalog command and marks roster changes for held watches.
 func (r *Replica) applyCatalog(now time.Duration, command catalog.Command) *catalog.Outcome {
-	before := command.PublishWeights != nil && r.machine.catalog.LatestVersions()[command.PublishWeights.Model] < command.PublishWeights.Version
-	bounds := map[string]uint64{}
+	publishes := command.PublishWeights != nil && r.machine.catalog.LatestVersions()[command.PublishWeights.Model] < command.PublishWeights.Version
+	oldBounds := map[string]uint64{}
 	for service := range command.MaxHashWeights {
-		bounds[service] = r.machine.catalog.MaxHashWeight(service)
+		oldBounds[service] = r.machine.catalog.MaxHashWeight(service)
 	}
 	outcome := r.machine.catalog.Apply(command)
 	if command.Quarantine != nil {
 		r.recordQuarantineChange(now, *command.Quarantine)
 	}
-	if before {
+	if publishes {
 		r.recordPublication(now, command.PublishWeights.Model)
 	}
-	touched := r.machine.catalog.TakeChanged()
+	changed := r.machine.catalog.TakeChanged()
 	if r.leader == nil {
 		return &outcome
 	}
-	listed := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
-	r.leader.gatewayListChanged = r.leader.gatewayListChanged || listed
+	gatewaysChanged := len(command.ReplaceGateways)+len(command.AddGateways)+len(command.RemoveGateways) > 0
+	r.leader.gatewayListChanged = r.leader.gatewayListChanged || gatewaysChanged
 	if len(command.MaxHashWeights) > 0 {
-		r.markInUseChanges(now, bounds)
+		r.markInUseChanges(now, oldBounds)
 	}
-	quiet := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || listed || command.Quarantine != nil // no roster tells of these
-	if !quiet {
-		r.leader.markRosterChanged(touched...)
+	rosterUnaffected := len(command.Loaded)+len(command.WeightsCommandTargets) > 0 || gatewaysChanged || command.Quarantine != nil
+	if !rosterUnaffected {
+		r.leader.markRosterChanged(changed...)
 	}
 	return &outcome
 }
