--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -6,16 +6,16 @@
 	"kitetiller/internal/catalog"
 )
 
-// How many engines are taken out of service together for new weights, and how long a load is taken to last.
 const (
-	// loadDivisor and drainShare: one of so many back ends may load, or be turned away from, at the same time.
+	// At most one in loadDivisor engines may load weights at the same time, and at most one in drainDivisor may be drained for it.
 	loadDivisor  = 4
 	drainDivisor = 3
-	// minReadyFraction of the engines that were ready within stressMemory must still be, for any to be kept idle.
+	// minReadyFraction is the fraction of the peak of ready engines within capacityWindow below which capacity is lacking.
 	minReadyFraction = 0.9
 	capacityWindow   = 10 * time.Second
-	// initialLoadTime is how long a load is taken to last before one was seen, and loadSmoothing weighs the newest. It is first
-	// looked for after checkShare of that, checkLeast at least, and then each nextCheck.
+	// initialLoadTime is the estimate of the load time before the first load, and loadTimeSmoothing the weight of a new sample. The first
+	// check for the end of a load comes after firstLoadCheckFraction of the estimate, but not before minFirstLoadCheck; further checks
+	// follow every loadCheckInterval.
 	initialLoadTime        = 600 * time.Millisecond
 	loadTimeSmoothing      = 0.3
 	firstLoadCheckFraction = 0.9
@@ -23,10 +23,10 @@
 	loadCheckInterval      = 60 * time.Millisecond
 )
 
-// loadCount tells how many loads run, and how many may.
+// loadCount is the number of weights loads in progress and its limit.
 type loadCount struct{ running, limit int }
 
-// countLoads counts the back ends whose order is on its way or being carried out.
+// countLoads counts the engines with a weights order that was sent or is being carried out.
 func (r *Replica) countLoads() loadCount {
 	count := loadCount{}
 	engines := 0
@@ -44,12 +44,12 @@
 	return count
 }
 
-// maxConcurrent returns how many engines may be taken out of service together: one of so many, also while they are short of hands,
-// since those whose weights stay old for too long get no requests at all.
-func maxConcurrent(engines, share int) int { return max(1, engines/share) }
+// maxConcurrent returns how many engines may be taken out of service at the same time. It does not depend on spare capacity, since engines
+// whose weights stay outdated for too long get no requests at all.
+func maxConcurrent(engines, divisor int) int { return max(1, engines/divisor) }
 
-// lacksCapacity reports whether the engines are short of hands, or orders get lost: then none is kept idle for its requests to
-// end.
+// lacksCapacity reports whether too few engines are ready or a weights order was lost recently. No engine is then kept idle while its
+// running requests end.
 func (r *Replica) lacksCapacity(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
@@ -67,7 +67,7 @@
 	return float64(ready) < minReadyFraction*float64(r.leader.readyPeak) || now < r.leader.orderLostAt+capacityWindow
 }
 
-// firstLoadCheck is how long after its order a load is first looked for.
+// firstLoadCheck returns how long after an order its load is first checked.
 func (l *leaderState) firstLoadCheck() time.Duration {
 	expected := l.smoothedLoadTime
 	if expected == 0 {
@@ -76,13 +76,14 @@
 	return max(minFirstLoadCheck, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
-// observeLoadTime learns how long a load lasts, from when its order was taken until a report shows the weights.
-func (l *leaderState) observeLoadTime(now, takenAt time.Duration) {
+// observeLoadTime updates the load time estimate with a load that started when the engine accepted the order at acceptedAt. An acceptedAt
+// of 0 is ignored.
+func (l *leaderState) observeLoadTime(now, acceptedAt time.Duration) {
 	switch {
-	case takenAt == 0:
+	case acceptedAt == 0:
 	case l.smoothedLoadTime == 0:
-		l.smoothedLoadTime = now - takenAt
+		l.smoothedLoadTime = now - acceptedAt
 	default:
-		l.smoothedLoadTime += time.Duration(loadTimeSmoothing * float64(now-takenAt-l.smoothedLoadTime))
+		l.smoothedLoadTime += time.Duration(loadTimeSmoothing * float64(now-acceptedAt-l.smoothedLoadTime))
 	}
 }
