--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -6,25 +6,26 @@
 	"kitetiller/internal/control/relay"
 )
 
-// RelayCall is a question that the shell passes to the leader. Its answer goes to ObserveRelay, nil if there is none.
+// RelayCall is a relay request for the caller to send to the leader. The caller passes the reply, or nil if it failed, to ObserveRelay.
 type RelayCall struct {
 	Address string
 	Request relay.Request
 }
 
-// actsAsRelay reports whether this replica answers gateways for the leader.
+// actsAsRelay reports whether this replica answers gateways on behalf of the leader.
 func (r *Replica) actsAsRelay() bool {
 	return r.leader == nil && r.needsRelays() && r.leaderAddress() != ""
 }
 
-// relayWatch takes a gateway's question to be answered for the leader.
+// relayWatch adds a watch to be answered on behalf of the leader. It returns false if too many are pending.
 func (r *Replica) relayWatch(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maxWatchHold), Watch: watch})
+	added := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maxWatchHold), Watch: watch})
 	r.advanceRelay(now)
-	return taken
+	return added
 }
 
-// advanceRelay asks the leader when that is due, and answers the gateways that can be answered.
+// advanceRelay sends a relay request if one is due and answers the watches that are ready. On the leader it moves all pending watches to
+// awaitingLeader.
 func (r *Replica) advanceRelay(now time.Duration) {
 	if r.leader != nil {
 		for _, w := range r.relay.Drain() {
@@ -33,23 +34,23 @@
 		return
 	}
 	if r.actsAsRelay() {
-		if question, due := r.relay.NextRequest(now); due {
-			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
-			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: question})
+		if request, due := r.relay.NextRequest(now); due {
+			request.Name, request.Zone, request.Address = r.config.Name, r.config.Zone, r.config.Address
+			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: request})
 		}
 	}
 	r.answerRelayedWatches(now)
 }
 
-// answerRelayedWatches answers the gateways that were confirmed and have news, or whose time has come.
+// answerRelayedWatches answers the confirmed watches that are due or for which something has changed, and rejects the expired ones.
 func (r *Replica) answerRelayedWatches(now time.Duration) {
 	r.relay.PublishIfDue(now)
-	news := func(w relay.PendingWatch) bool {
+	changed := func(w relay.PendingWatch) bool {
 		watch := w.Watch.(Watch)
 		return r.relay.HasRosterUpdate(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
-	r.relay.Resolve(now, r.applied, news, func(w relay.PendingWatch, result relay.Result) {
+	r.relay.Resolve(now, r.applied, changed, func(w relay.PendingWatch, result relay.Result) {
 		if result == relay.Expired {
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
@@ -58,7 +59,7 @@
 	})
 }
 
-// relayedWatchReply returns the reply to a gateway whose view the leader has confirmed.
+// relayedWatchReply returns the reply to a watch that the leader has confirmed.
 func (r *Replica) relayedWatchReply(now time.Duration, watch Watch) *WatchReply {
 	reply := r.localWatchReply(&watch)
 	reply.Version, reply.Publications = r.relay.Version(), r.relay.Publications(now)
@@ -71,12 +72,12 @@
 	return reply
 }
 
-// ObserveRelay takes the leader's answer to a relayed question, or nil when there was none of a leader.
-func (r *Replica) ObserveRelay(now time.Duration, number uint64, answer *relay.Reply) {
-	if answer == nil {
+// ObserveRelay handles the leader's reply to a relay request, or nil if the request failed.
+func (r *Replica) ObserveRelay(now time.Duration, number uint64, reply *relay.Reply) {
+	if reply == nil {
 		r.relay.RecordFailure(number)
 		return
 	}
-	r.relay.Observe(answer)
+	r.relay.Observe(reply)
 	r.advanceRelay(now)
 }
