--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -8,7 +8,7 @@
 	"kitetiller/internal/control/roster"
 )
 
-// What gateways are told of back ends, by the names of the messages.
+// Types of the roster package that are part of the watch messages.
 type (
 	RosterVersion      = roster.Version
 	RosterEntry        = roster.Entry
@@ -16,7 +16,7 @@
 	WeightsPublication = roster.Publication
 )
 
-// rosterUpdate returns what a gateway lacks of the current roster.
+// rosterUpdate returns the update from the roster held by a gateway to the current one.
 func (r *Replica) rosterUpdate(now time.Duration, held RosterVersion) *RosterUpdate {
 	r.refreshRoster(now)
 	if held.Term != r.leader.term {
@@ -25,31 +25,31 @@
 	return r.leader.roster.Since(held.Count)
 }
 
-// refreshRoster brings the roster up to its count: only back ends that changed are looked at.
+// refreshRoster updates the roster to rosterCount. It only visits back ends marked as changed.
 func (r *Replica) refreshRoster(now time.Duration) {
-	lead := r.leader
-	if lead.roster.Count() == lead.rosterCount {
+	leader := r.leader
+	if leader.roster.Count() == leader.rosterCount {
 		return
 	}
-	if lead.roster.Count() == 0 {
+	if leader.roster.Count() == 0 {
 		for id := range r.machine.catalog.Instances() {
-			lead.rosterPending[id] = true
+			leader.rosterPending[id] = true
 		}
 	}
 	var changed []RosterEntry
-	var gone []string
-	for id := range lead.rosterPending {
+	var removed []string
+	for id := range leader.rosterPending {
 		if instance, known := r.machine.catalog.Instances()[id]; known && r.inUse(now, instance) {
 			changed = append(changed, r.rosterEntry(now, instance))
 		} else {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	lead.roster.Update(lead.rosterCount, changed, gone)
-	clear(lead.rosterPending)
+	leader.roster.Update(leader.rosterCount, changed, removed)
+	clear(leader.rosterPending)
 }
 
-// rosterEntry returns a back end as gateways see it.
+// rosterEntry returns the roster entry of a back end.
 func (r *Replica) rosterEntry(now time.Duration, instance catalog.Instance) RosterEntry {
 	state := r.ensureBackend(now, instance.ID)
 	return RosterEntry{
@@ -58,7 +58,7 @@
 	}
 }
 
-// publishRosterIfDue lets the newest roster be told if the last telling is long enough ago.
+// publishRosterIfDue marks the newest roster as published if the minimum interval has passed since the last publication.
 func (l *leaderState) publishRosterIfDue(now time.Duration) {
 	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.PublishInterval(len(l.usage)) {
 		return
@@ -66,12 +66,13 @@
 	l.publishedCount, l.publishedAt = l.rosterCount, now
 }
 
-// hasRosterUpdate reports whether a held question is to be answered for the roster's sake.
+// hasRosterUpdate reports whether the published roster is newer than the one held or from another term.
 func (l *leaderState) hasRosterUpdate(held RosterVersion) bool {
 	return held.Term != l.term || held.Count < l.publishedCount
 }
 
-// markRosterChanged notes that gateways are to be told something new of these back ends, or of all weights if none are named.
+// markRosterChanged starts a new roster version in which the given back ends may have changed. Without IDs, only what is sent along with
+// the roster has changed.
 func (l *leaderState) markRosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
