--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,86 +14,86 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Watch is a gateway's question for news. It is answered at once when the gateway lacks something, else when
-// something changes or Hold has passed.
+// Watch is a gateway's long-polling request for updates. It is answered at once if the gateway lacks something, and otherwise when something
+// changes or Hold has passed.
 type Watch struct {
 	Gateway   string         `json:"gateway"`
 	Zone      string         `json:"zone"`
 	Address   string         `json:"address"`  // for other gateways, or ""
-	Revision  uint64         `json:"revision"` // of the document it holds
-	Roster    RosterVersion  `json:"roster"`   // it holds
+	Revision  uint64         `json:"revision"` // of the document that the gateway holds
+	Roster    RosterVersion  `json:"roster"`   // version that the gateway holds
 	Hold      time.Duration  `json:"hold_ns"`
-	Usage     map[string]int `json:"usage,omitempty"` // its running requests by instance
+	Usage     map[string]int `json:"usage,omitempty"` // running requests by instance
 	Closing   bool           `json:"closing,omitempty"`
-	ProbeOnly bool           `json:"brief,omitempty"` // it only looks for who answers: document and roster are left out
+	ProbeOnly bool           `json:"brief,omitempty"` // the reply omits document and roster; finds a replica that answers
 
-	Quarantine uint64 `json:"quarantine"` // version of the news that it holds
+	Quarantine uint64 `json:"quarantine"` // version of the quarantine list that the gateway holds
 }
 
-// WatchReply confirms that a leader with a valid lease held this state after the question had arrived, so a gateway may
-// count its view as current from the moment when it asked.
+// WatchReply holds the state of a leader that had a valid lease after the watch arrived. The gateway may count its view as current from when
+// it sent the watch.
 type WatchReply struct {
 	Revision          uint64               `json:"revision"`
-	Document          *catalog.Document    `json:"document,omitempty"` // when it is newer than the gateway's
+	Document          *catalog.Document    `json:"document,omitempty"` // set if it is newer than the one that the gateway holds
 	Version           RosterVersion        `json:"version"`
-	Roster            *RosterUpdate        `json:"roster,omitempty"` // when it differs from the gateway's
+	Roster            *RosterUpdate        `json:"roster,omitempty"` // set if it differs from the version that the gateway holds
 	Publications      []WeightsPublication `json:"wanted,omitempty"`
-	Gateways          int                  `json:"gateways"`        // that may trust their view: so many share the equal parts of limits
-	Mesh              Mesh                 `json:"mesh"`            // other gateways to tell of sends
-	Replicas          []string             `json:"replicas"`        // addresses of the control group
-	NearbyReplicas    []string             `json:"near,omitempty"`  // replicas of the gateway's zone that answer for the leader; none where it answers all
-	CacheEventSources []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads for all
+	Gateways          int                  `json:"gateways"`        // number that may trust their view; they share limits equally
+	Mesh              Mesh                 `json:"mesh"`            // peers to announce dispatched requests to
+	Replicas          []string             `json:"replicas"`        // addresses of the control replicas
+	NearbyReplicas    []string             `json:"near,omitempty"`  // followers in the gateway's zone that answer gateways; empty if the leader answers all
+	CacheEventSources []string             `json:"reads,omitempty"` // engines whose cache events the gateway reads on behalf of all gateways
 
-	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // when they differ from the gateway's
+	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // set if it differs from the list that the gateway holds
 
-	sharedDocument *payload.Shared // Document as JSON; or nil
+	sharedDocument *payload.Shared // Document encoded as JSON, or nil
 }
 
-// Parts returns a response as it travels. What many gateways are told, document and roster, is encoded and compressed once for all of them:
-// when a whole fleet asks at once, an answer costs what it tells this one alone.
+// Parts returns the encoded response. Document and roster update are encoded and compressed once and shared by all responses that contain
+// them, so that the cost per response stays small when a whole fleet asks at once.
 func (r Response) Parts() ([]payload.Part, error) {
 	var parts []payload.Part
 	if r.Watch != nil {
-		own := *r.Watch
-		if own.sharedDocument != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: own.sharedDocument})
-			own.Document = nil
+		watchReply := *r.Watch
+		if watchReply.sharedDocument != nil {
+			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: watchReply.sharedDocument})
+			watchReply.Document = nil
 		}
-		if own.Roster != nil && own.Roster.Shared() != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"roster":`)}, payload.Part{Shared: own.Roster.Shared()})
-			own.Roster = nil
+		if watchReply.Roster != nil && watchReply.Roster.Shared() != nil {
+			parts = append(parts, payload.Part{Own: []byte(`,"roster":`)}, payload.Part{Shared: watchReply.Roster.Shared()})
+			watchReply.Roster = nil
 		}
-		r.Watch = &own
+		r.Watch = &watchReply
 	}
 	type plain Response
 	encoded, err := json.Marshal(plain(r))
 	if err != nil || len(parts) == 0 {
 		return []payload.Part{{Own: encoded}}, err
 	}
-	open, closed := bytes.CutSuffix(encoded, []byte("}}")) // the reply is the last thing in a response that has one
-	if !closed {
-		panic("control: a reply to a gateway isn't the last thing in its response: " + string(encoded))
+	head, found := bytes.CutSuffix(encoded, []byte("}}")) // a watch reply is the last field of its response
+	if !found {
+		panic("control: a watch reply is not the last field of its response: " + string(encoded))
 	}
-	return append(append([]payload.Part{{Own: open}}, parts...), payload.Part{Own: []byte("}}")}), nil
+	return append(append([]payload.Part{{Own: head}}, parts...), payload.Part{Own: []byte("}}")}), nil
 }
 
-// heldWatch is a question that is being held.
+// heldWatch is a watch that waits for a change.
 type heldWatch struct {
 	client uint64
 	watch  Watch
 	due    time.Duration
 }
 
-// usageReport is a gateway's figures of its own work.
+// usageReport is the load of a gateway as last reported by itself.
 type usageReport struct {
 	receivedAt time.Duration
 	zone       string
-	address    string        // for other gateways, or ""
-	roster     RosterVersion // newest roster that it has taken up
-	running    map[string]int
+	address    string         // for other gateways, or ""
+	roster     RosterVersion  // newest roster that the gateway uses
+	running    map[string]int // requests by instance
 }
 
-// maxWatchHold bounds how long a question may be held.
+// maxWatchHold limits how long a watch may be held.
 const maxWatchHold = time.Second
 
 func (r *Replica) handleWatch(now time.Duration, client uint64, watch Watch) {
@@ -107,13 +107,13 @@
 	}
 }
 
-// report returns what a question tells of its gateway.
+// report returns the state of the gateway as stated in its watch.
 func (w *Watch) report() relay.Report {
 	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Roster: w.Roster, Running: w.Usage, Closing: w.Closing}
 }
 
-// handleAsFollower answers a request at a replica that does not lead. In a large fleet it answers gateways for the leader; else a gateway's question is
-// held while no leader is known, so that gateways hear of a new one at once and need not ask again and again.
+// handleAsFollower handles a request at a replica that does not lead. In a large fleet it answers watches on behalf of the leader. While no
+// leader is known it holds watches, so that gateways learn of a new leader at once and need not retry. Everything else is rejected.
 func (r *Replica) handleAsFollower(now time.Duration, client uint64, request Request) {
 	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
@@ -126,8 +126,8 @@
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 }
 
-// holdUntilFormed holds a gateway's question until the group has its size, so that a whole fleet that starts doesn't ask again and again
-// meanwhile. One whose time is over is not held.
+// holdUntilFormed holds a watch until the group has formed, so that a starting fleet does not retry in the meantime. It returns false if the
+// watch is due or too many are held.
 func (r *Replica) holdUntilFormed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maxWatchHold)
 	if now >= due || len(r.awaitingLeader) >= maxAwaitingLeader {
@@ -137,11 +137,11 @@
 	return true
 }
 
-// maxAwaitingLeader bounds the questions that are held while no leader is known.
+// maxAwaitingLeader limits the number of watches held while no leader is known.
 const maxAwaitingLeader = 4096
 
-// resolveAwaitingLeader takes up the held questions when this replica leads, and answers them when it hears of a leader or their
-// time is over.
+// resolveAwaitingLeader handles the held watches once this replica leads, and answers or relays them once it knows another leader or they
+// are due.
 func (r *Replica) resolveAwaitingLeader(now time.Duration) {
 	if len(r.awaitingLeader) == 0 {
 		return
@@ -152,7 +152,7 @@
 	for _, held := range waiting {
 		switch {
 		case r.leader != nil && (!r.hasCurrentState(now) || !r.formed()) && now < held.due:
-			r.awaitingLeader = append(r.awaitingLeader, held) // it may not confirm anything yet
+			r.awaitingLeader = append(r.awaitingLeader, held) // this replica may not confirm views yet
 		case r.leader != nil:
 			held.watch.Hold = max(0, held.due-now)
 			r.Handle(now, held.client, Request{Watch: &held.watch})
@@ -165,21 +165,23 @@
 	}
 }
 
-// mayConfirmViews reports whether this replica may confirm a gateway's view: it leads, and its lease runs.
+// mayConfirmViews reports whether this replica is a leader with a valid lease and so may confirm that views are current.
 func (r *Replica) mayConfirmViews(now time.Duration) bool {
 	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
 
-// answerWatches answers the questions for which there is news, or whose time has come.
+// answerWatches answers the held watches that are due or for which something has changed.
 func (r *Replica) answerWatches(now time.Duration) {
 	r.leader.publishRosterIfDue(now)
 	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
 
+// answerWatch answers a watch if it is due or something has changed, and reports whether it did. It waits for up to gatewayListTimeout
+// longer if the gateway is not in the log yet.
 func (r *Replica) answerWatch(now time.Duration, held heldWatch) bool {
-	news := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
+	changed := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
-	if !news && now < held.due {
+	if !changed && now < held.due {
 		return false
 	}
 	unlisted := r.unlisted(held.watch)
@@ -207,7 +209,7 @@
 	return reply
 }
 
-// localWatchReply returns the part of a reply that follows from what this replica has applied.
+// localWatchReply returns the part of a reply that comes from the log that this replica has applied.
 func (r *Replica) localWatchReply(watch *Watch) *WatchReply {
 	document := r.machine.catalog.Document()
 	reply := &WatchReply{Revision: document.Revision}
@@ -221,35 +223,36 @@
 	return reply
 }
 
-// publishedDocument returns the document as gateways are told it, and as JSON that all who lack it share.
+// publishedDocument returns the document without its source, as sent to gateways, and its shared encoding.
 func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
 	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
 		r.published.document, r.published.shared = &sent, nil
 		if shared, err := payload.NewShared(&sent); err == nil {
-			r.published.shared = shared // else whoever tells it meets the error
+			r.published.shared = shared // on failure, encoding the response reports the error
 		}
 	}
 	return r.published.document, r.published.shared
 }
 
-// setLayout adds where the gateway is laid out.
+// setLayout sets the mesh of the gateway and the replicas in its zone.
 func (w *WatchReply) setLayout(layout *relay.Layout, watch *Watch) {
 	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
-// viewExpiry is how long after its last question a gateway may have trusted its view, by a clock that runs slower than ours.
+// viewExpiry returns how long after its last watch a gateway may still trust its view, allowing for a clock that runs slower than ours.
 func (r *Replica) viewExpiry() time.Duration {
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
-// ackedRosterCount returns the count of the newest roster that every gateway which may still send has taken up. One that is silent for
-// longer than it may trust its view sends nothing any more; those of an earlier leader's time have had to ask this one.
+// ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests. A gateway stops
+// sending when its view expires, and so do those that were last confirmed by an earlier leader. It returns the maximum count if there is no
+// such gateway.
 func (r *Replica) ackedRosterCount(now time.Duration) uint64 {
-	taken := uint64(math.MaxUint64)
+	acked := uint64(math.MaxUint64)
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
-		return taken
+		return acked
 	}
 	for _, report := range r.leader.usage {
 		switch {
@@ -257,43 +260,43 @@
 		case report.roster.Term != r.leader.term:
 			return 0
 		default:
-			taken = min(taken, report.roster.Count)
+			acked = min(acked, report.roster.Count)
 		}
 	}
-	return taken
+	return acked
 }
 
-// usageTotals is the work of all gateways, added up now and then: a reply would otherwise cost the more the more there are.
+// usageTotals is the sum of the usage reports of all gateways. It is cached, since the cost of the sum grows with their number.
 type usageTotals struct {
 	at      time.Duration
-	running map[string]int // requests by instance; nil before the first sum
+	running map[string]int // requests by instance; nil until first computed
 }
 
-// usageTotalsInterval is how often the work of all gateways is added up.
+// usageTotalsInterval is the maximum age of the cached sum.
 const usageTotalsInterval = 50 * time.Millisecond
 
-// currentUsage returns the work of all gateways that asked lately.
+// currentUsage returns the sum of the usage reports received within usageTTL.
 func (r *Replica) currentUsage(now time.Duration) *usageTotals {
-	sum := &r.leader.totals
-	if sum.running != nil && now < sum.at+usageTotalsInterval {
-		return sum
+	totals := &r.leader.totals
+	if totals.running != nil && now < totals.at+usageTotalsInterval {
+		return totals
 	}
-	*sum = usageTotals{at: now, running: map[string]int{}}
+	*totals = usageTotals{at: now, running: map[string]int{}}
 	for _, report := range r.leader.usage {
 		if now-report.receivedAt > usageTTL {
 			continue
 		}
 		for id, running := range report.running {
-			sum.running[id] += running
+			totals.running[id] += running
 		}
 	}
-	return sum
+	return totals
 }
 
-// closeWatches answers every held question when the leadership ends.
-func (r *Replica) closeWatches(lead *leaderState) {
-	for _, held := range lead.watchers {
+// closeWatches rejects every held watch when this replica stops leading.
+func (r *Replica) closeWatches(leader *leaderState) {
+	for _, held := range leader.watchers {
 		r.reply(held.client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 	}
-	lead.watchers = nil
+	leader.watchers = nil
 }
