--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -7,49 +7,51 @@
 	"kitetiller/internal/catalog"
 )
 
+// heartbeatOf returns a heartbeat of a back end of service s.
 func heartbeatOf(id string, state catalog.State, sequence uint64) BackendHeartbeat {
 	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
-// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: registering, draining and leaving are answered by the leader, and so is everything
-// while batches don't reach it.
+// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: heartbeats that register, drain or deregister a back end need an answer of the leader, and so
+// do all others while batches do not reach it.
 func TestOnlyHeartbeatsThatNeedNoReplyAreBatched(t *testing.T) {
-	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
-	ready, draining, leaves := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
-	if c.enqueueWithoutReply(0, ready) {
-		t.Fatal("the first heartbeat is gathered")
+	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
+	ready, draining, leaving := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
+	if batcher.enqueueWithoutReply(0, ready) {
+		t.Fatal("the first heartbeat of a back end was queued without an answer")
 	}
-	c.recordAck(0, ready)
+	batcher.recordAck(0, ready)
 	count := func() int {
-		batch := c.takeBatch()
+		batch := batcher.takeBatch()
 		return len(batch.heartbeats) + len(batch.keepalives)
 	}
-	if !c.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
-		t.Fatal("a heartbeat without news is not gathered once")
+	if !batcher.enqueueWithoutReply(time.Second, ready) || count() != 1 || count() != 0 {
+		t.Fatal("an unchanged heartbeat was not queued exactly once")
 	}
-	for name, news := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaves} {
-		c.recordAck(0, ready)
-		if c.enqueueWithoutReply(time.Second, news) || c.enqueueWithoutReply(time.Second, ready) {
-			t.Fatalf("%s, or a heartbeat after it, is gathered", name)
+	for name, heartbeat := range map[string]BackendHeartbeat{"draining": draining, "leaving": leaving} {
+		batcher.recordAck(0, ready)
+		if batcher.enqueueWithoutReply(time.Second, heartbeat) || batcher.enqueueWithoutReply(time.Second, ready) {
+			t.Fatalf("%s: this heartbeat, or the one after it, was queued without an answer", name)
 		}
-		if c.recordAck(0, news); c.enqueueWithoutReply(time.Second, ready) {
-			t.Fatalf("%s counts as registered", name)
+		if batcher.recordAck(0, heartbeat); batcher.enqueueWithoutReply(time.Second, ready) {
+			t.Fatalf("%s: recorded as an acknowledged heartbeat", name)
 		}
 	}
-	c.recordAck(0, ready)
-	if c.enqueueWithoutReply(ackTTL+time.Second, ready) {
-		t.Fatal("a heartbeat is gathered long after the leader took one")
+	batcher.recordAck(0, ready)
+	if batcher.enqueueWithoutReply(ackTTL+time.Second, ready) {
+		t.Fatal("a heartbeat was queued without an answer although the last acknowledgement has expired")
 	}
-	c.recordAck(0, ready)
-	if c.recordBatch(time.Second, heartbeatBatch{}, false, nil); c.enqueueWithoutReply(time.Second, ready) {
-		t.Fatal("a heartbeat is gathered while batches fail")
+	batcher.recordAck(0, ready)
+	if batcher.recordBatch(time.Second, heartbeatBatch{}, false, nil); batcher.enqueueWithoutReply(time.Second, ready) {
+		t.Fatal("a heartbeat was queued without an answer after a batch had failed")
 	}
-	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); !c.enqueueWithoutReply(time.Second, ready) {
-		t.Fatal("no heartbeat is gathered after a batch has passed")
+	if batcher.recordBatch(time.Second, heartbeatBatch{}, true, nil); !batcher.enqueueWithoutReply(time.Second, ready) {
+		t.Fatal("no heartbeat was queued without an answer after a batch had succeeded")
 	}
 }
 
-// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: they keep a back end heard, bring a forgotten one back, and take back no draining.
+// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: batched heartbeats keep a back end alive and register an expired one, but do not undo a
+// drain.
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
@@ -59,13 +61,13 @@
 	if instances["i-1"].State != catalog.StateDraining || instances["i-3"].State != catalog.StateReady {
 		t.Fatalf("instances %+v", instances)
 	}
-	if heard := s.replica.leader.fleet["i-2"].heardAt; heard < s.now-time.Second {
-		t.Fatalf("i-2 was heard at %v, now %v", heard, s.now)
+	if heardAt := s.replica.leader.fleet["i-2"].heardAt; heardAt < s.now-time.Second {
+		t.Fatalf("last heartbeat of i-2 at %v, now %v", heardAt, s.now)
 	}
 }
 
-// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, one that
-// changes nothing at once.
+// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, and any other batch at
+// once.
 func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	const client = 5000
@@ -74,7 +76,7 @@
 		heartbeatOf("i-8", catalog.StateReady, 1),
 	}})
 	if _, answered := s.replies[client]; answered {
-		t.Fatal("answered before anything was written")
+		t.Fatal("answered before the entries were committed")
 	}
 	s.work()
 	instances := s.replica.Machine().Catalog().Instances()
@@ -83,71 +85,71 @@
 	}
 }
 
-// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: in the order in which they came, and no more than may wait.
+// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: heartbeats that need an answer keep their order, and the queue has a limit.
 func TestHeartbeatsForReplyAreQueuedInOrderAndBounded(t *testing.T) {
-	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
+	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
-		if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, uint64(i))) == nil {
-			t.Fatalf("no room for news %d", i)
+		if batcher.enqueueForReply(heartbeatOf("i", catalog.StateReady, uint64(i))) == nil {
+			t.Fatalf("heartbeat %d was rejected before the queue was full", i)
 		}
 	}
-	if c.enqueueForReply(heartbeatOf("i", catalog.StateReady, 0)) != nil {
-		t.Fatal("room for more than may wait")
+	if batcher.enqueueForReply(heartbeatOf("i", catalog.StateReady, 0)) != nil {
+		t.Fatal("a heartbeat was queued beyond the limit")
 	}
-	batch := c.takeBatch()
-	if len(batch.heartbeats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(c.wake) != 1 {
-		t.Fatalf("batch of %d, %d wait", len(batch.heartbeats), len(batch.pending))
+	batch := batcher.takeBatch()
+	if len(batch.heartbeats) != maxQueuedHeartbeats || len(batch.pending) != maxQueuedHeartbeats || batch.pending[7].heartbeat.Sequence != 7 || len(batcher.wake) != 1 {
+		t.Fatalf("batch of %d heartbeats, %d of them pending", len(batch.heartbeats), len(batch.pending))
 	}
 }
 
-// TestUnchangedHeartbeatsAreSentAsKeepalives: what tells nothing new is passed as an id and a number; once something is new, once a batch may have been
-// lost, and where the leader asks for it, it is passed whole.
+// TestUnchangedHeartbeatsAreSentAsKeepalives: an unchanged heartbeat is sent as a keepalive. It is sent in full after a change, after a batch
+// that may have been lost, and if the leader asks for it.
 func TestUnchangedHeartbeatsAreSentAsKeepalives(t *testing.T) {
-	c := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
-	beat := heartbeatOf("i", catalog.StateReady, 1)
-	beat.Versions = map[string]uint64{"m": 1}
-	c.recordAck(0, beat)
-	passes := func(beat BackendHeartbeat) heartbeatBatch {
+	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
+	heartbeat := heartbeatOf("i", catalog.StateReady, 1)
+	heartbeat.Versions = map[string]uint64{"m": 1}
+	batcher.recordAck(0, heartbeat)
+	enqueue := func(heartbeat BackendHeartbeat) heartbeatBatch {
 		t.Helper()
-		if !c.enqueueWithoutReply(time.Second, beat) {
-			t.Fatalf("%+v is not gathered", beat)
+		if !batcher.enqueueWithoutReply(time.Second, heartbeat) {
+			t.Fatalf("heartbeat %+v was not queued", heartbeat)
 		}
-		return c.takeBatch()
+		return batcher.takeBatch()
 	}
-	if got := passes(beat); len(got.keepalives) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.keepalives[0])*3 > jsonLength(t, beat) {
-		t.Fatalf("passed on: %+v", got)
+	if got := enqueue(heartbeat); len(got.keepalives) != 1 || len(got.heartbeats) > 0 || jsonLength(t, got.keepalives[0])*3 > jsonLength(t, heartbeat) {
+		t.Fatalf("unchanged heartbeat was sent as %+v", got)
 	}
-	beat.Versions = map[string]uint64{"m": 2}
-	if got := passes(beat); len(got.heartbeats) != 1 {
-		t.Fatalf("new weights are passed as %+v", got)
+	heartbeat.Versions = map[string]uint64{"m": 2}
+	if got := enqueue(heartbeat); len(got.heartbeats) != 1 {
+		t.Fatalf("heartbeat with new weights was sent as %+v", got)
 	}
-	if got := passes(beat); len(got.keepalives) != 1 {
-		t.Fatalf("known weights are passed as %+v", got)
+	if got := enqueue(heartbeat); len(got.keepalives) != 1 {
+		t.Fatalf("heartbeat with known weights was sent as %+v", got)
 	}
-	c.recordBatch(time.Second, heartbeatBatch{}, true, []string{"i"})
-	if c.enqueueWithoutReply(time.Second, beat) {
-		t.Fatal("a stranger's heartbeat needs no answer")
+	batcher.recordBatch(time.Second, heartbeatBatch{}, true, []string{"i"})
+	if batcher.enqueueWithoutReply(time.Second, heartbeat) {
+		t.Fatal("heartbeat of a back end that the leader does not know was queued without an answer")
 	}
-	c.recordAck(time.Second, beat)
-	c.recordBatch(time.Second, passes(beat), false, nil)
-	if c.recordBatch(time.Second, heartbeatBatch{}, true, nil); c.enqueueWithoutReply(time.Second, beat) {
-		t.Fatal("a heartbeat is shortened after one that may have been lost")
+	batcher.recordAck(time.Second, heartbeat)
+	batcher.recordBatch(time.Second, enqueue(heartbeat), false, nil)
+	if batcher.recordBatch(time.Second, heartbeatBatch{}, true, nil); batcher.enqueueWithoutReply(time.Second, heartbeat) {
+		t.Fatal("keepalive sent after a heartbeat that may have been lost")
 	}
 }
 
-// TestNewLeaderRequestsFullHeartbeats: of a back end that it has heard nothing whole of, and of one that is gone.
+// TestNewLeaderRequestsFullHeartbeats: a leader asks for a full heartbeat of a back end without one so far, and of one that is not registered.
 func TestNewLeaderRequestsFullHeartbeats(t *testing.T) {
 	s := openWithEngines(t)
-	same := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
+	keepaliveOf := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
 	s.replica.leader.fleet["i-2"].fullHeartbeatSeen = false
 	s.advance(time.Second)
-	if answer := s.ask(Request{Signs: []Keepalive{same("i-1"), same("i-2"), same("i-3")}}); len(answer.UnknownBackends) != 2 {
-		t.Fatalf("answer %+v", answer)
+	if response := s.ask(Request{Signs: []Keepalive{keepaliveOf("i-1"), keepaliveOf("i-2"), keepaliveOf("i-3")}}); len(response.UnknownBackends) != 2 {
+		t.Fatalf("response %+v, want 2 unknown back ends", response)
 	}
-	if heard := s.replica.leader.fleet["i-1"].heardAt; heard != s.now {
-		t.Fatalf("i-1 was heard at %v, now %v", heard, s.now)
+	if heardAt := s.replica.leader.fleet["i-1"].heardAt; heardAt != s.now {
+		t.Fatalf("last heartbeat of i-1 at %v, now %v", heardAt, s.now)
 	}
 	if _, known := s.replica.Machine().Catalog().Instances()["i-3"]; known {
-		t.Fatal("a shortened heartbeat registers a back end")
+		t.Fatal("a keepalive registered a back end")
 	}
 }
