--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -13,7 +13,7 @@
 	"kitetiller/internal/payload"
 )
 
-// jsonLength returns how long a message is on the wire, before it is compressed.
+// jsonLength returns the size of a message encoded as JSON, before compression.
 func jsonLength(t *testing.T, message any) int {
 	t.Helper()
 	encoded, err := json.Marshal(message)
@@ -23,7 +23,7 @@
 	return len(encoded)
 }
 
-// registerEngines registers so many engines of one service and lets it be decided which are in use.
+// registerEngines registers count engines of one service and waits until those in use are selected.
 func registerEngines(s *singleReplica, count int) {
 	for first := 0; first < count; first += 500 {
 		var batch []BackendHeartbeat
@@ -37,50 +37,50 @@
 	s.advance(500 * time.Millisecond)
 }
 
-// TestRosterSizeIsIndependentOfFleetSize: what a gateway is told at first is the same for twice the engines at one load, in entries and
-// about in bytes.
+// TestRosterSizeIsIndependentOfFleetSize: the first roster update that a gateway gets has the same size for twice the engines at the same
+// load, in entries and nearly in bytes.
 func TestRosterSizeIsIndependentOfFleetSize(t *testing.T) {
-	told := func(count int) (entries, bytes int) {
+	firstUpdate := func(count int) (entries, bytes int) {
 		s := openWithEngines(t)
 		registerEngines(s, count)
-		news := s.watchNow("g1", RosterVersion{}).Roster
-		return len(news.Entries), jsonLength(t, news)
+		update := s.watchNow("g1", RosterVersion{}).Roster
+		return len(update.Entries), jsonLength(t, update)
 	}
-	entries, bytes := told(1500)
-	more, moreBytes := told(3000)
+	entries, bytes := firstUpdate(1500)
+	more, moreBytes := firstUpdate(3000)
 	if entries > 2*inuse.MinBackends || more > entries+inuse.MinBackends/8 || moreBytes > bytes+bytes/8 {
-		t.Fatalf("%d entries in %d bytes of 1,500 engines, %d in %d of 3,000", entries, bytes, more, moreBytes)
+		t.Fatalf("%d entries in %d bytes for 1,500 engines, %d in %d for 3,000", entries, bytes, more, moreBytes)
 	}
 }
 
-// TestNextLeaderUsesTheSameEngines: from the log, before anybody tells it of any work.
+// TestNextLeaderUsesTheSameEngines: a new leader takes the engines in use from the log, before it has any load reports.
 func TestNextLeaderUsesTheSameEngines(t *testing.T) {
-	folder := t.TempDir()
-	s := openSingleReplica(t, folder)
+	dir := t.TempDir()
+	s := openSingleReplica(t, dir)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 1}}})
 	registerEngines(s, 1500)
-	ids := func(s *singleReplica) map[string]bool {
-		named := map[string]bool{}
+	engineIDs := func(s *singleReplica) map[string]bool {
+		inUse := map[string]bool{}
 		for _, e := range s.watchNow("g1", RosterVersion{}).Roster.Entries {
-			named[e.ID] = true
+			inUse[e.ID] = true
 		}
-		return named
+		return inUse
 	}
-	before := ids(s)
+	before := engineIDs(s)
 	_ = s.disk.Close()
-	s = openSingleReplica(t, folder)
-	after := ids(s)
+	s = openSingleReplica(t, dir)
+	after := engineIDs(s)
 	for id := range before {
 		if !after[id] {
-			t.Fatalf("%d engines were in use, %d are, without %s", len(before), len(after), id)
+			t.Fatalf("%d engines were in use, %d are now, without %s", len(before), len(after), id)
 		}
 	}
 	if len(after) != len(before) {
-		t.Fatalf("%d engines were in use, %d are", len(before), len(after))
+		t.Fatalf("%d engines were in use, %d are now", len(before), len(after))
 	}
 }
 
-// TestLostEnginesAreReplaced: when a part of those in use leaves, as many others come into use in the next look.
+// TestLostEnginesAreReplaced: engines in use that leave are replaced with the next check.
 func TestLostEnginesAreReplaced(t *testing.T) {
 	s := openWithEngines(t)
 	registerEngines(s, 1500)
@@ -99,13 +99,13 @@
 		}
 	}
 	if ready < inuse.MinBackends {
-		t.Fatalf("%d engines are ready after %d began to leave, wanted %d", ready, len(leaving), inuse.MinBackends)
+		t.Fatalf("%d engines are ready after %d started to drain, want at least %d", ready, len(leaving), inuse.MinBackends)
 	}
 }
 
-// TestGatewayListIsLoggedAsChanges: what the log tells of gateways that come one after the other grows with their number, not its square.
+// TestGatewayListIsLoggedAsChanges: the log entries for gateways that join one by one grow with their number and not with its square.
 func TestGatewayListIsLoggedAsChanges(t *testing.T) {
-	written := func(count int) int {
+	loggedBytes := func(count int) int {
 		s := openWithEngines(t)
 		s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 		bytes := 0
@@ -122,43 +122,44 @@
 		}
 		return bytes
 	}
-	if few, many := written(20), written(40); many > 3*few {
+	if few, many := loggedBytes(20), loggedBytes(40); many > 3*few {
 		t.Fatalf("%d bytes for 20 gateways, %d for 40", few, many)
 	}
 }
 
-// TestOrderWaitsForRelayedGateways: a gateway that another replica answers holds up an order until it has turned away, as one that asks here does.
+// TestOrderWaitsForRelayedGateways: an order waits for a gateway that a follower answers until it has stopped sending, as it does for one
+// that watches the leader.
 func TestOrderWaitsForRelayedGateways(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
-	asked := func(held RosterVersion) *relay.Reply {
+	sendRelayRequest := func(held RosterVersion) *relay.Reply {
 		return s.ask(Request{Relay: &relay.Request{Number: 1, Name: "c2", Zone: "z", Address: "c2", Reports: []relay.Report{{Gateway: "g1", Zone: "z", Roster: held}}}}).Relayed
 	}
-	if first := asked(RosterVersion{}); len(first.Unlisted) != 1 {
-		t.Fatalf("a gateway that the log doesn't hold is confirmed: %+v", first)
+	if first := sendRelayRequest(RosterVersion{}); len(first.Unlisted) != 1 {
+		t.Fatalf("the leader confirmed a gateway that is not in the log: %+v", first)
 	}
 	s.advance(layoutInterval)
-	answer := asked(RosterVersion{})
-	if len(answer.Unlisted) > 0 || answer.Layout.NearbyReplicas["z"][0] != "c2" {
-		t.Fatalf("answer %+v", answer)
+	reply := sendRelayRequest(RosterVersion{})
+	if len(reply.Unlisted) > 0 || reply.Layout.NearbyReplicas["z"][0] != "c2" {
+		t.Fatalf("reply %+v, want the gateway confirmed and c2 as its nearby replica", reply)
 	}
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.weightsOrders(200 * time.Millisecond) // the reports
-	asked(answer.Version)
+	s.weightsOrders(200 * time.Millisecond) // answers the weights queries
+	sendRelayRequest(reply.Version)
 	s.sendHeartbeats("i-1", "i-2")
 	if early := s.weightsOrders(time.Second); len(early) > 0 {
-		t.Fatalf("ordered although g1 has not turned away: %+v", early)
+		t.Fatalf("ordered before g1 had stopped sending to the back end: %+v", early)
 	}
-	asked(asked(answer.Version).Version)
+	sendRelayRequest(sendRelayRequest(reply.Version).Version)
 	if orders := s.weightsOrders(300 * time.Millisecond); len(orders) == 0 {
-		t.Fatal("no order after g1 had turned away")
+		t.Fatal("no order after g1 had stopped sending to the back end")
 	}
 }
 
-// TestFullRepliesShareEncodedParts: what an answer to a gateway that knows nothing costs beside the parts that all share doesn't grow with
-// the back ends, and it reads as if it had been encoded in one piece.
+// TestFullRepliesShareEncodedParts: beside the shared parts, the size of a full reply does not grow with the number of back ends. It decodes to
+// the same response as one that was encoded as a whole.
 func TestFullRepliesShareEncodedParts(t *testing.T) {
-	own := func(count int) int {
+	ownBytes := func(count int) int {
 		s := openWithEngines(t)
 		registerEngines(s, count)
 		response := s.ask(Request{Watch: &Watch{Gateway: "g1"}})
@@ -170,21 +171,21 @@
 		for _, p := range parts {
 			bytes += len(p.Own)
 		}
-		var plain, assembled Response
+		var whole, assembled Response
 		body, _ := payload.Assemble(parts, false)
 		if err := json.Unmarshal(body, &assembled); err != nil {
 			t.Fatal(err)
 		}
 		encoded, err := json.Marshal(response)
 		if err == nil {
-			err = json.Unmarshal(encoded, &plain)
+			err = json.Unmarshal(encoded, &whole)
 		}
-		if err != nil || !reflect.DeepEqual(plain, assembled) {
-			t.Fatalf("in parts %+v, in one piece %+v: %v", assembled.Watch, plain.Watch, err)
+		if err != nil || !reflect.DeepEqual(whole, assembled) {
+			t.Fatalf("encoded in parts %+v, as a whole %+v: %v", assembled.Watch, whole.Watch, err)
 		}
 		return bytes
 	}
-	if few, many := own(200), own(400); many > few+few/10 {
-		t.Fatalf("%d bytes of its own with 200 back ends, %d with 400", few, many)
+	if few, many := ownBytes(200), ownBytes(400); many > few+few/10 {
+		t.Fatalf("%d unshared bytes with 200 back ends, %d with 400", few, many)
 	}
 }
