--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -7,27 +7,24 @@
 	"kitetiller/internal/catalog"
 )
 
-// A back end may start again under its name: it then holds nothing of before, its counts start anew, and an order for its last life
-// that got no answer may still be carried out by the new one. All that was known stood under its name: heartbeats of the new life
-// counted as late ones since their numbers were lower, older weights were never believed after newer ones, and a heartbeat that a cut
-// had delayed brought the last life back. On the code as it was, an engine that held version 2 and believed to hold 3 got no order in
-// 20 s: "0 orders, believed map[m:3]".
+// A back end that restarts under the same name is a new incarnation: its sequence numbers start anew, it holds none of the weights of before,
+// and an order for its previous incarnation that got no answer may still reach it. State that was keyed by name mixed up incarnations.
 
-// TestStateBelongsToOneIncarnation: heartbeats, addresses, leaves and reports, each by what goes wrong where a name is taken for a life.
+// TestStateBelongsToOneIncarnation: heartbeats, addresses, deregistrations and weights reports count for one incarnation only.
 func TestStateBelongsToOneIncarnation(t *testing.T) {
-	t.Run("the later life holds", laterIncarnationWins)
-	t.Run("a late heartbeat takes no address", lateHeartbeatDoesNotTakeAddress)
-	t.Run("an untold life takes nothing", unknownIncarnationIsIgnored)
-	t.Run("a leave names the life there is", leaveByNameEndsCurrentIncarnation)
-	t.Run("a report of another life is none", reportOfAnotherIncarnationIsIgnored)
+	t.Run("later incarnation wins", laterIncarnationWins)
+	t.Run("delayed heartbeat does not take address", lateHeartbeatDoesNotTakeAddress)
+	t.Run("unknown incarnation is ignored", unknownIncarnationIsIgnored)
+	t.Run("leave by name ends current incarnation", leaveByNameEndsCurrentIncarnation)
+	t.Run("report of another incarnation is ignored", reportOfAnotherIncarnationIsIgnored)
 }
 
-// incarnationID returns the id of one incarnationID of a back end.
-func incarnationID(name string, born int64) string {
-	return catalog.Incarnation{Name: name, StartedMS: born}.ID()
+// incarnationID returns the instance ID of an incarnation.
+func incarnationID(name string, startedMS int64) string {
+	return catalog.Incarnation{Name: name, StartedMS: startedMS}.ID()
 }
 
-// openWithoutEngines is a fleet whose two engines have left, so that the next one stands alone.
+// openWithoutEngines returns a fleet like openWithEngines after both engines have deregistered.
 func openWithoutEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
@@ -45,47 +42,47 @@
 	}})
 }
 
-// isRegistered reports whether an id is isRegistered.
+// isRegistered reports whether an instance ID is registered.
 func (s *singleReplica) isRegistered(id string) bool {
 	_, known := s.replica.Machine().Catalog().Instances()[id]
 	return known
 }
 
-// laterIncarnationWins: of two lives of one back end the later is the one there is, whatever comes late and wherever it stands.
+// laterIncarnationWins: of two incarnations of a back end only the later is registered, despite delayed messages and other addresses.
 func laterIncarnationWins(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("e", 2000), "a2", 1, 1)
 	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
-		t.Fatal("the last life is registered beside the new one")
+		t.Fatal("the previous incarnation is still registered, or the new one is not")
 	}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 91, 1)
 	if s.isRegistered(incarnationID("e", 1000)) || !s.isRegistered(incarnationID("e", 2000)) {
-		t.Fatal("a late heartbeat brought the last life back")
+		t.Fatal("a delayed heartbeat registered the previous incarnation again")
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e", 1000)}, Leaving: true}})
 	if !s.isRegistered(incarnationID("e", 2000)) {
-		t.Fatal("a late leave of the last life ended the new one")
+		t.Fatal("a delayed deregistration of the previous incarnation ended the new one")
 	}
 }
 
-// lateHeartbeatDoesNotTakeAddress: of two back ends that name one address the one that was started later stands there while it is heard.
+// lateHeartbeatDoesNotTakeAddress: of two back ends with the same address, the one that started later keeps it while it sends heartbeats.
 func lateHeartbeatDoesNotTakeAddress(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
 	s.sendHeartbeat(incarnationID("after", 2000), "a1", 1, 1)
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 91, 1)
 	if s.isRegistered(incarnationID("before", 1000)) || !s.isRegistered(incarnationID("after", 2000)) {
-		t.Fatal("a late heartbeat took the address from the back end that stands there")
+		t.Fatal("a delayed heartbeat took the address from the back end that uses it")
 	}
 	s.advance(silenceTimeout + time.Second)
 	s.sendHeartbeat(incarnationID("other", 1500), "a1", 1, 1)
 	if !s.isRegistered(incarnationID("other", 1500)) {
-		t.Fatal("a back end whose clock runs behind never gets the address of one that is silent")
+		t.Fatal("a back end whose clock runs behind did not get the address of a silent one")
 	}
 }
 
-// unknownIncarnationIsIgnored: where the back ends of a service tell when they were started, a heartbeat that doesn't is somebody else's.
+// unknownIncarnationIsIgnored: in a service whose back ends state their start time, heartbeats without one are ignored.
 func unknownIncarnationIsIgnored(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat("early", "a9", 1, 1)
@@ -96,14 +93,14 @@
 	s.sendHeartbeat("e", "a1", 90, 7)
 	s.sendHeartbeat("x", "a2", 1, 7)
 	if s.isRegistered("e") || s.isRegistered("x") || !s.isRegistered(incarnationID("e", 1000)) {
-		t.Fatal("a heartbeat without a life registered")
+		t.Fatal("a heartbeat without an incarnation registered a back end")
 	}
 	if !s.isRegistered("early") {
-		t.Fatal("a back end that was there before was dropped")
+		t.Fatal("a back end that had registered earlier was removed")
 	}
 }
 
-// leaveByNameEndsCurrentIncarnation: a back end that leaves may give its name alone.
+// leaveByNameEndsCurrentIncarnation: a back end may deregister by its name alone.
 func leaveByNameEndsCurrentIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
@@ -111,26 +108,24 @@
 	s.advance(lateDeregistrationWindow)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: incarnationID("e@5", 0)}, Leaving: true}})
 	if s.isRegistered(incarnationID("e@5", 1000)) || !s.isRegistered(incarnationID("e", 1000)) {
-		t.Fatal("a name with the mark in it means another back end")
+		t.Fatal("a name that contains the separator was taken for another back end")
 	}
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "e"}, Leaving: true}})
 	if s.isRegistered(incarnationID("e", 1000)) {
-		t.Fatal("it is registered after it left")
+		t.Fatal("the back end is registered after it has left")
 	}
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 2, 1)
 	if s.isRegistered(incarnationID("e", 1000)) {
-		t.Fatal("a late heartbeat brought it back")
+		t.Fatal("a delayed heartbeat registered it again")
 	}
 	s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
 	if !s.isRegistered(incarnationID("e", 2000)) {
-		t.Fatal("its next life isn't registered")
+		t.Fatal("its next incarnation is not registered")
 	}
 }
 
-// A leave may be passed on late, when its sender has started again, and give its name alone: it then meant the last life. Taken for the one
-// that stands there now, that one was never registered again however long it lived.
-
-// TestLateLeaveDoesNotBlockNewIncarnation: the next heartbeat registers it again; one that has stood for a while has left.
+// TestLateLeaveDoesNotBlockNewIncarnation: a deregistration by name may arrive after its sender has restarted and then end the new
+// incarnation. The next heartbeat of a recently started incarnation registers it again; one that started long before has left for good.
 func TestLateLeaveDoesNotBlockNewIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	id := incarnationID("e", 2000)
@@ -140,31 +135,33 @@
 	s.ask(leave)
 	s.sendHeartbeat(id, "a1", 2, 1)
 	if !s.isRegistered(id) {
-		t.Fatal("a late leave of the last life ended the next one for good")
+		t.Fatal("a delayed deregistration of the previous incarnation blocked the new one")
 	}
 	s.advance(lateDeregistrationWindow)
 	s.ask(leave)
 	s.sendHeartbeat(id, "a1", 3, 1)
 	if s.isRegistered(id) {
-		t.Fatal("a life that has left came back with a late heartbeat")
+		t.Fatal("a delayed heartbeat registered an incarnation that had left")
 	}
 }
 
-// TestEngineWithoutWeightsIsNotRegistered: a heartbeat of a service of engines that tells of no weights names none to use; one of another service does.
+// TestEngineWithoutWeightsIsNotRegistered: a heartbeat without weights does not register a back end of an engine service, but does for other
+// services.
 func TestEngineWithoutWeightsIsNotRegistered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
-	tell := func(id, service string) {
+	sendWithoutWeights := func(id, service string) {
 		s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: service, Address: id, State: catalog.StateReady}, Sequence: 1}})
 	}
-	tell("e", "engine")
-	tell("p", "plain")
+	sendWithoutWeights("e", "engine")
+	sendWithoutWeights("p", "plain")
 	if s.isRegistered("e") || !s.isRegistered("p") {
-		t.Fatalf("engine %t, plain %t", s.isRegistered("e"), s.isRegistered("p"))
+		t.Fatalf("engine registered: %t, want false; other back end registered: %t, want true", s.isRegistered("e"), s.isRegistered("p"))
 	}
 }
 
-// answerWeightsCalls answers the calls of a roll-out for so long, as an engine that holds a version and has taken so many orders, and returns the orders.
+// answerWeightsCalls advances the clock and answers weights queries as an engine with the given version that has handled revision orders. It
+// returns the orders.
 func (s *singleReplica) answerWeightsCalls(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
@@ -182,8 +179,8 @@
 	return orders
 }
 
-// TestEngineWithLowerWeightsIsOrderedAgain: an order for older weights that got no answer may be carried out after one for newer ones. The engine's
-// own word is believed, and it is ordered again.
+// TestEngineWithLowerWeightsIsOrderedAgain: an order for an older version that got no answer may be carried out after one for a newer version.
+// The engine's report is then adopted and the engine gets a new order.
 func TestEngineWithLowerWeightsIsOrderedAgain(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
@@ -201,10 +198,10 @@
 		}
 		held = s.watchNow("g1", held.Version)
 	}
-	t.Fatalf("0 orders, believed %v", s.replica.leader.fleet[id].versions)
+	t.Fatalf("no order; assumed weights %v", s.replica.leader.fleet[id].versions)
 }
 
-// TestLateHeartbeatDoesNotLowerWeights: one that was sent before a load and arrives after it is not believed against the engine's report.
+// TestLateHeartbeatDoesNotLowerWeights: a heartbeat that was sent before a load and arrives after it does not override the engine's report.
 func TestLateHeartbeatDoesNotLowerWeights(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
@@ -213,11 +210,11 @@
 	s.answerWeightsCalls(5*time.Second, 3, 1)
 	s.sendHeartbeat(id, "a1", 2, 2)
 	if orders := s.answerWeightsCalls(5*time.Second, 3, 1); len(orders) > 0 || s.replica.leader.fleet[id].versions["m"] != 3 {
-		t.Fatalf("orders %+v, believed %v", orders, s.replica.leader.fleet[id].versions)
+		t.Fatalf("orders %+v, assumed weights %v", orders, s.replica.leader.fleet[id].versions)
 	}
 }
 
-// reportOfAnotherIncarnationIsIgnored: a report says whose it is; one of another life tells nothing of the life that was asked.
+// reportOfAnotherIncarnationIsIgnored: a weights report of another incarnation than the queried one changes nothing.
 func reportOfAnotherIncarnationIsIgnored(t *testing.T) {
 	s := openWithoutEngines(t)
 	id := incarnationID("e", 1000)
@@ -228,17 +225,17 @@
 		s.advance(100 * time.Millisecond)
 		for _, call := range s.weightsCalls {
 			if call.Kind == WeightsOrder {
-				t.Fatalf("ordered by the report of another life: %+v", call)
+				t.Fatalf("ordered on the report of another incarnation: %+v", call)
 			}
 			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 2}, Revision: 0})
 		}
 	}
-	if believed := s.replica.leader.fleet[id].versions["m"]; believed != 1 {
-		t.Fatalf("believed %d by the report of another life", believed)
+	if assumed := s.replica.leader.fleet[id].versions["m"]; assumed != 1 {
+		t.Fatalf("assumed version %d after the report of another incarnation, want 1", assumed)
 	}
 }
 
-// TestBackendWithoutIncarnationIsOrdered: where a back end's heartbeats don't tell its start there is nothing that its report's could differ from.
+// TestBackendWithoutIncarnationIsOrdered: for a back end whose heartbeats state no start time, a report with any start time is accepted.
 func TestBackendWithoutIncarnationIsOrdered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
@@ -253,5 +250,5 @@
 			s.replica.ObserveWeightsResult(s.now, WeightsResult{Call: call, Kind: WeightsReported, StartedMS: 2000, Versions: map[string]uint64{"m": 1}})
 		}
 	}
-	t.Fatal("0 orders in 4 s")
+	t.Fatal("no order within 4 s")
 }
