--- a/internal/control/beats.go
+++ b/internal/control/beats.go
@@ -18,8 +18,8 @@
 	heartbeatBatchDelay = 10 * time.Millisecond
 	// maxQueuedHeartbeats limits the queued heartbeats of either kind.
 	maxQueuedHeartbeats = 8192
-	// ackTTL is how long after the leader last acknowledged a heartbeat of a back end its further heartbeats need no answer of the
-	// leader, unless the back end changes state.
+	// ackTTL is how long after the leader last acknowledged a heartbeat of a back end its further heartbeats need no
+	// answer of the leader, unless the back end changes state.
 	ackTTL = 10 * time.Second
 	// batchTimeout limits how long the leader may take to answer a batch.
 	batchTimeout = 800 * time.Millisecond
@@ -31,7 +31,8 @@
 	done      chan error // buffered for the one answer
 }
 
-// ackedHeartbeat is the latest full heartbeat of a back end that was sent to the leader, and when the leader last acknowledged any.
+// ackedHeartbeat is the latest full heartbeat of a back end that was sent to the leader, and when the leader last
+// acknowledged any.
 type ackedHeartbeat struct {
 	ackedAt   time.Duration
 	heartbeat BackendHeartbeat
@@ -42,9 +43,9 @@
 	return heartbeat.Instance != r.heartbeat.Instance || heartbeat.ColdLeft > 0 || r.heartbeat.ColdLeft > 0 || !maps.Equal(heartbeat.Versions, r.heartbeat.Versions)
 }
 
-// heartbeatBatcher collects the heartbeats that a replica receives, so that the leader gets those of thousands of back ends in a few
-// messages per second. Heartbeats that register, drain or deregister a back end are answered once the whole batch has committed, and all
-// others at once.
+// heartbeatBatcher collects the heartbeats that a replica receives, so that the leader gets those of thousands of back
+// ends in a few messages per second. Heartbeats that register, drain or deregister a back end are answered once the
+// whole batch has committed, and all others at once.
 type heartbeatBatcher struct {
 	mu              sync.Mutex
 	updates         []BackendHeartbeat        // changed heartbeats that need no answer; with keepalives, at most maxQueuedHeartbeats
@@ -87,7 +88,8 @@
 	}
 }
 
-// enqueueForReply queues a heartbeat that needs an answer of the leader and returns the channel for it, or nil if the queue is full.
+// enqueueForReply queues a heartbeat that needs an answer of the leader and returns the channel for it, or nil if the
+// queue is full.
 func (c *heartbeatBatcher) enqueueForReply(heartbeat BackendHeartbeat) chan error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +126,9 @@
 	return batch
 }
 
-// recordBatch records whether a batch reached the leader. If it did, the acknowledgements of its back ends are extended. The next heartbeat
-// of a back end that the leader does not know, or of one in a batch that may have been lost, is sent in full.
+// recordBatch records whether a batch reached the leader. If it did, the acknowledgements of its back ends are
+// extended. The next heartbeat of a back end that the leader does not know, or of one in a batch that may have been
+// lost, is sent in full.
 func (c *heartbeatBatcher) recordBatch(now time.Duration, batch heartbeatBatch, delivered bool, unknownBackends []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +165,8 @@
 // errTooManyHeartbeats is returned if the queue of heartbeats for the leader is full.
 var errTooManyHeartbeats = eris.New("too many heartbeats are queued for the leader")
 
-// HandleBackendHeartbeat handles a heartbeat of a back end. After an error, the heartbeat may or may not have taken effect.
+// HandleBackendHeartbeat handles a heartbeat of a back end. After an error, the heartbeat may or may not have taken
+// effect.
 func (s *Server) HandleBackendHeartbeat(ctx context.Context, heartbeat BackendHeartbeat) error {
 	if s.beats.enqueueWithoutReply(s.now(), heartbeat) {
 		return nil
@@ -215,8 +219,8 @@
 	}
 }
 
-// registrationBatch holds registrations to be proposed in one log entry with the next write, so that the start of a whole fleet does not
-// create an entry per back end.
+// registrationBatch holds registrations to be proposed in one log entry with the next write, so that the start of a
+// whole fleet does not create an entry per back end.
 type registrationBatch struct {
 	instances []catalog.Instance // in order of arrival
 	clients   []uint64           // answered when the entry has committed
@@ -236,8 +240,8 @@
 	}
 }
 
-// proposeRegistrations proposes the queued registrations. It must run before any other proposal, so that the log holds the changes of a back
-// end in order of arrival.
+// proposeRegistrations proposes the queued registrations. It must run before any other proposal, so that the log holds
+// the changes of a back end in order of arrival.
 func (r *Replica) proposeRegistrations(now time.Duration) {
 	if r.leader == nil || len(r.leader.joining.instances) == 0 {
 		return
@@ -247,8 +251,8 @@
 	r.appendCommand(now, batch.clients, Command{Catalog: &catalog.Command{RegisterBatch: batch.instances}})
 }
 
-// handleHeartbeatBatch handles a batch of heartbeats as if each had arrived alone. The answer is sent once the last entry that they caused has
-// committed; entries commit in order.
+// handleHeartbeatBatch handles a batch of heartbeats as if each had arrived alone. The answer is sent once the last
+// entry that they caused has committed; entries commit in order.
 func (r *Replica) handleHeartbeatBatch(now time.Duration, client uint64, heartbeats []BackendHeartbeat, keepalives []Keepalive) {
 	before := r.node.LastIndex()
 	for _, heartbeat := range heartbeats {
@@ -273,8 +277,8 @@
 	}
 }
 
-// recordUnknownBackends keeps the unknown back ends of a batch for its answer, which waits for an entry. Without it, a back end that sends
-// only keepalives would stay unknown to this leader for as long as every batch changes something.
+// recordUnknownBackends keeps the unknown back ends of a batch for its answer, which waits for an entry. Without it, a
+// back end that sends only keepalives would stay unknown to this leader for as long as every batch changes something.
 func (l *leaderState) recordUnknownBackends(client uint64, unknownBackends []string) {
 	if client != 0 && len(unknownBackends) > 0 {
 		l.unknownBackends[client] = unknownBackends
--- a/internal/control/beats_strangers_test.go
+++ b/internal/control/beats_strangers_test.go
@@ -7,9 +7,10 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestBatchReplyListsUnknownBackends: the reply to a batch lists the back ends whose next heartbeat must be a full one, also if the batch
-// waits for an entry. Each of several batches that wait for the same entry gets its own list. Otherwise a back end that sends only
-// keepalives would stay unknown to a new leader for as long as every batch changes something.
+// TestBatchReplyListsUnknownBackends: the reply to a batch lists the back ends whose next heartbeat must be a full one,
+// also if the batch waits for an entry. Each of several batches that wait for the same entry gets its own list.
+// Otherwise a back end that sends only keepalives would stay unknown to a new leader for as long as every batch changes
+// something.
 func TestBatchReplyListsUnknownBackends(t *testing.T) {
 	for name, changing := range map[string]BackendHeartbeat{
 		"a registration":    heartbeatOf("i-7", catalog.StateReady, 1),
--- a/internal/control/beats_test.go
+++ b/internal/control/beats_test.go
@@ -12,8 +12,8 @@
 	return BackendHeartbeat{Instance: catalog.Instance{ID: id, Service: "s", Address: id, State: state}, Sequence: sequence}
 }
 
-// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: heartbeats that register, drain or deregister a back end need an answer of the leader, and so
-// do all others while batches do not reach it.
+// TestOnlyHeartbeatsThatNeedNoReplyAreBatched: heartbeats that register, drain or deregister a back end need an answer
+// of the leader, and so do all others while batches do not reach it.
 func TestOnlyHeartbeatsThatNeedNoReplyAreBatched(t *testing.T) {
 	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	ready, draining, leaving := heartbeatOf("i", catalog.StateReady, 1), heartbeatOf("i", catalog.StateDraining, 2), BackendHeartbeat{Instance: catalog.Instance{ID: "i"}, Leaving: true}
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: batched heartbeats keep a back end alive and register an expired one, but do not undo a
-// drain.
+// TestBatchedHeartbeatsHaveTheEffectOfSingleOnes: batched heartbeats keep a back end alive and register an expired one,
+// but do not undo a drain.
 func TestBatchedHeartbeatsHaveTheEffectOfSingleOnes(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, and any other batch at
-// once.
+// TestBatchIsAnsweredOnceCommitted: a batch that changes something is answered once its last entry has committed, and
+// any other batch at once.
 func TestBatchIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	const client = 5000
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: heartbeats that need an answer keep their order, and the queue has a limit.
+// TestHeartbeatsForReplyAreQueuedInOrderAndBounded: heartbeats that need an answer keep their order, and the queue has
+// a limit.
 func TestHeartbeatsForReplyAreQueuedInOrderAndBounded(t *testing.T) {
 	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)}
 	for i := range maxQueuedHeartbeats {
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestUnchangedHeartbeatsAreSentAsKeepalives: an unchanged heartbeat is sent as a keepalive. It is sent in full after a change, after a batch
-// that may have been lost, and if the leader asks for it.
+// TestUnchangedHeartbeatsAreSentAsKeepalives: an unchanged heartbeat is sent as a keepalive. It is sent in full after a
+// change, after a batch that may have been lost, and if the leader asks for it.
 func TestUnchangedHeartbeatsAreSentAsKeepalives(t *testing.T) {
 	batcher := &heartbeatBatcher{acked: map[string]ackedHeartbeat{}}
 	heartbeat := heartbeatOf("i", catalog.StateReady, 1)
@@ -137,7 +138,8 @@
 	}
 }
 
-// TestNewLeaderRequestsFullHeartbeats: a leader asks for a full heartbeat of a back end without one so far, and of one that is not registered.
+// TestNewLeaderRequestsFullHeartbeats: a leader asks for a full heartbeat of a back end without one so far, and of one
+// that is not registered.
 func TestNewLeaderRequestsFullHeartbeats(t *testing.T) {
 	s := openWithEngines(t)
 	keepaliveOf := func(id string) Keepalive { return Keepalive{ID: id, Sequence: uint64(s.now)} }
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -12,11 +12,12 @@
 	return r.ensureBackend(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
-// inUseCheckInterval is how often the set of back ends in use is checked. It is short so that a lost zone is replaced quickly.
+// inUseCheckInterval is how often the set of back ends in use is checked. It is short so that a lost zone is replaced
+// quickly.
 const inUseCheckInterval = 100 * time.Millisecond
 
-// updateInUse adapts the set of back ends in use to the load. It logs the bounds that define the set, so that the next leader uses the same
-// one.
+// updateInUse adapts the set of back ends in use to the load. It logs the bounds that define the set, so that the next
+// leader uses the same one.
 func (r *Replica) updateInUse(now time.Duration) {
 	if now < r.leader.boundsCheckedAt+inUseCheckInterval {
 		return
@@ -72,7 +73,8 @@
 	}
 }
 
-// markInUseChanges marks for the next roster the back ends that a change of bounds has added to the set in use or removed from it.
+// markInUseChanges marks for the next roster the back ends that a change of bounds has added to the set in use or
+// removed from it.
 func (r *Replica) markInUseChanges(now time.Duration, oldBounds map[string]uint64) {
 	for id, instance := range r.machine.catalog.Instances() {
 		oldBound, known := oldBounds[instance.Service]
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// silenceTimeout is the time without heartbeats after which a back end is marked silent. It may only have lost its connection to the
-	// control plane.
+	// silenceTimeout is the time without heartbeats after which a back end is marked silent. It may only have lost its
+	// connection to the control plane.
 	silenceTimeout = 3500 * time.Millisecond
 	// expiryTimeout is the time without heartbeats after which a back end is deregistered. It may register again.
 	expiryTimeout = 12 * time.Second
 	// fleetCheckInterval is how often back ends are checked for silence.
 	fleetCheckInterval = 100 * time.Millisecond
-	// lateHeartbeatWindow is how long after a rise of its weights version a back end's heartbeat with a lower one is taken to be delayed.
-	// It exceeds the heartbeat interval and the usual delay.
+	// lateHeartbeatWindow is how long after a rise of its weights version a back end's heartbeat with a lower one is
+	// taken to be delayed. It exceeds the heartbeat interval and the usual delay.
 	lateHeartbeatWindow = 2 * time.Second
 	// loadedLogInterval is how often changes of the weights versions that back ends hold are logged, in one entry.
 	loadedLogInterval = 300 * time.Millisecond
@@ -53,12 +53,12 @@
 	rollout           rolloutState
 }
 
-// isEngine reports whether the back end holds weights. Only engines receive weights orders, and gateways announce dispatched requests to
-// each other for engines only. It may be called on nil.
+// isEngine reports whether the back end holds weights. Only engines receive weights orders, and gateways announce
+// dispatched requests to each other for engines only. It may be called on nil.
 func (s *backendState) isEngine() bool { return s != nil && len(s.versions) > 0 }
 
-// handleBackendHeartbeat handles a full heartbeat. A registration, drain or deregistration is answered once it has committed, since the back
-// end relies on it. Everything else only changes in-memory state of the leader.
+// handleBackendHeartbeat handles a full heartbeat. A registration, drain or deregistration is answered once it has
+// committed, since the back end relies on it. Everything else only changes in-memory state of the leader.
 func (r *Replica) handleBackendHeartbeat(now time.Duration, client uint64, heartbeat BackendHeartbeat) {
 	id := heartbeat.Instance.ID
 	if !r.config.Guards.On(guard.DrainCommitted) {
@@ -93,8 +93,8 @@
 	Sequence uint64 `json:"seq"`
 }
 
-// handleKeepalive handles a keepalive and reports whether this leader knows the back end. It does not know one whose incarnation has ended,
-// which a delayed keepalive may be from, or one without a full heartbeat to this leader.
+// handleKeepalive handles a keepalive and reports whether this leader knows the back end. It does not know one whose
+// incarnation has ended, which a delayed keepalive may be from, or one without a full heartbeat to this leader.
 func (r *Replica) handleKeepalive(now time.Duration, keepalive Keepalive) bool {
 	state := r.leader.fleet[keepalive.ID]
 	if _, known := r.machine.catalog.Instances()[keepalive.ID]; !known || state == nil || !state.fullHeartbeatSeen {
@@ -108,7 +108,8 @@
 	return true
 }
 
-// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only counts as a sign of life.
+// recordHeartbeat updates the in-memory state of a back end. Heartbeats may be reordered; an older one only counts as a
+// sign of life.
 func (r *Replica) recordHeartbeat(now time.Duration, heartbeat BackendHeartbeat) {
 	state := r.ensureBackend(now, heartbeat.Instance.ID)
 	state.heardAt = now
@@ -130,8 +131,8 @@
 	}
 }
 
-// raiseVersions records the weights versions in a heartbeat and reports whether any rose. A heartbeat may be older than a report of the back
-// end, so it only raises versions. Whether they fell is learned by querying the back end.
+// raiseVersions records the weights versions in a heartbeat and reports whether any rose. A heartbeat may be older than
+// a report of the back end, so it only raises versions. Whether they fell is learned by querying the back end.
 func (r *Replica) raiseVersions(now time.Duration, state *backendState, versions map[string]uint64) bool {
 	changed := false
 	for model, version := range versions {
@@ -170,7 +171,8 @@
 	return state
 }
 
-// logLoadedWeights logs changes of the weights versions that back ends hold, so that the next leader knows them from the start.
+// logLoadedWeights logs changes of the weights versions that back ends hold, so that the next leader knows them from
+// the start.
 func (r *Replica) logLoadedWeights(now time.Duration) {
 	if now < r.leader.heldLoggedAt+loadedLogInterval {
 		return
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/catalog"
 )
 
-// openWithEngines returns a single-replica group with a document and two engines with version 1 of model m, after the wait before the first
-// weights order has passed.
+// openWithEngines returns a single-replica group with a document and two engines with version 1 of model m, after the
+// wait before the first weights order has passed.
 func openWithEngines(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openSingleReplica(t, t.TempDir())
@@ -52,8 +52,9 @@
 	return orders
 }
 
-// TestOrderWaitsUntilGatewaysStopSending: weights are replaced only once every gateway that may still send requests has the roster entry
-// that marks the back end as loading, or its view has expired. Otherwise requests would reach a back end whose weights change.
+// TestOrderWaitsUntilGatewaysStopSending: weights are replaced only once every gateway that may still send requests has
+// the roster entry that marks the back end as loading, or its view has expired. Otherwise requests would reach a back
+// end whose weights change.
 func TestOrderWaitsUntilGatewaysStopSending(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestDrainIsAnsweredOnceCommitted: a drain is answered once its entry has committed. A delayed heartbeat neither undoes it nor registers
-// the back end again after it has left.
+// TestDrainIsAnsweredOnceCommitted: a drain is answered once its entry has committed. A delayed heartbeat neither
+// undoes it nor registers the back end again after it has left.
 func TestDrainIsAnsweredOnceCommitted(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Beat: &BackendHeartbeat{Instance: catalog.Instance{ID: "i-1", Service: "engine", Address: "i-1", State: catalog.StateDraining}, Sequence: 9}})
@@ -144,8 +145,8 @@
 	}
 }
 
-// TestOrderIsDroppedIfLeaseEndsDuringSync: an order is not sent if the disk stalls between decision and send for so long that the leader lease
-// has expired, since another replica may lead by then.
+// TestOrderIsDroppedIfLeaseEndsDuringSync: an order is not sent if the disk stalls between decision and send for so
+// long that the leader lease has expired, since another replica may lead by then.
 func TestOrderIsDroppedIfLeaseEndsDuringSync(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestEnoughBackendsRemainAfterLosses: after the loss of a zone, of a quarter of the fleet, or of the back ends that a release restarts
-// at a time, at least one reachable back end per running request stays in use, and one step of the bound restores the target.
+// TestEnoughBackendsRemainAfterLosses: after the loss of a zone, of a quarter of the fleet, or of the back ends that a
+// release restarts at a time, at least one reachable back end per running request stays in use, and one step of the
+// bound restores the target.
 func TestEnoughBackendsRemainAfterLosses(t *testing.T) {
 	const running = 600
 	all := weightsOf(5000)
@@ -77,7 +78,8 @@
 	}
 }
 
-// TestTargetGrowsAtOnceAndShrinksSlowly: a restart of the whole fleet, during which nothing runs, does not lower the target.
+// TestTargetGrowsAtOnceAndShrinksSlowly: a restart of the whole fleet, during which nothing runs, does not lower the
+// target.
 func TestTargetGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	var size Size
 	size.Update(0, 10, 0)
@@ -126,8 +128,8 @@
 	}
 }
 
-// TestNextLeaderKeepsBackendsInUse: a new leader without load reports keeps the back ends in use for as long as a load peak counts, then
-// lowers their number.
+// TestNextLeaderKeepsBackendsInUse: a new leader without load reports keeps the back ends in use for as long as a load
+// peak counts, then lowers their number.
 func TestNextLeaderKeepsBackendsInUse(t *testing.T) {
 	all := weightsOf(5000)
 	var before, after Size
--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -37,8 +37,8 @@
 	s.advance(500 * time.Millisecond)
 }
 
-// TestRosterSizeIsIndependentOfFleetSize: the first roster update that a gateway gets has the same size for twice the engines at the same
-// load, in entries and nearly in bytes.
+// TestRosterSizeIsIndependentOfFleetSize: the first roster update that a gateway gets has the same size for twice the
+// engines at the same load, in entries and nearly in bytes.
 func TestRosterSizeIsIndependentOfFleetSize(t *testing.T) {
 	firstUpdate := func(count int) (entries, bytes int) {
 		s := openWithEngines(t)
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestGatewayListIsLoggedAsChanges: the log entries for gateways that join one by one grow with their number and not with its square.
+// TestGatewayListIsLoggedAsChanges: the log entries for gateways that join one by one grow with their number and not
+// with its square.
 func TestGatewayListIsLoggedAsChanges(t *testing.T) {
 	loggedBytes := func(count int) int {
 		s := openWithEngines(t)
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestOrderWaitsForRelayedGateways: an order waits for a gateway that a follower answers until it has stopped sending, as it does for one
-// that watches the leader.
+// TestOrderWaitsForRelayedGateways: an order waits for a gateway that a follower answers until it has stopped sending,
+// as it does for one that watches the leader.
 func TestOrderWaitsForRelayedGateways(t *testing.T) {
 	s := openWithEngines(t)
 	s.changeConfig(func(config *Config) { config.GatewayTrust, config.MaxDirectGateways = 3*time.Second, 0 })
@@ -156,8 +157,8 @@
 	}
 }
 
-// TestFullRepliesShareEncodedParts: beside the shared parts, the size of a full reply does not grow with the number of back ends. It decodes to
-// the same response as one that was encoded as a whole.
+// TestFullRepliesShareEncodedParts: beside the shared parts, the size of a full reply does not grow with the number of
+// back ends. It decodes to the same response as one that was encoded as a whole.
 func TestFullRepliesShareEncodedParts(t *testing.T) {
 	ownBytes := func(count int) int {
 		s := openWithEngines(t)
--- a/internal/control/lives_test.go
+++ b/internal/control/lives_test.go
@@ -7,10 +7,12 @@
 	"kitetiller/internal/catalog"
 )
 
-// A back end that restarts under the same name is a new incarnation: its sequence numbers start anew, it holds none of the weights of before,
-// and an order for its previous incarnation that got no answer may still reach it. State that was keyed by name mixed up incarnations.
+// A back end that restarts under the same name is a new incarnation: its sequence numbers start anew, it holds none of
+// the weights of before, and an order for its previous incarnation that got no answer may still reach it. State that
+// was keyed by name mixed up incarnations.
 
-// TestStateBelongsToOneIncarnation: heartbeats, addresses, deregistrations and weights reports count for one incarnation only.
+// TestStateBelongsToOneIncarnation: heartbeats, addresses, deregistrations and weights reports count for one
+// incarnation only.
 func TestStateBelongsToOneIncarnation(t *testing.T) {
 	t.Run("later incarnation wins", laterIncarnationWins)
 	t.Run("delayed heartbeat does not take address", lateHeartbeatDoesNotTakeAddress)
@@ -48,7 +50,8 @@
 	return known
 }
 
-// laterIncarnationWins: of two incarnations of a back end only the later is registered, despite delayed messages and other addresses.
+// laterIncarnationWins: of two incarnations of a back end only the later is registered, despite delayed messages and
+// other addresses.
 func laterIncarnationWins(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("e", 1000), "a1", 90, 1)
@@ -66,7 +69,8 @@
 	}
 }
 
-// lateHeartbeatDoesNotTakeAddress: of two back ends with the same address, the one that started later keeps it while it sends heartbeats.
+// lateHeartbeatDoesNotTakeAddress: of two back ends with the same address, the one that started later keeps it while it
+// sends heartbeats.
 func lateHeartbeatDoesNotTakeAddress(t *testing.T) {
 	s := openWithEngines(t)
 	s.sendHeartbeat(incarnationID("before", 1000), "a1", 90, 1)
@@ -124,8 +128,9 @@
 	}
 }
 
-// TestLateLeaveDoesNotBlockNewIncarnation: a deregistration by name may arrive after its sender has restarted and then end the new
-// incarnation. The next heartbeat of a recently started incarnation registers it again; one that started long before has left for good.
+// TestLateLeaveDoesNotBlockNewIncarnation: a deregistration by name may arrive after its sender has restarted and then
+// end the new incarnation. The next heartbeat of a recently started incarnation registers it again; one that started
+// long before has left for good.
 func TestLateLeaveDoesNotBlockNewIncarnation(t *testing.T) {
 	s := openWithEngines(t)
 	id := incarnationID("e", 2000)
@@ -145,8 +150,8 @@
 	}
 }
 
-// TestEngineWithoutWeightsIsNotRegistered: a heartbeat without weights does not register a back end of an engine service, but does for other
-// services.
+// TestEngineWithoutWeightsIsNotRegistered: a heartbeat without weights does not register a back end of an engine
+// service, but does for other services.
 func TestEngineWithoutWeightsIsNotRegistered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{Replace: &catalog.Document{Revision: 2, Services: []catalog.Service{{Name: "engine", Engine: true}, {Name: "plain"}}}}})
@@ -160,8 +165,8 @@
 	}
 }
 
-// answerWeightsCalls advances the clock and answers weights queries as an engine with the given version that has handled revision orders. It
-// returns the orders.
+// answerWeightsCalls advances the clock and answers weights queries as an engine with the given version that has
+// handled revision orders. It returns the orders.
 func (s *singleReplica) answerWeightsCalls(length time.Duration, version, revision uint64) []WeightsCall {
 	var orders []WeightsCall
 	for end := s.now + length; s.now < end; {
@@ -179,8 +184,8 @@
 	return orders
 }
 
-// TestEngineWithLowerWeightsIsOrderedAgain: an order for an older version that got no answer may be carried out after one for a newer version.
-// The engine's report is then adopted and the engine gets a new order.
+// TestEngineWithLowerWeightsIsOrderedAgain: an order for an older version that got no answer may be carried out after
+// one for a newer version. The engine's report is then adopted and the engine gets a new order.
 func TestEngineWithLowerWeightsIsOrderedAgain(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
@@ -201,7 +206,8 @@
 	t.Fatalf("no order; assumed weights %v", s.replica.leader.fleet[id].versions)
 }
 
-// TestLateHeartbeatDoesNotLowerWeights: a heartbeat that was sent before a load and arrives after it does not override the engine's report.
+// TestLateHeartbeatDoesNotLowerWeights: a heartbeat that was sent before a load and arrives after it does not override
+// the engine's report.
 func TestLateHeartbeatDoesNotLowerWeights(t *testing.T) {
 	s := openWithoutEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 3}}})
@@ -235,7 +241,8 @@
 	}
 }
 
-// TestBackendWithoutIncarnationIsOrdered: for a back end whose heartbeats state no start time, a report with any start time is accepted.
+// TestBackendWithoutIncarnationIsOrdered: for a back end whose heartbeats state no start time, a report with any start
+// time is accepted.
 func TestBackendWithoutIncarnationIsOrdered(t *testing.T) {
 	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
--- a/internal/control/mesh/mesh.go
+++ b/internal/control/mesh/mesh.go
@@ -1,15 +1,16 @@
-// Package mesh computes the layout of the gateways: which of them are schedulers that place requests, which peers each announces dispatched
-// requests to, and which scheduler reads the cache events of each engine. It has no I/O, locks or clock.
+// Package mesh computes the layout of the gateways: which of them are schedulers that place requests, which peers each
+// announces dispatched requests to, and which scheduler reads the cache events of each engine. It has no I/O, locks or
+// clock.
 package mesh
 
 import "slices"
 
-// Mesh lists the peers of a gateway. Announcements of dispatched requests travel over it, so that each reaches every scheduler in a few
-// hops and crosses between two zones once.
+// Mesh lists the peers of a gateway. Announcements of dispatched requests travel over it, so that each reaches every
+// scheduler in a few hops and crosses between two zones once.
 //
-// Schedulers are the gateways that place requests: all gateways of a small fleet, or a few per zone of a large one, which also place
-// requests for the others. The schedulers of a zone form a grid. An announcement goes along the row of its origin and from there down the
-// columns. One scheduler of every other zone receives it too and forwards it there.
+// Schedulers are the gateways that place requests: all gateways of a small fleet, or a few per zone of a large one,
+// which also place requests for the others. The schedulers of a zone form a grid. An announcement goes along the row of
+// its origin and from there down the columns. One scheduler of every other zone receives it too and forwards it there.
 type Mesh struct {
 	Row        []string `json:"row,omitempty"`        // addresses of the peers in the same row; they forward announcements to their columns
 	Column     []string `json:"column,omitempty"`     // addresses of the peers in the same column; they forward nothing
@@ -35,8 +36,8 @@
 	Zones map[string]Zone `json:"zones,omitempty"`
 }
 
-// MeshOf returns the mesh of a gateway. It is empty if the gateway is not part of the layout yet and all gateways of its zone are
-// schedulers.
+// MeshOf returns the mesh of a gateway. It is empty if the gateway is not part of the layout yet and all gateways of
+// its zone are schedulers.
 func (l *Layout) MeshOf(zone, name string) Mesh {
 	zoneLayout := l.Zones[zone]
 	index, schedules := zoneLayout.schedulerIndex(name)
@@ -82,8 +83,8 @@
 // maxFullMesh is the number of schedulers up to which each one sends to all others directly.
 const maxFullMesh = 9
 
-// gridPeers returns the row and the column of the scheduler at index in a square grid of size cells. A cell of a short last row also
-// takes the columns that the row lacks, so that row and columns together reach every cell.
+// gridPeers returns the row and the column of the scheduler at index in a square grid of size cells. A cell of a short
+// last row also takes the columns that the row lacks, so that row and columns together reach every cell.
 func gridPeers(size, index int) (row, column []int) {
 	width := 1
 	for width*width < size {
--- a/internal/control/mesh/mesh_test.go
+++ b/internal/control/mesh/mesh_test.go
@@ -20,8 +20,8 @@
 	return gateways, zoneOf
 }
 
-// TestMeshReachesEverySchedulerOnce: an announcement from any gateway reaches every scheduler once and enters each other zone once, for
-// zones of any size. With AllSchedule set, every gateway is a scheduler.
+// TestMeshReachesEverySchedulerOnce: an announcement from any gateway reaches every scheduler once and enters each
+// other zone once, for zones of any size. With AllSchedule set, every gateway is a scheduler.
 func TestMeshReachesEverySchedulerOnce(t *testing.T) {
 	for _, allSchedule := range []bool{false, true} {
 		for _, sizes := range [][]int{{1}, {2}, {9}, {10}, {3, 2, 2}, {28, 26, 24}, {1, 30}, {17, 5, 40}, {25, 25, 25, 24, 26}, {58, 54, 61, 60, 62}} {
@@ -40,7 +40,8 @@
 	}
 }
 
-// checkReach follows an announcement from one gateway, through a scheduler of its zone if it is not a scheduler, over the mesh.
+// checkReach follows an announcement from one gateway, through a scheduler of its zone if it is not a scheduler, over
+// the mesh.
 func checkReach(t *testing.T, origin string, meshes map[string]Mesh, zoneOf map[string]int, sizes []int, choosesSchedulers bool) {
 	t.Helper()
 	received, crossed := map[string]int{}, 0
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestSchedulersAreFewAndStable: all gateways of a small zone are schedulers, and a few of a large one. When one leaves, the others stay,
-// and its replacement receives placement requests after the warm-up.
+// TestSchedulersAreFewAndStable: all gateways of a small zone are schedulers, and a few of a large one. When one
+// leaves, the others stay, and its replacement receives placement requests after the warm-up.
 func TestSchedulersAreFewAndStable(t *testing.T) {
 	gateways, _ := gatewaysInZones(58, 54, 61, 60, 62)
 	var planner Planner
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestEachEngineHasOneCacheEventReader: the reader is in the engine's zone if that has a scheduler, and only the engines of a departed
-// scheduler change readers.
+// TestEachEngineHasOneCacheEventReader: the reader is in the engine's zone if that has a scheduler, and only the
+// engines of a departed scheduler change readers.
 func TestEachEngineHasOneCacheEventReader(t *testing.T) {
 	var engines []Engine
 	zoneOf := map[string]string{}
--- a/internal/control/mesh/plan.go
+++ b/internal/control/mesh/plan.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// targetSchedulers is the number of schedulers in a large fleet, minSchedulersPerZone the minimum in each zone. Every scheduler
-	// receives every announcement, so total work grows with their number; with few schedulers, each sees enough requests to estimate
-	// the state of the engines well.
+	// targetSchedulers is the number of schedulers in a large fleet, minSchedulersPerZone the minimum in each zone.
+	// Every scheduler receives every announcement, so total work grows with their number; with few schedulers, each
+	// sees enough requests to estimate the state of the engines well.
 	targetSchedulers     = 12
 	minSchedulersPerZone = 2
-	// schedulerWarmUp is how long a new scheduler only receives announcements before it accepts placement requests, if its zone has others.
+	// schedulerWarmUp is how long a new scheduler only receives announcements before it accepts placement requests, if
+	// its zone has others.
 	schedulerWarmUp = 1500 * time.Millisecond
 )
 
@@ -64,8 +65,8 @@
 	}
 }
 
-// chooseSchedulers returns the schedulers of a zone in ascending order of name. It selects the gateways with the highest hash weights, so
-// that few schedulers change when gateways come and go.
+// chooseSchedulers returns the schedulers of a zone in ascending order of name. It selects the gateways with the
+// highest hash weights, so that few schedulers change when gateways come and go.
 func (p *Planner) chooseSchedulers(peers []Peer, zones int) (schedulers []Peer, all bool) {
 	count := max(minSchedulersPerZone, (targetSchedulers+zones-1)/zones)
 	all = len(peers) <= count || p.AllSchedule
@@ -100,9 +101,10 @@
 // Engine is an engine that publishes cache events.
 type Engine struct{ ID, Zone string }
 
-// CacheEventSources assigns each engine to one scheduler that reads its cache events, and returns the IDs of the engines by scheduler.
-// It uses rendezvous hashing over the schedulers of the engine's zone, or over all schedulers if the zone has none, so that few
-// assignments change when gateways come and go. The IDs of each scheduler keep the order of engines.
+// CacheEventSources assigns each engine to one scheduler that reads its cache events, and returns the IDs of the
+// engines by scheduler. It uses rendezvous hashing over the schedulers of the engine's zone, or over all schedulers if
+// the zone has none, so that few assignments change when gateways come and go. The IDs of each scheduler keep the order
+// of engines.
 func (l *Layout) CacheEventSources(engines []Engine) map[string][]string {
 	sources := map[string][]string{}
 	var allSchedulers []Peer
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// At most one in loadDivisor engines may load weights at the same time, and at most one in drainDivisor may be drained for it.
+	// At most one in loadDivisor engines may load weights at the same time, and at most one in drainDivisor may be
+	// drained for it.
 	loadDivisor  = 4
 	drainDivisor = 3
-	// minReadyFraction is the fraction of the peak of ready engines within capacityWindow below which capacity is lacking.
+	// minReadyFraction is the fraction of the peak of ready engines within capacityWindow below which capacity is
+	// lacking.
 	minReadyFraction = 0.9
 	capacityWindow   = 10 * time.Second
-	// initialLoadTime is the estimate of the load time before the first load, and loadTimeSmoothing the weight of a new sample. The first
-	// check for the end of a load comes after firstLoadCheckFraction of the estimate, but not before minFirstLoadCheck; further checks
-	// follow every loadCheckInterval.
+	// initialLoadTime is the estimate of the load time before the first load, and loadTimeSmoothing the weight of a new
+	// sample. The first check for the end of a load comes after firstLoadCheckFraction of the estimate, but not before
+	// minFirstLoadCheck; further checks follow every loadCheckInterval.
 	initialLoadTime        = 600 * time.Millisecond
 	loadTimeSmoothing      = 0.3
 	firstLoadCheckFraction = 0.9
@@ -44,12 +46,12 @@
 	return count
 }
 
-// maxConcurrent returns how many engines may be taken out of service at the same time. It does not depend on spare capacity, since engines
-// whose weights stay outdated for too long get no requests at all.
+// maxConcurrent returns how many engines may be taken out of service at the same time. It does not depend on spare
+// capacity, since engines whose weights stay outdated for too long get no requests at all.
 func maxConcurrent(engines, divisor int) int { return max(1, engines/divisor) }
 
-// lacksCapacity reports whether too few engines are ready or a weights order was lost recently. No engine is then kept idle while its
-// running requests end.
+// lacksCapacity reports whether too few engines are ready or a weights order was lost recently. No engine is then kept
+// idle while its running requests end.
 func (r *Replica) lacksCapacity(now time.Duration) bool {
 	ready := 0
 	for id, instance := range r.machine.catalog.Instances() {
@@ -76,8 +78,8 @@
 	return max(minFirstLoadCheck, time.Duration(firstLoadCheckFraction*float64(expected)))
 }
 
-// observeLoadTime updates the load time estimate with a load that started when the engine accepted the order at acceptedAt. An acceptedAt
-// of 0 is ignored.
+// observeLoadTime updates the load time estimate with a load that started when the engine accepted the order at
+// acceptedAt. An acceptedAt of 0 is ignored.
 func (l *leaderState) observeLoadTime(now, acceptedAt time.Duration) {
 	switch {
 	case acceptedAt == 0:
--- a/internal/control/relay/readers.go
+++ b/internal/control/relay/readers.go
@@ -5,8 +5,8 @@
 	"kitetiller/internal/control/roster"
 )
 
-// cacheEventReaders caches which engines' cache events each gateway reads. Every replica derives it from layout and roster, so it is never
-// sent between replicas.
+// cacheEventReaders caches which engines' cache events each gateway reads. Every replica derives it from layout and
+// roster, so it is never sent between replicas.
 type cacheEventReaders struct {
 	stale            bool // layout or roster has changed since sourcesByGateway was computed
 	sourcesByGateway map[string][]string
@@ -19,8 +19,8 @@
 	return r.sourcesByGateway[gateway]
 }
 
-// CacheEventSources returns the IDs of the engines whose cache events each gateway reads, by gateway. Back ends without weights have no
-// prefix cache.
+// CacheEventSources returns the IDs of the engines whose cache events each gateway reads, by gateway. Back ends without
+// weights have no prefix cache.
 func CacheEventSources(layout *mesh.Layout, log *roster.Log) map[string][]string {
 	var engines []mesh.Engine
 	for _, id := range log.IDs() {
--- a/internal/control/relay/relay.go
+++ b/internal/control/relay/relay.go
@@ -1,13 +1,13 @@
 // Package relay lets a follower answer the watches of gateways on behalf of the leader. It has no I/O, locks or clock.
 //
-// Only the leader can confirm that a view is current. A follower collects the watches of its gateways, has the leader confirm all of them
-// with one request, and sends each gateway what it lacks from its own copy of the roster. The load of the leader thus grows with the number
-// of replicas and not of gateways.
+// Only the leader can confirm that a view is current. A follower collects the watches of its gateways, has the leader
+// confirm all of them with one request, and sends each gateway what it lacks from its own copy of the roster. The load
+// of the leader thus grows with the number of replicas and not of gateways.
 //
-// Invariants: a watch is answered only after the leader replied to a request that names it. The follower sent that request after the watch
-// had arrived, so the gateway may count its view as current from when it sent the watch. The content of the answer is at least as new as
-// the leader's reply. The leader counts each gateway named in a request as seen when the request arrives, which is later than when the
-// gateway sent its watch.
+// Invariants: a watch is answered only after the leader replied to a request that names it. The follower sent that
+// request after the watch had arrived, so the gateway may count its view as current from when it sent the watch. The
+// content of the answer is at least as new as the leader's reply. The leader counts each gateway named in a request as
+// seen when the request arrives, which is later than when the gateway sent its watch.
 package relay
 
 import (
@@ -20,11 +20,12 @@
 )
 
 const (
-	// minRequestInterval is the minimum interval between two requests to the leader, so that the load of the leader does not grow with the
-	// number of gateways. It is also the delay that relaying may add to the confirmation of a view.
+	// minRequestInterval is the minimum interval between two requests to the leader, so that the load of the leader
+	// does not grow with the number of gateways. It is also the delay that relaying may add to the confirmation of a
+	// view.
 	minRequestInterval = 40 * time.Millisecond
-	// idleRequestInterval is the interval between two requests while no watch is pending. They keep the leader informed that this follower
-	// answers gateways.
+	// idleRequestInterval is the interval between two requests while no watch is pending. They keep the leader informed
+	// that this follower answers gateways.
 	idleRequestInterval = 200 * time.Millisecond
 	// RequestTimeout is how long a reply may take before the next request is sent.
 	RequestTimeout = 400 * time.Millisecond
@@ -198,8 +199,8 @@
 	Expired        // the leader did not confirm it in time
 )
 
-// Resolve removes each watch that is ready or has expired and calls visit for it. changed reports whether there is something new for a
-// confirmed watch, and applied is the log index that this replica has applied.
+// Resolve removes each watch that is ready or has expired and calls visit for it. changed reports whether there is
+// something new for a confirmed watch, and applied is the log index that this replica has applied.
 func (r *Relay) Resolve(now time.Duration, applied uint64, changed func(PendingWatch) bool, visit func(PendingWatch, Result)) {
 	r.pending = slices.DeleteFunc(r.pending, func(w PendingWatch) bool {
 		result := r.resultOf(now, applied, w, changed)
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -37,8 +37,8 @@
 	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
-// TestOnlyConfirmedWatchesAreAnswered: a watch that arrives after a request was sent waits for the next request, and so does the watch of a
-// gateway that the leader has not listed yet.
+// TestOnlyConfirmedWatchesAreAnswered: a watch that arrives after a request was sent waits for the next request, and so
+// does the watch of a gateway that the leader has not listed yet.
 func TestOnlyConfirmedWatchesAreAnswered(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestRosterNeverGoesBack: a gateway with a newer roster waits until this replica has caught up. Replies from a previous leader or to an
-// abandoned request are ignored.
+// TestRosterNeverGoesBack: a gateway with a newer roster waits until this replica has caught up. Replies from a
+// previous leader or to an abandoned request are ignored.
 func TestRosterNeverGoesBack(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{Term: 2, Count: 9}))
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestRequestRateIsIndependentOfGateways: a follower sends as many requests per second for twice the gateways, and names each gateway once
-// per watch.
+// TestRequestRateIsIndependentOfGateways: a follower sends as many requests per second for twice the gateways, and
+// names each gateway once per watch.
 func TestRequestRateIsIndependentOfGateways(t *testing.T) {
 	relayOneSecond := func(gateways int) (requests, reports int) {
 		r := New(guard.Set{})
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestPublicationAgeIncludesReplyDelay: the ages in a reply are as of when the leader sent it. Taking them as of its arrival would make
-// publications appear younger than they are.
+// TestPublicationAgeIncludesReplyDelay: the ages in a reply are as of when the leader sent it. Taking them as of its
+// arrival would make publications appear younger than they are.
 func TestPublicationAgeIncludesReplyDelay(t *testing.T) {
 	r := New(guard.Set{})
 	r.Add(pendingWatch(1, 0, roster.Version{}))
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -6,7 +6,8 @@
 	"kitetiller/internal/control/relay"
 )
 
-// RelayCall is a relay request for the caller to send to the leader. The caller passes the reply, or nil if it failed, to ObserveRelay.
+// RelayCall is a relay request for the caller to send to the leader. The caller passes the reply, or nil if it failed,
+// to ObserveRelay.
 type RelayCall struct {
 	Address string
 	Request relay.Request
@@ -24,8 +25,8 @@
 	return added
 }
 
-// advanceRelay sends a relay request if one is due and answers the watches that are ready. On the leader it moves all pending watches to
-// awaitingLeader.
+// advanceRelay sends a relay request if one is due and answers the watches that are ready. On the leader it moves all
+// pending watches to awaitingLeader.
 func (r *Replica) advanceRelay(now time.Duration) {
 	if r.leader != nil {
 		for _, w := range r.relay.Drain() {
@@ -42,7 +43,8 @@
 	r.answerRelayedWatches(now)
 }
 
-// answerRelayedWatches answers the confirmed watches that are due or for which something has changed, and rejects the expired ones.
+// answerRelayedWatches answers the confirmed watches that are due or for which something has changed, and rejects the
+// expired ones.
 func (r *Replica) answerRelayedWatches(now time.Duration) {
 	r.relay.PublishIfDue(now)
 	changed := func(w relay.PendingWatch) bool {
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// publishRosterIfDue marks the newest roster as published if the minimum interval has passed since the last publication.
+// publishRosterIfDue marks the newest roster as published if the minimum interval has passed since the last
+// publication.
 func (l *leaderState) publishRosterIfDue(now time.Duration) {
 	if l.rosterCount == l.publishedCount || now < l.publishedAt+roster.PublishInterval(len(l.usage)) {
 		return
@@ -71,8 +72,8 @@
 	return held.Term != l.term || held.Count < l.publishedCount
 }
 
-// markRosterChanged starts a new roster version in which the given back ends may have changed. Without IDs, only what is sent along with
-// the roster has changed.
+// markRosterChanged starts a new roster version in which the given back ends may have changed. Without IDs, only what
+// is sent along with the roster has changed.
 func (l *leaderState) markRosterChanged(ids ...string) {
 	l.rosterCount++
 	for _, id := range ids {
--- a/internal/control/roster/log.go
+++ b/internal/control/roster/log.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// maxRemovedKept is the number of removed back ends that a log remembers. A gateway that lacks more of them gets a full update.
+// maxRemovedKept is the number of removed back ends that a log remembers. A gateway that lacks more of them gets a full
+// update.
 const maxRemovedKept = 256
 
 // change records that an entry was added, changed or removed in the roster of a count.
@@ -14,9 +15,9 @@
 	id    string
 }
 
-// Log keeps the newest roster and the changes that led to it, to send only what a gateway lacks. The cost of Update grows with the number
-// of changes and that of Since with the size of its result, except for full updates; neither grows with the roster. The zero value is
-// the empty roster of count 0.
+// Log keeps the newest roster and the changes that led to it, to send only what a gateway lacks. The cost of Update
+// grows with the number of changes and that of Since with the size of its result, except for full updates; neither
+// grows with the roster. The zero value is the empty roster of count 0.
 type Log struct {
 	count         uint64             // of the newest roster
 	entries       map[string]Entry   // of the newest roster
@@ -43,8 +44,8 @@
 	return e, known
 }
 
-// Update advances to the roster of a count, which must not be below the current one. Entries that have not changed and removals of unknown
-// IDs are ignored.
+// Update advances to the roster of a count, which must not be below the current one. Entries that have not changed and
+// removals of unknown IDs are ignored.
 func (l *Log) Update(count uint64, entries []Entry, removed []string) {
 	var changed []Entry
 	for _, e := range entries {
@@ -56,8 +57,8 @@
 	l.Apply(count, &Update{Entries: changed, Removed: removed})
 }
 
-// Apply advances to the roster of a count with an update from another log. It records every entry, even one equal to the entry held here,
-// since a gateway may hold a roster in between that it got from the other log.
+// Apply advances to the roster of a count with an update from another log. It records every entry, even one equal to
+// the entry held here, since a gateway may hold a roster in between that it got from the other log.
 func (l *Log) Apply(count uint64, update *Update) {
 	if update.Full {
 		l.replace(count, update.Entries)
@@ -115,7 +116,8 @@
 	l.changes = kept
 }
 
-// Since returns the update from the roster of a count to the newest one. Count 0 requests a full update. The caller must not modify it.
+// Since returns the update from the roster of a count to the newest one. Count 0 requests a full update. The caller
+// must not modify it.
 func (l *Log) Since(count uint64) *Update {
 	if count < l.oldestCount {
 		count = 0
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster holds what the control plane sends to gateways about back ends: roster entries, updates from one roster to the next, and
-// roster versions. It has no I/O, locks or clock.
+// Package roster holds what the control plane sends to gateways about back ends: roster entries, updates from one
+// roster to the next, and roster versions. It has no I/O, locks or clock.
 package roster
 
 import (
@@ -27,16 +27,16 @@
 	ColdLeft time.Duration     `json:"cold_left_ns,omitempty"`
 }
 
-// Publication is a recently published weights version of a model. Lists of publications are in ascending order of version. Each has its own
-// age, since a back end that lacks several is outdated since the oldest of them.
+// Publication is a recently published weights version of a model. Lists of publications are in ascending order of
+// version. Each has its own age, since a back end that lacks several is outdated since the oldest of them.
 type Publication struct {
 	Model   string        `json:"model"`
 	Version uint64        `json:"version"`
 	Age     time.Duration `json:"age_ns"` // since publication, as far as the sender knows
 }
 
-// equivalent reports whether two entries lead to the same decisions in gateways. ColdLeft counts only as zero or non-zero, since gateways
-// count it down by themselves.
+// equivalent reports whether two entries lead to the same decisions in gateways. ColdLeft counts only as zero or
+// non-zero, since gateways count it down by themselves.
 func (e Entry) equivalent(other Entry) bool {
 	return e.Instance == other.Instance && e.Loading == other.Loading && e.Silent == other.Silent && maps.Equal(e.Versions, other.Versions) &&
 		(e.ColdLeft > 0) == (other.ColdLeft > 0)
@@ -94,8 +94,8 @@
 }
 
 const (
-	// publishIntervalPerGateway and maxPublishInterval limit how often a changed roster is published. The cost of publishing grows with
-	// the number of gateways, and so does the interval.
+	// publishIntervalPerGateway and maxPublishInterval limit how often a changed roster is published. The cost of
+	// publishing grows with the number of gateways, and so does the interval.
 	publishIntervalPerGateway = time.Millisecond
 	maxPublishInterval        = 250 * time.Millisecond
 )
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/roster/roster_test.go
@@ -13,8 +13,9 @@
 	"kitetiller/internal/catalog"
 )
 
-// TestNewsLeadToTheWholeRoster: applying updates gives a gateway the newest roster, whatever changes it missed. The same holds for a second
-// log that follows the first through its updates, as in a follower, and for gateways that switch between the two.
+// TestNewsLeadToTheWholeRoster: applying updates gives a gateway the newest roster, whatever changes it missed. The
+// same holds for a second log that follows the first through its updates, as in a follower, and for gateways that
+// switch between the two.
 func TestNewsLeadToTheWholeRoster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var leader, follower Log
@@ -89,7 +90,8 @@
 	}
 }
 
-// TestUpdateCostIsIndependentOfRosterSize: the allocations for recording one change and computing its update do not grow with the roster.
+// TestUpdateCostIsIndependentOfRosterSize: the allocations for recording one change and computing its update do not
+// grow with the roster.
 func TestUpdateCostIsIndependentOfRosterSize(t *testing.T) {
 	allocations := func(size int) float64 {
 		var l Log
--- a/internal/control/roster_test.go
+++ b/internal/control/roster_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// TestRosterUpdatesAreRateLimited: successive changes are published together, at an interval that grows with the number of gateways.
+// TestRosterUpdatesAreRateLimited: successive changes are published together, at an interval that grows with the number
+// of gateways.
 func TestRosterUpdatesAreRateLimited(t *testing.T) {
 	l := &leaderState{term: 1, usage: map[string]usageReport{}, publishedAt: -time.Second}
 	for i := range 100 {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,8 +14,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Watch is a gateway's long-polling request for updates. It is answered at once if the gateway lacks something, and otherwise when something
-// changes or Hold has passed.
+// Watch is a gateway's long-polling request for updates. It is answered at once if the gateway lacks something, and
+// otherwise when something changes or Hold has passed.
 type Watch struct {
 	Gateway   string         `json:"gateway"`
 	Zone      string         `json:"zone"`
@@ -30,8 +30,8 @@
 	Quarantine uint64 `json:"quarantine"` // version of the quarantine list that the gateway holds
 }
 
-// WatchReply holds the state of a leader that had a valid lease after the watch arrived. The gateway may count its view as current from when
-// it sent the watch.
+// WatchReply holds the state of a leader that had a valid lease after the watch arrived. The gateway may count its view
+// as current from when it sent the watch.
 type WatchReply struct {
 	Revision          uint64               `json:"revision"`
 	Document          *catalog.Document    `json:"document,omitempty"` // set if it is newer than the one that the gateway holds
@@ -49,8 +49,8 @@
 	sharedDocument *payload.Shared // Document encoded as JSON, or nil
 }
 
-// Parts returns the encoded response. Document and roster update are encoded and compressed once and shared by all responses that contain
-// them, so that the cost per response stays small when a whole fleet asks at once.
+// Parts returns the encoded response. Document and roster update are encoded and compressed once and shared by all
+// responses that contain them, so that the cost per response stays small when a whole fleet asks at once.
 func (r Response) Parts() ([]payload.Part, error) {
 	var parts []payload.Part
 	if r.Watch != nil {
@@ -112,8 +112,9 @@
 	return relay.Report{Gateway: w.Gateway, Zone: w.Zone, Address: w.Address, Roster: w.Roster, Running: w.Usage, Closing: w.Closing}
 }
 
-// handleAsFollower handles a request at a replica that does not lead. In a large fleet it answers watches on behalf of the leader. While no
-// leader is known it holds watches, so that gateways learn of a new leader at once and need not retry. Everything else is rejected.
+// handleAsFollower handles a request at a replica that does not lead. In a large fleet it answers watches on behalf of
+// the leader. While no leader is known it holds watches, so that gateways learn of a new leader at once and need not
+// retry. Everything else is rejected.
 func (r *Replica) handleAsFollower(now time.Duration, client uint64, request Request) {
 	if request.Watch != nil && r.actsAsRelay() && r.relayWatch(now, client, *request.Watch) {
 		return
@@ -126,8 +127,8 @@
 	r.reply(client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 }
 
-// holdUntilFormed holds a watch until the group has formed, so that a starting fleet does not retry in the meantime. It returns false if the
-// watch is due or too many are held.
+// holdUntilFormed holds a watch until the group has formed, so that a starting fleet does not retry in the meantime. It
+// returns false if the watch is due or too many are held.
 func (r *Replica) holdUntilFormed(now time.Duration, client uint64, watch Watch) bool {
 	due := now + min(watch.Hold, maxWatchHold)
 	if now >= due || len(r.awaitingLeader) >= maxAwaitingLeader {
@@ -140,8 +141,8 @@
 // maxAwaitingLeader limits the number of watches held while no leader is known.
 const maxAwaitingLeader = 4096
 
-// resolveAwaitingLeader handles the held watches once this replica leads, and answers or relays them once it knows another leader or they
-// are due.
+// resolveAwaitingLeader handles the held watches once this replica leads, and answers or relays them once it knows
+// another leader or they are due.
 func (r *Replica) resolveAwaitingLeader(now time.Duration) {
 	if len(r.awaitingLeader) == 0 {
 		return
@@ -165,7 +166,8 @@
 	}
 }
 
-// mayConfirmViews reports whether this replica is a leader with a valid lease and so may confirm that views are current.
+// mayConfirmViews reports whether this replica is a leader with a valid lease and so may confirm that views are
+// current.
 func (r *Replica) mayConfirmViews(now time.Duration) bool {
 	return r.hasCurrentState(now) || !r.config.Guards.On(guard.ConfirmedView)
 }
@@ -176,8 +178,8 @@
 	r.leader.watchers = slices.DeleteFunc(r.leader.watchers, func(held heldWatch) bool { return r.answerWatch(now, held) })
 }
 
-// answerWatch answers a watch if it is due or something has changed, and reports whether it did. It waits for up to gatewayListTimeout
-// longer if the gateway is not in the log yet.
+// answerWatch answers a watch if it is due or something has changed, and reports whether it did. It waits for up to
+// gatewayListTimeout longer if the gateway is not in the log yet.
 func (r *Replica) answerWatch(now time.Duration, held heldWatch) bool {
 	changed := held.watch.Revision < r.machine.catalog.Document().Revision || r.leader.hasRosterUpdate(held.watch.Roster) ||
 		held.watch.Quarantine != r.machine.catalog.Quarantine().Version()
@@ -241,14 +243,15 @@
 	w.Mesh, w.NearbyReplicas = layout.Mesh.MeshOf(watch.Zone, watch.Gateway), layout.NearbyReplicas[watch.Zone]
 }
 
-// viewExpiry returns how long after its last watch a gateway may still trust its view, allowing for a clock that runs slower than ours.
+// viewExpiry returns how long after its last watch a gateway may still trust its view, allowing for a clock that runs
+// slower than ours.
 func (r *Replica) viewExpiry() time.Duration {
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
-// ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests. A gateway stops
-// sending when its view expires, and so do those that were last confirmed by an earlier leader. It returns the maximum count if there is no
-// such gateway.
+// ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests.
+// A gateway stops sending when its view expires, and so do those that were last confirmed by an earlier leader. It
+// returns the maximum count if there is no such gateway.
 func (r *Replica) ackedRosterCount(now time.Duration) uint64 {
 	acked := uint64(math.MaxUint64)
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
@@ -266,7 +269,8 @@
 	return acked
 }
 
-// usageTotals is the sum of the usage reports of all gateways. It is cached, since the cost of the sum grows with their number.
+// usageTotals is the sum of the usage reports of all gateways. It is cached, since the cost of the sum grows with their
+// number.
 type usageTotals struct {
 	at      time.Duration
 	running map[string]int // requests by instance; nil until first computed
