--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -92,10 +92,10 @@
 
 // handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
 // was.
-func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Request) {
-	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
+func (r *Replica) handleRelay(now time.Duration, client uint64, request relay.Request) {
+	r.leader.relayReplicas[request.Name] = relayReplica{zone: request.Zone, address: request.Address, at: now}
 	var unlisted []string
-	for _, report := range question.Reports {
+	for _, report := range request.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
 			unlisted = append(unlisted, report.Gateway)
 		}
@@ -104,11 +104,11 @@
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	answer := &relay.Reply{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
-	if question.Roster != answer.Version {
-		answer.Roster = r.rosterUpdate(now, question.Roster)
+	answer := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
+	if request.Roster != answer.Version {
+		answer.Roster = r.rosterUpdate(now, request.Roster)
 	}
-	if layout := r.layout(now); question.Layout != layout.Version {
+	if layout := r.layout(now); request.Layout != layout.Version {
 		answer.Layout = layout
 	}
 	_, answer.Gateways = r.trustingGateways(now)
