--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -104,15 +104,15 @@
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	answer := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
-	if request.Roster != answer.Version {
-		answer.Roster = r.rosterUpdate(now, request.Roster)
+	reply := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
+	if request.Roster != reply.Version {
+		reply.Roster = r.rosterUpdate(now, request.Roster)
 	}
 	if layout := r.layout(now); request.Layout != layout.Version {
-		answer.Layout = layout
+		reply.Layout = layout
 	}
-	_, answer.Gateways = r.trustingGateways(now)
-	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
+	_, reply.Gateways = r.trustingGateways(now)
+	r.reply(client, Response{Kind: ResponseOK, Relayed: reply})
 }
 
 // recordReport records a gateway's report and returns whether its view may be confirmed. That requires the gateway to be
