--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -55,7 +55,7 @@
 type relayResult struct {
 	number uint64
 	leader string       // address of the leader that was asked
-	answer *relay.Reply // nil if the request failed
+	reply  *relay.Reply // nil if the request failed
 	cause  string       // why the request failed
 }
 
@@ -310,7 +310,7 @@
 		s.replica.ObserveWeightsResult(now, *item.weights)
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
-		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
+		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.reply)
 	case item.foundGroup:
 		s.foundGroup()
 	case item.inspect != nil:
@@ -336,14 +336,14 @@
 	case response.Kind != ResponseOK:
 		result.cause = string(response.Kind)
 	default:
-		result.answer = response.Relayed
+		result.reply = response.Relayed
 	}
 	s.submit(input{relayResult: result})
 }
 
 // logRelayChange logs when relay requests to the leader start to fail and when they succeed again.
 func (s *Server) logRelayChange(result *relayResult) {
-	lost := result.answer == nil
+	lost := result.reply == nil
 	if lost == s.relayFailing {
 		return
 	}
