--- a/internal/control/lending_test.go
+++ b/internal/control/lending_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/quota"
 )
 
-// openFleetWithQuota is openFleet with a tenant quota of 100 units per second and a burst of 50.
+// openFleetWithQuota is openWithEngines with a tenant quota of 100 units per second and a burst of 50.
 func openFleetWithQuota(t *testing.T) *singleReplica {
 	t.Helper()
 	s := openWithEngines(t)
