--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	pathSends       = "/internal/v1/sends"
+	pathDispatches  = "/internal/v1/sends"
 	announceRing    = 4096
 	announcePeriod  = 20 * time.Millisecond // how long a send waits for others to be told with it
 	announceTimeout = 200 * time.Millisecond
@@ -27,7 +27,7 @@
 // same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
-		Path: pathSends, Ring: announceRing, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
+		Path: pathDispatches, Ring: announceRing, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
@@ -80,7 +80,7 @@
 func (s *Server) handleInternal(request transport.Request, respond transport.Respond) {
 	var event core.EventPeerDispatches
 	switch {
-	case request.Path != pathSends:
+	case request.Path != pathDispatches:
 		respond(http.StatusNotFound, nil)
 	case json.Unmarshal(request.Body, &event) != nil:
 		respond(http.StatusBadRequest, nil)
