--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -17,7 +17,7 @@
 const (
 	pathDispatches     = "/internal/v1/sends"
 	announceBufferSize = 4096
-	announcePeriod     = 20 * time.Millisecond // how long a send waits for others to be told with it
+	announceInterval   = 20 * time.Millisecond // how long a send waits for others to be told with it
 	announceTimeout    = 200 * time.Millisecond
 	announceBatch      = 256
 	maximumPeers       = 32 // routers told of sends; those of the own zone come first
@@ -27,7 +27,7 @@
 // same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
-		Path: pathDispatches, Ring: announceBufferSize, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
+		Path: pathDispatches, Ring: announceBufferSize, Batch: announceBatch, Period: announceInterval, Timeout: announceTimeout,
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
