--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -20,7 +20,7 @@
 	announceInterval   = 20 * time.Millisecond // how long a send waits for others to be told with it
 	announceTimeout    = 200 * time.Millisecond
 	announceBatch      = 256
-	maximumPeers       = 32 // routers told of sends; those of the own zone come first
+	maxAnnouncedPeers  = 32 // routers told of sends; those of the own zone come first
 )
 
 // newAnnouncer tells the other routers of sends that no load report shows yet, so that two routers do not choose the
@@ -43,7 +43,7 @@
 func peerAddresses(peers []control.Peer) []string {
 	var addresses []string
 	for _, peer := range peers {
-		if peer.Address != "" && len(addresses) < maximumPeers {
+		if peer.Address != "" && len(addresses) < maxAnnouncedPeers {
 			addresses = append(addresses, peer.Address)
 		}
 	}
