--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -31,9 +31,9 @@
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
-		for _, announced := range batch {
-			announced.Item.Age = clock.Now() - announced.At
-			event.Sends = append(event.Sends, announced.Item)
+		for _, entry := range batch {
+			entry.Item.Age = clock.Now() - entry.At
+			event.Sends = append(event.Sends, entry.Item)
 		}
 		return event
 	})
