--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -70,9 +70,9 @@
 	if listener == nil {
 		return
 	}
-	closing, done := context.WithTimeout(context.Background(), shutdownTime)
+	shutdownCtx, done := context.WithTimeout(context.Background(), shutdownTime)
 	defer done()
-	if err := listener.Close(closing); err != nil {
+	if err := listener.Close(shutdownCtx); err != nil {
 		s.log.Warn("internal listener not closed", zap.Error(err))
 	}
 }
