--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -70,8 +70,8 @@
 	if listener == nil {
 		return
 	}
-	shutdownCtx, done := context.WithTimeout(context.Background(), shutdownTime)
-	defer done()
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	defer cancel()
 	if err := listener.Close(shutdownCtx); err != nil {
 		s.log.Warn("internal listener not closed", zap.Error(err))
 	}
