--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	maximumEventBytes  = 256 << 10
+	maxEventBytes      = 256 << 10
 	maximumAnswerBytes = 8 << 20
 	dataPrefix         = "data: "
 )
@@ -131,7 +131,7 @@
 func (a *attemptRun) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
 	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
-	err := json.NewDecoder(io.LimitReader(response.Body, maximumEventBytes)).Decode(&body)
+	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
 	if err != nil {
 		return said, a.event(core.AttemptBroken)
 	}
@@ -227,7 +227,7 @@
 // readStream passes events to the core. It returns false when the stream ends without its end marker.
 func (s *Server) readStream(body io.Reader, a *attemptRun) bool {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maximumEventBytes)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
 		data, found := bytes.CutPrefix(scanner.Bytes(), []byte(dataPrefix))
 		if !found {
