--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	maxEventBytes      = 256 << 10
-	maximumAnswerBytes = 8 << 20
-	dataPrefix         = "data: "
+	maxEventBytes    = 256 << 10
+	maxResponseBytes = 8 << 20
+	dataPrefix       = "data: "
 )
 
 // attemptRun is one attempt in progress.
@@ -298,7 +298,7 @@
 	}
 	defer response.Body.Close()
 	var reply api.RunResponse
-	if json.NewDecoder(io.LimitReader(response.Body, maximumAnswerBytes)).Decode(&reply) != nil {
+	if json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&reply) != nil {
 		s.brokeOff(ctx, a)
 		s.post(a.event(core.AttemptBroken))
 		return
