--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -37,11 +37,11 @@
 
 // startAttempt begins an attempt on a goroutine of its own.
 func (s *Server) startAttempt(ctx context.Context, action core.ActionDispatch) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if s.barred(run) {
+	if s.barred(ex) {
 		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
 		refused.BackendNotAtFault = true
 		s.offer(refused)
@@ -49,16 +49,16 @@
 		return
 	}
 	s.announcer.Announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
-	run.attempts++
-	run.lastAttempt = uint64(action.Attempt)
+	ex.attempts++
+	ex.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	started := &attemptRun{action: action, run: run, cancel: cancel}
+	started := &attemptRun{action: action, run: ex, cancel: cancel}
 	s.mutex.Lock()
 	s.attempts[action.Attempt] = started
 	s.mutex.Unlock()
 	go func() {
 		defer s.forgetAttempt(action.Attempt)
-		if run.completion != nil {
+		if ex.completion != nil {
 			s.runGenerate(attemptCtx, started)
 			return
 		}
