--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -30,9 +30,9 @@
 
 // attemptRun is one attempt in progress.
 type attemptRun struct {
-	action core.ActionDispatch
-	run    *exchange
-	cancel context.CancelFunc
+	action   core.ActionDispatch
+	exchange *exchange
+	cancel   context.CancelFunc
 }
 
 // startAttempt begins an attempt on a goroutine of its own.
@@ -52,7 +52,7 @@
 	ex.attempts++
 	ex.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	started := &attemptRun{action: action, run: ex, cancel: cancel}
+	started := &attemptRun{action: action, exchange: ex, cancel: cancel}
 	s.mutex.Lock()
 	s.attempts[action.Attempt] = started
 	s.mutex.Unlock()
@@ -187,7 +187,7 @@
 // postFailure reports why a back end didn't answer. Whoever sends the request next must know by then whether it ran.
 func (s *Server) postFailure(a *attemptRun, failed core.EventAttempt) {
 	if failed.Kind == core.AttemptRefused {
-		a.run.notRun.Add(1)
+		a.exchange.notRun.Add(1)
 	}
 	s.post(failed)
 }
@@ -202,7 +202,7 @@
 	if !due {
 		return
 	}
-	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
+	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", held)}
 	if limit := told.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
@@ -290,8 +290,8 @@
 // runService sends an attempt to a small service and reads its whole answer.
 func (s *Server) runService(ctx context.Context, a *attemptRun) {
 	response := s.begin(ctx, a, api.PathRun, api.RunRequest{
-		Request: a.run.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.run.request.Tenant,
-		Key: a.run.request.Key, Body: a.run.body,
+		Request: a.exchange.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.exchange.request.Tenant,
+		Key: a.exchange.request.Key, Body: a.exchange.body,
 	})
 	if response == nil {
 		return
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -8,10 +8,10 @@
 // generateRequest is the body of an attempt to an engine.
 func (a *attemptRun) generateRequest(file *node.File) api.GenerateRequest {
 	request := api.GenerateRequest{
-		Request: a.run.name, Attempt: a.action.Attempt, Router: file.Name, Tenant: a.run.request.Tenant,
-		Prompt: a.run.prompt, Blocks: a.action.Blocks, PromptTokens: a.run.request.PromptTokens,
+		Request: a.exchange.name, Attempt: a.action.Attempt, Router: file.Name, Tenant: a.exchange.request.Tenant,
+		Prompt: a.exchange.prompt, Blocks: a.action.Blocks, PromptTokens: a.exchange.request.PromptTokens,
 		MaxTokens: a.action.MaxTokens, ResumeFrom: a.action.ResumeFrom, Lane: a.action.Lane,
-		Seed: a.run.completion.Seed, Incarnation: a.action.Incarnation, Weights: a.action.Weights,
+		Seed: a.exchange.completion.Seed, Incarnation: a.action.Incarnation, Weights: a.action.Weights,
 		RelyTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
 	if a.action.StoreInVault {
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -88,7 +88,7 @@
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
 	}
-	if f, ok := s.quarantine.Fingerprint(a.run.again); ok {
+	if f, ok := s.quarantine.Fingerprint(a.exchange.again); ok {
 		s.quarantine.RecordFailure(a.life(), a.action.Address, f)
 	}
 }
