--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -52,17 +52,17 @@
 	ex.attempts++
 	ex.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	started := &attemptRun{action: action, exchange: ex, cancel: cancel}
+	attempt := &attemptRun{action: action, exchange: ex, cancel: cancel}
 	s.mutex.Lock()
-	s.attempts[action.Attempt] = started
+	s.attempts[action.Attempt] = attempt
 	s.mutex.Unlock()
 	go func() {
 		defer s.forgetAttempt(action.Attempt)
 		if ex.completion != nil {
-			s.runGenerate(attemptCtx, started)
+			s.runGenerate(attemptCtx, attempt)
 			return
 		}
-		s.runService(attemptCtx, started)
+		s.runService(attemptCtx, attempt)
 	}()
 }
 
