--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -28,8 +28,8 @@
 	dataPrefix       = "data: "
 )
 
-// attemptRun is one attempt in progress.
-type attemptRun struct {
+// activeAttempt is one attempt in progress.
+type activeAttempt struct {
 	action   core.ActionDispatch
 	exchange *exchange
 	cancel   context.CancelFunc
@@ -52,7 +52,7 @@
 	ex.attempts++
 	ex.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	attempt := &attemptRun{action: action, exchange: ex, cancel: cancel}
+	attempt := &activeAttempt{action: action, exchange: ex, cancel: cancel}
 	s.mutex.Lock()
 	s.attempts[action.Attempt] = attempt
 	s.mutex.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-func (a *attemptRun) event(kind core.AttemptEventKind) core.EventAttempt {
+func (a *activeAttempt) event(kind core.AttemptEventKind) core.EventAttempt {
 	return core.EventAttempt{ID: a.action.ID, Attempt: a.action.Attempt, Echo: a.action.Attempt, Kind: kind}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // failure classifies a failed send.
-func (a *attemptRun) failure(err error) core.EventAttempt {
+func (a *activeAttempt) failure(err error) core.EventAttempt {
 	if neverSent(err) {
 		return a.event(core.AttemptRefused)
 	}
@@ -128,7 +128,7 @@
 
 // refusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *attemptRun) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
+func (a *activeAttempt) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
 	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
 	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
@@ -148,7 +148,7 @@
 
 // speaker returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
 // that says binds for that one.
-func (a *attemptRun) speaker(told uint64) uint64 { return cmp.Or(told, a.action.Incarnation) }
+func (a *activeAttempt) speaker(told uint64) uint64 { return cmp.Or(told, a.action.Incarnation) }
 
 // limitOf returns the limit that an answer names; one below 0 is none.
 func limitOf(named *float64) pushback.Limit {
@@ -159,7 +159,7 @@
 }
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
-func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
+func (s *Server) hearLimit(a *activeAttempt, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
 	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
@@ -167,7 +167,7 @@
 
 // begin sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
 // nil.
-func (s *Server) begin(ctx context.Context, a *attemptRun, path string, body any) *http.Response {
+func (s *Server) begin(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
 		s.noteFailure(ctx, a, err)
@@ -185,7 +185,7 @@
 }
 
 // postFailure reports why a back end didn't answer. Whoever sends the request next must know by then whether it ran.
-func (s *Server) postFailure(a *attemptRun, failed core.EventAttempt) {
+func (s *Server) postFailure(a *activeAttempt, failed core.EventAttempt) {
 	if failed.Kind == core.AttemptRefused {
 		a.exchange.notRun.Add(1)
 	}
@@ -193,7 +193,7 @@
 }
 
 // hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *attemptRun, told core.EventPushback, status int) {
+func (s *Server) hear(a *activeAttempt, told core.EventPushback, status int) {
 	if told.Signals.IsEmpty() {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 // runGenerate sends an attempt to an engine and reads its stream.
-func (s *Server) runGenerate(ctx context.Context, a *attemptRun) {
+func (s *Server) runGenerate(ctx context.Context, a *activeAttempt) {
 	response := s.begin(ctx, a, api.PathGenerate, a.generateRequest(s.file))
 	if response == nil {
 		return
@@ -225,7 +225,7 @@
 }
 
 // readStream passes events to the core. It returns false when the stream ends without its end marker.
-func (s *Server) readStream(body io.Reader, a *attemptRun) bool {
+func (s *Server) readStream(body io.Reader, a *activeAttempt) bool {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
@@ -245,7 +245,7 @@
 }
 
 // passEvent turns one engine event into core events and reports whether it was the last.
-func (s *Server) passEvent(a *attemptRun, event api.GenerateEvent) bool {
+func (s *Server) passEvent(a *activeAttempt, event api.GenerateEvent) bool {
 	out := a.event(core.AttemptChunk)
 	out.Echo, out.Index, out.Text, out.Cached, out.Incarnation = event.Attempt, event.Index, event.Text, event.Cached, event.Incarnation
 	switch event.Kind {
@@ -264,7 +264,7 @@
 	return false
 }
 
-func (s *Server) passStarted(a *attemptRun, event api.GenerateEvent, out core.EventAttempt) {
+func (s *Server) passStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
 	out.AdvertisesLimit = s.hearLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
@@ -282,13 +282,13 @@
 }
 
 // missingFrom returns the blocks that the vault turned out not to hold.
-func (a *attemptRun) missingFrom(have int) []prefix.Hash {
+func (a *activeAttempt) missingFrom(have int) []prefix.Hash {
 	upTo := min(a.action.ImportBlocks, len(a.action.Blocks))
 	return a.action.Blocks[min(have, upTo):upTo]
 }
 
 // runService sends an attempt to a small service and reads its whole answer.
-func (s *Server) runService(ctx context.Context, a *attemptRun) {
+func (s *Server) runService(ctx context.Context, a *activeAttempt) {
 	response := s.begin(ctx, a, api.PathRun, api.RunRequest{
 		Request: a.exchange.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.exchange.request.Tenant,
 		Key: a.exchange.request.Key, Body: a.exchange.body,
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -6,7 +6,7 @@
 )
 
 // generateRequest is the body of an attempt to an engine.
-func (a *attemptRun) generateRequest(file *node.File) api.GenerateRequest {
+func (a *activeAttempt) generateRequest(file *node.File) api.GenerateRequest {
 	request := api.GenerateRequest{
 		Request: a.exchange.name, Attempt: a.action.Attempt, Router: file.Name, Tenant: a.exchange.request.Tenant,
 		Prompt: a.exchange.prompt, Blocks: a.action.Blocks, PromptTokens: a.exchange.request.PromptTokens,
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -79,12 +79,12 @@
 func (e *exchange) mayHaveRun() bool { return e.attempts > e.notRun.Load() }
 
 // life names the life of a back end that an attempt was sent to.
-func (a *attemptRun) life() string {
+func (a *activeAttempt) life() string {
 	return fmt.Sprintf("%s/%d", a.action.Backend, a.action.Incarnation)
 }
 
 // brokeOff notes that an attempt broke off without our doing.
-func (s *Server) brokeOff(ctx context.Context, a *attemptRun) {
+func (s *Server) brokeOff(ctx context.Context, a *activeAttempt) {
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // noteFailure notes what a failed send says of its back end.
-func (s *Server) noteFailure(ctx context.Context, a *attemptRun, err error) {
+func (s *Server) noteFailure(ctx context.Context, a *activeAttempt, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.life())
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -13,7 +13,7 @@
 
 // TestRefusalsTellWhoSpeaksAndWhat: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
 func TestRefusalsTellWhoSpeaksAndWhat(t *testing.T) {
-	meant := &attemptRun{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
+	meant := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, wanted := range map[string]core.EventPushback{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
 		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Signals: pushback.Signals{Draining: true}},
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -93,8 +93,8 @@
 	nextID  atomic.Uint64
 
 	mutex    sync.Mutex
-	waiting  map[core.RequestID]*exchange   // callers
-	attempts map[core.AttemptID]*attemptRun // running attempts
+	waiting  map[core.RequestID]*exchange      // callers
+	attempts map[core.AttemptID]*activeAttempt // running attempts
 
 	pollers   map[string]context.CancelFunc // by back end; owned by the platform thread
 	client    *transport.Client
@@ -124,7 +124,7 @@
 		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
 		events: make(chan core.Event, eventRing), inspect: make(chan inspection, 64),
-		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*attemptRun{},
+		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
 		group:    control.NewClient(client, file.Router.Control), saidLines: node.NewSparse(),
