--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -69,10 +69,10 @@
 // cancelAttempt closes the connection, which tells the back end to stop.
 func (s *Server) cancelAttempt(id core.AttemptID) {
 	s.mutex.Lock()
-	held := s.attempts[id]
+	attempt := s.attempts[id]
 	s.mutex.Unlock()
-	if held != nil {
-		held.cancel()
+	if attempt != nil {
+		attempt.cancel()
 	}
 }
 
