--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -78,11 +78,11 @@
 
 func (s *Server) forgetAttempt(id core.AttemptID) {
 	s.mutex.Lock()
-	held := s.attempts[id]
+	attempt := s.attempts[id]
 	delete(s.attempts, id)
 	s.mutex.Unlock()
-	if held != nil {
-		held.cancel()
+	if attempt != nil {
+		attempt.cancel()
 	}
 }
 
