--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -57,7 +57,7 @@
 	s.attempts[action.Attempt] = attempt
 	s.mutex.Unlock()
 	go func() {
-		defer s.forgetAttempt(action.Attempt)
+		defer s.removeAttempt(action.Attempt)
 		if ex.completion != nil {
 			s.runGenerate(attemptCtx, attempt)
 			return
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Server) forgetAttempt(id core.AttemptID) {
+func (s *Server) removeAttempt(id core.AttemptID) {
 	s.mutex.Lock()
 	attempt := s.attempts[id]
 	delete(s.attempts, id)
