--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -118,8 +118,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// failure classifies a failed send.
-func (a *activeAttempt) failure(err error) core.EventAttempt {
+// failureEvent classifies a failed send.
+func (a *activeAttempt) failureEvent(err error) core.EventAttempt {
 	if neverSent(err) {
 		return a.event(core.AttemptRefused)
 	}
@@ -171,7 +171,7 @@
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
 		s.noteFailure(ctx, a, err)
-		s.postFailure(a, a.failure(err))
+		s.postFailure(a, a.failureEvent(err))
 		return nil
 	}
 	if response.StatusCode == http.StatusOK {
--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -64,7 +64,7 @@
 	if err == nil || !neverSent(err) {
 		t.Fatalf("error %v does not count as never sent", err)
 	}
-	if event := (&activeAttempt{}).failure(err); event.Kind != core.AttemptRefused {
+	if event := (&activeAttempt{}).failureEvent(err); event.Kind != core.AttemptRefused {
 		t.Fatalf("event %+v", event)
 	}
 }
