--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -126,9 +126,9 @@
 	return a.event(core.AttemptBroken)
 }
 
-// refusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
+// parseRefusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *activeAttempt) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
+func (a *activeAttempt) parseRefusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
 	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
 	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
@@ -177,7 +177,7 @@
 	if response.StatusCode == http.StatusOK {
 		return response
 	}
-	said, refused := a.refusal(response)
+	said, refused := a.parseRefusal(response)
 	s.hear(a, said, response.StatusCode)
 	s.postFailure(a, refused)
 	_ = response.Body.Close()
--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -24,7 +24,7 @@
 		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 2}}},
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
-		if said, _ := meant.refusal(response); said != wanted {
+		if said, _ := meant.parseRefusal(response); said != wanted {
 			t.Errorf("%s: %+v, wanted %+v", body, said, wanted)
 		}
 	}
