--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -128,22 +128,22 @@
 
 // parseRefusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *activeAttempt) parseRefusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
-	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
+func (a *activeAttempt) parseRefusal(response *http.Response) (pushbackEvent core.EventPushback, event core.EventAttempt) {
+	pushbackEvent = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
 	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
 	if err != nil {
-		return said, a.event(core.AttemptBroken)
+		return pushbackEvent, a.event(core.AttemptBroken)
 	}
-	said.Incarnation = a.speaker(body.Incarnation)
+	pushbackEvent.Incarnation = a.speaker(body.Incarnation)
 	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
-	said.Signals = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
-		return said, a.event(core.AttemptBroken)
+		return pushbackEvent, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.BackendNotAtFault = !said.Signals.IsEmpty()
-	return said, event
+	event.BackendNotAtFault = !pushbackEvent.Signals.IsEmpty()
+	return pushbackEvent, event
 }
 
 // speaker returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
