--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -136,8 +136,8 @@
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
 	pushbackEvent.Incarnation = a.speaker(body.Incarnation)
-	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
-	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
+	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
