--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -148,7 +148,9 @@
 
 // speaker returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
 // that says binds for that one.
-func (a *activeAttempt) speaker(told uint64) uint64 { return cmp.Or(told, a.action.Incarnation) }
+func (a *activeAttempt) speaker(reported uint64) uint64 {
+	return cmp.Or(reported, a.action.Incarnation)
+}
 
 // limitOf returns the limit that an answer names; one below 0 is none.
 func limitOf(named *float64) pushback.Limit {
