--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
-	pushbackEvent.Incarnation = a.speaker(body.Incarnation)
+	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
 	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
 	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
 	if body.Run != core.RunNot {
@@ -146,9 +146,9 @@
 	return pushbackEvent, event
 }
 
-// speaker returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
+// respondingIncarnation returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
 // that says binds for that one.
-func (a *activeAttempt) speaker(reported uint64) uint64 {
+func (a *activeAttempt) respondingIncarnation(reported uint64) uint64 {
 	return cmp.Or(reported, a.action.Incarnation)
 }
 
@@ -163,7 +163,7 @@
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *activeAttempt, named *float64, incarnation uint64) bool {
 	limit := limitOf(named)
-	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
+	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
 
