--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -153,11 +153,11 @@
 }
 
 // limitOf returns the limit that an answer names; one below 0 is none.
-func limitOf(named *float64) pushback.Limit {
-	if named == nil || *named < 0 {
+func limitOf(rate *float64) pushback.Limit {
+	if rate == nil || *rate < 0 {
 		return pushback.Limit{}
 	}
-	return pushback.Limit{Advertised: true, Rate: *named}
+	return pushback.Limit{Advertised: true, Rate: *rate}
 }
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
