--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -137,7 +137,7 @@
 	}
 	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
 	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
-	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: advertisedLimit(body.Limit)}
 	if body.Run != core.RunNot {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
@@ -152,8 +152,8 @@
 	return cmp.Or(reported, a.action.Incarnation)
 }
 
-// limitOf returns the limit that an answer names; one below 0 is none.
-func limitOf(rate *float64) pushback.Limit {
+// advertisedLimit returns the limit that an answer names; one below 0 is none.
+func advertisedLimit(rate *float64) pushback.Limit {
 	if rate == nil || *rate < 0 {
 		return pushback.Limit{}
 	}
@@ -162,7 +162,7 @@
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) hearLimit(a *activeAttempt, named *float64, incarnation uint64) bool {
-	limit := limitOf(named)
+	limit := advertisedLimit(named)
 	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return named != nil
 }
