--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -161,10 +161,10 @@
 }
 
 // hearLimit passes on the limit that an answer names, and reports whether it names one.
-func (s *Server) hearLimit(a *activeAttempt, named *float64, incarnation uint64) bool {
-	limit := advertisedLimit(named)
+func (s *Server) hearLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
+	limit := advertisedLimit(rate)
 	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
-	return named != nil
+	return rate != nil
 }
 
 // begin sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
