--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -160,8 +160,8 @@
 	return pushback.Limit{Advertised: true, Rate: *rate}
 }
 
-// hearLimit passes on the limit that an answer names, and reports whether it names one.
-func (s *Server) hearLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
+// observeLimit passes on the limit that an answer names, and reports whether it names one.
+func (s *Server) observeLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
 	limit := advertisedLimit(rate)
 	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return rate != nil
@@ -268,7 +268,7 @@
 
 func (s *Server) passStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.AdvertisesLimit = s.hearLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
 	s.metrics.started(a, event)
 	if event.NoReuse {
@@ -306,7 +306,7 @@
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.AdvertisesLimit = s.hearLimit(a, reply.Limit, reply.Incarnation)
+	done.AdvertisesLimit = s.observeLimit(a, reply.Limit, reply.Incarnation)
 	done.Echo, done.Answer = reply.Attempt, &reply.Answer
 	s.post(done)
 }
