--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -195,21 +195,21 @@
 }
 
 // hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *activeAttempt, told core.EventPushback, status int) {
-	if told.Signals.IsEmpty() {
+func (s *Server) hear(a *activeAttempt, event core.EventPushback, status int) {
+	if event.Signals.IsEmpty() {
 		return
 	}
-	s.post(told)
-	held, due := s.saidLines.Due(s.now(), told.Name)
+	s.post(event)
+	held, due := s.saidLines.Due(s.now(), event.Name)
 	if !due {
 		return
 	}
 	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Signals.Limit; limit.Advertised {
+	if limit := event.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
-	if told.Signals.Backoff > 0 || told.Signals.Draining {
-		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Signals.Backoff), zap.Bool("leaving", told.Signals.Draining))...)
+	if event.Signals.Backoff > 0 || event.Signals.Draining {
+		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, event.Signals.Backoff), zap.Bool("leaving", event.Signals.Draining))...)
 	}
 }
 
