--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -163,7 +163,7 @@
 // observeLimit passes on the limit that an answer names, and reports whether it names one.
 func (s *Server) observeLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
 	limit := advertisedLimit(rate)
-	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
+	s.observePushback(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return rate != nil
 }
 
@@ -180,7 +180,7 @@
 		return response
 	}
 	said, refused := a.parseRefusal(response)
-	s.hear(a, said, response.StatusCode)
+	s.observePushback(a, said, response.StatusCode)
 	s.postFailure(a, refused)
 	_ = response.Body.Close()
 	return nil
@@ -194,8 +194,8 @@
 	s.post(failed)
 }
 
-// hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *activeAttempt, event core.EventPushback, status int) {
+// observePushback passes on and logs what a back end said of itself.
+func (s *Server) observePushback(a *activeAttempt, event core.EventPushback, status int) {
 	if event.Signals.IsEmpty() {
 		return
 	}
