--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -179,8 +179,8 @@
 	if response.StatusCode == http.StatusOK {
 		return response
 	}
-	said, refused := a.parseRefusal(response)
-	s.observePushback(a, said, response.StatusCode)
+	pushbackEvent, refused := a.parseRefusal(response)
+	s.observePushback(a, pushbackEvent, response.StatusCode)
 	s.postFailure(a, refused)
 	_ = response.Body.Close()
 	return nil
