--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -167,9 +167,9 @@
 	return rate != nil
 }
 
-// begin sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
+// dispatch sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
 // nil.
-func (s *Server) begin(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
+func (s *Server) dispatch(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
 		s.noteFailure(ctx, a, err)
@@ -215,7 +215,7 @@
 
 // runGenerate sends an attempt to an engine and reads its stream.
 func (s *Server) runGenerate(ctx context.Context, a *activeAttempt) {
-	response := s.begin(ctx, a, api.PathGenerate, a.generateRequest(s.file))
+	response := s.dispatch(ctx, a, api.PathGenerate, a.generateRequest(s.file))
 	if response == nil {
 		return
 	}
@@ -291,7 +291,7 @@
 
 // runService sends an attempt to a small service and reads its whole answer.
 func (s *Server) runService(ctx context.Context, a *activeAttempt) {
-	response := s.begin(ctx, a, api.PathRun, api.RunRequest{
+	response := s.dispatch(ctx, a, api.PathRun, api.RunRequest{
 		Request: a.exchange.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.exchange.request.Tenant,
 		Key: a.exchange.request.Key, Body: a.exchange.body,
 	})
