--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -200,11 +200,11 @@
 		return
 	}
 	s.post(event)
-	held, due := s.saidLines.Due(s.now(), event.Name)
+	suppressed, due := s.saidLines.Due(s.now(), event.Name)
 	if !due {
 		return
 	}
-	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", held)}
+	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", suppressed)}
 	if limit := event.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
