--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -239,15 +239,15 @@
 		if json.Unmarshal(data, &event) != nil {
 			return false
 		}
-		if s.passEvent(a, event) {
+		if s.handleEvent(a, event) {
 			return true
 		}
 	}
 	return false
 }
 
-// passEvent turns one engine event into core events and reports whether it was the last.
-func (s *Server) passEvent(a *activeAttempt, event api.GenerateEvent) bool {
+// handleEvent turns one engine event into core events and reports whether it was the last.
+func (s *Server) handleEvent(a *activeAttempt, event api.GenerateEvent) bool {
 	out := a.event(core.AttemptChunk)
 	out.Echo, out.Index, out.Text, out.Cached, out.Incarnation = event.Attempt, event.Index, event.Text, event.Cached, event.Incarnation
 	switch event.Kind {
