--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -252,7 +252,7 @@
 	out.Echo, out.Index, out.Text, out.Cached, out.Incarnation = event.Attempt, event.Index, event.Text, event.Cached, event.Incarnation
 	switch event.Kind {
 	case api.GenerateStarted:
-		s.passStarted(a, event, out)
+		s.handleStarted(a, event, out)
 		return false
 	case api.GenerateDone:
 		if event.Kept > 0 {
@@ -266,7 +266,7 @@
 	return false
 }
 
-func (s *Server) passStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
+func (s *Server) handleStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
 	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
