--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -284,9 +284,9 @@
 }
 
 // missingFrom returns the blocks that the vault turned out not to hold.
-func (a *activeAttempt) missingFrom(have int) []prefix.Hash {
+func (a *activeAttempt) missingFrom(found int) []prefix.Hash {
 	upTo := min(a.action.ImportBlocks, len(a.action.Blocks))
-	return a.action.Blocks[min(have, upTo):upTo]
+	return a.action.Blocks[min(found, upTo):upTo]
 }
 
 // runService sends an attempt to a small service and reads its whole answer.
