--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -278,13 +278,13 @@
 	}
 	if a.action.ImportFrom == s.file.Router.Vault && a.action.ImportBlocks > 0 {
 		if have := event.Cached / s.hasher.BlockTokens(); have < a.action.ImportBlocks {
-			s.post(core.EventVault{Blocks: a.missingFrom(have), Held: false})
+			s.post(core.EventVault{Blocks: a.missingBlocks(have), Held: false})
 		}
 	}
 }
 
-// missingFrom returns the blocks that the vault turned out not to hold.
-func (a *activeAttempt) missingFrom(found int) []prefix.Hash {
+// missingBlocks returns the blocks that the vault turned out not to hold.
+func (a *activeAttempt) missingBlocks(found int) []prefix.Hash {
 	upTo := min(a.action.ImportBlocks, len(a.action.Blocks))
 	return a.action.Blocks[min(found, upTo):upTo]
 }
