--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -277,8 +277,8 @@
 		s.post(mismatch)
 	}
 	if a.action.ImportFrom == s.file.Router.Vault && a.action.ImportBlocks > 0 {
-		if have := event.Cached / s.hasher.BlockTokens(); have < a.action.ImportBlocks {
-			s.post(core.EventVault{Blocks: a.missingBlocks(have), Held: false})
+		if found := event.Cached / s.hasher.BlockTokens(); found < a.action.ImportBlocks {
+			s.post(core.EventVault{Blocks: a.missingBlocks(found), Held: false})
 		}
 	}
 }
