--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -111,8 +111,8 @@
 
 // neverSent reports whether an error proves that the back end did not get the request.
 func neverSent(err error) bool {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return true
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
