--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -18,8 +18,8 @@
 	"kitetiller/internal/quarantine/reporter"
 )
 
-// sweepPeriod is how often what is long past is forgotten.
-const sweepPeriod = 5 * time.Second
+// sweepInterval is how often what is long past is forgotten.
+const sweepInterval = 5 * time.Second
 
 // sweep forgets what is long past.
 func (s *Server) sweep() {
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -180,7 +180,7 @@
 	threads.Go(func() { s.watchPlatform(run) })
 	threads.Go(func() { s.announcer.Run(run) })
 	threads.Go(func() { s.quarantine.Run(run) })
-	threads.Go(func() { transport.Every(run, sweepPeriod, s.sweep) })
+	threads.Go(func() { transport.Every(run, sweepInterval, s.sweep) })
 	s.log.Info("router started", zap.String("listen", s.file.Router.Listen), zap.Uint64("incarnation", s.incarnation),
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
