--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -148,7 +148,7 @@
 // serveCompletion answers chat and plain completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	in, refusal := s.receive(w, r, settings.Any)
-	run := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), again: quarantineRequest(r, in)}
+	run := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if refusal == nil {
 		run.completion, run.request, refusal = s.readCompletion(r, in.held, in.tenant, in.name, in.body)
 	}
@@ -245,7 +245,7 @@
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("name")
 	in, refusal := s.receive(w, r, service)
-	run := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), again: quarantineRequest(r, in)}
+	run := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if refusal == nil {
 		run.request, refusal = s.readService(r, in, service)
 	}
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -37,15 +37,15 @@
 
 // exchange is one caller's request and the ring towards the caller.
 type exchange struct {
-	name       string
-	request    core.Request
-	completion *api.CompletionRequest // nil for small services
-	prompt     string
-	body       []byte
-	chat       bool
-	writer     http.ResponseWriter
-	received   time.Time
-	again      quarantine.Request // what stays when it comes again
+	name              string
+	request           core.Request
+	completion        *api.CompletionRequest // nil for small services
+	prompt            string
+	body              []byte
+	chat              bool
+	writer            http.ResponseWriter
+	received          time.Time
+	quarantineRequest quarantine.Request // what stays when it comes again
 
 	tokens      chan token
 	final       chan core.ActionFinish // room for one
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -47,7 +47,7 @@
 	if s.quarantine.IsEmpty() {
 		return 0
 	}
-	f, ok := s.quarantine.Fingerprint(run.again)
+	f, ok := s.quarantine.Fingerprint(run.quarantineRequest)
 	if !ok {
 		return 0
 	}
@@ -60,7 +60,7 @@
 	if lives < quarantine.QuarantineThreshold {
 		return false
 	}
-	f, _ := s.quarantine.Fingerprint(run.again) // there is one, or it would have no lives
+	f, _ := s.quarantine.Fingerprint(run.quarantineRequest) // there is one, or it would have no lives
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, run.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
 		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, lives))
 	status, title := api.Describe(core.ReasonQuarantined)
@@ -88,7 +88,7 @@
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
 	}
-	if f, ok := s.quarantine.Fingerprint(a.exchange.again); ok {
+	if f, ok := s.quarantine.Fingerprint(a.exchange.quarantineRequest); ok {
 		s.quarantine.RecordFailure(a.life(), a.action.Address, f)
 	}
 }
@@ -105,7 +105,7 @@
 
 // endedWell notes that a back end ran a request to a good end.
 func (s *Server) endedWell(run *exchange) {
-	if f, ok := s.quarantine.Fingerprint(run.again); ok {
+	if f, ok := s.quarantine.Fingerprint(run.quarantineRequest); ok {
 		s.quarantine.RecordCompletion(f)
 	}
 }
