--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -43,11 +43,11 @@
 }
 
 // lives returns how many lives of back ends ended under a request, as far as this router knows.
-func (s *Server) lives(run *exchange) int {
+func (s *Server) lives(ex *exchange) int {
 	if s.quarantine.IsEmpty() {
 		return 0
 	}
-	f, ok := s.quarantine.Fingerprint(run.quarantineRequest)
+	f, ok := s.quarantine.Fingerprint(ex.quarantineRequest)
 	if !ok {
 		return 0
 	}
