--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -42,8 +42,8 @@
 	return quarantine.Request{Method: r.Method, Path: r.URL.RequestURI(), Caller: in.tenant, Body: in.body}
 }
 
-// lives returns how many lives of back ends ended under a request, as far as this router knows.
-func (s *Server) lives(ex *exchange) int {
+// crashCount returns how many crashCount of back ends ended under a request, as far as this router knows.
+func (s *Server) crashCount(ex *exchange) int {
 	if s.quarantine.IsEmpty() {
 		return 0
 	}
@@ -56,7 +56,7 @@
 
 // heldBack answers a request that ends whoever runs it.
 func (s *Server) heldBack(run *exchange, r *http.Request) bool {
-	lives := s.lives(run)
+	lives := s.crashCount(run)
 	if lives < quarantine.QuarantineThreshold {
 		return false
 	}
@@ -70,7 +70,7 @@
 
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
 func (s *Server) barred(run *exchange) bool {
-	lives := s.lives(run)
+	lives := s.crashCount(run)
 	return lives >= quarantine.QuarantineThreshold || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
 }
 
