--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -56,13 +56,13 @@
 
 // heldBack answers a request that ends whoever runs it.
 func (s *Server) heldBack(ex *exchange, r *http.Request) bool {
-	lives := s.crashCount(ex)
-	if lives < quarantine.QuarantineThreshold {
+	crashes := s.crashCount(ex)
+	if crashes < quarantine.QuarantineThreshold {
 		return false
 	}
 	f, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // there is one, or it would have no lives
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, ex.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
-		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, lives))
+		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, crashes))
 	status, title := api.Describe(core.ReasonQuarantined)
 	s.refuse(ex.writer, r, ex.name, &callerError{core.ReasonQuarantined, status, title, ""})
 	return true
