--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -69,7 +69,7 @@
 		s.refuse(run.writer, r, run.name, &callerError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
 		return
 	}
-	if s.heldBack(run, r) {
+	if s.rejectIfQuarantined(run, r) {
 		return
 	}
 	if !s.register(run) {
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -54,8 +54,8 @@
 	return s.quarantine.CrashCount(f)
 }
 
-// heldBack answers a request that ends whoever runs it.
-func (s *Server) heldBack(ex *exchange, r *http.Request) bool {
+// rejectIfQuarantined answers a request that ends whoever runs it.
+func (s *Server) rejectIfQuarantined(ex *exchange, r *http.Request) bool {
 	crashes := s.crashCount(ex)
 	if crashes < quarantine.QuarantineThreshold {
 		return false
