--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -69,9 +69,9 @@
 }
 
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
-func (s *Server) barred(run *exchange) bool {
-	lives := s.crashCount(run)
-	return lives >= quarantine.QuarantineThreshold || run.mayHaveRun() && lives >= quarantine.SuspectThreshold
+func (s *Server) barred(ex *exchange) bool {
+	lives := s.crashCount(ex)
+	return lives >= quarantine.QuarantineThreshold || ex.mayHaveRun() && lives >= quarantine.SuspectThreshold
 }
 
 // mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
