--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -70,8 +70,8 @@
 
 // barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
 func (s *Server) barred(ex *exchange) bool {
-	lives := s.crashCount(ex)
-	return lives >= quarantine.QuarantineThreshold || ex.mayHaveRun() && lives >= quarantine.SuspectThreshold
+	crashes := s.crashCount(ex)
+	return crashes >= quarantine.QuarantineThreshold || ex.mayHaveRun() && crashes >= quarantine.SuspectThreshold
 }
 
 // mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
