--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -41,7 +41,7 @@
 	if ex == nil {
 		return
 	}
-	if s.barred(ex) {
+	if s.tooManyCrashes(ex) {
 		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
 		refused.BackendNotAtFault = true
 		s.offer(refused)
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -68,8 +68,8 @@
 	return true
 }
 
-// barred reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
-func (s *Server) barred(ex *exchange) bool {
+// tooManyCrashes reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
+func (s *Server) tooManyCrashes(ex *exchange) bool {
 	crashes := s.crashCount(ex)
 	return crashes >= quarantine.QuarantineThreshold || ex.mayHaveRun() && crashes >= quarantine.SuspectThreshold
 }
