--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -204,7 +204,7 @@
 	if !due {
 		return
 	}
-	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", suppressed)}
+	fields := []zap.Field{zap.String(events.FieldInstance, a.incarnationID()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", suppressed)}
 	if limit := event.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -78,8 +78,8 @@
 // would be told that it is held back although it isn't yet.
 func (e *exchange) mayHaveRun() bool { return e.attempts > e.notRun.Load() }
 
-// life names the life of a back end that an attempt was sent to.
-func (a *activeAttempt) life() string {
+// incarnationID names the incarnationID of a back end that an attempt was sent to.
+func (a *activeAttempt) incarnationID() string {
 	return fmt.Sprintf("%s/%d", a.action.Backend, a.action.Incarnation)
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	if f, ok := s.quarantine.Fingerprint(a.exchange.quarantineRequest); ok {
-		s.quarantine.RecordFailure(a.life(), a.action.Address, f)
+		s.quarantine.RecordFailure(a.incarnationID(), a.action.Address, f)
 	}
 }
 
@@ -97,7 +97,7 @@
 func (s *Server) noteFailure(ctx context.Context, a *activeAttempt, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.life())
+		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.incarnationID())
 	case !neverSent(err):
 		s.brokeOff(ctx, a)
 	}
