--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -221,7 +221,7 @@
 	}
 	defer response.Body.Close()
 	if !s.readStream(response.Body, a) {
-		s.brokeOff(ctx, a)
+		s.recordBrokenAttempt(ctx, a)
 		s.post(a.event(core.AttemptBroken))
 	}
 }
@@ -301,7 +301,7 @@
 	defer response.Body.Close()
 	var reply api.RunResponse
 	if json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&reply) != nil {
-		s.brokeOff(ctx, a)
+		s.recordBrokenAttempt(ctx, a)
 		s.post(a.event(core.AttemptBroken))
 		return
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -83,8 +83,8 @@
 	return fmt.Sprintf("%s/%d", a.action.Backend, a.action.Incarnation)
 }
 
-// brokeOff notes that an attempt broke off without our doing.
-func (s *Server) brokeOff(ctx context.Context, a *activeAttempt) {
+// recordBrokenAttempt notes that an attempt broke off without our doing.
+func (s *Server) recordBrokenAttempt(ctx context.Context, a *activeAttempt) {
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.incarnationID())
 	case !neverSent(err):
-		s.brokeOff(ctx, a)
+		s.recordBrokenAttempt(ctx, a)
 	}
 }
 
