--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -172,7 +172,7 @@
 func (s *Server) dispatch(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
-		s.noteFailure(ctx, a, err)
+		s.recordSendFailure(ctx, a, err)
 		s.postFailure(a, a.failureEvent(err))
 		return nil
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// noteFailure notes what a failed send says of its back end.
-func (s *Server) noteFailure(ctx context.Context, a *activeAttempt, err error) {
+// recordSendFailure notes what a failed send says of its back end.
+func (s *Server) recordSendFailure(ctx context.Context, a *activeAttempt, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		s.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.incarnationID())
