--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -104,8 +104,8 @@
 }
 
 // endedWell notes that a back end ran a request to a good end.
-func (s *Server) endedWell(run *exchange) {
-	if f, ok := s.quarantine.Fingerprint(run.quarantineRequest); ok {
+func (s *Server) endedWell(ex *exchange) {
+	if f, ok := s.quarantine.Fingerprint(ex.quarantineRequest); ok {
 		s.quarantine.RecordCompletion(f)
 	}
 }
