--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -150,7 +150,7 @@
 	}
 	s.unregister(action.ID)
 	if action.Reason == core.ReasonComplete {
-		s.endedWell(run)
+		s.recordCompletion(run)
 	}
 	s.logFinish(run, action)
 	run.final <- action
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// endedWell notes that a back end ran a request to a good end.
-func (s *Server) endedWell(ex *exchange) {
+// recordCompletion notes that a back end ran a request to a good end.
+func (s *Server) recordCompletion(ex *exchange) {
 	if f, ok := s.quarantine.Fingerprint(ex.quarantineRequest); ok {
 		s.quarantine.RecordCompletion(f)
 	}
