--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -26,7 +26,7 @@
 
 const (
 	requestIDBytes    = 8
-	maximumKeyLength  = 200
+	maxKeyLength      = 200
 	defaultMaxTokens  = 64
 	chatPath          = "/v1/chat/completions"
 	completionPath    = "/v1/completions"
@@ -90,7 +90,7 @@
 
 // requestName returns the caller's request id, or a new one.
 func requestName(r *http.Request) string {
-	if name := r.Header.Get(api.HeaderRequestID); name != "" && len(name) <= maximumKeyLength {
+	if name := r.Header.Get(api.HeaderRequestID); name != "" && len(name) <= maxKeyLength {
 		return name
 	}
 	random := make([]byte, requestIDBytes)
@@ -201,8 +201,8 @@
 // readHeaders reads priority, deadline, idempotency key and resume position.
 func (s *Server) readHeaders(r *http.Request) (core.Request, *callerError) {
 	request := core.Request{ID: core.RequestID(s.nextID.Add(1)), Key: r.Header.Get(api.HeaderIdempotencyKey)}
-	if len(request.Key) > maximumKeyLength {
-		return request, badRequest(fmt.Sprintf("%s is longer than %d characters", api.HeaderIdempotencyKey, maximumKeyLength))
+	if len(request.Key) > maxKeyLength {
+		return request, badRequest(fmt.Sprintf("%s is longer than %d characters", api.HeaderIdempotencyKey, maxKeyLength))
 	}
 	switch priority := r.Header.Get(api.HeaderPriority); priority {
 	case "":
