--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -25,19 +25,19 @@
 )
 
 const (
-	requestIDBytes    = 8
-	maxKeyLength      = 200
-	defaultMaxTokens  = 64
-	chatPath          = "/v1/chat/completions"
-	completionPath    = "/v1/completions"
-	reasonBadRequest  = core.Reason("bad-request")
-	reasonNoKey       = core.Reason("unauthenticated")
-	reasonTooLarge    = core.Reason("too-large")
-	reasonOverload    = core.Reason("router-overloaded")
-	reasonInternal    = core.Reason("internal")
-	overloadAdvice    = time.Second
-	priorityBatch     = "batch"
-	priorityImmediate = "interactive"
+	requestIDBytes        = 8
+	maxKeyLength          = 200
+	defaultMaxTokens      = 64
+	chatPath              = "/v1/chat/completions"
+	completionPath        = "/v1/completions"
+	reasonBadRequest      = core.Reason("bad-request")
+	reasonUnauthenticated = core.Reason("unauthenticated")
+	reasonTooLarge        = core.Reason("too-large")
+	reasonOverload        = core.Reason("router-overloaded")
+	reasonInternal        = core.Reason("internal")
+	overloadAdvice        = time.Second
+	priorityBatch         = "batch"
+	priorityImmediate     = "interactive"
 )
 
 // routes returns the callers' and operators' endpoints.
@@ -102,12 +102,12 @@
 func (s *Server) authenticate(r *http.Request, held *view) (string, *callerError) {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
-		return "", &callerError{reasonNoKey, http.StatusUnauthorized, "The API key is missing", "send Authorization: Bearer KEY"}
+		return "", &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is missing", "send Authorization: Bearer KEY"}
 	}
 	digest := sha256.Sum256([]byte(key))
 	tenant, known := held.keys[hex.EncodeToString(digest[:])]
 	if !known {
-		return "", &callerError{reasonNoKey, http.StatusUnauthorized, "The API key is not known", ""}
+		return "", &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is not known", ""}
 	}
 	return tenant, nil
 }
@@ -285,7 +285,7 @@
 func (s *Server) admin(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.file.AdminToken == "" || r.Header.Get("Authorization") != "Bearer "+s.file.AdminToken {
-			s.refuse(w, r, requestName(r), &callerError{reasonNoKey, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
+			s.refuse(w, r, requestName(r), &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
 			return
 		}
 		next(w, r)
