--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -35,7 +35,7 @@
 	reasonTooLarge        = core.Reason("too-large")
 	reasonOverload        = core.Reason("router-overloaded")
 	reasonInternal        = core.Reason("internal")
-	overloadAdvice        = time.Second
+	overloadRetryAfter    = time.Second
 	priorityBatch         = "batch"
 	priorityImmediate     = "interactive"
 )
@@ -76,7 +76,7 @@
 	}
 	switch refusal.reason {
 	case reasonOverload, core.ReasonDraining:
-		problem = problem.WithRetry(overloadAdvice)
+		problem = problem.WithRetry(overloadRetryAfter)
 	case core.ReasonQuarantined:
 		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
