--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -37,7 +37,7 @@
 	reasonInternal        = core.Reason("internal")
 	overloadRetryAfter    = time.Second
 	priorityBatch         = "batch"
-	priorityImmediate     = "interactive"
+	priorityInteractive   = "interactive"
 )
 
 // routes returns the callers' and operators' endpoints.
@@ -206,12 +206,12 @@
 	}
 	switch priority := r.Header.Get(api.HeaderPriority); priority {
 	case "":
-	case priorityImmediate:
+	case priorityInteractive:
 		request.Lane, request.LaneFixed = core.LaneInteractive, true
 	case priorityBatch:
 		request.Lane, request.LaneFixed = core.LaneBatch, true
 	default:
-		return request, badRequest(fmt.Sprintf("%s must be %s or %s", api.HeaderPriority, priorityImmediate, priorityBatch))
+		return request, badRequest(fmt.Sprintf("%s must be %s or %s", api.HeaderPriority, priorityInteractive, priorityBatch))
 	}
 	deadline, refusal := positiveHeader(r, api.HeaderDeadline)
 	if refusal != nil {
