--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -65,22 +65,22 @@
 
 // refuse answers a request that never reached the core. When it carries an idempotency key, an earlier send of it may
 // have run, so "not run" is not said.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, name string, refusal *callerError) {
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, name string, reqErr *callerError) {
 	run := core.RunNot
 	if r.Header.Get(api.HeaderIdempotencyKey) != "" {
 		run = core.RunUnknown
 	}
 	problem := api.Problem{
-		Type: "urn:kitetiller:" + string(refusal.reason), Title: refusal.title, Status: refusal.status,
-		Detail: refusal.detail, RequestID: name, Run: run,
+		Type: "urn:kitetiller:" + string(reqErr.reason), Title: reqErr.title, Status: reqErr.status,
+		Detail: reqErr.detail, RequestID: name, Run: run,
 	}
-	switch refusal.reason {
+	switch reqErr.reason {
 	case reasonOverload, core.ReasonDraining:
 		problem = problem.WithRetry(overloadRetryAfter)
 	case core.ReasonQuarantined:
 		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
-	s.metrics.refusals.WithLabelValues(string(refusal.reason)).Inc()
+	s.metrics.refusals.WithLabelValues(string(reqErr.reason)).Inc()
 	problem.Write(w)
 }
 
