--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -55,8 +55,8 @@
 	return mux
 }
 
-// callerError is a request that is refused before it reaches the core.
-type callerError struct {
+// requestError is a request that is refused before it reaches the core.
+type requestError struct {
 	reason core.Reason
 	status int
 	title  string
@@ -65,7 +65,7 @@
 
 // refuse answers a request that never reached the core. When it carries an idempotency key, an earlier send of it may
 // have run, so "not run" is not said.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, name string, reqErr *callerError) {
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, name string, reqErr *requestError) {
 	run := core.RunNot
 	if r.Header.Get(api.HeaderIdempotencyKey) != "" {
 		run = core.RunUnknown
@@ -84,8 +84,8 @@
 	problem.Write(w)
 }
 
-func badRequest(detail string) *callerError {
-	return &callerError{reasonBadRequest, http.StatusBadRequest, "The request is not valid", detail}
+func badRequest(detail string) *requestError {
+	return &requestError{reasonBadRequest, http.StatusBadRequest, "The request is not valid", detail}
 }
 
 // requestName returns the caller's request id, or a new one.
@@ -99,25 +99,25 @@
 }
 
 // authenticate returns the tenant of the request's API key.
-func (s *Server) authenticate(r *http.Request, held *view) (string, *callerError) {
+func (s *Server) authenticate(r *http.Request, held *view) (string, *requestError) {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
-		return "", &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is missing", "send Authorization: Bearer KEY"}
+		return "", &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is missing", "send Authorization: Bearer KEY"}
 	}
 	digest := sha256.Sum256([]byte(key))
 	tenant, known := held.keys[hex.EncodeToString(digest[:])]
 	if !known {
-		return "", &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is not known", ""}
+		return "", &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is not known", ""}
 	}
 	return tenant, nil
 }
 
 // readBody reads at most limit bytes.
-func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *callerError) {
+func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *requestError) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &callerError{reasonTooLarge, http.StatusRequestEntityTooLarge, "The request body is too long",
+		return nil, &requestError{reasonTooLarge, http.StatusRequestEntityTooLarge, "The request body is too long",
 			fmt.Sprintf("at most %d bytes are allowed here", limit)}
 	}
 	if err != nil {
@@ -135,9 +135,9 @@
 }
 
 // receive authenticates a request to a service and reads its body.
-func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (received, *callerError) {
+func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (received, *requestError) {
 	in := received{name: requestName(r), held: s.view.Load()}
-	var refusal *callerError
+	var refusal *requestError
 	if in.tenant, refusal = s.authenticate(r, in.held); refusal != nil {
 		return in, refusal
 	}
@@ -161,14 +161,14 @@
 }
 
 // readCompletion checks the body and headers of a completion.
-func (s *Server) readCompletion(r *http.Request, held *view, tenant, name string, body []byte) (*api.CompletionRequest, core.Request, *callerError) {
+func (s *Server) readCompletion(r *http.Request, held *view, tenant, name string, body []byte) (*api.CompletionRequest, core.Request, *requestError) {
 	var completion api.CompletionRequest
 	if err := json.Unmarshal(body, &completion); err != nil {
 		return nil, core.Request{}, badRequest("the body is not the expected JSON: " + err.Error())
 	}
 	service, known := held.models[completion.Model]
 	if !known {
-		return nil, core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No service answers this model",
+		return nil, core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No service answers this model",
 			fmt.Sprintf("model %q is not in the settings", completion.Model)}
 	}
 	prompt := completion.Text()
@@ -199,7 +199,7 @@
 }
 
 // readHeaders reads priority, deadline, idempotency key and resume position.
-func (s *Server) readHeaders(r *http.Request) (core.Request, *callerError) {
+func (s *Server) readHeaders(r *http.Request) (core.Request, *requestError) {
 	request := core.Request{ID: core.RequestID(s.nextID.Add(1)), Key: r.Header.Get(api.HeaderIdempotencyKey)}
 	if len(request.Key) > maxKeyLength {
 		return request, badRequest(fmt.Sprintf("%s is longer than %d characters", api.HeaderIdempotencyKey, maxKeyLength))
@@ -229,7 +229,7 @@
 }
 
 // positiveHeader reads a header that must be a whole number, or 0 when it is missing.
-func positiveHeader(r *http.Request, header string) (int, *callerError) {
+func positiveHeader(r *http.Request, header string) (int, *requestError) {
 	text := r.Header.Get(header)
 	if text == "" {
 		return 0, nil
@@ -257,9 +257,9 @@
 }
 
 // readService checks a request to a small service.
-func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *callerError) {
+func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *requestError) {
 	if in.held.effective(s.file.Zone, service, "").Kind != settings.KindService {
-		return core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
+		return core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
 	request, refusal := s.readHeaders(r)
 	request.Name, request.Tenant, request.Service = in.name, in.tenant, service
@@ -285,7 +285,7 @@
 func (s *Server) admin(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.file.AdminToken == "" || r.Header.Get("Authorization") != "Bearer "+s.file.AdminToken {
-			s.refuse(w, r, requestName(r), &callerError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
+			s.refuse(w, r, requestName(r), &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
 			return
 		}
 		next(w, r)
