--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -63,9 +63,9 @@
 	detail string
 }
 
-// refuse answers a request that never reached the core. When it carries an idempotency key, an earlier send of it may
+// reject answers a request that never reached the core. When it carries an idempotency key, an earlier send of it may
 // have run, so "not run" is not said.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, name string, reqErr *requestError) {
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, name string, reqErr *requestError) {
 	run := core.RunNot
 	if r.Header.Get(api.HeaderIdempotencyKey) != "" {
 		run = core.RunUnknown
@@ -153,7 +153,7 @@
 		run.completion, run.request, refusal = s.readCompletion(r, in.held, in.tenant, in.name, in.body)
 	}
 	if refusal != nil {
-		s.refuse(w, r, in.name, refusal)
+		s.reject(w, r, in.name, refusal)
 		return
 	}
 	run.prompt = run.completion.Text()
@@ -250,7 +250,7 @@
 		run.request, refusal = s.readService(r, in, service)
 	}
 	if refusal != nil {
-		s.refuse(w, r, in.name, refusal)
+		s.reject(w, r, in.name, refusal)
 		return
 	}
 	s.serve(run, r)
@@ -285,7 +285,7 @@
 func (s *Server) admin(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.file.AdminToken == "" || r.Header.Get("Authorization") != "Bearer "+s.file.AdminToken {
-			s.refuse(w, r, requestName(r), &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
+			s.reject(w, r, requestName(r), &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
 			return
 		}
 		next(w, r)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -66,19 +66,19 @@
 	if s.draining.Load() {
 		run.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
 		run.writer.Header().Set(api.HeaderDraining, "true")
-		s.refuse(run.writer, r, run.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
+		s.reject(run.writer, r, run.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
 		return
 	}
 	if s.rejectIfQuarantined(run, r) {
 		return
 	}
 	if !s.register(run) {
-		s.refuse(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
+		s.reject(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
 		return
 	}
 	if !s.offer(core.EventRequest{Request: run.request}) {
 		s.unregister(run.request.ID)
-		s.refuse(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
+		s.reject(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
 		return
 	}
 	if run.completion != nil && run.completion.Stream {
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -64,7 +64,7 @@
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, ex.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
 		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, crashes))
 	status, title := api.Describe(core.ReasonQuarantined)
-	s.refuse(ex.writer, r, ex.name, &requestError{core.ReasonQuarantined, status, title, ""})
+	s.reject(ex.writer, r, ex.name, &requestError{core.ReasonQuarantined, status, title, ""})
 	return true
 }
 
