--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -88,8 +88,8 @@
 	return &requestError{reasonBadRequest, http.StatusBadRequest, "The request is not valid", detail}
 }
 
-// requestName returns the caller's request id, or a new one.
-func requestName(r *http.Request) string {
+// requestID returns the caller's request id, or a new one.
+func requestID(r *http.Request) string {
 	if name := r.Header.Get(api.HeaderRequestID); name != "" && len(name) <= maxKeyLength {
 		return name
 	}
@@ -136,7 +136,7 @@
 
 // receive authenticates a request to a service and reads its body.
 func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (received, *requestError) {
-	in := received{name: requestName(r), held: s.view.Load()}
+	in := received{name: requestID(r), held: s.view.Load()}
 	var refusal *requestError
 	if in.tenant, refusal = s.authenticate(r, in.held); refusal != nil {
 		return in, refusal
@@ -285,7 +285,7 @@
 func (s *Server) admin(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.file.AdminToken == "" || r.Header.Get("Authorization") != "Bearer "+s.file.AdminToken {
-			s.reject(w, r, requestName(r), &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
+			s.reject(w, r, requestID(r), &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The admin token is missing or wrong", ""})
 			return
 		}
 		next(w, r)
--- a/internal/router/models.go
+++ b/internal/router/models.go
@@ -11,7 +11,7 @@
 func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
 	held := s.view.Load()
 	if _, refusal := s.authenticate(r, held); refusal != nil {
-		s.reject(w, r, requestName(r), refusal)
+		s.reject(w, r, requestID(r), refusal)
 		return
 	}
 	list := api.ModelList{Object: api.ObjectList, Data: []api.Model{}}
