--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -99,13 +99,13 @@
 }
 
 // authenticate returns the tenant of the request's API key.
-func (s *Server) authenticate(r *http.Request, held *view) (string, *requestError) {
+func (s *Server) authenticate(r *http.Request, current *view) (string, *requestError) {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
 		return "", &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is missing", "send Authorization: Bearer KEY"}
 	}
 	digest := sha256.Sum256([]byte(key))
-	tenant, known := held.keys[hex.EncodeToString(digest[:])]
+	tenant, known := current.keys[hex.EncodeToString(digest[:])]
 	if !known {
 		return "", &requestError{reasonUnauthenticated, http.StatusUnauthorized, "The API key is not known", ""}
 	}
