--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -129,19 +129,19 @@
 // received is a caller's request whose sender is known and whose body was read.
 type received struct {
 	name   string
-	held   *view
+	view   *view
 	tenant string
 	body   []byte
 }
 
 // receive authenticates a request to a service and reads its body.
 func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (received, *requestError) {
-	in := received{name: requestID(r), held: s.view.Load()}
+	in := received{name: requestID(r), view: s.view.Load()}
 	var refusal *requestError
-	if in.tenant, refusal = s.authenticate(r, in.held); refusal != nil {
+	if in.tenant, refusal = s.authenticate(r, in.view); refusal != nil {
 		return in, refusal
 	}
-	in.body, refusal = readBody(w, r, in.held.effective(s.file.Zone, service, in.tenant).MaxPromptBytes)
+	in.body, refusal = readBody(w, r, in.view.effective(s.file.Zone, service, in.tenant).MaxPromptBytes)
 	return in, refusal
 }
 
@@ -150,7 +150,7 @@
 	in, refusal := s.receive(w, r, settings.Any)
 	run := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if refusal == nil {
-		run.completion, run.request, refusal = s.readCompletion(r, in.held, in.tenant, in.name, in.body)
+		run.completion, run.request, refusal = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
 	}
 	if refusal != nil {
 		s.reject(w, r, in.name, refusal)
@@ -258,7 +258,7 @@
 
 // readService checks a request to a small service.
 func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *requestError) {
-	if in.held.effective(s.file.Zone, service, "").Kind != settings.KindService {
+	if in.view.effective(s.file.Zone, service, "").Kind != settings.KindService {
 		return core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
 	request, refusal := s.readHeaders(r)
