--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -126,8 +126,8 @@
 	return body, nil
 }
 
-// received is a caller's request whose sender is known and whose body was read.
-type received struct {
+// authenticatedRequest is a caller's request whose sender is known and whose body was read.
+type authenticatedRequest struct {
 	name   string
 	view   *view
 	tenant string
@@ -135,8 +135,8 @@
 }
 
 // receive authenticates a request to a service and reads its body.
-func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (received, *requestError) {
-	in := received{name: requestID(r), view: s.view.Load()}
+func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (authenticatedRequest, *requestError) {
+	in := authenticatedRequest{name: requestID(r), view: s.view.Load()}
 	var refusal *requestError
 	if in.tenant, refusal = s.authenticate(r, in.view); refusal != nil {
 		return in, refusal
@@ -257,7 +257,7 @@
 }
 
 // readService checks a request to a small service.
-func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *requestError) {
+func (s *Server) readService(r *http.Request, in authenticatedRequest, service string) (core.Request, *requestError) {
 	if in.view.effective(s.file.Zone, service, "").Kind != settings.KindService {
 		return core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -38,7 +38,7 @@
 }
 
 // quarantineRequest is what stays of a request when it comes quarantineRequest. Callers name each router by an address of its own, so that no host belongs to it.
-func quarantineRequest(r *http.Request, in received) quarantine.Request {
+func quarantineRequest(r *http.Request, in authenticatedRequest) quarantine.Request {
 	return quarantine.Request{Method: r.Method, Path: r.URL.RequestURI(), Caller: in.tenant, Body: in.body}
 }
 
