--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -137,12 +137,12 @@
 // receive authenticates a request to a service and reads its body.
 func (s *Server) receive(w http.ResponseWriter, r *http.Request, service string) (authenticatedRequest, *requestError) {
 	in := authenticatedRequest{name: requestID(r), view: s.view.Load()}
-	var refusal *requestError
-	if in.tenant, refusal = s.authenticate(r, in.view); refusal != nil {
-		return in, refusal
+	var reqErr *requestError
+	if in.tenant, reqErr = s.authenticate(r, in.view); reqErr != nil {
+		return in, reqErr
 	}
-	in.body, refusal = readBody(w, r, in.view.effective(s.file.Zone, service, in.tenant).MaxPromptBytes)
-	return in, refusal
+	in.body, reqErr = readBody(w, r, in.view.effective(s.file.Zone, service, in.tenant).MaxPromptBytes)
+	return in, reqErr
 }
 
 // serveCompletion answers chat and plain completions.
