--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -147,13 +147,13 @@
 
 // serveCompletion answers chat and plain completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	in, refusal := s.receive(w, r, settings.Any)
+	in, reqErr := s.receive(w, r, settings.Any)
 	run := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
-	if refusal == nil {
-		run.completion, run.request, refusal = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
+	if reqErr == nil {
+		run.completion, run.request, reqErr = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
 	}
-	if refusal != nil {
-		s.reject(w, r, in.name, refusal)
+	if reqErr != nil {
+		s.reject(w, r, in.name, reqErr)
 		return
 	}
 	run.prompt = run.completion.Text()
