--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -244,13 +244,13 @@
 // serveService answers requests to small services.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("name")
-	in, refusal := s.receive(w, r, service)
+	in, reqErr := s.receive(w, r, service)
 	run := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
-	if refusal == nil {
-		run.request, refusal = s.readService(r, in, service)
+	if reqErr == nil {
+		run.request, reqErr = s.readService(r, in, service)
 	}
-	if refusal != nil {
-		s.reject(w, r, in.name, refusal)
+	if reqErr != nil {
+		s.reject(w, r, in.name, reqErr)
 		return
 	}
 	s.serve(run, r)
