--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -148,16 +148,16 @@
 // serveCompletion answers chat and plain completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	in, reqErr := s.receive(w, r, settings.Any)
-	run := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
+	ex := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if reqErr == nil {
-		run.completion, run.request, reqErr = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
+		ex.completion, ex.request, reqErr = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
 	}
 	if reqErr != nil {
 		s.reject(w, r, in.name, reqErr)
 		return
 	}
-	run.prompt = run.completion.Text()
-	s.serve(run, r)
+	ex.prompt = ex.completion.Text()
+	s.serve(ex, r)
 }
 
 // readCompletion checks the body and headers of a completion.
