--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -245,15 +245,15 @@
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("name")
 	in, reqErr := s.receive(w, r, service)
-	run := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
+	ex := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if reqErr == nil {
-		run.request, reqErr = s.readService(r, in, service)
+		ex.request, reqErr = s.readService(r, in, service)
 	}
 	if reqErr != nil {
 		s.reject(w, r, in.name, reqErr)
 		return
 	}
-	s.serve(run, r)
+	s.serve(ex, r)
 }
 
 // readService checks a request to a small service.
