--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -161,12 +161,12 @@
 }
 
 // readCompletion checks the body and headers of a completion.
-func (s *Server) readCompletion(r *http.Request, held *view, tenant, name string, body []byte) (*api.CompletionRequest, core.Request, *requestError) {
+func (s *Server) readCompletion(r *http.Request, current *view, tenant, name string, body []byte) (*api.CompletionRequest, core.Request, *requestError) {
 	var completion api.CompletionRequest
 	if err := json.Unmarshal(body, &completion); err != nil {
 		return nil, core.Request{}, badRequest("the body is not the expected JSON: " + err.Error())
 	}
-	service, known := held.models[completion.Model]
+	service, known := current.models[completion.Model]
 	if !known {
 		return nil, core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No service answers this model",
 			fmt.Sprintf("model %q is not in the settings", completion.Model)}
@@ -181,7 +181,7 @@
 	if completion.MaxTokens == 0 {
 		completion.MaxTokens = defaultMaxTokens
 	}
-	completion.MaxTokens = min(completion.MaxTokens, held.effective(s.file.Zone, service, tenant).MaxOutputTokens)
+	completion.MaxTokens = min(completion.MaxTokens, current.effective(s.file.Zone, service, tenant).MaxOutputTokens)
 	if completion.Seed == 0 {
 		completion.Seed = ledger.Digest([]byte(prompt))
 	}
@@ -192,7 +192,7 @@
 	request.Name, request.Tenant, request.Service = name, tenant, service
 	request.PromptTokens = prefix.EstimateTokens(len(prompt))
 	request.MaxTokens = completion.MaxTokens
-	for _, weights := range held.weights[service] {
+	for _, weights := range current.weights[service] {
 		request.Chains = append(request.Chains, core.Chain{Weights: weights, Blocks: s.hasher.Chain(tenant, weights, []byte(prompt))})
 	}
 	return &completion, request, nil
