--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -185,9 +185,9 @@
 	if completion.Seed == 0 {
 		completion.Seed = ledger.Digest([]byte(prompt))
 	}
-	request, refusal := s.readHeaders(r)
-	if refusal != nil {
-		return nil, request, refusal
+	request, reqErr := s.readHeaders(r)
+	if reqErr != nil {
+		return nil, request, reqErr
 	}
 	request.Name, request.Tenant, request.Service = name, tenant, service
 	request.PromptTokens = prefix.EstimateTokens(len(prompt))
