--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -261,11 +261,11 @@
 	if in.view.effective(s.file.Zone, service, "").Kind != settings.KindService {
 		return core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
-	request, refusal := s.readHeaders(r)
+	request, reqErr := s.readHeaders(r)
 	request.Name, request.Tenant, request.Service = in.name, in.tenant, service
 	request.Digest = ledger.Digest(in.body)
 	request.Lane, request.LaneFixed = core.LaneInteractive, true
-	return request, refusal
+	return request, reqErr
 }
 
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
