--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -213,9 +213,9 @@
 	default:
 		return request, badRequest(fmt.Sprintf("%s must be %s or %s", api.HeaderPriority, priorityInteractive, priorityBatch))
 	}
-	deadline, refusal := positiveHeader(r, api.HeaderDeadline)
-	if refusal != nil {
-		return request, refusal
+	deadline, reqErr := positiveHeader(r, api.HeaderDeadline)
+	if reqErr != nil {
+		return request, reqErr
 	}
 	request.Deadline = time.Duration(deadline) * time.Millisecond
 	if r.Header.Get(api.HeaderLastEventID) != "" {
