--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -219,9 +219,9 @@
 	}
 	request.Deadline = time.Duration(deadline) * time.Millisecond
 	if r.Header.Get(api.HeaderLastEventID) != "" {
-		last, refusal := positiveHeader(r, api.HeaderLastEventID)
-		if refusal != nil {
-			return request, refusal
+		last, reqErr := positiveHeader(r, api.HeaderLastEventID)
+		if reqErr != nil {
+			return request, reqErr
 		}
 		request.ResumeFrom = last + 1
 	}
