--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -213,13 +213,13 @@
 	default:
 		return request, badRequest(fmt.Sprintf("%s must be %s or %s", api.HeaderPriority, priorityInteractive, priorityBatch))
 	}
-	deadline, reqErr := positiveHeader(r, api.HeaderDeadline)
+	deadline, reqErr := nonNegativeHeader(r, api.HeaderDeadline)
 	if reqErr != nil {
 		return request, reqErr
 	}
 	request.Deadline = time.Duration(deadline) * time.Millisecond
 	if r.Header.Get(api.HeaderLastEventID) != "" {
-		last, reqErr := positiveHeader(r, api.HeaderLastEventID)
+		last, reqErr := nonNegativeHeader(r, api.HeaderLastEventID)
 		if reqErr != nil {
 			return request, reqErr
 		}
@@ -228,8 +228,8 @@
 	return request, nil
 }
 
-// positiveHeader reads a header that must be a whole number, or 0 when it is missing.
-func positiveHeader(r *http.Request, header string) (int, *requestError) {
+// nonNegativeHeader reads a header that must be a whole number, or 0 when it is missing.
+func nonNegativeHeader(r *http.Request, header string) (int, *requestError) {
 	text := r.Header.Get(header)
 	if text == "" {
 		return 0, nil
