--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -326,9 +326,9 @@
 }
 
 // logFinish writes one line for each request; prompts and keys are never logged.
-func (s *Server) logFinish(run *exchange, final core.ActionFinish) {
-	s.log.Info("request finished", zap.String("request", run.name), zap.String("tenant", run.request.Tenant),
-		zap.String("service", run.request.Service), zap.Int("attempts", int(run.attempts)), zap.Uint64("attempt", run.lastAttempt),
+func (s *Server) logFinish(ex *exchange, final core.ActionFinish) {
+	s.log.Info("request finished", zap.String("request", ex.name), zap.String("tenant", ex.request.Tenant),
+		zap.String("service", ex.request.Service), zap.Int("attempts", int(ex.attempts)), zap.Uint64("attempt", ex.lastAttempt),
 		zap.String("reason", string(final.Reason)), zap.String("run", string(final.Run)), zap.Int("tokens", final.Tokens),
-		zap.Duration("took", time.Since(run.received)))
+		zap.Duration("took", time.Since(ex.received)))
 }
