--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -59,7 +59,7 @@
 		_ = json.NewEncoder(w).Encode(response)
 	})
 	mux.HandleFunc("GET /admin/v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(router.StatusReply{Name: "router-1", Zone: "z1", Version: 6, LeaseValid: true, Active: 3, Beliefs: 1200,
+		_ = json.NewEncoder(w).Encode(router.StatusReply{Name: "router-1", Zone: "z1", Version: 6, LeaseValid: true, Active: 3, IndexedBlocks: 1200,
 			Backends: []core.BackendView{{Machine: core.Machine{Name: "llm-1"}, State: "ready"}, {Machine: core.Machine{Name: "llm-2"}, State: "leaving"}}})
 	})
 	mux.HandleFunc("GET /admin/v1/explain", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -115,7 +115,7 @@
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%t\t%d\t%d\t%d of %d\n", reply.Name, reply.Zone, reply.Version, reply.LeaseValid,
-			reply.Draining, reply.Active, reply.Beliefs, ready, len(reply.Backends))
+			reply.Draining, reply.Active, reply.IndexedBlocks, ready, len(reply.Backends))
 	}
 	for _, reply := range status.Routers {
 		for _, backend := range reply.Backends {
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -294,22 +294,22 @@
 
 // StatusReply is a router's view for "kitetiller status".
 type StatusReply struct {
-	Name        string             `json:"name"`
-	Zone        string             `json:"zone"`
-	Incarnation uint64             `json:"incarnation"`
-	Version     uint64             `json:"settings_version"`
-	LeaseValid  bool               `json:"lease_valid"`
-	Draining    bool               `json:"draining"`
-	Active      int                `json:"active"`
-	Beliefs     int                `json:"beliefs"`
-	Backends    []core.BackendView `json:"backends"`
+	Name          string             `json:"name"`
+	Zone          string             `json:"zone"`
+	Incarnation   uint64             `json:"incarnation"`
+	Version       uint64             `json:"settings_version"`
+	LeaseValid    bool               `json:"lease_valid"`
+	Draining      bool               `json:"draining"`
+	Active        int                `json:"active"`
+	IndexedBlocks int                `json:"beliefs"`
+	Backends      []core.BackendView `json:"backends"`
 }
 
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
 	reply := StatusReply{Name: s.file.Name, Zone: s.file.Zone, Incarnation: s.incarnation}
 	s.ask(r.Context(), func(c *core.Core) {
 		reply.Version, reply.LeaseValid, reply.Draining = c.SettingsVersion(), c.LeaseValid(), c.Draining()
-		reply.Active, reply.Beliefs, reply.Backends = c.ActiveRequests(), c.IndexedBlocks(), c.Backends()
+		reply.Active, reply.IndexedBlocks, reply.Backends = c.ActiveRequests(), c.IndexedBlocks(), c.Backends()
 	})
 	writeJSON(w, reply)
 }
