--- a/internal/router/models.go
+++ b/internal/router/models.go
@@ -10,8 +10,8 @@
 // serveModels lists the models that a caller may name, in OpenAI's form. Ordinary clients ask for it first.
 func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
 	held := s.view.Load()
-	if _, refusal := s.authenticate(r, held); refusal != nil {
-		s.reject(w, r, requestID(r), refusal)
+	if _, reqErr := s.authenticate(r, held); reqErr != nil {
+		s.reject(w, r, requestID(r), reqErr)
 		return
 	}
 	list := api.ModelList{Object: api.ObjectList, Data: []api.Model{}}
