--- a/internal/router/models.go
+++ b/internal/router/models.go
@@ -9,13 +9,13 @@
 
 // serveModels lists the models that a caller may name, in OpenAI's form. Ordinary clients ask for it first.
 func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
-	held := s.view.Load()
-	if _, reqErr := s.authenticate(r, held); reqErr != nil {
+	current := s.view.Load()
+	if _, reqErr := s.authenticate(r, current); reqErr != nil {
 		s.reject(w, r, requestID(r), reqErr)
 		return
 	}
 	list := api.ModelList{Object: api.ObjectList, Data: []api.Model{}}
-	for name, service := range held.models {
+	for name, service := range current.models {
 		list.Data = append(list.Data, api.Model{ID: name, Object: api.ObjectModel, OwnedBy: service})
 	}
 	sort.Slice(list.Data, func(i, j int) bool { return list.Data[i].ID < list.Data[j].ID })
