--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	platformPeriod  = 500 * time.Millisecond
-	platformTimeout = time.Second
-	stateTimeout    = 800 * time.Millisecond
-	snapshotTimeout = 5 * time.Second
+	discoveryInterval = 500 * time.Millisecond
+	platformTimeout   = time.Second
+	stateTimeout      = 800 * time.Millisecond
+	snapshotTimeout   = 5 * time.Second
 )
 
 // watchPlatform is the thread that reads the machine list and keeps one poller for each back end.
 func (s *Server) watchPlatform(ctx context.Context) {
-	ticker := time.NewTicker(platformPeriod)
+	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
 	for {
 		s.readPlatform(ctx)
