--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -14,7 +14,7 @@
 
 const (
 	discoveryInterval = 500 * time.Millisecond
-	platformTimeout   = time.Second
+	discoveryTimeout  = time.Second
 	stateTimeout      = 800 * time.Millisecond
 	snapshotTimeout   = 5 * time.Second
 )
@@ -34,7 +34,7 @@
 }
 
 func (s *Server) readPlatform(ctx context.Context) {
-	attempt, cancel := context.WithTimeout(ctx, platformTimeout)
+	attempt, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 	asked := s.now()
 	var reply api.MachinesReply
