--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -34,11 +34,11 @@
 }
 
 func (s *Server) readPlatform(ctx context.Context) {
-	attempt, cancel := context.WithTimeout(ctx, discoveryTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 	asked := s.now()
 	var reply api.MachinesReply
-	if err := s.client.Get(attempt, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
+	if err := s.client.Get(requestCtx, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
 		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
 		return
 	}
