--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -86,11 +86,11 @@
 }
 
 func (s *Server) readState(ctx context.Context, machine core.Machine, after uint64) (*core.BackendReport, bool) {
-	attempt, cancel := context.WithTimeout(ctx, stateTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var reply api.StateReply
 	path := fmt.Sprintf("%s?after=%d", api.PathState, after)
-	if err := s.client.Get(attempt, machine.Address, path, &reply); err != nil {
+	if err := s.client.Get(requestCtx, machine.Address, path, &reply); err != nil {
 		return nil, false
 	}
 	return &reply.Report, true
