--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -98,10 +98,10 @@
 
 // fetchSnapshot reads an engine's full list of cached blocks.
 func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionRequestSnapshot) {
-	attempt, cancel := context.WithTimeout(ctx, snapshotTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var reply api.CacheReply
-	if err := s.client.Get(attempt, action.Address, api.PathCache, &reply); err != nil {
+	if err := s.client.Get(requestCtx, action.Address, api.PathCache, &reply); err != nil {
 		s.log.Debug("cache snapshot not read", zap.String("backend", action.Backend), zap.Error(err))
 		return // the core asks again
 	}
