--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -36,13 +36,13 @@
 func (s *Server) readPlatform(ctx context.Context) {
 	requestCtx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
-	asked := s.now()
+	requestedAt := s.now()
 	var reply api.MachinesReply
 	if err := s.client.Get(requestCtx, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
 		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
 		return
 	}
-	s.post(core.EventMachineList{RequestedAt: asked, Machines: reply.Machines})
+	s.post(core.EventMachineList{RequestedAt: requestedAt, Machines: reply.Machines})
 	listed := map[string]bool{}
 	for _, machine := range reply.Machines {
 		key := machine.Name + "@" + machine.Address
