--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -48,9 +48,9 @@
 		key := machine.Name + "@" + machine.Address
 		listed[key] = true
 		if s.pollers[key] == nil {
-			poll, stop := context.WithCancel(ctx)
+			pollCtx, stop := context.WithCancel(ctx)
 			s.pollers[key] = stop
-			go s.pollBackend(poll, machine)
+			go s.pollBackend(pollCtx, machine)
 		}
 	}
 	for key, stop := range s.pollers {
