--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -22,10 +22,10 @@
 func (s *Server) renewSession(ctx context.Context) {
 	for ctx.Err() == nil {
 		sent := s.now()
-		attempt, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+		requestCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		beat := s.session.Heartbeat()
 		beat.Quarantine = s.quarantine.Version()
-		response, err := s.group.AskOnce(attempt, control.Request{Heartbeat: &beat})
+		response, err := s.group.AskOnce(requestCtx, control.Request{Heartbeat: &beat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
