--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -75,10 +75,10 @@
 
 // claim asks the ledger and reports the outcome to the core.
 func (s *Server) claim(ctx context.Context, action core.ActionClaim) {
-	attempt, cancel := context.WithTimeout(ctx, claimTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	started := time.Now()
-	response, err := s.group.Ask(attempt, control.Request{Claim: &action.Claim})
+	response, err := s.group.Ask(requestCtx, control.Request{Claim: &action.Claim})
 	s.metrics.claimSeconds.Observe(time.Since(started).Seconds())
 	event := core.EventClaim{ID: action.ID, ClaimID: action.Claim.ClaimID}
 	if err != nil || response.Claim == nil {
