--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -92,9 +92,9 @@
 // endClaim reports the end of a claim until a leader has committed it. If that fails for long, the session
 // ends and the ledger marks the claim unknown, which is always safe.
 func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
-	attempt, cancel := context.WithTimeout(ctx, endPatience)
+	requestCtx, cancel := context.WithTimeout(ctx, endPatience)
 	defer cancel()
-	if _, err := s.group.Ask(attempt, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
+	if _, err := s.group.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
 		s.log.Warn("end of a claim not confirmed", zap.String("claim", action.End.ClaimID), zap.Error(err))
 	}
 }
