--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -15,7 +15,7 @@
 const (
 	heartbeatTimeout = 1200 * time.Millisecond
 	claimTimeout     = 4 * time.Second
-	endPatience      = 60 * time.Second // how long the end of a claim is repeated
+	endClaimTimeout  = 60 * time.Second // how long the end of a claim is repeated
 )
 
 // renewSession is the thread that renews the session and takes up new settings.
@@ -92,7 +92,7 @@
 // endClaim reports the end of a claim until a leader has committed it. If that fails for long, the session
 // ends and the ledger marks the claim unknown, which is always safe.
 func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
-	requestCtx, cancel := context.WithTimeout(ctx, endPatience)
+	requestCtx, cancel := context.WithTimeout(ctx, endClaimTimeout)
 	defer cancel()
 	if _, err := s.group.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
 		s.log.Warn("end of a claim not confirmed", zap.String("claim", action.End.ClaimID), zap.Error(err))
