--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -21,7 +21,7 @@
 // renewSession is the thread that renews the session and takes up new settings.
 func (s *Server) renewSession(ctx context.Context) {
 	for ctx.Err() == nil {
-		sent := s.now()
+		sentAt := s.now()
 		requestCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		beat := s.session.Heartbeat()
 		beat.Quarantine = s.quarantine.Version()
@@ -29,7 +29,7 @@
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
-			pause = s.takeReply(sent, *response.Heartbeat)
+			pause = s.takeReply(sentAt, *response.Heartbeat)
 		}
 		select {
 		case <-ctx.Done():
