--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -39,11 +39,11 @@
 }
 
 // takeReply syncs new settings, passes settings and lease to the core, and returns when to call again.
-func (s *Server) takeReply(sent time.Duration, reply control.HeartbeatReply) time.Duration {
+func (s *Server) takeReply(sentAt time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
 		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	step := s.session.HandleReply(sent, reply)
+	step := s.session.HandleReply(sentAt, reply)
 	if step.RejectReason != "" {
 		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
 		return step.NextHeartbeatIn
