--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -29,7 +29,7 @@
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
-			pause = s.takeReply(sentAt, *response.Heartbeat)
+			pause = s.applyReply(sentAt, *response.Heartbeat)
 		}
 		select {
 		case <-ctx.Done():
@@ -38,8 +38,8 @@
 	}
 }
 
-// takeReply syncs new settings, passes settings and lease to the core, and returns when to call again.
-func (s *Server) takeReply(sentAt time.Duration, reply control.HeartbeatReply) time.Duration {
+// applyReply syncs new settings, passes settings and lease to the core, and returns when to call again.
+func (s *Server) applyReply(sentAt time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
 		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
