--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -23,9 +23,9 @@
 	for ctx.Err() == nil {
 		sentAt := s.now()
 		requestCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-		beat := s.session.Heartbeat()
-		beat.Quarantine = s.quarantine.Version()
-		response, err := s.group.AskOnce(requestCtx, control.Request{Heartbeat: &beat})
+		heartbeat := s.session.Heartbeat()
+		heartbeat.Quarantine = s.quarantine.Version()
+		response, err := s.group.AskOnce(requestCtx, control.Request{Heartbeat: &heartbeat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
