--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -69,8 +69,8 @@
 func (s *Server) closeSession() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	beat := s.session.ClosingHeartbeat()
-	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
+	heartbeat := s.session.ClosingHeartbeat()
+	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // otherwise the lease runs out by itself
 }
 
 // claim asks the ledger and reports the outcome to the core.
