--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -27,13 +27,13 @@
 		heartbeat.Quarantine = s.quarantine.Version()
 		response, err := s.group.AskOnce(requestCtx, control.Request{Heartbeat: &heartbeat})
 		cancel()
-		pause := session.FastHeartbeatInterval
+		delay := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
-			pause = s.applyReply(sentAt, *response.Heartbeat)
+			delay = s.applyReply(sentAt, *response.Heartbeat)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
