--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -43,26 +43,26 @@
 	if reply.Quarantine != nil {
 		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	step := s.session.HandleReply(sentAt, reply)
-	if step.RejectReason != "" {
-		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
-		return step.NextHeartbeatIn
+	actions := s.session.HandleReply(sentAt, reply)
+	if actions.RejectReason != "" {
+		s.log.Warn("heartbeat reply not used", zap.String("problem", actions.RejectReason))
+		return actions.NextHeartbeatIn
 	}
-	if step.ToSync != nil {
-		if err := s.disk.save(*step.ToSync); err != nil {
+	if actions.ToSync != nil {
+		if err := s.disk.save(*actions.ToSync); err != nil {
 			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
-		s.session.MarkSynced(*step.ToSync)
-		s.post(core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree})
-		s.log.Info("settings taken up", zap.Uint64("settings_version", step.ToSync.Version))
+		s.session.MarkSynced(*actions.ToSync)
+		s.post(core.EventSettings{Version: actions.ToSync.Version, Tree: actions.ToSync.Tree})
+		s.log.Info("settings taken up", zap.Uint64("settings_version", actions.ToSync.Version))
 	}
-	s.post(step.Lease)
-	if step.Peers != nil {
-		s.announcer.SetPeers(peerAddresses(step.Peers))
-		s.post(core.EventPeerRouters{Names: peerNames(step.Peers)})
+	s.post(actions.Lease)
+	if actions.Peers != nil {
+		s.announcer.SetPeers(peerAddresses(actions.Peers))
+		s.post(core.EventPeerRouters{Names: peerNames(actions.Peers)})
 	}
-	return step.NextHeartbeatIn
+	return actions.NextHeartbeatIn
 }
 
 // closeSession ends the session at a planned stop, so that nobody waits for its lease.
