--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// outboxRing is how many tokens may wait for a slow caller before its request is given up.
-	outboxRing = 512
+	// tokenBufferSize is how many tokens may wait for a slow caller before its request is given up.
+	tokenBufferSize = 512
 	// writeTimeout is how long one write to a caller may take.
 	writeTimeout   = 10 * time.Second
 	eventStream    = "text/event-stream"
@@ -59,7 +59,7 @@
 
 // serve passes a request to the core and its answer to the caller.
 func (s *Server) serve(run *exchange, r *http.Request) {
-	run.tokens = make(chan token, outboxRing)
+	run.tokens = make(chan token, tokenBufferSize)
 	run.final = make(chan core.ActionFinish, 1)
 	run.writer.Header().Set(api.HeaderRequestID, run.name)
 	run.writer.Header().Set(api.HeaderRouter, s.file.Name)
@@ -207,7 +207,7 @@
 func (s *Server) writeTokens(run *exchange, controller *http.ResponseController, piece token) bool {
 	var out bytes.Buffer
 	s.encodeChunk(&out, run, piece)
-	for range outboxRing {
+	for range tokenBufferSize {
 		select {
 		case next, open := <-run.tokens:
 			if !open {
