--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -19,14 +19,14 @@
 	// tokenBufferSize is how many tokens may wait for a slow caller before its request is given up.
 	tokenBufferSize = 512
 	// writeTimeout is how long one write to a caller may take.
-	writeTimeout   = 10 * time.Second
-	eventStream    = "text/event-stream"
-	objectChat     = "chat.completion"
-	objectChunk    = "chat.completion.chunk"
-	objectText     = "text_completion"
-	roleAssistant  = "assistant"
-	statusSlow     = "the caller reads too slowly"
-	statusInternal = "the stream could not be completed"
+	writeTimeout     = 10 * time.Second
+	eventStream      = "text/event-stream"
+	objectChat       = "chat.completion"
+	objectChunk      = "chat.completion.chunk"
+	objectText       = "text_completion"
+	roleAssistant    = "assistant"
+	detailSlowClient = "the caller reads too slowly"
+	statusInternal   = "the stream could not be completed"
 )
 
 // token is one piece of an answer on its way to the caller.
@@ -167,7 +167,7 @@
 func detailFor(final core.ActionFinish) string {
 	switch {
 	case final.Reason == core.ReasonCallerGone:
-		return statusSlow
+		return detailSlowClient
 	case final.Run == core.RunUnknown && final.Reason != core.ReasonRunUnknown && final.Reason != core.ReasonInProgress:
 		return "whether the request ran is not known; send it again with the same Idempotency-Key to learn it"
 	}
