--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -19,14 +19,14 @@
 	// tokenBufferSize is how many tokens may wait for a slow caller before its request is given up.
 	tokenBufferSize = 512
 	// writeTimeout is how long one write to a caller may take.
-	writeTimeout     = 10 * time.Second
-	eventStream      = "text/event-stream"
-	objectChat       = "chat.completion"
-	objectChunk      = "chat.completion.chunk"
-	objectText       = "text_completion"
-	roleAssistant    = "assistant"
-	detailSlowClient = "the caller reads too slowly"
-	statusInternal   = "the stream could not be completed"
+	writeTimeout           = 10 * time.Second
+	eventStream            = "text/event-stream"
+	objectChat             = "chat.completion"
+	objectChunk            = "chat.completion.chunk"
+	objectText             = "text_completion"
+	roleAssistant          = "assistant"
+	detailSlowClient       = "the caller reads too slowly"
+	detailIncompleteStream = "the stream could not be completed"
 )
 
 // token is one piece of an answer on its way to the caller.
@@ -259,7 +259,7 @@
 			return
 		}
 		if problem.Detail == "" {
-			problem.Detail = statusInternal
+			problem.Detail = detailIncompleteStream
 		}
 		data, _ := json.Marshal(problem) // plain struct, cannot fail
 		fmt.Fprintf(&out, "event: error\ndata: %s\n\n", data)
