--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -20,7 +20,7 @@
 	tokenBufferSize = 512
 	// writeTimeout is how long one write to a caller may take.
 	writeTimeout           = 10 * time.Second
-	eventStream            = "text/event-stream"
+	contentTypeEventStream = "text/event-stream"
 	objectChat             = "chat.completion"
 	objectChunk            = "chat.completion.chunk"
 	objectText             = "text_completion"
@@ -192,7 +192,7 @@
 			}
 			if !started {
 				started = true
-				header.Set("Content-Type", eventStream)
+				header.Set("Content-Type", contentTypeEventStream)
 				header.Set("Cache-Control", "no-store")
 			}
 			if !s.writeTokens(run, controller, piece) {
@@ -267,7 +267,7 @@
 		return
 	}
 	if !started {
-		run.writer.Header().Set("Content-Type", eventStream)
+		run.writer.Header().Set("Content-Type", contentTypeEventStream)
 	}
 	last := s.response(run, objectChunk)
 	finish := api.FinishStop
