--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -47,14 +47,14 @@
 	received          time.Time
 	quarantineRequest quarantine.Request // what stays when it comes again
 
-	tokens      chan token
-	final       chan core.ActionFinish // room for one
-	attempts    int32                  // owned by the decide thread
-	notRun      atomic.Int32           // attempts that provably didn't run; at most attempts
-	lastAttempt uint64                 // owned by the decide thread
-	firstToken  bool                   // owned by the decide thread
-	slow        bool                   // owned by the decide thread: a token was dropped
-	givenUp     bool                   // owned by the decide thread: the core knows
+	tokens        chan token
+	final         chan core.ActionFinish // room for one
+	attempts      int32                  // owned by the decide thread
+	notRun        atomic.Int32           // attempts that provably didn't run; at most attempts
+	lastAttempt   uint64                 // owned by the decide thread
+	firstToken    bool                   // owned by the decide thread
+	tokensDropped bool                   // owned by the decide thread: a token was dropped
+	givenUp       bool                   // owned by the decide thread: the core knows
 }
 
 // serve passes a request to the core and its answer to the caller.
@@ -116,7 +116,7 @@
 	if run == nil {
 		return
 	}
-	if run.slow {
+	if run.tokensDropped {
 		s.giveUp(run)
 		return
 	}
@@ -127,7 +127,7 @@
 	select {
 	case run.tokens <- token{index: action.Index, text: action.Text}:
 	default:
-		run.slow = true
+		run.tokensDropped = true
 		s.giveUp(run)
 	}
 }
@@ -145,7 +145,7 @@
 	if run == nil {
 		return
 	}
-	if run.slow && action.Reason == core.ReasonComplete {
+	if run.tokensDropped && action.Reason == core.ReasonComplete {
 		action.Reason = core.ReasonCallerGone // tokens were dropped: the caller's stream is not whole
 	}
 	s.unregister(action.ID)
