--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -54,7 +54,7 @@
 	lastAttempt   uint64                 // owned by the decide thread
 	firstToken    bool                   // owned by the decide thread
 	tokensDropped bool                   // owned by the decide thread: a token was dropped
-	givenUp       bool                   // owned by the decide thread: the core knows
+	slowReported  bool                   // owned by the decide thread: the core knows
 }
 
 // serve passes a request to the core and its answer to the caller.
@@ -134,8 +134,8 @@
 
 // giveUp tells the core that a caller reads too slowly, again with each token while the event ring is full.
 func (s *Server) giveUp(run *exchange) {
-	if !run.givenUp {
-		run.givenUp = s.offer(core.EventCallerGone{ID: run.request.ID})
+	if !run.slowReported {
+		run.slowReported = s.offer(core.EventCallerGone{ID: run.request.ID})
 	}
 }
 
