--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -58,34 +58,34 @@
 }
 
 // serve passes a request to the core and its answer to the caller.
-func (s *Server) serve(run *exchange, r *http.Request) {
-	run.tokens = make(chan token, tokenBufferSize)
-	run.final = make(chan core.ActionFinish, 1)
-	run.writer.Header().Set(api.HeaderRequestID, run.name)
-	run.writer.Header().Set(api.HeaderRouter, s.file.Name)
+func (s *Server) serve(ex *exchange, r *http.Request) {
+	ex.tokens = make(chan token, tokenBufferSize)
+	ex.final = make(chan core.ActionFinish, 1)
+	ex.writer.Header().Set(api.HeaderRequestID, ex.name)
+	ex.writer.Header().Set(api.HeaderRouter, s.file.Name)
 	if s.draining.Load() {
-		run.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
-		run.writer.Header().Set(api.HeaderDraining, "true")
-		s.reject(run.writer, r, run.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
+		ex.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
+		ex.writer.Header().Set(api.HeaderDraining, "true")
+		s.reject(ex.writer, r, ex.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
 		return
 	}
-	if s.rejectIfQuarantined(run, r) {
+	if s.rejectIfQuarantined(ex, r) {
 		return
 	}
-	if !s.register(run) {
-		s.reject(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
+	if !s.register(ex) {
+		s.reject(ex.writer, r, ex.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
 		return
 	}
-	if !s.offer(core.EventRequest{Request: run.request}) {
-		s.unregister(run.request.ID)
-		s.reject(run.writer, r, run.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
+	if !s.offer(core.EventRequest{Request: ex.request}) {
+		s.unregister(ex.request.ID)
+		s.reject(ex.writer, r, ex.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
 		return
 	}
-	if run.completion != nil && run.completion.Stream {
-		s.relayStream(r.Context(), run)
+	if ex.completion != nil && ex.completion.Stream {
+		s.relayStream(r.Context(), ex)
 		return
 	}
-	s.relayWhole(r.Context(), run)
+	s.relayWhole(r.Context(), ex)
 }
 
 func (s *Server) register(run *exchange) bool {
