--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -88,13 +88,13 @@
 	s.relayWhole(r.Context(), ex)
 }
 
-func (s *Server) register(run *exchange) bool {
+func (s *Server) register(ex *exchange) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.waiting) >= s.file.Router.MaxConnections {
 		return false
 	}
-	s.waiting[run.request.ID] = run
+	s.waiting[ex.request.ID] = ex
 	return true
 }
 
