--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -112,23 +112,23 @@
 
 // deliverChunk puts a token into the caller's ring; a full ring gives the request up.
 func (s *Server) deliverChunk(action core.ActionChunk) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if run.tokensDropped {
-		s.giveUp(run)
+	if ex.tokensDropped {
+		s.giveUp(ex)
 		return
 	}
-	if !run.firstToken {
-		run.firstToken = true
-		s.metrics.firstToken.WithLabelValues(run.request.Service).Observe(time.Since(run.received).Seconds())
+	if !ex.firstToken {
+		ex.firstToken = true
+		s.metrics.firstToken.WithLabelValues(ex.request.Service).Observe(time.Since(ex.received).Seconds())
 	}
 	select {
-	case run.tokens <- token{index: action.Index, text: action.Text}:
+	case ex.tokens <- token{index: action.Index, text: action.Text}:
 	default:
-		run.tokensDropped = true
-		s.giveUp(run)
+		ex.tokensDropped = true
+		s.giveUp(ex)
 	}
 }
 
