--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -141,20 +141,20 @@
 
 // deliverFinish hands the final answer to the caller's goroutine.
 func (s *Server) deliverFinish(action core.ActionFinish) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if run.tokensDropped && action.Reason == core.ReasonComplete {
+	if ex.tokensDropped && action.Reason == core.ReasonComplete {
 		action.Reason = core.ReasonCallerGone // tokens were dropped: the caller's stream is not whole
 	}
 	s.unregister(action.ID)
 	if action.Reason == core.ReasonComplete {
-		s.recordCompletion(run)
+		s.recordCompletion(ex)
 	}
-	s.logFinish(run, action)
-	run.final <- action
-	close(run.tokens)
+	s.logFinish(ex, action)
+	ex.final <- action
+	close(ex.tokens)
 }
 
 // problemFor turns a final action into a problem.
