--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -133,9 +133,9 @@
 }
 
 // giveUp tells the core that a caller reads too slowly, again with each token while the event ring is full.
-func (s *Server) giveUp(run *exchange) {
-	if !run.slowReported {
-		run.slowReported = s.offer(core.EventCallerGone{ID: run.request.ID})
+func (s *Server) giveUp(ex *exchange) {
+	if !ex.slowReported {
+		ex.slowReported = s.offer(core.EventCallerGone{ID: ex.request.ID})
 	}
 }
 
