--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -117,7 +117,7 @@
 		return
 	}
 	if ex.tokensDropped {
-		s.giveUp(ex)
+		s.reportSlowClient(ex)
 		return
 	}
 	if !ex.firstToken {
@@ -128,12 +128,12 @@
 	case ex.tokens <- token{index: action.Index, text: action.Text}:
 	default:
 		ex.tokensDropped = true
-		s.giveUp(ex)
+		s.reportSlowClient(ex)
 	}
 }
 
-// giveUp tells the core that a caller reads too slowly, again with each token while the event ring is full.
-func (s *Server) giveUp(ex *exchange) {
+// reportSlowClient tells the core that a caller reads too slowly, again with each token while the event ring is full.
+func (s *Server) reportSlowClient(ex *exchange) {
 	if !ex.slowReported {
 		ex.slowReported = s.offer(core.EventCallerGone{ID: ex.request.ID})
 	}
