--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -158,9 +158,9 @@
 }
 
 // problemFor turns a final action into a problem.
-func (s *Server) problemFor(run *exchange, final core.ActionFinish) api.Problem {
+func (s *Server) problemFor(ex *exchange, final core.ActionFinish) api.Problem {
 	problem := api.NewProblem(final.Reason, final.Run, detailFor(final)).WithRetry(final.RetryAfter)
-	problem.RequestID = run.name
+	problem.RequestID = ex.name
 	return problem
 }
 
