--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -176,18 +176,18 @@
 
 // relayStream writes server-sent events as tokens come. A stream that cannot be completed ends with an error
 // event and without the end marker.
-func (s *Server) relayStream(ctx context.Context, run *exchange) {
-	controller := http.NewResponseController(run.writer)
-	header := run.writer.Header()
+func (s *Server) relayStream(ctx context.Context, ex *exchange) {
+	controller := http.NewResponseController(ex.writer)
+	header := ex.writer.Header()
 	started := false
 	for {
 		select {
 		case <-ctx.Done():
-			s.post(core.EventCallerGone{ID: run.request.ID})
+			s.post(core.EventCallerGone{ID: ex.request.ID})
 			return
-		case piece, open := <-run.tokens:
+		case piece, open := <-ex.tokens:
 			if !open {
-				s.endStream(run, controller, started)
+				s.endStream(ex, controller, started)
 				return
 			}
 			if !started {
@@ -195,8 +195,8 @@
 				header.Set("Content-Type", contentTypeEventStream)
 				header.Set("Cache-Control", "no-store")
 			}
-			if !s.writeTokens(run, controller, piece) {
-				s.post(core.EventCallerGone{ID: run.request.ID})
+			if !s.writeTokens(ex, controller, piece) {
+				s.post(core.EventCallerGone{ID: ex.request.ID})
 				return
 			}
 		}
