--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -204,22 +204,22 @@
 }
 
 // writeTokens writes a token and whatever else waits, with one flush.
-func (s *Server) writeTokens(run *exchange, controller *http.ResponseController, piece token) bool {
+func (s *Server) writeTokens(ex *exchange, controller *http.ResponseController, piece token) bool {
 	var out bytes.Buffer
-	s.encodeChunk(&out, run, piece)
+	s.encodeChunk(&out, ex, piece)
 	for range tokenBufferSize {
 		select {
-		case next, open := <-run.tokens:
+		case next, open := <-ex.tokens:
 			if !open {
-				return flush(run, controller, &out)
+				return flush(ex, controller, &out)
 			}
-			s.encodeChunk(&out, run, next)
+			s.encodeChunk(&out, ex, next)
 			continue
 		default:
 		}
 		break
 	}
-	return flush(run, controller, &out)
+	return flush(ex, controller, &out)
 }
 
 func flush(run *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
