--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -222,9 +222,9 @@
 	return flush(ex, controller, &out)
 }
 
-func flush(run *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
+func flush(ex *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // not every writer supports it
-	if _, err := run.writer.Write(out.Bytes()); err != nil {
+	if _, err := ex.writer.Write(out.Bytes()); err != nil {
 		return false
 	}
 	return controller.Flush() == nil
