--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -230,9 +230,9 @@
 	return controller.Flush() == nil
 }
 
-func (s *Server) encodeChunk(out *bytes.Buffer, run *exchange, piece token) {
-	chunk := s.response(run, objectChunk)
-	if run.chat {
+func (s *Server) encodeChunk(out *bytes.Buffer, ex *exchange, piece token) {
+	chunk := s.response(ex, objectChunk)
+	if ex.chat {
 		chunk.Choices = []api.Choice{{Delta: &api.ChatMessage{Role: roleAssistant, Content: piece.text}}}
 	} else {
 		chunk.Object = objectText
