--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -245,8 +245,8 @@
 	fmt.Fprintf(out, "id: %d\ndata: %s\n\n", piece.index, data)
 }
 
-func (s *Server) response(run *exchange, object string) api.CompletionResponse {
-	return api.CompletionResponse{ID: run.name, Object: object, Created: run.received.Unix(), Model: run.completion.Model}
+func (s *Server) response(ex *exchange, object string) api.CompletionResponse {
+	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.received.Unix(), Model: ex.completion.Model}
 }
 
 func (s *Server) endStream(run *exchange, controller *http.ResponseController, started bool) {
