--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -231,7 +231,7 @@
 }
 
 func (s *Server) encodeChunk(out *bytes.Buffer, ex *exchange, piece token) {
-	chunk := s.response(ex, objectChunk)
+	chunk := s.newResponse(ex, objectChunk)
 	if ex.chat {
 		chunk.Choices = []api.Choice{{Delta: &api.ChatMessage{Role: roleAssistant, Content: piece.text}}}
 	} else {
@@ -245,7 +245,7 @@
 	fmt.Fprintf(out, "id: %d\ndata: %s\n\n", piece.index, data)
 }
 
-func (s *Server) response(ex *exchange, object string) api.CompletionResponse {
+func (s *Server) newResponse(ex *exchange, object string) api.CompletionResponse {
 	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.received.Unix(), Model: ex.completion.Model}
 }
 
@@ -269,7 +269,7 @@
 	if !started {
 		run.writer.Header().Set("Content-Type", contentTypeEventStream)
 	}
-	last := s.response(run, objectChunk)
+	last := s.newResponse(run, objectChunk)
 	finish := api.FinishStop
 	last.Choices = []api.Choice{{FinishReason: &finish}}
 	last.Usage = usage(run, final.Tokens)
@@ -324,7 +324,7 @@
 }
 
 func (s *Server) answerCompletion(run *exchange, final core.ActionFinish, text string) {
-	answer := s.response(run, objectChat)
+	answer := s.newResponse(run, objectChat)
 	finish := api.FinishStop
 	choice := api.Choice{FinishReason: &finish, Text: text}
 	if run.chat {
