--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -249,13 +249,13 @@
 	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.received.Unix(), Model: ex.completion.Model}
 }
 
-func (s *Server) endStream(run *exchange, controller *http.ResponseController, started bool) {
-	final := <-run.final
+func (s *Server) endStream(ex *exchange, controller *http.ResponseController, started bool) {
+	final := <-ex.final
 	var out bytes.Buffer
 	if final.Reason != core.ReasonComplete {
-		problem := s.problemFor(run, final)
+		problem := s.problemFor(ex, final)
 		if !started {
-			problem.Write(run.writer)
+			problem.Write(ex.writer)
 			return
 		}
 		if problem.Detail == "" {
@@ -263,19 +263,19 @@
 		}
 		data, _ := json.Marshal(problem) // plain struct, cannot fail
 		fmt.Fprintf(&out, "event: error\ndata: %s\n\n", data)
-		flush(run, controller, &out)
+		flush(ex, controller, &out)
 		return
 	}
 	if !started {
-		run.writer.Header().Set("Content-Type", contentTypeEventStream)
+		ex.writer.Header().Set("Content-Type", contentTypeEventStream)
 	}
-	last := s.newResponse(run, objectChunk)
+	last := s.newResponse(ex, objectChunk)
 	finish := api.FinishStop
 	last.Choices = []api.Choice{{FinishReason: &finish}}
-	last.Usage = usage(run, final.Tokens)
+	last.Usage = usage(ex, final.Tokens)
 	data, _ := json.Marshal(last) // plain struct, cannot fail
 	fmt.Fprintf(&out, "data: %s\n\ndata: %s\n\n", data, api.StreamEnd)
-	flush(run, controller, &out)
+	flush(ex, controller, &out)
 }
 
 func usage(run *exchange, tokens int) *api.Usage {
