--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -278,9 +278,9 @@
 	flush(ex, controller, &out)
 }
 
-func usage(run *exchange, tokens int) *api.Usage {
+func usage(ex *exchange, tokens int) *api.Usage {
 	return &api.Usage{
-		PromptTokens: run.request.PromptTokens, CompletionTokens: tokens, TotalTokens: run.request.PromptTokens + tokens,
+		PromptTokens: ex.request.PromptTokens, CompletionTokens: tokens, TotalTokens: ex.request.PromptTokens + tokens,
 	}
 }
 
