--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -285,19 +285,19 @@
 }
 
 // relayWhole collects the answer and writes it at once.
-func (s *Server) relayWhole(ctx context.Context, run *exchange) {
+func (s *Server) relayWhole(ctx context.Context, ex *exchange) {
 	var text strings.Builder
 	for {
 		select {
 		case <-ctx.Done():
-			s.post(core.EventCallerGone{ID: run.request.ID})
+			s.post(core.EventCallerGone{ID: ex.request.ID})
 			return
-		case piece, open := <-run.tokens:
+		case piece, open := <-ex.tokens:
 			if open {
 				text.WriteString(piece.text)
 				continue
 			}
-			s.answerWhole(run, <-run.final, text.String())
+			s.answerWhole(ex, <-ex.final, text.String())
 			return
 		}
 	}
