--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -85,7 +85,7 @@
 		s.relayStream(r.Context(), ex)
 		return
 	}
-	s.relayWhole(r.Context(), ex)
+	s.relayBuffered(r.Context(), ex)
 }
 
 func (s *Server) register(ex *exchange) bool {
@@ -284,8 +284,8 @@
 	}
 }
 
-// relayWhole collects the answer and writes it at once.
-func (s *Server) relayWhole(ctx context.Context, ex *exchange) {
+// relayBuffered collects the answer and writes it at once.
+func (s *Server) relayBuffered(ctx context.Context, ex *exchange) {
 	var text strings.Builder
 	for {
 		select {
