--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -303,23 +303,23 @@
 	}
 }
 
-func (s *Server) answerWhole(run *exchange, final core.ActionFinish, text string) {
+func (s *Server) answerWhole(ex *exchange, final core.ActionFinish, text string) {
 	switch {
-	case final.Reason == core.ReasonComplete && run.completion != nil:
-		s.answerCompletion(run, final, text)
+	case final.Reason == core.ReasonComplete && ex.completion != nil:
+		s.answerCompletion(ex, final, text)
 	case (final.Reason == core.ReasonComplete || final.Reason == core.ReasonReplayed) && final.Answer != nil:
 		if final.Reason == core.ReasonReplayed {
-			run.writer.Header().Set(api.HeaderRun, string(core.RunYes))
+			ex.writer.Header().Set(api.HeaderRun, string(core.RunYes))
 		}
 		if final.Answer.Truncated {
-			api.NewProblem(core.ReasonRunUnknown, core.RunYes, "the request ran; its answer was too long to keep").Write(run.writer)
+			api.NewProblem(core.ReasonRunUnknown, core.RunYes, "the request ran; its answer was too long to keep").Write(ex.writer)
 			return
 		}
-		run.writer.Header().Set("Content-Type", final.Answer.ContentType)
-		run.writer.WriteHeader(final.Answer.Status)
-		_, _ = run.writer.Write(final.Answer.Body) // a caller that is gone cannot be told
+		ex.writer.Header().Set("Content-Type", final.Answer.ContentType)
+		ex.writer.WriteHeader(final.Answer.Status)
+		_, _ = ex.writer.Write(final.Answer.Body) // a caller that is gone cannot be told
 	default:
-		s.problemFor(run, final).Write(run.writer)
+		s.problemFor(ex, final).Write(ex.writer)
 	}
 }
 
