--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -297,13 +297,13 @@
 				text.WriteString(piece.text)
 				continue
 			}
-			s.answerWhole(ex, <-ex.final, text.String())
+			s.writeBuffered(ex, <-ex.final, text.String())
 			return
 		}
 	}
 }
 
-func (s *Server) answerWhole(ex *exchange, final core.ActionFinish, text string) {
+func (s *Server) writeBuffered(ex *exchange, final core.ActionFinish, text string) {
 	switch {
 	case final.Reason == core.ReasonComplete && ex.completion != nil:
 		s.answerCompletion(ex, final, text)
