--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -323,16 +323,16 @@
 	}
 }
 
-func (s *Server) answerCompletion(run *exchange, final core.ActionFinish, text string) {
-	answer := s.newResponse(run, objectChat)
+func (s *Server) answerCompletion(ex *exchange, final core.ActionFinish, text string) {
+	answer := s.newResponse(ex, objectChat)
 	finish := api.FinishStop
 	choice := api.Choice{FinishReason: &finish, Text: text}
-	if run.chat {
+	if ex.chat {
 		choice = api.Choice{FinishReason: &finish, Message: &api.ChatMessage{Role: roleAssistant, Content: text}}
 	} else {
 		answer.Object = objectText
 	}
 	answer.Choices = []api.Choice{choice}
-	answer.Usage = usage(run, final.Tokens)
-	writeJSON(run.writer, answer)
+	answer.Usage = usage(ex, final.Tokens)
+	writeJSON(ex.writer, answer)
 }
