--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -306,7 +306,7 @@
 func (s *Server) writeBuffered(ex *exchange, final core.ActionFinish, text string) {
 	switch {
 	case final.Reason == core.ReasonComplete && ex.completion != nil:
-		s.answerCompletion(ex, final, text)
+		s.writeCompletion(ex, final, text)
 	case (final.Reason == core.ReasonComplete || final.Reason == core.ReasonReplayed) && final.Answer != nil:
 		if final.Reason == core.ReasonReplayed {
 			ex.writer.Header().Set(api.HeaderRun, string(core.RunYes))
@@ -323,7 +323,7 @@
 	}
 }
 
-func (s *Server) answerCompletion(ex *exchange, final core.ActionFinish, text string) {
+func (s *Server) writeCompletion(ex *exchange, final core.ActionFinish, text string) {
 	answer := s.newResponse(ex, objectChat)
 	finish := api.FinishStop
 	choice := api.Choice{FinishReason: &finish, Text: text}
