--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -21,7 +21,7 @@
 	promptTokens prometheus.Counter
 	hitTokens    prometheus.Counter
 	server       *Server
-	totals       []total
+	coreCounters []total
 }
 
 // total is a counter that the core keeps.
@@ -45,7 +45,7 @@
 	}, []string{"reason"})
 	m.promptTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "prompt_tokens_total", Help: "Prompt tokens of started attempts."})
 	m.hitTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "hit_tokens_total", Help: "Prompt tokens that engines reused."})
-	m.totals = coreTotals()
+	m.coreCounters = coreTotals()
 	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.refusals, m.promptTokens, m.hitTokens, m)
 	return m
 }
@@ -75,7 +75,7 @@
 
 // Describe is called by the registry.
 func (m *metrics) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, item := range m.totals {
+	for _, item := range m.coreCounters {
 		descriptions <- item.description
 	}
 	descriptions <- refusedDescription
@@ -88,7 +88,7 @@
 	defer cancel()
 	m.server.ask(ctx, func(c *core.Core) {
 		counters := c.Counters()
-		for _, item := range m.totals {
+		for _, item := range m.coreCounters {
 			collected <- prometheus.MustNewConstMetric(item.description, prometheus.CounterValue, float64(item.read(counters)))
 		}
 		for reason, count := range counters.Refused {
