--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -45,12 +45,12 @@
 	}, []string{"reason"})
 	m.promptTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "prompt_tokens_total", Help: "Prompt tokens of started attempts."})
 	m.hitTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "hit_tokens_total", Help: "Prompt tokens that engines reused."})
-	m.coreCounters = coreTotals()
+	m.coreCounters = newCoreCounters()
 	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.refusals, m.promptTokens, m.hitTokens, m)
 	return m
 }
 
-func coreTotals() []total {
+func newCoreCounters() []total {
 	define := func(name, help string, read func(core.Counters) uint64) total {
 		return total{prometheus.NewDesc(namespace+"_"+name, help, nil, nil), read}
 	}
