--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -21,11 +21,11 @@
 	promptTokens prometheus.Counter
 	hitTokens    prometheus.Counter
 	server       *Server
-	coreCounters []total
+	coreCounters []coreCounter
 }
 
-// total is a counter that the core keeps.
-type total struct {
+// coreCounter is a counter that the core keeps.
+type coreCounter struct {
 	description *prometheus.Desc
 	read        func(core.Counters) uint64
 }
@@ -50,11 +50,11 @@
 	return m
 }
 
-func newCoreCounters() []total {
-	define := func(name, help string, read func(core.Counters) uint64) total {
-		return total{prometheus.NewDesc(namespace+"_"+name, help, nil, nil), read}
+func newCoreCounters() []coreCounter {
+	define := func(name, help string, read func(core.Counters) uint64) coreCounter {
+		return coreCounter{prometheus.NewDesc(namespace+"_"+name, help, nil, nil), read}
 	}
-	return []total{
+	return []coreCounter{
 		define("requests_total", "Requests received by the core.", func(c core.Counters) uint64 { return c.Requests }),
 		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Completed }),
 		define("attempts_total", "Attempts sent to back ends.", func(c core.Counters) uint64 { return c.Attempts }),
