--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -80,7 +80,7 @@
 	case core.ReasonQuarantined:
 		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
-	s.metrics.refusals.WithLabelValues(string(reqErr.reason)).Inc()
+	s.metrics.rejections.WithLabelValues(string(reqErr.reason)).Inc()
 	problem.Write(w)
 }
 
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -17,7 +17,7 @@
 	registry     *prometheus.Registry
 	firstToken   *prometheus.HistogramVec
 	claimSeconds prometheus.Histogram
-	refusals     *prometheus.CounterVec
+	rejections   *prometheus.CounterVec
 	promptTokens prometheus.Counter
 	hitTokens    prometheus.Counter
 	server       *Server
@@ -40,13 +40,13 @@
 		Namespace: namespace, Name: "claim_seconds", Help: "Time of a claim in the run ledger.",
 		Buckets: prometheus.ExponentialBuckets(0.001, 1.8, 14),
 	})
-	m.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.rejections = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "rejected_total", Help: "Requests refused before a decision, by reason.",
 	}, []string{"reason"})
 	m.promptTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "prompt_tokens_total", Help: "Prompt tokens of started attempts."})
 	m.hitTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "hit_tokens_total", Help: "Prompt tokens that engines reused."})
 	m.coreCounters = newCoreCounters()
-	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.refusals, m.promptTokens, m.hitTokens, m)
+	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.rejections, m.promptTokens, m.hitTokens, m)
 	return m
 }
 
