--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -270,7 +270,7 @@
 	out.Kind = core.AttemptStarted
 	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
-	s.metrics.started(a, event)
+	s.metrics.recordStarted(a, event)
 	if event.NoReuse {
 		mismatch := a.event(core.AttemptIncarnationMismatch)
 		mismatch.Incarnation = event.Incarnation
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// started counts the prompt of an attempt that an engine took.
-func (m *metrics) started(a *activeAttempt, event api.GenerateEvent) {
+// recordStarted counts the prompt of an attempt that an engine took.
+func (m *metrics) recordStarted(a *activeAttempt, event api.GenerateEvent) {
 	m.promptTokens.Add(float64(a.exchange.request.PromptTokens))
 	m.hitTokens.Add(float64(event.Cached))
 }
