--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	eventRing     = 16384
-	maximumLinger = 20 * time.Millisecond
-	drainBatch    = 512
-	shutdownTime  = 5 * time.Second
+	eventBufferSize = 16384
+	maximumLinger   = 20 * time.Millisecond
+	drainBatch      = 512
+	shutdownTime    = 5 * time.Second
 	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
 	// connection that is just being closed.
 	drainLinger   = 1500 * time.Millisecond
@@ -123,7 +123,7 @@
 	server := &Server{
 		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
-		events: make(chan core.Event, eventRing), inspect: make(chan inspection, 64),
+		events: make(chan core.Event, eventBufferSize), inspect: make(chan inspection, 64),
 		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
