--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -34,7 +34,7 @@
 
 const (
 	eventBufferSize = 16384
-	maximumLinger   = 20 * time.Millisecond
+	maxTickInterval = 20 * time.Millisecond
 	drainBatch      = 512
 	shutdownTime    = 5 * time.Second
 	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
@@ -204,7 +204,7 @@
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
 	calm := time.Now().Add(drainLinger)
 	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(calm)) {
-		time.Sleep(maximumLinger)
+		time.Sleep(maxTickInterval)
 	}
 	stopRenewing()
 	s.closeSession()
@@ -255,9 +255,9 @@
 func (s *Server) untilDue() time.Duration {
 	due, any := s.core.NextWakeup()
 	if !any {
-		return maximumLinger
+		return maxTickInterval
 	}
-	return min(max(due-s.now(), 0), maximumLinger)
+	return min(max(due-s.now(), 0), maxTickInterval)
 }
 
 // touchesView reports whether a batch may have changed what callers' goroutines read.
