--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -35,7 +35,7 @@
 const (
 	eventBufferSize = 16384
 	maxTickInterval = 20 * time.Millisecond
-	drainBatch      = 512
+	maxEventBatch   = 512
 	shutdownTime    = 5 * time.Second
 	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
 	// connection that is just being closed.
@@ -227,7 +227,7 @@
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	batch := make([]core.Event, 0, drainBatch)
+	batch := make([]core.Event, 0, maxEventBatch)
 	for {
 		batch = batch[:0]
 		select {
@@ -241,7 +241,7 @@
 			continue
 		case <-timer.C:
 		}
-		for len(batch) < drainBatch && len(s.events) > 0 {
+		for len(batch) < maxEventBatch && len(s.events) > 0 {
 			batch = append(batch, <-s.events)
 		}
 		s.carryOut(ctx, s.core.Tick(s.now(), batch))
