--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -70,7 +70,7 @@
 	if listener == nil {
 		return
 	}
-	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := listener.Close(shutdownCtx); err != nil {
 		s.log.Warn("internal listener not closed", zap.Error(err))
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -36,7 +36,7 @@
 	eventBufferSize = 16384
 	maxTickInterval = 20 * time.Millisecond
 	maxEventBatch   = 512
-	shutdownTime    = 5 * time.Second
+	shutdownTimeout = 5 * time.Second
 	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
 	// connection that is just being closed.
 	drainLinger   = 1500 * time.Millisecond
@@ -208,7 +208,7 @@
 	}
 	stopRenewing()
 	s.closeSession()
-	closing, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTime))
+	closing, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
 	defer done()
 	if err := public.Shutdown(closing); err != nil {
 		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
