--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -37,9 +37,9 @@
 	maxTickInterval = 20 * time.Millisecond
 	maxEventBatch   = 512
 	shutdownTimeout = 5 * time.Second
-	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
+	// minDrainTime is how long a stopping router keeps answering that it stops, so that no caller's request meets a
 	// connection that is just being closed.
-	drainLinger   = 1500 * time.Millisecond
+	minDrainTime  = 1500 * time.Millisecond
 	headerTimeout = 10 * time.Second
 )
 
@@ -202,7 +202,7 @@
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
-	calm := time.Now().Add(drainLinger)
+	calm := time.Now().Add(minDrainTime)
 	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(calm)) {
 		time.Sleep(maxTickInterval)
 	}
