--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -60,12 +60,12 @@
 	values   *sync.Map // effective settings by place; made anew with each version
 }
 
-// place names where settings take effect.
-type place struct{ zone, service, tenant string }
+// scope names where settings take effect.
+type scope struct{ zone, service, tenant string }
 
 // effective returns the settings at a place; they are resolved once for each version.
 func (v *view) effective(zone, service, tenant string) settings.Values {
-	at := place{zone, service, tenant}
+	at := scope{zone, service, tenant}
 	if held, found := v.values.Load(at); found {
 		return held.(settings.Values)
 	}
