--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -65,13 +65,13 @@
 
 // effective returns the settings at a place; they are resolved once for each version.
 func (v *view) effective(zone, service, tenant string) settings.Values {
-	at := scope{zone, service, tenant}
-	if held, found := v.values.Load(at); found {
+	key := scope{zone, service, tenant}
+	if held, found := v.values.Load(key); found {
 		return held.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
 	if service == settings.Any || slices.Contains(v.services, service) { // callers choose the name
-		v.values.Store(at, values)
+		v.values.Store(key, values)
 	}
 	return values
 }
