--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -66,8 +66,8 @@
 // effective returns the settings at a place; they are resolved once for each version.
 func (v *view) effective(zone, service, tenant string) settings.Values {
 	key := scope{zone, service, tenant}
-	if held, found := v.values.Load(key); found {
-		return held.(settings.Values)
+	if cached, found := v.values.Load(key); found {
+		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
 	if service == settings.Any || slices.Contains(v.services, service) { // callers choose the name
