--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -24,7 +24,7 @@
 // sweep forgets what is long past.
 func (s *Server) sweep() {
 	s.quarantine.Sweep()
-	s.saidLines.Sweep(s.now())
+	s.pushbackLogs.Sweep(s.now())
 }
 
 // newReporter returns what this router does about requests that end their back ends.
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -78,13 +78,13 @@
 
 // Server is a router process.
 type Server struct {
-	file        *node.File
-	log         *zap.Logger
-	now         clock.Source // since it was made
-	quarantine  *reporter.Reporter
-	saidLines   *node.Sparse // lines of back ends that ask for rest or leave, by back end
-	incarnation uint64
-	hasher      *prefix.Hasher
+	file         *node.File
+	log          *zap.Logger
+	now          clock.Source // since it was made
+	quarantine   *reporter.Reporter
+	pushbackLogs *node.Sparse // lines of back ends that ask for rest or leave, by back end
+	incarnation  uint64
+	hasher       *prefix.Hasher
 
 	core    *core.Core
 	events  chan core.Event
@@ -127,7 +127,7 @@
 		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		group:    control.NewClient(client, file.Router.Control), saidLines: node.NewSparse(),
+		group:    control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
