--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -86,11 +86,11 @@
 	incarnation  uint64
 	hasher       *prefix.Hasher
 
-	core    *core.Core
-	events  chan core.Event
-	inspect chan inspection
-	view    atomic.Pointer[view]
-	nextID  atomic.Uint64
+	core        *core.Core
+	events      chan core.Event
+	inspections chan inspection
+	view        atomic.Pointer[view]
+	nextID      atomic.Uint64
 
 	mutex    sync.Mutex
 	waiting  map[core.RequestID]*exchange      // callers
@@ -123,7 +123,7 @@
 	server := &Server{
 		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
-		events: make(chan core.Event, eventBufferSize), inspect: make(chan inspection, 64),
+		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
 		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
@@ -235,7 +235,7 @@
 			return
 		case event := <-s.events:
 			batch = append(batch, event)
-		case question := <-s.inspect:
+		case question := <-s.inspections:
 			question.run(s.core)
 			close(question.done)
 			continue
@@ -311,7 +311,7 @@
 func (s *Server) ask(ctx context.Context, run func(*core.Core)) bool {
 	question := inspection{run: run, done: make(chan struct{})}
 	select {
-	case s.inspect <- question:
+	case s.inspections <- question:
 	case <-ctx.Done():
 		return false
 	}
