--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -235,9 +235,9 @@
 			return
 		case event := <-s.events:
 			batch = append(batch, event)
-		case question := <-s.inspections:
-			question.run(s.core)
-			close(question.done)
+		case request := <-s.inspections:
+			request.run(s.core)
+			close(request.done)
 			continue
 		case <-timer.C:
 		}
