--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -309,14 +309,14 @@
 
 // ask runs a function on the decide thread and waits for it.
 func (s *Server) ask(ctx context.Context, run func(*core.Core)) bool {
-	question := inspection{run: run, done: make(chan struct{})}
+	request := inspection{run: run, done: make(chan struct{})}
 	select {
-	case s.inspections <- question:
+	case s.inspections <- request:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case <-question.done:
+	case <-request.done:
 		return true
 	case <-ctx.Done():
 		return false
