--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -270,7 +270,7 @@
 
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
 	ready := false
-	s.ask(r.Context(), func(c *core.Core) {
+	s.inspect(r.Context(), func(c *core.Core) {
 		ready = c.AcceptsRequests()
 	})
 	if !ready || s.draining.Load() {
@@ -307,7 +307,7 @@
 
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
 	reply := StatusReply{Name: s.file.Name, Zone: s.file.Zone, Incarnation: s.incarnation}
-	s.ask(r.Context(), func(c *core.Core) {
+	s.inspect(r.Context(), func(c *core.Core) {
 		reply.Version, reply.LeaseValid, reply.Draining = c.SettingsVersion(), c.LeaseValid(), c.Draining()
 		reply.Active, reply.IndexedBlocks, reply.Backends = c.ActiveRequests(), c.IndexedBlocks(), c.Backends()
 	})
@@ -316,7 +316,7 @@
 
 func (s *Server) serveExplain(w http.ResponseWriter, r *http.Request) {
 	var decisions []core.Decision
-	s.ask(r.Context(), func(c *core.Core) { decisions = c.Explain(r.URL.Query().Get("request")) })
+	s.inspect(r.Context(), func(c *core.Core) { decisions = c.Explain(r.URL.Query().Get("request")) })
 	writeJSON(w, decisions)
 }
 
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -86,7 +86,7 @@
 func (m *metrics) Collect(collected chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	m.server.ask(ctx, func(c *core.Core) {
+	m.server.inspect(ctx, func(c *core.Core) {
 		counters := c.Counters()
 		for _, item := range m.coreCounters {
 			collected <- prometheus.MustNewConstMetric(item.description, prometheus.CounterValue, float64(item.read(counters)))
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -307,8 +307,8 @@
 	return models
 }
 
-// ask runs a function on the decide thread and waits for it.
-func (s *Server) ask(ctx context.Context, run func(*core.Core)) bool {
+// inspect runs a function on the decide thread and waits for it.
+func (s *Server) inspect(ctx context.Context, run func(*core.Core)) bool {
 	request := inspection{run: run, done: make(chan struct{})}
 	select {
 	case s.inspections <- request:
