--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -91,23 +91,23 @@
 func (s *Server) register(ex *exchange) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.waiting) >= s.file.Router.MaxConnections {
+	if len(s.exchanges) >= s.file.Router.MaxConnections {
 		return false
 	}
-	s.waiting[ex.request.ID] = ex
+	s.exchanges[ex.request.ID] = ex
 	return true
 }
 
 func (s *Server) unregister(id core.RequestID) {
 	s.mutex.Lock()
-	delete(s.waiting, id)
+	delete(s.exchanges, id)
 	s.mutex.Unlock()
 }
 
 func (s *Server) exchange(id core.RequestID) *exchange {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.waiting[id]
+	return s.exchanges[id]
 }
 
 // deliverChunk puts a token into the caller's ring; a full ring gives the request up.
--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -91,10 +91,10 @@
 // TestStreamWithADroppedTokenNeverEndsClean: when a caller's ring is full and even the decision to give the caller up
 // is shed, the stream must not be told to be complete.
 func TestStreamWithADroppedTokenNeverEndsClean(t *testing.T) {
-	s := &Server{events: make(chan core.Event), waiting: map[core.RequestID]*exchange{}, log: zap.NewNop()}
+	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
 	run := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
-	s.waiting[1] = run
+	s.exchanges[1] = run
 	for index := range 3 {
 		s.deliverChunk(core.ActionChunk{ID: 1, Index: index})
 	}
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -92,9 +92,9 @@
 	view        atomic.Pointer[view]
 	nextID      atomic.Uint64
 
-	mutex    sync.Mutex
-	waiting  map[core.RequestID]*exchange      // callers
-	attempts map[core.AttemptID]*activeAttempt // running attempts
+	mutex     sync.Mutex
+	exchanges map[core.RequestID]*exchange      // callers
+	attempts  map[core.AttemptID]*activeAttempt // running attempts
 
 	pollers   map[string]context.CancelFunc // by back end; owned by the platform thread
 	client    *transport.Client
@@ -124,7 +124,7 @@
 		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
 		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
-		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
+		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
 		group:    control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
@@ -218,7 +218,7 @@
 func (s *Server) inFlight() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.waiting)
+	return len(s.exchanges)
 }
 
 // decide is the thread that owns the core.
