--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -103,7 +103,7 @@
 	}
 	request.ContentLength = int64(len(body))
 	request.Header.Set("Content-Type", "application/json")
-	return s.backends.Do(request)
+	return s.backendClient.Do(request)
 }
 
 // onceReader hides the type that net/http could rewind.
--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -15,7 +15,7 @@
 )
 
 func newSender() *Server {
-	return &Server{backends: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
+	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
 // TestBackendThatReadsAndClosesGetsTheRequestOnce: net/http sends a request again by itself when a reused
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -96,16 +96,16 @@
 	exchanges map[core.RequestID]*exchange      // callers
 	attempts  map[core.AttemptID]*activeAttempt // running attempts
 
-	pollers   map[string]context.CancelFunc // by back end; owned by the platform thread
-	client    *transport.Client
-	backends  *http.Client
-	group     *control.Client
-	metrics   *metrics
-	disk      *diskState
-	announcer *transport.Announcer[core.PeerDispatch]
-	session   *session.Machine // owned by the session thread
-	draining  atomic.Bool
-	shed      atomic.Uint64
+	pollers       map[string]context.CancelFunc // by back end; owned by the platform thread
+	client        *transport.Client
+	backendClient *http.Client
+	group         *control.Client
+	metrics       *metrics
+	disk          *diskState
+	announcer     *transport.Announcer[core.PeerDispatch]
+	session       *session.Machine // owned by the session thread
+	draining      atomic.Bool
+	shed          atomic.Uint64
 }
 
 // NewServer opens the data folder and restores the newest settings this router acknowledged.
@@ -126,8 +126,8 @@
 		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
 		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
-		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		group:    control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
+		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
+		group:         control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
