--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -30,7 +30,7 @@
 // newReporter returns what this router does about requests that end their back ends.
 func (s *Server) newReporter() *reporter.Reporter {
 	return reporter.New(reporter.Config{
-		Submit:             s.group.Quarantine,
+		Submit:             s.control.Quarantine,
 		RefusesConnections: reporter.RefusesTCP(&net.Dialer{}),
 		Log:                func(event string, fields ...zap.Field) { s.log.Info(event, fields...) },
 		Now:                s.now,
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -99,7 +99,7 @@
 	pollers       map[string]context.CancelFunc // by back end; owned by the platform thread
 	client        *transport.Client
 	backendClient *http.Client
-	group         *control.Client
+	control       *control.Client
 	metrics       *metrics
 	disk          *diskState
 	announcer     *transport.Announcer[core.PeerDispatch]
@@ -127,7 +127,7 @@
 		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		group:         control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
+		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -25,7 +25,7 @@
 		requestCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		heartbeat := s.session.Heartbeat()
 		heartbeat.Quarantine = s.quarantine.Version()
-		response, err := s.group.AskOnce(requestCtx, control.Request{Heartbeat: &heartbeat})
+		response, err := s.control.AskOnce(requestCtx, control.Request{Heartbeat: &heartbeat})
 		cancel()
 		delay := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	heartbeat := s.session.ClosingHeartbeat()
-	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // otherwise the lease runs out by itself
+	_, _ = s.control.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // otherwise the lease runs out by itself
 }
 
 // claim asks the ledger and reports the outcome to the core.
@@ -78,7 +78,7 @@
 	requestCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	started := time.Now()
-	response, err := s.group.Ask(requestCtx, control.Request{Claim: &action.Claim})
+	response, err := s.control.Ask(requestCtx, control.Request{Claim: &action.Claim})
 	s.metrics.claimSeconds.Observe(time.Since(started).Seconds())
 	event := core.EventClaim{ID: action.ID, ClaimID: action.Claim.ClaimID}
 	if err != nil || response.Claim == nil {
@@ -94,7 +94,7 @@
 func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
 	requestCtx, cancel := context.WithTimeout(ctx, endClaimTimeout)
 	defer cancel()
-	if _, err := s.group.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
+	if _, err := s.control.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
 		s.log.Warn("end of a claim not confirmed", zap.String("claim", action.End.ClaimID), zap.Error(err))
 	}
 }
