--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -112,7 +112,7 @@
 		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
 		{"event_ring_depth", float64(len(m.server.events))},
-		{"event_ring_shed", float64(m.server.shed.Load())},
+		{"event_ring_shed", float64(m.server.droppedEvents.Load())},
 	}
 	for _, gauge := range gauges {
 		collected <- prometheus.MustNewConstMetric(gaugeDescription, prometheus.GaugeValue, gauge.value, gauge.name)
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -105,7 +105,7 @@
 	announcer     *transport.Announcer[core.PeerDispatch]
 	session       *session.Machine // owned by the session thread
 	draining      atomic.Bool
-	shed          atomic.Uint64
+	droppedEvents atomic.Uint64
 }
 
 // NewServer opens the data folder and restores the newest settings this router acknowledged.
@@ -332,7 +332,7 @@
 	case s.events <- event:
 		return true
 	default:
-		s.shed.Add(1)
+		s.droppedEvents.Add(1)
 		return false
 	}
 }
