--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", s.file.Router.Listen)
 	}
-	internal, err := s.listenInternal()
+	internalServer, err := s.listenInternal()
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	}
 	cancel()
 	threads.Wait()
-	s.closeInternal(internal)
+	s.closeInternal(internalServer)
 	s.log.Info("router stopped")
 	return err
 }
