--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -170,12 +170,12 @@
 	}()
 	var threads sync.WaitGroup
 	threads.Go(func() { s.decide(run) })
-	renewing, stopRenewing := context.WithCancel(run)
+	renewCtx, stopRenewing := context.WithCancel(run)
 	defer stopRenewing()
 	renewed := make(chan struct{})
 	go func() {
 		defer close(renewed)
-		s.renewSession(renewing)
+		s.renewSession(renewCtx)
 	}()
 	threads.Go(func() { s.watchPlatform(run) })
 	threads.Go(func() { s.announcer.Run(run) })
