--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -172,9 +172,9 @@
 	threads.Go(func() { s.decide(run) })
 	renewCtx, stopRenewing := context.WithCancel(run)
 	defer stopRenewing()
-	renewed := make(chan struct{})
+	renewDone := make(chan struct{})
 	go func() {
-		defer close(renewed)
+		defer close(renewDone)
 		s.renewSession(renewCtx)
 	}()
 	threads.Go(func() { s.watchPlatform(run) })
@@ -185,7 +185,7 @@
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
 	case <-ctx.Done():
-		s.drain(public, func() { stopRenewing(); <-renewed })
+		s.drain(public, func() { stopRenewing(); <-renewDone })
 	case err = <-failed:
 	}
 	cancel()
