--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	public := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
@@ -169,18 +169,18 @@
 		}
 	}()
 	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(run) })
-	renewCtx, stopRenewing := context.WithCancel(run)
+	threads.Go(func() { s.decide(runCtx) })
+	renewCtx, stopRenewing := context.WithCancel(runCtx)
 	defer stopRenewing()
 	renewDone := make(chan struct{})
 	go func() {
 		defer close(renewDone)
 		s.renewSession(renewCtx)
 	}()
-	threads.Go(func() { s.watchPlatform(run) })
-	threads.Go(func() { s.announcer.Run(run) })
-	threads.Go(func() { s.quarantine.Run(run) })
-	threads.Go(func() { transport.Every(run, sweepInterval, s.sweep) })
+	threads.Go(func() { s.watchPlatform(runCtx) })
+	threads.Go(func() { s.announcer.Run(runCtx) })
+	threads.Go(func() { s.quarantine.Run(runCtx) })
+	threads.Go(func() { transport.Every(runCtx, sweepInterval, s.sweep) })
 	s.log.Info("router started", zap.String("listen", s.file.Router.Listen), zap.Uint64("incarnation", s.incarnation),
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
