--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -202,8 +202,8 @@
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
-	calm := time.Now().Add(minDrainTime)
-	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(calm)) {
+	earliestEnd := time.Now().Add(minDrainTime)
+	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(earliestEnd)) {
 		time.Sleep(maxTickInterval)
 	}
 	stopRenewing()
