--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -208,9 +208,9 @@
 	}
 	stopRenewing()
 	s.closeSession()
-	closing, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
+	shutdownCtx, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
 	defer done()
-	if err := public.Shutdown(closing); err != nil {
+	if err := public.Shutdown(shutdownCtx); err != nil {
 		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
 	}
 }
