--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -208,8 +208,8 @@
 	}
 	stopRenewing()
 	s.closeSession()
-	shutdownCtx, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
-	defer done()
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
+	defer cancel()
 	if err := public.Shutdown(shutdownCtx); err != nil {
 		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
 	}
