--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -169,7 +169,7 @@
 		}
 	}()
 	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(runCtx) })
+	threads.Go(func() { s.runEventLoop(runCtx) })
 	renewCtx, stopRenewing := context.WithCancel(runCtx)
 	defer stopRenewing()
 	renewDone := make(chan struct{})
@@ -221,8 +221,8 @@
 	return len(s.exchanges)
 }
 
-// decide is the thread that owns the core.
-func (s *Server) decide(ctx context.Context) {
+// runEventLoop is the thread that owns the core.
+func (s *Server) runEventLoop(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
