--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -253,8 +253,8 @@
 }
 
 func (s *Server) untilDue() time.Duration {
-	due, any := s.core.NextWakeup()
-	if !any {
+	due, ok := s.core.NextWakeup()
+	if !ok {
 		return maxTickInterval
 	}
 	return min(max(due-s.now(), 0), maxTickInterval)
