--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -248,11 +248,11 @@
 		if touchesView(batch) {
 			s.publishView()
 		}
-		timer.Reset(s.untilDue())
+		timer.Reset(s.untilNextTick())
 	}
 }
 
-func (s *Server) untilDue() time.Duration {
+func (s *Server) untilNextTick() time.Duration {
 	due, ok := s.core.NextWakeup()
 	if !ok {
 		return maxTickInterval
