--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -245,7 +245,7 @@
 			batch = append(batch, <-s.events)
 		}
 		s.carryOut(ctx, s.core.Tick(s.now(), batch))
-		if touchesView(batch) {
+		if mayChangeView(batch) {
 			s.publishView()
 		}
 		timer.Reset(s.untilNextTick())
@@ -260,8 +260,8 @@
 	return min(max(due-s.now(), 0), maxTickInterval)
 }
 
-// touchesView reports whether a batch may have changed what callers' goroutines read.
-func touchesView(batch []core.Event) bool {
+// mayChangeView reports whether a batch may have changed what callers' goroutines read.
+func mayChangeView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
 		case core.EventSettings, core.EventBackendPoll, core.EventMachineList, core.EventLease:
