--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -282,7 +282,7 @@
 	} else {
 		next.tree = s.core.Tree()
 		next.keys = next.tree.APIKeys()
-		next.models = modelsOf(next.tree, s.file.Zone)
+		next.models = modelServices(next.tree, s.file.Zone)
 		next.services, next.values = next.tree.Services(), &sync.Map{}
 	}
 	for _, service := range next.services {
@@ -291,8 +291,8 @@
 	s.view.Store(next)
 }
 
-// modelsOf maps model names to services; a service also answers to its own name.
-func modelsOf(tree settings.Tree, zone string) map[string]string {
+// modelServices maps model names to services; a service also answers to its own name.
+func modelServices(tree settings.Tree, zone string) map[string]string {
 	models := map[string]string{}
 	for _, service := range tree.Services() {
 		values := tree.Resolve(zone, service)
