--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -244,7 +244,7 @@
 		for len(batch) < maxEventBatch && len(s.events) > 0 {
 			batch = append(batch, <-s.events)
 		}
-		s.carryOut(ctx, s.core.Tick(s.now(), batch))
+		s.performActions(ctx, s.core.Tick(s.now(), batch))
 		if mayChangeView(batch) {
 			s.publishView()
 		}
@@ -337,8 +337,8 @@
 	}
 }
 
-// carryOut performs actions in order. None of them blocks.
-func (s *Server) carryOut(ctx context.Context, actions []core.Action) {
+// performActions performs actions in order. None of them blocks.
+func (s *Server) performActions(ctx context.Context, actions []core.Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case core.ActionDispatch:
