--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -22,7 +22,7 @@
 	"kitetiller/internal/transport"
 )
 
-const deadlyPrompt = "a prompt that no engine survives"
+const crashPrompt = "a prompt that no engine survives"
 
 // mortalEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
 type mortalEngine struct {
@@ -66,7 +66,7 @@
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		return
 	}
-	if strings.Contains(request.Prompt, deadlyPrompt) {
+	if strings.Contains(request.Prompt, crashPrompt) {
 		e.deadly.Add(1)
 		e.end()
 		time.AfterFunc(50*time.Millisecond, e.begin)
@@ -157,7 +157,7 @@
 	}
 	s.eventually("an engine serves", func() bool { status, _ := ask("hello"); return status == http.StatusOK })
 	s.eventually("the request is held back", func() bool {
-		status, text := ask(deadlyPrompt)
+		status, text := ask(crashPrompt)
 		if status == http.StatusOK {
 			t.Fatal("answered")
 		}
@@ -165,7 +165,7 @@
 	})
 	before := arrived.Load()
 	for range 20 {
-		if status, text := ask(deadlyPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
+		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
