--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -26,11 +26,11 @@
 
 // mortalEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
 type mortalEngine struct {
-	t       *testing.T
-	name    string
-	address string
-	life    atomic.Uint64
-	deadly  *atomic.Int64 // arrivals, over all engines
+	t             *testing.T
+	name          string
+	address       string
+	life          atomic.Uint64
+	crashRequests *atomic.Int64 // arrivals, over all engines
 
 	mu     sync.Mutex
 	server *http.Server
@@ -67,7 +67,7 @@
 		return
 	}
 	if strings.Contains(request.Prompt, crashPrompt) {
-		e.deadly.Add(1)
+		e.crashRequests.Add(1)
 		e.end()
 		time.AfterFunc(50*time.Millisecond, e.begin)
 		return
@@ -145,7 +145,7 @@
 	var arrived atomic.Int64
 	var machines []core.Machine
 	for number := range 4 {
-		engine := &mortalEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", deadly: &arrived}
+		engine := &mortalEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &arrived}
 		engine.begin()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
