--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -29,7 +29,7 @@
 	t             *testing.T
 	name          string
 	address       string
-	life          atomic.Uint64
+	incarnation   atomic.Uint64
 	crashRequests *atomic.Int64 // arrivals, over all engines
 
 	mu     sync.Mutex
@@ -43,10 +43,10 @@
 		return
 	}
 	e.address = listener.Addr().String()
-	e.life.Add(1)
+	e.incarnation.Add(1)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: e.life.Load(), Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
+		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: e.incarnation.Load(), Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
 	})
 	mux.HandleFunc("POST "+api.PathGenerate, e.generate)
 	e.mu.Lock()
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, event := range []api.GenerateEvent{
-		{Kind: api.GenerateStarted, Incarnation: e.life.Load()}, {Kind: api.GenerateToken, Text: "good "}, {Kind: api.GenerateDone, Index: 1},
+		{Kind: api.GenerateStarted, Incarnation: e.incarnation.Load()}, {Kind: api.GenerateToken, Text: "good "}, {Kind: api.GenerateDone, Index: 1},
 	} {
 		event.Attempt = request.Attempt
 		data, _ := json.Marshal(event)
