--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -36,7 +36,7 @@
 	server *http.Server
 }
 
-func (e *mortalEngine) begin() {
+func (e *mortalEngine) start() {
 	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
 		e.t.Errorf("%s cannot listen again: %v", e.name, err)
@@ -69,7 +69,7 @@
 	if strings.Contains(request.Prompt, crashPrompt) {
 		e.crashRequests.Add(1)
 		e.end()
-		time.AfterFunc(50*time.Millisecond, e.begin)
+		time.AfterFunc(50*time.Millisecond, e.start)
 		return
 	}
 	for _, event := range []api.GenerateEvent{
@@ -146,7 +146,7 @@
 	var machines []core.Machine
 	for number := range 4 {
 		engine := &mortalEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &arrived}
-		engine.begin()
+		engine.start()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
 	s := startSiteOf(t, startControlStub(t).address, machines)
