--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -55,7 +55,7 @@
 	e.mu.Unlock()
 }
 
-func (e *mortalEngine) end() {
+func (e *mortalEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_ = e.server.Close()
@@ -68,7 +68,7 @@
 	}
 	if strings.Contains(request.Prompt, crashPrompt) {
 		e.crashRequests.Add(1)
-		e.end()
+		e.crash()
 		time.AfterFunc(50*time.Millisecond, e.start)
 		return
 	}
