--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -24,8 +24,8 @@
 
 const crashPrompt = "a prompt that no engine survives"
 
-// mortalEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
-type mortalEngine struct {
+// crashingEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
+type crashingEngine struct {
 	t             *testing.T
 	name          string
 	address       string
@@ -36,7 +36,7 @@
 	server *http.Server
 }
 
-func (e *mortalEngine) start() {
+func (e *crashingEngine) start() {
 	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
 		e.t.Errorf("%s cannot listen again: %v", e.name, err)
@@ -55,13 +55,13 @@
 	e.mu.Unlock()
 }
 
-func (e *mortalEngine) crash() {
+func (e *crashingEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_ = e.server.Close()
 }
 
-func (e *mortalEngine) generate(w http.ResponseWriter, r *http.Request) {
+func (e *crashingEngine) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		return
@@ -145,7 +145,7 @@
 	var arrived atomic.Int64
 	var machines []core.Machine
 	for number := range 4 {
-		engine := &mortalEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &arrived}
+		engine := &crashingEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &arrived}
 		engine.start()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
