--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -83,8 +83,8 @@
 
 // controlStub answers heartbeats and keeps the count, as a leader does.
 type controlStub struct {
-	address string
-	told    atomic.Bool // the router holds the count's newest news
+	address  string
+	upToDate atomic.Bool // the router holds the count's newest news
 }
 
 // startControlStub starts one that knows of lives that ended before.
@@ -111,7 +111,7 @@
 			ledger.Apply(*asked.Catalog.Quarantine)
 		case asked.Heartbeat != nil:
 			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
-			if stub.told.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.told.Load() {
+			if stub.upToDate.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.upToDate.Load() {
 				answer.Heartbeat.Quarantine = ledger.Update()
 			}
 		}
@@ -217,7 +217,7 @@
 	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
 	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
 	s := startSiteOf(t, control.address, machines)
-	s.eventually("the router knows of the lives", control.told.Load)
+	s.eventually("the router knows of the lives", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
 	text, _ := io.ReadAll(response.Body)
 	if response.StatusCode != http.StatusOK || asked.Load() != 2 {
