--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -88,7 +88,7 @@
 }
 
 // startControlStub starts one that knows of lives that ended before.
-func startControlStub(t *testing.T, before ...quarantine.Crash) *controlStub {
+func startControlStub(t *testing.T, crashes ...quarantine.Crash) *controlStub {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +98,7 @@
 	_ = listener.Close()
 	var mu sync.Mutex
 	ledger := quarantine.NewRegistry()
-	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: before})
+	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: crashes})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
