--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -97,8 +97,8 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	var mu sync.Mutex
-	ledger := quarantine.NewRegistry()
-	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: crashes})
+	registry := quarantine.NewRegistry()
+	registry.Apply(quarantine.Change{Seed: stubSeed, Crashes: crashes})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
@@ -108,11 +108,11 @@
 		answer := control.Response{Kind: control.ResponseOK}
 		switch {
 		case asked.Catalog != nil && asked.Catalog.Quarantine != nil:
-			ledger.Apply(*asked.Catalog.Quarantine)
+			registry.Apply(*asked.Catalog.Quarantine)
 		case asked.Heartbeat != nil:
 			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
-			if stub.upToDate.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.upToDate.Load() {
-				answer.Heartbeat.Quarantine = ledger.Update()
+			if stub.upToDate.Store(asked.Heartbeat.Quarantine == registry.Version()); !stub.upToDate.Load() {
+				answer.Heartbeat.Quarantine = registry.Update()
 			}
 		}
 		respond(http.StatusOK, answer)
