--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -103,15 +103,15 @@
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
 		defer mu.Unlock()
-		var asked control.Request
-		_ = json.Unmarshal(request.Body, &asked)
+		var decoded control.Request
+		_ = json.Unmarshal(request.Body, &decoded)
 		answer := control.Response{Kind: control.ResponseOK}
 		switch {
-		case asked.Catalog != nil && asked.Catalog.Quarantine != nil:
-			registry.Apply(*asked.Catalog.Quarantine)
-		case asked.Heartbeat != nil:
+		case decoded.Catalog != nil && decoded.Catalog.Quarantine != nil:
+			registry.Apply(*decoded.Catalog.Quarantine)
+		case decoded.Heartbeat != nil:
 			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
-			if stub.upToDate.Store(asked.Heartbeat.Quarantine == registry.Version()); !stub.upToDate.Load() {
+			if stub.upToDate.Store(decoded.Heartbeat.Quarantine == registry.Version()); !stub.upToDate.Load() {
 				answer.Heartbeat.Quarantine = registry.Update()
 			}
 		}
