--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -105,17 +105,17 @@
 		defer mu.Unlock()
 		var decoded control.Request
 		_ = json.Unmarshal(request.Body, &decoded)
-		answer := control.Response{Kind: control.ResponseOK}
+		reply := control.Response{Kind: control.ResponseOK}
 		switch {
 		case decoded.Catalog != nil && decoded.Catalog.Quarantine != nil:
 			registry.Apply(*decoded.Catalog.Quarantine)
 		case decoded.Heartbeat != nil:
-			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
+			reply.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
 			if stub.upToDate.Store(decoded.Heartbeat.Quarantine == registry.Version()); !stub.upToDate.Load() {
-				answer.Heartbeat.Quarantine = registry.Update()
+				reply.Heartbeat.Quarantine = registry.Update()
 			}
 		}
-		respond(http.StatusOK, answer)
+		respond(http.StatusOK, reply)
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
