--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -142,10 +142,10 @@
 // TestRequestThatEndsItsEnginesIsHeldBack: over the product's own interface as over gateways. Its callers get the final answer at once,
 // with the reason; others are served.
 func TestRequestThatEndsItsEnginesIsHeldBack(t *testing.T) {
-	var arrived atomic.Int64
+	var crashRequests atomic.Int64
 	var machines []core.Machine
 	for number := range 4 {
-		engine := &crashingEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &arrived}
+		engine := &crashingEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &crashRequests}
 		engine.start()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
@@ -163,13 +163,13 @@
 		}
 		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
-	before := arrived.Load()
+	before := crashRequests.Load()
 	for range 20 {
 		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := arrived.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
+	if after := crashRequests.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
 		t.Fatalf("%d engines got it, then %d more", before, after-before)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
