--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -183,7 +183,7 @@
 //	FAILED 0a26... e1 dial tcp 127.0.0.1:33175: connect: connection refused
 //	START 0a26... e3 attempts 1 lives 2 barred true
 func TestSendThatProvablyDidNotRunHoldsNothingBack(t *testing.T) {
-	var asked atomic.Int64
+	var requests atomic.Int64
 	engine := http.NewServeMux()
 	engine.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
@@ -193,7 +193,7 @@
 		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			t.Error(err)
 		}
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_ = json.NewEncoder(w).Encode(api.BackendRefusal{Run: core.RunNot})
 			return
@@ -220,7 +220,7 @@
 	s.eventually("the router knows of the lives", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
 	text, _ := io.ReadAll(response.Body)
-	if response.StatusCode != http.StatusOK || asked.Load() != 2 {
-		t.Fatalf("%d %s after %d sends", response.StatusCode, text, asked.Load())
+	if response.StatusCode != http.StatusOK || requests.Load() != 2 {
+		t.Fatalf("%d %s after %d sends", response.StatusCode, text, requests.Load())
 	}
 }
