--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -127,8 +127,8 @@
 // stubSeed is the secret of fingerprints of a controlStub.
 var stubSeed = make([]byte, quarantine.SeedBytes)
 
-// startSiteOf starts a router under control's stub, with machines of the test's own.
-func startSiteOf(t *testing.T, control string, machines []core.Machine) *site {
+// startTestRouterWith starts a router under control's stub, with machines of the test's own.
+func startTestRouterWith(t *testing.T, control string, machines []core.Machine) *site {
 	t.Helper()
 	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -149,7 +149,7 @@
 		engine.start()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
-	s := startSiteOf(t, startControlStub(t).address, machines)
+	s := startTestRouterWith(t, startControlStub(t).address, machines)
 	ask := func(prompt string) (status int, text string) {
 		response := s.post("/v1/completions", testKey, fmt.Sprintf(`{"model":"llm","prompt":%q,"max_tokens":1}`, prompt))
 		body, _ := io.ReadAll(response.Body)
@@ -216,7 +216,7 @@
 	}
 	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
 	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
-	s := startSiteOf(t, control.address, machines)
+	s := startTestRouterWith(t, control.address, machines)
 	s.eventually("the router knows of the lives", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
 	text, _ := io.ReadAll(response.Body)
