--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -139,9 +139,9 @@
 	return s
 }
 
-// TestRequestThatEndsItsEnginesIsHeldBack: over the product's own interface as over gateways. Its callers get the final answer at once,
+// TestRequestThatCrashesEnginesIsQuarantined: over the product's own interface as over gateways. Its callers get the final answer at once,
 // with the reason; others are served.
-func TestRequestThatEndsItsEnginesIsHeldBack(t *testing.T) {
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	var crashRequests atomic.Int64
 	var machines []core.Machine
 	for number := range 4 {
