--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -175,14 +175,14 @@
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
 }
 
-// TestSendThatProvablyDidNotRunHoldsNothingBack: two lives ended under a request, so that it is given to one more back end and no further. The first
+// TestRefusedAttemptDoesNotCountTowardQuarantine: two lives ended under a request, so that it is given to one more back end and no further. The first
 // that it is sent to doesn't take it. Its caller is told that the request is held back for an hour, although nothing ran; the next time it is sent.
 //
 // Cause: a send that no back end took counted as one that may have run. With two lives against a request ("lives 2"):
 //
 //	FAILED 0a26... e1 dial tcp 127.0.0.1:33175: connect: connection refused
 //	START 0a26... e3 attempts 1 lives 2 barred true
-func TestSendThatProvablyDidNotRunHoldsNothingBack(t *testing.T) {
+func TestRefusedAttemptDoesNotCountTowardQuarantine(t *testing.T) {
 	var requests atomic.Int64
 	engine := http.NewServeMux()
 	engine.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
