--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -63,7 +63,7 @@
 	return tree
 }
 
-func startSite(t *testing.T) *site {
+func startTestRouter(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
 	s.engine = httptest.NewServer(s.engineRoutes())
@@ -194,7 +194,7 @@
 // TestRouterServesFromItsFolder: a router that restarts without any control replica in reach serves at once where the
 // tree allows it.
 func TestRouterServesFromItsFolder(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	close(s.release)
 	text, err := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
@@ -204,7 +204,7 @@
 
 // TestBadRequestsGetAClearError: each is refused with what is wrong, and the next good one is served.
 func TestBadRequestsGetAClearError(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	close(s.release)
 	for _, row := range []struct {
 		name, path, key, body string
@@ -242,7 +242,7 @@
 
 // TestCallerThatHangsUpCancelsTheEngine: the engine must not go on for nobody.
 func TestCallerThatHangsUpCancelsTheEngine(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, goodBody)
 	if _, err := bufio.NewReader(response.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
@@ -254,7 +254,7 @@
 // TestPlannedStopFinishesTheStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
 // refused meanwhile.
 func TestPlannedStopFinishesTheStream(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, goodBody)
 	reader := bufio.NewReader(response.Body)
 	if _, err := reader.ReadString('\n'); err != nil {
@@ -282,7 +282,7 @@
 
 // TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
 func TestModelsAreListed(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	ask := func(key string) (*http.Response, api.ModelList) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+s.address+"/v1/models", nil)
 		if err != nil {
