--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -128,9 +128,9 @@
 var stubSeed = make([]byte, quarantine.SeedBytes)
 
 // startTestRouterWith starts a router under control's stub, with machines of the test's own.
-func startTestRouterWith(t *testing.T, control string, machines []core.Machine) *site {
+func startTestRouterWith(t *testing.T, control string, machines []core.Machine) *testRouter {
 	t.Helper()
-	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
+	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.MachinesReply{Machines: machines})
 	}))
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -36,9 +36,9 @@
 	patience    = 20 * time.Second // how long a test waits for something that must happen
 )
 
-// site is a router process in this test's process, with one engine and no control group: it serves by the settings
+// testRouter is a router process in this test's process, with one engine and no control group: it serves by the settings
 // of its folder, as after a restart in a zone that is cut off.
-type site struct {
+type testRouter struct {
 	t         *testing.T
 	engine    *httptest.Server
 	platform  *httptest.Server
@@ -63,9 +63,9 @@
 	return tree
 }
 
-func startTestRouter(t *testing.T) *site {
+func startTestRouter(t *testing.T) *testRouter {
 	t.Helper()
-	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
+	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
 	s.engine = httptest.NewServer(s.engineRoutes())
 	t.Cleanup(s.engine.Close)
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -78,7 +78,7 @@
 }
 
 // settingsFolder returns a router's folder with settings.
-func (s *site) settingsFolder() string {
+func (s *testRouter) settingsFolder() string {
 	s.t.Helper()
 	folder := s.t.TempDir()
 	if err := storage.WriteJSON(filepath.Join(folder, settingsFile), session.Settings{Version: 7, Tree: testSettings()}); err != nil {
@@ -87,7 +87,7 @@
 	return folder
 }
 
-func (s *site) engineRoutes() http.Handler {
+func (s *testRouter) engineRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
@@ -97,7 +97,7 @@
 }
 
 // generate gives one token, waits for the release, and gives the rest.
-func (s *site) generate(w http.ResponseWriter, r *http.Request) {
+func (s *testRouter) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		s.t.Error(err)
@@ -124,7 +124,7 @@
 	send(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
 
-func (s *site) start(folder string) {
+func (s *testRouter) start(folder string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -159,7 +159,7 @@
 	})
 }
 
-func (s *site) eventually(what string, check func() bool) {
+func (s *testRouter) eventually(what string, check func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
@@ -169,7 +169,7 @@
 	s.t.Fatalf("never happened: %s", what)
 }
 
-func (s *site) post(path, key, body string, headers ...string) *http.Response {
+func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
