--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -33,7 +33,7 @@
 	testKey     = "key"
 	testTenant  = "tenant"
 	testService = "llm"
-	patience    = 20 * time.Second // how long a test waits for something that must happen
+	testTimeout = 20 * time.Second // how long a test waits for something that must happen
 )
 
 // testRouter is a router process in this test's process, with one engine and no control group: it serves by the settings
@@ -133,7 +133,7 @@
 	_ = listener.Close()
 	file := &node.File{Name: "r1", Zone: "z", Data: folder, AdminToken: "admin", Router: &node.Router{
 		Listen: s.address, Control: []string{cmp.Or(s.control, "127.0.0.1:1")}, Platform: s.platform.Listener.Addr().String(), PrefixKey: strings.Repeat("01", prefix.KeyBytes),
-		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: patience, MaxConnections: 100}}
+		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: testTimeout, MaxConnections: 100}}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	server, err := NewServer(ctx, file, zap.NewNop())
@@ -161,7 +161,7 @@
 
 func (s *testRouter) eventually(what string, check func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
 			return
 		}
@@ -275,7 +275,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the router did not end after its last stream")
 	}
 }
