--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -189,14 +189,14 @@
 	return response
 }
 
-const goodBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
+const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
 // TestRouterServesFromItsFolder: a router that restarts without any control replica in reach serves at once where the
 // tree allows it.
 func TestRouterServesFromItsFolder(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
-	text, err := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body)
+	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
 		t.Fatalf("%v: %s", err, text)
 	}
@@ -212,14 +212,14 @@
 		status                int
 		run                   core.RunStatus
 	}{
-		{"no key", "/v1/completions", "", goodBody, nil, 401, core.RunNot},
-		{"unknown key", "/v1/completions", "other", goodBody, nil, 401, core.RunNot},
+		{"no key", "/v1/completions", "", validBody, nil, 401, core.RunNot},
+		{"unknown key", "/v1/completions", "other", validBody, nil, 401, core.RunNot},
 		{"not JSON", "/v1/completions", testKey, "{", nil, 400, core.RunNot},
 		{"no prompt", "/v1/completions", testKey, `{"model":"llm"}`, nil, 400, core.RunNot},
 		{"negative tokens", "/v1/completions", testKey, `{"model":"llm","prompt":"x","max_tokens":-1}`, nil, 400, core.RunNot},
 		{"unknown model", "/v1/completions", testKey, `{"model":"other","prompt":"x"}`, nil, 404, core.RunNot},
 		{"too long", "/v1/completions", testKey, strings.Repeat("x", 5000), nil, 413, core.RunNot},
-		{"unknown priority", "/v1/completions", testKey, goodBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
+		{"unknown priority", "/v1/completions", testKey, validBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
 		{"unknown service", "/v1/services/none", testKey, "{}", nil, 404, core.RunNot},
 		{"no idempotency key", "/v1/services/small", testKey, "{}", nil, 400, core.RunNot},
 		{"key may have run before", "/v1/services/small", "other", "{}", []string{api.HeaderIdempotencyKey, "k"}, 401, core.RunUnknown},
@@ -235,7 +235,7 @@
 			}
 		})
 	}
-	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body); !strings.Contains(string(text), "[DONE]") {
+	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body); !strings.Contains(string(text), "[DONE]") {
 		t.Fatalf("after the bad requests: %s", text)
 	}
 }
@@ -243,7 +243,7 @@
 // TestCallerThatHangsUpCancelsTheEngine: the engine must not go on for nobody.
 func TestCallerThatHangsUpCancelsTheEngine(t *testing.T) {
 	s := startTestRouter(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+	response := s.post("/v1/completions", testKey, validBody)
 	if _, err := bufio.NewReader(response.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -255,14 +255,14 @@
 // refused meanwhile.
 func TestPlannedStopFinishesTheStream(t *testing.T) {
 	s := startTestRouter(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+	response := s.post("/v1/completions", testKey, validBody)
 	reader := bufio.NewReader(response.Body)
 	if _, err := reader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	s.stop()
 	s.eventually("new requests are refused", func() bool {
-		refused := s.post("/v1/completions", testKey, goodBody)
+		refused := s.post("/v1/completions", testKey, validBody)
 		return refused.StatusCode == http.StatusServiceUnavailable && refused.Header.Get(api.HeaderDraining) != ""
 	})
 	close(s.release)
