--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -191,9 +191,9 @@
 
 const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
-// TestRouterServesFromItsFolder: a router that restarts without any control replica in reach serves at once where the
+// TestRouterServesStoredSettingsWithoutControl: a router that restarts without any control replica in reach serves at once where the
 // tree allows it.
-func TestRouterServesFromItsFolder(t *testing.T) {
+func TestRouterServesStoredSettingsWithoutControl(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
 	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
