--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestBadRequestsGetAClearError: each is refused with what is wrong, and the next good one is served.
-func TestBadRequestsGetAClearError(t *testing.T) {
+// TestInvalidRequestsAreRejectedWithProblem: each is refused with what is wrong, and the next good one is served.
+func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
 	for _, row := range []struct {
