--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// TestCallerThatHangsUpCancelsTheEngine: the engine must not go on for nobody.
-func TestCallerThatHangsUpCancelsTheEngine(t *testing.T) {
+// TestClientDisconnectCancelsAttempt: the engine must not go on for nobody.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
 	if _, err := bufio.NewReader(response.Body).ReadString('\n'); err != nil {
