--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -251,9 +251,9 @@
 	s.eventually("the engine's attempt is cancelled", func() bool { return s.cancelled.Load() == 1 })
 }
 
-// TestPlannedStopFinishesTheStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
+// TestDrainFinishesActiveStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
 // refused meanwhile.
-func TestPlannedStopFinishesTheStream(t *testing.T) {
+func TestDrainFinishesActiveStream(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
 	reader := bufio.NewReader(response.Body)
