--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -18,10 +18,10 @@
 	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
-// TestBackendThatReadsAndClosesGetsTheRequestOnce: net/http sends a request again by itself when a reused
+// TestSendOnceDoesNotRetryOnClosedConnection: net/http sends a request again by itself when a reused
 // connection dies and it thinks that this is safe. The first request leaves a connection for reuse; the back end
 // reads the second one and closes.
-func TestBackendThatReadsAndClosesGetsTheRequestOnce(t *testing.T) {
+func TestSendOnceDoesNotRetryOnClosedConnection(t *testing.T) {
 	var seen atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/first" {
