--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRefusedConnectionProvesThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionCountsAsNeverSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
