--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestStreamWithADroppedTokenNeverEndsClean: when a caller's ring is full and even the decision to give the caller up
+// TestStreamWithDroppedTokensIsNotReportedComplete: when a caller's ring is full and even the decision to give the caller up
 // is shed, the stream must not be told to be complete.
-func TestStreamWithADroppedTokenNeverEndsClean(t *testing.T) {
+func TestStreamWithDroppedTokensIsNotReportedComplete(t *testing.T) {
 	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
 	run := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
