--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -93,13 +93,13 @@
 func TestStreamWithDroppedTokensIsNotReportedComplete(t *testing.T) {
 	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
-	run := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
-	s.exchanges[1] = run
+	ex := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
+	s.exchanges[1] = ex
 	for index := range 3 {
 		s.deliverChunk(core.ActionChunk{ID: 1, Index: index})
 	}
 	s.deliverFinish(core.ActionFinish{ID: 1, Reason: core.ReasonComplete, Run: core.RunYes, Tokens: 3})
-	if final := <-run.final; final.Reason == core.ReasonComplete {
+	if final := <-ex.final; final.Reason == core.ReasonComplete {
 		t.Fatalf("2 of 3 tokens were dropped, and the stream ended as %s", final.Reason)
 	}
 }
