--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -11,8 +11,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestRefusalsTellWhoSpeaksAndWhat: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
-func TestRefusalsTellWhoSpeaksAndWhat(t *testing.T) {
+// TestRefusalReportsIncarnationAndSignals: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
+func TestRefusalReportsIncarnationAndSignals(t *testing.T) {
 	meant := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, wanted := range map[string]core.EventPushback{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
