--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -13,7 +13,7 @@
 
 // TestRefusalReportsIncarnationAndSignals: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
 func TestRefusalReportsIncarnationAndSignals(t *testing.T) {
-	meant := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
+	attempt := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, wanted := range map[string]core.EventPushback{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
 		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Signals: pushback.Signals{Draining: true}},
@@ -24,7 +24,7 @@
 		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 2}}},
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
-		if said, _ := meant.parseRefusal(response); said != wanted {
+		if said, _ := attempt.parseRefusal(response); said != wanted {
 			t.Errorf("%s: %+v, wanted %+v", body, said, wanted)
 		}
 	}
