--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -24,8 +24,8 @@
 		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 2}}},
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
-		if said, _ := attempt.parseRefusal(response); said != wanted {
-			t.Errorf("%s: %+v, wanted %+v", body, said, wanted)
+		if got, _ := attempt.parseRefusal(response); got != wanted {
+			t.Errorf("%s: %+v, wanted %+v", body, got, wanted)
 		}
 	}
 }
