--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -14,7 +14,7 @@
 // TestRefusalReportsIncarnationAndSignals: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
 func TestRefusalReportsIncarnationAndSignals(t *testing.T) {
 	attempt := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
-	for body, wanted := range map[string]core.EventPushback{
+	for body, want := range map[string]core.EventPushback{
 		`{"run":"not-run"}`: {Name: "e", Incarnation: 3},
 		`{"run":"not-run","incarnation":4,"leaving":true}`:    {Name: "e", Incarnation: 4, Signals: pushback.Signals{Draining: true}},
 		`{"run":"not-run","retry_after_ms":50}`:               {Name: "e", Incarnation: 3, Signals: pushback.Signals{Backoff: 50 * time.Millisecond}},
@@ -24,8 +24,8 @@
 		`{"run":"unknown","limit_per_s":2,"incarnation":4}`:   {Name: "e", Incarnation: 4, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: 2}}},
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
-		if got, _ := attempt.parseRefusal(response); got != wanted {
-			t.Errorf("%s: %+v, wanted %+v", body, got, wanted)
+		if got, _ := attempt.parseRefusal(response); got != want {
+			t.Errorf("%s: %+v, wanted %+v", body, got, want)
 		}
 	}
 }
