--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -8,8 +8,8 @@
 	"kitetiller/internal/session"
 )
 
-// TestFormsStayReadable: all that a router stores, and tells the others.
-func TestFormsStayReadable(t *testing.T) {
+// TestStoredAndPeerFormatsMatchGolden: all that a router stores, and tells the others.
+func TestStoredAndPeerFormatsMatchGolden(t *testing.T) {
 	forms.Check[session.Settings](t, "settings")
 	forms.Check[savedIncarnation](t, "incarnation")
 	forms.Check[core.EventPeerDispatches](t, "sends")
