--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -24,7 +24,7 @@
 	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
 	for {
-		s.readPlatform(ctx)
+		s.refreshMachines(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -33,7 +33,7 @@
 	}
 }
 
-func (s *Server) readPlatform(ctx context.Context) {
+func (s *Server) refreshMachines(ctx context.Context) {
 	requestCtx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 	requestedAt := s.now()
