--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -45,8 +45,8 @@
 
 // inspection runs a function on the decide thread.
 type inspection struct {
-	inspectCore func(*core.Core)
-	done        chan struct{}
+	read func(*core.Core)
+	done chan struct{}
 }
 
 // view is what callers' goroutines may read without asking the decide thread.
@@ -236,7 +236,7 @@
 		case event := <-s.events:
 			batch = append(batch, event)
 		case request := <-s.inspections:
-			request.inspectCore(s.core)
+			request.read(s.core)
 			close(request.done)
 			continue
 		case <-timer.C:
@@ -309,7 +309,7 @@
 
 // inspect runs a function on the decide thread and waits for it.
 func (s *Server) inspect(ctx context.Context, run func(*core.Core)) bool {
-	request := inspection{inspectCore: run, done: make(chan struct{})}
+	request := inspection{read: run, done: make(chan struct{})}
 	select {
 	case s.inspections <- request:
 	case <-ctx.Done():
