--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -340,21 +340,21 @@
 // performActions performs actions in order. None of them blocks.
 func (s *Server) performActions(ctx context.Context, actions []core.Action) {
 	for _, action := range actions {
-		switch typed := action.(type) {
+		switch a := action.(type) {
 		case core.ActionDispatch:
-			s.startAttempt(ctx, typed)
+			s.startAttempt(ctx, a)
 		case core.ActionCancel:
-			s.cancelAttempt(typed.Attempt)
+			s.cancelAttempt(a.Attempt)
 		case core.ActionChunk:
-			s.deliverChunk(typed)
+			s.deliverChunk(a)
 		case core.ActionFinish:
-			s.deliverFinish(typed)
+			s.deliverFinish(a)
 		case core.ActionClaim:
-			go s.claim(ctx, typed)
+			go s.claim(ctx, a)
 		case core.ActionEndClaim:
-			go s.endClaim(ctx, typed)
+			go s.endClaim(ctx, a)
 		case core.ActionRequestSnapshot:
-			go s.fetchSnapshot(ctx, typed)
+			go s.fetchSnapshot(ctx, a)
 		}
 	}
 }
