--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -47,11 +47,11 @@
 	if s.quarantine.IsEmpty() {
 		return 0
 	}
-	f, ok := s.quarantine.Fingerprint(ex.quarantineRequest)
+	fingerprint, ok := s.quarantine.Fingerprint(ex.quarantineRequest)
 	if !ok {
 		return 0
 	}
-	return s.quarantine.CrashCount(f)
+	return s.quarantine.CrashCount(fingerprint)
 }
 
 // rejectIfQuarantined answers a request that ends whoever runs it.
