--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -60,9 +60,9 @@
 	if crashes < quarantine.QuarantineThreshold {
 		return false
 	}
-	f, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // there is one, or it would have no lives
+	fingerprint, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // there is one, or it would have no lives
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, ex.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
-		zap.Stringer(events.FieldFingerprint, f), zap.Int(events.FieldIncarnations, crashes))
+		zap.Stringer(events.FieldFingerprint, fingerprint), zap.Int(events.FieldIncarnations, crashes))
 	status, title := api.Describe(core.ReasonQuarantined)
 	s.reject(ex.writer, r, ex.name, &requestError{core.ReasonQuarantined, status, title, ""})
 	return true
