--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -88,8 +88,8 @@
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
 	}
-	if f, ok := s.quarantine.Fingerprint(a.exchange.quarantineRequest); ok {
-		s.quarantine.RecordFailure(a.incarnationID(), a.action.Address, f)
+	if fingerprint, ok := s.quarantine.Fingerprint(a.exchange.quarantineRequest); ok {
+		s.quarantine.RecordFailure(a.incarnationID(), a.action.Address, fingerprint)
 	}
 }
 
