--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -105,7 +105,7 @@
 
 // recordCompletion notes that a back end ran a request to a good end.
 func (s *Server) recordCompletion(ex *exchange) {
-	if f, ok := s.quarantine.Fingerprint(ex.quarantineRequest); ok {
-		s.quarantine.RecordCompletion(f)
+	if fingerprint, ok := s.quarantine.Fingerprint(ex.quarantineRequest); ok {
+		s.quarantine.RecordCompletion(fingerprint)
 	}
 }
