--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -214,8 +214,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
-	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
+	fingerprint := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
+	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{fingerprint}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{fingerprint}})
 	s := startTestRouterWith(t, control.address, machines)
 	s.eventually("the router knows of the lives", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
