--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -163,14 +163,14 @@
 		}
 		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
-	before := crashRequests.Load()
+	crashed := crashRequests.Load()
 	for range 20 {
 		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := crashRequests.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
-		t.Fatalf("%d engines got it, then %d more", before, after-before)
+	if after := crashRequests.Load(); after != crashed || after > quarantine.QuarantineThreshold+3 {
+		t.Fatalf("%d engines got it, then %d more", crashed, after-crashed)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
 }
