--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -169,8 +169,8 @@
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := crashRequests.Load(); after != crashed || after > quarantine.QuarantineThreshold+3 {
-		t.Fatalf("%d engines got it, then %d more", crashed, after-crashed)
+	if afterRetries := crashRequests.Load(); afterRetries != crashed || afterRetries > quarantine.QuarantineThreshold+3 {
+		t.Fatalf("%d engines got it, then %d more", crashed, afterRetries-crashed)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
 }
