--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -22,12 +22,12 @@
 // connection dies and it thinks that this is safe. The first request leaves a connection for reuse; the back end
 // reads the second one and closes.
 func TestSendOnceDoesNotRetryOnClosedConnection(t *testing.T) {
-	var seen atomic.Int32
+	var received atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/first" {
 			return
 		}
-		seen.Add(1)
+		received.Add(1)
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			t.Error(err)
@@ -48,7 +48,7 @@
 	} else if neverSent(err) {
 		t.Fatalf("%v counts as never sent, but the back end read it", err)
 	}
-	if got := seen.Load(); got != 1 {
+	if got := received.Load(); got != 1 {
 		t.Fatalf("the back end read the request %d times", got)
 	}
 }
