--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -14,7 +14,7 @@
 	"kitetiller/internal/transport"
 )
 
-func newSender() *Server {
+func newSendingServer() *Server {
 	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
@@ -37,7 +37,7 @@
 	}))
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
-	s := newSender()
+	s := newSendingServer()
 	response, err := s.sendOnce(context.Background(), address, "/first", "a")
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = newSender().sendOnce(context.Background(), address, "/", "a")
+	_, err = newSendingServer().sendOnce(context.Background(), address, "/", "a")
 	if err == nil || !neverSent(err) {
 		t.Fatalf("error %v does not count as never sent", err)
 	}
@@ -78,7 +78,7 @@
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
 	defer backend.Close()
-	response, err := newSender().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
+	response, err := newSendingServer().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
