--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -70,10 +70,10 @@
 }
 
 func TestRedirectsAreNotFollowed(t *testing.T) {
-	var second atomic.Int32
+	var followed atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/again" {
-			second.Add(1)
+			followed.Add(1)
 		}
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	if second.Load() != 0 {
+	if followed.Load() != 0 {
 		t.Fatal("a back end's redirect sent the request a second time")
 	}
 }
