--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -187,11 +187,11 @@
 }
 
 // postFailure reports why a back end didn't answer. Whoever sends the request next must know by then whether it ran.
-func (s *Server) postFailure(a *activeAttempt, failed core.EventAttempt) {
-	if failed.Kind == core.AttemptRefused {
+func (s *Server) postFailure(a *activeAttempt, event core.EventAttempt) {
+	if event.Kind == core.AttemptRefused {
 		a.exchange.notRun.Add(1)
 	}
-	s.post(failed)
+	s.post(event)
 }
 
 // observePushback passes on and logs what a back end said of itself.
