--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -42,9 +42,9 @@
 		return
 	}
 	if s.tooManyCrashes(ex) {
-		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
-		refused.BackendNotAtFault = true
-		s.offer(refused)
+		event := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
+		event.BackendNotAtFault = true
+		s.offer(event)
 		s.offer(core.EventQuarantined{ID: action.ID})
 		return
 	}
