--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -179,9 +179,9 @@
 	if response.StatusCode == http.StatusOK {
 		return response
 	}
-	pushbackEvent, refused := a.parseRefusal(response)
+	pushbackEvent, event := a.parseRefusal(response)
 	s.observePushback(a, pushbackEvent, response.StatusCode)
-	s.postFailure(a, refused)
+	s.postFailure(a, event)
 	_ = response.Body.Close()
 	return nil
 }
