--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -9,7 +9,7 @@
 // TestFormsStayReadable: all that gateways tell and ask each other.
 func TestFormsStayReadable(t *testing.T) {
 	forms.Check[wireSend](t, "send")
-	forms.Check[wireQuestion](t, "question")
+	forms.Check[wirePlacementRequest](t, "question")
 	forms.Check[wirePlacement](t, "placement")
 	forms.Check[wireEnd](t, "end")
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -134,7 +134,7 @@
 	if without := g.table.unwanted(now, "s", nil); len(without) != 1 || without[0] != "i-0" {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
-	alone := &wireQuestion{Ticket: "t1", Gateway: "a", Service: "s", Model: "m", WithinMS: 5000, Without: []string{"i-1"}}
+	alone := &wirePlacementRequest{Ticket: "t1", Gateway: "a", Service: "s", Model: "m", WithinMS: 5000, Without: []string{"i-1"}}
 	placed := g.placeFor(now, alone)
 	if placed.Instance != "i-0" || placed.Limit == nil || *placed.Limit != 4 {
 		t.Fatalf("placed for another: %+v", placed)
@@ -161,7 +161,7 @@
 // TestBackEndWithALimitOwnsNoPrompt: it is open and closed in turn, so that the prompt would be read in two places.
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
 	g := scheduler(2)
-	call := (&wireQuestion{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
+	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
 	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	names(g, owner.entry.ID, 4)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -11,8 +11,8 @@
 	"kitetiller/internal/transport"
 )
 
-// wireQuestion asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
-type wireQuestion struct {
+// wirePlacementRequest asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
+type wirePlacementRequest struct {
 	Ticket   string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
 	Gateway  string   `json:"g"` // who asks
 	Service  string   `json:"s"`
@@ -55,7 +55,7 @@
 }
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
-func (q *wireQuestion) call() Call {
+func (q *wirePlacementRequest) call() Call {
 	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsOfWire(q.Parts, q.Tokens)}
 }
 
@@ -72,7 +72,7 @@
 
 // takeQuestion answers another gateway that asks for a placement.
 func (g *Gateway) takeQuestion(request transport.Request, respond transport.Respond) {
-	var asked wireQuestion
+	var asked wirePlacementRequest
 	if json.Unmarshal(request.Body, &asked) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
@@ -81,7 +81,7 @@
 }
 
 // placeFor chooses a back end for another gateway's request and counts it from now on.
-func (g *Gateway) placeFor(now time.Duration, asked *wireQuestion) wirePlacement {
+func (g *Gateway) placeFor(now time.Duration, asked *wirePlacementRequest) wirePlacement {
 	held := g.view.Load()
 	if held == nil || held.services[asked.Service] == nil || !g.trusted(now) {
 		return wirePlacement{}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -148,9 +148,9 @@
 }
 
 // question returns what schedulers are asked.
-func (x *exchange) question(in selectionInput) wireQuestion {
+func (x *exchange) question(in selectionInput) wirePlacementRequest {
 	g := x.gateway
-	asked := wireQuestion{
+	asked := wirePlacementRequest{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
 		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
