--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -13,19 +13,19 @@
 
 // wirePlacementRequest asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
 type wirePlacementRequest struct {
-	Ticket   string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
-	Gateway  string   `json:"g"` // who asks
-	Service  string   `json:"s"`
-	Wall     string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
-	Model    string   `json:"m,omitempty"`
-	Parts    []string `json:"p,omitempty"`
-	Tokens   []int    `json:"t,omitempty"` // of each part
-	Prompt   int      `json:"l,omitempty"` // tokens of the whole prompt
-	Without  []string `json:"x,omitempty"` // back ends that are not wanted
-	WithinMS int64    `json:"d"`           // the request is over by then
-	First    bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Rank     int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
-	TargetMS int64    `json:"o,omitempty"` // objective of its route
+	PlacementID string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
+	Gateway     string   `json:"g"` // who asks
+	Service     string   `json:"s"`
+	Wall        string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
+	Model       string   `json:"m,omitempty"`
+	Parts       []string `json:"p,omitempty"`
+	Tokens      []int    `json:"t,omitempty"` // of each part
+	Prompt      int      `json:"l,omitempty"` // tokens of the whole prompt
+	Without     []string `json:"x,omitempty"` // back ends that are not wanted
+	WithinMS    int64    `json:"d"`           // the request is over by then
+	First       bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
+	Rank        int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
+	TargetMS    int64    `json:"o,omitempty"` // objective of its route
 }
 
 // wirePlacement answers a question; without an instance there is no back end to be had.
@@ -102,7 +102,7 @@
 	if back, refused := g.judge(now, chosen, in); refused {
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
-	running := g.table.place(now, asked.Ticket, placement{
+	running := g.table.place(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -123,7 +123,7 @@
 	question := x.question(in)
 	for _, address := range asked {
 		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
-		question.Ticket = made.ticket
+		question.PlacementID = made.ticket
 		var answer wirePlacement
 		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
