--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -13,19 +13,19 @@
 
 // wirePlacementRequest asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
 type wirePlacementRequest struct {
-	PlacementID string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
-	Gateway     string   `json:"g"` // who asks
-	Service     string   `json:"s"`
-	Wall        string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
-	Model       string   `json:"m,omitempty"`
-	Parts       []string `json:"p,omitempty"`
-	Tokens      []int    `json:"t,omitempty"` // of each part
-	Prompt      int      `json:"l,omitempty"` // tokens of the whole prompt
-	Without     []string `json:"x,omitempty"` // back ends that are not wanted
-	WithinMS    int64    `json:"d"`           // the request is over by then
-	First       bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Rank        int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
-	TargetMS    int64    `json:"o,omitempty"` // objective of its route
+	PlacementID    string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
+	Gateway        string   `json:"g"` // who asks
+	Service        string   `json:"s"`
+	IsolatedTenant string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
+	Model          string   `json:"m,omitempty"`
+	Parts          []string `json:"p,omitempty"`
+	Tokens         []int    `json:"t,omitempty"` // of each part
+	Prompt         int      `json:"l,omitempty"` // tokens of the whole prompt
+	Without        []string `json:"x,omitempty"` // back ends that are not wanted
+	WithinMS       int64    `json:"d"`           // the request is over by then
+	First          bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
+	Rank           int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
+	TargetMS       int64    `json:"o,omitempty"` // objective of its route
 }
 
 // wirePlacement answers a question; without an instance there is no back end to be had.
@@ -88,8 +88,8 @@
 	}
 	call := asked.call()
 	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
-	if asked.Wall != "" {
-		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
+	if asked.IsolatedTenant != "" {
+		in.tenant = &catalog.Tenant{Name: asked.IsolatedTenant, Isolated: true}
 	}
 	if g.on(mechanism.Store) {
 		in.store = held.storeOf(call.Parts)
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -156,7 +156,7 @@
 	}
 	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
-		asked.Wall = in.tenant.Name
+		asked.IsolatedTenant = in.tenant.Name
 	}
 	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
 	return asked
