--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -161,7 +161,7 @@
 // TestBackEndWithALimitOwnsNoPrompt: it is open and closed in turn, so that the prompt would be read in two places.
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
 	g := scheduler(2)
-	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, Tokens: []int{2000, 100}}).call()
+	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, PartTokens: []int{2000, 100}}).call()
 	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	names(g, owner.entry.ID, 4)
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -158,7 +158,7 @@
 	if in.tenant != nil && in.tenant.Isolated {
 		asked.IsolatedTenant = in.tenant.Name
 	}
-	asked.Parts, asked.Tokens = wireParts(x.call.Parts)
+	asked.Parts, asked.PartTokens = wireParts(x.call.Parts)
 	return asked
 }
 
