--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -57,7 +57,7 @@
 func TestLongPromptsAreNotTurnedAwayForTheirReading(t *testing.T) {
 	g := scheduler(2)
 	asked := judged("long", true)
-	asked.PartTokens[2], asked.Prompt = 60_000, 66_300 // over a second and a half of reading
+	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over a second and a half of reading
 	if got := g.placeFor(time.Second, asked); got.BackMS > 0 {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -20,7 +20,7 @@
 	Model          string   `json:"m,omitempty"`
 	Parts          []string `json:"p,omitempty"`
 	PartTokens     []int    `json:"t,omitempty"` // of each part
-	Prompt         int      `json:"l,omitempty"` // tokens of the whole prompt
+	PromptTokens   int      `json:"l,omitempty"` // tokens of the whole prompt
 	Without        []string `json:"x,omitempty"` // back ends that are not wanted
 	WithinMS       int64    `json:"d"`           // the request is over by then
 	First          bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
@@ -56,7 +56,7 @@
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
 func (q *wirePlacementRequest) call() Call {
-	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsOfWire(q.Parts, q.PartTokens)}
+	return Call{Model: q.Model, PromptTokens: max(0, q.PromptTokens), Parts: partsOfWire(q.Parts, q.PartTokens)}
 }
 
 // placement is a request that this gateway placed for another one, until that one tells of its end.
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -151,7 +151,7 @@
 func (x *exchange) question(in selectionInput) wirePlacementRequest {
 	g := x.gateway
 	asked := wirePlacementRequest{
-		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
+		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
 		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -43,7 +43,7 @@
 // question returns a question for a prompt of a preamble, one of some subjects and a part of its own.
 func question(ticket string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
-		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", Prompt: 9190, WithinMS: 5000,
+		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, WithinMS: 5000,
 		Parts: []string{"preamble", fmt.Sprint("subject-", subject), ticket}, PartTokens: []int{2520, 3780, 2890},
 	}
 }
@@ -119,7 +119,7 @@
 	if len(used) < 4 {
 		t.Fatalf("40 requests at one moment went to %d engines: %v", len(used), used)
 	}
-	if other := g.placeFor(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Without: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, Prompt: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
+	if other := g.placeFor(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Without: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
 		t.Fatalf("a tenant that shares nothing got %+v", other)
 	}
 }
