--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -21,7 +21,7 @@
 	Parts          []string `json:"p,omitempty"`
 	PartTokens     []int    `json:"t,omitempty"` // of each part
 	PromptTokens   int      `json:"l,omitempty"` // tokens of the whole prompt
-	Without        []string `json:"x,omitempty"` // back ends that are not wanted
+	Excluded       []string `json:"x,omitempty"` // back ends that are not wanted
 	WithinMS       int64    `json:"d"`           // the request is over by then
 	First          bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
 	Rank           int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
@@ -87,7 +87,7 @@
 		return wirePlacement{}
 	}
 	call := asked.call()
-	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
+	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Excluded), trusted: true, sentByPeer: true}
 	if asked.IsolatedTenant != "" {
 		in.tenant = &catalog.Tenant{Name: asked.IsolatedTenant, Isolated: true}
 	}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -119,7 +119,7 @@
 	if len(used) < 4 {
 		t.Fatalf("40 requests at one moment went to %d engines: %v", len(used), used)
 	}
-	if other := g.placeFor(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Without: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
+	if other := g.placeFor(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Excluded: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
 		t.Fatalf("a tenant that shares nothing got %+v", other)
 	}
 }
