--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -119,7 +119,7 @@
 	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
-		used[g.placeFor(time.Second, &wirePlacementRequest{PlacementID: fmt.Sprint("t", i), Service: "plain", WithinMS: 1000}).Instance]++
+		used[g.placeFor(time.Second, &wirePlacementRequest{PlacementID: fmt.Sprint("t", i), Service: "plain", TimeoutMS: 1000}).Instance]++
 	}
 	for id, n := range used {
 		if id == "" || id == "p-0" || n > 9 {
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -134,7 +134,7 @@
 	if without := g.table.unwanted(now, "s", nil); len(without) != 1 || without[0] != "i-0" {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
-	alone := &wirePlacementRequest{PlacementID: "t1", Gateway: "a", Service: "s", Model: "m", WithinMS: 5000, Excluded: []string{"i-1"}}
+	alone := &wirePlacementRequest{PlacementID: "t1", Gateway: "a", Service: "s", Model: "m", TimeoutMS: 5000, Excluded: []string{"i-1"}}
 	placed := g.placeFor(now, alone)
 	if placed.Instance != "i-0" || placed.Limit == nil || *placed.Limit != 4 {
 		t.Fatalf("placed for another: %+v", placed)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -22,7 +22,7 @@
 	PartTokens     []int    `json:"t,omitempty"` // of each part
 	PromptTokens   int      `json:"l,omitempty"` // tokens of the whole prompt
 	Excluded       []string `json:"x,omitempty"` // back ends that are not wanted
-	WithinMS       int64    `json:"d"`           // the request is over by then
+	TimeoutMS      int64    `json:"d"`           // the request is over by then
 	First          bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
 	Rank           int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
 	TargetMS       int64    `json:"o,omitempty"` // objective of its route
@@ -103,7 +103,7 @@
 		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.WithinMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
 		rank: asked.Rank, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -152,7 +152,7 @@
 	g := x.gateway
 	asked := wirePlacementRequest{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
-		Excluded: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
+		Excluded: g.table.unwanted(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -43,7 +43,7 @@
 // question returns a question for a prompt of a preamble, one of some subjects and a part of its own.
 func question(ticket string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
-		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, WithinMS: 5000,
+		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
 		Parts: []string{"preamble", fmt.Sprint("subject-", subject), ticket}, PartTokens: []int{2520, 3780, 2890},
 	}
 }
