--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -23,7 +23,7 @@
 	PromptTokens   int      `json:"l,omitempty"` // tokens of the whole prompt
 	Excluded       []string `json:"x,omitempty"` // back ends that are not wanted
 	TimeoutMS      int64    `json:"d"`           // the request is over by then
-	First          bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
+	FirstAttempt   bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
 	Rank           int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
 	TargetMS       int64    `json:"o,omitempty"` // objective of its route
 }
@@ -94,7 +94,7 @@
 	if g.on(mechanism.Store) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, wireTime(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Rank, wireTime(asked.TargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
