--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -19,7 +19,7 @@
 // judged is a question of a route with an objective.
 func judged(ticket string, first bool) *wirePlacementRequest {
 	asked := question(ticket, 1)
-	asked.FirstAttempt, asked.Rank, asked.TargetMS = first, 1, 800
+	asked.FirstAttempt, asked.Priority, asked.TargetMS = first, 1, 800
 	return asked
 }
 
@@ -78,7 +78,7 @@
 	}
 	busy(g, now, 1500*time.Millisecond)
 	urgent := judged("urgent", true)
-	urgent.Rank = 0
+	urgent.Priority = 0
 	if got := g.placeFor(now, urgent); got.BackMS > 0 {
 		t.Fatalf("the urgent one: %+v", got)
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -24,7 +24,7 @@
 	Excluded       []string `json:"x,omitempty"` // back ends that are not wanted
 	TimeoutMS      int64    `json:"d"`           // the request is over by then
 	FirstAttempt   bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Rank           int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
+	Priority       int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
 	TargetMS       int64    `json:"o,omitempty"` // objective of its route
 }
 
@@ -94,7 +94,7 @@
 	if g.on(mechanism.Store) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Rank, wireTime(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Priority, wireTime(asked.TargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
@@ -104,7 +104,7 @@
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
-		rank: asked.Rank, queue: chosen.queueWait,
+		rank: asked.Priority, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacement{
