--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -19,7 +19,7 @@
 // judged is a question of a route with an objective.
 func judged(ticket string, first bool) *wirePlacementRequest {
 	asked := question(ticket, 1)
-	asked.FirstAttempt, asked.Priority, asked.TargetMS = first, 1, 800
+	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
 
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -13,19 +13,19 @@
 
 // wirePlacementRequest asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
 type wirePlacementRequest struct {
-	PlacementID    string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
-	Gateway        string   `json:"g"` // who asks
-	Service        string   `json:"s"`
-	IsolatedTenant string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
-	Model          string   `json:"m,omitempty"`
-	Parts          []string `json:"p,omitempty"`
-	PartTokens     []int    `json:"t,omitempty"` // of each part
-	PromptTokens   int      `json:"l,omitempty"` // tokens of the whole prompt
-	Excluded       []string `json:"x,omitempty"` // back ends that are not wanted
-	TimeoutMS      int64    `json:"d"`           // the request is over by then
-	FirstAttempt   bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Priority       int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
-	TargetMS       int64    `json:"o,omitempty"` // objective of its route
+	PlacementID     string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
+	Gateway         string   `json:"g"` // who asks
+	Service         string   `json:"s"`
+	IsolatedTenant  string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
+	Model           string   `json:"m,omitempty"`
+	Parts           []string `json:"p,omitempty"`
+	PartTokens      []int    `json:"t,omitempty"` // of each part
+	PromptTokens    int      `json:"l,omitempty"` // tokens of the whole prompt
+	Excluded        []string `json:"x,omitempty"` // back ends that are not wanted
+	TimeoutMS       int64    `json:"d"`           // the request is over by then
+	FirstAttempt    bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
+	Priority        int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
+	LatencyTargetMS int64    `json:"o,omitempty"` // objective of its route
 }
 
 // wirePlacement answers a question; without an instance there is no back end to be had.
@@ -94,7 +94,7 @@
 	if g.on(mechanism.Store) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Priority, wireTime(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Priority, wireTime(asked.LatencyTargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacement{}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -154,7 +154,7 @@
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
 		Excluded: g.table.unwanted(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.FirstAttempt, asked.Priority, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
+	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
 		asked.IsolatedTenant = in.tenant.Name
 	}
