--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -10,6 +10,6 @@
 func TestFormsStayReadable(t *testing.T) {
 	forms.Check[wireSend](t, "send")
 	forms.Check[wirePlacementRequest](t, "question")
-	forms.Check[wirePlacement](t, "placement")
+	forms.Check[wirePlacementReply](t, "placement")
 	forms.Check[wireEnd](t, "end")
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -33,7 +33,7 @@
 
 // hearScheduler takes up the limit of a back end that a scheduler chose: in a large fleet only schedulers are told by others, and this gateway's
 // first request there would be sent without a part of it.
-func (g *Gateway) hearScheduler(now time.Duration, answer *wirePlacement) {
+func (g *Gateway) hearScheduler(now time.Duration, answer *wirePlacementReply) {
 	if answer.Limit == nil {
 		return
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -28,8 +28,8 @@
 	LatencyTargetMS int64    `json:"o,omitempty"` // objective of its route
 }
 
-// wirePlacement answers a question; without an instance there is no back end to be had.
-type wirePlacement struct {
+// wirePlacementReply answers a question; without an instance there is no back end to be had.
+type wirePlacementReply struct {
 	Instance string  `json:"i,omitempty"`
 	Version  uint64  `json:"v,omitempty"` // of its weights; 0 unknown
 	Uncached int     `json:"u,omitempty"` // prompt tokens that it will read
@@ -81,10 +81,10 @@
 }
 
 // placeFor chooses a back end for another gateway's request and counts it from now on.
-func (g *Gateway) placeFor(now time.Duration, asked *wirePlacementRequest) wirePlacement {
+func (g *Gateway) placeFor(now time.Duration, asked *wirePlacementRequest) wirePlacementReply {
 	held := g.view.Load()
 	if held == nil || held.services[asked.Service] == nil || !g.trusted(now) {
-		return wirePlacement{}
+		return wirePlacementReply{}
 	}
 	call := asked.call()
 	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Excluded), trusted: true, sentByPeer: true}
@@ -97,17 +97,17 @@
 	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Priority, wireTime(asked.LatencyTargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
-		return wirePlacement{}
+		return wirePlacementReply{}
 	}
 	if back, refused := g.judge(now, chosen, in); refused {
-		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
+		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
 		rank: asked.Priority, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
-	placed := wirePlacement{
+	placed := wirePlacementReply{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
 	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -124,7 +124,7 @@
 	for _, address := range asked {
 		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
 		question.PlacementID = made.ticket
-		var answer wirePlacement
+		var answer wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
@@ -177,7 +177,7 @@
 
 // scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, in selectionInput) *candidate {
+func (g *Gateway) scheduledCandidate(answer *wirePlacementReply, made scheduled, in selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
