--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -30,15 +30,15 @@
 
 // wirePlacementReply answers a question; without an instance there is no back end to be had.
 type wirePlacementReply struct {
-	Instance   string  `json:"i,omitempty"`
-	Version    uint64  `json:"v,omitempty"` // of its weights; 0 unknown
-	Uncached   int     `json:"u,omitempty"` // prompt tokens that it will read
-	Recomputed int     `json:"r,omitempty"` // of them, tokens of shared parts
-	Why        string  `json:"c,omitempty"` // of Reread, for logs
-	WaitMS     float64 `json:"w,omitempty"` // predicted time until the request begins
-	BackMS     int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
-	Fetch      string  `json:"f,omitempty"`
-	Save       string  `json:"k,omitempty"`
+	Instance        string  `json:"i,omitempty"`
+	Version         uint64  `json:"v,omitempty"` // of its weights; 0 unknown
+	Uncached        int     `json:"u,omitempty"` // prompt tokens that it will read
+	Recomputed      int     `json:"r,omitempty"` // of them, tokens of shared parts
+	RecomputeReason string  `json:"c,omitempty"` // of Reread, for logs
+	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request begins
+	BackMS          int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
+	Fetch           string  `json:"f,omitempty"`
+	Save            string  `json:"k,omitempty"`
 	// Limit is what the instance names as its limit, in requests a second, and LimitAgeMS since when that is known; absent where it names none.
 	Limit      *float64 `json:"n,omitempty"`
 	LimitAgeMS int64    `json:"a,omitempty"`
@@ -108,7 +108,7 @@
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacementReply{
-		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
+		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
 	}
 	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
 		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
