--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -36,7 +36,7 @@
 	Recomputed      int     `json:"r,omitempty"` // of them, tokens of shared parts
 	RecomputeReason string  `json:"c,omitempty"` // of Reread, for logs
 	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request begins
-	BackMS          int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
+	RetryAfterMS    int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
 	Fetch           string  `json:"f,omitempty"`
 	Save            string  `json:"k,omitempty"`
 	// Limit is what the instance names as its limit, in requests a second, and LimitAgeMS since when that is known; absent where it names none.
@@ -100,7 +100,7 @@
 		return wirePlacementReply{}
 	}
 	if back, refused := g.judge(now, chosen, in); refused {
-		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
+		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -181,8 +181,8 @@
 	if answer.Instance == "" {
 		return nil
 	}
-	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.BackMS)}
+	if answer.RetryAfterMS > 0 {
+		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.RetryAfterMS)}
 	}
 	now := g.now()
 	g.hearScheduler(now, answer)
