--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -38,7 +38,7 @@
 	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request begins
 	RetryAfterMS    int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
 	FetchFrom       string  `json:"f,omitempty"`
-	Save            string  `json:"k,omitempty"`
+	SaveTo          string  `json:"k,omitempty"`
 	// Limit is what the instance names as its limit, in requests a second, and LimitAgeMS since when that is known; absent where it names none.
 	Limit      *float64 `json:"n,omitempty"`
 	LimitAgeMS int64    `json:"a,omitempty"`
@@ -108,7 +108,7 @@
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacementReply{
-		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, Save: chosen.saveTo,
+		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
 	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
 		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -190,7 +190,7 @@
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
 		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, in.tenant), wait: answer.WaitMS,
-		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Recomputed), recomputeReason: recomputeCause(answer.RecomputeReason), fetchFrom: answer.FetchFrom, saveTo: answer.Save, scheduled: &made,
+		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Recomputed), recomputeReason: recomputeCause(answer.RecomputeReason), fetchFrom: answer.FetchFrom, saveTo: answer.SaveTo, scheduled: &made,
 	}
 	if answer.Version == 0 {
 		chosen.salt = uniqueSalt()
