--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -11,5 +11,5 @@
 	forms.Check[wireSend](t, "send")
 	forms.Check[wirePlacementRequest](t, "question")
 	forms.Check[wirePlacementReply](t, "placement")
-	forms.Check[wireEnd](t, "end")
+	forms.Check[wirePlacementEnd](t, "end")
 }
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -44,8 +44,8 @@
 	LimitAgeMS int64    `json:"a,omitempty"`
 }
 
-// wireEnd tells a scheduler how a request ended that it placed.
-type wireEnd struct {
+// wirePlacementEnd tells a scheduler how a request ended that it placed.
+type wirePlacementEnd struct {
 	Ticket    string       `json:"i"`
 	Gateway   string       `json:"g"`
 	Grade     outcomeGrade `json:"o,omitempty"`
@@ -118,7 +118,7 @@
 
 // takeEnd notes how a request ended that this gateway placed for another one.
 func (g *Gateway) takeEnd(request transport.Request, respond transport.Respond) {
-	var end wireEnd
+	var end wirePlacementEnd
 	if json.Unmarshal(request.Body, &end) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
@@ -152,7 +152,7 @@
 
 // endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
 // over the mesh.
-func (t *table) endPlacement(now time.Duration, end *wireEnd) (made placement, left belief.Load, known bool) {
+func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (made placement, left belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	made, known = t.placed[end.Ticket]
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -90,7 +90,7 @@
 }
 
 // tell tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
-func (s *schedulers) tell(address string, end wireEnd) {
+func (s *schedulers) tell(address string, end wirePlacementEnd) {
 	select {
 	case s.ends <- struct{}{}:
 	default:
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.tell(address, wirePlacementEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.nick})
+		g.schedulers.tell(made.scheduler, wirePlacementEnd{Ticket: made.ticket, Gateway: g.nick})
 		return nil
 	}
 	return chosen
@@ -217,7 +217,7 @@
 		return
 	}
 	g := a.exchange.gateway
-	g.schedulers.tell(made.scheduler, wireEnd{
+	g.schedulers.tell(made.scheduler, wirePlacementEnd{
 		FirstMS: a.first().Milliseconds(),
 		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
 	})
