--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -37,7 +37,7 @@
 		for d, g := range fleet {
 			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
 			answer := g.placeFor(time.Second, asked)
-			g.table.endPlacement(time.Second, &wirePlacementEnd{Ticket: asked.PlacementID})
+			g.table.endPlacement(time.Second, &wirePlacementEnd{PlacementID: asked.PlacementID})
 			used[answer.Instance] = true
 		}
 		collisions += schedulers - len(used)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -46,12 +46,12 @@
 
 // wirePlacementEnd tells a scheduler how a request ended that it placed.
 type wirePlacementEnd struct {
-	Ticket    string       `json:"i"`
-	Gateway   string       `json:"g"`
-	Grade     outcomeGrade `json:"o,omitempty"`
-	Unreached bool         `json:"x,omitempty"` // no connection to the back end came up
-	StayMS    int64        `json:"t,omitempty"` // how long the request was there
-	FirstMS   int64        `json:"f,omitempty"` // how long its first event took; 0 none came
+	PlacementID string       `json:"i"`
+	Gateway     string       `json:"g"`
+	Grade       outcomeGrade `json:"o,omitempty"`
+	Unreached   bool         `json:"x,omitempty"` // no connection to the back end came up
+	StayMS      int64        `json:"t,omitempty"` // how long the request was there
+	FirstMS     int64        `json:"f,omitempty"` // how long its first event took; 0 none came
 }
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
@@ -155,11 +155,11 @@
 func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (made placement, left belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	made, known = t.placed[end.Ticket]
+	made, known = t.placed[end.PlacementID]
 	if !known {
 		return made, belief.Load{}, false
 	}
-	t.forgetPlacement(end.Ticket, made)
+	t.forgetPlacement(end.PlacementID, made)
 	row := made.row
 	switch {
 	case end.Unreached:
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wirePlacementEnd{Ticket: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.tell(address, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wirePlacementEnd{Ticket: made.ticket, Gateway: g.nick})
+		g.schedulers.tell(made.scheduler, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick})
 		return nil
 	}
 	return chosen
@@ -218,7 +218,7 @@
 	}
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wirePlacementEnd{
-		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
+		FirstMS:     a.first().Milliseconds(),
+		PlacementID: made.ticket, Gateway: g.nick, Grade: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
 	})
 }
