--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -48,7 +48,7 @@
 type wirePlacementEnd struct {
 	PlacementID string       `json:"i"`
 	Gateway     string       `json:"g"`
-	Grade       outcomeGrade `json:"o,omitempty"`
+	Outcome     outcomeGrade `json:"o,omitempty"`
 	Unreached   bool         `json:"x,omitempty"` // no connection to the back end came up
 	StayMS      int64        `json:"t,omitempty"` // how long the request was there
 	FirstMS     int64        `json:"f,omitempty"` // how long its first event took; 0 none came
@@ -164,13 +164,13 @@
 	switch {
 	case end.Unreached:
 		t.suspect(now, row, end.Gateway)
-	case end.Grade == gradeBad:
+	case end.Outcome == gradeBad:
 		row.blame()
 		t.suspect(now, row, end.Gateway)
 	default:
-		row.grade(now, end.Grade)
+		row.grade(now, end.Outcome)
 	}
-	if end.Grade == gradeGood {
+	if end.Outcome == gradeGood {
 		t.recordDuration(row, wireTime(end.StayMS))
 	}
 	return made, row.occupancy.Local(), true
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -70,7 +70,7 @@
 				oracle[asked.PlacementID] = running{answer.Instance, now + 5*time.Second}
 			case 2:
 				ticket := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
-				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Grade: gradeGood})
+				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: gradeGood})
 				if _, runs := oracle[ticket]; known != runs {
 					t.Fatalf("the end of %s is known: %v, it runs: %v", ticket, known, runs)
 				}
@@ -152,7 +152,7 @@
 	row := g.table.rows["i-0"]
 	broke := func(now time.Duration, gateway, ticket string) {
 		g.table.place(now, ticket, placement{row: row, load: belief.Load{Running: 1}, until: now + time.Second})
-		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Grade: gradeBad}); !known {
+		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: gradeBad}); !known {
 			t.Fatal("the placement is not known")
 		}
 	}
