--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -50,7 +50,7 @@
 	Gateway     string       `json:"g"`
 	Outcome     outcomeGrade `json:"o,omitempty"`
 	Unreached   bool         `json:"x,omitempty"` // no connection to the back end came up
-	StayMS      int64        `json:"t,omitempty"` // how long the request was there
+	DurationMS  int64        `json:"t,omitempty"` // how long the request was there
 	FirstMS     int64        `json:"f,omitempty"` // how long its first event took; 0 none came
 }
 
@@ -131,7 +131,7 @@
 	}
 	row := made.row
 	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
-	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.StayMS))
+	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
@@ -171,7 +171,7 @@
 		row.grade(now, end.Outcome)
 	}
 	if end.Outcome == gradeGood {
-		t.recordDuration(row, wireTime(end.StayMS))
+		t.recordDuration(row, wireTime(end.DurationMS))
 	}
 	return made, row.occupancy.Local(), true
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wirePlacementEnd{
 		FirstMS:     a.first().Milliseconds(),
-		PlacementID: made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, StayMS: (g.now() - a.began).Milliseconds(),
+		PlacementID: made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
 }
