--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -46,12 +46,12 @@
 
 // wirePlacementEnd tells a scheduler how a request ended that it placed.
 type wirePlacementEnd struct {
-	PlacementID string       `json:"i"`
-	Gateway     string       `json:"g"`
-	Outcome     outcomeGrade `json:"o,omitempty"`
-	Unreached   bool         `json:"x,omitempty"` // no connection to the back end came up
-	DurationMS  int64        `json:"t,omitempty"` // how long the request was there
-	FirstMS     int64        `json:"f,omitempty"` // how long its first event took; 0 none came
+	PlacementID  string       `json:"i"`
+	Gateway      string       `json:"g"`
+	Outcome      outcomeGrade `json:"o,omitempty"`
+	Unreached    bool         `json:"x,omitempty"` // no connection to the back end came up
+	DurationMS   int64        `json:"t,omitempty"` // how long the request was there
+	FirstEventMS int64        `json:"f,omitempty"` // how long its first event took; 0 none came
 }
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
@@ -130,8 +130,8 @@
 		return
 	}
 	row := made.row
-	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstMS))
-	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstMS), wireTime(end.DurationMS))
+	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstEventMS))
+	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -218,7 +218,7 @@
 	}
 	g := a.exchange.gateway
 	g.schedulers.tell(made.scheduler, wirePlacementEnd{
-		FirstMS:     a.first().Milliseconds(),
-		PlacementID: made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
+		FirstEventMS: a.first().Milliseconds(),
+		PlacementID:  made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
 }
