--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -61,13 +61,13 @@
 
 // placement is a request that this gateway placed for another one, until that one tells of its end.
 type placement struct {
-	row      *endpoint
-	load     belief.Load
-	uncached int           // prompt tokens to read
-	alone    bool          // nothing else was to be read there
-	until    time.Duration // it counts no longer, whatever was told
-	rank     int
-	queue    float64 // predicted time until its prompt is read, in milliseconds
+	row        *endpoint
+	load       belief.Load
+	uncached   int           // prompt tokens to read
+	engineIdle bool          // nothing else was to be read there
+	until      time.Duration // it counts no longer, whatever was told
+	rank       int
+	queue      float64 // predicted time until its prompt is read, in milliseconds
 }
 
 // takeQuestion answers another gateway that asks for a placement.
@@ -103,7 +103,7 @@
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
 		rank: asked.Priority, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
@@ -130,7 +130,7 @@
 		return
 	}
 	row := made.row
-	g.table.observePrefill(row, made.alone, made.uncached, wireTime(end.FirstEventMS))
+	g.table.observePrefill(row, made.engineIdle, made.uncached, wireTime(end.FirstEventMS))
 	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
