--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -65,7 +65,7 @@
 	load       belief.Load
 	uncached   int           // prompt tokens to read
 	engineIdle bool          // nothing else was to be read there
-	until      time.Duration // it counts no longer, whatever was told
+	expiresAt  time.Duration // it counts no longer, whatever was told
 	rank       int
 	queue      float64 // predicted time until its prompt is read, in milliseconds
 }
@@ -103,7 +103,7 @@
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, until: now + wireTime(asked.TimeoutMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(asked.TimeoutMS),
 		rank: asked.Priority, queue: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
@@ -185,7 +185,7 @@
 // sweepPlacements forgets placements whose end was never told. The caller holds the mutex.
 func (t *table) sweepPlacements(now time.Duration) {
 	for ticket, made := range t.placed {
-		if now > made.until {
+		if now > made.expiresAt {
 			t.forgetPlacement(ticket, made)
 		}
 	}
