--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -67,7 +67,7 @@
 	engineIdle bool          // nothing else was to be read there
 	expiresAt  time.Duration // it counts no longer, whatever was told
 	priority   int
-	queue      float64 // predicted time until its prompt is read, in milliseconds
+	queueWait  float64 // predicted time until its prompt is read, in milliseconds
 }
 
 // takeQuestion answers another gateway that asks for a placement.
@@ -104,7 +104,7 @@
 	}
 	running := g.table.place(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(asked.TimeoutMS),
-		priority: asked.Priority, queue: chosen.queueWait,
+		priority: asked.Priority, queueWait: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacementReply{
@@ -131,7 +131,7 @@
 	}
 	row := made.row
 	g.table.observePrefill(row, made.engineIdle, made.uncached, wireTime(end.FirstEventMS))
-	g.table.noteQueue(row.entry.Service, made.priority, made.queue, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
+	g.table.noteQueue(row.entry.Service, made.priority, made.queueWait, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
