--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -234,7 +234,7 @@
 	var pass func(send)
 	switch request.Path {
 	case pathPlace:
-		g.takeQuestion(request, respond)
+		g.handlePlacementRequest(request, respond)
 		return
 	case pathEnd:
 		g.takeEnd(request, respond)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -70,8 +70,8 @@
 	queueWait  float64 // predicted time until its prompt is read, in milliseconds
 }
 
-// takeQuestion answers another gateway that asks for a placement.
-func (g *Gateway) takeQuestion(request transport.Request, respond transport.Respond) {
+// handlePlacementRequest answers another gateway that asks for a placement.
+func (g *Gateway) handlePlacementRequest(request transport.Request, respond transport.Respond) {
 	var asked wirePlacementRequest
 	if json.Unmarshal(request.Body, &asked) != nil {
 		respond(http.StatusBadRequest, nil)
