--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -36,7 +36,7 @@
 		used := map[string]bool{}
 		for d, g := range fleet {
 			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
-			answer := g.placeFor(time.Second, asked)
+			answer := g.placeForPeer(time.Second, asked)
 			g.table.endPlacement(time.Second, &wirePlacementEnd{PlacementID: asked.PlacementID})
 			used[answer.Instance] = true
 		}
@@ -119,7 +119,7 @@
 	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
-		used[g.placeFor(time.Second, &wirePlacementRequest{PlacementID: fmt.Sprint("t", i), Service: "plain", TimeoutMS: 1000}).Instance]++
+		used[g.placeForPeer(time.Second, &wirePlacementRequest{PlacementID: fmt.Sprint("t", i), Service: "plain", TimeoutMS: 1000}).Instance]++
 	}
 	for id, n := range used {
 		if id == "" || id == "p-0" || n > 9 {
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -135,15 +135,15 @@
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
 	alone := &wirePlacementRequest{PlacementID: "t1", Gateway: "a", Service: "s", Model: "m", TimeoutMS: 5000, Excluded: []string{"i-1"}}
-	placed := g.placeFor(now, alone)
+	placed := g.placeForPeer(now, alone)
 	if placed.Instance != "i-0" || placed.Limit == nil || *placed.Limit != 4 {
 		t.Fatalf("placed for another: %+v", placed)
 	}
-	if again := g.placeFor(now, alone); again.Instance != "" {
+	if again := g.placeForPeer(now, alone); again.Instance != "" {
 		t.Fatalf("placed at once again: %+v", again)
 	}
 	now += 250 * time.Millisecond
-	if again := g.placeFor(now, alone); again.Instance != "i-0" {
+	if again := g.placeForPeer(now, alone); again.Instance != "i-0" {
 		t.Fatalf("placed a quarter of a second later: %+v", again)
 	}
 	now += time.Second
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -28,11 +28,11 @@
 func TestWhatWouldWaitTooLongIsTurnedAway(t *testing.T) {
 	g := scheduler(4)
 	now := time.Second
-	if got := g.placeFor(now, judged("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, judged("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
 		t.Fatalf("engines are free: %+v", got)
 	}
 	busy(g, now, 3*time.Second)
-	got := g.placeFor(now, judged("new", true))
+	got := g.placeForPeer(now, judged("new", true))
 	if got.RetryAfterMS < 1000 {
 		t.Fatalf("three seconds of reading: %+v", got)
 	}
@@ -41,14 +41,14 @@
 			t.Fatalf("%d requests are counted at %s", n, id)
 		}
 	}
-	if got := g.placeFor(now, judged("repeat", false)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, judged("repeat", false)); got.RetryAfterMS > 0 {
 		t.Fatalf("sent before: %+v", got)
 	}
-	if got := g.placeFor(now, question("no objective", 1)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, question("no objective", 1)); got.RetryAfterMS > 0 {
 		t.Fatalf("no objective: %+v", got)
 	}
 	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
-	if got := g.placeFor(now, judged("off", true)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, judged("off", true)); got.RetryAfterMS > 0 {
 		t.Fatalf("without the mechanism: %+v", got)
 	}
 }
@@ -58,7 +58,7 @@
 	g := scheduler(2)
 	asked := judged("long", true)
 	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over a second and a half of reading
-	if got := g.placeFor(time.Second, asked); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(time.Second, asked); got.RetryAfterMS > 0 {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -79,10 +79,10 @@
 	busy(g, now, 1500*time.Millisecond)
 	urgent := judged("urgent", true)
 	urgent.Priority = 0
-	if got := g.placeFor(now, urgent); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, urgent); got.RetryAfterMS > 0 {
 		t.Fatalf("the urgent one: %+v", got)
 	}
-	if got := g.placeFor(now, judged("other", true)); got.RetryAfterMS == 0 {
+	if got := g.placeForPeer(now, judged("other", true)); got.RetryAfterMS == 0 {
 		t.Fatalf("the other one: %+v", got)
 	}
 }
@@ -105,7 +105,7 @@
 				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
 			busy(g, now, 720*time.Millisecond) // 0.9 of the objective
-			if got := g.placeFor(now, judged("back", true)); got.RetryAfterMS == 0 {
+			if got := g.placeForPeer(now, judged("back", true)); got.RetryAfterMS == 0 {
 				in++
 			}
 		}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -77,11 +77,11 @@
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	respond(http.StatusOK, g.placeFor(g.now(), &asked))
+	respond(http.StatusOK, g.placeForPeer(g.now(), &asked))
 }
 
-// placeFor chooses a back end for another gateway's request and counts it from now on.
-func (g *Gateway) placeFor(now time.Duration, asked *wirePlacementRequest) wirePlacementReply {
+// placeForPeer chooses a back end for another gateway's request and counts it from now on.
+func (g *Gateway) placeForPeer(now time.Duration, asked *wirePlacementRequest) wirePlacementReply {
 	held := g.view.Load()
 	if held == nil || held.services[asked.Service] == nil || !g.trusted(now) {
 		return wirePlacementReply{}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -63,7 +63,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				asked := question(fmt.Sprint("t", step), rapid.IntRange(0, 3).Draw(t, "subject"))
-				answer := g.placeFor(now, asked)
+				answer := g.placeForPeer(now, asked)
 				if answer.Instance == "" {
 					t.Fatal("no back end although all are ready")
 				}
@@ -107,19 +107,19 @@
 // and prompts of a subject meet where its parts are while there is room.
 func TestSchedulerBringsPromptsTogether(t *testing.T) {
 	g := scheduler(100)
-	first := g.placeFor(time.Second, question("t0", 7))
-	again := g.placeFor(2*time.Second, question("t1", 7))
+	first := g.placeForPeer(time.Second, question("t0", 7))
+	again := g.placeForPeer(2*time.Second, question("t1", 7))
 	if again.Instance != first.Instance || again.Uncached != 2890 {
 		t.Fatalf("first %+v, then %+v", first, again)
 	}
 	used := map[string]int{}
 	for i := range 40 {
-		used[g.placeFor(3*time.Second, question(fmt.Sprint("u", i), 7)).Instance]++
+		used[g.placeForPeer(3*time.Second, question(fmt.Sprint("u", i), 7)).Instance]++
 	}
 	if len(used) < 4 {
 		t.Fatalf("40 requests at one moment went to %d engines: %v", len(used), used)
 	}
-	if other := g.placeFor(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Excluded: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
+	if other := g.placeForPeer(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Excluded: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
 		t.Fatalf("a tenant that shares nothing got %+v", other)
 	}
 }
