--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -237,7 +237,7 @@
 		g.handlePlacementRequest(request, respond)
 		return
 	case pathEnd:
-		g.takeEnd(request, respond)
+		g.handlePlacementEnd(request, respond)
 		return
 	case pathHanded:
 		pass = g.spread.own
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -116,8 +116,8 @@
 	return placed
 }
 
-// takeEnd notes how a request ended that this gateway placed for another one.
-func (g *Gateway) takeEnd(request transport.Request, respond transport.Respond) {
+// handlePlacementEnd notes how a request ended that this gateway placed for another one.
+func (g *Gateway) handlePlacementEnd(request transport.Request, respond transport.Respond) {
 	var end wirePlacementEnd
 	if json.Unmarshal(request.Body, &end) != nil {
 		respond(http.StatusBadRequest, nil)
