--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -102,7 +102,7 @@
 	if back, refused := g.judge(now, chosen, in); refused {
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
-	running := g.table.place(now, asked.PlacementID, placement{
+	running := g.table.addPlacement(now, asked.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(asked.TimeoutMS),
 		priority: asked.Priority, queueWait: chosen.queueWait,
 	})
@@ -138,8 +138,8 @@
 	}
 }
 
-// place counts a placement, and returns what now runs at its back end as far as this gateway tells others.
-func (t *table) place(now time.Duration, ticket string, made placement) belief.Load {
+// addPlacement counts a placement, and returns what now runs at its back end as far as this gateway tells others.
+func (t *table) addPlacement(now time.Duration, ticket string, made placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.placed[ticket] = made
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -130,7 +130,7 @@
 	g := scheduler(3)
 	row := g.table.rows["i-0"]
 	report := func(now time.Duration, gateway, ticket string) {
-		g.table.place(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
+		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
 		g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Unreached: true})
 	}
 	for i := range 5 {
@@ -151,7 +151,7 @@
 	g := scheduler(3)
 	row := g.table.rows["i-0"]
 	broke := func(now time.Duration, gateway, ticket string) {
-		g.table.place(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
+		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
 		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: gradeBad}); !known {
 			t.Fatal("the placement is not known")
 		}
