--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -159,7 +159,7 @@
 	if !known {
 		return made, belief.Load{}, false
 	}
-	t.forgetPlacement(end.PlacementID, made)
+	t.removePlacement(end.PlacementID, made)
 	row := made.row
 	switch {
 	case end.Unreached:
@@ -176,8 +176,8 @@
 	return made, row.occupancy.Local(), true
 }
 
-// forgetPlacement takes a placement out of the sums. The caller holds the mutex.
-func (t *table) forgetPlacement(ticket string, made placement) {
+// removePlacement takes a placement out of the sums. The caller holds the mutex.
+func (t *table) removePlacement(ticket string, made placement) {
 	delete(t.placed, ticket)
 	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
 }
@@ -186,7 +186,7 @@
 func (t *table) sweepPlacements(now time.Duration) {
 	for ticket, made := range t.placed {
 		if now > made.expiresAt {
-			t.forgetPlacement(ticket, made)
+			t.removePlacement(ticket, made)
 		}
 	}
 }
