--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -275,7 +275,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.stored.Sweep(now)
-	t.sweepPlacements(now)
+	t.expirePlacements(now)
 	for _, controller := range t.admission {
 		controller.Sweep(now)
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -182,8 +182,8 @@
 	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
 }
 
-// sweepPlacements forgets placements whose end was never told. The caller holds the mutex.
-func (t *table) sweepPlacements(now time.Duration) {
+// expirePlacements forgets placements whose end was never told. The caller holds the mutex.
+func (t *table) expirePlacements(now time.Duration) {
 	for ticket, made := range t.placed {
 		if now > made.expiresAt {
 			t.removePlacement(ticket, made)
