--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -87,7 +87,7 @@
 		return wirePlacementReply{}
 	}
 	call := asked.call()
-	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Excluded), trusted: true, sentByPeer: true}
+	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsByID(asked.Excluded), trusted: true, sentByPeer: true}
 	if asked.IsolatedTenant != "" {
 		in.tenant = &catalog.Tenant{Name: asked.IsolatedTenant, Isolated: true}
 	}
@@ -191,8 +191,8 @@
 	}
 }
 
-// rowsOf returns the back ends of the given ids that are known.
-func (t *table) rowsOf(ids []string) []*endpoint {
+// rowsByID returns the back ends of the given ids that are known.
+func (t *table) rowsByID(ids []string) []*endpoint {
 	if len(ids) == 0 {
 		return nil
 	}
