--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -80,7 +80,7 @@
 	began    time.Duration
 	uncached int
 	plan     candidate
-	grade    outcomeGrade
+	grade    attemptOutcome
 	noWay    bool  // no connection came up
 	cover    cover // what the send took of the tenant's limit
 	ctx      context.Context
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -193,7 +193,7 @@
 }
 
 // end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
-func (t *table) end(now time.Duration, sent *attempt, grade outcomeGrade) belief.Load {
+func (t *table) end(now time.Duration, sent *attempt, grade attemptOutcome) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -46,12 +46,12 @@
 
 // wirePlacementEnd tells a scheduler how a request ended that it placed.
 type wirePlacementEnd struct {
-	PlacementID  string       `json:"i"`
-	Gateway      string       `json:"g"`
-	Outcome      outcomeGrade `json:"o,omitempty"`
-	Unreached    bool         `json:"x,omitempty"` // no connection to the back end came up
-	DurationMS   int64        `json:"t,omitempty"` // how long the request was there
-	FirstEventMS int64        `json:"f,omitempty"` // how long its first event took; 0 none came
+	PlacementID  string         `json:"i"`
+	Gateway      string         `json:"g"`
+	Outcome      attemptOutcome `json:"o,omitempty"`
+	Unreached    bool           `json:"x,omitempty"` // no connection to the back end came up
+	DurationMS   int64          `json:"t,omitempty"` // how long the request was there
+	FirstEventMS int64          `json:"f,omitempty"` // how long its first event took; 0 none came
 }
 
 // call returns what the question tells of the caller's request; parts without a size are left out.
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -21,18 +21,18 @@
 	reportedFor  = 1200 * time.Millisecond
 )
 
-// outcomeGrade tells what an attempt says of its back end.
-type outcomeGrade uint8
+// attemptOutcome tells what an attempt says of its back end.
+type attemptOutcome uint8
 
 const (
-	gradeNone outcomeGrade = iota // says nothing
+	gradeNone attemptOutcome = iota // says nothing
 	gradeGood
 	gradeFull // it is alive but turned the request away
 	gradeBad
 )
 
 // grade notes how an attempt at a back end went. The caller holds the table's mutex.
-func (e *endpoint) grade(now time.Duration, good outcomeGrade) {
+func (e *endpoint) grade(now time.Duration, good attemptOutcome) {
 	switch good {
 	case gradeGood:
 		e.failures = 0
