--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -25,7 +25,7 @@
 type attemptOutcome uint8
 
 const (
-	gradeNone attemptOutcome = iota // says nothing
+	outcomeUnknown attemptOutcome = iota // says nothing
 	gradeGood
 	gradeFull // it is alive but turned the request away
 	gradeBad
