--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -142,7 +142,7 @@
 	}
 	a.release(answer, nil)
 	failure := answer.StatusCode >= http.StatusInternalServerError
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	if failure {
 		a.grade = gradeBad
 	}
@@ -171,7 +171,7 @@
 		a.brokeOff()
 		x.giveUp(reasonBroken, 0)
 	}
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	a.release(answer, nil)
 	x.finish(a, answer.StatusCode)
 	return result{kind: resultAnswered}
@@ -202,7 +202,7 @@
 // endsAt notes whose answer a request got.
 func (x *exchange) endsAt(a *attempt) {
 	x.served = a.row.entry.ID
-	if a.grade == gradeGood {
+	if a.grade == outcomeSuccess {
 		x.endedWell()
 	}
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -200,7 +200,7 @@
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
 	sent.row.grade(now, grade)
-	if grade == gradeGood {
+	if grade == outcomeSuccess {
 		t.recordDuration(sent.row, now-sent.began)
 	}
 	return sent.row.occupancy.Local()
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -249,7 +249,7 @@
 			}
 		}
 		for _, attempted := range sent {
-			g.table.end(g.now(), attempted, gradeGood)
+			g.table.end(g.now(), attempted, outcomeSuccess)
 		}
 		if len(g.table.waiting) > 0 {
 			t.Fatalf("%d attempts still waiting after their end", len(g.table.waiting))
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -170,7 +170,7 @@
 	default:
 		row.grade(now, end.Outcome)
 	}
-	if end.Outcome == gradeGood {
+	if end.Outcome == outcomeSuccess {
 		t.recordDuration(row, wireTime(end.DurationMS))
 	}
 	return made, row.occupancy.Local(), true
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -70,7 +70,7 @@
 				oracle[asked.PlacementID] = running{answer.Instance, now + 5*time.Second}
 			case 2:
 				ticket := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
-				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: gradeGood})
+				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: outcomeSuccess})
 				if _, runs := oracle[ticket]; known != runs {
 					t.Fatalf("the end of %s is known: %v, it runs: %v", ticket, known, runs)
 				}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -145,7 +145,7 @@
 	if !x.relayed {
 		x.passHead(answer, -1) // a stream without any event
 	}
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	a.release(answer, nil)
 	x.finish(a, answer.StatusCode)
 	return result{kind: resultAnswered}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -26,7 +26,7 @@
 
 const (
 	outcomeUnknown attemptOutcome = iota // says nothing
-	gradeGood
+	outcomeSuccess
 	gradeFull // it is alive but turned the request away
 	gradeBad
 )
@@ -34,7 +34,7 @@
 // grade notes how an attempt at a back end went. The caller holds the table's mutex.
 func (e *endpoint) grade(now time.Duration, good attemptOutcome) {
 	switch good {
-	case gradeGood:
+	case outcomeSuccess:
 		e.failures = 0
 		e.failureRate *= 1 - failureSmoothing
 		e.lastByteAt = now
