--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -96,7 +96,7 @@
 
 // turnedAway ends an attempt that the back end did not run.
 func (a *attempt) turnedAway(answer *http.Response, verdict Verdict) result {
-	a.grade = gradeFull
+	a.grade = outcomeRejected
 	refused := result{kind: resultNotRun, cause: answer.Status, retryAfter: verdict.RetryAfter, rest: verdict.Said.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, wholeAnswer))
 	a.release(answer, err)
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -27,7 +27,7 @@
 const (
 	outcomeUnknown attemptOutcome = iota // says nothing
 	outcomeSuccess
-	gradeFull // it is alive but turned the request away
+	outcomeRejected // it is alive but turned the request away
 	gradeBad
 )
 
@@ -38,7 +38,7 @@
 		e.failures = 0
 		e.failureRate *= 1 - failureSmoothing
 		e.lastByteAt = now
-	case gradeFull:
+	case outcomeRejected:
 		e.avoidUntil = max(e.avoidUntil, now+suspectBase/2)
 		e.lastByteAt = now
 	case gradeBad:
