--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -79,9 +79,9 @@
 	case context.Cause(a.ctx) == errOutdated:
 		cause = causeOutdated
 	case context.Cause(a.ctx) == errSilent:
-		cause, a.grade = "silent", gradeBad
+		cause, a.grade = "silent", outcomeFailure
 	case a.exchange.ctx.Err() == nil:
-		a.grade = gradeBad
+		a.grade = outcomeFailure
 		a.brokeOff()
 	}
 	return result{kind: resultUnknown, cause: cause}
@@ -90,7 +90,7 @@
 // broken ends an attempt whose connection carries bytes that do not belong there.
 func (a *attempt) broken(cause string) result {
 	_ = a.wire.Close()
-	a.grade = gradeBad
+	a.grade = outcomeFailure
 	return result{kind: resultUnknown, cause: cause}
 }
 
@@ -144,7 +144,7 @@
 	failure := answer.StatusCode >= http.StatusInternalServerError
 	a.grade = outcomeSuccess
 	if failure {
-		a.grade = gradeBad
+		a.grade = outcomeFailure
 	}
 	if failure && x.route.Retryable() && !x.relayed && x.spendRepeat() {
 		return result{kind: resultFailed, cause: answer.Status}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -164,7 +164,7 @@
 	switch {
 	case end.Unreached:
 		t.suspect(now, row, end.Gateway)
-	case end.Outcome == gradeBad:
+	case end.Outcome == outcomeFailure:
 		row.blame()
 		t.suspect(now, row, end.Gateway)
 	default:
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -152,7 +152,7 @@
 	row := g.table.rows["i-0"]
 	broke := func(now time.Duration, gateway, ticket string) {
 		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
-		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: gradeBad}); !known {
+		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: outcomeFailure}); !known {
 			t.Fatal("the placement is not known")
 		}
 	}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -28,7 +28,7 @@
 	outcomeUnknown attemptOutcome = iota // says nothing
 	outcomeSuccess
 	outcomeRejected // it is alive but turned the request away
-	gradeBad
+	outcomeFailure
 )
 
 // grade notes how an attempt at a back end went. The caller holds the table's mutex.
@@ -41,7 +41,7 @@
 	case outcomeRejected:
 		e.avoidUntil = max(e.avoidUntil, now+suspectBase/2)
 		e.lastByteAt = now
-	case gradeBad:
+	case outcomeFailure:
 		e.failed(now, suspectBase)
 	}
 }
