--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -199,7 +199,7 @@
 	t.endWait(sent)
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.grade(now, grade)
+	sent.row.recordOutcome(now, grade)
 	if grade == outcomeSuccess {
 		t.recordDuration(sent.row, now-sent.began)
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -168,7 +168,7 @@
 		row.blame()
 		t.suspect(now, row, end.Gateway)
 	default:
-		row.grade(now, end.Outcome)
+		row.recordOutcome(now, end.Outcome)
 	}
 	if end.Outcome == outcomeSuccess {
 		t.recordDuration(row, wireTime(end.DurationMS))
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -31,8 +31,8 @@
 	outcomeFailure
 )
 
-// grade notes how an attempt at a back end went. The caller holds the table's mutex.
-func (e *endpoint) grade(now time.Duration, good attemptOutcome) {
+// recordOutcome notes how an attempt at a back end went. The caller holds the table's mutex.
+func (e *endpoint) recordOutcome(now time.Duration, good attemptOutcome) {
 	switch good {
 	case outcomeSuccess:
 		e.failures = 0
