--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -165,7 +165,7 @@
 	case end.Unreached:
 		t.suspect(now, row, end.Gateway)
 	case end.Outcome == outcomeFailure:
-		row.blame()
+		row.raiseFailureRate()
 		t.suspect(now, row, end.Gateway)
 	default:
 		row.recordOutcome(now, end.Outcome)
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// blame counts a failure in the back end's share of them.
-func (e *endpoint) blame() { e.failureRate += failureSmoothing * (1 - e.failureRate) }
+// raiseFailureRate counts a failure in the back end's share of them.
+func (e *endpoint) raiseFailureRate() { e.failureRate += failureSmoothing * (1 - e.failureRate) }
 
 func (e *endpoint) failed(now, base time.Duration) {
 	e.failures++
-	e.blame()
+	e.raiseFailureRate()
 	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), suspectLimit))
 }
 
