--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -42,14 +42,14 @@
 		e.avoidUntil = max(e.avoidUntil, now+suspectBase/2)
 		e.lastByteAt = now
 	case outcomeFailure:
-		e.failed(now, suspectBase)
+		e.recordFailure(now, suspectBase)
 	}
 }
 
 // raiseFailureRate counts a failure in the back end's share of them.
 func (e *endpoint) raiseFailureRate() { e.failureRate += failureSmoothing * (1 - e.failureRate) }
 
-func (e *endpoint) failed(now, base time.Duration) {
+func (e *endpoint) recordFailure(now, base time.Duration) {
 	e.failures++
 	e.raiseFailureRate()
 	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), suspectLimit))
@@ -60,7 +60,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	news = now >= row.avoidUntil
-	row.failed(now, unreachedBase)
+	row.recordFailure(now, unreachedBase)
 	return news
 }
 
