--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// suspectBase and suspectLimit bound how long a back end that failed is avoided; the time doubles with each failure.
-	suspectBase  = 200 * time.Millisecond
+	// minAvoidance and suspectLimit bound how long a back end that failed is avoided; the time doubles with each failure.
+	minAvoidance = 200 * time.Millisecond
 	suspectLimit = 3 * time.Second
 	// unreachedBase is how long one is avoided after the first connection that did not come up: each try costs a request
 	// the time that a connection may take.
@@ -39,10 +39,10 @@
 		e.failureRate *= 1 - failureSmoothing
 		e.lastByteAt = now
 	case outcomeRejected:
-		e.avoidUntil = max(e.avoidUntil, now+suspectBase/2)
+		e.avoidUntil = max(e.avoidUntil, now+minAvoidance/2)
 		e.lastByteAt = now
 	case outcomeFailure:
-		e.recordFailure(now, suspectBase)
+		e.recordFailure(now, minAvoidance)
 	}
 }
 
