--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -98,7 +98,7 @@
 }
 
 // restHint is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
-const restHint = suspectLimit
+const restHint = maxAvoidance
 
 // makeDearer lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
 // gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -9,7 +9,7 @@
 const (
 	// minAvoidance and suspectLimit bound how long a back end that failed is avoided; the time doubles with each failure.
 	minAvoidance = 200 * time.Millisecond
-	suspectLimit = 3 * time.Second
+	maxAvoidance = 3 * time.Second
 	// unreachedBase is how long one is avoided after the first connection that did not come up: each try costs a request
 	// the time that a connection may take.
 	unreachedBase = 800 * time.Millisecond
@@ -52,7 +52,7 @@
 func (e *endpoint) recordFailure(now, base time.Duration) {
 	e.failures++
 	e.raiseFailureRate()
-	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), suspectLimit))
+	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), maxAvoidance))
 }
 
 // unreachable notes that no connection came up, and reports whether that is news to the other gateways.
