--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -10,9 +10,9 @@
 	// minAvoidance and suspectLimit bound how long a back end that failed is avoided; the time doubles with each failure.
 	minAvoidance = 200 * time.Millisecond
 	maxAvoidance = 3 * time.Second
-	// unreachedBase is how long one is avoided after the first connection that did not come up: each try costs a request
+	// unreachableAvoidance is how long one is avoided after the first connection that did not come up: each try costs a request
 	// the time that a connection may take.
-	unreachedBase = 800 * time.Millisecond
+	unreachableAvoidance = 800 * time.Millisecond
 	// failureSmoothing weighs the newest outcome in a back end's share of failures.
 	failureSmoothing = 0.1
 	// reportWindow is the time within which two gateways must report a back end, so that one which is cut off by itself
@@ -60,7 +60,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	news = now >= row.avoidUntil
-	row.recordFailure(now, unreachedBase)
+	row.recordFailure(now, unreachableAvoidance)
 	return news
 }
 
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -47,7 +47,7 @@
 	if news := tb.unreachable(time.Second, e); !news {
 		t.Fatal("the first failure is no news")
 	}
-	if news := tb.unreachable(time.Second+unreachedBase/2, e); news {
+	if news := tb.unreachable(time.Second+unreachableAvoidance/2, e); news {
 		t.Fatal("a failure while it is avoided is news")
 	}
 	if news := tb.unreachable(time.Minute, e); !news {
