--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -15,10 +15,10 @@
 	unreachableAvoidance = 800 * time.Millisecond
 	// failureSmoothing weighs the newest outcome in a back end's share of failures.
 	failureSmoothing = 0.1
-	// reportWindow is the time within which two gateways must report a back end, so that one which is cut off by itself
+	// peerReportWindow is the time within which two gateways must report a back end, so that one which is cut off by itself
 	// turns nobody away; reported ones are avoided for reportedFor.
-	reportWindow = 2 * time.Second
-	reportedFor  = 1200 * time.Millisecond
+	peerReportWindow = 2 * time.Second
+	reportedFor      = 1200 * time.Millisecond
 )
 
 // attemptOutcome tells what an attempt says of its back end.
@@ -82,7 +82,7 @@
 func (e *endpoint) suspect(at time.Duration, from string) {
 	before := e.reports
 	e.reports = suspicion{from: from, at: at}
-	fresh := before.from != "" && before.from != from && at-before.at < reportWindow
+	fresh := before.from != "" && before.from != from && at-before.at < peerReportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
 		e.avoidUntil = max(e.avoidUntil, at+reportedFor)
 	}
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -35,7 +35,7 @@
 	}
 	old := &endpoint{}
 	old.suspect(at, "a")
-	old.suspect(at+2*reportWindow, "b")
+	old.suspect(at+2*peerReportWindow, "b")
 	if old.avoidUntil != 0 {
 		t.Error("reports far apart count together")
 	}
