--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -17,8 +17,8 @@
 	failureSmoothing = 0.1
 	// peerReportWindow is the time within which two gateways must report a back end, so that one which is cut off by itself
 	// turns nobody away; reported ones are avoided for reportedFor.
-	peerReportWindow = 2 * time.Second
-	reportedFor      = 1200 * time.Millisecond
+	peerReportWindow    = 2 * time.Second
+	peerReportAvoidance = 1200 * time.Millisecond
 )
 
 // attemptOutcome tells what an attempt says of its back end.
@@ -84,6 +84,6 @@
 	e.reports = suspicion{from: from, at: at}
 	fresh := before.from != "" && before.from != from && at-before.at < peerReportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
-		e.avoidUntil = max(e.avoidUntil, at+reportedFor)
+		e.avoidUntil = max(e.avoidUntil, at+peerReportAvoidance)
 	}
 }
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -29,7 +29,7 @@
 		if got := e.avoidUntil > at; got != c.avoided {
 			t.Errorf("%s: avoided %v, wanted %v", name, got, c.avoided)
 		}
-		if e.avoidUntil > at+2*reportedFor {
+		if e.avoidUntil > at+2*peerReportAvoidance {
 			t.Errorf("%s: avoided for %v", name, e.avoidUntil-at)
 		}
 	}
