--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -194,7 +194,7 @@
 		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.noWay = true
-	if news := g.table.unreachable(g.now(), a.row); news && a.plan.scheduled == nil {
+	if news := g.table.recordUnreachable(g.now(), a.row); news && a.plan.scheduled == nil {
 		g.spread.own(send{Gateway: g.nick, Instance: a.row.entry.ID, Unreached: true})
 	}
 }
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -55,8 +55,8 @@
 	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), maxAvoidance))
 }
 
-// unreachable notes that no connection came up, and reports whether that is news to the other gateways.
-func (t *table) unreachable(now time.Duration, row *endpoint) (news bool) {
+// recordUnreachable notes that no connection came up, and reports whether that is news to the other gateways.
+func (t *table) recordUnreachable(now time.Duration, row *endpoint) (news bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	news = now >= row.avoidUntil
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -44,13 +44,13 @@
 // TestUnreachableIsToldOnce: while a back end is avoided, further failures are no news.
 func TestUnreachableIsToldOnce(t *testing.T) {
 	tb, e := newTable(mechanism.Set{}), &endpoint{}
-	if news := tb.unreachable(time.Second, e); !news {
+	if news := tb.recordUnreachable(time.Second, e); !news {
 		t.Fatal("the first failure is no news")
 	}
-	if news := tb.unreachable(time.Second+unreachableAvoidance/2, e); news {
+	if news := tb.recordUnreachable(time.Second+unreachableAvoidance/2, e); news {
 		t.Fatal("a failure while it is avoided is news")
 	}
-	if news := tb.unreachable(time.Minute, e); !news {
+	if news := tb.recordUnreachable(time.Minute, e); !news {
 		t.Fatal("a failure long after is no news")
 	}
 }
