--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -42,7 +42,7 @@
 	avoidUntil          time.Duration
 	limitExhaustedUntil time.Duration // no lease on its advertised limit is available until then
 	limitPacedUntil     time.Duration // no more requests of other gateways are placed under its limit until then
-	reports             suspicion     // by other gateways that it is unreachable
+	reports             peerReport    // by other gateways that it is unreachable
 	gone                bool
 	assigned            bool // this gateway reads its cache events
 }
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -64,8 +64,8 @@
 	return news
 }
 
-// suspicion is who lately reported a back end as unreachable.
-type suspicion struct {
+// peerReport is who lately reported a back end as unreachable.
+type peerReport struct {
 	from string
 	at   time.Duration
 }
@@ -81,7 +81,7 @@
 // unless the back end has spoken to this one since.
 func (e *endpoint) suspect(at time.Duration, from string) {
 	before := e.reports
-	e.reports = suspicion{from: from, at: at}
+	e.reports = peerReport{from: from, at: at}
 	fresh := before.from != "" && before.from != from && at-before.at < peerReportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
 		e.avoidUntil = max(e.avoidUntil, at+peerReportAvoidance)
