--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -66,8 +66,8 @@
 
 // peerReport is who lately reported a back end as unreachable.
 type peerReport struct {
-	from string
-	at   time.Duration
+	reporter string
+	at       time.Duration
 }
 
 // suspect takes another gateway's report, where such reports count. The caller holds the mutex.
@@ -81,8 +81,8 @@
 // unless the back end has spoken to this one since.
 func (e *endpoint) suspect(at time.Duration, from string) {
 	before := e.reports
-	e.reports = peerReport{from: from, at: at}
-	fresh := before.from != "" && before.from != from && at-before.at < peerReportWindow
+	e.reports = peerReport{reporter: from, at: at}
+	fresh := before.reporter != "" && before.reporter != from && at-before.at < peerReportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
 		e.avoidUntil = max(e.avoidUntil, at+peerReportAvoidance)
 	}
