--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -236,7 +236,7 @@
 			continue
 		}
 		if sent.Unreached {
-			t.suspect(at, row, sent.Gateway)
+			t.recordPeerReport(at, row, sent.Gateway)
 			continue
 		}
 		if !sent.Said.IsEmpty() {
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -163,10 +163,10 @@
 	row := made.row
 	switch {
 	case end.Unreached:
-		t.suspect(now, row, end.Gateway)
+		t.recordPeerReport(now, row, end.Gateway)
 	case end.Outcome == outcomeFailure:
 		row.raiseFailureRate()
-		t.suspect(now, row, end.Gateway)
+		t.recordPeerReport(now, row, end.Gateway)
 	default:
 		row.recordOutcome(now, end.Outcome)
 	}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -70,8 +70,8 @@
 	at       time.Duration
 }
 
-// suspect takes another gateway's report, where such reports count. The caller holds the mutex.
-func (t *table) suspect(at time.Duration, row *endpoint, from string) {
+// recordPeerReport takes another gateway's report, where such reports count. The caller holds the mutex.
+func (t *table) recordPeerReport(at time.Duration, row *endpoint, from string) {
 	if t.mechanisms.On(mechanism.Suspicion) {
 		row.suspect(at, from)
 	}
