--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -73,13 +73,13 @@
 // recordPeerReport takes another gateway's report, where such reports count. The caller holds the mutex.
 func (t *table) recordPeerReport(at time.Duration, row *endpoint, from string) {
 	if t.mechanisms.On(mechanism.Suspicion) {
-		row.suspect(at, from)
+		row.recordPeerReport(at, from)
 	}
 }
 
-// suspect takes another gateway's report that no connection to a back end came up. It counts with a second gateway's, and
+// recordPeerReport takes another gateway's report that no connection to a back end came up. It counts with a second gateway's, and
 // unless the back end has spoken to this one since.
-func (e *endpoint) suspect(at time.Duration, from string) {
+func (e *endpoint) recordPeerReport(at time.Duration, from string) {
 	before := e.reports
 	e.reports = peerReport{reporter: from, at: at}
 	fresh := before.reporter != "" && before.reporter != from && at-before.at < peerReportWindow
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -24,7 +24,7 @@
 		e := &endpoint{}
 		c.prepare(e)
 		for i, from := range c.from {
-			e.suspect(at+time.Duration(i)*time.Millisecond, from)
+			e.recordPeerReport(at+time.Duration(i)*time.Millisecond, from)
 		}
 		if got := e.avoidUntil > at; got != c.avoided {
 			t.Errorf("%s: avoided %v, wanted %v", name, got, c.avoided)
@@ -34,8 +34,8 @@
 		}
 	}
 	old := &endpoint{}
-	old.suspect(at, "a")
-	old.suspect(at+2*peerReportWindow, "b")
+	old.recordPeerReport(at, "a")
+	old.recordPeerReport(at+2*peerReportWindow, "b")
 	if old.avoidUntil != 0 {
 		t.Error("reports far apart count together")
 	}
