--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -257,7 +257,7 @@
 		chosen := x.askSchedulers(in)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), in)
-			x.gateway.turnAway(x.gateway.now(), chosen, in)
+			x.gateway.rejectIfOverloaded(x.gateway.now(), chosen, in)
 		}
 		left := patience - x.gateway.now()
 		if chosen != nil || left <= 0 || len(x.tried) > 0 {
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/mechanism"
 )
 
-// turnAway marks a placement of this gateway's own whose request is to be turned away.
-func (g *Gateway) turnAway(now time.Duration, chosen *candidate, in selectionInput) {
+// rejectIfOverloaded marks a placement of this gateway's own whose request is to be turned away.
+func (g *Gateway) rejectIfOverloaded(now time.Duration, chosen *candidate, in selectionInput) {
 	if chosen == nil {
 		return
 	}
