--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -14,13 +14,13 @@
 	if chosen == nil {
 		return
 	}
-	if back, refused := g.judge(now, chosen, in); refused {
+	if back, refused := g.checkAdmission(now, chosen, in); refused {
 		chosen.retryAfter = back
 	}
 }
 
-// judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
+// checkAdmission decides whether a request that was just placed is turned away for the wait that its placement predicts.
+func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
 	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -99,7 +99,7 @@
 	if chosen == nil {
 		return wirePlacementReply{}
 	}
-	if back, refused := g.judge(now, chosen, in); refused {
+	if back, refused := g.checkAdmission(now, chosen, in); refused {
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
 	running := g.table.addPlacement(now, asked.PlacementID, placement{
