--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -246,7 +246,7 @@
 			continue
 		}
 		if sent.Refused != "" {
-			t.judge(row.entry.Service).RecordRejection(at, sent.Refused)
+			t.admissionController(row.entry.Service).RecordRejection(at, sent.Refused)
 			continue
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -31,7 +31,7 @@
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
+	back, refused = g.table.admissionController(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
 	if refused && asked.Key != "" {
 		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
@@ -39,8 +39,8 @@
 	return back, refused
 }
 
-// judge returns the judge of a service. The caller holds the mutex.
-func (t *table) judge(service string) *admission.Controller {
+// admissionController returns the admissionController of a service. The caller holds the mutex.
+func (t *table) admissionController(service string) *admission.Controller {
 	held := t.admission[service]
 	if held == nil {
 		held = &admission.Controller{}
@@ -54,7 +54,7 @@
 func (t *table) noteQueue(service string, rank int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	judge := t.judge(service)
+	judge := t.admissionController(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
 		judge.ObserveWait(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
