--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -49,9 +49,9 @@
 	return held
 }
 
-// noteQueue learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
+// observeQueueWait learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
 // whose first event never came waited at least as long as it stayed.
-func (t *table) noteQueue(service string, rank int, predicted float64, uncached int, first, stayed time.Duration) {
+func (t *table) observeQueueWait(service string, rank int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	judge := t.admissionController(service)
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -73,8 +73,8 @@
 		ticket := fmt.Sprint("t", i)
 		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, expiresAt: now + time.Second, queueWait: 1500}
 		g.table.addPlacement(now, ticket, made)
-		g.table.noteQueue("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
-		g.table.noteQueue("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
+		g.table.observeQueueWait("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
+		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
 	busy(g, now, 1500*time.Millisecond)
 	urgent := judged("urgent", true)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -131,7 +131,7 @@
 	}
 	row := made.row
 	g.table.observePrefill(row, made.engineIdle, made.uncached, wireTime(end.FirstEventMS))
-	g.table.noteQueue(row.entry.Service, made.priority, made.queueWait, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
+	g.table.observeQueueWait(row.entry.Service, made.priority, made.queueWait, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
