--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// askTimeout is how long a scheduler may take to answer: some times what it takes while it is busy, and little beside
+	// placementTimeout is how long a scheduler may take to answer: some times what it takes while it is busy, and little beside
 	// what a request may take. askMost schedulers are asked for one request before the gateway places it by itself.
-	askTimeout = 60 * time.Millisecond
-	askMost    = 2
+	placementTimeout = 60 * time.Millisecond
+	askMost          = 2
 	// askAgainAfter is how long a scheduler that gave no answer is left alone.
 	askAgainAfter = 500 * time.Millisecond
 	// endTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
@@ -125,7 +125,7 @@
 		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
 		question.PlacementID = made.ticket
 		var answer wirePlacementReply
-		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
+		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
 		if err == nil {
