--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -19,8 +19,8 @@
 const (
 	// placementTimeout is how long a scheduler may take to answer: some times what it takes while it is busy, and little beside
 	// what a request may take. askMost schedulers are asked for one request before the gateway places it by itself.
-	placementTimeout = 60 * time.Millisecond
-	askMost          = 2
+	placementTimeout   = 60 * time.Millisecond
+	maxSchedulersAsked = 2
 	// askAgainAfter is how long a scheduler that gave no answer is left alone.
 	askAgainAfter = 500 * time.Millisecond
 	// endTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
@@ -71,7 +71,7 @@
 	slices.SortFunc(asked, func(a, b string) int {
 		return cmp.Compare(mix(key^xxhash.Sum64String(b)), mix(key^xxhash.Sum64String(a)))
 	})
-	return asked[:min(len(asked), askMost)]
+	return asked[:min(len(asked), maxSchedulersAsked)]
 }
 
 // noteFailed notes that a scheduler gave no answer.
