--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -67,7 +67,7 @@
 const (
 	// permitPause is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
 	// alone: each question would hold a request up for the time of an answer that doesn't come.
-	permitPause = askAgainAfter
+	permitPause = schedulerRetryInterval
 	// permitLeast is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
 	permitLeast = 10 * time.Millisecond
 	// permitsMost is how many back ends a request may find at their limits once it was placed there.
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -21,8 +21,8 @@
 	// what a request may take. askMost schedulers are asked for one request before the gateway places it by itself.
 	placementTimeout   = 60 * time.Millisecond
 	maxSchedulersAsked = 2
-	// askAgainAfter is how long a scheduler that gave no answer is left alone.
-	askAgainAfter = 500 * time.Millisecond
+	// schedulerRetryInterval is how long a scheduler that gave no answer is left alone.
+	schedulerRetryInterval = 500 * time.Millisecond
 	// endTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
 	endTimeout = 250 * time.Millisecond
 	endsAtOnce = 256
@@ -64,7 +64,7 @@
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
 	var asked []string
 	for _, address := range s.addresses {
-		if failed, known := s.failed[address]; !known || now > failed+askAgainAfter {
+		if failed, known := s.failed[address]; !known || now > failed+schedulerRetryInterval {
 			asked = append(asked, address)
 		}
 	}
