--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -23,9 +23,9 @@
 	maxSchedulersAsked = 2
 	// schedulerRetryInterval is how long a scheduler that gave no answer is left alone.
 	schedulerRetryInterval = 500 * time.Millisecond
-	// endTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
-	endTimeout = 250 * time.Millisecond
-	endsAtOnce = 256
+	// placementEndTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
+	placementEndTimeout = 250 * time.Millisecond
+	endsAtOnce          = 256
 )
 
 // schedulers are the gateways that place requests for this one. Their zero number means that it places its own. It is safe for
@@ -98,7 +98,7 @@
 	}
 	go func() {
 		defer func() { <-s.ends }()
-		ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), placementEndTimeout)
 		defer cancel()
 		_ = s.client.Post(ctx, address, pathEnd, end, nil) // best effort
 	}()
