--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -25,7 +25,7 @@
 	schedulerRetryInterval = 500 * time.Millisecond
 	// placementEndTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
 	placementEndTimeout = 250 * time.Millisecond
-	endsAtOnce          = 256
+	maxPendingEnds      = 256
 )
 
 // schedulers are the gateways that place requests for this one. Their zero number means that it places its own. It is safe for
@@ -41,7 +41,7 @@
 }
 
 func newSchedulers(client *transport.Client) *schedulers {
-	return &schedulers{client: client, ends: make(chan struct{}, endsAtOnce), failed: map[string]time.Duration{}}
+	return &schedulers{client: client, ends: make(chan struct{}, maxPendingEnds), failed: map[string]time.Duration{}}
 }
 
 // use replaces the schedulers.
