--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -31,8 +31,8 @@
 // schedulers are the gateways that place requests for this one. Their zero number means that it places its own. It is safe for
 // concurrent use.
 type schedulers struct {
-	client *transport.Client
-	ends   chan struct{} // a place for each end that is being told
+	client   *transport.Client
+	endSlots chan struct{} // a place for each end that is being told
 
 	mu        sync.Mutex
 	addresses []string
@@ -41,7 +41,7 @@
 }
 
 func newSchedulers(client *transport.Client) *schedulers {
-	return &schedulers{client: client, ends: make(chan struct{}, maxPendingEnds), failed: map[string]time.Duration{}}
+	return &schedulers{client: client, endSlots: make(chan struct{}, maxPendingEnds), failed: map[string]time.Duration{}}
 }
 
 // use replaces the schedulers.
@@ -92,12 +92,12 @@
 // tell tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
 func (s *schedulers) tell(address string, end wirePlacementEnd) {
 	select {
-	case s.ends <- struct{}{}:
+	case s.endSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-s.ends }()
+		defer func() { <-s.endSlots }()
 		ctx, cancel := context.WithTimeout(context.Background(), placementEndTimeout)
 		defer cancel()
 		_ = s.client.Post(ctx, address, pathEnd, end, nil) // best effort
