--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -36,12 +36,12 @@
 
 	mu        sync.Mutex
 	addresses []string
-	failed    map[string]time.Duration // when one last gave no answer
+	failedAt  map[string]time.Duration // when one last gave no answer
 	tickets   uint64
 }
 
 func newSchedulers(client *transport.Client) *schedulers {
-	return &schedulers{client: client, endSlots: make(chan struct{}, maxPendingEnds), failed: map[string]time.Duration{}}
+	return &schedulers{client: client, endSlots: make(chan struct{}, maxPendingEnds), failedAt: map[string]time.Duration{}}
 }
 
 // use replaces the schedulers.
@@ -49,9 +49,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses = addresses
-	for address := range s.failed {
+	for address := range s.failedAt {
 		if !slices.Contains(addresses, address) {
-			delete(s.failed, address)
+			delete(s.failedAt, address)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
 	var asked []string
 	for _, address := range s.addresses {
-		if failed, known := s.failed[address]; !known || now > failed+schedulerRetryInterval {
+		if failed, known := s.failedAt[address]; !known || now > failed+schedulerRetryInterval {
 			asked = append(asked, address)
 		}
 	}
@@ -77,7 +77,7 @@
 // noteFailed notes that a scheduler gave no answer.
 func (s *schedulers) noteFailed(now time.Duration, address string) {
 	s.mu.Lock()
-	s.failed[address] = now
+	s.failedAt[address] = now
 	s.mu.Unlock()
 }
 
