--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -34,10 +34,10 @@
 	client   *transport.Client
 	endSlots chan struct{} // a place for each end that is being told
 
-	mu        sync.Mutex
-	addresses []string
-	failedAt  map[string]time.Duration // when one last gave no answer
-	tickets   uint64
+	mu              sync.Mutex
+	addresses       []string
+	failedAt        map[string]time.Duration // when one last gave no answer
+	lastPlacementID uint64
 }
 
 func newSchedulers(client *transport.Client) *schedulers {
@@ -85,8 +85,8 @@
 func (s *schedulers) ticket(nick string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tickets++
-	return nick + "-" + strconv.FormatUint(s.tickets, saltBase)
+	s.lastPlacementID++
+	return nick + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
 }
 
 // tell tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
