--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -135,7 +135,7 @@
 	g.gateways.Store(int64(reply.Gateways))
 	g.near.update(reply.Near)
 	g.spread.use(reply.Mesh)
-	g.schedulers.use(reply.Mesh.Schedulers)
+	g.schedulers.setAddresses(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
 	g.readCaches(ctx, reply)
 	if g.view.Load() != nil {
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -44,8 +44,8 @@
 	return &schedulers{client: client, endSlots: make(chan struct{}, maxPendingEnds), failedAt: map[string]time.Duration{}}
 }
 
-// use replaces the schedulers.
-func (s *schedulers) use(addresses []string) {
+// setAddresses replaces the schedulers.
+func (s *schedulers) setAddresses(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses = addresses
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -179,7 +179,7 @@
 	}
 	defer silent.Close()
 	g := scheduler(3)
-	g.schedulers.use([]string{silent.Addr().String()})
+	g.schedulers.setAddresses([]string{silent.Addr().String()})
 	x := &exchange{gateway: g, route: &catalog.Route{}, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour}
 	if chosen := x.place(); chosen == nil || chosen.scheduled != nil {
 		t.Fatalf("chosen %+v", chosen)
@@ -205,7 +205,7 @@
 	}
 	defer func() { _ = server.Close(context.Background()) }()
 	g := scheduler(3)
-	g.schedulers.use([]string{"127.0.0.1:17391"})
+	g.schedulers.setAddresses([]string{"127.0.0.1:17391"})
 	g.table.rows["i-0"].avoidUntil = time.Hour
 	x := &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
