--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// order returns the schedulers to ask for a prompt, best first: the same one for the same shared parts while it answers, so
+// forPrompt returns the schedulers to ask for a prompt, best first: the same one for the same shared parts while it answers, so
 // that one sees all of a prompt's requests in a zone.
-func (s *schedulers) order(now time.Duration, parts []prefix.Part) []string {
+func (s *schedulers) forPrompt(now time.Duration, parts []prefix.Part) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
@@ -116,7 +116,7 @@
 	if !in.trusted {
 		return nil
 	}
-	asked := g.schedulers.order(g.now(), x.call.Parts)
+	asked := g.schedulers.forPrompt(g.now(), x.call.Parts)
 	if len(asked) == 0 {
 		return nil
 	}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -184,7 +184,7 @@
 	if chosen := x.place(); chosen == nil || chosen.scheduled != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
-	if asked := g.schedulers.order(g.now(), x.call.Parts); len(asked) > 0 {
+	if asked := g.schedulers.forPrompt(g.now(), x.call.Parts); len(asked) > 0 {
 		t.Fatalf("%v would be asked again at once", asked)
 	}
 }
