--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -74,8 +74,8 @@
 	return asked[:min(len(asked), maxSchedulersAsked)]
 }
 
-// noteFailed notes that a scheduler gave no answer.
-func (s *schedulers) noteFailed(now time.Duration, address string) {
+// recordFailure notes that a scheduler gave no answer.
+func (s *schedulers) recordFailure(now time.Duration, address string) {
 	s.mu.Lock()
 	s.failedAt[address] = now
 	s.mu.Unlock()
@@ -142,7 +142,7 @@
 
 // noteSilent notes and logs that a scheduler gave no answer.
 func (g *Gateway) noteSilent(address string, err error) {
-	g.schedulers.noteFailed(g.now(), address)
+	g.schedulers.recordFailure(g.now(), address)
 	g.metrics.unasked.Inc()
 	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
