--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -81,8 +81,8 @@
 	s.mu.Unlock()
 }
 
-// ticket returns a new name of a placement.
-func (s *schedulers) ticket(nick string) string {
+// newPlacementID returns a new name of a placement.
+func (s *schedulers) newPlacementID(nick string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastPlacementID++
@@ -122,7 +122,7 @@
 	}
 	question := x.question(in)
 	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.nick)}
+		made := scheduled{scheduler: address, ticket: g.schedulers.newPlacementID(g.nick)}
 		question.PlacementID = made.ticket
 		var answer wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
