--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -89,8 +89,8 @@
 	return nick + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
 }
 
-// tell tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
-func (s *schedulers) tell(address string, end wirePlacementEnd) {
+// reportEnd tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
+func (s *schedulers) reportEnd(address string, end wirePlacementEnd) {
 	select {
 	case s.endSlots <- struct{}{}:
 	default:
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.tell(address, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick})
+		g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick})
 		return nil
 	}
 	return chosen
@@ -217,7 +217,7 @@
 		return
 	}
 	g := a.exchange.gateway
-	g.schedulers.tell(made.scheduler, wirePlacementEnd{
+	g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{
 		FirstEventMS: a.first().Milliseconds(),
 		PlacementID:  made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
