--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -58,7 +58,7 @@
 	transfer        belief.Transfer // of cached parts, caused by the placement
 	retryAfter      time.Duration   // if not 0, the request is to be rejected, and retried after this time
 	// scheduled is set if a scheduler made the placement, and nil if this gateway did.
-	scheduled *scheduled
+	scheduled *schedulerPlacement
 }
 
 // selectionInput describes the request for which a back end is selected.
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -104,8 +104,8 @@
 	}()
 }
 
-// scheduled is a placement that a scheduler made.
-type scheduled struct {
+// schedulerPlacement is a placement that a scheduler made.
+type schedulerPlacement struct {
 	scheduler string // its address
 	ticket    string
 }
@@ -122,7 +122,7 @@
 	}
 	question := x.question(in)
 	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.newPlacementID(g.nick)}
+		made := schedulerPlacement{scheduler: address, ticket: g.schedulers.newPlacementID(g.nick)}
 		question.PlacementID = made.ticket
 		var answer wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
@@ -177,7 +177,7 @@
 
 // scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacementReply, made scheduled, in selectionInput) *candidate {
+func (g *Gateway) scheduledCandidate(answer *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
