--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -106,8 +106,8 @@
 
 // schedulerPlacement is a placement that a scheduler made.
 type schedulerPlacement struct {
-	scheduler string // its address
-	ticket    string
+	scheduler   string // its address
+	placementID string
 }
 
 // askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
@@ -122,8 +122,8 @@
 	}
 	question := x.question(in)
 	for _, address := range asked {
-		made := schedulerPlacement{scheduler: address, ticket: g.schedulers.newPlacementID(g.nick)}
-		question.PlacementID = made.ticket
+		made := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
+		question.PlacementID = made.placementID
 		var answer wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
@@ -135,7 +135,7 @@
 			return nil
 		}
 		g.noteSilent(address, err)
-		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: made.placementID, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{PlacementID: made.ticket, Gateway: g.nick})
+		g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{PlacementID: made.placementID, Gateway: g.nick})
 		return nil
 	}
 	return chosen
@@ -219,6 +219,6 @@
 	g := a.exchange.gateway
 	g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{
 		FirstEventMS: a.first().Milliseconds(),
-		PlacementID:  made.ticket, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
+		PlacementID:  made.placementID, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
 }
