--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -254,7 +254,7 @@
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
 		news := x.gateway.table.rosterChanged.Next()
-		chosen := x.askSchedulers(in)
+		chosen := x.requestPlacement(in)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), in)
 			x.gateway.rejectIfOverloaded(x.gateway.now(), chosen, in)
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -110,8 +110,8 @@
 	placementID string
 }
 
-// askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
-func (x *exchange) askSchedulers(in selectionInput) *candidate {
+// requestPlacement returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
+func (x *exchange) requestPlacement(in selectionInput) *candidate {
 	g := x.gateway
 	if !in.trusted {
 		return nil
