--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -134,14 +134,14 @@
 		if x.ctx.Err() != nil {
 			return nil
 		}
-		g.noteSilent(address, err)
+		g.recordNoReply(address, err)
 		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: made.placementID, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
 
-// noteSilent notes and logs that a scheduler gave no answer.
-func (g *Gateway) noteSilent(address string, err error) {
+// recordNoReply notes and logs that a scheduler gave no answer.
+func (g *Gateway) recordNoReply(address string, err error) {
 	g.schedulers.recordFailure(g.now(), address)
 	g.metrics.unasked.Inc()
 	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
