--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -120,7 +120,7 @@
 	if len(asked) == 0 {
 		return nil
 	}
-	question := x.question(in)
+	question := x.placementRequest(in)
 	for _, address := range asked {
 		made := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
 		question.PlacementID = made.placementID
@@ -147,8 +147,8 @@
 	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
-// question returns what schedulers are asked.
-func (x *exchange) question(in selectionInput) wirePlacementRequest {
+// placementRequest returns what schedulers are asked.
+func (x *exchange) placementRequest(in selectionInput) wirePlacementRequest {
 	g := x.gateway
 	asked := wirePlacementRequest{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
