--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -131,7 +131,7 @@
 			t.Fatalf("chosen %q", got)
 		}
 	}
-	if without := g.table.unwanted(now, "s", nil); len(without) != 1 || without[0] != "i-0" {
+	if without := g.table.excluded(now, "s", nil); len(without) != 1 || without[0] != "i-0" {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
 	alone := &wirePlacementRequest{PlacementID: "t1", Gateway: "a", Service: "s", Model: "m", TimeoutMS: 5000, Excluded: []string{"i-1"}}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -137,7 +137,7 @@
 	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
-	if without := s.table.unwanted(s.now(), "s", nil); len(without) != 1 {
+	if without := s.table.excluded(s.now(), "s", nil); len(without) != 1 {
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
 	in := selectionInput{service: x.service, call: &x.call, trusted: true}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -152,7 +152,7 @@
 	g := x.gateway
 	asked := wirePlacementRequest{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
-		Excluded: g.table.unwanted(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
+		Excluded: g.table.excluded(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
@@ -162,8 +162,8 @@
 	return asked
 }
 
-// unwanted returns the back ends that a request was sent to already, and those that this gateway avoids.
-func (t *table) unwanted(now time.Duration, service string, tried []*endpoint) []string {
+// excluded returns the back ends that a request was sent to already, and those that this gateway avoids.
+func (t *table) excluded(now time.Duration, service string, tried []*endpoint) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var ids []string
