--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -73,10 +73,10 @@
 			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
 		}
 		in := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
-		if placed := g.scheduledCandidate(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); (placed == nil) != late {
+		if placed := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); (placed == nil) != late {
 			t.Errorf("named %v ago, version 1 expected by the scheduler: placed %t", age, placed != nil)
 		}
-		if g.scheduledCandidate(&wirePlacementReply{Instance: "i-0", Version: 2}, schedulerPlacement{}, in) == nil {
+		if g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 2}, schedulerPlacement{}, in) == nil {
 			t.Errorf("named %v ago: no place on version 2", age)
 		}
 	}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -257,7 +257,7 @@
 	x := newModelRequest(g)
 	limit := 3.5
 	placed := &wirePlacementReply{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
-	g.scheduledCandidate(placed, schedulerPlacement{}, selectionInput{service: x.service, call: &x.call, trusted: true})
+	g.candidateFromReply(placed, schedulerPlacement{}, selectionInput{service: x.service, call: &x.call, trusted: true})
 	if rate() != 3.5 {
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -113,7 +113,7 @@
 	t.Run("placed by a scheduler", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		plan := g.scheduledCandidate(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, input(g))
+		plan := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
 		if chosen.barred() == "" {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -90,7 +90,7 @@
 // TestRefusalOfASchedulerIsPassedOn by the gateway that asked, which does not place the request by itself then.
 func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
 	g := scheduler(2)
-	chosen := g.scheduledCandidate(&wirePlacementReply{Instance: "i-0", WaitMS: 3000, RetryAfterMS: 1200}, schedulerPlacement{}, selectionInput{})
+	chosen := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", WaitMS: 3000, RetryAfterMS: 1200}, schedulerPlacement{}, selectionInput{})
 	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
 		t.Fatalf("%+v", chosen)
 	}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -141,7 +141,7 @@
 		t.Fatalf("a scheduler would be told to leave out %v", without)
 	}
 	in := selectionInput{service: x.service, call: &x.call, trusted: true}
-	if chosen := s.scheduledCandidate(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); chosen != nil {
+	if chosen := s.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
 	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -129,7 +129,7 @@
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
 		if err == nil {
-			return g.scheduledCandidate(&answer, made, in)
+			return g.candidateFromReply(&answer, made, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
@@ -175,9 +175,9 @@
 	return ids
 }
 
-// scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
+// candidateFromReply returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
+func (g *Gateway) candidateFromReply(answer *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
 	if answer.Instance == "" {
 		return nil
 	}
