--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -181,8 +181,8 @@
 	x := a.exchange
 	running := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
-		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
-		x.gateway.table.observeQueueWait(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.began)
+		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.timeToFirstEvent())
+		x.gateway.table.observeQueueWait(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.timeToFirstEvent(), x.gateway.now()-a.began)
 		x.gateway.spread.own(send{Gateway: x.gateway.nick, Load: running, Instance: a.row.entry.ID})
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -202,8 +202,8 @@
 	return chosen
 }
 
-// first returns how long after the send the first event came, or 0.
-func (a *attempt) first() time.Duration {
+// timeToFirstEvent returns how long after the send the timeToFirstEvent event came, or 0.
+func (a *attempt) timeToFirstEvent() time.Duration {
 	if !a.begun.Load() {
 		return 0
 	}
@@ -218,7 +218,7 @@
 	}
 	g := a.exchange.gateway
 	g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{
-		FirstEventMS: a.first().Milliseconds(),
+		FirstEventMS: a.timeToFirstEvent().Milliseconds(),
 		PlacementID:  made.placementID, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
 }
