--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -117,7 +117,7 @@
 func (a *attempt) perform() result {
 	x := a.exchange
 	defer a.cancel(nil)
-	defer a.settle()
+	defer a.reportEnd()
 	rest := idleOnce
 	if x.route.Retryable() {
 		rest = idleRepeatable
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -210,8 +210,8 @@
 	return max(0, a.exchange.firstAt-a.began)
 }
 
-// settle tells the scheduler that placed an attempt how it ended.
-func (a *attempt) settle() {
+// reportEnd tells the scheduler that placed an attempt how it ended.
+func (a *attempt) reportEnd() {
 	made := a.plan.scheduled
 	if made == nil {
 		return
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -219,7 +219,7 @@
 	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 1 {
 		t.Fatalf("%d requests counted", n)
 	}
-	x.newAttempt(chosen).settle()
+	x.newAttempt(chosen).reportEnd()
 	<-ended
 	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 0 {
 		t.Fatalf("%d requests counted after the end", n)
