--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -117,7 +117,7 @@
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
-		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
+		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheLimits())
 		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
 		for _, change := range changes {
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -81,7 +81,7 @@
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
-		g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
+		g.table.applyRoster(0, &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
 		at := &cacheCursor{}
 		holds := func(wanted string) {
 			t.Helper()
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -115,7 +115,7 @@
 			Instance: catalog.Instance{ID: fmt.Sprint("p-", i), Service: "plain", Zone: "z", Slots: 6, State: catalog.StateReady},
 		})
 	}
-	g.table.takeRoster(0, news, nil)
+	g.table.applyRoster(0, news, nil)
 	g.table.applySends(time.Second, []send{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -29,7 +29,7 @@
 				change(&entry)
 				news.Entries = []control.RosterEntry{entry}
 			}
-			g.table.takeRoster(g.now(), news, nil)
+			g.table.applyRoster(g.now(), news, nil)
 			if bar := chosen.barred(); (bar == "") != (what == "the same roster comes once more") {
 				t.Fatalf("barred: %q", bar)
 			}
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -14,7 +14,7 @@
 	t = newTable(mechanism.Set{})
 	tell = func(versions map[string]uint64) {
 		entry := control.RosterEntry{Instance: catalog.Instance{ID: "e@1", Service: "engine", Address: "a"}, Versions: versions}
-		t.takeRoster(time.Second, &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+		t.applyRoster(time.Second, &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
 	}
 	return t, tell
 }
@@ -63,7 +63,7 @@
 		publishVersion(g, 2, age)
 		entry := g.table.rows["i-0"].entry
 		entry.Versions = map[string]uint64{"m": 2}
-		g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+		g.table.applyRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
 		return g, chosen
 	}
 	for _, age := range []time.Duration{10 * time.Second, 2 * time.Minute} {
@@ -103,7 +103,7 @@
 	publishVersion(g, 2, 5*time.Minute)
 	entry := g.table.rows["i-0"].entry
 	entry.Versions = map[string]uint64{"m": 2}
-	g.table.takeRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+	g.table.applyRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
 	sendsUnconfirmed(t, g)
 }
 
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -236,7 +236,7 @@
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
 				g.table.recordVersion(g.now(), rows[id], "m", version)
 				versions[id] = max(versions[id], version)
-				g.table.takeRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
+				g.table.applyRoster(g.now(), &control.RosterNews{Gone: []string{id}}, nil)
 			}
 			g.watchStartDeadlines()
 			for _, attempted := range sent {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -92,7 +92,7 @@
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
 	tell := func(g *Gateway, life catalog.Incarnation, address string) {
-		g.table.takeRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
+		g.table.applyRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
 			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
 	}
@@ -102,7 +102,7 @@
 	}{
 		"told anew": {func(g *Gateway) { tell(g, first, "a") }, false},
 		"left and back": {func(g *Gateway) {
-			g.table.takeRoster(g.now(), &control.RosterNews{Whole: true}, nil)
+			g.table.applyRoster(g.now(), &control.RosterNews{Whole: true}, nil)
 			tell(g, first, "a")
 		}, false},
 		"another address": {func(g *Gateway) { tell(g, first, "b") }, false},
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -19,8 +19,8 @@
 	entry control.RosterEntry
 }
 
-// takeRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
-func (t *table) takeRoster(now time.Duration, news *control.RosterNews, cacheLimits map[string]int) []rosterChange {
+// applyRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
+func (t *table) applyRoster(now time.Duration, news *control.RosterNews, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -36,7 +36,7 @@
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
-	g.table.takeRoster(0, news, nil)
+	g.table.applyRoster(0, news, nil)
 	return g
 }
 
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -261,7 +261,7 @@
 					Versions: map[string]uint64{"m": 1},
 				})
 			}
-			g.table.takeRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
+			g.table.applyRoster(0, &control.RosterNews{Whole: true, Entries: entries}, nil)
 			for i := range engines / 2 {
 				g.table.recordOwnSend(0, send{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
@@ -335,7 +335,7 @@
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
-	g.table.takeRoster(0, news, nil)
+	g.table.applyRoster(0, news, nil)
 	preamble, dossier, own := prefix.Part{ID: "p", Tokens: 2500}, prefix.Part{ID: "d", Tokens: 3800}, prefix.Part{ID: "o", Tokens: 10}
 	for i := range engines {
 		parts := []prefix.Part{preamble, {ID: fmt.Sprint("other", i), Tokens: 100}, own}
