--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -27,7 +27,7 @@
 	if over {
 		news := pushback.Limit{Withdrawn: true}
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: news}})
-		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
+		g.noteLimit(now, row.entry.ID, news, sourceAnswer, "")
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -13,7 +13,7 @@
 
 // Who told that a back end leaves, in the log: itself, or another gateway that it told so; else control did.
 const (
-	toldByAnswer  = "answer"
+	sourceAnswer  = "answer"
 	toldByGateway = "gateway"
 )
 
@@ -55,13 +55,13 @@
 	if !news.others.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
 	}
-	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
+	g.noteLimit(now, row.entry.ID, news.limit, sourceAnswer, told.limitUnread)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
 	if news.others.Draining {
-		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
+		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
 	if told.said.Backoff <= 0 && told.unread == "" {
 		return
