--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -263,9 +263,9 @@
 	}
 	for _, told := range g.table.applySends(g.now(), sends) {
 		if told.news.Draining {
-			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", toldByGateway))
+			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", sourceGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.news.Limit, toldByGateway, "")
+		g.noteLimit(g.now(), told.instance, told.news.Limit, sourceGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -43,7 +43,7 @@
 	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
-		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
+		g.noteLimit(now, answer.Instance, limit, sourceGateway, "")
 	}
 }
 
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -14,7 +14,7 @@
 // Who told that a back end leaves, in the log: itself, or another gateway that it told so; else control did.
 const (
 	sourceAnswer  = "answer"
-	toldByGateway = "gateway"
+	sourceGateway = "gateway"
 )
 
 // hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
