--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -24,7 +24,7 @@
 	}
 	x := a.exchange
 	verdict := x.gateway.dialect.Judge(answer.StatusCode, answer.Header)
-	a.hear(answer.StatusCode, verdict)
+	a.handlePushback(answer.StatusCode, verdict)
 	if x.call.ID != "" && verdict.ID != x.call.ID && !(verdict.NotRun && verdict.ID == "") {
 		return a.broken("answer of another request")
 	}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -32,9 +32,9 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.hear(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.handlePushback(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(200, Verdict{LimitUnread: "3,8"})
+	attemptAt(g, g.table.rows["i-1"]).handlePushback(200, Verdict{LimitUnread: "3,8"})
 	got := lines.FilterMessage(events.InstanceLimits).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnread] != "3,8" {
@@ -48,16 +48,16 @@
 	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
-	sent.hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
+	sent.handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
 	if len(lines.FilterMessage(events.InstanceUnlimited).All()) > 0 {
 		t.Fatal("an answer to a request from before ended the limit")
 	}
 	now += time.Second
-	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
 	if counts, _ := g.table.limited(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
-	attemptAt(g, g.table.rows["i-0"]).hear(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
+	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
 	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -17,8 +17,8 @@
 	sourceGateway = "gateway"
 )
 
-// hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
-func (a *attempt) hear(status int, verdict Verdict) {
+// handlePushback takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
+func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
 	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,9 +26,9 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
+		sent.handlePushback(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(503, Verdict{NotRun: true, Unread: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).handlePushback(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
 	if len(got) != 2 {
 		t.Fatalf("lines %v", lines.All())
