--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -21,7 +21,7 @@
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
-	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.handlePushback(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.began)
@@ -31,7 +31,7 @@
 // hearAside takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
 func (g *Gateway) hearAside(id string, news CacheNews) {
 	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
-		g.hear(row, heard{said: news.Said})
+		g.handlePushback(row, heard{said: news.Said})
 	}
 }
 
@@ -45,8 +45,8 @@
 	limitUnread string
 }
 
-// hear takes up and logs what a back end says of itself.
-func (g *Gateway) hear(row *endpoint, told heard) {
+// handlePushback takes up and logs what a back end says of itself.
+func (g *Gateway) handlePushback(row *endpoint, told heard) {
 	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
 		return
 	}
