--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -119,7 +119,7 @@
 		return g.listCache(ctx, id, address, at)
 	}
 	news, err := g.reader.Events(ctx, address, at.next)
-	g.hearAside(id, news)
+	g.handleCachePushback(id, news)
 	if err != nil {
 		return true, err
 	}
@@ -139,7 +139,7 @@
 	}
 	at.listedAt = g.now()
 	news, err := g.reader.List(ctx, address)
-	g.hearAside(id, news)
+	g.handleCachePushback(id, news)
 	if err != nil {
 		return true, err
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// hearAside takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
-func (g *Gateway) hearAside(id string, news CacheNews) {
+// handleCachePushback takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
+func (g *Gateway) handleCachePushback(id string, news CacheNews) {
 	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
 		g.handlePushback(row, heard{said: news.Said})
 	}
