--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -21,7 +21,7 @@
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.began)
@@ -31,12 +31,12 @@
 // handleCachePushback takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
 func (g *Gateway) handleCachePushback(id string, news CacheNews) {
 	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
-		g.handlePushback(row, heard{said: news.Said})
+		g.handlePushback(row, answerPushback{said: news.Said})
 	}
 }
 
-// heard is what an answer says of its back end, with what the log tells of it.
-type heard struct {
+// answerPushback is what an answer says of its back end, with what the log tells of it.
+type answerPushback struct {
 	request string // "" of an answer to no caller's request
 	status  int
 	said    pushback.Signals
@@ -46,7 +46,7 @@
 }
 
 // handlePushback takes up and logs what a back end says of itself.
-func (g *Gateway) handlePushback(row *endpoint, told heard) {
+func (g *Gateway) handlePushback(row *endpoint, told answerPushback) {
 	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
 		return
 	}
