--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // names lets a back end name a limit to a gateway.
 func names(g *Gateway, id string, rate float64) {
-	g.handlePushback(g.table.rows[id], answerPushback{said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
+	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -21,7 +21,7 @@
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, said: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.began)
@@ -31,7 +31,7 @@
 // handleCachePushback takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
 func (g *Gateway) handleCachePushback(id string, news CacheNews) {
 	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
-		g.handlePushback(row, answerPushback{said: news.Said})
+		g.handlePushback(row, answerPushback{signals: news.Said})
 	}
 }
 
@@ -39,7 +39,7 @@
 type answerPushback struct {
 	request string // "" of an answer to no caller's request
 	status  int
-	said    pushback.Signals
+	signals pushback.Signals
 	unread  string
 
 	limitUnread string
@@ -47,11 +47,11 @@
 
 // handlePushback takes up and logs what a back end says of itself.
 func (g *Gateway) handlePushback(row *endpoint, told answerPushback) {
-	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
+	if told.signals.IsEmpty() && told.unread == "" && told.limitUnread == "" {
 		return
 	}
 	now := g.now()
-	news := g.table.hear(now, row, told.said)
+	news := g.table.hear(now, row, told.signals)
 	if !news.others.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
 	}
@@ -63,11 +63,11 @@
 	if news.others.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if told.said.Backoff <= 0 && told.unread == "" {
+	if told.signals.Backoff <= 0 && told.unread == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.said.Backoff),
+		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.signals.Backoff),
 			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -59,12 +59,12 @@
 
 // asks lets a back end ask a gateway for rest.
 func asks(g *Gateway, id string, rest time.Duration) {
-	g.handlePushback(g.table.rows[id], answerPushback{said: pushback.Signals{Backoff: rest}, status: 503})
+	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
 // leaves lets a back end tell a gateway that it leaves.
 func leaves(g *Gateway, id string) {
-	g.handlePushback(g.table.rows[id], answerPushback{said: pushback.Signals{Draining: true}, status: 200})
+	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
 // Between the choice and the send lies a connection that may take 300 ms to come up, or a scheduler's answer: what the back end says of itself
