--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -21,7 +21,7 @@
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unread: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unreadableBackoff: verdict.Unread, limitUnread: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.began)
@@ -37,17 +37,17 @@
 
 // answerPushback is what an answer says of its back end, with what the log tells of it.
 type answerPushback struct {
-	request string // "" of an answer to no caller's request
-	status  int
-	signals pushback.Signals
-	unread  string
+	request           string // "" of an answer to no caller's request
+	status            int
+	signals           pushback.Signals
+	unreadableBackoff string
 
 	limitUnread string
 }
 
 // handlePushback takes up and logs what a back end says of itself.
 func (g *Gateway) handlePushback(row *endpoint, told answerPushback) {
-	if told.signals.IsEmpty() && told.unread == "" && told.limitUnread == "" {
+	if told.signals.IsEmpty() && told.unreadableBackoff == "" && told.limitUnread == "" {
 		return
 	}
 	now := g.now()
@@ -63,12 +63,12 @@
 	if news.others.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if told.signals.Backoff <= 0 && told.unread == "" {
+	if told.signals.Backoff <= 0 && told.unreadableBackoff == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
 		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.signals.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unread), zap.Int("held", held))...)
+			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
