--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -21,7 +21,7 @@
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unreadableBackoff: verdict.Unread, limitUnread: verdict.LimitUnread})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unreadableBackoff: verdict.Unread, unreadableLimit: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
 		g.hearUnlimited(a.row, a.began)
@@ -42,12 +42,12 @@
 	signals           pushback.Signals
 	unreadableBackoff string
 
-	limitUnread string
+	unreadableLimit string
 }
 
 // handlePushback takes up and logs what a back end says of itself.
 func (g *Gateway) handlePushback(row *endpoint, told answerPushback) {
-	if told.signals.IsEmpty() && told.unreadableBackoff == "" && told.limitUnread == "" {
+	if told.signals.IsEmpty() && told.unreadableBackoff == "" && told.unreadableLimit == "" {
 		return
 	}
 	now := g.now()
@@ -55,7 +55,7 @@
 	if !news.others.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
 	}
-	g.noteLimit(now, row.entry.ID, news.limit, sourceAnswer, told.limitUnread)
+	g.noteLimit(now, row.entry.ID, news.limit, sourceAnswer, told.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
