--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -72,15 +72,15 @@
 	}
 }
 
-// news is what of a back end's word is to be told.
-type news struct {
+// pushbackChanges is what of a back end's word is to be told.
+type pushbackChanges struct {
 	bar    pushback.Restriction // what now keeps requests from it
 	others pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
 	limit  pushback.Limit       // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
-func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
+func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
