--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -68,15 +68,15 @@
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
 		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.signals.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnread, told.unreadableBackoff), zap.Int("held", held))...)
+			zap.Duration(events.FieldRestLeft, max(0, news.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, told.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
 // pushbackChanges is what of a back end's word is to be told.
 type pushbackChanges struct {
-	bar    pushback.Restriction // what now keeps requests from it
-	others pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit  pushback.Limit       // for the log: only if it differs from the one before
+	restriction pushback.Restriction // what now keeps requests from it
+	others      pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
+	limit       pushback.Limit       // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
@@ -85,9 +85,9 @@
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
 	limit, heard := t.signals.LimitObservedAt(row.incarnation)
-	made.bar = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
+	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
-	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
+	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
 		made.limit, made.others.Limit = said.Limit, said.Limit
 	}
