--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -52,15 +52,15 @@
 	}
 	now := g.now()
 	news := g.table.hear(now, row, told.signals)
-	if !news.others.IsEmpty() {
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.others})
+	if !news.forPeers.IsEmpty() {
+		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
 	}
 	g.noteLimit(now, row.entry.ID, news.limit, sourceAnswer, told.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
 	}
-	if news.others.Draining {
+	if news.forPeers.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
 	if told.signals.Backoff <= 0 && told.unreadableBackoff == "" {
@@ -75,7 +75,7 @@
 // pushbackChanges is what of a back end's word is to be told.
 type pushbackChanges struct {
 	restriction pushback.Restriction // what now keeps requests from it
-	others      pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
+	forPeers    pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
 	limit       pushback.Limit       // for the log: only if it differs from the one before
 }
 
@@ -87,12 +87,12 @@
 	limit, heard := t.signals.LimitObservedAt(row.incarnation)
 	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
 	t.makeDearer(now, row, said.Backoff)
-	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
+	made.forPeers = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
-		made.limit, made.others.Limit = said.Limit, said.Limit
+		made.limit, made.forPeers.Limit = said.Limit, said.Limit
 	}
 	if said.Limit.Advertised && now >= heard+retellEach {
-		made.others.Limit = said.Limit
+		made.forPeers.Limit = said.Limit
 	}
 	return made
 }
