--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -55,7 +55,7 @@
 	if !news.forPeers.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
 	}
-	g.noteLimit(now, row.entry.ID, news.limit, sourceAnswer, told.unreadableLimit)
+	g.noteLimit(now, row.entry.ID, news.forLog, sourceAnswer, told.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
@@ -76,7 +76,7 @@
 type pushbackChanges struct {
 	restriction pushback.Restriction // what now keeps requests from it
 	forPeers    pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit       pushback.Limit       // for the log: only if it differs from the one before
+	forLog      pushback.Limit       // for the log: only if it differs from the one before
 }
 
 // hear notes what a back end says of itself, and returns what of it is news.
@@ -89,7 +89,7 @@
 	t.makeDearer(now, row, said.Backoff)
 	made.forPeers = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
-		made.limit, made.forPeers.Limit = said.Limit, said.Limit
+		made.forLog, made.forPeers.Limit = said.Limit, said.Limit
 	}
 	if said.Limit.Advertised && now >= heard+retellEach {
 		made.forPeers.Limit = said.Limit
