--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -51,7 +51,7 @@
 		return
 	}
 	now := g.now()
-	news := g.table.hear(now, row, told.signals)
+	news := g.table.observePushback(now, row, told.signals)
 	if !news.forPeers.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
 	}
@@ -79,8 +79,8 @@
 	forLog      pushback.Limit       // for the log: only if it differs from the one before
 }
 
-// hear notes what a back end says of itself, and returns what of it is news.
-func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made pushbackChanges) {
+// observePushback notes what a back end says of itself, and returns what of it is news.
+func (t *table) observePushback(now time.Duration, row *endpoint, said pushback.Signals) (made pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
