--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -97,14 +97,14 @@
 	return made
 }
 
-// restHint is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
-const restHint = maxAvoidance
+// maxPeerBackoff is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
+const maxPeerBackoff = maxAvoidance
 
 // makeDearer lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
 // gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
 func (t *table) makeDearer(at time.Duration, row *endpoint, rest time.Duration) {
 	if rest > 0 {
-		row.avoidUntil = max(row.avoidUntil, at+min(rest, restHint))
+		row.avoidUntil = max(row.avoidUntil, at+min(rest, maxPeerBackoff))
 	}
 }
 
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -144,7 +144,7 @@
 	if chosen := s.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); chosen != nil {
 		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
 	}
-	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
+	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < maxPeerBackoff-time.Second || avoided > maxPeerBackoff {
 		t.Fatalf("dearer to others for %v", avoided)
 	}
 	if !s.table.remains(s.table.rows["i-0"]) {
@@ -246,7 +246,7 @@
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > restHint {
+	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > maxPeerBackoff {
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = told(pushback.Signals{Draining: true})
