--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -86,7 +86,7 @@
 	before := t.signals.Restriction(now, row.incarnation)
 	limit, heard := t.signals.LimitObservedAt(row.incarnation)
 	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
-	t.makeDearer(now, row, said.Backoff)
+	t.deprioritize(now, row, said.Backoff)
 	made.forPeers = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
 		made.forLog, made.forPeers.Limit = said.Limit, said.Limit
@@ -100,9 +100,9 @@
 // maxPeerBackoff is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
 const maxPeerBackoff = maxAvoidance
 
-// makeDearer lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
+// deprioritize lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
 // gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
-func (t *table) makeDearer(at time.Duration, row *endpoint, rest time.Duration) {
+func (t *table) deprioritize(at time.Duration, row *endpoint, rest time.Duration) {
 	if rest > 0 {
 		row.avoidUntil = max(row.avoidUntil, at+min(rest, maxPeerBackoff))
 	}
@@ -111,7 +111,7 @@
 // hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
 func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
-	t.makeDearer(at, row, said.Backoff)
+	t.deprioritize(at, row, said.Backoff)
 	if t.signals.ObserveLimit(at, row.incarnation, said.Limit) {
 		news.Limit = said.Limit
 	}
