--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -240,7 +240,7 @@
 			continue
 		}
 		if !sent.Said.IsEmpty() {
-			if fresh := t.hearOf(now, at, row, sent.Said); !fresh.IsEmpty() {
+			if fresh := t.observePeerPushback(now, at, row, sent.Said); !fresh.IsEmpty() {
 				updates = append(updates, said{sent.Instance, fresh})
 			}
 			continue
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
+// observePeerPushback takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
+func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
 	t.deprioritize(at, row, said.Backoff)
 	if t.signals.ObserveLimit(at, row.incarnation, said.Limit) {
 		news.Limit = said.Limit
