--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -182,7 +182,7 @@
 	defer t.mutex.Unlock()
 	sum := 0.0
 	for _, row := range t.services[service] {
-		if row.open() {
+		if row.acceptsRequests() {
 			sum += t.signals.Limit(row.incarnation).Rate
 		}
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -122,8 +122,10 @@
 	return news
 }
 
-// open reports whether control lets requests go to a back end.
-func (e *endpoint) open() bool { return e.entry.State == catalog.StateReady && !e.entry.Loading }
+// acceptsRequests reports whether control lets requests go to a back end.
+func (e *endpoint) acceptsRequests() bool {
+	return e.entry.State == catalog.StateReady && !e.entry.Loading
+}
 
 // bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
@@ -147,7 +149,7 @@
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
 		bar := t.signals.Restriction(now, row.incarnation)
-		if !row.open() || bar.Draining {
+		if !row.acceptsRequests() || bar.Draining {
 			continue
 		}
 		left, why := max(0, bar.BackoffUntil-now), causeResting
