--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -221,7 +221,7 @@
 }
 
 // applySends applies announcements of other gateways, and returns the new signals of back ends among them.
-func (t *table) applySends(now time.Duration, sends []send) (updates []said) {
+func (t *table) applySends(now time.Duration, sends []send) (updates []peerPushback) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, sent := range sends {
@@ -241,7 +241,7 @@
 		}
 		if !sent.Said.IsEmpty() {
 			if fresh := t.observePeerPushback(now, at, row, sent.Said); !fresh.IsEmpty() {
-				updates = append(updates, said{sent.Instance, fresh})
+				updates = append(updates, peerPushback{sent.Instance, fresh})
 			}
 			continue
 		}
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -12,8 +12,8 @@
 	"kitetiller/internal/quota"
 )
 
-// said is what a back end said of itself to another gateway, as far as it is news here.
-type said struct {
+// peerPushback is what a back end peerPushback of itself to another gateway, as far as it is news here.
+type peerPushback struct {
 	instance string
 	news     pushback.Signals
 }
