--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -262,10 +262,10 @@
 		pass(sends[len(sends)-1])
 	}
 	for _, told := range g.table.applySends(g.now(), sends) {
-		if told.news.Draining {
+		if told.signals.Draining {
 			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", sourceGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.news.Limit, sourceGateway, "")
+		g.noteLimit(g.now(), told.instance, told.signals.Limit, sourceGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -15,7 +15,7 @@
 // peerPushback is what a back end peerPushback of itself to another gateway, as far as it is news here.
 type peerPushback struct {
 	instance string
-	news     pushback.Signals
+	signals  pushback.Signals
 }
 
 // hearUnlimited takes up an answer without a limit, to a request that was sent at a time.
