--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -18,8 +18,8 @@
 	signals  pushback.Signals
 }
 
-// hearUnlimited takes up an answer without a limit, to a request that was sent at a time.
-func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
+// observeNoLimit takes up an answer without a limit, to a request that was sent at a time.
+func (g *Gateway) observeNoLimit(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
 	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -78,7 +78,7 @@
 }
 
 // ended lets a back end tell that its limit is over, in the answer to a request that was sent now.
-func ended(g *Gateway, id string) { g.hearUnlimited(g.table.rows[id], g.now()) }
+func ended(g *Gateway, id string) { g.observeNoLimit(g.table.rows[id], g.now()) }
 
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -24,7 +24,7 @@
 	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unreadableBackoff: verdict.Unread, unreadableLimit: verdict.LimitUnread})
 	g.noteStrange(a.row, verdict.Strange)
 	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
-		g.hearUnlimited(a.row, a.began)
+		g.observeNoLimit(a.row, a.began)
 	}
 }
 
