--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// hearScheduler takes up the limit of a back end that a scheduler chose: in a large fleet only schedulers are told by others, and this gateway's
+// observeSchedulerLimit takes up the limit of a back end that a scheduler chose: in a large fleet only schedulers are told by others, and this gateway's
 // first request there would be sent without a part of it.
-func (g *Gateway) hearScheduler(now time.Duration, answer *wirePlacementReply) {
+func (g *Gateway) observeSchedulerLimit(now time.Duration, answer *wirePlacementReply) {
 	if answer.Limit == nil {
 		return
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -185,7 +185,7 @@
 		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.RetryAfterMS)}
 	}
 	now := g.now()
-	g.hearScheduler(now, answer)
+	g.observeSchedulerLimit(now, answer)
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
