--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -265,7 +265,7 @@
 		if told.signals.Draining {
 			g.log.note(events.InstanceLeaving, zap.String(events.FieldInstance, told.instance), zap.String("told_by", sourceGateway))
 		}
-		g.noteLimit(g.now(), told.instance, told.signals.Limit, sourceGateway, "")
+		g.logLimit(g.now(), told.instance, told.signals.Limit, sourceGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -27,7 +27,7 @@
 	if over {
 		news := pushback.Limit{Withdrawn: true}
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: news}})
-		g.noteLimit(now, row.entry.ID, news, sourceAnswer, "")
+		g.logLimit(now, row.entry.ID, news, sourceAnswer, "")
 	}
 }
 
@@ -43,12 +43,12 @@
 	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if news {
-		g.noteLimit(now, answer.Instance, limit, sourceGateway, "")
+		g.logLimit(now, answer.Instance, limit, sourceGateway, "")
 	}
 }
 
-// noteLimit logs that a back end names another limit than before, none any more, or one that can't be read.
-func (g *Gateway) noteLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
+// logLimit logs that a back end names another limit than before, none any more, or one that can't be read.
+func (g *Gateway) logLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
 	case news.Advertised:
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -55,7 +55,7 @@
 	if !news.forPeers.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
 	}
-	g.noteLimit(now, row.entry.ID, news.forLog, sourceAnswer, told.unreadableLimit)
+	g.logLimit(now, row.entry.ID, news.forLog, sourceAnswer, told.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if told.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
