--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -65,9 +65,9 @@
 }
 
 const (
-	// permitPause is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
+	// leaseRetryInterval is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
 	// alone: each question would hold a request up for the time of an answer that doesn't come.
-	permitPause = schedulerRetryInterval
+	leaseRetryInterval = schedulerRetryInterval
 	// permitLeast is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
 	permitLeast = 10 * time.Millisecond
 	// permitsMost is how many back ends a request may find at their limits once it was placed there.
@@ -119,7 +119,7 @@
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
 		outcome = permitUnknown
-		g.table.setUnlent(g.now() + permitPause)
+		g.table.setUnlent(g.now() + leaseRetryInterval)
 	}
 	g.metrics.permits.WithLabelValues(outcome).Inc()
 	return taken.Outcome == desk.Granted
