--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -68,8 +68,8 @@
 	// leaseRetryInterval is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
 	// alone: each question would hold a request up for the time of an answer that doesn't come.
 	leaseRetryInterval = schedulerRetryInterval
-	// permitLeast is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
-	permitLeast = 10 * time.Millisecond
+	// minLimitExhaustion is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
+	minLimitExhaustion = 10 * time.Millisecond
 	// permitsMost is how many back ends a request may find at their limits once it was placed there.
 	permitsMost = 4
 	// permitCost is what a back end costs that names a limit, in milliseconds: the way to the lender and back. For each second that nobody has
@@ -114,7 +114,7 @@
 		a.hold = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = permitOver
-		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
+		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
