--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -314,7 +314,7 @@
 func (x *exchange) goOnFromLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
 	x.overLimit++
-	if x.overLimit < permitsMost {
+	if x.overLimit < maxLimitedAttempts {
 		return true
 	}
 	x.giveUp(reasonLimited, retrySoon)
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -70,8 +70,8 @@
 	leaseRetryInterval = schedulerRetryInterval
 	// minLimitExhaustion is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
 	minLimitExhaustion = 10 * time.Millisecond
-	// permitsMost is how many back ends a request may find at their limits once it was placed there.
-	permitsMost = 4
+	// maxLimitedAttempts is how many back ends a request may find at their limits once it was placed there.
+	maxLimitedAttempts = 4
 	// permitCost is what a back end costs that names a limit, in milliseconds: the way to the lender and back. For each second that nobody has
 	// heard it, up to staleMost, staleGain is taken off: only an answer tells that the limit is over, and beside idle back ends none would come.
 	permitCost = 10.0
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -272,10 +272,10 @@
 	g := scheduler(1)
 	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
-	for i := range permitsMost {
+	for i := range maxLimitedAttempts {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < permitsMost-1) || len(x.tried) != 0 {
+		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < maxLimitedAttempts-1) || len(x.tried) != 0 {
 			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
 		}
 	}
