--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -253,7 +253,7 @@
 		cost += coldCost
 	}
 	if limit, observedAt := g.table.signals.LimitObservedAt(row.incarnation); limit.Advertised {
-		cost += limitCost - limitCostDecay*min(now-observedAt, staleMost).Seconds()
+		cost += limitCost - limitCostDecay*min(now-observedAt, maxLimitCostDecayTime).Seconds()
 	}
 	return cost
 }
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -74,9 +74,9 @@
 	maxLimitedAttempts = 4
 	// limitCost is what a back end costs that names a limit, in milliseconds: the way to the lender and back. For each second that nobody has
 	// heard it, up to staleMost, staleGain is taken off: only an answer tells that the limit is over, and beside idle back ends none would come.
-	limitCost      = 10.0
-	limitCostDecay = 10.0
-	staleMost      = 20 * time.Second
+	limitCost             = 10.0
+	limitCostDecay        = 10.0
+	maxLimitCostDecayTime = 20 * time.Second
 	// retellEach is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
 	retellEach = time.Second
 	// longestTurn bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
