--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -77,8 +77,8 @@
 	limitCost             = 10.0
 	limitCostDecay        = 10.0
 	maxLimitCostDecayTime = 20 * time.Second
-	// retellEach is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
-	retellEach = time.Second
+	// limitUpdateInterval is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
+	limitUpdateInterval = time.Second
 	// longestTurn bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
 	// With what spreads callers it stays below the 8 s of other limits.
 	longestTurn = 7500 * time.Millisecond
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -91,7 +91,7 @@
 	if t.signals.Limit(row.incarnation) != limit {
 		made.forLog, made.forPeers.Limit = said.Limit, said.Limit
 	}
-	if said.Limit.Advertised && now >= heard+retellEach {
+	if said.Limit.Advertised && now >= heard+limitUpdateInterval {
 		made.forPeers.Limit = said.Limit
 	}
 	return made
