--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -79,9 +79,9 @@
 	maxLimitCostDecayTime = 20 * time.Second
 	// limitUpdateInterval is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
 	limitUpdateInterval = time.Second
-	// longestTurn bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
+	// maxLimitRetryAfter bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
 	// With what spreads callers it stays below the 8 s of other limits.
-	longestTurn = 7500 * time.Millisecond
+	maxLimitRetryAfter = 7500 * time.Millisecond
 )
 
 // Outcomes of questions for a part of a back end's limit, in metrics.
@@ -187,7 +187,7 @@
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
-	at := min(max(now+first, t.lastRetryAt[service]+step), now+longestTurn)
+	at := min(max(now+first, t.lastRetryAt[service]+step), now+maxLimitRetryAfter)
 	t.lastRetryAt[service] = at
 	return at - now
 }
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -185,10 +185,10 @@
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackend()
-		if reason != reasonLimited || back < 200*time.Millisecond || back > longestTurn+time.Second {
+		if reason != reasonLimited || back < 200*time.Millisecond || back > maxLimitRetryAfter+time.Second {
 			t.Fatalf("%s after %v", reason, back)
 		}
-		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, longestTurn)
+		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, maxLimitRetryAfter)
 		if back < wanted || back > wanted+backSlack/2 {
 			t.Fatalf("caller %d comes back after %v, after %v was its turn", i, back, wanted)
 		}
