--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -86,7 +86,7 @@
 
 // Outcomes of questions for a part of a back end's limit, in metrics.
 const (
-	permitGranted = "granted"
+	leaseGranted  = "granted"
 	permitOver    = "over"
 	permitUnknown = "unknown" // nobody could be asked
 	permitUnused  = "unused"  // granted, and nothing was sent
@@ -108,7 +108,7 @@
 		return false
 	}
 	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
-	outcome := permitGranted
+	outcome := leaseGranted
 	switch {
 	case taken.Outcome == desk.Granted:
 		a.hold = taken.Lease
