--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -86,10 +86,10 @@
 
 // Outcomes of questions for a part of a back end's limit, in metrics.
 const (
-	leaseGranted  = "granted"
-	permitOver    = "over"
-	permitUnknown = "unknown" // nobody could be asked
-	permitUnused  = "unused"  // granted, and nothing was sent
+	leaseGranted      = "granted"
+	leaseLimitReached = "over"
+	permitUnknown     = "unknown" // nobody could be asked
+	permitUnused      = "unused"  // granted, and nothing was sent
 )
 
 // permit takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
@@ -113,7 +113,7 @@
 	case taken.Outcome == desk.Granted:
 		a.hold = taken.Lease
 	case taken.Outcome == desk.LimitReached:
-		outcome = permitOver
+		outcome = leaseLimitReached
 		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
