--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -88,7 +88,7 @@
 const (
 	leaseGranted      = "granted"
 	leaseLimitReached = "over"
-	permitUnknown     = "unknown" // nobody could be asked
+	leaseUnavailable  = "unknown" // nobody could be asked
 	permitUnused      = "unused"  // granted, and nothing was sent
 )
 
@@ -118,7 +118,7 @@
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
-		outcome = permitUnknown
+		outcome = leaseUnavailable
 		g.table.setUnlent(g.now() + leaseRetryInterval)
 	}
 	g.metrics.permits.WithLabelValues(outcome).Inc()
