--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -89,7 +89,7 @@
 	leaseGranted      = "granted"
 	leaseLimitReached = "over"
 	leaseUnavailable  = "unknown" // nobody could be asked
-	permitUnused      = "unused"  // granted, and nothing was sent
+	leaseUnused       = "unused"  // granted, and nothing was sent
 )
 
 // permit takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
@@ -129,7 +129,7 @@
 func (a *attempt) returnPermit() {
 	if a.hold.Amount > 0 {
 		a.exchange.gateway.desk.Release(a.hold)
-		a.exchange.gateway.metrics.permits.WithLabelValues(permitUnused).Inc()
+		a.exchange.gateway.metrics.permits.WithLabelValues(leaseUnused).Inc()
 		a.hold = allowance.Lease{}
 	}
 }
