--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -122,7 +122,7 @@
 	if x.route.Retryable() {
 		rest = idleRepeatable
 	}
-	if !a.permit() {
+	if !a.acquireLease() {
 		return result{kind: resultUnreached, cause: causeLimited}
 	}
 	defer a.returnPermit()
@@ -215,7 +215,7 @@
 // lastLook returns why the request may not be sent after all, or "". What was taken of the back end's limit may have ended while the connection came
 // up, or the limit been named since.
 func (a *attempt) lastLook() string {
-	if !a.permit() {
+	if !a.acquireLease() {
 		return causeLimited
 	}
 	return a.barred()
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -92,9 +92,9 @@
 	leaseUnused       = "unused"  // granted, and nothing was sent
 )
 
-// permit takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
+// acquireLease takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
 // of, so that the leader counts it; none is needed where no limit is named.
-func (a *attempt) permit() bool {
+func (a *attempt) acquireLease() bool {
 	g := a.exchange.gateway
 	now := g.now()
 	if a.hold.Valid(now) {
