--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -125,7 +125,7 @@
 	if !a.acquireLease() {
 		return result{kind: resultUnreached, cause: causeLimited}
 	}
-	defer a.returnPermit()
+	defer a.releaseLease()
 	wire, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, rest)
 	if err != nil {
 		a.unreached(err)
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -125,8 +125,8 @@
 	return taken.Outcome == desk.Granted
 }
 
-// returnPermit gives back what was taken of a limit and not used.
-func (a *attempt) returnPermit() {
+// releaseLease gives back what was taken of a limit and not used.
+func (a *attempt) releaseLease() {
 	if a.hold.Amount > 0 {
 		a.exchange.gateway.desk.Release(a.hold)
 		a.exchange.gateway.metrics.permits.WithLabelValues(leaseUnused).Inc()
