--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -100,7 +100,7 @@
 	if a.hold.Valid(now) {
 		return true
 	}
-	limit, dry := g.table.limitOf(now, a.row)
+	limit, dry := g.table.advertisedLimit(now, a.row)
 	if limit == nil {
 		return true
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// limitOf returns the limit that a back end names, or nil, and whether nothing of it can be had now.
-func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
+// advertisedLimit returns the limit that a back end names, or nil, and whether nothing of it can be had now.
+func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	named, heard := t.signals.LimitObservedAt(row.incarnation)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -233,7 +233,7 @@
 		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
 	rate := func() float64 {
-		limit, _ := g.table.limitOf(now, g.table.rows["i-0"])
+		limit, _ := g.table.advertisedLimit(now, g.table.rows["i-0"])
 		if limit == nil {
 			return -1
 		}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -110,7 +110,7 @@
 	placed := wirePlacementReply{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
-	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
+	if limit, _ := g.table.advertisedLimit(now, chosen.row); limit != nil {
 		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
 	}
 	return placed
