--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -142,12 +142,12 @@
 	if !named.Advertised {
 		return nil, false
 	}
-	return &allowance.AdvertisedLimit{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
+	return &allowance.AdvertisedLimit{Rate: named.Rate, Age: max(0, now-heard)}, t.limitExhaustedFor(now, row, false) > 0
 }
 
-// dry returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
+// limitExhaustedFor returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
 // holds the mutex.
-func (t *table) dry(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
+func (t *table) limitExhaustedFor(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
 	if elsewhere {
 		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -136,7 +136,7 @@
 		return causeLeaving
 	case bar.IsBackingOff(now) && !elsewhere:
 		return causeResting
-	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
+	case bar.Limit.Advertised && t.limitExhaustedFor(now, row, elsewhere) > 0:
 		return causeLimited
 	}
 	return ""
@@ -154,7 +154,7 @@
 		}
 		left, why := max(0, bar.BackoffUntil-now), causeResting
 		if bar.Limit.Advertised {
-			if dry := t.dry(now, row, false); dry > left {
+			if dry := t.limitExhaustedFor(now, row, false); dry > left {
 				left, why = dry, causeLimited
 			}
 		}
