--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -114,7 +114,7 @@
 		a.hold = taken.Lease
 	case taken.Outcome == desk.LimitReached:
 		outcome = leaseLimitReached
-		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, minLimitExhaustion)))
+		g.table.setLimitExhausted(a.row, g.now()+apart(max(taken.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
@@ -154,8 +154,8 @@
 	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
-// setDry notes until when nothing can be had of a back end's limit.
-func (t *table) setDry(row *endpoint, until time.Duration) {
+// setLimitExhausted notes until when nothing can be had of a back end's limit.
+func (t *table) setLimitExhausted(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -104,7 +104,7 @@
 		t.Fatalf("barred %q without a part", bar)
 	}
 	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
-	g.table.setDry(chosen.row, now+time.Second)
+	g.table.setLimitExhausted(chosen.row, now+time.Second)
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred %q with a part, although others find none", bar)
 	}
@@ -125,7 +125,7 @@
 	g := scheduler(2)
 	g.now = func() time.Duration { return now }
 	names(g, "i-0", 4)
-	g.table.setDry(g.table.rows["i-0"], now+time.Second)
+	g.table.setLimitExhausted(g.table.rows["i-0"], now+time.Second)
 	for range 20 {
 		if got := chosenFor(g); got != "i-1" {
 			t.Fatalf("chosen %q", got)
@@ -179,7 +179,7 @@
 	g.gateways.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
 		names(g, id, 4)
-		g.table.setDry(g.table.rows[id], now+200*time.Millisecond)
+		g.table.setLimitExhausted(g.table.rows[id], now+200*time.Millisecond)
 	}
 	x := newModelRequest(g)
 	before := time.Duration(0)
@@ -195,8 +195,8 @@
 		before = back
 	}
 	now += 20 * time.Second
-	g.table.setDry(g.table.rows["i-0"], now+100*time.Millisecond)
-	g.table.setDry(g.table.rows["i-1"], now+100*time.Millisecond)
+	g.table.setLimitExhausted(g.table.rows["i-0"], now+100*time.Millisecond)
+	g.table.setLimitExhausted(g.table.rows["i-1"], now+100*time.Millisecond)
 	if _, back := x.noBackend(); back >= before {
 		t.Fatalf("after %v although nobody waits any more", back)
 	}
@@ -212,11 +212,11 @@
 	if first, cause := g.table.allBarred(now, "s"); first != 0 || cause != "" {
 		t.Fatalf("%v, %q", first, cause)
 	}
-	g.table.setDry(g.table.rows["i-1"], now+time.Second)
+	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Second)
 	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimited {
 		t.Fatalf("%v, %q", first, cause)
 	}
-	g.table.setDry(g.table.rows["i-1"], now+time.Minute)
+	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Minute)
 	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
 		t.Fatalf("%v, %q", first, cause)
 	}
