--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -119,7 +119,7 @@
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
 		outcome = leaseUnavailable
-		g.table.setUnlent(g.now() + leaseRetryInterval)
+		g.table.setLeaseRetryAt(g.now() + leaseRetryInterval)
 	}
 	g.metrics.permits.WithLabelValues(outcome).Inc()
 	return taken.Outcome == desk.Granted
@@ -161,8 +161,8 @@
 	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
-// setUnlent notes until when nobody is asked for a part of any limit.
-func (t *table) setUnlent(until time.Duration) {
+// setLeaseRetryAt notes until when nobody is asked for a part of any limit.
+func (t *table) setLeaseRetryAt(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.leaseRetryAt = max(t.leaseRetryAt, until)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -150,7 +150,7 @@
 	if first, _ := g.table.allBarred(now, "s"); first != 0 {
 		t.Fatalf("all barred for %v", first)
 	}
-	g.table.setUnlent(now + leaseRetryInterval)
+	g.table.setLeaseRetryAt(now + leaseRetryInterval)
 	for range 20 {
 		if got := chosenFor(g); got != "i-1" {
 			t.Fatalf("chosen %q while nobody lends", got)
