--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -168,8 +168,8 @@
 	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
-// spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
-func (t *table) spreadOver(now time.Duration, row *endpoint) {
+// pacePeerPlacement spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
+func (t *table) pacePeerPlacement(now time.Duration, row *endpoint) {
 	if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -146,7 +146,7 @@
 	here := &made.row.occupancy
 	here.Placed = here.Placed.Plus(made.load)
 	t.addPrefill(now, made.row, made.uncached)
-	t.spreadOver(now, made.row)
+	t.pacePeerPlacement(now, made.row)
 	return here.Local()
 }
 
