--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// turn returns when the caller of a request may come back whose service's back ends have all reached their limits: not before the first of them
+// limitRetryAfter returns when the caller of a request may come back whose service's back ends have all reached their limits: not before the first of them
 // takes another one, and behind those that this gateway told before, of whom it may serve its part of the limits in a second.
-func (t *table) turn(now time.Duration, service string, first time.Duration, gateways int64) time.Duration {
+func (t *table) limitRetryAfter(now time.Duration, service string, first time.Duration, gateways int64) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	sum := 0.0
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -176,7 +176,7 @@
 	case causeResting:
 		return reasonResting, apart(first)
 	case causeLimited:
-		return reasonLimited, apart(g.table.turn(now, x.service.Name, first, g.gateways.Load()))
+		return reasonLimited, apart(g.table.limitRetryAfter(now, x.service.Name, first, g.gateways.Load()))
 	}
 	return reasonNoBackend, retrySoon
 }
