--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -47,7 +47,7 @@
 
 // Collect implements prometheus.Collector.
 func (l limitedGauge) Collect(out chan<- prometheus.Metric) {
-	counts, sums := l.gateway.table.limited()
+	counts, sums := l.gateway.table.advertisedLimits()
 	for service, n := range counts {
 		out <- prometheus.MustNewConstMetric(l.count, prometheus.GaugeValue, float64(n), service)
 		out <- prometheus.MustNewConstMetric(l.sum, prometheus.GaugeValue, sums[service], service)
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -192,8 +192,8 @@
 	return at - now
 }
 
-// limited returns how many back ends name a limit, and the sum of these, by service; a service without one is missing.
-func (t *table) limited() (counts map[string]int, sums map[string]float64) {
+// advertisedLimits returns how many back ends name a limit, and the sum of these, by service; a service without one is missing.
+func (t *table) advertisedLimits() (counts map[string]int, sums map[string]float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -45,7 +45,7 @@
 	}
 	gauges := make(chan prometheus.Metric, 4)
 	newLimitedGauge(g).Collect(gauges)
-	if counts, sums := g.table.limited(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
+	if counts, sums := g.table.advertisedLimits(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
 	}
 	sent.handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
@@ -54,11 +54,11 @@
 	}
 	now += time.Second
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
-	if counts, _ := g.table.limited(); counts["s"] != 1 {
+	if counts, _ := g.table.advertisedLimits(); counts["s"] != 1 {
 		t.Fatal("another request's answer ended the limit")
 	}
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
-	if counts, _ := g.table.limited(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
+	if counts, _ := g.table.advertisedLimits(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
 		t.Fatalf("after its end: %v", counts)
 	}
 }
