--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// outageFirst is how long a loss of control is taken to last before one has been seen; outageSmoothing weighs the newest.
-	outageFirst     = 500 * time.Millisecond
-	outageSmoothing = 0.3
+	// initialOutageEstimate is how long a loss of control is taken to last before one has been seen; outageSmoothing weighs the newest.
+	initialOutageEstimate = 500 * time.Millisecond
+	outageSmoothing       = 0.3
 	// outageAhead of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
 	outageAhead = 0.5
 	// adviceLeast and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
@@ -68,7 +68,7 @@
 	defer o.mu.Unlock()
 	typical := o.typical
 	if typical == 0 {
-		typical = outageFirst
+		typical = initialOutageEstimate
 	}
 	lasted := now - o.since
 	return max(typical-lasted, time.Duration(outageAhead*float64(lasted)))
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -8,7 +8,7 @@
 // TestOutageLearnsHowLongItLasts: the first guess gives way to what was seen, and one that outlasts it is taken to go on.
 func TestOutageLearnsHowLongItLasts(t *testing.T) {
 	o := &outage{}
-	if left := o.left(0); left != outageFirst {
+	if left := o.left(0); left != initialOutageEstimate {
 		t.Fatalf("at the start %v", left)
 	}
 	if left := o.left(4 * time.Second); left != 2*time.Second {
