--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -12,8 +12,8 @@
 	// initialOutageEstimate is how long a loss of control is taken to last before one has been seen; outageSmoothing weighs the newest.
 	initialOutageEstimate = 500 * time.Millisecond
 	outageSmoothing       = 0.3
-	// outageAhead of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
-	outageAhead = 0.5
+	// minRemainingFraction of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
+	minRemainingFraction = 0.5
 	// adviceLeast and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
 	// different times, so that they don't come back together.
 	adviceLeast  = 150 * time.Millisecond
@@ -71,7 +71,7 @@
 		typical = initialOutageEstimate
 	}
 	lasted := now - o.since
-	return max(typical-lasted, time.Duration(outageAhead*float64(lasted)))
+	return max(typical-lasted, time.Duration(minRemainingFraction*float64(lasted)))
 }
 
 // comeBack returns when a caller should ask again that is turned away for want of control.
