--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -14,11 +14,11 @@
 	outageSmoothing       = 0.3
 	// minRemainingFraction of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
 	minRemainingFraction = 0.5
-	// adviceLeast and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
+	// minControlRetryAfter and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
 	// different times, so that they don't come back together.
-	adviceLeast  = 150 * time.Millisecond
-	adviceMost   = 2 * time.Second
-	adviceSpread = 0.4
+	minControlRetryAfter = 150 * time.Millisecond
+	adviceMost           = 2 * time.Second
+	adviceSpread         = 0.4
 	// electionPatience is how lately a control replica must have answered for a leader to be expected soon.
 	electionPatience = 700 * time.Millisecond
 	// startPatience is how long a gateway that has just started is taken to be about to find control.
@@ -76,7 +76,7 @@
 
 // comeBack returns when a caller should ask again that is turned away for want of control.
 func (g *Gateway) comeBack() time.Duration {
-	left := min(max(g.outage.left(g.now()), adviceLeast), adviceMost)
+	left := min(max(g.outage.left(g.now()), minControlRetryAfter), adviceMost)
 	return left + time.Duration(adviceSpread*rand.Float64()*float64(left))
 }
 
