--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -17,7 +17,7 @@
 	// minControlRetryAfter and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
 	// different times, so that they don't come back together.
 	minControlRetryAfter = 150 * time.Millisecond
-	adviceMost           = 2 * time.Second
+	maxControlRetryAfter = 2 * time.Second
 	adviceSpread         = 0.4
 	// electionPatience is how lately a control replica must have answered for a leader to be expected soon.
 	electionPatience = 700 * time.Millisecond
@@ -76,7 +76,7 @@
 
 // comeBack returns when a caller should ask again that is turned away for want of control.
 func (g *Gateway) comeBack() time.Duration {
-	left := min(max(g.outage.left(g.now()), minControlRetryAfter), adviceMost)
+	left := min(max(g.outage.left(g.now()), minControlRetryAfter), maxControlRetryAfter)
 	return left + time.Duration(adviceSpread*rand.Float64()*float64(left))
 }
 
