--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -18,7 +18,7 @@
 	// different times, so that they don't come back together.
 	minControlRetryAfter = 150 * time.Millisecond
 	maxControlRetryAfter = 2 * time.Second
-	adviceSpread         = 0.4
+	controlRetryJitter   = 0.4
 	// electionPatience is how lately a control replica must have answered for a leader to be expected soon.
 	electionPatience = 700 * time.Millisecond
 	// startPatience is how long a gateway that has just started is taken to be about to find control.
@@ -77,7 +77,7 @@
 // comeBack returns when a caller should ask again that is turned away for want of control.
 func (g *Gateway) comeBack() time.Duration {
 	left := min(max(g.outage.left(g.now()), minControlRetryAfter), maxControlRetryAfter)
-	return left + time.Duration(adviceSpread*rand.Float64()*float64(left))
+	return left + time.Duration(controlRetryJitter*rand.Float64()*float64(left))
 }
 
 // awaitView waits a moment for control where it is expected, and reports whether the view is confirmed.
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -37,7 +37,7 @@
 	told := map[time.Duration]bool{}
 	for range 100 {
 		advice := g.comeBack()
-		if advice < minControlRetryAfter || advice > time.Duration((1+adviceSpread)*float64(maxControlRetryAfter)) {
+		if advice < minControlRetryAfter || advice > time.Duration((1+controlRetryJitter)*float64(maxControlRetryAfter)) {
 			t.Fatalf("come back in %v", advice)
 		}
 		told[advice] = true
