--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -81,7 +81,7 @@
 // patience for one answer on reading several of them.
 func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
 	question.Brief = true
-	if !g.group.HeardWithin(electionPatience) {
+	if !g.group.HeardWithin(controlContactWindow) {
 		question.Hold = 0 // to learn soon whether there is anybody
 	}
 	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -73,7 +73,7 @@
 // lend asks the leader for amounts; it is the desk's way to the lender.
 func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
-	if !g.group.HeardWithin(electionPatience) {
+	if !g.group.HeardWithin(controlContactWindow) {
 		ask = g.group.Any
 	}
 	response, err := ask(ctx, control.Request{Borrow: &asked})
