--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -21,8 +21,8 @@
 	controlRetryJitter   = 0.4
 	// controlContactWindow is how lately a control replica must have answered for a leader to be expected soon.
 	controlContactWindow = 700 * time.Millisecond
-	// startPatience is how long a gateway that has just started is taken to be about to find control.
-	startPatience = 700 * time.Millisecond
+	// startupWindow is how long a gateway that has just started is taken to be about to find control.
+	startupWindow = 700 * time.Millisecond
 	// viewWaitShare of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
 	// the settings say; callers that don't tell theirs are taken to have defaultPatience.
 	viewWaitShare   = 0.125
@@ -104,7 +104,7 @@
 // expectsControl reports whether control is likely to confirm the view in a moment: a replica answers, so that there will be
 // a leader, or nobody could have answered yet.
 func (g *Gateway) expectsControl() bool {
-	return g.on(mechanism.ViewWait) && (g.group.HeardWithin(controlContactWindow) || g.now() < startPatience)
+	return g.on(mechanism.ViewWait) && (g.group.HeardWithin(controlContactWindow) || g.now() < startupWindow)
 }
 
 // viewWait is how long the request may wait for a confirmed view.
