--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -23,10 +23,10 @@
 	controlContactWindow = 700 * time.Millisecond
 	// startupWindow is how long a gateway that has just started is taken to be about to find control.
 	startupWindow = 700 * time.Millisecond
-	// viewWaitShare of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
+	// viewWaitFraction of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
 	// the settings say; callers that don't tell theirs are taken to have defaultPatience.
-	viewWaitShare   = 0.125
-	defaultPatience = 4 * time.Second
+	viewWaitFraction = 0.125
+	defaultPatience  = 4 * time.Second
 )
 
 // outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
@@ -113,5 +113,5 @@
 	if patience == 0 {
 		patience = defaultPatience
 	}
-	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitShare*float64(patience)))
+	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitFraction*float64(patience)))
 }
