--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -25,8 +25,8 @@
 	startupWindow = 700 * time.Millisecond
 	// viewWaitFraction of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
 	// the settings say; callers that don't tell theirs are taken to have defaultPatience.
-	viewWaitFraction = 0.125
-	defaultPatience  = 4 * time.Second
+	viewWaitFraction     = 0.125
+	defaultCallerTimeout = 4 * time.Second
 )
 
 // outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
@@ -111,7 +111,7 @@
 func (x *exchange) viewWait() time.Duration {
 	patience := x.call.Patience
 	if patience == 0 {
-		patience = defaultPatience
+		patience = defaultCallerTimeout
 	}
 	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitFraction*float64(patience)))
 }
