--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -33,7 +33,7 @@
 // a gateway starts without control.
 type outage struct {
 	mu      sync.Mutex
-	over    bool          // control is there; guarded by mu
+	ended   bool          // control is there; guarded by mu
 	since   time.Duration // when it was lost; guarded by mu
 	typical time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
 }
@@ -42,8 +42,8 @@
 func (o *outage) begin(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
-		o.over, o.since = false, now
+	if o.ended {
+		o.ended, o.since = false, now
 	}
 }
 
@@ -51,7 +51,7 @@
 func (o *outage) end(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
+	if o.ended {
 		return
 	}
 	lasted := now - o.since
@@ -59,7 +59,7 @@
 		o.typical = lasted
 	}
 	o.typical += time.Duration(outageSmoothing * float64(lasted-o.typical))
-	o.over = true
+	o.ended = true
 }
 
 // left returns how much longer the outage is taken to last.
