--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -32,10 +32,10 @@
 // outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
 // a gateway starts without control.
 type outage struct {
-	mu      sync.Mutex
-	ended   bool          // control is there; guarded by mu
-	since   time.Duration // when it was lost; guarded by mu
-	typical time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
+	mu        sync.Mutex
+	ended     bool          // control is there; guarded by mu
+	startedAt time.Duration // when it was lost; guarded by mu
+	typical   time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
 }
 
 // begin notes that control is lost; what it notes later changes nothing.
@@ -43,7 +43,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.ended {
-		o.ended, o.since = false, now
+		o.ended, o.startedAt = false, now
 	}
 }
 
@@ -54,7 +54,7 @@
 	if o.ended {
 		return
 	}
-	lasted := now - o.since
+	lasted := now - o.startedAt
 	if o.typical == 0 {
 		o.typical = lasted
 	}
@@ -70,7 +70,7 @@
 	if typical == 0 {
 		typical = initialOutageEstimate
 	}
-	lasted := now - o.since
+	lasted := now - o.startedAt
 	return max(typical-lasted, time.Duration(minRemainingFraction*float64(lasted)))
 }
 
