--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -32,10 +32,10 @@
 // outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
 // a gateway starts without control.
 type outage struct {
-	mu        sync.Mutex
-	ended     bool          // control is there; guarded by mu
-	startedAt time.Duration // when it was lost; guarded by mu
-	typical   time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
+	mu           sync.Mutex
+	ended        bool          // control is there; guarded by mu
+	startedAt    time.Duration // when it was lost; guarded by mu
+	meanDuration time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
 }
 
 // begin notes that control is lost; what it notes later changes nothing.
@@ -55,10 +55,10 @@
 		return
 	}
 	lasted := now - o.startedAt
-	if o.typical == 0 {
-		o.typical = lasted
+	if o.meanDuration == 0 {
+		o.meanDuration = lasted
 	}
-	o.typical += time.Duration(outageSmoothing * float64(lasted-o.typical))
+	o.meanDuration += time.Duration(outageSmoothing * float64(lasted-o.meanDuration))
 	o.ended = true
 }
 
@@ -66,7 +66,7 @@
 func (o *outage) left(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	typical := o.typical
+	typical := o.meanDuration
 	if typical == 0 {
 		typical = initialOutageEstimate
 	}
