--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -62,8 +62,8 @@
 	o.ended = true
 }
 
-// left returns how much longer the outage is taken to last.
-func (o *outage) left(now time.Duration) time.Duration {
+// remaining returns how much longer the outage is taken to last.
+func (o *outage) remaining(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	typical := o.meanDuration
@@ -76,7 +76,7 @@
 
 // comeBack returns when a caller should ask again that is turned away for want of control.
 func (g *Gateway) comeBack() time.Duration {
-	left := min(max(g.outage.left(g.now()), minControlRetryAfter), maxControlRetryAfter)
+	left := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
 	return left + time.Duration(controlRetryJitter*rand.Float64()*float64(left))
 }
 
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -8,10 +8,10 @@
 // TestOutageLearnsHowLongItLasts: the first guess gives way to what was seen, and one that outlasts it is taken to go on.
 func TestOutageLearnsHowLongItLasts(t *testing.T) {
 	o := &outage{}
-	if left := o.left(0); left != initialOutageEstimate {
+	if left := o.remaining(0); left != initialOutageEstimate {
 		t.Fatalf("at the start %v", left)
 	}
-	if left := o.left(4 * time.Second); left != 2*time.Second {
+	if left := o.remaining(4 * time.Second); left != 2*time.Second {
 		t.Fatalf("after 4 s %v", left)
 	}
 	now := 2 * time.Second
@@ -26,7 +26,7 @@
 	}
 	now += time.Minute
 	o.begin(now)
-	if left := o.left(now); left < 95*time.Millisecond || left > 120*time.Millisecond {
+	if left := o.remaining(now); left < 95*time.Millisecond || left > 120*time.Millisecond {
 		t.Fatalf("after many of 100 ms: %v", left)
 	}
 }
