--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case x.view == nil:
-		x.refuse(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.comeBack())
+		x.refuse(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.controlRetryAfter())
 		return false
 	case x.route == nil:
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
@@ -153,7 +153,7 @@
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
 		x.gateway.log.lost()
-		x.refuse(http.StatusServiceUnavailable, reasonUntrusted, x.gateway.comeBack())
+		x.refuse(http.StatusServiceUnavailable, reasonUntrusted, x.gateway.controlRetryAfter())
 		return
 	}
 	x.refuse(status, reason, 0)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -40,7 +40,7 @@
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
 	default:
-		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.comeBack())
+		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.controlRetryAfter())
 	}
 	return false
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -74,8 +74,8 @@
 	return max(typical-lasted, time.Duration(minRemainingFraction*float64(lasted)))
 }
 
-// comeBack returns when a caller should ask again that is turned away for want of control.
-func (g *Gateway) comeBack() time.Duration {
+// controlRetryAfter returns when a caller should ask again that is turned away for want of control.
+func (g *Gateway) controlRetryAfter() time.Duration {
 	left := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
 	return left + time.Duration(controlRetryJitter*rand.Float64()*float64(left))
 }
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -36,7 +36,7 @@
 	g := &Gateway{now: func() time.Duration { return time.Hour }} // an outage of an hour
 	told := map[time.Duration]bool{}
 	for range 100 {
-		advice := g.comeBack()
+		advice := g.controlRetryAfter()
 		if advice < minControlRetryAfter || advice > time.Duration((1+controlRetryJitter)*float64(maxControlRetryAfter)) {
 			t.Fatalf("come back in %v", advice)
 		}
