--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -13,8 +13,8 @@
 	"kitetiller/internal/quota"
 )
 
-// repeatPatience is how long a request that failed waits for the fleet's word whether it may be sent again.
-const repeatPatience = 50 * time.Millisecond
+// retryLeaseTimeout is how long a request that failed waits for the fleet's word whether it may be sent again.
+const retryLeaseTimeout = 50 * time.Millisecond
 
 // cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type cover struct {
@@ -92,6 +92,6 @@
 		return true
 	}
 	name := quota.ServiceRetries(service)
-	taken := g.desk.Acquire(ctx, name, 1, repeatPatience)
+	taken := g.desk.Acquire(ctx, name, 1, retryLeaseTimeout)
 	return taken.Outcome == desk.Granted && taken.Lease.Name == name
 }
