--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -81,8 +81,8 @@
 	uncached int
 	plan     candidate
 	grade    attemptOutcome
-	noWay    bool  // no connection came up
-	cover    cover // what the send took of the tenant's limit
+	noWay    bool       // no connection came up
+	cover    quotaLease // what the send took of the tenant's limit
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	silence  *time.Timer // ends the attempt of a request that may go elsewhere
@@ -140,7 +140,7 @@
 	}
 	a.hold = allowance.Lease{} // used up
 	x.sent++
-	a.cover, x.cover = x.cover, cover{}
+	a.cover, x.cover = x.cover, quotaLease{}
 	a.begin()
 	defer a.end()
 	a.watchSilence(a.patience())
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -76,7 +76,7 @@
 	eventAt   time.Duration           // when the newest one did
 	pause     time.Duration           // longest time between two
 	plan      *candidate              // the newest placement, or nil
-	cover     cover                   // of the tenant's limit
+	cover     quotaLease              // of the tenant's limit
 	atRest    time.Duration           // the most that was left of a back end's rest when the request was sent there
 	limited   pushback.Limit          // that the back end of the newest send had named
 	print     *quarantine.Fingerprint // of the request; nil until somebody asked for it
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -16,8 +16,8 @@
 // retryLeaseTimeout is how long a request that failed waits for the fleet's word whether it may be sent again.
 const retryLeaseTimeout = 50 * time.Millisecond
 
-// cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
-type cover struct {
+// quotaLease is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
+type quotaLease struct {
 	hold    allowance.Lease
 	covered bool // the next send is covered, by hold or because there is no limit
 }
@@ -35,7 +35,7 @@
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = cover{hold: taken.Lease, covered: true}
+		x.cover = quotaLease{hold: taken.Lease, covered: true}
 		return true
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
@@ -67,7 +67,7 @@
 	if x.cover.covered {
 		x.gateway.desk.Release(x.cover.hold)
 	}
-	x.cover = cover{}
+	x.cover = quotaLease{}
 }
 
 // lend asks the leader for amounts; it is the desk's way to the lender.
