--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -18,7 +18,7 @@
 
 // quotaLease is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type quotaLease struct {
-	hold    allowance.Lease
+	lease   allowance.Lease
 	covered bool // the next send is covered, by hold or because there is no limit
 }
 
@@ -35,7 +35,7 @@
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = quotaLease{hold: taken.Lease, covered: true}
+		x.cover = quotaLease{lease: taken.Lease, covered: true}
 		return true
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
@@ -59,13 +59,13 @@
 
 // covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
 func (x *exchange) covered() bool {
-	return x.cover.covered && (x.cover.hold.Amount == 0 || x.cover.hold.Valid(x.gateway.now()))
+	return x.cover.covered && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
 }
 
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
 	if x.cover.covered {
-		x.gateway.desk.Release(x.cover.hold)
+		x.gateway.desk.Release(x.cover.lease)
 	}
 	x.cover = quotaLease{}
 }
