--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -18,8 +18,8 @@
 
 // quotaLease is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
 type quotaLease struct {
-	lease   allowance.Lease
-	covered bool // the next send is covered, by hold or because there is no limit
+	lease    allowance.Lease
+	acquired bool // the next send is covered, by hold or because there is no limit
 }
 
 // withinLimit takes what the next send to a back end counts of the tenant's limit, or answers the request.
@@ -28,14 +28,14 @@
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
-		x.cover.covered = true
+		x.cover.acquired = true
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
 	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch taken.Outcome {
 	case desk.Granted:
-		x.cover = quotaLease{lease: taken.Lease, covered: true}
+		x.cover = quotaLease{lease: taken.Lease, acquired: true}
 		return true
 	case desk.LimitReached:
 		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
@@ -59,12 +59,12 @@
 
 // covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
 func (x *exchange) covered() bool {
-	return x.cover.covered && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
+	return x.cover.acquired && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
 }
 
 // uncover gives back what was not used.
 func (x *exchange) uncover() {
-	if x.cover.covered {
+	if x.cover.acquired {
 		x.gateway.desk.Release(x.cover.lease)
 	}
 	x.cover = quotaLease{}
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -26,7 +26,7 @@
 func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
-		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: quotaLease{covered: true},
+		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, cover: quotaLease{acquired: true},
 	}
 }
 
