--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -96,7 +96,7 @@
 	}
 	defer x.uncover()
 	defer func() { g.held.give(x.room) }()
-	if !x.admit() || !x.withinLimit() || !x.readBody() {
+	if !x.admit() || !x.acquireQuota() || !x.readBody() {
 		return
 	}
 	deadline := x.route.Timeout
@@ -198,7 +198,7 @@
 // run sends the request until it has an answer or must be given up.
 func (x *exchange) run() {
 	for {
-		if x.over() || x.heldBack() || !x.withinLimit() {
+		if x.over() || x.heldBack() || !x.acquireQuota() {
 			return
 		}
 		chosen := x.place()
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -22,8 +22,8 @@
 	acquired bool // the next send is covered, by hold or because there is no limit
 }
 
-// withinLimit takes what the next send to a back end counts of the tenant's limit, or answers the request.
-func (x *exchange) withinLimit() bool {
+// acquireQuota takes what the next send to a back end counts of the tenant's limit, or answers the request.
+func (x *exchange) acquireQuota() bool {
 	if x.covered() {
 		return true
 	}
