--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -38,15 +38,15 @@
 		x.cover = quotaLease{lease: taken.Lease, acquired: true}
 		return true
 	case desk.LimitReached:
-		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
+		x.rejectForQuota(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
 	default:
-		x.giveUpLimited(http.StatusServiceUnavailable, reasonUncounted, x.gateway.controlRetryAfter())
+		x.rejectForQuota(http.StatusServiceUnavailable, reasonUncounted, x.gateway.controlRetryAfter())
 	}
 	return false
 }
 
-// giveUpLimited answers a request that may not be sent for its tenant's limit.
-func (x *exchange) giveUpLimited(status int, reason string, wait time.Duration) {
+// rejectForQuota answers a request that may not be sent for its tenant's limit.
+func (x *exchange) rejectForQuota(status int, reason string, wait time.Duration) {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
