--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -230,7 +230,7 @@
 		return "over"
 	case x.keyed && !x.gateway.trusted(now):
 		return reasonUntrusted
-	case !x.covered():
+	case !x.hasQuota():
 		return reasonUncounted
 	case x.lives() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -24,7 +24,7 @@
 
 // acquireQuota takes what the next send to a back end counts of the tenant's limit, or answers the request.
 func (x *exchange) acquireQuota() bool {
-	if x.covered() {
+	if x.hasQuota() {
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
-func (x *exchange) covered() bool {
+// hasQuota reports whether the next send is hasQuota now: a hold ends while the process stands still, or the body is slow.
+func (x *exchange) hasQuota() bool {
 	return x.cover.acquired && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
 }
 
