--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -94,7 +94,7 @@
 		x.refuse(http.StatusServiceUnavailable, reasonStopping, retrySoon)
 		return
 	}
-	defer x.uncover()
+	defer x.releaseQuota()
 	defer func() { g.held.give(x.room) }()
 	if !x.admit() || !x.acquireQuota() || !x.readBody() {
 		return
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -62,8 +62,8 @@
 	return x.cover.acquired && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
 }
 
-// uncover gives back what was not used.
-func (x *exchange) uncover() {
+// releaseQuota gives back what was not used.
+func (x *exchange) releaseQuota() {
 	if x.cover.acquired {
 		x.gateway.desk.Release(x.cover.lease)
 	}
