--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -85,7 +85,7 @@
 		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
 	made.quarantine = reporter.New(reporter.Config{Submit: made.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&made.pool.dialer), Log: made.log.note, Now: made.now})
-	made.desk = desk.New(made.nick, settings.Trust, made.now, made.lend)
+	made.desk = desk.New(made.nick, settings.Trust, made.now, made.requestLeases)
 	made.spread.silent = !made.on(mechanism.Mesh)
 	made.metrics = newMetrics(made)
 	return made
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -70,8 +70,8 @@
 	x.cover = quotaLease{}
 }
 
-// lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
+// requestLeases asks the leader for amounts; it is the desk's way to the lender.
+func (g *Gateway) requestLeases(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(controlContactWindow) {
 		ask = g.group.Any
