--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -332,7 +332,7 @@
 
 // spendRepeat takes a repeat from the budget where the request may be sent to one more back end.
 func (x *exchange) spendRepeat() bool {
-	if !x.canRepeat() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
+	if !x.canRepeat() || !x.gateway.acquireRetry(x.ctx, x.service.Name) {
 		return false
 	}
 	x.gateway.metrics.repeats.Inc()
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -86,8 +86,8 @@
 	return *response.Lent, nil
 }
 
-// takeRepeat takes one repeat of a request to a service: from this gateway's own share, else from what the fleet lends.
-func (g *Gateway) takeRepeat(ctx context.Context, service string) bool {
+// acquireRetry takes one repeat of a request to a service: from this gateway's own share, else from what the fleet lends.
+func (g *Gateway) acquireRetry(ctx context.Context, service string) bool {
 	if g.budget.take(service, g.now()) {
 		return true
 	}
