--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// budgetShare is the part of the ratio that is used, since gateways count by themselves and their windows don't meet exactly.
-const budgetShare = 0.7
+// budgetFraction is the part of the ratio that is used, since gateways count by themselves and their windows don't meet exactly.
+const budgetFraction = 0.7
 
 // budgetSlots divides the window.
 const budgetSlots = 10
@@ -73,7 +73,7 @@
 			repeats += counted.repeats
 		}
 	}
-	allowed := budgetShare * b.ratio * float64(requests)
+	allowed := budgetFraction * b.ratio * float64(requests)
 	if float64(repeats+1) > allowed {
 		return false
 	}
