--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -15,7 +15,7 @@
 type budgetSlot struct {
 	number   int64
 	requests int
-	repeats  int
+	retries  int
 }
 
 // serviceBudget counts a service's requests and repeats in a sliding window.
@@ -70,13 +70,13 @@
 	for _, counted := range held.slots {
 		if slot.number-counted.number < budgetSlots {
 			requests += counted.requests
-			repeats += counted.repeats
+			repeats += counted.retries
 		}
 	}
 	allowed := budgetFraction * b.ratio * float64(requests)
 	if float64(repeats+1) > allowed {
 		return false
 	}
-	slot.repeats++
+	slot.retries++
 	return true
 }
