--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -53,8 +53,8 @@
 	return held, slot
 }
 
-// request counts a caller's request.
-func (b *retryBudget) request(service string, now time.Duration) {
+// recordRequest counts a caller's recordRequest.
+func (b *retryBudget) recordRequest(service string, now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	_, slot := b.slot(service, now)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -131,7 +131,7 @@
 		return false
 	}
 	x.service = x.view.services[x.gateway.splits.next(x.route)]
-	x.gateway.budget.request(x.service.Name, x.arrived)
+	x.gateway.budget.recordRequest(x.service.Name, x.arrived)
 	return true
 }
 
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -57,7 +57,7 @@
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			at := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			budget := fleet[at]
-			budget.request("s", now)
+			budget.recordRequest("s", now)
 			seen = append(seen, counted{now, false})
 			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(clients[at], now)) {
 				seen = append(seen, counted{now, true})
