--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -61,8 +61,8 @@
 	slot.requests++
 }
 
-// take spends one repeat, or returns false when there is none left.
-func (b *retryBudget) take(service string, now time.Duration) bool {
+// acquireRetry spends one repeat, or returns false when there is none left.
+func (b *retryBudget) acquireRetry(service string, now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	held, slot := b.slot(service, now)
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -88,7 +88,7 @@
 
 // acquireRetry takes one repeat of a request to a service: from this gateway's own share, else from what the fleet lends.
 func (g *Gateway) acquireRetry(ctx context.Context, service string) bool {
-	if g.budget.take(service, g.now()) {
+	if g.budget.acquireRetry(service, g.now()) {
 		return true
 	}
 	name := quota.ServiceRetries(service)
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -59,7 +59,7 @@
 			budget := fleet[at]
 			budget.recordRequest("s", now)
 			seen = append(seen, counted{now, false})
-			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(clients[at], now)) {
+			if rapid.Bool().Draw(t, "repeat") && (budget.acquireRetry("s", now) || leased(clients[at], now)) {
 				seen = append(seen, counted{now, true})
 			}
 		}
