--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -8,9 +8,9 @@
 	"kitetiller/internal/quarantine"
 )
 
-// proofPatience is how long a request waits to learn whether the back end under which it broke off has ended, before it is sent to
+// crashCheckTimeout is how long a request waits to learn whether the back end under which it broke off has ended, before it is sent to
 // another: some times the way to another zone and back.
-const proofPatience = 25 * time.Millisecond
+const crashCheckTimeout = 25 * time.Millisecond
 
 // fingerprint returns what stays of the request when it comes again; ok is false before control told the seed.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
@@ -77,7 +77,7 @@
 	}
 	select {
 	case <-a.looked:
-	case <-time.After(proofPatience):
+	case <-time.After(crashCheckTimeout):
 	case <-a.exchange.ctx.Done():
 	}
 }
