--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -232,7 +232,7 @@
 		return reasonUntrusted
 	case !x.hasQuota():
 		return reasonUncounted
-	case x.lives() >= quarantine.QuarantineThreshold:
+	case x.crashCount() >= quarantine.QuarantineThreshold:
 		return reasonHeldBack
 	}
 	x.gateway.table.mutex.Lock()
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -67,7 +67,7 @@
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirm.Load())))
 	}
 	if reason == reasonHeldBack {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.lives()))
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.print), zap.Int(events.FieldLives, x.crashCount()))
 	}
 	if x.plan != nil && x.service.Engine {
 		fields = append(fields, zap.Float64(events.FieldPredicted, x.plan.wait), zap.Int(events.FieldUncached, x.plan.uncached), zap.String(events.FieldFrom, x.plan.fetchFrom),
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -27,8 +27,8 @@
 	return f, ok
 }
 
-// lives returns how many lives of back ends ended under the request, as far as this gateway knows.
-func (x *exchange) lives() int {
+// crashCount returns how many crashCount of back ends ended under the request, as far as this gateway knows.
+func (x *exchange) crashCount() int {
 	if x.gateway.quarantine.IsEmpty() {
 		return 0
 	}
@@ -41,7 +41,7 @@
 
 // heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
 func (x *exchange) heldBack() bool {
-	if x.lives() < quarantine.QuarantineThreshold {
+	if x.crashCount() < quarantine.QuarantineThreshold {
 		return false
 	}
 	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
@@ -50,7 +50,7 @@
 
 // suspected reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
 // takes all that runs there along.
-func (x *exchange) suspected() bool { return x.lives() >= quarantine.SuspectThreshold }
+func (x *exchange) suspected() bool { return x.crashCount() >= quarantine.SuspectThreshold }
 
 // endedWell notes that a back end ran the request to a good end.
 func (x *exchange) endedWell() {
