--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -198,7 +198,7 @@
 // run sends the request until it has an answer or must be given up.
 func (x *exchange) run() {
 	for {
-		if x.over() || x.heldBack() || !x.acquireQuota() {
+		if x.over() || x.rejectIfQuarantined() || !x.acquireQuota() {
 			return
 		}
 		chosen := x.place()
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -39,8 +39,8 @@
 	return x.gateway.quarantine.CrashCount(f)
 }
 
-// heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
-func (x *exchange) heldBack() bool {
+// rejectIfQuarantined answers a request that ends whoever runs it: at once, since no wait mends it.
+func (x *exchange) rejectIfQuarantined() bool {
 	if x.crashCount() < quarantine.QuarantineThreshold {
 		return false
 	}
