--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -303,7 +303,7 @@
 		}
 		return x.repeat(reasonTurnedAway, max(retrySoon, x.comeBackAfter(result)))
 	}
-	if !x.route.Retryable() || x.suspected() {
+	if !x.route.Retryable() || x.isSuspect() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -48,9 +48,9 @@
 	return true
 }
 
-// suspected reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
+// isSuspect reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
 // takes all that runs there along.
-func (x *exchange) suspected() bool { return x.crashCount() >= quarantine.SuspectThreshold }
+func (x *exchange) isSuspect() bool { return x.crashCount() >= quarantine.SuspectThreshold }
 
 // endedWell notes that a back end ran the request to a good end.
 func (x *exchange) endedWell() {
