--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -203,7 +203,7 @@
 func (x *exchange) endsAt(a *attempt) {
 	x.served = a.row.entry.ID
 	if a.grade == outcomeSuccess {
-		x.endedWell()
+		x.recordCompletion()
 	}
 }
 
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -52,8 +52,8 @@
 // takes all that runs there along.
 func (x *exchange) isSuspect() bool { return x.crashCount() >= quarantine.SuspectThreshold }
 
-// endedWell notes that a back end ran the request to a good end.
-func (x *exchange) endedWell() {
+// recordCompletion notes that a back end ran the request to a good end.
+func (x *exchange) recordCompletion() {
 	if f, ok := x.fingerprint(); ok {
 		x.gateway.quarantine.RecordCompletion(f)
 	}
