--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -82,7 +82,7 @@
 		cause, a.grade = "silent", outcomeFailure
 	case a.exchange.ctx.Err() == nil:
 		a.grade = outcomeFailure
-		a.brokeOff()
+		a.recordFailure()
 	}
 	return result{kind: resultUnknown, cause: cause}
 }
@@ -168,7 +168,7 @@
 	}
 	if err != nil {
 		_ = a.wire.Close()
-		a.brokeOff()
+		a.recordFailure()
 		x.giveUp(reasonBroken, 0)
 	}
 	a.grade = outcomeSuccess
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// brokeOff notes that the run broke off without our doing. One on a back end that leaves ends with it as planned.
-func (a *attempt) brokeOff() {
+// recordFailure notes that the run broke off without our doing. One on a back end that leaves ends with it as planned.
+func (a *attempt) recordFailure() {
 	x := a.exchange
 	if !x.gateway.table.remains(a.row) {
 		return
