--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -221,7 +221,7 @@
 		}
 		x.logFailure(sent, result)
 		if x.route.Retryable() {
-			sent.awaitProof()
+			sent.awaitCrashCheck()
 		}
 		if !x.mayGoOn(result) {
 			return
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// awaitProof waits a moment to learn whether the back end has ended under which the run broke off.
-func (a *attempt) awaitProof() {
+// awaitCrashCheck waits a moment to learn whether the back end has ended under which the run broke off.
+func (a *attempt) awaitCrashCheck() {
 	if a.looked == nil {
 		return
 	}
