--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -62,7 +62,7 @@
 // recordFailure notes that the run broke off without our doing. One on a back end that leaves ends with it as planned.
 func (a *attempt) recordFailure() {
 	x := a.exchange
-	if !x.gateway.table.remains(a.row) {
+	if !x.gateway.table.isReady(a.row) {
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
@@ -82,8 +82,8 @@
 	}
 }
 
-// remains reports whether a back end is one that control knows, and isn't leaving, by its own word either.
-func (t *table) remains(row *endpoint) bool {
+// isReady reports whether a back end is one that control knows, and isn't leaving, by its own word either.
+func (t *table) isReady(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -147,11 +147,11 @@
 	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < maxPeerBackoff-time.Second || avoided > maxPeerBackoff {
 		t.Fatalf("dearer to others for %v", avoided)
 	}
-	if !s.table.remains(s.table.rows["i-0"]) {
+	if !s.table.isReady(s.table.rows["i-0"]) {
 		t.Fatal("one that rests leaves")
 	}
 	leaves(s, "i-0")
-	if s.table.remains(s.table.rows["i-0"]) {
+	if s.table.isReady(s.table.rows["i-0"]) {
 		t.Fatal("the end of one that says that it leaves counts as a crash")
 	}
 	if placed := s.placeForPeer(s.now(), question("t2", 0)); placed.Instance != "" {
