--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -118,7 +118,7 @@
 	}
 	if reply.Roster != nil {
 		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheLimits())
-		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
+		g.quarantine.ConfirmEnds(reporter.Replaced, replacedInstances(changes)...)
 		for _, change := range changes {
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -89,8 +89,8 @@
 	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
 }
 
-// replaced returns the lives that are gone since another one stands at their address.
-func replaced(changes []rosterChange) []string {
+// replacedInstances returns the lives that are gone since another one stands at their address.
+func replacedInstances(changes []rosterChange) []string {
 	joined := map[string]bool{}
 	for _, change := range changes {
 		if change.event == events.InstanceJoined {
