--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// heldMost bounds what the gateway holds in its own memory for all callers and back ends that take it slowly: with the buffers of the sockets
+	// maxBufferedBytes bounds what the gateway holds in its own memory for all callers and back ends that take it slowly: with the buffers of the sockets
 	// of 200 such requests it comes to some 38 MB, a third of a small machine's memory.
-	heldMost = 12 << 20
+	maxBufferedBytes = 12 << 20
 	// socketBuffer bounds what the kernel keeps of a request on its way to the caller, and on its way from the back end, in bytes; it takes twice
 	// that. Left to itself it kept over a megabyte for a stream whose caller takes nothing. At 6 ms there and back 10 MB/s fit through.
 	socketBuffer = 32 << 10
@@ -32,7 +32,7 @@
 
 // take makes room for so many bytes, or reports that there is none.
 func (h *held) take(n int) bool {
-	if h.bytes.Add(int64(n)) <= heldMost {
+	if h.bytes.Add(int64(n)) <= maxBufferedBytes {
 		return true
 	}
 	h.bytes.Add(int64(-n))
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -20,10 +20,10 @@
 func TestHeldBodiesAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h held
-		others := rapid.IntRange(0, heldMost).Draw(t, "others")
+		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
 		h.take(others)
 		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*heldStep).Draw(t, "sent"))
-		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, heldMost}).Draw(t, "told"))
+		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
 		var from io.Reader = bytes.NewReader(sent)
 		if rapid.Bool().Draw(t, "halves") {
 			from = iotest.HalfReader(from)
@@ -31,7 +31,7 @@
 		body, room, err := h.read(from, told)
 		switch {
 		case errors.Is(err, errHeld):
-			if others+2*len(sent)+heldStep < heldMost {
+			if others+2*len(sent)+heldStep < maxBufferedBytes {
 				t.Fatalf("no room beside %d for %d", others, len(sent))
 			}
 		case told > int64(len(sent)):
@@ -41,7 +41,7 @@
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("%d came, %d sent, %v", len(body), len(sent), err)
 		}
-		if room > max(heldStep, 2*len(sent)) || int(h.bytes.Load()) != others+room || h.bytes.Load() > heldMost {
+		if room > max(heldStep, 2*len(sent)) || int(h.bytes.Load()) != others+room || h.bytes.Load() > maxBufferedBytes {
 			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.bytes.Load(), others)
 		}
 		if h.give(room); int(h.bytes.Load()) != others {
@@ -61,12 +61,12 @@
 	if event, err := read.next(); err != nil || read.id != "2" || len(event) > heldStep || h.bytes.Load() != 0 {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
 	}
-	h.take(heldMost - heldStep)
+	h.take(maxBufferedBytes - heldStep)
 	full := &eventReader{reader: newReader(long), held: &h}
 	if _, err := full.next(); !errors.Is(err, errHeld) {
 		t.Fatalf("%v", err)
 	}
-	if full.close(); h.bytes.Load() != heldMost-heldStep {
+	if full.close(); h.bytes.Load() != maxBufferedBytes-heldStep {
 		t.Fatalf("%d left", h.bytes.Load())
 	}
 }
