--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -74,7 +74,7 @@
 func limitConnection(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
 		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit/time.Millisecond)),
-		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer),
+		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferBytes),
 	)
 }
 
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -17,9 +17,9 @@
 	// maxBufferedBytes bounds what the gateway holds in its own memory for all callers and back ends that take it slowly: with the buffers of the sockets
 	// of 200 such requests it comes to some 38 MB, a third of a small machine's memory.
 	maxBufferedBytes = 12 << 20
-	// socketBuffer bounds what the kernel keeps of a request on its way to the caller, and on its way from the back end, in bytes; it takes twice
+	// socketBufferBytes bounds what the kernel keeps of a request on its way to the caller, and on its way from the back end, in bytes; it takes twice
 	// that. Left to itself it kept over a megabyte for a stream whose caller takes nothing. At 6 ms there and back 10 MB/s fit through.
-	socketBuffer = 32 << 10
+	socketBufferBytes = 32 << 10
 	// heldStep is how much of a body is made room for at first, of an event without being counted, and passed on at once of an answer, in bytes.
 	heldStep = 16 << 10
 )
@@ -105,7 +105,7 @@
 // listenCallers opens the listener for callers.
 func listenCallers(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return setOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBuffer) // accepted connections have it too
+		return setOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferBytes) // accepted connections have it too
 	}}
 	return config.Listen(context.Background(), "tcp", address)
 }
