--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -20,8 +20,8 @@
 	// socketBufferBytes bounds what the kernel keeps of a request on its way to the caller, and on its way from the back end, in bytes; it takes twice
 	// that. Left to itself it kept over a megabyte for a stream whose caller takes nothing. At 6 ms there and back 10 MB/s fit through.
 	socketBufferBytes = 32 << 10
-	// heldStep is how much of a body is made room for at first, of an event without being counted, and passed on at once of an answer, in bytes.
-	heldStep = 16 << 10
+	// bufferStep is how much of a body is made room for at first, of an event without being counted, and passed on at once of an answer, in bytes.
+	bufferStep = 16 << 10
 )
 
 // errHeld says that so much is held already that there is no room for more.
@@ -47,7 +47,7 @@
 func (h *held) read(from io.Reader, length int64) (body []byte, room int, err error) {
 	for {
 		if len(body) == cap(body) {
-			wanted := max(heldStep, 2*cap(body))
+			wanted := max(bufferStep, 2*cap(body))
 			if length >= 0 {
 				wanted = min(wanted, int(length)+1) // one more, so that the end is seen
 			}
@@ -75,7 +75,7 @@
 func (x *exchange) write(body []byte) error {
 	controller := http.NewResponseController(x.writer)
 	for len(body) > 0 {
-		part := body[:min(len(body), heldStep)]
+		part := body[:min(len(body), bufferStep)]
 		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := x.writer.Write(part); err != nil {
 			return err
@@ -87,7 +87,7 @@
 
 // copyOn passes an answer on as it comes, no faster than the caller takes it.
 func (x *exchange) copyOn(from io.Reader) error {
-	part := make([]byte, heldStep)
+	part := make([]byte, bufferStep)
 	for {
 		n, err := from.Read(part)
 		if failed := x.write(part[:n]); failed != nil {
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -22,7 +22,7 @@
 		var h held
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
 		h.take(others)
-		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*heldStep).Draw(t, "sent"))
+		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bufferStep).Draw(t, "sent"))
 		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
 		var from io.Reader = bytes.NewReader(sent)
 		if rapid.Bool().Draw(t, "halves") {
@@ -31,7 +31,7 @@
 		body, room, err := h.read(from, told)
 		switch {
 		case errors.Is(err, errHeld):
-			if others+2*len(sent)+heldStep < maxBufferedBytes {
+			if others+2*len(sent)+bufferStep < maxBufferedBytes {
 				t.Fatalf("no room beside %d for %d", others, len(sent))
 			}
 		case told > int64(len(sent)):
@@ -41,7 +41,7 @@
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("%d came, %d sent, %v", len(body), len(sent), err)
 		}
-		if room > max(heldStep, 2*len(sent)) || int(h.bytes.Load()) != others+room || h.bytes.Load() > maxBufferedBytes {
+		if room > max(bufferStep, 2*len(sent)) || int(h.bytes.Load()) != others+room || h.bytes.Load() > maxBufferedBytes {
 			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.bytes.Load(), others)
 		}
 		if h.give(room); int(h.bytes.Load()) != others {
@@ -52,21 +52,21 @@
 
 // TestLongEventsAreCounted: an event above the usual length takes room until the next one, and is an error where there is none.
 func TestLongEventsAreCounted(t *testing.T) {
-	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*heldStep)...), "\n\nid: 2\ndata: y\n\n"...)
+	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*bufferStep)...), "\n\nid: 2\ndata: y\n\n"...)
 	var h held
 	read := &eventReader{reader: newReader(long), held: &h}
-	if event, err := read.next(); err != nil || len(event) < 3*heldStep || h.bytes.Load() < 3*heldStep {
+	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.bytes.Load() < 3*bufferStep {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
 	}
-	if event, err := read.next(); err != nil || read.id != "2" || len(event) > heldStep || h.bytes.Load() != 0 {
+	if event, err := read.next(); err != nil || read.id != "2" || len(event) > bufferStep || h.bytes.Load() != 0 {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
 	}
-	h.take(maxBufferedBytes - heldStep)
+	h.take(maxBufferedBytes - bufferStep)
 	full := &eventReader{reader: newReader(long), held: &h}
 	if _, err := full.next(); !errors.Is(err, errHeld) {
 		t.Fatalf("%v", err)
 	}
-	if full.close(); h.bytes.Load() != maxBufferedBytes-heldStep {
+	if full.close(); h.bytes.Load() != maxBufferedBytes-bufferStep {
 		t.Fatalf("%d left", h.bytes.Load())
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -33,7 +33,7 @@
 // count takes room for an event that has grown long, and reports whether there is any.
 func (e *eventReader) count() bool {
 	grown := cap(e.event)
-	if grown <= max(heldStep, e.room) {
+	if grown <= max(bufferStep, e.room) {
 		return true
 	}
 	if !e.held.take(grown - e.room) {
