--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -133,7 +133,7 @@
 	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, wholeAnswer+1), length)
 	defer func() { x.gateway.held.give(room) }()
 	switch {
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errBufferLimit):
 		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
 	case err != nil:
 		return a.failed(err)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -174,14 +174,14 @@
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
 	body, room, err := x.gateway.held.read(from, x.request.ContentLength)
 	x.room = room
-	if errors.Is(err, errHeld) {
+	if errors.Is(err, errBufferLimit) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		_, _ = io.Copy(io.Discard, from) // a caller that still sends would meet a reset, and not the refusal
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errBufferLimit):
 		x.refuse(http.StatusServiceUnavailable, reasonHeld, retrySoon)
 		return false
 	case errors.As(err, &tooLarge):
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -24,8 +24,8 @@
 	bufferStep = 16 << 10
 )
 
-// errHeld says that so much is held already that there is no room for more.
-var errHeld = errors.New("too much is held for slow callers")
+// errBufferLimit says that so much is held already that there is no room for more.
+var errBufferLimit = errors.New("too much is held for slow callers")
 
 // held counts what is held for callers and back ends, in bytes. It is safe for concurrent use.
 type held struct{ bytes atomic.Int64 }
@@ -52,7 +52,7 @@
 				wanted = min(wanted, int(length)+1) // one more, so that the end is seen
 			}
 			if !h.take(wanted - room) {
-				return body, room, errHeld
+				return body, room, errBufferLimit
 			}
 			room = wanted
 			body = append(make([]byte, 0, wanted), body...)
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -30,7 +30,7 @@
 		}
 		body, room, err := h.read(from, told)
 		switch {
-		case errors.Is(err, errHeld):
+		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
 				t.Fatalf("no room beside %d for %d", others, len(sent))
 			}
@@ -63,7 +63,7 @@
 	}
 	h.take(maxBufferedBytes - bufferStep)
 	full := &eventReader{reader: newReader(long), held: &h}
-	if _, err := full.next(); !errors.Is(err, errHeld) {
+	if _, err := full.next(); !errors.Is(err, errBufferLimit) {
 		t.Fatalf("%v", err)
 	}
 	if full.close(); h.bytes.Load() != maxBufferedBytes-bufferStep {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -55,7 +55,7 @@
 		e.event = append(e.event, part...)
 		switch {
 		case !e.count():
-			return nil, errHeld
+			return nil, errBufferLimit
 		case err == bufio.ErrBufferFull && len(e.event) < maximumEvent:
 			continue
 		case err == io.EOF && len(e.event) > 0:
