--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,7 +67,7 @@
 	draining  atomic.Bool
 	closing   atomic.Bool // the end of a planned stop: nothing new is taken
 	active    atomic.Int64
-	held      held // for callers and back ends that take it slowly
+	held      bufferBudget // for callers and back ends that take it slowly
 	metrics   *metrics
 }
 
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -27,11 +27,11 @@
 // errBufferLimit says that so much is held already that there is no room for more.
 var errBufferLimit = errors.New("too much is held for slow callers")
 
-// held counts what is held for callers and back ends, in bytes. It is safe for concurrent use.
-type held struct{ bytes atomic.Int64 }
+// bufferBudget counts what is bufferBudget for callers and back ends, in bytes. It is safe for concurrent use.
+type bufferBudget struct{ bytes atomic.Int64 }
 
 // take makes room for so many bytes, or reports that there is none.
-func (h *held) take(n int) bool {
+func (h *bufferBudget) take(n int) bool {
 	if h.bytes.Add(int64(n)) <= maxBufferedBytes {
 		return true
 	}
@@ -40,11 +40,11 @@
 }
 
 // give ends what take began.
-func (h *held) give(n int) { h.bytes.Add(int64(-n)) }
+func (h *bufferBudget) give(n int) { h.bytes.Add(int64(-n)) }
 
 // read reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
 // error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
-func (h *held) read(from io.Reader, length int64) (body []byte, room int, err error) {
+func (h *bufferBudget) read(from io.Reader, length int64) (body []byte, room int, err error) {
 	for {
 		if len(body) == cap(body) {
 			wanted := max(bufferStep, 2*cap(body))
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -19,7 +19,7 @@
 // is, and all of it is given back.
 func TestHeldBodiesAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h held
+		var h bufferBudget
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
 		h.take(others)
 		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bufferStep).Draw(t, "sent"))
@@ -53,7 +53,7 @@
 // TestLongEventsAreCounted: an event above the usual length takes room until the next one, and is an error where there is none.
 func TestLongEventsAreCounted(t *testing.T) {
 	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*bufferStep)...), "\n\nid: 2\ndata: y\n\n"...)
-	var h held
+	var h bufferBudget
 	read := &eventReader{reader: newReader(long), held: &h}
 	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.bytes.Load() < 3*bufferStep {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,7 +20,7 @@
 	reader *bufio.Reader
 	event  []byte
 	id     string
-	held   *held
+	held   *bufferBudget
 	room   int // that was taken for an event above heldStep
 }
 
