--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -28,19 +28,19 @@
 var errBufferLimit = errors.New("too much is held for slow callers")
 
 // bufferBudget counts what is bufferBudget for callers and back ends, in bytes. It is safe for concurrent use.
-type bufferBudget struct{ bytes atomic.Int64 }
+type bufferBudget struct{ used atomic.Int64 }
 
 // take makes room for so many bytes, or reports that there is none.
 func (h *bufferBudget) take(n int) bool {
-	if h.bytes.Add(int64(n)) <= maxBufferedBytes {
+	if h.used.Add(int64(n)) <= maxBufferedBytes {
 		return true
 	}
-	h.bytes.Add(int64(-n))
+	h.used.Add(int64(-n))
 	return false
 }
 
 // give ends what take began.
-func (h *bufferBudget) give(n int) { h.bytes.Add(int64(-n)) }
+func (h *bufferBudget) give(n int) { h.used.Add(int64(-n)) }
 
 // read reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
 // error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -41,11 +41,11 @@
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("%d came, %d sent, %v", len(body), len(sent), err)
 		}
-		if room > max(bufferStep, 2*len(sent)) || int(h.bytes.Load()) != others+room || h.bytes.Load() > maxBufferedBytes {
-			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.bytes.Load(), others)
+		if room > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+room || h.used.Load() > maxBufferedBytes {
+			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.used.Load(), others)
 		}
-		if h.give(room); int(h.bytes.Load()) != others {
-			t.Fatalf("%d left of %d", h.bytes.Load(), others)
+		if h.give(room); int(h.used.Load()) != others {
+			t.Fatalf("%d left of %d", h.used.Load(), others)
 		}
 	})
 }
@@ -55,18 +55,18 @@
 	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*bufferStep)...), "\n\nid: 2\ndata: y\n\n"...)
 	var h bufferBudget
 	read := &eventReader{reader: newReader(long), held: &h}
-	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.bytes.Load() < 3*bufferStep {
-		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
+	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.used.Load() < 3*bufferStep {
+		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.used.Load())
 	}
-	if event, err := read.next(); err != nil || read.id != "2" || len(event) > bufferStep || h.bytes.Load() != 0 {
-		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.bytes.Load())
+	if event, err := read.next(); err != nil || read.id != "2" || len(event) > bufferStep || h.used.Load() != 0 {
+		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.used.Load())
 	}
 	h.take(maxBufferedBytes - bufferStep)
 	full := &eventReader{reader: newReader(long), held: &h}
 	if _, err := full.next(); !errors.Is(err, errBufferLimit) {
 		t.Fatalf("%v", err)
 	}
-	if full.close(); h.bytes.Load() != maxBufferedBytes-bufferStep {
-		t.Fatalf("%d left", h.bytes.Load())
+	if full.close(); h.used.Load() != maxBufferedBytes-bufferStep {
+		t.Fatalf("%d left", h.used.Load())
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -113,7 +113,7 @@
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { told, _ := g.quarantine.SuspectCounts(); return float64(told) }),
 		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, held := g.quarantine.SuspectCounts(); return float64(held) }),
 		gauge("view_age_seconds", "Time since control confirmed the view; -1 never.", g.viewAge),
-		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.held.bytes.Load()) }),
+		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.held.used.Load()) }),
 		gauge("active_requests", "Requests in progress.", func() float64 { return float64(g.active.Load()) }),
 		gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(g.log.out.Dropped()) }),
 	)
