--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -30,8 +30,8 @@
 // bufferBudget counts what is bufferBudget for callers and back ends, in bytes. It is safe for concurrent use.
 type bufferBudget struct{ used atomic.Int64 }
 
-// take makes room for so many bytes, or reports that there is none.
-func (h *bufferBudget) take(n int) bool {
+// reserve makes room for so many bytes, or reports that there is none.
+func (h *bufferBudget) reserve(n int) bool {
 	if h.used.Add(int64(n)) <= maxBufferedBytes {
 		return true
 	}
@@ -51,7 +51,7 @@
 			if length >= 0 {
 				wanted = min(wanted, int(length)+1) // one more, so that the end is seen
 			}
-			if !h.take(wanted - room) {
+			if !h.reserve(wanted - room) {
 				return body, room, errBufferLimit
 			}
 			room = wanted
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -21,7 +21,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var h bufferBudget
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
-		h.take(others)
+		h.reserve(others)
 		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bufferStep).Draw(t, "sent"))
 		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
 		var from io.Reader = bytes.NewReader(sent)
@@ -61,7 +61,7 @@
 	if event, err := read.next(); err != nil || read.id != "2" || len(event) > bufferStep || h.used.Load() != 0 {
 		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.used.Load())
 	}
-	h.take(maxBufferedBytes - bufferStep)
+	h.reserve(maxBufferedBytes - bufferStep)
 	full := &eventReader{reader: newReader(long), held: &h}
 	if _, err := full.next(); !errors.Is(err, errBufferLimit) {
 		t.Fatalf("%v", err)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -36,7 +36,7 @@
 	if grown <= max(bufferStep, e.room) {
 		return true
 	}
-	if !e.held.take(grown - e.room) {
+	if !e.held.reserve(grown - e.room) {
 		return false
 	}
 	e.room = grown
