--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -131,7 +131,7 @@
 		return a.relayLong(answer, nil)
 	}
 	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, wholeAnswer+1), length)
-	defer func() { x.gateway.held.give(room) }()
+	defer func() { x.gateway.held.release(room) }()
 	switch {
 	case errors.Is(err, errBufferLimit):
 		return a.relayLong(answer, body) // nothing is lost but another try, should it break off
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -95,7 +95,7 @@
 		return
 	}
 	defer x.releaseQuota()
-	defer func() { g.held.give(x.room) }()
+	defer func() { g.held.release(x.room) }()
 	if !x.admit() || !x.acquireQuota() || !x.readBody() {
 		return
 	}
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -39,8 +39,8 @@
 	return false
 }
 
-// give ends what take began.
-func (h *bufferBudget) give(n int) { h.used.Add(int64(-n)) }
+// release ends what take began.
+func (h *bufferBudget) release(n int) { h.used.Add(int64(-n)) }
 
 // read reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
 // error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -44,7 +44,7 @@
 		if room > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+room || h.used.Load() > maxBufferedBytes {
 			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.used.Load(), others)
 		}
-		if h.give(room); int(h.used.Load()) != others {
+		if h.release(room); int(h.used.Load()) != others {
 			t.Fatalf("%d left of %d", h.used.Load(), others)
 		}
 	})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -26,7 +26,7 @@
 
 // close gives back the room that was taken.
 func (e *eventReader) close() {
-	e.held.give(e.room)
+	e.held.release(e.room)
 	e.event, e.room = nil, 0
 }
 
