--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -130,7 +130,7 @@
 	if length > wholeAnswer {
 		return a.relayLong(answer, nil)
 	}
-	body, room, err := x.gateway.held.read(io.LimitReader(answer.Body, wholeAnswer+1), length)
+	body, room, err := x.gateway.held.readBody(io.LimitReader(answer.Body, wholeAnswer+1), length)
 	defer func() { x.gateway.held.release(room) }()
 	switch {
 	case errors.Is(err, errBufferLimit):
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -172,7 +172,7 @@
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	body, room, err := x.gateway.held.read(from, x.request.ContentLength)
+	body, room, err := x.gateway.held.readBody(from, x.request.ContentLength)
 	x.room = room
 	if errors.Is(err, errBufferLimit) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -42,9 +42,9 @@
 // release ends what take began.
 func (h *bufferBudget) release(n int) { h.used.Add(int64(-n)) }
 
-// read reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
+// readBody reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
 // error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
-func (h *bufferBudget) read(from io.Reader, length int64) (body []byte, room int, err error) {
+func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, room int, err error) {
 	for {
 		if len(body) == cap(body) {
 			wanted := max(bufferStep, 2*cap(body))
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -28,7 +28,7 @@
 		if rapid.Bool().Draw(t, "halves") {
 			from = iotest.HalfReader(from)
 		}
-		body, room, err := h.read(from, told)
+		body, room, err := h.readBody(from, told)
 		switch {
 		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
