--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -164,7 +164,7 @@
 	x.passHead(answer, int(answer.ContentLength))
 	err := x.write(begun)
 	if err == nil {
-		err = x.copyOn(answer.Body)
+		err = x.relayBody(answer.Body)
 	}
 	if err != nil {
 		_ = a.wire.Close()
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// copyOn passes an answer on as it comes, no faster than the caller takes it.
-func (x *exchange) copyOn(from io.Reader) error {
+// relayBody passes an answer on as it comes, no faster than the caller takes it.
+func (x *exchange) relayBody(from io.Reader) error {
 	part := make([]byte, bufferStep)
 	for {
 		n, err := from.Read(part)
