--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -73,8 +73,8 @@
 // limitConnection bounds how long sent bytes may stay unacknowledged, and how much may come that isn't read.
 func limitConnection(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
-		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit/time.Millisecond)),
-		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferBytes),
+		setSocketOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit/time.Millisecond)),
+		setSocketOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferBytes),
 	)
 }
 
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -105,13 +105,13 @@
 // listenCallers opens the listener for callers.
 func listenCallers(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return setOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferBytes) // accepted connections have it too
+		return setSocketOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferBytes) // accepted connections have it too
 	}}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// setOption sets an option of a socket.
-func setOption(raw syscall.RawConn, level, option, value int) error {
+// setSocketOption sets an option of a socket.
+func setSocketOption(raw syscall.RawConn, level, option, value int) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) { failed = unix.SetsockoptInt(int(descriptor), level, option, value) })
 	return errors.Join(err, failed)
