--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -7,8 +7,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// CacheNews is what an engine tells of its cache.
-type CacheNews struct {
+// CacheReport is what an engine tells of its cache.
+type CacheReport struct {
 	Life  uint64              // of the engine's process: another one has forgotten everything
 	Born  int64               // when that process was started, in Unix ms; 0 where it doesn't tell
 	Next  uint64              // number to ask for next
@@ -21,7 +21,7 @@
 // error of that one exchange.
 type CacheReader interface {
 	// Events returns what changed since a number; it waits until something does, a second or so at most.
-	Events(ctx context.Context, address string, since uint64) (CacheNews, error)
+	Events(ctx context.Context, address string, since uint64) (CacheReport, error)
 	// List returns everything that is kept. It holds up the engine's work.
-	List(ctx context.Context, address string) (CacheNews, error)
+	List(ctx context.Context, address string) (CacheReport, error)
 }
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -149,7 +149,7 @@
 }
 
 // takeCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
-func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheNews, whole bool) {
+func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheReport, whole bool) {
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -28,7 +28,7 @@
 	drained chan struct{}
 }
 
-func (s *scriptedCache) next(ctx context.Context) (CacheNews, error) {
+func (s *scriptedCache) next(ctx context.Context) (CacheReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.answers) == 0 {
@@ -37,21 +37,21 @@
 		default:
 			close(s.drained)
 		}
-		return CacheNews{}, eris.New("no more answers")
+		return CacheReport{}, eris.New("no more answers")
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	if err, failed := answer.(error); failed {
-		return CacheNews{}, err
+		return CacheReport{}, err
 	}
-	return answer.(CacheNews), nil
+	return answer.(CacheReport), nil
 }
 
-func (s *scriptedCache) Events(ctx context.Context, _ string, _ uint64) (CacheNews, error) {
+func (s *scriptedCache) Events(ctx context.Context, _ string, _ uint64) (CacheReport, error) {
 	return s.next(ctx)
 }
 
-func (s *scriptedCache) List(ctx context.Context, _ string) (CacheNews, error) {
+func (s *scriptedCache) List(ctx context.Context, _ string) (CacheReport, error) {
 	s.mu.Lock()
 	s.lists++
 	s.mu.Unlock()
@@ -69,15 +69,15 @@
 // TestGapsAndRestartsAreReadAnew: after events were lost, in another life of the engine, or when its numbers go back, the
 // list is read; an exchange that fails changes nothing.
 func TestGapsAndRestartsAreReadAnew(t *testing.T) {
-	for name, gap := range map[string]CacheNews{
+	for name, gap := range map[string]CacheReport{
 		"lost": {Life: 1, Next: 9, Lost: true}, "another life": {Life: 2, Next: 9}, "another start": {Life: 1, Born: 7, Next: 9}, "numbers go back": {Life: 1, Next: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheNews{Life: 1, Next: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
+			CacheReport{Life: 1, Next: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
 			eris.New("cut off"),
-			CacheNews{Life: 1, Next: 6, Parts: []belief.CachedPart{kept("b", 0)}},
+			CacheReport{Life: 1, Next: 6, Parts: []belief.CachedPart{kept("b", 0)}},
 			gap,
-			CacheNews{Life: gap.Life, Born: gap.Born, Next: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
+			CacheReport{Life: gap.Life, Born: gap.Born, Next: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
