--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -10,7 +10,7 @@
 // CacheReport is what an engine tells of its cache.
 type CacheReport struct {
 	Incarnation uint64              // of the engine's process: another one has forgotten everything
-	Born        int64               // when that process was started, in Unix ms; 0 where it doesn't tell
+	StartedMS   int64               // when that process was started, in Unix ms; 0 where it doesn't tell
 	Next        uint64              // number to ask for next
 	Lost        bool                // some news is missing
 	Parts       []belief.CachedPart // in the order in which they changed
