--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -11,7 +11,7 @@
 type CacheReport struct {
 	Incarnation uint64              // of the engine's process: another one has forgotten everything
 	StartedMS   int64               // when that process was started, in Unix ms; 0 where it doesn't tell
-	Next        uint64              // number to ask for next
+	NextEvent   uint64              // number to ask for next
 	Lost        bool                // some news is missing
 	Parts       []belief.CachedPart // in the order in which they changed
 	Said        pushback.Signals    // of itself; also beside an error
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -123,11 +123,11 @@
 	if err != nil {
 		return true, err
 	}
-	if news.Lost || news.Incarnation != at.life || news.StartedMS != at.born || news.Next < at.next {
+	if news.Lost || news.Incarnation != at.life || news.StartedMS != at.born || news.NextEvent < at.next {
 		at.known = false // what is missing stands in the list
 		return true, nil
 	}
-	at.next = news.Next
+	at.next = news.NextEvent
 	g.takeCache(id, at, news, false)
 	return true, nil
 }
@@ -143,7 +143,7 @@
 	if err != nil {
 		return true, err
 	}
-	at.life, at.born, at.next, at.known = news.Incarnation, news.StartedMS, news.Next, true
+	at.life, at.born, at.next, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
 	g.takeCache(id, at, news, true)
 	return true, nil
 }
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -70,14 +70,14 @@
 // list is read; an exchange that fails changes nothing.
 func TestGapsAndRestartsAreReadAnew(t *testing.T) {
 	for name, gap := range map[string]CacheReport{
-		"lost": {Incarnation: 1, Next: 9, Lost: true}, "another life": {Incarnation: 2, Next: 9}, "another start": {Incarnation: 1, StartedMS: 7, Next: 9}, "numbers go back": {Incarnation: 1, Next: 3},
+		"lost": {Incarnation: 1, NextEvent: 9, Lost: true}, "another life": {Incarnation: 2, NextEvent: 9}, "another start": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "numbers go back": {Incarnation: 1, NextEvent: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheReport{Incarnation: 1, Next: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
+			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
 			eris.New("cut off"),
-			CacheReport{Incarnation: 1, Next: 6, Parts: []belief.CachedPart{kept("b", 0)}},
+			CacheReport{Incarnation: 1, NextEvent: 6, Parts: []belief.CachedPart{kept("b", 0)}},
 			gap,
-			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, Next: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
+			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
