--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -12,7 +12,7 @@
 	Incarnation uint64              // of the engine's process: another one has forgotten everything
 	StartedMS   int64               // when that process was started, in Unix ms; 0 where it doesn't tell
 	NextEvent   uint64              // number to ask for next
-	Lost        bool                // some news is missing
+	EventsLost  bool                // some news is missing
 	Parts       []belief.CachedPart // in the order in which they changed
 	Said        pushback.Signals    // of itself; also beside an error
 }
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return true, err
 	}
-	if news.Lost || news.Incarnation != at.life || news.StartedMS != at.born || news.NextEvent < at.next {
+	if news.EventsLost || news.Incarnation != at.life || news.StartedMS != at.born || news.NextEvent < at.next {
 		at.known = false // what is missing stands in the list
 		return true, nil
 	}
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -70,7 +70,7 @@
 // list is read; an exchange that fails changes nothing.
 func TestGapsAndRestartsAreReadAnew(t *testing.T) {
 	for name, gap := range map[string]CacheReport{
-		"lost": {Incarnation: 1, NextEvent: 9, Lost: true}, "another life": {Incarnation: 2, NextEvent: 9}, "another start": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "numbers go back": {Incarnation: 1, NextEvent: 3},
+		"lost": {Incarnation: 1, NextEvent: 9, EventsLost: true}, "another life": {Incarnation: 2, NextEvent: 9}, "another start": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "numbers go back": {Incarnation: 1, NextEvent: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
 			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
