--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -14,7 +14,7 @@
 	NextEvent   uint64              // number to ask for next
 	EventsLost  bool                // some news is missing
 	Parts       []belief.CachedPart // in the order in which they changed
-	Said        pushback.Signals    // of itself; also beside an error
+	Pushback    pushback.Signals    // of itself; also beside an error
 }
 
 // CacheReader asks engines what they keep. It is safe for concurrent use. An answer that cannot be read in full is an
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -212,7 +212,7 @@
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
 	g := scheduler(1)
 	at := cacheCursor{listedAt: -listPause}
-	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Said: pushback.Signals{Backoff: time.Minute}}}}
+	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Pushback: pushback.Signals{Backoff: time.Minute}}}}
 	g.UseCacheReader(script)
 	for step := range 3 {
 		at.listedAt = -listPause
