--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -12,8 +12,8 @@
 	"kitetiller/internal/quota"
 )
 
-// follow is the thread that asks control for news.
-func (g *Gateway) follow(ctx context.Context) {
+// watchControl is the thread that asks control for news.
+func (g *Gateway) watchControl(ctx context.Context) {
 	var roster control.RosterVersion
 	known, failures := 0, 0
 	for ctx.Err() == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -117,7 +117,7 @@
 	defer closePeers(peers)
 	run, cancel := context.WithCancel(context.Background())
 	var threads sync.WaitGroup
-	threads.Go(func() { g.follow(run) })
+	threads.Go(func() { g.watchControl(run) })
 	threads.Go(func() { g.sweep(run) })
 	threads.Go(func() { g.desk.Run(run) })
 	threads.Go(func() { g.quarantine.Run(run) })
