--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -18,7 +18,7 @@
 	known, failures := 0, 0
 	for ctx.Err() == nil {
 		asked := g.now()
-		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
+		reply := g.ask(ctx, roster, watchGrace(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
 			g.near.demoteFirst()
@@ -42,8 +42,8 @@
 	}
 }
 
-// patience is how long an answer may take beyond the time that it is held, after so many failures in a row.
-func patience(failures int) time.Duration {
+// watchGrace is how long an answer may take beyond the time that it is held, after so many failures in a row.
+func watchGrace(failures int) time.Duration {
 	return (watchTimeout - watchHold) << min(failures/failuresEach, longestPatience)
 }
 
