--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -18,7 +18,7 @@
 	known, failures := 0, 0
 	for ctx.Err() == nil {
 		asked := g.now()
-		reply := g.ask(ctx, roster, watchGrace(failures), failures > 0 || known == 0)
+		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
 			g.near.demoteFirst()
@@ -47,8 +47,8 @@
 	return (watchTimeout - watchHold) << min(failures/failuresEach, longestPatience)
 }
 
-// ask asks control for news once, after it has looked for who answers where that isn't known.
-func (g *Gateway) ask(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
+// watchOnce asks control for news once, after it has looked for who answers where that isn't known.
+func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
 	question := control.Watch{
 		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -56,7 +56,7 @@
 func TestOneReplicaTellsEverything(t *testing.T) {
 	addresses, whole := replicasOf(t, 3)
 	g := New(Settings{Name: "g", Zone: "z", Control: addresses, Trust: time.Hour}, nil, node.NopLog())
-	reply := g.ask(context.Background(), control.RosterVersion{}, 10*time.Second, true)
+	reply := g.watchOnce(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
 		t.Fatalf("reply %+v", reply)
 	}
