--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -57,7 +57,7 @@
 		question.Revision = held.document.Revision
 	}
 	if searching {
-		if !g.search(ctx, question, patience) {
+		if !g.findControl(ctx, question, patience) {
 			return nil
 		}
 		patience = max(patience, wholePatience)
@@ -77,9 +77,9 @@
 	return response.Watch
 }
 
-// search looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
+// findControl looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
 // patience for one answer on reading several of them.
-func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
+func (g *Gateway) findControl(ctx context.Context, question control.Watch, patience time.Duration) bool {
 	question.Brief = true
 	if !g.group.HeardWithin(controlContactWindow) {
 		question.Hold = 0 // to learn soon whether there is anybody
