--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -50,7 +50,7 @@
 // watchOnce asks control for news once, after it has looked for who answers where that isn't known.
 func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
 	question := control.Watch{
-		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
+		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
 	if held := g.view.Load(); held != nil {
@@ -95,9 +95,9 @@
 	return true
 }
 
-// hold is how long a question may be held. While a back end drains for new weights, control is to see soon that its
+// watchHoldTime is how long a question may be held. While a back end drains for new weights, control is to see soon that its
 // requests have ended.
-func (g *Gateway) hold() time.Duration {
+func (g *Gateway) watchHoldTime() time.Duration {
 	if g.table.weightsDraining() {
 		return drainHold
 	}
