--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -34,7 +34,7 @@
 		}
 		failures = 0
 		roster = reply.Version
-		g.take(ctx, asked, reply)
+		g.applyWatchReply(ctx, asked, reply)
 		if len(reply.Replicas) != known {
 			known = len(reply.Replicas)
 			g.group.Use(reply.Replicas)
@@ -104,8 +104,8 @@
 	return watchHold
 }
 
-// take puts news in force. A document is only ever replaced by a newer one.
-func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
+// applyWatchReply puts news in force. A document is only ever replaced by a newer one.
+func (g *Gateway) applyWatchReply(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
 	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
 		g.quarantine.ApplyUpdate(reply.Quarantine)
