--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -117,7 +117,7 @@
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
-		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheLimits())
+		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheTokens())
 		g.quarantine.ConfirmEnds(reporter.Replaced, replacedInstances(changes)...)
 		for _, change := range changes {
 			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
@@ -146,8 +146,8 @@
 	}
 }
 
-// cacheLimits returns the tokens of one engine's memory by service.
-func (g *Gateway) cacheLimits() map[string]int {
+// cacheTokens returns the tokens of one engine's memory by service.
+func (g *Gateway) cacheTokens() map[string]int {
 	limits := map[string]int{}
 	if held := g.view.Load(); held != nil {
 		for name, service := range held.services {
