--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// cachePause is the pause between two questions to an engine for its cache events: news of that time come together.
-	cachePause = 80 * time.Millisecond
+	// cacheReadInterval is the pause between two questions to an engine for its cache events: news of that time come together.
+	cacheReadInterval = 80 * time.Millisecond
 	// cacheEach is the least time between two such questions to any engines: who reads many reads each more seldom.
 	cacheEach = 10 * time.Millisecond
 	// cacheRetry is the pause after a question that failed, doubled up to cacheRetryMost.
@@ -84,7 +84,7 @@
 func (g *Gateway) followCache(ctx context.Context, id string) {
 	at := cacheCursor{listedAt: -listPause, aliveAt: -aliveEach}
 	for ctx.Err() == nil {
-		pause := max(cachePause, time.Duration(g.followers.count())*cacheEach)
+		pause := max(cacheReadInterval, time.Duration(g.followers.count())*cacheEach)
 		asked, err := g.readCache(ctx, id, &at)
 		switch {
 		case err != nil:
