--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -16,8 +16,8 @@
 const (
 	// cacheReadInterval is the pause between two questions to an engine for its cache events: news of that time come together.
 	cacheReadInterval = 80 * time.Millisecond
-	// cacheEach is the least time between two such questions to any engines: who reads many reads each more seldom.
-	cacheEach = 10 * time.Millisecond
+	// minCacheReadSpacing is the least time between two such questions to any engines: who reads many reads each more seldom.
+	minCacheReadSpacing = 10 * time.Millisecond
 	// cacheRetry is the pause after a question that failed, doubled up to cacheRetryMost.
 	cacheRetry     = 200 * time.Millisecond
 	cacheRetryMost = 3 * time.Second
@@ -84,7 +84,7 @@
 func (g *Gateway) followCache(ctx context.Context, id string) {
 	at := cacheCursor{listedAt: -listPause, aliveAt: -aliveEach}
 	for ctx.Err() == nil {
-		pause := max(cacheReadInterval, time.Duration(g.followers.count())*cacheEach)
+		pause := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
 		asked, err := g.readCache(ctx, id, &at)
 		switch {
 		case err != nil:
