--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -18,9 +18,9 @@
 	cacheReadInterval = 80 * time.Millisecond
 	// minCacheReadSpacing is the least time between two such questions to any engines: who reads many reads each more seldom.
 	minCacheReadSpacing = 10 * time.Millisecond
-	// cacheRetry is the pause after a question that failed, doubled up to cacheRetryMost.
-	cacheRetry     = 200 * time.Millisecond
-	cacheRetryMost = 3 * time.Second
+	// minCacheRetryInterval is the pause after a question that failed, doubled up to cacheRetryMost.
+	minCacheRetryInterval = 200 * time.Millisecond
+	cacheRetryMost        = 3 * time.Second
 	// listPause is the least time between two lists of one engine, since they hold up its work.
 	listPause = 2 * time.Second
 	// aliveEach is how often a reader tells the others that an engine's cache is being read.
@@ -88,7 +88,7 @@
 		asked, err := g.readCache(ctx, id, &at)
 		switch {
 		case err != nil:
-			pause = min(cacheRetry<<min(at.failures, 10), cacheRetryMost)
+			pause = min(minCacheRetryInterval<<min(at.failures, 10), cacheRetryMost)
 			g.noteUnread(id, &at, err)
 		case asked:
 			at.failures = 0
