--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -20,7 +20,7 @@
 	minCacheReadSpacing = 10 * time.Millisecond
 	// minCacheRetryInterval is the pause after a question that failed, doubled up to cacheRetryMost.
 	minCacheRetryInterval = 200 * time.Millisecond
-	cacheRetryMost        = 3 * time.Second
+	maxCacheRetryInterval = 3 * time.Second
 	// listPause is the least time between two lists of one engine, since they hold up its work.
 	listPause = 2 * time.Second
 	// aliveEach is how often a reader tells the others that an engine's cache is being read.
@@ -88,7 +88,7 @@
 		asked, err := g.readCache(ctx, id, &at)
 		switch {
 		case err != nil:
-			pause = min(minCacheRetryInterval<<min(at.failures, 10), cacheRetryMost)
+			pause = min(minCacheRetryInterval<<min(at.failures, 10), maxCacheRetryInterval)
 			g.noteUnread(id, &at, err)
 		case asked:
 			at.failures = 0
