--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -21,8 +21,8 @@
 	// minCacheRetryInterval is the pause after a question that failed, doubled up to cacheRetryMost.
 	minCacheRetryInterval = 200 * time.Millisecond
 	maxCacheRetryInterval = 3 * time.Second
-	// listPause is the least time between two lists of one engine, since they hold up its work.
-	listPause = 2 * time.Second
+	// cacheListInterval is the least time between two lists of one engine, since they hold up its work.
+	cacheListInterval = 2 * time.Second
 	// aliveEach is how often a reader tells the others that an engine's cache is being read.
 	aliveEach = time.Second
 )
@@ -82,7 +82,7 @@
 
 // followCache is the thread that reads one engine's cache events.
 func (g *Gateway) followCache(ctx context.Context, id string) {
-	at := cacheCursor{listedAt: -listPause, aliveAt: -aliveEach}
+	at := cacheCursor{listedAt: -cacheListInterval, aliveAt: -aliveEach}
 	for ctx.Err() == nil {
 		pause := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
 		asked, err := g.readCache(ctx, id, &at)
@@ -134,7 +134,7 @@
 
 // listCache reads all that an engine keeps, unless it was asked for that a moment ago.
 func (g *Gateway) listCache(ctx context.Context, id, address string, at *cacheCursor) (asked bool, err error) {
-	if g.now() < at.listedAt+listPause {
+	if g.now() < at.listedAt+cacheListInterval {
 		return false, nil
 	}
 	at.listedAt = g.now()
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -61,7 +61,7 @@
 // read passes one answer after the other to a gateway's cursor.
 func (s *scriptedCache) read(g *Gateway, at *cacheCursor, times int) {
 	for range times {
-		at.listedAt = -listPause // lists may follow each other here
+		at.listedAt = -cacheListInterval // lists may follow each other here
 		_, _ = g.readCache(context.Background(), "i-1", at)
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -211,11 +211,11 @@
 // TestEngineAtRestIsNotAskedWhatItKeeps: it wants nothing from this gateway, and its cursor stays.
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
 	g := scheduler(1)
-	at := cacheCursor{listedAt: -listPause}
+	at := cacheCursor{listedAt: -cacheListInterval}
 	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Pushback: pushback.Signals{Backoff: time.Minute}}}}
 	g.UseCacheReader(script)
 	for step := range 3 {
-		at.listedAt = -listPause
+		at.listedAt = -cacheListInterval
 		if asked, err := g.readCache(t.Context(), "i-0", &at); err != nil || asked != (step == 0) {
 			t.Fatalf("step %d: asked %v, %v", step, asked, err)
 		}
