--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -23,8 +23,8 @@
 	maxCacheRetryInterval = 3 * time.Second
 	// cacheListInterval is the least time between two lists of one engine, since they hold up its work.
 	cacheListInterval = 2 * time.Second
-	// aliveEach is how often a reader tells the others that an engine's cache is being read.
-	aliveEach = time.Second
+	// cacheAliveInterval is how often a reader tells the others that an engine's cache is being read.
+	cacheAliveInterval = time.Second
 )
 
 // followers are the threads that read engines' cache events, one for each engine that control has given this gateway.
@@ -82,7 +82,7 @@
 
 // followCache is the thread that reads one engine's cache events.
 func (g *Gateway) followCache(ctx context.Context, id string) {
-	at := cacheCursor{listedAt: -cacheListInterval, aliveAt: -aliveEach}
+	at := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
 		pause := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
 		asked, err := g.readCache(ctx, id, &at)
@@ -152,7 +152,7 @@
 func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheReport, whole bool) {
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
-	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
+	if len(corrections) == 0 && now >= at.aliveAt+cacheAliveInterval {
 		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
 	}
 	for _, told := range corrections {
