--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -27,17 +27,17 @@
 	cacheAliveInterval = time.Second
 )
 
-// followers are the threads that read engines' cache events, one for each engine that control has given this gateway.
-type followers struct {
+// cacheFollowers are the threads that read engines' cache events, one for each engine that control has given this gateway.
+type cacheFollowers struct {
 	mu      sync.Mutex
 	running map[string]context.CancelFunc // by instance; guarded by mu
 	threads sync.WaitGroup
 }
 
-func newFollowers() *followers { return &followers{running: map[string]context.CancelFunc{}} }
+func newFollowers() *cacheFollowers { return &cacheFollowers{running: map[string]context.CancelFunc{}} }
 
 // use starts and ends threads so that just the given engines are read.
-func (f *followers) use(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
+func (f *cacheFollowers) use(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, cancel := range f.running {
@@ -57,7 +57,7 @@
 }
 
 // count returns the engines that are read.
-func (f *followers) count() int {
+func (f *cacheFollowers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.running)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 	nick       string // short name of this life, under which other gateways are told of sends
 	outage     outage
 	reader     CacheReader // of engines' caches, or nil
-	followers  *followers
+	followers  *cacheFollowers
 	oldWeights *node.Sparse // lines of answers on other weights than believed or wanted, by instance
 	restLines  *node.Sparse // lines of back ends that ask for rest, by instance
 	limitLines *node.Sparse // lines of limits that can't be read, by instance
