--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -36,8 +36,8 @@
 
 func newFollowers() *cacheFollowers { return &cacheFollowers{running: map[string]context.CancelFunc{}} }
 
-// use starts and ends threads so that just the given engines are read.
-func (f *cacheFollowers) use(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
+// assign starts and ends threads so that just the given engines are read.
+func (f *cacheFollowers) assign(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, cancel := range f.running {
@@ -66,7 +66,7 @@
 // readCaches follows the caches that control has given this gateway.
 func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
 	if g.reader != nil && g.on(mechanism.CacheEvents) {
-		g.followers.use(ctx, reply.Reads, g.followCache)
+		g.followers.assign(ctx, reply.Reads, g.followCache)
 	}
 }
 
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -140,10 +140,10 @@
 		}
 		t.Fatalf("reading %v, wanted %v", reading, wanted)
 	}
-	f.use(ctx, []string{"i-1", "i-2"}, read)
-	f.use(ctx, []string{"i-1", "i-2"}, read)
+	f.assign(ctx, []string{"i-1", "i-2"}, read)
+	f.assign(ctx, []string{"i-1", "i-2"}, read)
 	settled(map[string]int{"i-1": 1, "i-2": 1})
-	f.use(ctx, []string{"i-2", "i-3"}, read)
+	f.assign(ctx, []string{"i-2", "i-3"}, read)
 	settled(map[string]int{"i-2": 1, "i-3": 1})
 	cancel()
 	f.threads.Wait()
