--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -137,7 +137,7 @@
 	g.spread.use(reply.Mesh)
 	g.schedulers.setAddresses(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.Reads)
-	g.readCaches(ctx, reply)
+	g.assignCaches(ctx, reply)
 	if g.view.Load() != nil {
 		g.confirm.Store(int64(asked))
 		g.outage.end(g.now())
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -63,8 +63,8 @@
 	return len(f.running)
 }
 
-// readCaches follows the caches that control has given this gateway.
-func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
+// assignCaches follows the caches that control has given this gateway.
+func (g *Gateway) assignCaches(ctx context.Context, reply *control.WatchReply) {
 	if g.reader != nil && g.on(mechanism.CacheEvents) {
 		g.followers.assign(ctx, reply.Reads, g.followCache)
 	}
