--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -72,12 +72,12 @@
 
 // cacheCursor is how far an engine's events have been read.
 type cacheCursor struct {
-	incarnation, next uint64
-	born              int64 // of that life, in Unix ms
-	known             bool  // the list of this life was read
-	listedAt          time.Duration
-	aliveAt           time.Duration
-	failures          int // in a row
+	incarnation, nextEvent uint64
+	born                   int64 // of that life, in Unix ms
+	known                  bool  // the list of this life was read
+	listedAt               time.Duration
+	aliveAt                time.Duration
+	failures               int // in a row
 }
 
 // followCache is the thread that reads one engine's cache events.
@@ -118,16 +118,16 @@
 	if !at.known {
 		return g.listCache(ctx, id, address, at)
 	}
-	news, err := g.reader.Events(ctx, address, at.next)
+	news, err := g.reader.Events(ctx, address, at.nextEvent)
 	g.handleCachePushback(id, news)
 	if err != nil {
 		return true, err
 	}
-	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.born || news.NextEvent < at.next {
+	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.born || news.NextEvent < at.nextEvent {
 		at.known = false // what is missing stands in the list
 		return true, nil
 	}
-	at.next = news.NextEvent
+	at.nextEvent = news.NextEvent
 	g.takeCache(id, at, news, false)
 	return true, nil
 }
@@ -143,7 +143,7 @@
 	if err != nil {
 		return true, err
 	}
-	at.incarnation, at.born, at.next, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
+	at.incarnation, at.born, at.nextEvent, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
 	g.takeCache(id, at, news, true)
 	return true, nil
 }
