--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -73,7 +73,7 @@
 // cacheCursor is how far an engine's events have been read.
 type cacheCursor struct {
 	incarnation, nextEvent uint64
-	born                   int64 // of that life, in Unix ms
+	startedMS              int64 // of that life, in Unix ms
 	known                  bool  // the list of this life was read
 	listedAt               time.Duration
 	aliveAt                time.Duration
@@ -123,7 +123,7 @@
 	if err != nil {
 		return true, err
 	}
-	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.born || news.NextEvent < at.nextEvent {
+	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.startedMS || news.NextEvent < at.nextEvent {
 		at.known = false // what is missing stands in the list
 		return true, nil
 	}
@@ -143,7 +143,7 @@
 	if err != nil {
 		return true, err
 	}
-	at.incarnation, at.born, at.nextEvent, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
+	at.incarnation, at.startedMS, at.nextEvent, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
 	g.takeCache(id, at, news, true)
 	return true, nil
 }
