--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -74,7 +74,7 @@
 type cacheCursor struct {
 	incarnation, nextEvent uint64
 	startedMS              int64 // of that life, in Unix ms
-	known                  bool  // the list of this life was read
+	listed                 bool  // the list of this life was read
 	listedAt               time.Duration
 	aliveAt                time.Duration
 	failures               int // in a row
@@ -115,7 +115,7 @@
 	if !open {
 		return false, nil
 	}
-	if !at.known {
+	if !at.listed {
 		return g.listCache(ctx, id, address, at)
 	}
 	news, err := g.reader.Events(ctx, address, at.nextEvent)
@@ -124,7 +124,7 @@
 		return true, err
 	}
 	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.startedMS || news.NextEvent < at.nextEvent {
-		at.known = false // what is missing stands in the list
+		at.listed = false // what is missing stands in the list
 		return true, nil
 	}
 	at.nextEvent = news.NextEvent
@@ -143,7 +143,7 @@
 	if err != nil {
 		return true, err
 	}
-	at.incarnation, at.startedMS, at.nextEvent, at.known = news.Incarnation, news.StartedMS, news.NextEvent, true
+	at.incarnation, at.startedMS, at.nextEvent, at.listed = news.Incarnation, news.StartedMS, news.NextEvent, true
 	g.takeCache(id, at, news, true)
 	return true, nil
 }
