--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -89,7 +89,7 @@
 		switch {
 		case err != nil:
 			pause = min(minCacheRetryInterval<<min(at.failures, 10), maxCacheRetryInterval)
-			g.noteUnread(id, &at, err)
+			g.recordCacheError(id, &at, err)
 		case asked:
 			at.failures = 0
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-// noteUnread counts a question that failed, and logs the first of a row.
-func (g *Gateway) noteUnread(id string, at *cacheCursor, err error) {
+// recordCacheError counts a question that failed, and logs the first of a row.
+func (g *Gateway) recordCacheError(id string, at *cacheCursor, err error) {
 	at.failures++
 	g.metrics.unread.Inc()
 	if at.failures == 1 {
