--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -128,7 +128,7 @@
 		return true, nil
 	}
 	at.nextEvent = news.NextEvent
-	g.takeCache(id, at, news, false)
+	g.applyCache(id, at, news, false)
 	return true, nil
 }
 
@@ -144,12 +144,12 @@
 		return true, err
 	}
 	at.incarnation, at.startedMS, at.nextEvent, at.listed = news.Incarnation, news.StartedMS, news.NextEvent, true
-	g.takeCache(id, at, news, true)
+	g.applyCache(id, at, news, true)
 	return true, nil
 }
 
-// takeCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
-func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheReport, whole bool) {
+// applyCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
+func (g *Gateway) applyCache(id string, at *cacheCursor, news CacheReport, whole bool) {
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
 	if len(corrections) == 0 && now >= at.aliveAt+cacheAliveInterval {
