--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -72,12 +72,12 @@
 
 // handlePlacementRequest answers another gateway that asks for a placement.
 func (g *Gateway) handlePlacementRequest(request transport.Request, respond transport.Respond) {
-	var asked wirePlacementRequest
-	if json.Unmarshal(request.Body, &asked) != nil {
+	var req wirePlacementRequest
+	if json.Unmarshal(request.Body, &req) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	respond(http.StatusOK, g.placeForPeer(g.now(), &asked))
+	respond(http.StatusOK, g.placeForPeer(g.now(), &req))
 }
 
 // placeForPeer chooses a back end for another gateway's request and counts it from now on.
