--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -81,20 +81,20 @@
 }
 
 // placeForPeer chooses a back end for another gateway's request and counts it from now on.
-func (g *Gateway) placeForPeer(now time.Duration, asked *wirePlacementRequest) wirePlacementReply {
+func (g *Gateway) placeForPeer(now time.Duration, req *wirePlacementRequest) wirePlacementReply {
 	held := g.view.Load()
-	if held == nil || held.services[asked.Service] == nil || !g.trusted(now) {
+	if held == nil || held.services[req.Service] == nil || !g.trusted(now) {
 		return wirePlacementReply{}
 	}
-	call := asked.call()
-	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsByID(asked.Excluded), trusted: true, sentByPeer: true}
-	if asked.IsolatedTenant != "" {
-		in.tenant = &catalog.Tenant{Name: asked.IsolatedTenant, Isolated: true}
+	call := req.call()
+	in := selectionInput{service: held.services[req.Service], call: &call, tried: g.table.rowsByID(req.Excluded), trusted: true, sentByPeer: true}
+	if req.IsolatedTenant != "" {
+		in.tenant = &catalog.Tenant{Name: req.IsolatedTenant, Isolated: true}
 	}
 	if g.on(mechanism.Store) {
 		in.store = held.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.FirstAttempt, asked.Priority, wireTime(asked.LatencyTargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = req.FirstAttempt, req.Priority, wireTime(req.LatencyTargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacementReply{}
@@ -102,9 +102,9 @@
 	if back, refused := g.checkAdmission(now, chosen, in); refused {
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
 	}
-	running := g.table.addPlacement(now, asked.PlacementID, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(asked.TimeoutMS),
-		priority: asked.Priority, queueWait: chosen.queueWait,
+	running := g.table.addPlacement(now, req.PlacementID, placement{
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(req.TimeoutMS),
+		priority: req.Priority, queueWait: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, running)
 	placed := wirePlacementReply{
