--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -82,17 +82,17 @@
 
 // placeForPeer chooses a back end for another gateway's request and counts it from now on.
 func (g *Gateway) placeForPeer(now time.Duration, req *wirePlacementRequest) wirePlacementReply {
-	held := g.view.Load()
-	if held == nil || held.services[req.Service] == nil || !g.trusted(now) {
+	current := g.view.Load()
+	if current == nil || current.services[req.Service] == nil || !g.trusted(now) {
 		return wirePlacementReply{}
 	}
 	call := req.call()
-	in := selectionInput{service: held.services[req.Service], call: &call, tried: g.table.rowsByID(req.Excluded), trusted: true, sentByPeer: true}
+	in := selectionInput{service: current.services[req.Service], call: &call, tried: g.table.rowsByID(req.Excluded), trusted: true, sentByPeer: true}
 	if req.IsolatedTenant != "" {
 		in.tenant = &catalog.Tenant{Name: req.IsolatedTenant, Isolated: true}
 	}
 	if g.on(mechanism.Store) {
-		in.store = held.storeOf(call.Parts)
+		in.store = current.storeOf(call.Parts)
 	}
 	in.firstAttempt, in.priority, in.latencyTarget = req.FirstAttempt, req.Priority, wireTime(req.LatencyTargetMS)
 	chosen := g.choose(now, in)
