--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -99,8 +99,8 @@
 	if chosen == nil {
 		return wirePlacementReply{}
 	}
-	if back, refused := g.checkAdmission(now, chosen, in); refused {
-		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, back.Milliseconds())}
+	if retryAfter, refused := g.checkAdmission(now, chosen, in); refused {
+		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, retryAfter.Milliseconds())}
 	}
 	running := g.table.addPlacement(now, req.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(req.TimeoutMS),
