--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -99,7 +99,7 @@
 	if chosen == nil {
 		return wirePlacementReply{}
 	}
-	if retryAfter, refused := g.checkAdmission(now, chosen, in); refused {
+	if retryAfter, rejected := g.checkAdmission(now, chosen, in); rejected {
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, retryAfter.Milliseconds())}
 	}
 	running := g.table.addPlacement(now, req.PlacementID, placement{
