--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -102,11 +102,11 @@
 	if retryAfter, rejected := g.checkAdmission(now, chosen, in); rejected {
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, retryAfter.Milliseconds())}
 	}
-	running := g.table.addPlacement(now, req.PlacementID, placement{
+	load := g.table.addPlacement(now, req.PlacementID, placement{
 		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(req.TimeoutMS),
 		priority: req.Priority, queueWait: chosen.queueWait,
 	})
-	g.announce(now, chosen, call.Parts, running)
+	g.announce(now, chosen, call.Parts, load)
 	placed := wirePlacementReply{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
