--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -107,13 +107,13 @@
 		priority: req.Priority, queueWait: chosen.queueWait,
 	})
 	g.announce(now, chosen, call.Parts, load)
-	placed := wirePlacementReply{
+	reply := wirePlacementReply{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
 	if limit, _ := g.table.advertisedLimit(now, chosen.row); limit != nil {
-		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
+		reply.Limit, reply.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
 	}
-	return placed
+	return reply
 }
 
 // handlePlacementEnd notes how a request ended that this gateway placed for another one.
