--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -125,13 +125,13 @@
 	}
 	respond(http.StatusOK, struct{}{})
 	now := g.now()
-	made, left, known := g.table.endPlacement(now, &end)
+	p, left, known := g.table.endPlacement(now, &end)
 	if !known {
 		return
 	}
-	row := made.row
-	g.table.observePrefill(row, made.engineIdle, made.uncached, wireTime(end.FirstEventMS))
-	g.table.observeQueueWait(row.entry.Service, made.priority, made.queueWait, made.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
+	row := p.row
+	g.table.observePrefill(row, p.engineIdle, p.uncached, wireTime(end.FirstEventMS))
+	g.table.observeQueueWait(row.entry.Service, p.priority, p.queueWait, p.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
 	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
