--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -125,14 +125,14 @@
 	}
 	respond(http.StatusOK, struct{}{})
 	now := g.now()
-	p, left, known := g.table.endPlacement(now, &end)
+	p, load, known := g.table.endPlacement(now, &end)
 	if !known {
 		return
 	}
 	row := p.row
 	g.table.observePrefill(row, p.engineIdle, p.uncached, wireTime(end.FirstEventMS))
 	g.table.observeQueueWait(row.entry.Service, p.priority, p.queueWait, p.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
-	g.spread.own(send{Gateway: g.nick, Load: left, Instance: row.entry.ID})
+	g.spread.own(send{Gateway: g.nick, Load: load, Instance: row.entry.ID})
 	if end.Unreached {
 		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
 	}
