--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -139,14 +139,14 @@
 }
 
 // addPlacement counts a placement, and returns what now runs at its back end as far as this gateway tells others.
-func (t *table) addPlacement(now time.Duration, ticket string, made placement) belief.Load {
+func (t *table) addPlacement(now time.Duration, ticket string, p placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.placed[ticket] = made
-	here := &made.row.occupancy
-	here.Placed = here.Placed.Plus(made.load)
-	t.addPrefill(now, made.row, made.uncached)
-	t.pacePeerPlacement(now, made.row)
+	t.placed[ticket] = p
+	here := &p.row.occupancy
+	here.Placed = here.Placed.Plus(p.load)
+	t.addPrefill(now, p.row, p.uncached)
+	t.pacePeerPlacement(now, p.row)
 	return here.Local()
 }
 
