--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -152,15 +152,15 @@
 
 // endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
 // over the mesh.
-func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (made placement, left belief.Load, known bool) {
+func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (p placement, left belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	made, known = t.placed[end.PlacementID]
+	p, known = t.placed[end.PlacementID]
 	if !known {
-		return made, belief.Load{}, false
+		return p, belief.Load{}, false
 	}
-	t.removePlacement(end.PlacementID, made)
-	row := made.row
+	t.removePlacement(end.PlacementID, p)
+	row := p.row
 	switch {
 	case end.Unreached:
 		t.recordPeerReport(now, row, end.Gateway)
@@ -173,7 +173,7 @@
 	if end.Outcome == outcomeSuccess {
 		t.recordDuration(row, wireTime(end.DurationMS))
 	}
-	return made, row.occupancy.Local(), true
+	return p, row.occupancy.Local(), true
 }
 
 // removePlacement takes a placement out of the sums. The caller holds the mutex.
