--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -152,7 +152,7 @@
 
 // endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
 // over the mesh.
-func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (p placement, left belief.Load, known bool) {
+func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (p placement, remaining belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p, known = t.placed[end.PlacementID]
