--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -177,9 +177,9 @@
 }
 
 // removePlacement takes a placement out of the sums. The caller holds the mutex.
-func (t *table) removePlacement(ticket string, made placement) {
+func (t *table) removePlacement(ticket string, p placement) {
 	delete(t.placed, ticket)
-	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
+	p.row.occupancy.Placed = p.row.occupancy.Placed.Minus(p.load)
 }
 
 // expirePlacements forgets placements whose end was never told. The caller holds the mutex.
