--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -184,9 +184,9 @@
 
 // expirePlacements forgets placements whose end was never told. The caller holds the mutex.
 func (t *table) expirePlacements(now time.Duration) {
-	for ticket, made := range t.placed {
-		if now > made.expiresAt {
-			t.removePlacement(ticket, made)
+	for ticket, p := range t.placed {
+		if now > p.expiresAt {
+			t.removePlacement(ticket, p)
 		}
 	}
 }
