--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -62,16 +62,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
-	var asked []string
+	var usable []string
 	for _, address := range s.addresses {
 		if failed, known := s.failedAt[address]; !known || now > failed+schedulerRetryInterval {
-			asked = append(asked, address)
+			usable = append(usable, address)
 		}
 	}
-	slices.SortFunc(asked, func(a, b string) int {
+	slices.SortFunc(usable, func(a, b string) int {
 		return cmp.Compare(mix(key^xxhash.Sum64String(b)), mix(key^xxhash.Sum64String(a)))
 	})
-	return asked[:min(len(asked), maxSchedulersAsked)]
+	return usable[:min(len(usable), maxSchedulersAsked)]
 }
 
 // recordFailure notes that a scheduler gave no answer.
