--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -64,7 +64,7 @@
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
 	var usable []string
 	for _, address := range s.addresses {
-		if failed, known := s.failedAt[address]; !known || now > failed+schedulerRetryInterval {
+		if lastFailure, known := s.failedAt[address]; !known || now > lastFailure+schedulerRetryInterval {
 			usable = append(usable, address)
 		}
 	}
