--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -122,20 +122,20 @@
 	}
 	question := x.placementRequest(in)
 	for _, address := range asked {
-		made := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
-		question.PlacementID = made.placementID
+		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
+		question.PlacementID = placed.placementID
 		var answer wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
 		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
 		cancel()
 		if err == nil {
-			return g.candidateFromReply(&answer, made, in)
+			return g.candidateFromReply(&answer, placed, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
 		}
 		g.recordNoReply(address, err)
-		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: made.placementID, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick}) // it may have placed the request
 	}
 	return nil
 }
