--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -124,12 +124,12 @@
 	for _, address := range asked {
 		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
 		question.PlacementID = placed.placementID
-		var answer wirePlacementReply
+		var reply wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
-		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
+		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &reply)
 		cancel()
 		if err == nil {
-			return g.candidateFromReply(&answer, placed, in)
+			return g.candidateFromReply(&reply, placed, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
