--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -116,12 +116,12 @@
 	if !in.trusted {
 		return nil
 	}
-	asked := g.schedulers.forPrompt(g.now(), x.call.Parts)
-	if len(asked) == 0 {
+	addresses := g.schedulers.forPrompt(g.now(), x.call.Parts)
+	if len(addresses) == 0 {
 		return nil
 	}
 	question := x.placementRequest(in)
-	for _, address := range asked {
+	for _, address := range addresses {
 		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
 		question.PlacementID = placed.placementID
 		var reply wirePlacementReply
