--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -120,13 +120,13 @@
 	if len(addresses) == 0 {
 		return nil
 	}
-	question := x.placementRequest(in)
+	req := x.placementRequest(in)
 	for _, address := range addresses {
 		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
-		question.PlacementID = placed.placementID
+		req.PlacementID = placed.placementID
 		var reply wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
-		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &reply)
+		err := g.schedulers.client.Post(ctx, address, pathPlace, req, &reply)
 		cancel()
 		if err == nil {
 			return g.candidateFromReply(&reply, placed, in)
