--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -150,16 +150,16 @@
 // placementRequest returns what schedulers are asked.
 func (x *exchange) placementRequest(in selectionInput) wirePlacementRequest {
 	g := x.gateway
-	asked := wirePlacementRequest{
+	req := wirePlacementRequest{
 		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
 		Excluded: g.table.excluded(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
+	req.FirstAttempt, req.Priority, req.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
-		asked.IsolatedTenant = in.tenant.Name
+		req.IsolatedTenant = in.tenant.Name
 	}
-	asked.Parts, asked.PartTokens = wireParts(x.call.Parts)
-	return asked
+	req.Parts, req.PartTokens = wireParts(x.call.Parts)
+	return req
 }
 
 // excluded returns the back ends that a request was sent to already, and those that this gateway avoids.
