--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -177,22 +177,22 @@
 
 // candidateFromReply returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) candidateFromReply(answer *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
-	if answer.Instance == "" {
+func (g *Gateway) candidateFromReply(reply *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
+	if reply.Instance == "" {
 		return nil
 	}
-	if answer.RetryAfterMS > 0 {
-		return &candidate{wait: answer.WaitMS, retryAfter: wireTime(answer.RetryAfterMS)}
+	if reply.RetryAfterMS > 0 {
+		return &candidate{wait: reply.WaitMS, retryAfter: wireTime(reply.RetryAfterMS)}
 	}
 	now := g.now()
-	g.observeSchedulerLimit(now, answer)
+	g.observeSchedulerLimit(now, reply)
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
-		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, in.tenant), wait: answer.WaitMS,
-		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Recomputed), recomputeReason: recomputeCause(answer.RecomputeReason), fetchFrom: answer.FetchFrom, saveTo: answer.SaveTo, scheduled: &made,
+		row: g.table.rows[reply.Instance], version: reply.Version, salt: cacheSalt(reply.Version, in.tenant), wait: reply.WaitMS,
+		uncached: max(0, reply.Uncached), recomputed: max(0, reply.Recomputed), recomputeReason: recomputeCause(reply.RecomputeReason), fetchFrom: reply.FetchFrom, saveTo: reply.SaveTo, scheduled: &made,
 	}
-	if answer.Version == 0 {
+	if reply.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
