--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -177,7 +177,7 @@
 
 // candidateFromReply returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
 // itself of a back end and its weights decides.
-func (g *Gateway) candidateFromReply(reply *wirePlacementReply, made schedulerPlacement, in selectionInput) *candidate {
+func (g *Gateway) candidateFromReply(reply *wirePlacementReply, placed schedulerPlacement, in selectionInput) *candidate {
 	if reply.Instance == "" {
 		return nil
 	}
@@ -190,13 +190,13 @@
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
 		row: g.table.rows[reply.Instance], version: reply.Version, salt: cacheSalt(reply.Version, in.tenant), wait: reply.WaitMS,
-		uncached: max(0, reply.Uncached), recomputed: max(0, reply.Recomputed), recomputeReason: recomputeCause(reply.RecomputeReason), fetchFrom: reply.FetchFrom, saveTo: reply.SaveTo, scheduled: &made,
+		uncached: max(0, reply.Uncached), recomputed: max(0, reply.Recomputed), recomputeReason: recomputeCause(reply.RecomputeReason), fetchFrom: reply.FetchFrom, saveTo: reply.SaveTo, scheduled: &placed,
 	}
 	if reply.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{PlacementID: made.placementID, Gateway: g.nick})
+		g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick})
 		return nil
 	}
 	return chosen
