--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -212,13 +212,13 @@
 
 // reportEnd tells the scheduler that placed an attempt how it ended.
 func (a *attempt) reportEnd() {
-	made := a.plan.scheduled
-	if made == nil {
+	placed := a.plan.scheduled
+	if placed == nil {
 		return
 	}
 	g := a.exchange.gateway
-	g.schedulers.reportEnd(made.scheduler, wirePlacementEnd{
+	g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{
 		FirstEventMS: a.timeToFirstEvent().Milliseconds(),
-		PlacementID:  made.placementID, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
+		PlacementID:  placed.placementID, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
 	})
 }
