--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -24,12 +24,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
-	fresh := map[string]*endpoint{}
+	next := map[string]*endpoint{}
 	if !news.Whole {
-		maps.Copy(fresh, t.rows)
+		maps.Copy(next, t.rows)
 	}
 	for _, id := range news.Gone {
-		delete(fresh, id)
+		delete(next, id)
 	}
 	for _, entry := range news.Entries {
 		row := t.rows[entry.ID]
@@ -42,15 +42,15 @@
 			changes = append(changes, rosterChange{events.InstanceLeaving, entry})
 		}
 		row.update(now, entry)
-		fresh[entry.ID] = row
+		next[entry.ID] = row
 	}
 	for id, row := range t.rows {
-		row.gone = fresh[id] == nil
+		row.gone = next[id] == nil
 		if row.gone {
 			changes = append(changes, rosterChange{events.InstanceGone, row.entry})
 		}
 	}
-	t.replaceRows(fresh)
+	t.replaceRows(next)
 	return changes
 }
 
