--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -20,18 +20,18 @@
 }
 
 // applyRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
-func (t *table) applyRoster(now time.Duration, news *control.RosterNews, cacheLimits map[string]int) []rosterChange {
+func (t *table) applyRoster(now time.Duration, update *control.RosterNews, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
 	next := map[string]*endpoint{}
-	if !news.Whole {
+	if !update.Whole {
 		maps.Copy(next, t.rows)
 	}
-	for _, id := range news.Gone {
+	for _, id := range update.Gone {
 		delete(next, id)
 	}
-	for _, entry := range news.Entries {
+	for _, entry := range update.Entries {
 		row := t.rows[entry.ID]
 		if row == nil {
 			row = &endpoint{incarnation: catalog.ParseInstanceID(entry.ID), waiting: map[*attempt]time.Duration{}, lastByteAt: now, hash: xxhash.Sum64String(entry.Address)}
