--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -56,14 +56,14 @@
 
 // update takes up what control tells of a back end. What it holds is forgotten when its weights are others.
 func (e *endpoint) update(now time.Duration, entry control.RosterEntry) {
-	told := entry.Versions
-	entry.Versions = newestVersions(e.entry.Versions, told)
-	for model, version := range told {
+	reported := entry.Versions
+	entry.Versions = newestVersions(e.entry.Versions, reported)
+	for model, version := range reported {
 		if version < e.controlVersions[model] {
 			entry.Versions[model] = version // they fell, or a new leader hasn't heard of them yet: a send expects these, so nothing begins on others
 		}
 	}
-	e.controlVersions = told
+	e.controlVersions = reported
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
 		e.cache.Clear()
 	}
