--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -71,13 +71,13 @@
 }
 
 // replaceRows puts the rows of a new roster in force and wakes who waits for one. The caller holds the mutex.
-func (t *table) replaceRows(fresh map[string]*endpoint) {
+func (t *table) replaceRows(rows map[string]*endpoint) {
 	services := map[string][]*endpoint{}
-	for _, id := range slices.Sorted(maps.Keys(fresh)) {
-		row := fresh[id]
+	for _, id := range slices.Sorted(maps.Keys(rows)) {
+		row := rows[id]
 		services[row.entry.Service] = append(services[row.entry.Service], row)
 	}
-	t.rows, t.services = fresh, services
+	t.rows, t.services = rows, services
 	t.sweepHolders()
 	t.rosterChanged.Ring()
 }
