--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -21,30 +21,30 @@
 }
 
 func newView(document *catalog.Document) *view {
-	made := &view{
+	v := &view{
 		document: document, routes: map[string][]*catalog.Route{}, keys: map[string]*catalog.Tenant{},
 		services: map[string]*catalog.Service{},
 	}
 	for i := range document.Routes {
 		route := &document.Routes[i]
-		made.routes[route.Host] = append(made.routes[route.Host], route)
+		v.routes[route.Host] = append(v.routes[route.Host], route)
 	}
-	for _, routes := range made.routes {
+	for _, routes := range v.routes {
 		slices.SortFunc(routes, func(a, b *catalog.Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	for i := range document.Tenants {
 		for _, key := range document.Tenants[i].Keys {
-			made.keys[key] = &document.Tenants[i]
+			v.keys[key] = &document.Tenants[i]
 		}
 	}
 	for i := range document.Services {
 		service := &document.Services[i]
-		made.services[service.Name] = service
+		v.services[service.Name] = service
 		if service.StoreAddress != "" {
-			made.stores = append(made.stores, service)
+			v.stores = append(v.stores, service)
 		}
 	}
-	return made
+	return v
 }
 
 // route returns the route of a host and path, or nil.
