--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -46,29 +46,29 @@
 }
 
 // handlePushback takes up and logs what a back end says of itself.
-func (g *Gateway) handlePushback(row *endpoint, told answerPushback) {
-	if told.signals.IsEmpty() && told.unreadableBackoff == "" && told.unreadableLimit == "" {
+func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
+	if answer.signals.IsEmpty() && answer.unreadableBackoff == "" && answer.unreadableLimit == "" {
 		return
 	}
 	now := g.now()
-	news := g.table.observePushback(now, row, told.signals)
+	news := g.table.observePushback(now, row, answer.signals)
 	if !news.forPeers.IsEmpty() {
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
 	}
-	g.logLimit(now, row.entry.ID, news.forLog, sourceAnswer, told.unreadableLimit)
+	g.logLimit(now, row.entry.ID, news.forLog, sourceAnswer, answer.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
-	if told.request != "" {
-		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
+	if answer.request != "" {
+		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
 	}
 	if news.forPeers.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if told.signals.Backoff <= 0 && told.unreadableBackoff == "" {
+	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
 		return
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, told.signals.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, news.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, told.unreadableBackoff), zap.Int("held", held))...)
+		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, answer.signals.Backoff),
+			zap.Duration(events.FieldRestLeft, max(0, news.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, answer.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
