--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -80,19 +80,19 @@
 }
 
 // observePushback notes what a back end says of itself, and returns what of it is news.
-func (t *table) observePushback(now time.Duration, row *endpoint, said pushback.Signals) (made pushbackChanges) {
+func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (made pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
 	limit, heard := t.signals.LimitObservedAt(row.incarnation)
-	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
-	t.deprioritize(now, row, said.Backoff)
-	made.forPeers = pushback.Signals{Backoff: said.Backoff, Draining: made.restriction.Draining && !before.Draining}
+	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, signals, rand.Float64())
+	t.deprioritize(now, row, signals.Backoff)
+	made.forPeers = pushback.Signals{Backoff: signals.Backoff, Draining: made.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
-		made.forLog, made.forPeers.Limit = said.Limit, said.Limit
+		made.forLog, made.forPeers.Limit = signals.Limit, signals.Limit
 	}
-	if said.Limit.Advertised && now >= heard+limitUpdateInterval {
-		made.forPeers.Limit = said.Limit
+	if signals.Limit.Advertised && now >= heard+limitUpdateInterval {
+		made.forPeers.Limit = signals.Limit
 	}
 	return made
 }
