--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -80,21 +80,21 @@
 }
 
 // observePushback notes what a back end says of itself, and returns what of it is news.
-func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (made pushbackChanges) {
+func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (changes pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
 	limit, heard := t.signals.LimitObservedAt(row.incarnation)
-	made.restriction = t.signals.Observe(now, time.Now(), row.incarnation, signals, rand.Float64())
+	changes.restriction = t.signals.Observe(now, time.Now(), row.incarnation, signals, rand.Float64())
 	t.deprioritize(now, row, signals.Backoff)
-	made.forPeers = pushback.Signals{Backoff: signals.Backoff, Draining: made.restriction.Draining && !before.Draining}
+	changes.forPeers = pushback.Signals{Backoff: signals.Backoff, Draining: changes.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
-		made.forLog, made.forPeers.Limit = signals.Limit, signals.Limit
+		changes.forLog, changes.forPeers.Limit = signals.Limit, signals.Limit
 	}
 	if signals.Limit.Advertised && now >= heard+limitUpdateInterval {
-		made.forPeers.Limit = signals.Limit
+		changes.forPeers.Limit = signals.Limit
 	}
-	return made
+	return changes
 }
 
 // maxPeerBackoff is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
