--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -84,14 +84,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
-	limit, heard := t.signals.LimitObservedAt(row.incarnation)
+	limit, observedAt := t.signals.LimitObservedAt(row.incarnation)
 	changes.restriction = t.signals.Observe(now, time.Now(), row.incarnation, signals, rand.Float64())
 	t.deprioritize(now, row, signals.Backoff)
 	changes.forPeers = pushback.Signals{Backoff: signals.Backoff, Draining: changes.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
 		changes.forLog, changes.forPeers.Limit = signals.Limit, signals.Limit
 	}
-	if signals.Limit.Advertised && now >= heard+limitUpdateInterval {
+	if signals.Limit.Advertised && now >= observedAt+limitUpdateInterval {
 		changes.forPeers.Limit = signals.Limit
 	}
 	return changes
