--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -110,12 +110,12 @@
 
 // observePeerPushback takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
-	t.deprioritize(at, row, said.Backoff)
-	if t.signals.ObserveLimit(at, row.incarnation, said.Limit) {
-		news.Limit = said.Limit
+func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, signals pushback.Signals) (news pushback.Signals) {
+	t.deprioritize(at, row, signals.Backoff)
+	if t.signals.ObserveLimit(at, row.incarnation, signals.Limit) {
+		news.Limit = signals.Limit
 	}
-	if said.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
+	if signals.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
 		news.Draining = true
 		t.signals.Observe(now, time.Now(), row.incarnation, news, 0)
 	}
