--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -110,16 +110,16 @@
 
 // observePeerPushback takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
 // limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, signals pushback.Signals) (news pushback.Signals) {
+func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, signals pushback.Signals) (changes pushback.Signals) {
 	t.deprioritize(at, row, signals.Backoff)
 	if t.signals.ObserveLimit(at, row.incarnation, signals.Limit) {
-		news.Limit = signals.Limit
+		changes.Limit = signals.Limit
 	}
 	if signals.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
-		news.Draining = true
-		t.signals.Observe(now, time.Now(), row.incarnation, news, 0)
+		changes.Draining = true
+		t.signals.Observe(now, time.Now(), row.incarnation, changes, 0)
 	}
-	return news
+	return changes
 }
 
 // acceptsRequests reports whether control lets requests go to a back end.
