--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -25,9 +25,9 @@
 	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
 	g.table.mutex.Unlock()
 	if over {
-		news := pushback.Limit{Withdrawn: true}
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: news}})
-		g.logLimit(now, row.entry.ID, news, sourceAnswer, "")
+		limit := pushback.Limit{Withdrawn: true}
+		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: limit}})
+		g.logLimit(now, row.entry.ID, limit, sourceAnswer, "")
 	}
 }
 
