--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -22,9 +22,9 @@
 func (g *Gateway) observeNoLimit(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
+	withdrawn := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
 	g.table.mutex.Unlock()
-	if over {
+	if withdrawn {
 		limit := pushback.Limit{Withdrawn: true}
 		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: limit}})
 		g.logLimit(now, row.entry.ID, limit, sourceAnswer, "")
