--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -40,9 +40,9 @@
 	limit := limitOfWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
+	changed := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
-	if news {
+	if changed {
 		g.logLimit(now, answer.Instance, limit, sourceGateway, "")
 	}
 }
