--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -48,12 +48,12 @@
 }
 
 // logLimit logs that a back end names another limit than before, none any more, or one that can't be read.
-func (g *Gateway) logLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
+func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, toldBy, unread string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
 	switch {
-	case news.Advertised:
-		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, news.Rate))...)
-	case news.Withdrawn:
+	case limit.Advertised:
+		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
+	case limit.Withdrawn:
 		g.log.note(events.InstanceUnlimited, fields...)
 	}
 	if unread == "" {
