--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -48,8 +48,8 @@
 }
 
 // logLimit logs that a back end names another limit than before, none any more, or one that can't be read.
-func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, toldBy, unread string) {
-	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
+func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unread string) {
+	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
 	case limit.Advertised:
 		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
