--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -48,7 +48,7 @@
 }
 
 // logLimit logs that a back end names another limit than before, none any more, or one that can't be read.
-func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unread string) {
+func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unreadable string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
 	case limit.Advertised:
@@ -56,11 +56,11 @@
 	case limit.Withdrawn:
 		g.log.note(events.InstanceUnlimited, fields...)
 	}
-	if unread == "" {
+	if unreadable == "" {
 		return
 	}
 	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimits, append(fields, zap.String(events.FieldUnread, unread), zap.Int("held", held))...)
+		g.log.note(events.InstanceLimits, append(fields, zap.String(events.FieldUnread, unreadable), zap.Int("held", held))...)
 	}
 }
 
