--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -100,11 +100,11 @@
 	if a.hold.Valid(now) {
 		return true
 	}
-	limit, dry := g.table.advertisedLimit(now, a.row)
+	limit, exhausted := g.table.advertisedLimit(now, a.row)
 	if limit == nil {
 		return true
 	}
-	if dry {
+	if exhausted {
 		return false
 	}
 	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
