--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -107,14 +107,14 @@
 	if exhausted {
 		return false
 	}
-	taken := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
+	result := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := leaseGranted
 	switch {
-	case taken.Outcome == desk.Granted:
-		a.hold = taken.Lease
-	case taken.Outcome == desk.LimitReached:
+	case result.Outcome == desk.Granted:
+		a.hold = result.Lease
+	case result.Outcome == desk.LimitReached:
 		outcome = leaseLimitReached
-		g.table.setLimitExhausted(a.row, g.now()+apart(max(taken.RetryAfter, minLimitExhaustion)))
+		g.table.setLimitExhausted(a.row, g.now()+apart(max(result.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
@@ -122,7 +122,7 @@
 		g.table.setLeaseRetryAt(g.now() + leaseRetryInterval)
 	}
 	g.metrics.permits.WithLabelValues(outcome).Inc()
-	return taken.Outcome == desk.Granted
+	return result.Outcome == desk.Granted
 }
 
 // releaseLease gives back what was taken of a limit and not used.
