--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -135,7 +135,7 @@
 }
 
 // advertisedLimit returns the limit that a back end names, or nil, and whether nothing of it can be had now.
-func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
+func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, exhausted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	named, heard := t.signals.LimitObservedAt(row.incarnation)
