--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -138,11 +138,11 @@
 func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, exhausted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	observed, heard := t.signals.LimitObservedAt(row.incarnation)
+	observed, observedAt := t.signals.LimitObservedAt(row.incarnation)
 	if !observed.Advertised {
 		return nil, false
 	}
-	return &allowance.AdvertisedLimit{Rate: observed.Rate, Age: max(0, now-heard)}, t.limitExhaustedFor(now, row, false) > 0
+	return &allowance.AdvertisedLimit{Rate: observed.Rate, Age: max(0, now-observedAt)}, t.limitExhaustedFor(now, row, false) > 0
 }
 
 // limitExhaustedFor returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
