--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -147,8 +147,8 @@
 
 // limitExhaustedFor returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
 // holds the mutex.
-func (t *table) limitExhaustedFor(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
-	if elsewhere {
+func (t *table) limitExhaustedFor(now time.Duration, row *endpoint, sentByPeer bool) time.Duration {
+	if sentByPeer {
 		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
 	}
 	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
