--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -32,8 +32,8 @@
 )
 
 // recordOutcome notes how an attempt at a back end went. The caller holds the table's mutex.
-func (e *endpoint) recordOutcome(now time.Duration, good attemptOutcome) {
-	switch good {
+func (e *endpoint) recordOutcome(now time.Duration, outcome attemptOutcome) {
+	switch outcome {
 	case outcomeSuccess:
 		e.failures = 0
 		e.failureRate *= 1 - failureSmoothing
