--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -56,12 +56,12 @@
 }
 
 // recordUnreachable notes that no connection came up, and reports whether that is news to the other gateways.
-func (t *table) recordUnreachable(now time.Duration, row *endpoint) (news bool) {
+func (t *table) recordUnreachable(now time.Duration, row *endpoint) (newlyAvoided bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	news = now >= row.avoidUntil
+	newlyAvoided = now >= row.avoidUntil
 	row.recordFailure(now, unreachableAvoidance)
-	return news
+	return newlyAvoided
 }
 
 // peerReport is who lately reported a back end as unreachable.
