--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -71,9 +71,9 @@
 }
 
 // recordPeerReport takes another gateway's report, where such reports count. The caller holds the mutex.
-func (t *table) recordPeerReport(at time.Duration, row *endpoint, from string) {
+func (t *table) recordPeerReport(at time.Duration, row *endpoint, reporter string) {
 	if t.mechanisms.On(mechanism.Suspicion) {
-		row.recordPeerReport(at, from)
+		row.recordPeerReport(at, reporter)
 	}
 }
 
