--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -80,9 +80,9 @@
 // recordPeerReport takes another gateway's report that no connection to a back end came up. It counts with a second gateway's, and
 // unless the back end has spoken to this one since.
 func (e *endpoint) recordPeerReport(at time.Duration, reporter string) {
-	before := e.reports
+	previous := e.reports
 	e.reports = peerReport{reporter: reporter, at: at}
-	fresh := before.reporter != "" && before.reporter != reporter && at-before.at < peerReportWindow
+	fresh := previous.reporter != "" && previous.reporter != reporter && at-previous.at < peerReportWindow
 	if (fresh || e.failures > 0) && e.lastByteAt < at {
 		e.avoidUntil = max(e.avoidUntil, at+peerReportAvoidance)
 	}
