--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -82,8 +82,8 @@
 func (e *endpoint) recordPeerReport(at time.Duration, reporter string) {
 	previous := e.reports
 	e.reports = peerReport{reporter: reporter, at: at}
-	fresh := previous.reporter != "" && previous.reporter != reporter && at-previous.at < peerReportWindow
-	if (fresh || e.failures > 0) && e.lastByteAt < at {
+	confirmed := previous.reporter != "" && previous.reporter != reporter && at-previous.at < peerReportWindow
+	if (confirmed || e.failures > 0) && e.lastByteAt < at {
 		e.avoidUntil = max(e.avoidUntil, at+peerReportAvoidance)
 	}
 }
