--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -54,11 +54,11 @@
 	if o.ended {
 		return
 	}
-	lasted := now - o.startedAt
+	elapsed := now - o.startedAt
 	if o.meanDuration == 0 {
-		o.meanDuration = lasted
+		o.meanDuration = elapsed
 	}
-	o.meanDuration += time.Duration(outageSmoothing * float64(lasted-o.meanDuration))
+	o.meanDuration += time.Duration(outageSmoothing * float64(elapsed-o.meanDuration))
 	o.ended = true
 }
 
