--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -70,8 +70,8 @@
 	if typical == 0 {
 		typical = initialOutageEstimate
 	}
-	lasted := now - o.startedAt
-	return max(typical-lasted, time.Duration(minRemainingFraction*float64(lasted)))
+	elapsed := now - o.startedAt
+	return max(typical-elapsed, time.Duration(minRemainingFraction*float64(elapsed)))
 }
 
 // controlRetryAfter returns when a caller should ask again that is turned away for want of control.
