--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -76,8 +76,8 @@
 
 // controlRetryAfter returns when a caller should ask again that is turned away for want of control.
 func (g *Gateway) controlRetryAfter() time.Duration {
-	left := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
-	return left + time.Duration(controlRetryJitter*rand.Float64()*float64(left))
+	remaining := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
+	return remaining + time.Duration(controlRetryJitter*rand.Float64()*float64(remaining))
 }
 
 // awaitView waits a moment for control where it is expected, and reports whether the view is confirmed.
