--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -88,13 +88,13 @@
 		if g.trusted(g.now()) {
 			return true
 		}
-		left := x.arrived + x.viewWait() - g.now()
-		if left <= 0 || !g.expectsControl() {
+		remaining := x.arrived + x.viewWait() - g.now()
+		if remaining <= 0 || !g.expectsControl() {
 			return false
 		}
 		select {
 		case <-next:
-		case <-time.After(left):
+		case <-time.After(remaining):
 		case <-x.request.Context().Done():
 			return false
 		}
