--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -109,9 +109,9 @@
 
 // viewWait is how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
-	patience := x.call.Patience
-	if patience == 0 {
-		patience = defaultCallerTimeout
+	timeout := x.call.Patience
+	if timeout == 0 {
+		timeout = defaultCallerTimeout
 	}
-	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitFraction*float64(patience)))
+	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitFraction*float64(timeout)))
 }
