--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -14,8 +14,8 @@
 	if chosen == nil {
 		return
 	}
-	if back, refused := g.checkAdmission(now, chosen, in); refused {
-		chosen.retryAfter = back
+	if retryAfter, refused := g.checkAdmission(now, chosen, in); refused {
+		chosen.retryAfter = retryAfter
 	}
 }
 
