--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -14,7 +14,7 @@
 	if chosen == nil {
 		return
 	}
-	if retryAfter, refused := g.checkAdmission(now, chosen, in); refused {
+	if retryAfter, rejected := g.checkAdmission(now, chosen, in); rejected {
 		chosen.retryAfter = retryAfter
 	}
 }
