--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -20,7 +20,7 @@
 }
 
 // checkAdmission decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (retryAfter time.Duration, refused bool) {
+func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (retryAfter time.Duration, rejected bool) {
 	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
@@ -31,12 +31,12 @@
 		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	retryAfter, refused = g.table.admissionController(in.service.Name).Decide(now, asked)
+	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, asked)
 	g.table.mutex.Unlock()
-	if refused && asked.Key != "" {
+	if rejected && asked.Key != "" {
 		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
 	}
-	return retryAfter, refused
+	return retryAfter, rejected
 }
 
 // admissionController returns the admissionController of a service. The caller holds the mutex.
