--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -24,17 +24,17 @@
 	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
 	}
-	asked := admission.Request{
+	req := admission.Request{
 		Priority: in.priority, PredictedWait: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Random: rand.Float64(),
 	}
 	if parts := in.call.Parts; len(parts) > 0 {
-		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
+		req.Key = parts[len(parts)-1].ID // its own: shared parts come before
 	}
 	g.table.mutex.Lock()
-	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, asked)
+	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, req)
 	g.table.mutex.Unlock()
-	if rejected && asked.Key != "" {
-		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: asked.Key}) // whoever it comes back to is to know it
+	if rejected && req.Key != "" {
+		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: req.Key}) // whoever it comes back to is to know it
 	}
 	return retryAfter, rejected
 }
