--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -41,12 +41,12 @@
 
 // admissionController returns the admissionController of a service. The caller holds the mutex.
 func (t *table) admissionController(service string) *admission.Controller {
-	held := t.admission[service]
-	if held == nil {
-		held = &admission.Controller{}
-		t.admission[service] = held
+	controller := t.admission[service]
+	if controller == nil {
+		controller = &admission.Controller{}
+		t.admission[service] = controller
 	}
-	return held
+	return controller
 }
 
 // observeQueueWait learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
