--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -51,16 +51,16 @@
 
 // observeQueueWait learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
 // whose first event never came waited at least as long as it stayed.
-func (t *table) observeQueueWait(service string, rank int, predicted float64, uncached int, first, stayed time.Duration) {
+func (t *table) observeQueueWait(service string, priority int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	judge := t.admissionController(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.ObserveWait(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
+		judge.ObserveWait(priority, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > judge.ExpectedWait(rank, queue) {
-		judge.ObserveWait(rank, queue, stayed)
+	if stayed > judge.ExpectedWait(priority, queue) {
+		judge.ObserveWait(priority, queue, stayed)
 	}
 }
