--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -54,13 +54,13 @@
 func (t *table) observeQueueWait(service string, priority int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	judge := t.admissionController(service)
+	controller := t.admissionController(service)
 	queue := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.ObserveWait(priority, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
+		controller.ObserveWait(priority, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > judge.ExpectedWait(priority, queue) {
-		judge.ObserveWait(priority, queue, stayed)
+	if stayed > controller.ExpectedWait(priority, queue) {
+		controller.ObserveWait(priority, queue, stayed)
 	}
 }
