--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -55,12 +55,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	controller := t.admissionController(service)
-	queue := belief.FromMilliseconds(predicted)
+	predictedWait := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		controller.ObserveWait(priority, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
+		controller.ObserveWait(priority, predictedWait, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > controller.ExpectedWait(priority, queue) {
-		controller.ObserveWait(priority, queue, stayed)
+	if stayed > controller.ExpectedWait(priority, predictedWait) {
+		controller.ObserveWait(priority, predictedWait, stayed)
 	}
 }
