--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -32,13 +32,13 @@
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
-	taken := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
-	switch taken.Outcome {
+	result := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	switch result.Outcome {
 	case desk.Granted:
-		x.cover = quotaLease{lease: taken.Lease, acquired: true}
+		x.cover = quotaLease{lease: result.Lease, acquired: true}
 		return true
 	case desk.LimitReached:
-		x.rejectForQuota(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
+		x.rejectForQuota(http.StatusTooManyRequests, reasonOverLimit, result.RetryAfter)
 	default:
 		x.rejectForQuota(http.StatusServiceUnavailable, reasonUncounted, x.gateway.controlRetryAfter())
 	}
