--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -46,14 +46,14 @@
 }
 
 // rejectForQuota answers a request that may not be sent for its tenant's limit.
-func (x *exchange) rejectForQuota(status int, reason string, wait time.Duration) {
+func (x *exchange) rejectForQuota(status int, reason string, retryAfter time.Duration) {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
 	case x.mayHave || x.relayed:
 		x.giveUp(reason, 0)
 	default:
-		x.refuse(status, reason, max(retrySoon, wait))
+		x.refuse(status, reason, max(retrySoon, retryAfter))
 	}
 }
 
