--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -71,12 +71,12 @@
 }
 
 // requestLeases asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) requestLeases(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
+func (g *Gateway) requestLeases(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(controlContactWindow) {
 		ask = g.group.Any
 	}
-	response, err := ask(ctx, control.Request{Borrow: &asked})
+	response, err := ask(ctx, control.Request{Borrow: &request})
 	if err != nil {
 		return allowance.Reply{}, err
 	}
