--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -92,6 +92,6 @@
 		return true
 	}
 	name := quota.ServiceRetries(service)
-	taken := g.desk.Acquire(ctx, name, 1, retryLeaseTimeout)
-	return taken.Outcome == desk.Granted && taken.Lease.Name == name
+	result := g.desk.Acquire(ctx, name, 1, retryLeaseTimeout)
+	return result.Outcome == desk.Granted && result.Lease.Name == name
 }
