--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -40,17 +40,17 @@
 
 // slot returns the current part of a service's window. The caller holds the mutex.
 func (b *retryBudget) slot(service string, now time.Duration) (*serviceBudget, *budgetSlot) {
-	held := b.services[service]
-	if held == nil {
-		held = &serviceBudget{}
-		b.services[service] = held
+	budget := b.services[service]
+	if budget == nil {
+		budget = &serviceBudget{}
+		b.services[service] = budget
 	}
 	number := int64(now / (b.window / budgetSlots))
-	slot := &held.slots[number%budgetSlots]
+	slot := &budget.slots[number%budgetSlots]
 	if slot.number != number {
 		*slot = budgetSlot{number: number}
 	}
-	return held, slot
+	return budget, slot
 }
 
 // recordRequest counts a caller's recordRequest.
