--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -65,9 +65,9 @@
 func (b *retryBudget) acquireRetry(service string, now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	held, slot := b.slot(service, now)
+	budget, slot := b.slot(service, now)
 	requests, repeats := 0, 0
-	for _, counted := range held.slots {
+	for _, counted := range budget.slots {
 		if slot.number-counted.number < budgetSlots {
 			requests += counted.requests
 			repeats += counted.retries
