--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -17,11 +17,11 @@
 	if x.print != nil {
 		return *x.print, true
 	}
-	again := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
+	request := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
 	if x.tenant != nil {
-		again.Caller = x.tenant.Name
+		request.Caller = x.tenant.Name
 	}
-	if f, ok = x.gateway.quarantine.Fingerprint(again); ok {
+	if f, ok = x.gateway.quarantine.Fingerprint(request); ok {
 		x.print = &f
 	}
 	return f, ok
