--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -97,11 +97,11 @@
 			joined[change.entry.Address] = true
 		}
 	}
-	var lives []string
+	var ids []string
 	for _, change := range changes {
 		if change.event == events.InstanceGone && joined[change.entry.Address] && change.entry.State == catalog.StateReady {
-			lives = append(lives, change.entry.ID)
+			ids = append(ids, change.entry.ID)
 		}
 	}
-	return lives
+	return ids
 }
