--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -47,15 +47,15 @@
 func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, room int, err error) {
 	for {
 		if len(body) == cap(body) {
-			wanted := max(bufferStep, 2*cap(body))
+			newRoom := max(bufferStep, 2*cap(body))
 			if length >= 0 {
-				wanted = min(wanted, int(length)+1) // one more, so that the end is seen
+				newRoom = min(newRoom, int(length)+1) // one more, so that the end is seen
 			}
-			if !h.reserve(wanted - room) {
+			if !h.reserve(newRoom - room) {
 				return body, room, errBufferLimit
 			}
-			room = wanted
-			body = append(make([]byte, 0, wanted), body...)
+			room = newRoom
+			body = append(make([]byte, 0, newRoom), body...)
 		}
 		n, err := from.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
