--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -17,7 +17,7 @@
 	var roster control.RosterVersion
 	known, failures := 0, 0
 	for ctx.Err() == nil {
-		asked := g.now()
+		askedAt := g.now()
 		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || known == 0)
 		if reply == nil {
 			failures++
@@ -34,7 +34,7 @@
 		}
 		failures = 0
 		roster = reply.Version
-		g.applyWatchReply(ctx, asked, reply)
+		g.applyWatchReply(ctx, askedAt, reply)
 		if len(reply.Replicas) != known {
 			known = len(reply.Replicas)
 			g.group.Use(reply.Replicas)
