--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -15,10 +15,10 @@
 // watchControl is the thread that asks control for news.
 func (g *Gateway) watchControl(ctx context.Context) {
 	var roster control.RosterVersion
-	known, failures := 0, 0
+	replicas, failures := 0, 0
 	for ctx.Err() == nil {
 		askedAt := g.now()
-		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || known == 0)
+		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || replicas == 0)
 		if reply == nil {
 			failures++
 			g.near.demoteFirst()
@@ -35,8 +35,8 @@
 		failures = 0
 		roster = reply.Version
 		g.applyWatchReply(ctx, askedAt, reply)
-		if len(reply.Replicas) != known {
-			known = len(reply.Replicas)
+		if len(reply.Replicas) != replicas {
+			replicas = len(reply.Replicas)
 			g.group.Use(reply.Replicas)
 		}
 	}
