--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -105,7 +105,7 @@
 }
 
 // applyWatchReply puts news in force. A document is only ever replaced by a newer one.
-func (g *Gateway) applyWatchReply(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
+func (g *Gateway) applyWatchReply(ctx context.Context, askedAt time.Duration, reply *control.WatchReply) {
 	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
 		g.quarantine.ApplyUpdate(reply.Quarantine)
@@ -126,12 +126,12 @@
 		g.log.note(events.RosterTaken, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
 	}
-	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
+	for _, n := range g.table.applyWatchReply(g.now(), askedAt, reply) {
 		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.desk.RecordContact(asked, reply.Gateways)
+	g.desk.RecordContact(askedAt, reply.Gateways)
 	g.gateways.Store(int64(reply.Gateways))
 	g.near.update(reply.Near)
 	g.spread.use(reply.Mesh)
@@ -139,7 +139,7 @@
 	g.table.setAssigned(reply.Reads)
 	g.assignCaches(ctx, reply)
 	if g.view.Load() != nil {
-		g.confirm.Store(int64(asked))
+		g.confirm.Store(int64(askedAt))
 		g.outage.end(g.now())
 		g.confirmed.Ring()
 		g.log.regained()
