--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -110,8 +110,8 @@
 	if reply.Quarantine != nil {
 		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	held := g.view.Load()
-	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
+	current := g.view.Load()
+	if reply.Document != nil && (current == nil || reply.Document.Revision > current.document.Revision) {
 		g.view.Store(newView(reply.Document))
 		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
