--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -49,20 +49,20 @@
 
 // watchOnce asks control for news once, after it has looked for who answers where that isn't known.
 func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
-	question := control.Watch{
+	watch := control.Watch{
 		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
 	if held := g.view.Load(); held != nil {
-		question.Revision = held.document.Revision
+		watch.Revision = held.document.Revision
 	}
 	if searching {
-		if !g.findControl(ctx, question, patience) {
+		if !g.findControl(ctx, watch, patience) {
 			return nil
 		}
 		patience = max(patience, wholePatience)
 	}
-	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
+	attempt, cancel := context.WithTimeout(ctx, patience+watch.Hold)
 	defer cancel()
 	ask := g.group.Once
 	if address, named := g.near.first(); named {
@@ -70,7 +70,7 @@
 			return g.group.At(ctx, address, request)
 		}
 	}
-	response, err := ask(attempt, control.Request{Watch: &question})
+	response, err := ask(attempt, control.Request{Watch: &watch})
 	if err != nil || response.Kind != control.ResponseOK {
 		return nil
 	}
