--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -48,7 +48,7 @@
 }
 
 // watchOnce asks control for news once, after it has looked for who answers where that isn't known.
-func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
+func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, grace time.Duration, searching bool) *control.WatchReply {
 	watch := control.Watch{
 		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
@@ -57,12 +57,12 @@
 		watch.Revision = held.document.Revision
 	}
 	if searching {
-		if !g.findControl(ctx, watch, patience) {
+		if !g.findControl(ctx, watch, grace) {
 			return nil
 		}
-		patience = max(patience, wholePatience)
+		grace = max(grace, wholePatience)
 	}
-	attempt, cancel := context.WithTimeout(ctx, patience+watch.Hold)
+	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
 	ask := g.group.Once
 	if address, named := g.near.first(); named {
