--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -79,14 +79,14 @@
 
 // findControl looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
 // patience for one answer on reading several of them.
-func (g *Gateway) findControl(ctx context.Context, question control.Watch, grace time.Duration) bool {
-	question.Brief = true
+func (g *Gateway) findControl(ctx context.Context, watch control.Watch, grace time.Duration) bool {
+	watch.Brief = true
 	if !g.group.HeardWithin(controlContactWindow) {
-		question.Hold = 0 // to learn soon whether there is anybody
+		watch.Hold = 0 // to learn soon whether there is anybody
 	}
-	attempt, cancel := context.WithTimeout(ctx, grace+question.Hold)
+	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
-	response, err := g.group.Any(attempt, control.Request{Watch: &question})
+	response, err := g.group.Any(attempt, control.Request{Watch: &watch})
 	if err != nil || response.Watch == nil {
 		return false
 	}
