--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -53,8 +53,8 @@
 		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
-	if held := g.view.Load(); held != nil {
-		watch.Revision = held.document.Revision
+	if current := g.view.Load(); current != nil {
+		watch.Revision = current.document.Revision
 	}
 	if searching {
 		if !g.findControl(ctx, watch, grace) {
