--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -149,8 +149,8 @@
 // cacheTokens returns the tokens of one engine's memory by service.
 func (g *Gateway) cacheTokens() map[string]int {
 	limits := map[string]int{}
-	if held := g.view.Load(); held != nil {
-		for name, service := range held.services {
+	if current := g.view.Load(); current != nil {
+		for name, service := range current.services {
 			limits[name] = service.CacheTokens
 		}
 	}
