--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -82,16 +82,16 @@
 
 // followCache is the thread that reads one engine's cache events.
 func (g *Gateway) followCache(ctx context.Context, id string) {
-	at := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
+	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
 		pause := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
-		asked, err := g.readCache(ctx, id, &at)
+		asked, err := g.readCache(ctx, id, &cursor)
 		switch {
 		case err != nil:
-			pause = min(minCacheRetryInterval<<min(at.failures, 10), maxCacheRetryInterval)
-			g.recordCacheError(id, &at, err)
+			pause = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
+			g.recordCacheError(id, &cursor, err)
 		case asked:
-			at.failures = 0
+			cursor.failures = 0
 		}
 		select {
 		case <-ctx.Done():
