--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -101,10 +101,10 @@
 }
 
 // recordCacheError counts a question that failed, and logs the first of a row.
-func (g *Gateway) recordCacheError(id string, at *cacheCursor, err error) {
-	at.failures++
+func (g *Gateway) recordCacheError(id string, cursor *cacheCursor, err error) {
+	cursor.failures++
 	g.metrics.unread.Inc()
-	if at.failures == 1 {
+	if cursor.failures == 1 {
 		g.log.note(events.CacheUnread, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
