--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -110,25 +110,25 @@
 }
 
 // readCache asks an engine once and takes up what it tells. It may be too early to ask, the engine may be gone, or it wants rest.
-func (g *Gateway) readCache(ctx context.Context, id string, at *cacheCursor) (asked bool, err error) {
+func (g *Gateway) readCache(ctx context.Context, id string, cursor *cacheCursor) (asked bool, err error) {
 	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
 		return false, nil
 	}
-	if !at.listed {
-		return g.listCache(ctx, id, address, at)
+	if !cursor.listed {
+		return g.listCache(ctx, id, address, cursor)
 	}
-	news, err := g.reader.Events(ctx, address, at.nextEvent)
+	news, err := g.reader.Events(ctx, address, cursor.nextEvent)
 	g.handleCachePushback(id, news)
 	if err != nil {
 		return true, err
 	}
-	if news.EventsLost || news.Incarnation != at.incarnation || news.StartedMS != at.startedMS || news.NextEvent < at.nextEvent {
-		at.listed = false // what is missing stands in the list
+	if news.EventsLost || news.Incarnation != cursor.incarnation || news.StartedMS != cursor.startedMS || news.NextEvent < cursor.nextEvent {
+		cursor.listed = false // what is missing stands in the list
 		return true, nil
 	}
-	at.nextEvent = news.NextEvent
-	g.applyCache(id, at, news, false)
+	cursor.nextEvent = news.NextEvent
+	g.applyCache(id, cursor, news, false)
 	return true, nil
 }
 
