--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -133,18 +133,18 @@
 }
 
 // listCache reads all that an engine keeps, unless it was asked for that a moment ago.
-func (g *Gateway) listCache(ctx context.Context, id, address string, at *cacheCursor) (asked bool, err error) {
-	if g.now() < at.listedAt+cacheListInterval {
+func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (asked bool, err error) {
+	if g.now() < cursor.listedAt+cacheListInterval {
 		return false, nil
 	}
-	at.listedAt = g.now()
+	cursor.listedAt = g.now()
 	news, err := g.reader.List(ctx, address)
 	g.handleCachePushback(id, news)
 	if err != nil {
 		return true, err
 	}
-	at.incarnation, at.startedMS, at.nextEvent, at.listed = news.Incarnation, news.StartedMS, news.NextEvent, true
-	g.applyCache(id, at, news, true)
+	cursor.incarnation, cursor.startedMS, cursor.nextEvent, cursor.listed = news.Incarnation, news.StartedMS, news.NextEvent, true
+	g.applyCache(id, cursor, news, true)
 	return true, nil
 }
 
