--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -149,15 +149,15 @@
 }
 
 // applyCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
-func (g *Gateway) applyCache(id string, at *cacheCursor, news CacheReport, whole bool) {
+func (g *Gateway) applyCache(id string, cursor *cacheCursor, news CacheReport, whole bool) {
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
-	if len(corrections) == 0 && now >= at.aliveAt+cacheAliveInterval {
+	if len(corrections) == 0 && now >= cursor.aliveAt+cacheAliveInterval {
 		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
 	}
 	for _, told := range corrections {
 		told.Gateway, told.Instance, told.Kept = g.nick, id, true
-		at.aliveAt = now
+		cursor.aliveAt = now
 		g.spread.own(told)
 	}
 }
