--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -118,17 +118,17 @@
 	if !cursor.listed {
 		return g.listCache(ctx, id, address, cursor)
 	}
-	news, err := g.reader.Events(ctx, address, cursor.nextEvent)
-	g.handleCachePushback(id, news)
+	report, err := g.reader.Events(ctx, address, cursor.nextEvent)
+	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
 	}
-	if news.EventsLost || news.Incarnation != cursor.incarnation || news.StartedMS != cursor.startedMS || news.NextEvent < cursor.nextEvent {
+	if report.EventsLost || report.Incarnation != cursor.incarnation || report.StartedMS != cursor.startedMS || report.NextEvent < cursor.nextEvent {
 		cursor.listed = false // what is missing stands in the list
 		return true, nil
 	}
-	cursor.nextEvent = news.NextEvent
-	g.applyCache(id, cursor, news, false)
+	cursor.nextEvent = report.NextEvent
+	g.applyCache(id, cursor, report, false)
 	return true, nil
 }
 
