--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -138,13 +138,13 @@
 		return false, nil
 	}
 	cursor.listedAt = g.now()
-	news, err := g.reader.List(ctx, address)
-	g.handleCachePushback(id, news)
+	report, err := g.reader.List(ctx, address)
+	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
 	}
-	cursor.incarnation, cursor.startedMS, cursor.nextEvent, cursor.listed = news.Incarnation, news.StartedMS, news.NextEvent, true
-	g.applyCache(id, cursor, news, true)
+	cursor.incarnation, cursor.startedMS, cursor.nextEvent, cursor.listed = report.Incarnation, report.StartedMS, report.NextEvent, true
+	g.applyCache(id, cursor, report, true)
 	return true, nil
 }
 
