--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -155,9 +155,9 @@
 	if len(corrections) == 0 && now >= cursor.aliveAt+cacheAliveInterval {
 		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
 	}
-	for _, told := range corrections {
-		told.Gateway, told.Instance, told.Kept = g.nick, id, true
+	for _, correction := range corrections {
+		correction.Gateway, correction.Instance, correction.Kept = g.nick, id, true
 		cursor.aliveAt = now
-		g.spread.own(told)
+		g.spread.own(correction)
 	}
 }
