--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -149,9 +149,9 @@
 }
 
 // applyCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
-func (g *Gateway) applyCache(id string, cursor *cacheCursor, report CacheReport, whole bool) {
+func (g *Gateway) applyCache(id string, cursor *cacheCursor, report CacheReport, full bool) {
 	now := g.now()
-	corrections := g.table.applyCacheReport(now, id, report.Parts, whole)
+	corrections := g.table.applyCacheReport(now, id, report.Parts, full)
 	if len(corrections) == 0 && now >= cursor.aliveAt+cacheAliveInterval {
 		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
 	}
