--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -84,18 +84,18 @@
 func (g *Gateway) followCache(ctx context.Context, id string) {
 	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
-		pause := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
+		interval := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
 		asked, err := g.readCache(ctx, id, &cursor)
 		switch {
 		case err != nil:
-			pause = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
+			interval = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
 			g.recordCacheError(id, &cursor, err)
 		case asked:
 			cursor.failures = 0
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
