--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -17,7 +17,7 @@
 	const schedulers, engines, rounds = 15, 240, 20
 	fleet := make([]*Gateway, schedulers)
 	for d := range fleet {
-		fleet[d] = scheduler(engines)
+		fleet[d] = newScheduler(engines)
 		var assigned []string
 		for i := d; i < engines; i += schedulers {
 			assigned = append(assigned, fmt.Sprint("i-", i))
@@ -51,7 +51,7 @@
 // A copy from a store is used while the store's link is free, but the parts are recomputed once many transfers are
 // queued.
 func TestBusyStoreLinkPreventsCopy(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	store := &catalog.Service{Name: "k", StoreAddress: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
 	parts := partsOf("own")
@@ -75,7 +75,7 @@
 
 // The queue time of an engine follows from the observed prefill rate of its service.
 func TestObservedPrefillRateSetsQueueTime(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
 		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 tokens per ms
@@ -106,7 +106,7 @@
 // Requests that a scheduler places for a service without engines count at once and are spread, and the load that
 // other gateways report counts as well.
 func TestScheduledPlainRequestsAreSpread(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
 	news := &control.RosterNews{}
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -21,7 +21,7 @@
 		"the same roster comes once more": func(*control.RosterEntry) {},
 	} {
 		t.Run(what, func(t *testing.T) {
-			g := scheduler(1)
+			g := newScheduler(1)
 			chosen := chosenAttempt(g)
 			news := &control.RosterNews{Whole: true}
 			if change != nil {
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
 	chosen := chosenAttempt(g)
 	publishVersion(g, 2, g.settings.VersionLimit)
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -57,7 +57,7 @@
 func TestLimitIsOfTheWeightsExpected(t *testing.T) {
 	// believes returns a gateway that believes version 2, named so long ago; nothing may begin on version 1 a minute after that.
 	believes := func(age time.Duration) (*Gateway, *attempt) {
-		g := scheduler(1)
+		g := newScheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
 		chosen := chosenAttempt(g)
 		publishVersion(g, 2, age)
@@ -98,7 +98,7 @@
 // TestUnconfirmedViewIsPlacedByBelief: while control is gone a request expects no weights, and an engine that is believed to hold the newest is
 // used however long ago these were named.
 func TestUnconfirmedViewIsPlacedByBelief(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
 	publishVersion(g, 2, 5*time.Minute)
 	entry := g.table.rows["i-0"].entry
@@ -109,7 +109,7 @@
 
 // TestNoVersionExpectedIsNoOldOne: a gateway that is cut off from control expects no version, and goes on with what it believes.
 func TestNoVersionExpectedIsNoOldOne(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
 	publishVersion(g, 1, 2*time.Minute)
 	sendsUnconfirmed(t, g)
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -26,7 +26,7 @@
 // reads; the gauges count who names one.
 func TestLimitsAreTold(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
@@ -93,7 +93,7 @@
 // part that was taken ends after a while.
 func TestLastLookNeedsAPartOfTheLimit(t *testing.T) {
 	now := time.Minute
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	chosen := chosenAttempt(g)
 	if bar := chosen.barred(); bar != "" {
@@ -122,7 +122,7 @@
 // on placing there for others, a part of the limit at a time; while the lender is silent none with a limit is chosen.
 func TestBackEndsAtTheirLimitsAreLeftOut(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	names(g, "i-0", 4)
 	g.table.setLimitExhausted(g.table.rows["i-0"], now+time.Second)
@@ -160,7 +160,7 @@
 
 // TestBackEndWithALimitOwnsNoPrompt: it is open and closed in turn, so that the prompt would be read in two places.
 func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, PartTokens: []int{2000, 100}}).call()
 	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
@@ -174,7 +174,7 @@
 // this gateway's part of the limits; not before the first of them takes another request, and never beyond a bound.
 func TestCallersComeBackInTurn(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	g.gateways.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
@@ -205,7 +205,7 @@
 // TestWhatBarsAllIsTold: of back ends at rest and at their limits the first that takes a request again says why.
 func TestWhatBarsAllIsTold(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	asks(g, "i-0", 10*time.Second)
 	names(g, "i-1", 4)
@@ -226,7 +226,7 @@
 // for as well.
 func TestOtherGatewaysHearOfLimits(t *testing.T) {
 	now := time.Minute
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	told := func(age time.Duration, limit pushback.Limit) {
 		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
@@ -269,7 +269,7 @@
 
 // TestRequestGoesOnFromALimit: it may come back to that back end, which is full for a moment only, and gives up after a few.
 func TestRequestGoesOnFromALimit(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
 	for i := range maxLimitedAttempts {
@@ -289,7 +289,7 @@
 // heard of its limit.
 func TestLimitIsHeardOfAgain(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // no engines, so that all are as good for any request
 	names(g, "i-0", 4)
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -45,7 +45,7 @@
 // expected weights is not logged.
 func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
@@ -83,7 +83,7 @@
 	// publication of a newer version.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
-		g := scheduler(1)
+		g := newScheduler(1)
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
@@ -160,7 +160,7 @@
 func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
 	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
@@ -185,7 +185,7 @@
 		const engines = 3
 		var clock atomic.Int64
 		clock.Store(int64(10 * time.Minute))
-		g := scheduler(engines)
+		g := newScheduler(engines)
 		g.now = func() time.Duration { return time.Duration(clock.Load()) }
 		versions, waiting, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
 		rows := map[string]*endpoint{}
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -26,7 +26,7 @@
 // TestWhatWouldWaitTooLongIsTurnedAway: with the time to come back, and without being counted anywhere; what was sent once, what
 // has no objective, and everything while engines are free, is placed.
 func TestWhatWouldWaitTooLongIsTurnedAway(t *testing.T) {
-	g := scheduler(4)
+	g := newScheduler(4)
 	now := time.Second
 	if got := g.placeForPeer(now, judged("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
 		t.Fatalf("engines are free: %+v", got)
@@ -55,7 +55,7 @@
 
 // TestLongPromptsAreNotTurnedAwayForTheirReading: only the queue before it counts.
 func TestLongPromptsAreNotTurnedAwayForTheirReading(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	asked := judged("long", true)
 	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over a second and a half of reading
 	if got := g.placeForPeer(time.Second, asked); got.RetryAfterMS > 0 {
@@ -66,7 +66,7 @@
 // TestUrgentRequestsAreJudgedByWhatTheyWait: once it is seen that engines let them in first, others' queue is no reason to turn
 // them away; their scheduler learns it from the ends that it is told of.
 func TestUrgentRequestsAreJudgedByWhatTheyWait(t *testing.T) {
-	g := scheduler(4)
+	g := newScheduler(4)
 	now := time.Second
 	busy(g, now, time.Hour)
 	for i := range 400 {
@@ -89,7 +89,7 @@
 
 // TestRefusalOfASchedulerIsPassedOn by the gateway that asked, which does not place the request by itself then.
 func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	chosen := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", WaitMS: 3000, RetryAfterMS: 1200}, schedulerPlacement{}, selectionInput{})
 	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
 		t.Fatalf("%+v", chosen)
@@ -100,7 +100,7 @@
 func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
 	let := func(told bool) (in int) {
 		for range 200 {
-			g, now := scheduler(4), time.Second
+			g, now := newScheduler(4), time.Second
 			if told {
 				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -20,7 +20,7 @@
 // that can't be read leaves what it was; a send into a rest can be told at its end; the gauge counts who rests.
 func TestWishesForRestAreTold(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
@@ -74,7 +74,7 @@
 		causeResting: func(g *Gateway) { asks(g, "i-0", time.Second) },
 		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
 	} {
-		g := scheduler(1)
+		g := newScheduler(1)
 		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
 			t.Fatalf("barred before: %s", bar)
@@ -112,7 +112,7 @@
 			"rest":    func(g *Gateway) { asks(g, first.ID(), time.Minute) },
 			"leaving": func(g *Gateway) { leaves(g, first.ID()) },
 		} {
-			g := scheduler(0)
+			g := newScheduler(0)
 			tell(g, first, "a")
 			say(g)
 			step.meanwhile(g)
@@ -128,7 +128,7 @@
 // TestRestIsBetweenTwo: a scheduler that was asked for rest places others' requests there, and not its own; whoever asks it names what wants
 // rest from itself; that a back end leaves binds all.
 func TestRestIsBetweenTwo(t *testing.T) {
-	s := scheduler(1)
+	s := newScheduler(1)
 	asks(s, "i-0", time.Minute)
 	if placed := s.placeForPeer(s.now(), question("t1", 0)); placed.Instance != "i-0" {
 		t.Fatalf("placed %+v", placed)
@@ -162,7 +162,7 @@
 // TestTheFewThatTakeRequestsAreFound: in a large service most of whose back ends want rest, no request is turned away while one takes it. A
 // sample of 24 among 400 of which 398 rest holds neither of the others in 89 of 100 choices.
 func TestTheFewThatTakeRequestsAreFound(t *testing.T) {
-	g := scheduler(400)
+	g := newScheduler(400)
 	for id := range g.table.rows {
 		if id != "i-7" && id != "i-311" {
 			asks(g, id, time.Minute)
@@ -179,7 +179,7 @@
 
 // TestTurnedAwayCallersComeBackWhenItHelps: at once while another back end takes requests, else when the first does again, each a little apart.
 func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	x := newModelRequest(g)
 	asks(g, "i-0", 10*time.Second)
 	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
@@ -210,7 +210,7 @@
 
 // TestEngineAtRestIsNotAskedWhatItKeeps: it wants nothing from this gateway, and its cursor stays.
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	at := cacheCursor{listedAt: -cacheListInterval}
 	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Pushback: pushback.Signals{Backoff: time.Minute}}}}
 	g.UseCacheReader(script)
@@ -229,7 +229,7 @@
 // while and bars nobody.
 func TestOtherGatewaysHearOfIt(t *testing.T) {
 	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
-		g = scheduler(2)
+		g = newScheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
 		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -20,8 +20,8 @@
 	"kitetiller/internal/transport"
 )
 
-// scheduler returns a gateway with a confirmed view of so many engines.
-func scheduler(engines int) *Gateway {
+// newScheduler returns a gateway with a confirmed view of so many engines.
+func newScheduler(engines int) *Gateway {
 	log, err := node.NewLogger("error", "s")
 	if err != nil {
 		panic(err)
@@ -51,7 +51,7 @@
 // TestPlacementsAreCountedUntilTheirEnd: whatever is asked, ended, ended twice or never, the sums are those of an oracle.
 func TestPlacementsAreCountedUntilTheirEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := scheduler(4)
+		g := newScheduler(4)
 		type running struct {
 			instance string
 			until    time.Duration
@@ -106,7 +106,7 @@
 // TestSchedulerBringsPromptsTogether: many gateways that ask at the same moment for one prompt each do not all get one engine,
 // and prompts of a subject meet where its parts are while there is room.
 func TestSchedulerBringsPromptsTogether(t *testing.T) {
-	g := scheduler(100)
+	g := newScheduler(100)
 	first := g.placeForPeer(time.Second, question("t0", 7))
 	again := g.placeForPeer(2*time.Second, question("t1", 7))
 	if again.Instance != first.Instance || again.Uncached != 2890 {
@@ -127,7 +127,7 @@
 // TestOneGatewaysReportTurnsNobodyAway: one that is cut off from an engine by itself, and asks again and again, changes nothing
 // for the others; a second one's report does.
 func TestOneGatewaysReportTurnsNobodyAway(t *testing.T) {
-	g := scheduler(3)
+	g := newScheduler(3)
 	row := g.table.rows["i-0"]
 	report := func(now time.Duration, gateway, ticket string) {
 		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
@@ -148,7 +148,7 @@
 // TestOneGatewaysBrokenAttemptsTurnNobodyAway: attempts that broke off at one gateway cost the back end a little with its
 // scheduler; only with another gateway's is it avoided.
 func TestOneGatewaysBrokenAttemptsTurnNobodyAway(t *testing.T) {
-	g := scheduler(3)
+	g := newScheduler(3)
 	row := g.table.rows["i-0"]
 	broke := func(now time.Duration, gateway, ticket string) {
 		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	g := scheduler(3)
+	g := newScheduler(3)
 	g.schedulers.setAddresses([]string{silent.Addr().String()})
 	x := &exchange{gateway: g, route: &catalog.Route{}, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour}
 	if chosen := x.place(); chosen == nil || chosen.scheduled != nil {
@@ -192,7 +192,7 @@
 // TestPlacementOfASchedulerIsUsed: over the wire, with the salt of the asking gateway's own view; what that gateway avoids, or
 // has been to, is not offered, and the scheduler hears of the end.
 func TestPlacementOfASchedulerIsUsed(t *testing.T) {
-	s := scheduler(3)
+	s := newScheduler(3)
 	ended := make(chan struct{}, 8)
 	server, err := transport.Listen("127.0.0.1:17391", "", func(request transport.Request, respond transport.Respond) {
 		s.handlePeer(request, respond)
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close(context.Background()) }()
-	g := scheduler(3)
+	g := newScheduler(3)
 	g.schedulers.setAddresses([]string{"127.0.0.1:17391"})
 	g.table.rows["i-0"].avoidUntil = time.Hour
 	x := &exchange{
