--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -35,7 +35,7 @@
 	for round := range rounds {
 		used := map[string]bool{}
 		for d, g := range fleet {
-			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
+			asked := newPlacementRequest(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
 			answer := g.placeForPeer(time.Second, asked)
 			g.table.endPlacement(time.Second, &wirePlacementEnd{PlacementID: asked.PlacementID})
 			used[answer.Instance] = true
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -18,7 +18,7 @@
 
 // judged is a question of a route with an objective.
 func judged(ticket string, first bool) *wirePlacementRequest {
-	asked := question(ticket, 1)
+	asked := newPlacementRequest(ticket, 1)
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
@@ -44,7 +44,7 @@
 	if got := g.placeForPeer(now, judged("repeat", false)); got.RetryAfterMS > 0 {
 		t.Fatalf("sent before: %+v", got)
 	}
-	if got := g.placeForPeer(now, question("no objective", 1)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, newPlacementRequest("no objective", 1)); got.RetryAfterMS > 0 {
 		t.Fatalf("no objective: %+v", got)
 	}
 	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -130,7 +130,7 @@
 func TestRestIsBetweenTwo(t *testing.T) {
 	s := newScheduler(1)
 	asks(s, "i-0", time.Minute)
-	if placed := s.placeForPeer(s.now(), question("t1", 0)); placed.Instance != "i-0" {
+	if placed := s.placeForPeer(s.now(), newPlacementRequest("t1", 0)); placed.Instance != "i-0" {
 		t.Fatalf("placed %+v", placed)
 	}
 	x := newModelRequest(s)
@@ -154,7 +154,7 @@
 	if s.table.isReady(s.table.rows["i-0"]) {
 		t.Fatal("the end of one that says that it leaves counts as a crash")
 	}
-	if placed := s.placeForPeer(s.now(), question("t2", 0)); placed.Instance != "" {
+	if placed := s.placeForPeer(s.now(), newPlacementRequest("t2", 0)); placed.Instance != "" {
 		t.Fatalf("placed %+v", placed)
 	}
 }
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -40,8 +40,8 @@
 	return g
 }
 
-// question returns a question for a prompt of a preamble, one of some subjects and a part of its own.
-func question(ticket string, subject int) *wirePlacementRequest {
+// newPlacementRequest returns a newPlacementRequest for a prompt of a preamble, one of some subjects and a part of its own.
+func newPlacementRequest(ticket string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
 		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
 		Parts: []string{"preamble", fmt.Sprint("subject-", subject), ticket}, PartTokens: []int{2520, 3780, 2890},
@@ -62,7 +62,7 @@
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				asked := question(fmt.Sprint("t", step), rapid.IntRange(0, 3).Draw(t, "subject"))
+				asked := newPlacementRequest(fmt.Sprint("t", step), rapid.IntRange(0, 3).Draw(t, "subject"))
 				answer := g.placeForPeer(now, asked)
 				if answer.Instance == "" {
 					t.Fatal("no back end although all are ready")
@@ -107,14 +107,14 @@
 // and prompts of a subject meet where its parts are while there is room.
 func TestSchedulerBringsPromptsTogether(t *testing.T) {
 	g := newScheduler(100)
-	first := g.placeForPeer(time.Second, question("t0", 7))
-	again := g.placeForPeer(2*time.Second, question("t1", 7))
+	first := g.placeForPeer(time.Second, newPlacementRequest("t0", 7))
+	again := g.placeForPeer(2*time.Second, newPlacementRequest("t1", 7))
 	if again.Instance != first.Instance || again.Uncached != 2890 {
 		t.Fatalf("first %+v, then %+v", first, again)
 	}
 	used := map[string]int{}
 	for i := range 40 {
-		used[g.placeForPeer(3*time.Second, question(fmt.Sprint("u", i), 7)).Instance]++
+		used[g.placeForPeer(3*time.Second, newPlacementRequest(fmt.Sprint("u", i), 7)).Instance]++
 	}
 	if len(used) < 4 {
 		t.Fatalf("40 requests at one moment went to %d engines: %v", len(used), used)
