--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -54,7 +54,7 @@
 	g := newScheduler(1)
 	store := &catalog.Service{Name: "k", StoreAddress: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
-	parts := partsOf("own")
+	parts := promptParts("own")
 	g.table.stored.Record(time.Second, "w1", prefix.SharedParts(parts))
 	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, in)
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -88,7 +88,7 @@
 				counts[r.instance]++
 			}
 			for id, row := range g.table.rows {
-				if row.occupancy.Total().Running != counts[id] || row.occupancy.Total().Tokens != counts[id]*loadOf(&Call{Parts: partsOf("x")}).Tokens {
+				if row.occupancy.Total().Running != counts[id] || row.occupancy.Total().Tokens != counts[id]*loadOf(&Call{Parts: promptParts("x")}).Tokens {
 					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupancy.Total(), counts[id])
 				}
 			}
@@ -99,7 +99,7 @@
 	})
 }
 
-func partsOf(own string) []prefix.Part {
+func promptParts(own string) []prefix.Part {
 	return []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: "subject-0", Tokens: 3780}, {ID: own, Tokens: 2890}}
 }
 
@@ -180,7 +180,7 @@
 	defer silent.Close()
 	g := newScheduler(3)
 	g.schedulers.setAddresses([]string{silent.Addr().String()})
-	x := &exchange{gateway: g, route: &catalog.Route{}, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour}
+	x := &exchange{gateway: g, route: &catalog.Route{}, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), call: Call{Model: "m", Parts: promptParts("own")}, deadline: time.Hour}
 	if chosen := x.place(); chosen == nil || chosen.scheduled != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
@@ -209,7 +209,7 @@
 	g.table.rows["i-0"].avoidUntil = time.Hour
 	x := &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
-		request: &http.Request{}, call: Call{Model: "m", Parts: partsOf("own")}, deadline: time.Hour, tried: []*endpoint{g.table.rows["i-1"]},
+		request: &http.Request{}, call: Call{Model: "m", Parts: promptParts("own")}, deadline: time.Hour, tried: []*endpoint{g.table.rows["i-1"]},
 	}
 	x.tenant = &catalog.Tenant{Name: "t", Isolated: true}
 	chosen := x.place()
