--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -150,14 +150,14 @@
 func TestOneGatewaysBrokenAttemptsTurnNobodyAway(t *testing.T) {
 	g := newScheduler(3)
 	row := g.table.rows["i-0"]
-	broke := func(now time.Duration, gateway, ticket string) {
+	fail := func(now time.Duration, gateway, ticket string) {
 		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
 		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: outcomeFailure}); !known {
 			t.Fatal("the placement is not known")
 		}
 	}
 	for i := range 5 {
-		broke(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
+		fail(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
 	if row.avoidUntil > 0 || row.failures > 0 {
 		t.Fatal("one gateway turned everybody away")
@@ -165,7 +165,7 @@
 	if row.failureRate == 0 {
 		t.Fatal("its word costs nothing")
 	}
-	broke(1100*time.Millisecond, "b", "t9")
+	fail(1100*time.Millisecond, "b", "t9")
 	if row.avoidUntil == 0 {
 		t.Fatal("two gateways turned nobody away")
 	}
