--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -207,7 +207,7 @@
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
-	asks(g, "i-0", 10*time.Second)
+	reportBackoff(g, "i-0", 10*time.Second)
 	names(g, "i-1", 4)
 	if first, cause := g.table.allBarred(now, "s"); first != 0 || cause != "" {
 		t.Fatalf("%v, %q", first, cause)
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// asks lets a back end ask a gateway for rest.
-func asks(g *Gateway, id string, rest time.Duration) {
+// reportBackoff lets a back end ask a gateway for rest.
+func reportBackoff(g *Gateway, id string, rest time.Duration) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
@@ -71,7 +71,7 @@
 // meanwhile holds for the request that waits as well.
 func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeResting: func(g *Gateway) { asks(g, "i-0", time.Second) },
+		causeResting: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
 		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
 	} {
 		g := newScheduler(1)
@@ -109,7 +109,7 @@
 		"another life":    {func(g *Gateway) { tell(g, later, "a") }, true},
 	} {
 		for kind, say := range map[string]func(*Gateway){
-			"rest":    func(g *Gateway) { asks(g, first.ID(), time.Minute) },
+			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
 			"leaving": func(g *Gateway) { leaves(g, first.ID()) },
 		} {
 			g := newScheduler(0)
@@ -129,7 +129,7 @@
 // rest from itself; that a back end leaves binds all.
 func TestRestIsBetweenTwo(t *testing.T) {
 	s := newScheduler(1)
-	asks(s, "i-0", time.Minute)
+	reportBackoff(s, "i-0", time.Minute)
 	if placed := s.placeForPeer(s.now(), newPlacementRequest("t1", 0)); placed.Instance != "i-0" {
 		t.Fatalf("placed %+v", placed)
 	}
@@ -165,7 +165,7 @@
 	g := newScheduler(400)
 	for id := range g.table.rows {
 		if id != "i-7" && id != "i-311" {
-			asks(g, id, time.Minute)
+			reportBackoff(g, id, time.Minute)
 		}
 	}
 	x := newModelRequest(g)
@@ -181,11 +181,11 @@
 func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
 	g := newScheduler(2)
 	x := newModelRequest(g)
-	asks(g, "i-0", 10*time.Second)
+	reportBackoff(g, "i-0", 10*time.Second)
 	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
 	}
-	asks(g, "i-1", 40*time.Second)
+	reportBackoff(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
 		back := x.comeBackAfter(result{rest: 40 * time.Second})
