--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -62,8 +62,8 @@
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
-// leaves lets a back end tell a gateway that it leaves.
-func leaves(g *Gateway, id string) {
+// reportDraining lets a back end tell a gateway that it reportDraining.
+func reportDraining(g *Gateway, id string) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
@@ -72,7 +72,7 @@
 func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
 		causeResting: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
-		causeLeaving: func(g *Gateway) { leaves(g, "i-0") },
+		causeLeaving: func(g *Gateway) { reportDraining(g, "i-0") },
 	} {
 		g := newScheduler(1)
 		chosen := chosenAttempt(g)
@@ -110,7 +110,7 @@
 	} {
 		for kind, say := range map[string]func(*Gateway){
 			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
-			"leaving": func(g *Gateway) { leaves(g, first.ID()) },
+			"leaving": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
 			g := newScheduler(0)
 			tell(g, first, "a")
@@ -150,7 +150,7 @@
 	if !s.table.isReady(s.table.rows["i-0"]) {
 		t.Fatal("one that rests leaves")
 	}
-	leaves(s, "i-0")
+	reportDraining(s, "i-0")
 	if s.table.isReady(s.table.rows["i-0"]) {
 		t.Fatal("the end of one that says that it leaves counts as a crash")
 	}
