--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -91,7 +91,7 @@
 func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
-	tell := func(g *Gateway, life catalog.Incarnation, address string) {
+	applyEntry := func(g *Gateway, life catalog.Incarnation, address string) {
 		g.table.applyRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
 			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
@@ -100,20 +100,20 @@
 		meanwhile func(g *Gateway)
 		open      bool
 	}{
-		"told anew": {func(g *Gateway) { tell(g, first, "a") }, false},
+		"told anew": {func(g *Gateway) { applyEntry(g, first, "a") }, false},
 		"left and back": {func(g *Gateway) {
 			g.table.applyRoster(g.now(), &control.RosterNews{Whole: true}, nil)
-			tell(g, first, "a")
+			applyEntry(g, first, "a")
 		}, false},
-		"another address": {func(g *Gateway) { tell(g, first, "b") }, false},
-		"another life":    {func(g *Gateway) { tell(g, later, "a") }, true},
+		"another address": {func(g *Gateway) { applyEntry(g, first, "b") }, false},
+		"another life":    {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
 		for kind, say := range map[string]func(*Gateway){
 			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
 			"leaving": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
 			g := newScheduler(0)
-			tell(g, first, "a")
+			applyEntry(g, first, "a")
 			say(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
