--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -91,9 +91,9 @@
 func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
-	applyEntry := func(g *Gateway, life catalog.Incarnation, address string) {
+	applyEntry := func(g *Gateway, incarnation catalog.Incarnation, address string) {
 		g.table.applyRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
-			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
+			Instance: catalog.Instance{ID: incarnation.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
 	}
 	for what, step := range map[string]struct {
