--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -228,7 +228,7 @@
 // TestOtherGatewaysHearOfIt: over the wire that a back end leaves binds whoever is told; a wish for rest makes the back end dearer there for a
 // while and bars nobody.
 func TestOtherGatewaysHearOfIt(t *testing.T) {
-	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
+	applyPeerPushback := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = newScheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: said}
 		g.table.applySends(g.now(), []send{heard.wire(0).send()})
@@ -239,17 +239,17 @@
 		}
 		return g, chosen
 	}
-	g, chosen := told(pushback.Signals{Backoff: time.Second})
+	g, chosen := applyPeerPushback(pushback.Signals{Backoff: time.Second})
 	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
 		t.Fatalf("asked for rest elsewhere: %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
 		t.Fatalf("dearer for %v", avoided)
 	}
-	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > maxPeerBackoff {
+	if g, _ := applyPeerPushback(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > maxPeerBackoff {
 		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
-	g, chosen = told(pushback.Signals{Draining: true})
+	g, chosen = applyPeerPushback(pushback.Signals{Draining: true})
 	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
 		t.Fatalf("leaves: %v, barred %q", chosen, bar)
 	}
