--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -228,9 +228,9 @@
 // TestOtherGatewaysHearOfIt: over the wire that a back end leaves binds whoever is told; a wish for rest makes the back end dearer there for a
 // while and bars nobody.
 func TestOtherGatewaysHearOfIt(t *testing.T) {
-	applyPeerPushback := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
+	applyPeerPushback := func(signals pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = newScheduler(2)
-		heard := send{Gateway: "other", Instance: "i-0", Said: said}
+		heard := send{Gateway: "other", Instance: "i-0", Said: signals}
 		g.table.applySends(g.now(), []send{heard.wire(0).send()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
