--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// names lets a back end name a limit to a gateway.
-func names(g *Gateway, id string, rate float64) {
+// reportLimit lets a back end name a limit to a gateway.
+func reportLimit(g *Gateway, id string, rate float64) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
@@ -99,7 +99,7 @@
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred before: %s", bar)
 	}
-	names(g, "i-0", 4)
+	reportLimit(g, "i-0", 4)
 	if bar := chosen.barred(); bar != causeLimited {
 		t.Fatalf("barred %q without a part", bar)
 	}
@@ -124,7 +124,7 @@
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
-	names(g, "i-0", 4)
+	reportLimit(g, "i-0", 4)
 	g.table.setLimitExhausted(g.table.rows["i-0"], now+time.Second)
 	for range 20 {
 		if got := chosenFor(g); got != "i-1" {
@@ -164,7 +164,7 @@
 	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, PartTokens: []int{2000, 100}}).call()
 	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
-	names(g, owner.entry.ID, 4)
+	reportLimit(g, owner.entry.ID, 4)
 	if next := g.owner(0, g.table.services["s"], held); next == nil || next == owner {
 		t.Fatalf("owner %v", next)
 	}
@@ -178,7 +178,7 @@
 	g.now = func() time.Duration { return now }
 	g.gateways.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
-		names(g, id, 4)
+		reportLimit(g, id, 4)
 		g.table.setLimitExhausted(g.table.rows[id], now+200*time.Millisecond)
 	}
 	x := newModelRequest(g)
@@ -208,7 +208,7 @@
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	reportBackoff(g, "i-0", 10*time.Second)
-	names(g, "i-1", 4)
+	reportLimit(g, "i-1", 4)
 	if first, cause := g.table.allBarred(now, "s"); first != 0 || cause != "" {
 		t.Fatalf("%v, %q", first, cause)
 	}
@@ -261,7 +261,7 @@
 	if rate() != 3.5 {
 		t.Fatalf("a scheduler told %.1f", rate())
 	}
-	names(g, "i-0", 2)
+	reportLimit(g, "i-0", 2)
 	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
 		t.Fatalf("%+v", older.send())
 	}
@@ -292,7 +292,7 @@
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // no engines, so that all are as good for any request
-	names(g, "i-0", 4)
+	reportLimit(g, "i-0", 4)
 	for range 40 {
 		if now += 100 * time.Millisecond; chosenFor(g) == "i-0" {
 			return
