--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// ended lets a back end tell that its limit is over, in the answer to a request that was sent now.
-func ended(g *Gateway, id string) { g.observeNoLimit(g.table.rows[id], g.now()) }
+// reportNoLimit lets a back end tell that its limit is over, in the answer to a request that was sent now.
+func reportNoLimit(g *Gateway, id string) { g.observeNoLimit(g.table.rows[id], g.now()) }
 
 // chosenFor returns the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
@@ -112,7 +112,7 @@
 	if bar := chosen.barred(); bar != causeLimited {
 		t.Fatalf("barred %q with a part that is over", bar)
 	}
-	ended(g, "i-0")
+	reportNoLimit(g, "i-0")
 	if bar := chosen.barred(); bar != "" {
 		t.Fatalf("barred %q after the limit's end", bar)
 	}
