--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -228,7 +228,7 @@
 	now := time.Minute
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
-	told := func(age time.Duration, limit pushback.Limit) {
+	applyPeerLimit := func(age time.Duration, limit pushback.Limit) {
 		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
 		g.table.applySends(now, []send{heard.wire(0).send()})
 	}
@@ -250,7 +250,7 @@
 		{500 * time.Millisecond, pushback.Limit{Advertised: true, Rate: 0}, 0},
 		{400 * time.Millisecond, pushback.Limit{Withdrawn: true}, -1},
 	} {
-		if told(step.age, step.limit); rate() != step.wanted {
+		if applyPeerLimit(step.age, step.limit); rate() != step.wanted {
 			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
 		}
 	}
