--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/mechanism"
 )
 
-// busy lets every engine have so much to read from a time on.
-func busy(g *Gateway, now, length time.Duration) {
+// setPrefillBusy lets every engine have so much to read from a time on.
+func setPrefillBusy(g *Gateway, now, length time.Duration) {
 	for _, row := range g.table.rows {
 		row.prefillBusyUntil = now + length
 	}
@@ -31,7 +31,7 @@
 	if got := g.placeForPeer(now, judged("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
 		t.Fatalf("engines are free: %+v", got)
 	}
-	busy(g, now, 3*time.Second)
+	setPrefillBusy(g, now, 3*time.Second)
 	got := g.placeForPeer(now, judged("new", true))
 	if got.RetryAfterMS < 1000 {
 		t.Fatalf("three seconds of reading: %+v", got)
@@ -68,7 +68,7 @@
 func TestUrgentRequestsAreJudgedByWhatTheyWait(t *testing.T) {
 	g := newScheduler(4)
 	now := time.Second
-	busy(g, now, time.Hour)
+	setPrefillBusy(g, now, time.Hour)
 	for i := range 400 {
 		ticket := fmt.Sprint("t", i)
 		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, expiresAt: now + time.Second, queueWait: 1500}
@@ -76,7 +76,7 @@
 		g.table.observeQueueWait("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
 		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
-	busy(g, now, 1500*time.Millisecond)
+	setPrefillBusy(g, now, 1500*time.Millisecond)
 	urgent := judged("urgent", true)
 	urgent.Priority = 0
 	if got := g.placeForPeer(now, urgent); got.RetryAfterMS > 0 {
@@ -104,7 +104,7 @@
 			if told {
 				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
-			busy(g, now, 720*time.Millisecond) // 0.9 of the objective
+			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
 			if got := g.placeForPeer(now, judged("back", true)); got.RetryAfterMS == 0 {
 				in++
 			}
