--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// judged is a question of a route with an objective.
-func judged(ticket string, first bool) *wirePlacementRequest {
+// newObjectiveRequest is a question of a route with an objective.
+func newObjectiveRequest(ticket string, first bool) *wirePlacementRequest {
 	asked := newPlacementRequest(ticket, 1)
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
@@ -28,11 +28,11 @@
 func TestWhatWouldWaitTooLongIsTurnedAway(t *testing.T) {
 	g := newScheduler(4)
 	now := time.Second
-	if got := g.placeForPeer(now, judged("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, newObjectiveRequest("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
 		t.Fatalf("engines are free: %+v", got)
 	}
 	setPrefillBusy(g, now, 3*time.Second)
-	got := g.placeForPeer(now, judged("new", true))
+	got := g.placeForPeer(now, newObjectiveRequest("new", true))
 	if got.RetryAfterMS < 1000 {
 		t.Fatalf("three seconds of reading: %+v", got)
 	}
@@ -41,14 +41,14 @@
 			t.Fatalf("%d requests are counted at %s", n, id)
 		}
 	}
-	if got := g.placeForPeer(now, judged("repeat", false)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, newObjectiveRequest("repeat", false)); got.RetryAfterMS > 0 {
 		t.Fatalf("sent before: %+v", got)
 	}
 	if got := g.placeForPeer(now, newPlacementRequest("no objective", 1)); got.RetryAfterMS > 0 {
 		t.Fatalf("no objective: %+v", got)
 	}
 	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
-	if got := g.placeForPeer(now, judged("off", true)); got.RetryAfterMS > 0 {
+	if got := g.placeForPeer(now, newObjectiveRequest("off", true)); got.RetryAfterMS > 0 {
 		t.Fatalf("without the mechanism: %+v", got)
 	}
 }
@@ -56,7 +56,7 @@
 // TestLongPromptsAreNotTurnedAwayForTheirReading: only the queue before it counts.
 func TestLongPromptsAreNotTurnedAwayForTheirReading(t *testing.T) {
 	g := newScheduler(2)
-	asked := judged("long", true)
+	asked := newObjectiveRequest("long", true)
 	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over a second and a half of reading
 	if got := g.placeForPeer(time.Second, asked); got.RetryAfterMS > 0 {
 		t.Fatalf("%+v", got)
@@ -77,12 +77,12 @@
 		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
 	setPrefillBusy(g, now, 1500*time.Millisecond)
-	urgent := judged("urgent", true)
+	urgent := newObjectiveRequest("urgent", true)
 	urgent.Priority = 0
 	if got := g.placeForPeer(now, urgent); got.RetryAfterMS > 0 {
 		t.Fatalf("the urgent one: %+v", got)
 	}
-	if got := g.placeForPeer(now, judged("other", true)); got.RetryAfterMS == 0 {
+	if got := g.placeForPeer(now, newObjectiveRequest("other", true)); got.RetryAfterMS == 0 {
 		t.Fatalf("the other one: %+v", got)
 	}
 }
@@ -105,7 +105,7 @@
 				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
 			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
-			if got := g.placeForPeer(now, judged("back", true)); got.RetryAfterMS == 0 {
+			if got := g.placeForPeer(now, newObjectiveRequest("back", true)); got.RetryAfterMS == 0 {
 				in++
 			}
 		}
