--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -98,7 +98,7 @@
 
 // TestWhoComesBackIsKnownElsewhere: a request that another gateway turned away goes before new ones here as well.
 func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
-	let := func(told bool) (in int) {
+	countPlaced := func(told bool) (in int) {
 		for range 200 {
 			g, now := newScheduler(4), time.Second
 			if told {
@@ -111,7 +111,7 @@
 		}
 		return in
 	}
-	if known, unknown := let(true), let(false); known != 200 || unknown > 190 {
+	if known, unknown := countPlaced(true), countPlaced(false); known != 200 || unknown > 190 {
 		t.Fatalf("%d of 200 are let in where the refusal is known, %d where it is not", known, unknown)
 	}
 }
