--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -98,10 +98,10 @@
 
 // TestWhoComesBackIsKnownElsewhere: a request that another gateway turned away goes before new ones here as well.
 func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
-	countPlaced := func(told bool) (in int) {
+	countPlaced := func(refusalKnown bool) (in int) {
 		for range 200 {
 			g, now := newScheduler(4), time.Second
-			if told {
+			if refusalKnown {
 				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
 			}
 			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
