--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -98,7 +98,7 @@
 
 // TestWhoComesBackIsKnownElsewhere: a request that another gateway turned away goes before new ones here as well.
 func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
-	countPlaced := func(refusalKnown bool) (in int) {
+	countPlaced := func(refusalKnown bool) (placed int) {
 		for range 200 {
 			g, now := newScheduler(4), time.Second
 			if refusalKnown {
@@ -106,10 +106,10 @@
 			}
 			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
 			if got := g.placeForPeer(now, newObjectiveRequest("back", true)); got.RetryAfterMS == 0 {
-				in++
+				placed++
 			}
 		}
-		return in
+		return placed
 	}
 	if known, unknown := countPlaced(true), countPlaced(false); known != 200 || unknown > 190 {
 		t.Fatalf("%d of 200 are let in where the refusal is known, %d where it is not", known, unknown)
