--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -17,8 +17,8 @@
 	"kitetiller/internal/transport"
 )
 
-// replicasOf starts control replicas that answer for a leader; each tells document and roster to whoever wants them.
-func replicasOf(t *testing.T, count int) (addresses []string, whole *atomic.Int64) {
+// startReplicas starts control replicas that answer for a leader; each tells document and roster to whoever wants them.
+func startReplicas(t *testing.T, count int) (addresses []string, whole *atomic.Int64) {
 	t.Helper()
 	whole = &atomic.Int64{}
 	for range count {
@@ -54,7 +54,7 @@
 // TestOneReplicaTellsEverything: a gateway that starts, or has lost control, asks several replicas who answers, and one of them for all that it
 // lacks. Before, each of them told it everything, and a machine with a fifth of a core spent its patience on reading that.
 func TestOneReplicaTellsEverything(t *testing.T) {
-	addresses, whole := replicasOf(t, 3)
+	addresses, whole := startReplicas(t, 3)
 	g := New(Settings{Name: "g", Zone: "z", Control: addresses, Trust: time.Hour}, nil, node.NopLog())
 	reply := g.watchOnce(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
