--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -18,9 +18,9 @@
 )
 
 // startReplicas starts control replicas that answer for a leader; each tells document and roster to whoever wants them.
-func startReplicas(t *testing.T, count int) (addresses []string, whole *atomic.Int64) {
+func startReplicas(t *testing.T, count int) (addresses []string, fullReplies *atomic.Int64) {
 	t.Helper()
-	whole = &atomic.Int64{}
+	fullReplies = &atomic.Int64{}
 	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -38,7 +38,7 @@
 			}
 			reply := &control.WatchReply{Revision: 1, Replicas: addresses, Near: addresses[i : i+1]}
 			if !request.Watch.Brief {
-				whole.Add(1)
+				fullReplies.Add(1)
 				reply.Document = &catalog.Document{Revision: 1}
 			}
 			respond(http.StatusOK, control.Response{Kind: control.ResponseOK, Leader: addresses[0], Watch: reply})
@@ -48,7 +48,7 @@
 		}
 		t.Cleanup(func() { _ = server.Close(context.Background()) })
 	}
-	return addresses, whole
+	return addresses, fullReplies
 }
 
 // TestOneReplicaTellsEverything: a gateway that starts, or has lost control, asks several replicas who answers, and one of them for all that it
