--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -15,8 +15,8 @@
 	"kitetiller/internal/prefix"
 )
 
-// kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) belief.CachedPart {
+// cachedPart is a part that an engine says it keeps so many tokens of.
+func cachedPart(id string, tokens int) belief.CachedPart {
 	return belief.CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
@@ -73,11 +73,11 @@
 		"lost": {Incarnation: 1, NextEvent: 9, EventsLost: true}, "another life": {Incarnation: 2, NextEvent: 9}, "another start": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "numbers go back": {Incarnation: 1, NextEvent: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
+			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{cachedPart("a", 10), cachedPart("b", 10)}}, // the first list
 			eris.New("cut off"),
-			CacheReport{Incarnation: 1, NextEvent: 6, Parts: []belief.CachedPart{kept("b", 0)}},
+			CacheReport{Incarnation: 1, NextEvent: 6, Parts: []belief.CachedPart{cachedPart("b", 0)}},
 			gap,
-			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
+			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{cachedPart("c", 10)}}, // the list after it
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
