--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -122,7 +122,7 @@
 		reading[id]--
 		mu.Unlock()
 	}
-	settled := func(wanted map[string]int) {
+	waitForReaders := func(wanted map[string]int) {
 		t.Helper()
 		for range 2000 {
 			mu.Lock()
@@ -142,10 +142,10 @@
 	}
 	f.assign(ctx, []string{"i-1", "i-2"}, read)
 	f.assign(ctx, []string{"i-1", "i-2"}, read)
-	settled(map[string]int{"i-1": 1, "i-2": 1})
+	waitForReaders(map[string]int{"i-1": 1, "i-2": 1})
 	f.assign(ctx, []string{"i-2", "i-3"}, read)
-	settled(map[string]int{"i-2": 1, "i-3": 1})
+	waitForReaders(map[string]int{"i-2": 1, "i-3": 1})
 	cancel()
 	f.threads.Wait()
-	settled(nil)
+	waitForReaders(nil)
 }
