--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -83,7 +83,7 @@
 		g.UseCacheReader(script)
 		g.table.applyRoster(0, &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
 		at := &cacheCursor{}
-		holds := func(wanted string) {
+		checkCached := func(wanted string) {
 			t.Helper()
 			held := ""
 			for _, id := range []string{"a", "b", "c"} {
@@ -96,11 +96,11 @@
 			}
 		}
 		script.read(g, at, 2)
-		holds("ab")
+		checkCached("ab")
 		script.read(g, at, 1)
-		holds("a")
+		checkCached("a")
 		script.read(g, at, 2)
-		holds("c")
+		checkCached("c")
 		if script.lists != 2 {
 			t.Fatalf("%s: %d lists", name, script.lists)
 		}
