--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -9,8 +9,8 @@
 	"kitetiller/internal/mechanism"
 )
 
-// versionsTable returns a table with one engine, and a way to tell it of the engine's weights.
-func versionsTable() (t *table, tell func(map[string]uint64)) {
+// newVersionsTable returns a table with one engine, and a way to tell it of the engine's weights.
+func newVersionsTable() (t *table, tell func(map[string]uint64)) {
 	t = newTable(mechanism.Set{})
 	tell = func(versions map[string]uint64) {
 		entry := control.RosterEntry{Instance: catalog.Instance{ID: "e@1", Service: "engine", Address: "a"}, Versions: versions}
@@ -22,7 +22,7 @@
 // TestWeightsFallAsControlTells: control asked the engine itself before it told of older weights than before. A gateway that kept the newest
 // that it had ever heard of would expect weights there that the engine doesn't hold, for as long as the engine lives.
 func TestWeightsFallAsControlTells(t *testing.T) {
-	table, tell := versionsTable()
+	table, tell := newVersionsTable()
 	tell(map[string]uint64{"m": 4})
 	tell(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
@@ -41,7 +41,7 @@
 
 // TestOlderWeightsThanBelievedAreLeftAlone: an engine that turned a request away for weights older than expected isn't asked again at once.
 func TestOlderWeightsThanBelievedAreLeftAlone(t *testing.T) {
-	table, tell := versionsTable()
+	table, tell := newVersionsTable()
 	tell(map[string]uint64{"m": 4})
 	row := table.rows["e@1"]
 	if table.recordVersion(time.Second, row, "m", 3) {
