--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -10,13 +10,13 @@
 )
 
 // newVersionsTable returns a table with one engine, and a way to tell it of the engine's weights.
-func newVersionsTable() (t *table, tell func(map[string]uint64)) {
+func newVersionsTable() (t *table, applyVersions func(map[string]uint64)) {
 	t = newTable(mechanism.Set{})
-	tell = func(versions map[string]uint64) {
+	applyVersions = func(versions map[string]uint64) {
 		entry := control.RosterEntry{Instance: catalog.Instance{ID: "e@1", Service: "engine", Address: "a"}, Versions: versions}
 		t.applyRoster(time.Second, &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
 	}
-	return t, tell
+	return t, applyVersions
 }
 
 // TestWeightsFallAsControlTells: control asked the engine itself before it told of older weights than before. A gateway that kept the newest
