--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -22,18 +22,18 @@
 // TestWeightsFallAsControlTells: control asked the engine itself before it told of older weights than before. A gateway that kept the newest
 // that it had ever heard of would expect weights there that the engine doesn't hold, for as long as the engine lives.
 func TestWeightsFallAsControlTells(t *testing.T) {
-	table, tell := newVersionsTable()
-	tell(map[string]uint64{"m": 4})
-	tell(map[string]uint64{"m": 3})
+	table, applyVersions := newVersionsTable()
+	applyVersions(map[string]uint64{"m": 4})
+	applyVersions(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
 		t.Fatalf("believed %d after control told 4 and then 3", believed)
 	}
-	tell(nil) // a new leader that hasn't heard of them
+	applyVersions(nil) // a new leader that hasn't heard of them
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
 		t.Fatalf("believed %d after control told nothing", believed)
 	}
 	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
-	tell(map[string]uint64{"m": 3})
+	applyVersions(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
 		t.Fatalf("believed %d after the engine itself told 5 and control what it had told before", believed)
 	}
