--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -41,8 +41,8 @@
 
 // TestOlderWeightsThanBelievedAreLeftAlone: an engine that turned a request away for weights older than expected isn't asked again at once.
 func TestOlderWeightsThanBelievedAreLeftAlone(t *testing.T) {
-	table, tell := newVersionsTable()
-	tell(map[string]uint64{"m": 4})
+	table, applyVersions := newVersionsTable()
+	applyVersions(map[string]uint64{"m": 4})
 	row := table.rows["e@1"]
 	if table.recordVersion(time.Second, row, "m", 3) {
 		t.Fatal("older weights are news")
