--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -55,8 +55,8 @@
 // TestLimitIsOfTheWeightsExpected: a scheduler and a gateway may believe different weights, where they fell, and belief may change between
 // the choice and the send. The request begins on the weights that it expects or nowhere, so the limit is theirs.
 func TestLimitIsOfTheWeightsExpected(t *testing.T) {
-	// believes returns a gateway that believes version 2, named so long ago; nothing may begin on version 1 a minute after that.
-	believes := func(age time.Duration) (*Gateway, *attempt) {
+	// newVersionedGateway returns a gateway that newVersionedGateway version 2, named so long ago; nothing may begin on version 1 a minute after that.
+	newVersionedGateway := func(age time.Duration) (*Gateway, *attempt) {
 		g := newScheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
 		chosen := chosenAttempt(g)
@@ -68,7 +68,7 @@
 	}
 	for _, age := range []time.Duration{10 * time.Second, 2 * time.Minute} {
 		late := age > time.Minute
-		g, chosen := believes(age)
+		g, chosen := newVersionedGateway(age)
 		if bar := chosen.barred(); (bar != "") != late {
 			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
 		}
