--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// sendsUnconfirmed checks that a gateway which is cut off from control places and sends a request, and expects no version of it.
-func sendsUnconfirmed(t *testing.T, g *Gateway) {
+// checkUnconfirmedSend checks that a gateway which is cut off from control places and sends a request, and expects no version of it.
+func checkUnconfirmedSend(t *testing.T, g *Gateway) {
 	t.Helper()
 	x := newModelRequest(g)
 	chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call})
@@ -104,7 +104,7 @@
 	entry := g.table.rows["i-0"].entry
 	entry.Versions = map[string]uint64{"m": 2}
 	g.table.applyRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
-	sendsUnconfirmed(t, g)
+	checkUnconfirmedSend(t, g)
 }
 
 // TestNoVersionExpectedIsNoOldOne: a gateway that is cut off from control expects no version, and goes on with what it believes.
@@ -112,5 +112,5 @@
 	g := newScheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
 	publishVersion(g, 1, 2*time.Minute)
-	sendsUnconfirmed(t, g)
+	checkUnconfirmedSend(t, g)
 }
