--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -189,7 +189,7 @@
 			t.Fatalf("%s after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, maxLimitRetryAfter)
-		if back < wanted || back > wanted+backSlack/2 {
+		if back < wanted || back > wanted+retryAfterSlack/2 {
 			t.Fatalf("caller %d comes back after %v, after %v was its turn", i, back, wanted)
 		}
 		before = back
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -189,7 +189,7 @@
 	distinct := map[time.Duration]bool{}
 	for range 20 {
 		back := x.comeBackAfter(result{rest: 40 * time.Second})
-		if back < 9*time.Second || back > 10*time.Second+backSlack {
+		if back < 9*time.Second || back > 10*time.Second+retryAfterSlack {
 			t.Fatalf("after %v", back)
 		}
 		distinct[back.Truncate(time.Millisecond)] = true
@@ -205,8 +205,8 @@
 	}
 }
 
-// backSlack is how much later than the end of the first rest a caller may be told to come back: what is added to the rest and to the advice.
-const backSlack = 500 * time.Millisecond
+// retryAfterSlack is how much later than the end of the first rest a caller may be told to come back: what is added to the rest and to the advice.
+const retryAfterSlack = 500 * time.Millisecond
 
 // TestEngineAtRestIsNotAskedWhatItKeeps: it wants nothing from this gateway, and its cursor stays.
 func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
