--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -246,7 +246,7 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeOutdated
 	}
-	bar := a.withPart(now, x.gateway.table.bar(now, a.row, false)) // the wish may have come while the connection came up
+	bar := a.withPart(now, x.gateway.table.restrictionCause(now, a.row, false)) // the wish may have come while the connection came up
 	if bar != "" {
 		x.gateway.metrics.putOff.WithLabelValues(bar).Inc()
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -137,7 +137,7 @@
 
 // eligible reports whether a back end may get a new request.
 func (g *Gateway) eligible(now time.Duration, row *endpoint, in selectionInput) bool {
-	if !row.acceptsRequests() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
+	if !row.acceptsRequests() || slices.Contains(in.tried, row) || g.table.restrictionCause(now, row, in.sentByPeer) != "" {
 		return false
 	}
 	deadline, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
--- a/internal/gateway/holders.go
+++ b/internal/gateway/holders.go
@@ -24,7 +24,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row := t.rows[id]
-	if row == nil || t.bar(now, row, false) == causeResting {
+	if row == nil || t.restrictionCause(now, row, false) == causeResting {
 		return "", false
 	}
 	return row.entry.Address, true
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -127,9 +127,9 @@
 	return e.entry.State == catalog.StateReady && !e.entry.Loading
 }
 
-// bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
+// restrictionCause returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
-func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
+func (t *table) restrictionCause(now time.Duration, row *endpoint, elsewhere bool) string {
 	bar := t.signals.Restriction(now, row.incarnation)
 	switch {
 	case bar.Draining:
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -168,7 +168,7 @@
 	defer t.mutex.Unlock()
 	var ids []string
 	for _, row := range t.services[service] {
-		if now < row.avoidUntil || slices.Contains(tried, row) || t.bar(now, row, false) != "" {
+		if now < row.avoidUntil || slices.Contains(tried, row) || t.restrictionCause(now, row, false) != "" {
 			ids = append(ids, row.entry.ID)
 		}
 	}
