--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -263,7 +263,7 @@
 		if chosen != nil || left <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
-		if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > left {
+		if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > left {
 			return nil // to hold the request would not serve it
 		} else if first > 0 {
 			left = first
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -147,7 +147,7 @@
 		t.Fatalf("placed a quarter of a second later: %+v", again)
 	}
 	now += time.Second
-	if first, _ := g.table.allBarred(now, "s"); first != 0 {
+	if first, _ := g.table.allRestricted(now, "s"); first != 0 {
 		t.Fatalf("all barred for %v", first)
 	}
 	g.table.setLeaseRetryAt(now + leaseRetryInterval)
@@ -209,15 +209,15 @@
 	g.now = func() time.Duration { return now }
 	reportBackoff(g, "i-0", 10*time.Second)
 	reportLimit(g, "i-1", 4)
-	if first, cause := g.table.allBarred(now, "s"); first != 0 || cause != "" {
+	if first, cause := g.table.allRestricted(now, "s"); first != 0 || cause != "" {
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Second)
-	if first, cause := g.table.allBarred(now, "s"); first != time.Second || cause != causeLimited {
+	if first, cause := g.table.allRestricted(now, "s"); first != time.Second || cause != causeLimited {
 		t.Fatalf("%v, %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Minute)
-	if first, cause := g.table.allBarred(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
+	if first, cause := g.table.allRestricted(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
 		t.Fatalf("%v, %q", first, cause)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -142,9 +142,9 @@
 	return ""
 }
 
-// allBarred returns how long it takes until the first back end of a service may be asked again, where all that may be used want rest or have
+// allRestricted returns how long it takes until the first back end of a service may be asked again, where all that may be used want rest or have
 // reached their limits, and which of the two; else 0.
-func (t *table) allBarred(now time.Duration, service string) (first time.Duration, cause string) {
+func (t *table) allRestricted(now time.Duration, service string) (first time.Duration, cause string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
@@ -172,7 +172,7 @@
 func (x *exchange) noBackend() (reason string, retryAfter time.Duration) {
 	g := x.gateway
 	now := g.now()
-	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
+	switch first, cause := g.table.allRestricted(now, x.service.Name); cause {
 	case causeResting:
 		return reasonResting, apart(first)
 	case causeLimited:
@@ -187,7 +187,7 @@
 	if refused.rest <= 0 {
 		return refused.retryAfter
 	}
-	if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > 0 {
+	if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > 0 {
 		return apart(first)
 	}
 	return 0
