--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -203,7 +203,7 @@
 		}
 		chosen := x.place()
 		if chosen == nil {
-			x.giveUp(x.noBackend())
+			x.giveUp(x.noBackendReason())
 			return
 		}
 		x.plan = chosen
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -184,7 +184,7 @@
 	x := newModelRequest(g)
 	before := time.Duration(0)
 	for i := range 60 {
-		reason, back := x.noBackend()
+		reason, back := x.noBackendReason()
 		if reason != reasonLimited || back < 200*time.Millisecond || back > maxLimitRetryAfter+time.Second {
 			t.Fatalf("%s after %v", reason, back)
 		}
@@ -197,7 +197,7 @@
 	now += 20 * time.Second
 	g.table.setLimitExhausted(g.table.rows["i-0"], now+100*time.Millisecond)
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+100*time.Millisecond)
-	if _, back := x.noBackend(); back >= before {
+	if _, back := x.noBackendReason(); back >= before {
 		t.Fatalf("after %v although nobody waits any more", back)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -168,8 +168,8 @@
 	return first, cause
 }
 
-// noBackend returns why a request finds no place, and when to come back.
-func (x *exchange) noBackend() (reason string, retryAfter time.Duration) {
+// noBackendReason returns why a request finds no place, and when to come back.
+func (x *exchange) noBackendReason() (reason string, retryAfter time.Duration) {
 	g := x.gateway
 	now := g.now()
 	switch first, cause := g.table.allRestricted(now, x.service.Name); cause {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -200,7 +200,7 @@
 	if back := x.comeBackAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
 		t.Fatalf("advice beside no wish for rest: %v", back)
 	}
-	if reason, back := x.noBackend(); reason != reasonResting || back < 9*time.Second {
+	if reason, back := x.noBackendReason(); reason != reasonResting || back < 9*time.Second {
 		t.Fatalf("%s after %v", reason, back)
 	}
 }
