--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -301,7 +301,7 @@
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.repeat(reasonTurnedAway, max(retrySoon, x.comeBackAfter(result)))
+		return x.repeat(reasonTurnedAway, max(retrySoon, x.rejectionRetryAfter(result)))
 	}
 	if !x.route.Retryable() || x.isSuspect() {
 		x.giveUp(reasonRunUnknown, 0)
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -181,9 +181,9 @@
 	return reasonNoBackend, retrySoon
 }
 
-// comeBackAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
+// rejectionRetryAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
 // whatever that one asked for, else when the first does again.
-func (x *exchange) comeBackAfter(refused result) time.Duration {
+func (x *exchange) rejectionRetryAfter(refused result) time.Duration {
 	if refused.rest <= 0 {
 		return refused.retryAfter
 	}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -182,13 +182,13 @@
 	g := newScheduler(2)
 	x := newModelRequest(g)
 	reportBackoff(g, "i-0", 10*time.Second)
-	if back := x.comeBackAfter(result{rest: 10 * time.Second}); back != 0 {
+	if back := x.rejectionRetryAfter(result{rest: 10 * time.Second}); back != 0 {
 		t.Fatalf("after %v although one back end takes requests", back)
 	}
 	reportBackoff(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
-		back := x.comeBackAfter(result{rest: 40 * time.Second})
+		back := x.rejectionRetryAfter(result{rest: 40 * time.Second})
 		if back < 9*time.Second || back > 10*time.Second+retryAfterSlack {
 			t.Fatalf("after %v", back)
 		}
@@ -197,7 +197,7 @@
 	if len(distinct) < 10 {
 		t.Fatalf("20 callers come back at %d moments", len(distinct))
 	}
-	if back := x.comeBackAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
+	if back := x.rejectionRetryAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
 		t.Fatalf("advice beside no wish for rest: %v", back)
 	}
 	if reason, back := x.noBackendReason(); reason != reasonResting || back < 9*time.Second {
