--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -114,7 +114,7 @@
 		a.hold = result.Lease
 	case result.Outcome == desk.LimitReached:
 		outcome = leaseLimitReached
-		g.table.setLimitExhausted(a.row, g.now()+apart(max(result.RetryAfter, minLimitExhaustion)))
+		g.table.setLimitExhausted(a.row, g.now()+withJitter(max(result.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
 		return false // the caller left, or its time is over: that says nothing of the lender
 	default:
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -174,9 +174,9 @@
 	now := g.now()
 	switch first, cause := g.table.allRestricted(now, x.service.Name); cause {
 	case causeResting:
-		return reasonResting, apart(first)
+		return reasonResting, withJitter(first)
 	case causeLimited:
-		return reasonLimited, apart(g.table.limitRetryAfter(now, x.service.Name, first, g.gateways.Load()))
+		return reasonLimited, withJitter(g.table.limitRetryAfter(now, x.service.Name, first, g.gateways.Load()))
 	}
 	return reasonNoBackend, retrySoon
 }
@@ -188,13 +188,13 @@
 		return refused.retryAfter
 	}
 	if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > 0 {
-		return apart(first)
+		return withJitter(first)
 	}
 	return 0
 }
 
-// apart returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
-func apart(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
+// withJitter returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
+func withJitter(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
 
 // row returns the back end of an id, or nil.
 func (t *table) row(id string) *endpoint {
