--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -23,7 +23,7 @@
 
 // Collect implements prometheus.Collector.
 func (r restingGauge) Collect(out chan<- prometheus.Metric) {
-	for service, n := range r.gateway.table.resting(r.gateway.now()) {
+	for service, n := range r.gateway.table.backingOffCounts(r.gateway.now()) {
 		out <- prometheus.MustNewConstMetric(r.description, prometheus.GaugeValue, float64(n), service)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -203,8 +203,8 @@
 	return t.rows[id]
 }
 
-// resting returns how many back ends want rest now, by service; a service without one is missing.
-func (t *table) resting(now time.Duration) map[string]int {
+// backingOffCounts returns how many back ends want rest now, by service; a service without one is missing.
+func (t *table) backingOffCounts(now time.Duration) map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -47,7 +47,7 @@
 	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldSentAtRest].(time.Duration) < 2*time.Second {
 		t.Errorf("sent at rest: %v", failed)
 	}
-	if n := g.table.resting(now)["s"]; n != 1 {
+	if n := g.table.backingOffCounts(now)["s"]; n != 1 {
 		t.Errorf("%d rest", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
