--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -130,13 +130,13 @@
 // restrictionCause returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
 // and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
 func (t *table) restrictionCause(now time.Duration, row *endpoint, sentByPeer bool) string {
-	bar := t.signals.Restriction(now, row.incarnation)
+	restriction := t.signals.Restriction(now, row.incarnation)
 	switch {
-	case bar.Draining:
+	case restriction.Draining:
 		return causeLeaving
-	case bar.IsBackingOff(now) && !sentByPeer:
+	case restriction.IsBackingOff(now) && !sentByPeer:
 		return causeResting
-	case bar.Limit.Advertised && t.limitExhaustedFor(now, row, sentByPeer) > 0:
+	case restriction.Limit.Advertised && t.limitExhaustedFor(now, row, sentByPeer) > 0:
 		return causeLimited
 	}
 	return ""
