--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -148,12 +148,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.signals.Restriction(now, row.incarnation)
-		if !row.acceptsRequests() || bar.Draining {
+		restriction := t.signals.Restriction(now, row.incarnation)
+		if !row.acceptsRequests() || restriction.Draining {
 			continue
 		}
-		left, why := max(0, bar.BackoffUntil-now), causeResting
-		if bar.Limit.Advertised {
+		left, why := max(0, restriction.BackoffUntil-now), causeResting
+		if restriction.Limit.Advertised {
 			if dry := t.limitExhaustedFor(now, row, false); dry > left {
 				left, why = dry, causeLimited
 			}
