--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -154,8 +154,8 @@
 		}
 		left, why := max(0, restriction.BackoffUntil-now), causeResting
 		if restriction.Limit.Advertised {
-			if dry := t.limitExhaustedFor(now, row, false); dry > left {
-				left, why = dry, causeLimited
+			if wait := t.limitExhaustedFor(now, row, false); wait > left {
+				left, why = wait, causeLimited
 			}
 		}
 		if left == 0 {
