--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -152,17 +152,17 @@
 		if !row.acceptsRequests() || restriction.Draining {
 			continue
 		}
-		left, why := max(0, restriction.BackoffUntil-now), causeResting
+		remaining, why := max(0, restriction.BackoffUntil-now), causeResting
 		if restriction.Limit.Advertised {
-			if wait := t.limitExhaustedFor(now, row, false); wait > left {
-				left, why = wait, causeLimited
+			if wait := t.limitExhaustedFor(now, row, false); wait > remaining {
+				remaining, why = wait, causeLimited
 			}
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return 0, ""
 		}
-		if first == 0 || left < first {
-			first, cause = left, why
+		if first == 0 || remaining < first {
+			first, cause = remaining, why
 		}
 	}
 	return first, cause
