--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -152,17 +152,17 @@
 		if !row.acceptsRequests() || restriction.Draining {
 			continue
 		}
-		remaining, why := max(0, restriction.BackoffUntil-now), causeResting
+		remaining, reason := max(0, restriction.BackoffUntil-now), causeResting
 		if restriction.Limit.Advertised {
 			if wait := t.limitExhaustedFor(now, row, false); wait > remaining {
-				remaining, why = wait, causeLimited
+				remaining, reason = wait, causeLimited
 			}
 		}
 		if remaining == 0 {
 			return 0, ""
 		}
 		if first == 0 || remaining < first {
-			first, cause = remaining, why
+			first, cause = remaining, reason
 		}
 	}
 	return first, cause
