--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -183,9 +183,9 @@
 
 // rejectionRetryAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
 // whatever that one asked for, else when the first does again.
-func (x *exchange) rejectionRetryAfter(refused result) time.Duration {
-	if refused.rest <= 0 {
-		return refused.retryAfter
+func (x *exchange) rejectionRetryAfter(rejected result) time.Duration {
+	if rejected.rest <= 0 {
+		return rejected.retryAfter
 	}
 	if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > 0 {
 		return withJitter(first)
