--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -34,7 +34,9 @@
 	threads sync.WaitGroup
 }
 
-func newFollowers() *cacheFollowers { return &cacheFollowers{running: map[string]context.CancelFunc{}} }
+func newCacheFollowers() *cacheFollowers {
+	return &cacheFollowers{running: map[string]context.CancelFunc{}}
+}
 
 // assign starts and ends threads so that just the given engines are read.
 func (f *cacheFollowers) assign(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -110,7 +110,7 @@
 // TestFollowersFollowTheAssignment: one thread an engine, ended when the engine is another gateway's.
 func TestFollowersFollowTheAssignment(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := newFollowers()
+	f := newCacheFollowers()
 	var mu sync.Mutex
 	reading := map[string]int{}
 	read := func(ctx context.Context, id string) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -80,7 +80,7 @@
 	made := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), near: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
-		confirmed: newBell(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
+		confirmed: newBell(), followers: newCacheFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		oldWeights: node.NewSparse(), restLines: node.NewSparse(), limitLines: node.NewSparse(),
 		spread: newSpread(client), schedulers: newSchedulers(client), nick: strconv.FormatUint(rand.Uint64N(nickRange), saltBase),
 	}
