--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -29,9 +29,9 @@
 }
 
 // handleCachePushback takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
-func (g *Gateway) handleCachePushback(id string, news CacheReport) {
-	if row := g.table.row(id); row != nil && (news.StartedMS == 0 || news.StartedMS == row.incarnation.StartedMS) {
-		g.handlePushback(row, answerPushback{signals: news.Pushback})
+func (g *Gateway) handleCachePushback(id string, report CacheReport) {
+	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
+		g.handlePushback(row, answerPushback{signals: report.Pushback})
 	}
 }
 
