--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -102,9 +102,9 @@
 
 // deprioritize lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
 // gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
-func (t *table) deprioritize(at time.Duration, row *endpoint, rest time.Duration) {
-	if rest > 0 {
-		row.avoidUntil = max(row.avoidUntil, at+min(rest, maxPeerBackoff))
+func (t *table) deprioritize(at time.Duration, row *endpoint, backoff time.Duration) {
+	if backoff > 0 {
+		row.avoidUntil = max(row.avoidUntil, at+min(backoff, maxPeerBackoff))
 	}
 }
 
