--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -51,16 +51,16 @@
 		return
 	}
 	now := g.now()
-	news := g.table.observePushback(now, row, answer.signals)
-	if !news.forPeers.IsEmpty() {
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: news.forPeers})
+	changes := g.table.observePushback(now, row, answer.signals)
+	if !changes.forPeers.IsEmpty() {
+		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: changes.forPeers})
 	}
-	g.logLimit(now, row.entry.ID, news.forLog, sourceAnswer, answer.unreadableLimit)
+	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if answer.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
 	}
-	if news.forPeers.Draining {
+	if changes.forPeers.Draining {
 		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
 	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
@@ -68,7 +68,7 @@
 	}
 	if held, due := g.restLines.Due(now, row.entry.ID); due {
 		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, answer.signals.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, news.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, answer.unreadableBackoff), zap.Int("held", held))...)
+			zap.Duration(events.FieldRestLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, answer.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
