--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -44,28 +44,28 @@
 
 // readBody reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
 // error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
-func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, room int, err error) {
+func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, reserved int, err error) {
 	for {
 		if len(body) == cap(body) {
 			newRoom := max(bufferStep, 2*cap(body))
 			if length >= 0 {
 				newRoom = min(newRoom, int(length)+1) // one more, so that the end is seen
 			}
-			if !h.reserve(newRoom - room) {
-				return body, room, errBufferLimit
+			if !h.reserve(newRoom - reserved) {
+				return body, reserved, errBufferLimit
 			}
-			room = newRoom
+			reserved = newRoom
 			body = append(make([]byte, 0, newRoom), body...)
 		}
 		n, err := from.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF && length >= 0 && int64(len(body)) < length:
-			return body, room, io.ErrUnexpectedEOF
+			return body, reserved, io.ErrUnexpectedEOF
 		case err == io.EOF:
-			return body, room, nil
+			return body, reserved, nil
 		case err != nil:
-			return body, room, err
+			return body, reserved, err
 		}
 	}
 }
