--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -66,15 +66,15 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	budget, slot := b.slot(service, now)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for _, counted := range budget.slots {
 		if slot.number-counted.number < budgetSlots {
 			requests += counted.requests
-			repeats += counted.retries
+			retries += counted.retries
 		}
 	}
 	allowed := budgetFraction * b.ratio * float64(requests)
-	if float64(repeats+1) > allowed {
+	if float64(retries+1) > allowed {
 		return false
 	}
 	slot.retries++
