--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// budgetFraction is the part of the ratio that is used, since gateways count by themselves and their windows don't meet exactly.
+// budgetFraction is the fraction of the retry ratio that gateways use by themselves. It leaves a margin because their
+// windows are not aligned.
 const budgetFraction = 0.7
 
-// budgetSlots divides the window.
+// budgetSlots is the number of slots in the window.
 const budgetSlots = 10
 
-// budgetSlot counts one part of the window.
+// budgetSlot counts requests and retries in one slot of the window.
 type budgetSlot struct {
-	number   int64
+	number   int64 // of the slot since the clock's start
 	requests int
 	retries  int
 }
 
-// serviceBudget counts a service's requests and repeats in a sliding window.
+// serviceBudget counts a service's requests and retries in a sliding window.
 type serviceBudget struct {
 	slots [budgetSlots]budgetSlot
 }
 
-// retryBudget bounds how often requests are sent to another back end, so that a failing service is not buried under
-// repeats. Each gateway spends the ratio of its own requests by itself; what the fleet may repeat beyond is lent.
+// retryBudget bounds the ratio of retries to requests, so that retries do not overload a failing service. Each gateway
+// uses a fraction of the ratio for its own requests; further retries need leases. It is safe for concurrent use.
 type retryBudget struct {
 	mutex    sync.Mutex
 	window   time.Duration
@@ -38,7 +39,7 @@
 	}
 }
 
-// slot returns the current part of a service's window. The caller holds the mutex.
+// slot returns a service's budget and the current slot of its window. The caller holds the mutex.
 func (b *retryBudget) slot(service string, now time.Duration) (*serviceBudget, *budgetSlot) {
 	budget := b.services[service]
 	if budget == nil {
@@ -53,7 +54,7 @@
 	return budget, slot
 }
 
-// recordRequest counts a caller's recordRequest.
+// recordRequest counts a caller's request.
 func (b *retryBudget) recordRequest(service string, now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -61,7 +62,7 @@
 	slot.requests++
 }
 
-// acquireRetry spends one repeat, or returns false when there is none left.
+// acquireRetry counts one retry, or returns false if the budget is exhausted.
 func (b *retryBudget) acquireRetry(service string, now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
