--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -7,21 +7,21 @@
 	"kitetiller/internal/pushback"
 )
 
-// CacheReport is what an engine tells of its cache.
+// CacheReport is an engine's report about the contents of its prefix cache.
 type CacheReport struct {
-	Incarnation uint64              // of the engine's process: another one has forgotten everything
-	StartedMS   int64               // when that process was started, in Unix ms; 0 where it doesn't tell
-	NextEvent   uint64              // number to ask for next
-	EventsLost  bool                // some news is missing
-	Parts       []belief.CachedPart // in the order in which they changed
-	Pushback    pushback.Signals    // of itself; also beside an error
+	Incarnation uint64              // of the engine's process; a new one starts with an empty cache
+	StartedMS   int64               // start time of the process in Unix milliseconds; 0 if not reported
+	NextEvent   uint64              // event number to read from next
+	EventsLost  bool                // some events are missing
+	Parts       []belief.CachedPart // in order of change
+	Pushback    pushback.Signals    // of the engine; also set with an error
 }
 
-// CacheReader asks engines what they keep. It is safe for concurrent use. An answer that cannot be read in full is an
-// error of that one exchange.
+// CacheReader reads the contents of engines' prefix caches. It is safe for concurrent use. An answer that cannot be
+// parsed in full is an error of that call only.
 type CacheReader interface {
-	// Events returns what changed since a number; it waits until something does, a second or so at most.
+	// Events returns the changes from an event number on. It waits for a change for about a second at most.
 	Events(ctx context.Context, address string, since uint64) (CacheReport, error)
-	// List returns everything that is kept. It holds up the engine's work.
+	// List returns the complete contents. It blocks the engine's other work.
 	List(ctx context.Context, address string) (CacheReport, error)
 }
