--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -12,7 +12,7 @@
 	"kitetiller/internal/quota"
 )
 
-// watchControl is the thread that asks control for news.
+// watchControl polls control for updates until ctx ends.
 func (g *Gateway) watchControl(ctx context.Context) {
 	var roster control.RosterVersion
 	replicas, failures := 0, 0
@@ -42,12 +42,13 @@
 	}
 }
 
-// watchGrace is how long an answer may take beyond the time that it is held, after so many failures in a row.
+// watchGrace returns how much later than its hold time a reply may arrive, after a number of consecutive failures.
 func watchGrace(failures int) time.Duration {
 	return (watchTimeout - watchHold) << min(failures/failuresEach, longestPatience)
 }
 
-// watchOnce asks control for news once, after it has looked for who answers where that isn't known.
+// watchOnce sends one watch request to control, and first finds a replica that answers if none is known. It returns nil
+// if there was no reply.
 func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, grace time.Duration, searching bool) *control.WatchReply {
 	watch := control.Watch{
 		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
@@ -77,12 +78,12 @@
 	return response.Watch
 }
 
-// findControl looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
-// patience for one answer on reading several of them.
+// findControl asks several replicas at once which of them answer. The requests omit document and roster, since a small
+// machine would exceed the timeout parsing several copies.
 func (g *Gateway) findControl(ctx context.Context, watch control.Watch, grace time.Duration) bool {
 	watch.Brief = true
 	if !g.group.HeardWithin(controlContactWindow) {
-		watch.Hold = 0 // to learn soon whether there is anybody
+		watch.Hold = 0 // an immediate reply shows whether any replica is available
 	}
 	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
@@ -95,8 +96,8 @@
 	return true
 }
 
-// watchHoldTime is how long a question may be held. While a back end drains for new weights, control is to see soon that its
-// requests have ended.
+// watchHoldTime returns how long control may hold a watch request. It is short while a back end drains for new weights,
+// so that control learns soon that its requests have ended.
 func (g *Gateway) watchHoldTime() time.Duration {
 	if g.table.weightsDraining() {
 		return drainHold
@@ -104,7 +105,7 @@
 	return watchHold
 }
 
-// applyWatchReply puts news in force. A document is only ever replaced by a newer one.
+// applyWatchReply applies a watch reply. A document is only replaced by a newer one.
 func (g *Gateway) applyWatchReply(ctx context.Context, askedAt time.Duration, reply *control.WatchReply) {
 	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
@@ -146,7 +147,7 @@
 	}
 }
 
-// cacheTokens returns the tokens of one engine's memory by service.
+// cacheTokens returns the cache size of one engine in tokens, by service.
 func (g *Gateway) cacheTokens() map[string]int {
 	limits := map[string]int{}
 	if current := g.view.Load(); current != nil {
