--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -14,20 +14,24 @@
 )
 
 const (
-	// cacheReadInterval is the pause between two questions to an engine for its cache events: news of that time come together.
+	// cacheReadInterval is the pause between two reads of an engine's cache events. Events of that time arrive
+	// together.
 	cacheReadInterval = 80 * time.Millisecond
-	// minCacheReadSpacing is the least time between two such questions to any engines: who reads many reads each more seldom.
+	// minCacheReadSpacing is the minimum mean pause between reads of any engines: the more engines a gateway reads, the
+	// less often it reads each.
 	minCacheReadSpacing = 10 * time.Millisecond
-	// minCacheRetryInterval is the pause after a question that failed, doubled up to cacheRetryMost.
+	// minCacheRetryInterval is the pause after a failed read. It doubles with each consecutive failure, up to
+	// maxCacheRetryInterval.
 	minCacheRetryInterval = 200 * time.Millisecond
 	maxCacheRetryInterval = 3 * time.Second
-	// cacheListInterval is the least time between two lists of one engine, since they hold up its work.
+	// cacheListInterval is the minimum time between two listings of one engine's cache, since they block the engine's
+	// work.
 	cacheListInterval = 2 * time.Second
-	// cacheAliveInterval is how often a reader tells the others that an engine's cache is being read.
+	// cacheAliveInterval is how often a gateway tells the others that it reads an engine's cache events.
 	cacheAliveInterval = time.Second
 )
 
-// cacheFollowers are the threads that read engines' cache events, one for each engine that control has given this gateway.
+// cacheFollowers are the goroutines that read cache events, one for each engine assigned to this gateway.
 type cacheFollowers struct {
 	mu      sync.Mutex
 	running map[string]context.CancelFunc // by instance; guarded by mu
@@ -38,7 +42,7 @@
 	return &cacheFollowers{running: map[string]context.CancelFunc{}}
 }
 
-// assign starts and ends threads so that just the given engines are read.
+// assign starts and stops goroutines so that exactly the given engines are read.
 func (f *cacheFollowers) assign(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,31 +62,31 @@
 	}
 }
 
-// count returns the engines that are read.
+// count returns the number of engines being read.
 func (f *cacheFollowers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.running)
 }
 
-// assignCaches follows the caches that control has given this gateway.
+// assignCaches reads the caches of the engines that control assigned to this gateway.
 func (g *Gateway) assignCaches(ctx context.Context, reply *control.WatchReply) {
 	if g.reader != nil && g.on(mechanism.CacheEvents) {
 		g.followers.assign(ctx, reply.Reads, g.followCache)
 	}
 }
 
-// cacheCursor is how far an engine's events have been read.
+// cacheCursor is the read position in an engine's cache events.
 type cacheCursor struct {
 	incarnation, nextEvent uint64
-	startedMS              int64 // of that life, in Unix ms
-	listed                 bool  // the list of this life was read
+	startedMS              int64 // start time of the incarnation in Unix milliseconds
+	listed                 bool  // the cache of this incarnation was listed
 	listedAt               time.Duration
 	aliveAt                time.Duration
-	failures               int // in a row
+	failures               int // consecutive
 }
 
-// followCache is the thread that reads one engine's cache events.
+// followCache reads one engine's cache events until ctx ends.
 func (g *Gateway) followCache(ctx context.Context, id string) {
 	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
@@ -102,7 +106,7 @@
 	}
 }
 
-// recordCacheError counts a question that failed, and logs the first of a row.
+// recordCacheError counts a failed read, and logs the first of consecutive failures.
 func (g *Gateway) recordCacheError(id string, cursor *cacheCursor, err error) {
 	cursor.failures++
 	g.metrics.unread.Inc()
@@ -111,7 +115,8 @@
 	}
 }
 
-// readCache asks an engine once and takes up what it tells. It may be too early to ask, the engine may be gone, or it wants rest.
+// readCache queries an engine once and applies its report. It returns false if it did not query the engine, because
+// that is too early, the engine is gone or it requested a backoff.
 func (g *Gateway) readCache(ctx context.Context, id string, cursor *cacheCursor) (asked bool, err error) {
 	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
@@ -126,7 +131,7 @@
 		return true, err
 	}
 	if report.EventsLost || report.Incarnation != cursor.incarnation || report.StartedMS != cursor.startedMS || report.NextEvent < cursor.nextEvent {
-		cursor.listed = false // what is missing stands in the list
+		cursor.listed = false // a listing recovers the missing events
 		return true, nil
 	}
 	cursor.nextEvent = report.NextEvent
@@ -134,7 +139,7 @@
 	return true, nil
 }
 
-// listCache reads all that an engine keeps, unless it was asked for that a moment ago.
+// listCache lists an engine's cache, unless it did so less than cacheListInterval ago.
 func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (asked bool, err error) {
 	if g.now() < cursor.listedAt+cacheListInterval {
 		return false, nil
@@ -150,7 +155,7 @@
 	return true, nil
 }
 
-// applyCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
+// applyCache applies an engine's report and sends the differences from the previous estimate to the other gateways.
 func (g *Gateway) applyCache(id string, cursor *cacheCursor, report CacheReport, full bool) {
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, report.Parts, full)
