--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -15,15 +15,15 @@
 	"kitetiller/internal/prefix"
 )
 
-// cachedPart is a part that an engine says it keeps so many tokens of.
+// cachedPart returns a part of which an engine has so many tokens cached.
 func cachedPart(id string, tokens int) belief.CachedPart {
 	return belief.CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// scriptedCache is a cache reader that gives one answer after the other, and then waits.
+// scriptedCache is a CacheReader that returns the given answers in order, and then errors.
 type scriptedCache struct {
 	mu      sync.Mutex
-	answers []any // CacheNews or error; guarded by mu
+	answers []any // CacheReport or error; guarded by mu
 	lists   int   // guarded by mu
 	drained chan struct{}
 }
@@ -58,7 +58,7 @@
 	return s.next(ctx)
 }
 
-// read passes one answer after the other to a gateway's cursor.
+// read calls readCache the given number of times.
 func (s *scriptedCache) read(g *Gateway, at *cacheCursor, times int) {
 	for range times {
 		at.listedAt = -cacheListInterval // lists may follow each other here
@@ -66,18 +66,18 @@
 	}
 }
 
-// TestGapsAndRestartsAreReadAnew: after events were lost, in another life of the engine, or when its numbers go back, the
-// list is read; an exchange that fails changes nothing.
-func TestGapsAndRestartsAreReadAnew(t *testing.T) {
+// TestCacheIsListedAgain tests that lost events, a new incarnation, and event numbers that go backwards cause a new
+// listing, and that a failed read changes nothing.
+func TestCacheIsListedAgain(t *testing.T) {
 	for name, gap := range map[string]CacheReport{
-		"lost": {Incarnation: 1, NextEvent: 9, EventsLost: true}, "another life": {Incarnation: 2, NextEvent: 9}, "another start": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "numbers go back": {Incarnation: 1, NextEvent: 3},
+		"events lost": {Incarnation: 1, NextEvent: 9, EventsLost: true}, "another incarnation": {Incarnation: 2, NextEvent: 9}, "another start time": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "event numbers go back": {Incarnation: 1, NextEvent: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{cachedPart("a", 10), cachedPart("b", 10)}}, // the first list
+			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{cachedPart("a", 10), cachedPart("b", 10)}}, // first listing
 			eris.New("cut off"),
 			CacheReport{Incarnation: 1, NextEvent: 6, Parts: []belief.CachedPart{cachedPart("b", 0)}},
 			gap,
-			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{cachedPart("c", 10)}}, // the list after it
+			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{cachedPart("c", 10)}}, // listing after the gap
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
@@ -92,7 +92,7 @@
 				}
 			}
 			if held != wanted {
-				t.Fatalf("%s: holds %q, wanted %q", name, held, wanted)
+				t.Fatalf("%s: cached parts %q, want %q", name, held, wanted)
 			}
 		}
 		script.read(g, at, 2)
@@ -102,13 +102,14 @@
 		script.read(g, at, 2)
 		checkCached("c")
 		if script.lists != 2 {
-			t.Fatalf("%s: %d lists", name, script.lists)
+			t.Fatalf("%s: %d listings, want 2", name, script.lists)
 		}
 	}
 }
 
-// TestFollowersFollowTheAssignment: one thread an engine, ended when the engine is another gateway's.
-func TestFollowersFollowTheAssignment(t *testing.T) {
+// TestFollowersMatchAssignment tests that one goroutine reads each assigned engine, and ends when the engine is
+// assigned to another gateway.
+func TestFollowersMatchAssignment(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := newCacheFollowers()
 	var mu sync.Mutex
@@ -138,7 +139,7 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		t.Fatalf("reading %v, wanted %v", reading, wanted)
+		t.Fatalf("reading %v, want %v", reading, wanted)
 	}
 	f.assign(ctx, []string{"i-1", "i-2"}, read)
 	f.assign(ctx, []string{"i-1", "i-2"}, read)
