--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// maxBufferedBytes bounds what the gateway holds in its own memory for all callers and back ends that take it slowly: with the buffers of the sockets
-	// of 200 such requests it comes to some 38 MB, a third of a small machine's memory.
+	// maxBufferedBytes bounds the memory used to buffer data for slow callers and back ends. With the socket buffers of
+	// 200 such requests, this amounts to some 38 MB.
 	maxBufferedBytes = 12 << 20
-	// socketBufferBytes bounds what the kernel keeps of a request on its way to the caller, and on its way from the back end, in bytes; it takes twice
-	// that. Left to itself it kept over a megabyte for a stream whose caller takes nothing. At 6 ms there and back 10 MB/s fit through.
+	// socketBufferBytes is the size of the kernel's buffers for sending to callers and receiving from back ends; the
+	// kernel doubles it. With autotuning, a stream whose caller reads nothing would use over 1 MB. At a round trip of 6
+	// ms, this size allows 10 MB/s.
 	socketBufferBytes = 32 << 10
-	// bufferStep is how much of a body is made room for at first, of an event without being counted, and passed on at once of an answer, in bytes.
+	// bufferStep is the initial buffer size for a body, the size up to which an event is not counted, and the maximum
+	// write size when an answer is relayed, in bytes.
 	bufferStep = 16 << 10
 )
 
-// errBufferLimit says that so much is held already that there is no room for more.
-var errBufferLimit = errors.New("too much is held for slow callers")
+// errBufferLimit is returned when maxBufferedBytes is reached.
+var errBufferLimit = errors.New("buffer limit reached: too much data buffered for slow callers and back ends")
 
-// bufferBudget counts what is bufferBudget for callers and back ends, in bytes. It is safe for concurrent use.
+// bufferBudget counts the buffered bytes of all callers and back ends. It is safe for concurrent use.
 type bufferBudget struct{ used atomic.Int64 }
 
-// reserve makes room for so many bytes, or reports that there is none.
+// reserve reserves n bytes, or returns false if they would exceed the limit.
 func (h *bufferBudget) reserve(n int) bool {
 	if h.used.Add(int64(n)) <= maxBufferedBytes {
 		return true
@@ -39,17 +41,18 @@
 	return false
 }
 
-// release ends what take began.
+// release returns n reserved bytes.
 func (h *bufferBudget) release(n int) { h.used.Add(int64(-n)) }
 
-// readBody reads a body of known length, or of any where that is below 0, and returns what came and how much room was taken for it, also beside an
-// error. Room follows what has come: a caller that tells of much and sends nothing takes none from others.
+// readBody reads a body of the given length, or until EOF if the length is negative. It returns the bytes read and the
+// number of bytes reserved for them, also with an error. The reservation grows with the data received, so that a caller
+// which announces a large body and sends nothing does not take memory from others.
 func (h *bufferBudget) readBody(from io.Reader, length int64) (body []byte, reserved int, err error) {
 	for {
 		if len(body) == cap(body) {
 			newRoom := max(bufferStep, 2*cap(body))
 			if length >= 0 {
-				newRoom = min(newRoom, int(length)+1) // one more, so that the end is seen
+				newRoom = min(newRoom, int(length)+1) // one byte more, so that EOF is read
 			}
 			if !h.reserve(newRoom - reserved) {
 				return body, reserved, errBufferLimit
@@ -70,8 +73,8 @@
 	}
 }
 
-// write passes bytes on to the caller, a part after the other. Each may take writeTimeout: a caller that takes nothing is cut off then, and one
-// that takes little isn't.
+// write writes to the caller in chunks, each with a deadline of writeTimeout, so that a caller that reads slowly is not
+// cut off, but one that reads nothing is.
 func (x *exchange) write(body []byte) error {
 	controller := http.NewResponseController(x.writer)
 	for len(body) > 0 {
@@ -85,7 +88,7 @@
 	return nil
 }
 
-// relayBody passes an answer on as it comes, no faster than the caller takes it.
+// relayBody copies an answer to the caller as it arrives.
 func (x *exchange) relayBody(from io.Reader) error {
 	part := make([]byte, bufferStep)
 	for {
@@ -105,12 +108,12 @@
 // listenCallers opens the listener for callers.
 func listenCallers(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return setSocketOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferBytes) // accepted connections have it too
+		return setSocketOption(raw, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferBytes) // inherited by accepted connections
 	}}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// setSocketOption sets an option of a socket.
+// setSocketOption sets an integer socket option.
 func setSocketOption(raw syscall.RawConn, level, option, value int) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) { failed = unix.SetsockoptInt(int(descriptor), level, option, value) })
