--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -15,9 +15,9 @@
 	return bufio.NewReaderSize(bytes.NewReader(text), readBuffer)
 }
 
-// TestHeldBodiesAreCounted: a body of any length, known or not, cut off or not, arrives as it was; room is taken for what came, no more than there
-// is, and all of it is given back.
-func TestHeldBodiesAreCounted(t *testing.T) {
+// TestReadBody tests that bodies of known or unknown length, complete or truncated, are read unchanged, and that
+// reservations follow the data received, stay within the limit and can be released in full.
+func TestReadBody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h bufferBudget
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
@@ -32,41 +32,42 @@
 		switch {
 		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
-				t.Fatalf("no room beside %d for %d", others, len(sent))
+				t.Fatalf("rejected with %d bytes reserved for others and a body of %d", others, len(sent))
 			}
 		case told > int64(len(sent)):
 			if err != io.ErrUnexpectedEOF {
-				t.Fatalf("%d of %d came: %v", len(sent), told, err)
+				t.Fatalf("truncated body, got %d of %d bytes: error %v", len(sent), told, err)
 			}
 		case err != nil || !bytes.Equal(body, sent):
-			t.Fatalf("%d came, %d sent, %v", len(body), len(sent), err)
+			t.Fatalf("got %d of %d bytes, error %v", len(body), len(sent), err)
 		}
 		if room > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+room || h.used.Load() > maxBufferedBytes {
-			t.Fatalf("room of %d for %d, %d in all beside %d", room, len(sent), h.used.Load(), others)
+			t.Fatalf("reserved %d bytes for a body of %d, %d in total with %d for others", room, len(sent), h.used.Load(), others)
 		}
 		if h.release(room); int(h.used.Load()) != others {
-			t.Fatalf("%d left of %d", h.used.Load(), others)
+			t.Fatalf("%d bytes reserved after release, want %d", h.used.Load(), others)
 		}
 	})
 }
 
-// TestLongEventsAreCounted: an event above the usual length takes room until the next one, and is an error where there is none.
-func TestLongEventsAreCounted(t *testing.T) {
+// TestLongEvents tests that an event above bufferStep reserves memory until the next one, and fails if the limit is
+// reached.
+func TestLongEvents(t *testing.T) {
 	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*bufferStep)...), "\n\nid: 2\ndata: y\n\n"...)
 	var h bufferBudget
 	read := &eventReader{reader: newReader(long), held: &h}
 	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.used.Load() < 3*bufferStep {
-		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.used.Load())
+		t.Fatalf("event of %d bytes, error %v, %d bytes reserved", len(event), err, h.used.Load())
 	}
 	if event, err := read.next(); err != nil || read.id != "2" || len(event) > bufferStep || h.used.Load() != 0 {
-		t.Fatalf("%d bytes, %v, room %d", len(event), err, h.used.Load())
+		t.Fatalf("event of %d bytes, error %v, %d bytes reserved", len(event), err, h.used.Load())
 	}
 	h.reserve(maxBufferedBytes - bufferStep)
 	full := &eventReader{reader: newReader(long), held: &h}
 	if _, err := full.next(); !errors.Is(err, errBufferLimit) {
-		t.Fatalf("%v", err)
+		t.Fatalf("error %v, want errBufferLimit", err)
 	}
 	if full.close(); h.used.Load() != maxBufferedBytes-bufferStep {
-		t.Fatalf("%d left", h.used.Load())
+		t.Fatalf("%d bytes reserved after close", h.used.Load())
 	}
 }
