--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -8,11 +8,12 @@
 	"kitetiller/internal/quarantine"
 )
 
-// crashCheckTimeout is how long a request waits to learn whether the back end under which it broke off has ended, before it is sent to
-// another: some times the way to another zone and back.
+// crashCheckTimeout bounds how long a request waits to learn whether the back end that failed it has crashed, before it
+// is sent to another one. It is a multiple of the round trip to another zone.
 const crashCheckTimeout = 25 * time.Millisecond
 
-// fingerprint returns what stays of the request when it comes again; ok is false before control told the seed.
+// fingerprint returns the request's fingerprint, which is the same for each retry by the caller. ok is false while the
+// seed is unknown.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
 	if x.print != nil {
 		return *x.print, true
@@ -27,7 +28,7 @@
 	return f, ok
 }
 
-// crashCount returns how many crashCount of back ends ended under the request, as far as this gateway knows.
+// crashCount returns the known number of back ends that crashed while they ran the request.
 func (x *exchange) crashCount() int {
 	if x.gateway.quarantine.IsEmpty() {
 		return 0
@@ -39,7 +40,8 @@
 	return x.gateway.quarantine.CrashCount(f)
 }
 
-// rejectIfQuarantined answers a request that ends whoever runs it: at once, since no wait mends it.
+// rejectIfQuarantined answers the request and returns true if it is quarantined. It does not wait first, since no back
+// end could run the request.
 func (x *exchange) rejectIfQuarantined() bool {
 	if x.crashCount() < quarantine.QuarantineThreshold {
 		return false
@@ -48,18 +50,19 @@
 	return true
 }
 
-// isSuspect reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
-// takes all that runs there along.
+// isSuspect reports whether the request crashed so many back ends that the gateway does not retry it: a crash also
+// fails all other requests that run there.
 func (x *exchange) isSuspect() bool { return x.crashCount() >= quarantine.SuspectThreshold }
 
-// recordCompletion notes that a back end ran the request to a good end.
+// recordCompletion records that a back end completed the request.
 func (x *exchange) recordCompletion() {
 	if f, ok := x.fingerprint(); ok {
 		x.gateway.quarantine.RecordCompletion(f)
 	}
 }
 
-// recordFailure notes that the run broke off without our doing. One on a back end that leaves ends with it as planned.
+// recordFailure records that a run was cut off by the back end. Back ends that drain are ignored, as they are expected
+// to end.
 func (a *attempt) recordFailure() {
 	x := a.exchange
 	if !x.gateway.table.isReady(a.row) {
@@ -70,7 +73,8 @@
 	}
 }
 
-// awaitCrashCheck waits a moment to learn whether the back end has ended under which the run broke off.
+// awaitCrashCheck waits until it is known whether the back end that failed the run has crashed, for up to
+// crashCheckTimeout.
 func (a *attempt) awaitCrashCheck() {
 	if a.looked == nil {
 		return
@@ -82,14 +86,14 @@
 	}
 }
 
-// isReady reports whether a back end is one that control knows, and isn't leaving, by its own word either.
+// isReady reports whether a back end is in the roster and is not draining, by its own signals either.
 func (t *table) isReady(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
 }
 
-// replacedInstances returns the lives that are gone since another one stands at their address.
+// replacedInstances returns the instances that are gone and have been replaced by another one at the same address.
 func replacedInstances(changes []rosterChange) []string {
 	joined := map[string]bool{}
 	for _, change := range changes {
