--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -13,16 +13,17 @@
 	"kitetiller/internal/quota"
 )
 
-// retryLeaseTimeout is how long a request that failed waits for the fleet's word whether it may be sent again.
+// retryLeaseTimeout bounds how long a failed request waits for a lease on a retry.
 const retryLeaseTimeout = 50 * time.Millisecond
 
-// quotaLease is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
+// quotaLease is a request's lease on its tenant's quota. Each send to a back end uses one up.
 type quotaLease struct {
 	lease    allowance.Lease
-	acquired bool // the next send is covered, by hold or because there is no limit
+	acquired bool // the next send is allowed, by the lease or because there is no quota
 }
 
-// acquireQuota takes what the next send to a back end counts of the tenant's limit, or answers the request.
+// acquireQuota acquires the quota for the next send to a back end. If there is none, it answers the request and returns
+// false.
 func (x *exchange) acquireQuota() bool {
 	if x.hasQuota() {
 		return true
@@ -45,7 +46,7 @@
 	return false
 }
 
-// rejectForQuota answers a request that may not be sent for its tenant's limit.
+// rejectForQuota answers a request that may not be sent because of its tenant's quota.
 func (x *exchange) rejectForQuota(status int, reason string, retryAfter time.Duration) {
 	switch {
 	case x.request.Context().Err() != nil:
@@ -57,12 +58,13 @@
 	}
 }
 
-// hasQuota reports whether the next send is hasQuota now: a hold ends while the process stands still, or the body is slow.
+// hasQuota reports whether quota for the next send is held. A lease may have expired during a pause of the process or
+// while the body was read slowly.
 func (x *exchange) hasQuota() bool {
 	return x.cover.acquired && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
 }
 
-// releaseQuota gives back what was not used.
+// releaseQuota returns unused quota.
 func (x *exchange) releaseQuota() {
 	if x.cover.acquired {
 		x.gateway.desk.Release(x.cover.lease)
@@ -70,7 +72,7 @@
 	x.cover = quotaLease{}
 }
 
-// requestLeases asks the leader for amounts; it is the desk's way to the lender.
+// requestLeases requests leases from the control leader. It is the desk's RequestFunc.
 func (g *Gateway) requestLeases(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 	ask := g.group.Once
 	if !g.group.HeardWithin(controlContactWindow) {
@@ -81,12 +83,13 @@
 		return allowance.Reply{}, err
 	}
 	if response.Kind != control.ResponseOK || response.Lent == nil {
-		return allowance.Reply{}, eris.Errorf("control answers %s", response.Kind)
+		return allowance.Reply{}, eris.Errorf("unexpected response from control: %s", response.Kind)
 	}
 	return *response.Lent, nil
 }
 
-// acquireRetry takes one repeat of a request to a service: from this gateway's own share, else from what the fleet lends.
+// acquireRetry acquires one retry of a request to a service, from this gateway's budget or else by a lease from the
+// fleet's.
 func (g *Gateway) acquireRetry(ctx context.Context, service string) bool {
 	if g.budget.acquireRetry(service, g.now()) {
 		return true
