--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -9,7 +9,7 @@
 	"kitetiller/internal/mechanism"
 )
 
-// newVersionsTable returns a table with one engine, and a way to tell it of the engine's weights.
+// newVersionsTable returns a table with one engine, and a function that applies weight versions reported by control.
 func newVersionsTable() (t *table, applyVersions func(map[string]uint64)) {
 	t = newTable(mechanism.Set{})
 	applyVersions = func(versions map[string]uint64) {
@@ -19,43 +19,45 @@
 	return t, applyVersions
 }
 
-// TestWeightsFallAsControlTells: control asked the engine itself before it told of older weights than before. A gateway that kept the newest
-// that it had ever heard of would expect weights there that the engine doesn't hold, for as long as the engine lives.
-func TestWeightsFallAsControlTells(t *testing.T) {
+// TestDowngradeByControl guards against expecting the newest weights ever reported after control reported a downgrade,
+// since the engine would reject every request.
+func TestDowngradeByControl(t *testing.T) {
 	table, applyVersions := newVersionsTable()
 	applyVersions(map[string]uint64{"m": 4})
 	applyVersions(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("believed %d after control told 4 and then 3", believed)
+		t.Fatalf("version %d after control reported 4 and then 3, want 3", believed)
 	}
-	applyVersions(nil) // a new leader that hasn't heard of them
+	applyVersions(nil) // a new leader without the heartbeat
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("believed %d after control told nothing", believed)
+		t.Fatalf("version %d after control reported none, want 3", believed)
 	}
 	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	applyVersions(map[string]uint64{"m": 3})
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
-		t.Fatalf("believed %d after the engine itself told 5 and control what it had told before", believed)
+		t.Fatalf("version %d after the engine reported 5 and control 3 again, want 5", believed)
 	}
 }
 
-// TestOlderWeightsThanBelievedAreLeftAlone: an engine that turned a request away for weights older than expected isn't asked again at once.
-func TestOlderWeightsThanBelievedAreLeftAlone(t *testing.T) {
+// TestOutdatedEngineIsAvoided tests that an engine which rejected a request with older weights than expected is avoided
+// for a while.
+func TestOutdatedEngineIsAvoided(t *testing.T) {
 	table, applyVersions := newVersionsTable()
 	applyVersions(map[string]uint64{"m": 4})
 	row := table.rows["e@1"]
 	if table.recordVersion(time.Second, row, "m", 3) {
-		t.Fatal("older weights are news")
+		t.Fatal("recordVersion reports older weights as newer")
 	}
 	if row.avoidUntil <= time.Second || row.entry.Versions["m"] != 4 {
-		t.Fatalf("avoided to %v, believed %d", row.avoidUntil, row.entry.Versions["m"])
+		t.Fatalf("avoided until %v, version %d, want avoidance and version 4", row.avoidUntil, row.entry.Versions["m"])
 	}
 }
 
-// TestLimitIsOfTheWeightsExpected: a scheduler and a gateway may believe different weights, where they fell, and belief may change between
-// the choice and the send. The request begins on the weights that it expects or nowhere, so the limit is theirs.
-func TestLimitIsOfTheWeightsExpected(t *testing.T) {
-	// newVersionedGateway returns a gateway that newVersionedGateway version 2, named so long ago; nothing may begin on version 1 a minute after that.
+// TestStartDeadlineOfExpectedVersion tests that the start deadline is that of the version which the request expects,
+// even if the known version changes after the choice or differs from the scheduler's.
+func TestStartDeadlineOfExpectedVersion(t *testing.T) {
+	// newVersionedGateway returns a gateway with an engine of version 2, published so long ago, and an attempt that
+	// expects version 1, on which nothing may start from a minute later on.
 	newVersionedGateway := func(age time.Duration) (*Gateway, *attempt) {
 		g := newScheduler(1)
 		g.now = func() time.Duration { return 10 * time.Minute }
@@ -70,34 +72,35 @@
 		late := age > time.Minute
 		g, chosen := newVersionedGateway(age)
 		if bar := chosen.barred(); (bar != "") != late {
-			t.Errorf("named %v ago, version 1 expected since the choice: barred %q", age, bar)
+			t.Errorf("published %v ago, version 1 expected by the attempt: restriction %q", age, bar)
 		}
 		in := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
 		if placed := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); (placed == nil) != late {
-			t.Errorf("named %v ago, version 1 expected by the scheduler: placed %t", age, placed != nil)
+			t.Errorf("published %v ago, version 1 expected by the scheduler: accepted %t", age, placed != nil)
 		}
 		if g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 2}, schedulerPlacement{}, in) == nil {
-			t.Errorf("named %v ago: no place on version 2", age)
+			t.Errorf("published %v ago: scheduler's choice with version 2 not accepted", age)
 		}
 	}
 }
 
-// checkUnconfirmedSend checks that a gateway which is cut off from control places and sends a request, and expects no version of it.
+// checkUnconfirmedSend checks that a gateway without contact to control places and sends a request without expecting a
+// version.
 func checkUnconfirmedSend(t *testing.T, g *Gateway) {
 	t.Helper()
 	x := newModelRequest(g)
 	chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call})
 	if chosen == nil || chosen.version != 0 {
-		t.Fatalf("placed %+v", chosen)
+		t.Fatalf("candidate %+v, want one without a version", chosen)
 	}
 	if bar := x.newAttempt(chosen).barred(); bar != "" {
-		t.Fatalf("barred %q", bar)
+		t.Fatalf("restriction %q, want none", bar)
 	}
 }
 
-// TestUnconfirmedViewIsPlacedByBelief: while control is gone a request expects no weights, and an engine that is believed to hold the newest is
-// used however long ago these were named.
-func TestUnconfirmedViewIsPlacedByBelief(t *testing.T) {
+// TestUnconfirmedViewUsesNewestEngine tests that without contact to control an engine with the newest weights is used
+// however long ago they were published.
+func TestUnconfirmedViewUsesNewestEngine(t *testing.T) {
 	g := newScheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
 	publishVersion(g, 2, 5*time.Minute)
@@ -107,8 +110,8 @@
 	checkUnconfirmedSend(t, g)
 }
 
-// TestNoVersionExpectedIsNoOldOne: a gateway that is cut off from control expects no version, and goes on with what it believes.
-func TestNoVersionExpectedIsNoOldOne(t *testing.T) {
+// TestUnconfirmedViewExpectsNoVersion tests that an expected version of 0 does not count as outdated.
+func TestUnconfirmedViewExpectsNoVersion(t *testing.T) {
 	g := newScheduler(1)
 	g.now = func() time.Duration { return 10 * time.Minute }
 	publishVersion(g, 1, 2*time.Minute)
