--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -12,13 +12,13 @@
 	"kitetiller/internal/quota"
 )
 
-// peerPushback is what a back end peerPushback of itself to another gateway, as far as it is news here.
+// peerPushback holds the signals of a back end that another gateway reported, as far as they changed something here.
 type peerPushback struct {
 	instance string
 	signals  pushback.Signals
 }
 
-// observeNoLimit takes up an answer without a limit, to a request that was sent at a time.
+// observeNoLimit handles an answer without a limit, to a request sent at the given time.
 func (g *Gateway) observeNoLimit(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// observeSchedulerLimit takes up the limit of a back end that a scheduler chose: in a large fleet only schedulers are told by others, and this gateway's
-// first request there would be sent without a part of it.
+// observeSchedulerLimit applies the limit in a scheduler's reply. In a large fleet, only schedulers receive other
+// gateways' updates, so this gateway's first request there would otherwise be sent without a lease.
 func (g *Gateway) observeSchedulerLimit(now time.Duration, answer *wirePlacementReply) {
 	if answer.Limit == nil {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// logLimit logs that a back end names another limit than before, none any more, or one that can't be read.
+// logLimit logs a limit that changed, was withdrawn, or cannot be parsed.
 func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unreadable string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
@@ -65,35 +65,39 @@
 }
 
 const (
-	// leaseRetryInterval is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
-	// alone: each question would hold a request up for the time of an answer that doesn't come.
+	// leaseRetryInterval is how long no leases on limits are requested after the allocator did not answer, since each
+	// attempt would delay a request by the timeout.
 	leaseRetryInterval = schedulerRetryInterval
-	// minLimitExhaustion is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
+	// minLimitExhaustion is the minimum time for which a back end is excluded after no lease on its limit was
+	// available.
 	minLimitExhaustion = 10 * time.Millisecond
-	// maxLimitedAttempts is how many back ends a request may find at their limits once it was placed there.
+	// maxLimitedAttempts bounds the attempts of a request that end because the chosen back end is at its limit.
 	maxLimitedAttempts = 4
-	// limitCost is what a back end costs that names a limit, in milliseconds: the way to the lender and back. For each second that nobody has
-	// heard it, up to staleMost, staleGain is taken off: only an answer tells that the limit is over, and beside idle back ends none would come.
+	// limitCost is the cost of a back end that advertises a limit, in milliseconds: the round trip to the allocator. It
+	// decreases by limitCostDecay for each second since the limit was last observed, for up to maxLimitCostDecayTime,
+	// because only an answer shows that the limit was withdrawn, and a back end that always costs more than idle ones
+	// would get no requests.
 	limitCost             = 10.0
 	limitCostDecay        = 10.0
 	maxLimitCostDecayTime = 20 * time.Second
-	// limitUpdateInterval is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
+	// limitUpdateInterval is how often an unchanged limit is sent to the other gateways, so that they know it is still
+	// in effect.
 	limitUpdateInterval = time.Second
-	// maxLimitRetryAfter bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
-	// With what spreads callers it stays below the 8 s of other limits.
+	// maxLimitRetryAfter bounds the retry time given when all back ends of a service are at their limits. With jitter,
+	// it stays below the 8 s of other limits.
 	maxLimitRetryAfter = 7500 * time.Millisecond
 )
 
-// Outcomes of questions for a part of a back end's limit, in metrics.
+// Outcomes of lease requests for advertised limits, as metric labels.
 const (
 	leaseGranted      = "granted"
 	leaseLimitReached = "over"
-	leaseUnavailable  = "unknown" // nobody could be asked
-	leaseUnused       = "unused"  // granted, and nothing was sent
+	leaseUnavailable  = "unknown" // the allocator did not answer
+	leaseUnused       = "unused"  // granted, but nothing was sent
 )
 
-// acquireLease takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
-// of, so that the leader counts it; none is needed where no limit is named.
+// acquireLease acquires the lease for one request under the back end's advertised limit, and reports whether the
+// request may be sent. The leader allocates the limit among all gateways. Without a limit, no lease is needed.
 func (a *attempt) acquireLease() bool {
 	g := a.exchange.gateway
 	now := g.now()
@@ -116,7 +120,7 @@
 		outcome = leaseLimitReached
 		g.table.setLimitExhausted(a.row, g.now()+withJitter(max(result.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
-		return false // the caller left, or its time is over: that says nothing of the lender
+		return false // the caller left or the deadline passed, which is not the allocator's fault
 	default:
 		outcome = leaseUnavailable
 		g.table.setLeaseRetryAt(g.now() + leaseRetryInterval)
@@ -125,7 +129,7 @@
 	return result.Outcome == desk.Granted
 }
 
-// releaseLease gives back what was taken of a limit and not used.
+// releaseLease returns an unused lease.
 func (a *attempt) releaseLease() {
 	if a.hold.Amount > 0 {
 		a.exchange.gateway.desk.Release(a.hold)
@@ -134,7 +138,7 @@
 	}
 }
 
-// advertisedLimit returns the limit that a back end names, or nil, and whether nothing of it can be had now.
+// advertisedLimit returns the limit that a back end advertises, or nil, and whether it is exhausted now.
 func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, exhausted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -145,38 +149,38 @@
 	return &allowance.AdvertisedLimit{Rate: observed.Rate, Age: max(0, now-observedAt)}, t.limitExhaustedFor(now, row, false) > 0
 }
 
-// limitExhaustedFor returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
-// holds the mutex.
+// limitExhaustedFor returns how long no lease on a back end's limit will be available, as far as is known. If
+// sentByPeer is set, another gateway sends the request. The caller holds the mutex.
 func (t *table) limitExhaustedFor(now time.Duration, row *endpoint, sentByPeer bool) time.Duration {
 	if sentByPeer {
-		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
+		return max(0, row.limitPacedUntil-now) // the peer acquires the lease itself; this only paces placements
 	}
 	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
-// setLimitExhausted notes until when nothing can be had of a back end's limit.
+// setLimitExhausted records until when no lease on a back end's limit will be available.
 func (t *table) setLimitExhausted(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
-// setLeaseRetryAt notes until when nobody is asked for a part of any limit.
+// setLeaseRetryAt records until when no leases are requested at all.
 func (t *table) setLeaseRetryAt(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
-// pacePeerPlacement spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
+// pacePeerPlacement spaces placements for other gateways at a back end by its limit. The caller holds the mutex.
 func (t *table) pacePeerPlacement(now time.Duration, row *endpoint) {
 	if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
 
-// limitRetryAfter returns when the caller of a request may come back whose service's back ends have all reached their limits: not before the first of them
-// takes another one, and behind those that this gateway told before, of whom it may serve its part of the limits in a second.
+// limitRetryAfter returns when a caller may retry whose service's back ends are all at their limits. Callers get
+// successive times, no earlier than first, spaced at this gateway's share of the limits.
 func (t *table) limitRetryAfter(now time.Duration, service string, first time.Duration, gateways int64) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -192,7 +196,8 @@
 	return at - now
 }
 
-// advertisedLimits returns how many back ends name a limit, and the sum of these, by service; a service without one is missing.
+// advertisedLimits returns the number of back ends that advertise a limit and the sum of the limits, by service.
+// Services without any are absent.
 func (t *table) advertisedLimits() (counts map[string]int, sums map[string]float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
