--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -17,14 +17,14 @@
 	"kitetiller/internal/pushback"
 )
 
-// reportLimit lets a back end name a limit to a gateway.
+// reportLimit lets a gateway receive a rate limit that a back end advertises.
 func reportLimit(g *Gateway, id string, rate float64) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
-// TestLimitsAreTold: each change of what a back end names leaves a line, and so does its end, one that can't be read and each word that nothing
-// reads; the gauges count who names one.
-func TestLimitsAreTold(t *testing.T) {
+// TestLimitLogging tests the log lines for changed, unreadable and withdrawn limits and for unknown header fields, and
+// the gauges of limits. Only the answer to the same request, sent after the limit was observed, can withdraw it.
+func TestLimitLogging(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
@@ -38,33 +38,34 @@
 	got := lines.FilterMessage(events.InstanceLimits).All()
 	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
 		got[2].ContextMap()[events.FieldUnread] != "3,8" {
-		t.Fatalf("lines %v", got)
+		t.Fatalf("log lines about limits: %v", got)
 	}
 	if strange := lines.FilterMessage(events.WordUnknown).All(); len(strange) != 1 {
-		t.Errorf("lines of words that nothing reads: %v", strange)
+		t.Errorf("log lines about unknown fields: %v, want 1", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
 	newLimitedGauge(g).Collect(gauges)
 	if counts, sums := g.table.advertisedLimits(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
-		t.Errorf("%d gauges, %v, %v", len(gauges), counts, sums)
+		t.Errorf("%d gauges, counts %v, sums %v", len(gauges), counts, sums)
 	}
-	sent.handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was heard
+	sent.handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was observed
 	if len(lines.FilterMessage(events.InstanceUnlimited).All()) > 0 {
-		t.Fatal("an answer to a request from before ended the limit")
+		t.Fatal("limit withdrawn by an answer to a request sent before it was observed")
 	}
 	now += time.Second
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
 	if counts, _ := g.table.advertisedLimits(); counts["s"] != 1 {
-		t.Fatal("another request's answer ended the limit")
+		t.Fatal("limit withdrawn by another request's answer")
 	}
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
 	if counts, _ := g.table.advertisedLimits(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
-		t.Fatalf("after its end: %v", counts)
+		t.Fatalf("limits after the withdrawal: %v, want none", counts)
 	}
 }
 
-// TestWordsThatNothingReadsAreBounded: their names come from outside.
-func TestWordsThatNothingReadsAreBounded(t *testing.T) {
+// TestUnknownFieldsAreBounded tests that the number of remembered unknown field names is bounded, since back ends
+// choose the names.
+func TestUnknownFieldsAreBounded(t *testing.T) {
 	var words strangeWords
 	logged := 0
 	for i := range 10 * strangeMost {
@@ -73,14 +74,14 @@
 		}
 	}
 	if logged != strangeMost || words.first("0") {
-		t.Fatalf("%d were logged", logged)
+		t.Fatalf("%d names logged", logged)
 	}
 }
 
-// reportNoLimit lets a back end tell that its limit is over, in the answer to a request that was sent now.
+// reportNoLimit lets a gateway receive an answer without a limit to a request sent now.
 func reportNoLimit(g *Gateway, id string) { g.observeNoLimit(g.table.rows[id], g.now()) }
 
-// chosenFor returns the back end that a gateway chooses for a request of its own, or "".
+// chosenFor returns the ID of the back end that a gateway chooses for a request of its own, or "".
 func chosenFor(g *Gateway) string {
 	x := newModelRequest(g)
 	if chosen := g.choose(g.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
@@ -89,38 +90,39 @@
 	return ""
 }
 
-// Between the choice and the send a connection comes up: a limit that was named meanwhile needs its part, one that ended meanwhile none, and a
-// part that was taken ends after a while.
-func TestLastLookNeedsAPartOfTheLimit(t *testing.T) {
+// TestLeaseCheckBeforeSending tests the check before sending, for limits that are advertised or withdrawn after the
+// choice and leases that expire.
+func TestLeaseCheckBeforeSending(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	chosen := chosenAttempt(g)
 	if bar := chosen.barred(); bar != "" {
-		t.Fatalf("barred before: %s", bar)
+		t.Fatalf("restricted without a limit: %s", bar)
 	}
 	reportLimit(g, "i-0", 4)
 	if bar := chosen.barred(); bar != causeLimited {
-		t.Fatalf("barred %q without a part", bar)
+		t.Fatalf("restriction %q without a lease", bar)
 	}
 	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setLimitExhausted(chosen.row, now+time.Second)
 	if bar := chosen.barred(); bar != "" {
-		t.Fatalf("barred %q with a part, although others find none", bar)
+		t.Fatalf("restriction %q with a lease", bar)
 	}
 	now += 2 * allowance.LeaseTTL
 	if bar := chosen.barred(); bar != causeLimited {
-		t.Fatalf("barred %q with a part that is over", bar)
+		t.Fatalf("restriction %q with an expired lease", bar)
 	}
 	reportNoLimit(g, "i-0")
 	if bar := chosen.barred(); bar != "" {
-		t.Fatalf("barred %q after the limit's end", bar)
+		t.Fatalf("restriction %q after the limit was withdrawn", bar)
 	}
 }
 
-// TestBackEndsAtTheirLimitsAreLeftOut: of those of which nothing can be had none is chosen until then, nor named to a scheduler; a scheduler goes
-// on placing there for others, a part of the limit at a time; while the lender is silent none with a limit is chosen.
-func TestBackEndsAtTheirLimitsAreLeftOut(t *testing.T) {
+// TestExhaustedLimitsAreExcluded tests that back ends with an exhausted limit are not chosen, that a scheduler paces
+// other gateways' placements there by the limit, and that no back end with a limit is chosen while the allocator does
+// not answer.
+func TestExhaustedLimitsAreExcluded(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
@@ -128,51 +130,52 @@
 	g.table.setLimitExhausted(g.table.rows["i-0"], now+time.Second)
 	for range 20 {
 		if got := chosenFor(g); got != "i-1" {
-			t.Fatalf("chosen %q", got)
+			t.Fatalf("chosen %q, want i-1", got)
 		}
 	}
 	if without := g.table.excluded(now, "s", nil); len(without) != 1 || without[0] != "i-0" {
-		t.Fatalf("a scheduler would be told to leave out %v", without)
+		t.Fatalf("excluded in a placement request: %v, want i-0", without)
 	}
 	alone := &wirePlacementRequest{PlacementID: "t1", Gateway: "a", Service: "s", Model: "m", TimeoutMS: 5000, Excluded: []string{"i-1"}}
 	placed := g.placeForPeer(now, alone)
 	if placed.Instance != "i-0" || placed.Limit == nil || *placed.Limit != 4 {
-		t.Fatalf("placed for another: %+v", placed)
+		t.Fatalf("placement for a peer: %+v", placed)
 	}
 	if again := g.placeForPeer(now, alone); again.Instance != "" {
-		t.Fatalf("placed at once again: %+v", again)
+		t.Fatalf("second placement at once: %+v, want none", again)
 	}
 	now += 250 * time.Millisecond
 	if again := g.placeForPeer(now, alone); again.Instance != "i-0" {
-		t.Fatalf("placed a quarter of a second later: %+v", again)
+		t.Fatalf("placement 250 ms later: %+v", again)
 	}
 	now += time.Second
 	if first, _ := g.table.allRestricted(now, "s"); first != 0 {
-		t.Fatalf("all barred for %v", first)
+		t.Fatalf("all back ends restricted for %v, want 0", first)
 	}
 	g.table.setLeaseRetryAt(now + leaseRetryInterval)
 	for range 20 {
 		if got := chosenFor(g); got != "i-1" {
-			t.Fatalf("chosen %q while nobody lends", got)
+			t.Fatalf("chosen %q while no leases are available", got)
 		}
 	}
 }
 
-// TestBackEndWithALimitOwnsNoPrompt: it is open and closed in turn, so that the prompt would be read in two places.
-func TestBackEndWithALimitOwnsNoPrompt(t *testing.T) {
+// TestLimitedBackEndOwnsNoPrompt tests that a back end with a limit does not become the owner of shared parts, since
+// they would be prefilled at a second back end whenever the limit is exhausted.
+func TestLimitedBackEndOwnsNoPrompt(t *testing.T) {
 	g := newScheduler(2)
 	call := (&wirePlacementRequest{Model: "m", Parts: []string{"preamble", "own"}, PartTokens: []int{2000, 100}}).call()
 	held := selectionInput{service: g.view.Load().services["s"], call: &call, trusted: true}
 	owner := g.owner(0, g.table.services["s"], held)
 	reportLimit(g, owner.entry.ID, 4)
 	if next := g.owner(0, g.table.services["s"], held); next == nil || next == owner {
-		t.Fatalf("owner %v", next)
+		t.Fatalf("owner %v, want another back end", next)
 	}
 }
 
-// TestCallersComeBackInTurn: where all back ends have reached their limits each caller is told a later moment than the one before, as far apart as
-// this gateway's part of the limits; not before the first of them takes another request, and never beyond a bound.
-func TestCallersComeBackInTurn(t *testing.T) {
+// TestLimitRetryTimes tests that callers rejected while all back ends are at their limits get successive retry times,
+// spaced at this gateway's share of the limits and bounded.
+func TestLimitRetryTimes(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
@@ -186,11 +189,11 @@
 	for i := range 60 {
 		reason, back := x.noBackendReason()
 		if reason != reasonLimited || back < 200*time.Millisecond || back > maxLimitRetryAfter+time.Second {
-			t.Fatalf("%s after %v", reason, back)
+			t.Fatalf("reason %s, retry after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, maxLimitRetryAfter)
 		if back < wanted || back > wanted+retryAfterSlack/2 {
-			t.Fatalf("caller %d comes back after %v, after %v was its turn", i, back, wanted)
+			t.Fatalf("caller %d: retry after %v, want %v", i, back, wanted)
 		}
 		before = back
 	}
@@ -198,33 +201,32 @@
 	g.table.setLimitExhausted(g.table.rows["i-0"], now+100*time.Millisecond)
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+100*time.Millisecond)
 	if _, back := x.noBackendReason(); back >= before {
-		t.Fatalf("after %v although nobody waits any more", back)
+		t.Fatalf("retry after %v although no caller waits any more", back)
 	}
 }
 
-// TestWhatBarsAllIsTold: of back ends at rest and at their limits the first that takes a request again says why.
-func TestWhatBarsAllIsTold(t *testing.T) {
+// TestAllRestrictedCause tests that the cause is that of the back end which becomes available first.
+func TestAllRestrictedCause(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	reportBackoff(g, "i-0", 10*time.Second)
 	reportLimit(g, "i-1", 4)
 	if first, cause := g.table.allRestricted(now, "s"); first != 0 || cause != "" {
-		t.Fatalf("%v, %q", first, cause)
+		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Second)
 	if first, cause := g.table.allRestricted(now, "s"); first != time.Second || cause != causeLimited {
-		t.Fatalf("%v, %q", first, cause)
+		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Minute)
 	if first, cause := g.table.allRestricted(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
-		t.Fatalf("%v, %q", first, cause)
+		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 }
 
-// TestOtherGatewaysHearOfLimits: over the wire, with their age: of two words the later counts, whoever heard it; a scheduler tells whom it places
-// for as well.
-func TestOtherGatewaysHearOfLimits(t *testing.T) {
+// TestPeerLimits tests that of limits received from other gateways or a scheduler the one observed last is used.
+func TestPeerLimits(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
@@ -251,7 +253,7 @@
 		{400 * time.Millisecond, pushback.Limit{Withdrawn: true}, -1},
 	} {
 		if applyPeerLimit(step.age, step.limit); rate() != step.wanted {
-			t.Fatalf("step %d: %.1f, wanted %.1f", what, rate(), step.wanted)
+			t.Fatalf("step %d: limit %.1f, want %.1f", what, rate(), step.wanted)
 		}
 	}
 	x := newModelRequest(g)
@@ -259,16 +261,17 @@
 	placed := &wirePlacementReply{Instance: "i-0", Version: 1, Limit: &limit, LimitAgeMS: 20}
 	g.candidateFromReply(placed, schedulerPlacement{}, selectionInput{service: x.service, call: &x.call, trusted: true})
 	if rate() != 3.5 {
-		t.Fatalf("a scheduler told %.1f", rate())
+		t.Fatalf("limit %.1f after a scheduler's reply, want 3.5", rate())
 	}
 	reportLimit(g, "i-0", 2)
 	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
-		t.Fatalf("%+v", older.send())
+		t.Fatalf("decoded message of an older gateway: %+v", older.send())
 	}
 }
 
-// TestRequestGoesOnFromALimit: it may come back to that back end, which is full for a moment only, and gives up after a few.
-func TestRequestGoesOnFromALimit(t *testing.T) {
+// TestRequestContinuesAfterLimit tests that an attempt at a back end at its limit does not exclude the back end from
+// further attempts, and that the number of such attempts is bounded.
+func TestRequestContinuesAfterLimit(t *testing.T) {
 	g := newScheduler(1)
 	x := newModelRequest(g)
 	x.writer = httptest.NewRecorder()
@@ -276,27 +279,26 @@
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
 		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < maxLimitedAttempts-1) || len(x.tried) != 0 {
-			t.Fatalf("%d: goes on %v, tried %d", i, goes, len(x.tried))
+			t.Fatalf("attempt %d: continues %v, %d back ends excluded", i, goes, len(x.tried))
 		}
 	}
 	if x.sent != 0 || x.unreached != 0 {
-		t.Fatalf("sent %d, unreached %d", x.sent, x.unreached)
+		t.Fatalf("%d requests sent, %d connections failed, want none", x.sent, x.unreached)
 	}
 }
 
-// A back end had named a limit and then none any more, while another one was idle. It costs 10 ms more for its limit, so that the idle one got every
-// request, and nobody ever heard that the limit was over: of 80 requests 5 s later none came to it. Now it costs less again the longer nobody has
-// heard of its limit.
-func TestLimitIsHeardOfAgain(t *testing.T) {
+// TestLimitCostDecays guards against a back end that withdrew its limit getting no requests because an idle one without
+// a limit costs less, so that no gateway learns of the withdrawal.
+func TestLimitCostDecays(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
-	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // no engines, so that all are as good for any request
+	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // no engine service, so that the back ends differ in cost only by the limit
 	reportLimit(g, "i-0", 4)
 	for range 40 {
 		if now += 100 * time.Millisecond; chosenFor(g) == "i-0" {
 			return
 		}
 	}
-	t.Fatal("in 4 s nothing was sent to a back end that named a limit, which may be over")
+	t.Fatal("no request chose the back end with a limit within 4 s")
 }
