--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// initialOutageEstimate is how long a loss of control is taken to last before one has been seen; outageSmoothing weighs the newest.
+	// initialOutageEstimate is the expected length of the first outage of control; outageSmoothing is the weight of the
+	// newest outage in the mean.
 	initialOutageEstimate = 500 * time.Millisecond
 	outageSmoothing       = 0.3
-	// minRemainingFraction of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
+	// minRemainingFraction of the time since an outage began is the minimum that it is expected to last further.
 	minRemainingFraction = 0.5
-	// minControlRetryAfter and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
-	// different times, so that they don't come back together.
+	// minControlRetryAfter and maxControlRetryAfter bound the retry time before jitter. controlRetryJitter is the
+	// maximum jitter as a fraction of it.
 	minControlRetryAfter = 150 * time.Millisecond
 	maxControlRetryAfter = 2 * time.Second
 	controlRetryJitter   = 0.4
-	// controlContactWindow is how lately a control replica must have answered for a leader to be expected soon.
+	// controlContactWindow is how recently a control replica must have answered for a leader to be expected soon.
 	controlContactWindow = 700 * time.Millisecond
-	// startupWindow is how long a gateway that has just started is taken to be about to find control.
+	// startupWindow is how long after its start a gateway is expected to be still connecting to control.
 	startupWindow = 700 * time.Millisecond
-	// viewWaitFraction of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
-	// the settings say; callers that don't tell theirs are taken to have defaultPatience.
+	// viewWaitFraction of the caller's timeout is how long a request waits for a confirmed view, at most
+	// Settings.ViewWait. defaultCallerTimeout is assumed for callers that state none.
 	viewWaitFraction     = 0.125
 	defaultCallerTimeout = 4 * time.Second
 )
 
-// outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
-// a gateway starts without control.
+// outage estimates how long control stays unavailable, from the lengths of earlier outages. The zero value is an outage
+// that begins with the process. It is safe for concurrent use.
 type outage struct {
 	mu           sync.Mutex
-	ended        bool          // control is there; guarded by mu
-	startedAt    time.Duration // when it was lost; guarded by mu
-	meanDuration time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
+	ended        bool          // control is available; guarded by mu
+	startedAt    time.Duration // of the current or last outage; guarded by mu
+	meanDuration time.Duration // smoothed length of earlier outages; 0 before the first; guarded by mu
 }
 
-// begin notes that control is lost; what it notes later changes nothing.
+// begin records the start of an outage, if none is in progress.
 func (o *outage) begin(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// end notes that control is back.
+// end records the end of the outage, if one is in progress.
 func (o *outage) end(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,7 +63,7 @@
 	o.ended = true
 }
 
-// remaining returns how much longer the outage is taken to last.
+// remaining returns the expected remaining time of the outage.
 func (o *outage) remaining(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -74,13 +75,13 @@
 	return max(typical-elapsed, time.Duration(minRemainingFraction*float64(elapsed)))
 }
 
-// controlRetryAfter returns when a caller should ask again that is turned away for want of control.
+// controlRetryAfter returns when a caller may retry a request that was rejected because control is unavailable.
 func (g *Gateway) controlRetryAfter() time.Duration {
 	remaining := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
 	return remaining + time.Duration(controlRetryJitter*rand.Float64()*float64(remaining))
 }
 
-// awaitView waits a moment for control where it is expected, and reports whether the view is confirmed.
+// awaitView waits until control confirms the view, if that is expected soon, and reports whether the view is confirmed.
 func (x *exchange) awaitView() bool {
 	g := x.gateway
 	for {
@@ -101,13 +102,13 @@
 	}
 }
 
-// expectsControl reports whether control is likely to confirm the view in a moment: a replica answers, so that there will be
-// a leader, or nobody could have answered yet.
+// expectsControl reports whether control is likely to confirm the view soon: a replica answers, so that a leader will
+// be elected, or the gateway has only just started.
 func (g *Gateway) expectsControl() bool {
 	return g.on(mechanism.ViewWait) && (g.group.HeardWithin(controlContactWindow) || g.now() < startupWindow)
 }
 
-// viewWait is how long the request may wait for a confirmed view.
+// viewWait returns how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
 	timeout := x.call.Patience
 	if timeout == 0 {
