--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -9,7 +9,8 @@
 	"kitetiller/internal/mechanism"
 )
 
-// rejectIfOverloaded marks a placement of this gateway's own whose request is to be turned away.
+// rejectIfOverloaded sets the candidate's retry time if admission control rejects the request. It is used for
+// placements that this gateway makes for itself.
 func (g *Gateway) rejectIfOverloaded(now time.Duration, chosen *candidate, in selectionInput) {
 	if chosen == nil {
 		return
@@ -19,7 +20,7 @@
 	}
 }
 
-// checkAdmission decides whether a request that was just placed is turned away for the wait that its placement predicts.
+// checkAdmission decides whether a request that was just placed is rejected because of its predicted wait.
 func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (retryAfter time.Duration, rejected bool) {
 	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
 		return 0, false
@@ -28,18 +29,18 @@
 		Priority: in.priority, PredictedWait: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Random: rand.Float64(),
 	}
 	if parts := in.call.Parts; len(parts) > 0 {
-		req.Key = parts[len(parts)-1].ID // its own: shared parts come before
+		req.Key = parts[len(parts)-1].ID // the request's own part; shared parts come before it
 	}
 	g.table.mutex.Lock()
 	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, req)
 	g.table.mutex.Unlock()
 	if rejected && req.Key != "" {
-		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: req.Key}) // whoever it comes back to is to know it
+		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: req.Key}) // so that any gateway recognizes the retry
 	}
 	return retryAfter, rejected
 }
 
-// admissionController returns the admissionController of a service. The caller holds the mutex.
+// admissionController returns the admission controller of a service. The caller holds the mutex.
 func (t *table) admissionController(service string) *admission.Controller {
 	controller := t.admission[service]
 	if controller == nil {
@@ -49,8 +50,8 @@
 	return controller
 }
 
-// observeQueueWait learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
-// whose first event never came waited at least as long as it stayed.
+// observeQueueWait records how long a request waited before its prefill started, compared with the predicted
+// milliseconds. A request without a first event waited at least as long as it stayed.
 func (t *table) observeQueueWait(service string, priority int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
