--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -9,63 +9,64 @@
 	"kitetiller/internal/mechanism"
 )
 
-// setPrefillBusy lets every engine have so much to read from a time on.
+// setPrefillBusy makes every engine busy with prefills for a duration.
 func setPrefillBusy(g *Gateway, now, length time.Duration) {
 	for _, row := range g.table.rows {
 		row.prefillBusyUntil = now + length
 	}
 }
 
-// newObjectiveRequest is a question of a route with an objective.
+// newObjectiveRequest returns a placement request for a route with a latency objective.
 func newObjectiveRequest(ticket string, first bool) *wirePlacementRequest {
 	asked := newPlacementRequest(ticket, 1)
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
 
-// TestWhatWouldWaitTooLongIsTurnedAway: with the time to come back, and without being counted anywhere; what was sent once, what
-// has no objective, and everything while engines are free, is placed.
-func TestWhatWouldWaitTooLongIsTurnedAway(t *testing.T) {
+// TestAdmissionByPredictedWait tests that a request whose predicted wait is too long is rejected with a retry time and
+// adds no load. Requests that were sent once, have no objective, or find idle engines are placed.
+func TestAdmissionByPredictedWait(t *testing.T) {
 	g := newScheduler(4)
 	now := time.Second
 	if got := g.placeForPeer(now, newObjectiveRequest("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
-		t.Fatalf("engines are free: %+v", got)
+		t.Fatalf("idle engines: %+v", got)
 	}
 	setPrefillBusy(g, now, 3*time.Second)
 	got := g.placeForPeer(now, newObjectiveRequest("new", true))
 	if got.RetryAfterMS < 1000 {
-		t.Fatalf("three seconds of reading: %+v", got)
+		t.Fatalf("three seconds of prefills queued: %+v, want a rejection", got)
 	}
 	for id, row := range g.table.rows {
 		if n := row.occupancy.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
-			t.Fatalf("%d requests are counted at %s", n, id)
+			t.Fatalf("%d requests in the load of %s", n, id)
 		}
 	}
 	if got := g.placeForPeer(now, newObjectiveRequest("repeat", false)); got.RetryAfterMS > 0 {
-		t.Fatalf("sent before: %+v", got)
+		t.Fatalf("retried request: %+v", got)
 	}
 	if got := g.placeForPeer(now, newPlacementRequest("no objective", 1)); got.RetryAfterMS > 0 {
-		t.Fatalf("no objective: %+v", got)
+		t.Fatalf("request without an objective: %+v", got)
 	}
 	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
 	if got := g.placeForPeer(now, newObjectiveRequest("off", true)); got.RetryAfterMS > 0 {
-		t.Fatalf("without the mechanism: %+v", got)
+		t.Fatalf("mechanism disabled: %+v", got)
 	}
 }
 
-// TestLongPromptsAreNotTurnedAwayForTheirReading: only the queue before it counts.
-func TestLongPromptsAreNotTurnedAwayForTheirReading(t *testing.T) {
+// TestAdmissionIgnoresOwnPrefill tests that a long prompt is not rejected for its own prefill time, but only for the
+// queue before it.
+func TestAdmissionIgnoresOwnPrefill(t *testing.T) {
 	g := newScheduler(2)
 	asked := newObjectiveRequest("long", true)
-	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over a second and a half of reading
+	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over 1.5 s of prefill
 	if got := g.placeForPeer(time.Second, asked); got.RetryAfterMS > 0 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("long prompt at idle engines: %+v", got)
 	}
 }
 
-// TestUrgentRequestsAreJudgedByWhatTheyWait: once it is seen that engines let them in first, others' queue is no reason to turn
-// them away; their scheduler learns it from the ends that it is told of.
-func TestUrgentRequestsAreJudgedByWhatTheyWait(t *testing.T) {
+// TestAdmissionLearnsWaitByPriority tests that the queue is no reason to reject urgent requests once reported waits
+// show that engines schedule them first.
+func TestAdmissionLearnsWaitByPriority(t *testing.T) {
 	g := newScheduler(4)
 	now := time.Second
 	setPrefillBusy(g, now, time.Hour)
@@ -80,24 +81,25 @@
 	urgent := newObjectiveRequest("urgent", true)
 	urgent.Priority = 0
 	if got := g.placeForPeer(now, urgent); got.RetryAfterMS > 0 {
-		t.Fatalf("the urgent one: %+v", got)
+		t.Fatalf("urgent request: %+v", got)
 	}
 	if got := g.placeForPeer(now, newObjectiveRequest("other", true)); got.RetryAfterMS == 0 {
-		t.Fatalf("the other one: %+v", got)
+		t.Fatalf("other request: %+v, want a rejection", got)
 	}
 }
 
-// TestRefusalOfASchedulerIsPassedOn by the gateway that asked, which does not place the request by itself then.
-func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
+// TestSchedulerRejection tests that a scheduler's rejection becomes a candidate with a retry time, so that the gateway
+// does not place the request itself.
+func TestSchedulerRejection(t *testing.T) {
 	g := newScheduler(2)
 	chosen := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", WaitMS: 3000, RetryAfterMS: 1200}, schedulerPlacement{}, selectionInput{})
 	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
-		t.Fatalf("%+v", chosen)
+		t.Fatalf("candidate %+v, want one with a retry time of 1.2s", chosen)
 	}
 }
 
-// TestWhoComesBackIsKnownElsewhere: a request that another gateway turned away goes before new ones here as well.
-func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
+// TestRetryIsKnownToPeers tests that a request which another gateway rejected is accepted before new ones.
+func TestRetryIsKnownToPeers(t *testing.T) {
 	countPlaced := func(refusalKnown bool) (placed int) {
 		for range 200 {
 			g, now := newScheduler(4), time.Second
@@ -112,6 +114,6 @@
 		return placed
 	}
 	if known, unknown := countPlaced(true), countPlaced(false); known != 200 || unknown > 190 {
-		t.Fatalf("%d of 200 are let in where the refusal is known, %d where it is not", known, unknown)
+		t.Fatalf("accepted %d of 200 with the rejection known, %d without", known, unknown)
 	}
 }
