--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -11,35 +11,37 @@
 	"kitetiller/internal/transport"
 )
 
-// wirePlacementRequest asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
+// wirePlacementRequest asks a scheduler for a placement. JSON names are short because a large fleet sends one for every
+// request.
 type wirePlacementRequest struct {
-	PlacementID     string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
-	Gateway         string   `json:"g"` // who asks
+	PlacementID     string   `json:"i"` // assigned by the requesting gateway; unique in the fleet
+	Gateway         string   `json:"g"` // that requests the placement
 	Service         string   `json:"s"`
-	IsolatedTenant  string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
+	IsolatedTenant  string   `json:"w,omitempty"` // tenant that shares its cached parts with no other tenant, or ""
 	Model           string   `json:"m,omitempty"`
 	Parts           []string `json:"p,omitempty"`
 	PartTokens      []int    `json:"t,omitempty"` // of each part
-	PromptTokens    int      `json:"l,omitempty"` // tokens of the whole prompt
-	Excluded        []string `json:"x,omitempty"` // back ends that are not wanted
-	TimeoutMS       int64    `json:"d"`           // the request is over by then
-	FirstAttempt    bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Priority        int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
-	LatencyTargetMS int64    `json:"o,omitempty"` // objective of its route
+	PromptTokens    int      `json:"l,omitempty"` // of the whole prompt
+	Excluded        []string `json:"x,omitempty"` // back ends not to choose
+	TimeoutMS       int64    `json:"d"`           // the request ends within this time
+	FirstAttempt    bool     `json:"f,omitempty"` // no back end was sent the request yet, so it may be rejected
+	Priority        int      `json:"r,omitempty"` // 0 is the most urgent
+	LatencyTargetMS int64    `json:"o,omitempty"` // the route's objective
 }
 
-// wirePlacementReply answers a question; without an instance there is no back end to be had.
+// wirePlacementReply answers a wirePlacementRequest. Instance is empty if no back end is available.
 type wirePlacementReply struct {
 	Instance        string  `json:"i,omitempty"`
-	Version         uint64  `json:"v,omitempty"` // of its weights; 0 unknown
-	Uncached        int     `json:"u,omitempty"` // prompt tokens that it will read
-	Recomputed      int     `json:"r,omitempty"` // of them, tokens of shared parts
-	RecomputeReason string  `json:"c,omitempty"` // of Reread, for logs
-	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request begins
-	RetryAfterMS    int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
+	Version         uint64  `json:"v,omitempty"` // of the weights expected there; 0 if unknown
+	Uncached        int     `json:"u,omitempty"` // prompt tokens to prefill
+	Recomputed      int     `json:"r,omitempty"` // tokens of shared parts among Uncached
+	RecomputeReason string  `json:"c,omitempty"` // reason for Recomputed, for logs
+	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request starts
+	RetryAfterMS    int64   `json:"b,omitempty"` // if not 0, the request is rejected and may be retried after this time
 	FetchFrom       string  `json:"f,omitempty"`
 	SaveTo          string  `json:"k,omitempty"`
-	// Limit is what the instance names as its limit, in requests a second, and LimitAgeMS since when that is known; absent where it names none.
+	// Limit is the rate limit that the instance advertises, in requests per second, and LimitAgeMS the time since it
+	// was observed. Both are absent if there is none.
 	Limit      *float64 `json:"n,omitempty"`
 	LimitAgeMS int64    `json:"a,omitempty"`
 }
@@ -49,28 +51,28 @@
 	PlacementID  string         `json:"i"`
 	Gateway      string         `json:"g"`
 	Outcome      attemptOutcome `json:"o,omitempty"`
-	Unreached    bool           `json:"x,omitempty"` // no connection to the back end came up
-	DurationMS   int64          `json:"t,omitempty"` // how long the request was there
-	FirstEventMS int64          `json:"f,omitempty"` // how long its first event took; 0 none came
+	Unreached    bool           `json:"x,omitempty"` // no connection to the back end was established
+	DurationMS   int64          `json:"t,omitempty"` // since the attempt began
+	FirstEventMS int64          `json:"f,omitempty"` // time until the first event; 0 if there was none
 }
 
-// call returns what the question tells of the caller's request; parts without a size are left out.
+// call returns the part of the caller's request that the message carries. Parts without a size are left out.
 func (q *wirePlacementRequest) call() Call {
 	return Call{Model: q.Model, PromptTokens: max(0, q.PromptTokens), Parts: partsOfWire(q.Parts, q.PartTokens)}
 }
 
-// placement is a request that this gateway placed for another one, until that one tells of its end.
+// placement is a request that this gateway placed for another one and whose end has not been reported yet.
 type placement struct {
 	row        *endpoint
 	load       belief.Load
-	uncached   int           // prompt tokens to read
-	engineIdle bool          // nothing else was to be read there
-	expiresAt  time.Duration // it counts no longer, whatever was told
+	uncached   int           // prompt tokens to prefill
+	engineIdle bool          // no other prefill was running or queued there
+	expiresAt  time.Duration // the placement is dropped then, even if no end was reported
 	priority   int
-	queueWait  float64 // predicted time until its prompt is read, in milliseconds
+	queueWait  float64 // predicted time until the prefill starts, in milliseconds
 }
 
-// handlePlacementRequest answers another gateway that asks for a placement.
+// handlePlacementRequest handles another gateway's request for a placement.
 func (g *Gateway) handlePlacementRequest(request transport.Request, respond transport.Respond) {
 	var req wirePlacementRequest
 	if json.Unmarshal(request.Body, &req) != nil {
@@ -80,7 +82,7 @@
 	respond(http.StatusOK, g.placeForPeer(g.now(), &req))
 }
 
-// placeForPeer chooses a back end for another gateway's request and counts it from now on.
+// placeForPeer chooses a back end for another gateway's request and counts the request there.
 func (g *Gateway) placeForPeer(now time.Duration, req *wirePlacementRequest) wirePlacementReply {
 	current := g.view.Load()
 	if current == nil || current.services[req.Service] == nil || !g.trusted(now) {
@@ -116,7 +118,7 @@
 	return reply
 }
 
-// handlePlacementEnd notes how a request ended that this gateway placed for another one.
+// handlePlacementEnd handles another gateway's report that a request ended which this gateway placed.
 func (g *Gateway) handlePlacementEnd(request transport.Request, respond transport.Respond) {
 	var end wirePlacementEnd
 	if json.Unmarshal(request.Body, &end) != nil {
@@ -138,7 +140,7 @@
 	}
 }
 
-// addPlacement counts a placement, and returns what now runs at its back end as far as this gateway tells others.
+// addPlacement adds a placement and returns the back end's load as this gateway reports it to others.
 func (t *table) addPlacement(now time.Duration, ticket string, p placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -150,8 +152,8 @@
 	return here.Local()
 }
 
-// endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
-// over the mesh.
+// endPlacement removes a placement and records its outcome. A failed connection or a broken response counts as one
+// gateway's report, like those of the mesh.
 func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (p placement, remaining belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -176,13 +178,13 @@
 	return p, row.occupancy.Local(), true
 }
 
-// removePlacement takes a placement out of the sums. The caller holds the mutex.
+// removePlacement removes a placement and its load. The caller holds the mutex.
 func (t *table) removePlacement(ticket string, p placement) {
 	delete(t.placed, ticket)
 	p.row.occupancy.Placed = p.row.occupancy.Placed.Minus(p.load)
 }
 
-// expirePlacements forgets placements whose end was never told. The caller holds the mutex.
+// expirePlacements removes placements whose end was not reported in time. The caller holds the mutex.
 func (t *table) expirePlacements(now time.Duration) {
 	for ticket, p := range t.placed {
 		if now > p.expiresAt {
@@ -191,7 +193,7 @@
 	}
 }
 
-// rowsByID returns the back ends of the given ids that are known.
+// rowsByID returns the known back ends among the given IDs.
 func (t *table) rowsByID(ids []string) []*endpoint {
 	if len(ids) == 0 {
 		return nil
