--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -11,13 +11,14 @@
 	"kitetiller/internal/pushback"
 )
 
-// Who told that a back end leaves, in the log: itself, or another gateway that it told so; else control did.
+// Sources of a back end's signals, in logs: its own answer or another gateway.
 const (
 	sourceAnswer  = "answer"
 	sourceGateway = "gateway"
 )
 
-// handlePushback takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
+// handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
+// signals hold whatever becomes of the request.
 func (a *attempt) handlePushback(status int, verdict Verdict) {
 	a.asked = verdict.Said.Backoff
 	g := a.exchange.gateway
@@ -28,24 +29,25 @@
 	}
 }
 
-// handleCachePushback takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
+// handleCachePushback applies the signals of an answer to a cache query. Signals of another incarnation than the one in
+// the roster are ignored.
 func (g *Gateway) handleCachePushback(id string, report CacheReport) {
 	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
 		g.handlePushback(row, answerPushback{signals: report.Pushback})
 	}
 }
 
-// answerPushback is what an answer says of its back end, with what the log tells of it.
+// answerPushback holds the signals of one answer, and fields for the log.
 type answerPushback struct {
-	request           string // "" of an answer to no caller's request
+	request           string // "" if the answer belongs to no caller's request
 	status            int
 	signals           pushback.Signals
-	unreadableBackoff string
+	unreadableBackoff string // a backoff that cannot be parsed
 
-	unreadableLimit string
+	unreadableLimit string // a limit that cannot be parsed
 }
 
-// handlePushback takes up and logs what a back end says of itself.
+// handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
 func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
 	if answer.signals.IsEmpty() && answer.unreadableBackoff == "" && answer.unreadableLimit == "" {
 		return
@@ -72,14 +74,14 @@
 	}
 }
 
-// pushbackChanges is what of a back end's word is to be told.
+// pushbackChanges is what the signals of an answer changed.
 type pushbackChanges struct {
-	restriction pushback.Restriction // what now keeps requests from it
-	forPeers    pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	forLog      pushback.Limit       // for the log: only if it differs from the one before
+	restriction pushback.Restriction // in effect now
+	forPeers    pushback.Signals     // for other gateways: each backoff, and limits that changed or are due again
+	forLog      pushback.Limit       // set only if the limit changed
 }
 
-// observePushback notes what a back end says of itself, and returns what of it is news.
+// observePushback records the signals of an answer and returns what they changed.
 func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (changes pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -97,19 +99,19 @@
 	return changes
 }
 
-// maxPeerBackoff is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
+// maxPeerBackoff bounds how long a backoff requested from one gateway raises the back end's cost for others.
 const maxPeerBackoff = maxAvoidance
 
-// deprioritize lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
-// gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
+// deprioritize raises the cost of a back end that requested a backoff from one gateway, where it is considered for
+// other gateways' requests: a back end that sheds one gateway's load usually sheds all. The caller holds the mutex.
 func (t *table) deprioritize(at time.Duration, row *endpoint, backoff time.Duration) {
 	if backoff > 0 {
 		row.avoidUntil = max(row.avoidUntil, at+min(backoff, maxPeerBackoff))
 	}
 }
 
-// observePeerPushback takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
-// limit; a wish for rest is between the two. The caller holds the mutex.
+// observePeerPushback applies signals that another gateway received, and returns what changed. Draining and limits
+// apply to all gateways; a backoff only raises the cost. The caller holds the mutex.
 func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, signals pushback.Signals) (changes pushback.Signals) {
 	t.deprioritize(at, row, signals.Backoff)
 	if t.signals.ObserveLimit(at, row.incarnation, signals.Limit) {
@@ -122,13 +124,14 @@
 	return changes
 }
 
-// acceptsRequests reports whether control lets requests go to a back end.
+// acceptsRequests reports whether control lets requests go to the back end.
 func (e *endpoint) acceptsRequests() bool {
 	return e.entry.State == catalog.StateReady && !e.entry.Loading
 }
 
-// restrictionCause returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
-// and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
+// restrictionCause returns why a back end's own signals exclude it now, or "". Draining applies to all gateways, a
+// backoff only to the gateway it was requested from, and a limit as far as the sending gateway holds leases on it.
+// sentByPeer means that another gateway sends the request. The caller holds the mutex.
 func (t *table) restrictionCause(now time.Duration, row *endpoint, sentByPeer bool) string {
 	restriction := t.signals.Restriction(now, row.incarnation)
 	switch {
@@ -142,8 +145,8 @@
 	return ""
 }
 
-// allRestricted returns how long it takes until the first back end of a service may be asked again, where all that may be used want rest or have
-// reached their limits, and which of the two; else 0.
+// allRestricted returns how long it takes until the first back end of a service may be used again, and the cause that
+// delays it, if all usable back ends are backing off or at their limits; else 0.
 func (t *table) allRestricted(now time.Duration, service string) (first time.Duration, cause string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -168,7 +171,7 @@
 	return first, cause
 }
 
-// noBackendReason returns why a request finds no place, and when to come back.
+// noBackendReason returns why no back end is available for the request, and when the caller may retry.
 func (x *exchange) noBackendReason() (reason string, retryAfter time.Duration) {
 	g := x.gateway
 	now := g.now()
@@ -181,8 +184,8 @@
 	return reasonNoBackend, retrySoon
 }
 
-// rejectionRetryAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
-// whatever that one asked for, else when the first does again.
+// rejectionRetryAfter returns when the caller may retry a request that a back end rejected. If the back end requested a
+// backoff, this is at once while another back end accepts requests, or else when the first does again.
 func (x *exchange) rejectionRetryAfter(rejected result) time.Duration {
 	if rejected.rest <= 0 {
 		return rejected.retryAfter
@@ -193,17 +196,17 @@
 	return 0
 }
 
-// withJitter returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
+// withJitter returns a retry time with random jitter, so that callers rejected together do not retry together.
 func withJitter(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
 
-// row returns the back end of an id, or nil.
+// row returns the back end with an ID, or nil.
 func (t *table) row(id string) *endpoint {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.rows[id]
 }
 
-// backingOffCounts returns how many back ends want rest now, by service; a service without one is missing.
+// backingOffCounts returns the number of back ends in backoff by service. Services without any are absent.
 func (t *table) backingOffCounts(now time.Duration) map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
