--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -16,9 +16,9 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestWishesForRestAreTold: each refusal with its wish leaves what was asked for and until when, a line a second for each back end; a wish
-// that can't be read leaves what it was; a send into a rest can be told at its end; the gauge counts who rests.
-func TestWishesForRestAreTold(t *testing.T) {
+// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unreadable
+// backoffs, the backoff left in the log of a failed attempt, and the gauge of back ends in backoff.
+func TestBackoffLogging(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
@@ -31,45 +31,45 @@
 	attemptAt(g, g.table.rows["i-1"]).handlePushback(503, Verdict{NotRun: true, Unread: "soon"})
 	got := lines.FilterMessage(events.InstanceRests).All()
 	if len(got) != 2 {
-		t.Fatalf("lines %v", lines.All())
+		t.Fatalf("log lines %v, want 2 about backoffs", lines.All())
 	}
 	asked, unread := got[0].ContextMap(), got[1].ContextMap()
 	if asked[events.FieldRest] != 3*time.Second || asked[events.FieldRestLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
-		t.Errorf("asked for rest: %v", asked)
+		t.Errorf("log fields of a backoff: %v", asked)
 	}
 	if unread[events.FieldUnread] != "soon" || unread[events.FieldRestLeft] != time.Duration(0) {
-		t.Errorf("a wish that can't be read: %v", unread)
+		t.Errorf("log fields of an unreadable backoff: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
 	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldSentAtRest].(time.Duration) < 2*time.Second {
-		t.Errorf("sent at rest: %v", failed)
+		t.Errorf("log fields of an attempt sent during a backoff: %v", failed)
 	}
 	if n := g.table.backingOffCounts(now)["s"]; n != 1 {
-		t.Errorf("%d rest", n)
+		t.Errorf("%d back ends in backoff, want 1", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
 	newRestingGauge(g).Collect(gauges)
 	if len(gauges) != 1 {
-		t.Errorf("%d gauges of one service", len(gauges))
+		t.Errorf("%d gauges, want 1", len(gauges))
 	}
 }
 
-// reportBackoff lets a back end ask a gateway for rest.
+// reportBackoff lets a gateway receive a request for backoff from a back end.
 func reportBackoff(g *Gateway, id string, rest time.Duration) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
-// reportDraining lets a back end tell a gateway that it reportDraining.
+// reportDraining lets a gateway receive a draining signal from a back end.
 func reportDraining(g *Gateway, id string) {
 	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
-// Between the choice and the send lies a connection that may take 300 ms to come up, or a scheduler's answer: what the back end says of itself
-// meanwhile holds for the request that waits as well.
-func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
+// TestPushbackAfterChoice tests that the check before sending sees signals which arrived after the back end was chosen,
+// while the connection was established or a scheduler was asked.
+func TestPushbackAfterChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
 		causeResting: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
 		causeLeaving: func(g *Gateway) { reportDraining(g, "i-0") },
@@ -77,18 +77,18 @@
 		g := newScheduler(1)
 		chosen := chosenAttempt(g)
 		if bar := chosen.barred(); bar != "" {
-			t.Fatalf("barred before: %s", bar)
+			t.Fatalf("restricted before the signal: %s", bar)
 		}
 		say(g)
 		if bar := chosen.barred(); bar != cause {
-			t.Fatalf("barred %q, wanted %q", bar, cause)
+			t.Fatalf("restriction %q, want %q", bar, cause)
 		}
 	}
 }
 
-// TestWhatABackEndSaidOutlivesTheRoster: a row that is told anew, that left and came back, or whose address changed is the same life; the next
-// life of that name is another one, unless it may be the one that asked.
-func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
+// TestPushbackSurvivesRosterChanges tests that signals stay in effect when the roster repeats, drops and re-adds, or
+// moves an incarnation, and do not apply to a later one that cannot have sent them.
+func TestPushbackSurvivesRosterChanges(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
 	applyEntry := func(g *Gateway, incarnation catalog.Incarnation, address string) {
@@ -100,13 +100,13 @@
 		meanwhile func(g *Gateway)
 		open      bool
 	}{
-		"told anew": {func(g *Gateway) { applyEntry(g, first, "a") }, false},
-		"left and back": {func(g *Gateway) {
+		"same entry": {func(g *Gateway) { applyEntry(g, first, "a") }, false},
+		"removed and re-added": {func(g *Gateway) {
 			g.table.applyRoster(g.now(), &control.RosterNews{Whole: true}, nil)
 			applyEntry(g, first, "a")
 		}, false},
-		"another address": {func(g *Gateway) { applyEntry(g, first, "b") }, false},
-		"another life":    {func(g *Gateway) { applyEntry(g, later, "a") }, true},
+		"another address":   {func(g *Gateway) { applyEntry(g, first, "b") }, false},
+		"later incarnation": {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
 		for kind, say := range map[string]func(*Gateway){
 			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
@@ -125,43 +125,43 @@
 	}
 }
 
-// TestRestIsBetweenTwo: a scheduler that was asked for rest places others' requests there, and not its own; whoever asks it names what wants
-// rest from itself; that a back end leaves binds all.
-func TestRestIsBetweenTwo(t *testing.T) {
+// TestBackoffAppliesToOneGateway tests that a backoff excludes a back end only for the gateway that received it, while
+// a scheduler still places other gateways' requests there. Draining applies to all.
+func TestBackoffAppliesToOneGateway(t *testing.T) {
 	s := newScheduler(1)
 	reportBackoff(s, "i-0", time.Minute)
 	if placed := s.placeForPeer(s.now(), newPlacementRequest("t1", 0)); placed.Instance != "i-0" {
-		t.Fatalf("placed %+v", placed)
+		t.Fatalf("placement for a peer: %+v", placed)
 	}
 	x := newModelRequest(s)
 	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
 	if without := s.table.excluded(s.now(), "s", nil); len(without) != 1 {
-		t.Fatalf("a scheduler would be told to leave out %v", without)
+		t.Fatalf("excluded in a placement request: %v", without)
 	}
 	in := selectionInput{service: x.service, call: &x.call, trusted: true}
 	if chosen := s.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); chosen != nil {
-		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
+		t.Fatalf("accepted a scheduler's choice during a backoff: %+v", chosen)
 	}
 	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < maxPeerBackoff-time.Second || avoided > maxPeerBackoff {
-		t.Fatalf("dearer to others for %v", avoided)
+		t.Fatalf("raised cost for other gateways lasts %v", avoided)
 	}
 	if !s.table.isReady(s.table.rows["i-0"]) {
-		t.Fatal("one that rests leaves")
+		t.Fatal("a back end in backoff is not ready")
 	}
 	reportDraining(s, "i-0")
 	if s.table.isReady(s.table.rows["i-0"]) {
-		t.Fatal("the end of one that says that it leaves counts as a crash")
+		t.Fatal("a draining back end is still ready")
 	}
 	if placed := s.placeForPeer(s.now(), newPlacementRequest("t2", 0)); placed.Instance != "" {
-		t.Fatalf("placed %+v", placed)
+		t.Fatalf("placement for a peer: %+v", placed)
 	}
 }
 
-// TestTheFewThatTakeRequestsAreFound: in a large service most of whose back ends want rest, no request is turned away while one takes it. A
-// sample of 24 among 400 of which 398 rest holds neither of the others in 89 of 100 choices.
-func TestTheFewThatTakeRequestsAreFound(t *testing.T) {
+// TestFewAvailableBackEnds tests that in a large service with nearly all back ends in backoff the available ones are
+// found, although a sample of candidates mostly contains none of them.
+func TestFewAvailableBackEnds(t *testing.T) {
 	g := newScheduler(400)
 	for id := range g.table.rows {
 		if id != "i-7" && id != "i-311" {
@@ -177,39 +177,40 @@
 	}
 }
 
-// TestTurnedAwayCallersComeBackWhenItHelps: at once while another back end takes requests, else when the first does again, each a little apart.
-func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
+// TestRejectionRetryAfter tests the retry time after a back end rejected a request: at once while another one is
+// available, else with jitter when the first backoff ends.
+func TestRejectionRetryAfter(t *testing.T) {
 	g := newScheduler(2)
 	x := newModelRequest(g)
 	reportBackoff(g, "i-0", 10*time.Second)
 	if back := x.rejectionRetryAfter(result{rest: 10 * time.Second}); back != 0 {
-		t.Fatalf("after %v although one back end takes requests", back)
+		t.Fatalf("retry after %v, want 0 while one back end is available", back)
 	}
 	reportBackoff(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
 		back := x.rejectionRetryAfter(result{rest: 40 * time.Second})
 		if back < 9*time.Second || back > 10*time.Second+retryAfterSlack {
-			t.Fatalf("after %v", back)
+			t.Fatalf("retry after %v, want the end of the first backoff", back)
 		}
 		distinct[back.Truncate(time.Millisecond)] = true
 	}
 	if len(distinct) < 10 {
-		t.Fatalf("20 callers come back at %d moments", len(distinct))
+		t.Fatalf("%d distinct retry times for 20 callers, want at least 10", len(distinct))
 	}
 	if back := x.rejectionRetryAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
-		t.Fatalf("advice beside no wish for rest: %v", back)
+		t.Fatalf("retry after %v, want the back end's own 7s without a backoff", back)
 	}
 	if reason, back := x.noBackendReason(); reason != reasonResting || back < 9*time.Second {
-		t.Fatalf("%s after %v", reason, back)
+		t.Fatalf("reason %s, retry after %v", reason, back)
 	}
 }
 
-// retryAfterSlack is how much later than the end of the first rest a caller may be told to come back: what is added to the rest and to the advice.
+// retryAfterSlack bounds how much later than the end of the first backoff a retry time may be, due to jitter.
 const retryAfterSlack = 500 * time.Millisecond
 
-// TestEngineAtRestIsNotAskedWhatItKeeps: it wants nothing from this gateway, and its cursor stays.
-func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
+// TestNoCacheReadsDuringBackoff tests that an engine in backoff is not queried about its cache.
+func TestNoCacheReadsDuringBackoff(t *testing.T) {
 	g := newScheduler(1)
 	at := cacheCursor{listedAt: -cacheListInterval}
 	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Pushback: pushback.Signals{Backoff: time.Minute}}}}
@@ -217,17 +218,17 @@
 	for step := range 3 {
 		at.listedAt = -cacheListInterval
 		if asked, err := g.readCache(t.Context(), "i-0", &at); err != nil || asked != (step == 0) {
-			t.Fatalf("step %d: asked %v, %v", step, asked, err)
+			t.Fatalf("step %d: queried %v, error %v", step, asked, err)
 		}
 	}
 	if script.lists != 1 {
-		t.Fatalf("asked %d times", script.lists)
+		t.Fatalf("%d listings, want 1", script.lists)
 	}
 }
 
-// TestOtherGatewaysHearOfIt: over the wire that a back end leaves binds whoever is told; a wish for rest makes the back end dearer there for a
-// while and bars nobody.
-func TestOtherGatewaysHearOfIt(t *testing.T) {
+// TestPeerPushback tests signals received from another gateway: draining excludes the back end, a backoff only raises
+// its cost for a limited time.
+func TestPeerPushback(t *testing.T) {
 	applyPeerPushback := func(signals pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = newScheduler(2)
 		heard := send{Gateway: "other", Instance: "i-0", Said: signals}
@@ -241,29 +242,29 @@
 	}
 	g, chosen := applyPeerPushback(pushback.Signals{Backoff: time.Second})
 	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
-		t.Fatalf("asked for rest elsewhere: %v", chosen)
+		t.Fatalf("backoff at another gateway: chosen %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
-		t.Fatalf("dearer for %v", avoided)
+		t.Fatalf("raised cost lasts %v", avoided)
 	}
 	if g, _ := applyPeerPushback(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > maxPeerBackoff {
-		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
+		t.Fatalf("raised cost lasts %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = applyPeerPushback(pushback.Signals{Draining: true})
 	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
-		t.Fatalf("leaves: %v, barred %q", chosen, bar)
+		t.Fatalf("draining back end: chosen %v, restriction %q", chosen, bar)
 	}
 }
 
-// TestOlderGatewaysAreUnderstood: a message of a gateway that doesn't know what back ends say of themselves tells nothing of it, and one to it
-// holds what it knows.
-func TestOlderGatewaysAreUnderstood(t *testing.T) {
+// TestPushbackCompatibility tests that messages of gateways without support for signals are decoded as having none, and
+// that such gateways can decode messages with signals.
+func TestPushbackCompatibility(t *testing.T) {
 	var from wireSend
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
 	if got := from.send(); !got.Said.IsEmpty() || got.Load.Running != 2 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("decoded message of an older gateway: %+v", got)
 	}
 	var older struct {
 		Instance string `json:"i"`
