--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -13,13 +13,13 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// rosterChange is news about one back end, for the log.
+// rosterChange is a logged change of one back end.
 type rosterChange struct {
 	event string
 	entry control.RosterEntry
 }
 
-// applyRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
+// applyRoster applies a roster update. Rows of back ends that remain keep their state.
 func (t *table) applyRoster(now time.Duration, update *control.RosterNews, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -54,13 +54,13 @@
 	return changes
 }
 
-// update takes up what control tells of a back end. What it holds is forgotten when its weights are others.
+// update applies a roster entry. Different weights invalidate the estimate of the engine's cache.
 func (e *endpoint) update(now time.Duration, entry control.RosterEntry) {
 	reported := entry.Versions
 	entry.Versions = newestVersions(e.entry.Versions, reported)
 	for model, version := range reported {
 		if version < e.controlVersions[model] {
-			entry.Versions[model] = version // they fell, or a new leader hasn't heard of them yet: a send expects these, so nothing begins on others
+			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat; engines reject requests that expect other versions
 		}
 	}
 	e.controlVersions = reported
@@ -70,7 +70,7 @@
 	e.entry, e.entryAt = entry, now
 }
 
-// replaceRows puts the rows of a new roster in force and wakes who waits for one. The caller holds the mutex.
+// replaceRows installs the rows of a new roster and wakes the requests that wait for one. The caller holds the mutex.
 func (t *table) replaceRows(rows map[string]*endpoint) {
 	services := map[string][]*endpoint{}
 	for _, id := range slices.Sorted(maps.Keys(rows)) {
@@ -82,7 +82,8 @@
 	t.rosterChanged.Ring()
 }
 
-// newestVersions merges what was known of a back end's weights with what is told: a new leader may not have heard of them yet.
+// newestVersions returns the newer of the known and the reported versions of each model. A new leader may not have
+// received the back end's heartbeat yet and then reports none.
 func newestVersions(known, told map[string]uint64) map[string]uint64 {
 	merged := maps.Clone(told)
 	for model, version := range known {
