--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// placementTimeout is how long a scheduler may take to answer: some times what it takes while it is busy, and little beside
-	// what a request may take. askMost schedulers are asked for one request before the gateway places it by itself.
+	// placementTimeout bounds the wait for a scheduler's reply. It is a multiple of the reply time of a busy scheduler.
+	// After maxSchedulersAsked schedulers have failed to reply, the gateway places the request itself.
 	placementTimeout   = 60 * time.Millisecond
 	maxSchedulersAsked = 2
-	// schedulerRetryInterval is how long a scheduler that gave no answer is left alone.
+	// schedulerRetryInterval is how long a scheduler that did not reply is skipped.
 	schedulerRetryInterval = 500 * time.Millisecond
-	// placementEndTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
+	// placementEndTimeout bounds the report of one placement's end, and maxPendingEnds the number of concurrent
+	// reports.
 	placementEndTimeout = 250 * time.Millisecond
 	maxPendingEnds      = 256
 )
 
-// schedulers are the gateways that place requests for this one. Their zero number means that it places its own. It is safe for
-// concurrent use.
+// schedulers are the gateways that place requests for this one. While there are none, the gateway places its requests
+// itself. It is safe for concurrent use.
 type schedulers struct {
 	client   *transport.Client
-	endSlots chan struct{} // a place for each end that is being told
+	endSlots chan struct{} // one element per report in flight
 
 	mu              sync.Mutex
 	addresses       []string
-	failedAt        map[string]time.Duration // when one last gave no answer
+	failedAt        map[string]time.Duration // when each last failed to reply
 	lastPlacementID uint64
 }
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// forPrompt returns the schedulers to ask for a prompt, best first: the same one for the same shared parts while it answers, so
-// that one sees all of a prompt's requests in a zone.
+// forPrompt returns the schedulers to ask for a prompt, best first. Prompts with the same shared parts go to the same
+// scheduler of the zone while it replies, so that it knows of all requests which can use those parts.
 func (s *schedulers) forPrompt(now time.Duration, parts []prefix.Part) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,14 +75,14 @@
 	return usable[:min(len(usable), maxSchedulersAsked)]
 }
 
-// recordFailure notes that a scheduler gave no answer.
+// recordFailure records that a scheduler did not reply.
 func (s *schedulers) recordFailure(now time.Duration, address string) {
 	s.mu.Lock()
 	s.failedAt[address] = now
 	s.mu.Unlock()
 }
 
-// newPlacementID returns a new name of a placement.
+// newPlacementID returns a placement ID that is unique in the fleet.
 func (s *schedulers) newPlacementID(nick string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,8 @@
 	return nick + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
 }
 
-// reportEnd tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
+// reportEnd reports the end of a placement to a scheduler in the background. A report that fails or exceeds
+// maxPendingEnds is dropped; the placement then expires at the scheduler.
 func (s *schedulers) reportEnd(address string, end wirePlacementEnd) {
 	select {
 	case s.endSlots <- struct{}{}:
@@ -104,13 +106,14 @@
 	}()
 }
 
-// schedulerPlacement is a placement that a scheduler made.
+// schedulerPlacement identifies a placement that a scheduler made.
 type schedulerPlacement struct {
-	scheduler   string // its address
+	scheduler   string // address
 	placementID string
 }
 
-// requestPlacement returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
+// requestPlacement returns the candidate that a scheduler chose, or nil if there is no scheduler to ask or none has a
+// back end available.
 func (x *exchange) requestPlacement(in selectionInput) *candidate {
 	g := x.gateway
 	if !in.trusted {
@@ -135,19 +138,19 @@
 			return nil
 		}
 		g.recordNoReply(address, err)
-		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick}) // it may have placed the request
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick}) // the request may have been placed
 	}
 	return nil
 }
 
-// recordNoReply notes and logs that a scheduler gave no answer.
+// recordNoReply records and logs that a scheduler did not reply.
 func (g *Gateway) recordNoReply(address string, err error) {
 	g.schedulers.recordFailure(g.now(), address)
 	g.metrics.unasked.Inc()
 	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
-// placementRequest returns what schedulers are asked.
+// placementRequest returns the message that asks schedulers for a placement.
 func (x *exchange) placementRequest(in selectionInput) wirePlacementRequest {
 	g := x.gateway
 	req := wirePlacementRequest{
@@ -162,7 +165,8 @@
 	return req
 }
 
-// excluded returns the back ends that a request was sent to already, and those that this gateway avoids.
+// excluded returns the back ends that the request was sent to already, and those that this gateway avoids or that
+// restrict it.
 func (t *table) excluded(now time.Duration, service string, tried []*endpoint) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -175,8 +179,8 @@
 	return ids
 }
 
-// candidateFromReply returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
-// itself of a back end and its weights decides.
+// candidateFromReply returns the candidate in a scheduler's reply, or nil if this gateway may not send there: its own
+// view of the back end and its weights takes precedence over the scheduler's.
 func (g *Gateway) candidateFromReply(reply *wirePlacementReply, placed schedulerPlacement, in selectionInput) *candidate {
 	if reply.Instance == "" {
 		return nil
@@ -202,7 +206,7 @@
 	return chosen
 }
 
-// timeToFirstEvent returns how long after the send the timeToFirstEvent event came, or 0.
+// timeToFirstEvent returns the time from the start of the attempt to the first event, or 0 if there was none.
 func (a *attempt) timeToFirstEvent() time.Duration {
 	if !a.begun.Load() {
 		return 0
@@ -210,7 +214,7 @@
 	return max(0, a.exchange.firstAt-a.began)
 }
 
-// reportEnd tells the scheduler that placed an attempt how it ended.
+// reportEnd reports the outcome of the attempt to the scheduler that placed it.
 func (a *attempt) reportEnd() {
 	placed := a.plan.scheduled
 	if placed == nil {
