--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -20,7 +20,7 @@
 	"kitetiller/internal/transport"
 )
 
-// newScheduler returns a gateway with a confirmed view of so many engines.
+// newScheduler returns a gateway with a confirmed view and the given number of engines.
 func newScheduler(engines int) *Gateway {
 	log, err := node.NewLogger("error", "s")
 	if err != nil {
@@ -40,7 +40,7 @@
 	return g
 }
 
-// newPlacementRequest returns a newPlacementRequest for a prompt of a preamble, one of some subjects and a part of its own.
+// newPlacementRequest returns a placement request for a prompt of a preamble, a subject part and a part of its own.
 func newPlacementRequest(ticket string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
 		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestPlacementsAreCountedUntilTheirEnd: whatever is asked, ended, ended twice or never, the sums are those of an oracle.
-func TestPlacementsAreCountedUntilTheirEnd(t *testing.T) {
+// TestPlacementLoad compares the load of placements with a model, for any order of placements, reported, repeated and
+// missing ends.
+func TestPlacementLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newScheduler(4)
 		type running struct {
@@ -65,14 +66,14 @@
 				asked := newPlacementRequest(fmt.Sprint("t", step), rapid.IntRange(0, 3).Draw(t, "subject"))
 				answer := g.placeForPeer(now, asked)
 				if answer.Instance == "" {
-					t.Fatal("no back end although all are ready")
+					t.Fatal("no back end chosen, but all are ready")
 				}
 				oracle[asked.PlacementID] = running{answer.Instance, now + 5*time.Second}
 			case 2:
 				ticket := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
 				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: outcomeSuccess})
 				if _, runs := oracle[ticket]; known != runs {
-					t.Fatalf("the end of %s is known: %v, it runs: %v", ticket, known, runs)
+					t.Fatalf("end of placement %s: known %v, want %v", ticket, known, runs)
 				}
 				delete(oracle, ticket)
 			case 3:
@@ -89,12 +90,12 @@
 			}
 			for id, row := range g.table.rows {
 				if row.occupancy.Total().Running != counts[id] || row.occupancy.Total().Tokens != counts[id]*loadOf(&Call{Parts: promptParts("x")}).Tokens {
-					t.Fatalf("%s has %+v, wanted %d requests", id, row.occupancy.Total(), counts[id])
+					t.Fatalf("%s: load %+v, want %d requests", id, row.occupancy.Total(), counts[id])
 				}
 			}
 		}
 		if len(g.table.usage()) > 0 {
-			t.Fatal("placements for others are told to control as requests of this gateway")
+			t.Fatal("usage reported to control includes placements for other gateways")
 		}
 	})
 }
@@ -103,30 +104,30 @@
 	return []prefix.Part{{ID: "preamble", Tokens: 2520}, {ID: "subject-0", Tokens: 3780}, {ID: own, Tokens: 2890}}
 }
 
-// TestSchedulerBringsPromptsTogether: many gateways that ask at the same moment for one prompt each do not all get one engine,
-// and prompts of a subject meet where its parts are while there is room.
-func TestSchedulerBringsPromptsTogether(t *testing.T) {
+// TestSchedulerPlacesByCache tests that prompts are placed where their parts are cached, that simultaneous requests
+// spread over several engines, and that an isolated tenant does not use shared parts.
+func TestSchedulerPlacesByCache(t *testing.T) {
 	g := newScheduler(100)
 	first := g.placeForPeer(time.Second, newPlacementRequest("t0", 7))
 	again := g.placeForPeer(2*time.Second, newPlacementRequest("t1", 7))
 	if again.Instance != first.Instance || again.Uncached != 2890 {
-		t.Fatalf("first %+v, then %+v", first, again)
+		t.Fatalf("first placement %+v, second placement %+v; want the same engine with the shared parts cached", first, again)
 	}
 	used := map[string]int{}
 	for i := range 40 {
 		used[g.placeForPeer(3*time.Second, newPlacementRequest(fmt.Sprint("u", i), 7)).Instance]++
 	}
 	if len(used) < 4 {
-		t.Fatalf("40 requests at one moment went to %d engines: %v", len(used), used)
+		t.Fatalf("40 simultaneous requests went to %d engines, want at least 4: %v", len(used), used)
 	}
 	if other := g.placeForPeer(4*time.Second, &wirePlacementRequest{PlacementID: "v", Service: "s", Model: "m", IsolatedTenant: "tenant", Excluded: []string{first.Instance}, Parts: []string{"preamble", "x"}, PartTokens: []int{2520, 10}, PromptTokens: 2530}); other.Instance == first.Instance || other.Uncached != 2530 {
-		t.Fatalf("a tenant that shares nothing got %+v", other)
+		t.Fatalf("isolated tenant: got %+v, want another engine and the whole prompt uncached", other)
 	}
 }
 
-// TestOneGatewaysReportTurnsNobodyAway: one that is cut off from an engine by itself, and asks again and again, changes nothing
-// for the others; a second one's report does.
-func TestOneGatewaysReportTurnsNobodyAway(t *testing.T) {
+// TestUnreachableReportsNeedTwoGateways tests that repeated reports of one gateway do not make the scheduler avoid a
+// back end for all, and that a second gateway's report does.
+func TestUnreachableReportsNeedTwoGateways(t *testing.T) {
 	g := newScheduler(3)
 	row := g.table.rows["i-0"]
 	report := func(now time.Duration, gateway, ticket string) {
@@ -137,43 +138,44 @@
 		report(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
 	if row.avoidUntil > 0 {
-		t.Fatal("five reports of one gateway turned everybody away")
+		t.Fatal("back end avoided after five reports of one gateway")
 	}
 	report(1100*time.Millisecond, "b", "t9")
 	if row.avoidUntil == 0 {
-		t.Fatal("reports of two gateways turned nobody away")
+		t.Fatal("back end not avoided after reports of two gateways")
 	}
 }
 
-// TestOneGatewaysBrokenAttemptsTurnNobodyAway: attempts that broke off at one gateway cost the back end a little with its
-// scheduler; only with another gateway's is it avoided.
-func TestOneGatewaysBrokenAttemptsTurnNobodyAway(t *testing.T) {
+// TestFailureReportsNeedTwoGateways tests that failures reported by one gateway raise only the failure rate, and that a
+// second gateway's report makes the scheduler avoid the back end.
+func TestFailureReportsNeedTwoGateways(t *testing.T) {
 	g := newScheduler(3)
 	row := g.table.rows["i-0"]
 	fail := func(now time.Duration, gateway, ticket string) {
 		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
 		if _, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Outcome: outcomeFailure}); !known {
-			t.Fatal("the placement is not known")
+			t.Fatal("placement unknown")
 		}
 	}
 	for i := range 5 {
 		fail(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
 	}
 	if row.avoidUntil > 0 || row.failures > 0 {
-		t.Fatal("one gateway turned everybody away")
+		t.Fatal("back end avoided after failures of one gateway")
 	}
 	if row.failureRate == 0 {
-		t.Fatal("its word costs nothing")
+		t.Fatal("failures did not raise the failure rate")
 	}
 	fail(1100*time.Millisecond, "b", "t9")
 	if row.avoidUntil == 0 {
-		t.Fatal("two gateways turned nobody away")
+		t.Fatal("back end not avoided after failures of two gateways")
 	}
 }
 
-// TestPlacingGoesOnWithoutAScheduler: one that says nothing is asked once and then left alone; the gateway places by itself.
-func TestPlacingGoesOnWithoutAScheduler(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections and says nothing
+// TestSilentSchedulerIsSkipped tests that a gateway places a request itself if the scheduler does not reply, and then
+// skips that scheduler for a while.
+func TestSilentSchedulerIsSkipped(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never replies
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,13 +187,13 @@
 		t.Fatalf("chosen %+v", chosen)
 	}
 	if asked := g.schedulers.forPrompt(g.now(), x.call.Parts); len(asked) > 0 {
-		t.Fatalf("%v would be asked again at once", asked)
+		t.Fatalf("schedulers to ask: %v, want none", asked)
 	}
 }
 
-// TestPlacementOfASchedulerIsUsed: over the wire, with the salt of the asking gateway's own view; what that gateway avoids, or
-// has been to, is not offered, and the scheduler hears of the end.
-func TestPlacementOfASchedulerIsUsed(t *testing.T) {
+// TestSchedulerPlacement tests a placement over the network: the salt is that of the requesting gateway, back ends that
+// it avoids or has tried are excluded, and the end is reported to the scheduler.
+func TestSchedulerPlacement(t *testing.T) {
 	s := newScheduler(3)
 	ended := make(chan struct{}, 8)
 	server, err := transport.Listen("127.0.0.1:17391", "", func(request transport.Request, respond transport.Respond) {
@@ -217,12 +219,12 @@
 		t.Fatalf("chosen %+v", chosen)
 	}
 	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 1 {
-		t.Fatalf("%d requests counted", n)
+		t.Fatalf("load of i-2 at the scheduler: %d requests, want 1", n)
 	}
 	x.newAttempt(chosen).reportEnd()
 	<-ended
 	if n := s.table.rows["i-2"].occupancy.Placed.Running; n != 0 {
-		t.Fatalf("%d requests counted after the end", n)
+		t.Fatalf("load of i-2 at the scheduler after the end: %d requests, want 0", n)
 	}
 	if _, err := mechanism.Without(string(mechanism.Schedulers)); err != nil {
 		t.Fatal(err)
