--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// minAvoidance and suspectLimit bound how long a back end that failed is avoided; the time doubles with each failure.
+	// minAvoidance and maxAvoidance bound how long a back end is avoided after a failure. The time doubles with each
+	// consecutive failure.
 	minAvoidance = 200 * time.Millisecond
 	maxAvoidance = 3 * time.Second
-	// unreachableAvoidance is how long one is avoided after the first connection that did not come up: each try costs a request
-	// the time that a connection may take.
+	// unreachableAvoidance is how long a back end is avoided after the first failed connection. It is longer because
+	// each further try delays a request by the connection timeout.
 	unreachableAvoidance = 800 * time.Millisecond
-	// failureSmoothing weighs the newest outcome in a back end's share of failures.
+	// failureSmoothing is the weight of the newest outcome in a back end's failure rate.
 	failureSmoothing = 0.1
-	// peerReportWindow is the time within which two gateways must report a back end, so that one which is cut off by itself
-	// turns nobody away; reported ones are avoided for reportedFor.
+	// peerReportWindow is the time within which two gateways must report a back end as unreachable for it to be
+	// avoided, so that a gateway with network problems of its own does not affect others. The back end is then avoided
+	// for peerReportAvoidance.
 	peerReportWindow    = 2 * time.Second
 	peerReportAvoidance = 1200 * time.Millisecond
 )
 
-// attemptOutcome tells what an attempt says of its back end.
+// attemptOutcome is what an attempt shows about its back end.
 type attemptOutcome uint8
 
 const (
-	outcomeUnknown attemptOutcome = iota // says nothing
+	outcomeUnknown attemptOutcome = iota // shows nothing
 	outcomeSuccess
-	outcomeRejected // it is alive but turned the request away
+	outcomeRejected // it is alive but rejected the request
 	outcomeFailure
 )
 
-// recordOutcome notes how an attempt at a back end went. The caller holds the table's mutex.
+// recordOutcome records the outcome of an attempt. The caller holds the table's mutex.
 func (e *endpoint) recordOutcome(now time.Duration, outcome attemptOutcome) {
 	switch outcome {
 	case outcomeSuccess:
@@ -46,16 +48,18 @@
 	}
 }
 
-// raiseFailureRate counts a failure in the back end's share of them.
+// raiseFailureRate counts a failure in the failure rate.
 func (e *endpoint) raiseFailureRate() { e.failureRate += failureSmoothing * (1 - e.failureRate) }
 
+// recordFailure records a failure and avoids the back end for base, doubled for each failure before.
 func (e *endpoint) recordFailure(now, base time.Duration) {
 	e.failures++
 	e.raiseFailureRate()
 	e.avoidUntil = max(e.avoidUntil, now+min(base<<min(e.failures-1, 10), maxAvoidance))
 }
 
-// recordUnreachable notes that no connection came up, and reports whether that is news to the other gateways.
+// recordUnreachable records a failed connection, and reports whether the back end was not avoided before, so that other
+// gateways are to be told.
 func (t *table) recordUnreachable(now time.Duration, row *endpoint) (newlyAvoided bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -64,21 +68,22 @@
 	return newlyAvoided
 }
 
-// peerReport is who lately reported a back end as unreachable.
+// peerReport is the last report of another gateway that a back end is unreachable.
 type peerReport struct {
 	reporter string
 	at       time.Duration
 }
 
-// recordPeerReport takes another gateway's report, where such reports count. The caller holds the mutex.
+// recordPeerReport records another gateway's report that a back end is unreachable, if that mechanism is enabled. The
+// caller holds the mutex.
 func (t *table) recordPeerReport(at time.Duration, row *endpoint, reporter string) {
 	if t.mechanisms.On(mechanism.Suspicion) {
 		row.recordPeerReport(at, reporter)
 	}
 }
 
-// recordPeerReport takes another gateway's report that no connection to a back end came up. It counts with a second gateway's, and
-// unless the back end has spoken to this one since.
+// recordPeerReport records another gateway's report that a back end is unreachable. The back end is avoided if a second
+// gateway reported it too or this gateway's last attempt failed, unless it has sent bytes since the report.
 func (e *endpoint) recordPeerReport(at time.Duration, reporter string) {
 	previous := e.reports
 	e.reports = peerReport{reporter: reporter, at: at}
