--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -11,13 +11,13 @@
 	"kitetiller/internal/prefix"
 )
 
-// view is a document prepared for look-ups. It never changes once it is published.
+// view is a catalog document indexed for look-ups. It is immutable.
 type view struct {
 	document *catalog.Document
-	routes   map[string][]*catalog.Route // by host, the longest prefix first
-	keys     map[string]*catalog.Tenant
+	routes   map[string][]*catalog.Route // by host, longest path prefix first
+	keys     map[string]*catalog.Tenant  // by API key
 	services map[string]*catalog.Service
-	stores   []*catalog.Service // of kept caches, in the order of the document
+	stores   []*catalog.Service // cache stores, in document order
 }
 
 func newView(document *catalog.Document) *view {
@@ -47,7 +47,7 @@
 	return v
 }
 
-// route returns the route of a host and path, or nil.
+// route returns the route for a host and path, or nil.
 func (v *view) route(host, path string) *catalog.Route {
 	for _, route := range v.routes[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// storeOf returns the store that keeps a prompt's shared parts, or nil where there is none: the one of the highest random
-// weight, so that every gateway looks in the same place and the stores share the parts.
+// storeOf returns the cache store for a prompt's shared parts, or nil if there are no stores. It uses rendezvous
+// hashing, so that all gateways choose the same store and the parts are spread over all stores.
 func (v *view) storeOf(parts []prefix.Part) *catalog.Service {
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
 	var best *catalog.Service
@@ -71,7 +71,7 @@
 	return best
 }
 
-// tenant returns the owner of a key. needed is false where no key is asked for.
+// tenant returns the owner of an API key, or nil. needed reports whether the route requires a key.
 func (v *view) tenant(route *catalog.Route, key string) (owner *catalog.Tenant, needed bool) {
 	needed = len(v.document.Tenants) > 0 && !route.AllowAnonymous
 	if !needed {
