--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -7,62 +7,62 @@
 	"kitetiller/internal/quarantine"
 )
 
-// machineForm is the snapshot form of a machine.
-type machineForm struct {
-	Document   Document            `json:"document"`
-	Instances  map[string]Instance `json:"instances"`
-	Tombstones []string            `json:"tombstones"`
-	Versions   map[string]uint64   `json:"versions"`
-	Fence      uint64              `json:"fence"`
+// machineSnapshot is the JSON form of a machine.
+type machineSnapshot struct {
+	Document       Document            `json:"document"`
+	Instances      map[string]Instance `json:"instances"`
+	DepartedIDs    []string            `json:"tombstones"`
+	LatestVersions map[string]uint64   `json:"versions"`
+	Fence          uint64              `json:"fence"`
 
-	Held     map[string]map[string]uint64 `json:"held,omitempty"`
-	Ordered  map[string]bool              `json:"ordered,omitempty"`
-	Gateways []string                     `json:"gateways,omitempty"`
-	Bounds   map[string]uint64            `json:"bounds,omitempty"`
+	Loaded         map[string]map[string]uint64 `json:"held,omitempty"`
+	Commanded      map[string]bool              `json:"ordered,omitempty"`
+	Gateways       []string                     `json:"gateways,omitempty"`
+	MaxHashWeights map[string]uint64            `json:"bounds,omitempty"`
 
 	Quarantine *quarantine.Registry `json:"quarantine,omitempty"`
 
-	Namings map[string][]Publication `json:"namings,omitempty"`
+	Publications map[string][]Publication `json:"namings,omitempty"`
 
-	Forgotten []string `json:"forgotten,omitempty"`
+	ExpiredIDs []string `json:"forgotten,omitempty"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON encodes the whole state as a snapshot.
 func (m *Machine) MarshalJSON() ([]byte, error) {
-	return json.Marshal(machineForm{m.document, m.instances, m.departedIDs, m.versions, m.fence, m.held, m.ordered, m.gateways, m.bounds, m.quarantine, m.publications, m.expiredIDs})
+	return json.Marshal(machineSnapshot{m.document, m.instances, m.departedIDs, m.latestVersions, m.fence, m.loaded, m.commanded, m.gateways, m.maxHashWeights, m.quarantine, m.publications, m.expiredIDs})
 }
 
-// UnmarshalJSON replaces the whole state.
+// UnmarshalJSON replaces the whole state by a snapshot.
 func (m *Machine) UnmarshalJSON(data []byte) error {
-	var form machineForm
-	if err := json.Unmarshal(data, &form); err != nil {
+	var snapshot machineSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
 	guards := m.Guards
 	*m = *NewMachine()
 	m.Guards = guards
-	m.document, m.departedIDs, m.fence, m.expiredIDs = form.Document, form.Tombstones, form.Fence, form.Forgotten
-	for _, instance := range form.Instances {
-		m.put(instance)
+	m.document, m.departedIDs, m.fence, m.expiredIDs = snapshot.Document, snapshot.DepartedIDs, snapshot.Fence, snapshot.ExpiredIDs
+	for _, instance := range snapshot.Instances {
+		m.upsert(instance)
 	}
-	for id := range form.Ordered {
-		m.ordered[id] = true
+	for id := range snapshot.Commanded {
+		m.commanded[id] = true
 	}
-	m.list(form.Gateways)
-	maps.Copy(m.bounds, form.Bounds)
-	if form.Quarantine != nil {
-		m.quarantine = form.Quarantine
+	m.setGateways(snapshot.Gateways)
+	maps.Copy(m.maxHashWeights, snapshot.MaxHashWeights)
+	if snapshot.Quarantine != nil {
+		m.quarantine = snapshot.Quarantine
 	}
-	for id, versions := range form.Held {
-		m.held[id] = versions
+	for id, versions := range snapshot.Loaded {
+		m.loaded[id] = versions
 	}
-	for model, version := range form.Versions {
-		m.versions[model] = version
-		m.restorePublications(model, form.Namings[model])
+	for model, version := range snapshot.LatestVersions {
+		m.latestVersions[model] = version
+		m.restorePublications(model, snapshot.Publications[model])
 	}
-	for _, id := range form.Tombstones {
+	for _, id := range snapshot.DepartedIDs {
 		m.departed[id] = true
-		m.lives.end(id)
+		m.incarnations.recordDeparted(id)
 	}
 	return nil
 }
--- a/internal/control/bounds.go
+++ b/internal/control/bounds.go
@@ -7,41 +7,42 @@
 	"kitetiller/internal/control/inuse"
 )
 
-// inUse reports whether gateways are told of a back end.
+// inUse reports whether a back end is in the set that gateways use.
 func (r *Replica) inUse(now time.Duration, instance catalog.Instance) bool {
-	return r.member(now, instance.ID).weight <= r.machine.catalog.MaxHashWeight(instance.Service)
+	return r.ensureBackend(now, instance.ID).hashWeight <= r.machine.catalog.MaxHashWeight(instance.Service)
 }
 
-// boundsPeriod is how often it is looked at which back ends are in use: often enough that a lost zone is replaced in a moment.
-const boundsPeriod = 100 * time.Millisecond
+// inUseCheckInterval is how often the set of back ends in use is checked. It is short so that a lost zone is replaced
+// quickly.
+const inUseCheckInterval = 100 * time.Millisecond
 
-// tendInUse follows the work with the back ends that are in use, and writes into the log which they are, so that the next leader names
-// the same.
-func (r *Replica) tendInUse(now time.Duration) {
-	if now < r.lead.boundsAt+boundsPeriod {
+// updateInUse adapts the set of back ends in use to the load. It logs the bounds that define the set, so that the next
+// leader uses the same one.
+func (r *Replica) updateInUse(now time.Duration) {
+	if now < r.leader.boundsCheckedAt+inUseCheckInterval {
 		return
 	}
-	r.lead.boundsAt = now
-	used := r.totalUsage(now)
-	services := map[string]*serviceWork{}
+	r.leader.boundsCheckedAt = now
+	running := r.runningByInstance(now)
+	services := map[string]*serviceLoad{}
 	for id, instance := range r.machine.catalog.Instances() {
-		work := services[instance.Service]
-		if work == nil {
-			work = &serviceWork{bound: r.machine.catalog.MaxHashWeight(instance.Service)}
-			services[instance.Service] = work
+		load := services[instance.Service]
+		if load == nil {
+			load = &serviceLoad{maxHashWeight: r.machine.catalog.MaxHashWeight(instance.Service)}
+			services[instance.Service] = load
 		}
-		work.running += used[id]
-		work.count(instance, r.member(now, id))
+		load.running += running[id]
+		load.add(instance, r.ensureBackend(now, id))
 	}
 	bounds := map[string]uint64{}
-	for service, work := range services {
-		size := r.lead.sizes[service]
+	for service, load := range services {
+		size := r.leader.inUseSizes[service]
 		if !r.machine.catalog.HasMaxHashWeight(service) {
-			work.under = 0
+			load.reachableInUse = 0
 		}
-		wanted := size.Note(now, work.running, work.under)
-		r.lead.sizes[service] = size
-		if bound := inuse.Bound(work.bound, work.able, work.unable, wanted); bound != work.bound {
+		target := size.Update(now, load.running, load.reachableInUse)
+		r.leader.inUseSizes[service] = size
+		if bound := inuse.MaxHashWeight(load.maxHashWeight, load.reachable, load.unreachable, target); bound != load.maxHashWeight {
 			bounds[service] = bound
 		}
 	}
@@ -50,38 +51,39 @@
 	}
 }
 
-// serviceWork is what decides which back ends of a service are in use.
-type serviceWork struct {
-	bound   uint64   // in force
-	able    []uint64 // weights of those that are able to work
-	under   int      // of them, those in use
-	unable  int      // that are silent, and don't leave
-	running int      // requests
+// serviceLoad is the input for the selection of the back ends of a service that are in use.
+type serviceLoad struct {
+	maxHashWeight  uint64   // bound in force
+	reachable      []uint64 // hash weights of the reachable back ends
+	reachableInUse int      // number of reachable back ends in use
+	unreachable    int      // number of silent back ends that are not draining
+	running        int      // number of running requests
 }
 
-func (w *serviceWork) count(instance catalog.Instance, state *memberState) {
+func (l *serviceLoad) add(instance catalog.Instance, state *backendState) {
 	switch {
 	case instance.State != catalog.StateReady:
 	case state.silent:
-		w.unable++
+		l.unreachable++
 	default:
-		w.able = append(w.able, state.weight)
-		if state.weight <= w.bound {
-			w.under++
+		l.reachable = append(l.reachable, state.hashWeight)
+		if state.hashWeight <= l.maxHashWeight {
+			l.reachableInUse++
 		}
 	}
 }
 
-// noteBounds notes for the roster which back ends come into use or go out of it between two sets of bounds.
-func (r *Replica) noteBounds(now time.Duration, before map[string]uint64) {
+// markInUseChanges marks for the next roster the back ends that a change of bounds has added to the set in use or
+// removed from it.
+func (r *Replica) markInUseChanges(now time.Duration, oldBounds map[string]uint64) {
 	for id, instance := range r.machine.catalog.Instances() {
-		was, known := before[instance.Service]
+		oldBound, known := oldBounds[instance.Service]
 		if !known {
 			continue
 		}
-		weight := r.member(now, id).weight
-		if weight <= was != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
-			r.lead.changed[id] = true
+		weight := r.ensureBackend(now, id).hashWeight
+		if weight <= oldBound != (weight <= r.machine.catalog.MaxHashWeight(instance.Service)) {
+			r.leader.rosterPending[id] = true
 		}
 	}
 }
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -22,70 +22,71 @@
 
 const (
 	attemptTimeout = 900 * time.Millisecond
-	askAgainAfter  = 50 * time.Millisecond
-	// avoidFailed is how long an address that gave no answer is left alone, also when others still name it as leader: about
-	// an election, and no longer, since it may just have started.
-	avoidFailed = 600 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
+	// failureBackoff is how long an address that failed to answer is avoided, even if other replicas name it as leader.
+	// It is about the length of an election, since a process that was starting may lead soon.
+	failureBackoff = 600 * time.Millisecond
 )
 
-// ErrNoAnswer says that no leader answered in time; a change may or may not have been made.
+// ErrNoAnswer is returned if no leader answered in time; the change may or may not have been made.
 var ErrNoAnswer = eris.New("no control leader answered in time")
 
-// Client asks the control group, finding the leader by itself. It is safe for concurrent use.
+// Client sends requests to the leader of the control group, which it discovers by itself. It is safe for concurrent
+// use.
 type Client struct {
-	transport *transport.Client
-	addresses atomic.Pointer[[]string]
-	next      atomic.Uint32
-	leader    atomic.Pointer[string]
-	failed    atomic.Pointer[failure]       // the newest one
-	heard     atomic.Pointer[time.Duration] // when a replica last answered anything; nil never
+	transport   *transport.Client
+	addresses   atomic.Pointer[[]string]
+	next        atomic.Uint32
+	leader      atomic.Pointer[string]
+	lastFailure atomic.Pointer[failure]       // the most recent one
+	answeredAt  atomic.Pointer[time.Duration] // when a replica last answered; nil if none has
 }
 
-// failure is an address that gave no answer, and when.
+// failure is a failed attempt at an address.
 type failure struct {
 	address string
 	at      time.Duration
 }
 
-// avoids reports whether an address failed so lately that it is asked only when there is no other.
-func (c *Client) avoids(address string) bool {
-	failed := c.failed.Load()
-	return failed != nil && failed.address == address && clock.Now()-failed.at < avoidFailed
+// recentlyFailed reports whether the last failure was at the address and within failureBackoff.
+func (c *Client) recentlyFailed(address string) bool {
+	failed := c.lastFailure.Load()
+	return failed != nil && failed.address == address && clock.Now()-failed.at < failureBackoff
 }
 
-// NewClient returns a client of the replicas at the given internal addresses.
+// NewClient returns a client for the replicas at the given internal addresses.
 func NewClient(client *transport.Client, addresses []string) *Client {
-	made := &Client{transport: client}
-	made.addresses.Store(&addresses)
-	return made
+	c := &Client{transport: client}
+	c.addresses.Store(&addresses)
+	return c
 }
 
-// Use replaces the addresses that are asked when no leader is known.
-func (c *Client) Use(addresses []string) {
+// SetAddresses replaces the addresses that are tried while no leader is known.
+func (c *Client) SetAddresses(addresses []string) {
 	if len(addresses) > 0 {
 		c.addresses.Store(&addresses)
 	}
 }
 
-// target returns the address to ask next.
+// target returns the address for the next attempt.
 func (c *Client) target() string {
 	if leader := c.leader.Load(); leader != nil {
 		return *leader
 	}
 	addresses := *c.addresses.Load()
 	address := addresses[int(c.next.Add(1))%len(addresses)]
-	if c.avoids(address) {
+	if c.recentlyFailed(address) {
 		address = addresses[int(c.next.Add(1))%len(addresses)]
 	}
 	return address
 }
 
-// Ask sends a request until a leader has decided it or ctx ends. Requests are safe to repeat: changes carry
-// operation ids, claims carry claim ids.
+// Ask retries a request until a leader has answered it or ctx is done. Requests are idempotent: changes carry operation
+// IDs, and claims carry claim IDs.
 func (c *Client) Ask(ctx context.Context, request Request) (Response, error) {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
-		response, err := c.Once(attempt, request)
+		response, err := c.AskOnce(attempt, request)
 		cancel()
 		if err == nil && response.Kind == ResponseOK {
 			return response, nil
@@ -93,52 +94,53 @@
 		select {
 		case <-ctx.Done():
 			return Response{}, ErrNoAnswer
-		case <-time.After(askAgainAfter):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// Quarantine has the leader change what is known of requests that end their back ends. Such changes are safe to repeat.
+// Quarantine sends a change of the quarantine registry to the leader. Such changes are idempotent.
 func (c *Client) Quarantine(ctx context.Context, change quarantine.Change) error {
 	_, err := c.Ask(ctx, Request{Catalog: &catalog.Command{Quarantine: &change}})
 	return err
 }
 
-// Once asks one replica once, for callers with a rhythm and a time limit of their own, and learns who leads.
-func (c *Client) Once(ctx context.Context, request Request) (Response, error) {
-	return c.askAt(ctx, c.target(), request)
+// AskOnce makes one attempt at one replica and learns the leader from the response. It is for callers that retry by
+// themselves.
+func (c *Client) AskOnce(ctx context.Context, request Request) (Response, error) {
+	return c.askAndTrackLeader(ctx, c.target(), request)
 }
 
-// At asks the replica at an address once, whoever leads. It learns nothing of the leader.
-func (c *Client) At(ctx context.Context, address string, request Request) (Response, error) {
+// AskReplica makes one attempt at the replica with the given address, and does not learn the leader.
+func (c *Client) AskReplica(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	err := c.transport.Post(ctx, address, PathRequest, request, &response)
 	if err == nil {
 		now := clock.Now()
-		c.heard.Store(&now)
+		c.answeredAt.Store(&now)
 	}
 	return response, err
 }
 
-// askAt asks the replica at an address once.
-func (c *Client) askAt(ctx context.Context, address string, request Request) (Response, error) {
+// askAndTrackLeader makes one attempt at the given address and records who leads.
+func (c *Client) askAndTrackLeader(ctx context.Context, address string, request Request) (Response, error) {
 	var response Response
 	if err := c.transport.Post(ctx, address, PathRequest, request, &response); err != nil {
 		if ctx.Err() == context.Canceled {
-			return response, err // the caller has its answer from elsewhere
+			return response, err // the caller got an answer from another replica
 		}
 		c.leader.Store(nil)
-		c.failed.Store(&failure{address: address, at: clock.Now()})
+		c.lastFailure.Store(&failure{address: address, at: clock.Now()})
 		return response, err
 	}
 	now := clock.Now()
-	c.heard.Store(&now)
+	c.answeredAt.Store(&now)
 	switch {
 	case response.Kind == ResponseOK && response.Leader != "":
-		c.leader.Store(&response.Leader) // another replica answered for it
+		c.leader.Store(&response.Leader) // a follower answered for the leader
 	case response.Kind == ResponseOK:
 		c.leader.Store(&address)
-	case response.Leader != "" && response.Leader != address && !c.avoids(response.Leader):
+	case response.Leader != "" && response.Leader != address && !c.recentlyFailed(response.Leader):
 		c.leader.Store(&response.Leader)
 	default:
 		c.leader.Store(nil)
@@ -146,50 +148,50 @@
 	return response, nil
 }
 
-// HeardWithin reports whether a replica has answered anything so lately.
-func (c *Client) HeardWithin(limit time.Duration) bool {
-	at := c.heard.Load()
+// AnsweredWithin reports whether any replica has answered within the given time.
+func (c *Client) AnsweredWithin(limit time.Duration) bool {
+	at := c.answeredAt.Load()
 	return at != nil && clock.Now()-*at < limit
 }
 
-// Any asks several replicas at once, each once, and whoever they name as leader. The first that leads answers for all. It
-// is for callers without a leader: one address that is silent must not hold them up.
-func (c *Client) Any(ctx context.Context, request Request) (Response, error) {
+// AskAny asks several replicas concurrently, and the leaders that they name, each once. It returns the first
+// ResponseOK. It is for callers that know no leader, so that an unresponsive address does not delay them.
+func (c *Client) AskAny(ctx context.Context, request Request) (Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	asked := map[string]bool{}
-	answers := make(chan Response, anyMost)
-	ask := func(address string) {
-		if asked[address] || len(asked) >= anyMost {
+	responses := make(chan Response, maxAttempts)
+	start := func(address string) {
+		if asked[address] || len(asked) >= maxAttempts {
 			return
 		}
 		asked[address] = true
 		go func() {
-			response, err := c.askAt(ctx, address, request)
+			response, err := c.askAndTrackLeader(ctx, address, request)
 			if err != nil {
 				response = Response{Kind: ResponseNoQuorum}
 			}
-			answers <- response
+			responses <- response
 		}()
 	}
-	for range anyAtOnce {
-		ask(c.target())
+	for range initialAttempts {
+		start(c.target())
 	}
-	for done := 0; done < len(asked); done++ {
-		response := <-answers
+	for received := 0; received < len(asked); received++ {
+		response := <-responses
 		if response.Kind == ResponseOK {
 			return response, nil
 		}
 		if response.Leader != "" {
-			ask(response.Leader)
+			start(response.Leader)
 		}
 	}
 	return Response{}, ErrNoAnswer
 }
 
 const (
-	// anyAtOnce is how many replicas are asked at once when no leader is known, and anyMost how many in all, with those
-	// that the first ones name.
-	anyAtOnce = 3
-	anyMost   = 6
+	// initialAttempts is the number of replicas that AskAny asks at first, and maxAttempts the total, including the
+	// leaders named in responses.
+	initialAttempts = 3
+	maxAttempts     = 6
 )
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -13,18 +13,18 @@
 	"kitetiller/internal/transport"
 )
 
-// TestClientLeavesADeadLeader: replicas name a leader that is gone until they have elected another one; the client asks
-// the dead one no second time meanwhile (sites' trouble-1: gateways lost control for seconds after a cut).
-func TestClientLeavesADeadLeader(t *testing.T) {
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+// TestClientAvoidsUnresponsiveLeader checks that a client does not retry an unresponsive leader while followers still
+// name it.
+func TestClientAvoidsUnresponsiveLeader(t *testing.T) {
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dead.Close()
+	defer unresponsive.Close()
 	asked := make(chan struct{}, 100)
 	go func() {
 		for {
-			connection, err := dead.Accept()
+			connection, err := unresponsive.Accept()
 			if err != nil {
 				return
 			}
@@ -32,29 +32,29 @@
 			asked <- struct{}{}
 		}
 	}()
-	follower := freeLoopback(t)
+	follower := freeLoopbackAddress(t)
 	server, err := transport.Listen(follower, "", func(request transport.Request, respond transport.Respond) {
 		if !json.Valid(request.Body) {
 			t.Error("malformed request")
 		}
-		respond(http.StatusOK, Response{Kind: ResponseNotLeader, Leader: dead.Addr().String()})
+		respond(http.StatusOK, Response{Kind: ResponseNotLeader, Leader: unresponsive.Addr().String()})
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close(context.Background()) }()
-	client := NewClient(transport.NewClient("", nil), []string{follower, dead.Addr().String()})
+	client := NewClient(transport.NewClient("", nil), []string{follower, unresponsive.Addr().String()})
 	for range 30 {
 		attempt, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-		_, _ = client.Once(attempt, Request{Status: &StatusRequest{}})
+		_, _ = client.AskOnce(attempt, Request{Status: &StatusRequest{}})
 		cancel()
 	}
-	if times := len(asked); times > 2 {
-		t.Fatalf("the dead leader was asked %d times", times)
+	if attempts := len(asked); attempts > 2 {
+		t.Fatalf("the unresponsive leader was asked %d times, want at most 2", attempts)
 	}
 }
 
-func freeLoopback(t *testing.T) string {
+func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return listener.Addr().String()
 }
 
-// listenWith gives the same answer to every question at an address until the test ends.
-func listenWith(t *testing.T, address string, response Response) {
+// serveResponse answers every request to the address with the same response until the test ends.
+func serveResponse(t *testing.T, address string, response Response) {
 	t.Helper()
 	server, err := transport.Listen(address, "", func(_ transport.Request, respond transport.Respond) {
 		respond(http.StatusOK, response)
@@ -76,20 +76,20 @@
 	t.Cleanup(func() { _ = server.Close(context.Background()) })
 }
 
-// TestClientComesBackToAStartedLeader: an address that gave no answer since its process was only starting is asked again
-// soon when it is named as leader (nilewash-ops, inc-8fe3: gateways found the leader 1.9 s after its election).
-func TestClientComesBackToAStartedLeader(t *testing.T) {
-	leader := freeLoopback(t)
+// TestClientRetriesRestartedLeader checks that an address that failed while its process was starting is retried soon
+// once it is named as leader.
+func TestClientRetriesRestartedLeader(t *testing.T) {
+	leader := freeLoopbackAddress(t)
 	client := NewClient(transport.NewClient("", nil), []string{leader})
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	if _, err := client.Once(ctx, Request{Status: &StatusRequest{}}); err == nil {
-		t.Fatal("answered before it listened")
+	if _, err := client.AskOnce(ctx, Request{Status: &StatusRequest{}}); err == nil {
+		t.Fatal("got an answer before the address was listening")
 	}
-	follower := freeLoopback(t)
-	listenWith(t, leader, Response{Kind: ResponseOK})
-	listenWith(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
-	client.Use([]string{follower})
+	follower := freeLoopbackAddress(t)
+	serveResponse(t, leader, Response{Kind: ResponseOK})
+	serveResponse(t, follower, Response{Kind: ResponseNotLeader, Leader: leader})
+	client.SetAddresses([]string{follower})
 	if _, err := client.Ask(ctx, Request{Status: &StatusRequest{}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/handover_test.go
+++ b/internal/control/handover_test.go
@@ -9,252 +9,252 @@
 	"kitetiller/internal/consensus"
 )
 
-// handOver ends a leader that has begun to order one of two engines, while gateway g1 asked it, and starts the next one.
-func handOver(t *testing.T) (next *solo, ordered, free string) {
+// replaceLeaderAfterOrder stops a leader that gateway g1 watches once it has ordered one of two engines, and starts the
+// next leader.
+func replaceLeaderAfterOrder(t *testing.T) (next *singleReplica, ordered, unordered string) {
 	t.Helper()
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	version := s.watchNow("g1", RosterVersion{}).Version
-	s.pass(gatewaysPeriod + 100*time.Millisecond)
+	s.advance(gatewayListInterval + 100*time.Millisecond)
 	s.watchNow("g1", version)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
 	var orders []WeightsCall
 	for range 20 {
-		s.beats("i-1", "i-2")
+		s.sendHeartbeats("i-1", "i-2")
 		version = s.watchNow("g1", version).Version
-		if orders = append(orders, s.orders(50*time.Millisecond)...); len(orders) > 0 {
+		if orders = append(orders, s.weightsOrders(50*time.Millisecond)...); len(orders) > 0 {
 			break
 		}
 	}
 	if len(orders) != 1 {
-		t.Fatalf("%d orders by the first leader", len(orders))
+		t.Fatalf("the first leader sent %d orders, want 1", len(orders))
 	}
-	ordered, free = orders[0].Instance, "i-1"
-	if ordered == free {
-		free = "i-2"
+	ordered, unordered = orders[0].Instance, "i-1"
+	if ordered == unordered {
+		unordered = "i-2"
 	}
 	if err := s.disk.Close(); err != nil {
 		t.Fatal(err)
 	}
-	next = openStartingIn(t, s.folder)
-	next.config(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
-	next.pass(400 * time.Millisecond)
-	return next, ordered, free
+	next = reopenUnelected(t, s.folder)
+	next.changeConfig(func(config *Config) { config.OrderWait, config.GatewayTrust = 5*time.Second, 3*time.Second })
+	next.advance(400 * time.Millisecond)
+	return next, ordered, unordered
 }
 
-// ordersWhile lets time pass with a gateway that keeps asking, and returns which engines were ordered.
-func (s *solo) ordersWhile(gateway string, length time.Duration) []string {
-	var found []string
+// ordersDuring advances the time while a gateway keeps watching, and returns the ordered engines.
+func (s *singleReplica) ordersDuring(gateway string, duration time.Duration) []string {
+	var instances []string
 	version := RosterVersion{}
-	for end := s.now + length; s.now < end; {
-		s.beats("i-1", "i-2")
+	for end := s.now + duration; s.now < end; {
+		s.sendHeartbeats("i-1", "i-2")
 		if gateway != "" {
 			version = s.watchNow(gateway, version).Version
 		}
-		for _, call := range s.orders(50 * time.Millisecond) {
-			found = append(found, call.Instance)
+		for _, call := range s.weightsOrders(50 * time.Millisecond) {
+			instances = append(instances, call.Instance)
 		}
 	}
-	return found
+	return instances
 }
 
-// TestNewLeaderWaitsOnlyForWhatWasOrdered: an engine that the last leader gave an order to is left alone for the pause between
-// two holders, one that it did not is ordered as soon as the gateways follow (ayni-lima trouble-3: named at 3.0 s, first
-// ordered at 7.5 s by a leader of 4.07 s).
+// TestNewLeaderWaitsOnlyForWhatWasOrdered checks that a new leader waits before it orders an engine that the previous
+// leader ordered, and orders others as soon as the gateways follow it.
 func TestNewLeaderWaitsOnlyForWhatWasOrdered(t *testing.T) {
-	s, ordered, free := handOver(t)
-	if early := s.ordersWhile("g1", 2*time.Second); !slices.Contains(early, free) || slices.Contains(early, ordered) {
-		t.Fatalf("ordered %v; the last leader ordered %s, and not %s", early, ordered, free)
+	s, ordered, unordered := replaceLeaderAfterOrder(t)
+	if early := s.ordersDuring("g1", 2*time.Second); !slices.Contains(early, unordered) || slices.Contains(early, ordered) {
+		t.Fatalf("ordered %v early; the previous leader ordered %s, and not %s", early, ordered, unordered)
 	}
-	s.replica.lead.fleet[free].versions["m"] = 2
-	s.replica.setPhase(s.replica.lead.fleet[free], phaseIdle, s.now)
-	if later := s.ordersWhile("g1", 5*time.Second); !slices.Contains(later, ordered) {
-		t.Fatalf("after the pause ordered %v, not %s", later, ordered)
+	s.replica.leader.fleet[unordered].versions["m"] = 2
+	s.replica.setPhase(s.replica.leader.fleet[unordered], phaseIdle, s.now)
+	if later := s.ordersDuring("g1", 5*time.Second); !slices.Contains(later, ordered) {
+		t.Fatalf("ordered %v after the pause, want also %s", later, ordered)
 	}
 }
 
-// TestNewLeaderWaitsForGatewaysOfTheLast: one that does not ask may still trust what the last leader told.
-func TestNewLeaderWaitsForGatewaysOfTheLast(t *testing.T) {
-	s, _, free := handOver(t)
-	if early := s.ordersWhile("g2", 2*time.Second); len(early) > 0 {
-		t.Fatalf("ordered %v, while g1 may trust a view of the last leader", early)
+// TestNewLeaderWaitsForPreviousLeadersGateways guards against orders while a gateway that has not contacted the new
+// leader may still use a view of the previous one.
+func TestNewLeaderWaitsForPreviousLeadersGateways(t *testing.T) {
+	s, _, unordered := replaceLeaderAfterOrder(t)
+	if orders := s.ordersDuring("g2", 2*time.Second); len(orders) > 0 {
+		t.Fatalf("ordered %v while g1 may use a view of the previous leader", orders)
 	}
-	if later := s.ordersWhile("g2", 3*time.Second); !slices.Contains(later, free) {
-		t.Fatalf("ordered %v after all views of the last leader had ended", later)
+	if later := s.ordersDuring("g2", 3*time.Second); !slices.Contains(later, unordered) {
+		t.Fatalf("ordered %v after all views of the previous leader expired", later)
 	}
 }
 
-// TestOrderedEnginesAreKnownFromASnapshot: the entries themselves may be gone from the log.
-func TestOrderedEnginesAreKnownFromASnapshot(t *testing.T) {
-	s, ordered, free := handOver(t)
+// TestSnapshotKeepsOrderedEnginesAndGateways covers the case that the log entries have been compacted.
+func TestSnapshotKeepsOrderedEnginesAndGateways(t *testing.T) {
+	s, ordered, unordered := replaceLeaderAfterOrder(t)
 	snapshot := s.replica.Machine().Snapshot()
 	if err := s.replica.Machine().Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	clear(s.replica.orders)
-	if _, elsewhere := s.replica.orderedElsewhere(ordered); !elsewhere {
-		t.Fatalf("%s was ordered by another leader", ordered)
+	clear(s.replica.orderMarks)
+	if _, elsewhere := s.replica.lastForeignOrder(ordered); !elsewhere {
+		t.Fatalf("%s counts as not ordered by another leader, but was", ordered)
 	}
-	if _, elsewhere := s.replica.orderedElsewhere(free); elsewhere {
-		t.Fatalf("%s was never ordered", free)
+	if _, elsewhere := s.replica.lastForeignOrder(unordered); elsewhere {
+		t.Fatalf("%s counts as ordered by another leader, but was not", unordered)
 	}
 	if known := s.replica.Machine().Catalog().Gateways(); !slices.Equal(known, []string{"g1"}) {
-		t.Fatalf("gateways %v", known)
+		t.Fatalf("gateways %v, want g1", known)
 	}
 }
 
-// TestOrdersInAnInstalledSnapshotCountAsYoung: a replica that has run for long and is sent a snapshot cannot know how old the
-// orders are that it covers, nor whether one that was just announced has been given.
-func TestOrdersInAnInstalledSnapshotCountAsYoung(t *testing.T) {
-	s, ordered, _ := handOver(t)
-	clear(s.replica.orders)
+// TestInstalledSnapshotRestartsOrderPause: a replica that receives a snapshot cannot know how old the announcements in
+// it are, nor whether their orders have been sent.
+func TestInstalledSnapshotRestartsOrderPause(t *testing.T) {
+	s, ordered, _ := replaceLeaderAfterOrder(t)
+	clear(s.replica.orderMarks)
 	s.now += time.Hour
 	meta := consensus.SnapshotMeta{Index: s.replica.applied, Term: s.replica.appliedTerm}
-	s.replica.install(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-	if s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait-time.Millisecond, ordered) {
+	s.replica.installSnapshot(s.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+	if s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait-time.Millisecond, ordered) {
 		t.Fatalf("%s may be ordered before the pause is over", ordered)
 	}
-	if !s.replica.handedOver(s.now+orderLeft+s.replica.config.OrderWait, ordered) {
+	if !s.replica.handoverPauseOver(s.now+maxOrderAge+s.replica.config.OrderWait, ordered) {
 		t.Fatalf("%s may not be ordered after the pause", ordered)
 	}
 }
 
-// TestViewIsConfirmedOnceTheLogHoldsTheGateway: the next leader waits for the gateways that the log holds before it orders weights; one that
-// trusts a view and isn't among them would send to a back end that loads. A leader confirmed a gateway that came back from a cut, and its disk
-// stalled before the log held it again (simulator, seed 178).
-func TestViewIsConfirmedOnceTheLogHoldsTheGateway(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+// TestWatchConfirmedOnlyAfterGatewayIsLogged guards against a gateway that uses a view but is not in the log: the next
+// leader would not wait for it, and the gateway would send to a back end that loads weights.
+func TestWatchConfirmedOnlyAfterGatewayIsLogged(t *testing.T) {
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	confirmed := func(client uint64) bool { return s.replies[client].Watch != nil }
 	holds := func(name string) bool { return slices.Contains(s.replica.machine.catalog.Gateways(), name) }
-	ask := func(client uint64, name string) {
-		s.pass(2 * listPause)
+	watch := func(client uint64, name string) {
+		s.advance(2 * gatewayListDelay)
 		s.replica.Handle(s.now, client, Request{Watch: &Watch{Gateway: name}})
 		if !holds(name) && len(s.replica.effects.Replies) > 0 {
-			t.Fatalf("%s is confirmed before the log holds it", name)
+			t.Fatalf("%s is confirmed before it is in the log", name)
 		}
 		s.work() // no time passes
 		if !confirmed(client) || !holds(name) {
-			t.Fatalf("%s: confirmed %t, held %t", name, confirmed(client), holds(name))
+			t.Fatalf("%s: confirmed %t, in the log %t, want both", name, confirmed(client), holds(name))
 		}
 	}
-	ask(1001, "g1")
-	ask(1002, "g2")
-	s.pass(s.replica.trustEnd() + 2*gatewaysPeriod)
-	ask(1003, "g3")
+	watch(1001, "g1")
+	watch(1002, "g2")
+	s.advance(s.replica.viewExpiry() + 2*gatewayListInterval)
+	watch(1003, "g3")
 	if holds("g1") {
-		t.Fatal("the log holds a gateway that was silent for long")
+		t.Fatal("a gateway that was silent for long is still in the log")
 	}
-	ask(1004, "g1")
+	watch(1004, "g1")
 	if !holds("g3") {
-		t.Fatal("the log forgot a gateway")
+		t.Fatal("an active gateway was removed from the log")
 	}
 }
 
-// TestClosingGatewayIsAnsweredOn: it serves what it has until its end, though the log holds it no more.
-func TestClosingGatewayIsAnsweredOn(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = 3 * time.Second })
+// TestClosingGatewayIsStillAnswered: a closing gateway needs a confirmed view for its remaining requests, though it is
+// no longer added to the log.
+func TestClosingGatewayIsStillAnswered(t *testing.T) {
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = 3 * time.Second })
 	held := s.watchNow("g1", RosterVersion{}).Version
 	for range 5 {
 		s.watchNow("g2", held)
 		if s.ask(Request{Watch: &Watch{Gateway: "g1", Revision: 1, Roster: held, Closing: true}}).Watch == nil {
-			t.Fatal("a closing gateway is confirmed no more")
+			t.Fatal("a closing gateway got no answer")
 		}
-		s.pass(gatewaysPeriod)
+		s.advance(gatewayListInterval)
 	}
 }
 
-// TestOrderFollowsItsAnnouncementSoon: the next leader waits since the announcement of an order, as it applied it. A leader had announced
-// one and gave it seconds later, when others had ended their loads and requests had drained, then it was lost. The next one, which had applied
-// the announcement as it was written, took the pause between two holders for over and ordered at once.
-func TestOrderFollowsItsAnnouncementSoon(t *testing.T) {
-	s := openFleet(t)
-	s.config(func(config *Config) { config.GatewayTrust = time.Minute })
+// TestDelayedOrderIsAnnouncedAgain: the next leader counts its pause from the announcement of an order. If the order
+// were sent seconds later without a new announcement, the next leader's order could follow it too soon.
+func TestDelayedOrderIsAnnouncedAgain(t *testing.T) {
+	s := openWithEngines(t)
+	s.changeConfig(func(config *Config) { config.GatewayTrust = time.Minute })
 	version := s.watchNow("g1", RosterVersion{}).Version
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	ask := func(held RosterVersion, length time.Duration) (orders []WeightsCall, at time.Duration) {
-		for end := s.now + length; s.now < end && len(orders) == 0; {
-			s.beats("i-1", "i-2")
+	watchAndBeat := func(held RosterVersion, duration time.Duration) (orders []WeightsCall, at time.Duration) {
+		for end := s.now + duration; s.now < end && len(orders) == 0; {
+			s.sendHeartbeats("i-1", "i-2")
 			s.watchNow("g1", held)
-			orders = s.orders(50 * time.Millisecond)
+			orders = s.weightsOrders(50 * time.Millisecond)
 		}
 		return orders, s.now - 50*time.Millisecond
 	}
-	if early, _ := ask(version, 4*time.Second); len(early) > 0 {
-		t.Fatalf("ordered before g1 turned away: %+v", early)
+	if early, _ := watchAndBeat(version, 4*time.Second); len(early) > 0 {
+		t.Fatalf("ordered before g1 applied the roster: %+v", early)
 	}
-	orders, orderedAt := ask(s.watchNow("g1", version).Version, time.Second)
+	orders, orderedAt := watchAndBeat(s.watchNow("g1", version).Version, time.Second)
 	if len(orders) == 0 {
-		t.Fatal("no order after g1 turned away")
+		t.Fatal("no order after g1 applied the roster")
 	}
 	id := orders[0].Instance
-	mark := s.replica.orders[id]
-	mark.term-- // as whoever leads next sees it, who applied the same entries at the same times
-	s.replica.orders[id] = mark
-	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handedOver(early, id) {
-		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v, the pause is %v", id, orderedAt, mark.at, early, s.replica.config.OrderWait)
+	mark := s.replica.orderMarks[id]
+	mark.term-- // as seen by the next leader, which applied the same entries at the same times
+	s.replica.orderMarks[id] = mark
+	if early := orderedAt + s.replica.config.OrderWait - time.Millisecond; s.replica.handoverPauseOver(early, id) {
+		t.Fatalf("%s was ordered at %v, announced at %v, and may be ordered by another leader at %v; the pause is %v", id, orderedAt, mark.appliedAt, early, s.replica.config.OrderWait)
 	}
 }
 
-// TestOrderLeavesSoonAfterItsAnnouncement: the disk was slow between the decision and the send, for less than the lease runs. The order left
-// later after its announcement than the next leader counts on.
-func TestOrderLeavesSoonAfterItsAnnouncement(t *testing.T) {
-	s := openFleet(t)
+// TestOrderDroppedAfterSlowSync: after a slow sync, an order would be sent later after its announcement than the next
+// leader allows for, even though the lease is still valid.
+func TestOrderDroppedAfterSlowSync(t *testing.T) {
+	s := openWithEngines(t)
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: 2}}})
-	s.orders(200 * time.Millisecond)
-	s.beats("i-1", "i-2")
+	s.weightsOrders(200 * time.Millisecond)
+	s.sendHeartbeats("i-1", "i-2")
 	for range 20 {
 		s.now += 50 * time.Millisecond
 		s.replica.Tick(s.now, 0)
-		if len(s.replica.effects.Weights) > 0 {
+		if len(s.replica.effects.WeightsCalls) > 0 {
 			break
 		}
 		s.work()
 	}
-	if len(s.replica.effects.Weights) == 0 {
-		t.Fatal("nothing was decided")
+	if len(s.replica.effects.WeightsCalls) == 0 {
+		t.Fatal("no order was decided")
 	}
-	id := s.replica.effects.Weights[0].Instance
-	s.replica.Work()
-	left := s.replica.orders[id].at + orderWithin + time.Millisecond
-	if late := s.replica.Done(left).Weights; len(late) > 0 || s.replica.lead == nil {
-		t.Fatalf("%+v left %v after its announcement", late, left-s.replica.orders[id].at)
+	id := s.replica.effects.WeightsCalls[0].Instance
+	s.replica.Prepare()
+	left := s.replica.orderMarks[id].appliedAt + maxDispatchAge + time.Millisecond
+	if late := s.replica.Advance(left).WeightsCalls; len(late) > 0 || s.replica.leader == nil {
+		t.Fatalf("%+v sent %v after its announcement, want no orders and a leader", late, left-s.replica.orderMarks[id].appliedAt)
 	}
 }
 
-// TestOrderPauseOutlivesARestart: the pause between the orders of two holders is a back end's, whichever of its lives they went to. One that
-// starts again under its name is told by no order from whom the last one came.
-func TestOrderPauseOutlivesARestart(t *testing.T) {
-	for what, forget := range map[string]func(*solo){
-		"seen in the log":  func(*solo) {},
-		"from a snapshot":  func(s *solo) { clear(s.replica.orders) },
-		"restored as well": func(s *solo) { clear(s.replica.orders); s.restore(t) },
+// TestOrderPauseCoversAllIncarnations checks that the pause after another leader's order also covers a later
+// incarnation of the back end, since an order does not name an incarnation.
+func TestOrderPauseCoversAllIncarnations(t *testing.T) {
+	for name, dropMarks := range map[string]func(*singleReplica){
+		"applied from the log":     func(*singleReplica) {},
+		"marks cleared":            func(s *singleReplica) { clear(s.replica.orderMarks) },
+		"from a restored snapshot": func(s *singleReplica) { clear(s.replica.orderMarks); s.restore(t) },
 	} {
-		t.Run(what, func(t *testing.T) {
-			s := openFleet(t)
-			s.config(func(config *Config) { config.OrderWait = time.Hour })
-			s.says(life("e", 1000), "a1", 1, 1)
-			s.replica.writeOrdering(life("e", 1000))
-			s.pass(100 * time.Millisecond)
-			s.says(life("e", 2000), "a1", 1, 1)
-			forget(s)
-			for key, mark := range s.replica.orders {
-				mark.term-- // another leader's
-				s.replica.orders[key] = mark
+		t.Run(name, func(t *testing.T) {
+			s := openWithEngines(t)
+			s.changeConfig(func(config *Config) { config.OrderWait = time.Hour })
+			s.sendHeartbeat(incarnationID("e", 1000), "a1", 1, 1)
+			s.replica.queueOrderAnnouncement(incarnationID("e", 1000))
+			s.advance(100 * time.Millisecond)
+			s.sendHeartbeat(incarnationID("e", 2000), "a1", 1, 1)
+			dropMarks(s)
+			for key, mark := range s.replica.orderMarks {
+				mark.term-- // as if by another leader
+				s.replica.orderMarks[key] = mark
 			}
-			if s.replica.handedOver(s.now, life("e", 2000)) {
-				t.Fatal("the next life may be ordered by another holder at once")
+			if s.replica.handoverPauseOver(s.now, incarnationID("e", 2000)) {
+				t.Fatal("another leader may order the next incarnation at once")
 			}
-			if !s.replica.handedOver(s.now, "i-1") {
-				t.Fatal("one that was never ordered has to wait")
+			if !s.replica.handoverPauseOver(s.now, "i-1") {
+				t.Fatal("an engine that was never ordered has to wait")
 			}
 		})
 	}
 }
 
-// restore replaces the state by its own snapshot.
-func (s *solo) restore(t *testing.T) {
+// restore replaces the replicated state by its own snapshot.
+func (s *singleReplica) restore(t *testing.T) {
 	t.Helper()
 	if err := s.replica.Machine().Restore(s.replica.Machine().Snapshot()); err != nil {
 		t.Fatal(err)
--- a/internal/control/inuse/inuse_test.go
+++ b/internal/control/inuse/inuse_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// fleet are the weights of so many back ends, all able to work.
-func fleet(size int) []uint64 {
+// weightsOf returns the weights of size back ends.
+func weightsOf(size int) []uint64 {
 	weights := make([]uint64, size)
 	for i := range weights {
-		weights[i] = Weight(fmt.Sprintf("10.%d.%d.%d:8000", i%5, i/200, i%200))
+		weights[i] = HashWeight(fmt.Sprintf("10.%d.%d.%d:8000", i%5, i/200, i%200))
 	}
 	return weights
 }
 
-func under(weights []uint64, bound uint64) int {
+func countUpTo(weights []uint64, bound uint64) int {
 	count := 0
 	for _, w := range weights {
 		if w <= bound {
@@ -27,123 +27,124 @@
 	return count
 }
 
-// TestSmallServicesUseAll: by the same rule, also when they grow a little past the least.
+// TestSmallServicesUseAll: services of up to MinBackends plus the slack use all their back ends.
 func TestSmallServicesUseAll(t *testing.T) {
-	for _, size := range []int{0, 1, 12, 240, Least, Least + Least/slack} {
-		if bound := Bound(All, fleet(size), 0, Least); bound != All {
-			t.Fatalf("%d of %d back ends are used", under(fleet(size), bound), size)
+	for _, size := range []int{0, 1, 12, 240, MinBackends, MinBackends + MinBackends/slackDivisor} {
+		if bound := MaxHashWeight(Unbounded, weightsOf(size), 0, MinBackends); bound != Unbounded {
+			t.Fatalf("%d of %d back ends are in use, want all", countUpTo(weightsOf(size), bound), size)
 		}
 	}
 }
 
-// TestUseFollowsTheWork: at one load, twice the back ends or four times as many change nothing in how many are used.
-func TestUseFollowsTheWork(t *testing.T) {
+// TestBackendsInUseFollowLoad: at a given load, the number of back ends in use does not grow with the fleet.
+func TestBackendsInUseFollowLoad(t *testing.T) {
 	for _, running := range []int{0, 100, 800} {
 		var size Size
-		wanted := size.Note(0, running, 0)
+		target := size.Update(0, running, 0)
 		for _, count := range []int{5000, 10000, 20000} {
-			all := fleet(count)
-			bound := Bound(All, slices.Clone(all), 0, wanted)
-			if used := under(all, bound); used < wanted || used > wanted+wanted/slack || used > Least+Least/slack+3*running {
-				t.Fatalf("%d run: %d of %d back ends are used, wanted %d", running, used, count, wanted)
+			all := weightsOf(count)
+			bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, target)
+			if inUse := countUpTo(all, bound); inUse < target || inUse > target+target/slackDivisor || inUse > MinBackends+MinBackends/slackDivisor+3*running {
+				t.Fatalf("%d running requests: %d of %d back ends are in use, target %d", running, inUse, count, target)
 			}
 		}
 	}
 }
 
-// TestUseIsReadyBeforeQueues replays losses of a fleet of 5,000 with 600 requests running: a zone, a quarter in the dark, a release of
-// 45% in which 89 are away at a time. Those that are in use and able never fall under one for each running request, and the bound
-// replaces what is lost in one step.
-func TestUseIsReadyBeforeQueues(t *testing.T) {
+// TestEnoughBackendsRemainAfterLosses: after the loss of a zone, of a quarter of the fleet, or of the back ends that a
+// release restarts at a time, at least one reachable back end per running request stays in use, and one step of the
+// bound restores the target.
+func TestEnoughBackendsRemainAfterLosses(t *testing.T) {
 	const running = 600
-	all := fleet(5000)
-	random := rand.New(rand.NewPCG(1, 2))
+	all := weightsOf(5000)
+	rng := rand.New(rand.NewPCG(1, 2))
 	var size Size
-	wanted := size.Note(0, running, 0)
-	first := Bound(All, slices.Clone(all), 0, wanted)
-	lose := func(share float64) []uint64 {
-		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < share })
-	}
-	for name, able := range map[string][]uint64{"a zone": lose(0.2), "a quarter": lose(0.25), "a release": lose(89.0 / 5000)} {
-		if left := under(able, first); left < running {
-			t.Fatalf("%s: %d are left of %d for %d requests", name, left, wanted, running)
+	target := size.Update(0, running, 0)
+	first := MaxHashWeight(Unbounded, slices.Clone(all), 0, target)
+	lose := func(fraction float64) []uint64 {
+		return slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return rng.Float64() < fraction })
+	}
+	for name, reachable := range map[string][]uint64{"a zone": lose(0.2), "a quarter": lose(0.25), "a release": lose(89.0 / 5000)} {
+		if remaining := countUpTo(reachable, first); remaining < running {
+			t.Fatalf("%s: %d of %d back ends remain for %d running requests", name, remaining, target, running)
 		}
-		bound := Bound(first, slices.Clone(able), len(all)-len(able), wanted)
-		if used := under(able, bound); used < wanted {
-			t.Fatalf("%s: %d are used after one step, wanted %d", name, used, wanted)
+		bound := MaxHashWeight(first, slices.Clone(reachable), len(all)-len(reachable), target)
+		if inUse := countUpTo(reachable, bound); inUse < target {
+			t.Fatalf("%s: %d back ends are in use after one step, target %d", name, inUse, target)
 		}
-		if stay := under(all, min(first, bound)); stay < under(all, first) {
-			t.Fatalf("%s: only %d of those in use before are used on", name, stay)
+		if kept := countUpTo(all, min(first, bound)); kept < countUpTo(all, first) {
+			t.Fatalf("%s: only %d of the back ends in use stay in use", name, kept)
 		}
 	}
 }
 
-// TestUseGrowsAtOnceAndShrinksSlowly: a restart of all, during which nothing runs, makes nobody forget what is needed.
-func TestUseGrowsAtOnceAndShrinksSlowly(t *testing.T) {
+// TestTargetGrowsAtOnceAndShrinksSlowly: a restart of the whole fleet, during which nothing runs, does not lower the
+// target.
+func TestTargetGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	var size Size
-	size.Note(0, 10, 0)
-	if wanted := size.Note(time.Second, 2000, 0); wanted < 2000*perRunning {
-		t.Fatalf("%d are wanted for 2,000 running requests", wanted)
+	size.Update(0, 10, 0)
+	if target := size.Update(time.Second, 2000, 0); target < 2000*backendsPerRequest {
+		t.Fatalf("target %d for 2,000 running requests", target)
 	}
-	before := size.Note(2*time.Second, 2000, 0)
-	if wanted := size.Note(peakFor-time.Second, 0, 0); wanted != before {
-		t.Fatalf("%d are wanted after a pause, %d before", wanted, before)
+	before := size.Update(2*time.Second, 2000, 0)
+	if target := size.Update(peakWindow-time.Second, 0, 0); target != before {
+		t.Fatalf("target %d after a pause, %d before", target, before)
 	}
-	now := peakFor
+	now := peakWindow
 	for range 20 {
-		now += peakFor
-		size.Note(now, 10, 0)
+		now += peakWindow
+		size.Update(now, 10, 0)
 	}
-	if wanted := size.Note(now, 10, 0); wanted > 2*Least {
-		t.Fatalf("%d are wanted at rest", wanted)
+	if target := size.Update(now, 10, 0); target > 2*MinBackends {
+		t.Fatalf("target %d when idle", target)
 	}
 }
 
-// TestBoundRests: as long as what is able stays near what is wanted, nobody joins or leaves.
-func TestBoundRests(t *testing.T) {
-	all := fleet(5000)
-	bound := Bound(All, slices.Clone(all), 0, Least)
+// TestBoundIsStableUnderSmallChanges: the bound stays while the number of reachable back ends stays near the target.
+func TestBoundIsStableUnderSmallChanges(t *testing.T) {
+	all := weightsOf(5000)
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
 	changes := 0
-	random := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	for range 200 {
-		able := slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return random.Float64() < 0.02 })
-		if next := Bound(bound, able, len(all)-len(able), Least); next != bound {
+		reachable := slices.DeleteFunc(slices.Clone(all), func(uint64) bool { return rng.Float64() < 0.02 })
+		if next := MaxHashWeight(bound, reachable, len(all)-len(reachable), MinBackends); next != bound {
 			bound, changes = next, changes+1
 		}
 	}
 	if changes > 4 {
-		t.Fatalf("the bound moved %d times while 2 in 100 were away", changes)
+		t.Fatalf("the bound moved %d times while 2 in 100 back ends were unreachable", changes)
 	}
 }
 
-// TestSilenceOfMostChangesNothing: when control hears of less than half, or of nobody, who is in use stays.
-func TestSilenceOfMostChangesNothing(t *testing.T) {
-	all := fleet(5000)
-	bound := Bound(All, slices.Clone(all), 0, Least)
-	for _, heard := range []int{0, 100, 2400} {
-		if next := Bound(bound, slices.Clone(all[:heard]), len(all)-heard, Least); next != bound {
-			t.Fatalf("%d are used when %d of %d are heard", under(all, next), heard, len(all))
+// TestBoundIsKeptWhileMostAreUnreachable: the set in use stays if more than half of the back ends are unreachable.
+func TestBoundIsKeptWhileMostAreUnreachable(t *testing.T) {
+	all := weightsOf(5000)
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, MinBackends)
+	for _, reachable := range []int{0, 100, 2400} {
+		if next := MaxHashWeight(bound, slices.Clone(all[:reachable]), len(all)-reachable, MinBackends); next != bound {
+			t.Fatalf("%d back ends are in use when %d of %d are reachable", countUpTo(all, next), reachable, len(all))
 		}
 	}
 }
 
-// TestNextLeaderKeepsWhatWorkNeeded: it has heard of no work yet; what is in use when it begins stays for as long as work seen would count,
-// and shrinks after that.
-func TestNextLeaderKeepsWhatWorkNeeded(t *testing.T) {
-	all := fleet(5000)
+// TestNextLeaderKeepsBackendsInUse: a new leader without load reports keeps the back ends in use for as long as a load
+// peak counts, then lowers their number.
+func TestNextLeaderKeepsBackendsInUse(t *testing.T) {
+	all := weightsOf(5000)
 	var before, after Size
-	bound := Bound(All, slices.Clone(all), 0, before.Note(0, 1000, 0))
-	used := under(all, bound)
-	for now := time.Duration(0); now < peakFor; now += time.Second {
-		if next := Bound(bound, slices.Clone(all), 0, after.Note(time.Hour+now, 0, used)); next != bound {
-			t.Fatalf("%d were in use, %d are %v after a change of leader", used, under(all, next), now)
+	bound := MaxHashWeight(Unbounded, slices.Clone(all), 0, before.Update(0, 1000, 0))
+	inUse := countUpTo(all, bound)
+	for now := time.Duration(0); now < peakWindow; now += time.Second {
+		if next := MaxHashWeight(bound, slices.Clone(all), 0, after.Update(time.Hour+now, 0, inUse)); next != bound {
+			t.Fatalf("%d back ends were in use, %d are %v after a leader change", inUse, countUpTo(all, next), now)
 		}
 	}
-	wanted := 0
-	for now := time.Hour + peakFor; now < time.Hour+10*peakFor; now += peakFor {
-		wanted = after.Note(now, 0, used)
+	target := 0
+	for now := time.Hour + peakWindow; now < time.Hour+10*peakWindow; now += peakWindow {
+		target = after.Update(now, 0, inUse)
 	}
-	if wanted > 2*Least {
-		t.Fatalf("%d are wanted at rest", wanted)
+	if target > 2*MinBackends {
+		t.Fatalf("target %d when idle", target)
 	}
 }
--- a/internal/control/lending.go
+++ b/internal/control/lending.go
@@ -10,125 +10,127 @@
 	"kitetiller/internal/quota"
 )
 
-// silentGateway is the silence after which a gateway is taken to be out of touch, so that it uses its equal part of what is
-// limited: some times the pause between its questions.
-const silentGateway = 700 * time.Millisecond
+// gatewaySilenceThreshold is the silence after which a gateway is assumed to be disconnected and to use its fallback
+// share. It is several times the interval between its requests.
+const gatewaySilenceThreshold = 700 * time.Millisecond
 
-// lending is what a leader lends of limited resources; each leadership begins it anew.
+// lending is the leader's allocation of fleet-wide limits. A new leader starts without any grants.
 type lending struct {
-	lender   *allowance.Allocator
-	revision uint64 // of the document that the limits were taken from
-	forgotAt time.Duration
+	allocator *allowance.Allocator
+	revision  uint64 // of the routing document that the limits come from
+	sweptAt   time.Duration
 }
 
-// forgetEach is how often accounts are looked through that nobody asks for any more; there may be one for each back end.
-const forgetEach = time.Second
+// advertisedSweepInterval is the interval between sweeps of unused advertised limits.
+const advertisedSweepInterval = time.Second
 
-// lend answers a gateway's question for amounts. Only a leader with a lease gets here, so that nobody else lends.
-func (r *Replica) lend(now time.Duration, client uint64, asked allowance.Request) {
-	r.tendLimits(now)
-	answer := r.lead.lending.lender.Allocate(now, asked)
-	r.reply(client, Response{Kind: ResponseOK, Lent: &answer})
+// allocateShares answers a gateway's request for shares of limits. It is called only while this replica holds the
+// leader lease, so that no two replicas allocate the same limit.
+func (r *Replica) allocateShares(now time.Duration, client uint64, request allowance.Request) {
+	r.updateLimits(now)
+	reply := r.leader.lending.allocator.Allocate(now, request)
+	r.reply(client, Response{Kind: ResponseOK, Lent: &reply})
 }
 
-// tendLimits follows the document in force, and keeps back the parts of gateways that are out of touch.
-func (r *Replica) tendLimits(now time.Duration) {
-	held := &r.lead.lending
-	if document := r.machine.catalog.Document(); document.Revision != held.revision {
-		held.revision = document.Revision
-		held.lender.SetLimits(now, quota.Limits(document, r.config.Quota))
+// updateLimits applies the limits of the document in force and withholds the fallback shares of disconnected gateways.
+func (r *Replica) updateLimits(now time.Duration) {
+	lending := &r.leader.lending
+	if document := r.machine.catalog.Document(); document.Revision != lending.revision {
+		lending.revision = document.Revision
+		lending.allocator.SetLimits(now, quota.Limits(document, r.config.Quota))
 	}
-	held.lender.Withhold(now, r.partOutOfTouch(now))
-	if now >= held.forgotAt+forgetEach {
-		held.forgotAt = now
-		held.lender.SweepAdvertised(now)
+	lending.allocator.Withhold(now, r.silentFraction(now))
+	if now >= lending.sweptAt+advertisedSweepInterval {
+		lending.sweptAt = now
+		lending.allocator.SweepAdvertised(now)
 	}
 }
 
-// partOutOfTouch returns the part of the gateways that are silent but may still trust their view: they use their equal parts
-// of what is limited, on their own.
-func (r *Replica) partOutOfTouch(now time.Duration) float64 {
-	silent, all := r.gatewaysThatTrust(now)
+// silentFraction returns the fraction of gateways that are silent but may still use their view. They use their fallback
+// shares without asking the leader.
+func (r *Replica) silentFraction(now time.Duration) float64 {
+	silent, total := r.trustingGateways(now)
 	if silent == 0 {
 		return 0
 	}
-	return float64(silent) / float64(all)
+	return float64(silent) / float64(total)
 }
 
-// trusting are the gateways that may still trust their view, counted now and then: a tick or a reply would otherwise cost the more the
-// more there are.
-type trusting struct {
-	at          time.Duration
-	counted     bool
-	silent, all int
+// gatewayCounts caches the number of gateways that may still use their view, since counting them on each tick and reply
+// would be expensive with many gateways.
+type gatewayCounts struct {
+	countedAt     time.Duration
+	counted       bool
+	silent, total int
 }
 
-// trustingEach is how often they are counted; silence is judged by 700 ms.
-const trustingEach = 20 * time.Millisecond
+// gatewayCountInterval is the lifetime of gatewayCounts, short compared with gatewaySilenceThreshold.
+const gatewayCountInterval = 20 * time.Millisecond
 
-// gatewaysThatTrust returns how many gateways may still trust their view, and how many of them are silent.
-func (r *Replica) gatewaysThatTrust(now time.Duration) (silent, all int) {
-	held := &r.lead.trusting
-	if !held.counted || now >= held.at+trustingEach {
-		held.silent, held.all = r.countTrusting(now)
-		held.counted, held.at = true, now
+// trustingGateways returns how many gateways may still use their view, and how many of them are silent.
+func (r *Replica) trustingGateways(now time.Duration) (silent, total int) {
+	counts := &r.leader.trusting
+	if !counts.counted || now >= counts.countedAt+gatewayCountInterval {
+		counts.silent, counts.total = r.countTrustingGateways(now)
+		counts.counted, counts.countedAt = true, now
 	}
-	return held.silent, held.all
+	return counts.silent, counts.total
 }
 
-// countTrusting counts them. Those of an earlier leader's time count until they have asked this one.
-func (r *Replica) countTrusting(now time.Duration) (silent, all int) {
-	for _, report := range r.lead.usage {
-		silence := now - report.at
-		if silence > r.trustEnd() {
+// countTrustingGateways computes trustingGateways. Gateways that the log lists from an earlier leader's term count as
+// silent until they send this leader a request or their views have expired.
+func (r *Replica) countTrustingGateways(now time.Duration) (silent, total int) {
+	for _, report := range r.leader.usage {
+		silence := now - report.receivedAt
+		if silence > r.viewExpiry() {
 			continue
 		}
-		all++
-		if silence > silentGateway {
+		total++
+		if silence > gatewaySilenceThreshold {
 			silent++
 		}
 	}
-	if now < r.lead.since+r.trustEnd() {
+	if now < r.leader.startedAt+r.viewExpiry() {
 		for _, name := range r.machine.catalog.Gateways() {
-			if _, asked := r.lead.usage[name]; !asked {
-				all++
+			if _, asked := r.leader.usage[name]; !asked {
+				total++
 				silent++
 			}
 		}
 	}
-	return silent, all
+	return silent, total
 }
 
-// overEach is how often a leader looks for limits that were reached or left, for the log.
-const overEach = 250 * time.Millisecond
+// limitLogInterval is the interval at which a leader checks limits for changes to log.
+const limitLogInterval = 250 * time.Millisecond
 
-// overNotes are the limits that the log says are reached. They are owned by the decide thread.
-type overNotes struct {
-	at      time.Duration
-	reached map[string]bool
+// limitLogState holds the limits last logged as reached. It is owned by the goroutine that owns the replica.
+type limitLogState struct {
+	checkedAt time.Duration
+	reached   map[string]bool
 }
 
-// noteOverLimits logs when a limit begins and ends to turn requests away, one line each.
-func (s *Server) noteOverLimits() {
+// logLimitChanges logs each limit that starts or stops rejecting requests.
+func (s *Server) logLimitChanges() {
 	now := s.now()
-	if s.replica.lead == nil || now < s.over.at+overEach {
+	if s.replica.leader == nil || now < s.overLimitLog.checkedAt+limitLogInterval {
 		return
 	}
-	s.over.at = now
+	s.overLimitLog.checkedAt = now
 	reached := map[string]bool{}
-	for _, state := range s.replica.lead.lending.lender.States(now) {
+	for _, state := range s.replica.leader.lending.allocator.States(now) {
 		if state.OverLimit {
 			reached[state.Name] = true
 		}
-		if state.OverLimit == s.over.reached[state.Name] {
+		if state.OverLimit == s.overLimitLog.reached[state.Name] {
 			continue
 		}
-		event := events.LimitLeft
+		event := events.LimitCleared
 		if state.OverLimit {
 			event = events.LimitReached
 		}
 		s.log.Info(event, zap.String(events.FieldResource, state.Name), zap.Float64("rate", state.Limit.Rate), zap.Float64("level", state.Level),
 			zap.Float64("lent", state.Granted), zap.Float64("refused", state.Refused), zap.Float64("withheld", state.Withheld))
 	}
-	s.over.reached = reached
+	s.overLimitLog.reached = reached
 }
--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -9,73 +9,74 @@
 	"kitetiller/internal/guard"
 )
 
-// datedNaming is a naming, and when it was by this process's clock.
-type datedNaming struct {
-	version uint64
-	at      time.Duration
+// publishedVersion is a published weights version with its publication time by this process's clock.
+type publishedVersion struct {
+	version     uint64
+	publishedAt time.Duration
 }
 
-// wallMS returns the time of day. The shell tells it with each tick.
-func (r *Replica) wallMS(now time.Duration) int64 {
+// wallClockMS returns the wall clock, extrapolated from the last tick.
+func (r *Replica) wallClockMS(now time.Duration) int64 {
 	return r.unixMS + (now - r.tickedAt).Milliseconds()
 }
 
-// dateNaming returns when a version was named: as long ago as the times of day of whoever proposed it and of this replica differ, and not
-// after now. An entry may be applied long after it was proposed: by a replica that restarts, was cut off or frozen, or gets a snapshot.
-func (r *Replica) dateNaming(now time.Duration, naming catalog.Publication) datedNaming {
-	dated := datedNaming{version: naming.Version, at: now}
-	if r.unixMS > 0 && r.config.Guards.On(guard.NamingAgreed) {
-		dated.at -= max(0, time.Duration(r.wallMS(now)-naming.UnixMS)*time.Millisecond)
+// localPublication converts the publication time from the proposer's wall clock to this process's clock; it is at most
+// now. The time of applying the entry would not do, since a replica that restarts, was partitioned or paused, or
+// installs a snapshot applies it late.
+func (r *Replica) localPublication(now time.Duration, publication catalog.Publication) publishedVersion {
+	local := publishedVersion{version: publication.Version, publishedAt: now}
+	if r.unixMS > 0 && r.config.Guards.On(guard.PublicationTimeFromLog) {
+		local.publishedAt -= max(0, time.Duration(r.wallClockMS(now)-publication.UnixMS)*time.Millisecond)
 	}
-	return dated
+	return local
 }
 
-// noteNaming remembers when a version was named that has just been applied.
-func (r *Replica) noteNaming(now time.Duration, model string) {
-	namings := r.machine.catalog.Publications(model)
-	dated := append(r.namings[model], r.dateNaming(now, namings[len(namings)-1]))
-	r.namings[model] = dated[max(0, len(dated)-catalog.MaxPublications):]
+// recordPublication records the publication time of a version that has just been applied.
+func (r *Replica) recordPublication(now time.Duration, model string) {
+	publications := r.machine.catalog.Publications(model)
+	versions := append(r.namedVersions[model], r.localPublication(now, publications[len(publications)-1]))
+	r.namedVersions[model] = versions[max(0, len(versions)-catalog.MaxPublications):]
 }
 
-// dateNamings dates all namings anew, at the start of a leadership and with a snapshot. What is known to be older stays so: of the time
-// since this process saw it and the difference of the times of day the larger counts. Between, no time changes, so that gateways
-// may take the best they heard of one leadership.
-func (r *Replica) dateNamings(now time.Duration) {
-	dated := map[string][]datedNaming{}
+// refreshPublicationTimes computes all publication times again, at the start of a term as leader and after a snapshot
+// was installed. It keeps the earlier of the recorded and the computed time. Times do not change in between, so that a
+// gateway may keep the highest age reported during one leader's term.
+func (r *Replica) refreshPublicationTimes(now time.Duration) {
+	refreshed := map[string][]publishedVersion{}
 	for model := range r.machine.catalog.LatestVersions() {
-		for _, naming := range r.machine.catalog.Publications(model) {
-			fresh := r.dateNaming(now, naming)
-			at := slices.IndexFunc(r.namings[model], func(d datedNaming) bool { return d.version == naming.Version })
-			if at >= 0 {
-				fresh.at = min(fresh.at, r.namings[model][at].at)
+		for _, publication := range r.machine.catalog.Publications(model) {
+			local := r.localPublication(now, publication)
+			i := slices.IndexFunc(r.namedVersions[model], func(p publishedVersion) bool { return p.version == publication.Version })
+			if i >= 0 {
+				local.publishedAt = min(local.publishedAt, r.namedVersions[model][i].publishedAt)
 			}
-			dated[model] = append(dated[model], fresh)
+			refreshed[model] = append(refreshed[model], local)
 		}
 	}
-	r.namings = dated
+	r.namedVersions = refreshed
 }
 
-// wantedVersions returns the versions that were named lately, with how long ago that was.
-func (r *Replica) wantedVersions(now time.Duration) []WantedVersion {
-	var wanted []WantedVersion
-	for _, model := range sortedKeys(r.namings) {
-		for _, naming := range r.namings[model] {
-			wanted = append(wanted, WantedVersion{Model: model, Version: naming.version, Age: max(0, now-naming.at)})
+// weightsPublications returns the recently published weights versions with their ages.
+func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
+	var publications []WeightsPublication
+	for _, model := range sortedKeys(r.namedVersions) {
+		for _, published := range r.namedVersions[model] {
+			publications = append(publications, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
-	return wanted
+	return publications
 }
 
-// namingsTold bounds the namings that the log tells of a new leader.
-const namingsTold = 8
+// maxLoggedPublications bounds the number of versions in a new leader's log line.
+const maxLoggedPublications = 8
 
-// namingsLine tells the newest namings that gateways are told, as MODEL/VERSION and how long ago that was.
-func (r *Replica) namingsLine(now time.Duration) []string {
-	wanted := r.wantedVersions(now)
-	slices.SortStableFunc(wanted, func(a, b WantedVersion) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
-	var line []string
-	for _, w := range wanted[:min(len(wanted), namingsTold)] {
-		line = append(line, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
+// recentPublications formats the latest published versions as "MODEL/VERSION AGE".
+func (r *Replica) recentPublications(now time.Duration) []string {
+	publications := r.weightsPublications(now)
+	slices.SortStableFunc(publications, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
+	var lines []string
+	for _, p := range publications[:min(len(publications), maxLoggedPublications)] {
+		lines = append(lines, fmt.Sprintf("%s/%d %v", p.Model, p.Version, p.Age.Round(time.Millisecond)))
 	}
-	return line
+	return lines
 }
--- a/internal/control/namings_test.go
+++ b/internal/control/namings_test.go
@@ -9,36 +9,37 @@
 	"kitetiller/internal/guard"
 )
 
-// name names a version of model m, as an operator does.
-func (s *solo) name(version uint64) {
+// publish publishes a weights version of model m.
+func (s *singleReplica) publish(version uint64) {
 	s.ask(Request{Catalog: &catalog.Command{PublishWeights: &catalog.WeightsVersion{Model: "m", Version: version}}})
 }
 
-// told returns the ages that a gateway is told, by version.
-func (s *solo) told() map[uint64]time.Duration {
+// reportedAges returns the ages of the published versions as reported to a gateway, by version.
+func (s *singleReplica) reportedAges() map[uint64]time.Duration {
 	s.t.Helper()
 	reply := s.watchNow("g1", RosterVersion{})
 	if reply == nil {
-		s.t.Fatal("the gateway gets no answer")
+		s.t.Fatal("the gateway got no answer")
 	}
 	ages := map[uint64]time.Duration{}
-	for _, w := range reply.Wanted {
+	for _, w := range reply.Publications {
 		ages[w.Version] = w.Age
 	}
 	return ages
 }
 
-// wantAge fails unless a version is told to be of an age, give or take a step of the test's clock.
-func (s *solo) wantAge(version uint64, age time.Duration) {
+// wantAge fails unless the reported age of a version is within one step of the test's clock of the given one.
+func (s *singleReplica) wantAge(version uint64, age time.Duration) {
 	s.t.Helper()
 	const step = 150 * time.Millisecond
-	if told, known := s.told()[version]; !known || told < age-step || told > age+step {
-		s.t.Fatalf("version %d is told to be %v old (known: %t), it is %v", version, told, known, age)
+	if reported, found := s.reportedAges()[version]; !found || reported < age-step || reported > age+step {
+		s.t.Fatalf("version %d: reported age %v (reported: %t), want %v", version, reported, found, age)
 	}
 }
 
-// successor makes a replica with a clock of its own that leads next: it has a snapshot, and entries of the log after that.
-func (s *solo) successor(data []byte, entries []consensus.Entry, wall time.Duration) *solo {
+// successor returns a replica with its own clock that leads next, restored from a snapshot and the log entries after
+// it.
+func (s *singleReplica) successor(data []byte, entries []consensus.Entry, wallOffset time.Duration) *singleReplica {
 	s.t.Helper()
 	self := consensus.Member{ID: "c2", Name: "c2", Address: "b"}
 	first := s.replica.applied
@@ -47,7 +48,7 @@
 	}
 	meta := consensus.SnapshotMeta{Index: first, Term: 1, Membership: consensus.Membership{Members: []consensus.Member{self}}}
 	restored := Checkpoint{HardState: consensus.HardState{Term: 1}, Snapshot: consensus.Snapshot{Meta: meta, Data: data}, Entries: entries}
-	replica, err := NewReplica(soloConfig("c2"), restored, 0)
+	replica, err := NewReplica(singleReplicaConfig("c2"), restored, 0)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -58,109 +59,105 @@
 	if err := disk.Write(Persist{Checkpoint: &restored}); err != nil {
 		s.t.Fatal(err)
 	}
-	return &solo{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wall: wall}
+	return &singleReplica{t: s.t, disk: disk, replica: replica, replies: map[uint64]Response{}, wallOffset: wallOffset}
 }
 
-// TestNamingIsAsOldForEveryReplica: the limit for old weights counts from when newer ones were named. Whoever leads tells gateways how
-// long ago that was, and must not tell less than is true, or requests begin on old weights after the limit.
-func TestNamingIsAsOldForEveryReplica(t *testing.T) {
-	// A replica was ended and started again while old weights were still in use. It read its log back, took each naming to be as young
-	// as the reading, and told gateways so once it led.
+// TestPublicationAgeSurvivesLeaderChange guards against a leader that reports too low an age of a published version:
+// requests would then start on old weights after the limit.
+func TestPublicationAgeSurvivesLeaderChange(t *testing.T) {
+	// A replica that restarts and reads its log must not count the age from the time of reading.
 	t.Run("restart", func(t *testing.T) {
-		s := openFleet(t)
-		s.name(2)
-		s.pass(2 * time.Second)
+		s := openWithEngines(t)
+		s.publish(2)
+		s.advance(2 * time.Second)
 		s.wantAge(2, 2*time.Second)
 		if err := s.disk.Close(); err != nil {
 			t.Fatal(err)
 		}
-		again := openStartingIn(t, s.folder)
-		again.wall = s.now + time.Second // it was away for a second
-		again.pass(3 * time.Second)
-		again.wantAge(2, 6*time.Second)
+		restarted := reopenUnelected(t, s.folder)
+		restarted.wallOffset = s.now + time.Second // it was stopped for a second
+		restarted.advance(3 * time.Second)
+		restarted.wantAge(2, 6*time.Second)
 	})
-	// A replica that had lost its disk got a snapshot a while after the naming, and led. It counted from its own start, or, with a long
-	// life behind it, would have told any age.
+	// A replica that lost its disk and restored a snapshot must not count from its own start.
 	t.Run("snapshot", func(t *testing.T) {
-		s := openFleet(t)
-		s.name(2)
-		s.pass(4 * time.Second)
+		s := openWithEngines(t)
+		s.publish(2)
+		s.advance(4 * time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 7*time.Second)
 	})
-	// A replica that had run for minutes got one while it followed. What it had not applied itself counted from the start of its process.
-	t.Run("snapshot in the middle of a life", func(t *testing.T) {
-		s, other := openFleet(t), openFleet(t)
-		s.name(2)
-		s.pass(4 * time.Second)
-		other.pass(time.Minute)
-		other.wall = s.now - other.now
-		other.replica.Tick(other.now, testWallStart+(other.wall+other.now).Milliseconds())
+	// A follower that has run for a while and installs a snapshot must not count from its own start.
+	t.Run("snapshot while running", func(t *testing.T) {
+		s, other := openWithEngines(t), openWithEngines(t)
+		s.publish(2)
+		s.advance(4 * time.Second)
+		other.advance(time.Minute)
+		other.wallOffset = s.now - other.now
+		other.replica.Tick(other.now, testWallStart+(other.wallOffset+other.now).Milliseconds())
 		meta := consensus.SnapshotMeta{Index: other.replica.applied, Term: other.replica.appliedTerm}
-		other.replica.install(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
-		wanted := other.replica.wantedVersions(other.now)
-		if len(wanted) != 1 || wanted[0].Age < 4*time.Second-100*time.Millisecond || wanted[0].Age > 4*time.Second+100*time.Millisecond {
-			t.Fatalf("told %+v, it is 4s old", wanted)
+		other.replica.installSnapshot(other.now, consensus.Snapshot{Meta: meta, Data: s.replica.Machine().Snapshot()})
+		publications := other.replica.weightsPublications(other.now)
+		if len(publications) != 1 || publications[0].Age < 4*time.Second-100*time.Millisecond || publications[0].Age > 4*time.Second+100*time.Millisecond {
+			t.Fatalf("publications %+v, want one of age 4s", publications)
 		}
 	})
-	// A replica was cut off, or frozen, when the version was named. It applied the entry as soon as it heard the leader again, led a moment
-	// later, and told gateways that the naming was as young as that.
-	t.Run("cut off meanwhile", func(t *testing.T) {
-		s := openFleet(t)
+	// A replica that was partitioned or paused during the publication must not count from the time of applying the entry.
+	t.Run("partitioned during the publication", func(t *testing.T) {
+		s := openWithEngines(t)
 		before, applied := s.replica.Machine().Snapshot(), s.replica.applied
-		s.name(2)
-		s.pass(5 * time.Second)
-		late := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
-		late.pass(3 * time.Second)
-		late.wantAge(2, 8*time.Second)
+		s.publish(2)
+		s.advance(5 * time.Second)
+		partitioned := s.successor(before, s.replica.Node().EntriesAfter(applied), s.now)
+		partitioned.advance(3 * time.Second)
+		partitioned.wantAge(2, 8*time.Second)
 	})
-	// Two versions were named before a snapshot was taken. A back end that lacks both is late by the older one, whose time the snapshot
-	// had lost.
-	t.Run("two before a snapshot", func(t *testing.T) {
-		s := openFleet(t)
-		s.name(2)
-		s.pass(4 * time.Second)
-		s.name(3)
-		s.pass(time.Second)
+	// A snapshot keeps the time of every version: a back end that lacks two is outdated since the earlier publication.
+	t.Run("two versions before a snapshot", func(t *testing.T) {
+		s := openWithEngines(t)
+		s.publish(2)
+		s.advance(4 * time.Second)
+		s.publish(3)
+		s.advance(time.Second)
 		next := s.successor(s.replica.Machine().Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
+		next.advance(3 * time.Second)
 		next.wantAge(2, 8*time.Second)
 		next.wantAge(3, 4*time.Second)
 	})
-	// A version was named again, by an operator whose answer was lost, or one below it. Nothing newer was wanted by that, so no limit moves.
-	t.Run("named again", func(t *testing.T) {
-		s := openFleet(t)
-		s.name(3)
-		s.pass(2 * time.Second)
-		s.name(3)
-		s.name(2)
-		s.pass(2 * time.Second)
+	// Publishing the same version again, or a lower one, changes no age.
+	t.Run("published again", func(t *testing.T) {
+		s := openWithEngines(t)
+		s.publish(3)
+		s.advance(2 * time.Second)
+		s.publish(3)
+		s.publish(2)
+		s.advance(2 * time.Second)
 		s.wantAge(3, 4*time.Second)
-		if told := s.told(); len(told) != 1 {
-			t.Fatalf("told %v", told)
+		if ages := s.reportedAges(); len(ages) != 1 {
+			t.Fatalf("reported ages %v, want only that of version 3", ages)
 		}
 	})
-	// A replica's clock of the day was behind by more than the naming's age. What it had seen itself still bounds the age from below.
-	t.Run("clock of the day behind", func(t *testing.T) {
-		s := openFleet(t)
-		s.name(2)
-		s.pass(time.Second)
-		s.wall -= time.Minute
-		s.pass(2 * time.Second)
+	// If the wall clock is behind by more than the age, the time since the replica applied the entry is a lower bound.
+	t.Run("wall clock behind", func(t *testing.T) {
+		s := openWithEngines(t)
+		s.publish(2)
+		s.advance(time.Second)
+		s.wallOffset -= time.Minute
+		s.advance(2 * time.Second)
 		s.wantAge(2, 3*time.Second)
 	})
-	// Snapshots of the release before tell no times. Namings of which no time is known are long past: nothing may begin on older weights.
-	t.Run("snapshot of the release before", func(t *testing.T) {
-		s := openFleet(t)
+	// Snapshots of the previous release hold no publication times. Such versions count as published long ago.
+	t.Run("snapshot of the previous release", func(t *testing.T) {
+		s := openWithEngines(t)
 		machine := NewMachine(guard.Set{})
 		if err := machine.Restore([]byte(`{"sessions":{},"orders":{},"now_ms":0,"peers_at":0,"catalog":{"document":{"revision":1},"instances":{},"tombstones":[],"versions":{"m":4},"fence":0}}`)); err != nil {
 			t.Fatal(err)
 		}
 		next := s.successor(machine.Snapshot(), nil, s.now)
-		next.pass(3 * time.Second)
-		if age, known := next.told()[4]; !known || age < time.Hour {
-			t.Fatalf("told to be %v old (known: %t)", age, known)
+		next.advance(3 * time.Second)
+		if age, known := next.reportedAges()[4]; !known || age < time.Hour {
+			t.Fatalf("reported age %v (reported: %t), want at least 1h", age, known)
 		}
 	})
 }
--- a/internal/control/relay/relay_test.go
+++ b/internal/control/relay/relay_test.go
@@ -11,167 +11,167 @@
 	"kitetiller/internal/guard"
 )
 
-// ask returns a question that must be due.
-func ask(t *testing.T, r *Relay, now time.Duration) Question {
+// nextRequest returns the next request, which must be due.
+func nextRequest(t *testing.T, r *Relay, now time.Duration) Request {
 	t.Helper()
-	question, due := r.Ask(now)
+	request, due := r.NextRequest(now)
 	if !due {
-		t.Fatalf("no question at %v", now)
+		t.Fatalf("no request is due at %v", now)
 	}
-	return question
+	return request
 }
 
-// told returns the clients that are answered now, and those that nobody confirmed.
-func told(r *Relay, now time.Duration, applied uint64, news bool) (answered, failed []uint64) {
-	r.Sort(now, applied, func(Waiting) bool { return news }, func(w Waiting, result Result) {
-		if result == Told {
+// resolve returns the clients whose watches are answered at now, and those whose watches expire.
+func resolve(r *Relay, now time.Duration, applied uint64, changed bool) (answered, expired []uint64) {
+	r.Resolve(now, applied, func(PendingWatch) bool { return changed }, func(w PendingWatch, result Result) {
+		if result == Ready {
 			answered = append(answered, w.Client)
 		} else {
-			failed = append(failed, w.Client)
+			expired = append(expired, w.Client)
 		}
 	})
-	return answered, failed
+	return answered, expired
 }
 
-func waiting(client uint64, due time.Duration, held roster.Version) Waiting {
-	return Waiting{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Held: held}}
+func pendingWatch(client uint64, due time.Duration, held roster.Version) PendingWatch {
+	return PendingWatch{Client: client, Due: due, Report: Report{Gateway: fmt.Sprint("g-", client), Roster: held}}
 }
 
-// TestOnlyConfirmedQuestionsAreAnswered: one that comes after the question to the leader has left waits for the next; one that the
-// leader doesn't list yet does too.
-func TestOnlyConfirmedQuestionsAreAnswered(t *testing.T) {
+// TestOnlyConfirmedWatchesAreAnswered: a watch that arrives after a request was sent waits for the next request, and so
+// does the watch of a gateway that the leader has not listed yet.
+func TestOnlyConfirmedWatchesAreAnswered(t *testing.T) {
 	r := New(guard.Set{})
-	r.Take(waiting(1, 0, roster.Version{}))
-	r.Take(waiting(2, 0, roster.Version{}))
-	first := ask(t, r, 0)
-	r.Take(waiting(3, 0, roster.Version{}))
-	if answered, _ := told(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
-		t.Fatalf("%+v; %v were answered before the leader's answer", first, answered)
+	r.Add(pendingWatch(1, 0, roster.Version{}))
+	r.Add(pendingWatch(2, 0, roster.Version{}))
+	first := nextRequest(t, r, 0)
+	r.Add(pendingWatch(3, 0, roster.Version{}))
+	if answered, _ := resolve(r, 0, 9, true); len(first.Reports) != 2 || len(answered) > 0 {
+		t.Fatalf("request %+v; watches %v were answered before the leader's reply", first, answered)
 	}
-	r.Observe(&Answer{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.News{Whole: true}, Unlisted: []string{"g-2"}})
-	if answered, _ := told(r, time.Millisecond, 4, true); len(answered) > 0 {
-		t.Fatalf("%v were answered before this replica had applied what the leader had", answered)
+	r.Observe(&Reply{Number: 1, Applied: 5, Version: roster.Version{Term: 1, Count: 1}, Roster: &roster.Update{Full: true}, Unlisted: []string{"g-2"}})
+	if answered, _ := resolve(r, time.Millisecond, 4, true); len(answered) > 0 {
+		t.Fatalf("watches %v were answered before this replica had applied the leader's log index", answered)
 	}
-	if answered, _ := told(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
-		t.Fatalf("%v were answered, wanted 1", answered)
+	if answered, _ := resolve(r, time.Millisecond, 5, true); len(answered) != 1 || answered[0] != 1 {
+		t.Fatalf("watches %v were answered, want 1", answered)
 	}
-	if again := ask(t, r, askEach); len(again.Reports) != 2 {
-		t.Fatalf("the next question names %+v", again.Reports)
+	if next := nextRequest(t, r, minRequestInterval); len(next.Reports) != 2 {
+		t.Fatalf("the next request has reports %+v, want 2", next.Reports)
 	}
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
-	if answered, _ := told(r, askEach, 5, true); len(answered) != 2 {
-		t.Fatalf("%v were answered, wanted 2 and 3", answered)
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 1}})
+	if answered, _ := resolve(r, minRequestInterval, 5, true); len(answered) != 2 {
+		t.Fatalf("watches %v were answered, want 2 and 3", answered)
 	}
 }
 
-// TestNobodyIsTakenBack: a gateway that holds a newer roster waits until this replica has caught up; answers of a leader before, or to
-// a question that was given up, change nothing.
-func TestNobodyIsTakenBack(t *testing.T) {
+// TestRosterNeverGoesBack: a gateway with a newer roster waits until this replica has caught up. Replies from a
+// previous leader or to an abandoned request are ignored.
+func TestRosterNeverGoesBack(t *testing.T) {
 	r := New(guard.Set{})
-	r.Take(waiting(1, 0, roster.Version{Term: 2, Count: 9}))
-	ask(t, r, 0)
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.News{Whole: true}})
-	if answered, _ := told(r, 0, 0, true); len(answered) > 0 {
-		t.Fatalf("%v were taken back to roster 8", answered)
-	}
-	ask(t, r, restEach)
-	ask(t, r, restEach+AskTimeout)
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.News{}})
+	r.Add(pendingWatch(1, 0, roster.Version{Term: 2, Count: 9}))
+	nextRequest(t, r, 0)
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 2, Count: 8}, Roster: &roster.Update{Full: true}})
+	if answered, _ := resolve(r, 0, 0, true); len(answered) > 0 {
+		t.Fatalf("watches %v were answered with the older roster 8", answered)
+	}
+	nextRequest(t, r, idleRequestInterval)
+	nextRequest(t, r, idleRequestInterval+RequestTimeout)
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 2, Count: 20}, Roster: &roster.Update{}})
 	if r.Version().Count != 8 {
-		t.Fatalf("an answer to a question that was given up made the roster %+v", r.Version())
+		t.Fatalf("roster %+v after a reply to an abandoned request", r.Version())
 	}
-	r.Observe(&Answer{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.News{Whole: true}})
+	r.Observe(&Reply{Number: 3, Version: roster.Version{Term: 1, Count: 30}, Roster: &roster.Update{Full: true}})
 	if r.Version().Term != 2 {
-		t.Fatalf("an answer of a leader before made the roster %+v", r.Version())
+		t.Fatalf("roster %+v after a reply from a previous leader", r.Version())
 	}
 }
 
-// TestUnconfirmedQuestionsEnd: while the leader is silent, shortly after their time.
-func TestUnconfirmedQuestionsEnd(t *testing.T) {
+// TestUnconfirmedWatchesExpire: watches that the leader does not confirm expire a grace period after they are due.
+func TestUnconfirmedWatchesExpire(t *testing.T) {
 	r := New(guard.Set{})
-	r.Take(waiting(1, 100*time.Millisecond, roster.Version{}))
-	ask(t, r, 0)
-	r.Failed(1)
-	if _, failed := told(r, 100*time.Millisecond, 0, false); len(failed) > 0 {
-		t.Fatalf("%v ended in their time", failed)
+	r.Add(pendingWatch(1, 100*time.Millisecond, roster.Version{}))
+	nextRequest(t, r, 0)
+	r.RecordFailure(1)
+	if _, expired := resolve(r, 100*time.Millisecond, 0, false); len(expired) > 0 {
+		t.Fatalf("watches %v expired before the grace period", expired)
 	}
-	if _, failed := told(r, 100*time.Millisecond+lostPatience, 0, false); len(failed) != 1 {
-		t.Fatalf("%v ended", failed)
+	if _, expired := resolve(r, 100*time.Millisecond+leaderGracePeriod, 0, false); len(expired) != 1 {
+		t.Fatalf("watches %v expired, want 1", expired)
 	}
 }
 
-// TestWaitingQuestionsAreBounded: the rest is turned away at once.
-func TestWaitingQuestionsAreBounded(t *testing.T) {
+// TestPendingWatchesAreBounded: further watches are rejected.
+func TestPendingWatchesAreBounded(t *testing.T) {
 	r := New(guard.Set{})
-	for i := range waitingMost {
-		if !r.Take(waiting(uint64(i), 0, roster.Version{})) {
-			t.Fatalf("question %d was turned away", i)
+	for i := range maxPendingWatches {
+		if !r.Add(pendingWatch(uint64(i), 0, roster.Version{})) {
+			t.Fatalf("watch %d was rejected", i)
 		}
 	}
-	if r.Take(waiting(1, 0, roster.Version{})) {
-		t.Fatal("one more than may wait was taken")
+	if r.Add(pendingWatch(1, 0, roster.Version{})) {
+		t.Fatal("a watch beyond the limit was accepted")
 	}
 }
 
-// TestLeaderIsAskedAsOftenForMoreGateways: in a second, by a replica whose gateways ask three times each; twice the gateways are the same
-// number of questions, and each gateway is named once for each of its own.
-func TestLeaderIsAskedAsOftenForMoreGateways(t *testing.T) {
-	asked := func(gateways int) (questions, reports int) {
+// TestRequestRateIsIndependentOfGateways: a follower sends as many requests per second for twice the gateways, and
+// names each gateway once per watch.
+func TestRequestRateIsIndependentOfGateways(t *testing.T) {
+	relayOneSecond := func(gateways int) (requests, reports int) {
 		r := New(guard.Set{})
 		client := uint64(0)
 		for now := time.Duration(0); now < time.Second; now += time.Millisecond {
 			for range gateways * 3 / 1000 {
 				client++
-				r.Take(waiting(client, now+400*time.Millisecond, roster.Version{}))
+				r.Add(pendingWatch(client, now+400*time.Millisecond, roster.Version{}))
 			}
-			if question, due := r.Ask(now); due {
-				questions, reports = questions+1, reports+len(question.Reports)
-				r.Observe(&Answer{Number: question.Number, Version: roster.Version{Term: 1, Count: 1}})
+			if request, due := r.NextRequest(now); due {
+				requests, reports = requests+1, reports+len(request.Reports)
+				r.Observe(&Reply{Number: request.Number, Version: roster.Version{Term: 1, Count: 1}})
 			}
-			told(r, now, 0, false)
+			resolve(r, now, 0, false)
 		}
-		return questions, reports
+		return requests, reports
 	}
-	few, fewReports := asked(1000)
-	many, manyReports := asked(2000)
-	if many != few || many > int(time.Second/askEach)+1 {
-		t.Fatalf("%d questions for 1,000 gateways, %d for 2,000", few, many)
+	few, fewReports := relayOneSecond(1000)
+	many, manyReports := relayOneSecond(2000)
+	if many != few || many > int(time.Second/minRequestInterval)+1 {
+		t.Fatalf("%d requests for 1,000 gateways, %d for 2,000", few, many)
 	}
 	if fewReports > 3000 || manyReports > 2*3000 {
-		t.Fatalf("gateways were named %d and %d times", fewReports, manyReports)
+		t.Fatalf("requests named gateways %d times for 1,000 gateways and %d times for 2,000", fewReports, manyReports)
 	}
 }
 
-// TestOnlyEnginesAreRead: back ends without weights keep no prompts; what is read follows layout and roster.
-func TestOnlyEnginesAreRead(t *testing.T) {
+// TestOnlyEnginesAreCacheEventSources: the sources follow layout and roster, without back ends that have no weights.
+func TestOnlyEnginesAreCacheEventSources(t *testing.T) {
 	r := New(guard.Set{})
 	entry := func(id string, versions map[string]uint64) roster.Entry {
 		return roster.Entry{Instance: catalog.Instance{ID: id, Zone: "z"}, Versions: versions}
 	}
-	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Place{{Name: "s", Address: "s"}}}}}}
-	ask(t, r, 0)
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.News{
-		Whole: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
+	layout := &Layout{Version: roster.Version{Term: 1, Count: 1}, Mesh: &mesh.Layout{Zones: map[string]mesh.Zone{"z": {Schedulers: []mesh.Peer{{Name: "s", Address: "s"}}}}}}
+	nextRequest(t, r, 0)
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Layout: layout, Roster: &roster.Update{
+		Full: true, Entries: []roster.Entry{entry("engine", map[string]uint64{"m": 1}), entry("small", nil)},
 	}})
-	if reads := r.Reads("s"); len(reads) != 1 || reads[0] != "engine" || len(r.Reads("other")) > 0 {
-		t.Fatalf("reads %v", reads)
+	if sources := r.CacheEventSources("s"); len(sources) != 1 || sources[0] != "engine" || len(r.CacheEventSources("other")) > 0 {
+		t.Fatalf("sources %v", sources)
 	}
-	ask(t, r, restEach)
-	r.Observe(&Answer{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.News{Gone: []string{"engine"}}})
-	if reads := r.Reads("s"); len(reads) > 0 {
-		t.Fatalf("reads %v after the engine had gone", reads)
+	nextRequest(t, r, idleRequestInterval)
+	r.Observe(&Reply{Number: 2, Version: roster.Version{Term: 1, Count: 2}, Roster: &roster.Update{Removed: []string{"engine"}}})
+	if sources := r.CacheEventSources("s"); len(sources) > 0 {
+		t.Fatalf("sources %v after the engine was removed", sources)
 	}
 }
 
-// TestNamingGrowsNoYounger: an answer of the leader took a while to reach the replica that asked for gateways. The ages in it are of when it
-// left, and the replica told them as of when it came.
-func TestNamingGrowsNoYounger(t *testing.T) {
+// TestPublicationAgeIncludesReplyDelay: the ages in a reply are as of when the leader sent it. Taking them as of its
+// arrival would make publications appear younger than they are.
+func TestPublicationAgeIncludesReplyDelay(t *testing.T) {
 	r := New(guard.Set{})
-	r.Take(waiting(1, 0, roster.Version{}))
-	ask(t, r, 0)
-	const way = 300 * time.Millisecond
-	r.Observe(&Answer{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Wanted: []roster.Wanted{{Model: "m", Version: 2, Age: time.Second}}})
-	if told := r.Wanted(way)[0].Age; told < time.Second+way {
-		t.Fatalf("told to be %v old, it may be %v", told, time.Second+way)
+	r.Add(pendingWatch(1, 0, roster.Version{}))
+	nextRequest(t, r, 0)
+	const delay = 300 * time.Millisecond
+	r.Observe(&Reply{Number: 1, Version: roster.Version{Term: 1, Count: 1}, Publications: []roster.Publication{{Model: "m", Version: 2, Age: time.Second}}})
+	if age := r.Publications(delay)[0].Age; age < time.Second+delay {
+		t.Fatalf("age %v, want at least %v", age, time.Second+delay)
 	}
 }
--- a/internal/control/relaying.go
+++ b/internal/control/relaying.go
@@ -6,77 +6,80 @@
 	"kitetiller/internal/control/relay"
 )
 
-// RelayCall is a question that the shell passes to the leader. Its answer goes to ObserveRelay, nil if there is none.
+// RelayCall is a relay request for the caller to send to the leader. The caller passes the reply, or nil if it failed,
+// to ObserveRelay.
 type RelayCall struct {
-	Address  string
-	Question relay.Question
+	Address string
+	Request relay.Request
 }
 
-// relays reports whether this replica answers gateways for the leader.
-func (r *Replica) relays() bool {
-	return r.lead == nil && r.manyGateways() && r.leaderAddress() != ""
+// actsAsRelay reports whether this replica answers gateways on behalf of the leader.
+func (r *Replica) actsAsRelay() bool {
+	return r.leader == nil && r.needsRelays() && r.leaderAddress() != ""
 }
 
-// takeWaiting takes a gateway's question to be answered for the leader.
-func (r *Replica) takeWaiting(now time.Duration, client uint64, watch Watch) bool {
-	taken := r.relay.Take(relay.Waiting{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maximumHold), Asked: watch})
-	r.tendRelay(now)
-	return taken
+// relayWatch adds a watch to be answered on behalf of the leader. It returns false if too many are pending.
+func (r *Replica) relayWatch(now time.Duration, client uint64, watch Watch) bool {
+	added := r.relay.Add(relay.PendingWatch{Client: client, Report: watch.report(), Due: now + min(watch.Hold, maxWatchHold), Watch: watch})
+	r.advanceRelay(now)
+	return added
 }
 
-// tendRelay asks the leader when that is due, and answers the gateways that can be answered.
-func (r *Replica) tendRelay(now time.Duration) {
-	if r.lead != nil {
-		for _, w := range r.relay.Drop() {
-			r.leaderless = append(r.leaderless, watcher{client: w.Client, watch: w.Asked.(Watch), due: w.Due})
+// advanceRelay sends a relay request if one is due and answers the watches that are ready. On the leader it moves all
+// pending watches to awaitingLeader.
+func (r *Replica) advanceRelay(now time.Duration) {
+	if r.leader != nil {
+		for _, w := range r.relay.Drain() {
+			r.awaitingLeader = append(r.awaitingLeader, heldWatch{client: w.Client, watch: w.Watch.(Watch), due: w.Due})
 		}
 		return
 	}
-	if r.relays() {
-		if question, due := r.relay.Ask(now); due {
-			question.Name, question.Zone, question.Address = r.config.Name, r.config.Zone, r.config.Address
-			r.effects.Relays = append(r.effects.Relays, RelayCall{Address: r.leaderAddress(), Question: question})
+	if r.actsAsRelay() {
+		if request, due := r.relay.NextRequest(now); due {
+			request.Name, request.Zone, request.Address = r.config.Name, r.config.Zone, r.config.Address
+			r.effects.RelayCalls = append(r.effects.RelayCalls, RelayCall{Address: r.leaderAddress(), Request: request})
 		}
 	}
-	r.answerWaiting(now)
+	r.answerRelayedWatches(now)
 }
 
-// answerWaiting answers the gateways that were confirmed and have news, or whose time has come.
-func (r *Replica) answerWaiting(now time.Duration) {
-	r.relay.Pace(now)
-	news := func(w relay.Waiting) bool {
-		watch := w.Asked.(Watch)
-		return r.relay.Tells(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
+// answerRelayedWatches answers the confirmed watches that are due or for which something has changed, and rejects the
+// expired ones.
+func (r *Replica) answerRelayedWatches(now time.Duration) {
+	r.relay.PublishIfDue(now)
+	changed := func(w relay.PendingWatch) bool {
+		watch := w.Watch.(Watch)
+		return r.relay.HasRosterUpdate(watch.Roster) || watch.Revision < r.machine.catalog.Document().Revision ||
 			watch.Quarantine != r.machine.catalog.Quarantine().Version()
 	}
-	r.relay.Sort(now, r.applied, news, func(w relay.Waiting, result relay.Result) {
-		if result == relay.Failed {
+	r.relay.Resolve(now, r.applied, changed, func(w relay.PendingWatch, result relay.Result) {
+		if result == relay.Expired {
 			r.reply(w.Client, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 			return
 		}
-		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedReply(now, w.Asked.(Watch))})
+		r.reply(w.Client, Response{Kind: ResponseOK, Leader: r.leaderAddress(), Watch: r.relayedWatchReply(now, w.Watch.(Watch))})
 	})
 }
 
-// relayedReply returns the reply to a gateway whose view the leader has confirmed.
-func (r *Replica) relayedReply(now time.Duration, watch Watch) *WatchReply {
-	reply := r.ownReply(&watch)
-	reply.Version, reply.Wanted = r.relay.Version(), r.relay.Wanted(now)
-	if !watch.Brief {
-		reply.Roster = r.relay.News(watch.Roster)
+// relayedWatchReply returns the reply to a watch that the leader has confirmed.
+func (r *Replica) relayedWatchReply(now time.Duration, watch Watch) *WatchReply {
+	reply := r.localWatchReply(&watch)
+	reply.Version, reply.Publications = r.relay.Version(), r.relay.Publications(now)
+	if !watch.ProbeOnly {
+		reply.Roster = r.relay.RosterUpdate(watch.Roster)
 	}
 	reply.Gateways = r.relay.Gateways()
-	reply.placed(r.relay.Layout(), &watch)
-	reply.Reads = r.relay.Reads(watch.Gateway)
+	reply.setLayout(r.relay.Layout(), &watch)
+	reply.CacheEventSources = r.relay.CacheEventSources(watch.Gateway)
 	return reply
 }
 
-// ObserveRelay takes the leader's answer to a relayed question, or nil when there was none of a leader.
-func (r *Replica) ObserveRelay(now time.Duration, number uint64, answer *relay.Answer) {
-	if answer == nil {
-		r.relay.Failed(number)
+// ObserveRelay handles the leader's reply to a relay request, or nil if the request failed.
+func (r *Replica) ObserveRelay(now time.Duration, number uint64, reply *relay.Reply) {
+	if reply == nil {
+		r.relay.RecordFailure(number)
 		return
 	}
-	r.relay.Observe(answer)
-	r.tendRelay(now)
+	r.relay.Observe(reply)
+	r.advanceRelay(now)
 }
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// learnerLag is how many entries a learner may lack and still be promoted.
-	learnerLag = 64
-	// learnerSilence is how long a learner may be silent before it is dropped.
-	learnerSilence = 60 * time.Second
-	// alwaysHeard is the silence below which a replica counts as present for a repair.
-	alwaysHeard = time.Second
+	// maxLearnerLag is the number of entries that a learner may lack and still be promoted.
+	maxLearnerLag = 64
+	// learnerTimeout is how long a learner may be silent before it is removed.
+	learnerTimeout = 60 * time.Second
+	// presenceTimeout is how long a replica counts as present after its last message.
+	presenceTimeout = time.Second
 )
 
-// join adds a replica with an empty folder as a learner.
+// join adds a replica that has no durable state as a learner.
 func (r *Replica) join(now time.Duration, client uint64, member consensus.Member) {
 	membership := r.node.Membership()
 	if _, known := membership.Find(member.ID); known {
@@ -31,56 +31,57 @@
 	r.reply(client, Response{Kind: ResponseOK})
 }
 
-// repair takes one step towards the wanted number of live voters: promote a learner that has caught up,
-// then remove the voter it replaces.
+// repair takes one step towards the configured number of live voters: it promotes a learner that has caught up, then
+// removes the voter that the learner replaces.
 func (r *Replica) repair(now time.Duration) {
 	membership := r.node.Membership()
-	lost, spare := r.classifyPeers(now)
+	lost, learner := r.classifyPeers(now)
 	switch {
 	case membership.Voters() > r.config.Replicas && lost != nil:
 		r.node.ProposeMembership(now, membership.Without(lost.ID))
-	case spare == nil:
+	case learner == nil:
 		r.dropSilentLearner(now, membership)
 	case membership.Voters() < r.config.Replicas || lost != nil:
-		promoted := *spare
+		promoted := *learner
 		promoted.Learner = false
 		r.node.ProposeMembership(now, membership.With(promoted))
 	}
 }
 
-// classifyPeers returns the voter to replace and the learner to promote, if any. A voter whose name belongs
-// to a newer replica was wiped and counts as lost at once.
-func (r *Replica) classifyPeers(now time.Duration) (lost, spare *consensus.Member) {
+// classifyPeers returns the voter to replace and the learner to promote, if any. A voter whose name another replica has
+// taken lost its disk and is replaced after presenceTimeout instead of RepairAfter.
+func (r *Replica) classifyPeers(now time.Duration) (lost, learner *consensus.Member) {
 	membership := r.node.Membership()
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
 		silent := now - peer.HeardAt
 		if member.Learner {
-			caughtUp := peer.Match+learnerLag >= r.node.Commit() && peer.Match > 0 && silent < alwaysHeard
-			if caughtUp && (spare == nil || nameTaken(membership, member)) {
-				spare = &member
+			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < presenceTimeout
+			if caughtUp && (learner == nil || nameTaken(membership, member)) {
+				learner = &member
 			}
 			continue
 		}
-		replaced := nameTaken(membership, member) && silent > alwaysHeard
+		replaced := nameTaken(membership, member) && silent > presenceTimeout
 		if silent > r.config.RepairAfter || replaced {
 			lost = &member
 		}
 	}
-	return lost, spare
+	return lost, learner
 }
 
-// nameTaken reports whether another replica has the same name.
+// nameTaken reports whether another replica has the member's name.
 func nameTaken(membership consensus.Membership, member consensus.Member) bool {
 	return slices.ContainsFunc(membership.Members, func(other consensus.Member) bool {
 		return other.Name == member.Name && other.ID != member.ID
 	})
 }
 
+// dropSilentLearner removes a learner that has been silent for longer than learnerTimeout.
 func (r *Replica) dropSilentLearner(now time.Duration, membership consensus.Membership) {
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
-		if member.Learner && now-peer.HeardAt > learnerSilence {
+		if member.Learner && now-peer.HeardAt > learnerTimeout {
 			r.node.ProposeMembership(now, membership.Without(peer.ID))
 			return
 		}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -11,65 +11,65 @@
 	"kitetiller/internal/mechanism"
 )
 
-// phase tells where a back end stands in the replacement of its weights.
-type phase uint8
+// rolloutPhase is the progress of a back end's weights update.
+type rolloutPhase uint8
 
 const (
-	phaseIdle      phase = iota
-	phaseReporting       // its order count is being read
-	phaseAnnounced       // gateways send nothing new; the order follows
-	phaseOrdered         // the order is on its way
-	phaseLoading         // the order was taken, or may have been
-	phaseUncertain       // the order got no answer: it may be carried out any time, or never; requests go on meanwhile
-	phaseBackoff         // something failed; it is tried again later
+	phaseIdle      rolloutPhase = iota
+	phaseQuerying               // waits for a report of its weights and of the number of orders it accepted
+	phaseDraining               // gateways send no new requests; the order follows
+	phaseOrderSent              // waits for the result of the order
+	phaseLoading                // the back end loads the weights, or may
+	phaseUncertain              // the order got no answer, so it may be carried out at any time or never; requests continue
+	phaseBackoff                // waits before the next attempt after a failure
 )
 
 const (
-	// announceLead is how long requests that are on their way have to arrive, before the order is sent.
-	announceLead = 30 * time.Millisecond
-	// stepPace is the time between two steps of the roll-out, for each back end: a step looks at all of them.
-	stepPace = 10 * time.Microsecond
-	// loadPatience is how long an order may show no effect before it is given again.
-	loadPatience = 2500 * time.Millisecond
-	// callPatience is how long a call of the driver may stay without a result.
-	callPatience = 3 * time.Second
-	// rolloutBackoff is the pause after a failure.
+	// announceDelay is the minimum time between announcing and sending an order, for requests in flight to arrive.
+	announceDelay = 30 * time.Millisecond
+	// stepIntervalPerBackend, times the number of back ends, is the interval between rollout steps: a step visits each
+	// of them.
+	stepIntervalPerBackend = 10 * time.Microsecond
+	// loadTimeout is how long after an order the weights may be missing before it is sent again.
+	loadTimeout = 2500 * time.Millisecond
+	// weightsCallTimeout is how long the leader waits for the result of a driver call.
+	weightsCallTimeout = 3 * time.Second
+	// rolloutBackoff is the delay after a failed call.
 	rolloutBackoff = 300 * time.Millisecond
-	// drainPatience is how long requests that run on a back end may take to end before its order is sent; a load stops
-	// them for its time.
-	drainPatience = 2000 * time.Millisecond
-	// uncertainPatience is how long an unanswered order may show no effect before it is given again, and uncertainCheck
-	// how often that is looked at.
-	uncertainPatience = 1200 * time.Millisecond
-	uncertainCheck    = 350 * time.Millisecond
+	// drainTimeout is how long running requests may delay an order. A load suspends requests that still run.
+	drainTimeout = 2000 * time.Millisecond
+	// uncertainTimeout is how long after an unanswered order the weights may be missing before it is sent again,
+	// and uncertainPollInterval how often they are queried meanwhile.
+	uncertainTimeout      = 1200 * time.Millisecond
+	uncertainPollInterval = 350 * time.Millisecond
 )
 
-// rolloutState is the leader's view of one back end's weights.
+// rolloutState is the leader's state of the weights update of one back end.
 type rolloutState struct {
-	phase         phase
-	due           time.Duration // when the next step is due
-	model         string
-	version       uint64        // of the order in progress
-	announced     uint64        // count of the roster that told gateways to turn away
-	drainUntil    time.Duration // when the order is sent although requests still run
-	orderedAt     time.Duration
-	takenAt       time.Duration // when the order was taken; 0 when that is not known
-	revision      uint64        // orders that the back end has taken
-	revisionKnown bool
+	phase           rolloutPhase
+	nextStepAt      time.Duration // when the next step is due or the current phase times out
+	model           string
+	version         uint64        // to be loaded by the current update
+	announcedRoster uint64        // roster version that tells gateways to send no new requests
+	drainUntil      time.Duration // when the order is sent even if requests still run
+	orderedAt       time.Duration
+	acceptedAt      time.Duration // when the order was accepted; 0 if unknown
+	revision        uint64        // number of orders that the back end has accepted
+	revisionKnown   bool
 }
 
-// loading reports whether gateways must send nothing new.
-func (s *rolloutState) loading() bool {
-	return s.phase == phaseAnnounced || s.phase == phaseOrdered || s.phase == phaseLoading
+// blocksNewRequests reports whether gateways must send no new requests to the back end.
+func (s *rolloutState) blocksNewRequests() bool {
+	return s.phase == phaseDraining || s.phase == phaseOrderSent || s.phase == phaseLoading
 }
 
-// WeightsCallKind tells what a driver shall ask of a back end.
+// WeightsCallKind is the purpose of a call to a back end.
 type WeightsCallKind uint8
 
-// Kinds of calls.
+// Kinds of call.
 const (
-	WeightsReport WeightsCallKind = iota // read which weights it holds and how many orders it took
-	WeightsOrder                         // replace its weights
+	WeightsQuery WeightsCallKind = iota // read the loaded weights and the number of accepted orders
+	WeightsOrder                        // load other weights
 )
 
 // WeightsCall is a call that a driver makes to a back end on behalf of the leader.
@@ -79,301 +79,302 @@
 	Address  string
 	Model    string
 	Version  uint64
-	Fence    uint64 // rises with every leader; back ends refuse lower ones
-	Revision uint64 // orders that the back end is expected to have taken; another count refuses the order
-	Holder   string // name of the process that gives the order
+	Fence    uint64 // rises with every leader; back ends reject lower ones
+	Revision uint64 // expected number of accepted orders; the back end rejects the order if it differs
+	Holder   string // name of the process that sends the order
 }
 
-// WeightsResultKind tells how a call ended.
+// WeightsResultKind is the outcome of a call.
 type WeightsResultKind uint8
 
-// Results of calls.
+// Outcomes of calls.
 const (
-	WeightsReported WeightsResultKind = iota // a report came
-	WeightsTaken                             // the order is being carried out
-	WeightsHeld                              // the back end holds the version already
-	WeightsBusy                              // another order is under way, or the count differs
-	WeightsFenced                            // a higher fence was seen
-	WeightsRefused                           // provably not taken
-	WeightsUnknown                           // no answer: it may have been taken, or may be yet
+	WeightsReported      WeightsResultKind = iota // the back end sent a report
+	WeightsAccepted                               // the back end carries out the order
+	WeightsAlreadyLoaded                          // the back end has loaded the version already
+	WeightsBusy                                   // another order is in progress, or the revision differs
+	WeightsFenced                                 // the back end has seen a higher fence
+	WeightsRejected                               // the order was certainly not accepted
+	WeightsUnknown                                // no answer: the order may have been accepted, or may be later
 )
 
-// WeightsResult is how a call ended.
+// WeightsResult is the result of a call. Versions and the fields after it are set with WeightsReported only.
 type WeightsResult struct {
-	Call     WeightsCall
-	Kind     WeightsResultKind
-	Versions map[string]uint64 // with WeightsReported
-	Busy     bool              // with WeightsReported: an order is under way
-	Revision uint64            // with WeightsReported
-	Born     int64             // with WeightsReported: start of the life that reports, in Unix ms; 0 where it doesn't tell
+	Call      WeightsCall
+	Kind      WeightsResultKind
+	Versions  map[string]uint64 // loaded weights version, by model
+	Busy      bool              // an order is in progress
+	Revision  uint64            // number of orders that the back end has accepted
+	StartedMS int64             // start of the reporting incarnation, in Unix ms; 0 if unknown
 }
 
-// mayOrder reports whether this replica may give orders at all: it holds the lease, has a fence of its own, and no gateway
-// trusts a view of another leader.
+// mayOrder reports whether this replica may send orders at all: it holds the leader lease, its fence has committed, and
+// no gateway may still use another leader's view.
 func (r *Replica) mayOrder(now time.Duration) bool {
-	return r.current(now) && r.lead.fence > 0 && r.gatewaysFollow(now)
+	return r.hasCurrentState(now) && r.leader.orderFence > 0 && r.allGatewaysFollow(now)
 }
 
-// rollOut takes the next steps towards the newest weights everywhere.
+// rollOut advances the update of all back ends to the latest published weights.
 func (r *Replica) rollOut(now time.Duration) {
 	instances := r.machine.catalog.Instances()
-	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.lead.rolledAt+stepPace*time.Duration(len(instances)) {
+	if len(r.machine.catalog.LatestVersions()) == 0 || now < r.leader.rolloutStepAt+stepIntervalPerBackend*time.Duration(len(instances)) {
 		return
 	}
-	r.lead.rolledAt = now
-	r.takeFence(now)
+	r.leader.rolloutStepAt = now
+	r.requestFence(now)
 	if !r.mayOrder(now) {
 		return
 	}
 	busy := 0
-	ids := r.drainOrder()
+	ids := r.rolloutsByDrainDeadline()
 	loads := r.countLoads()
-	used := r.totalUsage(now)
-	r.lead.taken = r.rosterTaken(now)
-	r.lead.short = r.stressed(now)
+	running := r.runningByInstance(now)
+	r.leader.ackedRoster = r.ackedRosterCount(now)
+	r.leader.underCapacity = r.lacksCapacity(now)
 	for _, id := range ids {
-		state := r.member(now, id)
-		r.stepRollout(now, instances[id], state, &loads, used[id])
-		if state.rollout.loading() || state.rollout.phase == phaseReporting {
+		state := r.ensureBackend(now, id)
+		r.stepRollout(now, instances[id], state, &loads, running[id])
+		if state.rollout.blocksNewRequests() || state.rollout.phase == phaseQuerying {
 			busy++
 		}
 	}
-	r.startRollouts(now, busy, used)
+	r.startRollouts(now, busy, running)
 }
 
-// drainOrder returns the back ends whose weights are being replaced, those first that have been turned away from for longest.
-func (r *Replica) drainOrder() []string {
+// rolloutsByDrainDeadline returns the back ends with an update in progress, in ascending order of drain deadline.
+func (r *Replica) rolloutsByDrainDeadline() []string {
 	var ids []string
 	for _, id := range r.machine.catalog.IDs() {
-		if state := r.lead.fleet[id]; state != nil && state.rollout.phase != phaseIdle {
+		if state := r.leader.fleet[id]; state != nil && state.rollout.phase != phaseIdle {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortStableFunc(ids, func(a, b string) int {
-		return cmp.Compare(r.lead.fleet[a].rollout.drainUntil, r.lead.fleet[b].rollout.drainUntil)
+		return cmp.Compare(r.leader.fleet[a].rollout.drainUntil, r.leader.fleet[b].rollout.drainUntil)
 	})
 	return ids
 }
 
-// takeFence asks for a fence of this leadership, once.
-func (r *Replica) takeFence(now time.Duration) {
-	if r.lead.fence == 0 && now >= r.lead.fenceAskedAt+callPatience {
-		r.lead.fenceAskedAt = now
+// requestFence proposes a fence for this leader's orders until one has committed, at most once per weightsCallTimeout.
+func (r *Replica) requestFence(now time.Duration) {
+	if r.leader.orderFence == 0 && now >= r.leader.fenceRequestedAt+weightsCallTimeout {
+		r.leader.fenceRequestedAt = now
 		r.propose(now, 0, Command{Catalog: &catalog.Command{Fence: true}})
 	}
 }
 
-// lagging returns the model and version that a back end should hold and does not, if any.
-func (r *Replica) lagging(instance catalog.Instance, state *memberState) (string, uint64, bool) {
-	for model, held := range state.versions {
-		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > held && instance.State == catalog.StateReady {
+// outdatedModel returns a model of which a ready back end holds an old version, and the version it should load.
+func (r *Replica) outdatedModel(instance catalog.Instance, state *backendState) (string, uint64, bool) {
+	for model, loaded := range state.versions {
+		if wanted := r.machine.catalog.LatestVersions()[model]; wanted > loaded && instance.State == catalog.StateReady {
 			return model, wanted, true
 		}
 	}
 	return "", 0, false
 }
 
-// oldestVersion returns the lowest weights version that a back end holds.
+// oldestVersion returns the lowest weights version loaded by a back end.
 func (r *Replica) oldestVersion(id string) uint64 {
 	oldest := uint64(math.MaxUint64)
-	for _, version := range r.lead.fleet[id].versions {
+	for _, version := range r.leader.fleet[id].versions {
 		oldest = min(oldest, version)
 	}
 	return oldest
 }
 
-// startRollouts begins with the back ends that lag most, the least used first, a few at a time.
-func (r *Replica) startRollouts(now time.Duration, busy int, used map[string]int) {
-	var lagging []string
+// startRollouts starts updates, limited to a fraction of the fleet at a time: those with the oldest weights first,
+// among them those with the fewest running requests.
+func (r *Replica) startRollouts(now time.Duration, busy int, running map[string]int) {
+	var outdated []string
 	engines := 0
 	instances := r.machine.catalog.Instances()
 	for _, id := range r.machine.catalog.IDs() {
-		state := r.member(now, id)
-		if state.engine() {
+		state := r.ensureBackend(now, id)
+		if state.isEngine() {
 			engines++
 		}
-		_, _, lags := r.lagging(instances[id], state)
-		if (lags || state.doubted) && state.rollout.phase == phaseIdle && !state.silent && r.handedOver(now, id) {
-			lagging = append(lagging, id)
+		_, _, isOutdated := r.outdatedModel(instances[id], state)
+		if (isOutdated || state.versionsDisputed) && state.rollout.phase == phaseIdle && !state.silent && r.handoverPauseOver(now, id) {
+			outdated = append(outdated, id)
 		}
 	}
-	slices.SortStableFunc(lagging, func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(used[a], used[b]))
+	slices.SortStableFunc(outdated, func(a, b string) int {
+		return cmp.Or(cmp.Compare(r.oldestVersion(a), r.oldestVersion(b)), cmp.Compare(running[a], running[b]))
 	})
-	most := atOnce(engines, drainShare)
-	for _, id := range lagging {
-		if busy >= most {
+	maxBusy := maxConcurrent(engines, drainDivisor)
+	for _, id := range outdated {
+		if busy >= maxBusy {
 			return
 		}
 		busy++
-		r.beginRollout(now, instances[id], r.member(now, id))
+		r.beginRollout(now, instances[id], r.ensureBackend(now, id))
 	}
 }
 
-// totalUsage returns the running requests of all gateways by instance.
-func (r *Replica) totalUsage(now time.Duration) map[string]int {
-	return r.usageSum(now).running
+// runningByInstance returns the number of running requests of all gateways, by instance ID.
+func (r *Replica) runningByInstance(now time.Duration) map[string]int {
+	return r.currentUsage(now).running
 }
 
-func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *memberState) {
-	state.rollout.model, state.rollout.version, _ = r.lagging(instance, state)
-	if !state.rollout.revisionKnown || state.doubted {
-		r.setPhase(state, phaseReporting, now+callPatience)
-		r.callWeights(instance, state, WeightsReport)
+func (r *Replica) beginRollout(now time.Duration, instance catalog.Instance, state *backendState) {
+	state.rollout.model, state.rollout.version, _ = r.outdatedModel(instance, state)
+	if !state.rollout.revisionKnown || state.versionsDisputed {
+		r.setPhase(state, phaseQuerying, now+weightsCallTimeout)
+		r.callWeights(instance, state, WeightsQuery)
 		return
 	}
-	r.announce(now, instance.ID, state)
+	r.announceOrder(now, instance.ID, state)
 }
 
-// announce makes gateways turn away from a back end.
-func (r *Replica) announce(now time.Duration, id string, state *memberState) {
-	r.writeOrdering(id)
-	state.rollout.drainUntil = now + drainPatience
-	if r.lead.short {
+// announceOrder announces an order in the log and to the gateways, which stop sending new requests to the back end.
+func (r *Replica) announceOrder(now time.Duration, id string, state *backendState) {
+	r.queueOrderAnnouncement(id)
+	state.rollout.drainUntil = now + drainTimeout
+	if r.leader.underCapacity {
 		state.rollout.drainUntil = now
 	}
-	r.setPhase(state, phaseAnnounced, now+announceLead)
+	r.setPhase(state, phaseDraining, now+announceDelay)
 }
 
-// setPhase moves a back end to another phase and tells watchers when that changes what they may send.
-func (r *Replica) setPhase(state *memberState, next phase, due time.Duration) {
-	before := state.rollout.loading()
-	state.rollout.phase, state.rollout.due = next, due
-	if state.rollout.loading() != before {
-		r.lead.rosterChanged(state.id)
-		state.rollout.announced = r.lead.rosterCount
+// setPhase sets the phase of a back end, and updates the roster if that changes whether it gets new requests.
+func (r *Replica) setPhase(state *backendState, next rolloutPhase, nextStepAt time.Duration) {
+	before := state.rollout.blocksNewRequests()
+	state.rollout.phase, state.rollout.nextStepAt = next, nextStepAt
+	if state.rollout.blocksNewRequests() != before {
+		r.leader.markRosterChanged(state.id)
+		state.rollout.announcedRoster = r.leader.rosterCount
 	}
 }
 
-// stepRollout does what is due at one back end, on which so many requests still run.
-func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *memberState, loads *loadCount, running int) {
-	if now < state.rollout.due {
+// stepRollout advances the update of one back end, on which the given number of requests run.
+func (r *Replica) stepRollout(now time.Duration, instance catalog.Instance, state *backendState, loads *loadCount, running int) {
+	if now < state.rollout.nextStepAt {
 		return
 	}
 	switch state.rollout.phase {
-	case phaseReporting, phaseOrdered:
-		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // no result came
-	case phaseAnnounced:
-		if loads.running >= loads.limit || r.lead.taken < state.rollout.announced {
+	case phaseQuerying, phaseOrderSent:
+		r.setPhase(state, phaseBackoff, now+rolloutBackoff) // the call timed out
+	case phaseDraining:
+		if loads.running >= loads.limit || r.leader.ackedRoster < state.rollout.announcedRoster {
 			return
 		}
-		waits := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
-		if waits || !r.mayOrderBackend(now, instance.ID) {
+		draining := running > 0 && now < state.rollout.drainUntil && r.config.Mechanisms.On(mechanism.WeightsDrain)
+		if draining || !r.mayOrderBackend(now, instance.ID) {
 			return
 		}
 		loads.running++
 		state.rollout.version = max(state.rollout.version, r.machine.catalog.LatestVersions()[state.rollout.model])
-		state.rollout.orderedAt, state.rollout.takenAt = now, 0
-		r.setPhase(state, phaseOrdered, now+callPatience)
+		state.rollout.orderedAt, state.rollout.acceptedAt = now, 0
+		r.setPhase(state, phaseOrderSent, now+weightsCallTimeout)
 		r.callWeights(instance, state, WeightsOrder)
 	case phaseLoading, phaseUncertain:
-		state.rollout.due = now + callPatience
-		r.callWeights(instance, state, WeightsReport)
+		state.rollout.nextStepAt = now + weightsCallTimeout
+		r.callWeights(instance, state, WeightsQuery)
 	case phaseBackoff:
 		r.setPhase(state, phaseIdle, now)
 	}
 }
 
-func (r *Replica) callWeights(instance catalog.Instance, state *memberState, kind WeightsCallKind) {
-	r.effects.Weights = append(r.effects.Weights, WeightsCall{
+func (r *Replica) callWeights(instance catalog.Instance, state *backendState, kind WeightsCallKind) {
+	r.effects.WeightsCalls = append(r.effects.WeightsCalls, WeightsCall{
 		Kind: kind, Instance: instance.ID, Address: instance.Address, Model: state.rollout.model, Version: state.rollout.version,
-		Fence: r.lead.fence, Revision: state.rollout.revision, Holder: r.config.Name,
+		Fence: r.leader.orderFence, Revision: state.rollout.revision, Holder: r.config.Name,
 	})
 }
 
-// ObserveWeights takes the result of a call.
-func (r *Replica) ObserveWeights(now time.Duration, result WeightsResult) {
-	if r.lead == nil || result.Call.Fence != r.lead.fence {
+// ObserveWeightsResult handles the result of a driver call.
+func (r *Replica) ObserveWeightsResult(now time.Duration, result WeightsResult) {
+	if r.leader == nil || result.Call.Fence != r.leader.orderFence {
 		return
 	}
-	state := r.lead.fleet[result.Call.Instance]
+	state := r.leader.fleet[result.Call.Instance]
 	if state == nil {
 		return
 	}
-	if result.Call.Kind == WeightsReport {
-		r.observeReport(now, state, result)
+	if result.Call.Kind == WeightsQuery {
+		r.handleQueryResult(now, state, result)
 		return
 	}
-	r.observeOrder(now, state, result)
+	r.handleOrderResult(now, state, result)
 }
 
-func (r *Replica) observeOrder(now time.Duration, state *memberState, result WeightsResult) {
-	if state.rollout.phase != phaseOrdered {
+func (r *Replica) handleOrderResult(now time.Duration, state *backendState, result WeightsResult) {
+	if state.rollout.phase != phaseOrderSent {
 		return
 	}
 	switch result.Kind {
-	case WeightsTaken:
+	case WeightsAccepted:
 		state.rollout.revision++
-		state.rollout.takenAt = now
-		r.setPhase(state, phaseLoading, now+r.lead.firstCheck())
-	case WeightsHeld:
+		state.rollout.acceptedAt = now
+		r.setPhase(state, phaseLoading, now+r.leader.firstLoadCheck())
+	case WeightsAlreadyLoaded:
 		r.finishRollout(now, state)
 	case WeightsUnknown:
-		r.lead.orderLostAt = now
+		r.leader.orderLostAt = now
 		state.rollout.revisionKnown = false
-		r.setPhase(state, phaseUncertain, now+uncertainCheck)
+		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
 	case WeightsFenced:
-		r.lead.fence = 0
-		r.setPhase(state, phaseBackoff, now+callPatience)
+		r.leader.orderFence = 0
+		r.setPhase(state, phaseBackoff, now+weightsCallTimeout)
 	default:
 		state.rollout.revisionKnown = false
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
 	}
 }
 
-func (r *Replica) finishRollout(now time.Duration, state *memberState) {
+func (r *Replica) finishRollout(now time.Duration, state *backendState) {
 	state.versions[state.rollout.model] = max(state.versions[state.rollout.model], state.rollout.version)
-	r.lead.unlogged[state.id] = true
-	r.lead.rosterChanged(state.id)
+	r.leader.unlogged[state.id] = true
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
-// ofAnotherLife reports whether a back end that started again under its name gave the report. It can be told only where its heartbeats tell
-// their start, too.
-func (w *WeightsResult) ofAnotherLife() bool {
-	asked := catalog.ParseInstanceID(w.Call.Instance).StartedMS
-	return w.Born > 0 && asked > 0 && w.Born != asked
+// fromOtherIncarnation reports whether the result comes from another incarnation of the back end than the one called.
+// It returns false if either start time is unknown.
+func (w *WeightsResult) fromOtherIncarnation() bool {
+	expected := catalog.ParseInstanceID(w.Call.Instance).StartedMS
+	return w.StartedMS > 0 && expected > 0 && w.StartedMS != expected
 }
 
-// settleDoubt believes a back end's own report of its weights, also where they are older than believed: an order that got no answer may be
-// carried out after one for newer weights. What it lacks is ordered again.
-func (r *Replica) settleDoubt(now time.Duration, state *memberState, result WeightsResult) {
-	state.doubted = false
+// adoptReport replaces the recorded versions by those of the report, even by older ones: an unanswered order may be
+// carried out after one for newer weights. Missing versions are ordered again.
+func (r *Replica) adoptReport(now time.Duration, state *backendState, result WeightsResult) {
+	state.versionsDisputed = false
 	state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
 	maps.Copy(state.versions, result.Versions)
-	r.lead.rosterChanged(state.id)
+	r.leader.markRosterChanged(state.id)
 	r.setPhase(state, phaseIdle, now)
 }
 
-func (r *Replica) observeReport(now time.Duration, state *memberState, result WeightsResult) {
-	loads := state.rollout.phase == phaseLoading
+func (r *Replica) handleQueryResult(now time.Duration, state *backendState, result WeightsResult) {
+	loading := state.rollout.phase == phaseLoading
 	uncertain := state.rollout.phase == phaseUncertain
-	if !loads && !uncertain && state.rollout.phase != phaseReporting {
+	if !loading && !uncertain && state.rollout.phase != phaseQuerying {
 		return
 	}
-	if result.Kind != WeightsReported || result.ofAnotherLife() {
+	if result.Kind != WeightsReported || result.fromOtherIncarnation() {
 		r.setPhase(state, phaseBackoff, now+rolloutBackoff)
 		return
 	}
-	if state.doubted && !result.Busy {
-		r.settleDoubt(now, state, result)
+	if state.versionsDisputed && !result.Busy {
+		r.adoptReport(now, state, result)
 		return
 	}
-	r.takeVersions(now, state, result.Versions)
-	done := state.versions[state.rollout.model] >= state.rollout.version
+	r.raiseVersions(now, state, result.Versions)
+	loaded := state.versions[state.rollout.model] >= state.rollout.version
 	switch {
 	case result.Busy:
-		r.setPhase(state, phaseLoading, now+nextCheck)
-	case done:
-		r.lead.noteLoad(now, state.rollout.takenAt)
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
+	case loaded:
+		r.leader.observeLoadTime(now, state.rollout.acceptedAt)
 		state.rollout.revision, state.rollout.revisionKnown = max(state.rollout.revision, result.Revision), true
 		r.finishRollout(now, state)
-	case uncertain && now < state.rollout.orderedAt+uncertainPatience:
-		r.setPhase(state, phaseUncertain, now+uncertainCheck)
-	case loads && now < state.rollout.orderedAt+loadPatience:
-		r.setPhase(state, phaseLoading, now+nextCheck)
+	case uncertain && now < state.rollout.orderedAt+uncertainTimeout:
+		r.setPhase(state, phaseUncertain, now+uncertainPollInterval)
+	case loading && now < state.rollout.orderedAt+loadTimeout:
+		r.setPhase(state, phaseLoading, now+loadCheckInterval)
 	default:
 		state.rollout.revision, state.rollout.revisionKnown = result.Revision, true
-		r.announce(now, result.Call.Instance, state)
+		r.announceOrder(now, result.Call.Instance, state)
 	}
 }
--- a/internal/control/sessions.go
+++ b/internal/control/sessions.go
@@ -7,14 +7,15 @@
 	"kitetiller/internal/ledger"
 )
 
-func (r *Replica) heartbeat(now time.Duration, client uint64, beat Heartbeat) {
+// handleHeartbeat renews, opens or closes a router's session.
+func (r *Replica) handleHeartbeat(now time.Duration, client uint64, beat Heartbeat) {
 	session, found := r.machine.sessions[beat.Router]
-	lease := r.lead.routers[beat.Router]
-	current := found && lease != nil && !lease.closing && beat.Epoch == session.Epoch &&
+	lease := r.leader.routers[beat.Router]
+	current := found && lease != nil && !lease.closeProposed && beat.Epoch == session.Epoch &&
 		beat.Incarnation == session.Incarnation && now < lease.expires
 	if beat.Closing {
 		if current {
-			lease.closing = true
+			lease.closeProposed = true
 			r.propose(now, client, Command{CloseSession: &ledger.Holder{Router: beat.Router, Epoch: beat.Epoch}})
 			return
 		}
@@ -29,99 +30,99 @@
 }
 
 func (r *Replica) openSession(now time.Duration, client uint64, beat Heartbeat) {
-	if r.lead.opening[beat.Router] {
+	if r.leader.openProposed[beat.Router] {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
-	r.lead.opening[beat.Router] = true
+	r.leader.openProposed[beat.Router] = true
 	r.propose(now, client, Command{OpenSession: &Session{
 		Router: beat.Router, Incarnation: beat.Incarnation, Zone: beat.Zone, Address: beat.Address,
 	}})
 }
 
-// sessionOpened answers the heartbeat that opened a session. The lease comes with the next heartbeat, when
-// the router has acknowledged the version sent here.
+// sessionOpened returns the reply to the heartbeat that opened a session. The lease is granted by the next heartbeat,
+// once the router has acknowledged the settings version sent in this reply.
 func (r *Replica) sessionOpened(now time.Duration, client uint64, session Session) Response {
-	if r.lead == nil {
+	if r.leader == nil {
 		return Response{Kind: ResponseUnknown}
 	}
-	delete(r.lead.opening, session.Router)
+	delete(r.leader.openProposed, session.Router)
 	if session.Epoch == 0 {
-		return Response{Kind: ResponseNoQuorum} // an older incarnation
+		return Response{Kind: ResponseNoQuorum} // the router has a newer incarnation
 	}
 	lease := &routerLease{expires: r.leaseEnd(now)}
-	r.lead.routers[session.Router] = lease
-	lease.offered = r.machine.settings.Version()
+	r.leader.routers[session.Router] = lease
+	lease.sentVersion = r.machine.settings.Version()
 	tree := r.machine.settings.Tree()
-	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.offered, Tree: &tree}}
+	return Response{Kind: ResponseOK, Heartbeat: &HeartbeatReply{Epoch: session.Epoch, Version: lease.sentVersion, Tree: &tree}}
 }
 
-// leaseMarginShare is the part of a lease, as its inverse, by which control counts it longer than the router, so that
-// a router whose clock runs slowly has stopped when control thinks so.
-const leaseMarginShare = 8
+// leaseMarginDivisor sets the safety margin of a lease: the leader counts it longer than the router by this fraction
+// (1/leaseMarginDivisor) of its duration, which allows for a router whose clock runs slow.
+const leaseMarginDivisor = 8
 
-// leaseEnd returns when a lease granted now has ended at the router for certain.
+// leaseEnd returns the time by which a lease granted now has certainly expired at the router.
 func (r *Replica) leaseEnd(now time.Duration) time.Duration {
 	if !r.config.Guards.On(guard.LeaseMargin) {
 		return now + r.config.SettingsLease
 	}
-	return now + r.config.SettingsLease + r.config.SettingsLease/leaseMarginShare
+	return now + r.config.SettingsLease + r.config.SettingsLease/leaseMarginDivisor
 }
 
-// renew extends a lease, unless the router has not taken up the version it was sent before.
+// renew extends a lease, unless the router has yet to apply the settings version sent with an earlier reply.
 func (r *Replica) renew(now time.Duration, lease *routerLease, beat Heartbeat) *HeartbeatReply {
 	lease.acked = max(lease.acked, beat.Acked)
 	version := r.machine.settings.Version()
 	reply := &HeartbeatReply{Epoch: beat.Epoch, Version: version, Base: beat.Acked}
-	if beat.HasSettings && beat.Acked >= lease.offered {
+	if beat.HasSettings && beat.Acked >= lease.sentVersion {
 		reply.Lease = r.config.SettingsLease
 		lease.expires = r.leaseEnd(now)
 	}
-	edits, reachable := r.machine.settings.EditsSince(beat.Acked)
-	if beat.HasSettings && reachable {
+	edits, available := r.machine.settings.EditsSince(beat.Acked)
+	if beat.HasSettings && available {
 		reply.Edits = edits
 	} else {
 		tree := r.machine.settings.Tree()
 		reply.Tree = &tree
 	}
-	lease.offered = version
-	if beat.PeersSeen != r.machine.peersAt {
+	lease.sentVersion = version
+	if beat.PeersSeen != r.machine.peersVersion {
 		reply.Peers = r.machine.Peers()
 	}
-	reply.Quarantine = r.quarantineNews(beat.Quarantine)
+	reply.Quarantine = r.quarantineUpdate(beat.Quarantine)
 	return reply
 }
 
-// expireSessions closes sessions whose lease has run out, which marks their running claims unknown.
+// expireSessions closes the sessions whose lease has expired, which sets their running claims to unknown.
 func (r *Replica) expireSessions(now time.Duration) {
 	for router := range r.machine.sessions {
-		if r.lead.routers[router] == nil { // opened under an earlier leader, applied after the election
-			r.lead.routers[router] = &routerLease{expires: r.leaseEnd(now)}
+		if r.leader.routers[router] == nil { // opened under an earlier leader, applied after the election
+			r.leader.routers[router] = &routerLease{expires: r.leaseEnd(now)}
 		}
 	}
-	for _, router := range sortedKeys(r.lead.routers) {
-		lease := r.lead.routers[router]
+	for _, router := range sortedKeys(r.leader.routers) {
+		lease := r.leader.routers[router]
 		session, found := r.machine.sessions[router]
 		if !found {
-			delete(r.lead.routers, router)
+			delete(r.leader.routers, router)
 			continue
 		}
-		if now >= lease.expires && !lease.closing {
-			lease.closing = true
+		if now >= lease.expires && !lease.closeProposed {
+			lease.closeProposed = true
 			r.propose(now, 0, Command{CloseSession: &ledger.Holder{Router: router, Epoch: session.Epoch}})
 		}
 	}
 }
 
-// InForce returns the newest version that no serving router is behind: every session acknowledged it, or
-// its lease has run out.
+// InForce returns the newest settings version that no serving router is behind: every router with a session has
+// acknowledged it or its lease has expired.
 func (r *Replica) InForce(now time.Duration) uint64 {
 	inForce := r.machine.settings.Version()
-	if r.lead == nil {
+	if r.leader == nil {
 		return 0
 	}
 	for router := range r.machine.sessions {
-		lease := r.lead.routers[router]
+		lease := r.leader.routers[router]
 		if lease == nil {
 			return 0
 		}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,6 +7,7 @@
 	"kitetiller/internal/consensus"
 )
 
+// status returns the status of this replica and its view of the group.
 func (r *Replica) status(now time.Duration) *StatusReply {
 	status := &StatusReply{
 		ID: r.config.ID, Name: r.config.Name, Role: r.node.Role().String(), Term: r.node.Term(),
@@ -22,7 +23,7 @@
 		peers[peer.ID] = peer
 	}
 	for _, member := range r.members() {
-		line := MemberStatus{Member: member, Match: peers[member.ID].Match, Level: r.toldLevel(member.ID)}
+		line := MemberStatus{Member: member, Match: peers[member.ID].Match, Level: r.memberLevel(member.ID)}
 		if peer, found := peers[member.ID]; found {
 			line.Silent = now - peer.HeardAt
 		}
@@ -35,30 +36,32 @@
 	return status
 }
 
-// namedTold is how many back ends that name their limits status shows: a large fleet may have thousands.
-const namedTold = 24
+// maxAdvertisedInStatus bounds the number of advertised limits in a status reply.
+const maxAdvertisedInStatus = 24
 
+// addLeaderStatus adds what only the leader knows.
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
-	if r.lead == nil {
+	if r.leader == nil {
 		return
 	}
 	for _, router := range sortedKeys(r.machine.sessions) {
 		line := RouterStatus{Session: r.machine.sessions[router]}
-		if lease := r.lead.routers[router]; lease != nil {
+		if lease := r.leader.routers[router]; lease != nil {
 			line.Acked, line.LeaseLeft = lease.acked, max(0, lease.expires-now)
 		}
 		status.Routers = append(status.Routers, line)
 	}
-	for _, name := range sortedKeys(r.lead.engines) {
-		report := r.lead.engines[name].report
-		wanted := r.wanted(place{report.Zone, report.Service}).weights
+	for _, name := range sortedKeys(r.leader.engines) {
+		report := r.leader.engines[name].report
+		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
-	status.Limits = r.lead.lending.lender.States(now)
-	status.Named = r.lead.lending.lender.AdvertisedStates(now, namedTold)
+	status.Limits = r.leader.lending.allocator.States(now)
+	status.Named = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	testService = "llm"
-	testSmall   = "small"
-	testTenant  = "tenant"
-	testBlock   = 64
+	testService              = "llm"
+	testNonRepeatableService = "small"
+	testTenant               = "tenant"
+	testBlockTokens          = 64
 )
 
-// harness drives a core by hand in virtual time.
+// harness drives a core in virtual time.
 type harness struct {
 	t    *testing.T
 	core *Core
@@ -28,22 +28,22 @@
 
 func testTree() settings.Tree {
 	return settings.Tree{Nodes: map[settings.Path]settings.Overrides{
-		"/":                 {},
-		"/*":                {},
-		"/*/" + testService: {Kind: pointer("llm")},
-		"/*/" + testSmall:   {Kind: pointer("service"), Repeatable: pointer(false)},
+		"/":                              {},
+		"/*":                             {},
+		"/*/" + testService:              {Kind: pointer("llm")},
+		"/*/" + testNonRepeatableService: {Kind: pointer("service"), Repeatable: pointer(false)},
 	}}
 }
 
 // newHarness returns a core with settings, a lease and engines that have reported.
 func newHarness(t *testing.T, engines int) *harness {
-	h := &harness{t: t, core: New(Config{Router: "r1", Zone: "z", Seed: 1, BlockTokens: testBlock, IndexLimit: 1000})}
+	h := &harness{t: t, core: New(Config{Router: "r1", Zone: "z", Seed: 1, BlockTokens: testBlockTokens, IndexLimit: 1000})}
 	var machines []Machine
 	for i := range engines {
 		machines = append(machines, Machine{Name: engineName(i), Zone: "z", Service: testService, Address: engineName(i)})
 	}
-	machines = append(machines, Machine{Name: "s0", Zone: "z", Service: testSmall, Address: "s0"})
-	h.tick(EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 5, Until: time.Hour}, EventPlatform{AskedAt: h.now, Machines: machines})
+	machines = append(machines, Machine{Name: "s0", Zone: "z", Service: testNonRepeatableService, Address: "s0"})
+	h.tick(EventSettings{Version: 1, Tree: testTree()}, EventLease{Epoch: 5, Until: time.Hour}, EventMachineList{RequestedAt: h.now, Machines: machines})
 	for i := range engines {
 		h.report(engineName(i), 1)
 	}
@@ -56,26 +56,26 @@
 func (h *harness) tick(events ...Event) []Action { return h.core.Tick(h.now, events) }
 
 func (h *harness) report(name string, incarnation uint64) []Action {
-	return h.tick(EventBackend{Name: name, AskedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
+	return h.tick(EventBackendPoll{Name: name, RequestedAt: h.now, Report: &BackendReport{Incarnation: incarnation, Weights: "w1"}})
 }
 
-func (h *harness) after(d time.Duration, events ...Event) []Action {
+func (h *harness) advance(d time.Duration, events ...Event) []Action {
 	h.now += d
 	return h.tick(events...)
 }
 
-func prompt(id int, blocks int) Request {
+func promptRequest(id int, blocks int) Request {
 	chain := make([]prefix.Hash, blocks)
 	for i := range chain {
 		chain[i][0], chain[i][1] = 1, byte(i+1)
 	}
 	return Request{
-		ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testService, PromptTokens: blocks * testBlock,
+		ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testService, PromptTokens: blocks * testBlockTokens,
 		MaxTokens: 8, Chains: []Chain{{Weights: "w1", Blocks: chain}},
 	}
 }
 
-func find[T Action](actions []Action) (T, bool) {
+func findAction[T Action](actions []Action) (T, bool) {
 	for _, action := range actions {
 		if typed, ok := action.(T); ok {
 			return typed, true
@@ -85,216 +85,217 @@
 	return none, false
 }
 
-func need[T Action](t *testing.T, actions []Action) T {
+func requireAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
-	found, ok := find[T](actions)
+	found, ok := findAction[T](actions)
 	if !ok {
 		t.Fatalf("no %T among %+v", found, actions)
 	}
 	return found
 }
 
-func chunk(sent ActionDispatch, index int) EventAttempt {
+func chunkEvent(sent ActionDispatch, index int) EventAttempt {
 	return EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptChunk, Index: index, Text: "x"}
 }
 
-func done(sent ActionDispatch, length int) EventAttempt {
+func doneEvent(sent ActionDispatch, length int) EventAttempt {
 	return EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Echo: sent.Attempt, Kind: AttemptDone, Index: length}
 }
 
 func TestStreamIsPassedOnAndCompletes(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	if got := need[ActionChunk](t, h.tick(chunk(sent, 0))); got.Index != 0 {
-		t.Fatalf("chunk %d, want 0", got.Index)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	if got := requireAction[ActionChunk](t, h.tick(chunkEvent(sent, 0))); got.Index != 0 {
+		t.Fatalf("chunk index = %d, want 0", got.Index)
 	}
-	if repeated, found := find[ActionChunk](h.tick(chunk(sent, 0))); found {
-		t.Fatalf("repeated chunk passed on: %+v", repeated)
+	if repeated, found := findAction[ActionChunk](h.tick(chunkEvent(sent, 0))); found {
+		t.Fatalf("repeated chunk was passed to the client: %+v", repeated)
 	}
-	if final := need[ActionFinish](t, h.tick(done(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
-		t.Fatalf("final answer %+v", final)
+	if final := requireAction[ActionFinish](t, h.tick(doneEvent(sent, 1))); final.Reason != ReasonComplete || final.Tokens != 1 {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-func TestStreamGapResumesElsewhere(t *testing.T) {
+func TestStreamGapResumesOnAnotherBackend(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.tick(chunk(sent, 0))
-	next := need[ActionDispatch](t, h.tick(chunk(sent, 2)))
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.tick(chunkEvent(sent, 0))
+	next := requireAction[ActionDispatch](t, h.tick(chunkEvent(sent, 2)))
 	if next.ResumeFrom != 1 || next.Backend == sent.Backend {
-		t.Fatalf("resumed from %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
+		t.Fatalf("resumed from token %d on %s after a gap on %s", next.ResumeFrom, next.Backend, sent.Backend)
 	}
 }
 
-func TestEarlyEndIsNotComplete(t *testing.T) {
+func TestTruncatedStreamIsNotComplete(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.tick(chunk(sent, 0))
-	actions := h.tick(done(sent, 3))
-	if final, ended := find[ActionFinish](actions); ended {
-		t.Fatalf("stream with missing tokens ended as %+v", final)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.tick(chunkEvent(sent, 0))
+	actions := h.tick(doneEvent(sent, 3))
+	if final, ended := findAction[ActionFinish](actions); ended {
+		t.Fatalf("stream with missing tokens finished with %+v", final)
 	}
-	need[ActionDispatch](t, actions)
+	requireAction[ActionDispatch](t, actions)
 }
 
-// TestSilentEngineLosesItsStreams: a frozen engine keeps its connections open, so only its missing reports tell.
-func TestSilentEngineLosesItsStreams(t *testing.T) {
+// TestStreamMovesFromUnreachableEngine: a frozen engine keeps its connections open, so only missing reports reveal
+// it.
+func TestStreamMovesFromUnreachableEngine(t *testing.T) {
 	h := newHarness(t, 2)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.tick(chunk(sent, 0))
-	other := engineName(1)
-	if sent.Backend == other {
-		other = engineName(0)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.tick(chunkEvent(sent, 0))
+	otherEngine := engineName(1)
+	if sent.Backend == otherEngine {
+		otherEngine = engineName(0)
 	}
 	for range 3 {
-		h.after(500 * time.Millisecond)
-		h.report(other, 1)
+		h.advance(500 * time.Millisecond)
+		h.report(otherEngine, 1)
 	}
-	next := need[ActionDispatch](t, h.after(100*time.Millisecond, EventBackend{Name: sent.Backend}))
-	if next.Backend != other || next.ResumeFrom != 1 {
-		t.Fatalf("continued on %s from token %d", next.Backend, next.ResumeFrom)
+	next := requireAction[ActionDispatch](t, h.advance(100*time.Millisecond, EventBackendPoll{Name: sent.Backend}))
+	if next.Backend != otherEngine || next.ResumeFrom != 1 {
+		t.Fatalf("stream resumed on %s from token %d", next.Backend, next.ResumeFrom)
 	}
 }
 
-func TestNewIncarnationVoidsBeliefsAndStreams(t *testing.T) {
+func TestNewIncarnationInvalidatesCacheIndexAndStreams(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 4)}))
-	h.tick(chunk(sent, 0))
-	next := need[ActionDispatch](t, h.report(sent.Backend, 2))
-	if next.RelyTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
-		t.Fatalf("after a restart: %+v", next)
+	sent := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 4)}))
+	h.tick(chunkEvent(sent, 0))
+	next := requireAction[ActionDispatch](t, h.report(sent.Backend, 2))
+	if next.ExpectedCachedTokens != 0 || next.Incarnation != 2 || next.ResumeFrom != 1 {
+		t.Fatalf("unexpected dispatch after a restart: %+v", next)
 	}
 }
 
-func small(id int, key string) Request {
-	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testSmall, Key: key, Digest: 1}
+func nonRepeatableRequest(id int, key string) Request {
+	return Request{ID: RequestID(id), Name: fmt.Sprint(id), Tenant: testTenant, Service: testNonRepeatableService, Key: key, Digest: 1}
 }
 
-// grant sends a small request and grants its claim.
-func (h *harness) grant(id int, key string) ActionDispatch {
-	claim := need[ActionClaim](h.t, h.tick(EventRequest{small(id, key)}))
-	if early, found := find[ActionDispatch](h.core.out); found {
-		h.t.Fatalf("sent before the claim: %+v", early)
+// dispatchWithClaim sends a request to the non-repeatable service and grants its claim.
+func (h *harness) dispatchWithClaim(id int, key string) ActionDispatch {
+	claim := requireAction[ActionClaim](h.t, h.tick(EventRequest{nonRepeatableRequest(id, key)}))
+	if early, found := findAction[ActionDispatch](h.core.actions); found {
+		h.t.Fatalf("dispatched before the claim was granted: %+v", early)
 	}
-	return need[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
+	return requireAction[ActionDispatch](h.t, h.tick(EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}}))
 }
 
 func TestAmbiguousAttemptIsNotResent(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := h.grant(1, "k")
+	sent := h.dispatchWithClaim(1, "k")
 	actions := h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptBroken})
-	if again, found := find[ActionDispatch](actions); found {
-		t.Fatalf("sent again: %+v", again)
+	if again, found := findAction[ActionDispatch](actions); found {
+		t.Fatalf("ambiguous attempt was dispatched again: %+v", again)
 	}
-	if final := need[ActionFinish](t, actions); final.Run != RunUnknown {
-		t.Fatalf("final answer %+v", final)
+	if final := requireAction[ActionFinish](t, actions); final.Run != RunUnknown {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
-	if end := need[ActionEnd](t, actions); end.End.Kind != ledger.EndUnknown {
-		t.Fatalf("claim ended as %v", end.End.Kind)
+	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndUnknown {
+		t.Fatalf("unexpected end of the claim: %v", end.End.Kind)
 	}
 }
 
 func TestRefusedAttemptReleasesTheClaim(t *testing.T) {
 	h := newHarness(t, 1)
-	sent := h.grant(1, "k")
+	sent := h.dispatchWithClaim(1, "k")
 	h.tick(EventAttempt{ID: sent.ID, Attempt: sent.Attempt, Kind: AttemptRefused})
-	actions := h.after(time.Second, EventBackend{Name: "s0"}, EventBackend{Name: "s0"})
-	final := need[ActionFinish](t, actions)
+	actions := h.advance(time.Second, EventBackendPoll{Name: "s0"}, EventBackendPoll{Name: "s0"})
+	final := requireAction[ActionFinish](t, actions)
 	if final.Run != RunNot || final.RetryAfter == 0 {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
-	if end := need[ActionEnd](t, actions); end.End.Kind != ledger.EndReleased {
-		t.Fatalf("claim ended as %v", end.End.Kind)
+	if end := requireAction[ActionEndClaim](t, actions); end.End.Kind != ledger.EndReleased {
+		t.Fatalf("unexpected end of the claim: %v", end.End.Kind)
 	}
 }
 
-func TestClaimOfAnEarlierSessionIsNotSent(t *testing.T) {
+func TestClaimOfExpiredSessionIsNotDispatched(t *testing.T) {
 	h := newHarness(t, 1)
-	claim := need[ActionClaim](t, h.tick(EventRequest{small(1, "k")}))
+	claim := requireAction[ActionClaim](t, h.tick(EventRequest{nonRepeatableRequest(1, "k")}))
 	actions := h.tick(EventLease{Epoch: 6, Until: time.Hour},
 		EventClaim{ID: claim.ID, ClaimID: claim.Claim.ClaimID, Outcome: ledger.Outcome{Kind: ledger.Granted}})
-	if sent, found := find[ActionDispatch](actions); found {
-		t.Fatalf("sent under a claim of an earlier session: %+v", sent)
+	if sent, found := findAction[ActionDispatch](actions); found {
+		t.Fatalf("dispatched under a claim of an earlier session: %+v", sent)
 	}
-	if final := need[ActionFinish](t, actions); final.Run != RunNot {
-		t.Fatalf("final answer %+v", final)
+	if final := requireAction[ActionFinish](t, actions); final.Run != RunNot {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-func TestLeavingBackendGetsNothingNew(t *testing.T) {
+func TestLeavingBackendReceivesNoNewRequests(t *testing.T) {
 	h := newHarness(t, 1)
-	h.tick(EventBackend{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
-	if sent, found := find[ActionDispatch](h.tick(EventRequest{prompt(1, 4)})); found {
-		t.Fatalf("sent to a leaving engine: %+v", sent)
+	h.tick(EventBackendPoll{Name: "e0", Report: &BackendReport{Incarnation: 1, Weights: "w1", Leaving: true}})
+	if sent, found := findAction[ActionDispatch](h.tick(EventRequest{promptRequest(1, 4)})); found {
+		t.Fatalf("dispatched to a leaving engine: %+v", sent)
 	}
-	if final := need[ActionFinish](t, h.after(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
-		t.Fatalf("final answer %+v", final)
+	if final := requireAction[ActionFinish](t, h.advance(time.Second)); final.Reason != ReasonNoBackend || final.Run != RunNot {
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-func TestNoLeaseNoNewWork(t *testing.T) {
+func TestExpiredLeaseRefusesNewRequests(t *testing.T) {
 	h := newHarness(t, 1)
-	final := need[ActionFinish](t, h.after(2*time.Hour, EventRequest{prompt(1, 4)}))
+	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{promptRequest(1, 4)}))
 	if final.Reason != ReasonNoLease || final.Run != RunNot || final.RetryAfter == 0 {
-		t.Fatalf("final answer %+v", final)
+		t.Fatalf("unexpected final answer: %+v", final)
 	}
 }
 
-func TestOlderSettingsAreNotTakenUp(t *testing.T) {
+func TestOlderSettingsAreIgnored(t *testing.T) {
 	h := newHarness(t, 1)
 	h.tick(EventSettings{Version: 9, Tree: testTree()})
 	h.tick(EventSettings{Version: 4, Tree: testTree()})
-	if h.core.Version() != 9 {
-		t.Fatalf("version %d in use, want 9", h.core.Version())
+	if h.core.SettingsVersion() != 9 {
+		t.Fatalf("settings version = %d, want 9", h.core.SettingsVersion())
 	}
 }
 
-// TestStaleRouterDoesNotClaimNotRun: a router without a lease may hold settings from before the service became
-// non-repeatable, so it cannot prove that an earlier send of the key did not run.
-func TestStaleRouterDoesNotClaimNotRun(t *testing.T) {
+// TestExpiredLeaseReportsRunStatusUnknown: the router's settings may predate the service becoming non-repeatable, so
+// it cannot prove that an earlier request with the key did not run.
+func TestExpiredLeaseReportsRunStatusUnknown(t *testing.T) {
 	h := newHarness(t, 1)
-	keyed := prompt(1, 4)
+	keyed := promptRequest(1, 4)
 	keyed.Key = "k"
-	final := need[ActionFinish](t, h.after(2*time.Hour, EventRequest{keyed}))
+	final := requireAction[ActionFinish](t, h.advance(2*time.Hour, EventRequest{keyed}))
 	if final.Run != RunUnknown {
-		t.Fatalf("run=%s, want unknown", final.Run)
+		t.Fatalf("run status = %s, want unknown", final.Run)
 	}
 }
 
-// TestPrefixIsNotCopiedBeyondItsLimit: with enough holders a prefix is computed or waited for, not copied again.
-func TestPrefixIsNotCopiedBeyondItsLimit(t *testing.T) {
+// TestPrefixIsNotCopiedBeyondHotCopies: with hot_copies holders a prefix is recomputed, not copied again.
+func TestPrefixIsNotCopiedBeyondHotCopies(t *testing.T) {
 	for _, limit := range []int{1, 2} {
 		h := newHarness(t, 3)
 		h.core.config.ImportRate = 1_000_000
 		tree := testTree()
 		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), HotCopies: pointer(limit), EngineConcurrency: pointer(1)}
 		h.tick(EventSettings{Version: 2, Tree: tree})
-		holder := need[ActionDispatch](t, h.tick(EventRequest{prompt(1, 40)}))
-		h.core.backends[h.core.byName[holder.Backend]].limit = 1 // it takes nothing more
-		second := need[ActionDispatch](t, h.tick(EventRequest{prompt(2, 40)}))
+		first := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(1, 40)}))
+		h.core.backends[h.core.backendIDs[first.Backend]].concurrencyLimit = 1 // no capacity left
+		second := requireAction[ActionDispatch](t, h.tick(EventRequest{promptRequest(2, 40)}))
 		if copied := second.ImportBlocks > 0; copied != (limit > 1) {
-			t.Fatalf("hot_copies %d, one holder: copied=%v", limit, copied)
+			t.Fatalf("hot_copies = %d with one holder: copied = %v", limit, copied)
 		}
 	}
 }
 
-// TestEngineConcurrencyFollowsTheSettings: back ends are often known before the first settings arrive, and operators
-// change the limit while the system runs.
+// TestEngineConcurrencyFollowsTheSettings: the limit also changes for back ends discovered before the settings
+// arrive, and when operators change it at run time.
 func TestEngineConcurrencyFollowsTheSettings(t *testing.T) {
 	h := newHarness(t, 1)
-	for version, wanted := range map[uint64]int{2: 40, 3: 2} {
+	for version, want := range map[uint64]int{2: 40, 3: 2} {
 		tree := testTree()
-		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), EngineConcurrency: pointer(wanted)}
-		h.core.version = version - 1
+		tree.Nodes["/*/"+testService] = settings.Overrides{Kind: pointer("llm"), EngineConcurrency: pointer(want)}
+		h.core.settingsVersion = version - 1
 		h.tick(EventSettings{Version: version, Tree: tree})
 		row := &h.core.backends[0]
-		if got := int(row.limit); got != wanted {
-			t.Fatalf("limit %d, the settings say %d", got, wanted)
+		if got := int(row.concurrencyLimit); got != want {
+			t.Fatalf("concurrency limit = %d, want %d", got, want)
 		}
-		h.core.learn(row, time.Millisecond, time.Minute)
-		if int(row.limit) > wanted {
-			t.Fatalf("a late answer raised the limit to %v, the settings say %d", row.limit, wanted)
+		h.core.recordFirstTokenLatency(row, time.Millisecond, time.Minute)
+		if int(row.concurrencyLimit) > want {
+			t.Fatalf("concurrency limit after a late answer = %v, want at most %d", row.concurrencyLimit, want)
 		}
-		row.limit = float64(wanted)
+		row.concurrencyLimit = float64(want)
 	}
 }
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	decisionsKept     = 4096
-	decisionShortlist = 4
+	maxDecisions  = 4096
+	shortlistSize = 4
 )
 
-// Decision is the record of one placement, for "kitetiller explain".
+// Decision records one placement or refusal, for "kitetiller explain".
 type Decision struct {
 	Request         string        `json:"request"`
 	Tenant          string        `json:"tenant"`
@@ -23,57 +23,57 @@
 	Considered      int           `json:"considered"`
 	Shortlist       []Candidate   `json:"shortlist"`
 	Outcome         Reason        `json:"outcome"`
-	Run             Run           `json:"run"`
+	Run             RunStatus     `json:"run"`
 	FinishedAt      time.Duration `json:"finished_at_ns"`
 }
 
-// decisionRing keeps the newest decisions.
+// decisionRing is a ring buffer of the newest decisions.
 type decisionRing struct {
-	records [decisionsKept]Decision
+	records [maxDecisions]Decision
 	next    int
 }
 
-// record stores a placement with the best few candidates.
+// record stores a placement: the chosen candidate first, then the next candidates in the order they were scored.
 func (d *decisionRing) record(r *request, now time.Duration, chosen Candidate, candidates []Candidate, version uint64) {
-	slot := &d.records[d.next%decisionsKept]
+	slot := &d.records[d.next%maxDecisions]
 	d.next++
 	shortlist := append(slot.Shortlist[:0], chosen)
 	*slot = Decision{
-		Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now, Queued: now - r.arrived,
-		Try: r.tries + 1, PromptTokens: r.PromptTokens, ResumeFrom: r.emitted, SettingsVersion: version,
+		Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now, Queued: now - r.arrivedAt,
+		Try: r.attemptCount + 1, PromptTokens: r.PromptTokens, ResumeFrom: r.emitted, SettingsVersion: version,
 		Chosen: chosen.Name, Considered: len(candidates),
 	}
 	for i := range candidates {
-		if len(shortlist) < decisionShortlist && candidates[i].Engine != chosen.Engine {
+		if len(shortlist) < shortlistSize && candidates[i].Engine != chosen.Engine {
 			shortlist = append(shortlist, candidates[i])
 		}
 	}
 	slot.Shortlist = shortlist
-	r.decided = d.next
+	r.lastDecision = d.next
 }
 
-// finish notes how the request of the newest decision ended; refusals without a decision get a record of
-// their own.
+// finish stores the outcome of a request in its newest decision. A request without one, or whose decision has been
+// overwritten, gets a new record.
 func (d *decisionRing) finish(r *request, final ActionFinish, now time.Duration) {
-	if r.decided == 0 || d.next-r.decided >= decisionsKept {
+	if r.lastDecision == 0 || d.next-r.lastDecision >= maxDecisions {
 		d.next++
-		r.decided = d.next
-		slot := &d.records[(r.decided-1)%decisionsKept]
+		r.lastDecision = d.next
+		slot := &d.records[(r.lastDecision-1)%maxDecisions]
 		*slot = Decision{
 			Request: r.Name, Tenant: r.Tenant, Service: r.Service, Lane: r.Lane.String(), At: now,
-			Queued: now - r.arrived, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
+			Queued: now - r.arrivedAt, PromptTokens: r.PromptTokens, Shortlist: slot.Shortlist[:0],
 		}
 	}
-	slot := &d.records[(r.decided-1)%decisionsKept]
+	slot := &d.records[(r.lastDecision-1)%maxDecisions]
 	slot.Outcome, slot.Run, slot.FinishedAt = final.Reason, final.Run, now
 }
 
-// Explain returns the kept decisions about a request, oldest first.
+// Explain returns the stored decisions about a request, oldest first.
 func (c *Core) Explain(name string) []Decision {
 	var found []Decision
-	first := max(0, c.decisions.next-decisionsKept)
-	for at := first; at < c.decisions.next; at++ {
-		record := c.decisions.records[at%decisionsKept]
+	first := max(0, c.decisions.next-maxDecisions)
+	for number := first; number < c.decisions.next; number++ {
+		record := c.decisions.records[number%maxDecisions]
 		if record.Request == name {
 			record.Shortlist = append([]Candidate(nil), record.Shortlist...)
 			found = append(found, record)
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// batchShare: after this many interactive picks in a row one batch request is picked, so that batch
-	// work cannot starve.
-	batchShare = 8
-	// initialServiceTime is the assumed time between dispatches of a queue that has not moved yet.
-	initialServiceTime = 20 * time.Millisecond
-	serviceSmoothing   = 0.1
-	decodeCost         = 4 // a generated token counts as this many prompt tokens in the fair queue
+	// interactivePerBatch is the number of consecutive interactive requests after which a batch request is dequeued,
+	// so that batch work does not starve.
+	interactivePerBatch = 8
+	// initialDispatchInterval is assumed until a queue has dispatched requests.
+	initialDispatchInterval   = 20 * time.Millisecond
+	dispatchIntervalSmoothing = 0.1
+	outputTokenCost           = 4 // weight of an output token relative to a prompt token in fair queueing
 )
 
-// lane is a heap of requests by virtual finish time (start-time fair queueing).
-type lane []*request
+// laneQueue is a heap of requests ordered by virtual finish time (start-time fair queueing).
+type laneQueue []*request
 
-func (l lane) Len() int { return len(l) }
-func (l lane) Less(i, j int) bool {
+func (l laneQueue) Len() int { return len(l) }
+func (l laneQueue) Less(i, j int) bool {
 	if l[i].finishTag != l[j].finishTag {
 		return l[i].finishTag < l[j].finishTag
 	}
 	return l[i].ID < l[j].ID
 }
-func (l lane) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l laneQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
-// Push adds an item; use heap.Push.
-func (l *lane) Push(item any) { *l = append(*l, item.(*request)) }
+// Push implements heap.Interface.
+func (l *laneQueue) Push(item any) { *l = append(*l, item.(*request)) }
 
-// Pop removes the last item; use heap.Pop.
-func (l *lane) Pop() any {
+// Pop implements heap.Interface.
+func (l *laneQueue) Pop() any {
 	old := *l
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -40,42 +40,42 @@
 	return last
 }
 
-// enqueueNew queues a request for the first time, or refuses it when the queue is full or so long that the
-// deadline would pass.
+// enqueueNew queues an admitted request, or refuses it if the queue is full or its deadline would pass before its
+// turn.
 func (c *Core) enqueueNew(r *request) {
 	service := c.service(r.Service)
-	queued := service.queued()
+	queued := service.queueLength()
 	if queued >= max(1, r.values.QueueLimit) {
-		c.refuse(r, ReasonQueueFull, c.backlog(r))
+		c.refuse(r, ReasonQueueFull, c.queueDrainTime(r))
 		return
 	}
-	wait := time.Duration(service.ahead(r.Lane)) * service.serviceTime
-	if service.ahead(r.Lane) > 0 && c.now+wait > r.deadline {
-		c.refuse(r, ReasonDeadline, c.backlog(r))
+	wait := time.Duration(service.queuedAhead(r.Lane)) * service.dispatchInterval
+	if service.queuedAhead(r.Lane) > 0 && c.now+wait > r.deadline {
+		c.refuse(r, ReasonDeadline, c.queueDrainTime(r))
 		return
 	}
 	tenant := c.tenant(r)
-	r.cost = float64(max(1, r.PromptTokens) + decodeCost*r.MaxTokens)
+	r.queueCost = float64(max(1, r.PromptTokens) + outputTokenCost*r.MaxTokens)
 	start := max(service.virtualTime, tenant.finishTag)
-	r.finishTag = start + r.cost/r.values.ShareWeight
+	r.finishTag = start + r.queueCost/r.values.ShareWeight
 	tenant.finishTag = r.finishTag
 	c.enqueue(r)
 }
 
-// enqueue puts a request into its lane with the tag it has.
+// enqueue adds a request to the queue of its lane under its existing finish tag.
 func (c *Core) enqueue(r *request) {
 	r.state = stateQueued
 	service := c.service(r.Service)
-	heap.Push((*lane)(&service.lanes[r.Lane]), r)
+	heap.Push((*laneQueue)(&service.lanes[r.Lane]), r)
 }
 
-// backlog estimates when the queue will have room.
-func (c *Core) backlog(r *request) time.Duration {
+// queueDrainTime estimates the Retry-After for a full queue: the time until half of it has been dispatched.
+func (c *Core) queueDrainTime(r *request) time.Duration {
 	service := c.service(r.Service)
-	return max(retrySoon, time.Duration(service.queued())*service.serviceTime/2)
+	return max(shortRetryAfter, time.Duration(service.queueLength())*service.dispatchInterval/2)
 }
 
-func (s *serviceState) queued() int {
+func (s *serviceState) queueLength() int {
 	total := 0
 	for i := range s.lanes {
 		total += len(s.lanes[i])
@@ -83,19 +83,19 @@
 	return total
 }
 
-// ahead counts the requests that a new one in the lane waits for.
-func (s *serviceState) ahead(l Lane) int {
+// queuedAhead returns the number of requests that a new request of the lane waits for.
+func (s *serviceState) queuedAhead(l Lane) int {
 	if l == LaneInteractive {
 		return len(s.lanes[LaneInteractive])
 	}
-	return s.queued()
+	return s.queueLength()
 }
 
-// head returns the lane to serve next, or false when nothing waits.
-func (s *serviceState) head() (Lane, bool) {
+// nextLane returns the lane to serve next, or false if no request is queued.
+func (s *serviceState) nextLane() (Lane, bool) {
 	interactive, batch := len(s.lanes[LaneInteractive]) > 0, len(s.lanes[LaneBatch]) > 0
 	switch {
-	case interactive && batch && s.sinceBatch >= batchShare:
+	case interactive && batch && s.interactiveSinceBatch >= interactivePerBatch:
 		return LaneBatch, true
 	case interactive:
 		return LaneInteractive, true
@@ -105,28 +105,28 @@
 	return 0, false
 }
 
-// take removes the head of a lane.
-func (s *serviceState) take(l Lane) *request {
-	r := heap.Pop((*lane)(&s.lanes[l])).(*request)
-	s.virtualTime = max(s.virtualTime, r.finishTag-r.cost/r.values.ShareWeight)
+// dequeue removes and returns the first request of a lane.
+func (s *serviceState) dequeue(l Lane) *request {
+	r := heap.Pop((*laneQueue)(&s.lanes[l])).(*request)
+	s.virtualTime = max(s.virtualTime, r.finishTag-r.queueCost/r.values.ShareWeight)
 	if l == LaneInteractive {
-		s.sinceBatch++
+		s.interactiveSinceBatch++
 	} else {
-		s.sinceBatch = 0
+		s.interactiveSinceBatch = 0
 	}
 	return r
 }
 
-// remove takes a request out of its lane wherever it stands.
+// remove removes a request from any position in its lane.
 func (s *serviceState) remove(r *request) {
-	l := (*lane)(&s.lanes[r.Lane])
+	l := (*laneQueue)(&s.lanes[r.Lane])
 	if at := slices.Index(*l, r); at >= 0 {
 		heap.Remove(l, at)
 	}
 }
 
-// noteServed updates the time between dispatches while a queue stands.
-func (s *serviceState) noteServed(interval time.Duration) {
-	delta := float64(interval - s.serviceTime)
-	s.serviceTime += time.Duration(serviceSmoothing * delta)
+// recordDispatchInterval updates the smoothed time between dispatches.
+func (s *serviceState) recordDispatchInterval(interval time.Duration) {
+	delta := float64(interval - s.dispatchInterval)
+	s.dispatchInterval += time.Duration(dispatchIntervalSmoothing * delta)
 }
--- a/internal/gateway/bell.go
+++ b/internal/gateway/bell.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// bell wakes everybody who waits for the next ring. It is safe for concurrent use.
-type bell struct {
+// notifier wakes all waiters at each notification. It is safe for concurrent use.
+type notifier struct {
 	mu   sync.Mutex
-	next chan struct{} // closed by the next ring; guarded by mu
+	next chan struct{} // closed by the next notification; guarded by mu
 }
 
-func newBell() *bell { return &bell{next: make(chan struct{})} }
+func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
-// Next returns a channel that the next ring closes.
-func (b *bell) Next() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.next
+// Next returns a channel that is closed by the next call of Notify.
+func (n *notifier) Next() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.next
 }
 
-// Ring wakes those who wait.
-func (b *bell) Ring() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	close(b.next)
-	b.next = make(chan struct{})
+// Notify wakes all waiters.
+func (n *notifier) Notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	close(n.next)
+	n.next = make(chan struct{})
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -13,95 +13,95 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Reasons why a request got no back end's answer.
+// Reasons for a rejection by the gateway, in responses, logs and metrics.
 const (
-	reasonStopping   = "stopping"
-	reasonNoDocument = "no-document"
-	reasonNoRoute    = "no-route"
-	reasonNoKey      = "key-unknown"
-	reasonUntrusted  = "view-unconfirmed"
-	reasonTooLarge   = "body-too-large"
-	reasonBadBody    = "body-broken"
-	reasonNoBackend  = "no-backend"
-	reasonTurnedAway = "turned-away"
-	reasonUnreached  = "unreached"
-	reasonRunUnknown = "run-unknown"
-	reasonDeadline   = "deadline"
-	reasonCallerGone = "caller-gone"
-	reasonBroken     = "stream-broken"
-	reasonOverLimit  = "over-limit"
-	reasonUncounted  = "limit-unknown"
-	reasonOverload   = "overload"
-	reasonHeldBack   = "held-back"
-	reasonResting    = "resting"
-	reasonLimited    = "limited"
-	reasonHeld       = "too-much-held"
+	reasonStopping        = "stopping"
+	reasonNoDocument      = "no-document"
+	reasonNoRoute         = "no-route"
+	reasonUnknownKey      = "key-unknown"
+	reasonViewUnconfirmed = "view-unconfirmed"
+	reasonTooLarge        = "body-too-large"
+	reasonBadBody         = "body-broken"
+	reasonNoBackend       = "no-backend"
+	reasonRejected        = "turned-away"
+	reasonUnreachable     = "unreached"
+	reasonRunUnknown      = "run-unknown"
+	reasonDeadline        = "deadline"
+	reasonCallerGone      = "caller-gone"
+	reasonStreamBroken    = "stream-broken"
+	reasonOverLimit       = "over-limit"
+	reasonLimitUnknown    = "limit-unknown"
+	reasonOverload        = "overload"
+	reasonQuarantined     = "held-back"
+	reasonBackingOff      = "resting"
+	reasonLimitReached    = "limited"
+	reasonBuffersFull     = "too-much-held"
 )
 
 const (
-	// retrySoon is the advice when another try in a moment may be served.
-	retrySoon = 150 * time.Millisecond
-	// unreachedLimit is how many back ends may be found unreachable for one request.
-	unreachedLimit = 4
-	// backendGrace is how long a request may wait for a back end that can be used.
-	backendGrace = 120 * time.Millisecond
+	// minRetryAfter is the minimum retry time given to callers of rejected requests.
+	minRetryAfter = 150 * time.Millisecond
+	// maxUnreachable is the number of unreachable back ends after which a request is given up.
+	maxUnreachable = 4
+	// backendWait is how long a request may wait while no back end is available.
+	backendWait = 120 * time.Millisecond
 )
 
-// exchange is one caller's request.
+// exchange is a caller's request and the state of answering it.
 type exchange struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	request  *http.Request
-	ctx      context.Context
-	arrived  time.Duration
-	deadline time.Duration // when the final answer is due
-	call     Call
-	view     *view
-	route    *catalog.Route
-	service  *catalog.Service
-	tenant   *catalog.Tenant
-	keyed    bool
-	body     []byte
-	room     int // that was taken for the body
+	gateway      *Gateway
+	writer       http.ResponseWriter
+	request      *http.Request
+	ctx          context.Context
+	arrived      time.Duration
+	deadline     time.Duration // when the response must be complete
+	call         Call
+	view         *view
+	route        *catalog.Route
+	service      *catalog.Service
+	tenant       *catalog.Tenant
+	keyRequired  bool
+	body         []byte
+	bodyReserved int // buffer bytes reserved for the body
 
-	tried     []*endpoint
-	sent      int // back ends that got the request
-	unreached int
-	overLimit int                     // back ends that turned out to have reached their limits
-	mayHave   bool                    // an earlier attempt may have run
-	relayed   bool                    // the head of an answer has gone to the caller
-	lastEvent string                  // newest event passed on
-	served    string                  // back end of the answer
-	firstAt   time.Duration           // when the first event went to the caller, or 0
-	eventAt   time.Duration           // when the newest one did
-	pause     time.Duration           // longest time between two
-	plan      *candidate              // the newest placement, or nil
-	cover     quotaLease              // of the tenant's limit
-	atRest    time.Duration           // the most that was left of a back end's rest when the request was sent there
-	limited   pushback.Limit          // that the back end of the newest send had named
-	print     *quarantine.Fingerprint // of the request; nil until somebody asked for it
+	tried             []*endpoint
+	sentCount         int                     // attempts that were sent
+	unreachableCount  int                     // attempts that ended unsent for any other reason
+	limitReachedCount int                     // attempts that ended unsent because the back end had reached its limit
+	mayHaveRun        bool                    // an earlier attempt may have run
+	headRelayed       bool                    // the response head was sent to the caller
+	lastEvent         string                  // ID of the last event sent to the caller
+	servedBy          string                  // instance whose response the caller got
+	firstEventAt      time.Duration           // when the first event was sent to the caller; 0 before that
+	latestEventAt     time.Duration           // when the latest event was sent to the caller
+	longestGap        time.Duration           // longest time between two events
+	placement         *candidate              // latest placement; nil before the first
+	quotaLease        quotaLease              // lease on the tenant's limit for the next attempt
+	backoffLeft       time.Duration           // longest backoff of a back end still running when the request was sent to it
+	advertisedLimit   pushback.Limit          // limit advertised by the back end of the latest attempt
+	cachedFingerprint *quarantine.Fingerprint // of the request; nil until first needed
 }
 
-// serve takes a caller's request.
+// serve handles a caller's request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.Read(r.Header)}
-	if g.closing.Load() {
-		x.refuse(http.StatusServiceUnavailable, reasonStopping, retrySoon)
+	x := &exchange{gateway: g, writer: w, request: r, arrived: g.now(), call: g.dialect.ReadCall(r.Header)}
+	if g.rejecting.Load() {
+		x.reject(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
 	}
 	defer x.releaseQuota()
-	defer func() { g.held.release(x.room) }()
+	defer func() { g.buffered.release(x.bodyReserved) }()
 	if !x.admit() || !x.acquireQuota() || !x.readBody() {
 		return
 	}
 	deadline := x.route.Timeout
-	if x.call.Patience > 0 {
-		deadline = min(deadline, x.call.Patience)
+	if x.call.Timeout > 0 {
+		deadline = min(deadline, x.call.Timeout)
 	}
 	x.deadline = x.arrived + deadline
 	ctx, cancel := context.WithTimeout(r.Context(), x.deadline-g.now())
@@ -110,24 +110,24 @@
 	x.run()
 }
 
-// admit finds route, tenant and service, or answers why not. Only a confirmed view may say that something does not
-// exist; an older one cannot know.
+// admit resolves route, tenant and service, or rejects the request. A route or key counts as unknown only if the view
+// is confirmed, since an older view may lack it.
 func (x *exchange) admit() bool {
 	x.resolve()
 	trusted := x.gateway.trusted(x.arrived)
-	if !trusted && x.needsTrust() {
+	if !trusted && x.needsConfirmedView() {
 		trusted = x.awaitView()
 		x.resolve()
 	}
 	switch {
 	case x.view == nil:
-		x.refuse(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.controlRetryAfter())
+		x.reject(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.controlRetryAfter())
 		return false
 	case x.route == nil:
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
 		return false
-	case x.keyed && (x.tenant == nil || !trusted):
-		x.deny(trusted, http.StatusUnauthorized, reasonNoKey)
+	case x.keyRequired && (x.tenant == nil || !trusted):
+		x.deny(trusted, http.StatusUnauthorized, reasonUnknownKey)
 		return false
 	}
 	x.service = x.view.services[x.gateway.splits.next(x.route)]
@@ -135,7 +135,7 @@
 	return true
 }
 
-// resolve finds route and tenant in the newest view.
+// resolve looks up route and tenant in the current view.
 func (x *exchange) resolve() {
 	x.view = x.gateway.view.Load()
 	if x.view == nil {
@@ -143,62 +143,63 @@
 	}
 	x.route = x.view.route(x.request.Host, x.request.URL.Path)
 	if x.route != nil {
-		x.tenant, x.keyed = x.view.tenant(x.route, x.call.Key)
+		x.tenant, x.keyRequired = x.view.tenant(x.route, x.call.Key)
 	}
 }
 
-// needsTrust reports whether the request can only be judged by a confirmed view.
-func (x *exchange) needsTrust() bool { return x.view == nil || x.route == nil || x.keyed }
+// needsConfirmedView reports whether the request can be admitted or rejected only with a confirmed view.
+func (x *exchange) needsConfirmedView() bool { return x.view == nil || x.route == nil || x.keyRequired }
 
+// deny rejects a request without a known route or key, or for lack of a confirmed view.
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
-		x.gateway.log.lost()
-		x.refuse(http.StatusServiceUnavailable, reasonUntrusted, x.gateway.controlRetryAfter())
+		x.gateway.log.recordDisconnect()
+		x.reject(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.controlRetryAfter())
 		return
 	}
-	x.refuse(status, reason, 0)
+	x.reject(status, reason, 0)
 }
 
-// readBody reads the whole body, since it may have to be sent twice.
+// readBody buffers the whole body, since a retry sends it again.
 func (x *exchange) readBody() bool {
 	if x.request.ContentLength == 0 {
 		return true
 	}
 	limit := x.view.bodyLimit()
 	if x.request.ContentLength > limit {
-		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
+		x.reject(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return false
 	}
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	body, room, err := x.gateway.held.readBody(from, x.request.ContentLength)
-	x.room = room
+	body, reserved, err := x.gateway.buffered.readBody(from, x.request.ContentLength)
+	x.bodyReserved = reserved
 	if errors.Is(err, errBufferLimit) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
-		_, _ = io.Copy(io.Discard, from) // a caller that still sends would meet a reset, and not the refusal
+		_, _ = io.Copy(io.Discard, from) // a caller that is still sending would get a reset instead of the response
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errBufferLimit):
-		x.refuse(http.StatusServiceUnavailable, reasonHeld, retrySoon)
+		x.reject(http.StatusServiceUnavailable, reasonBuffersFull, minRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
+		x.reject(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return false
 	case err != nil:
-		x.refuse(http.StatusBadRequest, reasonBadBody, 0)
+		x.reject(http.StatusBadRequest, reasonBadBody, 0)
 		return false
 	}
 	x.body = body
 	return true
 }
 
-// run sends the request until it has an answer or must be given up.
+// run makes attempts until the caller has a response.
 func (x *exchange) run() {
 	for {
-		if x.over() || x.rejectIfQuarantined() || !x.acquireQuota() {
+		if x.endIfExpired() || x.rejectIfQuarantined() || !x.acquireQuota() {
 			return
 		}
 		chosen := x.place()
@@ -206,143 +207,144 @@
 			x.giveUp(x.noBackendReason())
 			return
 		}
-		x.plan = chosen
+		x.placement = chosen
 		if chosen.retryAfter > 0 {
-			x.refuse(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
+			x.reject(http.StatusServiceUnavailable, reasonOverload, chosen.retryAfter)
 			return
 		}
-		sent := x.newAttempt(chosen)
-		result := sent.perform()
+		a := x.newAttempt(chosen)
+		result := a.perform()
 		if result.kind == resultAnswered {
 			return
 		}
 		if result.kind == resultNotRun {
-			x.cover = sent.cover // nothing ran, so nothing was used
+			x.quotaLease = a.quotaLease // the request did not run, so the lease is still unused
 		}
-		x.logFailure(sent, result)
+		x.logFailure(a, result)
 		if x.route.Retryable() {
-			sent.awaitCrashCheck()
+			a.awaitCrashCheck()
 		}
-		if !x.mayGoOn(result) {
+		if !x.continueAfter(result) {
 			return
 		}
 	}
 }
 
-// over answers a request whose time has passed, or whose caller has left.
-func (x *exchange) over() bool {
+// endIfExpired ends a request whose deadline has passed or whose caller has disconnected, and reports whether it did.
+func (x *exchange) endIfExpired() bool {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
 		return true
-	case x.ctx.Err() != nil, x.gateway.now() >= x.deadline: // a timer stands still while the machine is suspended
-		x.giveUp(reasonDeadline, retrySoon)
+	case x.ctx.Err() != nil, x.gateway.now() >= x.deadline: // the timer of ctx stops while the machine is suspended
+		x.giveUp(reasonDeadline, minRetryAfter)
 		return true
 	}
 	return false
 }
 
-// place chooses a back end; while none can be used it waits a moment for a better roster.
+// place selects a back end. If none is available for the first attempt, it waits up to backendWait for one.
 func (x *exchange) place() *candidate {
 	in := selectionInput{
 		service: x.service, tenant: x.tenant, call: &x.call, tried: x.tried, firstAttempt: len(x.tried) == 0, priority: enginePriority(x.tenant, x.route), latencyTarget: x.route.Objective,
 	}
-	if x.gateway.on(mechanism.Store) {
+	if x.gateway.enabled(mechanism.StoreTransfers) {
 		in.store = x.view.storeOf(x.call.Parts)
 	}
-	patience := x.gateway.now() + backendGrace
+	waitUntil := x.gateway.now() + backendWait
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
-		news := x.gateway.table.rosterChanged.Next()
+		changed := x.gateway.table.rosterChanged.Next()
 		chosen := x.requestPlacement(in)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), in)
 			x.gateway.rejectIfOverloaded(x.gateway.now(), chosen, in)
 		}
-		left := patience - x.gateway.now()
-		if chosen != nil || left <= 0 || len(x.tried) > 0 {
+		remaining := waitUntil - x.gateway.now()
+		if chosen != nil || remaining <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
-		if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > left {
-			return nil // to hold the request would not serve it
-		} else if first > 0 {
-			left = first
+		if retryIn, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); retryIn > remaining {
+			return nil // all back ends stay unavailable for longer than the request may wait
+		} else if retryIn > 0 {
+			remaining = retryIn
 		}
 		select {
-		case <-news:
-		case <-time.After(left):
+		case <-changed:
+		case <-time.After(remaining):
 		case <-x.ctx.Done():
 			return nil
 		}
 	}
 }
 
-// mayGoOn decides what follows a failed attempt; when the request is not sent again, it has been answered.
-func (x *exchange) mayGoOn(result result) bool {
-	x.mayHave = x.mayHave || result.kind == resultUnknown || result.kind == resultFailed
-	if x.over() {
+// continueAfter reports whether another attempt follows a failed one; if not, it has answered the request.
+func (x *exchange) continueAfter(result result) bool {
+	x.mayHaveRun = x.mayHaveRun || result.kind == resultUnknown || result.kind == resultFailed
+	if x.endIfExpired() {
 		return false
 	}
 	switch result.kind {
-	case resultUnreached:
-		if result.cause == causeLimited {
-			return x.goOnFromLimit()
+	case resultUnreachable:
+		if result.cause == causeLimitReached {
+			return x.continueAfterLimit()
 		}
-		x.unreached++
-		if x.unreached >= unreachedLimit {
-			x.giveUp(reasonUnreached, retrySoon)
+		x.unreachableCount++
+		if x.unreachableCount >= maxUnreachable {
+			x.giveUp(reasonUnreachable, minRetryAfter)
 			return false
 		}
 		return true
 	case resultFailed:
 		return true
 	case resultNotRun:
-		if x.mayHave && !x.route.Retryable() {
+		if x.mayHaveRun && !x.route.Retryable() {
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.repeat(reasonTurnedAway, max(retrySoon, x.rejectionRetryAfter(result)))
+		return x.retryOrGiveUp(reasonRejected, max(minRetryAfter, x.rejectionRetryAfter(result)))
 	}
 	if !x.route.Retryable() || x.isSuspect() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
-	return x.repeat(reasonRunUnknown, 0)
+	return x.retryOrGiveUp(reasonRunUnknown, 0)
 }
 
-// goOnFromLimit lets a request go on that found its back end at its limit. That one may be chosen again once it takes another request.
-func (x *exchange) goOnFromLimit() bool {
+// continueAfterLimit is continueAfter for a back end that had reached its limit. That back end may be selected again,
+// as soon as its limit permits.
+func (x *exchange) continueAfterLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
-	x.overLimit++
-	if x.overLimit < maxLimitedAttempts {
+	x.limitReachedCount++
+	if x.limitReachedCount < maxLimitedAttempts {
 		return true
 	}
-	x.giveUp(reasonLimited, retrySoon)
+	x.giveUp(reasonLimitReached, minRetryAfter)
 	return false
 }
 
-// repeat reports whether the request may be sent to another back end; otherwise it gives the request up.
-func (x *exchange) repeat(reason string, retryAfter time.Duration) bool {
-	if x.spendRepeat() {
+// retryOrGiveUp reports whether the request may be retried; otherwise it gives the request up.
+func (x *exchange) retryOrGiveUp(reason string, retryAfter time.Duration) bool {
+	if x.takeRetry() {
 		return true
 	}
 	x.giveUp(reason, retryAfter)
 	return false
 }
 
-// spendRepeat takes a repeat from the budget where the request may be sent to one more back end.
-func (x *exchange) spendRepeat() bool {
-	if !x.canRepeat() || !x.gateway.acquireRetry(x.ctx, x.service.Name) {
+// takeRetry reports whether the request may be retried, and if so takes a retry from the budget.
+func (x *exchange) takeRetry() bool {
+	if !x.canRetry() || !x.gateway.acquireRetry(x.ctx, x.service.Name) {
 		return false
 	}
-	x.gateway.metrics.repeats.Inc()
+	x.gateway.metrics.retries.Inc()
 	return true
 }
 
-// canRepeat reports whether the route allows one more back end, and the view still counts.
-func (x *exchange) canRepeat() bool {
-	if x.keyed && !x.gateway.trusted(x.gateway.now()) {
+// canRetry reports whether the route allows another attempt, and the view is confirmed if a key is required.
+func (x *exchange) canRetry() bool {
+	if x.keyRequired && !x.gateway.trusted(x.gateway.now()) {
 		return false
 	}
-	return x.sent < max(1, x.route.MaxAttempts)
+	return x.sentCount < max(1, x.route.MaxAttempts)
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -21,14 +21,14 @@
 		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || replicas == 0)
 		if reply == nil {
 			failures++
-			g.near.demoteFirst()
+			g.nearby.demoteFirst()
 			if !g.trusted(g.now()) {
 				g.outage.begin(g.now())
-				g.log.lost()
+				g.log.recordDisconnect()
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(watchPause):
+			case <-time.After(watchRetryDelay):
 			}
 			continue
 		}
@@ -37,21 +37,21 @@
 		g.applyWatchReply(ctx, askedAt, reply)
 		if len(reply.Replicas) != replicas {
 			replicas = len(reply.Replicas)
-			g.group.Use(reply.Replicas)
+			g.group.SetAddresses(reply.Replicas)
 		}
 	}
 }
 
 // watchGrace returns how much later than its hold time a reply may arrive, after a number of consecutive failures.
 func watchGrace(failures int) time.Duration {
-	return (watchTimeout - watchHold) << min(failures/failuresEach, longestPatience)
+	return (watchTimeout - watchHold) << min(failures/failuresPerStep, maxTimeoutDoublings)
 }
 
 // watchOnce sends one watch request to control, and first finds a replica that answers if none is known. It returns nil
 // if there was no reply.
 func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, grace time.Duration, searching bool) *control.WatchReply {
 	watch := control.Watch{
-		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.Internal, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
+		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.PeerAddress, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
 	if current := g.view.Load(); current != nil {
@@ -61,14 +61,14 @@
 		if !g.findControl(ctx, watch, grace) {
 			return nil
 		}
-		grace = max(grace, wholePatience)
+		grace = max(grace, fullReplyTimeout)
 	}
 	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
-	ask := g.group.Once
-	if address, named := g.near.first(); named {
+	ask := g.group.AskOnce
+	if address, named := g.nearby.first(); named {
 		ask = func(ctx context.Context, request control.Request) (control.Response, error) {
-			return g.group.At(ctx, address, request)
+			return g.group.AskReplica(ctx, address, request)
 		}
 	}
 	response, err := ask(attempt, control.Request{Watch: &watch})
@@ -81,18 +81,18 @@
 // findControl asks several replicas at once which of them answer. The requests omit document and roster, since a small
 // machine would exceed the timeout parsing several copies.
 func (g *Gateway) findControl(ctx context.Context, watch control.Watch, grace time.Duration) bool {
-	watch.Brief = true
-	if !g.group.HeardWithin(controlContactWindow) {
+	watch.ProbeOnly = true
+	if !g.group.AnsweredWithin(controlContactWindow) {
 		watch.Hold = 0 // an immediate reply shows whether any replica is available
 	}
 	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
-	response, err := g.group.Any(attempt, control.Request{Watch: &watch})
+	response, err := g.group.AskAny(attempt, control.Request{Watch: &watch})
 	if err != nil || response.Watch == nil {
 		return false
 	}
-	g.near.update(response.Watch.Near)
-	g.group.Use(response.Watch.Replicas)
+	g.nearby.update(response.Watch.NearbyReplicas)
+	g.group.SetAddresses(response.Watch.Replicas)
 	return true
 }
 
@@ -100,7 +100,7 @@
 // so that control learns soon that its requests have ended.
 func (g *Gateway) watchHoldTime() time.Duration {
 	if g.table.weightsDraining() {
-		return drainHold
+		return drainingWatchHold
 	}
 	return watchHold
 }
@@ -114,36 +114,36 @@
 	current := g.view.Load()
 	if reply.Document != nil && (current == nil || reply.Document.Revision > current.document.Revision) {
 		g.view.Store(newView(reply.Document))
-		g.desk.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
-		g.log.note(events.DocumentTaken, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
+		g.leases.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
+		g.log.info(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
 		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheTokens())
 		g.quarantine.ConfirmEnds(reporter.Replaced, replacedInstances(changes)...)
 		for _, change := range changes {
-			g.log.note(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
+			g.log.info(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
 		}
-		g.log.note(events.RosterTaken, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
-			zap.Bool("whole", reply.Roster.Whole), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Gone)))
+		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
+			zap.Bool("whole", reply.Roster.Full), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Removed)))
 	}
 	for _, n := range g.table.applyWatchReply(g.now(), askedAt, reply) {
-		g.log.note(events.NamingYounger, zap.String("model", n.Model), zap.Uint64("version", n.Version),
+		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.desk.RecordContact(askedAt, reply.Gateways)
-	g.gateways.Store(int64(reply.Gateways))
-	g.near.update(reply.Near)
-	g.spread.use(reply.Mesh)
+	g.leases.RecordContact(askedAt, reply.Gateways)
+	g.gatewayCount.Store(int64(reply.Gateways))
+	g.nearby.update(reply.NearbyReplicas)
+	g.peers.setMesh(reply.Mesh)
 	g.schedulers.setAddresses(reply.Mesh.Schedulers)
-	g.table.setAssigned(reply.Reads)
+	g.table.setAssigned(reply.CacheEventSources)
 	g.assignCaches(ctx, reply)
 	if g.view.Load() != nil {
-		g.confirm.Store(int64(askedAt))
+		g.confirmedAt.Store(int64(askedAt))
 		g.outage.end(g.now())
-		g.confirmed.Ring()
-		g.log.regained()
+		g.viewConfirmed.Notify()
+		g.log.recordReconnect()
 	}
 }
 
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -37,8 +37,8 @@
 				respond(http.StatusOK, control.Response{Kind: control.ResponseNotLeader})
 				return
 			}
-			reply := &control.WatchReply{Revision: 1, Replicas: addresses, Near: addresses[i : i+1]}
-			if !request.Watch.Brief {
+			reply := &control.WatchReply{Revision: 1, Replicas: addresses, NearbyReplicas: addresses[i : i+1]}
+			if !request.Watch.ProbeOnly {
 				fullReplies.Add(1)
 				reply.Document = &catalog.Document{Revision: 1}
 			}
@@ -56,7 +56,7 @@
 // that answers, which a small machine could not parse within the timeout.
 func TestOneFullWatchReply(t *testing.T) {
 	addresses, whole := startReplicas(t, 3)
-	g := New(Settings{Name: "g", Zone: "z", Control: addresses, Trust: time.Hour}, nil, node.NopLog())
+	g := New(Settings{Name: "g", Zone: "z", Control: addresses, ViewTTL: time.Hour}, nil, node.NopLog())
 	reply := g.watchOnce(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
 		t.Fatalf("reply %+v, want one with a document", reply)
