--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -71,8 +71,8 @@
 
 // assignCaches reads the caches of the engines that control assigned to this gateway.
 func (g *Gateway) assignCaches(ctx context.Context, reply *control.WatchReply) {
-	if g.reader != nil && g.on(mechanism.CacheEvents) {
-		g.followers.assign(ctx, reply.Reads, g.followCache)
+	if g.cacheReader != nil && g.enabled(mechanism.CacheEvents) {
+		g.followers.assign(ctx, reply.CacheEventSources, g.followCache)
 	}
 }
 
@@ -109,9 +109,9 @@
 // recordCacheError counts a failed read, and logs the first of consecutive failures.
 func (g *Gateway) recordCacheError(id string, cursor *cacheCursor, err error) {
 	cursor.failures++
-	g.metrics.unread.Inc()
+	g.metrics.cacheReadFailures.Inc()
 	if cursor.failures == 1 {
-		g.log.note(events.CacheUnread, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
+		g.log.info(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
 
@@ -125,7 +125,7 @@
 	if !cursor.listed {
 		return g.listCache(ctx, id, address, cursor)
 	}
-	report, err := g.reader.Events(ctx, address, cursor.nextEvent)
+	report, err := g.cacheReader.Events(ctx, address, cursor.nextEvent)
 	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
@@ -145,7 +145,7 @@
 		return false, nil
 	}
 	cursor.listedAt = g.now()
-	report, err := g.reader.List(ctx, address)
+	report, err := g.cacheReader.List(ctx, address)
 	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
@@ -160,11 +160,11 @@
 	now := g.now()
 	corrections := g.table.applyCacheReport(now, id, report.Parts, full)
 	if len(corrections) == 0 && now >= cursor.aliveAt+cacheAliveInterval {
-		corrections = []send{{Gateway: g.nick, Instance: id, Kept: true}}
+		corrections = []announcement{{Gateway: g.shortName, Instance: id, CacheReport: true}}
 	}
 	for _, correction := range corrections {
-		correction.Gateway, correction.Instance, correction.Kept = g.nick, id, true
+		correction.Gateway, correction.Instance, correction.CacheReport = g.shortName, id, true
 		cursor.aliveAt = now
-		g.spread.own(correction)
+		g.peers.announce(correction)
 	}
 }
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -81,7 +81,7 @@
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
-		g.table.applyRoster(0, &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
+		g.table.applyRoster(0, &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
 		at := &cacheCursor{}
 		checkCached := func(wanted string) {
 			t.Helper()
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -12,7 +12,7 @@
 )
 
 func newReader(text []byte) *bufio.Reader {
-	return bufio.NewReaderSize(bytes.NewReader(text), readBuffer)
+	return bufio.NewReaderSize(bytes.NewReader(text), readBufferSize)
 }
 
 // TestReadBody tests that bodies of known or unknown length, complete or truncated, are read unchanged, and that
@@ -55,7 +55,7 @@
 func TestLongEvents(t *testing.T) {
 	long := append(append([]byte("id: 1\ndata: "), bytes.Repeat([]byte("x"), 3*bufferStep)...), "\n\nid: 2\ndata: y\n\n"...)
 	var h bufferBudget
-	read := &eventReader{reader: newReader(long), held: &h}
+	read := &eventReader{reader: newReader(long), buffered: &h}
 	if event, err := read.next(); err != nil || len(event) < 3*bufferStep || h.used.Load() < 3*bufferStep {
 		t.Fatalf("event of %d bytes, error %v, %d bytes reserved", len(event), err, h.used.Load())
 	}
@@ -63,7 +63,7 @@
 		t.Fatalf("event of %d bytes, error %v, %d bytes reserved", len(event), err, h.used.Load())
 	}
 	h.reserve(maxBufferedBytes - bufferStep)
-	full := &eventReader{reader: newReader(long), held: &h}
+	full := &eventReader{reader: newReader(long), buffered: &h}
 	if _, err := full.next(); !errors.Is(err, errBufferLimit) {
 		t.Fatalf("error %v, want errBufferLimit", err)
 	}
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -15,15 +15,15 @@
 // fingerprint returns the request's fingerprint, which is the same for each retry by the caller. ok is false while the
 // seed is unknown.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
-	if x.print != nil {
-		return *x.print, true
+	if x.cachedFingerprint != nil {
+		return *x.cachedFingerprint, true
 	}
 	request := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
 	if x.tenant != nil {
 		request.Caller = x.tenant.Name
 	}
 	if f, ok = x.gateway.quarantine.Fingerprint(request); ok {
-		x.print = &f
+		x.cachedFingerprint = &f
 	}
 	return f, ok
 }
@@ -46,7 +46,7 @@
 	if x.crashCount() < quarantine.QuarantineThreshold {
 		return false
 	}
-	x.giveUp(reasonHeldBack, quarantine.RetryAfter)
+	x.giveUp(reasonQuarantined, quarantine.RetryAfter)
 	return true
 }
 
@@ -69,18 +69,18 @@
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
-		a.looked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
+		a.crashChecked = x.gateway.quarantine.RecordFailure(a.row.entry.ID, a.row.entry.Address, f)
 	}
 }
 
 // awaitCrashCheck waits until it is known whether the back end that failed the run has crashed, for up to
 // crashCheckTimeout.
 func (a *attempt) awaitCrashCheck() {
-	if a.looked == nil {
+	if a.crashChecked == nil {
 		return
 	}
 	select {
-	case <-a.looked:
+	case <-a.crashChecked:
 	case <-time.After(crashCheckTimeout):
 	case <-a.exchange.ctx.Done():
 	}
--- a/internal/gateway/lastlook_test.go
+++ b/internal/gateway/lastlook_test.go
@@ -21,14 +21,14 @@
 		t.Run(what, func(t *testing.T) {
 			g := newScheduler(1)
 			chosen := chosenAttempt(g)
-			news := &control.RosterNews{Whole: true}
+			news := &control.RosterUpdate{Full: true}
 			if change != nil {
 				entry := g.table.rows["i-0"].entry
 				change(&entry)
 				news.Entries = []control.RosterEntry{entry}
 			}
 			g.table.applyRoster(g.now(), news, nil)
-			if bar := chosen.barred(); (bar == "") != (what == "unchanged") {
+			if bar := chosen.recheckConditions(); (bar == "") != (what == "unchanged") {
 				t.Fatalf("restriction %q", bar)
 			}
 		})
@@ -46,10 +46,10 @@
 	g := newScheduler(1)
 	g.table.rows["i-0"].entry.Address = listener.Addr().String()
 	chosen := chosenAttempt(g)
-	publishVersion(g, 2, g.settings.VersionLimit)
+	publishVersion(g, 2, g.settings.OldWeightsStartLimit)
 	got := chosen.perform()
-	if got.kind != resultUnreached || got.cause != causeOutdated || chosen.exchange.sent != 0 || len(g.table.waiting) > 0 {
-		t.Fatalf("result %s, cause %q, %d requests sent, %d attempts waiting", got.kind, got.cause, chosen.exchange.sent, len(g.table.waiting))
+	if got.kind != resultUnreachable || got.cause != causeWeightsOutdated || chosen.exchange.sentCount != 0 || len(g.table.waiting) > 0 {
+		t.Fatalf("result %s, cause %q, %d requests sent, %d attempts waiting", got.kind, got.cause, chosen.exchange.sentCount, len(g.table.waiting))
 	}
 	connection, err := listener.Accept()
 	if err != nil {
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -29,19 +29,19 @@
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
-		x.cover.acquired = true
+		x.quotaLease.acquired = true
 		return true
 	}
-	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.Counted)
-	result := x.gateway.desk.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.TokensDeclared)
+	result := x.gateway.leases.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
 	switch result.Outcome {
 	case desk.Granted:
-		x.cover = quotaLease{lease: result.Lease, acquired: true}
+		x.quotaLease = quotaLease{lease: result.Lease, acquired: true}
 		return true
 	case desk.LimitReached:
 		x.rejectForQuota(http.StatusTooManyRequests, reasonOverLimit, result.RetryAfter)
 	default:
-		x.rejectForQuota(http.StatusServiceUnavailable, reasonUncounted, x.gateway.controlRetryAfter())
+		x.rejectForQuota(http.StatusServiceUnavailable, reasonLimitUnknown, x.gateway.controlRetryAfter())
 	}
 	return false
 }
@@ -51,32 +51,32 @@
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
-	case x.mayHave || x.relayed:
+	case x.mayHaveRun || x.headRelayed:
 		x.giveUp(reason, 0)
 	default:
-		x.refuse(status, reason, max(retrySoon, retryAfter))
+		x.reject(status, reason, max(minRetryAfter, retryAfter))
 	}
 }
 
 // hasQuota reports whether quota for the next send is held. A lease may have expired during a pause of the process or
 // while the body was read slowly.
 func (x *exchange) hasQuota() bool {
-	return x.cover.acquired && (x.cover.lease.Amount == 0 || x.cover.lease.Valid(x.gateway.now()))
+	return x.quotaLease.acquired && (x.quotaLease.lease.Amount == 0 || x.quotaLease.lease.Valid(x.gateway.now()))
 }
 
 // releaseQuota returns unused quota.
 func (x *exchange) releaseQuota() {
-	if x.cover.acquired {
-		x.gateway.desk.Release(x.cover.lease)
+	if x.quotaLease.acquired {
+		x.gateway.leases.Release(x.quotaLease.lease)
 	}
-	x.cover = quotaLease{}
+	x.quotaLease = quotaLease{}
 }
 
 // requestLeases requests leases from the control leader. It is the desk's RequestFunc.
 func (g *Gateway) requestLeases(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
-	ask := g.group.Once
-	if !g.group.HeardWithin(controlContactWindow) {
-		ask = g.group.Any
+	ask := g.group.AskOnce
+	if !g.group.AnsweredWithin(controlContactWindow) {
+		ask = g.group.AskAny
 	}
 	response, err := ask(ctx, control.Request{Borrow: &request})
 	if err != nil {
@@ -95,6 +95,6 @@
 		return true
 	}
 	name := quota.ServiceRetries(service)
-	result := g.desk.Acquire(ctx, name, 1, retryLeaseTimeout)
+	result := g.leases.Acquire(ctx, name, 1, retryLeaseTimeout)
 	return result.Outcome == desk.Granted && result.Lease.Name == name
 }
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -14,7 +14,7 @@
 	t = newTable(mechanism.Set{})
 	applyVersions = func(versions map[string]uint64) {
 		entry := control.RosterEntry{Instance: catalog.Instance{ID: "e@1", Service: "engine", Address: "a"}, Versions: versions}
-		t.applyRoster(time.Second, &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+		t.applyRoster(time.Second, &control.RosterUpdate{Entries: []control.RosterEntry{entry}}, nil)
 	}
 	return t, applyVersions
 }
@@ -65,13 +65,13 @@
 		publishVersion(g, 2, age)
 		entry := g.table.rows["i-0"].entry
 		entry.Versions = map[string]uint64{"m": 2}
-		g.table.applyRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+		g.table.applyRoster(g.now(), &control.RosterUpdate{Entries: []control.RosterEntry{entry}}, nil)
 		return g, chosen
 	}
 	for _, age := range []time.Duration{10 * time.Second, 2 * time.Minute} {
 		late := age > time.Minute
 		g, chosen := newVersionedGateway(age)
-		if bar := chosen.barred(); (bar != "") != late {
+		if bar := chosen.recheckConditions(); (bar != "") != late {
 			t.Errorf("published %v ago, version 1 expected by the attempt: restriction %q", age, bar)
 		}
 		in := selectionInput{service: g.view.Load().services["s"], call: &Call{Model: "m"}, trusted: true}
@@ -93,7 +93,7 @@
 	if chosen == nil || chosen.version != 0 {
 		t.Fatalf("candidate %+v, want one without a version", chosen)
 	}
-	if bar := x.newAttempt(chosen).barred(); bar != "" {
+	if bar := x.newAttempt(chosen).recheckConditions(); bar != "" {
 		t.Fatalf("restriction %q, want none", bar)
 	}
 }
@@ -106,7 +106,7 @@
 	publishVersion(g, 2, 5*time.Minute)
 	entry := g.table.rows["i-0"].entry
 	entry.Versions = map[string]uint64{"m": 2}
-	g.table.applyRoster(g.now(), &control.RosterNews{Entries: []control.RosterEntry{entry}}, nil)
+	g.table.applyRoster(g.now(), &control.RosterUpdate{Entries: []control.RosterEntry{entry}}, nil)
 	checkUnconfirmedSend(t, g)
 }
 
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -26,7 +26,7 @@
 	g.table.mutex.Unlock()
 	if withdrawn {
 		limit := pushback.Limit{Withdrawn: true}
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: pushback.Signals{Limit: limit}})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: limit}})
 		g.logLimit(now, row.entry.ID, limit, sourceAnswer, "")
 	}
 }
@@ -37,10 +37,10 @@
 	if answer.Limit == nil {
 		return
 	}
-	limit := limitOfWire(answer.Limit, false)
+	limit := limitFromWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	changed := row != nil && g.table.signals.ObserveLimit(now-min(now, wireTime(answer.LimitAgeMS)), row.incarnation, limit)
+	changed := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
 	if changed {
 		g.logLimit(now, answer.Instance, limit, sourceGateway, "")
@@ -52,15 +52,15 @@
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
 	case limit.Advertised:
-		g.log.note(events.InstanceLimits, append(fields, zap.Float64(events.FieldLimit, limit.Rate))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	case limit.Withdrawn:
-		g.log.note(events.InstanceUnlimited, fields...)
+		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
 	if unreadable == "" {
 		return
 	}
-	if held, due := g.limitLines.Due(now, instance); due {
-		g.log.note(events.InstanceLimits, append(fields, zap.String(events.FieldUnread, unreadable), zap.Int("held", held))...)
+	if held, due := g.limitLogLimiter.Due(now, instance); due {
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unreadable), zap.Int("held", held))...)
 	}
 }
 
@@ -101,7 +101,7 @@
 func (a *attempt) acquireLease() bool {
 	g := a.exchange.gateway
 	now := g.now()
-	if a.hold.Valid(now) {
+	if a.limitLease.Valid(now) {
 		return true
 	}
 	limit, exhausted := g.table.advertisedLimit(now, a.row)
@@ -111,11 +111,11 @@
 	if exhausted {
 		return false
 	}
-	result := g.desk.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
+	result := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
 	outcome := leaseGranted
 	switch {
 	case result.Outcome == desk.Granted:
-		a.hold = result.Lease
+		a.limitLease = result.Lease
 	case result.Outcome == desk.LimitReached:
 		outcome = leaseLimitReached
 		g.table.setLimitExhausted(a.row, g.now()+withJitter(max(result.RetryAfter, minLimitExhaustion)))
@@ -125,16 +125,16 @@
 		outcome = leaseUnavailable
 		g.table.setLeaseRetryAt(g.now() + leaseRetryInterval)
 	}
-	g.metrics.permits.WithLabelValues(outcome).Inc()
+	g.metrics.limitLeases.WithLabelValues(outcome).Inc()
 	return result.Outcome == desk.Granted
 }
 
 // releaseLease returns an unused lease.
 func (a *attempt) releaseLease() {
-	if a.hold.Amount > 0 {
-		a.exchange.gateway.desk.Release(a.hold)
-		a.exchange.gateway.metrics.permits.WithLabelValues(leaseUnused).Inc()
-		a.hold = allowance.Lease{}
+	if a.limitLease.Amount > 0 {
+		a.exchange.gateway.leases.Release(a.limitLease)
+		a.exchange.gateway.metrics.limitLeases.WithLabelValues(leaseUnused).Inc()
+		a.limitLease = allowance.Lease{}
 	}
 }
 
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -32,33 +32,33 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for _, rate := range []float64{4, 4, 2.5, 2.5} {
-		sent.handlePushback(200, Verdict{Signed: true, Said: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, Strange: []string{"Mood"}})
+		sent.handlePushback(200, ResponseInfo{Signed: true, Signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, UnknownHeaders: []string{"Mood"}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).handlePushback(200, Verdict{LimitUnread: "3,8"})
-	got := lines.FilterMessage(events.InstanceLimits).All()
-	if len(got) != 3 || got[0].ContextMap()[events.FieldLimit] != 4.0 || got[1].ContextMap()[events.FieldLimit] != 2.5 ||
-		got[2].ContextMap()[events.FieldUnread] != "3,8" {
+	attemptAt(g, g.table.rows["i-1"]).handlePushback(200, ResponseInfo{UnparsedLimit: "3,8"})
+	got := lines.FilterMessage(events.InstanceLimitAdvertised).All()
+	if len(got) != 3 || got[0].ContextMap()[events.FieldAdvertisedLimit] != 4.0 || got[1].ContextMap()[events.FieldAdvertisedLimit] != 2.5 ||
+		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
 		t.Fatalf("log lines about limits: %v", got)
 	}
-	if strange := lines.FilterMessage(events.WordUnknown).All(); len(strange) != 1 {
+	if strange := lines.FilterMessage(events.UnknownBackendHeader).All(); len(strange) != 1 {
 		t.Errorf("log lines about unknown fields: %v, want 1", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
-	newLimitedGauge(g).Collect(gauges)
+	newAdvertisedLimitGauge(g).Collect(gauges)
 	if counts, sums := g.table.advertisedLimits(); len(gauges) != 2 || counts["s"] != 1 || sums["s"] != 2.5 {
 		t.Errorf("%d gauges, counts %v, sums %v", len(gauges), counts, sums)
 	}
-	sent.handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"}) // sent before the limit was observed
-	if len(lines.FilterMessage(events.InstanceUnlimited).All()) > 0 {
+	sent.handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"}) // sent before the limit was observed
+	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
 		t.Fatal("limit withdrawn by an answer to a request sent before it was observed")
 	}
 	now += time.Second
-	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "another"})
+	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "another"})
 	if counts, _ := g.table.advertisedLimits(); counts["s"] != 1 {
 		t.Fatal("limit withdrawn by another request's answer")
 	}
-	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, Verdict{Signed: true, Unlimited: true, ID: "r1"})
-	if counts, _ := g.table.advertisedLimits(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceUnlimited).All()) != 1 {
+	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"})
+	if counts, _ := g.table.advertisedLimits(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
 		t.Fatalf("limits after the withdrawal: %v, want none", counts)
 	}
 }
@@ -66,14 +66,14 @@
 // TestUnknownFieldsAreBounded tests that the number of remembered unknown field names is bounded, since back ends
 // choose the names.
 func TestUnknownFieldsAreBounded(t *testing.T) {
-	var words strangeWords
+	var words unknownHeaders
 	logged := 0
-	for i := range 10 * strangeMost {
-		if words.first(fmt.Sprint(i)) {
+	for i := range 10 * maxUnknownHeaders {
+		if words.addNew(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != strangeMost || words.first("0") {
+	if logged != maxUnknownHeaders || words.addNew("0") {
 		t.Fatalf("%d names logged", logged)
 	}
 }
@@ -97,24 +97,24 @@
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	chosen := chosenAttempt(g)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("restricted without a limit: %s", bar)
 	}
 	reportLimit(g, "i-0", 4)
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("restriction %q without a lease", bar)
 	}
-	chosen.hold = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
+	chosen.limitLease = allowance.Lease{Name: "x", Amount: 1, ExpiresAt: now + allowance.LeaseTTL}
 	g.table.setLimitExhausted(chosen.row, now+time.Second)
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("restriction %q with a lease", bar)
 	}
 	now += 2 * allowance.LeaseTTL
-	if bar := chosen.barred(); bar != causeLimited {
+	if bar := chosen.recheckConditions(); bar != causeLimitReached {
 		t.Fatalf("restriction %q with an expired lease", bar)
 	}
 	reportNoLimit(g, "i-0")
-	if bar := chosen.barred(); bar != "" {
+	if bar := chosen.recheckConditions(); bar != "" {
 		t.Fatalf("restriction %q after the limit was withdrawn", bar)
 	}
 }
@@ -179,7 +179,7 @@
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
-	g.gateways.Store(2)
+	g.gatewayCount.Store(2)
 	for _, id := range []string{"i-0", "i-1"} {
 		reportLimit(g, id, 4)
 		g.table.setLimitExhausted(g.table.rows[id], now+200*time.Millisecond)
@@ -188,7 +188,7 @@
 	before := time.Duration(0)
 	for i := range 60 {
 		reason, back := x.noBackendReason()
-		if reason != reasonLimited || back < 200*time.Millisecond || back > maxLimitRetryAfter+time.Second {
+		if reason != reasonLimitReached || back < 200*time.Millisecond || back > maxLimitRetryAfter+time.Second {
 			t.Fatalf("reason %s, retry after %v", reason, back)
 		}
 		wanted := min(200*time.Millisecond+time.Duration(i)*250*time.Millisecond, maxLimitRetryAfter)
@@ -216,11 +216,11 @@
 		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Second)
-	if first, cause := g.table.allRestricted(now, "s"); first != time.Second || cause != causeLimited {
+	if first, cause := g.table.allRestricted(now, "s"); first != time.Second || cause != causeLimitReached {
 		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 	g.table.setLimitExhausted(g.table.rows["i-1"], now+time.Minute)
-	if first, cause := g.table.allRestricted(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeResting {
+	if first, cause := g.table.allRestricted(now, "s"); first < 10*time.Second || first > 11*time.Second || cause != causeBackingOff {
 		t.Fatalf("restricted for %v, cause %q", first, cause)
 	}
 }
@@ -231,8 +231,8 @@
 	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	applyPeerLimit := func(age time.Duration, limit pushback.Limit) {
-		heard := send{Gateway: "other", Instance: "i-0", Age: age, Said: pushback.Signals{Limit: limit}}
-		g.table.applySends(now, []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Age: age, Signals: pushback.Signals{Limit: limit}}
+		g.table.applySends(now, []announcement{heard.toWire(0).announcement()})
 	}
 	rate := func() float64 {
 		limit, _ := g.table.advertisedLimit(now, g.table.rows["i-0"])
@@ -264,8 +264,8 @@
 		t.Fatalf("limit %.1f after a scheduler's reply, want 3.5", rate())
 	}
 	reportLimit(g, "i-0", 2)
-	if older := (wireSend{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.send().Said.Limit.Rate != 3.5 {
-		t.Fatalf("decoded message of an older gateway: %+v", older.send())
+	if older := (wireAnnouncement{Instance: "i-0", Limit: &limit, AgeMS: 1}); older.announcement().Signals.Limit.Rate != 3.5 {
+		t.Fatalf("decoded message of an older gateway: %+v", older.announcement())
 	}
 }
 
@@ -278,12 +278,12 @@
 	for i := range maxLimitedAttempts {
 		x.newAttempt(&candidate{row: g.table.rows["i-0"]})
 		x.request = httptest.NewRequest("GET", "/", nil)
-		if goes := x.mayGoOn(result{kind: resultUnreached, cause: causeLimited}); goes != (i < maxLimitedAttempts-1) || len(x.tried) != 0 {
+		if goes := x.continueAfter(result{kind: resultUnreachable, cause: causeLimitReached}); goes != (i < maxLimitedAttempts-1) || len(x.tried) != 0 {
 			t.Fatalf("attempt %d: continues %v, %d back ends excluded", i, goes, len(x.tried))
 		}
 	}
-	if x.sent != 0 || x.unreached != 0 {
-		t.Fatalf("%d requests sent, %d connections failed, want none", x.sent, x.unreached)
+	if x.sentCount != 0 || x.unreachableCount != 0 {
+		t.Fatalf("%d requests sent, %d connections failed, want none", x.sentCount, x.unreachableCount)
 	}
 }
 
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -33,42 +33,42 @@
 
 // logVersionMismatch logs that a response reports other weights than expected or known, or that a request started
 // on outdated weights, with the deadlines in force.
-func (a *attempt) logVersionMismatch(status int, verdict Verdict) {
+func (a *attempt) logVersionMismatch(status int, verdict ResponseInfo) {
 	x := a.exchange
 	started := status < http.StatusMultipleChoices && verdict.Signed
-	rejected := verdict.NotRun && verdict.Version > 0
+	rejected := verdict.NotRun && verdict.WeightsVersion > 0
 	if !x.service.Engine || !started && !rejected {
 		return
 	}
 	g := x.gateway
-	seen := g.compareVersions(a.row, x.call.Model, verdict.Version)
+	seen := g.compareVersions(a.row, x.call.Model, verdict.WeightsVersion)
 	expected := a.plan.version
 	differs := seen.reported > 0 && (expected > 0 && seen.reported != expected || seen.reported != seen.known)
 	if !differs && !(started && seen.outdated) {
 		return
 	}
 	now := g.now()
-	suppressed, due := g.oldWeights.Due(now, a.row.entry.ID)
+	suppressed, due := g.weightsLogLimiter.Due(now, a.row.entry.ID)
 	if !due {
 		return
 	}
 	fields := []zap.Field{
 		zap.String(events.FieldRequest, x.call.ID), zap.String(events.FieldInstance, a.row.entry.ID), zap.String("model", x.call.Model),
 		zap.Int("answer", status), zap.Uint64("expected", expected), zap.Uint64("believed", seen.known),
-		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldTook, now-a.began), zap.Int("held", suppressed),
+		zap.Uint64("answered", seen.reported), zap.Duration(events.FieldElapsed, now-a.startedAt), zap.Int("held", suppressed),
 	}
-	g.log.note(events.WeightsDiffer, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
+	g.log.info(events.WeightsMismatch, append(fields, a.deadlineFields(now, seen.missingSince, seen.outdated)...)...)
 }
 
 // deadlineFields returns the log fields for the start deadline known at the decision and the current one.
 func (a *attempt) deadlineFields(now, publishedAt time.Duration, outdated bool) []zap.Field {
 	var fields []zap.Field
 	if a.plan.startDeadline > 0 {
-		fields = append(fields, zap.Duration(events.FieldLimitChosen, a.plan.startDeadline-now))
+		fields = append(fields, zap.Duration(events.FieldPlacementDeadline, a.plan.startDeadline-now))
 	}
 	if outdated {
-		left := publishedAt + a.exchange.gateway.settings.VersionLimit - now
-		fields = append(fields, zap.Duration(events.FieldLacked, now-publishedAt), zap.Duration(events.FieldLimitLeft, left))
+		left := publishedAt + a.exchange.gateway.settings.OldWeightsStartLimit - now
+		fields = append(fields, zap.Duration(events.FieldOutdatedFor, now-publishedAt), zap.Duration(events.FieldStartDeadline, left))
 	}
 	return fields
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -85,7 +85,7 @@
 func (x *exchange) awaitView() bool {
 	g := x.gateway
 	for {
-		next := g.confirmed.Next()
+		next := g.viewConfirmed.Next()
 		if g.trusted(g.now()) {
 			return true
 		}
@@ -105,14 +105,14 @@
 // expectsControl reports whether control is likely to confirm the view soon: a replica answers, so that a leader will
 // be elected, or the gateway has only just started.
 func (g *Gateway) expectsControl() bool {
-	return g.on(mechanism.ViewWait) && (g.group.HeardWithin(controlContactWindow) || g.now() < startupWindow)
+	return g.enabled(mechanism.ViewWait) && (g.group.AnsweredWithin(controlContactWindow) || g.now() < startupWindow)
 }
 
 // viewWait returns how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
-	timeout := x.call.Patience
+	timeout := x.call.Timeout
 	if timeout == 0 {
 		timeout = defaultCallerTimeout
 	}
-	return min(x.gateway.settings.ViewWait, time.Duration(viewWaitFraction*float64(timeout)))
+	return min(x.gateway.settings.MaxViewWait, time.Duration(viewWaitFraction*float64(timeout)))
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -22,7 +22,7 @@
 
 // checkAdmission decides whether a request that was just placed is rejected because of its predicted wait.
 func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (retryAfter time.Duration, rejected bool) {
-	if !in.firstAttempt || !in.service.Engine || !g.on(mechanism.Refusal) {
+	if !in.firstAttempt || !in.service.Engine || !g.enabled(mechanism.EarlyRejection) {
 		return 0, false
 	}
 	req := admission.Request{
@@ -35,7 +35,7 @@
 	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, req)
 	g.table.mutex.Unlock()
 	if rejected && req.Key != "" {
-		g.spread.own(send{Gateway: g.nick, Instance: chosen.row.entry.ID, Refused: req.Key}) // so that any gateway recognizes the retry
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: req.Key}) // so that any gateway recognizes the retry
 	}
 	return retryAfter, rejected
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -47,7 +47,7 @@
 	if got := g.placeForPeer(now, newPlacementRequest("no objective", 1)); got.RetryAfterMS > 0 {
 		t.Fatalf("request without an objective: %+v", got)
 	}
-	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.Refusal))
+	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.EarlyRejection))
 	if got := g.placeForPeer(now, newObjectiveRequest("off", true)); got.RetryAfterMS > 0 {
 		t.Fatalf("mechanism disabled: %+v", got)
 	}
@@ -104,7 +104,7 @@
 		for range 200 {
 			g, now := newScheduler(4), time.Second
 			if refusalKnown {
-				g.table.applySends(now, []send{send{Gateway: "other", Instance: "i-0", Refused: "back"}.wire(0).send()})
+				g.table.applySends(now, []announcement{announcement{Gateway: "other", Instance: "i-0", RejectedRequest: "back"}.toWire(0).announcement()})
 			}
 			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
 			if got := g.placeForPeer(now, newObjectiveRequest("back", true)); got.RetryAfterMS == 0 {
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -58,7 +58,7 @@
 
 // call returns the part of the caller's request that the message carries. Parts without a size are left out.
 func (q *wirePlacementRequest) call() Call {
-	return Call{Model: q.Model, PromptTokens: max(0, q.PromptTokens), Parts: partsOfWire(q.Parts, q.PartTokens)}
+	return Call{Model: q.Model, PromptTokens: max(0, q.PromptTokens), Parts: partsFromWire(q.Parts, q.PartTokens)}
 }
 
 // placement is a request that this gateway placed for another one and whose end has not been reported yet.
@@ -93,10 +93,10 @@
 	if req.IsolatedTenant != "" {
 		in.tenant = &catalog.Tenant{Name: req.IsolatedTenant, Isolated: true}
 	}
-	if g.on(mechanism.Store) {
+	if g.enabled(mechanism.StoreTransfers) {
 		in.store = current.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = req.FirstAttempt, req.Priority, wireTime(req.LatencyTargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = req.FirstAttempt, req.Priority, durationFromMS(req.LatencyTargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
 		return wirePlacementReply{}
@@ -105,10 +105,10 @@
 		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, retryAfter.Milliseconds())}
 	}
 	load := g.table.addPlacement(now, req.PlacementID, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + wireTime(req.TimeoutMS),
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + durationFromMS(req.TimeoutMS),
 		priority: req.Priority, queueWait: chosen.queueWait,
 	})
-	g.announce(now, chosen, call.Parts, load)
+	g.announcePlacement(now, chosen, call.Parts, load)
 	reply := wirePlacementReply{
 		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
@@ -132,11 +132,11 @@
 		return
 	}
 	row := p.row
-	g.table.observePrefill(row, p.engineIdle, p.uncached, wireTime(end.FirstEventMS))
-	g.table.observeQueueWait(row.entry.Service, p.priority, p.queueWait, p.uncached, wireTime(end.FirstEventMS), wireTime(end.DurationMS))
-	g.spread.own(send{Gateway: g.nick, Load: load, Instance: row.entry.ID})
+	g.table.observePrefill(row, p.engineIdle, p.uncached, durationFromMS(end.FirstEventMS))
+	g.table.observeQueueWait(row.entry.Service, p.priority, p.queueWait, p.uncached, durationFromMS(end.FirstEventMS), durationFromMS(end.DurationMS))
+	g.peers.announce(announcement{Gateway: g.shortName, Load: load, Instance: row.entry.ID})
 	if end.Unreached {
-		g.spread.own(send{Gateway: end.Gateway, Instance: row.entry.ID, Unreached: true})
+		g.peers.announce(announcement{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
 	}
 }
 
@@ -173,7 +173,7 @@
 		row.recordOutcome(now, end.Outcome)
 	}
 	if end.Outcome == outcomeSuccess {
-		t.recordDuration(row, wireTime(end.DurationMS))
+		t.recordDuration(row, durationFromMS(end.DurationMS))
 	}
 	return p, row.occupancy.Local(), true
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -19,13 +19,13 @@
 
 // handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
 // signals hold whatever becomes of the request.
-func (a *attempt) handlePushback(status int, verdict Verdict) {
-	a.asked = verdict.Said.Backoff
+func (a *attempt) handlePushback(status int, verdict ResponseInfo) {
+	a.requestedBackoff = verdict.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Said, unreadableBackoff: verdict.Unread, unreadableLimit: verdict.LimitUnread})
-	g.noteStrange(a.row, verdict.Strange)
-	if verdict.Unlimited && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
-		g.observeNoLimit(a.row, a.began)
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Signals, unreadableBackoff: verdict.UnparsedBackoff, unreadableLimit: verdict.UnparsedLimit})
+	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
+	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
+		g.observeNoLimit(a.row, a.startedAt)
 	}
 }
 
@@ -55,7 +55,7 @@
 	now := g.now()
 	changes := g.table.observePushback(now, row, answer.signals)
 	if !changes.forPeers.IsEmpty() {
-		g.spread.own(send{Gateway: g.nick, Instance: row.entry.ID, Said: changes.forPeers})
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: changes.forPeers})
 	}
 	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
@@ -63,14 +63,14 @@
 		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
 	}
 	if changes.forPeers.Draining {
-		g.log.note(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
+		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
 	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
 		return
 	}
-	if held, due := g.restLines.Due(now, row.entry.ID); due {
-		g.log.note(events.InstanceRests, append(fields, zap.Duration(events.FieldRest, answer.signals.Backoff),
-			zap.Duration(events.FieldRestLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnread, answer.unreadableBackoff), zap.Int("held", held))...)
+	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
+			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
@@ -136,11 +136,11 @@
 	restriction := t.signals.Restriction(now, row.incarnation)
 	switch {
 	case restriction.Draining:
-		return causeLeaving
+		return causeDraining
 	case restriction.IsBackingOff(now) && !sentByPeer:
-		return causeResting
+		return causeBackingOff
 	case restriction.Limit.Advertised && t.limitExhaustedFor(now, row, sentByPeer) > 0:
-		return causeLimited
+		return causeLimitReached
 	}
 	return ""
 }
@@ -155,10 +155,10 @@
 		if !row.acceptsRequests() || restriction.Draining {
 			continue
 		}
-		remaining, reason := max(0, restriction.BackoffUntil-now), causeResting
+		remaining, reason := max(0, restriction.BackoffUntil-now), causeBackingOff
 		if restriction.Limit.Advertised {
 			if wait := t.limitExhaustedFor(now, row, false); wait > remaining {
-				remaining, reason = wait, causeLimited
+				remaining, reason = wait, causeLimitReached
 			}
 		}
 		if remaining == 0 {
@@ -176,18 +176,18 @@
 	g := x.gateway
 	now := g.now()
 	switch first, cause := g.table.allRestricted(now, x.service.Name); cause {
-	case causeResting:
-		return reasonResting, withJitter(first)
-	case causeLimited:
-		return reasonLimited, withJitter(g.table.limitRetryAfter(now, x.service.Name, first, g.gateways.Load()))
+	case causeBackingOff:
+		return reasonBackingOff, withJitter(first)
+	case causeLimitReached:
+		return reasonLimitReached, withJitter(g.table.limitRetryAfter(now, x.service.Name, first, g.gatewayCount.Load()))
 	}
-	return reasonNoBackend, retrySoon
+	return reasonNoBackend, minRetryAfter
 }
 
 // rejectionRetryAfter returns when the caller may retry a request that a back end rejected. If the back end requested a
 // backoff, this is at once while another back end accepts requests, or else when the first does again.
 func (x *exchange) rejectionRetryAfter(rejected result) time.Duration {
-	if rejected.rest <= 0 {
+	if rejected.backoff <= 0 {
 		return rejected.retryAfter
 	}
 	if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > 0 {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -26,32 +26,32 @@
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.handlePushback(503, Verdict{NotRun: true, Said: pushback.Signals{Backoff: 3 * time.Second}})
+		sent.handlePushback(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).handlePushback(503, Verdict{NotRun: true, Unread: "soon"})
-	got := lines.FilterMessage(events.InstanceRests).All()
+	attemptAt(g, g.table.rows["i-1"]).handlePushback(503, ResponseInfo{NotRun: true, UnparsedBackoff: "soon"})
+	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
 	if len(got) != 2 {
 		t.Fatalf("log lines %v, want 2 about backoffs", lines.All())
 	}
 	asked, unread := got[0].ContextMap(), got[1].ContextMap()
-	if asked[events.FieldRest] != 3*time.Second || asked[events.FieldRestLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
+	if asked[events.FieldBackoff] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
 		t.Errorf("log fields of a backoff: %v", asked)
 	}
-	if unread[events.FieldUnread] != "soon" || unread[events.FieldRestLeft] != time.Duration(0) {
+	if unread[events.FieldUnparsedValue] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
 		t.Errorf("log fields of an unreadable backoff: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
-	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldSentAtRest].(time.Duration) < 2*time.Second {
+	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldBackoffLeftAtSend].(time.Duration) < 2*time.Second {
 		t.Errorf("log fields of an attempt sent during a backoff: %v", failed)
 	}
 	if n := g.table.backingOffCounts(now)["s"]; n != 1 {
 		t.Errorf("%d back ends in backoff, want 1", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
-	newRestingGauge(g).Collect(gauges)
+	newBackoffGauge(g).Collect(gauges)
 	if len(gauges) != 1 {
 		t.Errorf("%d gauges, want 1", len(gauges))
 	}
@@ -71,16 +71,16 @@
 // while the connection was established or a scheduler was asked.
 func TestPushbackAfterChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeResting: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
-		causeLeaving: func(g *Gateway) { reportDraining(g, "i-0") },
+		causeBackingOff: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
+		causeDraining:   func(g *Gateway) { reportDraining(g, "i-0") },
 	} {
 		g := newScheduler(1)
 		chosen := chosenAttempt(g)
-		if bar := chosen.barred(); bar != "" {
+		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("restricted before the signal: %s", bar)
 		}
 		say(g)
-		if bar := chosen.barred(); bar != cause {
+		if bar := chosen.recheckConditions(); bar != cause {
 			t.Fatalf("restriction %q, want %q", bar, cause)
 		}
 	}
@@ -92,7 +92,7 @@
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
 	applyEntry := func(g *Gateway, incarnation catalog.Incarnation, address string) {
-		g.table.applyRoster(g.now(), &control.RosterNews{Whole: true, Entries: []control.RosterEntry{{
+		g.table.applyRoster(g.now(), &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{
 			Instance: catalog.Instance{ID: incarnation.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
 	}
@@ -102,7 +102,7 @@
 	}{
 		"same entry": {func(g *Gateway) { applyEntry(g, first, "a") }, false},
 		"removed and re-added": {func(g *Gateway) {
-			g.table.applyRoster(g.now(), &control.RosterNews{Whole: true}, nil)
+			g.table.applyRoster(g.now(), &control.RosterUpdate{Full: true}, nil)
 			applyEntry(g, first, "a")
 		}, false},
 		"another address":   {func(g *Gateway) { applyEntry(g, first, "b") }, false},
@@ -183,13 +183,13 @@
 	g := newScheduler(2)
 	x := newModelRequest(g)
 	reportBackoff(g, "i-0", 10*time.Second)
-	if back := x.rejectionRetryAfter(result{rest: 10 * time.Second}); back != 0 {
+	if back := x.rejectionRetryAfter(result{backoff: 10 * time.Second}); back != 0 {
 		t.Fatalf("retry after %v, want 0 while one back end is available", back)
 	}
 	reportBackoff(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
-		back := x.rejectionRetryAfter(result{rest: 40 * time.Second})
+		back := x.rejectionRetryAfter(result{backoff: 40 * time.Second})
 		if back < 9*time.Second || back > 10*time.Second+retryAfterSlack {
 			t.Fatalf("retry after %v, want the end of the first backoff", back)
 		}
@@ -201,7 +201,7 @@
 	if back := x.rejectionRetryAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
 		t.Fatalf("retry after %v, want the back end's own 7s without a backoff", back)
 	}
-	if reason, back := x.noBackendReason(); reason != reasonResting || back < 9*time.Second {
+	if reason, back := x.noBackendReason(); reason != reasonBackingOff || back < 9*time.Second {
 		t.Fatalf("reason %s, retry after %v", reason, back)
 	}
 }
@@ -231,8 +231,8 @@
 func TestPeerPushback(t *testing.T) {
 	applyPeerPushback := func(signals pushback.Signals) (g *Gateway, chosen map[string]int) {
 		g = newScheduler(2)
-		heard := send{Gateway: "other", Instance: "i-0", Said: signals}
-		g.table.applySends(g.now(), []send{heard.wire(0).send()})
+		heard := announcement{Gateway: "other", Instance: "i-0", Signals: signals}
+		g.table.applySends(g.now(), []announcement{heard.toWire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
 		for range 20 {
@@ -241,7 +241,7 @@
 		return g, chosen
 	}
 	g, chosen := applyPeerPushback(pushback.Signals{Backoff: time.Second})
-	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).barred() != "" {
+	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).recheckConditions() != "" {
 		t.Fatalf("backoff at another gateway: chosen %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
@@ -251,7 +251,7 @@
 		t.Fatalf("raised cost lasts %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
 	g, chosen = applyPeerPushback(pushback.Signals{Draining: true})
-	if bar := attemptAt(g, g.table.rows["i-0"]).barred(); chosen["i-0"] > 0 || bar != causeLeaving {
+	if bar := attemptAt(g, g.table.rows["i-0"]).recheckConditions(); chosen["i-0"] > 0 || bar != causeDraining {
 		t.Fatalf("draining back end: chosen %v, restriction %q", chosen, bar)
 	}
 }
@@ -259,18 +259,18 @@
 // TestPushbackCompatibility tests that messages of gateways without support for signals are decoded as having none, and
 // that such gateways can decode messages with signals.
 func TestPushbackCompatibility(t *testing.T) {
-	var from wireSend
+	var from wireAnnouncement
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
-	if got := from.send(); !got.Said.IsEmpty() || got.Load.Running != 2 {
+	if got := from.announcement(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
 		t.Fatalf("decoded message of an older gateway: %+v", got)
 	}
 	var older struct {
 		Instance string `json:"i"`
 		AgeMS    int64  `json:"a"`
 	}
-	text, err := json.Marshal(send{Gateway: "g", Instance: "i-0", Said: pushback.Signals{Backoff: time.Second, Draining: true}}.wire(5 * time.Millisecond))
+	text, err := json.Marshal(announcement{Gateway: "g", Instance: "i-0", Signals: pushback.Signals{Backoff: time.Second, Draining: true}}.toWire(5 * time.Millisecond))
 	if err != nil || json.Unmarshal(text, &older) != nil || older.Instance != "i-0" || older.AgeMS != 5 {
 		t.Fatalf("%s: %+v, %v", text, older, err)
 	}
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -20,15 +20,15 @@
 }
 
 // applyRoster applies a roster update. Rows of back ends that remain keep their state.
-func (t *table) applyRoster(now time.Duration, update *control.RosterNews, cacheLimits map[string]int) []rosterChange {
+func (t *table) applyRoster(now time.Duration, update *control.RosterUpdate, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
 	next := map[string]*endpoint{}
-	if !update.Whole {
+	if !update.Full {
 		maps.Copy(next, t.rows)
 	}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		delete(next, id)
 	}
 	for _, entry := range update.Entries {
@@ -79,7 +79,7 @@
 	}
 	t.rows, t.services = rows, services
 	t.sweepHolders()
-	t.rosterChanged.Ring()
+	t.rosterChanged.Notify()
 }
 
 // newestVersions returns the newer of the known and the reported versions of each model. A new leader may not have
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -125,7 +125,7 @@
 	}
 	req := x.placementRequest(in)
 	for _, address := range addresses {
-		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.nick)}
+		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.shortName)}
 		req.PlacementID = placed.placementID
 		var reply wirePlacementReply
 		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
@@ -138,7 +138,7 @@
 			return nil
 		}
 		g.recordNoReply(address, err)
-		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick}) // the request may have been placed
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.shortName}) // the request may have been placed
 	}
 	return nil
 }
@@ -146,22 +146,22 @@
 // recordNoReply records and logs that a scheduler did not reply.
 func (g *Gateway) recordNoReply(address string, err error) {
 	g.schedulers.recordFailure(g.now(), address)
-	g.metrics.unasked.Inc()
-	g.log.note(events.SchedulerSilent, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
+	g.metrics.schedulerFailures.Inc()
+	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
 // placementRequest returns the message that asks schedulers for a placement.
 func (x *exchange) placementRequest(in selectionInput) wirePlacementRequest {
 	g := x.gateway
 	req := wirePlacementRequest{
-		Gateway: g.nick, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
+		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
 		Excluded: g.table.excluded(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
 	req.FirstAttempt, req.Priority, req.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
 		req.IsolatedTenant = in.tenant.Name
 	}
-	req.Parts, req.PartTokens = wireParts(x.call.Parts)
+	req.Parts, req.PartTokens = partsToWire(x.call.Parts)
 	return req
 }
 
@@ -186,7 +186,7 @@
 		return nil
 	}
 	if reply.RetryAfterMS > 0 {
-		return &candidate{wait: reply.WaitMS, retryAfter: wireTime(reply.RetryAfterMS)}
+		return &candidate{wait: reply.WaitMS, retryAfter: durationFromMS(reply.RetryAfterMS)}
 	}
 	now := g.now()
 	g.observeSchedulerLimit(now, reply)
@@ -200,7 +200,7 @@
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.nick})
+		g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.shortName})
 		return nil
 	}
 	return chosen
@@ -208,10 +208,10 @@
 
 // timeToFirstEvent returns the time from the start of the attempt to the first event, or 0 if there was none.
 func (a *attempt) timeToFirstEvent() time.Duration {
-	if !a.begun.Load() {
+	if !a.streamStarted.Load() {
 		return 0
 	}
-	return max(0, a.exchange.firstAt-a.began)
+	return max(0, a.exchange.firstEventAt-a.startedAt)
 }
 
 // reportEnd reports the outcome of the attempt to the scheduler that placed it.
@@ -223,6 +223,6 @@
 	g := a.exchange.gateway
 	g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{
 		FirstEventMS: a.timeToFirstEvent().Milliseconds(),
-		PlacementID:  placed.placementID, Gateway: g.nick, Outcome: a.grade, Unreached: a.noWay, DurationMS: (g.now() - a.began).Milliseconds(),
+		PlacementID:  placed.placementID, Gateway: g.shortName, Outcome: a.grade, Unreached: a.unreachable, DurationMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -77,7 +77,7 @@
 // recordPeerReport records another gateway's report that a back end is unreachable, if that mechanism is enabled. The
 // caller holds the mutex.
 func (t *table) recordPeerReport(at time.Duration, row *endpoint, reporter string) {
-	if t.mechanisms.On(mechanism.Suspicion) {
+	if t.mechanisms.On(mechanism.PeerFailureReports) {
 		row.recordPeerReport(at, reporter)
 	}
 }
--- a/internal/gateway/weights.go
+++ b/internal/gateway/weights.go
@@ -14,7 +14,7 @@
 // must not keep the result, since updates change it.
 func (g *Gateway) startDeadline(row *endpoint, service *catalog.Service, model string) (time.Duration, bool) {
 	publishedAt, outdated := g.missingSince(row, service, model)
-	return publishedAt + g.settings.VersionLimit, outdated
+	return publishedAt + g.settings.OldWeightsStartLimit, outdated
 }
 
 // missingSince returns when the oldest version that a back end lacks was published, if there is one. An engine
@@ -40,7 +40,7 @@
 	if !outdated {
 		return deadline, hasDeadline
 	}
-	expected := publishedAt + g.settings.VersionLimit
+	expected := publishedAt + g.settings.OldWeightsStartLimit
 	if !hasDeadline {
 		return expected, true
 	}
@@ -66,7 +66,7 @@
 
 // startsAfter reports whether a request sent now would likely start after a deadline.
 func (c *candidate) startsAfter(now, deadline time.Duration) bool {
-	return now+belief.FromMilliseconds(beginFactor*c.wait) >= deadline-beginMargin
+	return now+belief.FromMilliseconds(startTimeFactor*c.wait) >= deadline-startMargin
 }
 
 // watchStartDeadline cancels the attempt if it has not started shortly before its start deadline, and otherwise
@@ -77,7 +77,7 @@
 	late := a.armDeadlineTimer(g.now())
 	g.table.mutex.Unlock()
 	if late {
-		a.cancel(errOutdated)
+		a.cancel(errWeightsOutdated)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	g.table.mutex.Unlock()
 	for _, sent := range late {
-		sent.cancel(errOutdated)
+		sent.cancel(errWeightsOutdated)
 	}
 }
 
@@ -107,16 +107,16 @@
 		return false
 	}
 	deadline, hasDeadline := x.gateway.startDeadline(a.row, x.service, x.call.Model)
-	left := deadline - takeBackMargin - now
+	left := deadline - cancelMargin - now
 	switch {
 	case !hasDeadline:
 		return false
 	case left <= 0:
 		return true
-	case a.limit == nil:
-		a.limit = time.AfterFunc(left, a.watchStartDeadline)
+	case a.startTimer == nil:
+		a.startTimer = time.AfterFunc(left, a.watchStartDeadline)
 	default:
-		a.limit.Reset(left)
+		a.startTimer.Reset(left)
 	}
 	return false
 }
--- a/internal/lab/sim/engines.go
+++ b/internal/lab/sim/engines.go
@@ -104,7 +104,7 @@
 	job := &engine.Job{
 		Attempt: action.Attempt, Origin: fmt.Sprintf("%s#%d", s.router.name, s.router.life), Tenant: s.request.job.tenant,
 		Blocks: action.Blocks, PromptTokens: s.request.promptTokens(), MaxTokens: action.MaxTokens, ResumeFrom: action.ResumeFrom,
-		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.RelyTokens,
+		Lane: action.Lane, Incarnation: action.Incarnation, Weights: action.Weights, RelyTokens: action.ExpectedCachedTokens,
 		ImportFrom: action.ImportFrom, ImportBlocks: action.ImportBlocks, UserData: s,
 	}
 	e.advance()
@@ -129,7 +129,7 @@
 	event := core.EventAttempt{Echo: s.attempt, Index: output.Index, Cached: output.Cached}
 	switch output.Kind {
 	case engine.OutputStarted:
-		event.Kind, event.Incarnation, event.Limited = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Advertised
+		event.Kind, event.Incarnation, event.AdvertisesLimit = core.AttemptStarted, e.model.Incarnation, e.need.limit(e.w.now()).Advertised
 	case engine.OutputToken:
 		event.Kind, event.Text = core.AttemptChunk, s.request.job.token(output.Index)
 	case engine.OutputDone:
--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -34,8 +34,8 @@
 
 // nodeEvents tell what happened to a process as a whole.
 var nodeEvents = []string{
-	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlLost, events.ControlRegained,
-	events.LinesDropped,
+	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
+	events.LogLinesDropped,
 }
 
 // groupEvents tell what happened to the control group, which concerns everybody.
--- a/internal/quarantine/reporter/reporter.go
+++ b/internal/quarantine/reporter/reporter.go
@@ -196,10 +196,10 @@
 	for _, f := range crash.Requests[:min(len(crash.Requests), maxLoggedFingerprints)] {
 		fingerprints = append(fingerprints, f.String())
 	}
-	r.config.Log(events.EndedUnder, zap.String(events.FieldInstance, crash.Incarnation), zap.String("proof", string(proof)),
+	r.config.Log(events.BackendCrashed, zap.String(events.FieldInstance, crash.Incarnation), zap.String("proof", string(proof)),
 		zap.Int("requests", len(crash.Requests)), zap.Strings("fingerprints", fingerprints))
 	if len(r.crashes) >= maxPendingCrashes {
-		r.config.Log(events.EndNotTold, zap.String(events.FieldInstance, crash.Incarnation), zap.Int("waiting", len(r.crashes)))
+		r.config.Log(events.CrashNotReported, zap.String(events.FieldInstance, crash.Incarnation), zap.Int("waiting", len(r.crashes)))
 		return
 	}
 	r.crashes = append(r.crashes, crash)
--- a/internal/quarantine/reporter/reporter_test.go
+++ b/internal/quarantine/reporter/reporter_test.go
@@ -162,7 +162,7 @@
 	if len(r.crashes) != maxPendingCrashes || len(r.completions) != maxPendingCompletions {
 		t.Fatalf("%d crashes and %d completions pending", len(r.crashes), len(r.completions))
 	}
-	if !slices.Contains(env.events, events.EndNotTold) || !slices.Contains(env.events, events.EndedUnder) {
+	if !slices.Contains(env.events, events.CrashNotReported) || !slices.Contains(env.events, events.BackendCrashed) {
 		t.Fatalf("logged events %v", env.events[len(env.events)-3:])
 	}
 }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -77,7 +77,7 @@
 	switch refusal.reason {
 	case reasonOverload, core.ReasonDraining:
 		problem = problem.WithRetry(overloadAdvice)
-	case core.ReasonHeldBack:
+	case core.ReasonQuarantined:
 		problem = problem.WithRetry(quarantine.RetryAfter)
 	}
 	s.metrics.refusals.WithLabelValues(string(refusal.reason)).Inc()
@@ -168,7 +168,7 @@
 	}
 	service, known := held.models[completion.Model]
 	if !known {
-		return nil, core.Request{}, &callerError{core.ReasonUnknownTarget, http.StatusNotFound, "No service answers this model",
+		return nil, core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No service answers this model",
 			fmt.Sprintf("model %q is not in the settings", completion.Model)}
 	}
 	prompt := completion.Text()
@@ -259,7 +259,7 @@
 // readService checks a request to a small service.
 func (s *Server) readService(r *http.Request, in received, service string) (core.Request, *callerError) {
 	if in.held.effective(s.file.Zone, service, "").Kind != settings.KindService {
-		return core.Request{}, &callerError{core.ReasonUnknownTarget, http.StatusNotFound, "No small service has this name", ""}
+		return core.Request{}, &callerError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
 	}
 	request, refusal := s.readHeaders(r)
 	request.Name, request.Tenant, request.Service = in.name, in.tenant, service
@@ -271,7 +271,7 @@
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
 	ready := false
 	s.ask(r.Context(), func(c *core.Core) {
-		ready = c.Serves()
+		ready = c.AcceptsRequests()
 	})
 	if !ready || s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -308,8 +308,8 @@
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
 	reply := StatusReply{Name: s.file.Name, Zone: s.file.Zone, Incarnation: s.incarnation}
 	s.ask(r.Context(), func(c *core.Core) {
-		reply.Version, reply.LeaseValid, reply.Draining = c.Version(), c.LeaseValid(), c.Draining()
-		reply.Active, reply.Beliefs, reply.Backends = c.Active(), c.Beliefs(), c.Backends()
+		reply.Version, reply.LeaseValid, reply.Draining = c.SettingsVersion(), c.LeaseValid(), c.Draining()
+		reply.Active, reply.Beliefs, reply.Backends = c.ActiveRequests(), c.IndexedBlocks(), c.Backends()
 	})
 	writeJSON(w, reply)
 }
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -25,7 +25,7 @@
 		attempt, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		beat := s.session.Heartbeat()
 		beat.Quarantine = s.quarantine.Version()
-		response, err := s.group.Once(attempt, control.Request{Heartbeat: &beat})
+		response, err := s.group.AskOnce(attempt, control.Request{Heartbeat: &beat})
 		cancel()
 		pause := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
@@ -60,7 +60,7 @@
 	s.post(step.Lease)
 	if step.Peers != nil {
 		s.announcer.SetPeers(peerAddresses(step.Peers))
-		s.post(core.EventRouters{Others: peerNames(step.Peers)})
+		s.post(core.EventPeerRouters{Names: peerNames(step.Peers)})
 	}
 	return step.NextHeartbeatIn
 }
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	beat := s.session.ClosingHeartbeat()
-	_, _ = s.group.Once(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
+	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
 }
 
 // claim asks the ledger and reports the outcome to the core.
@@ -91,7 +91,7 @@
 
 // endClaim reports the end of a claim until a leader has committed it. If that fails for long, the session
 // ends and the ledger marks the claim unknown, which is always safe.
-func (s *Server) endClaim(ctx context.Context, action core.ActionEnd) {
+func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
 	attempt, cancel := context.WithTimeout(ctx, endPatience)
 	defer cancel()
 	if _, err := s.group.Ask(attempt, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
