--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -236,10 +236,10 @@
 	var forward func(announcement)
 	switch request.Path {
 	case pathPlace:
-		g.takeQuestion(request, respond)
+		g.handlePlacementRequest(request, respond)
 		return
 	case pathEnd:
-		g.takeEnd(request, respond)
+		g.handlePlacementEnd(request, respond)
 		return
 	case pathViaScheduler:
 		forward = g.peers.announce
@@ -264,10 +264,10 @@
 		forward(announcements[len(announcements)-1])
 	}
 	for _, signal := range g.table.applySends(g.now(), announcements) {
-		if signal.news.Draining {
-			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", toldByGateway))
+		if signal.signals.Draining {
+			g.log.info(events.InstanceLeaving, zap.String(events.FieldInstance, signal.instance), zap.String("told_by", sourceGateway))
 		}
-		g.noteLimit(g.now(), signal.instance, signal.news.Limit, toldByGateway, "")
+		g.logLimit(g.now(), signal.instance, signal.signals.Limit, sourceGateway, "")
 	}
 	respond(http.StatusOK, struct{}{})
 }
--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -14,30 +14,36 @@
 )
 
 const (
-	// cachePause is the pause between two questions to an engine for its cache events: news of that time come together.
-	cachePause = 80 * time.Millisecond
-	// cacheEach is the least time between two such questions to any engines: who reads many reads each more seldom.
-	cacheEach = 10 * time.Millisecond
-	// cacheRetry is the pause after a question that failed, doubled up to cacheRetryMost.
-	cacheRetry     = 200 * time.Millisecond
-	cacheRetryMost = 3 * time.Second
-	// listPause is the least time between two lists of one engine, since they hold up its work.
-	listPause = 2 * time.Second
-	// aliveEach is how often a reader tells the others that an engine's cache is being read.
-	aliveEach = time.Second
+	// cacheReadInterval is the pause between two reads of an engine's cache events. Events of that time arrive
+	// together.
+	cacheReadInterval = 80 * time.Millisecond
+	// minCacheReadSpacing is the minimum mean pause between reads of any engines: the more engines a gateway reads, the
+	// less often it reads each.
+	minCacheReadSpacing = 10 * time.Millisecond
+	// minCacheRetryInterval is the pause after a failed read. It doubles with each consecutive failure, up to
+	// maxCacheRetryInterval.
+	minCacheRetryInterval = 200 * time.Millisecond
+	maxCacheRetryInterval = 3 * time.Second
+	// cacheListInterval is the minimum time between two listings of one engine's cache, since they block the engine's
+	// work.
+	cacheListInterval = 2 * time.Second
+	// cacheAliveInterval is how often a gateway tells the others that it reads an engine's cache events.
+	cacheAliveInterval = time.Second
 )
 
-// followers are the threads that read engines' cache events, one for each engine that control has given this gateway.
-type followers struct {
+// cacheFollowers are the goroutines that read cache events, one for each engine assigned to this gateway.
+type cacheFollowers struct {
 	mu      sync.Mutex
 	running map[string]context.CancelFunc // by instance; guarded by mu
 	threads sync.WaitGroup
 }
 
-func newFollowers() *followers { return &followers{running: map[string]context.CancelFunc{}} }
+func newCacheFollowers() *cacheFollowers {
+	return &cacheFollowers{running: map[string]context.CancelFunc{}}
+}
 
-// use starts and ends threads so that just the given engines are read.
-func (f *followers) use(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
+// assign starts and stops goroutines so that exactly the given engines are read.
+func (f *cacheFollowers) assign(ctx context.Context, ids []string, read func(ctx context.Context, id string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, cancel := range f.running {
@@ -56,108 +62,109 @@
 	}
 }
 
-// count returns the engines that are read.
-func (f *followers) count() int {
+// count returns the number of engines being read.
+func (f *cacheFollowers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.running)
 }
 
-// readCaches follows the caches that control has given this gateway.
-func (g *Gateway) readCaches(ctx context.Context, reply *control.WatchReply) {
+// assignCaches reads the caches of the engines that control assigned to this gateway.
+func (g *Gateway) assignCaches(ctx context.Context, reply *control.WatchReply) {
 	if g.cacheReader != nil && g.enabled(mechanism.CacheEvents) {
-		g.followers.use(ctx, reply.CacheEventSources, g.followCache)
+		g.followers.assign(ctx, reply.CacheEventSources, g.followCache)
 	}
 }
 
-// cacheCursor is how far an engine's events have been read.
+// cacheCursor is the read position in an engine's cache events.
 type cacheCursor struct {
-	life, next uint64
-	born       int64 // of that life, in Unix ms
-	known      bool  // the list of this life was read
-	listedAt   time.Duration
-	aliveAt    time.Duration
-	failures   int // in a row
+	incarnation, nextEvent uint64
+	startedMS              int64 // start time of the incarnation in Unix milliseconds
+	listed                 bool  // the cache of this incarnation was listed
+	listedAt               time.Duration
+	aliveAt                time.Duration
+	failures               int // consecutive
 }
 
-// followCache is the thread that reads one engine's cache events.
+// followCache reads one engine's cache events until ctx ends.
 func (g *Gateway) followCache(ctx context.Context, id string) {
-	at := cacheCursor{listedAt: -listPause, aliveAt: -aliveEach}
+	cursor := cacheCursor{listedAt: -cacheListInterval, aliveAt: -cacheAliveInterval}
 	for ctx.Err() == nil {
-		pause := max(cachePause, time.Duration(g.followers.count())*cacheEach)
-		asked, err := g.readCache(ctx, id, &at)
+		interval := max(cacheReadInterval, time.Duration(g.followers.count())*minCacheReadSpacing)
+		asked, err := g.readCache(ctx, id, &cursor)
 		switch {
 		case err != nil:
-			pause = min(cacheRetry<<min(at.failures, 10), cacheRetryMost)
-			g.noteUnread(id, &at, err)
+			interval = min(minCacheRetryInterval<<min(cursor.failures, 10), maxCacheRetryInterval)
+			g.recordCacheError(id, &cursor, err)
 		case asked:
-			at.failures = 0
+			cursor.failures = 0
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// noteUnread counts a question that failed, and logs the first of a row.
-func (g *Gateway) noteUnread(id string, at *cacheCursor, err error) {
-	at.failures++
+// recordCacheError counts a failed read, and logs the first of consecutive failures.
+func (g *Gateway) recordCacheError(id string, cursor *cacheCursor, err error) {
+	cursor.failures++
 	g.metrics.cacheReadFailures.Inc()
-	if at.failures == 1 {
+	if cursor.failures == 1 {
 		g.log.info(events.CacheReadFailed, zap.String(events.FieldInstance, id), zap.String(events.FieldCause, err.Error()))
 	}
 }
 
-// readCache asks an engine once and takes up what it tells. It may be too early to ask, the engine may be gone, or it wants rest.
-func (g *Gateway) readCache(ctx context.Context, id string, at *cacheCursor) (asked bool, err error) {
+// readCache queries an engine once and applies its report. It returns false if it did not query the engine, because
+// that is too early, the engine is gone or it requested a backoff.
+func (g *Gateway) readCache(ctx context.Context, id string, cursor *cacheCursor) (asked bool, err error) {
 	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
 		return false, nil
 	}
-	if !at.known {
-		return g.listCache(ctx, id, address, at)
+	if !cursor.listed {
+		return g.listCache(ctx, id, address, cursor)
 	}
-	news, err := g.cacheReader.Events(ctx, address, at.next)
-	g.hearAside(id, news)
+	report, err := g.cacheReader.Events(ctx, address, cursor.nextEvent)
+	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
 	}
-	if news.Lost || news.Life != at.life || news.Born != at.born || news.Next < at.next {
-		at.known = false // what is missing stands in the list
+	if report.EventsLost || report.Incarnation != cursor.incarnation || report.StartedMS != cursor.startedMS || report.NextEvent < cursor.nextEvent {
+		cursor.listed = false // a listing recovers the missing events
 		return true, nil
 	}
-	at.next = news.Next
-	g.takeCache(id, at, news, false)
+	cursor.nextEvent = report.NextEvent
+	g.applyCache(id, cursor, report, false)
 	return true, nil
 }
 
-// listCache reads all that an engine keeps, unless it was asked for that a moment ago.
-func (g *Gateway) listCache(ctx context.Context, id, address string, at *cacheCursor) (asked bool, err error) {
-	if g.now() < at.listedAt+listPause {
+// listCache lists an engine's cache, unless it did so less than cacheListInterval ago.
+func (g *Gateway) listCache(ctx context.Context, id, address string, cursor *cacheCursor) (asked bool, err error) {
+	if g.now() < cursor.listedAt+cacheListInterval {
 		return false, nil
 	}
-	at.listedAt = g.now()
-	news, err := g.cacheReader.List(ctx, address)
-	g.hearAside(id, news)
+	cursor.listedAt = g.now()
+	report, err := g.cacheReader.List(ctx, address)
+	g.handleCachePushback(id, report)
 	if err != nil {
 		return true, err
 	}
-	at.life, at.born, at.next, at.known = news.Life, news.Born, news.Next, true
-	g.takeCache(id, at, news, true)
+	cursor.incarnation, cursor.startedMS, cursor.nextEvent, cursor.listed = report.Incarnation, report.StartedMS, report.NextEvent, true
+	g.applyCache(id, cursor, report, true)
 	return true, nil
 }
 
-// takeCache takes up what an engine keeps, and tells the other gateways what they believe otherwise.
-func (g *Gateway) takeCache(id string, at *cacheCursor, news CacheNews, whole bool) {
+// applyCache applies an engine's report and sends the differences from the previous estimate to the other gateways.
+func (g *Gateway) applyCache(id string, cursor *cacheCursor, report CacheReport, full bool) {
 	now := g.now()
-	corrections := g.table.applyCacheReport(now, id, news.Parts, whole)
-	if len(corrections) == 0 && now >= at.aliveAt+aliveEach {
+	corrections := g.table.applyCacheReport(now, id, report.Parts, full)
+	if len(corrections) == 0 && now >= cursor.aliveAt+cacheAliveInterval {
 		corrections = []announcement{{Gateway: g.shortName, Instance: id, CacheReport: true}}
 	}
-	for _, told := range corrections {
-		told.Gateway, told.Instance, told.CacheReport = g.shortName, id, true
-		at.aliveAt = now
-		g.peers.announce(told)
+	for _, correction := range corrections {
+		correction.Gateway, correction.Instance, correction.CacheReport = g.shortName, id, true
+		cursor.aliveAt = now
+		g.peers.announce(correction)
 	}
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -13,85 +13,88 @@
 	"kitetiller/internal/quota"
 )
 
-// repeatPatience is how long a request that failed waits for the fleet's word whether it may be sent again.
-const repeatPatience = 50 * time.Millisecond
+// retryLeaseTimeout bounds how long a failed request waits for a lease on a retry.
+const retryLeaseTimeout = 50 * time.Millisecond
 
-// cover is what a request holds of its tenant's limit. Each send to a back end uses one hold up.
-type cover struct {
-	hold    allowance.Lease
-	covered bool // the next send is covered, by hold or because there is no limit
+// quotaLease is a request's lease on its tenant's quota. Each send to a back end uses one up.
+type quotaLease struct {
+	lease    allowance.Lease
+	acquired bool // the next send is allowed, by the lease or because there is no quota
 }
 
-// withinLimit takes what the next send to a back end counts of the tenant's limit, or answers the request.
-func (x *exchange) withinLimit() bool {
-	if x.covered() {
+// acquireQuota acquires the quota for the next send to a back end. If there is none, it answers the request and returns
+// false.
+func (x *exchange) acquireQuota() bool {
+	if x.hasQuota() {
 		return true
 	}
 	if x.tenant == nil || !x.tenant.Quota.Limited() {
-		x.quotaLease.covered = true
+		x.quotaLease.acquired = true
 		return true
 	}
 	cost := x.tenant.Quota.Cost(x.call.PromptTokens+x.call.OutputTokens, x.call.TokensDeclared)
-	taken := x.gateway.leases.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
-	switch taken.Outcome {
+	result := x.gateway.leases.Acquire(x.request.Context(), quota.Tenant(x.tenant.Name), cost, x.viewWait())
+	switch result.Outcome {
 	case desk.Granted:
-		x.quotaLease = cover{hold: taken.Lease, covered: true}
+		x.quotaLease = quotaLease{lease: result.Lease, acquired: true}
 		return true
 	case desk.LimitReached:
-		x.giveUpLimited(http.StatusTooManyRequests, reasonOverLimit, taken.RetryAfter)
+		x.rejectForQuota(http.StatusTooManyRequests, reasonOverLimit, result.RetryAfter)
 	default:
-		x.giveUpLimited(http.StatusServiceUnavailable, reasonLimitUnknown, x.gateway.comeBack())
+		x.rejectForQuota(http.StatusServiceUnavailable, reasonLimitUnknown, x.gateway.controlRetryAfter())
 	}
 	return false
 }
 
-// giveUpLimited answers a request that may not be sent for its tenant's limit.
-func (x *exchange) giveUpLimited(status int, reason string, wait time.Duration) {
+// rejectForQuota answers a request that may not be sent because of its tenant's quota.
+func (x *exchange) rejectForQuota(status int, reason string, retryAfter time.Duration) {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.abandon()
 	case x.mayHaveRun || x.headRelayed:
 		x.giveUp(reason, 0)
 	default:
-		x.reject(status, reason, max(minRetryAfter, wait))
+		x.reject(status, reason, max(minRetryAfter, retryAfter))
 	}
 }
 
-// covered reports whether the next send is covered now: a hold ends while the process stands still, or the body is slow.
-func (x *exchange) covered() bool {
-	return x.quotaLease.covered && (x.quotaLease.hold.Amount == 0 || x.quotaLease.hold.Valid(x.gateway.now()))
+// hasQuota reports whether quota for the next send is held. A lease may have expired during a pause of the process or
+// while the body was read slowly.
+func (x *exchange) hasQuota() bool {
+	return x.quotaLease.acquired && (x.quotaLease.lease.Amount == 0 || x.quotaLease.lease.Valid(x.gateway.now()))
 }
 
-// uncover gives back what was not used.
-func (x *exchange) uncover() {
-	if x.quotaLease.covered {
-		x.gateway.leases.Release(x.quotaLease.hold)
+// releaseQuota returns unused quota.
+func (x *exchange) releaseQuota() {
+	if x.quotaLease.acquired {
+		x.gateway.leases.Release(x.quotaLease.lease)
 	}
-	x.quotaLease = cover{}
+	x.quotaLease = quotaLease{}
 }
 
-// lend asks the leader for amounts; it is the desk's way to the lender.
-func (g *Gateway) lend(ctx context.Context, asked allowance.Request) (allowance.Reply, error) {
+// requestLeases requests leases from the control leader. It is the desk's RequestFunc.
+func (g *Gateway) requestLeases(ctx context.Context, request allowance.Request) (allowance.Reply, error) {
 	ask := g.group.AskOnce
-	if !g.group.AnsweredWithin(electionPatience) {
+	if !g.group.AnsweredWithin(controlContactWindow) {
 		ask = g.group.AskAny
 	}
-	response, err := ask(ctx, control.Request{Borrow: &asked})
+	response, err := ask(ctx, control.Request{Borrow: &request})
 	if err != nil {
 		return allowance.Reply{}, err
 	}
 	if response.Kind != control.ResponseOK || response.Lent == nil {
-		return allowance.Reply{}, eris.Errorf("control answers %s", response.Kind)
+		return allowance.Reply{}, eris.Errorf("unexpected response from control: %s", response.Kind)
 	}
 	return *response.Lent, nil
 }
 
-// takeRepeat takes one repeat of a request to a service: from this gateway's own share, else from what the fleet lends.
-func (g *Gateway) takeRepeat(ctx context.Context, service string) bool {
-	if g.budget.take(service, g.now()) {
+// acquireRetry acquires one retry of a request to a service, from this gateway's budget or else by a lease from the
+// fleet's.
+func (g *Gateway) acquireRetry(ctx context.Context, service string) bool {
+	if g.budget.acquireRetry(service, g.now()) {
 		return true
 	}
 	name := quota.ServiceRetries(service)
-	taken := g.leases.Acquire(ctx, name, 1, repeatPatience)
-	return taken.Outcome == desk.Granted && taken.Lease.Name == name
+	result := g.leases.Acquire(ctx, name, 1, retryLeaseTimeout)
+	return result.Outcome == desk.Granted && result.Lease.Name == name
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -23,7 +23,7 @@
 
 // Collect implements prometheus.Collector.
 func (g backoffGauge) Collect(out chan<- prometheus.Metric) {
-	for service, n := range g.gateway.table.resting(g.gateway.now()) {
+	for service, n := range g.gateway.table.backingOffCounts(g.gateway.now()) {
 		out <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, float64(n), service)
 	}
 }
@@ -47,7 +47,7 @@
 
 // Collect implements prometheus.Collector.
 func (l advertisedLimitGauge) Collect(out chan<- prometheus.Metric) {
-	counts, sums := l.gateway.table.limited()
+	counts, sums := l.gateway.table.advertisedLimits()
 	for service, n := range counts {
 		out <- prometheus.MustNewConstMetric(l.count, prometheus.GaugeValue, float64(n), service)
 		out <- prometheus.MustNewConstMetric(l.sum, prometheus.GaugeValue, sums[service], service)
@@ -113,7 +113,7 @@
 		gauge("suspected_requests", "Requests under which more than one back end ended, as control tells.", func() float64 { suspected, _ := g.quarantine.SuspectCounts(); return float64(suspected) }),
 		gauge("held_back_requests", "Those of them that are held back.", func() float64 { _, quarantined := g.quarantine.SuspectCounts(); return float64(quarantined) }),
 		gauge("view_age_seconds", "Time since control confirmed the view; -1 never.", g.viewAge),
-		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.buffered.bytes.Load()) }),
+		gauge("held_bytes", "Bodies and answers held for callers and back ends.", func() float64 { return float64(g.buffered.used.Load()) }),
 		gauge("active_requests", "Requests in progress.", func() float64 { return float64(g.active.Load()) }),
 		gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(g.log.out.Dropped()) }),
 	)
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -11,188 +11,190 @@
 	"kitetiller/internal/transport"
 )
 
-// wireQuestion asks a scheduler for a placement. Names are short since every request of a large fleet asks once.
-type wireQuestion struct {
-	Ticket   string   `json:"i"` // name of the placement, given by who asks; unique in the fleet
-	Gateway  string   `json:"g"` // who asks
-	Service  string   `json:"s"`
-	Wall     string   `json:"w,omitempty"` // tenant whose cached parts nobody else may use, or ""
-	Model    string   `json:"m,omitempty"`
-	Parts    []string `json:"p,omitempty"`
-	Tokens   []int    `json:"t,omitempty"` // of each part
-	Prompt   int      `json:"l,omitempty"` // tokens of the whole prompt
-	Without  []string `json:"x,omitempty"` // back ends that are not wanted
-	WithinMS int64    `json:"d"`           // the request is over by then
-	First    bool     `json:"f,omitempty"` // no back end was sent the request yet, so that it may be turned away
-	Rank     int      `json:"r,omitempty"` // of urgency; 0 is the most urgent
-	TargetMS int64    `json:"o,omitempty"` // objective of its route
+// wirePlacementRequest asks a scheduler for a placement. JSON names are short because a large fleet sends one for every
+// request.
+type wirePlacementRequest struct {
+	PlacementID     string   `json:"i"` // assigned by the requesting gateway; unique in the fleet
+	Gateway         string   `json:"g"` // that requests the placement
+	Service         string   `json:"s"`
+	IsolatedTenant  string   `json:"w,omitempty"` // tenant that shares its cached parts with no other tenant, or ""
+	Model           string   `json:"m,omitempty"`
+	Parts           []string `json:"p,omitempty"`
+	PartTokens      []int    `json:"t,omitempty"` // of each part
+	PromptTokens    int      `json:"l,omitempty"` // of the whole prompt
+	Excluded        []string `json:"x,omitempty"` // back ends not to choose
+	TimeoutMS       int64    `json:"d"`           // the request ends within this time
+	FirstAttempt    bool     `json:"f,omitempty"` // no back end was sent the request yet, so it may be rejected
+	Priority        int      `json:"r,omitempty"` // 0 is the most urgent
+	LatencyTargetMS int64    `json:"o,omitempty"` // the route's objective
 }
 
-// wirePlacement answers a question; without an instance there is no back end to be had.
-type wirePlacement struct {
-	Instance string  `json:"i,omitempty"`
-	Version  uint64  `json:"v,omitempty"` // of its weights; 0 unknown
-	Uncached int     `json:"u,omitempty"` // prompt tokens that it will read
-	Reread   int     `json:"r,omitempty"` // of them, tokens of shared parts
-	Why      string  `json:"c,omitempty"` // of Reread, for logs
-	WaitMS   float64 `json:"w,omitempty"` // predicted time until the request begins
-	BackMS   int64   `json:"b,omitempty"` // the request is to be turned away and should come back after this time
-	Fetch    string  `json:"f,omitempty"`
-	Save     string  `json:"k,omitempty"`
-	// Limit is what the instance names as its limit, in requests a second, and LimitAgeMS since when that is known; absent where it names none.
+// wirePlacementReply answers a wirePlacementRequest. Instance is empty if no back end is available.
+type wirePlacementReply struct {
+	Instance        string  `json:"i,omitempty"`
+	Version         uint64  `json:"v,omitempty"` // of the weights expected there; 0 if unknown
+	Uncached        int     `json:"u,omitempty"` // prompt tokens to prefill
+	Recomputed      int     `json:"r,omitempty"` // tokens of shared parts among Uncached
+	RecomputeReason string  `json:"c,omitempty"` // reason for Recomputed, for logs
+	WaitMS          float64 `json:"w,omitempty"` // predicted time until the request starts
+	RetryAfterMS    int64   `json:"b,omitempty"` // if not 0, the request is rejected and may be retried after this time
+	FetchFrom       string  `json:"f,omitempty"`
+	SaveTo          string  `json:"k,omitempty"`
+	// Limit is the rate limit that the instance advertises, in requests per second, and LimitAgeMS the time since it
+	// was observed. Both are absent if there is none.
 	Limit      *float64 `json:"n,omitempty"`
 	LimitAgeMS int64    `json:"a,omitempty"`
 }
 
-// wireEnd tells a scheduler how a request ended that it placed.
-type wireEnd struct {
-	Ticket    string       `json:"i"`
-	Gateway   string       `json:"g"`
-	Grade     outcomeGrade `json:"o,omitempty"`
-	Unreached bool         `json:"x,omitempty"` // no connection to the back end came up
-	StayMS    int64        `json:"t,omitempty"` // how long the request was there
-	FirstMS   int64        `json:"f,omitempty"` // how long its first event took; 0 none came
+// wirePlacementEnd tells a scheduler how a request ended that it placed.
+type wirePlacementEnd struct {
+	PlacementID  string         `json:"i"`
+	Gateway      string         `json:"g"`
+	Outcome      attemptOutcome `json:"o,omitempty"`
+	Unreached    bool           `json:"x,omitempty"` // no connection to the back end was established
+	DurationMS   int64          `json:"t,omitempty"` // since the attempt began
+	FirstEventMS int64          `json:"f,omitempty"` // time until the first event; 0 if there was none
 }
 
-// call returns what the question tells of the caller's request; parts without a size are left out.
-func (q *wireQuestion) call() Call {
-	return Call{Model: q.Model, PromptTokens: max(0, q.Prompt), Parts: partsFromWire(q.Parts, q.Tokens)}
+// call returns the part of the caller's request that the message carries. Parts without a size are left out.
+func (q *wirePlacementRequest) call() Call {
+	return Call{Model: q.Model, PromptTokens: max(0, q.PromptTokens), Parts: partsFromWire(q.Parts, q.PartTokens)}
 }
 
-// placement is a request that this gateway placed for another one, until that one tells of its end.
+// placement is a request that this gateway placed for another one and whose end has not been reported yet.
 type placement struct {
-	row      *endpoint
-	load     belief.Load
-	uncached int           // prompt tokens to read
-	alone    bool          // nothing else was to be read there
-	until    time.Duration // it counts no longer, whatever was told
-	rank     int
-	queue    float64 // predicted time until its prompt is read, in milliseconds
+	row        *endpoint
+	load       belief.Load
+	uncached   int           // prompt tokens to prefill
+	engineIdle bool          // no other prefill was running or queued there
+	expiresAt  time.Duration // the placement is dropped then, even if no end was reported
+	priority   int
+	queueWait  float64 // predicted time until the prefill starts, in milliseconds
 }
 
-// takeQuestion answers another gateway that asks for a placement.
-func (g *Gateway) takeQuestion(request transport.Request, respond transport.Respond) {
-	var asked wireQuestion
-	if json.Unmarshal(request.Body, &asked) != nil {
+// handlePlacementRequest handles another gateway's request for a placement.
+func (g *Gateway) handlePlacementRequest(request transport.Request, respond transport.Respond) {
+	var req wirePlacementRequest
+	if json.Unmarshal(request.Body, &req) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
-	respond(http.StatusOK, g.placeFor(g.now(), &asked))
+	respond(http.StatusOK, g.placeForPeer(g.now(), &req))
 }
 
-// placeFor chooses a back end for another gateway's request and counts it from now on.
-func (g *Gateway) placeFor(now time.Duration, asked *wireQuestion) wirePlacement {
-	held := g.view.Load()
-	if held == nil || held.services[asked.Service] == nil || !g.trusted(now) {
-		return wirePlacement{}
+// placeForPeer chooses a back end for another gateway's request and counts the request there.
+func (g *Gateway) placeForPeer(now time.Duration, req *wirePlacementRequest) wirePlacementReply {
+	current := g.view.Load()
+	if current == nil || current.services[req.Service] == nil || !g.trusted(now) {
+		return wirePlacementReply{}
 	}
-	call := asked.call()
-	in := selectionInput{service: held.services[asked.Service], call: &call, tried: g.table.rowsOf(asked.Without), trusted: true, sentByPeer: true}
-	if asked.Wall != "" {
-		in.tenant = &catalog.Tenant{Name: asked.Wall, Isolated: true}
+	call := req.call()
+	in := selectionInput{service: current.services[req.Service], call: &call, tried: g.table.rowsByID(req.Excluded), trusted: true, sentByPeer: true}
+	if req.IsolatedTenant != "" {
+		in.tenant = &catalog.Tenant{Name: req.IsolatedTenant, Isolated: true}
 	}
 	if g.enabled(mechanism.StoreTransfers) {
-		in.store = held.storeOf(call.Parts)
+		in.store = current.storeOf(call.Parts)
 	}
-	in.firstAttempt, in.priority, in.latencyTarget = asked.First, asked.Rank, durationFromMS(asked.TargetMS)
+	in.firstAttempt, in.priority, in.latencyTarget = req.FirstAttempt, req.Priority, durationFromMS(req.LatencyTargetMS)
 	chosen := g.choose(now, in)
 	if chosen == nil {
-		return wirePlacement{}
+		return wirePlacementReply{}
 	}
-	if back, refused := g.judge(now, chosen, in); refused {
-		return wirePlacement{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, BackMS: max(1, back.Milliseconds())}
+	if retryAfter, rejected := g.checkAdmission(now, chosen, in); rejected {
+		return wirePlacementReply{Instance: chosen.row.entry.ID, WaitMS: chosen.wait, RetryAfterMS: max(1, retryAfter.Milliseconds())}
 	}
-	running := g.table.place(now, asked.Ticket, placement{
-		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, alone: chosen.engineIdle, until: now + durationFromMS(asked.WithinMS),
-		rank: asked.Rank, queue: chosen.queueWait,
+	load := g.table.addPlacement(now, req.PlacementID, placement{
+		row: chosen.row, load: loadOf(&call), uncached: chosen.uncached, engineIdle: chosen.engineIdle, expiresAt: now + durationFromMS(req.TimeoutMS),
+		priority: req.Priority, queueWait: chosen.queueWait,
 	})
-	g.announcePlacement(now, chosen, call.Parts, running)
-	placed := wirePlacement{
-		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Reread: chosen.recomputed, Why: string(chosen.recomputeReason), WaitMS: chosen.wait, Fetch: chosen.fetchFrom, Save: chosen.saveTo,
+	g.announcePlacement(now, chosen, call.Parts, load)
+	reply := wirePlacementReply{
+		Instance: chosen.row.entry.ID, Version: chosen.version, Uncached: chosen.uncached, Recomputed: chosen.recomputed, RecomputeReason: string(chosen.recomputeReason), WaitMS: chosen.wait, FetchFrom: chosen.fetchFrom, SaveTo: chosen.saveTo,
 	}
-	if limit, _ := g.table.limitOf(now, chosen.row); limit != nil {
-		placed.Limit, placed.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
+	if limit, _ := g.table.advertisedLimit(now, chosen.row); limit != nil {
+		reply.Limit, reply.LimitAgeMS = &limit.Rate, limit.Age.Milliseconds()
 	}
-	return placed
+	return reply
 }
 
-// takeEnd notes how a request ended that this gateway placed for another one.
-func (g *Gateway) takeEnd(request transport.Request, respond transport.Respond) {
-	var end wireEnd
+// handlePlacementEnd handles another gateway's report that a request ended which this gateway placed.
+func (g *Gateway) handlePlacementEnd(request transport.Request, respond transport.Respond) {
+	var end wirePlacementEnd
 	if json.Unmarshal(request.Body, &end) != nil {
 		respond(http.StatusBadRequest, nil)
 		return
 	}
 	respond(http.StatusOK, struct{}{})
 	now := g.now()
-	made, left, known := g.table.endPlacement(now, &end)
+	p, load, known := g.table.endPlacement(now, &end)
 	if !known {
 		return
 	}
-	row := made.row
-	g.table.observePrefill(row, made.alone, made.uncached, durationFromMS(end.FirstMS))
-	g.table.noteQueue(row.entry.Service, made.rank, made.queue, made.uncached, durationFromMS(end.FirstMS), durationFromMS(end.StayMS))
-	g.peers.announce(announcement{Gateway: g.shortName, Load: left, Instance: row.entry.ID})
+	row := p.row
+	g.table.observePrefill(row, p.engineIdle, p.uncached, durationFromMS(end.FirstEventMS))
+	g.table.observeQueueWait(row.entry.Service, p.priority, p.queueWait, p.uncached, durationFromMS(end.FirstEventMS), durationFromMS(end.DurationMS))
+	g.peers.announce(announcement{Gateway: g.shortName, Load: load, Instance: row.entry.ID})
 	if end.Unreached {
 		g.peers.announce(announcement{Gateway: end.Gateway, Instance: row.entry.ID, Unreachable: true})
 	}
 }
 
-// place counts a placement, and returns what now runs at its back end as far as this gateway tells others.
-func (t *table) place(now time.Duration, ticket string, made placement) belief.Load {
+// addPlacement adds a placement and returns the back end's load as this gateway reports it to others.
+func (t *table) addPlacement(now time.Duration, ticket string, p placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.placed[ticket] = made
-	here := &made.row.occupancy
-	here.Placed = here.Placed.Plus(made.load)
-	t.addPrefill(now, made.row, made.uncached)
-	t.spreadOver(now, made.row)
+	t.placed[ticket] = p
+	here := &p.row.occupancy
+	here.Placed = here.Placed.Plus(p.load)
+	t.addPrefill(now, p.row, p.uncached)
+	t.pacePeerPlacement(now, p.row)
 	return here.Local()
 }
 
-// endPlacement takes a placement out. That no connection came up, or that one broke, is one gateway's report, like one that came
-// over the mesh.
-func (t *table) endPlacement(now time.Duration, end *wireEnd) (made placement, left belief.Load, known bool) {
+// endPlacement removes a placement and records its outcome. A failed connection or a broken response counts as one
+// gateway's report, like those of the mesh.
+func (t *table) endPlacement(now time.Duration, end *wirePlacementEnd) (p placement, remaining belief.Load, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	made, known = t.placed[end.Ticket]
+	p, known = t.placed[end.PlacementID]
 	if !known {
-		return made, belief.Load{}, false
+		return p, belief.Load{}, false
 	}
-	t.forgetPlacement(end.Ticket, made)
-	row := made.row
+	t.removePlacement(end.PlacementID, p)
+	row := p.row
 	switch {
 	case end.Unreached:
-		t.suspect(now, row, end.Gateway)
-	case end.Grade == gradeBad:
-		row.blame()
-		t.suspect(now, row, end.Gateway)
+		t.recordPeerReport(now, row, end.Gateway)
+	case end.Outcome == outcomeFailure:
+		row.raiseFailureRate()
+		t.recordPeerReport(now, row, end.Gateway)
 	default:
-		row.grade(now, end.Grade)
+		row.recordOutcome(now, end.Outcome)
 	}
-	if end.Grade == gradeGood {
-		t.recordDuration(row, durationFromMS(end.StayMS))
+	if end.Outcome == outcomeSuccess {
+		t.recordDuration(row, durationFromMS(end.DurationMS))
 	}
-	return made, row.occupancy.Local(), true
+	return p, row.occupancy.Local(), true
 }
 
-// forgetPlacement takes a placement out of the sums. The caller holds the mutex.
-func (t *table) forgetPlacement(ticket string, made placement) {
+// removePlacement removes a placement and its load. The caller holds the mutex.
+func (t *table) removePlacement(ticket string, p placement) {
 	delete(t.placed, ticket)
-	made.row.occupancy.Placed = made.row.occupancy.Placed.Minus(made.load)
+	p.row.occupancy.Placed = p.row.occupancy.Placed.Minus(p.load)
 }
 
-// sweepPlacements forgets placements whose end was never told. The caller holds the mutex.
-func (t *table) sweepPlacements(now time.Duration) {
-	for ticket, made := range t.placed {
-		if now > made.until {
-			t.forgetPlacement(ticket, made)
+// expirePlacements removes placements whose end was not reported in time. The caller holds the mutex.
+func (t *table) expirePlacements(now time.Duration) {
+	for ticket, p := range t.placed {
+		if now > p.expiresAt {
+			t.removePlacement(ticket, p)
 		}
 	}
 }
 
-// rowsOf returns the back ends of the given ids that are known.
-func (t *table) rowsOf(ids []string) []*endpoint {
+// rowsByID returns the known back ends among the given IDs.
+func (t *table) rowsByID(ids []string) []*endpoint {
 	if len(ids) == 0 {
 		return nil
 	}
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -17,208 +17,212 @@
 )
 
 const (
-	// askTimeout is how long a scheduler may take to answer: some times what it takes while it is busy, and little beside
-	// what a request may take. askMost schedulers are asked for one request before the gateway places it by itself.
-	askTimeout = 60 * time.Millisecond
-	askMost    = 2
-	// askAgainAfter is how long a scheduler that gave no answer is left alone.
-	askAgainAfter = 500 * time.Millisecond
-	// endTimeout is how long a scheduler may take to take an end, and endsAtOnce bounds how many are being told.
-	endTimeout = 250 * time.Millisecond
-	endsAtOnce = 256
+	// placementTimeout bounds the wait for a scheduler's reply. It is a multiple of the reply time of a busy scheduler.
+	// After maxSchedulersAsked schedulers have failed to reply, the gateway places the request itself.
+	placementTimeout   = 60 * time.Millisecond
+	maxSchedulersAsked = 2
+	// schedulerRetryInterval is how long a scheduler that did not reply is skipped.
+	schedulerRetryInterval = 500 * time.Millisecond
+	// placementEndTimeout bounds the report of one placement's end, and maxPendingEnds the number of concurrent
+	// reports.
+	placementEndTimeout = 250 * time.Millisecond
+	maxPendingEnds      = 256
 )
 
-// schedulers are the gateways that place requests for this one. Their zero number means that it places its own. It is safe for
-// concurrent use.
+// schedulers are the gateways that place requests for this one. While there are none, the gateway places its requests
+// itself. It is safe for concurrent use.
 type schedulers struct {
-	client *transport.Client
-	ends   chan struct{} // a place for each end that is being told
+	client   *transport.Client
+	endSlots chan struct{} // one element per report in flight
 
-	mu        sync.Mutex
-	addresses []string
-	failed    map[string]time.Duration // when one last gave no answer
-	tickets   uint64
+	mu              sync.Mutex
+	addresses       []string
+	failedAt        map[string]time.Duration // when each last failed to reply
+	lastPlacementID uint64
 }
 
 func newSchedulers(client *transport.Client) *schedulers {
-	return &schedulers{client: client, ends: make(chan struct{}, endsAtOnce), failed: map[string]time.Duration{}}
+	return &schedulers{client: client, endSlots: make(chan struct{}, maxPendingEnds), failedAt: map[string]time.Duration{}}
 }
 
-// use replaces the schedulers.
-func (s *schedulers) use(addresses []string) {
+// setAddresses replaces the schedulers.
+func (s *schedulers) setAddresses(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses = addresses
-	for address := range s.failed {
+	for address := range s.failedAt {
 		if !slices.Contains(addresses, address) {
-			delete(s.failed, address)
+			delete(s.failedAt, address)
 		}
 	}
 }
 
-// order returns the schedulers to ask for a prompt, best first: the same one for the same shared parts while it answers, so
-// that one sees all of a prompt's requests in a zone.
-func (s *schedulers) order(now time.Duration, parts []prefix.Part) []string {
+// forPrompt returns the schedulers to ask for a prompt, best first. Prompts with the same shared parts go to the same
+// scheduler of the zone while it replies, so that it knows of all requests which can use those parts.
+func (s *schedulers) forPrompt(now time.Duration, parts []prefix.Part) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := xxhash.Sum64String(prefix.AffinityKey(parts))
-	var asked []string
+	var usable []string
 	for _, address := range s.addresses {
-		if failed, known := s.failed[address]; !known || now > failed+askAgainAfter {
-			asked = append(asked, address)
+		if lastFailure, known := s.failedAt[address]; !known || now > lastFailure+schedulerRetryInterval {
+			usable = append(usable, address)
 		}
 	}
-	slices.SortFunc(asked, func(a, b string) int {
+	slices.SortFunc(usable, func(a, b string) int {
 		return cmp.Compare(mix(key^xxhash.Sum64String(b)), mix(key^xxhash.Sum64String(a)))
 	})
-	return asked[:min(len(asked), askMost)]
+	return usable[:min(len(usable), maxSchedulersAsked)]
 }
 
-// noteFailed notes that a scheduler gave no answer.
-func (s *schedulers) noteFailed(now time.Duration, address string) {
+// recordFailure records that a scheduler did not reply.
+func (s *schedulers) recordFailure(now time.Duration, address string) {
 	s.mu.Lock()
-	s.failed[address] = now
+	s.failedAt[address] = now
 	s.mu.Unlock()
 }
 
-// ticket returns a new name of a placement.
-func (s *schedulers) ticket(nick string) string {
+// newPlacementID returns a placement ID that is unique in the fleet.
+func (s *schedulers) newPlacementID(nick string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tickets++
-	return nick + "-" + strconv.FormatUint(s.tickets, saltBase)
+	s.lastPlacementID++
+	return nick + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
 }
 
-// tell tells a scheduler of an end, beside what the caller does. One that cannot be told is forgotten there by its time.
-func (s *schedulers) tell(address string, end wireEnd) {
+// reportEnd reports the end of a placement to a scheduler in the background. A report that fails or exceeds
+// maxPendingEnds is dropped; the placement then expires at the scheduler.
+func (s *schedulers) reportEnd(address string, end wirePlacementEnd) {
 	select {
-	case s.ends <- struct{}{}:
+	case s.endSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-s.ends }()
-		ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+		defer func() { <-s.endSlots }()
+		ctx, cancel := context.WithTimeout(context.Background(), placementEndTimeout)
 		defer cancel()
 		_ = s.client.Post(ctx, address, pathEnd, end, nil) // best effort
 	}()
 }
 
-// scheduled is a placement that a scheduler made.
-type scheduled struct {
-	scheduler string // its address
-	ticket    string
+// schedulerPlacement identifies a placement that a scheduler made.
+type schedulerPlacement struct {
+	scheduler   string // address
+	placementID string
 }
 
-// askSchedulers returns where a scheduler places the request, or nil when none is to be asked or none knows a back end.
-func (x *exchange) askSchedulers(in selectionInput) *candidate {
+// requestPlacement returns the candidate that a scheduler chose, or nil if there is no scheduler to ask or none has a
+// back end available.
+func (x *exchange) requestPlacement(in selectionInput) *candidate {
 	g := x.gateway
 	if !in.trusted {
 		return nil
 	}
-	asked := g.schedulers.order(g.now(), x.call.Parts)
-	if len(asked) == 0 {
+	addresses := g.schedulers.forPrompt(g.now(), x.call.Parts)
+	if len(addresses) == 0 {
 		return nil
 	}
-	question := x.question(in)
-	for _, address := range asked {
-		made := scheduled{scheduler: address, ticket: g.schedulers.ticket(g.shortName)}
-		question.Ticket = made.ticket
-		var answer wirePlacement
-		ctx, cancel := context.WithTimeout(x.ctx, askTimeout)
-		err := g.schedulers.client.Post(ctx, address, pathPlace, question, &answer)
+	req := x.placementRequest(in)
+	for _, address := range addresses {
+		placed := schedulerPlacement{scheduler: address, placementID: g.schedulers.newPlacementID(g.shortName)}
+		req.PlacementID = placed.placementID
+		var reply wirePlacementReply
+		ctx, cancel := context.WithTimeout(x.ctx, placementTimeout)
+		err := g.schedulers.client.Post(ctx, address, pathPlace, req, &reply)
 		cancel()
 		if err == nil {
-			return g.scheduledCandidate(&answer, made, in)
+			return g.candidateFromReply(&reply, placed, in)
 		}
 		if x.ctx.Err() != nil {
 			return nil
 		}
-		g.noteSilent(address, err)
-		g.schedulers.tell(address, wireEnd{Ticket: made.ticket, Gateway: g.shortName}) // it may have placed the request
+		g.recordNoReply(address, err)
+		g.schedulers.reportEnd(address, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.shortName}) // the request may have been placed
 	}
 	return nil
 }
 
-// noteSilent notes and logs that a scheduler gave no answer.
-func (g *Gateway) noteSilent(address string, err error) {
-	g.schedulers.noteFailed(g.now(), address)
+// recordNoReply records and logs that a scheduler did not reply.
+func (g *Gateway) recordNoReply(address string, err error) {
+	g.schedulers.recordFailure(g.now(), address)
 	g.metrics.schedulerFailures.Inc()
 	g.log.info(events.SchedulerTimeout, zap.String("address", address), zap.String(events.FieldCause, err.Error()))
 }
 
-// question returns what schedulers are asked.
-func (x *exchange) question(in selectionInput) wireQuestion {
+// placementRequest returns the message that asks schedulers for a placement.
+func (x *exchange) placementRequest(in selectionInput) wirePlacementRequest {
 	g := x.gateway
-	asked := wireQuestion{
-		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, Prompt: x.call.PromptTokens,
-		Without: g.table.unwanted(g.now(), x.service.Name, in.tried), WithinMS: (x.deadline - g.now()).Milliseconds(),
+	req := wirePlacementRequest{
+		Gateway: g.shortName, Service: x.service.Name, Model: x.call.Model, PromptTokens: x.call.PromptTokens,
+		Excluded: g.table.excluded(g.now(), x.service.Name, in.tried), TimeoutMS: (x.deadline - g.now()).Milliseconds(),
 	}
-	asked.First, asked.Rank, asked.TargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
+	req.FirstAttempt, req.Priority, req.LatencyTargetMS = in.firstAttempt, in.priority, in.latencyTarget.Milliseconds()
 	if in.tenant != nil && in.tenant.Isolated {
-		asked.Wall = in.tenant.Name
+		req.IsolatedTenant = in.tenant.Name
 	}
-	asked.Parts, asked.Tokens = partsToWire(x.call.Parts)
-	return asked
+	req.Parts, req.PartTokens = partsToWire(x.call.Parts)
+	return req
 }
 
-// unwanted returns the back ends that a request was sent to already, and those that this gateway avoids.
-func (t *table) unwanted(now time.Duration, service string, tried []*endpoint) []string {
+// excluded returns the back ends that the request was sent to already, and those that this gateway avoids or that
+// restrict it.
+func (t *table) excluded(now time.Duration, service string, tried []*endpoint) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var ids []string
 	for _, row := range t.services[service] {
-		if now < row.avoidUntil || slices.Contains(tried, row) || t.bar(now, row, false) != "" {
+		if now < row.avoidUntil || slices.Contains(tried, row) || t.restrictionCause(now, row, false) != "" {
 			ids = append(ids, row.entry.ID)
 		}
 	}
 	return ids
 }
 
-// scheduledCandidate returns what a scheduler's answer means here, or nil if this gateway may not send there: what it was told
-// itself of a back end and its weights decides.
-func (g *Gateway) scheduledCandidate(answer *wirePlacement, made scheduled, in selectionInput) *candidate {
-	if answer.Instance == "" {
+// candidateFromReply returns the candidate in a scheduler's reply, or nil if this gateway may not send there: its own
+// view of the back end and its weights takes precedence over the scheduler's.
+func (g *Gateway) candidateFromReply(reply *wirePlacementReply, placed schedulerPlacement, in selectionInput) *candidate {
+	if reply.Instance == "" {
 		return nil
 	}
-	if answer.BackMS > 0 {
-		return &candidate{wait: answer.WaitMS, retryAfter: durationFromMS(answer.BackMS)}
+	if reply.RetryAfterMS > 0 {
+		return &candidate{wait: reply.WaitMS, retryAfter: durationFromMS(reply.RetryAfterMS)}
 	}
 	now := g.now()
-	g.hearScheduler(now, answer)
+	g.observeSchedulerLimit(now, reply)
 	g.table.mutex.Lock()
 	defer g.table.mutex.Unlock()
 	chosen := &candidate{
-		row: g.table.rows[answer.Instance], version: answer.Version, salt: cacheSalt(answer.Version, in.tenant), wait: answer.WaitMS,
-		uncached: max(0, answer.Uncached), recomputed: max(0, answer.Reread), recomputeReason: recomputeCause(answer.Why), fetchFrom: answer.Fetch, saveTo: answer.Save, scheduled: &made,
+		row: g.table.rows[reply.Instance], version: reply.Version, salt: cacheSalt(reply.Version, in.tenant), wait: reply.WaitMS,
+		uncached: max(0, reply.Uncached), recomputed: max(0, reply.Recomputed), recomputeReason: recomputeCause(reply.RecomputeReason), fetchFrom: reply.FetchFrom, saveTo: reply.SaveTo, scheduled: &placed,
 	}
-	if answer.Version == 0 {
+	if reply.Version == 0 {
 		chosen.salt = uniqueSalt()
 	}
 	if chosen.row == nil || !g.eligible(now, chosen.row, in) || g.scoredTooLate(now, chosen, in) {
-		g.schedulers.tell(made.scheduler, wireEnd{Ticket: made.ticket, Gateway: g.shortName})
+		g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{PlacementID: placed.placementID, Gateway: g.shortName})
 		return nil
 	}
 	return chosen
 }
 
-// first returns how long after the send the first event came, or 0.
-func (a *attempt) first() time.Duration {
+// timeToFirstEvent returns the time from the start of the attempt to the first event, or 0 if there was none.
+func (a *attempt) timeToFirstEvent() time.Duration {
 	if !a.streamStarted.Load() {
 		return 0
 	}
 	return max(0, a.exchange.firstEventAt-a.startedAt)
 }
 
-// settle tells the scheduler that placed an attempt how it ended.
-func (a *attempt) settle() {
-	made := a.plan.scheduled
-	if made == nil {
+// reportEnd reports the outcome of the attempt to the scheduler that placed it.
+func (a *attempt) reportEnd() {
+	placed := a.plan.scheduled
+	if placed == nil {
 		return
 	}
 	g := a.exchange.gateway
-	g.schedulers.tell(made.scheduler, wireEnd{
-		FirstMS: a.first().Milliseconds(),
-		Ticket:  made.ticket, Gateway: g.shortName, Grade: a.grade, Unreached: a.unreachable, StayMS: (g.now() - a.startedAt).Milliseconds(),
+	g.schedulers.reportEnd(placed.scheduler, wirePlacementEnd{
+		FirstEventMS: a.timeToFirstEvent().Milliseconds(),
+		PlacementID:  placed.placementID, Gateway: g.shortName, Outcome: a.grade, Unreached: a.unreachable, DurationMS: (g.now() - a.startedAt).Milliseconds(),
 	})
 }
