--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -76,7 +76,7 @@
 	latestEventAt     time.Duration           // when the latest event was sent to the caller
 	longestGap        time.Duration           // longest time between two events
 	placement         *candidate              // latest placement; nil before the first
-	quotaLease        cover                   // lease on the tenant's limit for the next attempt
+	quotaLease        quotaLease              // lease on the tenant's limit for the next attempt
 	backoffLeft       time.Duration           // longest backoff of a back end still running when the request was sent to it
 	advertisedLimit   pushback.Limit          // limit advertised by the back end of the latest attempt
 	cachedFingerprint *quarantine.Fingerprint // of the request; nil until first needed
@@ -94,9 +94,9 @@
 		x.reject(http.StatusServiceUnavailable, reasonStopping, minRetryAfter)
 		return
 	}
-	defer x.uncover()
-	defer func() { g.buffered.give(x.bodyReserved) }()
-	if !x.admit() || !x.withinLimit() || !x.readBody() {
+	defer x.releaseQuota()
+	defer func() { g.buffered.release(x.bodyReserved) }()
+	if !x.admit() || !x.acquireQuota() || !x.readBody() {
 		return
 	}
 	deadline := x.route.Timeout
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case x.view == nil:
-		x.reject(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.comeBack())
+		x.reject(http.StatusServiceUnavailable, reasonNoDocument, x.gateway.controlRetryAfter())
 		return false
 	case x.route == nil:
 		x.deny(trusted, http.StatusNotFound, reasonNoRoute)
@@ -131,7 +131,7 @@
 		return false
 	}
 	x.service = x.view.services[x.gateway.splits.next(x.route)]
-	x.gateway.budget.request(x.service.Name, x.arrived)
+	x.gateway.budget.recordRequest(x.service.Name, x.arrived)
 	return true
 }
 
@@ -154,7 +154,7 @@
 func (x *exchange) deny(trusted bool, status int, reason string) {
 	if !trusted {
 		x.gateway.log.recordDisconnect()
-		x.reject(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.comeBack())
+		x.reject(http.StatusServiceUnavailable, reasonViewUnconfirmed, x.gateway.controlRetryAfter())
 		return
 	}
 	x.reject(status, reason, 0)
@@ -173,16 +173,16 @@
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	from := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	body, reserved, err := x.gateway.buffered.read(from, x.request.ContentLength)
+	body, reserved, err := x.gateway.buffered.readBody(from, x.request.ContentLength)
 	x.bodyReserved = reserved
-	if errors.Is(err, errHeld) {
+	if errors.Is(err, errBufferLimit) {
 		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		_, _ = io.Copy(io.Discard, from) // a caller that is still sending would get a reset instead of the response
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errBufferLimit):
 		x.reject(http.StatusServiceUnavailable, reasonBuffersFull, minRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
@@ -199,12 +199,12 @@
 // run makes attempts until the caller has a response.
 func (x *exchange) run() {
 	for {
-		if x.endIfExpired() || x.heldBack() || !x.withinLimit() {
+		if x.endIfExpired() || x.rejectIfQuarantined() || !x.acquireQuota() {
 			return
 		}
 		chosen := x.place()
 		if chosen == nil {
-			x.giveUp(x.noBackend())
+			x.giveUp(x.noBackendReason())
 			return
 		}
 		x.placement = chosen
@@ -222,7 +222,7 @@
 		}
 		x.logFailure(a, result)
 		if x.route.Retryable() {
-			a.awaitProof()
+			a.awaitCrashCheck()
 		}
 		if !x.continueAfter(result) {
 			return
@@ -255,16 +255,16 @@
 	for {
 		in.trusted = x.gateway.trusted(x.gateway.now())
 		changed := x.gateway.table.rosterChanged.Next()
-		chosen := x.askSchedulers(in)
+		chosen := x.requestPlacement(in)
 		if chosen == nil {
 			chosen = x.gateway.choose(x.gateway.now(), in)
-			x.gateway.turnAway(x.gateway.now(), chosen, in)
+			x.gateway.rejectIfOverloaded(x.gateway.now(), chosen, in)
 		}
 		remaining := waitUntil - x.gateway.now()
 		if chosen != nil || remaining <= 0 || len(x.tried) > 0 {
 			return chosen
 		}
-		if retryIn, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); retryIn > remaining {
+		if retryIn, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); retryIn > remaining {
 			return nil // all back ends stay unavailable for longer than the request may wait
 		} else if retryIn > 0 {
 			remaining = retryIn
@@ -302,9 +302,9 @@
 			x.giveUp(reasonRunUnknown, 0)
 			return false
 		}
-		return x.retryOrGiveUp(reasonRejected, max(minRetryAfter, x.comeBackAfter(result)))
+		return x.retryOrGiveUp(reasonRejected, max(minRetryAfter, x.rejectionRetryAfter(result)))
 	}
-	if !x.route.Retryable() || x.suspected() {
+	if !x.route.Retryable() || x.isSuspect() {
 		x.giveUp(reasonRunUnknown, 0)
 		return false
 	}
@@ -316,7 +316,7 @@
 func (x *exchange) continueAfterLimit() bool {
 	x.tried = x.tried[:len(x.tried)-1]
 	x.limitReachedCount++
-	if x.limitReachedCount < permitsMost {
+	if x.limitReachedCount < maxLimitedAttempts {
 		return true
 	}
 	x.giveUp(reasonLimitReached, minRetryAfter)
@@ -334,7 +334,7 @@
 
 // takeRetry reports whether the request may be retried, and if so takes a retry from the budget.
 func (x *exchange) takeRetry() bool {
-	if !x.canRetry() || !x.gateway.takeRepeat(x.ctx, x.service.Name) {
+	if !x.canRetry() || !x.gateway.acquireRetry(x.ctx, x.service.Name) {
 		return false
 	}
 	x.gateway.metrics.retries.Inc()
--- a/internal/gateway/final.go
+++ b/internal/gateway/final.go
@@ -68,7 +68,7 @@
 		fields = append(fields, zap.Duration("unconfirmed", x.gateway.now()-time.Duration(x.gateway.confirmedAt.Load())))
 	}
 	if reason == reasonQuarantined {
-		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint), zap.Int(events.FieldIncarnations, x.lives()))
+		fields = append(fields, zap.Stringer(events.FieldFingerprint, x.cachedFingerprint), zap.Int(events.FieldIncarnations, x.crashCount()))
 	}
 	if x.placement != nil && x.service.Engine {
 		fields = append(fields, zap.Float64(events.FieldPredictedWait, x.placement.wait), zap.Int(events.FieldUncachedTokens, x.placement.uncached), zap.String(events.FieldCacheSource, x.placement.fetchFrom),
--- a/internal/gateway/forms_test.go
+++ b/internal/gateway/forms_test.go
@@ -9,7 +9,7 @@
 // TestWireFormatsCompatible guards against incompatible changes of the messages between gateways.
 func TestWireFormatsCompatible(t *testing.T) {
 	forms.Check[wireAnnouncement](t, "send")
-	forms.Check[wireQuestion](t, "question")
-	forms.Check[wirePlacement](t, "placement")
-	forms.Check[wireEnd](t, "end")
+	forms.Check[wirePlacementRequest](t, "question")
+	forms.Check[wirePlacementReply](t, "placement")
+	forms.Check[wirePlacementEnd](t, "end")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,7 +58,7 @@
 	shortName         string // identifies this process in announcements to other gateways
 	outage            outage
 	cacheReader       CacheReader // nil if engines' caches are not read
-	followers         *followers
+	followers         *cacheFollowers
 	weightsLogLimiter *node.Sparse // for weight version mismatches, by instance
 	backoffLogLimiter *node.Sparse // for backoff requests of back ends, by instance
 	limitLogLimiter   *node.Sparse // for unparsable advertised limits, by instance
@@ -69,7 +69,7 @@
 	draining      atomic.Bool
 	rejecting     atomic.Bool // final phase of a planned stop, in which new requests are rejected
 	active        atomic.Int64
-	buffered      held // bytes buffered for slow callers and back ends
+	buffered      bufferBudget // bytes buffered for slow callers and back ends
 	metrics       *metrics
 }
 
@@ -82,12 +82,12 @@
 	g := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
-		viewConfirmed: newNotifier(), followers: newFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
+		viewConfirmed: newNotifier(), followers: newCacheFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	g.quarantine = reporter.New(reporter.Config{Submit: g.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&g.pool.dialer), Log: g.log.info, Now: g.now})
-	g.leases = desk.New(g.shortName, settings.ViewTTL, g.now, g.lend)
+	g.leases = desk.New(g.shortName, settings.ViewTTL, g.now, g.requestLeases)
 	g.peers.disabled = !g.enabled(mechanism.GatewayMesh)
 	g.metrics = newMetrics(g)
 	return g
@@ -119,7 +119,7 @@
 	defer closePeers(peers)
 	runCtx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { g.follow(runCtx) })
+	wg.Go(func() { g.watchControl(runCtx) })
 	wg.Go(func() { g.sweep(runCtx) })
 	wg.Go(func() { g.leases.Run(runCtx) })
 	wg.Go(func() { g.quarantine.Run(runCtx) })
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -17,7 +17,7 @@
 	const schedulers, engines, rounds = 15, 240, 20
 	fleet := make([]*Gateway, schedulers)
 	for d := range fleet {
-		fleet[d] = scheduler(engines)
+		fleet[d] = newScheduler(engines)
 		var assigned []string
 		for i := d; i < engines; i += schedulers {
 			assigned = append(assigned, fmt.Sprint("i-", i))
@@ -35,9 +35,9 @@
 	for round := range rounds {
 		used := map[string]bool{}
 		for d, g := range fleet {
-			asked := question(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
-			answer := g.placeFor(time.Second, asked)
-			g.table.endPlacement(time.Second, &wireEnd{Ticket: asked.Ticket})
+			asked := newPlacementRequest(fmt.Sprint("t", round, "-", d), 1000+round*schedulers+d)
+			answer := g.placeForPeer(time.Second, asked)
+			g.table.endPlacement(time.Second, &wirePlacementEnd{PlacementID: asked.PlacementID})
 			used[answer.Instance] = true
 		}
 		collisions += schedulers - len(used)
@@ -51,10 +51,10 @@
 // A copy from a store is used while the store's link is free, but the parts are recomputed once many transfers are
 // queued.
 func TestBusyStoreLinkPreventsCopy(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	store := &catalog.Service{Name: "k", StoreAddress: "10.9.0.1:1", LinkMbps: 550_000, Zone: "z"}
 	engine := &catalog.Service{Name: "s", Engine: true, LinkMbps: 1_100_000, KVBytesPerToken: 163_840}
-	parts := partsOf("own")
+	parts := promptParts("own")
 	g.table.stored.Record(time.Second, "w1", prefix.SharedParts(parts))
 	in := selectionInput{service: engine, store: store, trusted: true, call: &Call{Model: "m", Parts: parts, PromptTokens: 9190}}
 	free := g.choose(time.Second, in)
@@ -75,7 +75,7 @@
 
 // The queue time of an engine follows from the observed prefill rate of its service.
 func TestObservedPrefillRateSetsQueueTime(t *testing.T) {
-	g := scheduler(2)
+	g := newScheduler(2)
 	row := g.table.rows["i-0"]
 	for range 200 {
 		g.table.observePrefill(row, true, 8000, 400*time.Millisecond)   // 20 tokens per ms
@@ -106,7 +106,7 @@
 // Requests that a scheduler places for a service without engines count at once and are spread, and the load that
 // other gateways report counts as well.
 func TestScheduledPlainRequestsAreSpread(t *testing.T) {
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.table.setAssigned([]string{"i-0"})
 	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s", Engine: true}, {Name: "plain"}}}))
 	news := &control.RosterUpdate{}
@@ -115,11 +115,11 @@
 			Instance: catalog.Instance{ID: fmt.Sprint("p-", i), Service: "plain", Zone: "z", Slots: 6, State: catalog.StateReady},
 		})
 	}
-	g.table.takeRoster(0, news, nil)
+	g.table.applyRoster(0, news, nil)
 	g.table.applySends(time.Second, []announcement{{Gateway: "other", Instance: "p-0", Load: belief.Load{Running: 40}}})
 	used := map[string]int{}
 	for i := range 42 {
-		used[g.placeFor(time.Second, &wireQuestion{Ticket: fmt.Sprint("t", i), Service: "plain", WithinMS: 1000}).Instance]++
+		used[g.placeForPeer(time.Second, &wirePlacementRequest{PlacementID: fmt.Sprint("t", i), Service: "plain", TimeoutMS: 1000}).Instance]++
 	}
 	for id, n := range used {
 		if id == "" || id == "p-0" || n > 9 {
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -16,104 +16,104 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestWishesForRestAreTold: each refusal with its wish leaves what was asked for and until when, a line a second for each back end; a wish
-// that can't be read leaves what it was; a send into a rest can be told at its end; the gauge counts who rests.
-func TestWishesForRestAreTold(t *testing.T) {
+// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unreadable
+// backoffs, the backoff left in the log of a failed attempt, and the gauge of back ends in backoff.
+func TestBackoffLogging(t *testing.T) {
 	now := time.Minute
-	g := scheduler(2)
+	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
 	sent := attemptAt(g, g.table.rows["i-0"])
 	for range 3 {
-		sent.hear(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
+		sent.handlePushback(503, ResponseInfo{NotRun: true, Signals: pushback.Signals{Backoff: 3 * time.Second}})
 	}
-	attemptAt(g, g.table.rows["i-1"]).hear(503, ResponseInfo{NotRun: true, UnparsedBackoff: "soon"})
+	attemptAt(g, g.table.rows["i-1"]).handlePushback(503, ResponseInfo{NotRun: true, UnparsedBackoff: "soon"})
 	got := lines.FilterMessage(events.InstanceBackoffRequested).All()
 	if len(got) != 2 {
-		t.Fatalf("lines %v", lines.All())
+		t.Fatalf("log lines %v, want 2 about backoffs", lines.All())
 	}
 	asked, unread := got[0].ContextMap(), got[1].ContextMap()
 	if asked[events.FieldBackoff] != 3*time.Second || asked[events.FieldBackoffLeft].(time.Duration) < 3*time.Second || asked[events.FieldRequest] != "r1" {
-		t.Errorf("asked for rest: %v", asked)
+		t.Errorf("log fields of a backoff: %v", asked)
 	}
 	if unread[events.FieldUnparsedValue] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
-		t.Errorf("a wish that can't be read: %v", unread)
+		t.Errorf("log fields of an unreadable backoff: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
 	again.begin()
 	again.exchange.logFailure(again, result{kind: resultNotRun, cause: "503"})
 	if failed := lines.FilterMessage(events.AttemptFailed).All()[0].ContextMap(); failed[events.FieldBackoffLeftAtSend].(time.Duration) < 2*time.Second {
-		t.Errorf("sent at rest: %v", failed)
+		t.Errorf("log fields of an attempt sent during a backoff: %v", failed)
 	}
-	if n := g.table.resting(now)["s"]; n != 1 {
-		t.Errorf("%d rest", n)
+	if n := g.table.backingOffCounts(now)["s"]; n != 1 {
+		t.Errorf("%d back ends in backoff, want 1", n)
 	}
 	gauges := make(chan prometheus.Metric, 2)
 	newBackoffGauge(g).Collect(gauges)
 	if len(gauges) != 1 {
-		t.Errorf("%d gauges of one service", len(gauges))
+		t.Errorf("%d gauges, want 1", len(gauges))
 	}
 }
 
-// asks lets a back end ask a gateway for rest.
-func asks(g *Gateway, id string, rest time.Duration) {
-	g.hear(g.table.rows[id], heard{said: pushback.Signals{Backoff: rest}, status: 503})
+// reportBackoff lets a gateway receive a request for backoff from a back end.
+func reportBackoff(g *Gateway, id string, rest time.Duration) {
+	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
-// leaves lets a back end tell a gateway that it leaves.
-func leaves(g *Gateway, id string) {
-	g.hear(g.table.rows[id], heard{said: pushback.Signals{Draining: true}, status: 200})
+// reportDraining lets a gateway receive a draining signal from a back end.
+func reportDraining(g *Gateway, id string) {
+	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
-// Between the choice and the send lies a connection that may take 300 ms to come up, or a scheduler's answer: what the back end says of itself
-// meanwhile holds for the request that waits as well.
-func TestLastLookSeesWhatTheBackEndSaidSinceTheChoice(t *testing.T) {
+// TestPushbackAfterChoice tests that the check before sending sees signals which arrived after the back end was chosen,
+// while the connection was established or a scheduler was asked.
+func TestPushbackAfterChoice(t *testing.T) {
 	for cause, say := range map[string]func(*Gateway){
-		causeBackingOff: func(g *Gateway) { asks(g, "i-0", time.Second) },
-		causeDraining:   func(g *Gateway) { leaves(g, "i-0") },
+		causeBackingOff: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
+		causeDraining:   func(g *Gateway) { reportDraining(g, "i-0") },
 	} {
-		g := scheduler(1)
+		g := newScheduler(1)
 		chosen := chosenAttempt(g)
 		if bar := chosen.recheckConditions(); bar != "" {
-			t.Fatalf("barred before: %s", bar)
+			t.Fatalf("restricted before the signal: %s", bar)
 		}
 		say(g)
 		if bar := chosen.recheckConditions(); bar != cause {
-			t.Fatalf("barred %q, wanted %q", bar, cause)
+			t.Fatalf("restriction %q, want %q", bar, cause)
 		}
 	}
 }
 
-// TestWhatABackEndSaidOutlivesTheRoster: a row that is told anew, that left and came back, or whose address changed is the same life; the next
-// life of that name is another one, unless it may be the one that asked.
-func TestWhatABackEndSaidOutlivesTheRoster(t *testing.T) {
+// TestPushbackSurvivesRosterChanges tests that signals stay in effect when the roster repeats, drops and re-adds, or
+// moves an incarnation, and do not apply to a later one that cannot have sent them.
+func TestPushbackSurvivesRosterChanges(t *testing.T) {
 	born := time.Now().Add(-time.Hour).UnixMilli()
 	first, later := catalog.Incarnation{Name: "e", StartedMS: born}, catalog.Incarnation{Name: "e", StartedMS: time.Now().Add(time.Hour).UnixMilli()}
-	tell := func(g *Gateway, life catalog.Incarnation, address string) {
-		g.table.takeRoster(g.now(), &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{
-			Instance: catalog.Instance{ID: life.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
+	applyEntry := func(g *Gateway, incarnation catalog.Incarnation, address string) {
+		g.table.applyRoster(g.now(), &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{
+			Instance: catalog.Instance{ID: incarnation.ID(), Service: "s", Address: address, State: catalog.StateReady}, Versions: map[string]uint64{"m": 1},
 		}}}, nil)
 	}
 	for what, step := range map[string]struct {
 		meanwhile func(g *Gateway)
 		open      bool
 	}{
-		"told anew": {func(g *Gateway) { tell(g, first, "a") }, false},
-		"left and back": {func(g *Gateway) {
-			g.table.takeRoster(g.now(), &control.RosterUpdate{Full: true}, nil)
-			tell(g, first, "a")
+		"same entry": {func(g *Gateway) { applyEntry(g, first, "a") }, false},
+		"removed and re-added": {func(g *Gateway) {
+			g.table.applyRoster(g.now(), &control.RosterUpdate{Full: true}, nil)
+			applyEntry(g, first, "a")
 		}, false},
-		"another address": {func(g *Gateway) { tell(g, first, "b") }, false},
-		"another life":    {func(g *Gateway) { tell(g, later, "a") }, true},
+		"another address":   {func(g *Gateway) { applyEntry(g, first, "b") }, false},
+		"later incarnation": {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
 		for kind, say := range map[string]func(*Gateway){
-			"rest":    func(g *Gateway) { asks(g, first.ID(), time.Minute) },
-			"leaving": func(g *Gateway) { leaves(g, first.ID()) },
+			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
+			"leaving": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
-			g := scheduler(0)
-			tell(g, first, "a")
+			g := newScheduler(0)
+			applyEntry(g, first, "a")
 			say(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
@@ -125,47 +125,47 @@
 	}
 }
 
-// TestRestIsBetweenTwo: a scheduler that was asked for rest places others' requests there, and not its own; whoever asks it names what wants
-// rest from itself; that a back end leaves binds all.
-func TestRestIsBetweenTwo(t *testing.T) {
-	s := scheduler(1)
-	asks(s, "i-0", time.Minute)
-	if placed := s.placeFor(s.now(), question("t1", 0)); placed.Instance != "i-0" {
-		t.Fatalf("placed %+v", placed)
+// TestBackoffAppliesToOneGateway tests that a backoff excludes a back end only for the gateway that received it, while
+// a scheduler still places other gateways' requests there. Draining applies to all.
+func TestBackoffAppliesToOneGateway(t *testing.T) {
+	s := newScheduler(1)
+	reportBackoff(s, "i-0", time.Minute)
+	if placed := s.placeForPeer(s.now(), newPlacementRequest("t1", 0)); placed.Instance != "i-0" {
+		t.Fatalf("placement for a peer: %+v", placed)
 	}
 	x := newModelRequest(s)
 	if chosen := s.choose(s.now(), selectionInput{service: x.service, call: &x.call, trusted: true}); chosen != nil {
 		t.Fatalf("chosen %+v", chosen)
 	}
-	if without := s.table.unwanted(s.now(), "s", nil); len(without) != 1 {
-		t.Fatalf("a scheduler would be told to leave out %v", without)
+	if without := s.table.excluded(s.now(), "s", nil); len(without) != 1 {
+		t.Fatalf("excluded in a placement request: %v", without)
 	}
 	in := selectionInput{service: x.service, call: &x.call, trusted: true}
-	if chosen := s.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, in); chosen != nil {
-		t.Fatalf("a scheduler that didn't hear of it: %+v", chosen)
+	if chosen := s.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, in); chosen != nil {
+		t.Fatalf("accepted a scheduler's choice during a backoff: %+v", chosen)
 	}
-	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < restHint-time.Second || avoided > restHint {
-		t.Fatalf("dearer to others for %v", avoided)
+	if avoided := s.table.rows["i-0"].avoidUntil - s.now(); avoided < maxPeerBackoff-time.Second || avoided > maxPeerBackoff {
+		t.Fatalf("raised cost for other gateways lasts %v", avoided)
 	}
-	if !s.table.remains(s.table.rows["i-0"]) {
-		t.Fatal("one that rests leaves")
+	if !s.table.isReady(s.table.rows["i-0"]) {
+		t.Fatal("a back end in backoff is not ready")
 	}
-	leaves(s, "i-0")
-	if s.table.remains(s.table.rows["i-0"]) {
-		t.Fatal("the end of one that says that it leaves counts as a crash")
+	reportDraining(s, "i-0")
+	if s.table.isReady(s.table.rows["i-0"]) {
+		t.Fatal("a draining back end is still ready")
 	}
-	if placed := s.placeFor(s.now(), question("t2", 0)); placed.Instance != "" {
-		t.Fatalf("placed %+v", placed)
+	if placed := s.placeForPeer(s.now(), newPlacementRequest("t2", 0)); placed.Instance != "" {
+		t.Fatalf("placement for a peer: %+v", placed)
 	}
 }
 
-// TestTheFewThatTakeRequestsAreFound: in a large service most of whose back ends want rest, no request is turned away while one takes it. A
-// sample of 24 among 400 of which 398 rest holds neither of the others in 89 of 100 choices.
-func TestTheFewThatTakeRequestsAreFound(t *testing.T) {
-	g := scheduler(400)
+// TestFewAvailableBackEnds tests that in a large service with nearly all back ends in backoff the available ones are
+// found, although a sample of candidates mostly contains none of them.
+func TestFewAvailableBackEnds(t *testing.T) {
+	g := newScheduler(400)
 	for id := range g.table.rows {
 		if id != "i-7" && id != "i-311" {
-			asks(g, id, time.Minute)
+			reportBackoff(g, id, time.Minute)
 		}
 	}
 	x := newModelRequest(g)
@@ -177,60 +177,61 @@
 	}
 }
 
-// TestTurnedAwayCallersComeBackWhenItHelps: at once while another back end takes requests, else when the first does again, each a little apart.
-func TestTurnedAwayCallersComeBackWhenItHelps(t *testing.T) {
-	g := scheduler(2)
+// TestRejectionRetryAfter tests the retry time after a back end rejected a request: at once while another one is
+// available, else with jitter when the first backoff ends.
+func TestRejectionRetryAfter(t *testing.T) {
+	g := newScheduler(2)
 	x := newModelRequest(g)
-	asks(g, "i-0", 10*time.Second)
-	if back := x.comeBackAfter(result{backoff: 10 * time.Second}); back != 0 {
-		t.Fatalf("after %v although one back end takes requests", back)
+	reportBackoff(g, "i-0", 10*time.Second)
+	if back := x.rejectionRetryAfter(result{backoff: 10 * time.Second}); back != 0 {
+		t.Fatalf("retry after %v, want 0 while one back end is available", back)
 	}
-	asks(g, "i-1", 40*time.Second)
+	reportBackoff(g, "i-1", 40*time.Second)
 	distinct := map[time.Duration]bool{}
 	for range 20 {
-		back := x.comeBackAfter(result{backoff: 40 * time.Second})
-		if back < 9*time.Second || back > 10*time.Second+backSlack {
-			t.Fatalf("after %v", back)
+		back := x.rejectionRetryAfter(result{backoff: 40 * time.Second})
+		if back < 9*time.Second || back > 10*time.Second+retryAfterSlack {
+			t.Fatalf("retry after %v, want the end of the first backoff", back)
 		}
 		distinct[back.Truncate(time.Millisecond)] = true
 	}
 	if len(distinct) < 10 {
-		t.Fatalf("20 callers come back at %d moments", len(distinct))
+		t.Fatalf("%d distinct retry times for 20 callers, want at least 10", len(distinct))
 	}
-	if back := x.comeBackAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
-		t.Fatalf("advice beside no wish for rest: %v", back)
+	if back := x.rejectionRetryAfter(result{retryAfter: 7 * time.Second}); back != 7*time.Second {
+		t.Fatalf("retry after %v, want the back end's own 7s without a backoff", back)
 	}
-	if reason, back := x.noBackend(); reason != reasonBackingOff || back < 9*time.Second {
-		t.Fatalf("%s after %v", reason, back)
+	if reason, back := x.noBackendReason(); reason != reasonBackingOff || back < 9*time.Second {
+		t.Fatalf("reason %s, retry after %v", reason, back)
 	}
 }
 
-// backSlack is how much later than the end of the first rest a caller may be told to come back: what is added to the rest and to the advice.
-const backSlack = 500 * time.Millisecond
+// retryAfterSlack bounds how much later than the end of the first backoff a retry time may be, due to jitter.
+const retryAfterSlack = 500 * time.Millisecond
 
-// TestEngineAtRestIsNotAskedWhatItKeeps: it wants nothing from this gateway, and its cursor stays.
-func TestEngineAtRestIsNotAskedWhatItKeeps(t *testing.T) {
-	g := scheduler(1)
-	at := cacheCursor{listedAt: -listPause}
-	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheNews{Said: pushback.Signals{Backoff: time.Minute}}}}
+// TestNoCacheReadsDuringBackoff tests that an engine in backoff is not queried about its cache.
+func TestNoCacheReadsDuringBackoff(t *testing.T) {
+	g := newScheduler(1)
+	at := cacheCursor{listedAt: -cacheListInterval}
+	script := &scriptedCache{drained: make(chan struct{}), answers: []any{CacheReport{Pushback: pushback.Signals{Backoff: time.Minute}}}}
 	g.UseCacheReader(script)
 	for step := range 3 {
-		at.listedAt = -listPause
+		at.listedAt = -cacheListInterval
 		if asked, err := g.readCache(t.Context(), "i-0", &at); err != nil || asked != (step == 0) {
-			t.Fatalf("step %d: asked %v, %v", step, asked, err)
+			t.Fatalf("step %d: queried %v, error %v", step, asked, err)
 		}
 	}
 	if script.lists != 1 {
-		t.Fatalf("asked %d times", script.lists)
+		t.Fatalf("%d listings, want 1", script.lists)
 	}
 }
 
-// TestOtherGatewaysHearOfIt: over the wire that a back end leaves binds whoever is told; a wish for rest makes the back end dearer there for a
-// while and bars nobody.
-func TestOtherGatewaysHearOfIt(t *testing.T) {
-	told := func(said pushback.Signals) (g *Gateway, chosen map[string]int) {
-		g = scheduler(2)
-		heard := announcement{Gateway: "other", Instance: "i-0", Signals: said}
+// TestPeerPushback tests signals received from another gateway: draining excludes the back end, a backoff only raises
+// its cost for a limited time.
+func TestPeerPushback(t *testing.T) {
+	applyPeerPushback := func(signals pushback.Signals) (g *Gateway, chosen map[string]int) {
+		g = newScheduler(2)
+		heard := announcement{Gateway: "other", Instance: "i-0", Signals: signals}
 		g.table.applySends(g.now(), []announcement{heard.toWire(0).announcement()})
 		chosen = map[string]int{}
 		x := newModelRequest(g)
@@ -239,31 +240,31 @@
 		}
 		return g, chosen
 	}
-	g, chosen := told(pushback.Signals{Backoff: time.Second})
+	g, chosen := applyPeerPushback(pushback.Signals{Backoff: time.Second})
 	if chosen["i-0"] > 0 || attemptAt(g, g.table.rows["i-0"]).recheckConditions() != "" {
-		t.Fatalf("asked for rest elsewhere: %v", chosen)
+		t.Fatalf("backoff at another gateway: chosen %v", chosen)
 	}
 	if avoided := g.table.rows["i-0"].avoidUntil - g.now(); avoided > time.Second {
-		t.Fatalf("dearer for %v", avoided)
+		t.Fatalf("raised cost lasts %v", avoided)
 	}
-	if g, _ := told(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > restHint {
-		t.Fatalf("dearer for %v", g.table.rows["i-0"].avoidUntil-g.now())
+	if g, _ := applyPeerPushback(pushback.Signals{Backoff: time.Hour}); g.table.rows["i-0"].avoidUntil-g.now() > maxPeerBackoff {
+		t.Fatalf("raised cost lasts %v", g.table.rows["i-0"].avoidUntil-g.now())
 	}
-	g, chosen = told(pushback.Signals{Draining: true})
+	g, chosen = applyPeerPushback(pushback.Signals{Draining: true})
 	if bar := attemptAt(g, g.table.rows["i-0"]).recheckConditions(); chosen["i-0"] > 0 || bar != causeDraining {
-		t.Fatalf("leaves: %v, barred %q", chosen, bar)
+		t.Fatalf("draining back end: chosen %v, restriction %q", chosen, bar)
 	}
 }
 
-// TestOlderGatewaysAreUnderstood: a message of a gateway that doesn't know what back ends say of themselves tells nothing of it, and one to it
-// holds what it knows.
-func TestOlderGatewaysAreUnderstood(t *testing.T) {
+// TestPushbackCompatibility tests that messages of gateways without support for signals are decoded as having none, and
+// that such gateways can decode messages with signals.
+func TestPushbackCompatibility(t *testing.T) {
 	var from wireAnnouncement
 	if err := json.Unmarshal([]byte(`{"g":"older","i":"i-0","n":2,"a":7}`), &from); err != nil {
 		t.Fatal(err)
 	}
 	if got := from.announcement(); !got.Signals.IsEmpty() || got.Load.Running != 2 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("decoded message of an older gateway: %+v", got)
 	}
 	var older struct {
 		Instance string `json:"i"`
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	pathSends       = "/internal/v1/sends"
-	announceRing    = 4096
-	announcePeriod  = 20 * time.Millisecond // how long a send waits for others to be told with it
-	announceTimeout = 200 * time.Millisecond
-	announceBatch   = 256
-	maximumPeers    = 32 // routers told of sends; those of the own zone come first
+	pathDispatches     = "/internal/v1/sends"
+	announceBufferSize = 4096
+	announceInterval   = 20 * time.Millisecond // how long a send waits for others to be told with it
+	announceTimeout    = 200 * time.Millisecond
+	announceBatch      = 256
+	maxAnnouncedPeers  = 32 // routers told of sends; those of the own zone come first
 )
 
 // newAnnouncer tells the other routers of sends that no load report shows yet, so that two routers do not choose the
 // same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
-		Path: pathSends, Ring: announceRing, Batch: announceBatch, Period: announcePeriod, Timeout: announceTimeout,
+		Path: pathDispatches, Ring: announceBufferSize, Batch: announceBatch, Period: announceInterval, Timeout: announceTimeout,
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
-		for _, announced := range batch {
-			announced.Item.Age = clock.Now() - announced.At
-			event.Sends = append(event.Sends, announced.Item)
+		for _, entry := range batch {
+			entry.Item.Age = clock.Now() - entry.At
+			event.Sends = append(event.Sends, entry.Item)
 		}
 		return event
 	})
@@ -43,7 +43,7 @@
 func peerAddresses(peers []control.Peer) []string {
 	var addresses []string
 	for _, peer := range peers {
-		if peer.Address != "" && len(addresses) < maximumPeers {
+		if peer.Address != "" && len(addresses) < maxAnnouncedPeers {
 			addresses = append(addresses, peer.Address)
 		}
 	}
@@ -70,9 +70,9 @@
 	if listener == nil {
 		return
 	}
-	closing, done := context.WithTimeout(context.Background(), shutdownTime)
-	defer done()
-	if err := listener.Close(closing); err != nil {
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if err := listener.Close(shutdownCtx); err != nil {
 		s.log.Warn("internal listener not closed", zap.Error(err))
 	}
 }
@@ -80,7 +80,7 @@
 func (s *Server) handleInternal(request transport.Request, respond transport.Respond) {
 	var event core.EventPeerDispatches
 	switch {
-	case request.Path != pathSends:
+	case request.Path != pathDispatches:
 		respond(http.StatusNotFound, nil)
 	case json.Unmarshal(request.Body, &event) != nil:
 		respond(http.StatusBadRequest, nil)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -23,70 +23,70 @@
 )
 
 const (
-	maximumEventBytes  = 256 << 10
-	maximumAnswerBytes = 8 << 20
-	dataPrefix         = "data: "
+	maxEventBytes    = 256 << 10
+	maxResponseBytes = 8 << 20
+	dataPrefix       = "data: "
 )
 
-// attemptRun is one attempt in progress.
-type attemptRun struct {
-	action core.ActionDispatch
-	run    *exchange
-	cancel context.CancelFunc
+// activeAttempt is one attempt in progress.
+type activeAttempt struct {
+	action   core.ActionDispatch
+	exchange *exchange
+	cancel   context.CancelFunc
 }
 
 // startAttempt begins an attempt on a goroutine of its own.
 func (s *Server) startAttempt(ctx context.Context, action core.ActionDispatch) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if s.barred(run) {
-		refused := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
-		refused.BackendNotAtFault = true
-		s.offer(refused)
+	if s.tooManyCrashes(ex) {
+		event := core.EventAttempt{ID: action.ID, Attempt: action.Attempt, Echo: action.Attempt, Kind: core.AttemptRefused}
+		event.BackendNotAtFault = true
+		s.offer(event)
 		s.offer(core.EventQuarantined{ID: action.ID})
 		return
 	}
 	s.announcer.Announce(core.PeerDispatch{Backend: action.Backend, Tokens: action.PrefillTokens, Lane: action.Lane})
-	run.attempts++
-	run.lastAttempt = uint64(action.Attempt)
+	ex.attempts++
+	ex.lastAttempt = uint64(action.Attempt)
 	attemptCtx, cancel := context.WithCancel(ctx)
-	started := &attemptRun{action: action, run: run, cancel: cancel}
+	attempt := &activeAttempt{action: action, exchange: ex, cancel: cancel}
 	s.mutex.Lock()
-	s.attempts[action.Attempt] = started
+	s.attempts[action.Attempt] = attempt
 	s.mutex.Unlock()
 	go func() {
-		defer s.forgetAttempt(action.Attempt)
-		if run.completion != nil {
-			s.runGenerate(attemptCtx, started)
+		defer s.removeAttempt(action.Attempt)
+		if ex.completion != nil {
+			s.runGenerate(attemptCtx, attempt)
 			return
 		}
-		s.runService(attemptCtx, started)
+		s.runService(attemptCtx, attempt)
 	}()
 }
 
 // cancelAttempt closes the connection, which tells the back end to stop.
 func (s *Server) cancelAttempt(id core.AttemptID) {
 	s.mutex.Lock()
-	held := s.attempts[id]
+	attempt := s.attempts[id]
 	s.mutex.Unlock()
-	if held != nil {
-		held.cancel()
+	if attempt != nil {
+		attempt.cancel()
 	}
 }
 
-func (s *Server) forgetAttempt(id core.AttemptID) {
+func (s *Server) removeAttempt(id core.AttemptID) {
 	s.mutex.Lock()
-	held := s.attempts[id]
+	attempt := s.attempts[id]
 	delete(s.attempts, id)
 	s.mutex.Unlock()
-	if held != nil {
-		held.cancel()
+	if attempt != nil {
+		attempt.cancel()
 	}
 }
 
-func (a *attemptRun) event(kind core.AttemptEventKind) core.EventAttempt {
+func (a *activeAttempt) event(kind core.AttemptEventKind) core.EventAttempt {
 	return core.EventAttempt{ID: a.action.ID, Attempt: a.action.Attempt, Echo: a.action.Attempt, Kind: kind}
 }
 
@@ -103,7 +103,7 @@
 	}
 	request.ContentLength = int64(len(body))
 	request.Header.Set("Content-Type", "application/json")
-	return s.backends.Do(request)
+	return s.backendClient.Do(request)
 }
 
 // onceReader hides the type that net/http could rewind.
@@ -111,123 +111,125 @@
 
 // neverSent reports whether an error proves that the back end did not get the request.
 func neverSent(err error) bool {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return true
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// failure classifies a failed send.
-func (a *attemptRun) failure(err error) core.EventAttempt {
+// failureEvent classifies a failed send.
+func (a *activeAttempt) failureEvent(err error) core.EventAttempt {
 	if neverSent(err) {
 		return a.event(core.AttemptRefused)
 	}
 	return a.event(core.AttemptBroken)
 }
 
-// refusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
+// parseRefusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
 // in any case.
-func (a *attemptRun) refusal(response *http.Response) (said core.EventPushback, event core.EventAttempt) {
-	said = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
+func (a *activeAttempt) parseRefusal(response *http.Response) (pushbackEvent core.EventPushback, event core.EventAttempt) {
+	pushbackEvent = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
-	err := json.NewDecoder(io.LimitReader(response.Body, maximumEventBytes)).Decode(&body)
+	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
 	if err != nil {
-		return said, a.event(core.AttemptBroken)
+		return pushbackEvent, a.event(core.AttemptBroken)
 	}
-	said.Incarnation = a.speaker(body.Incarnation)
-	rest := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
-	said.Signals = pushback.Signals{Backoff: time.Duration(rest) * time.Millisecond, Draining: body.Leaving, Limit: limitOf(body.Limit)}
+	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
+	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: advertisedLimit(body.Limit)}
 	if body.Run != core.RunNot {
-		return said, a.event(core.AttemptBroken)
+		return pushbackEvent, a.event(core.AttemptBroken)
 	}
 	event = a.event(core.AttemptRefused)
-	event.BackendNotAtFault = !said.Signals.IsEmpty()
-	return said, event
+	event.BackendNotAtFault = !pushbackEvent.Signals.IsEmpty()
+	return pushbackEvent, event
 }
 
-// speaker returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
+// respondingIncarnation returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
 // that says binds for that one.
-func (a *attemptRun) speaker(told uint64) uint64 { return cmp.Or(told, a.action.Incarnation) }
+func (a *activeAttempt) respondingIncarnation(reported uint64) uint64 {
+	return cmp.Or(reported, a.action.Incarnation)
+}
 
-// limitOf returns the limit that an answer names; one below 0 is none.
-func limitOf(named *float64) pushback.Limit {
-	if named == nil || *named < 0 {
+// advertisedLimit returns the limit that an answer names; one below 0 is none.
+func advertisedLimit(rate *float64) pushback.Limit {
+	if rate == nil || *rate < 0 {
 		return pushback.Limit{}
 	}
-	return pushback.Limit{Advertised: true, Rate: *named}
+	return pushback.Limit{Advertised: true, Rate: *rate}
 }
 
-// hearLimit passes on the limit that an answer names, and reports whether it names one.
-func (s *Server) hearLimit(a *attemptRun, named *float64, incarnation uint64) bool {
-	limit := limitOf(named)
-	s.hear(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.speaker(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
-	return named != nil
+// observeLimit passes on the limit that an answer names, and reports whether it names one.
+func (s *Server) observeLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
+	limit := advertisedLimit(rate)
+	s.observePushback(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
+	return rate != nil
 }
 
-// begin sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
+// dispatch sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
 // nil.
-func (s *Server) begin(ctx context.Context, a *attemptRun, path string, body any) *http.Response {
+func (s *Server) dispatch(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
-		s.noteFailure(ctx, a, err)
-		s.postFailure(a, a.failure(err))
+		s.recordSendFailure(ctx, a, err)
+		s.postFailure(a, a.failureEvent(err))
 		return nil
 	}
 	if response.StatusCode == http.StatusOK {
 		return response
 	}
-	said, refused := a.refusal(response)
-	s.hear(a, said, response.StatusCode)
-	s.postFailure(a, refused)
+	pushbackEvent, event := a.parseRefusal(response)
+	s.observePushback(a, pushbackEvent, response.StatusCode)
+	s.postFailure(a, event)
 	_ = response.Body.Close()
 	return nil
 }
 
 // postFailure reports why a back end didn't answer. Whoever sends the request next must know by then whether it ran.
-func (s *Server) postFailure(a *attemptRun, failed core.EventAttempt) {
-	if failed.Kind == core.AttemptRefused {
-		a.run.notRun.Add(1)
+func (s *Server) postFailure(a *activeAttempt, event core.EventAttempt) {
+	if event.Kind == core.AttemptRefused {
+		a.exchange.notRun.Add(1)
 	}
-	s.post(failed)
+	s.post(event)
 }
 
-// hear passes on and logs what a back end said of itself.
-func (s *Server) hear(a *attemptRun, told core.EventPushback, status int) {
-	if told.Signals.IsEmpty() {
+// observePushback passes on and logs what a back end said of itself.
+func (s *Server) observePushback(a *activeAttempt, event core.EventPushback, status int) {
+	if event.Signals.IsEmpty() {
 		return
 	}
-	s.post(told)
-	held, due := s.saidLines.Due(s.now(), told.Name)
+	s.post(event)
+	suppressed, due := s.pushbackLogs.Due(s.now(), event.Name)
 	if !due {
 		return
 	}
-	fields := []zap.Field{zap.String(events.FieldInstance, a.life()), zap.String(events.FieldRequest, a.run.name), zap.Int("answer", status), zap.Int("held", held)}
-	if limit := told.Signals.Limit; limit.Advertised {
+	fields := []zap.Field{zap.String(events.FieldInstance, a.incarnationID()), zap.String(events.FieldRequest, a.exchange.name), zap.Int("answer", status), zap.Int("held", suppressed)}
+	if limit := event.Signals.Limit; limit.Advertised {
 		s.log.Info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
 	}
-	if told.Signals.Backoff > 0 || told.Signals.Draining {
-		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.Signals.Backoff), zap.Bool("leaving", told.Signals.Draining))...)
+	if event.Signals.Backoff > 0 || event.Signals.Draining {
+		s.log.Info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, event.Signals.Backoff), zap.Bool("leaving", event.Signals.Draining))...)
 	}
 }
 
 // runGenerate sends an attempt to an engine and reads its stream.
-func (s *Server) runGenerate(ctx context.Context, a *attemptRun) {
-	response := s.begin(ctx, a, api.PathGenerate, a.generateRequest(s.file))
+func (s *Server) runGenerate(ctx context.Context, a *activeAttempt) {
+	response := s.dispatch(ctx, a, api.PathGenerate, a.generateRequest(s.file))
 	if response == nil {
 		return
 	}
 	defer response.Body.Close()
 	if !s.readStream(response.Body, a) {
-		s.brokeOff(ctx, a)
+		s.recordBrokenAttempt(ctx, a)
 		s.post(a.event(core.AttemptBroken))
 	}
 }
 
 // readStream passes events to the core. It returns false when the stream ends without its end marker.
-func (s *Server) readStream(body io.Reader, a *attemptRun) bool {
+func (s *Server) readStream(body io.Reader, a *activeAttempt) bool {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maximumEventBytes)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
 		data, found := bytes.CutPrefix(scanner.Bytes(), []byte(dataPrefix))
 		if !found {
@@ -237,20 +239,20 @@
 		if json.Unmarshal(data, &event) != nil {
 			return false
 		}
-		if s.passEvent(a, event) {
+		if s.handleEvent(a, event) {
 			return true
 		}
 	}
 	return false
 }
 
-// passEvent turns one engine event into core events and reports whether it was the last.
-func (s *Server) passEvent(a *attemptRun, event api.GenerateEvent) bool {
+// handleEvent turns one engine event into core events and reports whether it was the last.
+func (s *Server) handleEvent(a *activeAttempt, event api.GenerateEvent) bool {
 	out := a.event(core.AttemptChunk)
 	out.Echo, out.Index, out.Text, out.Cached, out.Incarnation = event.Attempt, event.Index, event.Text, event.Cached, event.Incarnation
 	switch event.Kind {
 	case api.GenerateStarted:
-		s.passStarted(a, event, out)
+		s.handleStarted(a, event, out)
 		return false
 	case api.GenerateDone:
 		if event.Kept > 0 {
@@ -264,47 +266,47 @@
 	return false
 }
 
-func (s *Server) passStarted(a *attemptRun, event api.GenerateEvent, out core.EventAttempt) {
+func (s *Server) handleStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.AdvertisesLimit = s.hearLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
 	s.post(out)
-	s.metrics.started(a, event)
+	s.metrics.recordStarted(a, event)
 	if event.NoReuse {
 		mismatch := a.event(core.AttemptIncarnationMismatch)
 		mismatch.Incarnation = event.Incarnation
 		s.post(mismatch)
 	}
 	if a.action.ImportFrom == s.file.Router.Vault && a.action.ImportBlocks > 0 {
-		if have := event.Cached / s.hasher.BlockTokens(); have < a.action.ImportBlocks {
-			s.post(core.EventVault{Blocks: a.missingFrom(have), Held: false})
+		if found := event.Cached / s.hasher.BlockTokens(); found < a.action.ImportBlocks {
+			s.post(core.EventVault{Blocks: a.missingBlocks(found), Held: false})
 		}
 	}
 }
 
-// missingFrom returns the blocks that the vault turned out not to hold.
-func (a *attemptRun) missingFrom(have int) []prefix.Hash {
+// missingBlocks returns the blocks that the vault turned out not to hold.
+func (a *activeAttempt) missingBlocks(found int) []prefix.Hash {
 	upTo := min(a.action.ImportBlocks, len(a.action.Blocks))
-	return a.action.Blocks[min(have, upTo):upTo]
+	return a.action.Blocks[min(found, upTo):upTo]
 }
 
 // runService sends an attempt to a small service and reads its whole answer.
-func (s *Server) runService(ctx context.Context, a *attemptRun) {
-	response := s.begin(ctx, a, api.PathRun, api.RunRequest{
-		Request: a.run.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.run.request.Tenant,
-		Key: a.run.request.Key, Body: a.run.body,
+func (s *Server) runService(ctx context.Context, a *activeAttempt) {
+	response := s.dispatch(ctx, a, api.PathRun, api.RunRequest{
+		Request: a.exchange.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.exchange.request.Tenant,
+		Key: a.exchange.request.Key, Body: a.exchange.body,
 	})
 	if response == nil {
 		return
 	}
 	defer response.Body.Close()
 	var reply api.RunResponse
-	if json.NewDecoder(io.LimitReader(response.Body, maximumAnswerBytes)).Decode(&reply) != nil {
-		s.brokeOff(ctx, a)
+	if json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&reply) != nil {
+		s.recordBrokenAttempt(ctx, a)
 		s.post(a.event(core.AttemptBroken))
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.AdvertisesLimit = s.hearLimit(a, reply.Limit, reply.Incarnation)
+	done.AdvertisesLimit = s.observeLimit(a, reply.Limit, reply.Incarnation)
 	done.Echo, done.Answer = reply.Attempt, &reply.Answer
 	s.post(done)
 }
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -22,31 +22,31 @@
 	"kitetiller/internal/transport"
 )
 
-const deadlyPrompt = "a prompt that no engine survives"
+const crashPrompt = "a prompt that no engine survives"
 
-// mortalEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
-type mortalEngine struct {
-	t       *testing.T
-	name    string
-	address string
-	life    atomic.Uint64
-	deadly  *atomic.Int64 // arrivals, over all engines
+// crashingEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
+type crashingEngine struct {
+	t             *testing.T
+	name          string
+	address       string
+	incarnation   atomic.Uint64
+	crashRequests *atomic.Int64 // arrivals, over all engines
 
 	mu     sync.Mutex
 	server *http.Server
 }
 
-func (e *mortalEngine) begin() {
+func (e *crashingEngine) start() {
 	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
 		e.t.Errorf("%s cannot listen again: %v", e.name, err)
 		return
 	}
 	e.address = listener.Addr().String()
-	e.life.Add(1)
+	e.incarnation.Add(1)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: e.life.Load(), Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
+		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: e.incarnation.Load(), Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
 	})
 	mux.HandleFunc("POST "+api.PathGenerate, e.generate)
 	e.mu.Lock()
@@ -55,25 +55,25 @@
 	e.mu.Unlock()
 }
 
-func (e *mortalEngine) end() {
+func (e *crashingEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_ = e.server.Close()
 }
 
-func (e *mortalEngine) generate(w http.ResponseWriter, r *http.Request) {
+func (e *crashingEngine) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		return
 	}
-	if strings.Contains(request.Prompt, deadlyPrompt) {
-		e.deadly.Add(1)
-		e.end()
-		time.AfterFunc(50*time.Millisecond, e.begin)
+	if strings.Contains(request.Prompt, crashPrompt) {
+		e.crashRequests.Add(1)
+		e.crash()
+		time.AfterFunc(50*time.Millisecond, e.start)
 		return
 	}
 	for _, event := range []api.GenerateEvent{
-		{Kind: api.GenerateStarted, Incarnation: e.life.Load()}, {Kind: api.GenerateToken, Text: "good "}, {Kind: api.GenerateDone, Index: 1},
+		{Kind: api.GenerateStarted, Incarnation: e.incarnation.Load()}, {Kind: api.GenerateToken, Text: "good "}, {Kind: api.GenerateDone, Index: 1},
 	} {
 		event.Attempt = request.Attempt
 		data, _ := json.Marshal(event)
@@ -83,12 +83,12 @@
 
 // controlStub answers heartbeats and keeps the count, as a leader does.
 type controlStub struct {
-	address string
-	told    atomic.Bool // the router holds the count's newest news
+	address  string
+	upToDate atomic.Bool // the router holds the count's newest news
 }
 
 // startControlStub starts one that knows of lives that ended before.
-func startControlStub(t *testing.T, before ...quarantine.Crash) *controlStub {
+func startControlStub(t *testing.T, crashes ...quarantine.Crash) *controlStub {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,25 +97,25 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	var mu sync.Mutex
-	ledger := quarantine.NewRegistry()
-	ledger.Apply(quarantine.Change{Seed: stubSeed, Crashes: before})
+	registry := quarantine.NewRegistry()
+	registry.Apply(quarantine.Change{Seed: stubSeed, Crashes: crashes})
 	stub := &controlStub{address: address}
 	server, err := transport.Listen(address, "", func(request transport.Request, respond transport.Respond) {
 		mu.Lock()
 		defer mu.Unlock()
-		var asked control.Request
-		_ = json.Unmarshal(request.Body, &asked)
-		answer := control.Response{Kind: control.ResponseOK}
+		var decoded control.Request
+		_ = json.Unmarshal(request.Body, &decoded)
+		reply := control.Response{Kind: control.ResponseOK}
 		switch {
-		case asked.Catalog != nil && asked.Catalog.Quarantine != nil:
-			ledger.Apply(*asked.Catalog.Quarantine)
-		case asked.Heartbeat != nil:
-			answer.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
-			if stub.told.Store(asked.Heartbeat.Quarantine == ledger.Version()); !stub.told.Load() {
-				answer.Heartbeat.Quarantine = ledger.Update()
+		case decoded.Catalog != nil && decoded.Catalog.Quarantine != nil:
+			registry.Apply(*decoded.Catalog.Quarantine)
+		case decoded.Heartbeat != nil:
+			reply.Heartbeat = &control.HeartbeatReply{Epoch: 1, Version: 7, Lease: time.Minute}
+			if stub.upToDate.Store(decoded.Heartbeat.Quarantine == registry.Version()); !stub.upToDate.Load() {
+				reply.Heartbeat.Quarantine = registry.Update()
 			}
 		}
-		respond(http.StatusOK, answer)
+		respond(http.StatusOK, reply)
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -127,10 +127,10 @@
 // stubSeed is the secret of fingerprints of a controlStub.
 var stubSeed = make([]byte, quarantine.SeedBytes)
 
-// startSiteOf starts a router under control's stub, with machines of the test's own.
-func startSiteOf(t *testing.T, control string, machines []core.Machine) *site {
+// startTestRouterWith starts a router under control's stub, with machines of the test's own.
+func startTestRouterWith(t *testing.T, control string, machines []core.Machine) *testRouter {
 	t.Helper()
-	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
+	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.MachinesReply{Machines: machines})
 	}))
@@ -139,17 +139,17 @@
 	return s
 }
 
-// TestRequestThatEndsItsEnginesIsHeldBack: over the product's own interface as over gateways. Its callers get the final answer at once,
+// TestRequestThatCrashesEnginesIsQuarantined: over the product's own interface as over gateways. Its callers get the final answer at once,
 // with the reason; others are served.
-func TestRequestThatEndsItsEnginesIsHeldBack(t *testing.T) {
-	var arrived atomic.Int64
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
+	var crashRequests atomic.Int64
 	var machines []core.Machine
 	for number := range 4 {
-		engine := &mortalEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", deadly: &arrived}
-		engine.begin()
+		engine := &crashingEngine{t: t, name: fmt.Sprint("e", number), address: "127.0.0.1:0", crashRequests: &crashRequests}
+		engine.start()
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
-	s := startSiteOf(t, startControlStub(t).address, machines)
+	s := startTestRouterWith(t, startControlStub(t).address, machines)
 	ask := func(prompt string) (status int, text string) {
 		response := s.post("/v1/completions", testKey, fmt.Sprintf(`{"model":"llm","prompt":%q,"max_tokens":1}`, prompt))
 		body, _ := io.ReadAll(response.Body)
@@ -157,33 +157,33 @@
 	}
 	s.eventually("an engine serves", func() bool { status, _ := ask("hello"); return status == http.StatusOK })
 	s.eventually("the request is held back", func() bool {
-		status, text := ask(deadlyPrompt)
+		status, text := ask(crashPrompt)
 		if status == http.StatusOK {
 			t.Fatal("answered")
 		}
 		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
-	before := arrived.Load()
+	crashed := crashRequests.Load()
 	for range 20 {
-		if status, text := ask(deadlyPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
+		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if after := arrived.Load(); after != before || after > quarantine.QuarantineThreshold+3 {
-		t.Fatalf("%d engines got it, then %d more", before, after-before)
+	if afterRetries := crashRequests.Load(); afterRetries != crashed || afterRetries > quarantine.QuarantineThreshold+3 {
+		t.Fatalf("%d engines got it, then %d more", crashed, afterRetries-crashed)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
 }
 
-// TestSendThatProvablyDidNotRunHoldsNothingBack: two lives ended under a request, so that it is given to one more back end and no further. The first
+// TestRefusedAttemptDoesNotCountTowardQuarantine: two lives ended under a request, so that it is given to one more back end and no further. The first
 // that it is sent to doesn't take it. Its caller is told that the request is held back for an hour, although nothing ran; the next time it is sent.
 //
 // Cause: a send that no back end took counted as one that may have run. With two lives against a request ("lives 2"):
 //
 //	FAILED 0a26... e1 dial tcp 127.0.0.1:33175: connect: connection refused
 //	START 0a26... e3 attempts 1 lives 2 barred true
-func TestSendThatProvablyDidNotRunHoldsNothingBack(t *testing.T) {
-	var asked atomic.Int64
+func TestRefusedAttemptDoesNotCountTowardQuarantine(t *testing.T) {
+	var requests atomic.Int64
 	engine := http.NewServeMux()
 	engine.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
@@ -193,7 +193,7 @@
 		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			t.Error(err)
 		}
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_ = json.NewEncoder(w).Encode(api.BackendRefusal{Run: core.RunNot})
 			return
@@ -214,13 +214,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	suspect := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
-	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{suspect}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{suspect}})
-	s := startSiteOf(t, control.address, machines)
-	s.eventually("the router knows of the lives", control.told.Load)
+	fingerprint := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
+	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{fingerprint}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{fingerprint}})
+	s := startTestRouterWith(t, control.address, machines)
+	s.eventually("the router knows of the lives", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
 	text, _ := io.ReadAll(response.Body)
-	if response.StatusCode != http.StatusOK || asked.Load() != 2 {
-		t.Fatalf("%d %s after %d sends", response.StatusCode, text, asked.Load())
+	if response.StatusCode != http.StatusOK || requests.Load() != 2 {
+		t.Fatalf("%d %s after %d sends", response.StatusCode, text, requests.Load())
 	}
 }
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -33,19 +33,19 @@
 )
 
 const (
-	eventRing     = 16384
-	maximumLinger = 20 * time.Millisecond
-	drainBatch    = 512
-	shutdownTime  = 5 * time.Second
-	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
+	eventBufferSize = 16384
+	maxTickInterval = 20 * time.Millisecond
+	maxEventBatch   = 512
+	shutdownTimeout = 5 * time.Second
+	// minDrainTime is how long a stopping router keeps answering that it stops, so that no caller's request meets a
 	// connection that is just being closed.
-	drainLinger   = 1500 * time.Millisecond
+	minDrainTime  = 1500 * time.Millisecond
 	headerTimeout = 10 * time.Second
 )
 
 // inspection runs a function on the decide thread.
 type inspection struct {
-	run  func(*core.Core)
+	read func(*core.Core)
 	done chan struct{}
 }
 
@@ -60,52 +60,52 @@
 	values   *sync.Map // effective settings by place; made anew with each version
 }
 
-// place names where settings take effect.
-type place struct{ zone, service, tenant string }
+// scope names where settings take effect.
+type scope struct{ zone, service, tenant string }
 
 // effective returns the settings at a place; they are resolved once for each version.
 func (v *view) effective(zone, service, tenant string) settings.Values {
-	at := place{zone, service, tenant}
-	if held, found := v.values.Load(at); found {
-		return held.(settings.Values)
+	key := scope{zone, service, tenant}
+	if cached, found := v.values.Load(key); found {
+		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
 	if service == settings.Any || slices.Contains(v.services, service) { // callers choose the name
-		v.values.Store(at, values)
+		v.values.Store(key, values)
 	}
 	return values
 }
 
 // Server is a router process.
 type Server struct {
-	file        *node.File
-	log         *zap.Logger
-	now         clock.Source // since it was made
-	quarantine  *reporter.Reporter
-	saidLines   *node.Sparse // lines of back ends that ask for rest or leave, by back end
-	incarnation uint64
-	hasher      *prefix.Hasher
+	file         *node.File
+	log          *zap.Logger
+	now          clock.Source // since it was made
+	quarantine   *reporter.Reporter
+	pushbackLogs *node.Sparse // lines of back ends that ask for rest or leave, by back end
+	incarnation  uint64
+	hasher       *prefix.Hasher
 
-	core    *core.Core
-	events  chan core.Event
-	inspect chan inspection
-	view    atomic.Pointer[view]
-	nextID  atomic.Uint64
+	core        *core.Core
+	events      chan core.Event
+	inspections chan inspection
+	view        atomic.Pointer[view]
+	nextID      atomic.Uint64
 
-	mutex    sync.Mutex
-	waiting  map[core.RequestID]*exchange   // callers
-	attempts map[core.AttemptID]*attemptRun // running attempts
+	mutex     sync.Mutex
+	exchanges map[core.RequestID]*exchange      // callers
+	attempts  map[core.AttemptID]*activeAttempt // running attempts
 
-	pollers   map[string]context.CancelFunc // by back end; owned by the platform thread
-	client    *transport.Client
-	backends  *http.Client
-	group     *control.Client
-	metrics   *metrics
-	disk      *diskState
-	announcer *transport.Announcer[core.PeerDispatch]
-	session   *session.Machine // owned by the session thread
-	draining  atomic.Bool
-	shed      atomic.Uint64
+	pollers       map[string]context.CancelFunc // by back end; owned by the platform thread
+	client        *transport.Client
+	backendClient *http.Client
+	control       *control.Client
+	metrics       *metrics
+	disk          *diskState
+	announcer     *transport.Announcer[core.PeerDispatch]
+	session       *session.Machine // owned by the session thread
+	draining      atomic.Bool
+	droppedEvents atomic.Uint64
 }
 
 // NewServer opens the data folder and restores the newest settings this router acknowledged.
@@ -123,11 +123,11 @@
 	server := &Server{
 		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
-		events: make(chan core.Event, eventRing), inspect: make(chan inspection, 64),
-		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*attemptRun{},
+		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
+		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
-		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		group:    control.NewClient(client, file.Router.Control), saidLines: node.NewSparse(),
+		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
+		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
@@ -155,11 +155,11 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", s.file.Router.Listen)
 	}
-	internal, err := s.listenInternal()
+	internalServer, err := s.listenInternal()
 	if err != nil {
 		return err
 	}
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	public := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
@@ -169,28 +169,28 @@
 		}
 	}()
 	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(run) })
-	renewing, stopRenewing := context.WithCancel(run)
+	threads.Go(func() { s.runEventLoop(runCtx) })
+	renewCtx, stopRenewing := context.WithCancel(runCtx)
 	defer stopRenewing()
-	renewed := make(chan struct{})
+	renewDone := make(chan struct{})
 	go func() {
-		defer close(renewed)
-		s.renewSession(renewing)
+		defer close(renewDone)
+		s.renewSession(renewCtx)
 	}()
-	threads.Go(func() { s.watchPlatform(run) })
-	threads.Go(func() { s.announcer.Run(run) })
-	threads.Go(func() { s.quarantine.Run(run) })
-	threads.Go(func() { transport.Every(run, sweepPeriod, s.sweep) })
+	threads.Go(func() { s.watchPlatform(runCtx) })
+	threads.Go(func() { s.announcer.Run(runCtx) })
+	threads.Go(func() { s.quarantine.Run(runCtx) })
+	threads.Go(func() { transport.Every(runCtx, sweepInterval, s.sweep) })
 	s.log.Info("router started", zap.String("listen", s.file.Router.Listen), zap.Uint64("incarnation", s.incarnation),
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
 	case <-ctx.Done():
-		s.drain(public, func() { stopRenewing(); <-renewed })
+		s.drain(public, func() { stopRenewing(); <-renewDone })
 	case err = <-failed:
 	}
 	cancel()
 	threads.Wait()
-	s.closeInternal(internal)
+	s.closeInternal(internalServer)
 	s.log.Info("router stopped")
 	return err
 }
@@ -202,15 +202,15 @@
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
-	calm := time.Now().Add(drainLinger)
-	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(calm)) {
-		time.Sleep(maximumLinger)
+	earliestEnd := time.Now().Add(minDrainTime)
+	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(earliestEnd)) {
+		time.Sleep(maxTickInterval)
 	}
 	stopRenewing()
 	s.closeSession()
-	closing, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTime))
-	defer done()
-	if err := public.Shutdown(closing); err != nil {
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
+	defer cancel()
+	if err := public.Shutdown(shutdownCtx); err != nil {
 		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
 	}
 }
@@ -218,16 +218,16 @@
 func (s *Server) inFlight() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.waiting)
+	return len(s.exchanges)
 }
 
-// decide is the thread that owns the core.
-func (s *Server) decide(ctx context.Context) {
+// runEventLoop is the thread that owns the core.
+func (s *Server) runEventLoop(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	batch := make([]core.Event, 0, drainBatch)
+	batch := make([]core.Event, 0, maxEventBatch)
 	for {
 		batch = batch[:0]
 		select {
@@ -235,33 +235,33 @@
 			return
 		case event := <-s.events:
 			batch = append(batch, event)
-		case question := <-s.inspect:
-			question.run(s.core)
-			close(question.done)
+		case request := <-s.inspections:
+			request.read(s.core)
+			close(request.done)
 			continue
 		case <-timer.C:
 		}
-		for len(batch) < drainBatch && len(s.events) > 0 {
+		for len(batch) < maxEventBatch && len(s.events) > 0 {
 			batch = append(batch, <-s.events)
 		}
-		s.carryOut(ctx, s.core.Tick(s.now(), batch))
-		if touchesView(batch) {
+		s.performActions(ctx, s.core.Tick(s.now(), batch))
+		if mayChangeView(batch) {
 			s.publishView()
 		}
-		timer.Reset(s.untilDue())
+		timer.Reset(s.untilNextTick())
 	}
 }
 
-func (s *Server) untilDue() time.Duration {
-	due, any := s.core.NextWakeup()
-	if !any {
-		return maximumLinger
+func (s *Server) untilNextTick() time.Duration {
+	due, ok := s.core.NextWakeup()
+	if !ok {
+		return maxTickInterval
 	}
-	return min(max(due-s.now(), 0), maximumLinger)
+	return min(max(due-s.now(), 0), maxTickInterval)
 }
 
-// touchesView reports whether a batch may have changed what callers' goroutines read.
-func touchesView(batch []core.Event) bool {
+// mayChangeView reports whether a batch may have changed what callers' goroutines read.
+func mayChangeView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
 		case core.EventSettings, core.EventBackendPoll, core.EventMachineList, core.EventLease:
@@ -282,7 +282,7 @@
 	} else {
 		next.tree = s.core.Tree()
 		next.keys = next.tree.APIKeys()
-		next.models = modelsOf(next.tree, s.file.Zone)
+		next.models = modelServices(next.tree, s.file.Zone)
 		next.services, next.values = next.tree.Services(), &sync.Map{}
 	}
 	for _, service := range next.services {
@@ -291,8 +291,8 @@
 	s.view.Store(next)
 }
 
-// modelsOf maps model names to services; a service also answers to its own name.
-func modelsOf(tree settings.Tree, zone string) map[string]string {
+// modelServices maps model names to services; a service also answers to its own name.
+func modelServices(tree settings.Tree, zone string) map[string]string {
 	models := map[string]string{}
 	for _, service := range tree.Services() {
 		values := tree.Resolve(zone, service)
@@ -307,16 +307,16 @@
 	return models
 }
 
-// ask runs a function on the decide thread and waits for it.
-func (s *Server) ask(ctx context.Context, run func(*core.Core)) bool {
-	question := inspection{run: run, done: make(chan struct{})}
+// inspect runs a function on the decide thread and waits for it.
+func (s *Server) inspect(ctx context.Context, run func(*core.Core)) bool {
+	request := inspection{read: run, done: make(chan struct{})}
 	select {
-	case s.inspect <- question:
+	case s.inspections <- request:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case <-question.done:
+	case <-request.done:
 		return true
 	case <-ctx.Done():
 		return false
@@ -332,29 +332,29 @@
 	case s.events <- event:
 		return true
 	default:
-		s.shed.Add(1)
+		s.droppedEvents.Add(1)
 		return false
 	}
 }
 
-// carryOut performs actions in order. None of them blocks.
-func (s *Server) carryOut(ctx context.Context, actions []core.Action) {
+// performActions performs actions in order. None of them blocks.
+func (s *Server) performActions(ctx context.Context, actions []core.Action) {
 	for _, action := range actions {
-		switch typed := action.(type) {
+		switch a := action.(type) {
 		case core.ActionDispatch:
-			s.startAttempt(ctx, typed)
+			s.startAttempt(ctx, a)
 		case core.ActionCancel:
-			s.cancelAttempt(typed.Attempt)
+			s.cancelAttempt(a.Attempt)
 		case core.ActionChunk:
-			s.deliverChunk(typed)
+			s.deliverChunk(a)
 		case core.ActionFinish:
-			s.deliverFinish(typed)
+			s.deliverFinish(a)
 		case core.ActionClaim:
-			go s.claim(ctx, typed)
+			go s.claim(ctx, a)
 		case core.ActionEndClaim:
-			go s.endClaim(ctx, typed)
+			go s.endClaim(ctx, a)
 		case core.ActionRequestSnapshot:
-			go s.fetchSnapshot(ctx, typed)
+			go s.fetchSnapshot(ctx, a)
 		}
 	}
 }
