--- a/internal/control/namings.go
+++ b/internal/control/namings.go
@@ -56,27 +56,27 @@
 	r.namedVersions = refreshed
 }
 
-// wantedVersions returns the recently published versions with their ages.
-func (r *Replica) wantedVersions(now time.Duration) []WeightsPublication {
-	var wanted []WeightsPublication
+// weightsPublications returns the recently published weights versions with their ages.
+func (r *Replica) weightsPublications(now time.Duration) []WeightsPublication {
+	var publications []WeightsPublication
 	for _, model := range sortedKeys(r.namedVersions) {
 		for _, published := range r.namedVersions[model] {
-			wanted = append(wanted, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
+			publications = append(publications, WeightsPublication{Model: model, Version: published.version, Age: max(0, now-published.publishedAt)})
 		}
 	}
-	return wanted
+	return publications
 }
 
 // maxLoggedPublications bounds the number of versions in a new leader's log line.
 const maxLoggedPublications = 8
 
-// recentPublications formats the latest of the wanted versions as "MODEL/VERSION AGE".
+// recentPublications formats the latest published versions as "MODEL/VERSION AGE".
 func (r *Replica) recentPublications(now time.Duration) []string {
-	wanted := r.wantedVersions(now)
-	slices.SortStableFunc(wanted, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
+	publications := r.weightsPublications(now)
+	slices.SortStableFunc(publications, func(a, b WeightsPublication) int { return int(a.Age.Milliseconds() - b.Age.Milliseconds()) })
 	var lines []string
-	for _, w := range wanted[:min(len(wanted), maxLoggedPublications)] {
-		lines = append(lines, fmt.Sprintf("%s/%d %v", w.Model, w.Version, w.Age.Round(time.Millisecond)))
+	for _, p := range publications[:min(len(publications), maxLoggedPublications)] {
+		lines = append(lines, fmt.Sprintf("%s/%d %v", p.Model, p.Version, p.Age.Round(time.Millisecond)))
 	}
 	return lines
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -24,7 +24,7 @@
 	}
 	x := a.exchange
 	info := x.gateway.dialect.ReadResponse(response.StatusCode, response.Header)
-	a.hear(response.StatusCode, info)
+	a.handlePushback(response.StatusCode, info)
 	if x.call.ID != "" && info.ID != x.call.ID && !(info.NotRun && info.ID == "") {
 		return a.invalidResponse("response to another request")
 	}
@@ -80,10 +80,10 @@
 	case context.Cause(a.ctx) == errWeightsOutdated:
 		cause = causeWeightsOutdated
 	case context.Cause(a.ctx) == errSilent:
-		cause, a.grade = "silent", gradeBad
+		cause, a.grade = "silent", outcomeFailure
 	case a.exchange.ctx.Err() == nil:
-		a.grade = gradeBad
-		a.brokeOff()
+		a.grade = outcomeFailure
+		a.recordFailure()
 	}
 	return result{kind: resultUnknown, cause: cause}
 }
@@ -91,13 +91,13 @@
 // invalidResponse ends an attempt whose response is inconsistent with the request. The connection is not reused.
 func (a *attempt) invalidResponse(cause string) result {
 	_ = a.conn.Close()
-	a.grade = gradeBad
+	a.grade = outcomeFailure
 	return result{kind: resultUnknown, cause: cause}
 }
 
 // rejected ends an attempt whose back end reported that it did not run the request.
 func (a *attempt) rejected(response *http.Response, info ResponseInfo) result {
-	a.grade = gradeFull
+	a.grade = outcomeRejected
 	rejection := result{kind: resultNotRun, cause: response.Status, retryAfter: info.RetryAfter, backoff: info.Signals.Backoff}
 	_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedResponse))
 	a.releaseConnection(response, err)
@@ -131,10 +131,10 @@
 	if length > maxBufferedResponse {
 		return a.relayUnbuffered(response, nil)
 	}
-	body, reserved, err := x.gateway.buffered.read(io.LimitReader(response.Body, maxBufferedResponse+1), length)
-	defer func() { x.gateway.buffered.give(reserved) }()
+	body, reserved, err := x.gateway.buffered.readBody(io.LimitReader(response.Body, maxBufferedResponse+1), length)
+	defer func() { x.gateway.buffered.release(reserved) }()
 	switch {
-	case errors.Is(err, errHeld):
+	case errors.Is(err, errBufferLimit):
 		return a.relayUnbuffered(response, body) // only gives up the retry if the response breaks off
 	case err != nil:
 		return a.connectionFailed(err)
@@ -143,9 +143,9 @@
 	}
 	a.releaseConnection(response, nil)
 	isFailure := response.StatusCode >= http.StatusInternalServerError
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	if isFailure {
-		a.grade = gradeBad
+		a.grade = outcomeFailure
 	}
 	if isFailure && x.route.Retryable() && !x.headRelayed && x.takeRetry() {
 		return result{kind: resultFailed, cause: response.Status}
@@ -166,14 +166,14 @@
 	x.relayHead(response, int(response.ContentLength))
 	err := x.write(received)
 	if err == nil {
-		err = x.copyOn(response.Body)
+		err = x.relayBody(response.Body)
 	}
 	if err != nil {
 		_ = a.conn.Close()
-		a.brokeOff()
+		a.recordFailure()
 		x.giveUp(reasonStreamBroken, 0)
 	}
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	a.releaseConnection(response, nil)
 	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
@@ -204,8 +204,8 @@
 // recordServedBy records whose response the caller got, and a successful completion with the quarantine.
 func (x *exchange) recordServedBy(a *attempt) {
 	x.servedBy = a.row.entry.ID
-	if a.grade == gradeGood {
-		x.endedWell()
+	if a.grade == outcomeSuccess {
+		x.recordCompletion()
 	}
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -58,7 +58,7 @@
 	transfer        belief.Transfer // of cached parts, caused by the placement
 	retryAfter      time.Duration   // if not 0, the request is to be rejected, and retried after this time
 	// scheduled is set if a scheduler made the placement, and nil if this gateway did.
-	scheduled *scheduled
+	scheduled *schedulerPlacement
 }
 
 // selectionInput describes the request for which a back end is selected.
@@ -137,7 +137,7 @@
 
 // eligible reports whether a back end may get a new request.
 func (g *Gateway) eligible(now time.Duration, row *endpoint, in selectionInput) bool {
-	if !row.open() || slices.Contains(in.tried, row) || g.table.bar(now, row, in.sentByPeer) != "" {
+	if !row.acceptsRequests() || slices.Contains(in.tried, row) || g.table.restrictionCause(now, row, in.sentByPeer) != "" {
 		return false
 	}
 	deadline, hasDeadline := g.startDeadline(row, in.service, in.call.Model)
@@ -253,7 +253,7 @@
 		cost += coldCost
 	}
 	if limit, observedAt := g.table.signals.LimitObservedAt(row.incarnation); limit.Advertised {
-		cost += permitCost - staleGain*min(now-observedAt, staleMost).Seconds()
+		cost += limitCost - limitCostDecay*min(now-observedAt, maxLimitCostDecayTime).Seconds()
 	}
 	return cost
 }
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -74,8 +74,8 @@
 // setSocketOptions sets the TCP user timeout and the size of the receive buffer.
 func setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	return errors.Join(
-		setOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
-		setOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer),
+		setSocketOption(raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond)),
+		setSocketOption(raw, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferBytes),
 	)
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -12,13 +12,13 @@
 	"kitetiller/internal/quota"
 )
 
-// follow is the thread that asks control for news.
-func (g *Gateway) follow(ctx context.Context) {
+// watchControl polls control for updates until ctx ends.
+func (g *Gateway) watchControl(ctx context.Context) {
 	var roster control.RosterVersion
-	known, failures := 0, 0
+	replicas, failures := 0, 0
 	for ctx.Err() == nil {
-		asked := g.now()
-		reply := g.ask(ctx, roster, patience(failures), failures > 0 || known == 0)
+		askedAt := g.now()
+		reply := g.watchOnce(ctx, roster, watchGrace(failures), failures > 0 || replicas == 0)
 		if reply == nil {
 			failures++
 			g.nearby.demoteFirst()
@@ -34,35 +34,36 @@
 		}
 		failures = 0
 		roster = reply.Version
-		g.take(ctx, asked, reply)
-		if len(reply.Replicas) != known {
-			known = len(reply.Replicas)
+		g.applyWatchReply(ctx, askedAt, reply)
+		if len(reply.Replicas) != replicas {
+			replicas = len(reply.Replicas)
 			g.group.SetAddresses(reply.Replicas)
 		}
 	}
 }
 
-// patience is how long an answer may take beyond the time that it is held, after so many failures in a row.
-func patience(failures int) time.Duration {
+// watchGrace returns how much later than its hold time a reply may arrive, after a number of consecutive failures.
+func watchGrace(failures int) time.Duration {
 	return (watchTimeout - watchHold) << min(failures/failuresPerStep, maxTimeoutDoublings)
 }
 
-// ask asks control for news once, after it has looked for who answers where that isn't known.
-func (g *Gateway) ask(ctx context.Context, roster control.RosterVersion, patience time.Duration, searching bool) *control.WatchReply {
-	question := control.Watch{
-		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.PeerAddress, Roster: roster, Hold: g.hold(), Usage: g.table.usage(),
+// watchOnce sends one watch request to control, and first finds a replica that answers if none is known. It returns nil
+// if there was no reply.
+func (g *Gateway) watchOnce(ctx context.Context, roster control.RosterVersion, grace time.Duration, searching bool) *control.WatchReply {
+	watch := control.Watch{
+		Gateway: g.settings.Name, Zone: g.settings.Zone, Address: g.settings.PeerAddress, Roster: roster, Hold: g.watchHoldTime(), Usage: g.table.usage(),
 		Closing: g.draining.Load(), Quarantine: g.quarantine.Version(),
 	}
-	if held := g.view.Load(); held != nil {
-		question.Revision = held.document.Revision
+	if current := g.view.Load(); current != nil {
+		watch.Revision = current.document.Revision
 	}
 	if searching {
-		if !g.search(ctx, question, patience) {
+		if !g.findControl(ctx, watch, grace) {
 			return nil
 		}
-		patience = max(patience, fullReplyTimeout)
+		grace = max(grace, fullReplyTimeout)
 	}
-	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
+	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
 	ask := g.group.AskOnce
 	if address, named := g.nearby.first(); named {
@@ -70,23 +71,23 @@
 			return g.group.AskReplica(ctx, address, request)
 		}
 	}
-	response, err := ask(attempt, control.Request{Watch: &question})
+	response, err := ask(attempt, control.Request{Watch: &watch})
 	if err != nil || response.Kind != control.ResponseOK {
 		return nil
 	}
 	return response.Watch
 }
 
-// search looks for who answers, by several replicas at once. They leave out document and roster: a small machine would spend the
-// patience for one answer on reading several of them.
-func (g *Gateway) search(ctx context.Context, question control.Watch, patience time.Duration) bool {
-	question.ProbeOnly = true
-	if !g.group.AnsweredWithin(electionPatience) {
-		question.Hold = 0 // to learn soon whether there is anybody
+// findControl asks several replicas at once which of them answer. The requests omit document and roster, since a small
+// machine would exceed the timeout parsing several copies.
+func (g *Gateway) findControl(ctx context.Context, watch control.Watch, grace time.Duration) bool {
+	watch.ProbeOnly = true
+	if !g.group.AnsweredWithin(controlContactWindow) {
+		watch.Hold = 0 // an immediate reply shows whether any replica is available
 	}
-	attempt, cancel := context.WithTimeout(ctx, patience+question.Hold)
+	attempt, cancel := context.WithTimeout(ctx, grace+watch.Hold)
 	defer cancel()
-	response, err := g.group.AskAny(attempt, control.Request{Watch: &question})
+	response, err := g.group.AskAny(attempt, control.Request{Watch: &watch})
 	if err != nil || response.Watch == nil {
 		return false
 	}
@@ -95,30 +96,30 @@
 	return true
 }
 
-// hold is how long a question may be held. While a back end drains for new weights, control is to see soon that its
-// requests have ended.
-func (g *Gateway) hold() time.Duration {
+// watchHoldTime returns how long control may hold a watch request. It is short while a back end drains for new weights,
+// so that control learns soon that its requests have ended.
+func (g *Gateway) watchHoldTime() time.Duration {
 	if g.table.weightsDraining() {
 		return drainingWatchHold
 	}
 	return watchHold
 }
 
-// take puts news in force. A document is only ever replaced by a newer one.
-func (g *Gateway) take(ctx context.Context, asked time.Duration, reply *control.WatchReply) {
+// applyWatchReply applies a watch reply. A document is only replaced by a newer one.
+func (g *Gateway) applyWatchReply(ctx context.Context, askedAt time.Duration, reply *control.WatchReply) {
 	g.quarantine.RecordIdle(g.untrustedFor(g.now()))
 	if reply.Quarantine != nil {
 		g.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	held := g.view.Load()
-	if reply.Document != nil && (held == nil || reply.Document.Revision > held.document.Revision) {
+	current := g.view.Load()
+	if reply.Document != nil && (current == nil || reply.Document.Revision > current.document.Revision) {
 		g.view.Store(newView(reply.Document))
 		g.leases.SetLimits(quota.Limits(reply.Document, g.settings.Quota))
 		g.log.info(events.DocumentApplied, zap.Uint64(events.FieldRevision, reply.Document.Revision), zap.Int("routes", len(reply.Document.Routes)))
 	}
 	if reply.Roster != nil {
-		changes := g.table.takeRoster(g.now(), reply.Roster, g.cacheLimits())
-		g.quarantine.ConfirmEnds(reporter.Replaced, replaced(changes)...)
+		changes := g.table.applyRoster(g.now(), reply.Roster, g.cacheTokens())
+		g.quarantine.ConfirmEnds(reporter.Replaced, replacedInstances(changes)...)
 		for _, change := range changes {
 			g.log.info(change.event, zap.String(events.FieldInstance, change.entry.ID), zap.String("service", change.entry.Service),
 				zap.String("address", change.entry.Address), zap.String("zone", change.entry.Zone))
@@ -126,31 +127,31 @@
 		g.log.info(events.RosterApplied, zap.Uint64("term", reply.Version.Term), zap.Uint64("count", reply.Version.Count),
 			zap.Bool("whole", reply.Roster.Full), zap.Int("changed", len(reply.Roster.Entries)), zap.Int("gone", len(reply.Roster.Removed)))
 	}
-	for _, n := range g.table.applyWatchReply(g.now(), asked, reply) {
+	for _, n := range g.table.applyWatchReply(g.now(), askedAt, reply) {
 		g.log.info(events.PublicationAgeRegression, zap.String("model", n.Model), zap.Uint64("version", n.Version),
 			zap.Float64("known", n.Known.Seconds()), zap.Float64("told", n.Reported.Seconds()))
 	}
 	g.watchStartDeadlines()
-	g.leases.RecordContact(asked, reply.Gateways)
+	g.leases.RecordContact(askedAt, reply.Gateways)
 	g.gatewayCount.Store(int64(reply.Gateways))
 	g.nearby.update(reply.NearbyReplicas)
 	g.peers.setMesh(reply.Mesh)
-	g.schedulers.use(reply.Mesh.Schedulers)
+	g.schedulers.setAddresses(reply.Mesh.Schedulers)
 	g.table.setAssigned(reply.CacheEventSources)
-	g.readCaches(ctx, reply)
+	g.assignCaches(ctx, reply)
 	if g.view.Load() != nil {
-		g.confirmedAt.Store(int64(asked))
+		g.confirmedAt.Store(int64(askedAt))
 		g.outage.end(g.now())
 		g.viewConfirmed.Notify()
 		g.log.recordReconnect()
 	}
 }
 
-// cacheLimits returns the tokens of one engine's memory by service.
-func (g *Gateway) cacheLimits() map[string]int {
+// cacheTokens returns the cache size of one engine in tokens, by service.
+func (g *Gateway) cacheTokens() map[string]int {
 	limits := map[string]int{}
-	if held := g.view.Load(); held != nil {
-		for name, service := range held.services {
+	if current := g.view.Load(); current != nil {
+		for name, service := range current.services {
 			limits[name] = service.CacheTokens
 		}
 	}
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -17,10 +17,11 @@
 	"kitetiller/internal/transport"
 )
 
-// replicasOf starts control replicas that answer for a leader; each tells document and roster to whoever wants them.
-func replicasOf(t *testing.T, count int) (addresses []string, whole *atomic.Int64) {
+// startReplicas starts control replicas that answer watch requests. They return a document except for brief requests,
+// and count such replies.
+func startReplicas(t *testing.T, count int) (addresses []string, fullReplies *atomic.Int64) {
 	t.Helper()
-	whole = &atomic.Int64{}
+	fullReplies = &atomic.Int64{}
 	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -38,7 +39,7 @@
 			}
 			reply := &control.WatchReply{Revision: 1, Replicas: addresses, NearbyReplicas: addresses[i : i+1]}
 			if !request.Watch.ProbeOnly {
-				whole.Add(1)
+				fullReplies.Add(1)
 				reply.Document = &catalog.Document{Revision: 1}
 			}
 			respond(http.StatusOK, control.Response{Kind: control.ResponseOK, Leader: addresses[0], Watch: reply})
@@ -48,19 +49,19 @@
 		}
 		t.Cleanup(func() { _ = server.Close(context.Background()) })
 	}
-	return addresses, whole
+	return addresses, fullReplies
 }
 
-// TestOneReplicaTellsEverything: a gateway that starts, or has lost control, asks several replicas who answers, and one of them for all that it
-// lacks. Before, each of them told it everything, and a machine with a fifth of a core spent its patience on reading that.
-func TestOneReplicaTellsEverything(t *testing.T) {
-	addresses, whole := replicasOf(t, 3)
+// TestOneFullWatchReply guards against several replicas sending the document and roster while a gateway looks for one
+// that answers, which a small machine could not parse within the timeout.
+func TestOneFullWatchReply(t *testing.T) {
+	addresses, whole := startReplicas(t, 3)
 	g := New(Settings{Name: "g", Zone: "z", Control: addresses, ViewTTL: time.Hour}, nil, node.NopLog())
-	reply := g.ask(context.Background(), control.RosterVersion{}, 10*time.Second, true)
+	reply := g.watchOnce(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
-		t.Fatalf("reply %+v", reply)
+		t.Fatalf("reply %+v, want one with a document", reply)
 	}
 	if got := whole.Load(); got != 1 {
-		t.Fatalf("%d replicas told everything", got)
+		t.Fatalf("%d full replies, want 1", got)
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -9,58 +9,59 @@
 	"kitetiller/internal/mechanism"
 )
 
-// turnAway marks a placement of this gateway's own whose request is to be turned away.
-func (g *Gateway) turnAway(now time.Duration, chosen *candidate, in selectionInput) {
+// rejectIfOverloaded sets the candidate's retry time if admission control rejects the request. It is used for
+// placements that this gateway makes for itself.
+func (g *Gateway) rejectIfOverloaded(now time.Duration, chosen *candidate, in selectionInput) {
 	if chosen == nil {
 		return
 	}
-	if back, refused := g.judge(now, chosen, in); refused {
-		chosen.retryAfter = back
+	if retryAfter, rejected := g.checkAdmission(now, chosen, in); rejected {
+		chosen.retryAfter = retryAfter
 	}
 }
 
-// judge decides whether a request that was just placed is turned away for the wait that its placement predicts.
-func (g *Gateway) judge(now time.Duration, chosen *candidate, in selectionInput) (back time.Duration, refused bool) {
+// checkAdmission decides whether a request that was just placed is rejected because of its predicted wait.
+func (g *Gateway) checkAdmission(now time.Duration, chosen *candidate, in selectionInput) (retryAfter time.Duration, rejected bool) {
 	if !in.firstAttempt || !in.service.Engine || !g.enabled(mechanism.EarlyRejection) {
 		return 0, false
 	}
-	asked := admission.Request{
+	req := admission.Request{
 		Priority: in.priority, PredictedWait: belief.FromMilliseconds(chosen.queueWait), Objective: in.latencyTarget, Random: rand.Float64(),
 	}
 	if parts := in.call.Parts; len(parts) > 0 {
-		asked.Key = parts[len(parts)-1].ID // its own: shared parts come before
+		req.Key = parts[len(parts)-1].ID // the request's own part; shared parts come before it
 	}
 	g.table.mutex.Lock()
-	back, refused = g.table.judge(in.service.Name).Decide(now, asked)
+	retryAfter, rejected = g.table.admissionController(in.service.Name).Decide(now, req)
 	g.table.mutex.Unlock()
-	if refused && asked.Key != "" {
-		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: asked.Key}) // whoever it comes back to is to know it
+	if rejected && req.Key != "" {
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: chosen.row.entry.ID, RejectedRequest: req.Key}) // so that any gateway recognizes the retry
 	}
-	return back, refused
+	return retryAfter, rejected
 }
 
-// judge returns the judge of a service. The caller holds the mutex.
-func (t *table) judge(service string) *admission.Controller {
-	held := t.admission[service]
-	if held == nil {
-		held = &admission.Controller{}
-		t.admission[service] = held
+// admissionController returns the admission controller of a service. The caller holds the mutex.
+func (t *table) admissionController(service string) *admission.Controller {
+	controller := t.admission[service]
+	if controller == nil {
+		controller = &admission.Controller{}
+		t.admission[service] = controller
 	}
-	return held
+	return controller
 }
 
-// noteQueue learns how long a request waited before its prompt was read, against the milliseconds that were predicted. One
-// whose first event never came waited at least as long as it stayed.
-func (t *table) noteQueue(service string, rank int, predicted float64, uncached int, first, stayed time.Duration) {
+// observeQueueWait records how long a request waited before its prefill started, compared with the predicted
+// milliseconds. A request without a first event waited at least as long as it stayed.
+func (t *table) observeQueueWait(service string, priority int, predicted float64, uncached int, first, stayed time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	judge := t.judge(service)
-	queue := belief.FromMilliseconds(predicted)
+	controller := t.admissionController(service)
+	predictedWait := belief.FromMilliseconds(predicted)
 	if first > 0 {
-		judge.ObserveWait(rank, queue, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
+		controller.ObserveWait(priority, predictedWait, max(0, first-t.prefillEstimate(service).TimeToFirstEvent(uncached)))
 		return
 	}
-	if stayed > judge.ExpectedWait(rank, queue) {
-		judge.ObserveWait(rank, queue, stayed)
+	if stayed > controller.ExpectedWait(priority, predictedWait) {
+		controller.ObserveWait(priority, predictedWait, stayed)
 	}
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -9,109 +9,111 @@
 	"kitetiller/internal/mechanism"
 )
 
-// busy lets every engine have so much to read from a time on.
-func busy(g *Gateway, now, length time.Duration) {
+// setPrefillBusy makes every engine busy with prefills for a duration.
+func setPrefillBusy(g *Gateway, now, length time.Duration) {
 	for _, row := range g.table.rows {
 		row.prefillBusyUntil = now + length
 	}
 }
 
-// judged is a question of a route with an objective.
-func judged(ticket string, first bool) *wireQuestion {
-	asked := question(ticket, 1)
-	asked.First, asked.Rank, asked.TargetMS = first, 1, 800
+// newObjectiveRequest returns a placement request for a route with a latency objective.
+func newObjectiveRequest(ticket string, first bool) *wirePlacementRequest {
+	asked := newPlacementRequest(ticket, 1)
+	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
 
-// TestWhatWouldWaitTooLongIsTurnedAway: with the time to come back, and without being counted anywhere; what was sent once, what
-// has no objective, and everything while engines are free, is placed.
-func TestWhatWouldWaitTooLongIsTurnedAway(t *testing.T) {
-	g := scheduler(4)
+// TestAdmissionByPredictedWait tests that a request whose predicted wait is too long is rejected with a retry time and
+// adds no load. Requests that were sent once, have no objective, or find idle engines are placed.
+func TestAdmissionByPredictedWait(t *testing.T) {
+	g := newScheduler(4)
 	now := time.Second
-	if got := g.placeFor(now, judged("free", true)); got.Instance == "" || got.BackMS > 0 {
-		t.Fatalf("engines are free: %+v", got)
+	if got := g.placeForPeer(now, newObjectiveRequest("free", true)); got.Instance == "" || got.RetryAfterMS > 0 {
+		t.Fatalf("idle engines: %+v", got)
 	}
-	busy(g, now, 3*time.Second)
-	got := g.placeFor(now, judged("new", true))
-	if got.BackMS < 1000 {
-		t.Fatalf("three seconds of reading: %+v", got)
+	setPrefillBusy(g, now, 3*time.Second)
+	got := g.placeForPeer(now, newObjectiveRequest("new", true))
+	if got.RetryAfterMS < 1000 {
+		t.Fatalf("three seconds of prefills queued: %+v, want a rejection", got)
 	}
 	for id, row := range g.table.rows {
 		if n := row.occupancy.Placed.Running; n > 1 || n == 1 && g.table.placed["free"].row != row {
-			t.Fatalf("%d requests are counted at %s", n, id)
+			t.Fatalf("%d requests in the load of %s", n, id)
 		}
 	}
-	if got := g.placeFor(now, judged("repeat", false)); got.BackMS > 0 {
-		t.Fatalf("sent before: %+v", got)
+	if got := g.placeForPeer(now, newObjectiveRequest("repeat", false)); got.RetryAfterMS > 0 {
+		t.Fatalf("retried request: %+v", got)
 	}
-	if got := g.placeFor(now, question("no objective", 1)); got.BackMS > 0 {
-		t.Fatalf("no objective: %+v", got)
+	if got := g.placeForPeer(now, newPlacementRequest("no objective", 1)); got.RetryAfterMS > 0 {
+		t.Fatalf("request without an objective: %+v", got)
 	}
 	g.settings.Mechanisms, _ = mechanism.Without(string(mechanism.EarlyRejection))
-	if got := g.placeFor(now, judged("off", true)); got.BackMS > 0 {
-		t.Fatalf("without the mechanism: %+v", got)
+	if got := g.placeForPeer(now, newObjectiveRequest("off", true)); got.RetryAfterMS > 0 {
+		t.Fatalf("mechanism disabled: %+v", got)
 	}
 }
 
-// TestLongPromptsAreNotTurnedAwayForTheirReading: only the queue before it counts.
-func TestLongPromptsAreNotTurnedAwayForTheirReading(t *testing.T) {
-	g := scheduler(2)
-	asked := judged("long", true)
-	asked.Tokens[2], asked.Prompt = 60_000, 66_300 // over a second and a half of reading
-	if got := g.placeFor(time.Second, asked); got.BackMS > 0 {
-		t.Fatalf("%+v", got)
+// TestAdmissionIgnoresOwnPrefill tests that a long prompt is not rejected for its own prefill time, but only for the
+// queue before it.
+func TestAdmissionIgnoresOwnPrefill(t *testing.T) {
+	g := newScheduler(2)
+	asked := newObjectiveRequest("long", true)
+	asked.PartTokens[2], asked.PromptTokens = 60_000, 66_300 // over 1.5 s of prefill
+	if got := g.placeForPeer(time.Second, asked); got.RetryAfterMS > 0 {
+		t.Fatalf("long prompt at idle engines: %+v", got)
 	}
 }
 
-// TestUrgentRequestsAreJudgedByWhatTheyWait: once it is seen that engines let them in first, others' queue is no reason to turn
-// them away; their scheduler learns it from the ends that it is told of.
-func TestUrgentRequestsAreJudgedByWhatTheyWait(t *testing.T) {
-	g := scheduler(4)
+// TestAdmissionLearnsWaitByPriority tests that the queue is no reason to reject urgent requests once reported waits
+// show that engines schedule them first.
+func TestAdmissionLearnsWaitByPriority(t *testing.T) {
+	g := newScheduler(4)
 	now := time.Second
-	busy(g, now, time.Hour)
+	setPrefillBusy(g, now, time.Hour)
 	for i := range 400 {
 		ticket := fmt.Sprint("t", i)
-		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, until: now + time.Second, queue: 1500}
-		g.table.place(now, ticket, made)
-		g.table.noteQueue("s", 0, made.queue, 0, 50*time.Millisecond, 0)
-		g.table.noteQueue("s", 1, made.queue, 0, 1500*time.Millisecond, 0)
+		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, expiresAt: now + time.Second, queueWait: 1500}
+		g.table.addPlacement(now, ticket, made)
+		g.table.observeQueueWait("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
+		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
-	busy(g, now, 1500*time.Millisecond)
-	urgent := judged("urgent", true)
-	urgent.Rank = 0
-	if got := g.placeFor(now, urgent); got.BackMS > 0 {
-		t.Fatalf("the urgent one: %+v", got)
+	setPrefillBusy(g, now, 1500*time.Millisecond)
+	urgent := newObjectiveRequest("urgent", true)
+	urgent.Priority = 0
+	if got := g.placeForPeer(now, urgent); got.RetryAfterMS > 0 {
+		t.Fatalf("urgent request: %+v", got)
 	}
-	if got := g.placeFor(now, judged("other", true)); got.BackMS == 0 {
-		t.Fatalf("the other one: %+v", got)
+	if got := g.placeForPeer(now, newObjectiveRequest("other", true)); got.RetryAfterMS == 0 {
+		t.Fatalf("other request: %+v, want a rejection", got)
 	}
 }
 
-// TestRefusalOfASchedulerIsPassedOn by the gateway that asked, which does not place the request by itself then.
-func TestRefusalOfASchedulerIsPassedOn(t *testing.T) {
-	g := scheduler(2)
-	chosen := g.scheduledCandidate(&wirePlacement{Instance: "i-0", WaitMS: 3000, BackMS: 1200}, scheduled{}, selectionInput{})
+// TestSchedulerRejection tests that a scheduler's rejection becomes a candidate with a retry time, so that the gateway
+// does not place the request itself.
+func TestSchedulerRejection(t *testing.T) {
+	g := newScheduler(2)
+	chosen := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", WaitMS: 3000, RetryAfterMS: 1200}, schedulerPlacement{}, selectionInput{})
 	if chosen == nil || chosen.retryAfter != 1200*time.Millisecond {
-		t.Fatalf("%+v", chosen)
+		t.Fatalf("candidate %+v, want one with a retry time of 1.2s", chosen)
 	}
 }
 
-// TestWhoComesBackIsKnownElsewhere: a request that another gateway turned away goes before new ones here as well.
-func TestWhoComesBackIsKnownElsewhere(t *testing.T) {
-	let := func(told bool) (in int) {
+// TestRetryIsKnownToPeers tests that a request which another gateway rejected is accepted before new ones.
+func TestRetryIsKnownToPeers(t *testing.T) {
+	countPlaced := func(refusalKnown bool) (placed int) {
 		for range 200 {
-			g, now := scheduler(4), time.Second
-			if told {
+			g, now := newScheduler(4), time.Second
+			if refusalKnown {
 				g.table.applySends(now, []announcement{announcement{Gateway: "other", Instance: "i-0", RejectedRequest: "back"}.toWire(0).announcement()})
 			}
-			busy(g, now, 720*time.Millisecond) // 0.9 of the objective
-			if got := g.placeFor(now, judged("back", true)); got.BackMS == 0 {
-				in++
+			setPrefillBusy(g, now, 720*time.Millisecond) // 0.9 of the objective
+			if got := g.placeForPeer(now, newObjectiveRequest("back", true)); got.RetryAfterMS == 0 {
+				placed++
 			}
 		}
-		return in
+		return placed
 	}
-	if known, unknown := let(true), let(false); known != 200 || unknown > 190 {
-		t.Fatalf("%d of 200 are let in where the refusal is known, %d where it is not", known, unknown)
+	if known, unknown := countPlaced(true), countPlaced(false); known != 200 || unknown > 190 {
+		t.Fatalf("accepted %d of 200 with the rejection known, %d without", known, unknown)
 	}
 }
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -11,198 +11,203 @@
 	"kitetiller/internal/pushback"
 )
 
-// Who told that a back end leaves, in the log: itself, or another gateway that it told so; else control did.
+// Sources of a back end's signals, in logs: its own answer or another gateway.
 const (
-	toldByAnswer  = "answer"
-	toldByGateway = "gateway"
+	sourceAnswer  = "answer"
+	sourceGateway = "gateway"
 )
 
-// hear takes up what an answer says of its back end, before anything else is made of the answer: it holds whatever becomes of the request.
-func (a *attempt) hear(status int, verdict ResponseInfo) {
+// handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
+// signals hold whatever becomes of the request.
+func (a *attempt) handlePushback(status int, verdict ResponseInfo) {
 	a.requestedBackoff = verdict.Signals.Backoff
 	g := a.exchange.gateway
-	g.hear(a.row, heard{request: a.exchange.call.ID, status: status, said: verdict.Signals, unread: verdict.UnparsedBackoff, limitUnread: verdict.UnparsedLimit})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Signals, unreadableBackoff: verdict.UnparsedBackoff, unreadableLimit: verdict.UnparsedLimit})
 	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
 	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
-		g.hearUnlimited(a.row, a.startedAt)
+		g.observeNoLimit(a.row, a.startedAt)
 	}
 }
 
-// hearAside takes up what an engine says of itself beside what it keeps. It may be a later life than the one that control told of.
-func (g *Gateway) hearAside(id string, news CacheNews) {
-	if row := g.table.row(id); row != nil && (news.Born == 0 || news.Born == row.incarnation.StartedMS) {
-		g.hear(row, heard{said: news.Said})
+// handleCachePushback applies the signals of an answer to a cache query. Signals of another incarnation than the one in
+// the roster are ignored.
+func (g *Gateway) handleCachePushback(id string, report CacheReport) {
+	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
+		g.handlePushback(row, answerPushback{signals: report.Pushback})
 	}
 }
 
-// heard is what an answer says of its back end, with what the log tells of it.
-type heard struct {
-	request string // "" of an answer to no caller's request
-	status  int
-	said    pushback.Signals
-	unread  string
+// answerPushback holds the signals of one answer, and fields for the log.
+type answerPushback struct {
+	request           string // "" if the answer belongs to no caller's request
+	status            int
+	signals           pushback.Signals
+	unreadableBackoff string // a backoff that cannot be parsed
 
-	limitUnread string
+	unreadableLimit string // a limit that cannot be parsed
 }
 
-// hear takes up and logs what a back end says of itself.
-func (g *Gateway) hear(row *endpoint, told heard) {
-	if told.said.IsEmpty() && told.unread == "" && told.limitUnread == "" {
+// handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
+func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
+	if answer.signals.IsEmpty() && answer.unreadableBackoff == "" && answer.unreadableLimit == "" {
 		return
 	}
 	now := g.now()
-	news := g.table.hear(now, row, told.said)
-	if !news.others.IsEmpty() {
-		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: news.others})
+	changes := g.table.observePushback(now, row, answer.signals)
+	if !changes.forPeers.IsEmpty() {
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: changes.forPeers})
 	}
-	g.noteLimit(now, row.entry.ID, news.limit, toldByAnswer, told.limitUnread)
+	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unreadableLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
-	if told.request != "" {
-		fields = append(fields, zap.String(events.FieldRequest, told.request), zap.Int("answer", told.status))
+	if answer.request != "" {
+		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
 	}
-	if news.others.Draining {
-		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", toldByAnswer))...)
+	if changes.forPeers.Draining {
+		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if told.said.Backoff <= 0 && told.unread == "" {
+	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
 		return
 	}
 	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
-		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, told.said.Backoff),
-			zap.Duration(events.FieldBackoffLeft, max(0, news.bar.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, told.unread), zap.Int("held", held))...)
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
+			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unreadableBackoff), zap.Int("held", held))...)
 	}
 }
 
-// news is what of a back end's word is to be told.
-type news struct {
-	bar    pushback.Restriction // what now keeps requests from it
-	others pushback.Signals     // for the other gateways, of which each rest is news, and a limit also if they haven't been told for a while
-	limit  pushback.Limit       // for the log: only if it differs from the one before
+// pushbackChanges is what the signals of an answer changed.
+type pushbackChanges struct {
+	restriction pushback.Restriction // in effect now
+	forPeers    pushback.Signals     // for other gateways: each backoff, and limits that changed or are due again
+	forLog      pushback.Limit       // set only if the limit changed
 }
 
-// hear notes what a back end says of itself, and returns what of it is news.
-func (t *table) hear(now time.Duration, row *endpoint, said pushback.Signals) (made news) {
+// observePushback records the signals of an answer and returns what they changed.
+func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (changes pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before := t.signals.Restriction(now, row.incarnation)
-	limit, heard := t.signals.LimitObservedAt(row.incarnation)
-	made.bar = t.signals.Observe(now, time.Now(), row.incarnation, said, rand.Float64())
-	t.makeDearer(now, row, said.Backoff)
-	made.others = pushback.Signals{Backoff: said.Backoff, Draining: made.bar.Draining && !before.Draining}
+	limit, observedAt := t.signals.LimitObservedAt(row.incarnation)
+	changes.restriction = t.signals.Observe(now, time.Now(), row.incarnation, signals, rand.Float64())
+	t.deprioritize(now, row, signals.Backoff)
+	changes.forPeers = pushback.Signals{Backoff: signals.Backoff, Draining: changes.restriction.Draining && !before.Draining}
 	if t.signals.Limit(row.incarnation) != limit {
-		made.limit, made.others.Limit = said.Limit, said.Limit
+		changes.forLog, changes.forPeers.Limit = signals.Limit, signals.Limit
 	}
-	if said.Limit.Advertised && now >= heard+retellEach {
-		made.others.Limit = said.Limit
+	if signals.Limit.Advertised && now >= observedAt+limitUpdateInterval {
+		changes.forPeers.Limit = signals.Limit
 	}
-	return made
+	return changes
 }
 
-// restHint is the longest time for which a back end is dearer to the others that asked one gateway for rest: as long as one that failed.
-const restHint = suspectLimit
+// maxPeerBackoff bounds how long a backoff requested from one gateway raises the back end's cost for others.
+const maxPeerBackoff = maxAvoidance
 
-// makeDearer lets a back end that asked one gateway for rest cost more for a while where another one's request is placed: one that sheds one
-// gateway's requests mostly sheds all, and each would have to learn that by a request. The caller holds the mutex.
-func (t *table) makeDearer(at time.Duration, row *endpoint, rest time.Duration) {
-	if rest > 0 {
-		row.avoidUntil = max(row.avoidUntil, at+min(rest, restHint))
+// deprioritize raises the cost of a back end that requested a backoff from one gateway, where it is considered for
+// other gateways' requests: a back end that sheds one gateway's load usually sheds all. The caller holds the mutex.
+func (t *table) deprioritize(at time.Duration, row *endpoint, backoff time.Duration) {
+	if backoff > 0 {
+		row.avoidUntil = max(row.avoidUntil, at+min(backoff, maxPeerBackoff))
 	}
 }
 
-// hearOf takes up what a back end said of itself to another gateway, and returns what of it is news. That it leaves binds all, and so does a
-// limit; a wish for rest is between the two. The caller holds the mutex.
-func (t *table) hearOf(now, at time.Duration, row *endpoint, said pushback.Signals) (news pushback.Signals) {
-	t.makeDearer(at, row, said.Backoff)
-	if t.signals.ObserveLimit(at, row.incarnation, said.Limit) {
-		news.Limit = said.Limit
+// observePeerPushback applies signals that another gateway received, and returns what changed. Draining and limits
+// apply to all gateways; a backoff only raises the cost. The caller holds the mutex.
+func (t *table) observePeerPushback(now, at time.Duration, row *endpoint, signals pushback.Signals) (changes pushback.Signals) {
+	t.deprioritize(at, row, signals.Backoff)
+	if t.signals.ObserveLimit(at, row.incarnation, signals.Limit) {
+		changes.Limit = signals.Limit
 	}
-	if said.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
-		news.Draining = true
-		t.signals.Observe(now, time.Now(), row.incarnation, news, 0)
+	if signals.Draining && !t.signals.Restriction(now, row.incarnation).Draining {
+		changes.Draining = true
+		t.signals.Observe(now, time.Now(), row.incarnation, changes, 0)
 	}
-	return news
+	return changes
 }
 
-// open reports whether control lets requests go to a back end.
-func (e *endpoint) open() bool { return e.entry.State == catalog.StateReady && !e.entry.Loading }
+// acceptsRequests reports whether control lets requests go to the back end.
+func (e *endpoint) acceptsRequests() bool {
+	return e.entry.State == catalog.StateReady && !e.entry.Loading
+}
 
-// bar returns why a back end itself wants no request now, or "". That it leaves binds all gateways, a wish for rest only the one that was asked,
-// and of its limit each may use what it was lent: elsewhere says that another one sends. The caller holds the mutex.
-func (t *table) bar(now time.Duration, row *endpoint, elsewhere bool) string {
-	bar := t.signals.Restriction(now, row.incarnation)
+// restrictionCause returns why a back end's own signals exclude it now, or "". Draining applies to all gateways, a
+// backoff only to the gateway it was requested from, and a limit as far as the sending gateway holds leases on it.
+// sentByPeer means that another gateway sends the request. The caller holds the mutex.
+func (t *table) restrictionCause(now time.Duration, row *endpoint, sentByPeer bool) string {
+	restriction := t.signals.Restriction(now, row.incarnation)
 	switch {
-	case bar.Draining:
+	case restriction.Draining:
 		return causeDraining
-	case bar.IsBackingOff(now) && !elsewhere:
+	case restriction.IsBackingOff(now) && !sentByPeer:
 		return causeBackingOff
-	case bar.Limit.Advertised && t.dry(now, row, elsewhere) > 0:
+	case restriction.Limit.Advertised && t.limitExhaustedFor(now, row, sentByPeer) > 0:
 		return causeLimitReached
 	}
 	return ""
 }
 
-// allBarred returns how long it takes until the first back end of a service may be asked again, where all that may be used want rest or have
-// reached their limits, and which of the two; else 0.
-func (t *table) allBarred(now time.Duration, service string) (first time.Duration, cause string) {
+// allRestricted returns how long it takes until the first back end of a service may be used again, and the cause that
+// delays it, if all usable back ends are backing off or at their limits; else 0.
+func (t *table) allRestricted(now time.Duration, service string) (first time.Duration, cause string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, row := range t.services[service] {
-		bar := t.signals.Restriction(now, row.incarnation)
-		if !row.open() || bar.Draining {
+		restriction := t.signals.Restriction(now, row.incarnation)
+		if !row.acceptsRequests() || restriction.Draining {
 			continue
 		}
-		left, why := max(0, bar.BackoffUntil-now), causeBackingOff
-		if bar.Limit.Advertised {
-			if dry := t.dry(now, row, false); dry > left {
-				left, why = dry, causeLimitReached
+		remaining, reason := max(0, restriction.BackoffUntil-now), causeBackingOff
+		if restriction.Limit.Advertised {
+			if wait := t.limitExhaustedFor(now, row, false); wait > remaining {
+				remaining, reason = wait, causeLimitReached
 			}
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return 0, ""
 		}
-		if first == 0 || left < first {
-			first, cause = left, why
+		if first == 0 || remaining < first {
+			first, cause = remaining, reason
 		}
 	}
 	return first, cause
 }
 
-// noBackend returns why a request finds no place, and when to come back.
-func (x *exchange) noBackend() (reason string, retryAfter time.Duration) {
+// noBackendReason returns why no back end is available for the request, and when the caller may retry.
+func (x *exchange) noBackendReason() (reason string, retryAfter time.Duration) {
 	g := x.gateway
 	now := g.now()
-	switch first, cause := g.table.allBarred(now, x.service.Name); cause {
+	switch first, cause := g.table.allRestricted(now, x.service.Name); cause {
 	case causeBackingOff:
-		return reasonBackingOff, apart(first)
+		return reasonBackingOff, withJitter(first)
 	case causeLimitReached:
-		return reasonLimitReached, apart(g.table.turn(now, x.service.Name, first, g.gatewayCount.Load()))
+		return reasonLimitReached, withJitter(g.table.limitRetryAfter(now, x.service.Name, first, g.gatewayCount.Load()))
 	}
 	return reasonNoBackend, minRetryAfter
 }
 
-// comeBackAfter returns when the caller of a request that a back end turned away may come back: at once while another back end takes requests,
-// whatever that one asked for, else when the first does again.
-func (x *exchange) comeBackAfter(refused result) time.Duration {
-	if refused.backoff <= 0 {
-		return refused.retryAfter
+// rejectionRetryAfter returns when the caller may retry a request that a back end rejected. If the back end requested a
+// backoff, this is at once while another back end accepts requests, or else when the first does again.
+func (x *exchange) rejectionRetryAfter(rejected result) time.Duration {
+	if rejected.backoff <= 0 {
+		return rejected.retryAfter
 	}
-	if first, _ := x.gateway.table.allBarred(x.gateway.now(), x.service.Name); first > 0 {
-		return apart(first)
+	if first, _ := x.gateway.table.allRestricted(x.gateway.now(), x.service.Name); first > 0 {
+		return withJitter(first)
 	}
 	return 0
 }
 
-// apart returns a time to come back with a little at random on top: callers that were turned away together would come back as the next wave.
-func apart(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
+// withJitter returns a retry time with random jitter, so that callers rejected together do not retry together.
+func withJitter(after time.Duration) time.Duration { return pushback.WithJitter(after, rand.Float64()) }
 
-// row returns the back end of an id, or nil.
+// row returns the back end with an ID, or nil.
 func (t *table) row(id string) *endpoint {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.rows[id]
 }
 
-// resting returns how many back ends want rest now, by service; a service without one is missing.
-func (t *table) resting(now time.Duration) map[string]int {
+// backingOffCounts returns the number of back ends in backoff by service. Services without any are absent.
+func (t *table) backingOffCounts(now time.Duration) map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := map[string]int{}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -17,15 +17,15 @@
 	registry     *prometheus.Registry
 	firstToken   *prometheus.HistogramVec
 	claimSeconds prometheus.Histogram
-	refusals     *prometheus.CounterVec
+	rejections   *prometheus.CounterVec
 	promptTokens prometheus.Counter
 	hitTokens    prometheus.Counter
 	server       *Server
-	totals       []total
+	coreCounters []coreCounter
 }
 
-// total is a counter that the core keeps.
-type total struct {
+// coreCounter is a counter that the core keeps.
+type coreCounter struct {
 	description *prometheus.Desc
 	read        func(core.Counters) uint64
 }
@@ -40,21 +40,21 @@
 		Namespace: namespace, Name: "claim_seconds", Help: "Time of a claim in the run ledger.",
 		Buckets: prometheus.ExponentialBuckets(0.001, 1.8, 14),
 	})
-	m.refusals = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.rejections = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "rejected_total", Help: "Requests refused before a decision, by reason.",
 	}, []string{"reason"})
 	m.promptTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "prompt_tokens_total", Help: "Prompt tokens of started attempts."})
 	m.hitTokens = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "hit_tokens_total", Help: "Prompt tokens that engines reused."})
-	m.totals = coreTotals()
-	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.refusals, m.promptTokens, m.hitTokens, m)
+	m.coreCounters = newCoreCounters()
+	m.registry.MustRegister(m.firstToken, m.claimSeconds, m.rejections, m.promptTokens, m.hitTokens, m)
 	return m
 }
 
-func coreTotals() []total {
-	define := func(name, help string, read func(core.Counters) uint64) total {
-		return total{prometheus.NewDesc(namespace+"_"+name, help, nil, nil), read}
+func newCoreCounters() []coreCounter {
+	define := func(name, help string, read func(core.Counters) uint64) coreCounter {
+		return coreCounter{prometheus.NewDesc(namespace+"_"+name, help, nil, nil), read}
 	}
-	return []total{
+	return []coreCounter{
 		define("requests_total", "Requests received by the core.", func(c core.Counters) uint64 { return c.Requests }),
 		define("complete_total", "Requests answered completely.", func(c core.Counters) uint64 { return c.Completed }),
 		define("attempts_total", "Attempts sent to back ends.", func(c core.Counters) uint64 { return c.Attempts }),
@@ -75,7 +75,7 @@
 
 // Describe is called by the registry.
 func (m *metrics) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, item := range m.totals {
+	for _, item := range m.coreCounters {
 		descriptions <- item.description
 	}
 	descriptions <- refusedDescription
@@ -86,9 +86,9 @@
 func (m *metrics) Collect(collected chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	m.server.ask(ctx, func(c *core.Core) {
+	m.server.inspect(ctx, func(c *core.Core) {
 		counters := c.Counters()
-		for _, item := range m.totals {
+		for _, item := range m.coreCounters {
 			collected <- prometheus.MustNewConstMetric(item.description, prometheus.CounterValue, float64(item.read(counters)))
 		}
 		for reason, count := range counters.Refused {
@@ -112,15 +112,15 @@
 		{"settings_version", float64(c.SettingsVersion())},
 		{"lease_valid", lease},
 		{"event_ring_depth", float64(len(m.server.events))},
-		{"event_ring_shed", float64(m.server.shed.Load())},
+		{"event_ring_shed", float64(m.server.droppedEvents.Load())},
 	}
 	for _, gauge := range gauges {
 		collected <- prometheus.MustNewConstMetric(gaugeDescription, prometheus.GaugeValue, gauge.value, gauge.name)
 	}
 }
 
-// started counts the prompt of an attempt that an engine took.
-func (m *metrics) started(a *attemptRun, event api.GenerateEvent) {
-	m.promptTokens.Add(float64(a.run.request.PromptTokens))
+// recordStarted counts the prompt of an attempt that an engine took.
+func (m *metrics) recordStarted(a *activeAttempt, event api.GenerateEvent) {
+	m.promptTokens.Add(float64(a.exchange.request.PromptTokens))
 	m.hitTokens.Add(float64(event.Cached))
 }
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -15,70 +15,70 @@
 const (
 	heartbeatTimeout = 1200 * time.Millisecond
 	claimTimeout     = 4 * time.Second
-	endPatience      = 60 * time.Second // how long the end of a claim is repeated
+	endClaimTimeout  = 60 * time.Second // how long the end of a claim is repeated
 )
 
 // renewSession is the thread that renews the session and takes up new settings.
 func (s *Server) renewSession(ctx context.Context) {
 	for ctx.Err() == nil {
-		sent := s.now()
-		attempt, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-		beat := s.session.Heartbeat()
-		beat.Quarantine = s.quarantine.Version()
-		response, err := s.group.AskOnce(attempt, control.Request{Heartbeat: &beat})
+		sentAt := s.now()
+		requestCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+		heartbeat := s.session.Heartbeat()
+		heartbeat.Quarantine = s.quarantine.Version()
+		response, err := s.control.AskOnce(requestCtx, control.Request{Heartbeat: &heartbeat})
 		cancel()
-		pause := session.FastHeartbeatInterval
+		delay := session.FastHeartbeatInterval
 		if err == nil && response.Kind == control.ResponseOK && response.Heartbeat != nil {
-			pause = s.takeReply(sent, *response.Heartbeat)
+			delay = s.applyReply(sentAt, *response.Heartbeat)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// takeReply syncs new settings, passes settings and lease to the core, and returns when to call again.
-func (s *Server) takeReply(sent time.Duration, reply control.HeartbeatReply) time.Duration {
+// applyReply syncs new settings, passes settings and lease to the core, and returns when to call again.
+func (s *Server) applyReply(sentAt time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
 		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
-	step := s.session.HandleReply(sent, reply)
-	if step.RejectReason != "" {
-		s.log.Warn("heartbeat reply not used", zap.String("problem", step.RejectReason))
-		return step.NextHeartbeatIn
+	actions := s.session.HandleReply(sentAt, reply)
+	if actions.RejectReason != "" {
+		s.log.Warn("heartbeat reply not used", zap.String("problem", actions.RejectReason))
+		return actions.NextHeartbeatIn
 	}
-	if step.ToSync != nil {
-		if err := s.disk.save(*step.ToSync); err != nil {
+	if actions.ToSync != nil {
+		if err := s.disk.save(*actions.ToSync); err != nil {
 			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
-		s.session.MarkSynced(*step.ToSync)
-		s.post(core.EventSettings{Version: step.ToSync.Version, Tree: step.ToSync.Tree})
-		s.log.Info("settings taken up", zap.Uint64("settings_version", step.ToSync.Version))
+		s.session.MarkSynced(*actions.ToSync)
+		s.post(core.EventSettings{Version: actions.ToSync.Version, Tree: actions.ToSync.Tree})
+		s.log.Info("settings taken up", zap.Uint64("settings_version", actions.ToSync.Version))
 	}
-	s.post(step.Lease)
-	if step.Peers != nil {
-		s.announcer.SetPeers(peerAddresses(step.Peers))
-		s.post(core.EventPeerRouters{Names: peerNames(step.Peers)})
+	s.post(actions.Lease)
+	if actions.Peers != nil {
+		s.announcer.SetPeers(peerAddresses(actions.Peers))
+		s.post(core.EventPeerRouters{Names: peerNames(actions.Peers)})
 	}
-	return step.NextHeartbeatIn
+	return actions.NextHeartbeatIn
 }
 
 // closeSession ends the session at a planned stop, so that nobody waits for its lease.
 func (s *Server) closeSession() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	beat := s.session.ClosingHeartbeat()
-	_, _ = s.group.AskOnce(ctx, control.Request{Heartbeat: &beat}) // otherwise the lease runs out by itself
+	heartbeat := s.session.ClosingHeartbeat()
+	_, _ = s.control.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // otherwise the lease runs out by itself
 }
 
 // claim asks the ledger and reports the outcome to the core.
 func (s *Server) claim(ctx context.Context, action core.ActionClaim) {
-	attempt, cancel := context.WithTimeout(ctx, claimTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	started := time.Now()
-	response, err := s.group.Ask(attempt, control.Request{Claim: &action.Claim})
+	response, err := s.control.Ask(requestCtx, control.Request{Claim: &action.Claim})
 	s.metrics.claimSeconds.Observe(time.Since(started).Seconds())
 	event := core.EventClaim{ID: action.ID, ClaimID: action.Claim.ClaimID}
 	if err != nil || response.Claim == nil {
@@ -92,9 +92,9 @@
 // endClaim reports the end of a claim until a leader has committed it. If that fails for long, the session
 // ends and the ledger marks the claim unknown, which is always safe.
 func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
-	attempt, cancel := context.WithTimeout(ctx, endPatience)
+	requestCtx, cancel := context.WithTimeout(ctx, endClaimTimeout)
 	defer cancel()
-	if _, err := s.group.Ask(attempt, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
+	if _, err := s.control.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
 		s.log.Warn("end of a claim not confirmed", zap.String("claim", action.End.ClaimID), zap.Error(err))
 	}
 }
