--- a/internal/catalog/machine.go
+++ b/internal/catalog/machine.go
@@ -136,8 +136,8 @@
 
 // InstanceByName returns the registered incarnation of the backend with the given name.
 func (m *Machine) InstanceByName(name string) (Instance, bool) {
-	id, tells := m.incarnations.currentID(name)
-	if !tells {
+	id, found := m.incarnations.currentID(name)
+	if !found {
 		id = Incarnation{Name: name}.ID()
 	}
 	instance, known := m.instances[id]
@@ -162,8 +162,8 @@
 
 // MaxHashWeight returns the highest hash weight of the backends of a service that are in use.
 func (m *Machine) MaxHashWeight(service string) uint64 {
-	if bound, known := m.maxHashWeights[service]; known {
-		return bound
+	if highest, known := m.maxHashWeights[service]; known {
+		return highest
 	}
 	return math.MaxUint64
 }
--- a/internal/control/engines.go
+++ b/internal/control/engines.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	enginePoll    = 250 * time.Millisecond
-	platformPoll  = time.Second
-	engineTimeout = time.Second
-	pollersAtOnce = 16
+	enginePollInterval  = 250 * time.Millisecond
+	machineListInterval = time.Second
+	engineCallTimeout   = time.Second
+	maxEnginePolls      = 16
 )
 
-// machine is the part of a platform line that control needs.
+// machine is an entry of the platform's machine list.
 type machine struct {
 	Name    string
 	Zone    string
@@ -26,14 +26,14 @@
 	Leaving bool
 }
 
-// watchEngines is the thread that reads the machine list and the engines' weights and fences.
+// watchEngines polls the machine list and the weights and fences of the engines while this replica leads.
 func (s *Server) watchEngines(ctx context.Context) {
 	if s.file.Control.Platform == "" {
 		return
 	}
 	var machines []machine
-	var listed time.Time
-	ticker := time.NewTicker(enginePoll)
+	var listedAt time.Time
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -44,90 +44,92 @@
 		if !s.leading() {
 			continue
 		}
-		if time.Since(listed) >= platformPoll {
-			if fresh, ok := s.readMachines(ctx); ok {
-				machines, listed = fresh, time.Now()
+		if time.Since(listedAt) >= machineListInterval {
+			if updated, ok := s.fetchMachines(ctx); ok {
+				machines, listedAt = updated, time.Now()
 			}
 		}
 		s.pollEngines(ctx, machines)
 	}
 }
 
-// Leads reports whether this replica leads, as far as it knows.
+// Leads reports whether this replica is the leader as far as it knows, and ctx is not done.
 func (s *Server) Leads(ctx context.Context) bool { return ctx.Err() == nil && s.leading() }
 
-// leading reports whether this replica leads.
+// leading reports whether this replica is the leader.
 func (s *Server) leading() bool {
-	return s.holds(func(replica *Replica) bool { return replica.leader != nil })
+	return s.queryReplica(func(replica *Replica) bool { return replica.leader != nil })
 }
 
-// holds asks the decide thread whether something holds; without an answer in time it does not.
-func (s *Server) holds(check func(*Replica) bool) bool {
-	answer := make(chan bool, 1)
-	if !s.submit(input{inspect: func(replica *Replica) { answer <- check(replica) }}) {
+// queryReplica runs check in the goroutine that owns the replica. It returns false if there is no answer in time.
+func (s *Server) queryReplica(check func(*Replica) bool) bool {
+	result := make(chan bool, 1)
+	if !s.submit(input{inspect: func(replica *Replica) { result <- check(replica) }}) {
 		return false
 	}
 	select {
-	case holds := <-answer:
-		return holds
-	case <-time.After(engineTimeout):
+	case checked := <-result:
+		return checked
+	case <-time.After(engineCallTimeout):
 		return false
 	}
 }
 
-func (s *Server) readMachines(ctx context.Context) ([]machine, bool) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+// fetchMachines reads the platform's machine list.
+func (s *Server) fetchMachines(ctx context.Context) ([]machine, bool) {
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct{ Machines []machine }
 	if err := s.client.Get(attempt, s.file.Control.Platform, "/v1/machines", &reply); err != nil {
-		s.log.Warn("machine list not read", zap.Error(err))
+		s.log.Warn("failed to read the machine list", zap.Error(err))
 		return nil, false
 	}
 	return reply.Machines, true
 }
 
-// pollEngines asks every listed back end for its state, a few at a time.
+// pollEngines polls the state of all listed back ends, with at most maxEnginePolls concurrent calls.
 func (s *Server) pollEngines(ctx context.Context, machines []machine) {
 	var polls sync.WaitGroup
-	slots := make(chan struct{}, pollersAtOnce)
-	for _, listed := range machines {
+	slots := make(chan struct{}, maxEnginePolls)
+	for _, entry := range machines {
 		slots <- struct{}{}
 		polls.Go(func() {
 			defer func() { <-slots }()
-			s.pollEngine(ctx, listed)
+			s.pollEngine(ctx, entry)
 		})
 	}
 	polls.Wait()
 }
 
-func (s *Server) pollEngine(ctx context.Context, listed machine) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+// pollEngine reads the state of a back end and passes it to the replica if it is an engine's.
+func (s *Server) pollEngine(ctx context.Context, entry machine) {
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	var reply struct {
 		Engine EngineReport `json:"engine"`
 	}
-	if err := s.client.Get(attempt, listed.Address, "/v1/state?events=none", &reply); err != nil || reply.Engine.Weights == "" {
+	if err := s.client.Get(attempt, entry.Address, "/v1/state?events=none", &reply); err != nil || reply.Engine.Weights == "" {
 		return
 	}
 	report := reply.Engine
-	report.Name, report.Zone, report.Service, report.Address = listed.Name, listed.Zone, listed.Service, listed.Address
+	report.Name, report.Zone, report.Service, report.Address = entry.Name, entry.Zone, entry.Service, entry.Address
 	s.submit(input{report: &report})
 }
 
-// sendCalls is the thread that passes orders and fences to engines.
-func (s *Server) sendCalls(ctx context.Context) {
+// sendEngineCalls sends orders and fences to engines, each in its own goroutine.
+func (s *Server) sendEngineCalls(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case call := <-s.engineCalls:
-			go s.sendCall(ctx, call)
+			go s.sendEngineCall(ctx, call)
 		}
 	}
 }
 
-func (s *Server) sendCall(ctx context.Context, call EngineCall) {
-	attempt, cancel := context.WithTimeout(ctx, engineTimeout)
+func (s *Server) sendEngineCall(ctx context.Context, call EngineCall) {
+	attempt, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	err := s.client.Post(attempt, call.Address, "/v1/orders", call, nil)
 	if call.Order != nil {
@@ -136,7 +138,7 @@
 	}
 }
 
-// logWeights writes one line for each call about weights.
+// logWeights logs the result of a weights call.
 func (s *Server) logWeights(result WeightsResult) {
 	call := result.Call
 	s.log.Info(events.WeightsCommandSent, zap.Uint8("kind", uint8(call.Kind)), zap.String(events.FieldInstance, call.Instance), zap.String("model", call.Model),
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -38,19 +38,19 @@
 	state.lastLayoutAt = now
 	var gateways []mesh.Gateway
 	for name, report := range state.usage {
-		if report.address != "" && now-report.at <= usageCounts {
-			gateways = append(gateways, mesh.Gateway{Place: mesh.Place{Name: name, Address: report.address}, Zone: report.zone})
+		if report.address != "" && now-report.receivedAt <= usageTTL {
+			gateways = append(gateways, mesh.Gateway{Peer: mesh.Peer{Name: name, Address: report.address}, Zone: report.zone})
 		}
 	}
 	slices.SortFunc(gateways, func(a, b mesh.Gateway) int { return cmp.Compare(a.Name, b.Name) })
-	state.planner.EveryoneSchedules = !r.config.Mechanisms.On(mechanism.Schedulers)
+	state.planner.AllSchedule = !r.config.Mechanisms.On(mechanism.Schedulers)
 	state.planner.Plan(now, gateways)
 	planned, count := state.planner.Layout()
 	addresses := r.relayReplicaAddresses(now)
-	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.Near) {
+	if state.lastLayout == nil || state.plannedLayoutCount != count || !reflect.DeepEqual(addresses, state.lastLayout.NearbyReplicas) {
 		state.plannedLayoutCount, state.layoutCount, state.cacheEventSources = count, state.layoutCount+1, nil
 		meshCopy := *planned
-		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, Near: addresses}
+		state.lastLayout = &relay.Layout{Version: RosterVersion{Term: state.term, Count: state.layoutCount}, Mesh: &meshCopy, NearbyReplicas: addresses}
 	}
 	return state.lastLayout
 }
@@ -85,34 +85,34 @@
 	layout := r.layout(now)
 	r.refreshRoster(now)
 	if state.cacheEventSources == nil || state.cacheEventSourcesCount != state.roster.Count() {
-		state.cacheEventSources, state.cacheEventSourcesCount = relay.Readers(layout.Mesh, &state.roster), state.roster.Count()
+		state.cacheEventSources, state.cacheEventSourcesCount = relay.CacheEventSources(layout.Mesh, &state.roster), state.roster.Count()
 	}
 	return state.cacheEventSources[gateway]
 }
 
 // handleRelay answers a follower on behalf of its gateways. Each of them is recorded as seen now, which is later than it
 // was.
-func (r *Replica) handleRelay(now time.Duration, client uint64, question relay.Question) {
-	r.leader.relayReplicas[question.Name] = relayReplica{zone: question.Zone, address: question.Address, at: now}
+func (r *Replica) handleRelay(now time.Duration, client uint64, request relay.Request) {
+	r.leader.relayReplicas[request.Name] = relayReplica{zone: request.Zone, address: request.Address, at: now}
 	var unlisted []string
-	for _, report := range question.Reports {
+	for _, report := range request.Reports {
 		if r.config.Guards.On(guard.RelayReported) && !r.recordReport(now, report) {
 			unlisted = append(unlisted, report.Gateway)
 		}
 	}
 	if len(unlisted) > 0 {
 		r.leader.gatewayUnlisted = true
-		r.noteGateways(now)
+		r.updateGatewayList(now)
 	}
-	answer := &relay.Answer{Number: question.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Wanted: r.wantedVersions(now), Unlisted: unlisted}
-	if question.Roster != answer.Version {
-		answer.Roster = r.rosterNews(now, question.Roster)
+	reply := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.weightsPublications(now), Unlisted: unlisted}
+	if request.Roster != reply.Version {
+		reply.Roster = r.rosterUpdate(now, request.Roster)
 	}
-	if layout := r.layout(now); question.Layout != layout.Version {
-		answer.Layout = layout
+	if layout := r.layout(now); request.Layout != layout.Version {
+		reply.Layout = layout
 	}
-	_, answer.Gateways = r.gatewaysThatTrust(now)
-	r.reply(client, Response{Kind: ResponseOK, Relayed: answer})
+	_, reply.Gateways = r.trustingGateways(now)
+	r.reply(client, Response{Kind: ResponseOK, Relayed: reply})
 }
 
 // recordReport records a gateway's report and returns whether its view may be confirmed. That requires the gateway to be
@@ -123,6 +123,6 @@
 		r.leader.lastLayoutAt = now - layoutInterval // replan at once without this gateway
 		return true
 	}
-	r.leader.usage[report.Gateway] = usageReport{at: now, zone: report.Zone, address: report.Address, held: report.Held, running: report.Running}
+	r.leader.usage[report.Gateway] = usageReport{receivedAt: now, zone: report.Zone, address: report.Address, roster: report.Roster, running: report.Running}
 	return r.machine.catalog.HasGateway(report.Gateway)
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -45,7 +45,7 @@
 	startedAt                 time.Duration // when this replica became the leader
 	orderFence                uint64        // fence of this leader's weights orders; 0 until its entry has committed
 	fenceRequestedAt          time.Duration
-	fleet                     map[string]*memberState // by instance ID
+	fleet                     map[string]*backendState // by instance ID
 	fleetCheckedAt            time.Duration
 	heldLoggedAt              time.Duration // when the weights held by back ends were last checked for changes to log
 	rolloutStepAt             time.Duration // time of the last rollout step
@@ -60,7 +60,7 @@
 	relayReplicas             map[string]relayReplica // followers that answer gateways, by name
 	cacheEventSources         map[string][]string     // engines whose cache events a gateway reads, by gateway; nil after a change of layout
 	cacheEventSourcesCount    uint64                  // roster count that cacheEventSources was computed from
-	trusting                  trusting
+	trusting                  gatewayCounts
 	rosterCount               uint64 // incremented whenever the roster may have changed
 	roster                    roster.Log
 	rosterPending             map[string]bool       // back ends with changes not yet in the roster
@@ -77,10 +77,10 @@
 	gatewayListChanged        bool          // the gateways in the log have changed, so that held watches can be answered
 	smoothedLoadTime          time.Duration // smoothed duration of loading weights; 0 before the first load
 	orderLostAt               time.Duration // when a weights order last got no answer
-	watchers                  []watcher
+	watchers                  []heldWatch
 	usage                     map[string]usageReport // by gateway
 	lending                   lending
-	joining                   joining
+	joining                   registrationBatch
 	levels                    levelTracker
 	unknownBackends           map[uint64][]string // back ends asked for a full heartbeat, by client that waits for an entry
 }
@@ -99,9 +99,9 @@
 		rosterCount: 1, // 0 stands for a gateway without a roster
 		term:        term, routers: map[string]*routerLease{},
 		openProposed: map[string]bool{}, engines: map[string]*engineState{},
-		startedAt: now, orderLostAt: now - stressMemory, fenceRequestedAt: now - callPatience, fleet: map[string]*memberState{}, rosterPending: map[string]bool{},
+		startedAt: now, orderLostAt: now - capacityWindow, fenceRequestedAt: now - weightsCallTimeout, fleet: map[string]*backendState{}, rosterPending: map[string]bool{},
 		unlogged: map[string]bool{}, planner: &mesh.Planner{}, relayReplicas: map[string]relayReplica{}, inUseSizes: map[string]inuse.Size{}, usage: map[string]usageReport{},
-		lending: lending{lender: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
+		lending: lending{allocator: allowance.NewAllocator(term)}, unknownBackends: map[uint64][]string{},
 		levels: levelTracker{reported: map[consensus.ID]reportedLevel{}},
 	}
 	for router := range machine.sessions {
@@ -127,21 +127,21 @@
 		return
 	}
 	if r.leader == nil {
-		r.turnAway(now, client, request)
+		r.handleAsFollower(now, client, request)
 		return
 	}
-	if !r.hasCurrentState(now) && (request.Watch == nil || !r.confirms(now)) {
+	if !r.hasCurrentState(now) && (request.Watch == nil || !r.mayConfirmViews(now)) {
 		r.reply(client, Response{Kind: ResponseNoQuorum})
 		return
 	}
 	switch {
 	case request.Join != nil:
 		r.join(now, client, *request.Join)
-	case !r.formed() && request.Watch != nil && r.holdUnformed(now, client, *request.Watch):
+	case !r.formed() && request.Watch != nil && r.holdUntilFormed(now, client, *request.Watch):
 	case !r.formed():
 		r.reply(client, Response{Kind: ResponseNotFormed})
 	case request.Heartbeat != nil:
-		r.heartbeat(now, client, *request.Heartbeat)
+		r.handleHeartbeat(now, client, *request.Heartbeat)
 	case request.Claim != nil:
 		r.propose(now, client, Command{Claim: request.Claim})
 	case request.End != nil:
@@ -149,19 +149,19 @@
 	case request.Change != nil:
 		r.propose(now, client, Command{Change: request.Change})
 	case request.Catalog != nil && request.Catalog.Quarantine != nil:
-		r.quarantine(now, client, *request.Catalog.Quarantine)
+		r.handleQuarantineChange(now, client, *request.Catalog.Quarantine)
 	case request.Catalog != nil:
 		r.propose(now, client, Command{Catalog: request.Catalog})
 	case request.Beat != nil:
-		r.beat(now, client, *request.Beat)
+		r.handleBackendHeartbeat(now, client, *request.Beat)
 	case len(request.Beats)+len(request.Signs) > 0:
-		r.takeBeats(now, client, request.Beats, request.Signs)
+		r.handleHeartbeatBatch(now, client, request.Beats, request.Signs)
 	case request.Watch != nil:
-		r.watch(now, client, *request.Watch)
+		r.handleWatch(now, client, *request.Watch)
 	case request.Relay != nil:
 		r.handleRelay(now, client, *request.Relay)
 	case request.Borrow != nil:
-		r.lend(now, client, *request.Borrow)
+		r.allocateShares(now, client, *request.Borrow)
 	case request.Document != nil:
 		r.reply(client, Response{Kind: ResponseOK, Document: r.machine.catalog.Document()})
 	case request.Read != nil:
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// orderTimeout is how long an order may stay without effect before it is issued again.
+	// orderTimeout is how long an order may have no effect before it is issued again.
 	orderTimeout = 5 * time.Second
-	// reconcilePeriod is how often wanted and reported weights are compared.
-	reconcilePeriod = 50 * time.Millisecond
-	// engineSilence is how long an engine's report counts.
-	engineSilence = 3 * time.Second
+	// reconcileInterval is the interval between comparisons of desired and reported weights.
+	reconcileInterval = 50 * time.Millisecond
+	// engineReportTTL is how long an engine's report stays valid.
+	engineReportTTL = 3 * time.Second
 )
 
-// Observe takes an engine's report. A leader whose term the engine has not seen raises the engine's fence
-// first, so that an earlier leader can change nothing there any more.
-func (r *Replica) Observe(now time.Duration, report EngineReport) {
+// ObserveEngineReport handles an engine's report. If the engine has not seen the leader's term, the leader first raises
+// the engine's fence, so that the engine rejects orders of earlier leaders.
+func (r *Replica) ObserveEngineReport(now time.Duration, report EngineReport) {
 	if r.leader == nil || !r.hasCurrentState(now) {
 		return
 	}
@@ -35,9 +35,10 @@
 	}
 }
 
-// reconcile orders engines whose weights differ from the tree, a few of each service at a time.
+// reconcile orders engines to load the weights that the settings tree requires, within the limit of concurrent loads of
+// each service.
 func (r *Replica) reconcile(now time.Duration) {
-	if now < r.leader.reconciledAt+reconcilePeriod {
+	if now < r.leader.reconciledAt+reconcileInterval {
 		return
 	}
 	r.leader.reconciledAt = now
@@ -47,10 +48,10 @@
 		state := r.leader.engines[name]
 		report := state.report
 		fenced := report.Fence.Term >= r.leader.term || !r.config.Guards.On(guard.FenceCheck)
-		if now > state.reportedAt+engineSilence || !fenced {
+		if now > state.reportedAt+engineReportTTL || !fenced {
 			continue
 		}
-		wanted := r.wanted(zoneService{report.Zone, report.Service})
+		wanted := r.desired(zoneService{report.Zone, report.Service})
 		ordered := state.orderedWeights != "" && now < state.orderedAt+orderTimeout
 		if report.Weights == wanted.weights || report.Loading || ordered || loading[report.Service] >= wanted.maxLoads {
 			continue
@@ -61,26 +62,27 @@
 	}
 }
 
-// wanted returns what the tree wants at a place. It is resolved once for each settings version.
-func (r *Replica) wanted(at zoneService) desiredState {
+// desired returns the state that the settings tree requires at a place. It is resolved once per settings version.
+func (r *Replica) desired(place zoneService) desiredState {
 	version := r.machine.settings.Version()
 	if r.leader.desired == nil || r.leader.desiredVersion != version {
 		r.leader.desired, r.leader.desiredVersion = map[zoneService]desiredState{}, version
 	}
-	held, known := r.leader.desired[at]
+	state, known := r.leader.desired[place]
 	if !known {
-		values := r.machine.settings.Tree().Resolve(at.zone, at.service)
-		held = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
-		r.leader.desired[at] = held
+		values := r.machine.settings.Tree().Resolve(place.zone, place.service)
+		state = desiredState{weights: values.WeightsVersion, maxLoads: values.MaxConcurrentLoads}
+		r.leader.desired[place] = state
 	}
-	return held
+	return state
 }
 
+// countLoading returns the number of engines that load weights or have been ordered to, by service.
 func (r *Replica) countLoading(now time.Duration, names []string) map[string]int {
 	loading := map[string]int{}
 	for _, name := range names {
 		state := r.leader.engines[name]
-		if now > state.reportedAt+engineSilence {
+		if now > state.reportedAt+engineReportTTL {
 			continue
 		}
 		if state.report.Loading || (state.orderedWeights != "" && now < state.orderedAt+orderTimeout) {
@@ -90,6 +92,7 @@
 	return loading
 }
 
+// issueOrder sends a committed order to its engine.
 func (r *Replica) issueOrder(now time.Duration, order Order) {
 	state := r.leader.engines[order.Engine]
 	if state == nil || !r.node.LeaseValid(now) {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -103,14 +103,14 @@
 	ready          consensus.Ready
 	effects        Effects
 	leader         *leaderState
-	namedVersions  map[string][]datedNaming // by model, in ascending order of version, with local times
-	orderMarks     map[string]orderMark     // newest order seen in the log, by back-end name
-	published      publishedDocument        // newest document sent to gateways
-	relay          *relay.Relay             // answers gateways while another replica leads
-	awaitingLeader []watcher                // watches held until a leader is known; at most leaderlessMost
-	quarantined    quarantined              // local times of the replicated crash counts
-	checkpointDue  bool                     // the next Prepare must write a checkpoint
-	stopErr        error                    // why the replica has stopped, or nil
+	namedVersions  map[string][]publishedVersion // by model, in ascending order of version, with local times
+	orderMarks     map[string]orderMark          // newest order seen in the log, by back-end name
+	published      publishedDocument             // newest document sent to gateways
+	relay          *relay.Relay                  // answers gateways while another replica leads
+	awaitingLeader []heldWatch                   // watches held until a leader is known; at most maxAwaitingLeader
+	quarantined    crashTimes                    // local times of the replicated crash counts
+	checkpointDue  bool                          // the next Prepare must write a checkpoint
+	stopErr        error                         // why the replica has stopped, or nil
 }
 
 // NewReplica restores a replica from its durable state. It fails if the state requires a higher level than this build
@@ -118,8 +118,8 @@
 func NewReplica(config Config, restored Checkpoint, now time.Duration) (*Replica, error) {
 	replica := &Replica{
 		config: config, machine: NewMachine(config.Guards), snapshot: restored.Snapshot,
-		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]datedNaming{}, orderMarks: map[string]orderMark{},
-		quarantined: newQuarantined(), relay: relay.New(config.Guards),
+		hardState: restored.HardState, pending: map[uint64]pendingProposal{}, namedVersions: map[string][]publishedVersion{}, orderMarks: map[string]orderMark{},
+		quarantined: newCrashTimes(), relay: relay.New(config.Guards),
 	}
 	if len(restored.Snapshot.Data) > 0 {
 		if err := replica.machine.Restore(restored.Snapshot.Data); err != nil {
@@ -167,20 +167,20 @@
 		r.expireSessions(now)
 		r.reconcile(now)
 		r.repair(now)
-		r.watchFleet(now)
-		r.tendInUse(now)
-		r.tendLimits(now)
-		r.noteHeld(now)
-		r.noteGateways(now)
-		r.tendQuarantine(now)
+		r.checkFleet(now)
+		r.updateInUse(now)
+		r.updateLimits(now)
+		r.logLoadedWeights(now)
+		r.updateGatewayList(now)
+		r.maintainQuarantine(now)
 		r.raiseLevel(now)
 		r.rollOut(now)
 	}
 	if r.leader != nil {
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
-	r.tendRelay(now)
-	r.endLeaderless(now)
+	r.advanceRelay(now)
+	r.resolveAwaitingLeader(now)
 }
 
 // Step handles a message from another replica.
@@ -194,8 +194,8 @@
 
 // NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
-	if r.relays() {
-		return min(r.node.NextDue(), r.relay.Due())
+	if r.actsAsRelay() {
+		return min(r.node.NextDue(), r.relay.NextRequestAt())
 	}
 	return r.node.NextDue()
 }
@@ -206,13 +206,13 @@
 	if r.leader != nil && (!isLeader || r.leader.term != r.node.Term()) {
 		previous := r.leader
 		r.leader = nil
-		r.closeWatchers(previous)
+		r.closeWatches(previous)
 		r.replyAll(previous.joining.clients, Response{Kind: ResponseNotLeader, Leader: r.leaderAddress()})
 		r.failPending()
 	}
 	if r.leader == nil && isLeader {
 		r.leader = newLeaderState(r.node.Term(), now, r.leaseEnd(now), r.machine)
-		r.dateNamings(now)
+		r.refreshPublicationTimes(now)
 	}
 }
 
@@ -246,7 +246,7 @@
 
 // propose appends a command after the queued registrations. With client 0, nobody waits for the entry.
 func (r *Replica) propose(now time.Duration, client uint64, command Command) {
-	r.writeJoining(now)
+	r.proposeRegistrations(now)
 	r.appendCommand(now, []uint64{client}, command)
 }
 
@@ -263,8 +263,8 @@
 
 // Prepare returns what the caller must write and sync before Advance.
 func (r *Replica) Prepare() Persist {
-	r.writeJoining(r.now)
-	r.flushOrdering(r.now)
+	r.proposeRegistrations(r.now)
+	r.proposeOrderAnnouncements(r.now)
 	r.ready = r.node.Ready()
 	persist := Persist{HardState: r.ready.HardState, Entries: r.ready.Entries}
 	if r.ready.HardState != nil {
@@ -297,13 +297,13 @@
 	}
 	if r.leader != nil && r.leader.gatewayListChanged {
 		r.leader.gatewayListChanged = false
-		r.answerWatchers(now)
+		r.answerWatches(now)
 	}
 	r.effects.Messages = append(r.effects.Messages, r.stampLevel(r.ready.Messages)...)
 	r.ready = consensus.Ready{}
 	r.maybeSnapshot()
-	r.tendRelay(now)
-	r.endLeaderless(now)
+	r.advanceRelay(now)
+	r.resolveAwaitingLeader(now)
 	effects := r.effects
 	r.effects = Effects{}
 	effects.WeightsCalls = r.dropStaleCalls(now, effects.WeightsCalls)
@@ -327,8 +327,8 @@
 		panic("control: failed to decode the snapshot received from the leader: " + err.Error())
 	}
 	r.applied, r.appliedTerm, r.appliedBytes = snapshot.Meta.Index, snapshot.Meta.Term, 0
-	r.noteInstalled(now)
-	r.dateNamings(now)
+	r.recordSnapshotOrders(now)
+	r.refreshPublicationTimes(now)
 }
 
 func (r *Replica) apply(now time.Duration, entry consensus.Entry) {
@@ -341,7 +341,7 @@
 	if entry.Kind == consensus.EntryCommand {
 		command := decodeCommand(entry.Data)
 		if command.Catalog != nil {
-			r.noteOrdering(now, entry.Term, command.Catalog.WeightsCommandTargets)
+			r.recordOrderAnnouncement(now, entry.Term, command.Catalog.WeightsCommandTargets)
 			command.Catalog.UnixMS = command.UnixMS
 			result.Catalog = r.applyCatalog(now, *command.Catalog)
 		} else {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -54,9 +54,9 @@
 // relayResult is the result of a relay request to the leader.
 type relayResult struct {
 	number uint64
-	leader string        // address of the leader that was asked
-	answer *relay.Answer // nil if the request failed
-	cause  string        // why the request failed
+	leader string       // address of the leader that was asked
+	reply  *relay.Reply // nil if the request failed
+	cause  string       // why the request failed
 }
 
 // HelloReply tells a replica with an empty data folder whether the answering founder already has state.
@@ -75,8 +75,8 @@
 	wasLeader       bool        // last logged leadership; owned by runReplica
 	loggedLevel     level.Level // last logged level in force; owned by runReplica
 	relayFailing    bool        // the last relay request failed; owned by runReplica
-	overLimitLog    overNotes
-	heldBackLog     heldNotes
+	overLimitLog    limitLogState
+	heldBackLog     quarantineLogState
 	config          Config
 	now             clock.Source // time since the server was created
 	inputs          chan input
@@ -89,7 +89,7 @@
 	group           *Client
 	driver          Driver
 	weightsCalls    chan queuedCall
-	beats           beatCollector
+	beats           heartbeatBatcher
 
 	mutex    sync.Mutex
 	outboxes map[consensus.ID]chan consensus.Message
@@ -116,7 +116,7 @@
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
-		beats:   beatCollector{registered: map[string]registration{}, wake: make(chan struct{}, 1)},
+		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
@@ -161,10 +161,10 @@
 	defer cancel()
 	var workers sync.WaitGroup
 	workers.Go(func() { s.runReplica(run) })
-	workers.Go(func() { s.sendCalls(run) })
+	workers.Go(func() { s.sendEngineCalls(run) })
 	workers.Go(func() { s.watchEngines(run) })
 	workers.Go(func() { s.callBackends(run) })
-	workers.Go(func() { s.passBeats(run) })
+	workers.Go(func() { s.forwardHeartbeats(run) })
 	workers.Go(func() { s.refreshMembership(run) })
 	workers.Go(func() { s.rejoinWhileLeaderless(run) })
 	if s.replica.Node().LastIndex() == 0 {
@@ -254,8 +254,8 @@
 		}
 		s.logLeadershipChange()
 		s.logLevelChange()
-		s.noteOverLimits()
-		s.noteHeldBack()
+		s.logLimitChanges()
+		s.logQuarantineChanges()
 		timer.Reset(min(max(s.replica.NextDue()-s.now(), time.Millisecond), maxTickInterval))
 	}
 }
@@ -272,7 +272,7 @@
 		s.log.Info(events.LeadershipLost, fields...)
 		return
 	}
-	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.namingsLine(s.now())))...)
+	s.log.Info(events.LeadershipWon, append(fields, zap.Strings("namings", s.replica.recentPublications(s.now())))...)
 }
 
 // logLevelChange logs when the level in force has changed.
@@ -305,12 +305,12 @@
 	case item.hello != nil:
 		item.hello(http.StatusOK, HelloReply{HasState: s.replica.Node().LastIndex() > 0})
 	case item.report != nil:
-		s.replica.Observe(now, *item.report)
+		s.replica.ObserveEngineReport(now, *item.report)
 	case item.weights != nil:
-		s.replica.ObserveWeights(now, *item.weights)
+		s.replica.ObserveWeightsResult(now, *item.weights)
 	case item.relayResult != nil:
 		s.logRelayChange(item.relayResult)
-		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.answer)
+		s.replica.ObserveRelay(now, item.relayResult.number, item.relayResult.reply)
 	case item.foundGroup:
 		s.foundGroup()
 	case item.inspect != nil:
@@ -325,25 +325,25 @@
 
 // relayToLeader sends a relay request to the leader and submits the result.
 func (s *Server) relayToLeader(call RelayCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), relay.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), relay.RequestTimeout)
 	defer cancel()
-	result := &relayResult{number: call.Question.Number, leader: call.Address}
+	result := &relayResult{number: call.Request.Number, leader: call.Address}
 	var response Response
-	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Question}, &response)
+	err := s.client.Post(ctx, call.Address, PathRequest, Request{Relay: &call.Request}, &response)
 	switch {
 	case err != nil:
 		result.cause = err.Error()
 	case response.Kind != ResponseOK:
 		result.cause = string(response.Kind)
 	default:
-		result.answer = response.Relayed
+		result.reply = response.Relayed
 	}
 	s.submit(input{relayResult: result})
 }
 
 // logRelayChange logs when relay requests to the leader start to fail and when they succeed again.
 func (s *Server) logRelayChange(result *relayResult) {
-	lost := result.answer == nil
+	lost := result.reply == nil
 	if lost == s.relayFailing {
 		return
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -7,6 +7,7 @@
 	"kitetiller/internal/consensus"
 )
 
+// status returns the status of this replica and its view of the group.
 func (r *Replica) status(now time.Duration) *StatusReply {
 	status := &StatusReply{
 		ID: r.config.ID, Name: r.config.Name, Role: r.node.Role().String(), Term: r.node.Term(),
@@ -35,9 +36,10 @@
 	return status
 }
 
-// namedTold is how many back ends that name their limits status shows: a large fleet may have thousands.
-const namedTold = 24
+// maxAdvertisedInStatus bounds the number of advertised limits in a status reply.
+const maxAdvertisedInStatus = 24
 
+// addLeaderStatus adds what only the leader knows.
 func (r *Replica) addLeaderStatus(now time.Duration, status *StatusReply) {
 	if r.leader == nil {
 		return
@@ -51,14 +53,15 @@
 	}
 	for _, name := range sortedKeys(r.leader.engines) {
 		report := r.leader.engines[name].report
-		wanted := r.wanted(zoneService{report.Zone, report.Service}).weights
+		wanted := r.desired(zoneService{report.Zone, report.Service}).weights
 		status.Engines = append(status.Engines, EngineStatus{EngineReport: report, Wanted: wanted})
 	}
-	status.Limits = r.leader.lending.lender.States(now)
-	status.Named = r.leader.lending.lender.AdvertisedStates(now, namedTold)
+	status.Limits = r.leader.lending.allocator.States(now)
+	status.Named = r.leader.lending.allocator.AdvertisedStates(now, maxAdvertisedInStatus)
 	status.Suspects = r.machine.catalog.Quarantine().Update().Entries
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -80,9 +80,9 @@
 	startedAt        time.Duration
 	uncached         int
 	plan             candidate
-	grade            outcomeGrade
-	unreachable      bool  // the connection could not be established
-	quotaLease       cover // lease on the tenant's limit that the attempt used
+	grade            attemptOutcome
+	unreachable      bool       // the connection could not be established
+	quotaLease       quotaLease // lease on the tenant's limit that the attempt used
 	ctx              context.Context
 	cancel           context.CancelCauseFunc
 	silenceTimer     *time.Timer // cancels the attempt if the back end sends nothing; nil without a timeout
@@ -117,15 +117,15 @@
 func (a *attempt) perform() result {
 	x := a.exchange
 	defer a.cancel(nil)
-	defer a.settle()
+	defer a.reportEnd()
 	maxIdle := maxIdleOnce
 	if x.route.Retryable() {
 		maxIdle = maxIdleRetryable
 	}
-	if !a.permit() {
+	if !a.acquireLease() {
 		return result{kind: resultUnreachable, cause: causeLimitReached}
 	}
-	defer a.returnPermit()
+	defer a.releaseLease()
 	conn, err := x.gateway.pool.get(a.ctx, a.row.entry.ID, a.row.entry.Address, maxIdle)
 	if err != nil {
 		a.recordUnreachable(err)
@@ -140,7 +140,7 @@
 	}
 	a.limitLease = allowance.Lease{} // used up
 	x.sentCount++
-	a.quotaLease, x.quotaLease = x.quotaLease, cover{}
+	a.quotaLease, x.quotaLease = x.quotaLease, quotaLease{}
 	a.begin()
 	defer a.end()
 	a.startSilenceTimer(a.maxSilence())
@@ -182,8 +182,8 @@
 	x := a.exchange
 	load := x.gateway.table.end(x.gateway.now(), a, a.grade)
 	if a.plan.scheduled == nil {
-		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.first())
-		x.gateway.table.noteQueue(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.first(), x.gateway.now()-a.startedAt)
+		x.gateway.table.observePrefill(a.row, a.plan.engineIdle, a.uncached, a.timeToFirstEvent())
+		x.gateway.table.observeQueueWait(x.service.Name, enginePriority(x.tenant, x.route), a.plan.queueWait, a.uncached, a.timeToFirstEvent(), x.gateway.now()-a.startedAt)
 		x.gateway.peers.announce(announcement{Gateway: x.gateway.shortName, Load: load, Instance: a.row.entry.ID})
 	}
 }
@@ -196,7 +196,7 @@
 		g.quarantine.ConfirmEnds(reporter.ConnectionRefused, a.row.entry.ID)
 	}
 	a.unreachable = true
-	if isNew := g.table.unreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
+	if isNew := g.table.recordUnreachable(g.now(), a.row); isNew && a.plan.scheduled == nil {
 		g.peers.announce(announcement{Gateway: g.shortName, Instance: a.row.entry.ID, Unreachable: true})
 	}
 }
@@ -217,7 +217,7 @@
 // recheck returns why the request must not be sent after all, or "". While the connection was established, the lease on
 // the back end's limit may have expired, or the back end may have advertised a limit.
 func (a *attempt) recheck() string {
-	if !a.permit() {
+	if !a.acquireLease() {
 		return causeLimitReached
 	}
 	return a.recheckConditions()
@@ -233,9 +233,9 @@
 		return "over"
 	case x.keyRequired && !x.gateway.trusted(now):
 		return reasonViewUnconfirmed
-	case !x.covered():
+	case !x.hasQuota():
 		return reasonLimitUnknown
-	case x.lives() >= quarantine.QuarantineThreshold:
+	case x.crashCount() >= quarantine.QuarantineThreshold:
 		return reasonQuarantined
 	}
 	x.gateway.table.mutex.Lock()
@@ -249,7 +249,7 @@
 	if x.gateway.startsTooLate(now, &a.plan, x.service, x.call.Model) {
 		return causeWeightsOutdated
 	}
-	cause := a.causeGivenLease(now, x.gateway.table.bar(now, a.row, false)) // a signal may have arrived meanwhile
+	cause := a.causeGivenLease(now, x.gateway.table.restrictionCause(now, a.row, false)) // a signal may have arrived meanwhile
 	if cause != "" {
 		x.gateway.metrics.recheckFailures.WithLabelValues(cause).Inc()
 	}
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -12,188 +12,193 @@
 	"kitetiller/internal/quota"
 )
 
-// said is what a back end said of itself to another gateway, as far as it is news here.
-type said struct {
+// peerPushback holds the signals of a back end that another gateway reported, as far as they changed something here.
+type peerPushback struct {
 	instance string
-	news     pushback.Signals
+	signals  pushback.Signals
 }
 
-// hearUnlimited takes up an answer without a limit, to a request that was sent at a time.
-func (g *Gateway) hearUnlimited(row *endpoint, sent time.Duration) {
+// observeNoLimit handles an answer without a limit, to a request sent at the given time.
+func (g *Gateway) observeNoLimit(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
-	over := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
+	withdrawn := g.table.signals.ObserveNoLimit(now, sent, row.incarnation)
 	g.table.mutex.Unlock()
-	if over {
-		news := pushback.Limit{Withdrawn: true}
-		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: news}})
-		g.noteLimit(now, row.entry.ID, news, toldByAnswer, "")
+	if withdrawn {
+		limit := pushback.Limit{Withdrawn: true}
+		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: pushback.Signals{Limit: limit}})
+		g.logLimit(now, row.entry.ID, limit, sourceAnswer, "")
 	}
 }
 
-// hearScheduler takes up the limit of a back end that a scheduler chose: in a large fleet only schedulers are told by others, and this gateway's
-// first request there would be sent without a part of it.
-func (g *Gateway) hearScheduler(now time.Duration, answer *wirePlacement) {
+// observeSchedulerLimit applies the limit in a scheduler's reply. In a large fleet, only schedulers receive other
+// gateways' updates, so this gateway's first request there would otherwise be sent without a lease.
+func (g *Gateway) observeSchedulerLimit(now time.Duration, answer *wirePlacementReply) {
 	if answer.Limit == nil {
 		return
 	}
 	limit := limitFromWire(answer.Limit, false)
 	g.table.mutex.Lock()
 	row := g.table.rows[answer.Instance]
-	news := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
+	changed := row != nil && g.table.signals.ObserveLimit(now-min(now, durationFromMS(answer.LimitAgeMS)), row.incarnation, limit)
 	g.table.mutex.Unlock()
-	if news {
-		g.noteLimit(now, answer.Instance, limit, toldByGateway, "")
+	if changed {
+		g.logLimit(now, answer.Instance, limit, sourceGateway, "")
 	}
 }
 
-// noteLimit logs that a back end names another limit than before, none any more, or one that can't be read.
-func (g *Gateway) noteLimit(now time.Duration, instance string, news pushback.Limit, toldBy, unread string) {
-	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", toldBy)}
+// logLimit logs a limit that changed, was withdrawn, or cannot be parsed.
+func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unreadable string) {
+	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
-	case news.Advertised:
-		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, news.Rate))...)
-	case news.Withdrawn:
+	case limit.Advertised:
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.Float64(events.FieldAdvertisedLimit, limit.Rate))...)
+	case limit.Withdrawn:
 		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
-	if unread == "" {
+	if unreadable == "" {
 		return
 	}
 	if held, due := g.limitLogLimiter.Due(now, instance); due {
-		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unread), zap.Int("held", held))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unreadable), zap.Int("held", held))...)
 	}
 }
 
 const (
-	// permitPause is how long a gateway asks nobody for parts of limits after the lender gave no answer, as long as one leaves a silent scheduler
-	// alone: each question would hold a request up for the time of an answer that doesn't come.
-	permitPause = askAgainAfter
-	// permitLeast is how long a back end is left out at the least of whose limit nothing could be had: an answer that came late tells no time.
-	permitLeast = 10 * time.Millisecond
-	// permitsMost is how many back ends a request may find at their limits once it was placed there.
-	permitsMost = 4
-	// permitCost is what a back end costs that names a limit, in milliseconds: the way to the lender and back. For each second that nobody has
-	// heard it, up to staleMost, staleGain is taken off: only an answer tells that the limit is over, and beside idle back ends none would come.
-	permitCost = 10.0
-	staleGain  = 10.0
-	staleMost  = 20 * time.Second
-	// retellEach is how often the others are told of a limit that hasn't changed, so that one gateway's requests tell for all that it stands.
-	retellEach = time.Second
-	// longestTurn bounds the time to come back where all of a service have reached their limits: what was refused long ago comes back no more.
-	// With what spreads callers it stays below the 8 s of other limits.
-	longestTurn = 7500 * time.Millisecond
+	// leaseRetryInterval is how long no leases on limits are requested after the allocator did not answer, since each
+	// attempt would delay a request by the timeout.
+	leaseRetryInterval = schedulerRetryInterval
+	// minLimitExhaustion is the minimum time for which a back end is excluded after no lease on its limit was
+	// available.
+	minLimitExhaustion = 10 * time.Millisecond
+	// maxLimitedAttempts bounds the attempts of a request that end because the chosen back end is at its limit.
+	maxLimitedAttempts = 4
+	// limitCost is the cost of a back end that advertises a limit, in milliseconds: the round trip to the allocator. It
+	// decreases by limitCostDecay for each second since the limit was last observed, for up to maxLimitCostDecayTime,
+	// because only an answer shows that the limit was withdrawn, and a back end that always costs more than idle ones
+	// would get no requests.
+	limitCost             = 10.0
+	limitCostDecay        = 10.0
+	maxLimitCostDecayTime = 20 * time.Second
+	// limitUpdateInterval is how often an unchanged limit is sent to the other gateways, so that they know it is still
+	// in effect.
+	limitUpdateInterval = time.Second
+	// maxLimitRetryAfter bounds the retry time given when all back ends of a service are at their limits. With jitter,
+	// it stays below the 8 s of other limits.
+	maxLimitRetryAfter = 7500 * time.Millisecond
 )
 
-// Outcomes of questions for a part of a back end's limit, in metrics.
+// Outcomes of lease requests for advertised limits, as metric labels.
 const (
-	permitGranted = "granted"
-	permitOver    = "over"
-	permitUnknown = "unknown" // nobody could be asked
-	permitUnused  = "unused"  // granted, and nothing was sent
+	leaseGranted      = "granted"
+	leaseLimitReached = "over"
+	leaseUnavailable  = "unknown" // the allocator did not answer
+	leaseUnused       = "unused"  // granted, but nothing was sent
 )
 
-// permit takes what a send to a back end counts of its limit, and reports whether it may be sent. The sum over all gateways is what the limit is
-// of, so that the leader counts it; none is needed where no limit is named.
-func (a *attempt) permit() bool {
+// acquireLease acquires the lease for one request under the back end's advertised limit, and reports whether the
+// request may be sent. The leader allocates the limit among all gateways. Without a limit, no lease is needed.
+func (a *attempt) acquireLease() bool {
 	g := a.exchange.gateway
 	now := g.now()
 	if a.limitLease.Valid(now) {
 		return true
 	}
-	limit, dry := g.table.limitOf(now, a.row)
+	limit, exhausted := g.table.advertisedLimit(now, a.row)
 	if limit == nil {
 		return true
 	}
-	if dry {
+	if exhausted {
 		return false
 	}
-	taken := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
-	outcome := permitGranted
+	result := g.leases.AcquireAdvertised(a.ctx, quota.Backend(a.row.entry.ID), *limit)
+	outcome := leaseGranted
 	switch {
-	case taken.Outcome == desk.Granted:
-		a.limitLease = taken.Lease
-	case taken.Outcome == desk.LimitReached:
-		outcome = permitOver
-		g.table.setDry(a.row, g.now()+apart(max(taken.RetryAfter, permitLeast)))
+	case result.Outcome == desk.Granted:
+		a.limitLease = result.Lease
+	case result.Outcome == desk.LimitReached:
+		outcome = leaseLimitReached
+		g.table.setLimitExhausted(a.row, g.now()+withJitter(max(result.RetryAfter, minLimitExhaustion)))
 	case a.ctx.Err() != nil:
-		return false // the caller left, or its time is over: that says nothing of the lender
+		return false // the caller left or the deadline passed, which is not the allocator's fault
 	default:
-		outcome = permitUnknown
-		g.table.setUnlent(g.now() + permitPause)
+		outcome = leaseUnavailable
+		g.table.setLeaseRetryAt(g.now() + leaseRetryInterval)
 	}
 	g.metrics.limitLeases.WithLabelValues(outcome).Inc()
-	return taken.Outcome == desk.Granted
+	return result.Outcome == desk.Granted
 }
 
-// returnPermit gives back what was taken of a limit and not used.
-func (a *attempt) returnPermit() {
+// releaseLease returns an unused lease.
+func (a *attempt) releaseLease() {
 	if a.limitLease.Amount > 0 {
 		a.exchange.gateway.leases.Release(a.limitLease)
-		a.exchange.gateway.metrics.limitLeases.WithLabelValues(permitUnused).Inc()
+		a.exchange.gateway.metrics.limitLeases.WithLabelValues(leaseUnused).Inc()
 		a.limitLease = allowance.Lease{}
 	}
 }
 
-// limitOf returns the limit that a back end names, or nil, and whether nothing of it can be had now.
-func (t *table) limitOf(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, dry bool) {
+// advertisedLimit returns the limit that a back end advertises, or nil, and whether it is exhausted now.
+func (t *table) advertisedLimit(now time.Duration, row *endpoint) (limit *allowance.AdvertisedLimit, exhausted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	named, heard := t.signals.LimitObservedAt(row.incarnation)
-	if !named.Advertised {
+	observed, observedAt := t.signals.LimitObservedAt(row.incarnation)
+	if !observed.Advertised {
 		return nil, false
 	}
-	return &allowance.AdvertisedLimit{Rate: named.Rate, Age: max(0, now-heard)}, t.dry(now, row, false) > 0
+	return &allowance.AdvertisedLimit{Rate: observed.Rate, Age: max(0, now-observedAt)}, t.limitExhaustedFor(now, row, false) > 0
 }
 
-// dry returns how long nothing can be had of a back end's limit, as far as this gateway knows; elsewhere says that another one sends. The caller
-// holds the mutex.
-func (t *table) dry(now time.Duration, row *endpoint, elsewhere bool) time.Duration {
-	if elsewhere {
-		return max(0, row.limitPacedUntil-now) // that one asks for itself; this only spreads what is placed
+// limitExhaustedFor returns how long no lease on a back end's limit will be available, as far as is known. If
+// sentByPeer is set, another gateway sends the request. The caller holds the mutex.
+func (t *table) limitExhaustedFor(now time.Duration, row *endpoint, sentByPeer bool) time.Duration {
+	if sentByPeer {
+		return max(0, row.limitPacedUntil-now) // the peer acquires the lease itself; this only paces placements
 	}
 	return max(0, row.limitExhaustedUntil-now, t.leaseRetryAt-now)
 }
 
-// setDry notes until when nothing can be had of a back end's limit.
-func (t *table) setDry(row *endpoint, until time.Duration) {
+// setLimitExhausted records until when no lease on a back end's limit will be available.
+func (t *table) setLimitExhausted(row *endpoint, until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	row.limitExhaustedUntil = max(row.limitExhaustedUntil, until)
 }
 
-// setUnlent notes until when nobody is asked for a part of any limit.
-func (t *table) setUnlent(until time.Duration) {
+// setLeaseRetryAt records until when no leases are requested at all.
+func (t *table) setLeaseRetryAt(until time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.leaseRetryAt = max(t.leaseRetryAt, until)
 }
 
-// spreadOver spreads what is placed at a back end for other gateways by its limit. The caller holds the mutex.
-func (t *table) spreadOver(now time.Duration, row *endpoint) {
+// pacePeerPlacement spaces placements for other gateways at a back end by its limit. The caller holds the mutex.
+func (t *table) pacePeerPlacement(now time.Duration, row *endpoint) {
 	if limit := t.signals.Limit(row.incarnation); limit.Advertised {
 		row.limitPacedUntil = now + time.Duration(float64(time.Second)/max(limit.Rate, pushback.MinRate))
 	}
 }
 
-// turn returns when the caller of a request may come back whose service's back ends have all reached their limits: not before the first of them
-// takes another one, and behind those that this gateway told before, of whom it may serve its part of the limits in a second.
-func (t *table) turn(now time.Duration, service string, first time.Duration, gateways int64) time.Duration {
+// limitRetryAfter returns when a caller may retry whose service's back ends are all at their limits. Callers get
+// successive times, no earlier than first, spaced at this gateway's share of the limits.
+func (t *table) limitRetryAfter(now time.Duration, service string, first time.Duration, gateways int64) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	sum := 0.0
 	for _, row := range t.services[service] {
-		if row.open() {
+		if row.acceptsRequests() {
 			sum += t.signals.Limit(row.incarnation).Rate
 		}
 	}
 	step := time.Duration(float64(max(1, gateways)) / max(sum, pushback.MinRate) * float64(time.Second))
-	at := min(max(now+first, t.lastRetryAt[service]+step), now+longestTurn)
+	at := min(max(now+first, t.lastRetryAt[service]+step), now+maxLimitRetryAfter)
 	t.lastRetryAt[service] = at
 	return at - now
 }
 
-// limited returns how many back ends name a limit, and the sum of these, by service; a service without one is missing.
-func (t *table) limited() (counts map[string]int, sums map[string]float64) {
+// advertisedLimits returns the number of back ends that advertise a limit and the sum of the limits, by service.
+// Services without any are absent.
+func (t *table) advertisedLimits() (counts map[string]int, sums map[string]float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts, sums = map[string]int{}, map[string]float64{}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -9,78 +9,79 @@
 )
 
 const (
-	// outageFirst is how long a loss of control is taken to last before one has been seen; outageSmoothing weighs the newest.
-	outageFirst     = 500 * time.Millisecond
-	outageSmoothing = 0.3
-	// outageAhead of the time that it has lasted is the least that it is taken to go on: who waited long waits longer.
-	outageAhead = 0.5
-	// adviceLeast and adviceMost bound the time to come back, and adviceSpread is the share by which callers are told
-	// different times, so that they don't come back together.
-	adviceLeast  = 150 * time.Millisecond
-	adviceMost   = 2 * time.Second
-	adviceSpread = 0.4
-	// electionPatience is how lately a control replica must have answered for a leader to be expected soon.
-	electionPatience = 700 * time.Millisecond
-	// startPatience is how long a gateway that has just started is taken to be about to find control.
-	startPatience = 700 * time.Millisecond
-	// viewWaitShare of the caller's patience is how long a request waits for a view that is expected soon, at most as long as
-	// the settings say; callers that don't tell theirs are taken to have defaultPatience.
-	viewWaitShare   = 0.125
-	defaultPatience = 4 * time.Second
+	// initialOutageEstimate is the expected length of the first outage of control; outageSmoothing is the weight of the
+	// newest outage in the mean.
+	initialOutageEstimate = 500 * time.Millisecond
+	outageSmoothing       = 0.3
+	// minRemainingFraction of the time since an outage began is the minimum that it is expected to last further.
+	minRemainingFraction = 0.5
+	// minControlRetryAfter and maxControlRetryAfter bound the retry time before jitter. controlRetryJitter is the
+	// maximum jitter as a fraction of it.
+	minControlRetryAfter = 150 * time.Millisecond
+	maxControlRetryAfter = 2 * time.Second
+	controlRetryJitter   = 0.4
+	// controlContactWindow is how recently a control replica must have answered for a leader to be expected soon.
+	controlContactWindow = 700 * time.Millisecond
+	// startupWindow is how long after its start a gateway is expected to be still connecting to control.
+	startupWindow = 700 * time.Millisecond
+	// viewWaitFraction of the caller's timeout is how long a request waits for a confirmed view, at most
+	// Settings.ViewWait. defaultCallerTimeout is assumed for callers that state none.
+	viewWaitFraction     = 0.125
+	defaultCallerTimeout = 4 * time.Second
 )
 
-// outage tells how long control is likely to be gone, from how long it was before. Its zero value begins with the process:
-// a gateway starts without control.
+// outage estimates how long control stays unavailable, from the lengths of earlier outages. The zero value is an outage
+// that begins with the process. It is safe for concurrent use.
 type outage struct {
-	mu      sync.Mutex
-	over    bool          // control is there; guarded by mu
-	since   time.Duration // when it was lost; guarded by mu
-	typical time.Duration // smoothed length of former ones; 0 before the first; guarded by mu
+	mu           sync.Mutex
+	ended        bool          // control is available; guarded by mu
+	startedAt    time.Duration // of the current or last outage; guarded by mu
+	meanDuration time.Duration // smoothed length of earlier outages; 0 before the first; guarded by mu
 }
 
-// begin notes that control is lost; what it notes later changes nothing.
+// begin records the start of an outage, if none is in progress.
 func (o *outage) begin(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
-		o.over, o.since = false, now
+	if o.ended {
+		o.ended, o.startedAt = false, now
 	}
 }
 
-// end notes that control is back.
+// end records the end of the outage, if one is in progress.
 func (o *outage) end(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
+	if o.ended {
 		return
 	}
-	lasted := now - o.since
-	if o.typical == 0 {
-		o.typical = lasted
+	elapsed := now - o.startedAt
+	if o.meanDuration == 0 {
+		o.meanDuration = elapsed
 	}
-	o.typical += time.Duration(outageSmoothing * float64(lasted-o.typical))
-	o.over = true
+	o.meanDuration += time.Duration(outageSmoothing * float64(elapsed-o.meanDuration))
+	o.ended = true
 }
 
-// left returns how much longer the outage is taken to last.
-func (o *outage) left(now time.Duration) time.Duration {
+// remaining returns the expected remaining time of the outage.
+func (o *outage) remaining(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	typical := o.typical
+	typical := o.meanDuration
 	if typical == 0 {
-		typical = outageFirst
+		typical = initialOutageEstimate
 	}
-	lasted := now - o.since
-	return max(typical-lasted, time.Duration(outageAhead*float64(lasted)))
+	elapsed := now - o.startedAt
+	return max(typical-elapsed, time.Duration(minRemainingFraction*float64(elapsed)))
 }
 
-// comeBack returns when a caller should ask again that is turned away for want of control.
-func (g *Gateway) comeBack() time.Duration {
-	left := min(max(g.outage.left(g.now()), adviceLeast), adviceMost)
-	return left + time.Duration(adviceSpread*rand.Float64()*float64(left))
+// controlRetryAfter returns when a caller may retry a request that was rejected because control is unavailable.
+func (g *Gateway) controlRetryAfter() time.Duration {
+	remaining := min(max(g.outage.remaining(g.now()), minControlRetryAfter), maxControlRetryAfter)
+	return remaining + time.Duration(controlRetryJitter*rand.Float64()*float64(remaining))
 }
 
-// awaitView waits a moment for control where it is expected, and reports whether the view is confirmed.
+// awaitView waits until control confirms the view, if that is expected soon, and reports whether the view is confirmed.
 func (x *exchange) awaitView() bool {
 	g := x.gateway
 	for {
@@ -88,30 +89,30 @@
 		if g.trusted(g.now()) {
 			return true
 		}
-		left := x.arrived + x.viewWait() - g.now()
-		if left <= 0 || !g.expectsControl() {
+		remaining := x.arrived + x.viewWait() - g.now()
+		if remaining <= 0 || !g.expectsControl() {
 			return false
 		}
 		select {
 		case <-next:
-		case <-time.After(left):
+		case <-time.After(remaining):
 		case <-x.request.Context().Done():
 			return false
 		}
 	}
 }
 
-// expectsControl reports whether control is likely to confirm the view in a moment: a replica answers, so that there will be
-// a leader, or nobody could have answered yet.
+// expectsControl reports whether control is likely to confirm the view soon: a replica answers, so that a leader will
+// be elected, or the gateway has only just started.
 func (g *Gateway) expectsControl() bool {
-	return g.enabled(mechanism.ViewWait) && (g.group.HeardWithin(electionPatience) || g.now() < startPatience)
+	return g.enabled(mechanism.ViewWait) && (g.group.AnsweredWithin(controlContactWindow) || g.now() < startupWindow)
 }
 
-// viewWait is how long the request may wait for a confirmed view.
+// viewWait returns how long the request may wait for a confirmed view.
 func (x *exchange) viewWait() time.Duration {
-	patience := x.call.Timeout
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := x.call.Timeout
+	if timeout == 0 {
+		timeout = defaultCallerTimeout
 	}
-	return min(x.gateway.settings.MaxViewWait, time.Duration(viewWaitShare*float64(patience)))
+	return min(x.gateway.settings.MaxViewWait, time.Duration(viewWaitFraction*float64(timeout)))
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// outboxRing is how many tokens may wait for a slow caller before its request is given up.
-	outboxRing = 512
+	// tokenBufferSize is how many tokens may wait for a slow caller before its request is given up.
+	tokenBufferSize = 512
 	// writeTimeout is how long one write to a caller may take.
-	writeTimeout   = 10 * time.Second
-	eventStream    = "text/event-stream"
-	objectChat     = "chat.completion"
-	objectChunk    = "chat.completion.chunk"
-	objectText     = "text_completion"
-	roleAssistant  = "assistant"
-	statusSlow     = "the caller reads too slowly"
-	statusInternal = "the stream could not be completed"
+	writeTimeout           = 10 * time.Second
+	contentTypeEventStream = "text/event-stream"
+	objectChat             = "chat.completion"
+	objectChunk            = "chat.completion.chunk"
+	objectText             = "text_completion"
+	roleAssistant          = "assistant"
+	detailSlowClient       = "the caller reads too slowly"
+	detailIncompleteStream = "the stream could not be completed"
 )
 
 // token is one piece of an answer on its way to the caller.
@@ -37,137 +37,137 @@
 
 // exchange is one caller's request and the ring towards the caller.
 type exchange struct {
-	name       string
-	request    core.Request
-	completion *api.CompletionRequest // nil for small services
-	prompt     string
-	body       []byte
-	chat       bool
-	writer     http.ResponseWriter
-	received   time.Time
-	again      quarantine.Request // what stays when it comes again
+	name              string
+	request           core.Request
+	completion        *api.CompletionRequest // nil for small services
+	prompt            string
+	body              []byte
+	chat              bool
+	writer            http.ResponseWriter
+	received          time.Time
+	quarantineRequest quarantine.Request // what stays when it comes again
 
-	tokens      chan token
-	final       chan core.ActionFinish // room for one
-	attempts    int32                  // owned by the decide thread
-	notRun      atomic.Int32           // attempts that provably didn't run; at most attempts
-	lastAttempt uint64                 // owned by the decide thread
-	firstToken  bool                   // owned by the decide thread
-	slow        bool                   // owned by the decide thread: a token was dropped
-	givenUp     bool                   // owned by the decide thread: the core knows
+	tokens        chan token
+	final         chan core.ActionFinish // room for one
+	attempts      int32                  // owned by the decide thread
+	notRun        atomic.Int32           // attempts that provably didn't run; at most attempts
+	lastAttempt   uint64                 // owned by the decide thread
+	firstToken    bool                   // owned by the decide thread
+	tokensDropped bool                   // owned by the decide thread: a token was dropped
+	slowReported  bool                   // owned by the decide thread: the core knows
 }
 
 // serve passes a request to the core and its answer to the caller.
-func (s *Server) serve(run *exchange, r *http.Request) {
-	run.tokens = make(chan token, outboxRing)
-	run.final = make(chan core.ActionFinish, 1)
-	run.writer.Header().Set(api.HeaderRequestID, run.name)
-	run.writer.Header().Set(api.HeaderRouter, s.file.Name)
+func (s *Server) serve(ex *exchange, r *http.Request) {
+	ex.tokens = make(chan token, tokenBufferSize)
+	ex.final = make(chan core.ActionFinish, 1)
+	ex.writer.Header().Set(api.HeaderRequestID, ex.name)
+	ex.writer.Header().Set(api.HeaderRouter, s.file.Name)
 	if s.draining.Load() {
-		run.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
-		run.writer.Header().Set(api.HeaderDraining, "true")
-		s.refuse(run.writer, r, run.name, &callerError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
+		ex.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
+		ex.writer.Header().Set(api.HeaderDraining, "true")
+		s.reject(ex.writer, r, ex.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
 		return
 	}
-	if s.heldBack(run, r) {
+	if s.rejectIfQuarantined(ex, r) {
 		return
 	}
-	if !s.register(run) {
-		s.refuse(run.writer, r, run.name, &callerError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
+	if !s.register(ex) {
+		s.reject(ex.writer, r, ex.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router has too many requests", ""})
 		return
 	}
-	if !s.offer(core.EventRequest{Request: run.request}) {
-		s.unregister(run.request.ID)
-		s.refuse(run.writer, r, run.name, &callerError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
+	if !s.offer(core.EventRequest{Request: ex.request}) {
+		s.unregister(ex.request.ID)
+		s.reject(ex.writer, r, ex.name, &requestError{reasonOverload, http.StatusServiceUnavailable, "This router is overloaded", ""})
 		return
 	}
-	if run.completion != nil && run.completion.Stream {
-		s.relayStream(r.Context(), run)
+	if ex.completion != nil && ex.completion.Stream {
+		s.relayStream(r.Context(), ex)
 		return
 	}
-	s.relayWhole(r.Context(), run)
+	s.relayBuffered(r.Context(), ex)
 }
 
-func (s *Server) register(run *exchange) bool {
+func (s *Server) register(ex *exchange) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.waiting) >= s.file.Router.MaxConnections {
+	if len(s.exchanges) >= s.file.Router.MaxConnections {
 		return false
 	}
-	s.waiting[run.request.ID] = run
+	s.exchanges[ex.request.ID] = ex
 	return true
 }
 
 func (s *Server) unregister(id core.RequestID) {
 	s.mutex.Lock()
-	delete(s.waiting, id)
+	delete(s.exchanges, id)
 	s.mutex.Unlock()
 }
 
 func (s *Server) exchange(id core.RequestID) *exchange {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.waiting[id]
+	return s.exchanges[id]
 }
 
 // deliverChunk puts a token into the caller's ring; a full ring gives the request up.
 func (s *Server) deliverChunk(action core.ActionChunk) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if run.slow {
-		s.giveUp(run)
+	if ex.tokensDropped {
+		s.reportSlowClient(ex)
 		return
 	}
-	if !run.firstToken {
-		run.firstToken = true
-		s.metrics.firstToken.WithLabelValues(run.request.Service).Observe(time.Since(run.received).Seconds())
+	if !ex.firstToken {
+		ex.firstToken = true
+		s.metrics.firstToken.WithLabelValues(ex.request.Service).Observe(time.Since(ex.received).Seconds())
 	}
 	select {
-	case run.tokens <- token{index: action.Index, text: action.Text}:
+	case ex.tokens <- token{index: action.Index, text: action.Text}:
 	default:
-		run.slow = true
-		s.giveUp(run)
+		ex.tokensDropped = true
+		s.reportSlowClient(ex)
 	}
 }
 
-// giveUp tells the core that a caller reads too slowly, again with each token while the event ring is full.
-func (s *Server) giveUp(run *exchange) {
-	if !run.givenUp {
-		run.givenUp = s.offer(core.EventCallerGone{ID: run.request.ID})
+// reportSlowClient tells the core that a caller reads too slowly, again with each token while the event ring is full.
+func (s *Server) reportSlowClient(ex *exchange) {
+	if !ex.slowReported {
+		ex.slowReported = s.offer(core.EventCallerGone{ID: ex.request.ID})
 	}
 }
 
 // deliverFinish hands the final answer to the caller's goroutine.
 func (s *Server) deliverFinish(action core.ActionFinish) {
-	run := s.exchange(action.ID)
-	if run == nil {
+	ex := s.exchange(action.ID)
+	if ex == nil {
 		return
 	}
-	if run.slow && action.Reason == core.ReasonComplete {
+	if ex.tokensDropped && action.Reason == core.ReasonComplete {
 		action.Reason = core.ReasonCallerGone // tokens were dropped: the caller's stream is not whole
 	}
 	s.unregister(action.ID)
 	if action.Reason == core.ReasonComplete {
-		s.endedWell(run)
+		s.recordCompletion(ex)
 	}
-	s.logFinish(run, action)
-	run.final <- action
-	close(run.tokens)
+	s.logFinish(ex, action)
+	ex.final <- action
+	close(ex.tokens)
 }
 
 // problemFor turns a final action into a problem.
-func (s *Server) problemFor(run *exchange, final core.ActionFinish) api.Problem {
+func (s *Server) problemFor(ex *exchange, final core.ActionFinish) api.Problem {
 	problem := api.NewProblem(final.Reason, final.Run, detailFor(final)).WithRetry(final.RetryAfter)
-	problem.RequestID = run.name
+	problem.RequestID = ex.name
 	return problem
 }
 
 func detailFor(final core.ActionFinish) string {
 	switch {
 	case final.Reason == core.ReasonCallerGone:
-		return statusSlow
+		return detailSlowClient
 	case final.Run == core.RunUnknown && final.Reason != core.ReasonRunUnknown && final.Reason != core.ReasonInProgress:
 		return "whether the request ran is not known; send it again with the same Idempotency-Key to learn it"
 	}
@@ -176,27 +176,27 @@
 
 // relayStream writes server-sent events as tokens come. A stream that cannot be completed ends with an error
 // event and without the end marker.
-func (s *Server) relayStream(ctx context.Context, run *exchange) {
-	controller := http.NewResponseController(run.writer)
-	header := run.writer.Header()
+func (s *Server) relayStream(ctx context.Context, ex *exchange) {
+	controller := http.NewResponseController(ex.writer)
+	header := ex.writer.Header()
 	started := false
 	for {
 		select {
 		case <-ctx.Done():
-			s.post(core.EventCallerGone{ID: run.request.ID})
+			s.post(core.EventCallerGone{ID: ex.request.ID})
 			return
-		case piece, open := <-run.tokens:
+		case piece, open := <-ex.tokens:
 			if !open {
-				s.endStream(run, controller, started)
+				s.endStream(ex, controller, started)
 				return
 			}
 			if !started {
 				started = true
-				header.Set("Content-Type", eventStream)
+				header.Set("Content-Type", contentTypeEventStream)
 				header.Set("Cache-Control", "no-store")
 			}
-			if !s.writeTokens(run, controller, piece) {
-				s.post(core.EventCallerGone{ID: run.request.ID})
+			if !s.writeTokens(ex, controller, piece) {
+				s.post(core.EventCallerGone{ID: ex.request.ID})
 				return
 			}
 		}
@@ -204,35 +204,35 @@
 }
 
 // writeTokens writes a token and whatever else waits, with one flush.
-func (s *Server) writeTokens(run *exchange, controller *http.ResponseController, piece token) bool {
+func (s *Server) writeTokens(ex *exchange, controller *http.ResponseController, piece token) bool {
 	var out bytes.Buffer
-	s.encodeChunk(&out, run, piece)
-	for range outboxRing {
+	s.encodeChunk(&out, ex, piece)
+	for range tokenBufferSize {
 		select {
-		case next, open := <-run.tokens:
+		case next, open := <-ex.tokens:
 			if !open {
-				return flush(run, controller, &out)
+				return flush(ex, controller, &out)
 			}
-			s.encodeChunk(&out, run, next)
+			s.encodeChunk(&out, ex, next)
 			continue
 		default:
 		}
 		break
 	}
-	return flush(run, controller, &out)
+	return flush(ex, controller, &out)
 }
 
-func flush(run *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
+func flush(ex *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // not every writer supports it
-	if _, err := run.writer.Write(out.Bytes()); err != nil {
+	if _, err := ex.writer.Write(out.Bytes()); err != nil {
 		return false
 	}
 	return controller.Flush() == nil
 }
 
-func (s *Server) encodeChunk(out *bytes.Buffer, run *exchange, piece token) {
-	chunk := s.response(run, objectChunk)
-	if run.chat {
+func (s *Server) encodeChunk(out *bytes.Buffer, ex *exchange, piece token) {
+	chunk := s.newResponse(ex, objectChunk)
+	if ex.chat {
 		chunk.Choices = []api.Choice{{Delta: &api.ChatMessage{Role: roleAssistant, Content: piece.text}}}
 	} else {
 		chunk.Object = objectText
@@ -245,94 +245,94 @@
 	fmt.Fprintf(out, "id: %d\ndata: %s\n\n", piece.index, data)
 }
 
-func (s *Server) response(run *exchange, object string) api.CompletionResponse {
-	return api.CompletionResponse{ID: run.name, Object: object, Created: run.received.Unix(), Model: run.completion.Model}
+func (s *Server) newResponse(ex *exchange, object string) api.CompletionResponse {
+	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.received.Unix(), Model: ex.completion.Model}
 }
 
-func (s *Server) endStream(run *exchange, controller *http.ResponseController, started bool) {
-	final := <-run.final
+func (s *Server) endStream(ex *exchange, controller *http.ResponseController, started bool) {
+	final := <-ex.final
 	var out bytes.Buffer
 	if final.Reason != core.ReasonComplete {
-		problem := s.problemFor(run, final)
+		problem := s.problemFor(ex, final)
 		if !started {
-			problem.Write(run.writer)
+			problem.Write(ex.writer)
 			return
 		}
 		if problem.Detail == "" {
-			problem.Detail = statusInternal
+			problem.Detail = detailIncompleteStream
 		}
 		data, _ := json.Marshal(problem) // plain struct, cannot fail
 		fmt.Fprintf(&out, "event: error\ndata: %s\n\n", data)
-		flush(run, controller, &out)
+		flush(ex, controller, &out)
 		return
 	}
 	if !started {
-		run.writer.Header().Set("Content-Type", eventStream)
+		ex.writer.Header().Set("Content-Type", contentTypeEventStream)
 	}
-	last := s.response(run, objectChunk)
+	last := s.newResponse(ex, objectChunk)
 	finish := api.FinishStop
 	last.Choices = []api.Choice{{FinishReason: &finish}}
-	last.Usage = usage(run, final.Tokens)
+	last.Usage = usage(ex, final.Tokens)
 	data, _ := json.Marshal(last) // plain struct, cannot fail
 	fmt.Fprintf(&out, "data: %s\n\ndata: %s\n\n", data, api.StreamEnd)
-	flush(run, controller, &out)
+	flush(ex, controller, &out)
 }
 
-func usage(run *exchange, tokens int) *api.Usage {
+func usage(ex *exchange, tokens int) *api.Usage {
 	return &api.Usage{
-		PromptTokens: run.request.PromptTokens, CompletionTokens: tokens, TotalTokens: run.request.PromptTokens + tokens,
+		PromptTokens: ex.request.PromptTokens, CompletionTokens: tokens, TotalTokens: ex.request.PromptTokens + tokens,
 	}
 }
 
-// relayWhole collects the answer and writes it at once.
-func (s *Server) relayWhole(ctx context.Context, run *exchange) {
+// relayBuffered collects the answer and writes it at once.
+func (s *Server) relayBuffered(ctx context.Context, ex *exchange) {
 	var text strings.Builder
 	for {
 		select {
 		case <-ctx.Done():
-			s.post(core.EventCallerGone{ID: run.request.ID})
+			s.post(core.EventCallerGone{ID: ex.request.ID})
 			return
-		case piece, open := <-run.tokens:
+		case piece, open := <-ex.tokens:
 			if open {
 				text.WriteString(piece.text)
 				continue
 			}
-			s.answerWhole(run, <-run.final, text.String())
+			s.writeBuffered(ex, <-ex.final, text.String())
 			return
 		}
 	}
 }
 
-func (s *Server) answerWhole(run *exchange, final core.ActionFinish, text string) {
+func (s *Server) writeBuffered(ex *exchange, final core.ActionFinish, text string) {
 	switch {
-	case final.Reason == core.ReasonComplete && run.completion != nil:
-		s.answerCompletion(run, final, text)
+	case final.Reason == core.ReasonComplete && ex.completion != nil:
+		s.writeCompletion(ex, final, text)
 	case (final.Reason == core.ReasonComplete || final.Reason == core.ReasonReplayed) && final.Answer != nil:
 		if final.Reason == core.ReasonReplayed {
-			run.writer.Header().Set(api.HeaderRun, string(core.RunYes))
+			ex.writer.Header().Set(api.HeaderRun, string(core.RunYes))
 		}
 		if final.Answer.Truncated {
-			api.NewProblem(core.ReasonRunUnknown, core.RunYes, "the request ran; its answer was too long to keep").Write(run.writer)
+			api.NewProblem(core.ReasonRunUnknown, core.RunYes, "the request ran; its answer was too long to keep").Write(ex.writer)
 			return
 		}
-		run.writer.Header().Set("Content-Type", final.Answer.ContentType)
-		run.writer.WriteHeader(final.Answer.Status)
-		_, _ = run.writer.Write(final.Answer.Body) // a caller that is gone cannot be told
+		ex.writer.Header().Set("Content-Type", final.Answer.ContentType)
+		ex.writer.WriteHeader(final.Answer.Status)
+		_, _ = ex.writer.Write(final.Answer.Body) // a caller that is gone cannot be told
 	default:
-		s.problemFor(run, final).Write(run.writer)
+		s.problemFor(ex, final).Write(ex.writer)
 	}
 }
 
-func (s *Server) answerCompletion(run *exchange, final core.ActionFinish, text string) {
-	answer := s.response(run, objectChat)
+func (s *Server) writeCompletion(ex *exchange, final core.ActionFinish, text string) {
+	answer := s.newResponse(ex, objectChat)
 	finish := api.FinishStop
 	choice := api.Choice{FinishReason: &finish, Text: text}
-	if run.chat {
+	if ex.chat {
 		choice = api.Choice{FinishReason: &finish, Message: &api.ChatMessage{Role: roleAssistant, Content: text}}
 	} else {
 		answer.Object = objectText
 	}
 	answer.Choices = []api.Choice{choice}
-	answer.Usage = usage(run, final.Tokens)
-	writeJSON(run.writer, answer)
+	answer.Usage = usage(ex, final.Tokens)
+	writeJSON(ex.writer, answer)
 }
--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -14,20 +14,20 @@
 	"kitetiller/internal/transport"
 )
 
-func newSender() *Server {
-	return &Server{backends: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
+func newSendingServer() *Server {
+	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
-// TestBackendThatReadsAndClosesGetsTheRequestOnce: net/http sends a request again by itself when a reused
+// TestSendOnceDoesNotRetryOnClosedConnection: net/http sends a request again by itself when a reused
 // connection dies and it thinks that this is safe. The first request leaves a connection for reuse; the back end
 // reads the second one and closes.
-func TestBackendThatReadsAndClosesGetsTheRequestOnce(t *testing.T) {
-	var seen atomic.Int32
+func TestSendOnceDoesNotRetryOnClosedConnection(t *testing.T) {
+	var received atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/first" {
 			return
 		}
-		seen.Add(1)
+		received.Add(1)
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			t.Error(err)
@@ -37,7 +37,7 @@
 	}))
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
-	s := newSender()
+	s := newSendingServer()
 	response, err := s.sendOnce(context.Background(), address, "/first", "a")
 	if err != nil {
 		t.Fatal(err)
@@ -48,58 +48,58 @@
 	} else if neverSent(err) {
 		t.Fatalf("%v counts as never sent, but the back end read it", err)
 	}
-	if got := seen.Load(); got != 1 {
+	if got := received.Load(); got != 1 {
 		t.Fatalf("the back end read the request %d times", got)
 	}
 }
 
-func TestRefusedConnectionProvesThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionCountsAsNeverSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = newSender().sendOnce(context.Background(), address, "/", "a")
+	_, err = newSendingServer().sendOnce(context.Background(), address, "/", "a")
 	if err == nil || !neverSent(err) {
 		t.Fatalf("error %v does not count as never sent", err)
 	}
-	if event := (&attemptRun{}).failure(err); event.Kind != core.AttemptRefused {
+	if event := (&activeAttempt{}).failureEvent(err); event.Kind != core.AttemptRefused {
 		t.Fatalf("event %+v", event)
 	}
 }
 
 func TestRedirectsAreNotFollowed(t *testing.T) {
-	var second atomic.Int32
+	var followed atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/again" {
-			second.Add(1)
+			followed.Add(1)
 		}
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
 	defer backend.Close()
-	response, err := newSender().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
+	response, err := newSendingServer().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	if second.Load() != 0 {
+	if followed.Load() != 0 {
 		t.Fatal("a back end's redirect sent the request a second time")
 	}
 }
 
-// TestStreamWithADroppedTokenNeverEndsClean: when a caller's ring is full and even the decision to give the caller up
+// TestStreamWithDroppedTokensIsNotReportedComplete: when a caller's ring is full and even the decision to give the caller up
 // is shed, the stream must not be told to be complete.
-func TestStreamWithADroppedTokenNeverEndsClean(t *testing.T) {
-	s := &Server{events: make(chan core.Event), waiting: map[core.RequestID]*exchange{}, log: zap.NewNop()}
+func TestStreamWithDroppedTokensIsNotReportedComplete(t *testing.T) {
+	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
-	run := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
-	s.waiting[1] = run
+	ex := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
+	s.exchanges[1] = ex
 	for index := range 3 {
 		s.deliverChunk(core.ActionChunk{ID: 1, Index: index})
 	}
 	s.deliverFinish(core.ActionFinish{ID: 1, Reason: core.ReasonComplete, Run: core.RunYes, Tokens: 3})
-	if final := <-run.final; final.Reason == core.ReasonComplete {
+	if final := <-ex.final; final.Reason == core.ReasonComplete {
 		t.Fatalf("2 of 3 tokens were dropped, and the stream ended as %s", final.Reason)
 	}
 }
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -33,12 +33,12 @@
 	testKey     = "key"
 	testTenant  = "tenant"
 	testService = "llm"
-	patience    = 20 * time.Second // how long a test waits for something that must happen
+	testTimeout = 20 * time.Second // how long a test waits for something that must happen
 )
 
-// site is a router process in this test's process, with one engine and no control group: it serves by the settings
+// testRouter is a router process in this test's process, with one engine and no control group: it serves by the settings
 // of its folder, as after a restart in a zone that is cut off.
-type site struct {
+type testRouter struct {
 	t         *testing.T
 	engine    *httptest.Server
 	platform  *httptest.Server
@@ -63,9 +63,9 @@
 	return tree
 }
 
-func startSite(t *testing.T) *site {
+func startTestRouter(t *testing.T) *testRouter {
 	t.Helper()
-	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
+	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
 	s.engine = httptest.NewServer(s.engineRoutes())
 	t.Cleanup(s.engine.Close)
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -78,7 +78,7 @@
 }
 
 // settingsFolder returns a router's folder with settings.
-func (s *site) settingsFolder() string {
+func (s *testRouter) settingsFolder() string {
 	s.t.Helper()
 	folder := s.t.TempDir()
 	if err := storage.WriteJSON(filepath.Join(folder, settingsFile), session.Settings{Version: 7, Tree: testSettings()}); err != nil {
@@ -87,7 +87,7 @@
 	return folder
 }
 
-func (s *site) engineRoutes() http.Handler {
+func (s *testRouter) engineRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
@@ -97,7 +97,7 @@
 }
 
 // generate gives one token, waits for the release, and gives the rest.
-func (s *site) generate(w http.ResponseWriter, r *http.Request) {
+func (s *testRouter) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		s.t.Error(err)
@@ -124,7 +124,7 @@
 	send(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
 
-func (s *site) start(folder string) {
+func (s *testRouter) start(folder string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -133,7 +133,7 @@
 	_ = listener.Close()
 	file := &node.File{Name: "r1", Zone: "z", Data: folder, AdminToken: "admin", Router: &node.Router{
 		Listen: s.address, Control: []string{cmp.Or(s.control, "127.0.0.1:1")}, Platform: s.platform.Listener.Addr().String(), PrefixKey: strings.Repeat("01", prefix.KeyBytes),
-		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: patience, MaxConnections: 100}}
+		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: testTimeout, MaxConnections: 100}}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	server, err := NewServer(ctx, file, zap.NewNop())
@@ -159,9 +159,9 @@
 	})
 }
 
-func (s *site) eventually(what string, check func() bool) {
+func (s *testRouter) eventually(what string, check func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
 			return
 		}
@@ -169,7 +169,7 @@
 	s.t.Fatalf("never happened: %s", what)
 }
 
-func (s *site) post(path, key, body string, headers ...string) *http.Response {
+func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -189,22 +189,22 @@
 	return response
 }
 
-const goodBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
+const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
-// TestRouterServesFromItsFolder: a router that restarts without any control replica in reach serves at once where the
+// TestRouterServesStoredSettingsWithoutControl: a router that restarts without any control replica in reach serves at once where the
 // tree allows it.
-func TestRouterServesFromItsFolder(t *testing.T) {
-	s := startSite(t)
+func TestRouterServesStoredSettingsWithoutControl(t *testing.T) {
+	s := startTestRouter(t)
 	close(s.release)
-	text, err := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body)
+	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
 		t.Fatalf("%v: %s", err, text)
 	}
 }
 
-// TestBadRequestsGetAClearError: each is refused with what is wrong, and the next good one is served.
-func TestBadRequestsGetAClearError(t *testing.T) {
-	s := startSite(t)
+// TestInvalidRequestsAreRejectedWithProblem: each is refused with what is wrong, and the next good one is served.
+func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
+	s := startTestRouter(t)
 	close(s.release)
 	for _, row := range []struct {
 		name, path, key, body string
@@ -212,14 +212,14 @@
 		status                int
 		run                   core.RunStatus
 	}{
-		{"no key", "/v1/completions", "", goodBody, nil, 401, core.RunNot},
-		{"unknown key", "/v1/completions", "other", goodBody, nil, 401, core.RunNot},
+		{"no key", "/v1/completions", "", validBody, nil, 401, core.RunNot},
+		{"unknown key", "/v1/completions", "other", validBody, nil, 401, core.RunNot},
 		{"not JSON", "/v1/completions", testKey, "{", nil, 400, core.RunNot},
 		{"no prompt", "/v1/completions", testKey, `{"model":"llm"}`, nil, 400, core.RunNot},
 		{"negative tokens", "/v1/completions", testKey, `{"model":"llm","prompt":"x","max_tokens":-1}`, nil, 400, core.RunNot},
 		{"unknown model", "/v1/completions", testKey, `{"model":"other","prompt":"x"}`, nil, 404, core.RunNot},
 		{"too long", "/v1/completions", testKey, strings.Repeat("x", 5000), nil, 413, core.RunNot},
-		{"unknown priority", "/v1/completions", testKey, goodBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
+		{"unknown priority", "/v1/completions", testKey, validBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
 		{"unknown service", "/v1/services/none", testKey, "{}", nil, 404, core.RunNot},
 		{"no idempotency key", "/v1/services/small", testKey, "{}", nil, 400, core.RunNot},
 		{"key may have run before", "/v1/services/small", "other", "{}", []string{api.HeaderIdempotencyKey, "k"}, 401, core.RunUnknown},
@@ -235,15 +235,15 @@
 			}
 		})
 	}
-	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body); !strings.Contains(string(text), "[DONE]") {
+	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body); !strings.Contains(string(text), "[DONE]") {
 		t.Fatalf("after the bad requests: %s", text)
 	}
 }
 
-// TestCallerThatHangsUpCancelsTheEngine: the engine must not go on for nobody.
-func TestCallerThatHangsUpCancelsTheEngine(t *testing.T) {
-	s := startSite(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+// TestClientDisconnectCancelsAttempt: the engine must not go on for nobody.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	s := startTestRouter(t)
+	response := s.post("/v1/completions", testKey, validBody)
 	if _, err := bufio.NewReader(response.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -251,18 +251,18 @@
 	s.eventually("the engine's attempt is cancelled", func() bool { return s.cancelled.Load() == 1 })
 }
 
-// TestPlannedStopFinishesTheStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
+// TestDrainFinishesActiveStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
 // refused meanwhile.
-func TestPlannedStopFinishesTheStream(t *testing.T) {
-	s := startSite(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+func TestDrainFinishesActiveStream(t *testing.T) {
+	s := startTestRouter(t)
+	response := s.post("/v1/completions", testKey, validBody)
 	reader := bufio.NewReader(response.Body)
 	if _, err := reader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	s.stop()
 	s.eventually("new requests are refused", func() bool {
-		refused := s.post("/v1/completions", testKey, goodBody)
+		refused := s.post("/v1/completions", testKey, validBody)
 		return refused.StatusCode == http.StatusServiceUnavailable && refused.Header.Get(api.HeaderDraining) != ""
 	})
 	close(s.release)
@@ -275,14 +275,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the router did not end after its last stream")
 	}
 }
 
 // TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
 func TestModelsAreListed(t *testing.T) {
-	s := startSite(t)
+	s := startTestRouter(t)
 	ask := func(key string) (*http.Response, api.ModelList) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+s.address+"/v1/models", nil)
 		if err != nil {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -99,14 +99,14 @@
 
 // otherPeers returns all routers but this one, those of its own zone first.
 func (m *Machine) otherPeers() []control.Peer {
-	others := []control.Peer{}
+	peers := []control.Peer{}
 	for _, peer := range m.peers.Peers {
 		if peer.Name != m.identity.Router {
-			others = append(others, peer)
+			peers = append(peers, peer)
 		}
 	}
-	slices.SortStableFunc(others, func(a, b control.Peer) int { return m.zoneDistance(a) - m.zoneDistance(b) })
-	return others
+	slices.SortStableFunc(peers, func(a, b control.Peer) int { return m.zoneDistance(a) - m.zoneDistance(b) })
+	return peers
 }
 
 func (m *Machine) zoneDistance(peer control.Peer) int {
@@ -117,7 +117,7 @@
 }
 
 // MarkSynced records that a version is synced to disk, so that the next heartbeat acknowledges it.
-func (m *Machine) MarkSynced(saved Settings) { m.synced = saved }
+func (m *Machine) MarkSynced(synced Settings) { m.synced = synced }
 
 // Synced returns the newest synced version.
 func (m *Machine) Synced() Settings { return m.synced }
