--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -39,8 +39,8 @@
 // backendState is the leader's in-memory state of a back end.
 type backendState struct {
 	id         string
-	hashWeight uint64 // in use if at most the bound of its service
-	heardAt    time.Duration
+	hashWeight uint64        // in use if at most the bound of its service
+	heardAt    time.Duration // time of the last heartbeat or keepalive
 	// registeredAt is when this leader handled its registration; 0 if an earlier leader did.
 	registeredAt      time.Duration
 	sequence          uint64
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -77,14 +77,14 @@
 	return append(append([]payload.Part{{Own: head}}, parts...), payload.Part{Own: []byte("}}")}), nil
 }
 
-// heldWatch is a watch that waits for a change.
+// heldWatch is a watch that is answered when something changes or it is due.
 type heldWatch struct {
 	client uint64
 	watch  Watch
 	due    time.Duration
 }
 
-// usageReport is the load of a gateway as last reported by itself.
+// usageReport is the latest report of a gateway on its load.
 type usageReport struct {
 	receivedAt time.Duration
 	zone       string
