--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -249,9 +249,9 @@
 	return r.config.GatewayTrust + r.config.GatewayTrust/leaseMarginDivisor
 }
 
-// ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests.
-// A gateway stops sending when its view expires, and so do those that were last confirmed by an earlier leader. It
-// returns the maximum count if there is no such gateway.
+// ackedRosterCount returns the count of the newest roster that is in use at every gateway that may still send requests;
+// a gateway stops sending when its view expires. It returns 0 while one of them uses a roster of an earlier leader, and
+// the maximum count if there are none.
 func (r *Replica) ackedRosterCount(now time.Duration) uint64 {
 	acked := uint64(math.MaxUint64)
 	if !r.config.Guards.On(guard.DrainBeforeWeightsChange) {
