--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -9,13 +9,13 @@
 // its own life either: then no process is left that a lease was promised to. The answer must be to this life: one that was
 // given to a former life may be older than a promise which that life made since.
 type coldStart struct {
-	life    uint64             // random name of this life of the replica
-	began   time.Duration      // when this life began
-	over    bool               // this life has heard a leader, or led; it never turns false again
-	quiet   bool               // every other voter knows no leader; only while over is false
-	askedAt time.Duration      // when the others were last asked
-	others  map[ID]logPosition // voters that know no leader, with the end of their logs
-	rank    int                // voters that go ahead of this replica; only while quiet
+	incarnation uint64             // random name of this life of the replica
+	began       time.Duration      // when this life began
+	over        bool               // this life has heard a leader, or led; it never turns false again
+	quiet       bool               // every other voter knows no leader; only while over is false
+	askedAt     time.Duration      // when the others were last asked
+	others      map[ID]logPosition // voters that know no leader, with the end of their logs
+	rank        int                // voters that go ahead of this replica; only while quiet
 }
 
 // logPosition is the end of a replica's log.
@@ -60,7 +60,7 @@
 	n.cold.askedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
-			n.sendCold(MessageCold, m.ID, n.cold.life)
+			n.sendCold(MessageCold, m.ID, n.cold.incarnation)
 		}
 	}
 	n.judgeCold(now) // there may be no other
@@ -77,13 +77,13 @@
 	}
 	n.sendCold(MessageColdReply, m.From, m.Life)
 	if _, told := n.cold.others[m.From]; !told && !n.cold.quiet && n.membership.IsVoter(m.From) {
-		n.sendCold(MessageCold, m.From, n.cold.life)
+		n.sendCold(MessageCold, m.From, n.cold.incarnation)
 	}
 }
 
 // handleColdReply counts a voter that knows no leader.
 func (n *Node) handleColdReply(now time.Duration, m Message) {
-	if n.cold.over || n.cold.quiet || m.Life != n.cold.life || !n.membership.IsVoter(n.config.ID) {
+	if n.cold.over || n.cold.quiet || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
 	n.cold.others[m.From] = logPosition{term: m.LogTerm, index: m.Index}
