--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -10,7 +10,7 @@
 // given to a former life may be older than a promise which that life made since.
 type coldStart struct {
 	incarnation uint64             // random name of this life of the replica
-	began       time.Duration      // when this life began
+	startedAt   time.Duration      // when this life began
 	over        bool               // this life has heard a leader, or led; it never turns false again
 	quiet       bool               // every other voter knows no leader; only while over is false
 	askedAt     time.Duration      // when the others were last asked
@@ -43,7 +43,7 @@
 // election has long begun.
 func (c *coldStart) due(timing Timing) (time.Duration, bool) {
 	next := c.askedAt + timing.Heartbeat
-	return next, !c.over && !c.quiet && next < c.began+timing.ElectionMax
+	return next, !c.over && !c.quiet && next < c.startedAt+timing.ElectionMax
 }
 
 // end notes that this life has heard a leader, or leads.
