--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -11,7 +11,7 @@
 type coldStart struct {
 	incarnation uint64             // random name of this life of the replica
 	startedAt   time.Duration      // when this life began
-	over        bool               // this life has heard a leader, or led; it never turns false again
+	leaderSeen  bool               // this life has heard a leader, or led; it never turns false again
 	quiet       bool               // every other voter knows no leader; only while over is false
 	askedAt     time.Duration      // when the others were last asked
 	others      map[ID]logPosition // voters that know no leader, with the end of their logs
@@ -43,11 +43,11 @@
 // election has long begun.
 func (c *coldStart) due(timing Timing) (time.Duration, bool) {
 	next := c.askedAt + timing.Heartbeat
-	return next, !c.over && !c.quiet && next < c.startedAt+timing.ElectionMax
+	return next, !c.leaderSeen && !c.quiet && next < c.startedAt+timing.ElectionMax
 }
 
 // end notes that this life has heard a leader, or leads.
-func (c *coldStart) end() { c.over, c.quiet, c.others = true, false, nil }
+func (c *coldStart) end() { c.leaderSeen, c.quiet, c.others = true, false, nil }
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
@@ -72,7 +72,7 @@
 
 // handleCold answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
 func (n *Node) handleCold(m Message) {
-	if n.cold.over {
+	if n.cold.leaderSeen {
 		return
 	}
 	n.sendCold(MessageColdReply, m.From, m.Life)
@@ -83,7 +83,7 @@
 
 // handleColdReply counts a voter that knows no leader.
 func (n *Node) handleColdReply(now time.Duration, m Message) {
-	if n.cold.over || n.cold.quiet || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
+	if n.cold.leaderSeen || n.cold.quiet || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
 	n.cold.others[m.From] = logPosition{term: m.LogTerm, index: m.Index}
