--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -12,7 +12,7 @@
 	incarnation uint64             // random name of this life of the replica
 	startedAt   time.Duration      // when this life began
 	leaderSeen  bool               // this life has heard a leader, or led; it never turns false again
-	quiet       bool               // every other voter knows no leader; only while over is false
+	leaderless  bool               // every other voter knows no leader; only while over is false
 	askedAt     time.Duration      // when the others were last asked
 	others      map[ID]logPosition // voters that know no leader, with the end of their logs
 	rank        int                // voters that go ahead of this replica; only while quiet
@@ -43,11 +43,11 @@
 // election has long begun.
 func (c *coldStart) due(timing Timing) (time.Duration, bool) {
 	next := c.askedAt + timing.Heartbeat
-	return next, !c.leaderSeen && !c.quiet && next < c.startedAt+timing.ElectionMax
+	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
 
 // end notes that this life has heard a leader, or leads.
-func (c *coldStart) end() { c.leaderSeen, c.quiet, c.others = true, false, nil }
+func (c *coldStart) end() { c.leaderSeen, c.leaderless, c.others = true, false, nil }
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
@@ -76,14 +76,14 @@
 		return
 	}
 	n.sendCold(MessageColdReply, m.From, m.Life)
-	if _, told := n.cold.others[m.From]; !told && !n.cold.quiet && n.membership.IsVoter(m.From) {
+	if _, told := n.cold.others[m.From]; !told && !n.cold.leaderless && n.membership.IsVoter(m.From) {
 		n.sendCold(MessageCold, m.From, n.cold.incarnation)
 	}
 }
 
 // handleColdReply counts a voter that knows no leader.
 func (n *Node) handleColdReply(now time.Duration, m Message) {
-	if n.cold.leaderSeen || n.cold.quiet || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
+	if n.cold.leaderSeen || n.cold.leaderless || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
 	n.cold.others[m.From] = logPosition{term: m.LogTerm, index: m.Index}
@@ -105,14 +105,14 @@
 			rank++
 		}
 	}
-	n.cold.quiet, n.cold.rank = true, rank
+	n.cold.leaderless, n.cold.rank = true, rank
 	n.standSoon(now)
 }
 
 // standSoon lets a voter of a quiet group stand for election soon, the first ones sooner. One that was refused stands again:
 // the others may not all have heard yet that the group is quiet.
 func (n *Node) standSoon(now time.Duration) {
-	if n.cold.quiet {
+	if n.cold.leaderless {
 		beat := n.config.Timing.Heartbeat
 		n.electionDue = min(n.electionDue, now+beat/coldStartShare+time.Duration(n.cold.rank*coldStartStep)*beat)
 	}
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -112,13 +112,13 @@
 	for _, other := range c.replicas[1:] {
 		r.node.Step(c.now, Message{Kind: MessageColdReply, From: other.id, To: r.id, Term: 1, Life: r.node.cold.incarnation + 1})
 	}
-	if r.node.cold.quiet {
+	if r.node.cold.leaderless {
 		t.Fatal("answers to another life let it vote at once")
 	}
 	for _, other := range c.replicas[1:] {
 		r.node.Step(c.now, Message{Kind: MessageColdReply, From: other.id, To: r.id, Term: 1, Life: r.node.cold.incarnation})
 	}
-	if !r.node.cold.quiet {
+	if !r.node.cold.leaderless {
 		t.Fatal("all voters know no leader, and it still waits")
 	}
 }
