--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -13,7 +13,7 @@
 	startedAt   time.Duration      // when this life began
 	leaderSeen  bool               // this life has heard a leader, or led; it never turns false again
 	leaderless  bool               // every other voter knows no leader; only while over is false
-	askedAt     time.Duration      // when the others were last asked
+	queriedAt   time.Duration      // when the others were last asked
 	others      map[ID]logPosition // voters that know no leader, with the end of their logs
 	rank        int                // voters that go ahead of this replica; only while quiet
 }
@@ -42,7 +42,7 @@
 // due returns when the other voters are to be asked next, if they are. Later than the longest election timeout the ordinary
 // election has long begun.
 func (c *coldStart) due(timing Timing) (time.Duration, bool) {
-	next := c.askedAt + timing.Heartbeat
+	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
 
@@ -57,7 +57,7 @@
 
 // askCold asks the other voters whether they know a leader.
 func (n *Node) askCold(now time.Duration) {
-	n.cold.askedAt = now
+	n.cold.queriedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
 			n.sendCold(MessageCold, m.ID, n.cold.incarnation)
