--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -14,7 +14,7 @@
 	leaderSeen  bool               // this life has heard a leader, or led; it never turns false again
 	leaderless  bool               // every other voter knows no leader; only while over is false
 	queriedAt   time.Duration      // when the others were last asked
-	others      map[ID]logPosition // voters that know no leader, with the end of their logs
+	replies     map[ID]logPosition // voters that know no leader, with the end of their logs
 	rank        int                // voters that go ahead of this replica; only while quiet
 }
 
@@ -47,7 +47,7 @@
 }
 
 // end notes that this life has heard a leader, or leads.
-func (c *coldStart) end() { c.leaderSeen, c.leaderless, c.others = true, false, nil }
+func (c *coldStart) end() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
@@ -76,7 +76,7 @@
 		return
 	}
 	n.sendCold(MessageColdReply, m.From, m.Life)
-	if _, told := n.cold.others[m.From]; !told && !n.cold.leaderless && n.membership.IsVoter(m.From) {
+	if _, told := n.cold.replies[m.From]; !told && !n.cold.leaderless && n.membership.IsVoter(m.From) {
 		n.sendCold(MessageCold, m.From, n.cold.incarnation)
 	}
 }
@@ -86,7 +86,7 @@
 	if n.cold.leaderSeen || n.cold.leaderless || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
-	n.cold.others[m.From] = logPosition{term: m.LogTerm, index: m.Index}
+	n.cold.replies[m.From] = logPosition{term: m.LogTerm, index: m.Index}
 	n.judgeCold(now)
 }
 
@@ -97,7 +97,7 @@
 		if m.Learner || m.ID == n.config.ID {
 			continue
 		}
-		at, told := n.cold.others[m.ID]
+		at, told := n.cold.replies[m.ID]
 		if !told {
 			return
 		}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -58,7 +58,7 @@
 		leaderHeardAt:  now,
 		snapshotSource: snapshotSource,
 		cold: coldStart{
-			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, others: map[ID]logPosition{},
+			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, replies: map[ID]logPosition{},
 		},
 	}
 	node.persisted = node.log.lastIndex()
