--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -21,8 +21,8 @@
 // logPosition is the end of a replica's log.
 type logPosition struct{ term, index uint64 }
 
-// before reports whether a replica of this position and id goes ahead of another one: the longer log, then the lower id.
-func (p logPosition) before(id ID, other logPosition, otherID ID) bool {
+// precedes reports whether a replica of this position and id goes ahead of another one: the longer log, then the lower id.
+func (p logPosition) precedes(id ID, other logPosition, otherID ID) bool {
 	switch {
 	case p.term != other.term:
 		return p.term > other.term
@@ -101,7 +101,7 @@
 		if !told {
 			return
 		}
-		if at.before(m.ID, own, n.config.ID) {
+		if at.precedes(m.ID, own, n.config.ID) {
 			rank++
 		}
 	}
