--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -33,10 +33,10 @@
 }
 
 // coldStartDelayDivisor is the part of a heartbeat after which the first of the waiting voters stands for election; each one
-// behind it waits coldStartStep heartbeats longer, so that they don't take each other's votes.
+// behind it waits coldStartRankDelay heartbeats longer, so that they don't take each other's votes.
 const (
 	coldStartDelayDivisor = 4
-	coldStartStep         = 2
+	coldStartRankDelay    = 2
 )
 
 // due returns when the other voters are to be asked next, if they are. Later than the longest election timeout the ordinary
@@ -114,6 +114,6 @@
 func (n *Node) standSoon(now time.Duration) {
 	if n.cold.leaderless {
 		beat := n.config.Timing.Heartbeat
-		n.electionDue = min(n.electionDue, now+beat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartStep)*beat)
+		n.electionDue = min(n.electionDue, now+beat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartRankDelay)*beat)
 	}
 }
