--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -39,9 +39,9 @@
 	coldStartRankDelay    = 2
 )
 
-// due returns when the other voters are to be asked next, if they are. Later than the longest election timeout the ordinary
+// nextQueryAt returns when the other voters are to be asked next, if they are. Later than the longest election timeout the ordinary
 // election has long begun.
-func (c *coldStart) due(timing Timing) (time.Duration, bool) {
+func (c *coldStart) nextQueryAt(timing Timing) (time.Duration, bool) {
 	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
@@ -51,7 +51,7 @@
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
-	next, asks := n.cold.due(n.config.Timing)
+	next, asks := n.cold.nextQueryAt(n.config.Timing)
 	return next, asks && n.membership.IsVoter(n.config.ID)
 }
 
