--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -46,8 +46,8 @@
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
 
-// end notes that this life has heard a leader, or leads.
-func (c *coldStart) end() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
+// finish notes that this life has heard a leader, or leads.
+func (c *coldStart) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -79,7 +79,7 @@
 func (n *Node) becomeLeader(now time.Duration) {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.cold.end()
+	n.cold.finish()
 	n.peers = map[ID]*progress{}
 	n.refreshMembership()
 	for _, peer := range n.peers {
