--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -51,8 +51,8 @@
 
 // coldDue returns when this replica asks the other voters next, if it does.
 func (n *Node) coldDue() (time.Duration, bool) {
-	next, asks := n.cold.nextQueryAt(n.config.Timing)
-	return next, asks && n.membership.IsVoter(n.config.ID)
+	next, pending := n.cold.nextQueryAt(n.config.Timing)
+	return next, pending && n.membership.IsVoter(n.config.ID)
 }
 
 // askCold asks the other voters whether they know a leader.
