--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -49,8 +49,8 @@
 // finish notes that this life has heard a leader, or leads.
 func (c *coldStart) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
-// coldDue returns when this replica asks the other voters next, if it does.
-func (n *Node) coldDue() (time.Duration, bool) {
+// nextColdStartQuery returns when this replica asks the other voters next, if it does.
+func (n *Node) nextColdStartQuery() (time.Duration, bool) {
 	next, pending := n.cold.nextQueryAt(n.config.Timing)
 	return next, pending && n.membership.IsVoter(n.config.ID)
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -115,7 +115,7 @@
 	if now >= n.electionDue && n.membership.IsVoter(n.config.ID) {
 		n.startPreVote(now)
 	}
-	if due, asks := n.coldDue(); asks && now >= due {
+	if due, asks := n.nextColdStartQuery(); asks && now >= due {
 		n.askCold(now)
 	}
 }
@@ -125,7 +125,7 @@
 	if n.role == Leader {
 		return n.lastHeartbeat + n.config.Timing.Heartbeat
 	}
-	if due, asks := n.coldDue(); asks {
+	if due, asks := n.nextColdStartQuery(); asks {
 		return min(n.electionDue, due)
 	}
 	return n.electionDue
