--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -55,8 +55,8 @@
 	return next, pending && n.membership.IsVoter(n.config.ID)
 }
 
-// askCold asks the other voters whether they know a leader.
-func (n *Node) askCold(now time.Duration) {
+// sendColdStartQueries asks the other voters whether they know a leader.
+func (n *Node) sendColdStartQueries(now time.Duration) {
 	n.cold.queriedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -116,7 +116,7 @@
 		n.startPreVote(now)
 	}
 	if due, asks := n.nextColdStartQuery(); asks && now >= due {
-		n.askCold(now)
+		n.sendColdStartQueries(now)
 	}
 }
 
