--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -60,13 +60,13 @@
 	n.cold.queriedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
-			n.sendCold(MessageCold, m.ID, n.cold.incarnation)
+			n.sendColdStartMessage(MessageCold, m.ID, n.cold.incarnation)
 		}
 	}
 	n.judgeCold(now) // there may be no other
 }
 
-func (n *Node) sendCold(kind MessageKind, to ID, life uint64) {
+func (n *Node) sendColdStartMessage(kind MessageKind, to ID, life uint64) {
 	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Life: life})
 }
 
@@ -75,9 +75,9 @@
 	if n.cold.leaderSeen {
 		return
 	}
-	n.sendCold(MessageColdReply, m.From, m.Life)
+	n.sendColdStartMessage(MessageColdReply, m.From, m.Life)
 	if _, told := n.cold.replies[m.From]; !told && !n.cold.leaderless && n.membership.IsVoter(m.From) {
-		n.sendCold(MessageCold, m.From, n.cold.incarnation)
+		n.sendColdStartMessage(MessageCold, m.From, n.cold.incarnation)
 	}
 }
 
