--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -66,8 +66,8 @@
 	n.judgeCold(now) // there may be no other
 }
 
-func (n *Node) sendColdStartMessage(kind MessageKind, to ID, life uint64) {
-	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Life: life})
+func (n *Node) sendColdStartMessage(kind MessageKind, to ID, incarnation uint64) {
+	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Life: incarnation})
 }
 
 // handleCold answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
