--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -70,8 +70,8 @@
 	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Life: incarnation})
 }
 
-// handleCold answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
-func (n *Node) handleCold(m Message) {
+// handleColdStartQuery answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
+func (n *Node) handleColdStartQuery(m Message) {
 	if n.cold.leaderSeen {
 		return
 	}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -20,7 +20,7 @@
 	case MessageSnapshot:
 		n.handleSnapshot(now, message)
 	case MessageCold:
-		n.handleCold(message)
+		n.handleColdStartQuery(message)
 	case MessageColdReply:
 		n.handleColdReply(now, message)
 	case MessageAppendReply:
