--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// handleColdReply counts a voter that knows no leader.
-func (n *Node) handleColdReply(now time.Duration, m Message) {
+// handleColdStartReply counts a voter that knows no leader.
+func (n *Node) handleColdStartReply(now time.Duration, m Message) {
 	if n.cold.leaderSeen || n.cold.leaderless || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -22,7 +22,7 @@
 	case MessageCold:
 		n.handleColdStartQuery(message)
 	case MessageColdReply:
-		n.handleColdReply(now, message)
+		n.handleColdStartReply(now, message)
 	case MessageAppendReply:
 		n.handleAppendReply(now, message)
 	}
