--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -63,7 +63,7 @@
 			n.sendColdStartMessage(MessageCold, m.ID, n.cold.incarnation)
 		}
 	}
-	n.judgeCold(now) // there may be no other
+	n.checkColdStart(now) // there may be no other
 }
 
 func (n *Node) sendColdStartMessage(kind MessageKind, to ID, incarnation uint64) {
@@ -87,11 +87,11 @@
 		return
 	}
 	n.cold.replies[m.From] = logPosition{term: m.LogTerm, index: m.Index}
-	n.judgeCold(now)
+	n.checkColdStart(now)
 }
 
-// judgeCold looks whether all other voters have answered. Then the first by log and id stands for election.
-func (n *Node) judgeCold(now time.Duration) {
+// checkColdStart looks whether all other voters have answered. Then the first by log and id stands for election.
+func (n *Node) checkColdStart(now time.Duration) {
 	own, rank := logPosition{term: n.log.lastTerm(), index: n.log.lastIndex()}, 0
 	for _, m := range n.membership.Members {
 		if m.Learner || m.ID == n.config.ID {
