--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -106,12 +106,12 @@
 		}
 	}
 	n.cold.leaderless, n.cold.rank = true, rank
-	n.standSoon(now)
+	n.shortenElectionTimeout(now)
 }
 
-// standSoon lets a voter of a quiet group stand for election soon, the first ones sooner. One that was refused stands again:
+// shortenElectionTimeout lets a voter of a quiet group stand for election soon, the first ones sooner. One that was refused stands again:
 // the others may not all have heard yet that the group is quiet.
-func (n *Node) standSoon(now time.Duration) {
+func (n *Node) shortenElectionTimeout(now time.Duration) {
 	if n.cold.leaderless {
 		beat := n.config.Timing.Heartbeat
 		n.electionDue = min(n.electionDue, now+beat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartRankDelay)*beat)
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -72,7 +72,7 @@
 		n.becomeLeader(now)
 	case refused >= quorum:
 		n.becomeFollower(now, n.hard.Term, "")
-		n.standSoon(now)
+		n.shortenElectionTimeout(now)
 	}
 }
 
