--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -76,7 +76,7 @@
 		return
 	}
 	n.sendColdStartMessage(MessageColdReply, m.From, m.Life)
-	if _, told := n.cold.replies[m.From]; !told && !n.cold.leaderless && n.membership.IsVoter(m.From) {
+	if _, replied := n.cold.replies[m.From]; !replied && !n.cold.leaderless && n.membership.IsVoter(m.From) {
 		n.sendColdStartMessage(MessageCold, m.From, n.cold.incarnation)
 	}
 }
