--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -97,8 +97,8 @@
 		if m.Learner || m.ID == n.config.ID {
 			continue
 		}
-		at, told := n.cold.replies[m.ID]
-		if !told {
+		at, replied := n.cold.replies[m.ID]
+		if !replied {
 			return
 		}
 		if at.precedes(m.ID, own, n.config.ID) {
