--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -97,11 +97,11 @@
 		if m.Learner || m.ID == n.config.ID {
 			continue
 		}
-		at, replied := n.cold.replies[m.ID]
+		position, replied := n.cold.replies[m.ID]
 		if !replied {
 			return
 		}
-		if at.precedes(m.ID, own, n.config.ID) {
+		if position.precedes(m.ID, own, n.config.ID) {
 			rank++
 		}
 	}
