--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -113,7 +113,7 @@
 // the others may not all have heard yet that the group is quiet.
 func (n *Node) shortenElectionTimeout(now time.Duration) {
 	if n.cold.leaderless {
-		beat := n.config.Timing.Heartbeat
-		n.electionDue = min(n.electionDue, now+beat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartRankDelay)*beat)
+		heartbeat := n.config.Timing.Heartbeat
+		n.electionDue = min(n.electionDue, now+heartbeat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartRankDelay)*heartbeat)
 	}
 }
