--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -60,7 +60,7 @@
 	n.cold.queriedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
-			n.sendColdStartMessage(MessageCold, m.ID, n.cold.incarnation)
+			n.sendColdStartMessage(MessageColdStartQuery, m.ID, n.cold.incarnation)
 		}
 	}
 	n.checkColdStart(now) // there may be no other
@@ -77,7 +77,7 @@
 	}
 	n.sendColdStartMessage(MessageColdReply, m.From, m.Life)
 	if _, replied := n.cold.replies[m.From]; !replied && !n.cold.leaderless && n.membership.IsVoter(m.From) {
-		n.sendColdStartMessage(MessageCold, m.From, n.cold.incarnation)
+		n.sendColdStartMessage(MessageColdStartQuery, m.From, n.cold.incarnation)
 	}
 }
 
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -19,7 +19,7 @@
 		n.handleAppend(now, message)
 	case MessageSnapshot:
 		n.handleSnapshot(now, message)
-	case MessageCold:
+	case MessageColdStartQuery:
 		n.handleColdStartQuery(message)
 	case MessageColdReply:
 		n.handleColdStartReply(now, message)
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -145,8 +145,8 @@
 	MessageAppend
 	MessageAppendReply
 	MessageSnapshot
-	MessageCold      // a voter that has just started asks whether a leader is known
-	MessageColdReply // none is; not sent otherwise
+	MessageColdStartQuery // a voter that has just started asks whether a leader is known
+	MessageColdReply      // none is; not sent otherwise
 )
 
 // Message is what one replica sends to another.
