--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -75,7 +75,7 @@
 	if n.cold.leaderSeen {
 		return
 	}
-	n.sendColdStartMessage(MessageColdReply, m.From, m.Life)
+	n.sendColdStartMessage(MessageColdStartReply, m.From, m.Life)
 	if _, replied := n.cold.replies[m.From]; !replied && !n.cold.leaderless && n.membership.IsVoter(m.From) {
 		n.sendColdStartMessage(MessageColdStartQuery, m.From, n.cold.incarnation)
 	}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -21,7 +21,7 @@
 		n.handleSnapshot(now, message)
 	case MessageColdStartQuery:
 		n.handleColdStartQuery(message)
-	case MessageColdReply:
+	case MessageColdStartReply:
 		n.handleColdStartReply(now, message)
 	case MessageAppendReply:
 		n.handleAppendReply(now, message)
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -146,7 +146,7 @@
 	MessageAppendReply
 	MessageSnapshot
 	MessageColdStartQuery // a voter that has just started asks whether a leader is known
-	MessageColdReply      // none is; not sent otherwise
+	MessageColdStartReply // none is; not sent otherwise
 )
 
 // Message is what one replica sends to another.
