--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -67,7 +67,7 @@
 }
 
 func (n *Node) sendColdStartMessage(kind MessageKind, to ID, incarnation uint64) {
-	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Life: incarnation})
+	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Incarnation: incarnation})
 }
 
 // handleColdStartQuery answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
@@ -75,7 +75,7 @@
 	if n.cold.leaderSeen {
 		return
 	}
-	n.sendColdStartMessage(MessageColdStartReply, m.From, m.Life)
+	n.sendColdStartMessage(MessageColdStartReply, m.From, m.Incarnation)
 	if _, replied := n.cold.replies[m.From]; !replied && !n.cold.leaderless && n.membership.IsVoter(m.From) {
 		n.sendColdStartMessage(MessageColdStartQuery, m.From, n.cold.incarnation)
 	}
@@ -83,7 +83,7 @@
 
 // handleColdStartReply counts a voter that knows no leader.
 func (n *Node) handleColdStartReply(now time.Duration, m Message) {
-	if n.cold.leaderSeen || n.cold.leaderless || m.Life != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
+	if n.cold.leaderSeen || n.cold.leaderless || m.Incarnation != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
 	n.cold.replies[m.From] = logPosition{term: m.LogTerm, index: m.Index}
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -151,19 +151,19 @@
 
 // Message is what one replica sends to another.
 type Message struct {
-	Kind     MessageKind   `json:"kind"`
-	From     ID            `json:"from"`
-	To       ID            `json:"to"`
-	Term     uint64        `json:"term"`
-	Index    uint64        `json:"index,omitempty"`    // previous index, last index of a candidate, or matched index
-	LogTerm  uint64        `json:"log_term,omitempty"` // term of Index
-	Commit   uint64        `json:"commit,omitempty"`   // leader's commit index
-	Reject   bool          `json:"reject,omitempty"`   // the answer is no
-	Hint     uint64        `json:"hint,omitempty"`     // last index a rejecting follower has
-	SentAt   time.Duration `json:"sent_at,omitempty"`  // sender's clock, echoed in the reply to extend the lease
-	Entries  []Entry       `json:"entries,omitempty"`  // entries after Index
-	Snapshot *Snapshot     `json:"snapshot,omitempty"` // MessageSnapshot only
-	Life     uint64        `json:"life,omitempty"`     // MessageCold: of the asking replica; echoed in the reply
+	Kind        MessageKind   `json:"kind"`
+	From        ID            `json:"from"`
+	To          ID            `json:"to"`
+	Term        uint64        `json:"term"`
+	Index       uint64        `json:"index,omitempty"`    // previous index, last index of a candidate, or matched index
+	LogTerm     uint64        `json:"log_term,omitempty"` // term of Index
+	Commit      uint64        `json:"commit,omitempty"`   // leader's commit index
+	Reject      bool          `json:"reject,omitempty"`   // the answer is no
+	Hint        uint64        `json:"hint,omitempty"`     // last index a rejecting follower has
+	SentAt      time.Duration `json:"sent_at,omitempty"`  // sender's clock, echoed in the reply to extend the lease
+	Entries     []Entry       `json:"entries,omitempty"`  // entries after Index
+	Snapshot    *Snapshot     `json:"snapshot,omitempty"` // MessageSnapshot only
+	Incarnation uint64        `json:"life,omitempty"`     // MessageCold: of the asking replica; echoed in the reply
 
 	// Level is that of the sender's build and InForce the one in force as the sender applied the log. Consensus passes both on.
 	Level   level.Level `json:"level,omitempty"`
