--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -51,16 +51,16 @@
 
 // nextColdStartQuery returns when this replica asks the other voters next, if it does.
 func (n *Node) nextColdStartQuery() (time.Duration, bool) {
-	next, pending := n.cold.nextQueryAt(n.config.Timing)
+	next, pending := n.coldStart.nextQueryAt(n.config.Timing)
 	return next, pending && n.membership.IsVoter(n.config.ID)
 }
 
 // sendColdStartQueries asks the other voters whether they know a leader.
 func (n *Node) sendColdStartQueries(now time.Duration) {
-	n.cold.queriedAt = now
+	n.coldStart.queriedAt = now
 	for _, m := range n.membership.Members {
 		if !m.Learner && m.ID != n.config.ID {
-			n.sendColdStartMessage(MessageColdStartQuery, m.ID, n.cold.incarnation)
+			n.sendColdStartMessage(MessageColdStartQuery, m.ID, n.coldStart.incarnation)
 		}
 	}
 	n.checkColdStart(now) // there may be no other
@@ -72,21 +72,21 @@
 
 // handleColdStartQuery answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
 func (n *Node) handleColdStartQuery(m Message) {
-	if n.cold.leaderSeen {
+	if n.coldStart.leaderSeen {
 		return
 	}
 	n.sendColdStartMessage(MessageColdStartReply, m.From, m.Incarnation)
-	if _, replied := n.cold.replies[m.From]; !replied && !n.cold.leaderless && n.membership.IsVoter(m.From) {
-		n.sendColdStartMessage(MessageColdStartQuery, m.From, n.cold.incarnation)
+	if _, replied := n.coldStart.replies[m.From]; !replied && !n.coldStart.leaderless && n.membership.IsVoter(m.From) {
+		n.sendColdStartMessage(MessageColdStartQuery, m.From, n.coldStart.incarnation)
 	}
 }
 
 // handleColdStartReply counts a voter that knows no leader.
 func (n *Node) handleColdStartReply(now time.Duration, m Message) {
-	if n.cold.leaderSeen || n.cold.leaderless || m.Incarnation != n.cold.incarnation || !n.membership.IsVoter(n.config.ID) {
+	if n.coldStart.leaderSeen || n.coldStart.leaderless || m.Incarnation != n.coldStart.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
 	}
-	n.cold.replies[m.From] = logPosition{term: m.LogTerm, index: m.Index}
+	n.coldStart.replies[m.From] = logPosition{term: m.LogTerm, index: m.Index}
 	n.checkColdStart(now)
 }
 
@@ -97,7 +97,7 @@
 		if m.Learner || m.ID == n.config.ID {
 			continue
 		}
-		position, replied := n.cold.replies[m.ID]
+		position, replied := n.coldStart.replies[m.ID]
 		if !replied {
 			return
 		}
@@ -105,15 +105,15 @@
 			rank++
 		}
 	}
-	n.cold.leaderless, n.cold.rank = true, rank
+	n.coldStart.leaderless, n.coldStart.rank = true, rank
 	n.shortenElectionTimeout(now)
 }
 
 // shortenElectionTimeout lets a voter of a quiet group stand for election soon, the first ones sooner. One that was refused stands again:
 // the others may not all have heard yet that the group is quiet.
 func (n *Node) shortenElectionTimeout(now time.Duration) {
-	if n.cold.leaderless {
+	if n.coldStart.leaderless {
 		heartbeat := n.config.Timing.Heartbeat
-		n.electionDue = min(n.electionDue, now+heartbeat/coldStartDelayDivisor+time.Duration(n.cold.rank*coldStartRankDelay)*heartbeat)
+		n.electionDue = min(n.electionDue, now+heartbeat/coldStartDelayDivisor+time.Duration(n.coldStart.rank*coldStartRankDelay)*heartbeat)
 	}
 }
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -92,7 +92,7 @@
 	c.restart(0, c.replicas...)
 	first := c.replicas[0].node
 	for _, other := range c.replicas[1:] {
-		first.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: first.config.ID, Term: 1, Incarnation: first.cold.incarnation})
+		first.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: first.config.ID, Term: 1, Incarnation: first.coldStart.incarnation})
 	}
 	first.Tick(first.electionDue)
 	for _, other := range c.replicas[1:] {
@@ -110,15 +110,15 @@
 	c.mail = nil
 	c.start(r)
 	for _, other := range c.replicas[1:] {
-		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.cold.incarnation + 1})
+		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation + 1})
 	}
-	if r.node.cold.leaderless {
+	if r.node.coldStart.leaderless {
 		t.Fatal("answers to another life let it vote at once")
 	}
 	for _, other := range c.replicas[1:] {
-		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.cold.incarnation})
+		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation})
 	}
-	if !r.node.cold.leaderless {
+	if !r.node.coldStart.leaderless {
 		t.Fatal("all voters know no leader, and it still waits")
 	}
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -79,7 +79,7 @@
 func (n *Node) becomeLeader(now time.Duration) {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.cold.finish()
+	n.coldStart.finish()
 	n.peers = map[ID]*progress{}
 	n.refreshMembership()
 	for _, peer := range n.peers {
@@ -98,7 +98,7 @@
 	if preVote {
 		reply.Kind = MessagePreVoteReply
 	}
-	leaderAlive := n.role == Leader || (!n.cold.leaderless && now < n.leaderHeardAt+n.config.Timing.ElectionMin)
+	leaderAlive := n.role == Leader || (!n.coldStart.leaderless && now < n.leaderHeardAt+n.config.Timing.ElectionMin)
 	if leaderAlive || message.Term < n.hard.Term {
 		n.send(reply)
 		return
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -38,7 +38,7 @@
 	leaderHeardAt  time.Duration // last time a valid leader was heard; start-up counts as heard
 	electionDue    time.Duration
 	termStartIndex uint64 // index of the no-op of the current leadership
-	cold           coldStart
+	coldStart      coldStart
 
 	hardDirty      bool
 	unstableFrom   uint64 // first index to hand out in Ready.Entries; 0 when none
@@ -57,7 +57,7 @@
 		delivered:      restored.Snapshot.Index,
 		leaderHeardAt:  now,
 		snapshotSource: snapshotSource,
-		cold: coldStart{
+		coldStart: coldStart{
 			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, replies: map[ID]logPosition{},
 		},
 	}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -135,7 +135,7 @@
 	}
 	n.becomeFollower(now, message.Term, message.From)
 	n.leaderHeardAt = now
-	n.cold.finish()
+	n.coldStart.finish()
 	return true
 }
 
