--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -83,7 +83,7 @@
 	n.peers = map[ID]*progress{}
 	n.refreshMembership()
 	for _, peer := range n.peers {
-		peer.heardAt = now
+		peer.lastReplyAt = now
 	}
 	n.termStartIndex = n.appendLocal(EntryNoop, nil)
 	n.lastHeartbeat = now
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -11,7 +11,7 @@
 	match       uint64        // highest index known to be stored there
 	next        uint64        // next index to send
 	ackedSentAt time.Duration // leader's clock when the newest answered message was sent
-	heardAt     time.Duration // leader's clock when the last answer came
+	lastReplyAt time.Duration // leader's clock when the last answer came
 	sentAt      time.Duration // leader's clock of the last append
 	snapshotAt  time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
 	paused      bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
@@ -216,7 +216,7 @@
 	}
 	for _, member := range n.membership.Members {
 		if peer := n.peers[member.ID]; peer != nil {
-			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, HeardAt: peer.heardAt})
+			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, HeardAt: peer.lastReplyAt})
 		}
 	}
 	return statuses
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -54,7 +54,7 @@
 		if member.Learner {
 			continue
 		}
-		if member.ID == n.config.ID || now < n.peers[member.ID].heardAt+n.config.Timing.ElectionMax {
+		if member.ID == n.config.ID || now < n.peers[member.ID].lastReplyAt+n.config.Timing.ElectionMax {
 			heard++
 		}
 	}
@@ -209,7 +209,7 @@
 	if n.role != Leader || message.Term < n.hard.Term || peer == nil {
 		return
 	}
-	peer.heardAt = now
+	peer.lastReplyAt = now
 	peer.ackedSentAt = max(peer.ackedSentAt, message.SentAt)
 	peer.paused = false
 	if message.Reject {
