--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -92,7 +92,7 @@
 		Kind: MessageAppend, To: id, Term: n.hard.Term, Index: previous, LogTerm: term,
 		Commit: n.commit, SentAt: now, Entries: entries,
 	})
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	if peer.match == 0 && len(entries) > 0 {
 		peer.paused = true // probe until the first answer
 		return
@@ -112,17 +112,17 @@
 	if !ok {
 		return
 	}
-	peer.paused, peer.snapshotAt, peer.sentAt = true, now, now
+	peer.paused, peer.snapshotAt, peer.lastAppendAt = true, now, now
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
 // sendBeat sends an append without entries, once a heartbeat.
 func (n *Node) sendBeat(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if now < peer.sentAt+n.config.Timing.Heartbeat {
+	if now < peer.lastAppendAt+n.config.Timing.Heartbeat {
 		return
 	}
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	base := n.log.base
 	n.send(Message{Kind: MessageAppend, To: id, Term: n.hard.Term, Index: base.Index, LogTerm: base.Term, Commit: n.commit, SentAt: now})
 }
