--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -8,13 +8,13 @@
 
 // progress is what a leader knows of one other replica.
 type progress struct {
-	match        uint64        // highest index known to be stored there
-	next         uint64        // next index to send
-	ackedSentAt  time.Duration // leader's clock when the newest answered message was sent
-	lastReplyAt  time.Duration // leader's clock when the last answer came
-	lastAppendAt time.Duration // leader's clock of the last append
-	snapshotAt   time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
-	paused       bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
+	match          uint64        // highest index known to be stored there
+	next           uint64        // next index to send
+	ackedSentAt    time.Duration // leader's clock when the newest answered message was sent
+	lastReplyAt    time.Duration // leader's clock when the last answer came
+	lastAppendAt   time.Duration // leader's clock of the last append
+	snapshotSentAt time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
+	paused         bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
 }
 
 // Node is one replica of the log. It is not safe for concurrent use.
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -104,7 +104,7 @@
 // peer hears heartbeats, which it rejects for what it lacks; its answers still confirm the leader.
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if peer.snapshotAt > 0 && now < peer.snapshotAt+n.config.Timing.ElectionMin {
+	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
 		n.sendBeat(now, id)
 		return
 	}
@@ -112,7 +112,7 @@
 	if !ok {
 		return
 	}
-	peer.paused, peer.snapshotAt, peer.lastAppendAt = true, now, now
+	peer.paused, peer.snapshotSentAt, peer.lastAppendAt = true, now, now
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
@@ -222,7 +222,7 @@
 		return
 	}
 	if message.Index > peer.match {
-		peer.match, peer.snapshotAt = message.Index, 0
+		peer.match, peer.snapshotSentAt = message.Index, 0
 		n.advanceCommit()
 	}
 	peer.next = max(peer.next, peer.match+1)
