--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -98,7 +98,7 @@
 	if preVote {
 		reply.Kind = MessagePreVoteReply
 	}
-	leaderAlive := n.role == Leader || (!n.coldStart.leaderless && now < n.leaderHeardAt+n.config.Timing.ElectionMin)
+	leaderAlive := n.role == Leader || (!n.coldStart.leaderless && now < n.lastLeaderContact+n.config.Timing.ElectionMin)
 	if leaderAlive || message.Term < n.hard.Term {
 		n.send(reply)
 		return
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -32,13 +32,13 @@
 	delivered uint64 // last index handed out in Ready.Committed or covered by a snapshot
 	persisted uint64 // last index known to be synced here
 
-	votes          map[ID]bool
-	peers          map[ID]*progress
-	lastHeartbeat  time.Duration
-	leaderHeardAt  time.Duration // last time a valid leader was heard; start-up counts as heard
-	electionDue    time.Duration
-	termStartIndex uint64 // index of the no-op of the current leadership
-	coldStart      coldStart
+	votes             map[ID]bool
+	peers             map[ID]*progress
+	lastHeartbeat     time.Duration
+	lastLeaderContact time.Duration // last time a valid leader was heard; start-up counts as heard
+	electionDue       time.Duration
+	termStartIndex    uint64 // index of the no-op of the current leadership
+	coldStart         coldStart
 
 	hardDirty      bool
 	unstableFrom   uint64 // first index to hand out in Ready.Entries; 0 when none
@@ -50,13 +50,13 @@
 // New restores a node. snapshotSource returns the newest snapshot for followers that are too far behind.
 func New(config Config, restored Restored, now time.Duration, snapshotSource func() (Snapshot, bool)) *Node {
 	node := &Node{
-		config:         config,
-		hard:           restored.HardState,
-		log:            raftLog{base: restored.Snapshot, entries: slices.Clone(restored.Entries)},
-		commit:         restored.Snapshot.Index,
-		delivered:      restored.Snapshot.Index,
-		leaderHeardAt:  now,
-		snapshotSource: snapshotSource,
+		config:            config,
+		hard:              restored.HardState,
+		log:               raftLog{base: restored.Snapshot, entries: slices.Clone(restored.Entries)},
+		commit:            restored.Snapshot.Index,
+		delivered:         restored.Snapshot.Index,
+		lastLeaderContact: now,
+		snapshotSource:    snapshotSource,
 		coldStart: coldStart{
 			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, replies: map[ID]logPosition{},
 		},
@@ -79,7 +79,7 @@
 // LeaderSilent reports whether this replica follows a leader, or waits for one, that it has not heard for two of the
 // longest election timeouts. A replica that the group has removed hears none.
 func (n *Node) LeaderSilent(now time.Duration) bool {
-	return n.role != Leader && now > n.leaderHeardAt+2*n.config.Timing.ElectionMax
+	return n.role != Leader && now > n.lastLeaderContact+2*n.config.Timing.ElectionMax
 }
 
 // Commit returns the commit index.
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -134,7 +134,7 @@
 		return false
 	}
 	n.becomeFollower(now, message.Term, message.From)
-	n.leaderHeardAt = now
+	n.lastLeaderContact = now
 	n.coldStart.finish()
 	return true
 }
