--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -304,7 +304,7 @@
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "y", Learner: true})); ok {
 		t.Fatal("a second change was taken before the first had committed")
 	}
-	if leader.MembershipSettled() {
+	if leader.MembershipCommitted() {
 		t.Fatal("an uncommitted membership counts as settled")
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -91,9 +91,9 @@
 // Membership returns the newest membership in the log.
 func (n *Node) Membership() Membership { return n.membership }
 
-// MembershipSettled reports whether the newest membership is committed. Until then a repair is not complete: the
+// MembershipCommitted reports whether the newest membership is committed. Until then a repair is not complete: the
 // replicas it replaces still count.
-func (n *Node) MembershipSettled() bool { return n.membershipIndex <= n.commit }
+func (n *Node) MembershipCommitted() bool { return n.membershipIndex <= n.commit }
 
 // MembershipAt returns the membership in force at a committed index, for a snapshot made there.
 func (n *Node) MembershipAt(index uint64) Membership {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -195,7 +195,7 @@
 // votersWhole reports whether there is a leader, and every voter is up with the disk that it voted from.
 func (w *world) votersWhole() bool {
 	leader := w.leader()
-	if leader == nil || !leader.replica.Node().MembershipSettled() {
+	if leader == nil || !leader.replica.Node().MembershipCommitted() {
 		return false
 	}
 	voters := 0
