--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -70,7 +70,7 @@
 		}
 		c.store(r, ready.Entries)
 		if count := len(ready.Entries); count > 0 {
-			r.node.Persisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
+			r.node.MarkPersisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
 		}
 		c.mail = append(c.mail, ready.Messages...)
 		for _, entry := range ready.Committed {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -245,8 +245,8 @@
 	return ready
 }
 
-// Persisted tells the node that everything handed out by Ready up to index is synced.
-func (n *Node) Persisted(index, term uint64) {
+// MarkPersisted tells the node that everything handed out by Ready up to index is synced.
+func (n *Node) MarkPersisted(index, term uint64) {
 	held, ok := n.log.term(index)
 	if !ok || held != term || index <= n.persisted {
 		return
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -284,7 +284,7 @@
 // Advance continues after the writes of Prepare were synced: it applies committed entries and returns what to send.
 func (r *Replica) Advance(now time.Duration) Effects {
 	if last := len(r.ready.Entries); last > 0 {
-		r.node.Persisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
+		r.node.MarkPersisted(r.ready.Entries[last-1].Index, r.ready.Entries[last-1].Term)
 	}
 	if r.ready.Snapshot != nil {
 		r.installSnapshot(now, *r.ready.Snapshot)
