--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -115,7 +115,7 @@
 	if now >= n.electionDue && n.membership.IsVoter(n.config.ID) {
 		n.startPreVote(now)
 	}
-	if due, asks := n.nextColdStartQuery(); asks && now >= due {
+	if due, pending := n.nextColdStartQuery(); pending && now >= due {
 		n.sendColdStartQueries(now)
 	}
 }
