--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -125,7 +125,7 @@
 	if n.role == Leader {
 		return n.lastHeartbeat + n.config.Timing.Heartbeat
 	}
-	if due, asks := n.nextColdStartQuery(); asks {
+	if due, pending := n.nextColdStartQuery(); pending {
 		return min(n.electionDue, due)
 	}
 	return n.electionDue
