--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -247,8 +247,8 @@
 
 // MarkPersisted tells the node that everything handed out by Ready up to index is synced.
 func (n *Node) MarkPersisted(index, term uint64) {
-	held, ok := n.log.term(index)
-	if !ok || held != term || index <= n.persisted {
+	storedTerm, ok := n.log.term(index)
+	if !ok || storedTerm != term || index <= n.persisted {
 		return
 	}
 	n.persisted = index
