--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -148,7 +148,7 @@
 	if n.role != Leader || n.membershipIndex > n.commit || n.commit < n.termStartIndex {
 		return 0, 0, false
 	}
-	if changedVoters(n.membership, membership) > 1 {
+	if countChangedVoters(n.membership, membership) > 1 {
 		return 0, 0, false
 	}
 	index = n.appendLocal(EntryMembership, EncodeMembership(membership))
@@ -157,8 +157,8 @@
 	return index, n.hard.Term, true
 }
 
-// changedVoters counts replicas whose vote differs between two memberships.
-func changedVoters(before, after Membership) int {
+// countChangedVoters counts replicas whose vote differs between two memberships.
+func countChangedVoters(before, after Membership) int {
 	changed := 0
 	for _, member := range after.Members {
 		if before.IsVoter(member.ID) != !member.Learner {
