--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -12,7 +12,7 @@
 func (n *Node) becomeFollower(now time.Duration, term uint64, leader ID) {
 	if term > n.hard.Term {
 		n.hard = HardState{Term: term}
-		n.hardDirty = true
+		n.hardStateChanged = true
 	}
 	n.role = Follower
 	n.leader = leader
@@ -34,7 +34,7 @@
 func (n *Node) startElection(now time.Duration) {
 	n.role = Candidate
 	n.hard = HardState{Term: n.hard.Term + 1, Vote: n.config.ID}
-	n.hardDirty = true
+	n.hardStateChanged = true
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
 	n.askForVotes(MessageVote, n.hard.Term)
@@ -114,7 +114,7 @@
 		reply.Reject = false
 		if !preVote {
 			n.hard.Vote = message.From
-			n.hardDirty = true
+			n.hardStateChanged = true
 			n.resetElectionTimer(now)
 		}
 	}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -40,11 +40,11 @@
 	termStartIndex    uint64 // index of the no-op of the current leadership
 	coldStart         coldStart
 
-	hardDirty      bool
-	unstableFrom   uint64 // first index to hand out in Ready.Entries; 0 when none
-	pendingInstall *Snapshot
-	messages       []Message
-	snapshotSource func() (Snapshot, bool)
+	hardStateChanged bool
+	unstableFrom     uint64 // first index to hand out in Ready.Entries; 0 when none
+	pendingInstall   *Snapshot
+	messages         []Message
+	snapshotSource   func() (Snapshot, bool)
 }
 
 // New restores a node. snapshotSource returns the newest snapshot for followers that are too far behind.
@@ -225,10 +225,10 @@
 // Ready returns and clears the work collected since the last call.
 func (n *Node) Ready() Ready {
 	var ready Ready
-	if n.hardDirty {
+	if n.hardStateChanged {
 		hard := n.hard
 		ready.HardState = &hard
-		n.hardDirty = false
+		n.hardStateChanged = false
 	}
 	ready.Snapshot = n.pendingInstall
 	n.pendingInstall = nil
@@ -305,7 +305,7 @@
 
 // HasReady reports whether Ready would return work.
 func (n *Node) HasReady() bool {
-	return n.hardDirty || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
+	return n.hardStateChanged || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
 }
 
 // TermStart returns the index of the first entry of the current leadership. A leader's applied state is
