--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -27,7 +27,7 @@
 	n.leader = ""
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessagePreVote, n.hard.Term+1)
+	n.requestVotes(MessagePreVote, n.hard.Term+1)
 	n.countVotes(now)
 }
 
@@ -37,11 +37,11 @@
 	n.hardStateChanged = true
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessageVote, n.hard.Term)
+	n.requestVotes(MessageVote, n.hard.Term)
 	n.countVotes(now)
 }
 
-func (n *Node) askForVotes(kind MessageKind, term uint64) {
+func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	for _, member := range n.membership.Members {
 		if member.Learner || member.ID == n.config.ID {
 			continue
