--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -51,7 +51,7 @@
 }
 
 func (n *Node) countVotes(now time.Duration) {
-	granted, refused := 0, 0
+	granted, rejected := 0, 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
@@ -61,7 +61,7 @@
 		case answered && vote:
 			granted++
 		case answered:
-			refused++
+			rejected++
 		}
 	}
 	quorum := n.membership.Voters()/2 + 1
@@ -70,7 +70,7 @@
 		n.startElection(now)
 	case granted >= quorum && n.role == Candidate:
 		n.becomeLeader(now)
-	case refused >= quorum:
+	case rejected >= quorum:
 		n.becomeFollower(now, n.hard.Term, "")
 		n.shortenElectionTimeout(now)
 	}
