--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -108,9 +108,9 @@
 	}
 	upToDate := message.LogTerm > n.log.lastTerm() ||
 		(message.LogTerm == n.log.lastTerm() && message.Index >= n.log.lastIndex())
-	free := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
+	canVote := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
 	reply.Term = message.Term
-	if upToDate && free {
+	if upToDate && canVote {
 		reply.Reject = false
 		if !preVote {
 			n.hard.Vote = message.From
