--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,8 +4,8 @@
 
 func (n *Node) resetElectionTimer(now time.Duration) {
 	timing := n.config.Timing
-	spread := int64(timing.ElectionMax - timing.ElectionMin)
-	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(spread))
+	jitter := int64(timing.ElectionMax - timing.ElectionMin)
+	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(jitter))
 }
 
 // becomeFollower enters a term. The vote is kept when the term does not change.
