--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -122,11 +122,11 @@
 }
 
 func (n *Node) handleVoteReply(now time.Duration, message Message) {
-	wantedRole, wantedTerm := Candidate, n.hard.Term
+	expectedRole, wantedTerm := Candidate, n.hard.Term
 	if message.Kind == MessagePreVoteReply {
-		wantedRole, wantedTerm = PreCandidate, n.hard.Term+1
+		expectedRole, wantedTerm = PreCandidate, n.hard.Term+1
 	}
-	if n.role != wantedRole {
+	if n.role != expectedRole {
 		return
 	}
 	if message.Reject && message.Term > n.hard.Term && message.Term != wantedTerm {
