--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -122,18 +122,18 @@
 }
 
 func (n *Node) handleVoteReply(now time.Duration, message Message) {
-	expectedRole, wantedTerm := Candidate, n.hard.Term
+	expectedRole, expectedTerm := Candidate, n.hard.Term
 	if message.Kind == MessagePreVoteReply {
-		expectedRole, wantedTerm = PreCandidate, n.hard.Term+1
+		expectedRole, expectedTerm = PreCandidate, n.hard.Term+1
 	}
 	if n.role != expectedRole {
 		return
 	}
-	if message.Reject && message.Term > n.hard.Term && message.Term != wantedTerm {
+	if message.Reject && message.Term > n.hard.Term && message.Term != expectedTerm {
 		n.becomeFollower(now, message.Term, "")
 		return
 	}
-	if !message.Reject && message.Term != wantedTerm {
+	if !message.Reject && message.Term != expectedTerm {
 		return
 	}
 	n.votes[message.From] = !message.Reject
