--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -49,16 +49,16 @@
 }
 
 func (n *Node) quorumSilent(now time.Duration) bool {
-	heard := 0
+	responsive := 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
 		}
 		if member.ID == n.config.ID || now < n.peers[member.ID].lastReplyAt+n.config.Timing.ElectionMax {
-			heard++
+			responsive++
 		}
 	}
-	return heard < n.membership.Voters()/2+1
+	return responsive < n.membership.Voters()/2+1
 }
 
 func (n *Node) forEachPeer(visit func(id ID)) {
