--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -105,7 +105,7 @@
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
 	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
-		n.sendBeat(now, id)
+		n.sendHeartbeat(now, id)
 		return
 	}
 	snapshot, ok := n.snapshotSource()
@@ -116,8 +116,8 @@
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
-// sendBeat sends an append without entries, once a heartbeat.
-func (n *Node) sendBeat(now time.Duration, id ID) {
+// sendHeartbeat sends an append without entries, once a heartbeat.
+func (n *Node) sendHeartbeat(now time.Duration, id ID) {
 	peer := n.peers[id]
 	if now < peer.lastAppendAt+n.config.Timing.Heartbeat {
 		return
