--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -81,8 +81,8 @@
 func (n *Node) sendAppend(now time.Duration, id ID) {
 	peer := n.peers[id]
 	previous := peer.next - 1
-	term, held := n.log.term(previous)
-	if !held {
+	term, found := n.log.term(previous)
+	if !found {
 		n.sendSnapshot(now, id)
 		return
 	}
