--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -149,7 +149,7 @@
 		n.send(reply)
 		return
 	}
-	if term, held := n.log.term(message.Index); !held || term != message.LogTerm {
+	if term, found := n.log.term(message.Index); !found || term != message.LogTerm {
 		reply.Reject = true
 		reply.Index = message.Index
 		reply.Hint = min(n.log.lastIndex(), message.Index-1)
