--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -166,11 +166,11 @@
 // appendFromLeader keeps entries that agree with the log and replaces the tail from the first that does not.
 func (n *Node) appendFromLeader(entries []Entry) {
 	for i, entry := range entries {
-		term, held := n.log.term(entry.Index)
-		if held && term == entry.Term {
+		term, found := n.log.term(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			n.log.truncateFrom(entry.Index)
 		}
 		n.log.entries = append(n.log.entries, entries[i:]...)
