--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -186,7 +186,7 @@
 	}
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	meta := message.Snapshot.Meta
-	if term, held := n.log.term(meta.Index); held && term == meta.Term {
+	if term, found := n.log.term(meta.Index); found && term == meta.Term {
 		// The log already agrees up to the snapshot; installing it would drop entries acknowledged after it.
 		n.commit = max(n.commit, meta.Index)
 	} else if meta.Index > n.commit {
