--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -245,8 +245,8 @@
 	}
 	slices.Sort(matches)
 	candidate := matches[(len(matches)-1)/2]
-	term, held := n.log.term(candidate)
-	if held && term == n.hard.Term && candidate > n.commit {
+	term, found := n.log.term(candidate)
+	if found && term == n.hard.Term && candidate > n.commit {
 		n.commit = candidate
 	}
 }
