--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -29,7 +29,7 @@
 	now      time.Duration
 	random   *rand.Rand
 	replicas []*replica
-	mail     []Message
+	inFlight []Message
 	cut      map[ID]bool
 	leaders  map[uint64]ID
 	chosen   map[uint64]Entry // committed entry by index, as first seen
@@ -72,7 +72,7 @@
 		if count := len(ready.Entries); count > 0 {
 			r.node.MarkPersisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
 		}
-		c.mail = append(c.mail, ready.Messages...)
+		c.inFlight = append(c.inFlight, ready.Messages...)
 		for _, entry := range ready.Committed {
 			c.apply(r, entry)
 		}
@@ -112,8 +112,8 @@
 
 // deliver takes the message at a position, or loses it on a cut link.
 func (c *cluster) deliver(at int) {
-	message := c.mail[at]
-	c.mail = slices.Delete(c.mail, at, at+1)
+	message := c.inFlight[at]
+	c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	to := c.find(message.To)
 	if to == nil || !to.up || c.cut[message.From] || c.cut[message.To] {
 		return
@@ -171,7 +171,7 @@
 func (c *cluster) calm(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.advance(20 * time.Millisecond)
-		for len(c.mail) > 0 {
+		for len(c.inFlight) > 0 {
 			c.deliver(0)
 		}
 	}
@@ -240,19 +240,19 @@
 			"time":    func(t *rapid.T) { c.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond) },
 			"propose": func(*rapid.T) { proposals++; c.propose(fmt.Sprint(proposals)) },
 			"deliver": func(t *rapid.T) {
-				for range min(len(c.mail), rapid.IntRange(1, 8).Draw(t, "count")) {
-					c.deliver(rapid.IntRange(0, len(c.mail)-1).Draw(t, "position"))
+				for range min(len(c.inFlight), rapid.IntRange(1, 8).Draw(t, "count")) {
+					c.deliver(rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position"))
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(c.mail) > 0 {
-					at := rapid.IntRange(0, len(c.mail)-1).Draw(t, "position")
-					c.mail = slices.Delete(c.mail, at, at+1)
+				if len(c.inFlight) > 0 {
+					at := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")
+					c.inFlight = slices.Delete(c.inFlight, at, at+1)
 				}
 			},
 			"repeat": func(t *rapid.T) {
-				if len(c.mail) > 0 {
-					c.mail = append(c.mail, c.mail[rapid.IntRange(0, len(c.mail)-1).Draw(t, "position")])
+				if len(c.inFlight) > 0 {
+					c.inFlight = append(c.inFlight, c.inFlight[rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")])
 				}
 			},
 			"cut":  func(t *rapid.T) { c.cut[c.replicas[one.Draw(t, "replica")].id] = true },
@@ -271,7 +271,7 @@
 // recoverAndCheck heals everything; the group must commit again and agree on all that was ever committed.
 func (c *cluster) recoverAndCheck(t *rapid.T) {
 	clear(c.cut)
-	c.mail = nil
+	c.inFlight = nil
 	for _, r := range c.replicas {
 		if !r.up {
 			c.start(r)
@@ -343,10 +343,10 @@
 	snapshots := 0
 	for end := c.now + testTiming.ElectionMin - 2*testTiming.Heartbeat; c.now < end; {
 		c.advance(20 * time.Millisecond)
-		for len(c.mail) > 0 {
-			if c.mail[0].Kind == MessageSnapshot {
+		for len(c.inFlight) > 0 {
+			if c.inFlight[0].Kind == MessageSnapshot {
 				snapshots++
-				c.mail = c.mail[1:] // a large one, still on its way
+				c.inFlight = c.inFlight[1:] // a large one, still on its way
 				continue
 			}
 			c.deliver(0)
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -10,7 +10,7 @@
 	for _, r := range replicas {
 		r.up = false
 	}
-	c.mail = nil
+	c.inFlight = nil
 	for i, r := range replicas {
 		if i > 0 {
 			c.calm(gap)
@@ -107,7 +107,7 @@
 func TestAnswerToAFormerLifeDoesNotCount(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	r := c.replicas[0]
-	c.mail = nil
+	c.inFlight = nil
 	c.start(r)
 	for _, other := range c.replicas[1:] {
 		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation + 1})
