--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -26,18 +26,18 @@
 
 // cluster drives nodes over a network that the test controls.
 type cluster struct {
-	now      time.Duration
-	random   *rand.Rand
-	replicas []*replica
-	inFlight []Message
-	cut      map[ID]bool
-	leaders  map[uint64]ID
-	chosen   map[uint64]Entry // committed entry by index, as first seen
-	fail     func(format string, arguments ...any)
+	now         time.Duration
+	random      *rand.Rand
+	replicas    []*replica
+	inFlight    []Message
+	partitioned map[ID]bool
+	leaders     map[uint64]ID
+	chosen      map[uint64]Entry // committed entry by index, as first seen
+	fail        func(format string, arguments ...any)
 }
 
 func newCluster(size int, seed uint64, fail func(string, ...any)) *cluster {
-	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), cut: map[ID]bool{}, leaders: map[uint64]ID{}, chosen: map[uint64]Entry{}, fail: fail}
+	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[ID]bool{}, leaders: map[uint64]ID{}, chosen: map[uint64]Entry{}, fail: fail}
 	var members []Member
 	for i := range size {
 		members = append(members, Member{ID: ID(fmt.Sprintf("n%d", i)), Name: fmt.Sprintf("n%d", i)})
@@ -115,7 +115,7 @@
 	message := c.inFlight[at]
 	c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	to := c.find(message.To)
-	if to == nil || !to.up || c.cut[message.From] || c.cut[message.To] {
+	if to == nil || !to.up || c.partitioned[message.From] || c.partitioned[message.To] {
 		return
 	}
 	to.node.Step(c.now, message)
@@ -150,7 +150,7 @@
 func (c *cluster) leader() *replica {
 	var best *replica
 	for _, r := range c.replicas {
-		if r.up && !c.cut[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
+		if r.up && !c.partitioned[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
 			best = r
 		}
 	}
@@ -197,7 +197,7 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.calm(3 * time.Second)
 	old := c.leader()
-	c.cut[old.id] = true
+	c.partitioned[old.id] = true
 	for range 300 {
 		c.calm(20 * time.Millisecond)
 		if next := c.leader(); next != nil && next != old {
@@ -220,9 +220,9 @@
 	if away == leader {
 		away = c.replicas[1]
 	}
-	c.cut[away.id] = true
+	c.partitioned[away.id] = true
 	c.calm(20 * time.Second)
-	delete(c.cut, away.id)
+	delete(c.partitioned, away.id)
 	c.calm(3 * time.Second)
 	if c.leader() != leader || leader.node.Term() != term {
 		t.Fatalf("leadership changed to term %d", c.leader().node.Term())
@@ -255,8 +255,8 @@
 					c.inFlight = append(c.inFlight, c.inFlight[rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")])
 				}
 			},
-			"cut":  func(t *rapid.T) { c.cut[c.replicas[one.Draw(t, "replica")].id] = true },
-			"heal": func(*rapid.T) { clear(c.cut) },
+			"cut":  func(t *rapid.T) { c.partitioned[c.replicas[one.Draw(t, "replica")].id] = true },
+			"heal": func(*rapid.T) { clear(c.partitioned) },
 			"kill": func(t *rapid.T) { c.replicas[one.Draw(t, "replica")].up = false },
 			"start": func(t *rapid.T) {
 				if r := c.replicas[one.Draw(t, "replica")]; !r.up {
@@ -270,7 +270,7 @@
 
 // recoverAndCheck heals everything; the group must commit again and agree on all that was ever committed.
 func (c *cluster) recoverAndCheck(t *rapid.T) {
-	clear(c.cut)
+	clear(c.partitioned)
 	c.inFlight = nil
 	for _, r := range c.replicas {
 		if !r.up {
@@ -331,7 +331,7 @@
 	c.calm(3 * time.Second)
 	leader := c.leader()
 	away := leader.node.Peers()[0].ID
-	c.cut[away] = true
+	c.partitioned[away] = true
 	for i := range 20 {
 		c.propose(fmt.Sprint(i))
 	}
@@ -339,7 +339,7 @@
 	meta := SnapshotMeta{Index: leader.node.Commit(), Term: leader.node.Term(), Membership: leader.node.Membership()}
 	leader.snapshot, leader.entries = Snapshot{Meta: meta}, nil
 	leader.node.Compact(meta)
-	delete(c.cut, away)
+	delete(c.partitioned, away)
 	snapshots := 0
 	for end := c.now + testTiming.ElectionMin - 2*testTiming.Heartbeat; c.now < end; {
 		c.advance(20 * time.Millisecond)
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -67,7 +67,7 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.calm(3 * time.Second)
 	leader := c.leader()
-	c.cut[leader.id] = true
+	c.partitioned[leader.id] = true
 	var others []*replica
 	for _, r := range c.replicas {
 		if r != leader {
