--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -32,12 +32,12 @@
 	inFlight    []Message
 	partitioned map[ID]bool
 	leaders     map[uint64]ID
-	chosen      map[uint64]Entry // committed entry by index, as first seen
+	committed   map[uint64]Entry // committed entry by index, as first seen
 	fail        func(format string, arguments ...any)
 }
 
 func newCluster(size int, seed uint64, fail func(string, ...any)) *cluster {
-	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[ID]bool{}, leaders: map[uint64]ID{}, chosen: map[uint64]Entry{}, fail: fail}
+	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[ID]bool{}, leaders: map[uint64]ID{}, committed: map[uint64]Entry{}, fail: fail}
 	var members []Member
 	for i := range size {
 		members = append(members, Member{ID: ID(fmt.Sprintf("n%d", i)), Name: fmt.Sprintf("n%d", i)})
@@ -93,11 +93,11 @@
 }
 
 func (c *cluster) apply(r *replica, entry Entry) {
-	first, known := c.chosen[entry.Index]
+	first, known := c.committed[entry.Index]
 	if known && (first.Term != entry.Term || !bytes.Equal(first.Data, entry.Data)) {
 		c.fail("index %d: %s committed term %d, another replica term %d", entry.Index, r.id, entry.Term, first.Term)
 	}
-	c.chosen[entry.Index] = entry
+	c.committed[entry.Index] = entry
 	r.applied = append(r.applied, entry)
 }
 
