--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -21,7 +21,7 @@
 	entries  []Entry
 	snapshot Snapshot
 	applied  []Entry
-	up       bool
+	running  bool
 }
 
 // cluster drives nodes over a network that the test controls.
@@ -51,7 +51,7 @@
 }
 
 func (c *cluster) start(r *replica) {
-	r.up = true
+	r.running = true
 	r.applied = nil
 	r.node = New(Config{ID: r.id, Timing: testTiming, Random: c.random.Int64N},
 		Restored{HardState: r.hard, Snapshot: r.snapshot.Meta, Entries: slices.Clone(r.entries)}, c.now,
@@ -60,7 +60,7 @@
 
 // settle syncs and sends what a replica has to do, in the order that the package demands.
 func (c *cluster) settle(r *replica) {
-	for r.up && r.node.HasReady() {
+	for r.running && r.node.HasReady() {
 		ready := r.node.Ready()
 		if ready.HardState != nil {
 			r.hard = *ready.HardState
@@ -77,7 +77,7 @@
 			c.apply(r, entry)
 		}
 	}
-	if r.up && r.node.Role() == Leader {
+	if r.running && r.node.Role() == Leader {
 		if other, taken := c.leaders[r.node.Term()]; taken && other != r.id {
 			c.fail("%s and %s both lead term %d", other, r.id, r.node.Term())
 		}
@@ -115,7 +115,7 @@
 	message := c.inFlight[at]
 	c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	to := c.find(message.To)
-	if to == nil || !to.up || c.partitioned[message.From] || c.partitioned[message.To] {
+	if to == nil || !to.running || c.partitioned[message.From] || c.partitioned[message.To] {
 		return
 	}
 	to.node.Step(c.now, message)
@@ -125,7 +125,7 @@
 func (c *cluster) advance(d time.Duration) {
 	c.now += d
 	for _, r := range c.replicas {
-		if r.up {
+		if r.running {
 			r.node.Tick(c.now)
 			c.settle(r)
 		}
@@ -137,7 +137,7 @@
 func (c *cluster) checkLeases() {
 	var holder *replica
 	for _, r := range c.replicas {
-		if !r.up || !r.node.LeaseValid(c.now) {
+		if !r.running || !r.node.LeaseValid(c.now) {
 			continue
 		}
 		if holder != nil {
@@ -150,7 +150,7 @@
 func (c *cluster) leader() *replica {
 	var best *replica
 	for _, r := range c.replicas {
-		if r.up && !c.partitioned[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
+		if r.running && !c.partitioned[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
 			best = r
 		}
 	}
@@ -257,9 +257,9 @@
 			},
 			"cut":  func(t *rapid.T) { c.partitioned[c.replicas[one.Draw(t, "replica")].id] = true },
 			"heal": func(*rapid.T) { clear(c.partitioned) },
-			"kill": func(t *rapid.T) { c.replicas[one.Draw(t, "replica")].up = false },
+			"kill": func(t *rapid.T) { c.replicas[one.Draw(t, "replica")].running = false },
 			"start": func(t *rapid.T) {
-				if r := c.replicas[one.Draw(t, "replica")]; !r.up {
+				if r := c.replicas[one.Draw(t, "replica")]; !r.running {
 					c.start(r)
 				}
 			},
@@ -273,7 +273,7 @@
 	clear(c.partitioned)
 	c.inFlight = nil
 	for _, r := range c.replicas {
-		if !r.up {
+		if !r.running {
 			c.start(r)
 		}
 	}
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -8,7 +8,7 @@
 // restart ends the given replicas at once and starts them again, in their order, one each gap.
 func (c *cluster) restart(gap time.Duration, replicas ...*replica) {
 	for _, r := range replicas {
-		r.up = false
+		r.running = false
 	}
 	c.inFlight = nil
 	for i, r := range replicas {
