--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -58,8 +58,8 @@
 		func() (Snapshot, bool) { return r.snapshot, true })
 }
 
-// settle syncs and sends what a replica has to do, in the order that the package demands.
-func (c *cluster) settle(r *replica) {
+// processReady syncs and sends what a replica has to do, in the order that the package demands.
+func (c *cluster) processReady(r *replica) {
 	for r.running && r.node.HasReady() {
 		ready := r.node.Ready()
 		if ready.HardState != nil {
@@ -119,7 +119,7 @@
 		return
 	}
 	to.node.Step(c.now, message)
-	c.settle(to)
+	c.processReady(to)
 }
 
 func (c *cluster) advance(d time.Duration) {
@@ -127,7 +127,7 @@
 	for _, r := range c.replicas {
 		if r.running {
 			r.node.Tick(c.now)
-			c.settle(r)
+			c.processReady(r)
 		}
 	}
 	c.checkLeases()
@@ -163,7 +163,7 @@
 		return false
 	}
 	_, _, ok := leader.node.Propose(c.now, []byte(data))
-	c.settle(leader)
+	c.processReady(leader)
 	return ok
 }
 
