--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -68,7 +68,7 @@
 		if ready.Snapshot != nil {
 			r.snapshot, r.entries, r.applied = *ready.Snapshot, nil, nil
 		}
-		c.store(r, ready.Entries)
+		c.persist(r, ready.Entries)
 		if count := len(ready.Entries); count > 0 {
 			r.node.MarkPersisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
 		}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *cluster) store(r *replica, entries []Entry) {
+func (c *cluster) persist(r *replica, entries []Entry) {
 	for _, entry := range entries {
 		at := int(entry.Index - r.snapshot.Meta.Index - 1)
 		r.entries = append(r.entries[:at:at], entry)
