--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -167,8 +167,8 @@
 	return ok
 }
 
-// calm lets time pass with a working network.
-func (c *cluster) calm(length time.Duration) {
+// runFor lets time pass with a working network.
+func (c *cluster) runFor(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.advance(20 * time.Millisecond)
 		for len(c.inFlight) > 0 {
@@ -179,11 +179,11 @@
 
 func TestLeaderIsElectedAndCommits(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	if !c.propose("x") {
 		t.Fatal("no leader after 3 s")
 	}
-	c.calm(time.Second)
+	c.runFor(time.Second)
 	for _, r := range c.replicas {
 		if last := r.applied[len(r.applied)-1]; string(last.Data) != "x" {
 			t.Fatalf("%s applied %q last", r.id, last.Data)
@@ -195,11 +195,11 @@
 // not serve reads.
 func TestCutOffLeaderLosesItsLease(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	old := c.leader()
 	c.partitioned[old.id] = true
 	for range 300 {
-		c.calm(20 * time.Millisecond)
+		c.runFor(20 * time.Millisecond)
 		if next := c.leader(); next != nil && next != old {
 			if old.node.LeaseValid(c.now) {
 				t.Fatalf("%s leads term %d while %s holds a lease of term %d", next.id, next.node.Term(), old.id, old.node.Term())
@@ -213,7 +213,7 @@
 // TestReturningReplicaDoesNotDepose: pre-vote keeps a replica that was cut off from raising the term.
 func TestReturningReplicaDoesNotDepose(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	term := leader.node.Term()
 	away := c.replicas[0]
@@ -221,9 +221,9 @@
 		away = c.replicas[1]
 	}
 	c.partitioned[away.id] = true
-	c.calm(20 * time.Second)
+	c.runFor(20 * time.Second)
 	delete(c.partitioned, away.id)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	if c.leader() != leader || leader.node.Term() != term {
 		t.Fatalf("leadership changed to term %d", c.leader().node.Term())
 	}
@@ -233,7 +233,7 @@
 func TestLogsAgreeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"), t.Fatalf)
-		c.calm(3 * time.Second)
+		c.runFor(3 * time.Second)
 		proposals := 0
 		one := rapid.IntRange(0, len(c.replicas)-1)
 		t.Repeat(map[string]func(*rapid.T){
@@ -277,11 +277,11 @@
 			c.start(r)
 		}
 	}
-	c.calm(8 * time.Second)
+	c.runFor(8 * time.Second)
 	if !c.propose("last") {
 		t.Fatal("no leader after everything healed")
 	}
-	c.calm(2 * time.Second)
+	c.runFor(2 * time.Second)
 	for _, r := range c.replicas {
 		if r.node.Commit() < c.leader().node.Commit() {
 			t.Fatalf("%s committed up to %d, the leader up to %d", r.id, r.node.Commit(), c.leader().node.Commit())
@@ -292,7 +292,7 @@
 // TestMembershipChangesOneVoteAtATime refuses a change of two votes and a change on top of an uncommitted one.
 func TestMembershipChangesOneVoteAtATime(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader().node
 	two := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
 	if _, _, ok := leader.ProposeMembership(c.now, two); ok {
@@ -313,7 +313,7 @@
 // heartbeats, not at the speed of the network.
 func TestFollowerThatLostEntriesIsNotFlooded(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	peer := leader.node.Peers()[0]
 	for range 5 {
@@ -328,14 +328,14 @@
 // answers; once a while without an answer has passed, the snapshot is sent again.
 func TestSnapshotIsNotSentWithEachHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	away := leader.node.Peers()[0].ID
 	c.partitioned[away] = true
 	for i := range 20 {
 		c.propose(fmt.Sprint(i))
 	}
-	c.calm(time.Second)
+	c.runFor(time.Second)
 	meta := SnapshotMeta{Index: leader.node.Commit(), Term: leader.node.Term(), Membership: leader.node.Membership()}
 	leader.snapshot, leader.entries = Snapshot{Meta: meta}, nil
 	leader.node.Compact(meta)
@@ -358,7 +358,7 @@
 	if snapshots != 1 {
 		t.Fatalf("%d snapshots were sent", snapshots)
 	}
-	c.calm(2 * time.Second)
+	c.runFor(2 * time.Second)
 	if behind := c.find(away); behind.node.Commit() < leader.node.Commit() {
 		t.Fatalf("%s rests at %d, the leader at %d", away, behind.node.Commit(), leader.node.Commit())
 	}
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -13,7 +13,7 @@
 	c.inFlight = nil
 	for i, r := range replicas {
 		if i > 0 {
-			c.calm(gap)
+			c.runFor(gap)
 		}
 		c.start(r)
 	}
@@ -24,7 +24,7 @@
 	t.Helper()
 	began := c.now
 	for c.now < began+most {
-		c.calm(10 * time.Millisecond)
+		c.runFor(10 * time.Millisecond)
 		if leader := c.leader(); leader != nil && leader.node.LeaseValid(c.now) {
 			return
 		}
@@ -37,7 +37,7 @@
 	for _, gap := range []time.Duration{0, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
 			c := newCluster(3, seed, t.Fatalf)
-			c.calm(3 * time.Second)
+			c.runFor(3 * time.Second)
 			c.restart(gap, c.replicas...)
 			c.leaderWithin(t, testTiming.ElectionMin/2)
 		}
@@ -47,13 +47,13 @@
 // TestRestartedMinorityLeavesTheLeader: those that restart learn that another voter knows a leader, and wait.
 func TestRestartedMinorityLeavesTheLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	term := leader.node.Term()
 	for _, r := range c.replicas {
 		if r != leader {
 			c.restart(0, r)
-			c.calm(time.Second)
+			c.runFor(time.Second)
 		}
 	}
 	if c.leader() != leader || leader.node.Term() != term {
@@ -65,7 +65,7 @@
 // have just started and see nobody else, wait as long as the lease may run.
 func TestRestartedMajorityWaitsOutTheLease(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	c.partitioned[leader.id] = true
 	var others []*replica
@@ -77,7 +77,7 @@
 	c.restart(0, others...)
 	began := c.now
 	for c.now < began+testTiming.ElectionMin-20*time.Millisecond {
-		c.calm(20 * time.Millisecond)
+		c.runFor(20 * time.Millisecond)
 		if c.leader() != nil {
 			t.Fatalf("elected after %v, while the old lease may run", c.now-began)
 		}
@@ -88,7 +88,7 @@
 // it yet (ayni-lima trouble-1: 120 ms after a restart of all).
 func TestRefusedVoterOfAQuietGroupStandsAgain(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	c.restart(0, c.replicas...)
 	first := c.replicas[0].node
 	for _, other := range c.replicas[1:] {
