--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -78,7 +78,7 @@
 		}
 	}
 	if r.running && r.node.Role() == Leader {
-		if other, taken := c.leaders[r.node.Term()]; taken && other != r.id {
+		if other, exists := c.leaders[r.node.Term()]; exists && other != r.id {
 			c.fail("%s and %s both lead term %d", other, r.id, r.node.Term())
 		}
 		c.leaders[r.node.Term()] = r.id
