--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -216,13 +216,13 @@
 	c.runFor(3 * time.Second)
 	leader := c.leader()
 	term := leader.node.Term()
-	away := c.replicas[0]
-	if away == leader {
-		away = c.replicas[1]
+	isolated := c.replicas[0]
+	if isolated == leader {
+		isolated = c.replicas[1]
 	}
-	c.partitioned[away.id] = true
+	c.partitioned[isolated.id] = true
 	c.runFor(20 * time.Second)
-	delete(c.partitioned, away.id)
+	delete(c.partitioned, isolated.id)
 	c.runFor(3 * time.Second)
 	if c.leader() != leader || leader.node.Term() != term {
 		t.Fatalf("leadership changed to term %d", c.leader().node.Term())
