--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -330,8 +330,8 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
-	away := leader.node.Peers()[0].ID
-	c.partitioned[away] = true
+	isolated := leader.node.Peers()[0].ID
+	c.partitioned[isolated] = true
 	for i := range 20 {
 		c.propose(fmt.Sprint(i))
 	}
@@ -339,7 +339,7 @@
 	meta := SnapshotMeta{Index: leader.node.Commit(), Term: leader.node.Term(), Membership: leader.node.Membership()}
 	leader.snapshot, leader.entries = Snapshot{Meta: meta}, nil
 	leader.node.Compact(meta)
-	delete(c.partitioned, away)
+	delete(c.partitioned, isolated)
 	snapshots := 0
 	for end := c.now + testTiming.ElectionMin - 2*testTiming.Heartbeat; c.now < end; {
 		c.advance(20 * time.Millisecond)
@@ -359,7 +359,7 @@
 		t.Fatalf("%d snapshots were sent", snapshots)
 	}
 	c.runFor(2 * time.Second)
-	if behind := c.find(away); behind.node.Commit() < leader.node.Commit() {
-		t.Fatalf("%s rests at %d, the leader at %d", away, behind.node.Commit(), leader.node.Commit())
+	if behind := c.find(isolated); behind.node.Commit() < leader.node.Commit() {
+		t.Fatalf("%s rests at %d, the leader at %d", isolated, behind.node.Commit(), leader.node.Commit())
 	}
 }
