--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -235,7 +235,7 @@
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"), t.Fatalf)
 		c.runFor(3 * time.Second)
 		proposals := 0
-		one := rapid.IntRange(0, len(c.replicas)-1)
+		replicaIndex := rapid.IntRange(0, len(c.replicas)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { c.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond) },
 			"propose": func(*rapid.T) { proposals++; c.propose(fmt.Sprint(proposals)) },
@@ -255,11 +255,11 @@
 					c.inFlight = append(c.inFlight, c.inFlight[rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")])
 				}
 			},
-			"cut":  func(t *rapid.T) { c.partitioned[c.replicas[one.Draw(t, "replica")].id] = true },
+			"cut":  func(t *rapid.T) { c.partitioned[c.replicas[replicaIndex.Draw(t, "replica")].id] = true },
 			"heal": func(*rapid.T) { clear(c.partitioned) },
-			"kill": func(t *rapid.T) { c.replicas[one.Draw(t, "replica")].running = false },
+			"kill": func(t *rapid.T) { c.replicas[replicaIndex.Draw(t, "replica")].running = false },
 			"start": func(t *rapid.T) {
-				if r := c.replicas[one.Draw(t, "replica")]; !r.running {
+				if r := c.replicas[replicaIndex.Draw(t, "replica")]; !r.running {
 					c.start(r)
 				}
 			},
