--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -294,8 +294,8 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader().node
-	two := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
-	if _, _, ok := leader.ProposeMembership(c.now, two); ok {
+	twoNewVoters := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
+	if _, _, ok := leader.ProposeMembership(c.now, twoNewVoters); ok {
 		t.Fatal("two votes were changed at once")
 	}
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "x", Learner: true})); !ok {
