--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -359,7 +359,7 @@
 		t.Fatalf("%d snapshots were sent", snapshots)
 	}
 	c.runFor(2 * time.Second)
-	if behind := c.find(isolated); behind.node.Commit() < leader.node.Commit() {
-		t.Fatalf("%s rests at %d, the leader at %d", isolated, behind.node.Commit(), leader.node.Commit())
+	if follower := c.find(isolated); follower.node.Commit() < leader.node.Commit() {
+		t.Fatalf("%s rests at %d, the leader at %d", isolated, follower.node.Commit(), leader.node.Commit())
 	}
 }
