--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestCutOffLeaderLosesItsLease: by the time another replica can be elected, the old leader must know that it may
+// TestPartitionedLeaderLosesLeaseBeforeNextElection: by the time another replica can be elected, the old leader must know that it may
 // not serve reads.
-func TestCutOffLeaderLosesItsLease(t *testing.T) {
+func TestPartitionedLeaderLosesLeaseBeforeNextElection(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	old := c.leader()
