--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -210,8 +210,8 @@
 	t.Fatal("no new leader within 6 s")
 }
 
-// TestReturningReplicaDoesNotDepose: pre-vote keeps a replica that was cut off from raising the term.
-func TestReturningReplicaDoesNotDepose(t *testing.T) {
+// TestReconnectedReplicaDoesNotDeposeLeader: pre-vote keeps a replica that was cut off from raising the term.
+func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
