--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -309,9 +309,9 @@
 	}
 }
 
-// TestFollowerThatLostEntriesIsNotFlooded: a follower that forgot what it had acknowledged is asked again with
+// TestFollowerWithLostEntriesIsProbedOncePerHeartbeat: a follower that forgot what it had acknowledged is asked again with
 // heartbeats, not at the speed of the network.
-func TestFollowerThatLostEntriesIsNotFlooded(t *testing.T) {
+func TestFollowerWithLostEntriesIsProbedOncePerHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
