--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -324,9 +324,9 @@
 	}
 }
 
-// TestSnapshotIsNotSentWithEachHeartbeat: while one is on its way the peer hears heartbeats, and the leader keeps its lease by their
+// TestPendingSnapshotIsNotResentEveryHeartbeat: while one is on its way the peer hears heartbeats, and the leader keeps its lease by their
 // answers; once a while without an answer has passed, the snapshot is sent again.
-func TestSnapshotIsNotSentWithEachHeartbeat(t *testing.T) {
+func TestPendingSnapshotIsNotResentEveryHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
