--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// leaderWithin lets time pass until a leader may serve reads, and returns how long that took.
-func (c *cluster) leaderWithin(t *testing.T, most time.Duration) {
+// waitForLeader lets time pass until a leader may serve reads, and returns how long that took.
+func (c *cluster) waitForLeader(t *testing.T, most time.Duration) {
 	t.Helper()
 	began := c.now
 	for c.now < began+most {
@@ -39,7 +39,7 @@
 			c := newCluster(3, seed, t.Fatalf)
 			c.runFor(3 * time.Second)
 			c.restart(gap, c.replicas...)
-			c.leaderWithin(t, testTiming.ElectionMin/2)
+			c.waitForLeader(t, testTiming.ElectionMin/2)
 		}
 	}
 }
