--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -20,16 +20,16 @@
 }
 
 // waitForLeader lets time pass until a leader may serve reads, and returns how long that took.
-func (c *cluster) waitForLeader(t *testing.T, most time.Duration) {
+func (c *cluster) waitForLeader(t *testing.T, timeout time.Duration) {
 	t.Helper()
 	began := c.now
-	for c.now < began+most {
+	for c.now < began+timeout {
 		c.runFor(10 * time.Millisecond)
 		if leader := c.leader(); leader != nil && leader.node.LeaseValid(c.now) {
 			return
 		}
 	}
-	t.Fatalf("no leader within %v of the last start", most)
+	t.Fatalf("no leader within %v of the last start", timeout)
 }
 
 // TestWholeGroupElectsAtOnceAfterRestart: nobody is left that a lease was promised to.
