--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -22,8 +22,8 @@
 // waitForLeader lets time pass until a leader may serve reads, and returns how long that took.
 func (c *cluster) waitForLeader(t *testing.T, timeout time.Duration) {
 	t.Helper()
-	began := c.now
-	for c.now < began+timeout {
+	startedAt := c.now
+	for c.now < startedAt+timeout {
 		c.runFor(10 * time.Millisecond)
 		if leader := c.leader(); leader != nil && leader.node.LeaseValid(c.now) {
 			return
