--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -32,8 +32,8 @@
 	t.Fatalf("no leader within %v of the last start", timeout)
 }
 
-// TestWholeGroupElectsAtOnceAfterRestart: nobody is left that a lease was promised to.
-func TestWholeGroupElectsAtOnceAfterRestart(t *testing.T) {
+// TestFullRestartElectsLeaderWithoutLeaseWait: nobody is left that a lease was promised to.
+func TestFullRestartElectsLeaderWithoutLeaseWait(t *testing.T) {
 	for _, gap := range []time.Duration{0, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
 			c := newCluster(3, seed, t.Fatalf)
