--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestRestartedMinorityLeavesTheLeader: those that restart learn that another voter knows a leader, and wait.
-func TestRestartedMinorityLeavesTheLeader(t *testing.T) {
+// TestRestartedFollowersKeepLeader: those that restart learn that another voter knows a leader, and wait.
+func TestRestartedFollowersKeepLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
