--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestRestartedMajorityWaitsOutTheLease: the leader is cut off and may still hold a lease, so that the two others, which
+// TestRestartedMajorityWaitsForLeaseExpiry: the leader is cut off and may still hold a lease, so that the two others, which
 // have just started and see nobody else, wait as long as the lease may run.
-func TestRestartedMajorityWaitsOutTheLease(t *testing.T) {
+func TestRestartedMajorityWaitsForLeaseExpiry(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
