--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -75,11 +75,11 @@
 		}
 	}
 	c.restart(0, others...)
-	began := c.now
-	for c.now < began+testTiming.ElectionMin-20*time.Millisecond {
+	restartedAt := c.now
+	for c.now < restartedAt+testTiming.ElectionMin-20*time.Millisecond {
 		c.runFor(20 * time.Millisecond)
 		if c.leader() != nil {
-			t.Fatalf("elected after %v, while the old lease may run", c.now-began)
+			t.Fatalf("elected after %v, while the old lease may run", c.now-restartedAt)
 		}
 	}
 }
