--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestRefusedVoterOfAQuietGroupStandsAgain: the first to know that no voter knows a leader asks those that have not heard
+// TestRejectedColdStartCandidateRetriesSoon: the first to know that no voter knows a leader asks those that have not heard
 // it yet (ayni-lima trouble-1: 120 ms after a restart of all).
-func TestRefusedVoterOfAQuietGroupStandsAgain(t *testing.T) {
+func TestRejectedColdStartCandidateRetriesSoon(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	c.restart(0, c.replicas...)
