--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestAnswerToAFormerLifeDoesNotCount: what was said before this life began may be older than a promise of the last life.
-func TestAnswerToAFormerLifeDoesNotCount(t *testing.T) {
+// TestReplyToPreviousIncarnationIsIgnored: what was said before this life began may be older than a promise of the last life.
+func TestReplyToPreviousIncarnationIsIgnored(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	r := c.replicas[0]
 	c.inFlight = nil
