--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -90,15 +90,15 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	c.restart(0, c.replicas...)
-	first := c.replicas[0].node
+	candidate := c.replicas[0].node
 	for _, other := range c.replicas[1:] {
-		first.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: first.config.ID, Term: 1, Incarnation: first.coldStart.incarnation})
+		candidate.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: candidate.config.ID, Term: 1, Incarnation: candidate.coldStart.incarnation})
 	}
-	first.Tick(first.electionDue)
+	candidate.Tick(candidate.electionDue)
 	for _, other := range c.replicas[1:] {
-		first.Step(c.now, Message{Kind: MessagePreVoteReply, From: other.id, To: first.config.ID, Term: first.Term(), Reject: true})
+		candidate.Step(c.now, Message{Kind: MessagePreVoteReply, From: other.id, To: candidate.config.ID, Term: candidate.Term(), Reject: true})
 	}
-	if wait := first.electionDue - c.now; wait > testTiming.Heartbeat {
+	if wait := candidate.electionDue - c.now; wait > testTiming.Heartbeat {
 		t.Fatalf("stands again after %v", wait)
 	}
 }
