--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -203,9 +203,9 @@
 
 // PeerStatus is a leader's view of one other replica.
 type PeerStatus struct {
-	ID      ID
-	Match   uint64
-	HeardAt time.Duration
+	ID          ID
+	Match       uint64
+	LastReplyAt time.Duration
 }
 
 // Peers returns the leader's view of the others, ordered as in the membership.
@@ -216,7 +216,7 @@
 	}
 	for _, member := range n.membership.Members {
 		if peer := n.peers[member.ID]; peer != nil {
-			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, HeardAt: peer.lastReplyAt})
+			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, LastReplyAt: peer.lastReplyAt})
 		}
 	}
 	return statuses
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -54,7 +54,7 @@
 	membership := r.node.Membership()
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
-		silent := now - peer.HeardAt
+		silent := now - peer.LastReplyAt
 		if member.Learner {
 			caughtUp := peer.Match+maxLearnerLag >= r.node.Commit() && peer.Match > 0 && silent < presenceTimeout
 			if caughtUp && (learner == nil || nameTaken(membership, member)) {
@@ -81,7 +81,7 @@
 func (r *Replica) dropSilentLearner(now time.Duration, membership consensus.Membership) {
 	for _, peer := range r.node.Peers() {
 		member, _ := membership.Find(peer.ID)
-		if member.Learner && now-peer.HeardAt > learnerTimeout {
+		if member.Learner && now-peer.LastReplyAt > learnerTimeout {
 			r.node.ProposeMembership(now, membership.Without(peer.ID))
 			return
 		}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -25,7 +25,7 @@
 	for _, member := range r.members() {
 		line := MemberStatus{Member: member, Match: peers[member.ID].Match, Level: r.memberLevel(member.ID)}
 		if peer, found := peers[member.ID]; found {
-			line.Silent = now - peer.HeardAt
+			line.Silent = now - peer.LastReplyAt
 		}
 		if member.ID == r.config.ID {
 			line.Match = r.node.LastIndex()
