--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -265,18 +265,18 @@
 	return append(buffer, record.Data...)
 }
 
-// Torn tells what follows the last valid record.
-type Torn uint8
+// TailState tells what follows the last valid record.
+type TailState uint8
 
 // What DecodeRecords found after the valid records.
 const (
-	TornNone   Torn = iota
-	TornEnd         // an incomplete last record, as a crash leaves it
-	TornMiddle      // a bad record with valid-looking data after it
+	TornNone   TailState = iota
+	TornEnd              // an incomplete last record, as a crash leaves it
+	TornMiddle           // a bad record with valid-looking data after it
 )
 
 // DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
-func DecodeRecords(data []byte) (records []Record, length int64, torn Torn) {
+func DecodeRecords(data []byte) (records []Record, length int64, torn TailState) {
 	offset := 0
 	for offset < len(data) {
 		record, size, ok := decodeOne(data[offset:])
@@ -309,7 +309,7 @@
 
 // classifyTail tells a torn end from damage: if any valid, non-empty record can be found after the bad
 // place, data written later survived, so the bad place was once durable.
-func classifyTail(tail []byte) Torn {
+func classifyTail(tail []byte) TailState {
 	for start := 1; start+frameHeaderBytes < len(tail); start++ {
 		record, _, ok := decodeOne(tail[start:])
 		if ok && len(record.Data) > 0 {
