--- a/internal/storage/file.go
+++ b/internal/storage/file.go
@@ -67,7 +67,7 @@
 		return false, eris.Wrapf(err, "read %s", path)
 	}
 	records, _, torn := DecodeRecords(data)
-	if torn != TornNone || len(records) != 1 {
+	if torn != TailClean || len(records) != 1 {
 		return false, eris.Wrapf(ErrDamaged, "%s fails its checksum; remove it to start from the control replicas", path)
 	}
 	return true, eris.Wrapf(json.Unmarshal(records[0].Data, value), "decode %s", path)
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -149,7 +149,7 @@
 	if err := l.checkHeader(path, records[0].Data); err != nil {
 		return nil, 0, err
 	}
-	if torn != TornNone && (!newest || torn == TornMiddle) {
+	if torn != TailClean && (!newest || torn == TornMiddle) {
 		return nil, 0, eris.Wrapf(ErrDamaged,
 			"%s: record at byte %d fails its checksum and is not the last one; restore the folder from a backup or wipe it to rejoin as a new replica", path, length)
 	}
@@ -270,7 +270,7 @@
 
 // What DecodeRecords found after the valid records.
 const (
-	TornNone   TailState = iota
+	TailClean  TailState = iota
 	TornEnd              // an incomplete last record, as a crash leaves it
 	TornMiddle           // a bad record with valid-looking data after it
 )
@@ -286,7 +286,7 @@
 		records = append(records, record)
 		offset += size
 	}
-	return records, int64(offset), TornNone
+	return records, int64(offset), TailClean
 }
 
 func decodeOne(data []byte) (Record, int, bool) {
