--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -270,9 +270,9 @@
 
 // What DecodeRecords found after the valid records.
 const (
-	TailClean  TailState = iota
-	TornEnd              // an incomplete last record, as a crash leaves it
-	TornMiddle           // a bad record with valid-looking data after it
+	TailClean     TailState = iota
+	TailTruncated           // an incomplete last record, as a crash leaves it
+	TornMiddle              // a bad record with valid-looking data after it
 )
 
 // DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
@@ -316,5 +316,5 @@
 			return TornMiddle
 		}
 	}
-	return TornEnd
+	return TailTruncated
 }
