--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -149,7 +149,7 @@
 	if err := l.checkHeader(path, records[0].Data); err != nil {
 		return nil, 0, err
 	}
-	if torn != TailClean && (!newest || torn == TornMiddle) {
+	if torn != TailClean && (!newest || torn == TailCorrupt) {
 		return nil, 0, eris.Wrapf(ErrDamaged,
 			"%s: record at byte %d fails its checksum and is not the last one; restore the folder from a backup or wipe it to rejoin as a new replica", path, length)
 	}
@@ -272,7 +272,7 @@
 const (
 	TailClean     TailState = iota
 	TailTruncated           // an incomplete last record, as a crash leaves it
-	TornMiddle              // a bad record with valid-looking data after it
+	TailCorrupt             // a bad record with valid-looking data after it
 )
 
 // DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
@@ -313,7 +313,7 @@
 	for start := 1; start+frameHeaderBytes < len(tail); start++ {
 		record, _, ok := decodeOne(tail[start:])
 		if ok && len(record.Data) > 0 {
-			return TornMiddle
+			return TailCorrupt
 		}
 	}
 	return TailTruncated
