--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -276,7 +276,7 @@
 )
 
 // DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
-func DecodeRecords(data []byte) (records []Record, length int64, torn TailState) {
+func DecodeRecords(data []byte) (records []Record, length int64, tail TailState) {
 	offset := 0
 	for offset < len(data) {
 		record, size, ok := decodeOne(data[offset:])
