--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -142,14 +142,14 @@
 	if err != nil {
 		return nil, 0, eris.Wrapf(err, "read %s", path)
 	}
-	records, length, torn := DecodeRecords(data)
+	records, length, tail := DecodeRecords(data)
 	if len(records) == 0 || records[0].Kind != KindHeader {
 		return nil, 0, eris.Wrapf(ErrDamaged, "%s has no readable header", path)
 	}
 	if err := l.checkHeader(path, records[0].Data); err != nil {
 		return nil, 0, err
 	}
-	if torn != TailClean && (!newest || torn == TailCorrupt) {
+	if tail != TailClean && (!newest || tail == TailCorrupt) {
 		return nil, 0, eris.Wrapf(ErrDamaged,
 			"%s: record at byte %d fails its checksum and is not the last one; restore the folder from a backup or wipe it to rejoin as a new replica", path, length)
 	}
