--- a/internal/storage/file.go
+++ b/internal/storage/file.go
@@ -66,8 +66,8 @@
 	if err != nil {
 		return false, eris.Wrapf(err, "read %s", path)
 	}
-	records, _, torn := DecodeRecords(data)
-	if torn != TailClean || len(records) != 1 {
+	records, _, tail := DecodeRecords(data)
+	if tail != TailClean || len(records) != 1 {
 		return false, eris.Wrapf(ErrDamaged, "%s fails its checksum; remove it to start from the control replicas", path)
 	}
 	return true, eris.Wrapf(json.Unmarshal(records[0].Data, value), "decode %s", path)
