--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -83,7 +83,7 @@
 	}
 	log := &Log{folder: folder, owner: owner}
 	if len(sequences) == 0 {
-		return log, nil, log.createFirst()
+		return log, nil, log.createFirstSegment()
 	}
 	var records []Record
 	for i, sequence := range sequences {
@@ -130,7 +130,7 @@
 	return filepath.Join(l.folder, fmt.Sprintf("%016d%s", sequence, segmentSuffix))
 }
 
-func (l *Log) createFirst() error {
+func (l *Log) createFirstSegment() error {
 	l.sequence = 1
 	return l.writeSegment(nil)
 }
