--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -279,7 +279,7 @@
 func DecodeRecords(data []byte) (records []Record, length int64, tail TailState) {
 	offset := 0
 	for offset < len(data) {
-		record, size, ok := decodeOne(data[offset:])
+		record, size, ok := decodeRecord(data[offset:])
 		if !ok {
 			return records, int64(offset), classifyTail(data[offset:])
 		}
@@ -289,7 +289,7 @@
 	return records, int64(offset), TailClean
 }
 
-func decodeOne(data []byte) (Record, int, bool) {
+func decodeRecord(data []byte) (Record, int, bool) {
 	if len(data) < frameHeaderBytes {
 		return Record{}, 0, false
 	}
@@ -311,7 +311,7 @@
 // place, data written later survived, so the bad place was once durable.
 func classifyTail(tail []byte) TailState {
 	for start := 1; start+frameHeaderBytes < len(tail); start++ {
-		record, _, ok := decodeOne(tail[start:])
+		record, _, ok := decodeRecord(tail[start:])
 		if ok && len(record.Data) > 0 {
 			return TailCorrupt
 		}
