--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -157,15 +157,15 @@
 }
 
 func (l *Log) checkHeader(path string, data []byte) error {
-	var found header
-	if err := json.Unmarshal(data, &found); err != nil || found.Magic != magic {
+	var decoded header
+	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Magic != magic {
 		return eris.Wrapf(ErrForeign, "%s was not written by this program", path)
 	}
-	if found.Format > FormatVersion {
-		return eris.Wrapf(ErrNewerFormat, "%s has format %d, this program reads up to %d; start the newer program", path, found.Format, FormatVersion)
+	if decoded.Format > FormatVersion {
+		return eris.Wrapf(ErrNewerFormat, "%s has format %d, this program reads up to %d; start the newer program", path, decoded.Format, FormatVersion)
 	}
-	if found.Owner != l.owner {
-		return eris.Wrapf(ErrForeign, "%s belongs to %q, not to %q", path, found.Owner, l.owner)
+	if decoded.Owner != l.owner {
+		return eris.Wrapf(ErrForeign, "%s belongs to %q, not to %q", path, decoded.Owner, l.owner)
 	}
 	return nil
 }
