--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -230,11 +230,11 @@
 }
 
 func (l *Log) writeSegment(records []Record) error {
-	head, err := json.Marshal(header{Magic: magic, Format: FormatVersion, Owner: l.owner, Sequence: l.sequence})
+	encodedHeader, err := json.Marshal(header{Magic: magic, Format: FormatVersion, Owner: l.owner, Sequence: l.sequence})
 	if err != nil {
 		return eris.Wrap(err, "encode segment header")
 	}
-	data := AppendRecord(nil, Record{Kind: KindHeader, Data: head})
+	data := AppendRecord(nil, Record{Kind: KindHeader, Data: encodedHeader})
 	for _, record := range records {
 		data = AppendRecord(data, record)
 	}
