--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -213,12 +213,12 @@
 		return err
 	}
 	previous := l.sequence
-	old := l.file
+	oldFile := l.file
 	l.sequence++
 	if err := l.writeSegment(records); err != nil {
 		return err
 	}
-	if err := old.Close(); err != nil {
+	if err := oldFile.Close(); err != nil {
 		return eris.Wrap(err, "close old segment")
 	}
 	for sequence := previous; sequence > 0; sequence-- {
