--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -46,8 +46,8 @@
 
 func texts(records []Record) string {
 	var all []string
-	for _, held := range records {
-		all = append(all, string(held.Data))
+	for _, r := range records {
+		all = append(all, string(r.Data))
 	}
 	return strings.Join(all, " ")
 }
