--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -214,8 +214,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		records, length, _ := DecodeRecords(data)
 		var again []byte
-		for _, held := range records {
-			again = AppendRecord(again, held)
+		for _, r := range records {
+			again = AppendRecord(again, r)
 		}
 		if !bytes.Equal(again, data[:length]) {
 			t.Fatalf("%d records of %d bytes encode to %d bytes", len(records), length, len(again))
