--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -128,8 +128,8 @@
 	written := writeLog(t, "a")
 	data, _ := os.ReadFile(segments(t, written)[0])
 	records, _, _ := DecodeRecords(data)
-	held := AppendRecord(nil, Record{Kind: KindHeader, Data: bytes.Replace(records[0].Data, []byte(`"format":1`), []byte(`"format":9`), 1)})
-	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, written)[0])), held, filePermissions); err != nil {
+	segment := AppendRecord(nil, Record{Kind: KindHeader, Data: bytes.Replace(records[0].Data, []byte(`"format":1`), []byte(`"format":9`), 1)})
+	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, written)[0])), segment, filePermissions); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(folder, testOwner); !errors.Is(err, ErrNewerFormat) {
