--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -83,18 +83,18 @@
 
 // TestTornTailIsCut cuts the file at every length: what was whole before the cut must come back.
 func TestTornTailIsCut(t *testing.T) {
-	whole, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
+	content, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := bytes.Index(whole, []byte("first")) + len("first")
-	for length := first; length < len(whole); length++ {
+	first := bytes.Index(content, []byte("first")) + len("first")
+	for length := first; length < len(content); length++ {
 		folder := writeLog(t, "first", "second")
 		if err := os.Truncate(segments(t, folder)[0], int64(length)); err != nil {
 			t.Fatal(err)
 		}
 		if got := reopen(t, folder); got != "first" {
-			t.Fatalf("cut at %d of %d: read back %q", length, len(whole), got)
+			t.Fatalf("cut at %d of %d: read back %q", length, len(content), got)
 		}
 	}
 }
