--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -87,8 +87,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := bytes.Index(content, []byte("first")) + len("first")
-	for length := first; length < len(content); length++ {
+	firstEnd := bytes.Index(content, []byte("first")) + len("first")
+	for length := firstEnd; length < len(content); length++ {
 		folder := writeLog(t, "first", "second")
 		if err := os.Truncate(segments(t, folder)[0], int64(length)); err != nil {
 			t.Fatal(err)
