--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -168,21 +168,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var durable, waiting []string
+		var durable, pending []string
 		t.Repeat(map[string]func(*rapid.T){
 			"append": func(t *rapid.T) {
 				text := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "text")
 				log.Append(record(text))
-				waiting = append(waiting, text)
+				pending = append(pending, text)
 			},
 			"sync": func(t *rapid.T) {
 				if err := log.Sync(); err != nil {
 					t.Fatal(err)
 				}
-				durable, waiting = append(durable, waiting...), nil
+				durable, pending = append(durable, pending...), nil
 			},
 			"checkpoint": func(t *rapid.T) {
-				if len(waiting) > 0 {
+				if len(pending) > 0 {
 					t.Skip("a checkpoint follows a sync")
 				}
 				if err := log.Checkpoint([]Record{record("state")}); err != nil {
@@ -196,7 +196,7 @@
 				if log, records, err = Open(folder, testOwner); err != nil {
 					t.Fatal(err)
 				}
-				waiting = nil
+				pending = nil
 				if got := texts(records); got != strings.Join(durable, " ") {
 					t.Fatalf("read back %q, want %q", got, durable)
 				}
