--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -213,12 +213,12 @@
 	f.Add(AppendRecord(AppendRecord(nil, record("one")), record("two"))[:20])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		records, length, _ := DecodeRecords(data)
-		var again []byte
+		var encoded []byte
 		for _, r := range records {
-			again = AppendRecord(again, r)
+			encoded = AppendRecord(encoded, r)
 		}
-		if !bytes.Equal(again, data[:length]) {
-			t.Fatalf("%d records of %d bytes encode to %d bytes", len(records), length, len(again))
+		if !bytes.Equal(encoded, data[:length]) {
+			t.Fatalf("%d records of %d bytes encode to %d bytes", len(records), length, len(encoded))
 		}
 	})
 }
