--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -125,11 +125,11 @@
 
 func TestNewerFormatIsRefused(t *testing.T) {
 	folder := t.TempDir()
-	written := writeLog(t, "a")
-	data, _ := os.ReadFile(segments(t, written)[0])
+	source := writeLog(t, "a")
+	data, _ := os.ReadFile(segments(t, source)[0])
 	records, _, _ := DecodeRecords(data)
 	segment := AppendRecord(nil, Record{Kind: KindHeader, Data: bytes.Replace(records[0].Data, []byte(`"format":1`), []byte(`"format":9`), 1)})
-	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, written)[0])), segment, filePermissions); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, source)[0])), segment, filePermissions); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(folder, testOwner); !errors.Is(err, ErrNewerFormat) {
