--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -62,7 +62,7 @@
 	return texts(records)
 }
 
-func TestSyncedRecordsComeBack(t *testing.T) {
+func TestSyncedRecordsSurviveReopen(t *testing.T) {
 	if got := reopen(t, writeLog(t, "a", "b", "c")); got != "a b c" {
 		t.Fatalf("read back %q", got)
 	}
