--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestTornTailIsCut cuts the file at every length: what was whole before the cut must come back.
-func TestTornTailIsCut(t *testing.T) {
+// TestTornTailIsTruncatedOnOpen cuts the file at every length: what was whole before the cut must come back.
+func TestTornTailIsTruncatedOnOpen(t *testing.T) {
 	content, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
 	if err != nil {
 		t.Fatal(err)
