--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestDamageStopsTheStart flips a byte before the last record: the start must fail and touch nothing.
-func TestDamageStopsTheStart(t *testing.T) {
+// TestCorruptRecordFailsOpen flips a byte before the last record: the start must fail and touch nothing.
+func TestCorruptRecordFailsOpen(t *testing.T) {
 	folder := writeLog(t, "first", "second", "third")
 	path := segments(t, folder)[0]
 	data, _ := os.ReadFile(path)
