--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestForeignFolderIsRefused(t *testing.T) {
+func TestFolderOfAnotherOwnerIsRejected(t *testing.T) {
 	folder := writeLog(t, "a")
 	if _, _, err := Open(folder, "replica-2"); !errors.Is(err, ErrForeign) {
 		t.Fatalf("error %v, want ErrForeign", err)
