--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestNewerFormatIsRefused(t *testing.T) {
+func TestNewerFormatIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	source := writeLog(t, "a")
 	data, _ := os.ReadFile(segments(t, source)[0])
