--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestLogAgainstSimpleModel drives appends, syncs, checkpoints and restarts against a plain list.
-func TestLogAgainstSimpleModel(t *testing.T) {
+// TestLogMatchesModel drives appends, syncs, checkpoints and restarts against a plain list.
+func TestLogMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "log")
 		if err != nil {
