--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -21,12 +21,12 @@
 // Source tells the time since a moment that stays the same. It never runs backwards.
 type Source func() time.Duration
 
-var processStart = boot()
+var processStart = bootTime()
 
 // Now returns the time since the process started. Through the C library it is read without a system call: 87 ns, 242 ns with one.
-func Now() time.Duration { return boot() - processStart }
+func Now() time.Duration { return bootTime() - processStart }
 
-func boot() time.Duration {
+func bootTime() time.Duration {
 	at := time.Duration(C.boot_time())
 	if at < 0 {
 		panic("clock: the kernel has no CLOCK_BOOTTIME")
