--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,8 +34,8 @@
 	return at
 }
 
-// From returns a source that begins now, of another one or, where that is nil, of the machine's clock.
-func From(other Source) Source {
+// NewSource returns a source that begins now, of another one or, where that is nil, of the machine's clock.
+func NewSource(other Source) Source {
 	if other == nil {
 		other = Now
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,14 +26,14 @@
 // TestSourcesBeginWithNothing: and run as the one that they were made from.
 func TestSourcesBeginWithNothing(t *testing.T) {
 	at := 7 * time.Second
-	made := From(func() time.Duration { return at })
+	made := NewSource(func() time.Duration { return at })
 	if made() != 0 {
 		t.Fatalf("it begins at %v", made())
 	}
 	if at += 3 * time.Second; made() != 3*time.Second {
 		t.Fatalf("%v after 3 s", made())
 	}
-	if own := From(nil); own() < 0 || own() > time.Minute {
+	if own := NewSource(nil); own() < 0 || own() > time.Minute {
 		t.Fatalf("the machine's begins at %v", own())
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -115,7 +115,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
+		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
 		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -63,7 +63,7 @@
 }
 
 func newPool(source clock.Source) *pool {
-	p := &pool{now: clock.From(source), idle: map[string][]*connection{}}
+	p := &pool{now: clock.NewSource(source), idle: map[string][]*connection{}}
 	p.dialer = net.Dialer{
 		Timeout: dialTimeout, Control: setSocketOptions,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -80,7 +80,7 @@
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
 	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
 	g := &Gateway{
-		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
+		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.NewSource(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		viewConfirmed: newNotifier(), followers: newCacheFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
 		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -121,7 +121,7 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	client := transport.NewClient(file.ClusterToken, links)
 	server := &Server{
-		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
+		file: file, log: log, now: clock.NewSource(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
 		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
 		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
