--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -35,10 +35,10 @@
 }
 
 // NewSource returns a source that begins now, of another one or, where that is nil, of the machine's clock.
-func NewSource(other Source) Source {
-	if other == nil {
-		other = Now
+func NewSource(base Source) Source {
+	if base == nil {
+		base = Now
 	}
-	begun := other()
-	return func() time.Duration { return other() - begun }
+	begun := base()
+	return func() time.Duration { return base() - begun }
 }
