--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -39,6 +39,6 @@
 	if base == nil {
 		base = Now
 	}
-	begun := base()
-	return func() time.Duration { return base() - begun }
+	start := base()
+	return func() time.Duration { return base() - start }
 }
