--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestNowCountsSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
-func TestNowCountsSuspension(t *testing.T) {
+// TestNowIncludesSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
+func TestNowIncludesSuspension(t *testing.T) {
 	reading := func() time.Duration {
 		var at unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
