--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestSourcesBeginWithNothing: and run as the one that they were made from.
-func TestSourcesBeginWithNothing(t *testing.T) {
+// TestNewSourceStartsAtZero: and run as the one that they were made from.
+func TestNewSourceStartsAtZero(t *testing.T) {
 	at := 7 * time.Second
 	made := NewSource(func() time.Duration { return at })
 	if made() != 0 {
