--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func BenchmarkSteady(b *testing.B) {
+func BenchmarkMonotonic(b *testing.B) {
 	begun := time.Now()
 	for b.Loop() {
 		_ = time.Since(begun)
