--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,16 +9,16 @@
 
 // TestNowIncludesSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
 func TestNowIncludesSuspension(t *testing.T) {
-	reading := func() time.Duration {
+	bootTimeNow := func() time.Duration {
 		var at unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
 			t.Fatal(err)
 		}
 		return time.Duration(at.Nano())
 	}
-	before := reading()
+	before := bootTimeNow()
 	now := processStart + Now()
-	if after := reading(); now < before || now > after {
+	if after := bootTimeNow(); now < before || now > after {
 		t.Fatalf("%v is not between %v and %v", now, before, after)
 	}
 }
