--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,12 +26,12 @@
 // TestNewSourceStartsAtZero: and run as the one that they were made from.
 func TestNewSourceStartsAtZero(t *testing.T) {
 	at := 7 * time.Second
-	made := NewSource(func() time.Duration { return at })
-	if made() != 0 {
-		t.Fatalf("it begins at %v", made())
+	source := NewSource(func() time.Duration { return at })
+	if source() != 0 {
+		t.Fatalf("it begins at %v", source())
 	}
-	if at += 3 * time.Second; made() != 3*time.Second {
-		t.Fatalf("%v after 3 s", made())
+	if at += 3 * time.Second; source() != 3*time.Second {
+		t.Fatalf("%v after 3 s", source())
 	}
 	if own := NewSource(nil); own() < 0 || own() > time.Minute {
 		t.Fatalf("the machine's begins at %v", own())
