--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -33,8 +33,8 @@
 	if at += 3 * time.Second; source() != 3*time.Second {
 		t.Fatalf("%v after 3 s", source())
 	}
-	if own := NewSource(nil); own() < 0 || own() > time.Minute {
-		t.Fatalf("the machine's begins at %v", own())
+	if system := NewSource(nil); system() < 0 || system() > time.Minute {
+		t.Fatalf("the machine's begins at %v", system())
 	}
 }
 
