--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -46,8 +46,8 @@
 }
 
 func BenchmarkMonotonic(b *testing.B) {
-	begun := time.Now()
+	start := time.Now()
 	for b.Loop() {
-		_ = time.Since(begun)
+		_ = time.Since(start)
 	}
 }
