--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// NextWakeup returns when Tick has something to do at the latest.
-func (n *Node) NextWakeup() time.Duration {
+// NextDue returns when Tick has something to do at the latest.
+func (n *Node) NextDue() time.Duration {
 	if n.role == Leader {
 		return n.lastHeartbeat + n.config.Timing.Heartbeat
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -195,9 +195,9 @@
 // NextDue returns the latest time at which Tick must be called.
 func (r *Replica) NextDue() time.Duration {
 	if r.actsAsRelay() {
-		return min(r.node.NextWakeup(), r.relay.NextRequestAt())
+		return min(r.node.NextDue(), r.relay.NextRequestAt())
 	}
-	return r.node.NextWakeup()
+	return r.node.NextDue()
 }
 
 // checkLeadership creates the leader state after an election and discards it when leadership is lost.
