--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -17,14 +17,14 @@
 const (
 	pathDispatches     = "/internal/v1/sends"
 	announceBufferSize = 4096
-	announceInterval   = 20 * time.Millisecond // how long a send waits for others to be told with it
+	announceInterval   = 20 * time.Millisecond // maximum wait for a batch to fill
 	announceTimeout    = 200 * time.Millisecond
 	announceBatch      = 256
-	maxAnnouncedPeers  = 32 // routers told of sends; those of the own zone come first
+	maxAnnouncedPeers  = 32 // routers of the own zone come first
 )
 
-// newAnnouncer tells the other routers of sends that no load report shows yet, so that two routers do not choose the
-// same idle engine.
+// newAnnouncer returns the announcer of dispatched attempts. Other routers add them to load reports that do not show
+// them yet, so that two routers do not choose the same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
 		Path: pathDispatches, Ring: announceBufferSize, Batch: announceBatch, Period: announceInterval, Timeout: announceTimeout,
@@ -39,7 +39,7 @@
 	})
 }
 
-// peerAddresses returns where the other routers are told, as far as they listen and up to the limit.
+// peerAddresses returns the addresses of at most maxAnnouncedPeers routers that have an internal listener.
 func peerAddresses(peers []control.Peer) []string {
 	var addresses []string
 	for _, peer := range peers {
@@ -50,7 +50,6 @@
 	return addresses
 }
 
-// peerNames returns the names of the other routers.
 func peerNames(peers []control.Peer) (names []string) {
 	for _, peer := range peers {
 		names = append(names, peer.Name)
@@ -58,7 +57,7 @@
 	return names
 }
 
-// listenInternal serves other routers, when the node file gives an address for it.
+// listenInternal starts the listener for other routers. It returns nil if the node file sets no address for it.
 func (s *Server) listenInternal() (*transport.Server, error) {
 	if s.file.Router.Internal == "" {
 		return nil, nil
@@ -73,7 +72,7 @@
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := listener.Close(shutdownCtx); err != nil {
-		s.log.Warn("internal listener not closed", zap.Error(err))
+		s.log.Warn("failed to close the internal listener", zap.Error(err))
 	}
 }
 
