--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -28,14 +28,14 @@
 	dataPrefix       = "data: "
 )
 
-// activeAttempt is one attempt in progress.
 type activeAttempt struct {
 	action   core.ActionDispatch
 	exchange *exchange
 	cancel   context.CancelFunc
 }
 
-// startAttempt begins an attempt on a goroutine of its own.
+// startAttempt runs an attempt in its own goroutine. The attempt is refused if the request may not be dispatched because
+// of earlier crashes.
 func (s *Server) startAttempt(ctx context.Context, action core.ActionDispatch) {
 	ex := s.exchange(action.ID)
 	if ex == nil {
@@ -66,7 +66,7 @@
 	}()
 }
 
-// cancelAttempt closes the connection, which tells the back end to stop.
+// cancelAttempt closes the connection of an attempt, upon which the back end stops.
 func (s *Server) cancelAttempt(id core.AttemptID) {
 	s.mutex.Lock()
 	attempt := s.attempts[id]
@@ -90,12 +90,12 @@
 	return core.EventAttempt{ID: a.action.ID, Attempt: a.action.Attempt, Echo: a.action.Attempt, Kind: kind}
 }
 
-// sendOnce sends a JSON body once. The body cannot be rewound and the request carries no Idempotency-Key, so that
-// net/http never sends it a second time by itself when a reused connection dies.
+// sendOnce posts a JSON body. The body cannot be rewound and the request carries no Idempotency-Key, so net/http does
+// not retry it when a reused connection fails.
 func (s *Server) sendOnce(ctx context.Context, address, path string, value any) (*http.Response, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic("router: attempt cannot be encoded: " + err.Error())
+		panic("router: encode attempt: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, onceReader{bytes.NewReader(body)})
 	if err != nil {
@@ -106,10 +106,10 @@
 	return s.backendClient.Do(request)
 }
 
-// onceReader hides the type that net/http could rewind.
+// onceReader hides the concrete type of a body, which net/http could rewind.
 type onceReader struct{ io.Reader }
 
-// neverSent reports whether an error proves that the back end did not get the request.
+// neverSent reports whether an error proves that the back end did not receive the request.
 func neverSent(err error) bool {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -118,7 +118,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// failureEvent classifies a failed send.
+// failureEvent returns the event of an attempt that failed before an answer arrived.
 func (a *activeAttempt) failureEvent(err error) core.EventAttempt {
 	if neverSent(err) {
 		return a.event(core.AttemptRefused)
@@ -126,8 +126,8 @@
 	return a.event(core.AttemptBroken)
 }
 
-// parseRefusal reads a back end's 503. Only an explicit "not-run" proves that it did not take the request; what the back end says of itself counts
-// in any case.
+// parseRefusal reads an answer other than 200. Only an explicit "not-run" proves that the back end did not run the
+// request. The pushback in the answer applies in any case.
 func (a *activeAttempt) parseRefusal(response *http.Response) (pushbackEvent core.EventPushback, event core.EventAttempt) {
 	pushbackEvent = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
 	var body api.BackendRefusal
@@ -136,7 +136,7 @@
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
 	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
-	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // so that no figure is too long for a duration
+	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // avoids overflow of the Duration
 	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Leaving, Limit: advertisedLimit(body.Limit)}
 	if body.Run != core.RunNot {
 		return pushbackEvent, a.event(core.AttemptBroken)
@@ -146,13 +146,13 @@
 	return pushbackEvent, event
 }
 
-// respondingIncarnation returns the life that spoke in an answer. A router may not know yet that another life stands there than the one that it meant, and what
-// that says binds for that one.
+// respondingIncarnation returns the incarnation that an answer comes from: the one it reports, or else the one that the
+// attempt was dispatched to. They differ if the back end restarted and this router has not noticed yet.
 func (a *activeAttempt) respondingIncarnation(reported uint64) uint64 {
 	return cmp.Or(reported, a.action.Incarnation)
 }
 
-// advertisedLimit returns the limit that an answer names; one below 0 is none.
+// advertisedLimit returns the rate limit that an answer advertises. A negative rate counts as none.
 func advertisedLimit(rate *float64) pushback.Limit {
 	if rate == nil || *rate < 0 {
 		return pushback.Limit{}
@@ -160,15 +160,15 @@
 	return pushback.Limit{Advertised: true, Rate: *rate}
 }
 
-// observeLimit passes on the limit that an answer names, and reports whether it names one.
+// observeLimit passes the rate limit in an answer to the core and reports whether the answer has one.
 func (s *Server) observeLimit(a *activeAttempt, rate *float64, incarnation uint64) bool {
 	limit := advertisedLimit(rate)
 	s.observePushback(a, core.EventPushback{Name: a.action.Backend, Incarnation: a.respondingIncarnation(incarnation), Signals: pushback.Signals{Limit: limit}}, http.StatusOK)
 	return rate != nil
 }
 
-// dispatch sends an attempt and returns the answer of a back end that took it; otherwise it reports why not and returns
-// nil.
+// dispatch sends an attempt and returns the response if its status is 200. Otherwise it reports the failure to the core
+// and returns nil.
 func (s *Server) dispatch(ctx context.Context, a *activeAttempt, path string, body any) *http.Response {
 	response, err := s.sendOnce(ctx, a.action.Address, path, body)
 	if err != nil {
@@ -186,7 +186,8 @@
 	return nil
 }
 
-// postFailure reports why a back end didn't answer. Whoever sends the request next must know by then whether it ran.
+// postFailure reports a failed attempt to the core. It updates notRun first, because the core may dispatch the request
+// again at once.
 func (s *Server) postFailure(a *activeAttempt, event core.EventAttempt) {
 	if event.Kind == core.AttemptRefused {
 		a.exchange.notRun.Add(1)
@@ -194,7 +195,7 @@
 	s.post(event)
 }
 
-// observePushback passes on and logs what a back end said of itself.
+// observePushback passes the pushback in an answer to the core and logs it.
 func (s *Server) observePushback(a *activeAttempt, event core.EventPushback, status int) {
 	if event.Signals.IsEmpty() {
 		return
@@ -213,7 +214,7 @@
 	}
 }
 
-// runGenerate sends an attempt to an engine and reads its stream.
+// runGenerate sends an attempt to an engine and reads the response stream.
 func (s *Server) runGenerate(ctx context.Context, a *activeAttempt) {
 	response := s.dispatch(ctx, a, api.PathGenerate, a.generateRequest(s.file))
 	if response == nil {
@@ -226,7 +227,7 @@
 	}
 }
 
-// readStream passes events to the core. It returns false when the stream ends without its end marker.
+// readStream passes the events of a stream to the core. It returns false if the stream ends without a done event.
 func (s *Server) readStream(body io.Reader, a *activeAttempt) bool {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
@@ -246,7 +247,7 @@
 	return false
 }
 
-// handleEvent turns one engine event into core events and reports whether it was the last.
+// handleEvent converts an event of an engine to core events and reports whether it was the last of the stream.
 func (s *Server) handleEvent(a *activeAttempt, event api.GenerateEvent) bool {
 	out := a.event(core.AttemptChunk)
 	out.Echo, out.Index, out.Text, out.Cached, out.Incarnation = event.Attempt, event.Index, event.Text, event.Cached, event.Incarnation
@@ -283,13 +284,13 @@
 	}
 }
 
-// missingBlocks returns the blocks that the vault turned out not to hold.
+// missingBlocks returns the blocks that should have been imported from the vault but were not found there.
 func (a *activeAttempt) missingBlocks(found int) []prefix.Hash {
 	upTo := min(a.action.ImportBlocks, len(a.action.Blocks))
 	return a.action.Blocks[min(found, upTo):upTo]
 }
 
-// runService sends an attempt to a small service and reads its whole answer.
+// runService sends an attempt to a small service and reads the complete answer.
 func (s *Server) runService(ctx context.Context, a *activeAttempt) {
 	response := s.dispatch(ctx, a, api.PathRun, api.RunRequest{
 		Request: a.exchange.name, Attempt: a.action.Attempt, Router: s.file.Name, Tenant: a.exchange.request.Tenant,
