--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -40,7 +40,7 @@
 	priorityInteractive   = "interactive"
 )
 
-// routes returns the callers' and operators' endpoints.
+// routes returns the handler of the endpoints for clients and operators.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+chatPath, s.serveCompletion)
@@ -55,7 +55,7 @@
 	return mux
 }
 
-// requestError is a request that is refused before it reaches the core.
+// requestError describes why a request is rejected before it reaches the core.
 type requestError struct {
 	reason core.Reason
 	status int
@@ -63,8 +63,8 @@
 	detail string
 }
 
-// reject answers a request that never reached the core. When it carries an idempotency key, an earlier send of it may
-// have run, so "not run" is not said.
+// reject answers a request that did not reach the core. With an idempotency key the run status is unknown, because the
+// client may have sent the request before.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, name string, reqErr *requestError) {
 	run := core.RunNot
 	if r.Header.Get(api.HeaderIdempotencyKey) != "" {
@@ -88,7 +88,7 @@
 	return &requestError{reasonBadRequest, http.StatusBadRequest, "The request is not valid", detail}
 }
 
-// requestID returns the caller's request id, or a new one.
+// requestID returns the request ID sent by the client, or a random one.
 func requestID(r *http.Request) string {
 	if name := r.Header.Get(api.HeaderRequestID); name != "" && len(name) <= maxKeyLength {
 		return name
@@ -98,7 +98,7 @@
 	return hex.EncodeToString(random)
 }
 
-// authenticate returns the tenant of the request's API key.
+// authenticate returns the tenant that the request's API key belongs to.
 func (s *Server) authenticate(r *http.Request, current *view) (string, *requestError) {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
@@ -112,7 +112,7 @@
 	return tenant, nil
 }
 
-// readBody reads at most limit bytes.
+// readBody reads the request body and rejects one longer than limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *requestError) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 	var tooLarge *http.MaxBytesError
@@ -126,7 +126,7 @@
 	return body, nil
 }
 
-// authenticatedRequest is a caller's request whose sender is known and whose body was read.
+// authenticatedRequest is a request with a known tenant and its complete body.
 type authenticatedRequest struct {
 	name   string
 	view   *view
@@ -145,7 +145,7 @@
 	return in, reqErr
 }
 
-// serveCompletion answers chat and plain completions.
+// serveCompletion serves chat and text completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	in, reqErr := s.receive(w, r, settings.Any)
 	ex := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
@@ -160,7 +160,7 @@
 	s.serve(ex, r)
 }
 
-// readCompletion checks the body and headers of a completion.
+// readCompletion parses and validates the body and headers of a completion request.
 func (s *Server) readCompletion(r *http.Request, current *view, tenant, name string, body []byte) (*api.CompletionRequest, core.Request, *requestError) {
 	var completion api.CompletionRequest
 	if err := json.Unmarshal(body, &completion); err != nil {
@@ -198,7 +198,7 @@
 	return &completion, request, nil
 }
 
-// readHeaders reads priority, deadline, idempotency key and resume position.
+// readHeaders parses the priority, deadline, idempotency key and resume position.
 func (s *Server) readHeaders(r *http.Request) (core.Request, *requestError) {
 	request := core.Request{ID: core.RequestID(s.nextID.Add(1)), Key: r.Header.Get(api.HeaderIdempotencyKey)}
 	if len(request.Key) > maxKeyLength {
@@ -228,7 +228,7 @@
 	return request, nil
 }
 
-// nonNegativeHeader reads a header that must be a whole number, or 0 when it is missing.
+// nonNegativeHeader parses a header as a non-negative integer. It returns 0 if the header is missing.
 func nonNegativeHeader(r *http.Request, header string) (int, *requestError) {
 	text := r.Header.Get(header)
 	if text == "" {
@@ -241,7 +241,7 @@
 	return number, nil
 }
 
-// serveService answers requests to small services.
+// serveService serves requests to small services.
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("name")
 	in, reqErr := s.receive(w, r, service)
@@ -256,7 +256,7 @@
 	s.serve(ex, r)
 }
 
-// readService checks a request to a small service.
+// readService validates a request to a small service.
 func (s *Server) readService(r *http.Request, in authenticatedRequest, service string) (core.Request, *requestError) {
 	if in.view.effective(s.file.Zone, service, "").Kind != settings.KindService {
 		return core.Request{}, &requestError{core.ReasonUnknownService, http.StatusNotFound, "No small service has this name", ""}
@@ -281,7 +281,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// admin guards operators' endpoints.
+// admin requires the admin token for a handler.
 func (s *Server) admin(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.file.AdminToken == "" || r.Header.Get("Authorization") != "Bearer "+s.file.AdminToken {
@@ -292,7 +292,7 @@
 	}
 }
 
-// StatusReply is a router's view for "kitetiller status".
+// StatusReply is the state of a router as shown by "kitetiller status".
 type StatusReply struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"zone"`
@@ -322,10 +322,10 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // a caller that is gone cannot be told
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
-// logFinish writes one line for each request; prompts and keys are never logged.
+// logFinish logs the outcome of a request. Prompts and keys must not be logged.
 func (s *Server) logFinish(ex *exchange, final core.ActionFinish) {
 	s.log.Info("request finished", zap.String("request", ex.name), zap.String("tenant", ex.request.Tenant),
 		zap.String("service", ex.request.Service), zap.Int("attempts", int(ex.attempts)), zap.Uint64("attempt", ex.lastAttempt),
