--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -19,7 +19,7 @@
 	snapshotTimeout   = 5 * time.Second
 )
 
-// watchPlatform is the thread that reads the machine list and keeps one poller for each back end.
+// watchPlatform periodically reads the machine list of the platform and runs one poller for each back end in it.
 func (s *Server) watchPlatform(ctx context.Context) {
 	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 	requestedAt := s.now()
 	var reply api.MachinesReply
 	if err := s.client.Get(requestCtx, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
-		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
+		s.log.Warn("failed to read the machine list; keeping the previous one", zap.Error(err))
 		return
 	}
 	s.post(core.EventMachineList{RequestedAt: requestedAt, Machines: reply.Machines})
@@ -61,7 +61,7 @@
 	}
 }
 
-// pollBackend is the thread that reads one back end's load, life and cache events.
+// pollBackend periodically reads the load, incarnation and cache events of a back end.
 func (s *Server) pollBackend(ctx context.Context, machine core.Machine) {
 	var cursor membership.Cursor
 	ticker := time.NewTicker(s.file.Router.PollEvery)
@@ -102,8 +102,8 @@
 	defer cancel()
 	var reply api.CacheReply
 	if err := s.client.Get(requestCtx, action.Address, api.PathCache, &reply); err != nil {
-		s.log.Debug("cache snapshot not read", zap.String("backend", action.Backend), zap.Error(err))
-		return // the core asks again
+		s.log.Debug("failed to read the cache snapshot", zap.String("backend", action.Backend), zap.Error(err))
+		return // the core requests it again
 	}
 	s.post(core.EventCacheSnapshot{Name: action.Backend, Incarnation: reply.Incarnation, Sequence: reply.Sequence, Blocks: reply.Blocks})
 }
