--- a/internal/router/disk.go
+++ b/internal/router/disk.go
@@ -19,14 +19,14 @@
 	Number uint64 `json:"number"`
 }
 
-// diskState is what a router keeps on disk.
+// diskState is the persistent state of a router.
 type diskState struct {
 	folder      string
 	incarnation uint64
-	saved       session.Settings // as it was when the folder was opened
+	saved       session.Settings // as read when the folder was opened
 }
 
-// openDiskState reads the folder and raises the incarnation number.
+// openDiskState reads the folder and increments the stored incarnation number.
 func openDiskState(folder, name string) (*diskState, error) {
 	state := &diskState{folder: folder}
 	if _, err := storage.ReadJSON(filepath.Join(folder, settingsFile), &state.saved); err != nil {
@@ -45,7 +45,7 @@
 	return state, storage.WriteJSON(path, savedIncarnation{Name: name, Number: state.incarnation})
 }
 
-// save syncs a newer version; only then may it be acknowledged.
+// save writes settings durably. A version may be acknowledged to control only after that.
 func (d *diskState) save(next session.Settings) error {
 	return storage.WriteJSON(filepath.Join(d.folder, settingsFile), next)
 }
