--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// tokenBufferSize is how many tokens may wait for a slow caller before its request is given up.
+	// tokenBufferSize is the number of tokens buffered for a slow client before its request is cancelled.
 	tokenBufferSize = 512
-	// writeTimeout is how long one write to a caller may take.
+	// writeTimeout limits one write to a client.
 	writeTimeout           = 10 * time.Second
 	contentTypeEventStream = "text/event-stream"
 	objectChat             = "chat.completion"
@@ -29,13 +29,13 @@
 	detailIncompleteStream = "the stream could not be completed"
 )
 
-// token is one piece of an answer on its way to the caller.
+// token is a piece of generated text and its position in the stream.
 type token struct {
 	index int
 	text  string
 }
 
-// exchange is one caller's request and the ring towards the caller.
+// exchange is a client's request and the channels that carry the answer to the client's goroutine.
 type exchange struct {
 	name              string
 	request           core.Request
@@ -45,26 +45,26 @@
 	chat              bool
 	writer            http.ResponseWriter
 	received          time.Time
-	quarantineRequest quarantine.Request // what stays when it comes again
+	quarantineRequest quarantine.Request // identifies repetitions of the request
 
 	tokens        chan token
-	final         chan core.ActionFinish // room for one
-	attempts      int32                  // owned by the decide thread
-	notRun        atomic.Int32           // attempts that provably didn't run; at most attempts
-	lastAttempt   uint64                 // owned by the decide thread
-	firstToken    bool                   // owned by the decide thread
-	tokensDropped bool                   // owned by the decide thread: a token was dropped
-	slowReported  bool                   // owned by the decide thread: the core knows
+	final         chan core.ActionFinish // has capacity 1
+	attempts      int32                  // owned by the event loop
+	notRun        atomic.Int32           // attempts that provably did not run; at most attempts
+	lastAttempt   uint64                 // owned by the event loop
+	firstToken    bool                   // owned by the event loop
+	tokensDropped bool                   // owned by the event loop
+	slowReported  bool                   // owned by the event loop: the core was notified that the client is too slow
 }
 
-// serve passes a request to the core and its answer to the caller.
+// serve passes a request to the core and writes the answer to the client.
 func (s *Server) serve(ex *exchange, r *http.Request) {
 	ex.tokens = make(chan token, tokenBufferSize)
 	ex.final = make(chan core.ActionFinish, 1)
 	ex.writer.Header().Set(api.HeaderRequestID, ex.name)
 	ex.writer.Header().Set(api.HeaderRouter, s.file.Name)
 	if s.draining.Load() {
-		ex.writer.Header().Set("Connection", "close") // the caller's next request goes elsewhere
+		ex.writer.Header().Set("Connection", "close") // makes the client connect to another router next
 		ex.writer.Header().Set(api.HeaderDraining, "true")
 		s.reject(ex.writer, r, ex.name, &requestError{core.ReasonDraining, http.StatusServiceUnavailable, "This router is stopping", ""})
 		return
@@ -110,7 +110,7 @@
 	return s.exchanges[id]
 }
 
-// deliverChunk puts a token into the caller's ring; a full ring gives the request up.
+// deliverChunk queues a token for the client. If the buffer is full, the token is dropped and the request cancelled.
 func (s *Server) deliverChunk(action core.ActionChunk) {
 	ex := s.exchange(action.ID)
 	if ex == nil {
@@ -132,21 +132,22 @@
 	}
 }
 
-// reportSlowClient tells the core that a caller reads too slowly, again with each token while the event ring is full.
+// reportSlowClient notifies the core that the client reads too slowly. If the event buffer is full, the notification is
+// repeated with the next token.
 func (s *Server) reportSlowClient(ex *exchange) {
 	if !ex.slowReported {
 		ex.slowReported = s.offer(core.EventCallerGone{ID: ex.request.ID})
 	}
 }
 
-// deliverFinish hands the final answer to the caller's goroutine.
+// deliverFinish passes the outcome of a request to the client's goroutine.
 func (s *Server) deliverFinish(action core.ActionFinish) {
 	ex := s.exchange(action.ID)
 	if ex == nil {
 		return
 	}
 	if ex.tokensDropped && action.Reason == core.ReasonComplete {
-		action.Reason = core.ReasonCallerGone // tokens were dropped: the caller's stream is not whole
+		action.Reason = core.ReasonCallerGone // tokens were dropped, so the stream is incomplete
 	}
 	s.unregister(action.ID)
 	if action.Reason == core.ReasonComplete {
@@ -157,7 +158,7 @@
 	close(ex.tokens)
 }
 
-// problemFor turns a final action into a problem.
+// problemFor returns the error response for a request that did not complete.
 func (s *Server) problemFor(ex *exchange, final core.ActionFinish) api.Problem {
 	problem := api.NewProblem(final.Reason, final.Run, detailFor(final)).WithRetry(final.RetryAfter)
 	problem.RequestID = ex.name
@@ -174,8 +175,8 @@
 	return ""
 }
 
-// relayStream writes server-sent events as tokens come. A stream that cannot be completed ends with an error
-// event and without the end marker.
+// relayStream writes tokens as server-sent events. A stream that cannot be completed ends with an error event and
+// without the end marker.
 func (s *Server) relayStream(ctx context.Context, ex *exchange) {
 	controller := http.NewResponseController(ex.writer)
 	header := ex.writer.Header()
@@ -203,7 +204,7 @@
 	}
 }
 
-// writeTokens writes a token and whatever else waits, with one flush.
+// writeTokens writes a token and all others in the buffer, with a single flush.
 func (s *Server) writeTokens(ex *exchange, controller *http.ResponseController, piece token) bool {
 	var out bytes.Buffer
 	s.encodeChunk(&out, ex, piece)
@@ -223,7 +224,7 @@
 }
 
 func flush(ex *exchange, controller *http.ResponseController, out *bytes.Buffer) bool {
-	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // not every writer supports it
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // not supported by every writer
 	if _, err := ex.writer.Write(out.Bytes()); err != nil {
 		return false
 	}
@@ -240,7 +241,7 @@
 	}
 	data, err := json.Marshal(chunk)
 	if err != nil {
-		panic("router: chunk cannot be encoded: " + err.Error())
+		panic("router: encode chunk: " + err.Error())
 	}
 	fmt.Fprintf(out, "id: %d\ndata: %s\n\n", piece.index, data)
 }
@@ -284,7 +285,7 @@
 	}
 }
 
-// relayBuffered collects the answer and writes it at once.
+// relayBuffered collects the complete answer before it writes it.
 func (s *Server) relayBuffered(ctx context.Context, ex *exchange) {
 	var text strings.Builder
 	for {
@@ -317,7 +318,7 @@
 		}
 		ex.writer.Header().Set("Content-Type", final.Answer.ContentType)
 		ex.writer.WriteHeader(final.Answer.Status)
-		_, _ = ex.writer.Write(final.Answer.Body) // a caller that is gone cannot be told
+		_, _ = ex.writer.Write(final.Answer.Body) // fails only if the client has disconnected
 	default:
 		s.problemFor(ex, final).Write(ex.writer)
 	}
