--- a/internal/router/forms_test.go
+++ b/internal/router/forms_test.go
@@ -8,7 +8,7 @@
 	"kitetiller/internal/session"
 )
 
-// TestStoredAndPeerFormatsMatchGolden: all that a router stores, and tells the others.
+// Guards the encoding of everything that a router stores or sends to other routers.
 func TestStoredAndPeerFormatsMatchGolden(t *testing.T) {
 	forms.Check[session.Settings](t, "settings")
 	forms.Check[savedIncarnation](t, "incarnation")
