--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -5,7 +5,7 @@
 	"kitetiller/internal/node"
 )
 
-// generateRequest is the body of an attempt to an engine.
+// generateRequest returns the body of an attempt that is sent to an engine.
 func (a *activeAttempt) generateRequest(file *node.File) api.GenerateRequest {
 	request := api.GenerateRequest{
 		Request: a.exchange.name, Attempt: a.action.Attempt, Router: file.Name, Tenant: a.exchange.request.Tenant,
