--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -18,16 +18,15 @@
 	"kitetiller/internal/quarantine/reporter"
 )
 
-// sweepInterval is how often what is long past is forgotten.
 const sweepInterval = 5 * time.Second
 
-// sweep forgets what is long past.
+// sweep removes expired crash records and log rate limits.
 func (s *Server) sweep() {
 	s.quarantine.Sweep()
 	s.pushbackLogs.Sweep(s.now())
 }
 
-// newReporter returns what this router does about requests that end their back ends.
+// newReporter returns the reporter of requests that crash their back ends.
 func (s *Server) newReporter() *reporter.Reporter {
 	return reporter.New(reporter.Config{
 		Submit:             s.control.Quarantine,
@@ -37,12 +36,13 @@
 	})
 }
 
-// quarantineRequest is what stays of a request when it comes quarantineRequest. Callers name each router by an address of its own, so that no host belongs to it.
+// quarantineRequest returns the parts of a request that are the same when it is repeated. The host is not one of them:
+// clients reach each router at a different address.
 func quarantineRequest(r *http.Request, in authenticatedRequest) quarantine.Request {
 	return quarantine.Request{Method: r.Method, Path: r.URL.RequestURI(), Caller: in.tenant, Body: in.body}
 }
 
-// crashCount returns how many crashCount of back ends ended under a request, as far as this router knows.
+// crashCount returns the number of back-end crashes attributed to a request, as far as this router knows.
 func (s *Server) crashCount(ex *exchange) int {
 	if s.quarantine.IsEmpty() {
 		return 0
@@ -54,13 +54,13 @@
 	return s.quarantine.CrashCount(fingerprint)
 }
 
-// rejectIfQuarantined answers a request that ends whoever runs it.
+// rejectIfQuarantined rejects a quarantined request and reports whether it did.
 func (s *Server) rejectIfQuarantined(ex *exchange, r *http.Request) bool {
 	crashes := s.crashCount(ex)
 	if crashes < quarantine.QuarantineThreshold {
 		return false
 	}
-	fingerprint, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // there is one, or it would have no lives
+	fingerprint, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // exists, because the crash count is not 0
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, ex.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
 		zap.Stringer(events.FieldFingerprint, fingerprint), zap.Int(events.FieldIncarnations, crashes))
 	status, title := api.Describe(core.ReasonQuarantined)
@@ -68,22 +68,23 @@
 	return true
 }
 
-// tooManyCrashes reports whether a request may not be sent to a back end, or to another one, since too many have ended under it.
+// tooManyCrashes reports whether a request may not be dispatched because of the crashes attributed to it. A suspected
+// request gets no further attempt once a back end may have run it.
 func (s *Server) tooManyCrashes(ex *exchange) bool {
 	crashes := s.crashCount(ex)
 	return crashes >= quarantine.QuarantineThreshold || ex.mayHaveRun() && crashes >= quarantine.SuspectThreshold
 }
 
-// mayHaveRun reports whether a back end got the request. A send that none took spends nothing of what a suspected request still has: its caller
-// would be told that it is held back although it isn't yet.
+// mayHaveRun reports whether a back end may have run the request. Attempts that provably did not run are left out, or a
+// suspected request would be rejected as quarantined too early.
 func (e *exchange) mayHaveRun() bool { return e.attempts > e.notRun.Load() }
 
-// incarnationID names the incarnationID of a back end that an attempt was sent to.
+// incarnationID identifies the incarnation of the back end that an attempt was dispatched to.
 func (a *activeAttempt) incarnationID() string {
 	return fmt.Sprintf("%s/%d", a.action.Backend, a.action.Incarnation)
 }
 
-// recordBrokenAttempt notes that an attempt broke off without our doing.
+// recordBrokenAttempt records an attempt that broke off without being cancelled, which may mean a crash.
 func (s *Server) recordBrokenAttempt(ctx context.Context, a *activeAttempt) {
 	if ctx.Err() != nil || a.action.Incarnation == 0 {
 		return
@@ -93,7 +94,8 @@
 	}
 }
 
-// recordSendFailure notes what a failed send says of its back end.
+// recordSendFailure records what a failed send implies about the back end: a refused connection confirms a crash, any
+// other failure after the connection was made may mean one.
 func (s *Server) recordSendFailure(ctx context.Context, a *activeAttempt, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -103,7 +105,7 @@
 	}
 }
 
-// recordCompletion notes that a back end ran a request to a good end.
+// recordCompletion records that a back end completed a request.
 func (s *Server) recordCompletion(ex *exchange) {
 	if fingerprint, ok := s.quarantine.Fingerprint(ex.quarantineRequest); ok {
 		s.quarantine.RecordCompletion(fingerprint)
