--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -12,7 +12,7 @@
 
 const namespace = "kitetiller"
 
-// metrics are a router's Prometheus metrics. docs/OPERATIONS.md lists them.
+// metrics holds the Prometheus metrics of a router. They are documented in docs/OPERATIONS.md.
 type metrics struct {
 	registry     *prometheus.Registry
 	firstToken   *prometheus.HistogramVec
@@ -24,7 +24,7 @@
 	coreCounters []coreCounter
 }
 
-// coreCounter is a counter that the core keeps.
+// coreCounter exposes a counter maintained by the core.
 type coreCounter struct {
 	description *prometheus.Desc
 	read        func(core.Counters) uint64
@@ -73,7 +73,7 @@
 	gaugeDescription   = prometheus.NewDesc(namespace+"_state", "Current sizes and states of the router.", []string{"name"}, nil)
 )
 
-// Describe is called by the registry.
+// Describe implements prometheus.Collector.
 func (m *metrics) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, item := range m.coreCounters {
 		descriptions <- item.description
@@ -82,7 +82,7 @@
 	descriptions <- gaugeDescription
 }
 
-// Collect is called by the registry; it reads the core's totals on the decide thread.
+// Collect implements prometheus.Collector. It reads the counters of the core in the event loop.
 func (m *metrics) Collect(collected chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -119,7 +119,7 @@
 	}
 }
 
-// recordStarted counts the prompt of an attempt that an engine took.
+// recordStarted counts the prompt tokens of an attempt that an engine started.
 func (m *metrics) recordStarted(a *activeAttempt, event api.GenerateEvent) {
 	m.promptTokens.Add(float64(a.exchange.request.PromptTokens))
 	m.hitTokens.Add(float64(event.Cached))
