--- a/internal/router/models.go
+++ b/internal/router/models.go
@@ -7,7 +7,7 @@
 	"kitetiller/internal/api"
 )
 
-// serveModels lists the models that a caller may name, in OpenAI's form. Ordinary clients ask for it first.
+// serveModels lists the available models in the format of the OpenAI API.
 func (s *Server) serveModels(w http.ResponseWriter, r *http.Request) {
 	current := s.view.Load()
 	if _, reqErr := s.authenticate(r, current); reqErr != nil {
