--- a/internal/router/refusal_test.go
+++ b/internal/router/refusal_test.go
@@ -11,7 +11,8 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestRefusalReportsIncarnationAndSignals: the life that speaks, else the one that was meant; rest, leaving and a limit; a limit below 0 is none.
+// A refusal yields the reported incarnation, or else the targeted one, and backoff, draining and rate limit. A negative
+// limit counts as none.
 func TestRefusalReportsIncarnationAndSignals(t *testing.T) {
 	attempt := &activeAttempt{action: core.ActionDispatch{Backend: "e", Incarnation: 3}}
 	for body, want := range map[string]core.EventPushback{
@@ -25,7 +26,7 @@
 	} {
 		response := &http.Response{StatusCode: http.StatusServiceUnavailable, Body: io.NopCloser(strings.NewReader(body))}
 		if got, _ := attempt.parseRefusal(response); got != want {
-			t.Errorf("%s: %+v, wanted %+v", body, got, want)
+			t.Errorf("parseRefusal(%s) = %+v, want %+v", body, got, want)
 		}
 	}
 }
