--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -18,9 +18,8 @@
 	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
-// TestSendOnceDoesNotRetryOnClosedConnection: net/http sends a request again by itself when a reused
-// connection dies and it thinks that this is safe. The first request leaves a connection for reuse; the back end
-// reads the second one and closes.
+// net/http retries a request on its own if a reused connection fails and it considers the retry safe. The first request
+// leaves a connection for reuse; the back end reads the second request and closes the connection.
 func TestSendOnceDoesNotRetryOnClosedConnection(t *testing.T) {
 	var received atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,12 +43,12 @@
 	}
 	_ = response.Body.Close()
 	if _, err := s.sendOnce(context.Background(), address, "/second", "b"); err == nil {
-		t.Fatal("a request without an answer gave no error")
+		t.Fatal("got no error for a request without a response")
 	} else if neverSent(err) {
-		t.Fatalf("%v counts as never sent, but the back end read it", err)
+		t.Fatalf("neverSent(%v) = true, but the back end read the request", err)
 	}
 	if got := received.Load(); got != 1 {
-		t.Fatalf("the back end read the request %d times", got)
+		t.Fatalf("the back end read the request %d times, want 1", got)
 	}
 }
 
@@ -62,10 +61,10 @@
 	_ = listener.Close()
 	_, err = newSendingServer().sendOnce(context.Background(), address, "/", "a")
 	if err == nil || !neverSent(err) {
-		t.Fatalf("error %v does not count as never sent", err)
+		t.Fatalf("got error %v, want one for which neverSent is true", err)
 	}
 	if event := (&activeAttempt{}).failureEvent(err); event.Kind != core.AttemptRefused {
-		t.Fatalf("event %+v", event)
+		t.Fatalf("got event %+v, want AttemptRefused", event)
 	}
 }
 
@@ -84,12 +83,12 @@
 	}
 	_ = response.Body.Close()
 	if followed.Load() != 0 {
-		t.Fatal("a back end's redirect sent the request a second time")
+		t.Fatal("the redirect of a back end was followed")
 	}
 }
 
-// TestStreamWithDroppedTokensIsNotReportedComplete: when a caller's ring is full and even the decision to give the caller up
-// is shed, the stream must not be told to be complete.
+// Guards against reporting a stream as complete although tokens were dropped, when the event that cancels the request
+// was dropped as well.
 func TestStreamWithDroppedTokensIsNotReportedComplete(t *testing.T) {
 	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
@@ -100,6 +99,6 @@
 	}
 	s.deliverFinish(core.ActionFinish{ID: 1, Reason: core.ReasonComplete, Run: core.RunYes, Tokens: 3})
 	if final := <-ex.final; final.Reason == core.ReasonComplete {
-		t.Fatalf("2 of 3 tokens were dropped, and the stream ended as %s", final.Reason)
+		t.Fatalf("2 of 3 tokens were dropped, but the stream finished with reason %s", final.Reason)
 	}
 }
