--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -163,14 +163,14 @@
 		}
 		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
-	crashed := crashRequests.Load()
+	beforeRetries := crashRequests.Load()
 	for range 20 {
 		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	if afterRetries := crashRequests.Load(); afterRetries != crashed || afterRetries > quarantine.QuarantineThreshold+3 {
-		t.Fatalf("%d engines got it, then %d more", crashed, afterRetries-crashed)
+	if afterRetries := crashRequests.Load(); afterRetries != beforeRetries || afterRetries > quarantine.QuarantineThreshold+3 {
+		t.Fatalf("%d engines got it, then %d more", beforeRetries, afterRetries-beforeRetries)
 	}
 	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
 }
