--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -150,14 +150,14 @@
 		machines = append(machines, core.Machine{Name: engine.name, Zone: "z", Service: testService, Address: engine.address})
 	}
 	s := startTestRouterWith(t, startControlStub(t).address, machines)
-	ask := func(prompt string) (status int, text string) {
+	complete := func(prompt string) (status int, text string) {
 		response := s.post("/v1/completions", testKey, fmt.Sprintf(`{"model":"llm","prompt":%q,"max_tokens":1}`, prompt))
 		body, _ := io.ReadAll(response.Body)
 		return response.StatusCode, string(body)
 	}
-	s.eventually("an engine serves", func() bool { status, _ := ask("hello"); return status == http.StatusOK })
+	s.eventually("an engine serves", func() bool { status, _ := complete("hello"); return status == http.StatusOK })
 	s.eventually("the request is held back", func() bool {
-		status, text := ask(crashPrompt)
+		status, text := complete(crashPrompt)
 		if status == http.StatusOK {
 			t.Fatal("answered")
 		}
@@ -165,14 +165,14 @@
 	})
 	beforeRetries := crashRequests.Load()
 	for range 20 {
-		if status, text := ask(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
+		if status, text := complete(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
 	if afterRetries := crashRequests.Load(); afterRetries != beforeRetries || afterRetries > quarantine.QuarantineThreshold+3 {
 		t.Fatalf("%d engines got it, then %d more", beforeRetries, afterRetries-beforeRetries)
 	}
-	s.eventually("others are served", func() bool { status, _ := ask("another prompt"); return status == http.StatusOK })
+	s.eventually("others are served", func() bool { status, _ := complete("another prompt"); return status == http.StatusOK })
 }
 
 // TestRefusedAttemptDoesNotCountTowardQuarantine: two lives ended under a request, so that it is given to one more back end and no further. The first
