--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -283,7 +283,7 @@
 // TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
 func TestModelsAreListed(t *testing.T) {
 	s := startTestRouter(t)
-	ask := func(key string) (*http.Response, api.ModelList) {
+	listModels := func(key string) (*http.Response, api.ModelList) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+s.address+"/v1/models", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -302,10 +302,10 @@
 		}
 		return response, list
 	}
-	if response, _ := ask("wrong"); response.StatusCode != http.StatusUnauthorized {
+	if response, _ := listModels("wrong"); response.StatusCode != http.StatusUnauthorized {
 		t.Fatalf("without a known key: %s", response.Status)
 	}
-	_, list := ask(testKey)
+	_, list := listModels(testKey)
 	if list.Object != api.ObjectList || len(list.Data) != 1 || list.Data[0].ID != testService || list.Data[0].Object != api.ObjectModel {
 		t.Fatalf("list %+v", list)
 	}
