--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -159,14 +159,14 @@
 	})
 }
 
-func (s *testRouter) eventually(what string, check func() bool) {
+func (s *testRouter) eventually(condition string, check func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
 			return
 		}
 	}
-	s.t.Fatalf("never happened: %s", what)
+	s.t.Fatalf("never happened: %s", condition)
 }
 
 func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
