--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -206,7 +206,7 @@
 func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name, path, key, body string
 		headers               []string
 		status                int
@@ -224,13 +224,13 @@
 		{"no idempotency key", "/v1/services/small", testKey, "{}", nil, 400, core.RunNot},
 		{"key may have run before", "/v1/services/small", "other", "{}", []string{api.HeaderIdempotencyKey, "k"}, 401, core.RunUnknown},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			response := s.post(row.path, row.key, row.body, row.headers...)
+		t.Run(test.name, func(t *testing.T) {
+			response := s.post(test.path, test.key, test.body, test.headers...)
 			var problem api.Problem
 			if err := json.NewDecoder(response.Body).Decode(&problem); err != nil {
 				t.Fatal(err)
 			}
-			if response.StatusCode != row.status || problem.Run != row.run || problem.Title == "" {
+			if response.StatusCode != test.status || problem.Run != test.run || problem.Title == "" {
 				t.Fatalf("status %d, %+v", response.StatusCode, problem)
 			}
 		})
