--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -53,12 +53,12 @@
 func testSettings() settings.Tree {
 	digest := sha256.Sum256([]byte(testKey))
 	kind, keys, cutOff, bytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
-	small, once := settings.KindService, false
+	small, repeatable := settings.KindService, false
 	tree := settings.NewTree()
 	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &cutOff, MaxPromptBytes: &bytes}
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+testService] = settings.Overrides{Kind: &kind}
-	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &once}
+	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &repeatable}
 	tree.Nodes["/*/"+testService+"/"+testTenant] = settings.Overrides{APIKeySHA256: &keys}
 	return tree
 }
