--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -34,8 +34,8 @@
 	cancel   context.CancelFunc
 }
 
-// startAttempt runs an attempt in its own goroutine. The attempt is refused if the request may not be dispatched because
-// of earlier crashes.
+// startAttempt runs an attempt in its own goroutine. It reports the attempt as refused if the request may not be
+// dispatched because of earlier crashes.
 func (s *Server) startAttempt(ctx context.Context, action core.ActionDispatch) {
 	ex := s.exchange(action.ID)
 	if ex == nil {
