--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -24,13 +24,13 @@
 
 const crashPrompt = "a prompt that no engine survives"
 
-// crashingEngine ends under a deadly prompt, with its listener and all connections, and comes back as another life.
+// crashingEngine closes its listener and all connections upon crashPrompt, and restarts as a new incarnation.
 type crashingEngine struct {
 	t             *testing.T
 	name          string
 	address       string
 	incarnation   atomic.Uint64
-	crashRequests *atomic.Int64 // arrivals, over all engines
+	crashRequests *atomic.Int64 // requests with crashPrompt, shared by all engines
 
 	mu     sync.Mutex
 	server *http.Server
@@ -39,7 +39,7 @@
 func (e *crashingEngine) start() {
 	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
-		e.t.Errorf("%s cannot listen again: %v", e.name, err)
+		e.t.Errorf("%s: listen: %v", e.name, err)
 		return
 	}
 	e.address = listener.Addr().String()
@@ -81,13 +81,13 @@
 	}
 }
 
-// controlStub answers heartbeats and keeps the count, as a leader does.
+// controlStub answers heartbeats and keeps the replicated crash counts, as a leader does.
 type controlStub struct {
 	address  string
-	upToDate atomic.Bool // the router holds the count's newest news
+	upToDate atomic.Bool // the router has the latest crash counts
 }
 
-// startControlStub starts one that knows of lives that ended before.
+// startControlStub starts a stub with crashes recorded earlier.
 func startControlStub(t *testing.T, crashes ...quarantine.Crash) *controlStub {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,10 +124,10 @@
 	return stub
 }
 
-// stubSeed is the secret of fingerprints of a controlStub.
+// stubSeed is the fingerprint seed of a controlStub.
 var stubSeed = make([]byte, quarantine.SeedBytes)
 
-// startTestRouterWith starts a router under control's stub, with machines of the test's own.
+// startTestRouterWith starts a router with the given control address and machines.
 func startTestRouterWith(t *testing.T, control string, machines []core.Machine) *testRouter {
 	t.Helper()
 	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1), control: control}
@@ -139,8 +139,7 @@
 	return s
 }
 
-// TestRequestThatCrashesEnginesIsQuarantined: over the product's own interface as over gateways. Its callers get the final answer at once,
-// with the reason; others are served.
+// A request that crashes every engine is rejected with the quarantine reason, and other requests are still served.
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	var crashRequests atomic.Int64
 	var machines []core.Machine
@@ -156,32 +155,27 @@
 		return response.StatusCode, string(body)
 	}
 	s.eventually("an engine serves", func() bool { status, _ := complete("hello"); return status == http.StatusOK })
-	s.eventually("the request is held back", func() bool {
+	s.eventually("the request is quarantined", func() bool {
 		status, text := complete(crashPrompt)
 		if status == http.StatusOK {
-			t.Fatal("answered")
+			t.Fatal("got status 200 for a request that crashes its engine")
 		}
 		return status == http.StatusServiceUnavailable && strings.Contains(text, string(core.ReasonQuarantined))
 	})
 	beforeRetries := crashRequests.Load()
 	for range 20 {
 		if status, text := complete(crashPrompt); status != http.StatusServiceUnavailable || !strings.Contains(text, string(core.ReasonQuarantined)) {
-			t.Fatalf("%d %s", status, text)
+			t.Fatalf("got status %d: %s, want 503 with the quarantine reason", status, text)
 		}
 	}
 	if afterRetries := crashRequests.Load(); afterRetries != beforeRetries || afterRetries > quarantine.QuarantineThreshold+3 {
-		t.Fatalf("%d engines got it, then %d more", beforeRetries, afterRetries-beforeRetries)
+		t.Fatalf("%d engines received the request before its quarantine and %d afterwards", beforeRetries, afterRetries-beforeRetries)
 	}
-	s.eventually("others are served", func() bool { status, _ := complete("another prompt"); return status == http.StatusOK })
+	s.eventually("another request is served", func() bool { status, _ := complete("another prompt"); return status == http.StatusOK })
 }
 
-// TestRefusedAttemptDoesNotCountTowardQuarantine: two lives ended under a request, so that it is given to one more back end and no further. The first
-// that it is sent to doesn't take it. Its caller is told that the request is held back for an hour, although nothing ran; the next time it is sent.
-//
-// Cause: a send that no back end took counted as one that may have run. With two lives against a request ("lives 2"):
-//
-//	FAILED 0a26... e1 dial tcp 127.0.0.1:33175: connect: connection refused
-//	START 0a26... e3 attempts 1 lives 2 barred true
+// A request suspected of two crashes may run on one more back end. Guards against counting an attempt that a back end
+// refused as that run, which rejected the request as quarantined.
 func TestRefusedAttemptDoesNotCountTowardQuarantine(t *testing.T) {
 	var requests atomic.Int64
 	engine := http.NewServeMux()
@@ -217,10 +211,10 @@
 	fingerprint := hasher.Fingerprint(quarantine.Request{Method: http.MethodPost, Path: "/v1/completions", Caller: testTenant, Body: []byte(body)})
 	control := startControlStub(t, quarantine.Crash{Incarnation: "e0/7", Requests: []quarantine.Fingerprint{fingerprint}}, quarantine.Crash{Incarnation: "e1/7", Requests: []quarantine.Fingerprint{fingerprint}})
 	s := startTestRouterWith(t, control.address, machines)
-	s.eventually("the router knows of the lives", control.upToDate.Load)
+	s.eventually("the router has the crash counts", control.upToDate.Load)
 	response := s.post("/v1/completions", testKey, body)
 	text, _ := io.ReadAll(response.Body)
 	if response.StatusCode != http.StatusOK || requests.Load() != 2 {
-		t.Fatalf("%d %s after %d sends", response.StatusCode, text, requests.Load())
+		t.Fatalf("got status %d: %s after %d attempts, want 200 after 2", response.StatusCode, text, requests.Load())
 	}
 }
