--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -1,10 +1,10 @@
-// Package router is the shell around the core: it takes callers' requests over net/http, carries out the
-// core's actions, and keeps the router's synced copy of the settings.
+// Package router does the I/O of a router around internal/core: it serves clients over HTTP, performs the actions of the
+// core, and stores the settings received from control.
 //
-// Threads: one decides (it owns the core); one renews the session; one reads the platform's list; one tells control of ended back ends; one for
-// each back end polls its state; net/http's goroutines serve callers; one for each attempt reads a back end's
-// stream. They are joined by bounded rings (buffered channels). A full ring refuses or sheds, it never blocks
-// the deciding thread.
+// Goroutines: the event loop, which owns the core; one each for renewing the session, reading the machine list,
+// announcing dispatches to other routers and reporting crashed back ends to control; one poller for each back end; one
+// for each client request and one for each attempt. They communicate over buffered channels. When a buffer is full,
+// items are rejected or dropped; the event loop never blocks on one.
 package router
 
 import (
@@ -37,19 +37,19 @@
 	maxTickInterval = 20 * time.Millisecond
 	maxEventBatch   = 512
 	shutdownTimeout = 5 * time.Second
-	// minDrainTime is how long a stopping router keeps answering that it stops, so that no caller's request meets a
-	// connection that is just being closed.
+	// minDrainTime is the time for which a draining router keeps its listener open and rejects requests, so that clients
+	// move elsewhere before connections are closed.
 	minDrainTime  = 1500 * time.Millisecond
 	headerTimeout = 10 * time.Second
 )
 
-// inspection runs a function on the decide thread.
+// inspection is a function to be run in the event loop.
 type inspection struct {
 	read func(*core.Core)
 	done chan struct{}
 }
 
-// view is what callers' goroutines may read without asking the decide thread.
+// view is a snapshot of the state that request handlers need, so that they do not have to query the event loop.
 type view struct {
 	tree     settings.Tree
 	keys     map[string]string   // tenant by API key digest
@@ -57,32 +57,32 @@
 	weights  map[string][]string // weights in use by service
 	version  uint64
 	services []string
-	values   *sync.Map // effective settings by place; made anew with each version
+	values   *sync.Map // cache of settings.Values by scope, for one version
 }
 
-// scope names where settings take effect.
+// scope identifies the node of the settings tree that applies to a request.
 type scope struct{ zone, service, tenant string }
 
-// effective returns the settings at a place; they are resolved once for each version.
+// effective returns the settings that apply in a scope. Results are cached until the version changes.
 func (v *view) effective(zone, service, tenant string) settings.Values {
 	key := scope{zone, service, tenant}
 	if cached, found := v.values.Load(key); found {
 		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
-	if service == settings.Any || slices.Contains(v.services, service) { // callers choose the name
+	if service == settings.Any || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
 		v.values.Store(key, values)
 	}
 	return values
 }
 
-// Server is a router process.
+// Server is a router.
 type Server struct {
 	file         *node.File
 	log          *zap.Logger
-	now          clock.Source // since it was made
+	now          clock.Source // time since the server was created
 	quarantine   *reporter.Reporter
-	pushbackLogs *node.Sparse // lines of back ends that ask for rest or leave, by back end
+	pushbackLogs *node.Sparse // rate limit of pushback log lines, by back end
 	incarnation  uint64
 	hasher       *prefix.Hasher
 
@@ -93,22 +93,22 @@
 	nextID      atomic.Uint64
 
 	mutex     sync.Mutex
-	exchanges map[core.RequestID]*exchange      // callers
+	exchanges map[core.RequestID]*exchange      // requests in progress
 	attempts  map[core.AttemptID]*activeAttempt // running attempts
 
-	pollers       map[string]context.CancelFunc // by back end; owned by the platform thread
+	pollers       map[string]context.CancelFunc // by name@address of the back end; owned by watchPlatform
 	client        *transport.Client
 	backendClient *http.Client
 	control       *control.Client
 	metrics       *metrics
 	disk          *diskState
 	announcer     *transport.Announcer[core.PeerDispatch]
-	session       *session.Machine // owned by the session thread
+	session       *session.Machine // owned by renewSession
 	draining      atomic.Bool
 	droppedEvents atomic.Uint64
 }
 
-// NewServer opens the data folder and restores the newest settings this router acknowledged.
+// NewServer opens the data folder and restores the newest stored settings.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
 	disk, err := openDiskState(file.Data, file.Name)
 	if err != nil {
@@ -149,7 +149,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Run serves until ctx ends, then finishes what is in flight.
+// Run serves until ctx is cancelled and then drains the router.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.file.Router.Listen)
 	if err != nil {
@@ -195,10 +195,10 @@
 	return err
 }
 
-// drain is the planned stop: no new request is taken, those in flight are finished, and the session is closed
-// after its thread has stopped.
+// drain rejects new requests, waits for those in progress up to DrainLimit, closes the session and shuts down the HTTP
+// server. The session is closed only after renewSession has returned.
 func (s *Server) drain(public *http.Server, stopRenewing func()) {
-	s.log.Info("planned stop: finishing requests in flight")
+	s.log.Info("draining: finishing requests in progress")
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
@@ -211,7 +211,7 @@
 	shutdownCtx, cancel := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
 	defer cancel()
 	if err := public.Shutdown(shutdownCtx); err != nil {
-		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
+		s.log.Warn("connections still open at the end of the drain", zap.Error(err))
 	}
 }
 
@@ -221,7 +221,7 @@
 	return len(s.exchanges)
 }
 
-// runEventLoop is the thread that owns the core.
+// runEventLoop owns the core: it passes events to it, performs its actions and serves inspections.
 func (s *Server) runEventLoop(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -260,7 +260,7 @@
 	return min(max(due-s.now(), 0), maxTickInterval)
 }
 
-// mayChangeView reports whether a batch may have changed what callers' goroutines read.
+// mayChangeView reports whether a batch of events may have changed the view.
 func mayChangeView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
@@ -271,8 +271,8 @@
 	return false
 }
 
-// publishView stores what callers' goroutines may read. Weights are taken anew each time; the rest only
-// when the settings changed.
+// publishView replaces the view. Weights are read from the core each time, everything else only if the settings have
+// changed.
 func (s *Server) publishView() {
 	previous := s.view.Load()
 	next := &view{version: s.core.SettingsVersion(), weights: map[string][]string{}}
@@ -291,7 +291,7 @@
 	s.view.Store(next)
 }
 
-// modelServices maps model names to services; a service also answers to its own name.
+// modelServices maps model names to services. The name of a service is also a model name.
 func modelServices(tree settings.Tree, zone string) map[string]string {
 	models := map[string]string{}
 	for _, service := range tree.Services() {
@@ -307,7 +307,7 @@
 	return models
 }
 
-// inspect runs a function on the decide thread and waits for it.
+// inspect runs a function in the event loop and waits for it. It returns false if ctx ends first.
 func (s *Server) inspect(ctx context.Context, run func(*core.Core)) bool {
 	request := inspection{read: run, done: make(chan struct{})}
 	select {
@@ -323,10 +323,10 @@
 	}
 }
 
-// post puts an event into the ring and waits for room; only goroutines that may wait call it.
+// post queues an event and blocks while the buffer is full. The event loop must not call it.
 func (s *Server) post(event core.Event) { s.events <- event }
 
-// offer puts an event into the ring unless it is full.
+// offer queues an event, or drops it and returns false if the buffer is full.
 func (s *Server) offer(event core.Event) bool {
 	select {
 	case s.events <- event:
@@ -337,7 +337,7 @@
 	}
 }
 
-// performActions performs actions in order. None of them blocks.
+// performActions performs actions of the core in order, without blocking.
 func (s *Server) performActions(ctx context.Context, actions []core.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
