--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -33,17 +33,17 @@
 	testKey     = "key"
 	testTenant  = "tenant"
 	testService = "llm"
-	testTimeout = 20 * time.Second // how long a test waits for something that must happen
+	testTimeout = 20 * time.Second // maximum wait for an expected condition
 )
 
-// testRouter is a router process in this test's process, with one engine and no control group: it serves by the settings
-// of its folder, as after a restart in a zone that is cut off.
+// testRouter is a router with one fake engine and, by default, no control group. It serves with the settings stored in
+// its folder, as after a restart without a connection to control.
 type testRouter struct {
 	t         *testing.T
 	engine    *httptest.Server
 	platform  *httptest.Server
-	release   chan struct{} // closed: the engine's streams go on after their first token
-	cancelled atomic.Int32  // attempts whose connection was closed on the engine
+	release   chan struct{} // closed to let the engine stream beyond the first token
+	cancelled atomic.Int32  // attempts whose connection was closed by the router
 	address   string
 	control   string // address of the control group, or "" for none
 	stop      context.CancelFunc
@@ -77,7 +77,7 @@
 	return s
 }
 
-// settingsFolder returns a router's folder with settings.
+// settingsFolder returns a data folder with stored settings.
 func (s *testRouter) settingsFolder() string {
 	s.t.Helper()
 	folder := s.t.TempDir()
@@ -96,7 +96,7 @@
 	return mux
 }
 
-// generate gives one token, waits for the release, and gives the rest.
+// generate streams one token, waits for the release, and streams the others.
 func (s *testRouter) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
@@ -166,7 +166,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("never happened: %s", condition)
+	s.t.Fatalf("timed out waiting until %s", condition)
 }
 
 func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
@@ -191,18 +191,17 @@
 
 const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
-// TestRouterServesStoredSettingsWithoutControl: a router that restarts without any control replica in reach serves at once where the
-// tree allows it.
+// A router that starts without a reachable control replica serves with its stored settings if they allow it.
 func TestRouterServesStoredSettingsWithoutControl(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
 	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("got error %v and stream %s, want a complete stream", err, text)
 	}
 }
 
-// TestInvalidRequestsAreRejectedWithProblem: each is refused with what is wrong, and the next good one is served.
+// Each invalid request gets a problem response, and a valid one is served afterwards.
 func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
@@ -231,16 +230,16 @@
 				t.Fatal(err)
 			}
 			if response.StatusCode != test.status || problem.Run != test.run || problem.Title == "" {
-				t.Fatalf("status %d, %+v", response.StatusCode, problem)
+				t.Fatalf("got status %d and problem %+v", response.StatusCode, problem)
 			}
 		})
 	}
 	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body); !strings.Contains(string(text), "[DONE]") {
-		t.Fatalf("after the bad requests: %s", text)
+		t.Fatalf("got incomplete stream after the invalid requests: %s", text)
 	}
 }
 
-// TestClientDisconnectCancelsAttempt: the engine must not go on for nobody.
+// Guards against engines that keep generating after the client has disconnected.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
@@ -251,8 +250,7 @@
 	s.eventually("the engine's attempt is cancelled", func() bool { return s.cancelled.Load() == 1 })
 }
 
-// TestDrainFinishesActiveStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
-// refused meanwhile.
+// A draining router rejects new requests, and Run returns only after the stream in progress is complete.
 func TestDrainFinishesActiveStream(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
@@ -261,14 +259,14 @@
 		t.Fatal(err)
 	}
 	s.stop()
-	s.eventually("new requests are refused", func() bool {
+	s.eventually("new requests are rejected", func() bool {
 		refused := s.post("/v1/completions", testKey, validBody)
 		return refused.StatusCode == http.StatusServiceUnavailable && refused.Header.Get(api.HeaderDraining) != ""
 	})
 	close(s.release)
 	rest, err := io.ReadAll(reader)
 	if err != nil || !strings.Contains(string(rest), "t3 ") || !strings.Contains(string(rest), "[DONE]") {
-		t.Fatalf("%v: %s", err, rest)
+		t.Fatalf("got error %v and rest of the stream %s, want a complete stream", err, rest)
 	}
 	select {
 	case err := <-s.stopped:
@@ -276,11 +274,11 @@
 			t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the router did not end after its last stream")
+		t.Fatal("Run did not return after the last stream")
 	}
 }
 
-// TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
+// Models are listed only for requests with a known API key.
 func TestModelsAreListed(t *testing.T) {
 	s := startTestRouter(t)
 	listModels := func(key string) (*http.Response, api.ModelList) {
@@ -303,10 +301,10 @@
 		return response, list
 	}
 	if response, _ := listModels("wrong"); response.StatusCode != http.StatusUnauthorized {
-		t.Fatalf("without a known key: %s", response.Status)
+		t.Fatalf("got status %s with an unknown key, want 401", response.Status)
 	}
 	_, list := listModels(testKey)
 	if list.Object != api.ObjectList || len(list.Data) != 1 || list.Data[0].ID != testService || list.Data[0].Object != api.ObjectModel {
-		t.Fatalf("list %+v", list)
+		t.Fatalf("got models %+v, want only the model of the test service", list)
 	}
 }
