--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -15,10 +15,10 @@
 const (
 	heartbeatTimeout = 1200 * time.Millisecond
 	claimTimeout     = 4 * time.Second
-	endClaimTimeout  = 60 * time.Second // how long the end of a claim is repeated
+	endClaimTimeout  = 60 * time.Second // how long reporting the end of a claim is retried
 )
 
-// renewSession is the thread that renews the session and takes up new settings.
+// renewSession periodically sends heartbeats to control and applies the replies.
 func (s *Server) renewSession(ctx context.Context) {
 	for ctx.Err() == nil {
 		sentAt := s.now()
@@ -38,24 +38,25 @@
 	}
 }
 
-// applyReply syncs new settings, passes settings and lease to the core, and returns when to call again.
+// applyReply stores new settings, passes settings, lease and peers to the core, and returns the time until the next
+// heartbeat.
 func (s *Server) applyReply(sentAt time.Duration, reply control.HeartbeatReply) time.Duration {
 	if reply.Quarantine != nil {
 		s.quarantine.ApplyUpdate(reply.Quarantine)
 	}
 	actions := s.session.HandleReply(sentAt, reply)
 	if actions.RejectReason != "" {
-		s.log.Warn("heartbeat reply not used", zap.String("problem", actions.RejectReason))
+		s.log.Warn("ignoring heartbeat reply", zap.String("problem", actions.RejectReason))
 		return actions.NextHeartbeatIn
 	}
 	if actions.ToSync != nil {
 		if err := s.disk.save(*actions.ToSync); err != nil {
-			s.log.Error("settings could not be synced; the version is not acknowledged", zap.Error(err))
+			s.log.Error("failed to store settings; not acknowledging the version", zap.Error(err))
 			return s.file.Router.HeartbeatEvery
 		}
 		s.session.MarkSynced(*actions.ToSync)
 		s.post(core.EventSettings{Version: actions.ToSync.Version, Tree: actions.ToSync.Tree})
-		s.log.Info("settings taken up", zap.Uint64("settings_version", actions.ToSync.Version))
+		s.log.Info("settings applied", zap.Uint64("settings_version", actions.ToSync.Version))
 	}
 	s.post(actions.Lease)
 	if actions.Peers != nil {
@@ -65,15 +66,15 @@
 	return actions.NextHeartbeatIn
 }
 
-// closeSession ends the session at a planned stop, so that nobody waits for its lease.
+// closeSession ends the session when the router drains, so that nobody has to wait for its lease to expire.
 func (s *Server) closeSession() {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	heartbeat := s.session.ClosingHeartbeat()
-	_, _ = s.control.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // otherwise the lease runs out by itself
+	_, _ = s.control.AskOnce(ctx, control.Request{Heartbeat: &heartbeat}) // on failure the lease expires
 }
 
-// claim asks the ledger and reports the outcome to the core.
+// claim requests a claim from the run ledger and reports the outcome to the core.
 func (s *Server) claim(ctx context.Context, action core.ActionClaim) {
 	requestCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -89,12 +90,12 @@
 	s.post(event)
 }
 
-// endClaim reports the end of a claim until a leader has committed it. If that fails for long, the session
-// ends and the ledger marks the claim unknown, which is always safe.
+// endClaim reports the end of a claim and retries until a leader has committed it or endClaimTimeout has passed. An end
+// that is never reported is safe: the ledger marks the claim unknown when the session expires.
 func (s *Server) endClaim(ctx context.Context, action core.ActionEndClaim) {
 	requestCtx, cancel := context.WithTimeout(ctx, endClaimTimeout)
 	defer cancel()
 	if _, err := s.control.Ask(requestCtx, control.Request{End: &action.End}); err != nil && action.End.Kind != ledger.EndUnknown {
-		s.log.Warn("end of a claim not confirmed", zap.String("claim", action.End.ClaimID), zap.Error(err))
+		s.log.Warn("failed to confirm the end of a claim", zap.String("claim", action.End.ClaimID), zap.Error(err))
 	}
 }
