--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -190,7 +190,7 @@
 // again at once.
 func (s *Server) postFailure(a *activeAttempt, event core.EventAttempt) {
 	if event.Kind == core.AttemptRefused {
-		a.exchange.notRun.Add(1)
+		a.exchange.attemptsNotRun.Add(1)
 	}
 	s.post(event)
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -47,14 +47,14 @@
 	received          time.Time
 	quarantineRequest quarantine.Request // identifies repetitions of the request
 
-	tokens        chan token
-	final         chan core.ActionFinish // has capacity 1
-	attempts      int32                  // owned by the event loop
-	notRun        atomic.Int32           // attempts that provably did not run; at most attempts
-	lastAttempt   uint64                 // owned by the event loop
-	firstToken    bool                   // owned by the event loop
-	tokensDropped bool                   // owned by the event loop
-	slowReported  bool                   // owned by the event loop: the core was notified that the client is too slow
+	tokens         chan token
+	final          chan core.ActionFinish // has capacity 1
+	attempts       int32                  // owned by the event loop
+	attemptsNotRun atomic.Int32           // attempts that provably did not run; at most attempts
+	lastAttempt    uint64                 // owned by the event loop
+	firstToken     bool                   // owned by the event loop
+	tokensDropped  bool                   // owned by the event loop
+	slowReported   bool                   // owned by the event loop: the core was notified that the client is too slow
 }
 
 // serve passes a request to the core and writes the answer to the client.
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -77,7 +77,7 @@
 
 // mayHaveRun reports whether a back end may have run the request. Attempts that provably did not run are left out, or a
 // suspected request would be rejected as quarantined too early.
-func (e *exchange) mayHaveRun() bool { return e.attempts > e.notRun.Load() }
+func (e *exchange) mayHaveRun() bool { return e.attempts > e.attemptsNotRun.Load() }
 
 // incarnationID identifies the incarnation of the back end that an attempt was dispatched to.
 func (a *activeAttempt) incarnationID() string {
