--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -148,7 +148,7 @@
 // serveCompletion serves chat and text completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	in, reqErr := s.receive(w, r, settings.Any)
-	ex := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
+	ex := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, receivedAt: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if reqErr == nil {
 		ex.completion, ex.request, reqErr = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
 	}
@@ -245,7 +245,7 @@
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("name")
 	in, reqErr := s.receive(w, r, service)
-	ex := &exchange{name: in.name, body: in.body, writer: w, received: time.Now(), quarantineRequest: quarantineRequest(r, in)}
+	ex := &exchange{name: in.name, body: in.body, writer: w, receivedAt: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if reqErr == nil {
 		ex.request, reqErr = s.readService(r, in, service)
 	}
@@ -330,5 +330,5 @@
 	s.log.Info("request finished", zap.String("request", ex.name), zap.String("tenant", ex.request.Tenant),
 		zap.String("service", ex.request.Service), zap.Int("attempts", int(ex.attempts)), zap.Uint64("attempt", ex.lastAttempt),
 		zap.String("reason", string(final.Reason)), zap.String("run", string(final.Run)), zap.Int("tokens", final.Tokens),
-		zap.Duration("took", time.Since(ex.received)))
+		zap.Duration("took", time.Since(ex.receivedAt)))
 }
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -44,7 +44,7 @@
 	body              []byte
 	chat              bool
 	writer            http.ResponseWriter
-	received          time.Time
+	receivedAt        time.Time
 	quarantineRequest quarantine.Request // identifies repetitions of the request
 
 	tokens         chan token
@@ -122,7 +122,7 @@
 	}
 	if !ex.firstToken {
 		ex.firstToken = true
-		s.metrics.firstToken.WithLabelValues(ex.request.Service).Observe(time.Since(ex.received).Seconds())
+		s.metrics.firstToken.WithLabelValues(ex.request.Service).Observe(time.Since(ex.receivedAt).Seconds())
 	}
 	select {
 	case ex.tokens <- token{index: action.Index, text: action.Text}:
@@ -247,7 +247,7 @@
 }
 
 func (s *Server) newResponse(ex *exchange, object string) api.CompletionResponse {
-	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.received.Unix(), Model: ex.completion.Model}
+	return api.CompletionResponse{ID: ex.name, Object: object, Created: ex.receivedAt.Unix(), Model: ex.completion.Model}
 }
 
 func (s *Server) endStream(ex *exchange, controller *http.ResponseController, started bool) {
