--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -168,8 +168,8 @@
 			failed <- err
 		}
 	}()
-	var threads sync.WaitGroup
-	threads.Go(func() { s.runEventLoop(runCtx) })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { s.runEventLoop(runCtx) })
 	renewCtx, stopRenewing := context.WithCancel(runCtx)
 	defer stopRenewing()
 	renewDone := make(chan struct{})
@@ -177,10 +177,10 @@
 		defer close(renewDone)
 		s.renewSession(renewCtx)
 	}()
-	threads.Go(func() { s.watchPlatform(runCtx) })
-	threads.Go(func() { s.announcer.Run(runCtx) })
-	threads.Go(func() { s.quarantine.Run(runCtx) })
-	threads.Go(func() { transport.Every(runCtx, sweepInterval, s.sweep) })
+	goroutines.Go(func() { s.watchPlatform(runCtx) })
+	goroutines.Go(func() { s.announcer.Run(runCtx) })
+	goroutines.Go(func() { s.quarantine.Run(runCtx) })
+	goroutines.Go(func() { transport.Every(runCtx, sweepInterval, s.sweep) })
 	s.log.Info("router started", zap.String("listen", s.file.Router.Listen), zap.Uint64("incarnation", s.incarnation),
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
@@ -189,7 +189,7 @@
 	case err = <-failed:
 	}
 	cancel()
-	threads.Wait()
+	goroutines.Wait()
 	s.closeInternal(internalServer)
 	s.log.Info("router stopped")
 	return err
