--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -162,10 +162,10 @@
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	public := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		if err := public.Serve(listener); err != http.ErrServerClosed {
-			failed <- err
+			serveErr <- err
 		}
 	}()
 	var goroutines sync.WaitGroup
@@ -186,7 +186,7 @@
 	select {
 	case <-ctx.Done():
 		s.drain(public, func() { stopRenewing(); <-renewDone })
-	case err = <-failed:
+	case err = <-serveErr:
 	}
 	cancel()
 	goroutines.Wait()
