--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -308,8 +308,8 @@
 }
 
 // inspect runs a function in the event loop and waits for it. It returns false if ctx ends first.
-func (s *Server) inspect(ctx context.Context, run func(*core.Core)) bool {
-	request := inspection{read: run, done: make(chan struct{})}
+func (s *Server) inspect(ctx context.Context, read func(*core.Core)) bool {
+	request := inspection{read: read, done: make(chan struct{})}
 	select {
 	case s.inspections <- request:
 	case <-ctx.Done():
