--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -161,10 +161,10 @@
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	public := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
+	publicServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
 	serveErr := make(chan error, 1)
 	go func() {
-		if err := public.Serve(listener); err != http.ErrServerClosed {
+		if err := publicServer.Serve(listener); err != http.ErrServerClosed {
 			serveErr <- err
 		}
 	}()
@@ -185,7 +185,7 @@
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
 	case <-ctx.Done():
-		s.drain(public, func() { stopRenewing(); <-renewDone })
+		s.drain(publicServer, func() { stopRenewing(); <-renewDone })
 	case err = <-serveErr:
 	}
 	cancel()
