--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -75,8 +75,8 @@
 
 // Describe implements prometheus.Collector.
 func (m *metrics) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, item := range m.coreCounters {
-		descriptions <- item.description
+	for _, counter := range m.coreCounters {
+		descriptions <- counter.description
 	}
 	descriptions <- refusedDescription
 	descriptions <- gaugeDescription
