--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -88,8 +88,8 @@
 	defer cancel()
 	m.server.inspect(ctx, func(c *core.Core) {
 		counters := c.Counters()
-		for _, item := range m.coreCounters {
-			collected <- prometheus.MustNewConstMetric(item.description, prometheus.CounterValue, float64(item.read(counters)))
+		for _, counter := range m.coreCounters {
+			collected <- prometheus.MustNewConstMetric(counter.description, prometheus.CounterValue, float64(counter.read(counters)))
 		}
 		for reason, count := range counters.Refused {
 			collected <- prometheus.MustNewConstMetric(refusedDescription, prometheus.CounterValue, float64(count), string(reason))
