--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -52,10 +52,10 @@
 
 func testSettings() settings.Tree {
 	digest := sha256.Sum256([]byte(testKey))
-	kind, keys, cutOff, maxPromptBytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
+	kind, keys, whenCutOff, maxPromptBytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
 	small, repeatable := settings.KindService, false
 	tree := settings.NewTree()
-	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &cutOff, MaxPromptBytes: &maxPromptBytes}
+	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &whenCutOff, MaxPromptBytes: &maxPromptBytes}
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+testService] = settings.Overrides{Kind: &kind}
 	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &repeatable}
