--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -20,7 +20,7 @@
 	announceInterval   = 20 * time.Millisecond // maximum wait for a batch to fill
 	announceTimeout    = 200 * time.Millisecond
 	announceBatch      = 256
-	maxAnnouncedPeers  = 32 // routers of the own zone come first
+	maxAnnouncedPeers  = 32 // routers of the same zone come first
 )
 
 // newAnnouncer returns the announcer of dispatched attempts. Other routers add them to load reports that do not show
