--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// postFailure reports a failed attempt to the core. It updates notRun first, because the core may dispatch the request
-// again at once.
+// postFailure reports a failed attempt to the core. It updates attemptsNotRun first, because the core may dispatch the
+// request again at once.
 func (s *Server) postFailure(a *activeAttempt, event core.EventAttempt) {
 	if event.Kind == core.AttemptRefused {
 		a.exchange.attemptsNotRun.Add(1)
