--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// recordSendFailure records what a failed send implies about the back end: a refused connection confirms a crash, any
-// other failure after the connection was made may mean one.
+// recordSendFailure records what a failed send implies about the back end: a refused connection confirms that the
+// incarnation has ended, and a failure after connecting may mean a crash.
 func (s *Server) recordSendFailure(ctx context.Context, a *activeAttempt, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
