--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -1,5 +1,5 @@
-// Package router does the I/O of a router around internal/core: it serves clients over HTTP, performs the actions of the
-// core, and stores the settings received from control.
+// Package router does the I/O of a router around internal/core: it serves clients over HTTP, performs the actions of
+// the core, and stores the settings received from control.
 //
 // Goroutines: the event loop, which owns the core; one each for renewing the session, reading the machine list,
 // announcing dispatches to other routers and reporting crashed back ends to control; one poller for each back end; one
