--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,34 +7,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestNowCountsSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
-func TestNowCountsSuspension(t *testing.T) {
-	reading := func() time.Duration {
+// TestNowIncludesSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
+func TestNowIncludesSuspension(t *testing.T) {
+	bootTimeNow := func() time.Duration {
 		var at unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
 			t.Fatal(err)
 		}
 		return time.Duration(at.Nano())
 	}
-	before := reading()
+	before := bootTimeNow()
 	now := processStart + Now()
-	if after := reading(); now < before || now > after {
+	if after := bootTimeNow(); now < before || now > after {
 		t.Fatalf("%v is not between %v and %v", now, before, after)
 	}
 }
 
-// TestSourcesBeginWithNothing: and run as the one that they were made from.
-func TestSourcesBeginWithNothing(t *testing.T) {
+// TestNewSourceStartsAtZero: and run as the one that they were made from.
+func TestNewSourceStartsAtZero(t *testing.T) {
 	at := 7 * time.Second
-	made := From(func() time.Duration { return at })
-	if made() != 0 {
-		t.Fatalf("it begins at %v", made())
+	source := NewSource(func() time.Duration { return at })
+	if source() != 0 {
+		t.Fatalf("it begins at %v", source())
 	}
-	if at += 3 * time.Second; made() != 3*time.Second {
-		t.Fatalf("%v after 3 s", made())
+	if at += 3 * time.Second; source() != 3*time.Second {
+		t.Fatalf("%v after 3 s", source())
 	}
-	if own := From(nil); own() < 0 || own() > time.Minute {
-		t.Fatalf("the machine's begins at %v", own())
+	if system := NewSource(nil); system() < 0 || system() > time.Minute {
+		t.Fatalf("the machine's begins at %v", system())
 	}
 }
 
@@ -45,9 +45,9 @@
 	}
 }
 
-func BenchmarkSteady(b *testing.B) {
-	begun := time.Now()
+func BenchmarkMonotonic(b *testing.B) {
+	start := time.Now()
 	for b.Loop() {
-		_ = time.Since(begun)
+		_ = time.Since(start)
 	}
 }
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -33,17 +33,17 @@
 	testKey     = "key"
 	testTenant  = "tenant"
 	testService = "llm"
-	testTimeout = 20 * time.Second // how long a test waits for something that must happen
+	testTimeout = 20 * time.Second // maximum wait for an expected condition
 )
 
-// testRouter is a router process in this test's process, with one engine and no control group: it serves by the settings
-// of its folder, as after a restart in a zone that is cut off.
+// testRouter is a router with one fake engine and, by default, no control group. It serves with the settings stored in
+// its folder, as after a restart without a connection to control.
 type testRouter struct {
 	t         *testing.T
 	engine    *httptest.Server
 	platform  *httptest.Server
-	release   chan struct{} // closed: the engine's streams go on after their first token
-	cancelled atomic.Int32  // attempts whose connection was closed on the engine
+	release   chan struct{} // closed to let the engine stream beyond the first token
+	cancelled atomic.Int32  // attempts whose connection was closed by the router
 	address   string
 	control   string // address of the control group, or "" for none
 	stop      context.CancelFunc
@@ -52,13 +52,13 @@
 
 func testSettings() settings.Tree {
 	digest := sha256.Sum256([]byte(testKey))
-	kind, keys, cutOff, bytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
-	small, once := settings.KindService, false
+	kind, keys, whenCutOff, maxPromptBytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
+	small, repeatable := settings.KindService, false
 	tree := settings.NewTree()
-	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &cutOff, MaxPromptBytes: &bytes}
+	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &whenCutOff, MaxPromptBytes: &maxPromptBytes}
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+testService] = settings.Overrides{Kind: &kind}
-	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &once}
+	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &repeatable}
 	tree.Nodes["/*/"+testService+"/"+testTenant] = settings.Overrides{APIKeySHA256: &keys}
 	return tree
 }
@@ -77,7 +77,7 @@
 	return s
 }
 
-// settingsFolder returns a router's folder with settings.
+// settingsFolder returns a data folder with stored settings.
 func (s *testRouter) settingsFolder() string {
 	s.t.Helper()
 	folder := s.t.TempDir()
@@ -96,7 +96,7 @@
 	return mux
 }
 
-// generate gives one token, waits for the release, and gives the rest.
+// generate streams one token, waits for the release, and streams the others.
 func (s *testRouter) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
@@ -159,14 +159,14 @@
 	})
 }
 
-func (s *testRouter) eventually(what string, check func() bool) {
+func (s *testRouter) eventually(condition string, check func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
 			return
 		}
 	}
-	s.t.Fatalf("never happened: %s", what)
+	s.t.Fatalf("timed out waiting until %s", condition)
 }
 
 func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
@@ -191,22 +191,21 @@
 
 const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
-// TestRouterServesStoredSettingsWithoutControl: a router that restarts without any control replica in reach serves at once where the
-// tree allows it.
+// A router that starts without a reachable control replica serves with its stored settings if they allow it.
 func TestRouterServesStoredSettingsWithoutControl(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
 	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("got error %v and stream %s, want a complete stream", err, text)
 	}
 }
 
-// TestInvalidRequestsAreRejectedWithProblem: each is refused with what is wrong, and the next good one is served.
+// Each invalid request gets a problem response, and a valid one is served afterwards.
 func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
 	s := startTestRouter(t)
 	close(s.release)
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name, path, key, body string
 		headers               []string
 		status                int
@@ -224,23 +223,23 @@
 		{"no idempotency key", "/v1/services/small", testKey, "{}", nil, 400, core.RunNot},
 		{"key may have run before", "/v1/services/small", "other", "{}", []string{api.HeaderIdempotencyKey, "k"}, 401, core.RunUnknown},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			response := s.post(row.path, row.key, row.body, row.headers...)
+		t.Run(test.name, func(t *testing.T) {
+			response := s.post(test.path, test.key, test.body, test.headers...)
 			var problem api.Problem
 			if err := json.NewDecoder(response.Body).Decode(&problem); err != nil {
 				t.Fatal(err)
 			}
-			if response.StatusCode != row.status || problem.Run != row.run || problem.Title == "" {
-				t.Fatalf("status %d, %+v", response.StatusCode, problem)
+			if response.StatusCode != test.status || problem.Run != test.run || problem.Title == "" {
+				t.Fatalf("got status %d and problem %+v", response.StatusCode, problem)
 			}
 		})
 	}
 	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body); !strings.Contains(string(text), "[DONE]") {
-		t.Fatalf("after the bad requests: %s", text)
+		t.Fatalf("got incomplete stream after the invalid requests: %s", text)
 	}
 }
 
-// TestClientDisconnectCancelsAttempt: the engine must not go on for nobody.
+// Guards against engines that keep generating after the client has disconnected.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
@@ -251,8 +250,7 @@
 	s.eventually("the engine's attempt is cancelled", func() bool { return s.cancelled.Load() == 1 })
 }
 
-// TestDrainFinishesActiveStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
-// refused meanwhile.
+// A draining router rejects new requests, and Run returns only after the stream in progress is complete.
 func TestDrainFinishesActiveStream(t *testing.T) {
 	s := startTestRouter(t)
 	response := s.post("/v1/completions", testKey, validBody)
@@ -261,14 +259,14 @@
 		t.Fatal(err)
 	}
 	s.stop()
-	s.eventually("new requests are refused", func() bool {
+	s.eventually("new requests are rejected", func() bool {
 		refused := s.post("/v1/completions", testKey, validBody)
 		return refused.StatusCode == http.StatusServiceUnavailable && refused.Header.Get(api.HeaderDraining) != ""
 	})
 	close(s.release)
 	rest, err := io.ReadAll(reader)
 	if err != nil || !strings.Contains(string(rest), "t3 ") || !strings.Contains(string(rest), "[DONE]") {
-		t.Fatalf("%v: %s", err, rest)
+		t.Fatalf("got error %v and rest of the stream %s, want a complete stream", err, rest)
 	}
 	select {
 	case err := <-s.stopped:
@@ -276,14 +274,14 @@
 			t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the router did not end after its last stream")
+		t.Fatal("Run did not return after the last stream")
 	}
 }
 
-// TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
+// Models are listed only for requests with a known API key.
 func TestModelsAreListed(t *testing.T) {
 	s := startTestRouter(t)
-	ask := func(key string) (*http.Response, api.ModelList) {
+	listModels := func(key string) (*http.Response, api.ModelList) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+s.address+"/v1/models", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -302,11 +300,11 @@
 		}
 		return response, list
 	}
-	if response, _ := ask("wrong"); response.StatusCode != http.StatusUnauthorized {
-		t.Fatalf("without a known key: %s", response.Status)
+	if response, _ := listModels("wrong"); response.StatusCode != http.StatusUnauthorized {
+		t.Fatalf("got status %s with an unknown key, want 401", response.Status)
 	}
-	_, list := ask(testKey)
+	_, list := listModels(testKey)
 	if list.Object != api.ObjectList || len(list.Data) != 1 || list.Data[0].ID != testService || list.Data[0].Object != api.ObjectModel {
-		t.Fatalf("list %+v", list)
+		t.Fatalf("got models %+v, want only the model of the test service", list)
 	}
 }
