--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -19,10 +19,10 @@
 		n.handleAppend(now, message)
 	case MessageSnapshot:
 		n.handleSnapshot(now, message)
-	case MessageCold:
-		n.handleCold(message)
-	case MessageColdReply:
-		n.handleColdReply(now, message)
+	case MessageColdStartQuery:
+		n.handleColdStartQuery(message)
+	case MessageColdStartReply:
+		n.handleColdStartReply(now, message)
 	case MessageAppendReply:
 		n.handleAppendReply(now, message)
 	}
@@ -49,16 +49,16 @@
 }
 
 func (n *Node) quorumSilent(now time.Duration) bool {
-	heard := 0
+	responsive := 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
 		}
-		if member.ID == n.config.ID || now < n.peers[member.ID].heardAt+n.config.Timing.ElectionMax {
-			heard++
+		if member.ID == n.config.ID || now < n.peers[member.ID].lastReplyAt+n.config.Timing.ElectionMax {
+			responsive++
 		}
 	}
-	return heard < n.membership.Voters()/2+1
+	return responsive < n.membership.Voters()/2+1
 }
 
 func (n *Node) forEachPeer(visit func(id ID)) {
@@ -81,8 +81,8 @@
 func (n *Node) sendAppend(now time.Duration, id ID) {
 	peer := n.peers[id]
 	previous := peer.next - 1
-	term, held := n.log.term(previous)
-	if !held {
+	term, found := n.log.term(previous)
+	if !found {
 		n.sendSnapshot(now, id)
 		return
 	}
@@ -92,7 +92,7 @@
 		Kind: MessageAppend, To: id, Term: n.hard.Term, Index: previous, LogTerm: term,
 		Commit: n.commit, SentAt: now, Entries: entries,
 	})
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	if peer.match == 0 && len(entries) > 0 {
 		peer.paused = true // probe until the first answer
 		return
@@ -104,25 +104,25 @@
 // peer hears heartbeats, which it rejects for what it lacks; its answers still confirm the leader.
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if peer.snapshotAt > 0 && now < peer.snapshotAt+n.config.Timing.ElectionMin {
-		n.sendBeat(now, id)
+	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
+		n.sendHeartbeat(now, id)
 		return
 	}
 	snapshot, ok := n.snapshotSource()
 	if !ok {
 		return
 	}
-	peer.paused, peer.snapshotAt, peer.sentAt = true, now, now
+	peer.paused, peer.snapshotSentAt, peer.lastAppendAt = true, now, now
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
-// sendBeat sends an append without entries, once a heartbeat.
-func (n *Node) sendBeat(now time.Duration, id ID) {
+// sendHeartbeat sends an append without entries, once a heartbeat.
+func (n *Node) sendHeartbeat(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if now < peer.sentAt+n.config.Timing.Heartbeat {
+	if now < peer.lastAppendAt+n.config.Timing.Heartbeat {
 		return
 	}
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	base := n.log.base
 	n.send(Message{Kind: MessageAppend, To: id, Term: n.hard.Term, Index: base.Index, LogTerm: base.Term, Commit: n.commit, SentAt: now})
 }
@@ -134,8 +134,8 @@
 		return false
 	}
 	n.becomeFollower(now, message.Term, message.From)
-	n.leaderHeardAt = now
-	n.cold.end()
+	n.lastLeaderContact = now
+	n.coldStart.finish()
 	return true
 }
 
@@ -149,7 +149,7 @@
 		n.send(reply)
 		return
 	}
-	if term, held := n.log.term(message.Index); !held || term != message.LogTerm {
+	if term, found := n.log.term(message.Index); !found || term != message.LogTerm {
 		reply.Reject = true
 		reply.Index = message.Index
 		reply.Hint = min(n.log.lastIndex(), message.Index-1)
@@ -166,11 +166,11 @@
 // appendFromLeader keeps entries that agree with the log and replaces the tail from the first that does not.
 func (n *Node) appendFromLeader(entries []Entry) {
 	for i, entry := range entries {
-		term, held := n.log.term(entry.Index)
-		if held && term == entry.Term {
+		term, found := n.log.term(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			n.log.truncateFrom(entry.Index)
 		}
 		n.log.entries = append(n.log.entries, entries[i:]...)
@@ -186,7 +186,7 @@
 	}
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	meta := message.Snapshot.Meta
-	if term, held := n.log.term(meta.Index); held && term == meta.Term {
+	if term, found := n.log.term(meta.Index); found && term == meta.Term {
 		// The log already agrees up to the snapshot; installing it would drop entries acknowledged after it.
 		n.commit = max(n.commit, meta.Index)
 	} else if meta.Index > n.commit {
@@ -209,7 +209,7 @@
 	if n.role != Leader || message.Term < n.hard.Term || peer == nil {
 		return
 	}
-	peer.heardAt = now
+	peer.lastReplyAt = now
 	peer.ackedSentAt = max(peer.ackedSentAt, message.SentAt)
 	peer.paused = false
 	if message.Reject {
@@ -222,7 +222,7 @@
 		return
 	}
 	if message.Index > peer.match {
-		peer.match, peer.snapshotAt = message.Index, 0
+		peer.match, peer.snapshotSentAt = message.Index, 0
 		n.advanceCommit()
 	}
 	peer.next = max(peer.next, peer.match+1)
@@ -245,8 +245,8 @@
 	}
 	slices.Sort(matches)
 	candidate := matches[(len(matches)-1)/2]
-	term, held := n.log.term(candidate)
-	if held && term == n.hard.Term && candidate > n.commit {
+	term, found := n.log.term(candidate)
+	if found && term == n.hard.Term && candidate > n.commit {
 		n.commit = candidate
 	}
 }
--- a/internal/control/layout.go
+++ b/internal/control/layout.go
@@ -104,7 +104,7 @@
 		r.leader.gatewayUnlisted = true
 		r.updateGatewayList(now)
 	}
-	reply := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.wantedVersions(now), Unlisted: unlisted}
+	reply := &relay.Reply{Number: request.Number, Applied: r.applied, Version: r.leader.rosterVersion(), Publications: r.weightsPublications(now), Unlisted: unlisted}
 	if request.Roster != reply.Version {
 		reply.Roster = r.rosterUpdate(now, request.Roster)
 	}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// budgetShare is the part of the ratio that is used, since gateways count by themselves and their windows don't meet exactly.
-const budgetShare = 0.7
+// budgetFraction is the fraction of the retry ratio that gateways use by themselves. It leaves a margin because their
+// windows are not aligned.
+const budgetFraction = 0.7
 
-// budgetSlots divides the window.
+// budgetSlots is the number of slots in the window.
 const budgetSlots = 10
 
-// budgetSlot counts one part of the window.
+// budgetSlot counts requests and retries in one slot of the window.
 type budgetSlot struct {
-	number   int64
+	number   int64 // of the slot since the clock's start
 	requests int
-	repeats  int
+	retries  int
 }
 
-// serviceBudget counts a service's requests and repeats in a sliding window.
+// serviceBudget counts a service's requests and retries in a sliding window.
 type serviceBudget struct {
 	slots [budgetSlots]budgetSlot
 }
 
-// retryBudget bounds how often requests are sent to another back end, so that a failing service is not buried under
-// repeats. Each gateway spends the ratio of its own requests by itself; what the fleet may repeat beyond is lent.
+// retryBudget bounds the ratio of retries to requests, so that retries do not overload a failing service. Each gateway
+// uses a fraction of the ratio for its own requests; further retries need leases. It is safe for concurrent use.
 type retryBudget struct {
 	mutex    sync.Mutex
 	window   time.Duration
@@ -38,45 +39,45 @@
 	}
 }
 
-// slot returns the current part of a service's window. The caller holds the mutex.
+// slot returns a service's budget and the current slot of its window. The caller holds the mutex.
 func (b *retryBudget) slot(service string, now time.Duration) (*serviceBudget, *budgetSlot) {
-	held := b.services[service]
-	if held == nil {
-		held = &serviceBudget{}
-		b.services[service] = held
+	budget := b.services[service]
+	if budget == nil {
+		budget = &serviceBudget{}
+		b.services[service] = budget
 	}
 	number := int64(now / (b.window / budgetSlots))
-	slot := &held.slots[number%budgetSlots]
+	slot := &budget.slots[number%budgetSlots]
 	if slot.number != number {
 		*slot = budgetSlot{number: number}
 	}
-	return held, slot
+	return budget, slot
 }
 
-// request counts a caller's request.
-func (b *retryBudget) request(service string, now time.Duration) {
+// recordRequest counts a caller's request.
+func (b *retryBudget) recordRequest(service string, now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	_, slot := b.slot(service, now)
 	slot.requests++
 }
 
-// take spends one repeat, or returns false when there is none left.
-func (b *retryBudget) take(service string, now time.Duration) bool {
+// acquireRetry counts one retry, or returns false if the budget is exhausted.
+func (b *retryBudget) acquireRetry(service string, now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	held, slot := b.slot(service, now)
-	requests, repeats := 0, 0
-	for _, counted := range held.slots {
+	budget, slot := b.slot(service, now)
+	requests, retries := 0, 0
+	for _, counted := range budget.slots {
 		if slot.number-counted.number < budgetSlots {
 			requests += counted.requests
-			repeats += counted.repeats
+			retries += counted.retries
 		}
 	}
-	allowed := budgetShare * b.ratio * float64(requests)
-	if float64(repeats+1) > allowed {
+	allowed := budgetFraction * b.ratio * float64(requests)
+	if float64(retries+1) > allowed {
 		return false
 	}
-	slot.repeats++
+	slot.retries++
 	return true
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -42,7 +42,7 @@
 	avoidUntil          time.Duration
 	limitExhaustedUntil time.Duration // no lease on its advertised limit is available until then
 	limitPacedUntil     time.Duration // no more requests of other gateways are placed under its limit until then
-	reports             suspicion     // by other gateways that it is unreachable
+	reports             peerReport    // by other gateways that it is unreachable
 	gone                bool
 	assigned            bool // this gateway reads its cache events
 }
@@ -193,14 +193,14 @@
 }
 
 // end records the end and outcome of an attempt, and returns this gateway's remaining load at its back end.
-func (t *table) end(now time.Duration, sent *attempt, grade outcomeGrade) belief.Load {
+func (t *table) end(now time.Duration, sent *attempt, grade attemptOutcome) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.endWait(sent)
 	own := &sent.row.occupancy.Own
 	*own = own.Minus(sent.load())
-	sent.row.grade(now, grade)
-	if grade == gradeGood {
+	sent.row.recordOutcome(now, grade)
+	if grade == outcomeSuccess {
 		t.recordDuration(sent.row, now-sent.startedAt)
 	}
 	return sent.row.occupancy.Local()
@@ -221,7 +221,7 @@
 }
 
 // applySends applies announcements of other gateways, and returns the new signals of back ends among them.
-func (t *table) applySends(now time.Duration, sends []announcement) (updates []said) {
+func (t *table) applySends(now time.Duration, sends []announcement) (updates []peerPushback) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, sent := range sends {
@@ -236,17 +236,17 @@
 			continue
 		}
 		if sent.Unreachable {
-			t.suspect(at, row, sent.Gateway)
+			t.recordPeerReport(at, row, sent.Gateway)
 			continue
 		}
 		if !sent.Signals.IsEmpty() {
-			if fresh := t.hearOf(now, at, row, sent.Signals); !fresh.IsEmpty() {
-				updates = append(updates, said{sent.Instance, fresh})
+			if fresh := t.observePeerPushback(now, at, row, sent.Signals); !fresh.IsEmpty() {
+				updates = append(updates, peerPushback{sent.Instance, fresh})
 			}
 			continue
 		}
 		if sent.RejectedRequest != "" {
-			t.judge(row.entry.Service).RecordRejection(at, sent.RejectedRequest)
+			t.admissionController(row.entry.Service).RecordRejection(at, sent.RejectedRequest)
 			continue
 		}
 		row.occupancy.RecordPeer(sent.Gateway, at, sent.Load)
@@ -275,7 +275,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.stored.Sweep(now)
-	t.sweepPlacements(now)
+	t.expirePlacements(now)
 	for _, controller := range t.admission {
 		controller.Sweep(now)
 	}
--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -15,20 +15,20 @@
 	"kitetiller/internal/prefix"
 )
 
-// kept is a part that an engine says it keeps so many tokens of.
-func kept(id string, tokens int) belief.CachedPart {
+// cachedPart returns a part of which an engine has so many tokens cached.
+func cachedPart(id string, tokens int) belief.CachedPart {
 	return belief.CachedPart{Salt: "w1", Part: prefix.Part{ID: id, Tokens: tokens}}
 }
 
-// scriptedCache is a cache reader that gives one answer after the other, and then waits.
+// scriptedCache is a CacheReader that returns the given answers in order, and then errors.
 type scriptedCache struct {
 	mu      sync.Mutex
-	answers []any // CacheNews or error; guarded by mu
+	answers []any // CacheReport or error; guarded by mu
 	lists   int   // guarded by mu
 	drained chan struct{}
 }
 
-func (s *scriptedCache) next(ctx context.Context) (CacheNews, error) {
+func (s *scriptedCache) next(ctx context.Context) (CacheReport, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.answers) == 0 {
@@ -37,53 +37,53 @@
 		default:
 			close(s.drained)
 		}
-		return CacheNews{}, eris.New("no more answers")
+		return CacheReport{}, eris.New("no more answers")
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	if err, failed := answer.(error); failed {
-		return CacheNews{}, err
+		return CacheReport{}, err
 	}
-	return answer.(CacheNews), nil
+	return answer.(CacheReport), nil
 }
 
-func (s *scriptedCache) Events(ctx context.Context, _ string, _ uint64) (CacheNews, error) {
+func (s *scriptedCache) Events(ctx context.Context, _ string, _ uint64) (CacheReport, error) {
 	return s.next(ctx)
 }
 
-func (s *scriptedCache) List(ctx context.Context, _ string) (CacheNews, error) {
+func (s *scriptedCache) List(ctx context.Context, _ string) (CacheReport, error) {
 	s.mu.Lock()
 	s.lists++
 	s.mu.Unlock()
 	return s.next(ctx)
 }
 
-// read passes one answer after the other to a gateway's cursor.
+// read calls readCache the given number of times.
 func (s *scriptedCache) read(g *Gateway, at *cacheCursor, times int) {
 	for range times {
-		at.listedAt = -listPause // lists may follow each other here
+		at.listedAt = -cacheListInterval // lists may follow each other here
 		_, _ = g.readCache(context.Background(), "i-1", at)
 	}
 }
 
-// TestGapsAndRestartsAreReadAnew: after events were lost, in another life of the engine, or when its numbers go back, the
-// list is read; an exchange that fails changes nothing.
-func TestGapsAndRestartsAreReadAnew(t *testing.T) {
-	for name, gap := range map[string]CacheNews{
-		"lost": {Life: 1, Next: 9, Lost: true}, "another life": {Life: 2, Next: 9}, "another start": {Life: 1, Born: 7, Next: 9}, "numbers go back": {Life: 1, Next: 3},
+// TestCacheIsListedAgain tests that lost events, a new incarnation, and event numbers that go backwards cause a new
+// listing, and that a failed read changes nothing.
+func TestCacheIsListedAgain(t *testing.T) {
+	for name, gap := range map[string]CacheReport{
+		"events lost": {Incarnation: 1, NextEvent: 9, EventsLost: true}, "another incarnation": {Incarnation: 2, NextEvent: 9}, "another start time": {Incarnation: 1, StartedMS: 7, NextEvent: 9}, "event numbers go back": {Incarnation: 1, NextEvent: 3},
 	} {
 		script := &scriptedCache{drained: make(chan struct{}), answers: []any{
-			CacheNews{Life: 1, Next: 5, Parts: []belief.CachedPart{kept("a", 10), kept("b", 10)}}, // the first list
+			CacheReport{Incarnation: 1, NextEvent: 5, Parts: []belief.CachedPart{cachedPart("a", 10), cachedPart("b", 10)}}, // first listing
 			eris.New("cut off"),
-			CacheNews{Life: 1, Next: 6, Parts: []belief.CachedPart{kept("b", 0)}},
+			CacheReport{Incarnation: 1, NextEvent: 6, Parts: []belief.CachedPart{cachedPart("b", 0)}},
 			gap,
-			CacheNews{Life: gap.Life, Born: gap.Born, Next: 20, Parts: []belief.CachedPart{kept("c", 10)}}, // the list after it
+			CacheReport{Incarnation: gap.Incarnation, StartedMS: gap.StartedMS, NextEvent: 20, Parts: []belief.CachedPart{cachedPart("c", 10)}}, // listing after the gap
 		}}
 		g := New(Settings{Control: []string{"127.0.0.1:1"}}, nil, node.NopLog())
 		g.UseCacheReader(script)
-		g.table.takeRoster(0, &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
+		g.table.applyRoster(0, &control.RosterUpdate{Full: true, Entries: []control.RosterEntry{{Instance: catalog.Instance{ID: "i-1", Address: "a"}}}}, nil)
 		at := &cacheCursor{}
-		holds := func(wanted string) {
+		checkCached := func(wanted string) {
 			t.Helper()
 			held := ""
 			for _, id := range []string{"a", "b", "c"} {
@@ -92,25 +92,26 @@
 				}
 			}
 			if held != wanted {
-				t.Fatalf("%s: holds %q, wanted %q", name, held, wanted)
+				t.Fatalf("%s: cached parts %q, want %q", name, held, wanted)
 			}
 		}
 		script.read(g, at, 2)
-		holds("ab")
+		checkCached("ab")
 		script.read(g, at, 1)
-		holds("a")
+		checkCached("a")
 		script.read(g, at, 2)
-		holds("c")
+		checkCached("c")
 		if script.lists != 2 {
-			t.Fatalf("%s: %d lists", name, script.lists)
+			t.Fatalf("%s: %d listings, want 2", name, script.lists)
 		}
 	}
 }
 
-// TestFollowersFollowTheAssignment: one thread an engine, ended when the engine is another gateway's.
-func TestFollowersFollowTheAssignment(t *testing.T) {
+// TestFollowersMatchAssignment tests that one goroutine reads each assigned engine, and ends when the engine is
+// assigned to another gateway.
+func TestFollowersMatchAssignment(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := newFollowers()
+	f := newCacheFollowers()
 	var mu sync.Mutex
 	reading := map[string]int{}
 	read := func(ctx context.Context, id string) {
@@ -122,7 +123,7 @@
 		reading[id]--
 		mu.Unlock()
 	}
-	settled := func(wanted map[string]int) {
+	waitForReaders := func(wanted map[string]int) {
 		t.Helper()
 		for range 2000 {
 			mu.Lock()
@@ -138,14 +139,14 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		t.Fatalf("reading %v, wanted %v", reading, wanted)
+		t.Fatalf("reading %v, want %v", reading, wanted)
 	}
-	f.use(ctx, []string{"i-1", "i-2"}, read)
-	f.use(ctx, []string{"i-1", "i-2"}, read)
-	settled(map[string]int{"i-1": 1, "i-2": 1})
-	f.use(ctx, []string{"i-2", "i-3"}, read)
-	settled(map[string]int{"i-2": 1, "i-3": 1})
+	f.assign(ctx, []string{"i-1", "i-2"}, read)
+	f.assign(ctx, []string{"i-1", "i-2"}, read)
+	waitForReaders(map[string]int{"i-1": 1, "i-2": 1})
+	f.assign(ctx, []string{"i-2", "i-3"}, read)
+	waitForReaders(map[string]int{"i-2": 1, "i-3": 1})
 	cancel()
 	f.threads.Wait()
-	settled(nil)
+	waitForReaders(nil)
 }
--- a/internal/gateway/heldback.go
+++ b/internal/gateway/heldback.go
@@ -8,27 +8,28 @@
 	"kitetiller/internal/quarantine"
 )
 
-// proofPatience is how long a request waits to learn whether the back end under which it broke off has ended, before it is sent to
-// another: some times the way to another zone and back.
-const proofPatience = 25 * time.Millisecond
+// crashCheckTimeout bounds how long a request waits to learn whether the back end that failed it has crashed, before it
+// is sent to another one. It is a multiple of the round trip to another zone.
+const crashCheckTimeout = 25 * time.Millisecond
 
-// fingerprint returns what stays of the request when it comes again; ok is false before control told the seed.
+// fingerprint returns the request's fingerprint, which is the same for each retry by the caller. ok is false while the
+// seed is unknown.
 func (x *exchange) fingerprint() (f quarantine.Fingerprint, ok bool) {
 	if x.cachedFingerprint != nil {
 		return *x.cachedFingerprint, true
 	}
-	again := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
+	request := quarantine.Request{Method: x.request.Method, Host: x.request.Host, Path: x.request.RequestURI, Body: x.body}
 	if x.tenant != nil {
-		again.Caller = x.tenant.Name
+		request.Caller = x.tenant.Name
 	}
-	if f, ok = x.gateway.quarantine.Fingerprint(again); ok {
+	if f, ok = x.gateway.quarantine.Fingerprint(request); ok {
 		x.cachedFingerprint = &f
 	}
 	return f, ok
 }
 
-// lives returns how many lives of back ends ended under the request, as far as this gateway knows.
-func (x *exchange) lives() int {
+// crashCount returns the known number of back ends that crashed while they ran the request.
+func (x *exchange) crashCount() int {
 	if x.gateway.quarantine.IsEmpty() {
 		return 0
 	}
@@ -39,30 +40,32 @@
 	return x.gateway.quarantine.CrashCount(f)
 }
 
-// heldBack answers a request that ends whoever runs it: at once, since no wait mends it.
-func (x *exchange) heldBack() bool {
-	if x.lives() < quarantine.QuarantineThreshold {
+// rejectIfQuarantined answers the request and returns true if it is quarantined. It does not wait first, since no back
+// end could run the request.
+func (x *exchange) rejectIfQuarantined() bool {
+	if x.crashCount() < quarantine.QuarantineThreshold {
 		return false
 	}
 	x.giveUp(reasonQuarantined, quarantine.RetryAfter)
 	return true
 }
 
-// suspected reports whether so many lives ended under the request that the gateway doesn't send it to another one by itself: each
-// takes all that runs there along.
-func (x *exchange) suspected() bool { return x.lives() >= quarantine.SuspectThreshold }
+// isSuspect reports whether the request crashed so many back ends that the gateway does not retry it: a crash also
+// fails all other requests that run there.
+func (x *exchange) isSuspect() bool { return x.crashCount() >= quarantine.SuspectThreshold }
 
-// endedWell notes that a back end ran the request to a good end.
-func (x *exchange) endedWell() {
+// recordCompletion records that a back end completed the request.
+func (x *exchange) recordCompletion() {
 	if f, ok := x.fingerprint(); ok {
 		x.gateway.quarantine.RecordCompletion(f)
 	}
 }
 
-// brokeOff notes that the run broke off without our doing. One on a back end that leaves ends with it as planned.
-func (a *attempt) brokeOff() {
+// recordFailure records that a run was cut off by the back end. Back ends that drain are ignored, as they are expected
+// to end.
+func (a *attempt) recordFailure() {
 	x := a.exchange
-	if !x.gateway.table.remains(a.row) {
+	if !x.gateway.table.isReady(a.row) {
 		return
 	}
 	if f, ok := x.fingerprint(); ok {
@@ -70,38 +73,39 @@
 	}
 }
 
-// awaitProof waits a moment to learn whether the back end has ended under which the run broke off.
-func (a *attempt) awaitProof() {
+// awaitCrashCheck waits until it is known whether the back end that failed the run has crashed, for up to
+// crashCheckTimeout.
+func (a *attempt) awaitCrashCheck() {
 	if a.crashChecked == nil {
 		return
 	}
 	select {
 	case <-a.crashChecked:
-	case <-time.After(proofPatience):
+	case <-time.After(crashCheckTimeout):
 	case <-a.exchange.ctx.Done():
 	}
 }
 
-// remains reports whether a back end is one that control knows, and isn't leaving, by its own word either.
-func (t *table) remains(row *endpoint) bool {
+// isReady reports whether a back end is in the roster and is not draining, by its own signals either.
+func (t *table) isReady(row *endpoint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !row.gone && row.entry.State == catalog.StateReady && !t.signals.Restriction(0, row.incarnation).Draining
 }
 
-// replaced returns the lives that are gone since another one stands at their address.
-func replaced(changes []rosterChange) []string {
+// replacedInstances returns the instances that are gone and have been replaced by another one at the same address.
+func replacedInstances(changes []rosterChange) []string {
 	joined := map[string]bool{}
 	for _, change := range changes {
 		if change.event == events.InstanceJoined {
 			joined[change.entry.Address] = true
 		}
 	}
-	var lives []string
+	var ids []string
 	for _, change := range changes {
 		if change.event == events.InstanceGone && joined[change.entry.Address] && change.entry.State == catalog.StateReady {
-			lives = append(lives, change.entry.ID)
+			ids = append(ids, change.entry.ID)
 		}
 	}
-	return lives
+	return ids
 }
--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -26,7 +26,7 @@
 func newModelRequest(g *Gateway) *exchange {
 	return &exchange{
 		gateway: g, ctx: context.Background(), service: g.view.Load().services["s"], view: g.view.Load(), route: &catalog.Route{},
-		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, quotaLease: cover{covered: true},
+		call: Call{ID: "r1", Model: "m"}, deadline: time.Hour, quotaLease: quotaLease{acquired: true},
 	}
 }
 
@@ -45,7 +45,7 @@
 // expected weights is not logged.
 func TestVersionMismatchIsLogged(t *testing.T) {
 	now := time.Minute
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return now }
 	core, lines := observer.New(zap.InfoLevel)
 	g.log = newDecisionLog(&node.Log{Logger: zap.New(core)})
@@ -83,7 +83,7 @@
 	// publication of a newer version.
 	fresh := func() (*Gateway, *time.Duration) {
 		now := 10 * time.Minute
-		g := scheduler(1)
+		g := newScheduler(1)
 		g.now = func() time.Duration { return now }
 		return g, &now
 	}
@@ -113,7 +113,7 @@
 	t.Run("placed by a scheduler", func(t *testing.T) {
 		g, _ := fresh()
 		chosen := chosenAttempt(g)
-		plan := g.scheduledCandidate(&wirePlacement{Instance: "i-0", Version: 1}, scheduled{}, input(g))
+		plan := g.candidateFromReply(&wirePlacementReply{Instance: "i-0", Version: 1}, schedulerPlacement{}, input(g))
 		chosen = chosen.exchange.newAttempt(plan)
 		publishVersion(g, 2, time.Minute)
 		if chosen.recheckConditions() == "" {
@@ -160,7 +160,7 @@
 func TestDeadlineTimerCancelsWaitingRequest(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(10 * time.Minute))
-	g := scheduler(1)
+	g := newScheduler(1)
 	g.now = func() time.Duration { return time.Duration(now.Load()) }
 	sent := chosenAttempt(g)
 	g.table.begin(g.now(), sent)
@@ -185,7 +185,7 @@
 		const engines = 3
 		var clock atomic.Int64
 		clock.Store(int64(10 * time.Minute))
-		g := scheduler(engines)
+		g := newScheduler(engines)
 		g.now = func() time.Duration { return time.Duration(clock.Load()) }
 		versions, waiting, late := map[string]uint64{}, map[*attempt]bool{}, map[*attempt]bool{}
 		rows := map[string]*endpoint{}
@@ -236,7 +236,7 @@
 				version := rapid.Uint64Range(1, 4).Draw(t, "version")
 				g.table.recordVersion(g.now(), rows[id], "m", version)
 				versions[id] = max(versions[id], version)
-				g.table.takeRoster(g.now(), &control.RosterUpdate{Removed: []string{id}}, nil)
+				g.table.applyRoster(g.now(), &control.RosterUpdate{Removed: []string{id}}, nil)
 			}
 			g.watchStartDeadlines()
 			for _, attempted := range sent {
@@ -249,7 +249,7 @@
 			}
 		}
 		for _, attempted := range sent {
-			g.table.end(g.now(), attempted, gradeGood)
+			g.table.end(g.now(), attempted, outcomeSuccess)
 		}
 		if len(g.table.waiting) > 0 {
 			t.Fatalf("%d attempts still waiting after their end", len(g.table.waiting))
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -13,25 +13,25 @@
 	"kitetiller/internal/gateway/belief"
 )
 
-// rosterChange is news about one back end, for the log.
+// rosterChange is a logged change of one back end.
 type rosterChange struct {
 	event string
 	entry control.RosterEntry
 }
 
-// takeRoster takes news of the roster up; rows of back ends that stay keep what was learnt about them.
-func (t *table) takeRoster(now time.Duration, news *control.RosterUpdate, cacheLimits map[string]int) []rosterChange {
+// applyRoster applies a roster update. Rows of back ends that remain keep their state.
+func (t *table) applyRoster(now time.Duration, update *control.RosterUpdate, cacheLimits map[string]int) []rosterChange {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []rosterChange
-	fresh := map[string]*endpoint{}
-	if !news.Full {
-		maps.Copy(fresh, t.rows)
+	next := map[string]*endpoint{}
+	if !update.Full {
+		maps.Copy(next, t.rows)
 	}
-	for _, id := range news.Removed {
-		delete(fresh, id)
+	for _, id := range update.Removed {
+		delete(next, id)
 	}
-	for _, entry := range news.Entries {
+	for _, entry := range update.Entries {
 		row := t.rows[entry.ID]
 		if row == nil {
 			row = &endpoint{incarnation: catalog.ParseInstanceID(entry.ID), waiting: map[*attempt]time.Duration{}, lastByteAt: now, hash: xxhash.Sum64String(entry.Address)}
@@ -42,47 +42,48 @@
 			changes = append(changes, rosterChange{events.InstanceLeaving, entry})
 		}
 		row.update(now, entry)
-		fresh[entry.ID] = row
+		next[entry.ID] = row
 	}
 	for id, row := range t.rows {
-		row.gone = fresh[id] == nil
+		row.gone = next[id] == nil
 		if row.gone {
 			changes = append(changes, rosterChange{events.InstanceGone, row.entry})
 		}
 	}
-	t.replaceRows(fresh)
+	t.replaceRows(next)
 	return changes
 }
 
-// update takes up what control tells of a back end. What it holds is forgotten when its weights are others.
+// update applies a roster entry. Different weights invalidate the estimate of the engine's cache.
 func (e *endpoint) update(now time.Duration, entry control.RosterEntry) {
-	told := entry.Versions
-	entry.Versions = newestVersions(e.entry.Versions, told)
-	for model, version := range told {
+	reported := entry.Versions
+	entry.Versions = newestVersions(e.entry.Versions, reported)
+	for model, version := range reported {
 		if version < e.controlVersions[model] {
-			entry.Versions[model] = version // they fell, or a new leader hasn't heard of them yet: a send expects these, so nothing begins on others
+			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat; engines reject requests that expect other versions
 		}
 	}
-	e.controlVersions = told
+	e.controlVersions = reported
 	if !maps.Equal(e.entry.Versions, entry.Versions) {
 		e.cache.Clear()
 	}
 	e.entry, e.entryAt = entry, now
 }
 
-// replaceRows puts the rows of a new roster in force and wakes who waits for one. The caller holds the mutex.
-func (t *table) replaceRows(fresh map[string]*endpoint) {
+// replaceRows installs the rows of a new roster and wakes the requests that wait for one. The caller holds the mutex.
+func (t *table) replaceRows(rows map[string]*endpoint) {
 	services := map[string][]*endpoint{}
-	for _, id := range slices.Sorted(maps.Keys(fresh)) {
-		row := fresh[id]
+	for _, id := range slices.Sorted(maps.Keys(rows)) {
+		row := rows[id]
 		services[row.entry.Service] = append(services[row.entry.Service], row)
 	}
-	t.rows, t.services = fresh, services
+	t.rows, t.services = rows, services
 	t.sweepHolders()
 	t.rosterChanged.Notify()
 }
 
-// newestVersions merges what was known of a back end's weights with what is told: a new leader may not have heard of them yet.
+// newestVersions returns the newer of the known and the reported versions of each model. A new leader may not have
+// received the back end's heartbeat yet and then reports none.
 func newestVersions(known, told map[string]uint64) map[string]uint64 {
 	merged := maps.Clone(told)
 	for model, version := range known {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,23 +20,23 @@
 	reader   *bufio.Reader
 	event    []byte
 	id       string
-	buffered *held
+	buffered *bufferBudget
 	reserved int // buffer bytes reserved for an event larger than heldStep
 }
 
 // close releases the event buffer and its reservation.
 func (e *eventReader) close() {
-	e.buffered.give(e.reserved)
+	e.buffered.release(e.reserved)
 	e.event, e.reserved = nil, 0
 }
 
 // reserve reserves buffer bytes for an event larger than heldStep, and reports whether the limit permits it.
 func (e *eventReader) reserve() bool {
 	size := cap(e.event)
-	if size <= max(heldStep, e.reserved) {
+	if size <= max(bufferStep, e.reserved) {
 		return true
 	}
-	if !e.buffered.take(size - e.reserved) {
+	if !e.buffered.reserve(size - e.reserved) {
 		return false
 	}
 	e.reserved = size
@@ -55,7 +55,7 @@
 		e.event = append(e.event, part...)
 		switch {
 		case !e.reserve():
-			return nil, errHeld
+			return nil, errBufferLimit
 		case err == bufio.ErrBufferFull && len(e.event) < maxEventSize:
 			continue
 		case err == io.EOF && len(e.event) > 0:
@@ -146,7 +146,7 @@
 	if !x.headRelayed {
 		x.relayHead(response, -1) // a stream without any event
 	}
-	a.grade = gradeGood
+	a.grade = outcomeSuccess
 	a.releaseConnection(response, nil)
 	x.finish(a, response.StatusCode)
 	return result{kind: resultAnswered}
--- a/internal/gateway/tables_test.go
+++ b/internal/gateway/tables_test.go
@@ -57,9 +57,9 @@
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			at := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			budget := fleet[at]
-			budget.request("s", now)
+			budget.recordRequest("s", now)
 			seen = append(seen, counted{now, false})
-			if rapid.Bool().Draw(t, "repeat") && (budget.take("s", now) || leased(clients[at], now)) {
+			if rapid.Bool().Draw(t, "repeat") && (budget.acquireRetry("s", now) || leased(clients[at], now)) {
 				seen = append(seen, counted{now, true})
 			}
 		}
@@ -261,7 +261,7 @@
 					Versions: map[string]uint64{"m": 1},
 				})
 			}
-			g.table.takeRoster(0, &control.RosterUpdate{Full: true, Entries: entries}, nil)
+			g.table.applyRoster(0, &control.RosterUpdate{Full: true, Entries: entries}, nil)
 			for i := range engines / 2 {
 				g.table.recordOwnSend(0, announcement{Instance: fmt.Sprint(2 * i), Salt: "w1", Parts: parts[:2]})
 			}
@@ -335,7 +335,7 @@
 			Versions: map[string]uint64{"m": 1},
 		})
 	}
-	g.table.takeRoster(0, news, nil)
+	g.table.applyRoster(0, news, nil)
 	preamble, dossier, own := prefix.Part{ID: "p", Tokens: 2500}, prefix.Part{ID: "d", Tokens: 3800}, prefix.Part{ID: "o", Tokens: 10}
 	for i := range engines {
 		parts := []prefix.Part{preamble, {ID: fmt.Sprint("other", i), Tokens: 100}, own}
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	platformPeriod  = 500 * time.Millisecond
-	platformTimeout = time.Second
-	stateTimeout    = 800 * time.Millisecond
-	snapshotTimeout = 5 * time.Second
+	discoveryInterval = 500 * time.Millisecond
+	discoveryTimeout  = time.Second
+	stateTimeout      = 800 * time.Millisecond
+	snapshotTimeout   = 5 * time.Second
 )
 
-// watchPlatform is the thread that reads the machine list and keeps one poller for each back end.
+// watchPlatform periodically reads the machine list of the platform and runs one poller for each back end in it.
 func (s *Server) watchPlatform(ctx context.Context) {
-	ticker := time.NewTicker(platformPeriod)
+	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
 	for {
-		s.readPlatform(ctx)
+		s.refreshMachines(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -33,24 +33,24 @@
 	}
 }
 
-func (s *Server) readPlatform(ctx context.Context) {
-	attempt, cancel := context.WithTimeout(ctx, platformTimeout)
+func (s *Server) refreshMachines(ctx context.Context) {
+	requestCtx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
-	asked := s.now()
+	requestedAt := s.now()
 	var reply api.MachinesReply
-	if err := s.client.Get(attempt, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
-		s.log.Warn("machine list not read; the last one stays", zap.Error(err))
+	if err := s.client.Get(requestCtx, s.file.Router.Platform, api.PathMachines, &reply); err != nil {
+		s.log.Warn("failed to read the machine list; keeping the previous one", zap.Error(err))
 		return
 	}
-	s.post(core.EventMachineList{RequestedAt: asked, Machines: reply.Machines})
+	s.post(core.EventMachineList{RequestedAt: requestedAt, Machines: reply.Machines})
 	listed := map[string]bool{}
 	for _, machine := range reply.Machines {
 		key := machine.Name + "@" + machine.Address
 		listed[key] = true
 		if s.pollers[key] == nil {
-			poll, stop := context.WithCancel(ctx)
+			pollCtx, stop := context.WithCancel(ctx)
 			s.pollers[key] = stop
-			go s.pollBackend(poll, machine)
+			go s.pollBackend(pollCtx, machine)
 		}
 	}
 	for key, stop := range s.pollers {
@@ -61,7 +61,7 @@
 	}
 }
 
-// pollBackend is the thread that reads one back end's load, life and cache events.
+// pollBackend periodically reads the load, incarnation and cache events of a back end.
 func (s *Server) pollBackend(ctx context.Context, machine core.Machine) {
 	var cursor membership.Cursor
 	ticker := time.NewTicker(s.file.Router.PollEvery)
@@ -86,11 +86,11 @@
 }
 
 func (s *Server) readState(ctx context.Context, machine core.Machine, after uint64) (*core.BackendReport, bool) {
-	attempt, cancel := context.WithTimeout(ctx, stateTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var reply api.StateReply
 	path := fmt.Sprintf("%s?after=%d", api.PathState, after)
-	if err := s.client.Get(attempt, machine.Address, path, &reply); err != nil {
+	if err := s.client.Get(requestCtx, machine.Address, path, &reply); err != nil {
 		return nil, false
 	}
 	return &reply.Report, true
@@ -98,12 +98,12 @@
 
 // fetchSnapshot reads an engine's full list of cached blocks.
 func (s *Server) fetchSnapshot(ctx context.Context, action core.ActionRequestSnapshot) {
-	attempt, cancel := context.WithTimeout(ctx, snapshotTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var reply api.CacheReply
-	if err := s.client.Get(attempt, action.Address, api.PathCache, &reply); err != nil {
-		s.log.Debug("cache snapshot not read", zap.String("backend", action.Backend), zap.Error(err))
-		return // the core asks again
+	if err := s.client.Get(requestCtx, action.Address, api.PathCache, &reply); err != nil {
+		s.log.Debug("failed to read the cache snapshot", zap.String("backend", action.Backend), zap.Error(err))
+		return // the core requests it again
 	}
 	s.post(core.EventCacheSnapshot{Name: action.Backend, Incarnation: reply.Incarnation, Sequence: reply.Sequence, Blocks: reply.Blocks})
 }
--- a/internal/router/send_test.go
+++ b/internal/router/send_test.go
@@ -14,20 +14,19 @@
 	"kitetiller/internal/transport"
 )
 
-func newSender() *Server {
-	return &Server{backends: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
+func newSendingServer() *Server {
+	return &Server{backendClient: &http.Client{Transport: transport.NewRoundTripper(nil), CheckRedirect: noRedirect}}
 }
 
-// TestBackendThatReadsAndClosesGetsTheRequestOnce: net/http sends a request again by itself when a reused
-// connection dies and it thinks that this is safe. The first request leaves a connection for reuse; the back end
-// reads the second one and closes.
-func TestBackendThatReadsAndClosesGetsTheRequestOnce(t *testing.T) {
-	var seen atomic.Int32
+// net/http retries a request on its own if a reused connection fails and it considers the retry safe. The first request
+// leaves a connection for reuse; the back end reads the second request and closes the connection.
+func TestSendOnceDoesNotRetryOnClosedConnection(t *testing.T) {
+	var received atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/first" {
 			return
 		}
-		seen.Add(1)
+		received.Add(1)
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			t.Error(err)
@@ -37,69 +36,69 @@
 	}))
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
-	s := newSender()
+	s := newSendingServer()
 	response, err := s.sendOnce(context.Background(), address, "/first", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
 	if _, err := s.sendOnce(context.Background(), address, "/second", "b"); err == nil {
-		t.Fatal("a request without an answer gave no error")
+		t.Fatal("got no error for a request without a response")
 	} else if neverSent(err) {
-		t.Fatalf("%v counts as never sent, but the back end read it", err)
+		t.Fatalf("neverSent(%v) = true, but the back end read the request", err)
 	}
-	if got := seen.Load(); got != 1 {
-		t.Fatalf("the back end read the request %d times", got)
+	if got := received.Load(); got != 1 {
+		t.Fatalf("the back end read the request %d times, want 1", got)
 	}
 }
 
-func TestRefusedConnectionProvesThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionCountsAsNeverSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = newSender().sendOnce(context.Background(), address, "/", "a")
+	_, err = newSendingServer().sendOnce(context.Background(), address, "/", "a")
 	if err == nil || !neverSent(err) {
-		t.Fatalf("error %v does not count as never sent", err)
+		t.Fatalf("got error %v, want one for which neverSent is true", err)
 	}
-	if event := (&attemptRun{}).failure(err); event.Kind != core.AttemptRefused {
-		t.Fatalf("event %+v", event)
+	if event := (&activeAttempt{}).failureEvent(err); event.Kind != core.AttemptRefused {
+		t.Fatalf("got event %+v, want AttemptRefused", event)
 	}
 }
 
 func TestRedirectsAreNotFollowed(t *testing.T) {
-	var second atomic.Int32
+	var followed atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/again" {
-			second.Add(1)
+			followed.Add(1)
 		}
 		http.Redirect(w, r, "/again", http.StatusTemporaryRedirect)
 	}))
 	defer backend.Close()
-	response, err := newSender().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
+	response, err := newSendingServer().sendOnce(context.Background(), backend.Listener.Addr().String(), "/", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	if second.Load() != 0 {
-		t.Fatal("a back end's redirect sent the request a second time")
+	if followed.Load() != 0 {
+		t.Fatal("the redirect of a back end was followed")
 	}
 }
 
-// TestStreamWithADroppedTokenNeverEndsClean: when a caller's ring is full and even the decision to give the caller up
-// is shed, the stream must not be told to be complete.
-func TestStreamWithADroppedTokenNeverEndsClean(t *testing.T) {
-	s := &Server{events: make(chan core.Event), waiting: map[core.RequestID]*exchange{}, log: zap.NewNop()}
+// Guards against reporting a stream as complete although tokens were dropped, when the event that cancels the request
+// was dropped as well.
+func TestStreamWithDroppedTokensIsNotReportedComplete(t *testing.T) {
+	s := &Server{events: make(chan core.Event), exchanges: map[core.RequestID]*exchange{}, log: zap.NewNop()}
 	s.metrics = newMetrics(s)
-	run := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
-	s.waiting[1] = run
+	ex := &exchange{tokens: make(chan token, 1), final: make(chan core.ActionFinish, 1)}
+	s.exchanges[1] = ex
 	for index := range 3 {
 		s.deliverChunk(core.ActionChunk{ID: 1, Index: index})
 	}
 	s.deliverFinish(core.ActionFinish{ID: 1, Reason: core.ReasonComplete, Run: core.RunYes, Tokens: 3})
-	if final := <-run.final; final.Reason == core.ReasonComplete {
-		t.Fatalf("2 of 3 tokens were dropped, and the stream ended as %s", final.Reason)
+	if final := <-ex.final; final.Reason == core.ReasonComplete {
+		t.Fatalf("2 of 3 tokens were dropped, but the stream finished with reason %s", final.Reason)
 	}
 }
