--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -14,19 +14,19 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// Problem is one thing that is wrong with a file.
+type Problem struct {
 	Line    int
 	Path    string
 	Message string
 }
 
 // String returns "line N: path: message".
-func (f Fault) String() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message) }
+func (f Problem) String() string { return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message) }
 
 // decoder fills typed structs from YAML and collects every fault.
 type decoder struct {
-	faults []Fault
+	faults []Problem
 	lines  map[string]int
 }
 
@@ -34,15 +34,15 @@
 
 // Decode fills target, a pointer to a struct with yaml tags, and returns all faults. Keys that the struct
 // does not have are faults. The second result maps each path to its line, for later checks.
-func Decode(data []byte, target any) ([]Fault, map[string]int) {
+func Decode(data []byte, target any) ([]Problem, map[string]int) {
 	d := &decoder{lines: map[string]int{}}
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		message, _, _ := strings.Cut(err.Error(), "\n")
-		return []Fault{{Line: 1, Path: "file", Message: "not valid YAML: " + message}}, d.lines
+		return []Problem{{Line: 1, Path: "file", Message: "not valid YAML: " + message}}, d.lines
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
-		return []Fault{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
+		return []Problem{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
 	}
 	d.value(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
 	return d.faults, d.lines
@@ -52,7 +52,7 @@
 	if path == "" {
 		path = "file"
 	}
-	d.faults = append(d.faults, Fault{Line: lineOf(node), Path: path, Message: message})
+	d.faults = append(d.faults, Problem{Line: lineOf(node), Path: path, Message: message})
 }
 
 func lineOf(node ast.Node) int {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,7 +112,7 @@
 }
 
 // FormatFaults returns one line for each fault.
-func FormatFaults(faults []Fault) string {
+func FormatFaults(faults []Problem) string {
 	lines := make([]string, len(faults))
 	for i, fault := range faults {
 		lines[i] = "  " + fault.String()
@@ -121,7 +121,7 @@
 }
 
 // Parse decodes, fills defaults, and checks a file.
-func Parse(data []byte) (*File, []Fault) {
+func Parse(data []byte) (*File, []Problem) {
 	file := &File{}
 	faults, lines := Decode(data, file)
 	file.applyDefaults()
@@ -163,7 +163,7 @@
 // checker collects faults of decoded values.
 type checker struct {
 	lines  map[string]int
-	faults []Fault
+	faults []Problem
 }
 
 func (c *checker) fault(path, message string) {
@@ -171,7 +171,7 @@
 	for parent := path; line == 0 && strings.Contains(parent, "."); line = c.lines[parent] {
 		parent = parent[:strings.LastIndex(parent, ".")]
 	}
-	c.faults = append(c.faults, Fault{Line: max(1, line), Path: path, Message: message})
+	c.faults = append(c.faults, Problem{Line: max(1, line), Path: path, Message: message})
 }
 
 func (c *checker) required(path, value string) {
