--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -26,8 +26,8 @@
 
 // decoder fills typed structs from YAML and collects every fault.
 type decoder struct {
-	faults []Problem
-	lines  map[string]int
+	problems []Problem
+	lines    map[string]int
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
@@ -45,14 +45,14 @@
 		return []Problem{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
 	}
 	d.value(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
-	return d.faults, d.lines
+	return d.problems, d.lines
 }
 
 func (d *decoder) fault(node ast.Node, path, message string) {
 	if path == "" {
 		path = "file"
 	}
-	d.faults = append(d.faults, Problem{Line: lineOf(node), Path: path, Message: message})
+	d.problems = append(d.problems, Problem{Line: lineOf(node), Path: path, Message: message})
 }
 
 func lineOf(node ast.Node) int {
