--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -48,7 +48,7 @@
 	return d.problems, d.lines
 }
 
-func (d *decoder) fault(node ast.Node, path, message string) {
+func (d *decoder) addProblem(node ast.Node, path, message string) {
 	if path == "" {
 		path = "file"
 	}
@@ -95,7 +95,7 @@
 	case *ast.MappingValueNode:
 		return []*ast.MappingValueNode{typed}
 	}
-	d.fault(node, path, "a mapping of keys to values is expected here")
+	d.addProblem(node, path, "a mapping of keys to values is expected here")
 	return nil
 }
 
@@ -116,7 +116,7 @@
 		d.lines[at] = lineOf(member.Key)
 		index, known := fields[key]
 		if !known {
-			d.fault(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
+			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
 			continue
 		}
 		d.value(member.Value, target.Field(index), at)
@@ -138,7 +138,7 @@
 func (d *decoder) sequence(node ast.Node, target reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.fault(node, path, "a list is expected here")
+		d.addProblem(node, path, "a list is expected here")
 		return
 	}
 	for i, item := range list.Values {
@@ -157,7 +157,7 @@
 	}
 	pointer := reflect.New(target.Type())
 	if err := yaml.NodeToValue(node, pointer.Interface()); err != nil {
-		d.fault(node, path, fmt.Sprintf("%s is not a value of type %s", node.String(), target.Type()))
+		d.addProblem(node, path, fmt.Sprintf("%s is not a value of type %s", node.String(), target.Type()))
 		return
 	}
 	target.Set(pointer.Elem())
@@ -167,7 +167,7 @@
 	text := strings.Trim(node.String(), `"'`)
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < 0 {
-		d.fault(node, path, fmt.Sprintf("%s is not a duration; write a number and a unit, like 250ms or 3s", text))
+		d.addProblem(node, path, fmt.Sprintf("%s is not a duration; write a number and a unit, like 250ms or 3s", text))
 		return
 	}
 	target.SetInt(int64(parsed))
