--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -62,7 +62,7 @@
 	return 1
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -112,7 +112,7 @@
 	sort.Strings(names)
 	for _, member := range d.members(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
-		at := join(path, key)
+		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
 		index, known := fields[key]
 		if !known {
@@ -127,7 +127,7 @@
 	target.Set(reflect.MakeMap(target.Type()))
 	for _, member := range d.members(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
-		at := join(path, key)
+		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
 		element := reflect.New(target.Type().Elem()).Elem()
 		d.value(member.Value, element, at)
