--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -44,7 +44,7 @@
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
 		return []Problem{{Line: 1, Path: "file", Message: "the file is empty"}}, d.lines
 	}
-	d.value(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
+	d.decodeValue(file.Docs[0].Body, reflect.ValueOf(target).Elem(), "")
 	return d.problems, d.lines
 }
 
@@ -69,14 +69,14 @@
 	return path + "." + key
 }
 
-func (d *decoder) value(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeValue(node ast.Node, target reflect.Value, path string) {
 	if _, empty := node.(*ast.NullNode); empty {
 		return
 	}
 	switch {
 	case target.Kind() == reflect.Pointer:
 		target.Set(reflect.New(target.Type().Elem()))
-		d.value(node, target.Elem(), path)
+		d.decodeValue(node, target.Elem(), path)
 	case target.Kind() == reflect.Struct:
 		d.structure(node, target, path)
 	case target.Kind() == reflect.Map:
@@ -119,7 +119,7 @@
 			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
 			continue
 		}
-		d.value(member.Value, target.Field(index), at)
+		d.decodeValue(member.Value, target.Field(index), at)
 	}
 }
 
@@ -130,7 +130,7 @@
 		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.value(member.Value, element, at)
+		d.decodeValue(member.Value, element, at)
 		target.SetMapIndex(reflect.ValueOf(key), element)
 	}
 }
@@ -145,7 +145,7 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		d.lines[at] = lineOf(item)
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.value(item, element, at)
+		d.decodeValue(item, element, at)
 		target.Set(reflect.Append(target, element))
 	}
 }
