--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -78,7 +78,7 @@
 		target.Set(reflect.New(target.Type().Elem()))
 		d.decodeValue(node, target.Elem(), path)
 	case target.Kind() == reflect.Struct:
-		d.structure(node, target, path)
+		d.decodeStruct(node, target, path)
 	case target.Kind() == reflect.Map:
 		d.mapping(node, target, path)
 	case target.Kind() == reflect.Slice:
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (d *decoder) structure(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeStruct(node ast.Node, target reflect.Value, path string) {
 	fields := map[string]int{}
 	var names []string
 	for i := range target.NumField() {
