--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -80,7 +80,7 @@
 	case target.Kind() == reflect.Struct:
 		d.decodeStruct(node, target, path)
 	case target.Kind() == reflect.Map:
-		d.mapping(node, target, path)
+		d.decodeMap(node, target, path)
 	case target.Kind() == reflect.Slice:
 		d.sequence(node, target, path)
 	default:
@@ -123,7 +123,7 @@
 	}
 }
 
-func (d *decoder) mapping(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeMap(node ast.Node, target reflect.Value, path string) {
 	target.Set(reflect.MakeMap(target.Type()))
 	for _, member := range d.members(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
