--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -82,7 +82,7 @@
 	case target.Kind() == reflect.Map:
 		d.decodeMap(node, target, path)
 	case target.Kind() == reflect.Slice:
-		d.sequence(node, target, path)
+		d.decodeSlice(node, target, path)
 	default:
 		d.scalar(node, target, path)
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (d *decoder) sequence(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeSlice(node ast.Node, target reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
 		d.addProblem(node, path, "a list is expected here")
