--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -84,7 +84,7 @@
 	case target.Kind() == reflect.Slice:
 		d.decodeSlice(node, target, path)
 	default:
-		d.scalar(node, target, path)
+		d.decodeScalar(node, target, path)
 	}
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-func (d *decoder) scalar(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if target.Type() == durationType {
 		d.duration(node, target, path)
 		return
