--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -152,7 +152,7 @@
 
 func (d *decoder) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if target.Type() == durationType {
-		d.duration(node, target, path)
+		d.decodeDuration(node, target, path)
 		return
 	}
 	pointer := reflect.New(target.Type())
@@ -163,7 +163,7 @@
 	target.Set(pointer.Elem())
 }
 
-func (d *decoder) duration(node ast.Node, target reflect.Value, path string) {
+func (d *decoder) decodeDuration(node ast.Node, target reflect.Value, path string) {
 	text := strings.Trim(node.String(), `"'`)
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < 0 {
