--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (d *decoder) members(node ast.Node, path string) []*ast.MappingValueNode {
+func (d *decoder) mappingEntries(node ast.Node, path string) []*ast.MappingValueNode {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
 		return typed.Values
@@ -110,7 +110,7 @@
 		}
 	}
 	sort.Strings(names)
-	for _, member := range d.members(node, path) {
+	for _, member := range d.mappingEntries(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
 		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
@@ -125,7 +125,7 @@
 
 func (d *decoder) decodeMap(node ast.Node, target reflect.Value, path string) {
 	target.Set(reflect.MakeMap(target.Type()))
-	for _, member := range d.members(node, path) {
+	for _, member := range d.mappingEntries(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
 		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
