--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -100,12 +100,12 @@
 }
 
 func (d *decoder) decodeStruct(node ast.Node, target reflect.Value, path string) {
-	fields := map[string]int{}
+	fieldIndexes := map[string]int{}
 	var names []string
 	for i := range target.NumField() {
 		name, _, _ := strings.Cut(target.Type().Field(i).Tag.Get("yaml"), ",")
 		if name != "" && name != "-" {
-			fields[name] = i
+			fieldIndexes[name] = i
 			names = append(names, name)
 		}
 	}
@@ -114,7 +114,7 @@
 		key := strings.Trim(member.Key.String(), `"'`)
 		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
-		index, known := fields[key]
+		index, known := fieldIndexes[key]
 		if !known {
 			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
 			continue
