--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -101,22 +101,22 @@
 
 func (d *decoder) decodeStruct(node ast.Node, target reflect.Value, path string) {
 	fieldIndexes := map[string]int{}
-	var names []string
+	var allowedKeys []string
 	for i := range target.NumField() {
 		name, _, _ := strings.Cut(target.Type().Field(i).Tag.Get("yaml"), ",")
 		if name != "" && name != "-" {
 			fieldIndexes[name] = i
-			names = append(names, name)
+			allowedKeys = append(allowedKeys, name)
 		}
 	}
-	sort.Strings(names)
+	sort.Strings(allowedKeys)
 	for _, member := range d.mappingEntries(node, path) {
 		key := strings.Trim(member.Key.String(), `"'`)
 		at := joinPath(path, key)
 		d.lines[at] = lineOf(member.Key)
 		index, known := fieldIndexes[key]
 		if !known {
-			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(names, ", "))
+			d.addProblem(member.Key, at, "unknown key; allowed here: "+strings.Join(allowedKeys, ", "))
 			continue
 		}
 		d.decodeValue(member.Value, target.Field(index), at)
