--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -108,7 +108,7 @@
 	}
 	var whole file
 	if faults, _ := node.Decode(data, &whole); len(faults) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), node.FormatFaults(faults))
+		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), node.FormatProblems(faults))
 	}
 	deployment := &whole.Lab
 	if deployment.Name == "" || len(deployment.Zones) == 0 || len(deployment.Tenants) == 0 || deployment.Model.Workers < 1 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -106,13 +106,13 @@
 	}
 	file, faults := Parse(data)
 	if len(faults) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), FormatFaults(faults))
+		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), FormatProblems(faults))
 	}
 	return file, nil
 }
 
-// FormatFaults returns one line for each fault.
-func FormatFaults(faults []Problem) string {
+// FormatProblems returns one line for each fault.
+func FormatProblems(faults []Problem) string {
 	lines := make([]string, len(faults))
 	for i, fault := range faults {
 		lines[i] = "  " + fault.String()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,7 +22,7 @@
 func TestGoodFileGetsDefaults(t *testing.T) {
 	file, faults := Parse([]byte(goodRouter))
 	if len(faults) > 0 {
-		t.Fatalf("faults: %s", FormatFaults(faults))
+		t.Fatalf("faults: %s", FormatProblems(faults))
 	}
 	if file.Router.BlockTokens != defaultBlockTokens || file.Router.PollEvery != defaultPollEvery || file.LogLevel != "info" {
 		t.Fatalf("file %+v %+v", file, file.Router)
@@ -34,7 +34,7 @@
 	bad := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
 		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(goodRouter) + "colour: blue\n"
 	_, faults := Parse([]byte(bad))
-	text := FormatFaults(faults)
+	text := FormatProblems(faults)
 	for _, wanted := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
 		"line 11: router.prefix_key", "line 12: colour"} {
 		if !strings.Contains(text, wanted) {
