--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,10 +125,10 @@
 	file := &File{}
 	faults, lines := Decode(data, file)
 	file.applyDefaults()
-	check := &checker{lines: lines, faults: faults}
+	check := &checker{lines: lines, problems: faults}
 	check.file(file)
-	sort.SliceStable(check.faults, func(i, j int) bool { return check.faults[i].Line < check.faults[j].Line })
-	return file, check.faults
+	sort.SliceStable(check.problems, func(i, j int) bool { return check.problems[i].Line < check.problems[j].Line })
+	return file, check.problems
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -162,8 +162,8 @@
 
 // checker collects faults of decoded values.
 type checker struct {
-	lines  map[string]int
-	faults []Problem
+	lines    map[string]int
+	problems []Problem
 }
 
 func (c *checker) fault(path, message string) {
@@ -171,7 +171,7 @@
 	for parent := path; line == 0 && strings.Contains(parent, "."); line = c.lines[parent] {
 		parent = parent[:strings.LastIndex(parent, ".")]
 	}
-	c.faults = append(c.faults, Problem{Line: max(1, line), Path: path, Message: message})
+	c.problems = append(c.problems, Problem{Line: max(1, line), Path: path, Message: message})
 }
 
 func (c *checker) required(path, value string) {
