--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -166,7 +166,7 @@
 	problems []Problem
 }
 
-func (c *checker) fault(path, message string) {
+func (c *checker) addProblem(path, message string) {
 	line := c.lines[path]
 	for parent := path; line == 0 && strings.Contains(parent, "."); line = c.lines[parent] {
 		parent = parent[:strings.LastIndex(parent, ".")]
@@ -176,7 +176,7 @@
 
 func (c *checker) required(path, value string) {
 	if value == "" {
-		c.fault(path, "is missing")
+		c.addProblem(path, "is missing")
 	}
 }
 
@@ -184,14 +184,14 @@
 func (c *checker) address(path, value string, required bool) {
 	if value == "" {
 		if required {
-			c.fault(path, "is missing; write IP:PORT")
+			c.addProblem(path, "is missing; write IP:PORT")
 		}
 		return
 	}
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
 	if err != nil || net.ParseIP(host) == nil || portErr != nil || number < 0 || number > 65535 {
-		c.fault(path, fmt.Sprintf("%q is not an address; write IP:PORT with an IP number", value))
+		c.addProblem(path, fmt.Sprintf("%q is not an address; write IP:PORT with an IP number", value))
 	}
 }
 
@@ -202,7 +202,7 @@
 	switch f.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
-		c.fault("log_level", fmt.Sprintf("%q is not allowed; use debug, info, warn or error", f.LogLevel))
+		c.addProblem("log_level", fmt.Sprintf("%q is not allowed; use debug, info, warn or error", f.LogLevel))
 	}
 	if f.Router != nil {
 		c.router(f.Router)
@@ -211,7 +211,7 @@
 		c.control(f.Control)
 	}
 	if f.Router == nil && f.Control == nil {
-		c.fault("file", "needs a section router or control")
+		c.addProblem("file", "needs a section router or control")
 	}
 }
 
@@ -221,47 +221,47 @@
 	c.address("router.platform", r.Platform, true)
 	c.address("router.vault", r.Vault, false)
 	if len(r.Control) == 0 {
-		c.fault("router.control", "needs at least one address")
+		c.addProblem("router.control", "needs at least one address")
 	}
 	for i, address := range r.Control {
 		c.address(fmt.Sprintf("router.control[%d]", i), address, true)
 	}
 	if _, err := r.HashKey(); err != nil {
-		c.fault("router.prefix_key", "must be 64 hex digits, the same on all routers")
+		c.addProblem("router.prefix_key", "must be 64 hex digits, the same on all routers")
 	}
 	if r.BlockTokens < minimumBlockTokens || r.BlockTokens > maximumBlockTokens {
-		c.fault("router.block_tokens", fmt.Sprintf("%d is out of range; allowed is %d to %d tokens", r.BlockTokens, minimumBlockTokens, maximumBlockTokens))
+		c.addProblem("router.block_tokens", fmt.Sprintf("%d is out of range; allowed is %d to %d tokens", r.BlockTokens, minimumBlockTokens, maximumBlockTokens))
 	}
 	if r.IndexBlocks < 1 {
-		c.fault("router.index_blocks", "must be at least 1")
+		c.addProblem("router.index_blocks", "must be at least 1")
 	}
 	if r.ImportTokens < 0 {
-		c.fault("router.import_tokens_per_s", "must not be negative")
+		c.addProblem("router.import_tokens_per_s", "must not be negative")
 	}
 }
 
 func (c *checker) control(r *Control) {
 	if _, err := mechanism.Without(r.Without); err != nil {
-		c.fault("control.without", err.Error())
+		c.addProblem("control.without", err.Error())
 	}
 	c.address("control.internal", r.Internal, true)
 	c.address("control.bind", r.Bind, false)
 	c.address("control.admin", r.Admin, true)
 	c.address("control.platform", r.Platform, true)
 	if len(r.Founders) == 0 {
-		c.fault("control.founders", "needs at least one address")
+		c.addProblem("control.founders", "needs at least one address")
 	}
 	for i, address := range r.Founders {
 		c.address(fmt.Sprintf("control.founders[%d]", i), address, true)
 	}
 	if r.Replicas < 1 || r.Replicas > 7 {
-		c.fault("control.replicas", fmt.Sprintf("%d is out of range; allowed is 1 to 7", r.Replicas))
+		c.addProblem("control.replicas", fmt.Sprintf("%d is out of range; allowed is 1 to 7", r.Replicas))
 	}
 	if q := r.Quota; q.Window < 0 || q.Overage < 0 || q.Slack < 0 || q.RetryWindow < 0 || q.RetrySlack < 0 {
-		c.fault("control.quota", "must not hold anything below 0")
+		c.addProblem("control.quota", "must not hold anything below 0")
 	}
 	if r.SettingsLease < 4*r.Heartbeat {
-		c.fault("control.settings_lease", "must be at least four heartbeats")
+		c.addProblem("control.settings_lease", "must be at least four heartbeats")
 	}
 }
 
