--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,9 +104,9 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "read settings file %s", path)
 	}
-	file, faults := Parse(data)
-	if len(faults) > 0 {
-		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(faults), FormatProblems(faults))
+	file, problems := Parse(data)
+	if len(problems) > 0 {
+		return nil, eris.Errorf("%s has %d faults:\n%s", path, len(problems), FormatProblems(problems))
 	}
 	return file, nil
 }
