--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,9 +112,9 @@
 }
 
 // FormatProblems returns one line for each fault.
-func FormatProblems(faults []Problem) string {
-	lines := make([]string, len(faults))
-	for i, fault := range faults {
+func FormatProblems(problems []Problem) string {
+	lines := make([]string, len(problems))
+	for i, fault := range problems {
 		lines[i] = "  " + fault.String()
 	}
 	return strings.Join(lines, "\n")
