--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,8 +114,8 @@
 // FormatProblems returns one line for each fault.
 func FormatProblems(problems []Problem) string {
 	lines := make([]string, len(problems))
-	for i, fault := range problems {
-		lines[i] = "  " + fault.String()
+	for i, problem := range problems {
+		lines[i] = "  " + problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
