--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -123,9 +123,9 @@
 // Parse decodes, fills defaults, and checks a file.
 func Parse(data []byte) (*File, []Problem) {
 	file := &File{}
-	faults, lines := Decode(data, file)
+	problems, lines := Decode(data, file)
 	file.applyDefaults()
-	check := &checker{lines: lines, problems: faults}
+	check := &checker{lines: lines, problems: problems}
 	check.file(file)
 	sort.SliceStable(check.problems, func(i, j int) bool { return check.problems[i].Line < check.problems[j].Line })
 	return file, check.problems
