--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -126,7 +126,7 @@
 	problems, lines := Decode(data, file)
 	file.applyDefaults()
 	check := &checker{lines: lines, problems: problems}
-	check.file(file)
+	check.checkFile(file)
 	sort.SliceStable(check.problems, func(i, j int) bool { return check.problems[i].Line < check.problems[j].Line })
 	return file, check.problems
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-func (c *checker) file(f *File) {
+func (c *checker) checkFile(f *File) {
 	c.required("name", f.Name)
 	c.required("zone", f.Zone)
 	c.required("data", f.Data)
