--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -205,7 +205,7 @@
 		c.addProblem("log_level", fmt.Sprintf("%q is not allowed; use debug, info, warn or error", f.LogLevel))
 	}
 	if f.Router != nil {
-		c.router(f.Router)
+		c.checkRouter(f.Router)
 	}
 	if f.Control != nil {
 		c.control(f.Control)
@@ -215,7 +215,7 @@
 	}
 }
 
-func (c *checker) router(r *Router) {
+func (c *checker) checkRouter(r *Router) {
 	c.address("router.listen", r.Listen, true)
 	c.address("router.internal", r.Internal, false)
 	c.address("router.platform", r.Platform, true)
