--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -208,7 +208,7 @@
 		c.checkRouter(f.Router)
 	}
 	if f.Control != nil {
-		c.control(f.Control)
+		c.checkControl(f.Control)
 	}
 	if f.Router == nil && f.Control == nil {
 		c.addProblem("file", "needs a section router or control")
@@ -240,7 +240,7 @@
 	}
 }
 
-func (c *checker) control(r *Control) {
+func (c *checker) checkControl(r *Control) {
 	if _, err := mechanism.Without(r.Without); err != nil {
 		c.addProblem("control.without", err.Error())
 	}
