--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// address checks an IP number and port.
-func (c *checker) address(path, value string, required bool) {
+// checkAddress checks an IP number and port.
+func (c *checker) checkAddress(path, value string, required bool) {
 	if value == "" {
 		if required {
 			c.addProblem(path, "is missing; write IP:PORT")
@@ -216,15 +216,15 @@
 }
 
 func (c *checker) checkRouter(r *Router) {
-	c.address("router.listen", r.Listen, true)
-	c.address("router.internal", r.Internal, false)
-	c.address("router.platform", r.Platform, true)
-	c.address("router.vault", r.Vault, false)
+	c.checkAddress("router.listen", r.Listen, true)
+	c.checkAddress("router.internal", r.Internal, false)
+	c.checkAddress("router.platform", r.Platform, true)
+	c.checkAddress("router.vault", r.Vault, false)
 	if len(r.Control) == 0 {
 		c.addProblem("router.control", "needs at least one address")
 	}
 	for i, address := range r.Control {
-		c.address(fmt.Sprintf("router.control[%d]", i), address, true)
+		c.checkAddress(fmt.Sprintf("router.control[%d]", i), address, true)
 	}
 	if _, err := r.HashKey(); err != nil {
 		c.addProblem("router.prefix_key", "must be 64 hex digits, the same on all routers")
@@ -244,15 +244,15 @@
 	if _, err := mechanism.Without(r.Without); err != nil {
 		c.addProblem("control.without", err.Error())
 	}
-	c.address("control.internal", r.Internal, true)
-	c.address("control.bind", r.Bind, false)
-	c.address("control.admin", r.Admin, true)
-	c.address("control.platform", r.Platform, true)
+	c.checkAddress("control.internal", r.Internal, true)
+	c.checkAddress("control.bind", r.Bind, false)
+	c.checkAddress("control.admin", r.Admin, true)
+	c.checkAddress("control.platform", r.Platform, true)
 	if len(r.Founders) == 0 {
 		c.addProblem("control.founders", "needs at least one address")
 	}
 	for i, address := range r.Founders {
-		c.address(fmt.Sprintf("control.founders[%d]", i), address, true)
+		c.checkAddress(fmt.Sprintf("control.founders[%d]", i), address, true)
 	}
 	if r.Replicas < 1 || r.Replicas > 7 {
 		c.addProblem("control.replicas", fmt.Sprintf("%d is out of range; allowed is 1 to 7", r.Replicas))
