--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -174,7 +174,7 @@
 	c.problems = append(c.problems, Problem{Line: max(1, line), Path: path, Message: message})
 }
 
-func (c *checker) required(path, value string) {
+func (c *checker) checkRequired(path, value string) {
 	if value == "" {
 		c.addProblem(path, "is missing")
 	}
@@ -196,9 +196,9 @@
 }
 
 func (c *checker) checkFile(f *File) {
-	c.required("name", f.Name)
-	c.required("zone", f.Zone)
-	c.required("data", f.Data)
+	c.checkRequired("name", f.Name)
+	c.checkRequired("zone", f.Zone)
+	c.checkRequired("data", f.Data)
 	switch f.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
