--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -189,8 +189,8 @@
 		return
 	}
 	host, port, err := net.SplitHostPort(value)
-	number, portErr := strconv.Atoi(port)
-	if err != nil || net.ParseIP(host) == nil || portErr != nil || number < 0 || number > 65535 {
+	portNumber, portErr := strconv.Atoi(port)
+	if err != nil || net.ParseIP(host) == nil || portErr != nil || portNumber < 0 || portNumber > 65535 {
 		c.addProblem(path, fmt.Sprintf("%q is not an address; write IP:PORT with an IP number", value))
 	}
 }
