--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,8 +76,8 @@
 	RetrySlack  float64       `yaml:"retry_slack"`  // repeats of a service in it beyond a share of its requests; default 0
 }
 
-// Terms returns the settings as the fleet uses them.
-func (q Quota) Terms() quota.Policy { return quota.Policy(q).WithDefaults() }
+// Policy returns the settings as the fleet uses them.
+func (q Quota) Policy() quota.Policy { return quota.Policy(q).WithDefaults() }
 
 // Limits and defaults of node files.
 const (
