--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,7 +83,7 @@
 const (
 	defaultBlockTokens    = 64
 	minBlockTokens        = 8
-	maximumBlockTokens    = 4096
+	maxBlockTokens        = 4096
 	defaultIndexBlocks    = 2_000_000
 	defaultPollEvery      = 100 * time.Millisecond
 	defaultHeartbeatEvery = 500 * time.Millisecond
@@ -229,8 +229,8 @@
 	if _, err := r.HashKey(); err != nil {
 		c.addProblem("router.prefix_key", "must be 64 hex digits, the same on all routers")
 	}
-	if r.BlockTokens < minBlockTokens || r.BlockTokens > maximumBlockTokens {
-		c.addProblem("router.block_tokens", fmt.Sprintf("%d is out of range; allowed is %d to %d tokens", r.BlockTokens, minBlockTokens, maximumBlockTokens))
+	if r.BlockTokens < minBlockTokens || r.BlockTokens > maxBlockTokens {
+		c.addProblem("router.block_tokens", fmt.Sprintf("%d is out of range; allowed is %d to %d tokens", r.BlockTokens, minBlockTokens, maxBlockTokens))
 	}
 	if r.IndexBlocks < 1 {
 		c.addProblem("router.index_blocks", "must be at least 1")
