--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,7 +85,7 @@
 	minBlockTokens        = 8
 	maxBlockTokens        = 4096
 	defaultIndexBlocks    = 2_000_000
-	defaultPollEvery      = 100 * time.Millisecond
+	defaultPollInterval   = 100 * time.Millisecond
 	defaultHeartbeatEvery = 500 * time.Millisecond
 	defaultDrainLimit     = 120 * time.Second
 	defaultMaxConnections = 10_000
@@ -143,7 +143,7 @@
 	if f.Router != nil {
 		setDefault(&f.Router.BlockTokens, defaultBlockTokens)
 		setDefault(&f.Router.IndexBlocks, defaultIndexBlocks)
-		setDefault(&f.Router.PollEvery, defaultPollEvery)
+		setDefault(&f.Router.PollEvery, defaultPollInterval)
 		setDefault(&f.Router.HeartbeatEvery, defaultHeartbeatEvery)
 		setDefault(&f.Router.DrainLimit, defaultDrainLimit)
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
