--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,21 +81,21 @@
 
 // Limits and defaults of node files.
 const (
-	defaultBlockTokens    = 64
-	minBlockTokens        = 8
-	maxBlockTokens        = 4096
-	defaultIndexBlocks    = 2_000_000
-	defaultPollInterval   = 100 * time.Millisecond
-	defaultHeartbeatEvery = 500 * time.Millisecond
-	defaultDrainLimit     = 120 * time.Second
-	defaultMaxConnections = 10_000
-	defaultReplicas       = 3
-	defaultHeartbeat      = 100 * time.Millisecond
-	defaultSettingsLease  = 3 * time.Second
-	defaultRepairAfter    = 10 * time.Second
-	defaultSnapshotEvery  = 5000
-	defaultOrderWait      = 3 * time.Second
-	defaultGatewayTrust   = 3 * time.Second
+	defaultBlockTokens       = 64
+	minBlockTokens           = 8
+	maxBlockTokens           = 4096
+	defaultIndexBlocks       = 2_000_000
+	defaultPollInterval      = 100 * time.Millisecond
+	defaultHeartbeatInterval = 500 * time.Millisecond
+	defaultDrainLimit        = 120 * time.Second
+	defaultMaxConnections    = 10_000
+	defaultReplicas          = 3
+	defaultHeartbeat         = 100 * time.Millisecond
+	defaultSettingsLease     = 3 * time.Second
+	defaultRepairAfter       = 10 * time.Second
+	defaultSnapshotEvery     = 5000
+	defaultOrderWait         = 3 * time.Second
+	defaultGatewayTrust      = 3 * time.Second
 )
 
 // Load reads and checks a file. All faults come back in one error.
@@ -144,7 +144,7 @@
 		setDefault(&f.Router.BlockTokens, defaultBlockTokens)
 		setDefault(&f.Router.IndexBlocks, defaultIndexBlocks)
 		setDefault(&f.Router.PollEvery, defaultPollInterval)
-		setDefault(&f.Router.HeartbeatEvery, defaultHeartbeatEvery)
+		setDefault(&f.Router.HeartbeatEvery, defaultHeartbeatInterval)
 		setDefault(&f.Router.DrainLimit, defaultDrainLimit)
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
 	}
