--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	defaultIndexBlocks       = 2_000_000
 	defaultPollInterval      = 100 * time.Millisecond
 	defaultHeartbeatInterval = 500 * time.Millisecond
-	defaultDrainLimit        = 120 * time.Second
+	defaultDrainTimeout      = 120 * time.Second
 	defaultMaxConnections    = 10_000
 	defaultReplicas          = 3
 	defaultHeartbeat         = 100 * time.Millisecond
@@ -145,7 +145,7 @@
 		setDefault(&f.Router.IndexBlocks, defaultIndexBlocks)
 		setDefault(&f.Router.PollEvery, defaultPollInterval)
 		setDefault(&f.Router.HeartbeatEvery, defaultHeartbeatInterval)
-		setDefault(&f.Router.DrainLimit, defaultDrainLimit)
+		setDefault(&f.Router.DrainLimit, defaultDrainTimeout)
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
 	}
 	if f.Control != nil {
