--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -90,7 +90,7 @@
 	defaultDrainTimeout      = 120 * time.Second
 	defaultMaxConnections    = 10_000
 	defaultReplicas          = 3
-	defaultHeartbeat         = 100 * time.Millisecond
+	defaultLeaderHeartbeat   = 100 * time.Millisecond
 	defaultSettingsLease     = 3 * time.Second
 	defaultRepairAfter       = 10 * time.Second
 	defaultSnapshotEvery     = 5000
@@ -151,7 +151,7 @@
 	if f.Control != nil {
 		setDefault(&f.Control.Bind, f.Control.Internal)
 		setDefault(&f.Control.Replicas, defaultReplicas)
-		setDefault(&f.Control.Heartbeat, defaultHeartbeat)
+		setDefault(&f.Control.Heartbeat, defaultLeaderHeartbeat)
 		setDefault(&f.Control.SettingsLease, defaultSettingsLease)
 		setDefault(&f.Control.RepairAfter, defaultRepairAfter)
 		setDefault(&f.Control.SnapshotEvery, defaultSnapshotEvery)
