--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 	defaultSettingsLease     = 3 * time.Second
 	defaultRepairAfter       = 10 * time.Second
 	defaultSnapshotEvery     = 5000
-	defaultOrderWait         = 3 * time.Second
+	defaultWeightsOrderDelay = 3 * time.Second
 	defaultGatewayTrust      = 3 * time.Second
 )
 
@@ -155,7 +155,7 @@
 		setDefault(&f.Control.SettingsLease, defaultSettingsLease)
 		setDefault(&f.Control.RepairAfter, defaultRepairAfter)
 		setDefault(&f.Control.SnapshotEvery, defaultSnapshotEvery)
-		setDefault(&f.Control.OrderWait, defaultOrderWait)
+		setDefault(&f.Control.OrderWait, defaultWeightsOrderDelay)
 		setDefault(&f.Control.GatewayTrust, defaultGatewayTrust)
 	}
 }
