--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 	defaultRepairAfter       = 10 * time.Second
 	defaultSnapshotEvery     = 5000
 	defaultWeightsOrderDelay = 3 * time.Second
-	defaultGatewayTrust      = 3 * time.Second
+	defaultGatewayViewTTL    = 3 * time.Second
 )
 
 // Load reads and checks a file. All faults come back in one error.
@@ -156,7 +156,7 @@
 		setDefault(&f.Control.RepairAfter, defaultRepairAfter)
 		setDefault(&f.Control.SnapshotEvery, defaultSnapshotEvery)
 		setDefault(&f.Control.OrderWait, defaultWeightsOrderDelay)
-		setDefault(&f.Control.GatewayTrust, defaultGatewayTrust)
+		setDefault(&f.Control.GatewayTrust, defaultGatewayViewTTL)
 	}
 }
 
