--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	IndexBlocks    int                      `yaml:"index_blocks"`        // beliefs kept; default 2,000,000
 	ImportTokens   float64                  `yaml:"import_tokens_per_s"` // speed of copies between engines; 0 turns them off
 	ZoneLatency    map[string]time.Duration `yaml:"zone_latency"`        // one way, to each other zone
-	PollEvery      time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
+	PollInterval   time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
 	HeartbeatEvery time.Duration            `yaml:"heartbeat_every"`     // period of heartbeats to control; default 500ms
 	DrainLimit     time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
 	MaxConnections int                      `yaml:"max_connections"`     // callers' requests at once; default 10,000
@@ -143,7 +143,7 @@
 	if f.Router != nil {
 		setDefault(&f.Router.BlockTokens, defaultBlockTokens)
 		setDefault(&f.Router.IndexBlocks, defaultIndexBlocks)
-		setDefault(&f.Router.PollEvery, defaultPollInterval)
+		setDefault(&f.Router.PollInterval, defaultPollInterval)
 		setDefault(&f.Router.HeartbeatEvery, defaultHeartbeatInterval)
 		setDefault(&f.Router.DrainLimit, defaultDrainTimeout)
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,7 +24,7 @@
 	if len(faults) > 0 {
 		t.Fatalf("faults: %s", FormatProblems(faults))
 	}
-	if file.Router.BlockTokens != defaultBlockTokens || file.Router.PollEvery != defaultPollInterval || file.LogLevel != "info" {
+	if file.Router.BlockTokens != defaultBlockTokens || file.Router.PollInterval != defaultPollInterval || file.LogLevel != "info" {
 		t.Fatalf("file %+v %+v", file, file.Router)
 	}
 }
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -64,7 +64,7 @@
 // pollBackend periodically reads the load, incarnation and cache events of a back end.
 func (s *Server) pollBackend(ctx context.Context, machine core.Machine) {
 	var cursor membership.Cursor
-	ticker := time.NewTicker(s.file.Router.PollEvery)
+	ticker := time.NewTicker(s.file.Router.PollInterval)
 	defer ticker.Stop()
 	for {
 		event := core.EventBackendPoll{Name: machine.Name, RequestedAt: s.now()}
