--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -136,7 +136,7 @@
 	})
 	server.session = session.New(session.Identity{
 		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.Internal,
-	}, disk.saved, file.Router.HeartbeatEvery, guard.Set{})
+	}, disk.saved, file.Router.HeartbeatInterval, guard.Set{})
 	server.announcer = newAnnouncer(client)
 	server.quarantine = server.newReporter()
 	server.metrics = newMetrics(server)
--- a/internal/router/session.go
+++ b/internal/router/session.go
@@ -52,7 +52,7 @@
 	if actions.ToSync != nil {
 		if err := s.disk.save(*actions.ToSync); err != nil {
 			s.log.Error("failed to store settings; not acknowledging the version", zap.Error(err))
-			return s.file.Router.HeartbeatEvery
+			return s.file.Router.HeartbeatInterval
 		}
 		s.session.MarkSynced(*actions.ToSync)
 		s.post(core.EventSettings{Version: actions.ToSync.Version, Tree: actions.ToSync.Tree})
