--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,7 +44,7 @@
 	ZoneLatency       map[string]time.Duration `yaml:"zone_latency"`        // one way, to each other zone
 	PollInterval      time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
 	HeartbeatInterval time.Duration            `yaml:"heartbeat_every"`     // period of heartbeats to control; default 500ms
-	DrainLimit        time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
+	DrainTimeout      time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
 	MaxConnections    int                      `yaml:"max_connections"`     // callers' requests at once; default 10,000
 }
 
@@ -145,7 +145,7 @@
 		setDefault(&f.Router.IndexBlocks, defaultIndexBlocks)
 		setDefault(&f.Router.PollInterval, defaultPollInterval)
 		setDefault(&f.Router.HeartbeatInterval, defaultHeartbeatInterval)
-		setDefault(&f.Router.DrainLimit, defaultDrainTimeout)
+		setDefault(&f.Router.DrainTimeout, defaultDrainTimeout)
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
 	}
 	if f.Control != nil {
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -201,7 +201,7 @@
 	s.log.Info("draining: finishing requests in progress")
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
-	deadline := time.Now().Add(s.file.Router.DrainLimit)
+	deadline := time.Now().Add(s.file.Router.DrainTimeout)
 	earliestEnd := time.Now().Add(minDrainTime)
 	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(earliestEnd)) {
 		time.Sleep(maxTickInterval)
