--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 	SnapshotEvery     uint64        `yaml:"snapshot_every"` // entries between snapshots; default 5,000
 	JoinOnly          bool          `yaml:"join_only"`      // never found a group, only join one; default false
 	WeightsOrderDelay time.Duration `yaml:"order_wait"`     // how long a new leader waits before its first order for weights; default 3s
-	GatewayTrust      time.Duration `yaml:"gateway_trust"`  // how long a gateway may use a view that is not confirmed; default 3s
+	GatewayViewTTL    time.Duration `yaml:"gateway_trust"`  // how long a gateway may use a view that is not confirmed; default 3s
 	Without           string        `yaml:"without"`        // mechanisms of the decision that are off, with commas; default none
 	Quota             Quota         `yaml:"quota"`          // how limits over a gateway fleet are judged
 }
@@ -156,7 +156,7 @@
 		setDefault(&f.Control.RepairAfter, defaultRepairAfter)
 		setDefault(&f.Control.SnapshotEvery, defaultSnapshotEvery)
 		setDefault(&f.Control.WeightsOrderDelay, defaultWeightsOrderDelay)
-		setDefault(&f.Control.GatewayTrust, defaultGatewayViewTTL)
+		setDefault(&f.Control.GatewayViewTTL, defaultGatewayViewTTL)
 	}
 }
 
