--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 // Router is the part of the file that a router reads.
 type Router struct {
 	Listen            string                   `yaml:"listen"`              // address for callers
-	Internal          string                   `yaml:"internal"`            // address for other routers, or empty
+	PeerAddress       string                   `yaml:"internal"`            // address for other routers, or empty
 	Control           []string                 `yaml:"control"`             // internal addresses of the control replicas
 	Platform          string                   `yaml:"platform"`            // address of the platform's machine list
 	Vault             string                   `yaml:"vault"`               // address of the KV store, or empty
@@ -217,7 +217,7 @@
 
 func (c *checker) checkRouter(r *Router) {
 	c.checkAddress("router.listen", r.Listen, true)
-	c.checkAddress("router.internal", r.Internal, false)
+	c.checkAddress("router.internal", r.PeerAddress, false)
 	c.checkAddress("router.platform", r.Platform, true)
 	c.checkAddress("router.vault", r.Vault, false)
 	if len(r.Control) == 0 {
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -59,10 +59,10 @@
 
 // listenInternal starts the listener for other routers. It returns nil if the node file sets no address for it.
 func (s *Server) listenInternal() (*transport.Server, error) {
-	if s.file.Router.Internal == "" {
+	if s.file.Router.PeerAddress == "" {
 		return nil, nil
 	}
-	return transport.Listen(s.file.Router.Internal, s.file.ClusterToken, s.handleInternal, s.log)
+	return transport.Listen(s.file.Router.PeerAddress, s.file.ClusterToken, s.handleInternal, s.log)
 }
 
 func (s *Server) closeInternal(listener *transport.Server) {
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -135,7 +135,7 @@
 		ImportRate: file.Router.ImportTokens,
 	})
 	server.session = session.New(session.Identity{
-		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.Internal,
+		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.PeerAddress,
 	}, disk.saved, file.Router.HeartbeatInterval, guard.Set{})
 	server.announcer = newAnnouncer(client)
 	server.quarantine = server.newReporter()
