--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -244,7 +244,7 @@
 	if file.Router != nil {
 		override(&file.Router.Listen, args.listen)
 	} else {
-		override(&file.Control.Internal, args.listen)
+		override(&file.Control.InternalAddress, args.listen)
 	}
 	return file, nil
 }
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -78,7 +78,7 @@
 	defer cancel()
 	if request.Status != nil {
 		var response Response
-		err := s.client.Post(bounded, s.file.Control.Internal, PathRequest, request, &response)
+		err := s.client.Post(bounded, s.file.Control.InternalAddress, PathRequest, request, &response)
 		return response, err
 	}
 	return s.group.Ask(bounded, request)
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -63,7 +63,7 @@
 // sendTo sends the queued messages to one peer, in batches.
 func (s *Server) sendTo(address string, queue chan consensus.Message) {
 	for message := range queue {
-		batch := raftBatch{Address: s.file.Control.Internal, Messages: []consensus.Message{message}}
+		batch := raftBatch{Address: s.file.Control.InternalAddress, Messages: []consensus.Message{message}}
 		for len(batch.Messages) < maxBatch && len(queue) > 0 {
 			batch.Messages = append(batch.Messages, <-queue)
 		}
@@ -88,7 +88,7 @@
 		switch {
 		case groupExists && s.tryJoin(ctx):
 			return
-		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.Internal:
+		case !groupExists && othersEmpty && !s.file.Control.JoinOnly && s.file.Control.Founders[0] == s.file.Control.InternalAddress:
 			s.inputs <- input{foundGroup: true}
 			return
 		}
@@ -103,7 +103,7 @@
 func (s *Server) probeFounders(ctx context.Context) (groupExists, othersEmpty bool) {
 	othersEmpty = true
 	for _, address := range s.file.Control.Founders {
-		if address == s.file.Control.Internal {
+		if address == s.file.Control.InternalAddress {
 			continue
 		}
 		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -120,7 +120,7 @@
 func (s *Server) tryJoin(ctx context.Context) bool {
 	attempt, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
+	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.InternalAddress}
 	_, err := s.group.Ask(attempt, Request{Join: &self})
 	if err != nil {
 		s.log.Info("failed to join the control group, retrying", zap.Error(err))
@@ -152,7 +152,7 @@
 	if s.replica.Node().LastIndex() > 0 {
 		return
 	}
-	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.Internal}
+	self := consensus.Member{ID: s.identity.ID, Name: s.identity.Name, Address: s.file.Control.InternalAddress}
 	state := BootstrapState(self)
 	if err := s.disk.Write(Persist{Checkpoint: &state}); err != nil {
 		s.fatal <- err
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -140,7 +140,7 @@
 	}
 	return Config{
 		Mechanisms: mechanisms, Level: level.Current,
-		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
+		ID: s.identity.ID, Name: s.identity.Name, Address: section.InternalAddress, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
 		SnapshotEvery: section.SnapshotEvery, OrderWait: section.WeightsOrderDelay, GatewayTrust: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
 	}, nil
@@ -148,7 +148,7 @@
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	listener, err := transport.Listen(cmp.Or(s.file.Control.Bind, s.file.Control.Internal), s.file.ClusterToken, s.handle, s.log)
+	listener, err := transport.Listen(cmp.Or(s.file.Control.Bind, s.file.Control.InternalAddress), s.file.ClusterToken, s.handle, s.log)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if s.replica.Node().LastIndex() == 0 {
 		workers.Go(func() { s.joinOrFound(run) })
 	}
-	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
+	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.InternalAddress), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 	case err = <-s.fatal:
