--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -148,7 +148,7 @@
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	listener, err := transport.Listen(cmp.Or(s.file.Control.Bind, s.file.Control.InternalAddress), s.file.ClusterToken, s.handle, s.log)
+	listener, err := transport.Listen(cmp.Or(s.file.Control.InternalListen, s.file.Control.InternalAddress), s.file.ClusterToken, s.handle, s.log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 // Control is the part of the file that a control replica reads.
 type Control struct {
 	InternalAddress   string        `yaml:"internal"`       // address for replicas and routers
-	Bind              string        `yaml:"bind"`           // address to listen on for them, where it is another one; default internal
+	InternalListen    string        `yaml:"bind"`           // address to listen on for them, where it is another one; default internal
 	Admin             string        `yaml:"admin"`          // address for operators
 	Founders          []string      `yaml:"founders"`       // internal addresses of the first replicas; the first one founds the group
 	Replicas          int           `yaml:"replicas"`       // voters wanted; default 3
@@ -149,7 +149,7 @@
 		setDefault(&f.Router.MaxConnections, defaultMaxConnections)
 	}
 	if f.Control != nil {
-		setDefault(&f.Control.Bind, f.Control.InternalAddress)
+		setDefault(&f.Control.InternalListen, f.Control.InternalAddress)
 		setDefault(&f.Control.Replicas, defaultReplicas)
 		setDefault(&f.Control.Heartbeat, defaultLeaderHeartbeat)
 		setDefault(&f.Control.SettingsLease, defaultSettingsLease)
@@ -245,7 +245,7 @@
 		c.addProblem("control.without", err.Error())
 	}
 	c.checkAddress("control.internal", r.InternalAddress, true)
-	c.checkAddress("control.bind", r.Bind, false)
+	c.checkAddress("control.bind", r.InternalListen, false)
 	c.checkAddress("control.admin", r.Admin, true)
 	c.checkAddress("control.platform", r.Platform, true)
 	if len(r.Founders) == 0 {
