--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -130,7 +130,7 @@
 
 func (s *Server) replicaConfig() (Config, error) {
 	section := s.file.Control
-	mechanisms, err := mechanism.Without(section.Without)
+	mechanisms, err := mechanism.Without(section.DisabledMechanisms)
 	if err != nil {
 		return Config{}, err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,21 +50,21 @@
 
 // Control is the part of the file that a control replica reads.
 type Control struct {
-	InternalAddress   string        `yaml:"internal"`       // address for replicas and routers
-	InternalListen    string        `yaml:"bind"`           // address to listen on for them, where it is another one; default internal
-	Admin             string        `yaml:"admin"`          // address for operators
-	Founders          []string      `yaml:"founders"`       // internal addresses of the first replicas; the first one founds the group
-	Replicas          int           `yaml:"replicas"`       // voters wanted; default 3
-	Platform          string        `yaml:"platform"`       // address of the platform's machine list
-	Heartbeat         time.Duration `yaml:"heartbeat"`      // leader's period; default 100ms
-	SettingsLease     time.Duration `yaml:"settings_lease"` // how long a router may serve unheard; default 3s
-	RepairAfter       time.Duration `yaml:"repair_after"`   // silence after which a spare replaces a replica; default 10s
-	SnapshotEvery     uint64        `yaml:"snapshot_every"` // entries between snapshots; default 5,000
-	JoinOnly          bool          `yaml:"join_only"`      // never found a group, only join one; default false
-	WeightsOrderDelay time.Duration `yaml:"order_wait"`     // how long a new leader waits before its first order for weights; default 3s
-	GatewayViewTTL    time.Duration `yaml:"gateway_trust"`  // how long a gateway may use a view that is not confirmed; default 3s
-	Without           string        `yaml:"without"`        // mechanisms of the decision that are off, with commas; default none
-	Quota             Quota         `yaml:"quota"`          // how limits over a gateway fleet are judged
+	InternalAddress    string        `yaml:"internal"`       // address for replicas and routers
+	InternalListen     string        `yaml:"bind"`           // address to listen on for them, where it is another one; default internal
+	Admin              string        `yaml:"admin"`          // address for operators
+	Founders           []string      `yaml:"founders"`       // internal addresses of the first replicas; the first one founds the group
+	Replicas           int           `yaml:"replicas"`       // voters wanted; default 3
+	Platform           string        `yaml:"platform"`       // address of the platform's machine list
+	Heartbeat          time.Duration `yaml:"heartbeat"`      // leader's period; default 100ms
+	SettingsLease      time.Duration `yaml:"settings_lease"` // how long a router may serve unheard; default 3s
+	RepairAfter        time.Duration `yaml:"repair_after"`   // silence after which a spare replaces a replica; default 10s
+	SnapshotEvery      uint64        `yaml:"snapshot_every"` // entries between snapshots; default 5,000
+	JoinOnly           bool          `yaml:"join_only"`      // never found a group, only join one; default false
+	WeightsOrderDelay  time.Duration `yaml:"order_wait"`     // how long a new leader waits before its first order for weights; default 3s
+	GatewayViewTTL     time.Duration `yaml:"gateway_trust"`  // how long a gateway may use a view that is not confirmed; default 3s
+	DisabledMechanisms string        `yaml:"without"`        // mechanisms of the decision that are off, with commas; default none
+	Quota              Quota         `yaml:"quota"`          // how limits over a gateway fleet are judged
 }
 
 // Quota says how limits over a gateway fleet are judged; gateways have the same settings.
@@ -241,7 +241,7 @@
 }
 
 func (c *checker) checkControl(r *Control) {
-	if _, err := mechanism.Without(r.Without); err != nil {
+	if _, err := mechanism.Without(r.DisabledMechanisms); err != nil {
 		c.addProblem("control.without", err.Error())
 	}
 	c.checkAddress("control.internal", r.InternalAddress, true)
