--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -238,7 +238,7 @@
 			*target = value
 		}
 	}
-	override(&file.Data, args.data)
+	override(&file.DataDir, args.data)
 	override(&file.Zone, args.zone)
 	override(&file.LogLevel, args.logLevel)
 	if file.Router != nil {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -108,7 +108,7 @@
 
 // NewServer opens the data folder and restores the replica.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
-	disk, identity, restored, err := OpenDisk(file.Data, file.Name)
+	disk, identity, restored, err := OpenDisk(file.DataDir, file.Name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -53,7 +53,7 @@
 		}
 		g.addresses = append(g.addresses, internal)
 		name := fmt.Sprintf("control-%d", i+1)
-		files = append(files, &node.File{Name: name, Zone: "z", Data: filepath.Join(folder, name), ClusterToken: clusterToken, AdminToken: clusterToken,
+		files = append(files, &node.File{Name: name, Zone: "z", DataDir: filepath.Join(folder, name), ClusterToken: clusterToken, AdminToken: clusterToken,
 			Control: &node.Control{InternalAddress: internal, Admin: admin, Replicas: replicas, Platform: platform, Heartbeat: heartbeat,
 				SettingsLease: 3 * time.Second, RepairAfter: time.Minute, SnapshotEvery: 5000}})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,7 +21,7 @@
 type File struct {
 	Name         string   `yaml:"name"`          // name of the process, unique in the fleet
 	Zone         string   `yaml:"zone"`          // zone it runs in
-	Data         string   `yaml:"data"`          // folder for everything it keeps
+	DataDir      string   `yaml:"data"`          // folder for everything it keeps
 	LogLevel     string   `yaml:"log_level"`     // debug, info, warn or error; default info
 	ClusterToken string   `yaml:"cluster_token"` // shared secret of the system's own processes
 	AdminToken   string   `yaml:"admin_token"`   // bearer token of operators
@@ -198,7 +198,7 @@
 func (c *checker) checkFile(f *File) {
 	c.checkRequired("name", f.Name)
 	c.checkRequired("zone", f.Zone)
-	c.checkRequired("data", f.Data)
+	c.checkRequired("data", f.DataDir)
 	switch f.LogLevel {
 	case "debug", "info", "warn", "error":
 	default:
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -110,7 +110,7 @@
 
 // NewServer opens the data folder and restores the newest stored settings.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
-	disk, err := openDiskState(file.Data, file.Name)
+	disk, err := openDiskState(file.DataDir, file.Name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -131,7 +131,7 @@
 	}
 	s.address = listener.Addr().String()
 	_ = listener.Close()
-	file := &node.File{Name: "r1", Zone: "z", Data: folder, AdminToken: "admin", Router: &node.Router{
+	file := &node.File{Name: "r1", Zone: "z", DataDir: folder, AdminToken: "admin", Router: &node.Router{
 		Listen: s.address, Control: []string{cmp.Or(s.control, "127.0.0.1:1")}, Platform: s.platform.Listener.Addr().String(), PrefixKey: strings.Repeat("01", prefix.KeyBytes),
 		BlockTokens: 64, IndexBlocks: 1000, PollInterval: 20 * time.Millisecond, HeartbeatInterval: time.Second, DrainTimeout: testTimeout, MaxConnections: 100}}
 	ctx, cancel := context.WithCancel(context.Background())
