--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 	LogLevel     string   `yaml:"log_level"`     // debug, info, warn or error; default info
 	ClusterToken string   `yaml:"cluster_token"` // shared secret of the system's own processes
 	AdminToken   string   `yaml:"admin_token"`   // bearer token of operators
-	Links        string   `yaml:"links"`         // file that describes cut zones; tests only
+	LinkFile     string   `yaml:"links"`         // file that describes cut zones; tests only
 	Router       *Router  `yaml:"router"`
 	Control      *Control `yaml:"control"`
 }
