--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,20 +32,20 @@
 
 // Router is the part of the file that a router reads.
 type Router struct {
-	Listen            string                   `yaml:"listen"`              // address for callers
-	PeerAddress       string                   `yaml:"internal"`            // address for other routers, or empty
-	Control           []string                 `yaml:"control"`             // internal addresses of the control replicas
-	Platform          string                   `yaml:"platform"`            // address of the platform's machine list
-	Vault             string                   `yaml:"vault"`               // address of the KV store, or empty
-	PrefixKey         string                   `yaml:"prefix_key"`          // secret for block hashes, 64 hex digits, the same everywhere
-	BlockTokens       int                      `yaml:"block_tokens"`        // tokens of a block, the same everywhere; default 64
-	IndexBlocks       int                      `yaml:"index_blocks"`        // beliefs kept; default 2,000,000
-	ImportTokens      float64                  `yaml:"import_tokens_per_s"` // speed of copies between engines; 0 turns them off
-	ZoneLatency       map[string]time.Duration `yaml:"zone_latency"`        // one way, to each other zone
-	PollInterval      time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
-	HeartbeatInterval time.Duration            `yaml:"heartbeat_every"`     // period of heartbeats to control; default 500ms
-	DrainTimeout      time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
-	MaxConnections    int                      `yaml:"max_connections"`     // callers' requests at once; default 10,000
+	Listen                string                   `yaml:"listen"`              // address for callers
+	PeerAddress           string                   `yaml:"internal"`            // address for other routers, or empty
+	Control               []string                 `yaml:"control"`             // internal addresses of the control replicas
+	Platform              string                   `yaml:"platform"`            // address of the platform's machine list
+	Vault                 string                   `yaml:"vault"`               // address of the KV store, or empty
+	PrefixKey             string                   `yaml:"prefix_key"`          // secret for block hashes, 64 hex digits, the same everywhere
+	BlockTokens           int                      `yaml:"block_tokens"`        // tokens of a block, the same everywhere; default 64
+	IndexBlocks           int                      `yaml:"index_blocks"`        // beliefs kept; default 2,000,000
+	ImportTokensPerSecond float64                  `yaml:"import_tokens_per_s"` // speed of copies between engines; 0 turns them off
+	ZoneLatency           map[string]time.Duration `yaml:"zone_latency"`        // one way, to each other zone
+	PollInterval          time.Duration            `yaml:"poll_every"`          // period of back end polls; default 100ms
+	HeartbeatInterval     time.Duration            `yaml:"heartbeat_every"`     // period of heartbeats to control; default 500ms
+	DrainTimeout          time.Duration            `yaml:"drain_limit"`         // longest planned stop; default 120s
+	MaxConnections        int                      `yaml:"max_connections"`     // callers' requests at once; default 10,000
 }
 
 // Control is the part of the file that a control replica reads.
@@ -235,7 +235,7 @@
 	if r.IndexBlocks < 1 {
 		c.addProblem("router.index_blocks", "must be at least 1")
 	}
-	if r.ImportTokens < 0 {
+	if r.ImportTokensPerSecond < 0 {
 		c.addProblem("router.import_tokens_per_s", "must not be negative")
 	}
 }
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -132,7 +132,7 @@
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
 		IndexLimit: file.Router.IndexBlocks, ZoneLatency: file.Router.ZoneLatency, Vault: file.Router.Vault,
-		ImportRate: file.Router.ImportTokens,
+		ImportRate: file.Router.ImportTokensPerSecond,
 	})
 	server.session = session.New(session.Identity{
 		Router: file.Name, Incarnation: disk.incarnation, Zone: file.Zone, Address: file.Router.PeerAddress,
