--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const goodRouter = `name: r1
+const validRouterFile = `name: r1
 zone: z1
 data: /tmp/r1
 cluster_token: secret
@@ -20,7 +20,7 @@
 `
 
 func TestGoodFileGetsDefaults(t *testing.T) {
-	file, faults := Parse([]byte(goodRouter))
+	file, faults := Parse([]byte(validRouterFile))
 	if len(faults) > 0 {
 		t.Fatalf("faults: %s", FormatProblems(faults))
 	}
@@ -32,7 +32,7 @@
 // TestEveryFaultIsNamedWithItsLine: all faults come at once, each with line, path and what is allowed.
 func TestEveryFaultIsNamedWithItsLine(t *testing.T) {
 	bad := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
-		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(goodRouter) + "colour: blue\n"
+		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(validRouterFile) + "colour: blue\n"
 	_, faults := Parse([]byte(bad))
 	text := FormatProblems(faults)
 	for _, wanted := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
@@ -51,7 +51,7 @@
 
 // FuzzParse: no bytes may crash the decoder.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodRouter))
+	f.Add([]byte(validRouterFile))
 	f.Add([]byte("router: [1, 2]\n"))
 	f.Add([]byte("name: {a: b}\nrouter:\n  zone_latency: {z: 1ms}\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
