--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
   prefix_key: 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f
 `
 
-func TestGoodFileGetsDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	file, faults := Parse([]byte(validRouterFile))
 	if len(faults) > 0 {
 		t.Fatalf("faults: %s", FormatProblems(faults))
