--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestEveryFaultIsNamedWithItsLine: all faults come at once, each with line, path and what is allowed.
-func TestEveryFaultIsNamedWithItsLine(t *testing.T) {
+// TestParseReportsEveryProblemWithItsLine: all faults come at once, each with line, path and what is allowed.
+func TestParseReportsEveryProblemWithItsLine(t *testing.T) {
 	bad := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
 		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(validRouterFile) + "colour: blue\n"
 	_, faults := Parse([]byte(bad))
