--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestFileWithoutSectionIsRefused(t *testing.T) {
+func TestParseRejectsFileWithoutSection(t *testing.T) {
 	if _, faults := Parse([]byte("name: a\nzone: b\ndata: c\n")); len(faults) != 1 {
 		t.Fatalf("faults %v", faults)
 	}
