--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,9 +20,9 @@
 `
 
 func TestParseAppliesDefaults(t *testing.T) {
-	file, faults := Parse([]byte(validRouterFile))
-	if len(faults) > 0 {
-		t.Fatalf("faults: %s", FormatProblems(faults))
+	file, problems := Parse([]byte(validRouterFile))
+	if len(problems) > 0 {
+		t.Fatalf("faults: %s", FormatProblems(problems))
 	}
 	if file.Router.BlockTokens != defaultBlockTokens || file.Router.PollInterval != defaultPollInterval || file.LogLevel != "info" {
 		t.Fatalf("file %+v %+v", file, file.Router)
