--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -44,8 +44,8 @@
 }
 
 func TestParseRejectsFileWithoutSection(t *testing.T) {
-	if _, faults := Parse([]byte("name: a\nzone: b\ndata: c\n")); len(faults) != 1 {
-		t.Fatalf("faults %v", faults)
+	if _, problems := Parse([]byte("name: a\nzone: b\ndata: c\n")); len(problems) != 1 {
+		t.Fatalf("faults %v", problems)
 	}
 }
 
