--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -55,8 +55,8 @@
 	f.Add([]byte("router: [1, 2]\n"))
 	f.Add([]byte("name: {a: b}\nrouter:\n  zone_latency: {z: 1ms}\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		file, faults := Parse(data)
-		if len(faults) == 0 && file.Router == nil && file.Control == nil {
+		file, problems := Parse(data)
+		if len(problems) == 0 && file.Router == nil && file.Control == nil {
 			t.Fatal("a file without a section was accepted")
 		}
 	})
