--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,9 +31,9 @@
 
 // TestParseReportsEveryProblemWithItsLine: all faults come at once, each with line, path and what is allowed.
 func TestParseReportsEveryProblemWithItsLine(t *testing.T) {
-	bad := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
+	invalidFile := strings.NewReplacer("listen: 127.0.0.1:8080", "listen: localhost:80", "platform: 127.0.0.1:9100", "plattform: 127.0.0.1:9100",
 		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(validRouterFile) + "colour: blue\n"
-	_, problems := Parse([]byte(bad))
+	_, problems := Parse([]byte(invalidFile))
 	text := FormatProblems(problems)
 	for _, wanted := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
 		"line 11: router.prefix_key", "line 12: colour"} {
