--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,10 +35,10 @@
 		"prefix_key: 0001", "poll_every: soon\n  prefix_key: zz01").Replace(validRouterFile) + "colour: blue\n"
 	_, problems := Parse([]byte(invalidFile))
 	text := FormatProblems(problems)
-	for _, wanted := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
+	for _, want := range []string{"line 7: router.listen", "IP number", "line 9: router.plattform", "router.platform", "line 10: router.poll_every",
 		"line 11: router.prefix_key", "line 12: colour"} {
-		if !strings.Contains(text, wanted) {
-			t.Errorf("%q is not named in:\n%s", wanted, text)
+		if !strings.Contains(text, want) {
+			t.Errorf("%q is not named in:\n%s", want, text)
 		}
 	}
 }
