--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -78,12 +78,12 @@
 }
 
 func TestEveryKeyIsDocumented(t *testing.T) {
-	page, err := os.ReadFile("../../docs/CONFIGURATION.md")
+	documentation, err := os.ReadFile("../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range keysOf(reflect.TypeFor[File](), "") {
-		if !strings.Contains(string(page), "| `"+key+"` |") {
+		if !strings.Contains(string(documentation), "| `"+key+"` |") {
 			t.Errorf("docs/CONFIGURATION.md does not describe %s", key)
 		}
 	}
