--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// logRing is how many lines may wait until the reader of the log takes them.
-	logRing = 2048
+	// logBufferLines is how many lines may wait until the reader of the log takes them.
+	logBufferLines = 2048
 	// logReserve is the part of the ring that is kept for lines other than routine ones.
 	logReserve = 512
 	// logFlushWait is how long the end of a process waits for the lines that are left.
@@ -76,7 +76,7 @@
 
 // Write passes a line to the ring, or drops it.
 func (c rankedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logRing-logReserve {
+	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logBufferLines-logReserve {
 		c.ring.dropped.Add(1)
 		return nil
 	}
@@ -91,7 +91,7 @@
 }
 
 func newLineRing(out zapcore.WriteSyncer) *lineRing {
-	return &lineRing{out: out, lines: make(chan []byte, logRing)}
+	return &lineRing{out: out, lines: make(chan []byte, logBufferLines)}
 }
 
 // run is the thread that writes, and tells how many lines were dropped.
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -45,11 +45,11 @@
 	reader := &stuckReader{free: make(chan struct{})}
 	defer close(reader.free)
 	log := newLog(zapcore.InfoLevel, "n", newLineRing(reader))
-	const lines = 5 * logRing
+	const lines = 5 * logBufferLines
 	for range lines {
 		log.Info("line")
 	}
-	if dropped := log.Dropped(); dropped < lines-logRing-1 || dropped >= lines {
+	if dropped := log.Dropped(); dropped < lines-logBufferLines-1 || dropped >= lines {
 		t.Fatalf("%d of %d lines dropped", dropped, lines)
 	}
 }
@@ -60,7 +60,7 @@
 	reader := &stuckReader{free: make(chan struct{})}
 	ring := newLineRing(reader)
 	log := newLog(zapcore.InfoLevel, "n", ring)
-	for range 5 * logRing {
+	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
 	const changes = logReserve - 2
@@ -68,7 +68,7 @@
 		log.Info(events.InstanceGone)
 	}
 	dropped := log.Dropped()
-	if dropped < 4*logRing || len(ring.lines) > logRing {
+	if dropped < 4*logBufferLines || len(ring.lines) > logBufferLines {
 		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
 	}
 	close(reader.free)
