--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -15,8 +15,8 @@
 const (
 	// logBufferLines is how many lines may wait until the reader of the log takes them.
 	logBufferLines = 2048
-	// logReserve is the part of the ring that is kept for lines other than routine ones.
-	logReserve = 512
+	// logBufferReserve is the part of the ring that is kept for lines other than routine ones.
+	logBufferReserve = 512
 	// logFlushWait is how long the end of a process waits for the lines that are left.
 	logFlushWait = 200 * time.Millisecond
 	// droppedEach is how often the log tells how many lines were dropped since, if any were.
@@ -76,7 +76,7 @@
 
 // Write passes a line to the ring, or drops it.
 func (c rankedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logBufferLines-logReserve {
+	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logBufferLines-logBufferReserve {
 		c.ring.dropped.Add(1)
 		return nil
 	}
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -63,7 +63,7 @@
 	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
-	const changes = logReserve - 2
+	const changes = logBufferReserve - 2
 	for range changes {
 		log.Info(events.InstanceGone)
 	}
