--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -17,8 +17,8 @@
 	logBufferLines = 2048
 	// logBufferReserve is the part of the ring that is kept for lines other than routine ones.
 	logBufferReserve = 512
-	// logFlushWait is how long the end of a process waits for the lines that are left.
-	logFlushWait = 200 * time.Millisecond
+	// logFlushTimeout is how long the end of a process waits for the lines that are left.
+	logFlushTimeout = 200 * time.Millisecond
 	// droppedEach is how often the log tells how many lines were dropped since, if any were.
 	droppedEach = 5 * time.Second
 )
@@ -126,7 +126,7 @@
 
 // Sync waits a little for the lines that are left.
 func (r *lineRing) Sync() error {
-	for end := time.Now().Add(logFlushWait); len(r.lines) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(logFlushTimeout); len(r.lines) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
