--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -19,8 +19,8 @@
 	logBufferReserve = 512
 	// logFlushTimeout is how long the end of a process waits for the lines that are left.
 	logFlushTimeout = 200 * time.Millisecond
-	// droppedEach is how often the log tells how many lines were dropped since, if any were.
-	droppedEach = 5 * time.Second
+	// droppedReportInterval is how often the log tells how many lines were dropped since, if any were.
+	droppedReportInterval = 5 * time.Second
 )
 
 // Log is a process's log of JSON lines. Writing to it never waits for whoever reads it: lines that the reader does not
@@ -95,7 +95,7 @@
 }
 
 // run is the thread that writes, and tells how many lines were dropped.
-func (r *lineRing) run(tell func(count uint64)) { r.runEach(droppedEach, tell) }
+func (r *lineRing) run(tell func(count uint64)) { r.runEach(droppedReportInterval, tell) }
 
 func (r *lineRing) runEach(period time.Duration, tell func(count uint64)) {
 	ticker := time.NewTicker(period)
