--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -27,7 +27,7 @@
 // take in time are dropped, routine ones first, and counted.
 type Log struct {
 	*zap.Logger
-	ring *lineRing
+	ring *asyncWriter
 }
 
 // NewLogger returns a log on standard error.
@@ -40,12 +40,12 @@
 }
 
 // NopLog returns a log that keeps nothing.
-func NopLog() *Log { return &Log{Logger: zap.NewNop(), ring: &lineRing{}} }
+func NopLog() *Log { return &Log{Logger: zap.NewNop(), ring: &asyncWriter{}} }
 
 // Dropped returns how many lines were dropped since the start.
 func (l *Log) Dropped() uint64 { return l.ring.dropped.Load() }
 
-func newLog(level zapcore.Level, name string, ring *lineRing) *Log {
+func newLog(level zapcore.Level, name string, ring *asyncWriter) *Log {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.TimeKey = "time"
@@ -58,7 +58,7 @@
 // rankedCore drops routine lines while the ring is short of room.
 type rankedCore struct {
 	zapcore.Core
-	ring *lineRing
+	ring *asyncWriter
 }
 
 // With returns a core whose lines carry the fields.
@@ -83,21 +83,21 @@
 	return c.Core.Write(entry, fields)
 }
 
-// lineRing takes log lines without ever waiting; a thread of its own writes them.
-type lineRing struct {
+// asyncWriter takes log lines without ever waiting; a thread of its own writes them.
+type asyncWriter struct {
 	out     zapcore.WriteSyncer
 	lines   chan []byte   // closed never
 	dropped atomic.Uint64 // only rises
 }
 
-func newLineRing(out zapcore.WriteSyncer) *lineRing {
-	return &lineRing{out: out, lines: make(chan []byte, logBufferLines)}
+func newLineRing(out zapcore.WriteSyncer) *asyncWriter {
+	return &asyncWriter{out: out, lines: make(chan []byte, logBufferLines)}
 }
 
 // run is the thread that writes, and tells how many lines were dropped.
-func (r *lineRing) run(tell func(count uint64)) { r.runEach(droppedReportInterval, tell) }
+func (r *asyncWriter) run(tell func(count uint64)) { r.runEach(droppedReportInterval, tell) }
 
-func (r *lineRing) runEach(period time.Duration, tell func(count uint64)) {
+func (r *asyncWriter) runEach(period time.Duration, tell func(count uint64)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	told := uint64(0)
@@ -115,7 +115,7 @@
 }
 
 // Write takes a line, or drops it when the ring is full.
-func (r *lineRing) Write(line []byte) (int, error) {
+func (r *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
 	default:
@@ -125,7 +125,7 @@
 }
 
 // Sync waits a little for the lines that are left.
-func (r *lineRing) Sync() error {
+func (r *asyncWriter) Sync() error {
 	for end := time.Now().Add(logFlushTimeout); len(r.lines) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
