--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "log level %q", level)
 	}
-	return newLog(parsed, name, newLineRing(zapcore.Lock(os.Stderr))), nil
+	return newLog(parsed, name, newAsyncWriter(zapcore.Lock(os.Stderr))), nil
 }
 
 // NopLog returns a log that keeps nothing.
@@ -90,7 +90,7 @@
 	dropped atomic.Uint64 // only rises
 }
 
-func newLineRing(out zapcore.WriteSyncer) *asyncWriter {
+func newAsyncWriter(out zapcore.WriteSyncer) *asyncWriter {
 	return &asyncWriter{out: out, lines: make(chan []byte, logBufferLines)}
 }
 
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -44,7 +44,7 @@
 func TestStuckReaderHoldsNothingUp(t *testing.T) {
 	reader := &stuckReader{free: make(chan struct{})}
 	defer close(reader.free)
-	log := newLog(zapcore.InfoLevel, "n", newLineRing(reader))
+	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(reader))
 	const lines = 5 * logBufferLines
 	for range lines {
 		log.Info("line")
@@ -58,7 +58,7 @@
 // again, all of that comes, and a line tells how many are missing.
 func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	reader := &stuckReader{free: make(chan struct{})}
-	ring := newLineRing(reader)
+	ring := newAsyncWriter(reader)
 	log := newLog(zapcore.InfoLevel, "n", ring)
 	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
@@ -82,7 +82,7 @@
 		t.Fatalf("%d of %d changes of belief were written", got, changes)
 	}
 	tell := make(chan uint64, 1)
-	fresh := newLineRing(reader)
+	fresh := newAsyncWriter(reader)
 	fresh.dropped.Store(dropped)
 	go fresh.runEach(time.Millisecond, func(count uint64) { tell <- count })
 	if told := <-tell; told != dropped {
