--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -27,7 +27,7 @@
 // take in time are dropped, routine ones first, and counted.
 type Log struct {
 	*zap.Logger
-	ring *asyncWriter
+	writer *asyncWriter
 }
 
 // NewLogger returns a log on standard error.
@@ -40,17 +40,17 @@
 }
 
 // NopLog returns a log that keeps nothing.
-func NopLog() *Log { return &Log{Logger: zap.NewNop(), ring: &asyncWriter{}} }
+func NopLog() *Log { return &Log{Logger: zap.NewNop(), writer: &asyncWriter{}} }
 
 // Dropped returns how many lines were dropped since the start.
-func (l *Log) Dropped() uint64 { return l.ring.dropped.Load() }
+func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
 func newLog(level zapcore.Level, name string, ring *asyncWriter) *Log {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.TimeKey = "time"
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), ring, level)
-	log := &Log{Logger: zap.New(rankedCore{core, ring}).With(zap.String("node", name)), ring: ring}
+	log := &Log{Logger: zap.New(rankedCore{core, ring}).With(zap.String("node", name)), writer: ring}
 	go ring.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
 	return log
 }
