--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -50,24 +50,24 @@
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.TimeKey = "time"
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), ring, level)
-	log := &Log{Logger: zap.New(rankedCore{core, ring}).With(zap.String("node", name)), writer: ring}
+	log := &Log{Logger: zap.New(priorityCore{core, ring}).With(zap.String("node", name)), writer: ring}
 	go ring.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
 	return log
 }
 
-// rankedCore drops routine lines while the ring is short of room.
-type rankedCore struct {
+// priorityCore drops routine lines while the ring is short of room.
+type priorityCore struct {
 	zapcore.Core
 	ring *asyncWriter
 }
 
 // With returns a core whose lines carry the fields.
-func (c rankedCore) With(fields []zapcore.Field) zapcore.Core {
-	return rankedCore{c.Core.With(fields), c.ring}
+func (c priorityCore) With(fields []zapcore.Field) zapcore.Core {
+	return priorityCore{c.Core.With(fields), c.ring}
 }
 
 // Check adds the core to the entries that are written.
-func (c rankedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (c priorityCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Write passes a line to the ring, or drops it.
-func (c rankedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+func (c priorityCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logBufferLines-logBufferReserve {
 		c.ring.dropped.Add(1)
 		return nil
