--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -58,12 +58,12 @@
 // priorityCore drops routine lines while the ring is short of room.
 type priorityCore struct {
 	zapcore.Core
-	ring *asyncWriter
+	writer *asyncWriter
 }
 
 // With returns a core whose lines carry the fields.
 func (c priorityCore) With(fields []zapcore.Field) zapcore.Core {
-	return priorityCore{c.Core.With(fields), c.ring}
+	return priorityCore{c.Core.With(fields), c.writer}
 }
 
 // Check adds the core to the entries that are written.
@@ -76,8 +76,8 @@
 
 // Write passes a line to the ring, or drops it.
 func (c priorityCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	if events.IsRoutine(entry.Message) && len(c.ring.lines) >= logBufferLines-logBufferReserve {
-		c.ring.dropped.Add(1)
+	if events.IsRoutine(entry.Message) && len(c.writer.lines) >= logBufferLines-logBufferReserve {
+		c.writer.dropped.Add(1)
 		return nil
 	}
 	return c.Core.Write(entry, fields)
