--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -45,13 +45,13 @@
 // Dropped returns how many lines were dropped since the start.
 func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
-func newLog(level zapcore.Level, name string, ring *asyncWriter) *Log {
+func newLog(level zapcore.Level, name string, writer *asyncWriter) *Log {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder.TimeKey = "time"
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), ring, level)
-	log := &Log{Logger: zap.New(priorityCore{core, ring}).With(zap.String("node", name)), writer: ring}
-	go ring.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), writer, level)
+	log := &Log{Logger: zap.New(priorityCore{core, writer}).With(zap.String("node", name)), writer: writer}
+	go writer.run(func(count uint64) { log.Warn(events.LogLinesDropped, zap.Uint64("count", count)) })
 	return log
 }
 
