--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -84,7 +84,7 @@
 	tell := make(chan uint64, 1)
 	fresh := newAsyncWriter(reader)
 	fresh.dropped.Store(dropped)
-	go fresh.runEach(time.Millisecond, func(count uint64) { tell <- count })
+	go fresh.runWithInterval(time.Millisecond, func(count uint64) { tell <- count })
 	if told := <-tell; told != dropped {
 		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
 	}
