--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -95,7 +95,9 @@
 }
 
 // run is the thread that writes, and tells how many lines were dropped.
-func (r *asyncWriter) run(tell func(count uint64)) { r.runWithInterval(droppedReportInterval, tell) }
+func (r *asyncWriter) run(reportDropped func(count uint64)) {
+	r.runWithInterval(droppedReportInterval, reportDropped)
+}
 
 func (r *asyncWriter) runWithInterval(period time.Duration, tell func(count uint64)) {
 	ticker := time.NewTicker(period)
