--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -99,7 +99,7 @@
 	r.runWithInterval(droppedReportInterval, reportDropped)
 }
 
-func (r *asyncWriter) runWithInterval(period time.Duration, tell func(count uint64)) {
+func (r *asyncWriter) runWithInterval(period time.Duration, reportDropped func(count uint64)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	told := uint64(0)
@@ -109,7 +109,7 @@
 			_, _ = r.out.Write(line) // a reader that is gone cannot be told
 		case <-ticker.C:
 			if count := r.dropped.Load(); count > told {
-				tell(count - told)
+				reportDropped(count - told)
 				told = count
 			}
 		}
