--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -99,8 +99,8 @@
 	r.runWithInterval(droppedReportInterval, reportDropped)
 }
 
-func (r *asyncWriter) runWithInterval(period time.Duration, reportDropped func(count uint64)) {
-	ticker := time.NewTicker(period)
+func (r *asyncWriter) runWithInterval(interval time.Duration, reportDropped func(count uint64)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	told := uint64(0)
 	for {
