--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -102,15 +102,15 @@
 func (r *asyncWriter) runWithInterval(interval time.Duration, reportDropped func(count uint64)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case line := <-r.lines:
 			_, _ = r.out.Write(line) // a reader that is gone cannot be told
 		case <-ticker.C:
-			if count := r.dropped.Load(); count > told {
-				reportDropped(count - told)
-				told = count
+			if count := r.dropped.Load(); count > reported {
+				reportDropped(count - reported)
+				reported = count
 			}
 		}
 	}
