--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -128,7 +128,7 @@
 
 // Sync waits a little for the lines that are left.
 func (r *asyncWriter) Sync() error {
-	for end := time.Now().Add(logFlushTimeout); len(r.lines) > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(logFlushTimeout); len(r.lines) > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
