--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -11,14 +11,14 @@
 	"kitetiller/internal/events"
 )
 
-// stuckReader takes lines only while it is free.
-type stuckReader struct {
+// blockingWriter takes lines only while it is free.
+type blockingWriter struct {
 	free chan struct{} // closed once it takes lines
 	mu   sync.Mutex
 	got  []string // guarded by mu
 }
 
-func (s *stuckReader) Write(line []byte) (int, error) {
+func (s *blockingWriter) Write(line []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,9 +26,9 @@
 	return len(line), nil
 }
 
-func (*stuckReader) Sync() error { return nil }
+func (*blockingWriter) Sync() error { return nil }
 
-func (s *stuckReader) count(text string) int {
+func (s *blockingWriter) count(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -42,7 +42,7 @@
 
 // TestStuckReaderHoldsNothingUp: whoever logs goes on although nobody reads, and what is dropped is counted.
 func TestStuckReaderHoldsNothingUp(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
+	reader := &blockingWriter{free: make(chan struct{})}
 	defer close(reader.free)
 	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(reader))
 	const lines = 5 * logBufferLines
@@ -57,7 +57,7 @@
 // TestRoutineLinesAreDroppedFirst: while nobody reads, successes leave room for what else happens; once somebody reads
 // again, all of that comes, and a line tells how many are missing.
 func TestRoutineLinesAreDroppedFirst(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
+	reader := &blockingWriter{free: make(chan struct{})}
 	ring := newAsyncWriter(reader)
 	log := newLog(zapcore.InfoLevel, "n", ring)
 	for range 5 * logBufferLines {
