--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -13,13 +13,13 @@
 
 // blockingWriter takes lines only while it is free.
 type blockingWriter struct {
-	free chan struct{} // closed once it takes lines
-	mu   sync.Mutex
-	got  []string // guarded by mu
+	unblocked chan struct{} // closed once it takes lines
+	mu        sync.Mutex
+	got       []string // guarded by mu
 }
 
 func (s *blockingWriter) Write(line []byte) (int, error) {
-	<-s.free
+	<-s.unblocked
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got = append(s.got, string(line))
@@ -42,8 +42,8 @@
 
 // TestStuckReaderHoldsNothingUp: whoever logs goes on although nobody reads, and what is dropped is counted.
 func TestStuckReaderHoldsNothingUp(t *testing.T) {
-	reader := &blockingWriter{free: make(chan struct{})}
-	defer close(reader.free)
+	reader := &blockingWriter{unblocked: make(chan struct{})}
+	defer close(reader.unblocked)
 	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(reader))
 	const lines = 5 * logBufferLines
 	for range lines {
@@ -57,7 +57,7 @@
 // TestRoutineLinesAreDroppedFirst: while nobody reads, successes leave room for what else happens; once somebody reads
 // again, all of that comes, and a line tells how many are missing.
 func TestRoutineLinesAreDroppedFirst(t *testing.T) {
-	reader := &blockingWriter{free: make(chan struct{})}
+	reader := &blockingWriter{unblocked: make(chan struct{})}
 	ring := newAsyncWriter(reader)
 	log := newLog(zapcore.InfoLevel, "n", ring)
 	for range 5 * logBufferLines {
@@ -71,7 +71,7 @@
 	if dropped < 4*logBufferLines || len(ring.lines) > logBufferLines {
 		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
 	}
-	close(reader.free)
+	close(reader.unblocked)
 	for range 1000 {
 		if reader.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
 			break
