--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -15,14 +15,14 @@
 type blockingWriter struct {
 	unblocked chan struct{} // closed once it takes lines
 	mu        sync.Mutex
-	got       []string // guarded by mu
+	lines     []string // guarded by mu
 }
 
 func (s *blockingWriter) Write(line []byte) (int, error) {
 	<-s.unblocked
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = append(s.got, string(line))
+	s.lines = append(s.lines, string(line))
 	return len(line), nil
 }
 
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, line := range s.got {
+	for _, line := range s.lines {
 		if strings.Contains(line, text) {
 			n++
 		}
