--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -40,8 +40,8 @@
 	return n
 }
 
-// TestStuckReaderHoldsNothingUp: whoever logs goes on although nobody reads, and what is dropped is counted.
-func TestStuckReaderHoldsNothingUp(t *testing.T) {
+// TestLoggingDoesNotBlockOnStalledOutput: whoever logs goes on although nobody reads, and what is dropped is counted.
+func TestLoggingDoesNotBlockOnStalledOutput(t *testing.T) {
 	reader := &blockingWriter{unblocked: make(chan struct{})}
 	defer close(reader.unblocked)
 	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(reader))
