--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -42,9 +42,9 @@
 
 // TestLoggingDoesNotBlockOnStalledOutput: whoever logs goes on although nobody reads, and what is dropped is counted.
 func TestLoggingDoesNotBlockOnStalledOutput(t *testing.T) {
-	reader := &blockingWriter{unblocked: make(chan struct{})}
-	defer close(reader.unblocked)
-	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(reader))
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	defer close(output.unblocked)
+	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(output))
 	const lines = 5 * logBufferLines
 	for range lines {
 		log.Info("line")
