--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -45,12 +45,12 @@
 	output := &blockingWriter{unblocked: make(chan struct{})}
 	defer close(output.unblocked)
 	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(output))
-	const lines = 5 * logBufferLines
-	for range lines {
+	const written = 5 * logBufferLines
+	for range written {
 		log.Info("line")
 	}
-	if dropped := log.Dropped(); dropped < lines-logBufferLines-1 || dropped >= lines {
-		t.Fatalf("%d of %d lines dropped", dropped, lines)
+	if dropped := log.Dropped(); dropped < written-logBufferLines-1 || dropped >= written {
+		t.Fatalf("%d of %d lines dropped", dropped, written)
 	}
 }
 
