--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestRoutineLinesAreDroppedFirst: while nobody reads, successes leave room for what else happens; once somebody reads
+// TestRoutineLinesAreDroppedBeforeOthers: while nobody reads, successes leave room for what else happens; once somebody reads
 // again, all of that comes, and a line tells how many are missing.
-func TestRoutineLinesAreDroppedFirst(t *testing.T) {
+func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
 	reader := &blockingWriter{unblocked: make(chan struct{})}
 	ring := newAsyncWriter(reader)
 	log := newLog(zapcore.InfoLevel, "n", ring)
