--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -57,8 +57,8 @@
 // TestRoutineLinesAreDroppedBeforeOthers: while nobody reads, successes leave room for what else happens; once somebody reads
 // again, all of that comes, and a line tells how many are missing.
 func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
-	reader := &blockingWriter{unblocked: make(chan struct{})}
-	ring := newAsyncWriter(reader)
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	ring := newAsyncWriter(output)
 	log := newLog(zapcore.InfoLevel, "n", ring)
 	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
@@ -71,18 +71,18 @@
 	if dropped < 4*logBufferLines || len(ring.lines) > logBufferLines {
 		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
 	}
-	close(reader.unblocked)
+	close(output.unblocked)
 	for range 1000 {
-		if reader.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
+		if output.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if got := reader.count(events.InstanceGone); got != changes {
+	if got := output.count(events.InstanceGone); got != changes {
 		t.Fatalf("%d of %d changes of belief were written", got, changes)
 	}
 	tell := make(chan uint64, 1)
-	fresh := newAsyncWriter(reader)
+	fresh := newAsyncWriter(output)
 	fresh.dropped.Store(dropped)
 	go fresh.runWithInterval(time.Millisecond, func(count uint64) { tell <- count })
 	if told := <-tell; told != dropped {
