--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -58,8 +58,8 @@
 // again, all of that comes, and a line tells how many are missing.
 func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
 	output := &blockingWriter{unblocked: make(chan struct{})}
-	ring := newAsyncWriter(output)
-	log := newLog(zapcore.InfoLevel, "n", ring)
+	writer := newAsyncWriter(output)
+	log := newLog(zapcore.InfoLevel, "n", writer)
 	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
@@ -68,12 +68,12 @@
 		log.Info(events.InstanceGone)
 	}
 	dropped := log.Dropped()
-	if dropped < 4*logBufferLines || len(ring.lines) > logBufferLines {
-		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
+	if dropped < 4*logBufferLines || len(writer.lines) > logBufferLines {
+		t.Fatalf("%d lines dropped, %d wait", dropped, len(writer.lines))
 	}
 	close(output.unblocked)
 	for range 1000 {
-		if output.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
+		if output.count(events.InstanceGone) == changes && len(writer.lines) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
