--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -63,8 +63,8 @@
 	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
-	const changes = logBufferReserve - 2
-	for range changes {
+	const otherLines = logBufferReserve - 2
+	for range otherLines {
 		log.Info(events.InstanceGone)
 	}
 	dropped := log.Dropped()
@@ -73,13 +73,13 @@
 	}
 	close(output.unblocked)
 	for range 1000 {
-		if output.count(events.InstanceGone) == changes && len(writer.lines) == 0 {
+		if output.count(events.InstanceGone) == otherLines && len(writer.lines) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if got := output.count(events.InstanceGone); got != changes {
-		t.Fatalf("%d of %d changes of belief were written", got, changes)
+	if got := output.count(events.InstanceGone); got != otherLines {
+		t.Fatalf("%d of %d changes of belief were written", got, otherLines)
 	}
 	tell := make(chan uint64, 1)
 	fresh := newAsyncWriter(output)
