--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -81,11 +81,11 @@
 	if got := output.count(events.InstanceGone); got != otherLines {
 		t.Fatalf("%d of %d changes of belief were written", got, otherLines)
 	}
-	tell := make(chan uint64, 1)
+	reports := make(chan uint64, 1)
 	fresh := newAsyncWriter(output)
 	fresh.dropped.Store(dropped)
-	go fresh.runWithInterval(time.Millisecond, func(count uint64) { tell <- count })
-	if told := <-tell; told != dropped {
+	go fresh.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
+	if told := <-reports; told != dropped {
 		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
 	}
 }
