--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -82,9 +82,9 @@
 		t.Fatalf("%d of %d changes of belief were written", got, otherLines)
 	}
 	reports := make(chan uint64, 1)
-	fresh := newAsyncWriter(output)
-	fresh.dropped.Store(dropped)
-	go fresh.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
+	secondWriter := newAsyncWriter(output)
+	secondWriter.dropped.Store(dropped)
+	go secondWriter.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
 	if told := <-reports; told != dropped {
 		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
 	}
