--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -85,7 +85,7 @@
 	secondWriter := newAsyncWriter(output)
 	secondWriter.dropped.Store(dropped)
 	go secondWriter.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
-	if told := <-reports; told != dropped {
-		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
+	if reported := <-reports; reported != dropped {
+		t.Fatalf("told of %d dropped lines, wanted %d", reported, dropped)
 	}
 }
