--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,9 +59,9 @@
 	outage            outage
 	cacheReader       CacheReader // nil if engines' caches are not read
 	followers         *cacheFollowers
-	weightsLogLimiter *node.Sparse // for weight version mismatches, by instance
-	backoffLogLimiter *node.Sparse // for backoff requests of back ends, by instance
-	limitLogLimiter   *node.Sparse // for unparsable advertised limits, by instance
+	weightsLogLimiter *node.LogLimiter // for weight version mismatches, by instance
+	backoffLogLimiter *node.LogLimiter // for backoff requests of back ends, by instance
+	limitLogLimiter   *node.LogLimiter // for unparsable advertised limits, by instance
 	unknownHeaders    unknownHeaders
 	// viewConfirmed is notified whenever control confirms the view.
 	viewConfirmed *notifier
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -12,8 +12,8 @@
 	sparseKept = time.Minute
 )
 
-// Sparse bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
-type Sparse struct {
+// LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
+type LogLimiter struct {
 	mu    sync.Mutex
 	lines map[string]sparseLine // guarded by mu
 }
@@ -25,10 +25,10 @@
 }
 
 // NewSparse returns one that has written no line yet.
-func NewSparse() *Sparse { return &Sparse{lines: map[string]sparseLine{}} }
+func NewSparse() *LogLimiter { return &LogLimiter{lines: map[string]sparseLine{}} }
 
 // Due reports whether a line may be written now, and how many were held back since the last.
-func (s *Sparse) Due(now time.Duration, key string) (held int, due bool) {
+func (s *LogLimiter) Due(now time.Duration, key string) (held int, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.lines[key]
@@ -42,7 +42,7 @@
 }
 
 // Sweep forgets keys without a line for long.
-func (s *Sparse) Sweep(now time.Duration) {
+func (s *LogLimiter) Sweep(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, last := range s.lines {
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -82,7 +82,7 @@
 	log          *zap.Logger
 	now          clock.Source // time since the server was created
 	quarantine   *reporter.Reporter
-	pushbackLogs *node.Sparse // rate limit of pushback log lines, by back end
+	pushbackLogs *node.LogLimiter // rate limit of pushback log lines, by back end
 	incarnation  uint64
 	hasher       *prefix.Hasher
 
