--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.NewSource(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		viewConfirmed: newNotifier(), followers: newCacheFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
+		weightsLogLimiter: node.NewLogLimiter(), backoffLogLimiter: node.NewLogLimiter(), limitLogLimiter: node.NewLogLimiter(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	g.quarantine = reporter.New(reporter.Config{Submit: g.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&g.pool.dialer), Log: g.log.info, Now: g.now})
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -24,8 +24,8 @@
 	held int           // held back since
 }
 
-// NewSparse returns one that has written no line yet.
-func NewSparse() *LogLimiter { return &LogLimiter{lines: map[string]sparseLine{}} }
+// NewLogLimiter returns one that has written no line yet.
+func NewLogLimiter() *LogLimiter { return &LogLimiter{lines: map[string]sparseLine{}} }
 
 // Due reports whether a line may be written now, and how many were held back since the last.
 func (s *LogLimiter) Due(now time.Duration, key string) (held int, due bool) {
--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -7,7 +7,7 @@
 
 // TestSparseLinesAreCounted: one a second for each key, with the count of those between; keys without lines are forgotten.
 func TestSparseLinesAreCounted(t *testing.T) {
-	lines := NewSparse()
+	lines := NewLogLimiter()
 	for i, wanted := range []struct {
 		at   time.Duration
 		key  string
@@ -26,7 +26,7 @@
 
 // TestNoLineIsLost: what is held back is counted with the next line, however long that takes.
 func TestNoLineIsLost(t *testing.T) {
-	lines := NewSparse()
+	lines := NewLogLimiter()
 	for _, step := range []struct {
 		after time.Duration
 		held  int
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -127,7 +127,7 @@
 		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
 		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
+		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewLogLimiter(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
