--- a/internal/gateway/oldweights_test.go
+++ b/internal/gateway/oldweights_test.go
@@ -58,7 +58,7 @@
 	for range 3 {
 		chosen.logVersionMismatch(200, ResponseInfo{Signed: true, WeightsVersion: 1})
 	}
-	now += node.SparseEach
+	now += node.LogLimitInterval
 	chosen.logVersionMismatch(421, ResponseInfo{NotRun: true, WeightsVersion: 3})
 	got := lines.FilterMessage(events.WeightsMismatch).All()
 	if len(got) != 2 || lines.Len() != 2 {
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// SparseEach is the least time between two lines of one key: a rollout may cause one for each request.
-	SparseEach = time.Second
+	// LogLimitInterval is the least time between two lines of one key: a rollout may cause one for each request.
+	LogLimitInterval = time.Second
 	// sparseKept is how long a key is kept after its newest line, for the count of the lines that were held back since.
 	sparseKept = time.Minute
 )
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.lines[key]
-	if known && now-last.at < SparseEach {
+	if known && now-last.at < LogLimitInterval {
 		last.held++
 		s.lines[key] = last
 		return 0, false
