--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -8,8 +8,8 @@
 const (
 	// LogLimitInterval is the least time between two lines of one key: a rollout may cause one for each request.
 	LogLimitInterval = time.Second
-	// sparseKept is how long a key is kept after its newest line, for the count of the lines that were held back since.
-	sparseKept = time.Minute
+	// logLimitStateTTL is how long a key is kept after its newest line, for the count of the lines that were held back since.
+	logLimitStateTTL = time.Minute
 )
 
 // LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
@@ -46,7 +46,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, last := range s.lines {
-		if now-last.at > sparseKept {
+		if now-last.at > logLimitStateTTL {
 			delete(s.lines, key)
 		}
 	}
--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%d: %d held, due %v", i, held, due)
 		}
 	}
-	lines.Sweep(2*LogLimitInterval + sparseKept)
+	lines.Sweep(2*LogLimitInterval + logLimitStateTTL)
 	if len(lines.lines) != 1 {
 		t.Errorf("%d keys are kept", len(lines.lines))
 	}
