--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -15,17 +15,17 @@
 // LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
 type LogLimiter struct {
 	mu    sync.Mutex
-	lines map[string]sparseLine // guarded by mu
+	lines map[string]logLimitState // guarded by mu
 }
 
-// sparseLine is what is known of the lines of one key.
-type sparseLine struct {
+// logLimitState is what is known of the lines of one key.
+type logLimitState struct {
 	at   time.Duration // when one was last written
 	held int           // held back since
 }
 
 // NewLogLimiter returns one that has written no line yet.
-func NewLogLimiter() *LogLimiter { return &LogLimiter{lines: map[string]sparseLine{}} }
+func NewLogLimiter() *LogLimiter { return &LogLimiter{lines: map[string]logLimitState{}} }
 
 // Due reports whether a line may be written now, and how many were held back since the last.
 func (s *LogLimiter) Due(now time.Duration, key string) (held int, due bool) {
@@ -37,7 +37,7 @@
 		s.lines[key] = last
 		return 0, false
 	}
-	s.lines[key] = sparseLine{at: now}
+	s.lines[key] = logLimitState{at: now}
 	return last.held, true
 }
 
