--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -14,8 +14,8 @@
 
 // LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
 type LogLimiter struct {
-	mu    sync.Mutex
-	lines map[string]logLimitState // guarded by mu
+	mu     sync.Mutex
+	states map[string]logLimitState // guarded by mu
 }
 
 // logLimitState is what is known of the lines of one key.
@@ -25,19 +25,19 @@
 }
 
 // NewLogLimiter returns one that has written no line yet.
-func NewLogLimiter() *LogLimiter { return &LogLimiter{lines: map[string]logLimitState{}} }
+func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
 // Due reports whether a line may be written now, and how many were held back since the last.
 func (s *LogLimiter) Due(now time.Duration, key string) (held int, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, known := s.lines[key]
+	last, known := s.states[key]
 	if known && now-last.at < LogLimitInterval {
 		last.held++
-		s.lines[key] = last
+		s.states[key] = last
 		return 0, false
 	}
-	s.lines[key] = logLimitState{at: now}
+	s.states[key] = logLimitState{at: now}
 	return last.held, true
 }
 
@@ -45,9 +45,9 @@
 func (s *LogLimiter) Sweep(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, last := range s.lines {
+	for key, last := range s.states {
 		if now-last.at > logLimitStateTTL {
-			delete(s.lines, key)
+			delete(s.states, key)
 		}
 	}
 }
--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -19,8 +19,8 @@
 		}
 	}
 	lines.Sweep(2*LogLimitInterval + logLimitStateTTL)
-	if len(lines.lines) != 1 {
-		t.Errorf("%d keys are kept", len(lines.lines))
+	if len(lines.states) != 1 {
+		t.Errorf("%d keys are kept", len(lines.states))
 	}
 }
 
