--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -20,8 +20,8 @@
 
 // logLimitState is what is known of the lines of one key.
 type logLimitState struct {
-	at   time.Duration // when one was last written
-	held int           // held back since
+	writtenAt time.Duration // when one was last written
+	held      int           // held back since
 }
 
 // NewLogLimiter returns one that has written no line yet.
@@ -32,12 +32,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.states[key]
-	if known && now-last.at < LogLimitInterval {
+	if known && now-last.writtenAt < LogLimitInterval {
 		last.held++
 		s.states[key] = last
 		return 0, false
 	}
-	s.states[key] = logLimitState{at: now}
+	s.states[key] = logLimitState{writtenAt: now}
 	return last.held, true
 }
 
@@ -46,7 +46,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, last := range s.states {
-		if now-last.at > logLimitStateTTL {
+		if now-last.writtenAt > logLimitStateTTL {
 			delete(s.states, key)
 		}
 	}
