--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -20,8 +20,8 @@
 
 // logLimitState is what is known of the lines of one key.
 type logLimitState struct {
-	writtenAt time.Duration // when one was last written
-	held      int           // held back since
+	writtenAt  time.Duration // when one was last written
+	suppressed int           // held back since
 }
 
 // NewLogLimiter returns one that has written no line yet.
@@ -33,12 +33,12 @@
 	defer s.mu.Unlock()
 	last, known := s.states[key]
 	if known && now-last.writtenAt < LogLimitInterval {
-		last.held++
+		last.suppressed++
 		s.states[key] = last
 		return 0, false
 	}
 	s.states[key] = logLimitState{writtenAt: now}
-	return last.held, true
+	return last.suppressed, true
 }
 
 // Sweep forgets keys without a line for long.
