--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -28,7 +28,7 @@
 func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
 // Due reports whether a line may be written now, and how many were held back since the last.
-func (s *LogLimiter) Due(now time.Duration, key string) (suppressed int, due bool) {
+func (s *LogLimiter) Due(now time.Duration, key string) (suppressed int, allowed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.states[key]
