--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -59,7 +59,7 @@
 	if unreadable == "" {
 		return
 	}
-	if held, due := g.limitLogLimiter.Due(now, instance); due {
+	if held, due := g.limitLogLimiter.Allow(now, instance); due {
 		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unreadable), zap.Int("held", held))...)
 	}
 }
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -48,7 +48,7 @@
 		return
 	}
 	now := g.now()
-	suppressed, due := g.weightsLogLimiter.Due(now, a.row.entry.ID)
+	suppressed, due := g.weightsLogLimiter.Allow(now, a.row.entry.ID)
 	if !due {
 		return
 	}
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -68,7 +68,7 @@
 	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
 		return
 	}
-	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
+	if held, due := g.backoffLogLimiter.Allow(now, row.entry.ID); due {
 		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
 			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unreadableBackoff), zap.Int("held", held))...)
 	}
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -27,8 +27,8 @@
 // NewLogLimiter returns one that has written no line yet.
 func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
-// Due reports whether a line may be written now, and how many were held back since the last.
-func (s *LogLimiter) Due(now time.Duration, key string) (suppressed int, allowed bool) {
+// Allow reports whether a line may be written now, and how many were held back since the last.
+func (s *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.states[key]
--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -14,7 +14,7 @@
 		held int
 		due  bool
 	}{{0, "a", 0, true}, {1, "a", 0, false}, {2, "b", 0, true}, {3, "a", 0, false}, {LogLimitInterval, "a", 2, true}, {2 * LogLimitInterval, "a", 0, true}} {
-		if held, due := lines.Due(wanted.at, wanted.key); held != wanted.held || due != wanted.due {
+		if held, due := lines.Allow(wanted.at, wanted.key); held != wanted.held || due != wanted.due {
 			t.Errorf("%d: %d held, due %v", i, held, due)
 		}
 	}
@@ -34,7 +34,7 @@
 	}{
 		{0, 0, true}, {0, 0, false}, {LogLimitInterval - 1, 0, false}, {LogLimitInterval, 2, true}, {LogLimitInterval + 1, 0, false}, {5 * LogLimitInterval, 1, true},
 	} {
-		if held, due := lines.Due(100*time.Second+step.after, ""); held != step.held || due != step.due {
+		if held, due := lines.Allow(100*time.Second+step.after, ""); held != step.held || due != step.due {
 			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, held, due, step.held, step.due)
 		}
 	}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -201,7 +201,7 @@
 		return
 	}
 	s.post(event)
-	suppressed, due := s.pushbackLogs.Due(s.now(), event.Name)
+	suppressed, due := s.pushbackLogs.Allow(s.now(), event.Name)
 	if !due {
 		return
 	}
