--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -31,14 +31,14 @@
 func (s *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, known := s.states[key]
-	if known && now-last.writtenAt < LogLimitInterval {
-		last.suppressed++
-		s.states[key] = last
+	state, known := s.states[key]
+	if known && now-state.writtenAt < LogLimitInterval {
+		state.suppressed++
+		s.states[key] = state
 		return 0, false
 	}
 	s.states[key] = logLimitState{writtenAt: now}
-	return last.suppressed, true
+	return state.suppressed, true
 }
 
 // Sweep forgets keys without a line for long.
