--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -45,8 +45,8 @@
 func (s *LogLimiter) Sweep(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, last := range s.states {
-		if now-last.writtenAt > logLimitStateTTL {
+	for key, state := range s.states {
+		if now-state.writtenAt > logLimitStateTTL {
 			delete(s.states, key)
 		}
 	}
