--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSparseLinesAreCounted: one a second for each key, with the count of those between; keys without lines are forgotten.
-func TestSparseLinesAreCounted(t *testing.T) {
+// TestLogLimiterAllowsOneLinePerIntervalAndKey: one a second for each key, with the count of those between; keys without lines are forgotten.
+func TestLogLimiterAllowsOneLinePerIntervalAndKey(t *testing.T) {
 	lines := NewLogLimiter()
 	for i, wanted := range []struct {
 		at   time.Duration
