--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestNoLineIsLost: what is held back is counted with the next line, however long that takes.
-func TestNoLineIsLost(t *testing.T) {
+// TestLogLimiterCountsSuppressedLines: what is held back is counted with the next line, however long that takes.
+func TestLogLimiterCountsSuppressedLines(t *testing.T) {
 	lines := NewLogLimiter()
 	for _, step := range []struct {
 		after time.Duration
