--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -26,7 +26,7 @@
 
 // TestLogLimiterCountsSuppressedLines: what is held back is counted with the next line, however long that takes.
 func TestLogLimiterCountsSuppressedLines(t *testing.T) {
-	lines := NewLogLimiter()
+	limiter := NewLogLimiter()
 	for _, step := range []struct {
 		after time.Duration
 		held  int
@@ -34,7 +34,7 @@
 	}{
 		{0, 0, true}, {0, 0, false}, {LogLimitInterval - 1, 0, false}, {LogLimitInterval, 2, true}, {LogLimitInterval + 1, 0, false}, {5 * LogLimitInterval, 1, true},
 	} {
-		if held, due := lines.Allow(100*time.Second+step.after, ""); held != step.held || due != step.due {
+		if held, due := limiter.Allow(100*time.Second+step.after, ""); held != step.held || due != step.due {
 			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, held, due, step.held, step.due)
 		}
 	}
