--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -8,13 +8,13 @@
 // TestLogLimiterAllowsOneLinePerIntervalAndKey: one a second for each key, with the count of those between; keys without lines are forgotten.
 func TestLogLimiterAllowsOneLinePerIntervalAndKey(t *testing.T) {
 	limiter := NewLogLimiter()
-	for i, wanted := range []struct {
+	for i, want := range []struct {
 		at   time.Duration
 		key  string
 		held int
 		due  bool
 	}{{0, "a", 0, true}, {1, "a", 0, false}, {2, "b", 0, true}, {3, "a", 0, false}, {LogLimitInterval, "a", 2, true}, {2 * LogLimitInterval, "a", 0, true}} {
-		if held, due := limiter.Allow(wanted.at, wanted.key); held != wanted.held || due != wanted.due {
+		if held, due := limiter.Allow(want.at, want.key); held != want.held || due != want.due {
 			t.Errorf("%d: %d held, due %v", i, held, due)
 		}
 	}
