--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -9,12 +9,12 @@
 func TestLogLimiterAllowsOneLinePerIntervalAndKey(t *testing.T) {
 	limiter := NewLogLimiter()
 	for i, want := range []struct {
-		at   time.Duration
-		key  string
-		held int
-		due  bool
+		at         time.Duration
+		key        string
+		suppressed int
+		due        bool
 	}{{0, "a", 0, true}, {1, "a", 0, false}, {2, "b", 0, true}, {3, "a", 0, false}, {LogLimitInterval, "a", 2, true}, {2 * LogLimitInterval, "a", 0, true}} {
-		if held, due := limiter.Allow(want.at, want.key); held != want.held || due != want.due {
+		if held, due := limiter.Allow(want.at, want.key); held != want.suppressed || due != want.due {
 			t.Errorf("%d: %d held, due %v", i, held, due)
 		}
 	}
