--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -28,14 +28,14 @@
 func TestLogLimiterCountsSuppressedLines(t *testing.T) {
 	limiter := NewLogLimiter()
 	for _, step := range []struct {
-		after time.Duration
-		held  int
-		due   bool
+		after      time.Duration
+		suppressed int
+		due        bool
 	}{
 		{0, 0, true}, {0, 0, false}, {LogLimitInterval - 1, 0, false}, {LogLimitInterval, 2, true}, {LogLimitInterval + 1, 0, false}, {5 * LogLimitInterval, 1, true},
 	} {
-		if held, due := limiter.Allow(100*time.Second+step.after, ""); held != step.held || due != step.due {
-			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, held, due, step.held, step.due)
+		if held, due := limiter.Allow(100*time.Second+step.after, ""); held != step.suppressed || due != step.due {
+			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, held, due, step.suppressed, step.due)
 		}
 	}
 }
