--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -14,8 +14,8 @@
 		suppressed int
 		allowed    bool
 	}{{0, "a", 0, true}, {1, "a", 0, false}, {2, "b", 0, true}, {3, "a", 0, false}, {LogLimitInterval, "a", 2, true}, {2 * LogLimitInterval, "a", 0, true}} {
-		if suppressed, due := limiter.Allow(want.at, want.key); suppressed != want.suppressed || due != want.allowed {
-			t.Errorf("%d: %d held, due %v", i, suppressed, due)
+		if suppressed, allowed := limiter.Allow(want.at, want.key); suppressed != want.suppressed || allowed != want.allowed {
+			t.Errorf("%d: %d held, due %v", i, suppressed, allowed)
 		}
 	}
 	limiter.Sweep(2*LogLimitInterval + logLimitStateTTL)
