--- a/internal/node/sparse_test.go
+++ b/internal/node/sparse_test.go
@@ -34,8 +34,8 @@
 	}{
 		{0, 0, true}, {0, 0, false}, {LogLimitInterval - 1, 0, false}, {LogLimitInterval, 2, true}, {LogLimitInterval + 1, 0, false}, {5 * LogLimitInterval, 1, true},
 	} {
-		if suppressed, due := limiter.Allow(100*time.Second+step.after, ""); suppressed != step.suppressed || due != step.allowed {
-			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, suppressed, due, step.suppressed, step.allowed)
+		if suppressed, allowed := limiter.Allow(100*time.Second+step.after, ""); suppressed != step.suppressed || allowed != step.allowed {
+			t.Errorf("after %v: %d, %v; wanted %d, %v", step.after, suppressed, allowed, step.suppressed, step.allowed)
 		}
 	}
 }
