--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// CompressFrom is the length of a body from which it travels compressed. Messages of a calm fleet are shorter; rosters,
+	// MinCompressBytes is the length of a body from which it travels compressed. Messages of a calm fleet are shorter; rosters,
 	// registrations and snapshots are JSON that repeats itself and shrinks some ten times, which is what lets a whole roster pass a link
 	// of 10 Mbit/s in tens of milliseconds.
-	CompressFrom = 8 << 10
+	MinCompressBytes = 8 << 10
 	// Gzip names the encoding.
 	Gzip = "gzip"
 )
@@ -29,7 +29,7 @@
 
 // Compress returns a body as it travels, and its encoding, "" where it is sent as it is.
 func Compress(body []byte) ([]byte, string) {
-	if len(body) < CompressFrom {
+	if len(body) < MinCompressBytes {
 		return body, ""
 	}
 	return pack(body), Gzip
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -47,7 +47,7 @@
 	for _, p := range parts {
 		length += len(p.plain())
 	}
-	packs := accepts && length >= CompressFrom
+	packs := accepts && length >= MinCompressBytes
 	var whole bytes.Buffer
 	for _, p := range parts {
 		switch {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -170,7 +170,7 @@
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
 	}
-	if len(body) >= payload.CompressFrom && s.owed.Load()+int64(len(body)) > s.most {
+	if len(body) >= payload.MinCompressBytes && s.owed.Load()+int64(len(body)) > s.most {
 		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.owed.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
