--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -19,7 +19,7 @@
 	Gzip = "gzip"
 )
 
-var compressors = sync.Pool{New: func() any {
+var gzipWriters = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
 		panic("payload: the level of compression is not known: " + err.Error())
@@ -38,8 +38,8 @@
 // pack returns data as one member of a compressed stream; members may follow each other.
 func pack(data []byte) []byte {
 	var packed bytes.Buffer
-	w := compressors.Get().(*gzip.Writer)
-	defer compressors.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&packed)
 	_, err := w.Write(data)
 	if err == nil {
