--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -32,11 +32,11 @@
 	if len(body) < MinCompressBytes {
 		return body, ""
 	}
-	return pack(body), Gzip
+	return gzipMember(body), Gzip
 }
 
-// pack returns data as one member of a compressed stream; members may follow each other.
-func pack(data []byte) []byte {
+// gzipMember returns data as one member of a compressed stream; members may follow each other.
+func gzipMember(data []byte) []byte {
 	var packed bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
 	defer gzipWriters.Put(w)
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -26,7 +26,7 @@
 func (s *Shared) MarshalJSON() ([]byte, error) { return s.plain, nil }
 
 func (s *Shared) compressed() []byte {
-	s.once.Do(func() { s.packed = pack(s.plain) })
+	s.once.Do(func() { s.packed = gzipMember(s.plain) })
 	return s.packed
 }
 
@@ -56,7 +56,7 @@
 		case p.Shared != nil:
 			whole.Write(p.Shared.compressed())
 		default:
-			whole.Write(pack(p.Own))
+			whole.Write(gzipMember(p.Own))
 		}
 	}
 	if packs {
