--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -37,10 +37,10 @@
 
 // gzipMember returns data as one member of a compressed stream; members may follow each other.
 func gzipMember(data []byte) []byte {
-	var packed bytes.Buffer
+	var compressed bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
 	defer gzipWriters.Put(w)
-	w.Reset(&packed)
+	w.Reset(&compressed)
 	_, err := w.Write(data)
 	if err == nil {
 		err = w.Close()
@@ -48,7 +48,7 @@
 	if err != nil {
 		panic("payload: memory cannot be written: " + err.Error())
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
 // Expand returns a body that came in an encoding; one of more than most bytes is refused.
