--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -51,8 +51,8 @@
 	return compressed.Bytes()
 }
 
-// Expand returns a body that came in an encoding; one of more than most bytes is refused.
-func Expand(body io.Reader, encoding string, most int) ([]byte, error) {
+// Decompress returns a body that came in an encoding; one of more than most bytes is refused.
+func Decompress(body io.Reader, encoding string, most int) ([]byte, error) {
 	switch encoding {
 	case "":
 	case Gzip:
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -22,18 +22,18 @@
 		if encoding != Gzip || len(packed)*8 > len(long) {
 			t.Fatalf("%d bytes travel as %d, encoding %q", len(long), len(packed), encoding)
 		}
-		back, err := Expand(bytes.NewReader(packed), encoding, len(long))
+		back, err := Decompress(bytes.NewReader(packed), encoding, len(long))
 		if err != nil || !bytes.Equal(back, long) {
 			t.Fatalf("%d bytes came back as %d: %v", len(long), len(back), err)
 		}
-		if _, err := Expand(bytes.NewReader(packed), encoding, len(long)-1); err == nil {
+		if _, err := Decompress(bytes.NewReader(packed), encoding, len(long)-1); err == nil {
 			t.Fatal("a body that is too long was taken")
 		}
 	}
-	if _, err := Expand(strings.NewReader("nonsense"), Gzip, 1000); err == nil {
+	if _, err := Decompress(strings.NewReader("nonsense"), Gzip, 1000); err == nil {
 		t.Fatal("nonsense was expanded")
 	}
-	if _, err := Expand(strings.NewReader("x"), "br", 1000); err == nil {
+	if _, err := Decompress(strings.NewReader("x"), "br", 1000); err == nil {
 		t.Fatal("an encoding that isn't known was taken")
 	}
 }
@@ -50,7 +50,7 @@
 		t.Fatalf("encoding %q for one who doesn't take it", encoding)
 	}
 	packed, encoding := Assemble(parts, true)
-	back, err := Expand(bytes.NewReader(packed), encoding, len(plain))
+	back, err := Decompress(bytes.NewReader(packed), encoding, len(plain))
 	if err != nil || !bytes.Equal(back, plain) {
 		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(back), err)
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -109,7 +109,7 @@
 		return eris.Wrapf(err, "%s %s", method, path)
 	}
 	defer response.Body.Close()
-	data, err := payload.Expand(response.Body, response.Header.Get(encodingHeader), maxMessageBytes)
+	data, err := payload.Decompress(response.Body, response.Header.Get(encodingHeader), maxMessageBytes)
 	if err != nil {
 		return eris.Wrapf(err, "read answer of %s", path)
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -118,7 +118,7 @@
 	known := s.knows(request)
 	var body []byte
 	if known { // who doesn't show the token has nothing expanded
-		body, err = payload.Expand(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
+		body, err = payload.Decompress(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
 	}
 	if err != nil {
 		s.log.Warn("malformed internal request", zap.Error(err))
