--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -52,7 +52,7 @@
 }
 
 // Decompress returns a body that came in an encoding; one of more than most bytes is refused.
-func Decompress(body io.Reader, encoding string, most int) ([]byte, error) {
+func Decompress(body io.Reader, encoding string, maxBytes int) ([]byte, error) {
 	switch encoding {
 	case "":
 	case Gzip:
@@ -65,12 +65,12 @@
 	default:
 		return nil, eris.Errorf("encoding %q is not known", encoding)
 	}
-	data, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
+	data, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read body")
 	}
-	if len(data) > most {
-		return nil, eris.Errorf("a body of more than %d bytes is not accepted", most)
+	if len(data) > maxBytes {
+		return nil, eris.Errorf("a body of more than %d bytes is not accepted", maxBytes)
 	}
 	return data, nil
 }
