--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -38,7 +38,7 @@
 // publishedDocument is the routing document sent to gateways, with an encoding that all replies share.
 type publishedDocument struct {
 	document *catalog.Document
-	shared   *payload.Shared
+	shared   *payload.SharedJSON
 }
 
 // pendingProposal holds the clients that wait for a proposed log entry.
--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -48,7 +48,7 @@
 	Entries []Entry  `json:"entries,omitempty"` // in ascending order of ID
 	Removed []string `json:"gone,omitempty"`    // sorted IDs of removed entries; empty if Full is set
 
-	shared *payload.Shared // the update encoded as JSON for many recipients, or nil
+	shared *payload.SharedJSON // the update encoded as JSON for many recipients, or nil
 }
 
 // MarshalJSON returns the shared encoding if there is one.
@@ -61,7 +61,7 @@
 }
 
 // Shared returns the encoding that many messages share, or nil.
-func (u *Update) Shared() *payload.Shared { return u.shared }
+func (u *Update) Shared() *payload.SharedJSON { return u.shared }
 
 // encodeShared stores the shared encoding.
 func (u *Update) encodeShared() *Update {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -46,7 +46,7 @@
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // set if it differs from the list that the gateway holds
 
-	sharedDocument *payload.Shared // Document encoded as JSON, or nil
+	sharedDocument *payload.SharedJSON // Document encoded as JSON, or nil
 }
 
 // Parts returns the encoded response. Document and roster update are encoded and compressed once and shared by all
@@ -226,7 +226,7 @@
 }
 
 // publishedDocument returns the document without its source, as sent to gateways, and its shared encoding.
-func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
+func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.SharedJSON) {
 	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -6,26 +6,26 @@
 	"sync"
 )
 
-// Shared is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
-type Shared struct {
+// SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
+type SharedJSON struct {
 	plain  []byte
 	once   sync.Once
 	packed []byte
 }
 
 // NewShared encodes a value.
-func NewShared(value any) (*Shared, error) {
+func NewShared(value any) (*SharedJSON, error) {
 	plain, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return &Shared{plain: plain}, nil
+	return &SharedJSON{plain: plain}, nil
 }
 
 // MarshalJSON returns the JSON as it was made.
-func (s *Shared) MarshalJSON() ([]byte, error) { return s.plain, nil }
+func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.plain, nil }
 
-func (s *Shared) compressed() []byte {
+func (s *SharedJSON) compressed() []byte {
 	s.once.Do(func() { s.packed = gzipMember(s.plain) })
 	return s.packed
 }
@@ -33,7 +33,7 @@
 // Part is a piece of a message: bytes of its own, or JSON that it shares with others.
 type Part struct {
 	Own    []byte
-	Shared *Shared // instead of Own; or nil
+	Shared *SharedJSON // instead of Own; or nil
 }
 
 // Composite is a message that is made of parts. Together they are its JSON.
