--- a/internal/control/roster/roster.go
+++ b/internal/control/roster/roster.go
@@ -65,7 +65,7 @@
 
 // encodeShared stores the shared encoding.
 func (u *Update) encodeShared() *Update {
-	if shared, err := payload.NewShared(u); err == nil {
+	if shared, err := payload.NewSharedJSON(u); err == nil {
 		u.shared = shared // on failure, MarshalJSON reports the error
 	}
 	return u
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -231,7 +231,7 @@
 		sent := *document
 		sent.Source = nil
 		r.published.document, r.published.shared = &sent, nil
-		if shared, err := payload.NewShared(&sent); err == nil {
+		if shared, err := payload.NewSharedJSON(&sent); err == nil {
 			r.published.shared = shared // on failure, encoding the response reports the error
 		}
 	}
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -40,7 +40,7 @@
 
 // TestSharedPartsAreCompressedOnce: a message with a large shared part costs about what its own parts do, and reads as one.
 func TestSharedPartsAreCompressedOnce(t *testing.T) {
-	shared, err := NewShared(strings.Split(strings.Repeat(entry, 4000), ","))
+	shared, err := NewSharedJSON(strings.Split(strings.Repeat(entry, 4000), ","))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -13,8 +13,8 @@
 	packed []byte
 }
 
-// NewShared encodes a value.
-func NewShared(value any) (*SharedJSON, error) {
+// NewSharedJSON encodes a value.
+func NewSharedJSON(value any) (*SharedJSON, error) {
 	plain, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
