--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -8,9 +8,9 @@
 
 // SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
 type SharedJSON struct {
-	plain  []byte
-	once   sync.Once
-	packed []byte
+	plain   []byte
+	once    sync.Once
+	gzipped []byte
 }
 
 // NewSharedJSON encodes a value.
@@ -26,8 +26,8 @@
 func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.plain, nil }
 
 func (s *SharedJSON) compressed() []byte {
-	s.once.Do(func() { s.packed = gzipMember(s.plain) })
-	return s.packed
+	s.once.Do(func() { s.gzipped = gzipMember(s.plain) })
+	return s.gzipped
 }
 
 // Part is a piece of a message: bytes of its own, or JSON that it shares with others.
