--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -8,9 +8,9 @@
 
 // SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
 type SharedJSON struct {
-	plain   []byte
-	once    sync.Once
-	gzipped []byte
+	plain    []byte
+	gzipOnce sync.Once
+	gzipped  []byte
 }
 
 // NewSharedJSON encodes a value.
@@ -26,7 +26,7 @@
 func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.plain, nil }
 
 func (s *SharedJSON) compressed() []byte {
-	s.once.Do(func() { s.gzipped = gzipMember(s.plain) })
+	s.gzipOnce.Do(func() { s.gzipped = gzipMember(s.plain) })
 	return s.gzipped
 }
 
