--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -8,7 +8,7 @@
 
 // SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
 type SharedJSON struct {
-	plain    []byte
+	encoded  []byte
 	gzipOnce sync.Once
 	gzipped  []byte
 }
@@ -19,14 +19,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &SharedJSON{plain: plain}, nil
+	return &SharedJSON{encoded: plain}, nil
 }
 
 // MarshalJSON returns the JSON as it was made.
-func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.plain, nil }
+func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.encoded, nil }
 
 func (s *SharedJSON) compressed() []byte {
-	s.gzipOnce.Do(func() { s.gzipped = gzipMember(s.plain) })
+	s.gzipOnce.Do(func() { s.gzipped = gzipMember(s.encoded) })
 	return s.gzipped
 }
 
@@ -67,7 +67,7 @@
 
 func (p Part) plain() []byte {
 	if p.Shared != nil {
-		return p.Shared.plain
+		return p.Shared.encoded
 	}
 	return p.Own
 }
