--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -15,11 +15,11 @@
 
 // NewSharedJSON encodes a value.
 func NewSharedJSON(value any) (*SharedJSON, error) {
-	plain, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return &SharedJSON{encoded: plain}, nil
+	return &SharedJSON{encoded: encoded}, nil
 }
 
 // MarshalJSON returns the JSON as it was made.
