--- a/internal/control/large_test.go
+++ b/internal/control/large_test.go
@@ -170,7 +170,7 @@
 		}
 		bytes := 0
 		for _, p := range parts {
-			bytes += len(p.Own)
+			bytes += len(p.Raw)
 		}
 		var whole, assembled Response
 		body, _ := payload.Assemble(parts, false)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -56,11 +56,11 @@
 	if r.Watch != nil {
 		watchReply := *r.Watch
 		if watchReply.sharedDocument != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: watchReply.sharedDocument})
+			parts = append(parts, payload.Part{Raw: []byte(`,"document":`)}, payload.Part{Shared: watchReply.sharedDocument})
 			watchReply.Document = nil
 		}
 		if watchReply.Roster != nil && watchReply.Roster.Shared() != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"roster":`)}, payload.Part{Shared: watchReply.Roster.Shared()})
+			parts = append(parts, payload.Part{Raw: []byte(`,"roster":`)}, payload.Part{Shared: watchReply.Roster.Shared()})
 			watchReply.Roster = nil
 		}
 		r.Watch = &watchReply
@@ -68,13 +68,13 @@
 	type plain Response
 	encoded, err := json.Marshal(plain(r))
 	if err != nil || len(parts) == 0 {
-		return []payload.Part{{Own: encoded}}, err
+		return []payload.Part{{Raw: encoded}}, err
 	}
 	head, found := bytes.CutSuffix(encoded, []byte("}}")) // a watch reply is the last field of its response
 	if !found {
 		panic("control: a watch reply is not the last field of its response: " + string(encoded))
 	}
-	return append(append([]payload.Part{{Own: head}}, parts...), payload.Part{Own: []byte("}}")}), nil
+	return append(append([]payload.Part{{Raw: head}}, parts...), payload.Part{Raw: []byte("}}")}), nil
 }
 
 // heldWatch is a watch that is answered when something changes or it is due.
--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts := []Part{{Own: []byte(`{"kind":"ok","roster":`)}, {Shared: shared}, {Own: []byte(`}`)}}
+	parts := []Part{{Raw: []byte(`{"kind":"ok","roster":`)}, {Shared: shared}, {Raw: []byte(`}`)}}
 	plain, encoding := Assemble(parts, false)
 	if encoding != "" {
 		t.Fatalf("encoding %q for one who doesn't take it", encoding)
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -32,7 +32,7 @@
 
 // Part is a piece of a message: bytes of its own, or JSON that it shares with others.
 type Part struct {
-	Own    []byte
+	Raw    []byte
 	Shared *SharedJSON // instead of Own; or nil
 }
 
@@ -56,7 +56,7 @@
 		case p.Shared != nil:
 			whole.Write(p.Shared.compressed())
 		default:
-			whole.Write(gzipMember(p.Own))
+			whole.Write(gzipMember(p.Raw))
 		}
 	}
 	if packs {
@@ -69,5 +69,5 @@
 	if p.Shared != nil {
 		return p.Shared.encoded
 	}
-	return p.Own
+	return p.Raw
 }
