--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -42,12 +42,12 @@
 }
 
 // Assemble returns the bytes of a message made of parts, as it travels, and its encoding. Compressing costs what the own parts are.
-func Assemble(parts []Part, accepts bool) (body []byte, encoding string) {
+func Assemble(parts []Part, acceptsGzip bool) (body []byte, encoding string) {
 	length := 0
 	for _, p := range parts {
 		length += len(p.plain())
 	}
-	packs := accepts && length >= MinCompressBytes
+	packs := acceptsGzip && length >= MinCompressBytes
 	var whole bytes.Buffer
 	for _, p := range parts {
 		switch {
