--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -47,11 +47,11 @@
 	for _, p := range parts {
 		length += len(p.plain())
 	}
-	packs := acceptsGzip && length >= MinCompressBytes
+	compresses := acceptsGzip && length >= MinCompressBytes
 	var whole bytes.Buffer
 	for _, p := range parts {
 		switch {
-		case !packs:
+		case !compresses:
 			whole.Write(p.plain())
 		case p.Shared != nil:
 			whole.Write(p.Shared.compressed())
@@ -59,7 +59,7 @@
 			whole.Write(gzipMember(p.Raw))
 		}
 	}
-	if packs {
+	if compresses {
 		encoding = Gzip
 	}
 	return whole.Bytes(), encoding
