--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -48,21 +48,21 @@
 		length += len(p.plain())
 	}
 	compresses := acceptsGzip && length >= MinCompressBytes
-	var whole bytes.Buffer
+	var assembled bytes.Buffer
 	for _, p := range parts {
 		switch {
 		case !compresses:
-			whole.Write(p.plain())
+			assembled.Write(p.plain())
 		case p.Shared != nil:
-			whole.Write(p.Shared.compressed())
+			assembled.Write(p.Shared.compressed())
 		default:
-			whole.Write(gzipMember(p.Raw))
+			assembled.Write(gzipMember(p.Raw))
 		}
 	}
 	if compresses {
 		encoding = Gzip
 	}
-	return whole.Bytes(), encoding
+	return assembled.Bytes(), encoding
 }
 
 func (p Part) plain() []byte {
