--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -45,14 +45,14 @@
 func Assemble(parts []Part, acceptsGzip bool) (body []byte, encoding string) {
 	length := 0
 	for _, p := range parts {
-		length += len(p.plain())
+		length += len(p.uncompressed())
 	}
 	compresses := acceptsGzip && length >= MinCompressBytes
 	var assembled bytes.Buffer
 	for _, p := range parts {
 		switch {
 		case !compresses:
-			assembled.Write(p.plain())
+			assembled.Write(p.uncompressed())
 		case p.Shared != nil:
 			assembled.Write(p.Shared.compressed())
 		default:
@@ -65,7 +65,7 @@
 	return assembled.Bytes(), encoding
 }
 
-func (p Part) plain() []byte {
+func (p Part) uncompressed() []byte {
 	if p.Shared != nil {
 		return p.Shared.encoded
 	}
