--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-const entry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
+const rosterEntry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
 
 // TestLongBodiesTravelCompressed: and only these; JSON that repeats itself shrinks at least eight times.
 func TestLongBodiesTravelCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
-		long := []byte(strings.Repeat(entry, count))
+		long := []byte(strings.Repeat(rosterEntry, count))
 		packed, encoding := Compress(long)
 		if count == 1 {
 			if encoding != "" || !bytes.Equal(packed, long) {
@@ -40,7 +40,7 @@
 
 // TestSharedPartsAreCompressedOnce: a message with a large shared part costs about what its own parts do, and reads as one.
 func TestSharedPartsAreCompressedOnce(t *testing.T) {
-	shared, err := NewSharedJSON(strings.Split(strings.Repeat(entry, 4000), ","))
+	shared, err := NewSharedJSON(strings.Split(strings.Repeat(rosterEntry, 4000), ","))
 	if err != nil {
 		t.Fatal(err)
 	}
