--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -8,8 +8,8 @@
 
 const rosterEntry = `{"id":"engine-000017-3","address":"10.1.2.3:8000","zone":"a","state":"ready"},`
 
-// TestLongBodiesTravelCompressed: and only these; JSON that repeats itself shrinks at least eight times.
-func TestLongBodiesTravelCompressed(t *testing.T) {
+// TestOnlyLongBodiesAreCompressed: and only these; JSON that repeats itself shrinks at least eight times.
+func TestOnlyLongBodiesAreCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
 		long := []byte(strings.Repeat(rosterEntry, count))
 		packed, encoding := Compress(long)
