--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -11,22 +11,22 @@
 // TestOnlyLongBodiesAreCompressed: and only these; JSON that repeats itself shrinks at least eight times.
 func TestOnlyLongBodiesAreCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
-		long := []byte(strings.Repeat(rosterEntry, count))
-		packed, encoding := Compress(long)
+		body := []byte(strings.Repeat(rosterEntry, count))
+		packed, encoding := Compress(body)
 		if count == 1 {
-			if encoding != "" || !bytes.Equal(packed, long) {
-				t.Fatalf("a body of %d bytes is encoded as %q", len(long), encoding)
+			if encoding != "" || !bytes.Equal(packed, body) {
+				t.Fatalf("a body of %d bytes is encoded as %q", len(body), encoding)
 			}
 			continue
 		}
-		if encoding != Gzip || len(packed)*8 > len(long) {
-			t.Fatalf("%d bytes travel as %d, encoding %q", len(long), len(packed), encoding)
+		if encoding != Gzip || len(packed)*8 > len(body) {
+			t.Fatalf("%d bytes travel as %d, encoding %q", len(body), len(packed), encoding)
 		}
-		back, err := Decompress(bytes.NewReader(packed), encoding, len(long))
-		if err != nil || !bytes.Equal(back, long) {
-			t.Fatalf("%d bytes came back as %d: %v", len(long), len(back), err)
+		back, err := Decompress(bytes.NewReader(packed), encoding, len(body))
+		if err != nil || !bytes.Equal(back, body) {
+			t.Fatalf("%d bytes came back as %d: %v", len(body), len(back), err)
 		}
-		if _, err := Decompress(bytes.NewReader(packed), encoding, len(long)-1); err == nil {
+		if _, err := Decompress(bytes.NewReader(packed), encoding, len(body)-1); err == nil {
 			t.Fatal("a body that is too long was taken")
 		}
 	}
