--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -12,21 +12,21 @@
 func TestOnlyLongBodiesAreCompressed(t *testing.T) {
 	for _, count := range []int{1, 1000, 2000} {
 		body := []byte(strings.Repeat(rosterEntry, count))
-		packed, encoding := Compress(body)
+		compressed, encoding := Compress(body)
 		if count == 1 {
-			if encoding != "" || !bytes.Equal(packed, body) {
+			if encoding != "" || !bytes.Equal(compressed, body) {
 				t.Fatalf("a body of %d bytes is encoded as %q", len(body), encoding)
 			}
 			continue
 		}
-		if encoding != Gzip || len(packed)*8 > len(body) {
-			t.Fatalf("%d bytes travel as %d, encoding %q", len(body), len(packed), encoding)
+		if encoding != Gzip || len(compressed)*8 > len(body) {
+			t.Fatalf("%d bytes travel as %d, encoding %q", len(body), len(compressed), encoding)
 		}
-		back, err := Decompress(bytes.NewReader(packed), encoding, len(body))
+		back, err := Decompress(bytes.NewReader(compressed), encoding, len(body))
 		if err != nil || !bytes.Equal(back, body) {
 			t.Fatalf("%d bytes came back as %d: %v", len(body), len(back), err)
 		}
-		if _, err := Decompress(bytes.NewReader(packed), encoding, len(body)-1); err == nil {
+		if _, err := Decompress(bytes.NewReader(compressed), encoding, len(body)-1); err == nil {
 			t.Fatal("a body that is too long was taken")
 		}
 	}
