--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -22,9 +22,9 @@
 		if encoding != Gzip || len(compressed)*8 > len(body) {
 			t.Fatalf("%d bytes travel as %d, encoding %q", len(body), len(compressed), encoding)
 		}
-		back, err := Decompress(bytes.NewReader(compressed), encoding, len(body))
-		if err != nil || !bytes.Equal(back, body) {
-			t.Fatalf("%d bytes came back as %d: %v", len(body), len(back), err)
+		decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(body))
+		if err != nil || !bytes.Equal(decompressed, body) {
+			t.Fatalf("%d bytes came back as %d: %v", len(body), len(decompressed), err)
 		}
 		if _, err := Decompress(bytes.NewReader(compressed), encoding, len(body)-1); err == nil {
 			t.Fatal("a body that is too long was taken")
