--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -49,8 +49,8 @@
 	if encoding != "" {
 		t.Fatalf("encoding %q for one who doesn't take it", encoding)
 	}
-	packed, encoding := Assemble(parts, true)
-	back, err := Decompress(bytes.NewReader(packed), encoding, len(plain))
+	compressed, encoding := Assemble(parts, true)
+	back, err := Decompress(bytes.NewReader(compressed), encoding, len(plain))
 	if err != nil || !bytes.Equal(back, plain) {
 		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(back), err)
 	}
