--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -50,9 +50,9 @@
 		t.Fatalf("encoding %q for one who doesn't take it", encoding)
 	}
 	compressed, encoding := Assemble(parts, true)
-	back, err := Decompress(bytes.NewReader(compressed), encoding, len(plain))
-	if err != nil || !bytes.Equal(back, plain) {
-		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(back), err)
+	decompressed, err := Decompress(bytes.NewReader(compressed), encoding, len(plain))
+	if err != nil || !bytes.Equal(decompressed, plain) {
+		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(decompressed), err)
 	}
 	first := shared.compressed()
 	Assemble(parts, true)
