--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -54,9 +54,9 @@
 	if err != nil || !bytes.Equal(decompressed, plain) {
 		t.Fatalf("%d bytes came back as %d: %v", len(plain), len(decompressed), err)
 	}
-	first := shared.compressed()
+	firstGzip := shared.compressed()
 	Assemble(parts, true)
-	if again := shared.compressed(); &again[0] != &first[0] {
+	if again := shared.compressed(); &again[0] != &firstGzip[0] {
 		t.Fatal("the shared part was compressed twice")
 	}
 }
