--- a/internal/payload/payload_test.go
+++ b/internal/payload/payload_test.go
@@ -56,7 +56,7 @@
 	}
 	firstGzip := shared.compressed()
 	Assemble(parts, true)
-	if again := shared.compressed(); &again[0] != &firstGzip[0] {
+	if secondGzip := shared.compressed(); &secondGzip[0] != &firstGzip[0] {
 		t.Fatal("the shared part was compressed twice")
 	}
 }
