--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -23,24 +23,24 @@
 
 // GenerateRequest is one attempt sent to an engine.
 type GenerateRequest struct {
-	Request      string         `json:"request"`
-	Attempt      core.AttemptID `json:"attempt"`
-	Router       string         `json:"router"`
-	Tenant       string         `json:"tenant"`
-	Prompt       string         `json:"prompt"`
-	Blocks       []prefix.Hash  `json:"blocks"`
-	PromptTokens int            `json:"prompt_tokens"`
-	MaxTokens    int            `json:"max_tokens"`
-	ResumeFrom   int            `json:"resume_from"`
-	Lane         core.Lane      `json:"lane"`
-	Seed         uint64         `json:"seed"`
-	Incarnation  uint64         `json:"incarnation"`
-	Weights      string         `json:"weights"`
-	RelyTokens   int            `json:"rely_tokens"`
-	ImportFrom   string         `json:"import_from,omitempty"`
-	ImportBlocks int            `json:"import_blocks,omitempty"`
-	KeepBlocks   int            `json:"keep_blocks,omitempty"`
-	Vault        string         `json:"vault,omitempty"`
+	Request              string         `json:"request"`
+	Attempt              core.AttemptID `json:"attempt"`
+	Router               string         `json:"router"`
+	Tenant               string         `json:"tenant"`
+	Prompt               string         `json:"prompt"`
+	Blocks               []prefix.Hash  `json:"blocks"`
+	PromptTokens         int            `json:"prompt_tokens"`
+	MaxTokens            int            `json:"max_tokens"`
+	ResumeFrom           int            `json:"resume_from"`
+	Lane                 core.Lane      `json:"lane"`
+	Seed                 uint64         `json:"seed"`
+	Incarnation          uint64         `json:"incarnation"`
+	Weights              string         `json:"weights"`
+	ExpectedCachedTokens int            `json:"rely_tokens"`
+	ImportFrom           string         `json:"import_from,omitempty"`
+	ImportBlocks         int            `json:"import_blocks,omitempty"`
+	KeepBlocks           int            `json:"keep_blocks,omitempty"`
+	Vault                string         `json:"vault,omitempty"`
 }
 
 // GenerateEventKind names an event of an engine's stream.
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -12,7 +12,7 @@
 		Prompt: a.exchange.prompt, Blocks: a.action.Blocks, PromptTokens: a.exchange.request.PromptTokens,
 		MaxTokens: a.action.MaxTokens, ResumeFrom: a.action.ResumeFrom, Lane: a.action.Lane,
 		Seed: a.exchange.completion.Seed, Incarnation: a.action.Incarnation, Weights: a.action.Weights,
-		RelyTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
+		ExpectedCachedTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
 	if a.action.StoreInVault {
 		request.KeepBlocks, request.Vault = a.action.VaultBlocks, file.Router.Vault
