--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -39,7 +39,7 @@
 	ExpectedCachedTokens int            `json:"rely_tokens"`
 	ImportFrom           string         `json:"import_from,omitempty"`
 	ImportBlocks         int            `json:"import_blocks,omitempty"`
-	KeepBlocks           int            `json:"keep_blocks,omitempty"`
+	VaultBlocks          int            `json:"keep_blocks,omitempty"`
 	Vault                string         `json:"vault,omitempty"`
 }
 
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -212,12 +212,12 @@
 
 // keep stores the asked-for prefix in the vault.
 func (e *Engine) keep(request api.GenerateRequest) int {
-	if request.KeepBlocks == 0 || request.Vault == "" {
+	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), kvTimeout)
 	defer cancel()
-	blocks := request.Blocks[:min(request.KeepBlocks, len(request.Blocks))]
+	blocks := request.Blocks[:min(request.VaultBlocks, len(request.Blocks))]
 	var reply api.KVReply
 	if err := e.client.Post(ctx, request.Vault, api.PathKVKeep, api.KVRequest{Blocks: blocks}, &reply); err != nil {
 		return 0
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -15,7 +15,7 @@
 		ExpectedCachedTokens: a.action.ExpectedCachedTokens, ImportFrom: a.action.ImportFrom, ImportBlocks: a.action.ImportBlocks,
 	}
 	if a.action.StoreInVault {
-		request.KeepBlocks, request.Vault = a.action.VaultBlocks, file.Router.Vault
+		request.VaultBlocks, request.Vault = a.action.VaultBlocks, file.Router.Vault
 	}
 	return request
 }
