--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -205,7 +205,7 @@
 		event.Kind, event.Text = api.GenerateToken, TokenText(digest, request.Seed, output.Index)
 	case engine.OutputDone:
 		event.Kind = api.GenerateDone
-		event.Kept = e.keep(request)
+		event.StoredBlocks = e.keep(request)
 	}
 	return event
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -256,8 +256,8 @@
 		s.handleStarted(a, event, out)
 		return false
 	case api.GenerateDone:
-		if event.Kept > 0 {
-			s.post(core.EventVault{Blocks: a.action.Blocks[:min(event.Kept, len(a.action.Blocks))], Held: true})
+		if event.StoredBlocks > 0 {
+			s.post(core.EventVault{Blocks: a.action.Blocks[:min(event.StoredBlocks, len(a.action.Blocks))], Held: true})
 		}
 		out.Kind = core.AttemptDone
 		s.post(out)
