--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -55,16 +55,16 @@
 
 // GenerateEvent is one event of an engine's stream (server-sent events with JSON data).
 type GenerateEvent struct {
-	Kind         GenerateEventKind `json:"k"`
-	Attempt      core.AttemptID    `json:"a"`
-	Index        int               `json:"i,omitempty"` // token position, or answer length
-	Text         string            `json:"t,omitempty"`
-	Cached       int               `json:"cached,omitempty"`
-	Imported     int               `json:"imported,omitempty"`
-	Incarnation  uint64            `json:"inc,omitempty"`
-	NoReuse      bool              `json:"no_reuse,omitempty"`    // another life or other weights than relied on
-	StoredBlocks int               `json:"kept,omitempty"`        // blocks stored in the vault
-	Limit        *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
+	Kind            GenerateEventKind `json:"k"`
+	Attempt         core.AttemptID    `json:"a"`
+	Index           int               `json:"i,omitempty"` // token position, or answer length
+	Text            string            `json:"t,omitempty"`
+	Cached          int               `json:"cached,omitempty"`
+	Imported        int               `json:"imported,omitempty"`
+	Incarnation     uint64            `json:"inc,omitempty"`
+	NoReuse         bool              `json:"no_reuse,omitempty"`    // another life or other weights than relied on
+	StoredBlocks    int               `json:"kept,omitempty"`        // blocks stored in the vault
+	AdvertisedLimit *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
 }
 
 // BackendRefusal is the body of a 503 of a back end that provably did not take the request.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -269,7 +269,7 @@
 
 func (s *Server) handleStarted(a *activeAttempt, event api.GenerateEvent, out core.EventAttempt) {
 	out.Kind = core.AttemptStarted
-	out.AdvertisesLimit = s.observeLimit(a, event.Limit, event.Incarnation)
+	out.AdvertisesLimit = s.observeLimit(a, event.AdvertisedLimit, event.Incarnation)
 	s.post(out)
 	s.metrics.recordStarted(a, event)
 	if event.NoReuse {
