--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -67,8 +67,8 @@
 	AdvertisedLimit *float64          `json:"limit_per_s,omitempty"` // started: requests a second that the engine takes from all routers together
 }
 
-// BackendRefusal is the body of a 503 of a back end that provably did not take the request.
-type BackendRefusal struct {
+// BackendRejection is the body of a 503 of a back end that provably did not take the request.
+type BackendRejection struct {
 	Run          core.RunStatus `json:"run"`
 	Leaving      bool           `json:"leaving,omitempty"`
 	RetryAfterMS int64          `json:"retry_after_ms,omitempty"`
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -152,8 +152,8 @@
 }
 
 // refusalOf returns the answer to a job that was not taken.
-func refusalOf(result engine.SubmitResult) (api.BackendRefusal, bool) {
-	refusal := api.BackendRefusal{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
+func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
+	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
 	switch result {
 	case engine.RefusedLeaving:
 		refusal.Leaving = true
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -130,7 +130,7 @@
 // request. The pushback in the answer applies in any case.
 func (a *activeAttempt) parseRefusal(response *http.Response) (pushbackEvent core.EventPushback, event core.EventAttempt) {
 	pushbackEvent = core.EventPushback{Name: a.action.Backend, Incarnation: a.action.Incarnation}
-	var body api.BackendRefusal
+	var body api.BackendRejection
 	err := json.NewDecoder(io.LimitReader(response.Body, maxEventBytes)).Decode(&body)
 	if err != nil {
 		return pushbackEvent, a.event(core.AttemptBroken)
--- a/internal/router/heldback_test.go
+++ b/internal/router/heldback_test.go
@@ -189,7 +189,7 @@
 		}
 		if requests.Add(1) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(api.BackendRefusal{Run: core.RunNot})
+			_ = json.NewEncoder(w).Encode(api.BackendRejection{Run: core.RunNot})
 			return
 		}
 		for _, kind := range []api.GenerateEventKind{api.GenerateStarted, api.GenerateDone} {
