--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -156,7 +156,7 @@
 	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
 	switch result {
 	case engine.RefusedLeaving:
-		refusal.Leaving = true
+		refusal.Draining = true
 		return refusal, true
 	case engine.RefusedBusy, engine.RefusedLoading:
 		return refusal, true
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -62,7 +62,7 @@
 		panic(http.ErrAbortHandler) // the connection dies after the request was read
 	}
 	if !s.begin(request) {
-		writeJSON(w, http.StatusServiceUnavailable, api.BackendRejection{Run: core.RunNot, Leaving: true})
+		writeJSON(w, http.StatusServiceUnavailable, api.BackendRejection{Run: core.RunNot, Draining: true})
 		return
 	}
 	time.Sleep(s.config.ServiceTime)
