--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -69,11 +69,11 @@
 
 // BackendRejection is the body of a 503 of a back end that provably did not take the request.
 type BackendRejection struct {
-	Run          core.RunStatus `json:"run"`
-	Draining     bool           `json:"leaving,omitempty"`
-	RetryAfterMS int64          `json:"retry_after_ms,omitempty"`
-	Limit        *float64       `json:"limit_per_s,omitempty"` // requests a second that it takes from all routers together; absent names none
-	Incarnation  uint64         `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
+	Run             core.RunStatus `json:"run"`
+	Draining        bool           `json:"leaving,omitempty"`
+	RetryAfterMS    int64          `json:"retry_after_ms,omitempty"`
+	AdvertisedLimit *float64       `json:"limit_per_s,omitempty"` // requests a second that it takes from all routers together; absent names none
+	Incarnation     uint64         `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
 }
 
 // RunRequest is one attempt sent to a small service.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -137,7 +137,7 @@
 	}
 	pushbackEvent.Incarnation = a.respondingIncarnation(body.Incarnation)
 	backoffMS := min(body.RetryAfterMS, pushback.MaxBackoff.Milliseconds()) // avoids overflow of the Duration
-	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Draining, Limit: advertisedLimit(body.Limit)}
+	pushbackEvent.Signals = pushback.Signals{Backoff: time.Duration(backoffMS) * time.Millisecond, Draining: body.Draining, Limit: advertisedLimit(body.AdvertisedLimit)}
 	if body.Run != core.RunNot {
 		return pushbackEvent, a.event(core.AttemptBroken)
 	}
