--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -307,7 +307,7 @@
 		return
 	}
 	done := a.event(core.AttemptDone)
-	done.AdvertisesLimit = s.observeLimit(a, reply.Limit, reply.Incarnation)
+	done.AdvertisesLimit = s.observeLimit(a, reply.AdvertisedLimit, reply.Incarnation)
 	done.Echo, done.Answer = reply.Attempt, &reply.Answer
 	s.post(done)
 }
