--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -89,7 +89,7 @@
 // RunResponse is a small service's answer.
 type RunResponse struct {
 	Attempt         core.AttemptID  `json:"attempt"`
-	Answer          ledger.Response `json:"answer"`
+	Response        ledger.Response `json:"answer"`
 	AdvertisedLimit *float64        `json:"limit_per_s,omitempty"` // requests a second that the service's process takes from all routers together
 
 	Incarnation uint64 `json:"incarnation,omitempty"` // of the life that speaks; 0 it doesn't tell
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -71,7 +71,7 @@
 		panic(http.ErrAbortHandler) // it ran, but the answer is lost
 	}
 	answer := ledger.Response{Status: http.StatusOK, ContentType: "application/json", Body: ServiceAnswer(request.Body)}
-	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Answer: answer})
+	writeJSON(w, http.StatusOK, api.RunResponse{Attempt: request.Attempt, Response: answer})
 }
 
 // begin records a run, unless the service is leaving.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -308,6 +308,6 @@
 	}
 	done := a.event(core.AttemptDone)
 	done.AdvertisesLimit = s.observeLimit(a, reply.AdvertisedLimit, reply.Incarnation)
-	done.Echo, done.Answer = reply.Attempt, &reply.Answer
+	done.Echo, done.Answer = reply.Attempt, &reply.Response
 	s.post(done)
 }
