--- a/internal/api/backend.go
+++ b/internal/api/backend.go
@@ -124,7 +124,7 @@
 
 // KVReply says how many leading blocks are held.
 type KVReply struct {
-	Held int `json:"held"`
+	CachedBlocks int `json:"held"`
 }
 
 // OrderReply says whether an engine took an order, and the highest fence it saw.
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -222,7 +222,7 @@
 	if err := e.client.Post(ctx, request.Vault, api.PathKVKeep, api.KVRequest{Blocks: blocks}, &reply); err != nil {
 		return 0
 	}
-	return reply.Held
+	return reply.CachedBlocks
 }
 
 // importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
@@ -234,7 +234,7 @@
 	if err := e.client.Post(ctx, source, api.PathKVMatch, api.KVRequest{Blocks: chain}, &reply); err != nil {
 		return 0
 	}
-	return reply.Held
+	return reply.CachedBlocks
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
@@ -271,7 +271,7 @@
 	}
 	held := e.model.Export(e.now(), request.Blocks)
 	e.mutex.Unlock()
-	writeJSON(w, http.StatusOK, api.KVReply{Held: held})
+	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
 }
 
 func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
--- a/internal/lab/standin/stores.go
+++ b/internal/lab/standin/stores.go
@@ -41,14 +41,14 @@
 	mux.HandleFunc("POST "+api.PathKVMatch, func(w http.ResponseWriter, r *http.Request) {
 		var request api.KVRequest
 		if readJSON(w, r, &request) {
-			writeJSON(w, http.StatusOK, api.KVReply{Held: v.Match(request.Blocks)})
+			writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: v.Match(request.Blocks)})
 		}
 	})
 	mux.HandleFunc("POST "+api.PathKVKeep, func(w http.ResponseWriter, r *http.Request) {
 		var request api.KVRequest
 		if readJSON(w, r, &request) {
 			v.Keep(request.Blocks)
-			writeJSON(w, http.StatusOK, api.KVReply{Held: v.Match(request.Blocks)})
+			writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: v.Match(request.Blocks)})
 		}
 	})
 	return serve(ctx, v.config.Listen, mux, v.log)
