--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -27,12 +27,12 @@
 
 // NewProblem returns a problem of a reason.
 func NewProblem(reason core.Reason, run core.RunStatus, detail string) Problem {
-	status, title := Describe(reason)
+	status, title := DescribeReason(reason)
 	return Problem{Type: "urn:kitetiller:" + string(reason), Title: title, Status: status, Detail: detail, Run: run}
 }
 
-// Describe maps a reason to its status and title.
-func Describe(reason core.Reason) (int, string) {
+// DescribeReason maps a reason to its status and title.
+func DescribeReason(reason core.Reason) (int, string) {
 	switch reason {
 	case core.ReasonRateLimit:
 		return http.StatusTooManyRequests, "The tenant's request rate is used up"
--- a/internal/router/heldback.go
+++ b/internal/router/heldback.go
@@ -63,7 +63,7 @@
 	fingerprint, _ := s.quarantine.Fingerprint(ex.quarantineRequest) // exists, because the crash count is not 0
 	s.log.Info(events.RequestRejected, zap.String(events.FieldRequest, ex.name), zap.String(events.FieldReason, string(core.ReasonQuarantined)),
 		zap.Stringer(events.FieldFingerprint, fingerprint), zap.Int(events.FieldIncarnations, crashes))
-	status, title := api.Describe(core.ReasonQuarantined)
+	status, title := api.DescribeReason(core.ReasonQuarantined)
 	s.reject(ex.writer, r, ex.name, &requestError{core.ReasonQuarantined, status, title, ""})
 	return true
 }
