--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -28,7 +28,7 @@
 
 func TestRetryAfterIsWholeSecondsAndNeverZero(t *testing.T) {
 	recorder := httptest.NewRecorder()
-	NewProblem(core.ReasonQueueFull, core.RunNot, "").WithRetry(1200 * time.Millisecond).Write(recorder)
+	NewProblem(core.ReasonQueueFull, core.RunNot, "").WithRetryAfter(1200 * time.Millisecond).Write(recorder)
 	if got := recorder.Header().Get("Retry-After"); got != "2" {
 		t.Fatalf("Retry-After %q", got)
 	}
--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -82,8 +82,8 @@
 	_ = json.NewEncoder(w).Encode(p) // a caller that is gone cannot be told
 }
 
-// WithRetry returns the problem with advice when to come back.
-func (p Problem) WithRetry(after time.Duration) Problem {
+// WithRetryAfter returns the problem with advice when to come back.
+func (p Problem) WithRetryAfter(after time.Duration) Problem {
 	p.RetryAfter = after.Seconds()
 	return p
 }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -76,9 +76,9 @@
 	}
 	switch reqErr.reason {
 	case reasonOverload, core.ReasonDraining:
-		problem = problem.WithRetry(overloadRetryAfter)
+		problem = problem.WithRetryAfter(overloadRetryAfter)
 	case core.ReasonQuarantined:
-		problem = problem.WithRetry(quarantine.RetryAfter)
+		problem = problem.WithRetryAfter(quarantine.RetryAfter)
 	}
 	s.metrics.rejections.WithLabelValues(string(reqErr.reason)).Inc()
 	problem.Write(w)
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -160,7 +160,7 @@
 
 // problemFor returns the error response for a request that did not complete.
 func (s *Server) problemFor(ex *exchange, final core.ActionFinish) api.Problem {
-	problem := api.NewProblem(final.Reason, final.Run, detailFor(final)).WithRetry(final.RetryAfter)
+	problem := api.NewProblem(final.Reason, final.Run, detailFor(final)).WithRetryAfter(final.RetryAfter)
 	problem.RequestID = ex.name
 	return problem
 }
