--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -10,15 +10,15 @@
 	"kitetiller/internal/core"
 )
 
-// reasons that the core can refuse with.
-var reasons = []core.Reason{
+// rejectionReasons that the core can refuse with.
+var rejectionReasons = []core.Reason{
 	core.ReasonNoSettings, core.ReasonNoLease, core.ReasonDraining, core.ReasonUnknownService, core.ReasonRateLimit, core.ReasonConcurrencyLimit,
 	core.ReasonQueueFull, core.ReasonDeadline, core.ReasonNoBackend, core.ReasonRetriesExhausted, core.ReasonKeyRequired, core.ReasonKeyReused,
 	core.ReasonKeyExpired, core.ReasonInProgress, core.ReasonRunUnknown, core.ReasonLedgerUnavailable,
 }
 
 func TestEveryReasonHasAStatusAndATitle(t *testing.T) {
-	for _, reason := range reasons {
+	for _, reason := range rejectionReasons {
 		problem := NewProblem(reason, core.RunNot, "")
 		if problem.Status < 400 || problem.Title == "" || !strings.HasSuffix(problem.Type, string(reason)) {
 			t.Errorf("%s: %+v", reason, problem)
