--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -17,7 +17,7 @@
 	core.ReasonKeyExpired, core.ReasonInProgress, core.ReasonRunUnknown, core.ReasonLedgerUnavailable,
 }
 
-func TestEveryReasonHasAStatusAndATitle(t *testing.T) {
+func TestEveryReasonHasStatusAndTitle(t *testing.T) {
 	for _, reason := range rejectionReasons {
 		problem := NewProblem(reason, core.RunNot, "")
 		if problem.Status < 400 || problem.Title == "" || !strings.HasSuffix(problem.Type, string(reason)) {
