--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestRetryAfterIsWholeSecondsAndNeverZero(t *testing.T) {
+func TestRetryAfterRoundsUpToWholeSeconds(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	NewProblem(core.ReasonQueueFull, core.RunNot, "").WithRetryAfter(1200 * time.Millisecond).Write(recorder)
 	if got := recorder.Header().Get("Retry-After"); got != "2" {
