--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,7 +18,7 @@
 
 const (
 	commandTimeout = 10 * time.Second
-	askAgain       = 100 * time.Millisecond
+	retryInterval  = 100 * time.Millisecond
 	outputJSON     = "json"
 	outputTable    = "table"
 )
@@ -72,7 +72,7 @@
 				last = eris.Errorf("%s answered %s", address, response.Kind)
 			}
 		}
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
 	return control.Response{}, eris.Wrap(last, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -205,7 +205,7 @@
 			c.print("in force everywhere: version %d\n", version)
 			return nil
 		}
-		time.Sleep(askAgain)
+		time.Sleep(retryInterval)
 	}
 	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, waitLimit)
 }
