--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -31,7 +31,7 @@
 // Release lets requests be sent again; the list separates their fingerprints by commas.
 func (c *Command) Release(list string) error {
 	var requests []quarantine.Fingerprint
-	for _, text := range splitAddresses(list) {
+	for _, text := range splitList(list) {
 		var f quarantine.Fingerprint
 		if err := f.UnmarshalText([]byte(text)); err != nil {
 			return err
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -38,7 +38,7 @@
 
 func (c *Command) collect() SystemStatus {
 	var status SystemStatus
-	for _, address := range splitAddresses(c.options.Control) {
+	for _, address := range splitList(c.options.Control) {
 		response, err := c.probeControl(address)
 		if err != nil || response.Status == nil {
 			status.Silent = append(status.Silent, address)
@@ -46,7 +46,7 @@
 		}
 		status.Control = append(status.Control, *response.Status)
 	}
-	for _, address := range splitAddresses(c.options.Routers) {
+	for _, address := range splitList(c.options.Routers) {
 		var reply router.StatusReply
 		if err := c.probe(address, "/admin/v1/status", &reply); err != nil {
 			status.Silent = append(status.Silent, address)
@@ -147,7 +147,7 @@
 // Explain prints the kept decisions about a request, from every router.
 func (c *Command) Explain(request string) error {
 	var found []core.Decision
-	for _, address := range splitAddresses(c.options.Routers) {
+	for _, address := range splitList(c.options.Routers) {
 		var decisions []core.Decision
 		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(request), &decisions); err != nil {
 			return eris.Wrapf(err, "ask %s", address)
