--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -53,8 +53,8 @@
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// ask sends a request to the control replicas in turn until one has answered it.
-func (c *Command) ask(request control.Request) (control.Response, error) {
+// send sends a request to the control replicas in turn until one has answered it.
+func (c *Command) send(request control.Request) (control.Response, error) {
 	addresses := splitList(c.options.Control)
 	if len(addresses) == 0 {
 		return control.Response{}, eris.New("no control address; give --control or set KITETILLER_CONTROL")
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -73,7 +73,7 @@
 }
 
 func (c *Command) read(history bool) (*control.ReadReply, error) {
-	response, err := c.ask(control.Request{Read: &control.Read{History: history}})
+	response, err := c.send(control.Request{Read: &control.Read{History: history}})
 	if err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	response, err := c.ask(control.Request{Change: change})
+	response, err := c.send(control.Request{Change: change})
 	if err != nil {
 		return eris.Wrapf(err, "operation %s", change.OperationID)
 	}
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -42,7 +42,7 @@
 		return eris.New("no fingerprint is given; kitetiller held shows them")
 	}
 	change := quarantine.Change{Releases: []quarantine.Release{{Requests: requests, Reason: quarantine.ReasonOperator}}}
-	if _, err := c.ask(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
+	if _, err := c.send(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
 		return err
 	}
 	c.print("released: %d; each may end three more back ends before it is held back again\n", len(requests))
