--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -64,7 +64,7 @@
 	var last error
 	for ctx.Err() == nil {
 		for _, address := range addresses {
-			response, err := c.askOne(ctx, address, request)
+			response, err := c.sendTo(ctx, address, request)
 			if err == nil && response.Kind == control.ResponseOK {
 				return response, nil
 			}
@@ -77,7 +77,7 @@
 	return control.Response{}, eris.Wrap(last, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
 }
 
-func (c *Command) askOne(ctx context.Context, address string, request control.Request) (control.Response, error) {
+func (c *Command) sendTo(ctx context.Context, address string, request control.Request) (control.Response, error) {
 	var response control.Response
 	err := c.client.Post(ctx, address, control.PathAdmin, request, &response)
 	return response, err
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -60,7 +60,7 @@
 func (c *Command) probeControl(address string) (control.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return c.askOne(ctx, address, control.Request{Status: &control.StatusRequest{}})
+	return c.sendTo(ctx, address, control.Request{Status: &control.StatusRequest{}})
 }
 
 func (c *Command) probe(address, path string, reply any) error {
