--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -61,20 +61,20 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
 		for _, address := range addresses {
 			response, err := c.sendTo(ctx, address, request)
 			if err == nil && response.Kind == control.ResponseOK {
 				return response, nil
 			}
-			if last = err; err == nil {
-				last = eris.Errorf("%s answered %s", address, response.Kind)
+			if lastErr = err; err == nil {
+				lastErr = eris.Errorf("%s answered %s", address, response.Kind)
 			}
 		}
 		time.Sleep(retryInterval)
 	}
-	return control.Response{}, eris.Wrap(last, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
+	return control.Response{}, eris.Wrap(lastErr, "no control replica could decide; the change may or may not have been made, run the command again with the same --operation-id")
 }
 
 func (c *Command) sendTo(ctx context.Context, address string, request control.Request) (control.Response, error) {
