--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -84,14 +84,14 @@
 }
 
 // emit prints a value as JSON, or calls table.
-func (c *Command) emit(value any, table func(w *tabwriter.Writer)) error {
+func (c *Command) emit(value any, writeTable func(w *tabwriter.Writer)) error {
 	if c.options.Output == outputJSON {
 		encoder := json.NewEncoder(c.options.Out)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
 	writer := tabwriter.NewWriter(c.options.Out, 2, 4, 2, ' ', 0)
-	table(writer)
+	writeTable(writer)
 	return writer.Flush()
 }
 
