--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -95,6 +95,6 @@
 	return writer.Flush()
 }
 
-func (c *Command) print(format string, arguments ...any) {
+func (c *Command) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.options.Out, format, arguments...)
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -116,7 +116,7 @@
 	}
 	edits := settings.DiffEdits(read.Tree, wanted)
 	if len(edits) == 0 {
-		c.print("no difference: version %d already equals %s\n", read.Version, path)
+		c.printf("no difference: version %d already equals %s\n", read.Version, path)
 		return nil
 	}
 	if options.Base < 0 {
@@ -162,7 +162,7 @@
 	outcome := response.Change
 	switch outcome.Kind {
 	case settings.OutcomeAccepted:
-		c.print("accepted: version %d\n", outcome.Version)
+		c.printf("accepted: version %d\n", outcome.Version)
 		if options.Wait {
 			return c.waitInForce(outcome.Version)
 		}
@@ -176,7 +176,7 @@
 		return eris.Errorf("operation id %s was used for another change", change.OperationID)
 	}
 	for _, problem := range outcome.Problems {
-		c.print("%s\n", problem)
+		c.printf("%s\n", problem)
 	}
 	return eris.Errorf("invalid: %d problems, nothing was changed", len(outcome.Problems))
 }
@@ -202,7 +202,7 @@
 	for time.Now().Before(deadline) {
 		read, err := c.read(false)
 		if err == nil && read.InForce >= version {
-			c.print("in force everywhere: version %d\n", version)
+			c.printf("in force everywhere: version %d\n", version)
 			return nil
 		}
 		time.Sleep(retryInterval)
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -45,6 +45,6 @@
 	if _, err := c.send(control.Request{Catalog: &catalog.Command{Quarantine: &change}}); err != nil {
 		return err
 	}
-	c.print("released: %d; each may end three more back ends before it is held back again\n", len(requests))
+	c.printf("released: %d; each may end three more back ends before it is held back again\n", len(requests))
 	return nil
 }
