--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -25,8 +25,8 @@
 	Wait        bool // until the change is in force everywhere
 }
 
-// waitLimit is how long --wait waits.
-const waitLimit = 30 * time.Second
+// inForceTimeout is how long --wait waits.
+const inForceTimeout = 30 * time.Second
 
 // Get prints the settings of one node, or the effective ones and where they come from.
 func (c *Command) Get(path string, effective bool) error {
@@ -198,7 +198,7 @@
 }
 
 func (c *Command) waitInForce(version uint64) error {
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(inForceTimeout)
 	for time.Now().Before(deadline) {
 		read, err := c.read(false)
 		if err == nil && read.InForce >= version {
@@ -207,7 +207,7 @@
 		}
 		time.Sleep(retryInterval)
 	}
-	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, waitLimit)
+	return eris.Errorf("version %d is accepted but not yet in force everywhere after %s; see kitetiller status", version, inForceTimeout)
 }
 
 // History prints the newest accepted changes.
