--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -98,8 +98,8 @@
 	return quoted
 }
 
-// wantedAndHeld reads a file's tree and the current one.
-func (c *Command) wantedAndHeld(path string) (settings.Tree, *control.ReadReply, error) {
+// desiredAndCurrent reads a file's tree and the current one.
+func (c *Command) desiredAndCurrent(path string) (settings.Tree, *control.ReadReply, error) {
 	wanted, err := ReadTree(path)
 	if err != nil {
 		return wanted, nil, err
@@ -110,7 +110,7 @@
 
 // Edit makes the tree equal to a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
-	wanted, read, err := c.wantedAndHeld(path)
+	wanted, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 
 // Diff prints what Edit would change.
 func (c *Command) Diff(path string) error {
-	wanted, read, err := c.wantedAndHeld(path)
+	wanted, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
