--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -100,12 +100,12 @@
 
 // desiredAndCurrent reads a file's tree and the current one.
 func (c *Command) desiredAndCurrent(path string) (settings.Tree, *control.ReadReply, error) {
-	wanted, err := ReadTree(path)
+	desired, err := ReadTree(path)
 	if err != nil {
-		return wanted, nil, err
+		return desired, nil, err
 	}
 	read, err := c.read(false)
-	return wanted, read, err
+	return desired, read, err
 }
 
 // Edit makes the tree equal to a file, in one atomic change.
