--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -110,11 +110,11 @@
 
 // Edit makes the tree equal to a file, in one atomic change.
 func (c *Command) Edit(path string, options ChangeOptions) error {
-	wanted, read, err := c.desiredAndCurrent(path)
+	desired, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	edits := settings.DiffEdits(read.Tree, wanted)
+	edits := settings.DiffEdits(read.Tree, desired)
 	if len(edits) == 0 {
 		c.printf("no difference: version %d already equals %s\n", read.Version, path)
 		return nil
