--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -127,11 +127,11 @@
 
 // Diff prints what Edit would change.
 func (c *Command) Diff(path string) error {
-	wanted, read, err := c.desiredAndCurrent(path)
+	desired, read, err := c.desiredAndCurrent(path)
 	if err != nil {
 		return err
 	}
-	differences := settings.Diff(read.Tree, wanted)
+	differences := settings.Diff(read.Tree, desired)
 	return c.emit(differences, func(w *tabwriter.Writer) { writeDifferences(w, differences) })
 }
 
