--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -30,7 +30,7 @@
 
 // Get prints the settings of one node, or the effective ones and where they come from.
 func (c *Command) Get(path string, effective bool) error {
-	read, err := c.read(false)
+	read, err := c.readSettings(false)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	})
 }
 
-func (c *Command) read(history bool) (*control.ReadReply, error) {
+func (c *Command) readSettings(history bool) (*control.ReadReply, error) {
 	response, err := c.send(control.Request{Read: &control.Read{History: history}})
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	if err != nil {
 		return desired, nil, err
 	}
-	read, err := c.read(false)
+	read, err := c.readSettings(false)
 	return desired, read, err
 }
 
@@ -183,7 +183,7 @@
 
 func (c *Command) newChange(edits []settings.Edit, options ChangeOptions) (*settings.Change, error) {
 	if options.Base < 0 {
-		read, err := c.read(false)
+		read, err := c.readSettings(false)
 		if err != nil {
 			return nil, err
 		}
@@ -200,7 +200,7 @@
 func (c *Command) waitInForce(version uint64) error {
 	deadline := time.Now().Add(inForceTimeout)
 	for time.Now().Before(deadline) {
-		read, err := c.read(false)
+		read, err := c.readSettings(false)
 		if err == nil && read.InForce >= version {
 			c.printf("in force everywhere: version %d\n", version)
 			return nil
@@ -212,7 +212,7 @@
 
 // History prints the newest accepted changes.
 func (c *Command) History() error {
-	read, err := c.read(true)
+	read, err := c.readSettings(true)
 	if err != nil {
 		return err
 	}
