--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -46,7 +46,7 @@
 	return c.printTree(read, path)
 }
 
-func (c *Command) printTree(read *control.ReadReply, under string) error {
+func (c *Command) printTree(read *control.ReadReply, root string) error {
 	type line struct {
 		Path    settings.Path   `json:"path"`
 		Setting string          `json:"setting"`
@@ -54,7 +54,7 @@
 	}
 	var lines []line
 	for _, path := range read.Tree.Paths() {
-		if under != "/" && path != settings.Path(under) && !strings.HasPrefix(string(path), under+"/") {
+		if root != "/" && path != settings.Path(root) && !strings.HasPrefix(string(path), root+"/") {
 			continue
 		}
 		for _, definition := range settings.Definitions() {
