--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -225,13 +225,13 @@
 	})
 }
 
-// shownEdits is how many edits of a change the history shows.
-const shownEdits = 3
+// maxShownEdits is how many edits of a change the history shows.
+const maxShownEdits = 3
 
 func summarize(edits []settings.Edit) string {
 	var parts []string
 	for i, edit := range edits {
-		if i == shownEdits {
+		if i == maxShownEdits {
 			parts = append(parts, fmt.Sprintf("and %d more", len(edits)-i))
 			break
 		}
