--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -220,7 +220,7 @@
 		fmt.Fprintln(w, "VERSION\tTIME\tAUTHOR\tOPERATION\tEDITS")
 		for _, entry := range read.History {
 			at := time.UnixMilli(entry.UnixMS).UTC().Format(time.RFC3339)
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarize(entry.Edits))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", entry.Version, at, orDash(entry.Author), entry.OperationID, summarizeEdits(entry.Edits))
 		}
 	})
 }
@@ -228,7 +228,7 @@
 // maxShownEdits is how many edits of a change the history shows.
 const maxShownEdits = 3
 
-func summarize(edits []settings.Edit) string {
+func summarizeEdits(edits []settings.Edit) string {
 	var parts []string
 	for i, edit := range edits {
 		if i == maxShownEdits {
