--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -166,7 +166,7 @@
 			if a.release != "" {
 				return o.Release(a.release)
 			}
-			return o.Held()
+			return o.ListQuarantined()
 		})},
 	}
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -86,7 +86,7 @@
 		{"explain", func(c *Command) error { return c.Explain("q1") }, false},
 		{"get", func(c *Command) error { return c.Get("/", false) }, false},
 		{"get-effective", func(c *Command) error { return c.Get("/z1/llm/t", true) }, false},
-		{"held", (*Command).Held, false},
+		{"held", (*Command).ListQuarantined, false},
 		{"release", func(c *Command) error {
 			return c.Release(quarantine.Fingerprint{1}.String() + "," + quarantine.Fingerprint{2}.String())
 		}, false},
--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -12,8 +12,8 @@
 	"kitetiller/internal/quarantine"
 )
 
-// Held prints the requests under which back ends ended, as the leader sees them.
-func (c *Command) Held() error {
+// ListQuarantined prints the requests under which back ends ended, as the leader sees them.
+func (c *Command) ListQuarantined() error {
 	for _, reply := range c.collect().Control {
 		if !reply.LeaseHeld {
 			continue
