--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -20,8 +20,8 @@
 		}
 		return c.emit(reply.Suspects, func(w *tabwriter.Writer) {
 			fmt.Fprintln(w, "FINGERPRINT\tHELD BACK\tBACK ENDS THAT ENDED")
-			for _, e := range reply.Suspects {
-				fmt.Fprintf(w, "%s\t%t\t%s\n", e.Request, len(e.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(e.Incarnations, " "))
+			for _, entry := range reply.Suspects {
+				fmt.Fprintf(w, "%s\t%t\t%s\n", entry.Request, len(entry.Incarnations) >= quarantine.QuarantineThreshold, strings.Join(entry.Incarnations, " "))
 			}
 		})
 	}
