--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -32,11 +32,11 @@
 func (c *Command) Release(list string) error {
 	var requests []quarantine.Fingerprint
 	for _, text := range splitList(list) {
-		var f quarantine.Fingerprint
-		if err := f.UnmarshalText([]byte(text)); err != nil {
+		var fingerprint quarantine.Fingerprint
+		if err := fingerprint.UnmarshalText([]byte(text)); err != nil {
 			return err
 		}
-		requests = append(requests, f)
+		requests = append(requests, fingerprint)
 	}
 	if len(requests) == 0 {
 		return eris.New("no fingerprint is given; kitetiller held shows them")
