--- a/internal/operator/heldback.go
+++ b/internal/operator/heldback.go
@@ -14,7 +14,7 @@
 
 // ListQuarantined prints the requests under which back ends ended, as the leader sees them.
 func (c *Command) ListQuarantined() error {
-	for _, reply := range c.collect().Control {
+	for _, reply := range c.collectStatus().Control {
 		if !reply.LeaseHeld {
 			continue
 		}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -26,7 +26,7 @@
 
 // Status asks every control replica and router for its view.
 func (c *Command) Status() error {
-	status := c.collect()
+	status := c.collectStatus()
 	return c.emit(status, func(w *tabwriter.Writer) {
 		writeControl(w, status)
 		writeRouters(w, status)
@@ -36,7 +36,7 @@
 	})
 }
 
-func (c *Command) collect() SystemStatus {
+func (c *Command) collectStatus() SystemStatus {
 	var status SystemStatus
 	for _, address := range splitList(c.options.Control) {
 		response, err := c.probeControl(address)
@@ -128,7 +128,7 @@
 
 // Members prints the control replicas as the leader sees them.
 func (c *Command) Members() error {
-	status := c.collect()
+	status := c.collectStatus()
 	for _, reply := range status.Control {
 		if !reply.LeaseHeld {
 			continue
