--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -19,9 +19,9 @@
 
 // SystemStatus is what "status" shows.
 type SystemStatus struct {
-	Control []control.StatusReply `json:"control"`
-	Routers []router.StatusReply  `json:"routers"`
-	Silent  []string              `json:"silent"` // addresses that did not answer
+	Control     []control.StatusReply `json:"control"`
+	Routers     []router.StatusReply  `json:"routers"`
+	Unreachable []string              `json:"silent"` // addresses that did not answer
 }
 
 // Status asks every control replica and router for its view.
@@ -30,7 +30,7 @@
 	return c.emit(status, func(w *tabwriter.Writer) {
 		writeControl(w, status)
 		writeRouters(w, status)
-		for _, address := range status.Silent {
+		for _, address := range status.Unreachable {
 			fmt.Fprintf(w, "%s\tdoes not answer\n", address)
 		}
 	})
@@ -41,7 +41,7 @@
 	for _, address := range splitList(c.options.Control) {
 		response, err := c.probeControl(address)
 		if err != nil || response.Status == nil {
-			status.Silent = append(status.Silent, address)
+			status.Unreachable = append(status.Unreachable, address)
 			continue
 		}
 		status.Control = append(status.Control, *response.Status)
@@ -49,7 +49,7 @@
 	for _, address := range splitList(c.options.Routers) {
 		var reply router.StatusReply
 		if err := c.probe(address, "/admin/v1/status", &reply); err != nil {
-			status.Silent = append(status.Silent, address)
+			status.Unreachable = append(status.Unreachable, address)
 			continue
 		}
 		status.Routers = append(status.Routers, reply)
