--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -145,17 +145,17 @@
 }
 
 // Explain prints the kept decisions about a request, from every router.
-func (c *Command) Explain(request string) error {
+func (c *Command) Explain(requestID string) error {
 	var found []core.Decision
 	for _, address := range splitList(c.options.Routers) {
 		var decisions []core.Decision
-		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(request), &decisions); err != nil {
+		if err := c.probe(address, "/admin/v1/explain?request="+url.QueryEscape(requestID), &decisions); err != nil {
 			return eris.Wrapf(err, "ask %s", address)
 		}
 		found = append(found, decisions...)
 	}
 	if len(found) == 0 {
-		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", request)
+		return eris.Errorf("no router remembers request %s; each keeps its newest decisions only", requestID)
 	}
 	return c.emit(found, func(w *tabwriter.Writer) {
 		for _, decision := range found {
