--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// storyBefore is how long before a request what its processes and back ends went through belongs to its story.
-	storyBefore = 10 * time.Second
+	// precedingWindow is how long before a request what its processes and back ends went through belongs to its story.
+	precedingWindow = 10 * time.Second
 	// maximumLine bounds one log line.
 	maximumLine = 1 << 20
 )
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, line := range lines {
-		outside := line.Time.Before(first.Add(-storyBefore)) || line.Time.After(last)
+		outside := line.Time.Before(first.Add(-precedingWindow)) || line.Time.After(last)
 		if outside || line.Request != "" || line.Instance == id {
 			continue
 		}
