--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -18,8 +18,8 @@
 const (
 	// precedingWindow is how long before a request what its processes and back ends went through belongs to its story.
 	precedingWindow = 10 * time.Second
-	// maximumLine bounds one log line.
-	maximumLine = 1 << 20
+	// maxLineBytes bounds one log line.
+	maxLineBytes = 1 << 20
 )
 
 // logLine is a line of a process's log.
@@ -73,7 +73,7 @@
 	defer file.Close()
 	var lines []logLine
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		if line, found := parseLine(scanner.Text()); found {
 			lines = append(lines, line)
