--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -38,8 +38,8 @@
 	events.LogLinesDropped,
 }
 
-// groupEvents tell what happened to the control group, which concerns everybody.
-var groupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
+// controlGroupEvents tell what happened to the control group, which concerns everybody.
+var controlGroupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
 
 // commonFields stand in columns of their own.
 var commonFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
@@ -157,7 +157,7 @@
 		if outside || line.Request != "" || line.Instance == id {
 			continue
 		}
-		if slices.Contains(groupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(nodeEvents, line.Event)) {
+		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(nodeEvents, line.Event)) {
 			story = append(story, line)
 		}
 	}
