--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -32,8 +32,8 @@
 	fields   map[string]any
 }
 
-// nodeEvents tell what happened to a process as a whole.
-var nodeEvents = []string{
+// processEvents tell what happened to a process as a whole.
+var processEvents = []string{
 	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
 	events.LogLinesDropped,
 }
@@ -157,7 +157,7 @@
 		if outside || line.Request != "" || line.Instance == id {
 			continue
 		}
-		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(nodeEvents, line.Event)) {
+		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(processEvents, line.Event)) {
 			story = append(story, line)
 		}
 	}
