--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -41,8 +41,8 @@
 // controlGroupEvents tell what happened to the control group, which concerns everybody.
 var controlGroupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
 
-// commonFields stand in columns of their own.
-var commonFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
+// columnFields stand in columns of their own.
+var columnFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
 
 // ExplainLogs prints the story of a request, or of a back end's life, from the logs of several processes, in order of
 // time. Files hold a JSON line each; what stands before the first brace of a line is passed over.
@@ -116,7 +116,7 @@
 	}
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
-		if !slices.Contains(commonFields, name) {
+		if !slices.Contains(columnFields, name) {
 			names = append(names, name)
 		}
 	}
