--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -55,7 +55,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := storyOf(lines, id)
+	story := selectTimeline(lines, id)
 	if len(story) == 0 {
 		return eris.Errorf("no line of %s names %q", strings.Join(files, ", "), id)
 	}
@@ -128,9 +128,9 @@
 	return out.String()
 }
 
-// storyOf selects what belongs to a request: its own lines, and what its back ends and its processes went through from
+// selectTimeline selects what belongs to a request: its own lines, and what its back ends and its processes went through from
 // shortly before. An instance's story is all that names it.
-func storyOf(lines []logLine, id string) []logLine {
+func selectTimeline(lines []logLine, id string) []logLine {
 	var own []logLine
 	for _, line := range lines {
 		if line.Request == id || line.Instance == id {
