--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -55,11 +55,11 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := selectTimeline(lines, id)
-	if len(story) == 0 {
+	timeline := selectTimeline(lines, id)
+	if len(timeline) == 0 {
 		return eris.Errorf("no line of %s names %q", strings.Join(files, ", "), id)
 	}
-	for _, line := range story {
+	for _, line := range timeline {
 		fmt.Fprintln(out, line.text())
 	}
 	return nil
