--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -140,7 +140,7 @@
 	if len(own) == 0 {
 		return nil
 	}
-	story := own
+	timeline := own
 	first, last := own[0].Time, own[0].Time
 	instances, nodes := map[string]bool{}, map[string]bool{}
 	for _, line := range own {
@@ -158,9 +158,9 @@
 			continue
 		}
 		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(processEvents, line.Event)) {
-			story = append(story, line)
+			timeline = append(timeline, line)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-	return story
+	slices.SortStableFunc(timeline, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+	return timeline
 }
