--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -131,19 +131,19 @@
 // selectTimeline selects what belongs to a request: its own lines, and what its back ends and its processes went through from
 // shortly before. An instance's story is all that names it.
 func selectTimeline(lines []logLine, id string) []logLine {
-	var own []logLine
+	var matching []logLine
 	for _, line := range lines {
 		if line.Request == id || line.Instance == id {
-			own = append(own, line)
+			matching = append(matching, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	timeline := own
-	first, last := own[0].Time, own[0].Time
+	timeline := matching
+	first, last := matching[0].Time, matching[0].Time
 	instances, nodes := map[string]bool{}, map[string]bool{}
-	for _, line := range own {
+	for _, line := range matching {
 		instances[line.Instance], nodes[line.Node] = true, true
 		if line.Time.Before(first) {
 			first = line.Time
