--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -91,16 +91,16 @@
 	if json.Unmarshal([]byte(text[start:]), &line.fields) != nil {
 		return logLine{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, line.field("time"))
+	at, err := time.Parse(time.RFC3339Nano, line.stringField("time"))
 	if err != nil {
 		return logLine{}, false
 	}
-	line.Time, line.Node, line.Event = at, line.field("node"), line.field("msg")
-	line.Request, line.Instance = line.field(events.FieldRequest), line.field(events.FieldInstance)
+	line.Time, line.Node, line.Event = at, line.stringField("node"), line.stringField("msg")
+	line.Request, line.Instance = line.stringField(events.FieldRequest), line.stringField(events.FieldInstance)
 	return line, true
 }
 
-func (l logLine) field(name string) string {
+func (l logLine) stringField(name string) string {
 	text, _ := l.fields[name].(string)
 	return text
 }
