--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -60,7 +60,7 @@
 		return eris.Errorf("no line of %s names %q", strings.Join(files, ", "), id)
 	}
 	for _, line := range timeline {
-		fmt.Fprintln(out, line.text())
+		fmt.Fprintln(out, line.format())
 	}
 	return nil
 }
@@ -105,8 +105,8 @@
 	return text
 }
 
-// text returns the line as a reader wants it: time, process, event, what it concerns, and the rest by name.
-func (l logLine) text() string {
+// format returns the line as a reader wants it: time, process, event, what it concerns, and the rest by name.
+func (l logLine) format() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s  %s  %s", l.Time.UTC().Format("15:04:05.000"), l.Node, l.Event)
 	for _, subject := range []string{l.Request, l.Instance} {
