--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -91,11 +91,11 @@
 	if json.Unmarshal([]byte(text[start:]), &line.fields) != nil {
 		return logLine{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, line.stringField("time"))
+	timestamp, err := time.Parse(time.RFC3339Nano, line.stringField("time"))
 	if err != nil {
 		return logLine{}, false
 	}
-	line.Time, line.Node, line.Event = at, line.stringField("node"), line.stringField("msg")
+	line.Time, line.Node, line.Event = timestamp, line.stringField("node"), line.stringField("msg")
 	line.Request, line.Instance = line.stringField(events.FieldRequest), line.stringField(events.FieldInstance)
 	return line, true
 }
