--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -142,9 +142,9 @@
 	}
 	timeline := matching
 	first, last := matching[0].Time, matching[0].Time
-	instances, nodes := map[string]bool{}, map[string]bool{}
+	instances, processes := map[string]bool{}, map[string]bool{}
 	for _, line := range matching {
-		instances[line.Instance], nodes[line.Node] = true, true
+		instances[line.Instance], processes[line.Node] = true, true
 		if line.Time.Before(first) {
 			first = line.Time
 		}
@@ -157,7 +157,7 @@
 		if outside || line.Request != "" || line.Instance == id {
 			continue
 		}
-		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(processEvents, line.Event)) {
+		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (processes[line.Node] && slices.Contains(processEvents, line.Event)) {
 			timeline = append(timeline, line)
 		}
 	}
