--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -19,8 +19,8 @@
 	"kitetiller/internal/settings"
 )
 
-// standIn answers operators' requests with fixed replies.
-func standIn(t *testing.T) *httptest.Server {
+// newFakeServer answers operators' requests with fixed replies.
+func newFakeServer(t *testing.T) *httptest.Server {
 	t.Helper()
 	tree := settings.NewTree()
 	edit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
@@ -75,7 +75,7 @@
 
 // TestOutputOfOperatorsCommands compares each table with its golden file; go test ./internal/operator -update writes them.
 func TestOutputOfOperatorsCommands(t *testing.T) {
-	address := standIn(t).Listener.Addr().String()
+	address := newFakeServer(t).Listener.Addr().String()
 	for _, row := range []struct {
 		name string
 		run  func(*Command) error
