--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -73,8 +73,8 @@
 	return server
 }
 
-// TestOutputOfOperatorsCommands compares each table with its golden file; go test ./internal/operator -update writes them.
-func TestOutputOfOperatorsCommands(t *testing.T) {
+// TestCommandOutputMatchesGoldenFiles compares each table with its golden file; go test ./internal/operator -update writes them.
+func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	address := newFakeServer(t).Listener.Addr().String()
 	for _, row := range []struct {
 		name string
