--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -77,9 +77,9 @@
 func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	address := newFakeServer(t).Listener.Addr().String()
 	for _, row := range []struct {
-		name string
-		run  func(*Command) error
-		fail bool
+		name    string
+		run     func(*Command) error
+		wantErr bool
 	}{
 		{"status", (*Command).Status, false},
 		{"members", (*Command).Members, false},
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := row.run(command); (err != nil) != row.fail {
+			if err := row.run(command); (err != nil) != row.wantErr {
 				t.Fatalf("error %v", err)
 			}
 			goldie.New(t).Assert(t, row.name, out.Bytes())
