--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -76,7 +76,7 @@
 // TestCommandOutputMatchesGoldenFiles compares each table with its golden file; go test ./internal/operator -update writes them.
 func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	address := newFakeServer(t).Listener.Addr().String()
-	for _, row := range []struct {
+	for _, tc := range []struct {
 		name    string
 		run     func(*Command) error
 		wantErr bool
@@ -95,16 +95,16 @@
 			return c.Set("/", "queue_limit", "5", ChangeOptions{Base: 6, OperationID: "x"})
 		}, true},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
 			command, err := New(Options{Control: address, Routers: address, AdminToken: "t", Output: "table", Out: &out})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := row.run(command); (err != nil) != row.wantErr {
+			if err := tc.run(command); (err != nil) != tc.wantErr {
 				t.Fatalf("error %v", err)
 			}
-			goldie.New(t).Assert(t, row.name, out.Bytes())
+			goldie.New(t).Assert(t, tc.name, out.Bytes())
 		})
 	}
 }
