--- a/internal/operator/story_test.go
+++ b/internal/operator/story_test.go
@@ -10,10 +10,10 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestStories walks from a request's id to its cause by the logs alone: cut off by an engine that died; refused while its
+// TestExplainLogsMatchesGoldenFiles walks from a request's id to its cause by the logs alone: cut off by an engine that died; refused while its
 // gateway had lost control; refused although engines were free, since their weights were being replaced. The lines are of
 // played days, shortened.
-func TestStories(t *testing.T) {
+func TestExplainLogsMatchesGoldenFiles(t *testing.T) {
 	logs, err := filepath.Glob("testdata/logs/*.log")
 	if err != nil || len(logs) == 0 {
 		t.Fatalf("%v: no logs", err)
