--- a/internal/operator/story_test.go
+++ b/internal/operator/story_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestUnknownRequestIsSaid(t *testing.T) {
+func TestExplainLogsReportsUnknownIDAndMissingFile(t *testing.T) {
 	var out bytes.Buffer
 	if err := ExplainLogs(&out, []string{"testdata/logs/cut-day.log"}, "nowhere"); err == nil || out.Len() > 0 {
 		t.Fatalf("%v, %q", err, out.String())
