--- a/internal/operator/story_test.go
+++ b/internal/operator/story_test.go
@@ -18,12 +18,12 @@
 	if err != nil || len(logs) == 0 {
 		t.Fatalf("%v: no logs", err)
 	}
-	for name, request := range map[string]string{
+	for name, id := range map[string]string{
 		"story-cut": "af794e4eaf4f0d1b", "story-untrusted": "43df76cf59848489", "story-loading": "e8969d03acfe35a1", "story-instance": "i-6d7e051a79",
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := ExplainLogs(&out, logs, request); err != nil {
+			if err := ExplainLogs(&out, logs, id); err != nil {
 				t.Fatal(err)
 			}
 			goldie.New(t).Assert(t, name, out.Bytes())
