--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -147,7 +147,7 @@
 
 // serveCompletion serves chat and text completions.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	in, reqErr := s.receive(w, r, settings.Any)
+	in, reqErr := s.receive(w, r, settings.Wildcard)
 	ex := &exchange{name: in.name, chat: r.URL.Path == chatPath, writer: w, receivedAt: time.Now(), quarantineRequest: quarantineRequest(r, in)}
 	if reqErr == nil {
 		ex.completion, ex.request, reqErr = s.readCompletion(r, in.view, in.tenant, in.name, in.body)
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -70,7 +70,7 @@
 		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
-	if service == settings.Any || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
+	if service == settings.Wildcard || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
 		v.values.Store(key, values)
 	}
 	return values
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -42,7 +42,7 @@
 		return "a path is written /zone/service/tenant, without a slash at the end"
 	}
 	for _, element := range elements {
-		if element != Any && !namePattern.MatchString(element) {
+		if element != Wildcard && !namePattern.MatchString(element) {
 			return fmt.Sprintf("%q is not a name: use letters, digits, dot, dash and underscore, at most 63, or * for all", element)
 		}
 	}
@@ -151,12 +151,12 @@
 		}
 	}
 	for _, service := range t.Services() {
-		values := t.Resolve(Any, service)
+		values := t.Resolve(Wildcard, service)
 		if values.TimeWeight+values.RecomputeWeight == 0 {
-			problems = append(problems, Problem{Path: MakePath(Any, service), Message: "time_weight and recompute_weight must not both be 0"})
+			problems = append(problems, Problem{Path: MakePath(Wildcard, service), Message: "time_weight and recompute_weight must not both be 0"})
 		}
 		if values.Kind == "llm" && !values.Repeatable {
-			problems = append(problems, Problem{Path: MakePath(Any, service), Setting: "repeatable", Message: "only services of kind service may be non-repeatable"})
+			problems = append(problems, Problem{Path: MakePath(Wildcard, service), Setting: "repeatable", Message: "only services of kind service may be non-repeatable"})
 		}
 	}
 	return problems
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Any is the path element that stands for every zone, service or tenant.
-const Any = "*"
+// Wildcard is the path element that stands for every zone, service or tenant.
+const Wildcard = "*"
 
 // Level names of the tree, from the root down.
 const (
@@ -78,9 +78,9 @@
 	for _, element := range elements {
 		var next []Path
 		for _, parent := range current {
-			next = append(next, parent+"/"+Any)
+			next = append(next, parent+"/"+Wildcard)
 		}
-		if element != Any {
+		if element != Wildcard {
 			for _, parent := range current {
 				next = append(next, parent+"/"+Path(element))
 			}
@@ -97,7 +97,7 @@
 	score := 0
 	for _, element := range path.Elements() {
 		score <<= 1
-		if element != Any {
+		if element != Wildcard {
 			score++
 		}
 	}
@@ -148,7 +148,7 @@
 	found := map[string]bool{}
 	for path := range t.Nodes {
 		elements := path.Elements()
-		if len(elements) > depth && elements[depth] != Any {
+		if len(elements) > depth && elements[depth] != Wildcard {
 			found[elements[depth]] = true
 		}
 	}
