--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -70,9 +70,9 @@
 // OriginDefault is the Path of an Origin that no node of the tree set.
 const OriginDefault Path = "default"
 
-// layers lists the nodes that apply to a place, weakest first: by depth, and at one depth Any before a name,
+// applicablePaths lists the nodes that apply to a place, weakest first: by depth, and at one depth Any before a name,
 // compared zone first.
-func layers(elements []string) []Path {
+func applicablePaths(elements []string) []Path {
 	paths := []Path{"/"}
 	current := []Path{""}
 	for _, element := range elements {
@@ -107,7 +107,7 @@
 // Resolve returns the effective values for a zone, service and tenant; trailing ones may be left out.
 func (t Tree) Resolve(elements ...string) Values {
 	values := Defaults()
-	for _, path := range layers(elements) {
+	for _, path := range applicablePaths(elements) {
 		if node, found := t.Nodes[path]; found {
 			node.apply(&values, nil)
 		}
@@ -119,7 +119,7 @@
 func (t Tree) Explain(elements ...string) []Origin {
 	values := Defaults()
 	origin := map[string]Path{}
-	for _, path := range layers(elements) {
+	for _, path := range applicablePaths(elements) {
 		if node, found := t.Nodes[path]; found {
 			node.apply(&values, func(name string) { origin[name] = path })
 		}
