--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -122,7 +122,7 @@
 func (c *Core) setDeadline(r *request) {
 	limit := r.values.RequestDeadlineMS
 	if r.Lane == LaneInteractive {
-		limit = r.values.InteractiveMS
+		limit = r.values.InteractiveDeadlineMS
 	}
 	allowed := time.Duration(limit) * time.Millisecond
 	if r.Deadline > 0 && r.Deadline < allowed {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -13,35 +13,35 @@
 // Values are the effective settings at one place of the tree. The tags are the reference documentation:
 // docs/CONFIGURATION.md is written from them.
 type Values struct {
-	Kind                 string   `json:"kind" default:"llm" enum:"llm,service" unit:"name" levels:"service" help:"llm: model engines with prefix caches; service: small back ends that answer whole requests"`
-	Model                string   `json:"model" default:"" unit:"name" levels:"service" help:"model name in callers' requests that this service answers; empty means the service's own name"`
-	Repeatable           bool     `json:"repeatable" default:"true" unit:"flag" levels:"service" help:"false: a request runs at most once, must carry an Idempotency-Key and is claimed in the run ledger"`
-	WeightsVersion       string   `json:"weights_version" default:"w1" unit:"name" levels:"root,zone,service" help:"weights that the engines are ordered to load"`
-	MaxConcurrentLoads   int      `json:"max_concurrent_loads" default:"2" min:"1" max:"1000" unit:"engines" levels:"root,zone,service" help:"engines of the service that load weights at the same time"`
-	TimeWeight           float64  `json:"time_weight" default:"0.5" min:"0" max:"1" unit:"share" levels:"root,zone,service" help:"weight of the predicted time to first token in placement"`
-	RecomputeWeight      float64  `json:"recompute_weight" default:"0.5" min:"0" max:"1" unit:"share" levels:"root,zone,service" help:"weight of the prefill that placement would repeat"`
-	RequestDeadlineMS    int      `json:"request_deadline_ms" default:"20000" min:"50" max:"600000" unit:"ms" levels:"root,zone,service,tenant" help:"time within which the first token must come; a request predicted later is refused at once"`
-	InteractiveMS        int      `json:"interactive_deadline_ms" default:"5000" min:"50" max:"600000" unit:"ms" levels:"root,zone,service,tenant" help:"the same for the interactive lane"`
-	InteractiveMaxTokens int      `json:"interactive_max_tokens" default:"512" min:"0" max:"1000000" unit:"tokens" levels:"root,zone,service,tenant" help:"longest uncached prompt that goes into the interactive lane without asking for it"`
-	ShareWeight          float64  `json:"share_weight" default:"1" min:"0.01" max:"1000" unit:"ratio" levels:"root,zone,service,tenant" help:"weight of a tenant in the fair queue"`
-	RequestsPerSecond    float64  `json:"requests_per_second" default:"0" min:"0" max:"1000000" unit:"requests/s" levels:"root,zone,service,tenant" help:"rate limit of a tenant at each router; 0 is no limit"`
-	RequestBurst         int      `json:"request_burst" default:"20" min:"1" max:"1000000" unit:"requests" levels:"root,zone,service,tenant" help:"requests a tenant may send at once above its rate"`
-	MaxConcurrent        int      `json:"max_concurrent" default:"0" min:"0" max:"1000000" unit:"requests" levels:"root,zone,service,tenant" help:"running and queued requests of a tenant at each router; 0 is no limit"`
-	EngineConcurrency    int      `json:"engine_concurrency" default:"16" min:"1" max:"10000" unit:"requests" levels:"root,zone,service" help:"running requests on one engine, as this router sees it, before requests queue in the router"`
-	QueueLimit           int      `json:"queue_limit" default:"512" min:"0" max:"100000" unit:"requests" levels:"root,zone,service" help:"requests queued in a router for the service; more are refused"`
-	RetryAttempts        int      `json:"retry_attempts" default:"3" min:"1" max:"10" unit:"attempts" levels:"root,zone,service" help:"attempts of one request, the first included"`
-	RetryBudgetPercent   float64  `json:"retry_budget_percent" default:"20" min:"0" max:"100" unit:"percent" levels:"root,zone,service" help:"retries as a share of first attempts at one router"`
-	HedgeAfterMS         int      `json:"hedge_after_ms" default:"0" min:"0" max:"600000" unit:"ms" levels:"root,zone,service" help:"silence before the first token after which a repeatable request is also sent to a second engine; 0 is never"`
-	WhenCutOff           string   `json:"when_cut_off" default:"refuse" enum:"refuse,serve_last" unit:"name" levels:"root,zone" help:"what a router without a settings lease does with new requests"`
-	RetentionSeconds     int      `json:"idempotency_retention_s" default:"86400" min:"60" max:"2592000" unit:"s" levels:"root,service" help:"how long a stored answer of a non-repeatable request is kept; afterwards its key is refused"`
-	MaxPromptBytes       int      `json:"max_prompt_bytes" default:"1048576" min:"64" max:"16777216" unit:"bytes" levels:"root,zone,service,tenant" help:"longest request body"`
-	MaxOutputTokens      int      `json:"max_output_tokens" default:"1024" min:"1" max:"100000" unit:"tokens" levels:"root,zone,service,tenant" help:"upper bound of the answer"`
-	HotCopies            int      `json:"hot_copies" default:"8" min:"1" max:"64" unit:"engines" levels:"root,zone,service" help:"engines that hold a prefix, above which it is not copied to another one"`
-	HotRequestsPerMinute float64  `json:"hot_requests_per_minute" default:"120" min:"1" max:"1000000" unit:"requests/min" levels:"root,zone,service" help:"rate of one prefix above which another copy is made"`
-	VaultKeep            bool     `json:"vault_keep" default:"true" unit:"flag" levels:"root,zone,service" help:"hot prefixes are also kept in the zone's KV store and imported from there"`
-	SuspectAfterMS       int      `json:"suspect_after_ms" default:"1500" min:"100" max:"60000" unit:"ms" levels:"root,zone,service" help:"silence after which a back end gets no new work"`
-	StallAfterMS         int      `json:"stall_after_ms" default:"10000" min:"100" max:"600000" unit:"ms" levels:"root,zone,service" help:"time between two tokens after which a stream is continued on another engine"`
-	APIKeySHA256         []string `json:"api_key_sha256" default:"" unit:"hex SHA-256" levels:"tenant" help:"digests of the tenant's API keys"`
+	Kind                  string   `json:"kind" default:"llm" enum:"llm,service" unit:"name" levels:"service" help:"llm: model engines with prefix caches; service: small back ends that answer whole requests"`
+	Model                 string   `json:"model" default:"" unit:"name" levels:"service" help:"model name in callers' requests that this service answers; empty means the service's own name"`
+	Repeatable            bool     `json:"repeatable" default:"true" unit:"flag" levels:"service" help:"false: a request runs at most once, must carry an Idempotency-Key and is claimed in the run ledger"`
+	WeightsVersion        string   `json:"weights_version" default:"w1" unit:"name" levels:"root,zone,service" help:"weights that the engines are ordered to load"`
+	MaxConcurrentLoads    int      `json:"max_concurrent_loads" default:"2" min:"1" max:"1000" unit:"engines" levels:"root,zone,service" help:"engines of the service that load weights at the same time"`
+	TimeWeight            float64  `json:"time_weight" default:"0.5" min:"0" max:"1" unit:"share" levels:"root,zone,service" help:"weight of the predicted time to first token in placement"`
+	RecomputeWeight       float64  `json:"recompute_weight" default:"0.5" min:"0" max:"1" unit:"share" levels:"root,zone,service" help:"weight of the prefill that placement would repeat"`
+	RequestDeadlineMS     int      `json:"request_deadline_ms" default:"20000" min:"50" max:"600000" unit:"ms" levels:"root,zone,service,tenant" help:"time within which the first token must come; a request predicted later is refused at once"`
+	InteractiveDeadlineMS int      `json:"interactive_deadline_ms" default:"5000" min:"50" max:"600000" unit:"ms" levels:"root,zone,service,tenant" help:"the same for the interactive lane"`
+	InteractiveMaxTokens  int      `json:"interactive_max_tokens" default:"512" min:"0" max:"1000000" unit:"tokens" levels:"root,zone,service,tenant" help:"longest uncached prompt that goes into the interactive lane without asking for it"`
+	ShareWeight           float64  `json:"share_weight" default:"1" min:"0.01" max:"1000" unit:"ratio" levels:"root,zone,service,tenant" help:"weight of a tenant in the fair queue"`
+	RequestsPerSecond     float64  `json:"requests_per_second" default:"0" min:"0" max:"1000000" unit:"requests/s" levels:"root,zone,service,tenant" help:"rate limit of a tenant at each router; 0 is no limit"`
+	RequestBurst          int      `json:"request_burst" default:"20" min:"1" max:"1000000" unit:"requests" levels:"root,zone,service,tenant" help:"requests a tenant may send at once above its rate"`
+	MaxConcurrent         int      `json:"max_concurrent" default:"0" min:"0" max:"1000000" unit:"requests" levels:"root,zone,service,tenant" help:"running and queued requests of a tenant at each router; 0 is no limit"`
+	EngineConcurrency     int      `json:"engine_concurrency" default:"16" min:"1" max:"10000" unit:"requests" levels:"root,zone,service" help:"running requests on one engine, as this router sees it, before requests queue in the router"`
+	QueueLimit            int      `json:"queue_limit" default:"512" min:"0" max:"100000" unit:"requests" levels:"root,zone,service" help:"requests queued in a router for the service; more are refused"`
+	RetryAttempts         int      `json:"retry_attempts" default:"3" min:"1" max:"10" unit:"attempts" levels:"root,zone,service" help:"attempts of one request, the first included"`
+	RetryBudgetPercent    float64  `json:"retry_budget_percent" default:"20" min:"0" max:"100" unit:"percent" levels:"root,zone,service" help:"retries as a share of first attempts at one router"`
+	HedgeAfterMS          int      `json:"hedge_after_ms" default:"0" min:"0" max:"600000" unit:"ms" levels:"root,zone,service" help:"silence before the first token after which a repeatable request is also sent to a second engine; 0 is never"`
+	WhenCutOff            string   `json:"when_cut_off" default:"refuse" enum:"refuse,serve_last" unit:"name" levels:"root,zone" help:"what a router without a settings lease does with new requests"`
+	RetentionSeconds      int      `json:"idempotency_retention_s" default:"86400" min:"60" max:"2592000" unit:"s" levels:"root,service" help:"how long a stored answer of a non-repeatable request is kept; afterwards its key is refused"`
+	MaxPromptBytes        int      `json:"max_prompt_bytes" default:"1048576" min:"64" max:"16777216" unit:"bytes" levels:"root,zone,service,tenant" help:"longest request body"`
+	MaxOutputTokens       int      `json:"max_output_tokens" default:"1024" min:"1" max:"100000" unit:"tokens" levels:"root,zone,service,tenant" help:"upper bound of the answer"`
+	HotCopies             int      `json:"hot_copies" default:"8" min:"1" max:"64" unit:"engines" levels:"root,zone,service" help:"engines that hold a prefix, above which it is not copied to another one"`
+	HotRequestsPerMinute  float64  `json:"hot_requests_per_minute" default:"120" min:"1" max:"1000000" unit:"requests/min" levels:"root,zone,service" help:"rate of one prefix above which another copy is made"`
+	VaultKeep             bool     `json:"vault_keep" default:"true" unit:"flag" levels:"root,zone,service" help:"hot prefixes are also kept in the zone's KV store and imported from there"`
+	SuspectAfterMS        int      `json:"suspect_after_ms" default:"1500" min:"100" max:"60000" unit:"ms" levels:"root,zone,service" help:"silence after which a back end gets no new work"`
+	StallAfterMS          int      `json:"stall_after_ms" default:"10000" min:"100" max:"600000" unit:"ms" levels:"root,zone,service" help:"time between two tokens after which a stream is continued on another engine"`
+	APIKeySHA256          []string `json:"api_key_sha256" default:"" unit:"hex SHA-256" levels:"tenant" help:"digests of the tenant's API keys"`
 }
 
 // Values of the setting "kind".
