--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -52,35 +52,35 @@
 
 // Overrides are the settings that one node of the tree sets itself; nil fields are inherited.
 type Overrides struct {
-	Kind                 *string   `json:"kind,omitempty"`
-	Model                *string   `json:"model,omitempty"`
-	Repeatable           *bool     `json:"repeatable,omitempty"`
-	WeightsVersion       *string   `json:"weights_version,omitempty"`
-	MaxConcurrentLoads   *int      `json:"max_concurrent_loads,omitempty"`
-	TimeWeight           *float64  `json:"time_weight,omitempty"`
-	RecomputeWeight      *float64  `json:"recompute_weight,omitempty"`
-	RequestDeadlineMS    *int      `json:"request_deadline_ms,omitempty"`
-	InteractiveMS        *int      `json:"interactive_deadline_ms,omitempty"`
-	InteractiveMaxTokens *int      `json:"interactive_max_tokens,omitempty"`
-	ShareWeight          *float64  `json:"share_weight,omitempty"`
-	RequestsPerSecond    *float64  `json:"requests_per_second,omitempty"`
-	RequestBurst         *int      `json:"request_burst,omitempty"`
-	MaxConcurrent        *int      `json:"max_concurrent,omitempty"`
-	EngineConcurrency    *int      `json:"engine_concurrency,omitempty"`
-	QueueLimit           *int      `json:"queue_limit,omitempty"`
-	RetryAttempts        *int      `json:"retry_attempts,omitempty"`
-	RetryBudgetPercent   *float64  `json:"retry_budget_percent,omitempty"`
-	HedgeAfterMS         *int      `json:"hedge_after_ms,omitempty"`
-	WhenCutOff           *string   `json:"when_cut_off,omitempty"`
-	RetentionSeconds     *int      `json:"idempotency_retention_s,omitempty"`
-	MaxPromptBytes       *int      `json:"max_prompt_bytes,omitempty"`
-	MaxOutputTokens      *int      `json:"max_output_tokens,omitempty"`
-	HotCopies            *int      `json:"hot_copies,omitempty"`
-	HotRequestsPerMinute *float64  `json:"hot_requests_per_minute,omitempty"`
-	VaultKeep            *bool     `json:"vault_keep,omitempty"`
-	SuspectAfterMS       *int      `json:"suspect_after_ms,omitempty"`
-	StallAfterMS         *int      `json:"stall_after_ms,omitempty"`
-	APIKeySHA256         *[]string `json:"api_key_sha256,omitempty"`
+	Kind                  *string   `json:"kind,omitempty"`
+	Model                 *string   `json:"model,omitempty"`
+	Repeatable            *bool     `json:"repeatable,omitempty"`
+	WeightsVersion        *string   `json:"weights_version,omitempty"`
+	MaxConcurrentLoads    *int      `json:"max_concurrent_loads,omitempty"`
+	TimeWeight            *float64  `json:"time_weight,omitempty"`
+	RecomputeWeight       *float64  `json:"recompute_weight,omitempty"`
+	RequestDeadlineMS     *int      `json:"request_deadline_ms,omitempty"`
+	InteractiveDeadlineMS *int      `json:"interactive_deadline_ms,omitempty"`
+	InteractiveMaxTokens  *int      `json:"interactive_max_tokens,omitempty"`
+	ShareWeight           *float64  `json:"share_weight,omitempty"`
+	RequestsPerSecond     *float64  `json:"requests_per_second,omitempty"`
+	RequestBurst          *int      `json:"request_burst,omitempty"`
+	MaxConcurrent         *int      `json:"max_concurrent,omitempty"`
+	EngineConcurrency     *int      `json:"engine_concurrency,omitempty"`
+	QueueLimit            *int      `json:"queue_limit,omitempty"`
+	RetryAttempts         *int      `json:"retry_attempts,omitempty"`
+	RetryBudgetPercent    *float64  `json:"retry_budget_percent,omitempty"`
+	HedgeAfterMS          *int      `json:"hedge_after_ms,omitempty"`
+	WhenCutOff            *string   `json:"when_cut_off,omitempty"`
+	RetentionSeconds      *int      `json:"idempotency_retention_s,omitempty"`
+	MaxPromptBytes        *int      `json:"max_prompt_bytes,omitempty"`
+	MaxOutputTokens       *int      `json:"max_output_tokens,omitempty"`
+	HotCopies             *int      `json:"hot_copies,omitempty"`
+	HotRequestsPerMinute  *float64  `json:"hot_requests_per_minute,omitempty"`
+	VaultKeep             *bool     `json:"vault_keep,omitempty"`
+	SuspectAfterMS        *int      `json:"suspect_after_ms,omitempty"`
+	StallAfterMS          *int      `json:"stall_after_ms,omitempty"`
+	APIKeySHA256          *[]string `json:"api_key_sha256,omitempty"`
 }
 
 // Definition describes one setting.
