--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -198,7 +198,7 @@
 	if string(value) == "null" {
 		value = nil
 	}
-	node, err := t.Nodes[edit.Path].with(definition, value)
+	node, err := t.Nodes[edit.Path].withSetting(definition, value)
 	if err != nil {
 		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: fmt.Sprintf("%s is not a value of type %s", edit.Value, definition.Type)}
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -158,12 +158,12 @@
 		r.fault(member.Key, path, definition.Name, "the value cannot be read")
 		return
 	}
-	next, err := r.tree.Nodes[path].with(definition, bytes.TrimSpace(data))
+	next, err := r.tree.Nodes[path].withSetting(definition, bytes.TrimSpace(data))
 	if err != nil {
 		r.fault(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
 		return
 	}
-	single, _ := Overrides{}.with(definition, data)
+	single, _ := Overrides{}.withSetting(definition, data)
 	if problems := checkNode(path, single); len(problems) > 0 {
 		r.fault(member.Key, path, definition.Name, problems[0].Message)
 		return
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -196,8 +196,8 @@
 	return data, true
 }
 
-// with returns a copy in which one setting is set, or inherited again when value is nil.
-func (o Overrides) with(definition Definition, value json.RawMessage) (Overrides, error) {
+// withSetting returns a copy in which one setting is set, or inherited again when value is nil.
+func (o Overrides) withSetting(definition Definition, value json.RawMessage) (Overrides, error) {
 	target := reflect.ValueOf(&o).Elem().Field(definition.field)
 	if value == nil {
 		target.SetZero()
