--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -161,7 +161,7 @@
 }
 
 // apply copies the set fields of an override onto values and calls note for each.
-func (o Overrides) apply(values *Values, note func(name string)) {
+func (o Overrides) apply(values *Values, onSet func(name string)) {
 	source := reflect.ValueOf(o)
 	target := reflect.ValueOf(values).Elem()
 	for _, definition := range definitions {
@@ -170,8 +170,8 @@
 			continue
 		}
 		target.Field(definition.field).Set(pointer.Elem())
-		if note != nil {
-			note(definition.Name)
+		if onSet != nil {
+			onSet(definition.Name)
 		}
 	}
 }
