--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -172,7 +172,7 @@
 		writeDifferences(writer, outcome.Differing)
 		_ = writer.Flush()
 		return eris.Errorf("conflict: the change was based on version %d, the tree is at %d; look at what changed and try again", change.Base, outcome.Version)
-	case settings.OutcomeReused:
+	case settings.OutcomeOperationIDReused:
 		return eris.Errorf("operation id %s was used for another change", change.OperationID)
 	}
 	for _, problem := range outcome.Problems {
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -29,10 +29,10 @@
 
 // Kinds of outcome.
 const (
-	OutcomeAccepted OutcomeKind = "accepted"
-	OutcomeConflict OutcomeKind = "conflict"            // the tree is at another version
-	OutcomeInvalid  OutcomeKind = "invalid"             // the edits or the resulting tree are wrong
-	OutcomeReused   OutcomeKind = "operation-id-reused" // the operation id was used for another change
+	OutcomeAccepted          OutcomeKind = "accepted"
+	OutcomeConflict          OutcomeKind = "conflict"            // the tree is at another version
+	OutcomeInvalid           OutcomeKind = "invalid"             // the edits or the resulting tree are wrong
+	OutcomeOperationIDReused OutcomeKind = "operation-id-reused" // the operation id was used for another change
 )
 
 // Outcome is the answer to a change. A resend gets the stored first outcome.
@@ -94,7 +94,7 @@
 	if index, seen := m.byID[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
 		first := m.state.Outcomes[index-m.dropped]
 		if first.Digest != digest {
-			return Outcome{Kind: OutcomeReused, Version: m.state.Version}
+			return Outcome{Kind: OutcomeOperationIDReused, Version: m.state.Version}
 		}
 		return first.Outcome
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 	if again := restarted.Apply(change(0, "a", set("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
 		t.Fatalf("outcome %+v, first %+v", again, first)
 	}
-	if reused := restarted.Apply(change(2, "a", set("/", "queue_limit", "99")), 0); reused.Kind != OutcomeReused {
+	if reused := restarted.Apply(change(2, "a", set("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
 		t.Fatalf("same id with other content: %+v", reused)
 	}
 }
