--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -169,7 +169,7 @@
 		return nil
 	case settings.OutcomeConflict:
 		writer := tabwriter.NewWriter(c.options.Out, 2, 4, 2, ' ', 0)
-		writeDifferences(writer, outcome.Differing)
+		writeDifferences(writer, outcome.ChangesSinceBase)
 		_ = writer.Flush()
 		return eris.Errorf("conflict: the change was based on version %d, the tree is at %d; look at what changed and try again", change.Base, outcome.Version)
 	case settings.OutcomeOperationIDReused:
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -54,7 +54,7 @@
 				t.Errorf("released %+v", released)
 			}
 		case request.Change != nil:
-			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, Differing: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
+			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, ChangesSinceBase: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
 		}
 		_ = json.NewEncoder(w).Encode(response)
 	})
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -37,10 +37,10 @@
 
 // Outcome is the answer to a change. A resend gets the stored first outcome.
 type Outcome struct {
-	Kind      OutcomeKind  `json:"kind"`
-	Version   uint64       `json:"version"` // new version when accepted, else the current one
-	Problems  []Problem    `json:"problems,omitempty"`
-	Differing []Difference `json:"differing,omitempty"` // with a conflict: what changed since the base, if still known
+	Kind             OutcomeKind  `json:"kind"`
+	Version          uint64       `json:"version"` // new version when accepted, else the current one
+	Problems         []Problem    `json:"problems,omitempty"`
+	ChangesSinceBase []Difference `json:"differing,omitempty"` // with a conflict: what changed since the base, if still known
 }
 
 // HistoryEntry is one accepted change.
@@ -108,7 +108,7 @@
 		return Outcome{Kind: OutcomeInvalid, Version: m.state.Version, Problems: []Problem{{Path: "/", Message: "operation_id is missing"}}}
 	}
 	if change.Base != m.state.Version && m.Guards.On(guard.VersionCheck) {
-		return Outcome{Kind: OutcomeConflict, Version: m.state.Version, Differing: m.changedSince(change.Base)}
+		return Outcome{Kind: OutcomeConflict, Version: m.state.Version, ChangesSinceBase: m.changedSince(change.Base)}
 	}
 	next, problems := m.state.Tree.Apply(change.Edits)
 	if len(problems) > 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -43,7 +43,7 @@
 	m := NewMachine()
 	m.Apply(change(0, "a", set("/", "queue_limit", "10")), 0)
 	outcome := m.Apply(change(0, "b", set("/", "queue_limit", "20")), 0)
-	if outcome.Kind != OutcomeConflict || outcome.Version != 1 || len(outcome.Differing) != 1 || outcome.Differing[0].Path != "/" {
+	if outcome.Kind != OutcomeConflict || outcome.Version != 1 || len(outcome.ChangesSinceBase) != 1 || outcome.ChangesSinceBase[0].Path != "/" {
 		t.Fatalf("outcome %+v", outcome)
 	}
 }
