--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -61,10 +61,10 @@
 
 // Machine is the replicated state of the tree. Versions start at 0 and only grow.
 type Machine struct {
-	Guards  guard.Set `json:"-"`
-	state   machineState
-	byID    map[string]int // index into state.Outcomes
-	dropped int            // outcomes dropped from the front since byID was built
+	Guards         guard.Set `json:"-"`
+	state          machineState
+	outcomeIndexes map[string]int // index into state.Outcomes
+	dropped        int            // outcomes dropped from the front since byID was built
 }
 
 type machineState struct {
@@ -76,7 +76,7 @@
 
 // NewMachine returns a machine with an empty tree at version 0.
 func NewMachine() *Machine {
-	return &Machine{state: machineState{Tree: NewTree()}, byID: map[string]int{}}
+	return &Machine{state: machineState{Tree: NewTree()}, outcomeIndexes: map[string]int{}}
 }
 
 // Version returns the current version.
@@ -91,7 +91,7 @@
 // Apply decides a change. It is deterministic: every replica gets the same outcome.
 func (m *Machine) Apply(change Change, unixMS int64) Outcome {
 	digest := digestOf(change)
-	if index, seen := m.byID[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
+	if index, seen := m.outcomeIndexes[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
 		first := m.state.Outcomes[index-m.dropped]
 		if first.Digest != digest {
 			return Outcome{Kind: OutcomeOperationIDReused, Version: m.state.Version}
@@ -161,13 +161,13 @@
 	if stored.OperationID == "" {
 		return
 	}
-	m.byID[stored.OperationID] = m.dropped + len(m.state.Outcomes)
+	m.outcomeIndexes[stored.OperationID] = m.dropped + len(m.state.Outcomes)
 	m.state.Outcomes = append(m.state.Outcomes, stored)
 	if len(m.state.Outcomes) <= maxOutcomes {
 		return
 	}
 	oldest := m.state.Outcomes[0]
-	delete(m.byID, oldest.OperationID)
+	delete(m.outcomeIndexes, oldest.OperationID)
 	m.state.Outcomes = m.state.Outcomes[1:]
 	m.dropped++
 }
@@ -192,9 +192,9 @@
 	}
 	m.state = state
 	m.dropped = 0
-	m.byID = make(map[string]int, len(state.Outcomes))
+	m.outcomeIndexes = make(map[string]int, len(state.Outcomes))
 	for i, stored := range state.Outcomes {
-		m.byID[stored.OperationID] = i
+		m.outcomeIndexes[stored.OperationID] = i
 	}
 	return nil
 }
