--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -61,10 +61,10 @@
 
 // Machine is the replicated state of the tree. Versions start at 0 and only grow.
 type Machine struct {
-	Guards         guard.Set `json:"-"`
-	state          machineState
-	outcomeIndexes map[string]int // index into state.Outcomes
-	dropped        int            // outcomes dropped from the front since byID was built
+	Guards          guard.Set `json:"-"`
+	state           machineState
+	outcomeIndexes  map[string]int // index into state.Outcomes
+	droppedOutcomes int            // outcomes dropped from the front since byID was built
 }
 
 type machineState struct {
@@ -92,7 +92,7 @@
 func (m *Machine) Apply(change Change, unixMS int64) Outcome {
 	digest := digestOf(change)
 	if index, seen := m.outcomeIndexes[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
-		first := m.state.Outcomes[index-m.dropped]
+		first := m.state.Outcomes[index-m.droppedOutcomes]
 		if first.Digest != digest {
 			return Outcome{Kind: OutcomeOperationIDReused, Version: m.state.Version}
 		}
@@ -161,7 +161,7 @@
 	if stored.OperationID == "" {
 		return
 	}
-	m.outcomeIndexes[stored.OperationID] = m.dropped + len(m.state.Outcomes)
+	m.outcomeIndexes[stored.OperationID] = m.droppedOutcomes + len(m.state.Outcomes)
 	m.state.Outcomes = append(m.state.Outcomes, stored)
 	if len(m.state.Outcomes) <= maxOutcomes {
 		return
@@ -169,7 +169,7 @@
 	oldest := m.state.Outcomes[0]
 	delete(m.outcomeIndexes, oldest.OperationID)
 	m.state.Outcomes = m.state.Outcomes[1:]
-	m.dropped++
+	m.droppedOutcomes++
 }
 
 // digestOf identifies the content of a change, so that a reused operation id is noticed.
@@ -191,7 +191,7 @@
 		return err
 	}
 	m.state = state
-	m.dropped = 0
+	m.droppedOutcomes = 0
 	m.outcomeIndexes = make(map[string]int, len(state.Outcomes))
 	for i, stored := range state.Outcomes {
 		m.outcomeIndexes[stored.OperationID] = i
