--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -99,7 +99,7 @@
 		return first.Outcome
 	}
 	outcome := m.decide(change, unixMS)
-	m.remember(storedOutcome{OperationID: change.OperationID, Digest: digest, Outcome: outcome})
+	m.storeOutcome(storedOutcome{OperationID: change.OperationID, Digest: digest, Outcome: outcome})
 	return outcome
 }
 
@@ -157,7 +157,7 @@
 	return edits, true
 }
 
-func (m *Machine) remember(stored storedOutcome) {
+func (m *Machine) storeOutcome(stored storedOutcome) {
 	if stored.OperationID == "" {
 		return
 	}
