--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -98,12 +98,12 @@
 		}
 		return first.Outcome
 	}
-	outcome := m.decide(change, unixMS)
+	outcome := m.applyNew(change, unixMS)
 	m.storeOutcome(storedOutcome{OperationID: change.OperationID, Digest: digest, Outcome: outcome})
 	return outcome
 }
 
-func (m *Machine) decide(change Change, unixMS int64) Outcome {
+func (m *Machine) applyNew(change Change, unixMS int64) Outcome {
 	if change.OperationID == "" {
 		return Outcome{Kind: OutcomeInvalid, Version: m.state.Version, Problems: []Problem{{Path: "/", Message: "operation_id is missing"}}}
 	}
