--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -90,7 +90,7 @@
 
 // Apply decides a change. It is deterministic: every replica gets the same outcome.
 func (m *Machine) Apply(change Change, unixMS int64) Outcome {
-	digest := digestOf(change)
+	digest := changeDigest(change)
 	if index, seen := m.outcomeIndexes[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
 		first := m.state.Outcomes[index-m.droppedOutcomes]
 		if first.Digest != digest {
@@ -172,8 +172,8 @@
 	m.droppedOutcomes++
 }
 
-// digestOf identifies the content of a change, so that a reused operation id is noticed.
-func digestOf(change Change) uint64 {
+// changeDigest identifies the content of a change, so that a reused operation id is noticed.
+func changeDigest(change Change) uint64 {
 	data, err := json.Marshal(change)
 	if err != nil {
 		panic("settings: change cannot be written: " + err.Error())
