--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -96,7 +96,7 @@
 		}
 		problems = append(problems, checkNode(path, t.Nodes[path])...)
 	}
-	return append(problems, t.checkWhole()...)
+	return append(problems, t.checkConsistency()...)
 }
 
 func checkNode(path Path, node Overrides) []Problem {
@@ -129,11 +129,11 @@
 		}
 		seen[edit.Path] = true
 	}
-	return append(problems, t.checkWhole()...)
+	return append(problems, t.checkConsistency()...)
 }
 
-// checkWhole finds contradictions between nodes.
-func (t Tree) checkWhole() []Problem {
+// checkConsistency finds contradictions between nodes.
+func (t Tree) checkConsistency() []Problem {
 	var problems []Problem
 	owner := map[string]string{}
 	for _, path := range t.Paths() {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -48,7 +48,7 @@
 	}
 	reader.readNode(file.Docs[0].Body, nil)
 	if len(reader.problems) == 0 {
-		for _, problem := range reader.tree.checkWhole() {
+		for _, problem := range reader.tree.checkConsistency() {
 			reader.problems = append(reader.problems, FileProblem{Line: reader.lines[problem.Path], Problem: problem})
 		}
 	}
