--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -114,9 +114,9 @@
 	return problems
 }
 
-// checkEdited checks the nodes that edits touched, and the whole for contradictions. The other nodes were checked
+// checkEditedNodes checks the nodes that edits touched, and the whole for contradictions. The other nodes were checked
 // when they were made; a change to a large tree must not check all of it again.
-func (t Tree) checkEdited(edits []Edit) []Problem {
+func (t Tree) checkEditedNodes(edits []Edit) []Problem {
 	if len(edits) >= len(t.Nodes) || len(t.Nodes) > maxNodes {
 		return t.Check()
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	if len(problems) == 0 {
-		problems = next.checkEdited(edits)
+		problems = next.checkEditedNodes(edits)
 	}
 	if len(problems) > 0 {
 		return t, problems
