--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -170,7 +170,7 @@
 		return t, []Problem{{Path: "/", Message: "the change has no edits"}}
 	}
 	for _, edit := range edits {
-		if problem := next.applyOne(edit); problem != nil {
+		if problem := next.applyEdit(edit); problem != nil {
 			problems = append(problems, *problem)
 		}
 	}
@@ -183,7 +183,7 @@
 	return next, nil
 }
 
-func (t Tree) applyOne(edit Edit) *Problem {
+func (t Tree) applyEdit(edit Edit) *Problem {
 	if message := checkPath(edit.Path); message != "" {
 		return &Problem{Path: edit.Path, Message: message}
 	}
