--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -188,7 +188,7 @@
 		return &Problem{Path: edit.Path, Message: message}
 	}
 	if edit.Setting == "" {
-		return t.applyNode(edit)
+		return t.applyNodeEdit(edit)
 	}
 	definition, known := definitionByName[edit.Setting]
 	if !known {
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (t Tree) applyNode(edit Edit) *Problem {
+func (t Tree) applyNodeEdit(edit Edit) *Problem {
 	if edit.Create {
 		if _, exists := t.Nodes[edit.Path]; !exists {
 			t.Nodes[edit.Path] = Overrides{}
