--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -192,7 +192,7 @@
 	}
 	definition, known := definitionByName[edit.Setting]
 	if !known {
-		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: unknownSetting(edit.Setting)}
+		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: unknownSettingMessage(edit.Setting)}
 	}
 	value := edit.Value
 	if string(value) == "null" {
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// unknownSetting says that a name is not known and offers the nearest one.
-func unknownSetting(name string) string {
+// unknownSettingMessage says that a name is not known and offers the nearest one.
+func unknownSettingMessage(name string) string {
 	best, distance := "", len(name)
 	for _, definition := range definitions {
 		if d := editDistance(name, definition.Name); d < distance {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -140,7 +140,7 @@
 		name := keyText(member.Key)
 		definition, known := definitionByName[name]
 		if !known {
-			r.fault(member.Key, path, name, unknownSetting(name))
+			r.fault(member.Key, path, name, unknownSettingMessage(name))
 			continue
 		}
 		r.readValue(member, path, definition)
