--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -265,7 +265,7 @@
 func DiffEdits(before, after Tree) []Edit {
 	var edits []Edit
 	for _, path := range before.Paths() {
-		if _, kept := after.Nodes[path]; !kept && (len(path.Elements()) == 1 || !removedAbove(path, after)) {
+		if _, kept := after.Nodes[path]; !kept && (len(path.Elements()) == 1 || !ancestorRemoved(path, after)) {
 			edits = append(edits, Edit{Path: path})
 		}
 	}
@@ -286,8 +286,8 @@
 	return edits
 }
 
-// removedAbove reports whether a parent of the path is removed too, which removes the path with it.
-func removedAbove(path Path, after Tree) bool {
+// ancestorRemoved reports whether a parent of the path is removed too, which removes the path with it.
+func ancestorRemoved(path Path, after Tree) bool {
 	elements := path.Elements()
 	for depth := 1; depth < len(elements); depth++ {
 		if _, kept := after.Nodes[MakePath(elements[:depth]...)]; !kept {
