--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -123,8 +123,8 @@
 	var problems []Problem
 	seen := map[Path]bool{}
 	for _, edit := range edits {
-		node, held := t.Nodes[edit.Path]
-		if held && !seen[edit.Path] {
+		node, exists := t.Nodes[edit.Path]
+		if exists && !seen[edit.Path] {
 			problems = append(problems, checkNode(edit.Path, node)...)
 		}
 		seen[edit.Path] = true
