--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -69,7 +69,7 @@
 	return line
 }
 
-func (r *fileReader) fault(node ast.Node, path Path, setting, message string) {
+func (r *fileReader) addProblem(node ast.Node, path Path, setting, message string) {
 	line := 1
 	if token := node.GetToken(); token != nil {
 		line = token.Position.Line
@@ -87,7 +87,7 @@
 	case *ast.NullNode:
 		return nil
 	}
-	r.fault(node, path, "", "a mapping is expected here")
+	r.addProblem(node, path, "", "a mapping is expected here")
 	return nil
 }
 
@@ -110,7 +110,7 @@
 		case key == labKey && len(elements) == 0:
 			// read by package plan
 		default:
-			r.fault(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", allowedKeys(children)))
+			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", allowedKeys(children)))
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	for _, member := range r.members(node, MakePath(elements...)) {
 		child := append(append([]string(nil), elements...), keyText(member.Key))
 		if message := checkPath(MakePath(child...)); message != "" {
-			r.fault(member.Key, MakePath(child...), "", message)
+			r.addProblem(member.Key, MakePath(child...), "", message)
 			continue
 		}
 		r.readNode(member.Value, child)
@@ -140,7 +140,7 @@
 		name := keyText(member.Key)
 		definition, known := definitionByName[name]
 		if !known {
-			r.fault(member.Key, path, name, unknownSettingMessage(name))
+			r.addProblem(member.Key, path, name, unknownSettingMessage(name))
 			continue
 		}
 		r.readValue(member, path, definition)
@@ -150,22 +150,22 @@
 func (r *fileReader) readValue(member *ast.MappingValueNode, path Path, definition Definition) {
 	var value any
 	if err := yaml.NodeToValue(member.Value, &value); err != nil {
-		r.fault(member.Key, path, definition.Name, firstLine(err.Error()))
+		r.addProblem(member.Key, path, definition.Name, firstLine(err.Error()))
 		return
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		r.fault(member.Key, path, definition.Name, "the value cannot be read")
+		r.addProblem(member.Key, path, definition.Name, "the value cannot be read")
 		return
 	}
 	next, err := r.tree.Nodes[path].withSetting(definition, bytes.TrimSpace(data))
 	if err != nil {
-		r.fault(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
+		r.addProblem(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
 		return
 	}
 	single, _ := Overrides{}.withSetting(definition, data)
 	if problems := checkNode(path, single); len(problems) > 0 {
-		r.fault(member.Key, path, definition.Name, problems[0].Message)
+		r.addProblem(member.Key, path, definition.Name, problems[0].Message)
 		return
 	}
 	r.tree.Nodes[path] = next
