--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -77,8 +77,8 @@
 	r.problems = append(r.problems, FileProblem{Line: line, Problem: Problem{Path: path, Setting: setting, Message: message}})
 }
 
-// members returns the key-value pairs of a mapping, or nil for an empty value.
-func (r *fileReader) members(node ast.Node, path Path) []*ast.MappingValueNode {
+// mappingEntries returns the key-value pairs of a mapping, or nil for an empty value.
+func (r *fileReader) mappingEntries(node ast.Node, path Path) []*ast.MappingValueNode {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
 		return typed.Values
@@ -100,7 +100,7 @@
 		r.lines[path] = token.Position.Line
 	}
 	children := childKeys[len(elements)]
-	for _, member := range r.members(node, path) {
+	for _, member := range r.mappingEntries(node, path) {
 		key := keyText(member.Key)
 		switch {
 		case key == settingsKey:
@@ -125,7 +125,7 @@
 func keyText(key ast.MapKeyNode) string { return strings.Trim(key.String(), `"'`) }
 
 func (r *fileReader) readChildren(node ast.Node, elements []string) {
-	for _, member := range r.members(node, MakePath(elements...)) {
+	for _, member := range r.mappingEntries(node, MakePath(elements...)) {
 		child := append(append([]string(nil), elements...), keyText(member.Key))
 		if message := checkPath(MakePath(child...)); message != "" {
 			r.addProblem(member.Key, MakePath(child...), "", message)
@@ -136,7 +136,7 @@
 }
 
 func (r *fileReader) readSettings(node ast.Node, path Path) {
-	for _, member := range r.members(node, path) {
+	for _, member := range r.mappingEntries(node, path) {
 		name := keyText(member.Key)
 		definition, known := definitionByName[name]
 		if !known {
