--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -110,12 +110,12 @@
 		case key == labKey && len(elements) == 0:
 			// read by package plan
 		default:
-			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", allowedKeys(children)))
+			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", describeAllowedKeys(children)))
 		}
 	}
 }
 
-func allowedKeys(children string) string {
+func describeAllowedKeys(children string) string {
 	if children == "" {
 		return settingsKey
 	}
