--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -26,8 +26,8 @@
 
 const settingsKey = "settings"
 
-// labKey is the section of a deployment file that describes stand-ins; it is not part of the tree.
-const labKey = "lab"
+// simulationKey is the section of a deployment file that describes stand-ins; it is not part of the tree.
+const simulationKey = "lab"
 
 // fileReader collects the tree and every fault of a file.
 type fileReader struct {
@@ -107,7 +107,7 @@
 			r.readSettings(member.Value, path)
 		case key == children && children != "":
 			r.readChildren(member.Value, elements)
-		case key == labKey && len(elements) == 0:
+		case key == simulationKey && len(elements) == 0:
 			// read by package plan
 		default:
 			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", describeAllowedKeys(children)))
