--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEqualBaseVersionsOneWins(t *testing.T) {
+func TestOnlyOneChangeOfABaseVersionIsAccepted(t *testing.T) {
 	m := NewMachine()
 	m.Apply(change(0, "a", set("/", "queue_limit", "10")), 0)
 	outcome := m.Apply(change(0, "b", set("/", "queue_limit", "20")), 0)
