--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestResendGetsTheFirstOutcomeAfterARestart(t *testing.T) {
+func TestResentChangeGetsItsFirstOutcomeAfterRestart(t *testing.T) {
 	m := NewMachine()
 	first := m.Apply(change(0, "a", set("/", "queue_limit", "10")), 0)
 	m.Apply(change(1, "b", set("/", "queue_limit", "20")), 0)
