--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestAtomicChange: one wrong edit keeps all of them out.
-func TestAtomicChange(t *testing.T) {
+// TestOneInvalidEditRejectsTheWholeChange: one wrong edit keeps all of them out.
+func TestOneInvalidEditRejectsTheWholeChange(t *testing.T) {
 	m := NewMachine()
 	outcome := m.Apply(change(0, "a", set("/", "queue_limit", "10"), set("/", "time_weight", "7"), set("/", "no_such", "1")), 0)
 	if outcome.Kind != OutcomeInvalid || len(outcome.Problems) == 0 || m.Version() != 0 || !m.Tree().Nodes["/"].Empty() {
