--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestMachineAgainstSimpleModel: versions, outcomes and values against a plain map.
-func TestMachineAgainstSimpleModel(t *testing.T) {
+// TestMachineMatchesModel: versions, outcomes and values against a plain map.
+func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, model := NewMachine(), map[Path]int{}
 		var version uint64
