--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestEditsSinceLeadToTheSameTree: deltas and the whole tree must never differ.
-func TestEditsSinceLeadToTheSameTree(t *testing.T) {
+// TestEditsSinceReproduceTheCurrentTree: deltas and the whole tree must never differ.
+func TestEditsSinceReproduceTheCurrentTree(t *testing.T) {
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
 	for i := range 30 {
