--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestDiffEditsTurnOneTreeIntoTheOther(t *testing.T) {
+func TestDiffEditsTransformOneTreeIntoTheOther(t *testing.T) {
 	kigali, nilewash := readConfig(t, "kigali"), readConfig(t, "nilewash")
 	for _, pair := range [][2]Tree{{kigali, nilewash}, {nilewash, kigali}, {NewTree(), kigali}, {kigali, NewTree()}} {
 		next, problems := pair[0].Apply(DiffEdits(pair[0], pair[1]))
