--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -189,7 +189,7 @@
 	return tree
 }
 
-const threeMistakes = `settings:
+const fileWithThreeProblems = `settings:
   time_weight: 7
   queue_limits: 5
 zones:
@@ -201,7 +201,7 @@
 `
 
 func TestFileWithThreeMistakesNamesAllThree(t *testing.T) {
-	_, problems := ParseFile([]byte(threeMistakes))
+	_, problems := ParseFile([]byte(fileWithThreeProblems))
 	var text []string
 	for _, problem := range problems {
 		text = append(text, problem.String())
@@ -219,7 +219,7 @@
 
 // FuzzParseFile: no bytes may crash the parser, and a tree without problems must pass its own check.
 func FuzzParseFile(f *testing.F) {
-	f.Add([]byte(threeMistakes))
+	f.Add([]byte(fileWithThreeProblems))
 	f.Add([]byte("settings: {queue_limit: 3}\n"))
 	f.Add([]byte("zones: {'*': {services: {s: {tenants: {t: {}}}}}}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
