--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -200,7 +200,7 @@
           kind: modell
 `
 
-func TestFileWithThreeMistakesNamesAllThree(t *testing.T) {
+func TestParseFileReportsAllProblems(t *testing.T) {
 	_, problems := ParseFile([]byte(fileWithThreeProblems))
 	var text []string
 	for _, problem := range problems {
