--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -230,8 +230,8 @@
 	})
 }
 
-// TestAcceptedTreesPassTheWholeCheck: checking only what was edited must accept nothing that the whole check refuses.
-func TestAcceptedTreesPassTheWholeCheck(t *testing.T) {
+// TestAcceptedTreesPassFullCheck: checking only what was edited must accept nothing that the whole check refuses.
+func TestAcceptedTreesPassFullCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := NewTree()
 		path := rapid.SampledFrom([]Path{"/", "/z", "/z/s", "/*/s", "/z/s/t", "/*/s/u", "bad path", "/z/s/t/x"})
