--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -123,14 +123,14 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				held := map[Path]int{}
+				got := map[Path]int{}
 				for at, node := range m.Tree().Nodes {
 					if node.QueueLimit != nil {
-						held[at] = *node.QueueLimit
+						got[at] = *node.QueueLimit
 					}
 				}
-				if !maps.Equal(held, model) {
-					t.Fatalf("tree %v, want %v", held, model)
+				if !maps.Equal(got, model) {
+					t.Fatalf("tree %v, want %v", got, model)
 				}
 			},
 		})
