--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -80,7 +80,7 @@
 // TestMachineMatchesModel: versions, outcomes and values against a plain map.
 func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, model := NewMachine(), map[Path]int{}
+		m, wantLimits := NewMachine(), map[Path]int{}
 		var version uint64
 		outcomes := map[string]Outcome{}
 		sent := []Change{}
@@ -100,7 +100,7 @@
 					expect(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
-					model[at] = value
+					wantLimits[at] = value
 					expect(t, outcome, OutcomeAccepted, version)
 				}
 			},
@@ -129,8 +129,8 @@
 						got[at] = *node.QueueLimit
 					}
 				}
-				if !maps.Equal(got, model) {
-					t.Fatalf("tree %v, want %v", got, model)
+				if !maps.Equal(got, wantLimits) {
+					t.Fatalf("tree %v, want %v", got, wantLimits)
 				}
 			},
 		})
