--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -167,8 +167,8 @@
 }
 
 func TestDiffEditsTransformOneTreeIntoTheOther(t *testing.T) {
-	kigaliTree, nilewash := readConfig(t, "kigali"), readConfig(t, "nilewash")
-	for _, pair := range [][2]Tree{{kigaliTree, nilewash}, {nilewash, kigaliTree}, {NewTree(), kigaliTree}, {kigaliTree, NewTree()}} {
+	kigaliTree, nilewashTree := readConfig(t, "kigali"), readConfig(t, "nilewash")
+	for _, pair := range [][2]Tree{{kigaliTree, nilewashTree}, {nilewashTree, kigaliTree}, {NewTree(), kigaliTree}, {kigaliTree, NewTree()}} {
 		next, problems := pair[0].Apply(DiffEdits(pair[0], pair[1]))
 		if len(problems) > 0 || len(Diff(next, pair[1])) > 0 {
 			t.Fatalf("problems %v, left over %v", problems, Diff(next, pair[1]))
