--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,13 +95,13 @@
 				outcomes[c.OperationID] = outcome
 				switch {
 				case base != version:
-					expect(t, outcome, OutcomeConflict, version)
+					expectOutcome(t, outcome, OutcomeConflict, version)
 				case value < 0:
-					expect(t, outcome, OutcomeInvalid, version)
+					expectOutcome(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
 					wantLimits[at] = value
-					expect(t, outcome, OutcomeAccepted, version)
+					expectOutcome(t, outcome, OutcomeAccepted, version)
 				}
 			},
 			"resend": func(t *rapid.T) {
@@ -110,7 +110,7 @@
 				}
 				c := rapid.SampledFrom(sent).Draw(t, "change")
 				first := outcomes[c.OperationID]
-				expect(t, m.Apply(c, 0), first.Kind, first.Version)
+				expectOutcome(t, m.Apply(c, 0), first.Kind, first.Version)
 			},
 			"restart": func(t *rapid.T) {
 				data, err := json.Marshal(m)
@@ -137,7 +137,7 @@
 	})
 }
 
-func expect(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
+func expectOutcome(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
 	if outcome.Kind != kind || outcome.Version != version {
 		t.Fatalf("outcome %s at %d, want %s at %d", outcome.Kind, outcome.Version, kind, version)
 	}
