--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,10 +31,10 @@
 	}
 	for _, row := range []struct {
 		elements []string
-		wanted   int
+		want     int
 	}{{nil, 10}, {[]string{"z2"}, 10}, {[]string{"z1"}, 20}, {[]string{"z2", "s"}, 30}, {[]string{"z1", "s"}, 40}, {[]string{"z1", "s", "t"}, 40}} {
-		if got := m.Tree().Resolve(row.elements...).QueueLimit; got != row.wanted {
-			t.Errorf("%v: queue_limit %d, want %d", row.elements, got, row.wanted)
+		if got := m.Tree().Resolve(row.elements...).QueueLimit; got != row.want {
+			t.Errorf("%v: queue_limit %d, want %d", row.elements, got, row.want)
 		}
 	}
 }
