--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,12 +29,12 @@
 	if outcome.Kind != OutcomeAccepted {
 		t.Fatalf("outcome %+v", outcome)
 	}
-	for _, row := range []struct {
+	for _, test := range []struct {
 		elements []string
 		want     int
 	}{{nil, 10}, {[]string{"z2"}, 10}, {[]string{"z1"}, 20}, {[]string{"z2", "s"}, 30}, {[]string{"z1", "s"}, 40}, {[]string{"z1", "s", "t"}, 40}} {
-		if got := m.Tree().Resolve(row.elements...).QueueLimit; got != row.want {
-			t.Errorf("%v: queue_limit %d, want %d", row.elements, got, row.want)
+		if got := m.Tree().Resolve(test.elements...).QueueLimit; got != test.want {
+			t.Errorf("%v: queue_limit %d, want %d", test.elements, got, test.want)
 		}
 	}
 }
