--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -207,9 +207,9 @@
 		text = append(text, problem.String())
 	}
 	all := strings.Join(text, "\n")
-	for _, wanted := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
-		if !strings.Contains(all, wanted) {
-			t.Errorf("%q is not named in:\n%s", wanted, all)
+	for _, want := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
+		if !strings.Contains(all, want) {
+			t.Errorf("%q is not named in:\n%s", want, all)
 		}
 	}
 	if len(problems) != 3 {
