--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,9 +87,9 @@
 		path := rapid.SampledFrom([]Path{"/", "/z1", "/z2", "/z1/s", "/*/s"})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				at, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
+				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := change(base, fmt.Sprint(len(sent)), set(at, "queue_limit", fmt.Sprint(value)))
+				c := change(base, fmt.Sprint(len(sent)), set(path, "queue_limit", fmt.Sprint(value)))
 				sent = append(sent, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
@@ -100,7 +100,7 @@
 					expectOutcome(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
-					wantLimits[at] = value
+					wantLimits[path] = value
 					expectOutcome(t, outcome, OutcomeAccepted, version)
 				}
 			},
