--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,14 +18,14 @@
 	return Change{Base: base, OperationID: id, Edits: edits}
 }
 
-func set(path Path, name, value string) Edit {
+func setEdit(path Path, name, value string) Edit {
 	return Edit{Path: path, Setting: name, Value: raw(value)}
 }
 
 func TestValuesInheritDownTheTree(t *testing.T) {
 	m := NewMachine()
-	outcome := m.Apply(newChange(0, "a", set("/", "queue_limit", "10"), set("/z1", "queue_limit", "20"), set("/*/s", "queue_limit", "30"),
-		set("/z1/s", "queue_limit", "40")), 0)
+	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/z1", "queue_limit", "20"), setEdit("/*/s", "queue_limit", "30"),
+		setEdit("/z1/s", "queue_limit", "40")), 0)
 	if outcome.Kind != OutcomeAccepted {
 		t.Fatalf("outcome %+v", outcome)
 	}
@@ -41,8 +41,8 @@
 
 func TestOnlyOneChangeOfABaseVersionIsAccepted(t *testing.T) {
 	m := NewMachine()
-	m.Apply(newChange(0, "a", set("/", "queue_limit", "10")), 0)
-	outcome := m.Apply(newChange(0, "b", set("/", "queue_limit", "20")), 0)
+	m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
+	outcome := m.Apply(newChange(0, "b", setEdit("/", "queue_limit", "20")), 0)
 	if outcome.Kind != OutcomeConflict || outcome.Version != 1 || len(outcome.ChangesSinceBase) != 1 || outcome.ChangesSinceBase[0].Path != "/" {
 		t.Fatalf("outcome %+v", outcome)
 	}
@@ -50,8 +50,8 @@
 
 func TestResentChangeGetsItsFirstOutcomeAfterRestart(t *testing.T) {
 	m := NewMachine()
-	first := m.Apply(newChange(0, "a", set("/", "queue_limit", "10")), 0)
-	m.Apply(newChange(1, "b", set("/", "queue_limit", "20")), 0)
+	first := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
+	m.Apply(newChange(1, "b", setEdit("/", "queue_limit", "20")), 0)
 	data, err := json.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
@@ -60,10 +60,10 @@
 	if err := json.Unmarshal(data, restarted); err != nil {
 		t.Fatal(err)
 	}
-	if again := restarted.Apply(newChange(0, "a", set("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
+	if again := restarted.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
 		t.Fatalf("outcome %+v, first %+v", again, first)
 	}
-	if reused := restarted.Apply(newChange(2, "a", set("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
+	if reused := restarted.Apply(newChange(2, "a", setEdit("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
 		t.Fatalf("same id with other content: %+v", reused)
 	}
 }
@@ -71,7 +71,7 @@
 // TestOneInvalidEditRejectsTheWholeChange: one wrong edit keeps all of them out.
 func TestOneInvalidEditRejectsTheWholeChange(t *testing.T) {
 	m := NewMachine()
-	outcome := m.Apply(newChange(0, "a", set("/", "queue_limit", "10"), set("/", "time_weight", "7"), set("/", "no_such", "1")), 0)
+	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/", "time_weight", "7"), setEdit("/", "no_such", "1")), 0)
 	if outcome.Kind != OutcomeInvalid || len(outcome.Problems) == 0 || m.Version() != 0 || !m.Tree().Nodes["/"].Empty() {
 		t.Fatalf("outcome %+v, tree %+v", outcome, m.Tree())
 	}
@@ -89,7 +89,7 @@
 			"change": func(t *rapid.T) {
 				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := newChange(base, fmt.Sprint(len(sent)), set(path, "queue_limit", fmt.Sprint(value)))
+				c := newChange(base, fmt.Sprint(len(sent)), setEdit(path, "queue_limit", fmt.Sprint(value)))
 				sent = append(sent, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
@@ -148,7 +148,7 @@
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
 	for i := range 30 {
-		m.Apply(newChange(uint64(i), fmt.Sprint(i), set(Path(fmt.Sprintf("/z%d", i%4)), "queue_limit", fmt.Sprint(i))), 0)
+		m.Apply(newChange(uint64(i), fmt.Sprint(i), setEdit(Path(fmt.Sprintf("/z%d", i%4)), "queue_limit", fmt.Sprint(i))), 0)
 		trees = append(trees, m.Tree())
 	}
 	for base, tree := range trees {
