--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -32,8 +32,8 @@
 	return text.String()
 }
 
-// TestConfigurationPageMatchesTheTypes: run with UPDATE_DOCS=1 to write the table anew.
-func TestConfigurationPageMatchesTheTypes(t *testing.T) {
+// TestConfigurationPageMatchesDefinitions: run with UPDATE_DOCS=1 to write the table anew.
+func TestConfigurationPageMatchesDefinitions(t *testing.T) {
 	path := filepath.FromSlash(referenceFile)
 	data, err := os.ReadFile(path)
 	if err != nil {
