--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -14,8 +14,8 @@
 	referenceEnd   = "<!-- end of settings -->"
 )
 
-// reference writes the table of every setting.
-func reference() string {
+// settingsTable writes the table of every setting.
+func settingsTable() string {
 	var text strings.Builder
 	text.WriteString("| setting | type | unit | default | allowed | levels | effect |\n|---|---|---|---|---|---|---|\n")
 	for _, d := range Definitions() {
@@ -44,7 +44,7 @@
 	if !found || !closed {
 		t.Fatalf("%s has no markers around the settings", referenceFile)
 	}
-	wanted := before + referenceStart + reference() + referenceEnd + after
+	wanted := before + referenceStart + settingsTable() + referenceEnd + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		if err := os.WriteFile(path, []byte(wanted), 0o644); err != nil {
 			t.Fatal(err)
