--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -23,11 +23,11 @@
 		if allowed == "" {
 			allowed = "any"
 		}
-		standard := d.Default
-		if standard == "" {
-			standard = "(empty)"
+		defaultText := d.Default
+		if defaultText == "" {
+			defaultText = "(empty)"
 		}
-		fmt.Fprintf(&text, "| `%s` | %s | %s | %s | %s | %s | %s |\n", d.Name, d.Type, d.Unit, standard, allowed, strings.Join(d.Levels, ", "), d.Help)
+		fmt.Fprintf(&text, "| `%s` | %s | %s | %s | %s | %s | %s |\n", d.Name, d.Type, d.Unit, defaultText, allowed, strings.Join(d.Levels, ", "), d.Help)
 	}
 	return text.String()
 }
