--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -44,12 +44,12 @@
 	if !found || !closed {
 		t.Fatalf("%s has no markers around the settings", referenceFile)
 	}
-	wanted := before + referenceStart + settingsTable() + referenceEnd + after
+	want := before + referenceStart + settingsTable() + referenceEnd + after
 	if os.Getenv("UPDATE_DOCS") != "" {
-		if err := os.WriteFile(path, []byte(wanted), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
-	} else if wanted != string(data) {
+	} else if want != string(data) {
 		t.Fatalf("%s differs from the types; run UPDATE_DOCS=1 go test ./internal/settings", referenceFile)
 	}
 }
