--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	referenceFile  = "../../docs/CONFIGURATION.md"
-	referenceStart = "<!-- settings: generated from the types -->\n"
-	referenceEnd   = "<!-- end of settings -->"
+	referenceFile    = "../../docs/CONFIGURATION.md"
+	tableStartMarker = "<!-- settings: generated from the types -->\n"
+	referenceEnd     = "<!-- end of settings -->"
 )
 
 // settingsTable writes the table of every setting.
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, rest, found := strings.Cut(string(data), referenceStart)
+	before, rest, found := strings.Cut(string(data), tableStartMarker)
 	_, after, closed := strings.Cut(rest, referenceEnd)
 	if !found || !closed {
 		t.Fatalf("%s has no markers around the settings", referenceFile)
 	}
-	want := before + referenceStart + settingsTable() + referenceEnd + after
+	want := before + tableStartMarker + settingsTable() + referenceEnd + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
