--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -11,7 +11,7 @@
 const (
 	referenceFile    = "../../docs/CONFIGURATION.md"
 	tableStartMarker = "<!-- settings: generated from the types -->\n"
-	referenceEnd     = "<!-- end of settings -->"
+	tableEndMarker   = "<!-- end of settings -->"
 )
 
 // settingsTable writes the table of every setting.
@@ -40,11 +40,11 @@
 		t.Fatal(err)
 	}
 	before, rest, found := strings.Cut(string(data), tableStartMarker)
-	_, after, closed := strings.Cut(rest, referenceEnd)
+	_, after, closed := strings.Cut(rest, tableEndMarker)
 	if !found || !closed {
 		t.Fatalf("%s has no markers around the settings", referenceFile)
 	}
-	want := before + tableStartMarker + settingsTable() + referenceEnd + after
+	want := before + tableStartMarker + settingsTable() + tableEndMarker + after
 	if os.Getenv("UPDATE_DOCS") != "" {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
