--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -11,11 +11,11 @@
 
 // AnnouncerSettings bound an announcer.
 type AnnouncerSettings struct {
-	Path    string        // that peers are told on
-	Ring    int           // items that may wait
-	Batch   int           // items told in one message
-	Period  time.Duration // how long an item waits for others to be told with it
-	Timeout time.Duration // of one message
+	Path      string        // that peers are told on
+	QueueSize int           // items that may wait
+	Batch     int           // items told in one message
+	Period    time.Duration // how long an item waits for others to be told with it
+	Timeout   time.Duration // of one message
 }
 
 // Aged is an announced item and when that was.
@@ -38,7 +38,7 @@
 
 // NewAnnouncer returns an announcer without peers.
 func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Aged[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Aged[T], settings.Ring)}
+	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Aged[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
