--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -13,7 +13,7 @@
 type AnnouncerSettings struct {
 	Path      string        // that peers are told on
 	QueueSize int           // items that may wait
-	Batch     int           // items told in one message
+	MaxBatch  int           // items told in one message
 	Period    time.Duration // how long an item waits for others to be told with it
 	Timeout   time.Duration // of one message
 }
@@ -71,7 +71,7 @@
 
 func (a *Announcer[T]) collect(first Aged[T]) []Aged[T] {
 	batch := []Aged[T]{first}
-	for len(batch) < a.settings.Batch && len(a.items) > 0 {
+	for len(batch) < a.settings.MaxBatch && len(a.items) > 0 {
 		batch = append(batch, <-a.items)
 	}
 	return batch
