--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -160,7 +160,7 @@
 func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
 	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
-			Path: path, QueueSize: announceQueueSize, MaxBatch: announceBatchSize, Period: period, Timeout: announceTimeout,
+			Path: path, QueueSize: announceQueueSize, MaxBatch: announceBatchSize, BatchDelay: period, Timeout: announceTimeout,
 		}
 		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -27,7 +27,7 @@
 // them yet, so that two routers do not choose the same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
-		Path: pathDispatches, QueueSize: announceBufferSize, MaxBatch: announceBatch, Period: announceInterval, Timeout: announceTimeout,
+		Path: pathDispatches, QueueSize: announceBufferSize, MaxBatch: announceBatch, BatchDelay: announceInterval, Timeout: announceTimeout,
 	}
 	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -11,11 +11,11 @@
 
 // AnnouncerSettings bound an announcer.
 type AnnouncerSettings struct {
-	Path      string        // that peers are told on
-	QueueSize int           // items that may wait
-	MaxBatch  int           // items told in one message
-	Period    time.Duration // how long an item waits for others to be told with it
-	Timeout   time.Duration // of one message
+	Path       string        // that peers are told on
+	QueueSize  int           // items that may wait
+	MaxBatch   int           // items told in one message
+	BatchDelay time.Duration // how long an item waits for others to be told with it
+	Timeout    time.Duration // of one message
 }
 
 // Aged is an announced item and when that was.
@@ -63,7 +63,7 @@
 		case <-ctx.Done():
 			return
 		case first := <-a.items:
-			time.Sleep(a.settings.Period)
+			time.Sleep(a.settings.BatchDelay)
 			a.tell(ctx, a.message(a.collect(first)))
 		}
 	}
--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -31,7 +31,7 @@
 		t.Cleanup(func() { _ = server.Close(context.Background()) })
 		peers = append(peers, address)
 	}
-	settings := AnnouncerSettings{Path: "/told", QueueSize: items, MaxBatch: items, Period: 5 * time.Millisecond, Timeout: 5 * time.Second}
+	settings := AnnouncerSettings{Path: "/told", QueueSize: items, MaxBatch: items, BatchDelay: 5 * time.Millisecond, Timeout: 5 * time.Second}
 	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Aged[int]) any {
 		var numbers []int
 		for _, announced := range batch {
