--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -170,7 +170,7 @@
 	}
 }
 
-func batchToWire(batch []transport.Aged[announcement]) any {
+func batchToWire(batch []transport.Timestamped[announcement]) any {
 	announcements := make([]wireAnnouncement, 0, len(batch))
 	for _, aged := range batch {
 		announcements = append(announcements, aged.Item.toWire(clock.Now()-aged.At))
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -29,7 +29,7 @@
 	settings := transport.AnnouncerSettings{
 		Path: pathDispatches, QueueSize: announceBufferSize, MaxBatch: announceBatch, BatchDelay: announceInterval, Timeout: announceTimeout,
 	}
-	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
+	return transport.NewAnnouncer(client, settings, func(batch []transport.Timestamped[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
 		for _, entry := range batch {
 			entry.Item.Age = clock.Now() - entry.At
--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -18,8 +18,8 @@
 	Timeout    time.Duration // of one message
 }
 
-// Aged is an announced item and when that was.
-type Aged[T any] struct {
+// Timestamped is an announced item and when that was.
+type Timestamped[T any] struct {
 	Item T
 	At   time.Duration // by clock.Now
 }
@@ -29,16 +29,16 @@
 type Announcer[T any] struct {
 	client   *Client
 	settings AnnouncerSettings
-	message  func(batch []Aged[T]) any // what peers are sent
-	items    chan Aged[T]
+	message  func(batch []Timestamped[T]) any // what peers are sent
+	items    chan Timestamped[T]
 
 	mutex sync.Mutex
 	peers []string
 }
 
 // NewAnnouncer returns an announcer without peers.
-func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Aged[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Aged[T], settings.QueueSize)}
+func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Timestamped[T]) any) *Announcer[T] {
+	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Timestamped[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
@@ -51,7 +51,7 @@
 // Announce queues an item, or drops it when the ring is full.
 func (a *Announcer[T]) Announce(item T) {
 	select {
-	case a.items <- Aged[T]{Item: item, At: clock.Now()}:
+	case a.items <- Timestamped[T]{Item: item, At: clock.Now()}:
 	default:
 	}
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-func (a *Announcer[T]) collect(first Aged[T]) []Aged[T] {
-	batch := []Aged[T]{first}
+func (a *Announcer[T]) collect(first Timestamped[T]) []Timestamped[T] {
+	batch := []Timestamped[T]{first}
 	for len(batch) < a.settings.MaxBatch && len(a.items) > 0 {
 		batch = append(batch, <-a.items)
 	}
--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -32,7 +32,7 @@
 		peers = append(peers, address)
 	}
 	settings := AnnouncerSettings{Path: "/told", QueueSize: items, MaxBatch: items, BatchDelay: 5 * time.Millisecond, Timeout: 5 * time.Second}
-	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Aged[int]) any {
+	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Timestamped[int]) any {
 		var numbers []int
 		for _, announced := range batch {
 			numbers = append(numbers, announced.Item)
