--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -27,10 +27,10 @@
 // Announcer tells peers of items, several in one message, without ever holding up who announces them. What cannot be told
 // in time is dropped: it is for news that only make a choice better.
 type Announcer[T any] struct {
-	client   *Client
-	settings AnnouncerSettings
-	message  func(batch []Timestamped[T]) any // what peers are sent
-	items    chan Timestamped[T]
+	client       *Client
+	settings     AnnouncerSettings
+	buildMessage func(batch []Timestamped[T]) any // what peers are sent
+	items        chan Timestamped[T]
 
 	mutex sync.Mutex
 	peers []string
@@ -38,7 +38,7 @@
 
 // NewAnnouncer returns an announcer without peers.
 func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Timestamped[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Timestamped[T], settings.QueueSize)}
+	return &Announcer[T]{client: client, settings: settings, buildMessage: message, items: make(chan Timestamped[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
@@ -64,7 +64,7 @@
 			return
 		case first := <-a.items:
 			time.Sleep(a.settings.BatchDelay)
-			a.tell(ctx, a.message(a.collect(first)))
+			a.tell(ctx, a.buildMessage(a.collect(first)))
 		}
 	}
 }
