--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -37,8 +37,8 @@
 }
 
 // NewAnnouncer returns an announcer without peers.
-func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Timestamped[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, buildMessage: message, items: make(chan Timestamped[T], settings.QueueSize)}
+func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, buildMessage func(batch []Timestamped[T]) any) *Announcer[T] {
+	return &Announcer[T]{client: client, settings: settings, buildMessage: buildMessage, items: make(chan Timestamped[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
