--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -30,7 +30,7 @@
 	client       *Client
 	settings     AnnouncerSettings
 	buildMessage func(batch []Timestamped[T]) any // what peers are sent
-	items        chan Timestamped[T]
+	queue        chan Timestamped[T]
 
 	mutex sync.Mutex
 	peers []string
@@ -38,7 +38,7 @@
 
 // NewAnnouncer returns an announcer without peers.
 func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, buildMessage func(batch []Timestamped[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, buildMessage: buildMessage, items: make(chan Timestamped[T], settings.QueueSize)}
+	return &Announcer[T]{client: client, settings: settings, buildMessage: buildMessage, queue: make(chan Timestamped[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
@@ -51,7 +51,7 @@
 // Announce queues an item, or drops it when the ring is full.
 func (a *Announcer[T]) Announce(item T) {
 	select {
-	case a.items <- Timestamped[T]{Item: item, At: clock.Now()}:
+	case a.queue <- Timestamped[T]{Item: item, At: clock.Now()}:
 	default:
 	}
 }
@@ -62,7 +62,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-a.items:
+		case first := <-a.queue:
 			time.Sleep(a.settings.BatchDelay)
 			a.tell(ctx, a.buildMessage(a.collect(first)))
 		}
@@ -71,8 +71,8 @@
 
 func (a *Announcer[T]) collect(first Timestamped[T]) []Timestamped[T] {
 	batch := []Timestamped[T]{first}
-	for len(batch) < a.settings.MaxBatch && len(a.items) > 0 {
-		batch = append(batch, <-a.items)
+	for len(batch) < a.settings.MaxBatch && len(a.queue) > 0 {
+		batch = append(batch, <-a.queue)
 	}
 	return batch
 }
