--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -64,12 +64,12 @@
 			return
 		case first := <-a.queue:
 			time.Sleep(a.settings.BatchDelay)
-			a.tell(ctx, a.buildMessage(a.collect(first)))
+			a.tell(ctx, a.buildMessage(a.collectBatch(first)))
 		}
 	}
 }
 
-func (a *Announcer[T]) collect(first Timestamped[T]) []Timestamped[T] {
+func (a *Announcer[T]) collectBatch(first Timestamped[T]) []Timestamped[T] {
 	batch := []Timestamped[T]{first}
 	for len(batch) < a.settings.MaxBatch && len(a.queue) > 0 {
 		batch = append(batch, <-a.queue)
