--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -64,7 +64,7 @@
 			return
 		case first := <-a.queue:
 			time.Sleep(a.settings.BatchDelay)
-			a.tell(ctx, a.buildMessage(a.collectBatch(first)))
+			a.broadcast(ctx, a.buildMessage(a.collectBatch(first)))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	return batch
 }
 
-func (a *Announcer[T]) tell(ctx context.Context, message any) {
+func (a *Announcer[T]) broadcast(ctx context.Context, message any) {
 	a.mutex.Lock()
 	peers := a.peers
 	a.mutex.Unlock()
