--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -90,9 +90,9 @@
 	}
 	for _, address := range peers {
 		go func() {
-			attempt, cancel := context.WithTimeout(ctx, a.settings.Timeout)
+			callCtx, cancel := context.WithTimeout(ctx, a.settings.Timeout)
 			defer cancel()
-			_ = a.client.PostBody(attempt, address, a.settings.Path, body) // best effort
+			_ = a.client.PostBody(callCtx, address, a.settings.Path, body) // best effort
 		}()
 	}
 }
