--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -118,7 +118,7 @@
 		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
-		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
+		client: transport.NewClientWithDialTimeout(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
 	if server.config, err = server.replicaConfig(); err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,7 +78,7 @@
 
 // New returns a gateway without a view; Run obtains one from control.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
-	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
+	client := transport.NewClientWithDialTimeout(settings.Token, nil, peerDialTimeout)
 	g := &Gateway{
 		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.NewSource(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -34,9 +34,9 @@
 	return &Client{http: &http.Client{Transport: NewRoundTripper(links)}, token: token}
 }
 
-// NewClientWithin returns a client that gives a connection up which does not come up within a time. A machine that has just
+// NewClientWithDialTimeout returns a client that gives a connection up which does not come up within a time. A machine that has just
 // come back never answers what was sent to it before; a new attempt reaches it at once.
-func NewClientWithin(token string, links *Links, dial time.Duration) *Client {
+func NewClientWithDialTimeout(token string, links *Links, dial time.Duration) *Client {
 	return &Client{http: &http.Client{Transport: newRoundTripper(links, dial)}, token: token}
 }
 
