--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -119,7 +119,7 @@
 
 func newHollowRouters(g *group) *hollowRouters {
 	h := &hollowRouters{group: g, counter: &counter{}, prefix: "hollow"}
-	h.client = control.NewClient(transport.NewClientOver(clusterToken, h.counter.dial), g.addresses)
+	h.client = control.NewClient(transport.NewClientWithDialer(clusterToken, h.counter.dial), g.addresses)
 	return h
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -40,8 +40,8 @@
 	return &Client{http: &http.Client{Transport: newRoundTripper(links, dial)}, token: token}
 }
 
-// NewClientOver returns a client whose connections are made by dial, for runs that count what travels.
-func NewClientOver(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+// NewClientWithDialer returns a client whose connections are made by dial, for runs that count what travels.
+func NewClientWithDialer(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	over := NewRoundTripper(nil)
 	over.DialContext = dial
 	return &Client{http: &http.Client{Transport: over}, token: token}
