--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -42,9 +42,9 @@
 
 // NewClientWithDialer returns a client whose connections are made by dial, for runs that count what travels.
 func NewClientWithDialer(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
-	over := NewRoundTripper(nil)
-	over.DialContext = dial
-	return &Client{http: &http.Client{Transport: over}, token: token}
+	roundTripper := NewRoundTripper(nil)
+	roundTripper.DialContext = dial
+	return &Client{http: &http.Client{Transport: roundTripper}, token: token}
 }
 
 // NewRoundTripper returns the transport used towards processes and back ends.
