--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,8 +36,8 @@
 
 // NewClientWithDialTimeout returns a client that gives a connection up which does not come up within a time. A machine that has just
 // come back never answers what was sent to it before; a new attempt reaches it at once.
-func NewClientWithDialTimeout(token string, links *Links, dial time.Duration) *Client {
-	return &Client{http: &http.Client{Transport: newRoundTripper(links, dial)}, token: token}
+func NewClientWithDialTimeout(token string, links *Links, timeout time.Duration) *Client {
+	return &Client{http: &http.Client{Transport: newRoundTripper(links, timeout)}, token: token}
 }
 
 // NewClientWithDialer returns a client whose connections are made by dial, for runs that count what travels.
