--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -50,8 +50,8 @@
 // NewRoundTripper returns the transport used towards processes and back ends.
 func NewRoundTripper(links *Links) *http.Transport { return newRoundTripper(links, dialTimeout) }
 
-func newRoundTripper(links *Links, dial time.Duration) *http.Transport {
-	dialer := &net.Dialer{Timeout: dial}
+func newRoundTripper(links *Links, timeout time.Duration) *http.Transport {
+	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Transport{
 		DialContext:         links.wrapDial(dialer.DialContext),
 		MaxIdleConnsPerHost: idlePerHost,
