--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -84,7 +84,7 @@
 	clients         map[uint64]transport.Respond
 	nextID          uint64
 	senderAddresses map[consensus.ID]string // last known address of each replica that sent a message; owned by runReplica
-	links           *transport.Links
+	links           *transport.LinkFilter
 	client          *transport.Client
 	group           *Client
 	driver          Driver
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -30,13 +30,13 @@
 
 // NewClient returns a client whose connections pass through links. Long bodies are compressed here, both ways; net/http's own
 // compression is off.
-func NewClient(token string, links *Links) *Client {
+func NewClient(token string, links *LinkFilter) *Client {
 	return &Client{http: &http.Client{Transport: NewRoundTripper(links)}, token: token}
 }
 
 // NewClientWithDialTimeout returns a client that gives a connection up which does not come up within a time. A machine that has just
 // come back never answers what was sent to it before; a new attempt reaches it at once.
-func NewClientWithDialTimeout(token string, links *Links, timeout time.Duration) *Client {
+func NewClientWithDialTimeout(token string, links *LinkFilter, timeout time.Duration) *Client {
 	return &Client{http: &http.Client{Transport: newRoundTripper(links, timeout)}, token: token}
 }
 
@@ -48,9 +48,9 @@
 }
 
 // NewRoundTripper returns the transport used towards processes and back ends.
-func NewRoundTripper(links *Links) *http.Transport { return newRoundTripper(links, dialTimeout) }
+func NewRoundTripper(links *LinkFilter) *http.Transport { return newRoundTripper(links, dialTimeout) }
 
-func newRoundTripper(links *Links, timeout time.Duration) *http.Transport {
+func newRoundTripper(links *LinkFilter, timeout time.Duration) *http.Transport {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Transport{
 		DialContext:         links.wrapDial(dialer.DialContext),
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -20,8 +20,8 @@
 
 const linkFilePoll = 100 * time.Millisecond
 
-// Links filters a process's connections by a LinkFile. A nil Links passes everything.
-type Links struct {
+// LinkFilter filters a process's connections by a LinkFile. A nil LinkFilter passes everything.
+type LinkFilter struct {
 	zone string
 	path string
 
@@ -31,21 +31,21 @@
 }
 
 // WatchLinks reads the file now and then every linkFilePoll until ctx ends.
-func WatchLinks(ctx context.Context, path, zone string) *Links {
+func WatchLinks(ctx context.Context, path, zone string) *LinkFilter {
 	if path == "" {
 		return nil
 	}
-	links := &Links{zone: zone, path: path}
+	links := &LinkFilter{zone: zone, path: path}
 	links.reload()
 	go links.watch(ctx)
 	return links
 }
 
-func (l *Links) watch(ctx context.Context) {
+func (l *LinkFilter) watch(ctx context.Context) {
 	Every(ctx, linkFilePoll, l.reload)
 }
 
-func (l *Links) reload() {
+func (l *LinkFilter) reload() {
 	info, err := os.Stat(l.path)
 	if err != nil || info.ModTime().Equal(l.modified) {
 		return
@@ -64,7 +64,7 @@
 }
 
 // state tells whether an address is cut off and how far it is.
-func (l *Links) state(address string) (cut bool, latency time.Duration) {
+func (l *LinkFilter) state(address string) (cut bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
 	other := l.file.Zones[address]
@@ -78,7 +78,7 @@
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // wrapDial makes connections that go silent while their link is cut.
-func (l *Links) wrapDial(dial dialFunc) dialFunc {
+func (l *LinkFilter) wrapDial(dial dialFunc) dialFunc {
 	if l == nil {
 		return dial
 	}
@@ -96,7 +96,7 @@
 }
 
 // wait blocks while the link is cut, as a network that drops packets does, then for the latency.
-func (l *Links) wait(ctx context.Context, address string) error {
+func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
 		cut, latency := l.state(address)
 		pause := latency
@@ -119,7 +119,7 @@
 // linkConn is a connection over a filtered link. Latency is added to what is written.
 type linkConn struct {
 	net.Conn
-	links   *Links
+	links   *LinkFilter
 	address string
 	life    context.Context // ends with Close
 	end     context.CancelFunc
