--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinks(ctx, file.Links, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.Links, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinks(ctx, file.Links, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.Links, file.Zone)
 	client := transport.NewClient(file.ClusterToken, links)
 	server := &Server{
 		file: file, log: log, now: clock.NewSource(nil), incarnation: disk.incarnation, disk: disk,
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -30,8 +30,8 @@
 	modified time.Time
 }
 
-// WatchLinks reads the file now and then every linkFilePoll until ctx ends.
-func WatchLinks(ctx context.Context, path, zone string) *LinkFilter {
+// WatchLinkFile reads the file now and then every linkFilePoll until ctx ends.
+func WatchLinkFile(ctx context.Context, path, zone string) *LinkFilter {
 	if path == "" {
 		return nil
 	}
