--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -18,7 +18,7 @@
 	Cut       []string          `json:"cut"`
 }
 
-const linkFilePoll = 100 * time.Millisecond
+const linkFilePollInterval = 100 * time.Millisecond
 
 // LinkFilter filters a process's connections by a LinkFile. A nil LinkFilter passes everything.
 type LinkFilter struct {
@@ -42,7 +42,7 @@
 }
 
 func (l *LinkFilter) watch(ctx context.Context) {
-	Every(ctx, linkFilePoll, l.reload)
+	Every(ctx, linkFilePollInterval, l.reload)
 }
 
 func (l *LinkFilter) reload() {
@@ -101,7 +101,7 @@
 		cut, latency := l.state(address)
 		pause := latency
 		if cut {
-			pause = linkFilePoll
+			pause = linkFilePollInterval
 		}
 		if pause > 0 {
 			select {
@@ -144,7 +144,7 @@
 		select {
 		case <-c.life.Done():
 			return 0, net.ErrClosed
-		case <-time.After(linkFilePoll):
+		case <-time.After(linkFilePollInterval):
 		}
 	}
 }
