--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -63,8 +63,8 @@
 	l.mutex.Unlock()
 }
 
-// state tells whether an address is cut off and how far it is.
-func (l *LinkFilter) state(address string) (cut bool, latency time.Duration) {
+// linkState tells whether an address is cut off and how far it is.
+func (l *LinkFilter) linkState(address string) (cut bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
 	other := l.file.Zones[address]
@@ -98,7 +98,7 @@
 // wait blocks while the link is cut, as a network that drops packets does, then for the latency.
 func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
-		cut, latency := l.state(address)
+		cut, latency := l.linkState(address)
 		pause := latency
 		if cut {
 			pause = linkFilePollInterval
@@ -137,7 +137,7 @@
 func (c *linkConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	for {
-		cut, _ := c.links.state(c.address)
+		cut, _ := c.links.linkState(c.address)
 		if !cut {
 			return n, err
 		}
