--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -90,8 +90,8 @@
 		if err != nil {
 			return nil, err
 		}
-		closeCtx, end := context.WithCancel(context.Background())
-		return &linkConn{Conn: conn, links: l, address: address, life: closeCtx, end: end}, nil
+		closeCtx, cancel := context.WithCancel(context.Background())
+		return &linkConn{Conn: conn, links: l, address: address, life: closeCtx, end: cancel}, nil
 	}
 }
 
