--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		closeCtx, cancel := context.WithCancel(context.Background())
-		return &linkConn{Conn: conn, links: l, address: address, life: closeCtx, end: cancel}, nil
+		return &linkConn{Conn: conn, links: l, address: address, closeCtx: closeCtx, end: cancel}, nil
 	}
 }
 
@@ -119,15 +119,15 @@
 // linkConn is a connection over a filtered link. Latency is added to what is written.
 type linkConn struct {
 	net.Conn
-	links   *LinkFilter
-	address string
-	life    context.Context // ends with Close
-	end     context.CancelFunc
+	links    *LinkFilter
+	address  string
+	closeCtx context.Context // ends with Close
+	end      context.CancelFunc
 }
 
 // Write waits for the link, then writes.
 func (c *linkConn) Write(data []byte) (int, error) {
-	if err := c.links.wait(c.life, c.address); err != nil {
+	if err := c.links.wait(c.closeCtx, c.address); err != nil {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(data)
@@ -142,7 +142,7 @@
 			return n, err
 		}
 		select {
-		case <-c.life.Done():
+		case <-c.closeCtx.Done():
 			return 0, net.ErrClosed
 		case <-time.After(linkFilePollInterval):
 		}
