--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		closeCtx, cancel := context.WithCancel(context.Background())
-		return &linkConn{Conn: conn, links: l, address: address, closeCtx: closeCtx, end: cancel}, nil
+		return &linkConn{Conn: conn, links: l, address: address, closeCtx: closeCtx, cancel: cancel}, nil
 	}
 }
 
@@ -122,7 +122,7 @@
 	links    *LinkFilter
 	address  string
 	closeCtx context.Context // ends with Close
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 }
 
 // Write waits for the link, then writes.
@@ -151,6 +151,6 @@
 
 // Close closes the connection and frees whoever waits for the link.
 func (c *linkConn) Close() error {
-	c.end()
+	c.cancel()
 	return c.Conn.Close()
 }
