--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -99,15 +99,15 @@
 func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
 		cut, latency := l.linkState(address)
-		pause := latency
+		delay := latency
 		if cut {
-			pause = linkFilePollInterval
+			delay = linkFilePollInterval
 		}
-		if pause > 0 {
+		if delay > 0 {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 		}
 		if !cut {
