--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -13,9 +13,9 @@
 // LinkFile describes the network between zones, for tests on one machine: which addresses lie in which zone,
 // how long a message takes between zones, and which zones are cut off. It is read again when it changes.
 type LinkFile struct {
-	Zones     map[string]string `json:"zones"` // zone by address
-	LatencyMS float64           `json:"latency_ms"`
-	Cut       []string          `json:"cut"`
+	Zones       map[string]string `json:"zones"` // zone by address
+	LatencyMS   float64           `json:"latency_ms"`
+	Partitioned []string          `json:"cut"`
 }
 
 const linkFilePollInterval = 100 * time.Millisecond
@@ -71,7 +71,7 @@
 	if other == "" || other == l.zone {
 		return false, 0
 	}
-	cut = slices.Contains(l.file.Cut, other) || slices.Contains(l.file.Cut, l.zone)
+	cut = slices.Contains(l.file.Partitioned, other) || slices.Contains(l.file.Partitioned, l.zone)
 	return cut, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
 }
 
