--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -42,13 +42,13 @@
 // Server is the internal listener.
 type Server struct {
 	gnet.BuiltinEventEngine
-	engine  gnet.Engine
-	started chan struct{}
-	token   string
-	handler Handler
-	log     *zap.Logger
-	owed    atomic.Int64 // bytes of answers that peers have not read yet
-	most    int64        // that owed may reach by long answers
+	engine      gnet.Engine
+	started     chan struct{}
+	token       string
+	handler     Handler
+	log         *zap.Logger
+	unreadBytes atomic.Int64 // bytes of answers that peers have not read yet
+	most        int64        // that owed may reach by long answers
 }
 
 // connection is the state of one accepted connection. It is touched only on its event loop.
@@ -144,7 +144,7 @@
 
 // settle notes that a peer waits for no answer any more.
 func (s *Server) settle(state *connection) {
-	s.owed.Add(-int64(state.owed))
+	s.unreadBytes.Add(-int64(state.owed))
 	state.owed = 0
 }
 
@@ -170,11 +170,11 @@
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
 	}
-	if len(body) >= payload.CompressFrom && s.owed.Load()+int64(len(body)) > s.most {
-		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.owed.Load()))
+	if len(body) >= payload.CompressFrom && s.unreadBytes.Load()+int64(len(body)) > s.most {
+		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.unreadBytes.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
-	s.owed.Add(int64(len(body)))
+	s.unreadBytes.Add(int64(len(body)))
 	wire, err := framed(status, body, encoding)
 	if err != nil {
 		s.log.Error("internal answer cannot be framed", zap.Error(err))
@@ -183,7 +183,7 @@
 	written := func(c gnet.Conn, failed error) error {
 		state, ok := c.Context().(*connection)
 		if !ok || failed != nil {
-			s.owed.Add(-int64(len(body))) // OnClose has come before
+			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
 			return nil
 		}
 		state.busy, state.owed = false, state.owed+len(body)
@@ -193,7 +193,7 @@
 		return nil
 	}
 	if err := c.AsyncWrite(wire, written); err != nil {
-		s.owed.Add(-int64(len(body)))
+		s.unreadBytes.Add(-int64(len(body)))
 		s.log.Debug("internal answer cannot be written", zap.Error(err))
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 	}
-	if owed := server.owed.Load(); owed == 0 || owed > most {
+	if owed := server.unreadBytes.Load(); owed == 0 || owed > most {
 		t.Fatalf("%d bytes are owed, at most %d may be", owed, most)
 	}
 	for _, c := range idle {
