--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -48,7 +48,7 @@
 	handler     Handler
 	log         *zap.Logger
 	unreadBytes atomic.Int64 // bytes of answers that peers have not read yet
-	most        int64        // that owed may reach by long answers
+	maxUnread   int64        // that owed may reach by long answers
 }
 
 // connection is the state of one accepted connection. It is touched only on its event loop.
@@ -64,7 +64,7 @@
 
 // Listen serves on address until Close. Callers must send the cluster token.
 func Listen(address, token string, handler Handler, log *zap.Logger) (*Server, error) {
-	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, most: owedMost}
+	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: owedMost}
 	failed := make(chan error, 1)
 	go func() {
 		failed <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
@@ -170,7 +170,7 @@
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
 	}
-	if len(body) >= payload.CompressFrom && s.unreadBytes.Load()+int64(len(body)) > s.most {
+	if len(body) >= payload.CompressFrom && s.unreadBytes.Load()+int64(len(body)) > s.maxUnread {
 		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.unreadBytes.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.most = most
+	server.maxUnread = most
 	defer func() { _ = server.Close(context.Background()) }()
 	var idle []net.Conn
 	for range 3 * most / size {
