--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -53,9 +53,9 @@
 
 // connection is the state of one accepted connection. It is touched only on its event loop.
 type connection struct {
-	busy bool // a request is being answered; the next one waits in the buffer
-	need int  // bytes that must be buffered before parsing again
-	owed int  // bytes of the newest answer, until the peer has asked again: only then has it read them
+	busy   bool // a request is being answered; the next one waits in the buffer
+	need   int  // bytes that must be buffered before parsing again
+	unread int  // bytes of the newest answer, until the peer has asked again: only then has it read them
 }
 
 // owedMost bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
@@ -144,8 +144,8 @@
 
 // settle notes that a peer waits for no answer any more.
 func (s *Server) settle(state *connection) {
-	s.unreadBytes.Add(-int64(state.owed))
-	state.owed = 0
+	s.unreadBytes.Add(-int64(state.unread))
+	state.unread = 0
 }
 
 // knows reports whether a request shows the cluster's token.
@@ -186,7 +186,7 @@
 			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
 			return nil
 		}
-		state.busy, state.owed = false, state.owed+len(body)
+		state.busy, state.unread = false, state.unread+len(body)
 		if c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
