--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -53,9 +53,9 @@
 
 // connection is the state of one accepted connection. It is touched only on its event loop.
 type connection struct {
-	busy   bool // a request is being answered; the next one waits in the buffer
-	need   int  // bytes that must be buffered before parsing again
-	unread int  // bytes of the newest answer, until the peer has asked again: only then has it read them
+	busy        bool // a request is being answered; the next one waits in the buffer
+	minBuffered int  // bytes that must be buffered before parsing again
+	unread      int  // bytes of the newest answer, until the peer has asked again: only then has it read them
 }
 
 // owedMost bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
@@ -99,7 +99,7 @@
 // OnTraffic is called by gnet when bytes have come in.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	state := c.Context().(*connection)
-	if state.busy || c.InboundBuffered() < state.need {
+	if state.busy || c.InboundBuffered() < state.minBuffered {
 		return gnet.None
 	}
 	data, err := c.Peek(-1)
@@ -109,7 +109,7 @@
 	request, consumed, err := parse(data)
 	switch {
 	case err == errIncomplete:
-		state.need = consumed
+		state.minBuffered = consumed
 		return gnet.None
 	case err != nil:
 		s.log.Warn("malformed internal request", zap.Error(err))
@@ -127,7 +127,7 @@
 	if _, err := c.Discard(consumed); err != nil {
 		return gnet.Close
 	}
-	state.need = 0
+	state.minBuffered = 0
 	state.busy = true
 	s.settle(state)
 	s.dispatch(c, request, body, known)
