--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,13 +58,13 @@
 	unread      int  // bytes of the newest answer, until the peer has asked again: only then has it read them
 }
 
-// owedMost bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
+// defaultMaxUnread bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
 // behind slow links turns them away, so that its memory does not end; 48 MB is less than a tenth of a control machine's.
-const owedMost = 48 << 20
+const defaultMaxUnread = 48 << 20
 
 // Listen serves on address until Close. Callers must send the cluster token.
 func Listen(address, token string, handler Handler, log *zap.Logger) (*Server, error) {
-	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: owedMost}
+	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: defaultMaxUnread}
 	failed := make(chan error, 1)
 	go func() {
 		failed <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
