--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -115,7 +115,7 @@
 		s.log.Warn("malformed internal request", zap.Error(err))
 		return gnet.Close
 	}
-	known := s.knows(request)
+	known := s.isAuthorized(request)
 	var body []byte
 	if known { // who doesn't show the token has nothing expanded
 		body, err = payload.Expand(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
@@ -148,8 +148,8 @@
 	state.unread = 0
 }
 
-// knows reports whether a request shows the cluster's token.
-func (s *Server) knows(request *http.Request) bool {
+// isAuthorized reports whether a request shows the cluster's token.
+func (s *Server) isAuthorized(request *http.Request) bool {
 	return s.token == "" || strings.TrimPrefix(request.Header.Get("Authorization"), bearerPrefix) == s.token
 }
 
