--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -129,7 +129,7 @@
 	}
 	state.minBuffered = 0
 	state.busy = true
-	s.settle(state)
+	s.releaseUnread(state)
 	s.dispatch(c, request, body, known)
 	return gnet.None
 }
@@ -137,13 +137,13 @@
 // OnClose is called by gnet when a connection has ended.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if state, ok := c.Context().(*connection); ok {
-		s.settle(state)
+		s.releaseUnread(state)
 	}
 	return gnet.None
 }
 
-// settle notes that a peer waits for no answer any more.
-func (s *Server) settle(state *connection) {
+// releaseUnread notes that a peer waits for no answer any more.
+func (s *Server) releaseUnread(state *connection) {
 	s.unreadBytes.Add(-int64(state.unread))
 	state.unread = 0
 }
