--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -115,9 +115,9 @@
 		s.log.Warn("malformed internal request", zap.Error(err))
 		return gnet.Close
 	}
-	known := s.isAuthorized(request)
+	authorized := s.isAuthorized(request)
 	var body []byte
-	if known { // who doesn't show the token has nothing expanded
+	if authorized { // who doesn't show the token has nothing expanded
 		body, err = payload.Expand(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
 	}
 	if err != nil {
@@ -130,7 +130,7 @@
 	state.minBuffered = 0
 	state.busy = true
 	s.releaseUnread(state)
-	s.dispatch(c, request, body, known)
+	s.dispatch(c, request, body, authorized)
 	return gnet.None
 }
 
