--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -153,10 +153,10 @@
 	return s.token == "" || strings.TrimPrefix(request.Header.Get("Authorization"), bearerPrefix) == s.token
 }
 
-func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, known bool) {
+func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, authorized bool) {
 	accepts := request.Header.Get(acceptHeader) == payload.Gzip
 	respond := func(status int, answer any) { s.answer(c, status, answer, accepts) }
-	if !known {
+	if !authorized {
 		respond(http.StatusUnauthorized, nil)
 		return
 	}
