--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -154,8 +154,8 @@
 }
 
 func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, authorized bool) {
-	accepts := request.Header.Get(acceptHeader) == payload.Gzip
-	respond := func(status int, answer any) { s.answer(c, status, answer, accepts) }
+	acceptsGzip := request.Header.Get(acceptHeader) == payload.Gzip
+	respond := func(status int, answer any) { s.answer(c, status, answer, acceptsGzip) }
 	if !authorized {
 		respond(http.StatusUnauthorized, nil)
 		return
