--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -155,7 +155,7 @@
 
 func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, authorized bool) {
 	acceptsGzip := request.Header.Get(acceptHeader) == payload.Gzip
-	respond := func(status int, answer any) { s.answer(c, status, answer, acceptsGzip) }
+	respond := func(status int, answer any) { s.writeResponse(c, status, answer, acceptsGzip) }
 	if !authorized {
 		respond(http.StatusUnauthorized, nil)
 		return
@@ -163,8 +163,8 @@
 	s.handler(Request{Path: request.URL.Path, Body: body}, respond)
 }
 
-// answer writes a response and lets the connection's next request be parsed.
-func (s *Server) answer(c gnet.Conn, status int, answer any, accepts bool) {
+// writeResponse writes a response and lets the connection's next request be parsed.
+func (s *Server) writeResponse(c gnet.Conn, status int, answer any, accepts bool) {
 	body, encoding, err := encode(answer, accepts)
 	if err != nil {
 		status, body = http.StatusInternalServerError, nil
