--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -164,8 +164,8 @@
 }
 
 // writeResponse writes a response and lets the connection's next request be parsed.
-func (s *Server) writeResponse(c gnet.Conn, status int, answer any, acceptsGzip bool) {
-	body, encoding, err := encode(answer, acceptsGzip)
+func (s *Server) writeResponse(c gnet.Conn, status int, value any, acceptsGzip bool) {
+	body, encoding, err := encode(value, acceptsGzip)
 	if err != nil {
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
