--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -155,7 +155,7 @@
 
 func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, authorized bool) {
 	acceptsGzip := request.Header.Get(acceptHeader) == payload.Gzip
-	respond := func(status int, answer any) { s.writeResponse(c, status, answer, acceptsGzip) }
+	respond := func(status int, value any) { s.writeResponse(c, status, value, acceptsGzip) }
 	if !authorized {
 		respond(http.StatusUnauthorized, nil)
 		return
