--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -180,7 +180,7 @@
 		s.log.Error("internal answer cannot be framed", zap.Error(err))
 		return
 	}
-	written := func(c gnet.Conn, failed error) error {
+	onWritten := func(c gnet.Conn, failed error) error {
 		state, ok := c.Context().(*connection)
 		if !ok || failed != nil {
 			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
@@ -192,7 +192,7 @@
 		}
 		return nil
 	}
-	if err := c.AsyncWrite(wire, written); err != nil {
+	if err := c.AsyncWrite(wire, onWritten); err != nil {
 		s.unreadBytes.Add(-int64(len(body)))
 		s.log.Debug("internal answer cannot be written", zap.Error(err))
 	}
