--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -180,9 +180,9 @@
 		s.log.Error("internal answer cannot be framed", zap.Error(err))
 		return
 	}
-	onWritten := func(c gnet.Conn, failed error) error {
+	onWritten := func(c gnet.Conn, writeErr error) error {
 		state, ok := c.Context().(*connection)
-		if !ok || failed != nil {
+		if !ok || writeErr != nil {
 			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
 			return nil
 		}
