--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -165,7 +165,7 @@
 
 // writeResponse writes a response and lets the connection's next request be parsed.
 func (s *Server) writeResponse(c gnet.Conn, status int, value any, acceptsGzip bool) {
-	body, encoding, err := encode(value, acceptsGzip)
+	body, encoding, err := encodeResponse(value, acceptsGzip)
 	if err != nil {
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
@@ -198,8 +198,8 @@
 	}
 }
 
-// encode returns an answer as it travels, and its encoding.
-func encode(answer any, accepts bool) (body []byte, encoding string, err error) {
+// encodeResponse returns an answer as it travels, and its encoding.
+func encodeResponse(answer any, accepts bool) (body []byte, encoding string, err error) {
 	if composite, made := answer.(payload.Composite); made {
 		parts, err := composite.Parts()
 		if err != nil {
