--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -199,17 +199,17 @@
 }
 
 // encodeResponse returns an answer as it travels, and its encoding.
-func encodeResponse(answer any, accepts bool) (body []byte, encoding string, err error) {
+func encodeResponse(answer any, acceptsGzip bool) (body []byte, encoding string, err error) {
 	if composite, made := answer.(payload.Composite); made {
 		parts, err := composite.Parts()
 		if err != nil {
 			return nil, "", err
 		}
-		body, encoding = payload.Assemble(parts, accepts)
+		body, encoding = payload.Assemble(parts, acceptsGzip)
 		return body, encoding, nil
 	}
 	body, err = json.Marshal(answer)
-	if err == nil && accepts {
+	if err == nil && acceptsGzip {
 		body, encoding = payload.Compress(body)
 	}
 	return body, encoding, err
