--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -199,8 +199,8 @@
 }
 
 // encodeResponse returns an answer as it travels, and its encoding.
-func encodeResponse(answer any, acceptsGzip bool) (body []byte, encoding string, err error) {
-	if composite, made := answer.(payload.Composite); made {
+func encodeResponse(value any, acceptsGzip bool) (body []byte, encoding string, err error) {
+	if composite, made := value.(payload.Composite); made {
 		parts, err := composite.Parts()
 		if err != nil {
 			return nil, "", err
@@ -208,7 +208,7 @@
 		body, encoding = payload.Assemble(parts, acceptsGzip)
 		return body, encoding, nil
 	}
-	body, err = json.Marshal(answer)
+	body, err = json.Marshal(value)
 	if err == nil && acceptsGzip {
 		body, encoding = payload.Compress(body)
 	}
