--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -200,7 +200,7 @@
 
 // encodeResponse returns an answer as it travels, and its encoding.
 func encodeResponse(value any, acceptsGzip bool) (body []byte, encoding string, err error) {
-	if composite, made := value.(payload.Composite); made {
+	if composite, isComposite := value.(payload.Composite); isComposite {
 		parts, err := composite.Parts()
 		if err != nil {
 			return nil, "", err
