--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -175,7 +175,7 @@
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
 	s.unreadBytes.Add(int64(len(body)))
-	wire, err := framed(status, body, encoding)
+	wire, err := frameResponse(status, body, encoding)
 	if err != nil {
 		s.log.Error("internal answer cannot be framed", zap.Error(err))
 		return
@@ -215,8 +215,8 @@
 	return body, encoding, err
 }
 
-// framed returns a response as it travels.
-func framed(status int, body []byte, encoding string) ([]byte, error) {
+// frameResponse returns a response as it travels.
+func frameResponse(status int, body []byte, encoding string) ([]byte, error) {
 	response := http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body)),
 		Header: http.Header{"Content-Type": {"application/json"}}, Body: io.NopCloser(bytes.NewReader(body)),
