--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return gnet.Close
 	}
-	request, consumed, err := parse(data)
+	request, consumed, err := parseRequest(data)
 	switch {
 	case err == errIncomplete:
 		state.minBuffered = consumed
@@ -232,9 +232,9 @@
 // errIncomplete says that more bytes are needed.
 var errIncomplete = eris.New("incomplete request")
 
-// parse reads one request from the start of data. With errIncomplete it returns how many bytes are needed
+// parseRequest reads one request from the start of data. With errIncomplete it returns how many bytes are needed
 // at least.
-func parse(data []byte) (*http.Request, int, error) {
+func parseRequest(data []byte) (*http.Request, int, error) {
 	headerEnd := bytes.Index(data, []byte("\r\n\r\n"))
 	if headerEnd < 0 {
 		if len(data) > maxHeaderBytes {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -182,7 +182,7 @@
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 99999999999999\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		request, length, err := parse(data)
+		request, length, err := parseRequest(data)
 		if err == nil && (request == nil || length > len(data)) {
 			t.Fatalf("request of %d bytes taken from %d", length, len(data))
 		}
