--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -65,15 +65,15 @@
 // Listen serves on address until Close. Callers must send the cluster token.
 func Listen(address, token string, handler Handler, log *zap.Logger) (*Server, error) {
 	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: defaultMaxUnread}
-	failed := make(chan error, 1)
+	runErr := make(chan error, 1)
 	go func() {
-		failed <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
+		runErr <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
 			gnet.WithLogger(log.Sugar()))
 	}()
 	select {
 	case <-server.started:
 		return server, nil
-	case err := <-failed:
+	case err := <-runErr:
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
 }
