--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -51,7 +51,7 @@
 	go respond(http.StatusOK, message{Text: request.Path + " " + string(body)})
 }
 
-func TestManyRequestsAtOnceGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentRequestsGetMatchingResponses(t *testing.T) {
 	address := startServer(t, echo)
 	client := NewClient("token", nil)
 	var calls sync.WaitGroup
