--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -70,7 +70,7 @@
 	calls.Wait()
 }
 
-func TestWrongTokenIsRefused(t *testing.T) {
+func TestWrongTokenIsRejected(t *testing.T) {
 	address := startServer(t, echo)
 	err := NewClient("other", nil).Post(context.Background(), address, "/echo", message{}, nil)
 	var status *StatusError
