--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestNothingIsExpandedForStrangers: a body that can't be read closes the connection of a peer; a stranger is told that it is one, whatever it
+// TestUnauthorizedBodyIsNotDecompressed: a body that can't be read closes the connection of a peer; a stranger is told that it is one, whatever it
 // sent.
-func TestNothingIsExpandedForStrangers(t *testing.T) {
+func TestUnauthorizedBodyIsNotDecompressed(t *testing.T) {
 	address := startServer(t, echo)
 	for token, want := range map[string]string{"other": "HTTP/1.1 401", "token": ""} {
 		connection, err := net.Dial("tcp", address)
