--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestMalformedRequestDisturbsNobodyElse(t *testing.T) {
+func TestMalformedRequestLeavesOtherConnectionsUnaffected(t *testing.T) {
 	address := startServer(t, echo)
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
