--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestLongBodiesComeWhole: they travel compressed, both ways.
-func TestLongBodiesComeWhole(t *testing.T) {
+// TestLongBodiesSurviveCompression: they travel compressed, both ways.
+func TestLongBodiesSurviveCompression(t *testing.T) {
 	address := startServer(t, echo)
 	var reply message
 	text := strings.Repeat("a long prompt ", 4000)
