--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestAnswersOwedAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
+// TestUnreadResponseBytesAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
 // gone others are answered again.
-func TestAnswersOwedAreBounded(t *testing.T) {
+func TestUnreadResponseBytesAreBounded(t *testing.T) {
 	const size, most = 1 << 20, 6 << 20
 	noise := make([]byte, size)
 	random := rand.NewChaCha8([32]byte{1})
