--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -192,8 +192,8 @@
 	})
 }
 
-// TestListenAgainAtOnce: a restarted process must get its address back although old connections linger.
-func TestListenAgainAtOnce(t *testing.T) {
+// TestListenOnSameAddressAfterClose: a restarted process must get its address back although old connections linger.
+func TestListenOnSameAddressAfterClose(t *testing.T) {
 	address := freeAddress(t)
 	for round := range 3 {
 		server, err := Listen(address, "token", echo, zap.NewNop())
