--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -131,7 +131,7 @@
 // TestUnreadResponseBytesAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
 // gone others are answered again.
 func TestUnreadResponseBytesAreBounded(t *testing.T) {
-	const size, most = 1 << 20, 6 << 20
+	const size, maxUnread = 1 << 20, 6 << 20
 	noise := make([]byte, size)
 	random := rand.NewChaCha8([32]byte{1})
 	_, _ = random.Read(noise)
@@ -141,10 +141,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.maxUnread = most
+	server.maxUnread = maxUnread
 	defer func() { _ = server.Close(context.Background()) }()
 	var idle []net.Conn
-	for range 3 * most / size {
+	for range 3 * maxUnread / size {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -158,8 +158,8 @@
 			t.Fatal(err)
 		}
 	}
-	if owed := server.unreadBytes.Load(); owed == 0 || owed > most {
-		t.Fatalf("%d bytes are owed, at most %d may be", owed, most)
+	if owed := server.unreadBytes.Load(); owed == 0 || owed > maxUnread {
+		t.Fatalf("%d bytes are owed, at most %d may be", owed, maxUnread)
 	}
 	for _, c := range idle {
 		_ = c.Close()
