--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -131,8 +131,8 @@
 // TestUnreadResponseBytesAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
 // gone others are answered again.
 func TestUnreadResponseBytesAreBounded(t *testing.T) {
-	const size, maxUnread = 1 << 20, 6 << 20
-	noise := make([]byte, size)
+	const responseSize, maxUnread = 1 << 20, 6 << 20
+	noise := make([]byte, responseSize)
 	random := rand.NewChaCha8([32]byte{1})
 	_, _ = random.Read(noise)
 	var server *Server
@@ -144,7 +144,7 @@
 	server.maxUnread = maxUnread
 	defer func() { _ = server.Close(context.Background()) }()
 	var idle []net.Conn
-	for range 3 * maxUnread / size {
+	for range 3 * maxUnread / responseSize {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err != nil || len(reply) != size {
+	if err != nil || len(reply) != responseSize {
 		t.Fatalf("%d bytes after the others had gone: %v", len(reply), err)
 	}
 }
