--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -132,12 +132,12 @@
 // gone others are answered again.
 func TestUnreadResponseBytesAreBounded(t *testing.T) {
 	const responseSize, maxUnread = 1 << 20, 6 << 20
-	noise := make([]byte, responseSize)
+	responseBody := make([]byte, responseSize)
 	random := rand.NewChaCha8([32]byte{1})
-	_, _ = random.Read(noise)
+	_, _ = random.Read(responseBody)
 	var server *Server
 	address := freeAddress(t)
-	server, err := Listen(address, "", func(_ Request, respond Respond) { go respond(http.StatusOK, noise) }, zap.NewNop())
+	server, err := Listen(address, "", func(_ Request, respond Respond) { go respond(http.StatusOK, responseBody) }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
