--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -143,13 +143,13 @@
 	}
 	server.maxUnread = maxUnread
 	defer func() { _ = server.Close(context.Background()) }()
-	var idle []net.Conn
+	var stalled []net.Conn
 	for range 3 * maxUnread / responseSize {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		idle = append(idle, c)
+		stalled = append(stalled, c)
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
@@ -161,7 +161,7 @@
 	if owed := server.unreadBytes.Load(); owed == 0 || owed > maxUnread {
 		t.Fatalf("%d bytes are owed, at most %d may be", owed, maxUnread)
 	}
-	for _, c := range idle {
+	for _, c := range stalled {
 		_ = c.Close()
 	}
 	var reply []byte
