--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -158,8 +158,8 @@
 			t.Fatal(err)
 		}
 	}
-	if owed := server.unreadBytes.Load(); owed == 0 || owed > maxUnread {
-		t.Fatalf("%d bytes are owed, at most %d may be", owed, maxUnread)
+	if unread := server.unreadBytes.Load(); unread == 0 || unread > maxUnread {
+		t.Fatalf("%d bytes are owed, at most %d may be", unread, maxUnread)
 	}
 	for _, c := range stalled {
 		_ = c.Close()
