--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -94,10 +94,10 @@
 			t.Fatal(err)
 		}
 		_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-		first := make([]byte, len("HTTP/1.1 401"))
-		n, _ := io.ReadFull(connection, first)
-		if string(first[:n]) != want {
-			t.Fatalf("with token %q the answer begins %q, wanted %q", token, first[:n], want)
+		statusLine := make([]byte, len("HTTP/1.1 401"))
+		n, _ := io.ReadFull(connection, statusLine)
+		if string(statusLine[:n]) != want {
+			t.Fatalf("with token %q the answer begins %q, wanted %q", token, statusLine[:n], want)
 		}
 	}
 }
