--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -153,8 +153,8 @@
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
-		first := make([]byte, len("HTTP/1.1 200"))
-		if _, err := io.ReadFull(c, first); err != nil {
+		statusLine := make([]byte, len("HTTP/1.1 200"))
+		if _, err := io.ReadFull(c, statusLine); err != nil {
 			t.Fatal(err)
 		}
 	}
