--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// TestAnnouncerTellsEveryPeerOfEveryItem: in order, several in one message.
-func TestAnnouncerTellsEveryPeerOfEveryItem(t *testing.T) {
+// TestAnnouncerSendsQueuedItemsToEveryPeer: in order, several in one message.
+func TestAnnouncerSendsQueuedItemsToEveryPeer(t *testing.T) {
 	const items = 50
 	told := make(chan []int, items)
 	var peers []string
