--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -13,7 +13,7 @@
 // TestAnnouncerSendsQueuedItemsToEveryPeer: in order, several in one message.
 func TestAnnouncerSendsQueuedItemsToEveryPeer(t *testing.T) {
 	const items = 50
-	told := make(chan []int, items)
+	received := make(chan []int, items)
 	var peers []string
 	for range 2 {
 		address := freeAddress(t)
@@ -22,7 +22,7 @@
 			if json.Unmarshal(request.Body, &batch) != nil || request.Path != "/told" {
 				t.Errorf("%s: %s", request.Path, request.Body)
 			}
-			told <- batch
+			received <- batch
 			respond(http.StatusOK, struct{}{})
 		}, zap.NewNop())
 		if err != nil {
@@ -47,7 +47,7 @@
 	defer cancel()
 	go announcer.Run(ctx)
 	for range peers {
-		batch := <-told
+		batch := <-received
 		if len(batch) != items || batch[0] != 0 || batch[items-1] != items-1 {
 			t.Fatalf("told %v", batch)
 		}
