--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -12,8 +12,8 @@
 
 // TestAnnouncerSendsQueuedItemsToEveryPeer: in order, several in one message.
 func TestAnnouncerSendsQueuedItemsToEveryPeer(t *testing.T) {
-	const items = 50
-	received := make(chan []int, items)
+	const queueSize = 50
+	received := make(chan []int, queueSize)
 	var peers []string
 	for range 2 {
 		address := freeAddress(t)
@@ -31,7 +31,7 @@
 		t.Cleanup(func() { _ = server.Close(context.Background()) })
 		peers = append(peers, address)
 	}
-	settings := AnnouncerSettings{Path: "/told", QueueSize: items, MaxBatch: items, BatchDelay: 5 * time.Millisecond, Timeout: 5 * time.Second}
+	settings := AnnouncerSettings{Path: "/told", QueueSize: queueSize, MaxBatch: queueSize, BatchDelay: 5 * time.Millisecond, Timeout: 5 * time.Second}
 	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Timestamped[int]) any {
 		var numbers []int
 		for _, announced := range batch {
@@ -40,7 +40,7 @@
 		return numbers
 	})
 	announcer.SetPeers(peers)
-	for number := range items + 10 { // nobody takes them yet: what is beyond the ring is dropped
+	for number := range queueSize + 10 { // nobody takes them yet: what is beyond the ring is dropped
 		announcer.Announce(number)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 	go announcer.Run(ctx)
 	for range peers {
 		batch := <-received
-		if len(batch) != items || batch[0] != 0 || batch[items-1] != items-1 {
+		if len(batch) != queueSize || batch[0] != 0 || batch[queueSize-1] != queueSize-1 {
 			t.Fatalf("told %v", batch)
 		}
 	}
