--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// coldStart lets a group whose processes were all ended together elect at once.
+// coldStart lets a group whose replicas all restarted elect a leader without waiting for the lease timeout.
 //
-// A replica that has just started refuses votes for a while, since it may have promised a leader a lease in its former
-// life. It need not once every other voter has said, in answer to a question of this life, that it has heard no leader in
-// its own life either: then no process is left that a lease was promised to. The answer must be to this life: one that was
-// given to a former life may be older than a promise which that life made since.
+// A replica that has just started rejects vote requests for ElectionMin, since its previous incarnation may have
+// confirmed a leader's lease. The wait is skipped once every other voter has replied to this incarnation that it has
+// seen no leader since its own start either: then no process that could hold a lease is left. Replies to a previous
+// incarnation are ignored, since that incarnation may have confirmed a lease after the reply was sent.
 type coldStart struct {
-	incarnation uint64             // random name of this life of the replica
-	startedAt   time.Duration      // when this life began
-	leaderSeen  bool               // this life has heard a leader, or led; it never turns false again
-	leaderless  bool               // every other voter knows no leader; only while over is false
-	queriedAt   time.Duration      // when the others were last asked
-	replies     map[ID]logPosition // voters that know no leader, with the end of their logs
-	rank        int                // voters that go ahead of this replica; only while quiet
+	incarnation uint64             // random ID of this run of the process
+	startedAt   time.Duration      // start of this incarnation
+	leaderSeen  bool               // this incarnation has followed a leader or led; never reset
+	leaderless  bool               // every other voter has seen no leader either; false once leaderSeen is set
+	queriedAt   time.Duration      // time of the last query to the other voters
+	replies     map[ID]logPosition // voters that have seen no leader, with the end of their logs
+	rank        int                // number of voters that stand for election before this one; valid while leaderless
 }
 
-// logPosition is the end of a replica's log.
+// logPosition is the term and index of a replica's last log entry.
 type logPosition struct{ term, index uint64 }
 
-// precedes reports whether a replica of this position and id goes ahead of another one: the longer log, then the lower id.
+// precedes reports whether the replica with this position and id stands for election before the other one: the more
+// up-to-date log first, then the lower id.
 func (p logPosition) precedes(id ID, other logPosition, otherID ID) bool {
 	switch {
 	case p.term != other.term:
@@ -32,30 +33,30 @@
 	return id < otherID
 }
 
-// coldStartDelayDivisor is the part of a heartbeat after which the first of the waiting voters stands for election; each one
-// behind it waits coldStartRankDelay heartbeats longer, so that they don't take each other's votes.
+// The voter of rank 0 stands for election after Heartbeat/coldStartDelayDivisor; each further rank adds
+// coldStartRankDelay heartbeats, which avoids split votes.
 const (
 	coldStartDelayDivisor = 4
 	coldStartRankDelay    = 2
 )
 
-// nextQueryAt returns when the other voters are to be asked next, if they are. Later than the longest election timeout the ordinary
-// election has long begun.
+// nextQueryAt returns when to query the other voters next, and false when no further query is due. Queries end ElectionMax
+// after the start, by when a regular election has begun.
 func (c *coldStart) nextQueryAt(timing Timing) (time.Duration, bool) {
 	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
 
-// finish notes that this life has heard a leader, or leads.
+// finish ends the cold start: this incarnation follows a leader or leads.
 func (c *coldStart) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
-// nextColdStartQuery returns when this replica asks the other voters next, if it does.
+// nextColdStartQuery returns when this replica queries the other voters next, and false when it sends no further query.
 func (n *Node) nextColdStartQuery() (time.Duration, bool) {
 	next, pending := n.coldStart.nextQueryAt(n.config.Timing)
 	return next, pending && n.membership.IsVoter(n.config.ID)
 }
 
-// sendColdStartQueries asks the other voters whether they know a leader.
+// sendColdStartQueries asks the other voters whether they have seen a leader since their start.
 func (n *Node) sendColdStartQueries(now time.Duration) {
 	n.coldStart.queriedAt = now
 	for _, m := range n.membership.Members {
@@ -63,14 +64,15 @@
 			n.sendColdStartMessage(MessageColdStartQuery, m.ID, n.coldStart.incarnation)
 		}
 	}
-	n.checkColdStart(now) // there may be no other
+	n.checkColdStart(now) // a sole voter gets no reply
 }
 
 func (n *Node) sendColdStartMessage(kind MessageKind, to ID, incarnation uint64) {
 	n.send(Message{Kind: kind, To: to, Term: n.hard.Term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Incarnation: incarnation})
 }
 
-// handleColdStartQuery answers a voter that has just started, if this replica knows no leader either, and asks it back at once.
+// handleColdStartQuery replies to a voter that has just started if this replica has seen no leader either, and queries
+// that voter in turn if its reply is missing.
 func (n *Node) handleColdStartQuery(m Message) {
 	if n.coldStart.leaderSeen {
 		return
@@ -81,7 +83,7 @@
 	}
 }
 
-// handleColdStartReply counts a voter that knows no leader.
+// handleColdStartReply records that a voter has seen no leader.
 func (n *Node) handleColdStartReply(now time.Duration, m Message) {
 	if n.coldStart.leaderSeen || n.coldStart.leaderless || m.Incarnation != n.coldStart.incarnation || !n.membership.IsVoter(n.config.ID) {
 		return
@@ -90,7 +92,7 @@
 	n.checkColdStart(now)
 }
 
-// checkColdStart looks whether all other voters have answered. Then the first by log and id stands for election.
+// checkColdStart schedules an early election, staggered by rank, once all other voters have replied.
 func (n *Node) checkColdStart(now time.Duration) {
 	own, rank := logPosition{term: n.log.lastTerm(), index: n.log.lastIndex()}, 0
 	for _, m := range n.membership.Members {
@@ -109,8 +111,8 @@
 	n.shortenElectionTimeout(now)
 }
 
-// shortenElectionTimeout lets a voter of a quiet group stand for election soon, the first ones sooner. One that was refused stands again:
-// the others may not all have heard yet that the group is quiet.
+// shortenElectionTimeout makes a voter of a leaderless group stand for election early, in order of rank. A rejected candidate
+// retries with the same delay, since the other voters may not know yet that the group is leaderless.
 func (n *Node) shortenElectionTimeout(now time.Duration) {
 	if n.coldStart.leaderless {
 		heartbeat := n.config.Timing.Heartbeat
