--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -8,7 +8,8 @@
 	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(jitter))
 }
 
-// becomeFollower enters a term. The vote is kept when the term does not change.
+// becomeFollower enters a term as follower of leader, or of no known leader if it is empty. The vote is kept when the
+// term does not change.
 func (n *Node) becomeFollower(now time.Duration, term uint64, leader ID) {
 	if term > n.hard.Term {
 		n.hard = HardState{Term: term}
@@ -20,8 +21,8 @@
 	n.resetElectionTimer(now)
 }
 
-// startPreVote asks whether an election could be won, without raising the term, so that a replica cut
-// off for a long time does not depose a working leader when it comes back.
+// startPreVote asks whether an election could be won, without raising the term, so that a replica that was
+// partitioned for a long time does not depose a working leader when it reconnects.
 func (n *Node) startPreVote(now time.Duration) {
 	n.role = PreCandidate
 	n.leader = ""
@@ -90,8 +91,8 @@
 	n.broadcastAppend(now)
 }
 
-// handleVote answers a vote or pre-vote request. A replica that heard a leader within the shortest
-// election timeout refuses both: leases depend on it. Its start counts as one, unless no voter knows a leader.
+// handleVote answers a vote or pre-vote request. A replica that heard from a leader within ElectionMin rejects both;
+// leases depend on it. Its start counts as such contact, unless the whole group is known to be leaderless.
 func (n *Node) handleVote(now time.Duration, message Message) {
 	preVote := message.Kind == MessagePreVote
 	reply := Message{Kind: MessageVoteReply, To: message.From, Term: n.hard.Term, Reject: true}
