--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// maxAppendEntries bounds the entries of one append message.
+// maxAppendEntries is the maximum number of entries in one append message.
 const maxAppendEntries = 256
 
 // raftLog is the part of the log after the last snapshot.
 //
-// Invariant: entries[i].Index == base.Index+1+i, and terms never fall.
+// Invariant: entries[i].Index == base.Index+1+i, and terms never decrease.
 type raftLog struct {
 	base    SnapshotMeta
 	entries []Entry
@@ -25,7 +25,7 @@
 	return term
 }
 
-// term returns the term of an index, or false when the log no longer or not yet holds it.
+// term returns the term of an index, or false if the index is compacted or beyond the end of the log.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.base.Index {
 		return l.base.Term, true
@@ -44,16 +44,16 @@
 	return l.entries[after-l.base.Index : upTo-l.base.Index]
 }
 
-// truncateFrom drops the entry at index and all after it.
+// truncateFrom removes the entry at index and all after it.
 func (l *raftLog) truncateFrom(index uint64) {
 	if index <= l.base.Index {
-		panic(fmt.Sprintf("consensus: truncation at %d reaches into the snapshot at %d", index, l.base.Index))
+		panic(fmt.Sprintf("consensus: cannot truncate from index %d: the snapshot covers entries up to index %d", index, l.base.Index))
 	}
 	kept := l.entries[:index-l.base.Index-1]
 	l.entries = append([]Entry(nil), kept...)
 }
 
-// compact forgets the entries up to the snapshot.
+// compact removes the entries that the snapshot covers.
 func (l *raftLog) compact(meta SnapshotMeta) {
 	kept := l.slice(meta.Index, l.lastIndex())
 	l.entries = append([]Entry(nil), kept...)
@@ -73,7 +73,7 @@
 func decodeMembership(data []byte) Membership {
 	var membership Membership
 	if err := json.Unmarshal(data, &membership); err != nil {
-		panic(fmt.Sprintf("consensus: membership entry cannot be read: %v", err))
+		panic(fmt.Sprintf("consensus: decode membership entry: %v", err))
 	}
 	return membership
 }
@@ -82,7 +82,7 @@
 func EncodeMembership(membership Membership) []byte {
 	data, err := json.Marshal(membership)
 	if err != nil {
-		panic(fmt.Sprintf("consensus: membership cannot be written: %v", err))
+		panic(fmt.Sprintf("consensus: encode membership: %v", err))
 	}
 	return data
 }
