--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// progress is what a leader knows of one other replica.
+// progress is a leader's replication state of one other replica.
 type progress struct {
-	match          uint64        // highest index known to be stored there
+	match          uint64        // highest index known to be synced there
 	next           uint64        // next index to send
-	ackedSentAt    time.Duration // leader's clock when the newest answered message was sent
-	lastReplyAt    time.Duration // leader's clock when the last answer came
-	lastAppendAt   time.Duration // leader's clock of the last append
-	snapshotSentAt time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
-	paused         bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
+	ackedSentAt    time.Duration // send time of the newest acknowledged message, by the leader's clock
+	lastReplyAt    time.Duration // time of the last reply, by the leader's clock
+	lastAppendAt   time.Duration // time of the last append or snapshot, by the leader's clock
+	snapshotSentAt time.Duration // send time of an unacknowledged snapshot, by the leader's clock; 0 if none
+	paused         bool          // no appends until the next reply or heartbeat
 }
 
-// Node is one replica of the log. It is not safe for concurrent use.
+// Node is the consensus state machine of one replica. It is not safe for concurrent use.
 type Node struct {
 	config Config
 	hard   HardState
@@ -29,25 +29,26 @@
 	membershipIndex uint64
 
 	commit    uint64
-	delivered uint64 // last index handed out in Ready.Committed or covered by a snapshot
-	persisted uint64 // last index known to be synced here
+	delivered uint64 // last index returned in Ready.Committed or covered by a snapshot
+	persisted uint64 // last index synced to local storage
 
 	votes             map[ID]bool
 	peers             map[ID]*progress
 	lastHeartbeat     time.Duration
-	lastLeaderContact time.Duration // last time a valid leader was heard; start-up counts as heard
+	lastLeaderContact time.Duration // last message from a valid leader, initially the start
 	electionDue       time.Duration
-	termStartIndex    uint64 // index of the no-op of the current leadership
+	termStartIndex    uint64 // index of the no-op entry that began this leadership
 	coldStart         coldStart
 
 	hardStateChanged bool
-	unstableFrom     uint64 // first index to hand out in Ready.Entries; 0 when none
+	unstableFrom     uint64 // first index to return in Ready.Entries; 0 if none
 	pendingInstall   *Snapshot
 	messages         []Message
 	snapshotSource   func() (Snapshot, bool)
 }
 
-// New restores a node. snapshotSource returns the newest snapshot for followers that are too far behind.
+// New returns a node restored from stable storage. snapshotSource returns the newest snapshot, for followers that need
+// compacted entries.
 func New(config Config, restored Restored, now time.Duration, snapshotSource func() (Snapshot, bool)) *Node {
 	node := &Node{
 		config:            config,
@@ -67,22 +68,19 @@
 	return node
 }
 
-// Role returns the current role.
 func (n *Node) Role() Role { return n.role }
 
-// Term returns the current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
 // Leader returns the leader this replica follows, or "".
 func (n *Node) Leader() ID { return n.leader }
 
-// LeaderSilent reports whether this replica follows a leader, or waits for one, that it has not heard for two of the
-// longest election timeouts. A replica that the group has removed hears none.
+// LeaderSilent reports whether this replica is not the leader and has heard from none for twice ElectionMax, as happens to a
+// replica that was removed from the group.
 func (n *Node) LeaderSilent(now time.Duration) bool {
 	return n.role != Leader && now > n.lastLeaderContact+2*n.config.Timing.ElectionMax
 }
 
-// Commit returns the commit index.
 func (n *Node) Commit() uint64 { return n.commit }
 
 // LastIndex returns the index of the newest entry, committed or not.
@@ -91,8 +89,8 @@
 // Membership returns the newest membership in the log.
 func (n *Node) Membership() Membership { return n.membership }
 
-// MembershipCommitted reports whether the newest membership is committed. Until then a repair is not complete: the
-// replicas it replaces still count.
+// MembershipCommitted reports whether the newest membership is committed. Until then, replicas that it removes may still
+// count towards quorums.
 func (n *Node) MembershipCommitted() bool { return n.membershipIndex <= n.commit }
 
 // MembershipAt returns the membership in force at a committed index, for a snapshot made there.
@@ -106,7 +104,7 @@
 	return n.log.base.Membership
 }
 
-// Tick lets timers run.
+// Tick runs the timers that are due.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -120,7 +118,7 @@
 	}
 }
 
-// NextDue returns when Tick has something to do at the latest.
+// NextDue returns the latest time at which Tick must be called.
 func (n *Node) NextDue() time.Duration {
 	if n.role == Leader {
 		return n.lastHeartbeat + n.config.Timing.Heartbeat
@@ -131,8 +129,8 @@
 	return n.electionDue
 }
 
-// Propose appends a command to the log when this replica leads. The entry is accepted only once it comes
-// back in Ready.Committed with the same term; a proposal that never does may still commit later.
+// Propose appends a command to the log if this replica leads. The command is accepted only once its entry is returned in
+// Ready.Committed with the same term. Until then its outcome is unknown: it may still commit later.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	if n.role != Leader {
 		return 0, 0, false
@@ -142,8 +140,8 @@
 	return index, n.hard.Term, true
 }
 
-// ProposeMembership appends a membership that differs from the current one by one replica. It is refused
-// while an earlier change, or the first entry of this term, has not committed yet.
+// ProposeMembership appends a membership that differs from the current one by at most one vote. It is rejected while an
+// earlier change, or the first entry of this leadership, is uncommitted.
 func (n *Node) ProposeMembership(now time.Duration, membership Membership) (index, term uint64, ok bool) {
 	if n.role != Leader || n.membershipIndex > n.commit || n.commit < n.termStartIndex {
 		return 0, 0, false
@@ -157,7 +155,7 @@
 	return index, n.hard.Term, true
 }
 
-// countChangedVoters counts replicas whose vote differs between two memberships.
+// countChangedVoters returns the number of replicas that vote in only one of two memberships.
 func countChangedVoters(before, after Membership) int {
 	changed := 0
 	for _, member := range after.Members {
@@ -173,8 +171,8 @@
 	return changed
 }
 
-// LeaseValid reports whether this replica leads and a quorum confirmed it recently enough that no other
-// replica can have been elected. Reads of committed state are current while it holds.
+// LeaseValid reports whether this replica leads and a quorum acknowledged it recently enough that no other replica can have
+// been elected. While it is valid, the leader may serve reads of committed state.
 func (n *Node) LeaseValid(now time.Duration) bool {
 	if n.role != Leader || n.commit < n.termStartIndex {
 		return false
@@ -182,7 +180,7 @@
 	return now < n.quorumAckedAt(now)+n.config.Timing.Lease
 }
 
-// quorumAckedAt returns the newest send time that a quorum of voters has answered.
+// quorumAckedAt returns the newest time such that a quorum of voters has acknowledged messages sent at or after it.
 func (n *Node) quorumAckedAt(now time.Duration) time.Duration {
 	times := make([]time.Duration, 0, len(n.membership.Members))
 	for _, member := range n.membership.Members {
@@ -208,7 +206,7 @@
 	LastReplyAt time.Duration
 }
 
-// Peers returns the leader's view of the others, ordered as in the membership.
+// Peers returns the leader's view of the other replicas in the order of the membership, and nil if this replica does not lead.
 func (n *Node) Peers() []PeerStatus {
 	var statuses []PeerStatus
 	if n.role != Leader {
@@ -222,7 +220,7 @@
 	return statuses
 }
 
-// Ready returns and clears the work collected since the last call.
+// Ready returns and clears the work that accumulated since the last call.
 func (n *Node) Ready() Ready {
 	var ready Ready
 	if n.hardStateChanged {
@@ -245,7 +243,8 @@
 	return ready
 }
 
-// MarkPersisted tells the node that everything handed out by Ready up to index is synced.
+// MarkPersisted tells the node that the entries returned by Ready up to index are synced. It has no effect if the entry at index
+// no longer has this term.
 func (n *Node) MarkPersisted(index, term uint64) {
 	storedTerm, ok := n.log.term(index)
 	if !ok || storedTerm != term || index <= n.persisted {
@@ -257,7 +256,7 @@
 	}
 }
 
-// Compact forgets log entries covered by a snapshot the caller has synced.
+// Compact removes the log entries covered by a snapshot that the caller has synced.
 func (n *Node) Compact(meta SnapshotMeta) {
 	if meta.Index <= n.log.base.Index || meta.Index > n.delivered {
 		return
@@ -298,16 +297,16 @@
 	n.messages = append(n.messages, message)
 }
 
-// EntriesAfter returns the log entries after an index, for a checkpoint.
+// EntriesAfter returns a copy of the log entries after an index, for a checkpoint.
 func (n *Node) EntriesAfter(index uint64) []Entry {
 	return slices.Clone(n.log.slice(index, n.log.lastIndex()))
 }
 
-// HasReady reports whether Ready would return work.
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
 	return n.hardStateChanged || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
 }
 
-// TermStart returns the index of the first entry of the current leadership. A leader's applied state is
-// current once it has reached this index.
+// TermStart returns the index of the first entry of this replica's latest leadership. A leader's applied state includes all
+// earlier commits once it has reached this index.
 func (n *Node) TermStart() uint64 { return n.termStartIndex }
