--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -40,8 +40,8 @@
 	coldStartRankDelay    = 2
 )
 
-// nextQueryAt returns when to query the other voters next, and false when no further query is due. Queries end ElectionMax
-// after the start, by when a regular election has begun.
+// nextQueryAt returns when to query the other voters next, and false if no further query is due. Queries end ElectionMax
+// after the start, when a regular election has begun anyway.
 func (c *coldStart) nextQueryAt(timing Timing) (time.Duration, bool) {
 	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
@@ -111,8 +111,8 @@
 	n.shortenElectionTimeout(now)
 }
 
-// shortenElectionTimeout makes a voter of a leaderless group stand for election early, in order of rank. A rejected candidate
-// retries with the same delay, since the other voters may not know yet that the group is leaderless.
+// shortenElectionTimeout makes a voter of a leaderless group stand for election early, in order of rank. A rejected
+// candidate retries with the same delay, since the other voters may not know yet that the group is leaderless.
 func (n *Node) shortenElectionTimeout(now time.Duration) {
 	if n.coldStart.leaderless {
 		heartbeat := n.config.Timing.Heartbeat
