--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -75,8 +75,8 @@
 // Leader returns the leader this replica follows, or "".
 func (n *Node) Leader() ID { return n.leader }
 
-// LeaderSilent reports whether this replica is not the leader and has heard from none for twice ElectionMax, as happens to a
-// replica that was removed from the group.
+// LeaderSilent reports whether this replica is not the leader and has not heard from one for twice ElectionMax. A replica
+// that was removed from the group hears from none.
 func (n *Node) LeaderSilent(now time.Duration) bool {
 	return n.role != Leader && now > n.lastLeaderContact+2*n.config.Timing.ElectionMax
 }
@@ -129,8 +129,8 @@
 	return n.electionDue
 }
 
-// Propose appends a command to the log if this replica leads. The command is accepted only once its entry is returned in
-// Ready.Committed with the same term. Until then its outcome is unknown: it may still commit later.
+// Propose appends a command to the log if this replica leads. The command is committed only once its entry is returned
+// in Ready.Committed with the same term. Until then its outcome is unknown: it may still commit later.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	if n.role != Leader {
 		return 0, 0, false
@@ -171,8 +171,8 @@
 	return changed
 }
 
-// LeaseValid reports whether this replica leads and a quorum acknowledged it recently enough that no other replica can have
-// been elected. While it is valid, the leader may serve reads of committed state.
+// LeaseValid reports whether this replica leads and a quorum acknowledged it recently enough that no other replica can
+// have been elected. While it is valid, the leader may serve reads of committed state.
 func (n *Node) LeaseValid(now time.Duration) bool {
 	if n.role != Leader || n.commit < n.termStartIndex {
 		return false
@@ -180,7 +180,7 @@
 	return now < n.quorumAckedAt(now)+n.config.Timing.Lease
 }
 
-// quorumAckedAt returns the newest time such that a quorum of voters has acknowledged messages sent at or after it.
+// quorumAckedAt returns the latest time such that a quorum of voters acknowledged messages sent at or after it.
 func (n *Node) quorumAckedAt(now time.Duration) time.Duration {
 	times := make([]time.Duration, 0, len(n.membership.Members))
 	for _, member := range n.membership.Members {
@@ -206,7 +206,7 @@
 	LastReplyAt time.Duration
 }
 
-// Peers returns the leader's view of the other replicas in the order of the membership, and nil if this replica does not lead.
+// Peers returns the leader's view of the other replicas in the order of the membership. It is nil on other replicas.
 func (n *Node) Peers() []PeerStatus {
 	var statuses []PeerStatus
 	if n.role != Leader {
@@ -243,8 +243,8 @@
 	return ready
 }
 
-// MarkPersisted tells the node that the entries returned by Ready up to index are synced. It has no effect if the entry at index
-// no longer has this term.
+// MarkPersisted tells the node that the entries returned by Ready up to index are synced. It has no effect if the entry
+// at index no longer has this term.
 func (n *Node) MarkPersisted(index, term uint64) {
 	storedTerm, ok := n.log.term(index)
 	if !ok || storedTerm != term || index <= n.persisted {
@@ -307,6 +307,6 @@
 	return n.hardStateChanged || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
 }
 
-// TermStart returns the index of the first entry of this replica's latest leadership. A leader's applied state includes all
-// earlier commits once it has reached this index.
+// TermStart returns the index of the first entry of this replica's latest leadership. A leader's applied state includes
+// all earlier commits once it has reached this index.
 func (n *Node) TermStart() uint64 { return n.termStartIndex }
