--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// tickLeader sends heartbeats and steps down when a quorum has been silent too long (check-quorum).
+// tickLeader sends heartbeats. It steps down if no quorum has replied within ElectionMax (check-quorum), or if the committed
+// membership no longer lists this replica as a voter.
 func (n *Node) tickLeader(now time.Duration) {
 	if now < n.lastHeartbeat+n.config.Timing.Heartbeat {
 		return
@@ -77,7 +78,7 @@
 	})
 }
 
-// sendAppend sends the entries after the peer's next index, or a snapshot when the log no longer has them.
+// sendAppend sends the entries from the peer's next index on, or a snapshot if they are compacted.
 func (n *Node) sendAppend(now time.Duration, id ID) {
 	peer := n.peers[id]
 	previous := peer.next - 1
@@ -94,14 +95,14 @@
 	})
 	peer.lastAppendAt = now
 	if peer.match == 0 && len(entries) > 0 {
-		peer.paused = true // probe until the first answer
+		peer.paused = true // probe: wait for the first reply
 		return
 	}
 	peer.next = upTo + 1
 }
 
-// sendSnapshot sends the whole state, again only after a while: a large one takes longer than a heartbeat to arrive. Meanwhile the
-// peer hears heartbeats, which it rejects for what it lacks; its answers still confirm the leader.
+// sendSnapshot sends the newest snapshot. It is resent only after ElectionMin without an acknowledgement, since a large one takes
+// longer than a heartbeat to arrive. Until then the peer gets heartbeats; even its rejections extend the leader's lease.
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
 	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
@@ -116,7 +117,7 @@
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
-// sendHeartbeat sends an append without entries, once a heartbeat.
+// sendHeartbeat sends an append without entries, at most once per heartbeat interval.
 func (n *Node) sendHeartbeat(now time.Duration, id ID) {
 	peer := n.peers[id]
 	if now < peer.lastAppendAt+n.config.Timing.Heartbeat {
@@ -127,7 +128,7 @@
 	n.send(Message{Kind: MessageAppend, To: id, Term: n.hard.Term, Index: base.Index, LogTerm: base.Term, Commit: n.commit, SentAt: now})
 }
 
-// acceptLeader checks the term of a leader's message and follows it.
+// acceptLeader follows the sender of a leader's message, or rejects the message if its term is old.
 func (n *Node) acceptLeader(now time.Duration, message Message) bool {
 	if message.Term < n.hard.Term {
 		n.send(Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, Reject: true})
@@ -145,7 +146,7 @@
 	}
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	if message.Index < n.log.base.Index {
-		reply.Index = n.log.base.Index // already covered by our snapshot, so committed
+		reply.Index = n.log.base.Index // covered by the local snapshot, hence committed
 		n.send(reply)
 		return
 	}
@@ -163,7 +164,7 @@
 	n.send(reply)
 }
 
-// appendFromLeader keeps entries that agree with the log and replaces the tail from the first that does not.
+// appendFromLeader skips entries that the log already has and replaces its tail from the first conflicting entry on.
 func (n *Node) appendFromLeader(entries []Entry) {
 	for i, entry := range entries {
 		term, found := n.log.term(entry.Index)
@@ -187,7 +188,7 @@
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	meta := message.Snapshot.Meta
 	if term, found := n.log.term(meta.Index); found && term == meta.Term {
-		// The log already agrees up to the snapshot; installing it would drop entries acknowledged after it.
+		// The log already matches the snapshot; installing it would drop acknowledged entries that follow it.
 		n.commit = max(n.commit, meta.Index)
 	} else if meta.Index > n.commit {
 		n.log = raftLog{base: meta}
@@ -214,7 +215,7 @@
 	peer.paused = false
 	if message.Reject {
 		if message.Index <= peer.match {
-			peer.paused = true // it lost entries that it had acknowledged; ask again with the next heartbeat only
+			peer.paused = true // the peer lost acknowledged entries; probe only once per heartbeat
 			return
 		}
 		peer.next = max(peer.match, message.Hint) + 1
@@ -231,7 +232,7 @@
 	}
 }
 
-// advanceCommit commits the newest entry of this term that a quorum of voters has synced.
+// advanceCommit raises the commit index to the last entry that a quorum of voters has synced, if it is of the current term.
 func (n *Node) advanceCommit() {
 	matches := make([]uint64, 0, len(n.membership.Members))
 	for _, member := range n.membership.Members {
