--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -1,16 +1,16 @@
-// Package consensus is a replicated log: leader election with pre-vote and check-quorum, leader leases,
+// Package consensus implements the Raft algorithm: leader election with pre-vote and check-quorum, leader leases,
 // log replication, snapshots, learners and single-server membership changes.
 //
-// Node is a pure state machine. It does no I/O, reads no clock and draws no random numbers of its own.
-// The caller drives it in this order, and no other:
+// Node is a deterministic state machine. It does no I/O, reads no clock and takes random numbers from Config.Random.
+// The caller drives it in this order:
 //
 //  1. call Tick, Step or Propose with the current time;
 //  2. call Ready and write HardState, Snapshot and Entries to stable storage, and sync them;
 //  3. only after the sync, send Messages and call Persisted;
 //  4. apply Snapshot and Committed to the replicated state, in that order.
 //
-// Step 2 before step 3 is what makes an acknowledged entry durable. Time is monotonic and local to the
-// replica; replicas never compare clock values, only durations.
+// Syncing in step 2 before sending in step 3 makes acknowledged entries durable. Time is monotonic and local to the
+// replica; clock values of different replicas are never compared.
 package consensus
 
 import (
@@ -19,13 +19,12 @@
 	"kitetiller/internal/level"
 )
 
-// ID names one life of a replica's data folder. A wiped folder gets a new ID.
+// ID identifies a replica's data folder. A wiped folder gets a new ID.
 type ID string
 
-// Role is the part a replica plays in the current term.
+// Role is the role of a replica in the current term.
 type Role uint8
 
-// Roles of a replica.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -33,22 +32,20 @@
 	Leader
 )
 
-// String returns the role's usual name.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// EntryKind tells what an entry carries.
+// EntryKind is the type of a log entry's data.
 type EntryKind uint8
 
-// Kinds of log entries.
 const (
 	EntryCommand EntryKind = iota
 	EntryNoop
 	EntryMembership
 )
 
-// Entry is one record of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index uint64    `json:"i"`
 	Term  uint64    `json:"t"`
@@ -64,7 +61,7 @@
 	Learner bool   `json:"learner,omitempty"`
 }
 
-// Membership is the set of replicas that hold the log.
+// Membership is the set of replicas in the group, voters and learners.
 type Membership struct {
 	Members []Member `json:"members"`
 }
@@ -79,7 +76,7 @@
 	return Member{}, false
 }
 
-// Voters counts the members that vote.
+// Voters returns the number of voting members.
 func (m Membership) Voters() int {
 	count := 0
 	for _, member := range m.Members {
@@ -103,7 +100,7 @@
 	return next
 }
 
-// Without returns a copy that lacks the given ID.
+// Without returns a copy in which the member with the given ID is removed.
 func (m Membership) Without(id ID) Membership {
 	next := Membership{Members: make([]Member, 0, len(m.Members)+1)}
 	for _, member := range m.Members {
@@ -114,13 +111,13 @@
 	return next
 }
 
-// HardState must be synced before any message of the same Ready is sent.
+// HardState is the term and vote, which must be synced before any message of the same Ready is sent.
 type HardState struct {
 	Term uint64 `json:"term"`
 	Vote ID     `json:"vote,omitempty"`
 }
 
-// SnapshotMeta names the log position and membership a snapshot stands for.
+// SnapshotMeta is the log position of a snapshot and the membership there.
 type SnapshotMeta struct {
 	Index      uint64     `json:"index"`
 	Term       uint64     `json:"term"`
@@ -133,10 +130,9 @@
 	Data []byte       `json:"data"`
 }
 
-// MessageKind tells what a message asks or answers.
+// MessageKind is the type of a message between replicas.
 type MessageKind uint8
 
-// Kinds of messages between replicas.
 const (
 	MessagePreVote MessageKind = iota
 	MessagePreVoteReply
@@ -145,11 +141,11 @@
 	MessageAppend
 	MessageAppendReply
 	MessageSnapshot
-	MessageColdStartQuery // a voter that has just started asks whether a leader is known
-	MessageColdStartReply // none is; not sent otherwise
+	MessageColdStartQuery // a voter that has just started asks whether the receiver has seen a leader
+	MessageColdStartReply // the sender has seen no leader; not sent otherwise
 )
 
-// Message is what one replica sends to another.
+// Message is a request or reply from one replica to another.
 type Message struct {
 	Kind        MessageKind   `json:"kind"`
 	From        ID            `json:"from"`
@@ -158,48 +154,49 @@
 	Index       uint64        `json:"index,omitempty"`    // previous index, last index of a candidate, or matched index
 	LogTerm     uint64        `json:"log_term,omitempty"` // term of Index
 	Commit      uint64        `json:"commit,omitempty"`   // leader's commit index
-	Reject      bool          `json:"reject,omitempty"`   // the answer is no
-	Hint        uint64        `json:"hint,omitempty"`     // last index a rejecting follower has
-	SentAt      time.Duration `json:"sent_at,omitempty"`  // sender's clock, echoed in the reply to extend the lease
+	Reject      bool          `json:"reject,omitempty"`   // the reply is a rejection
+	Hint        uint64        `json:"hint,omitempty"`     // in a rejection: highest index that may match the leader's log
+	SentAt      time.Duration `json:"sent_at,omitempty"`  // leader's clock, echoed in the reply to extend the lease
 	Entries     []Entry       `json:"entries,omitempty"`  // entries after Index
 	Snapshot    *Snapshot     `json:"snapshot,omitempty"` // MessageSnapshot only
-	Incarnation uint64        `json:"life,omitempty"`     // MessageCold: of the asking replica; echoed in the reply
+	Incarnation uint64        `json:"life,omitempty"`     // cold start: incarnation of the querying replica, echoed in the reply
 
-	// Level is that of the sender's build and InForce the one in force as the sender applied the log. Consensus passes both on.
+	// Level is the compatibility level of the sender's build, InForce the level in force in the sender's applied state.
+	// Both are set and read by the caller.
 	Level   level.Level `json:"level,omitempty"`
 	InForce level.Level `json:"in_force,omitempty"`
 }
 
-// Ready is the work that the caller must do, in the order of the package comment.
+// Ready is the work that the caller must do, in the order given in the package comment.
 type Ready struct {
 	HardState *HardState // nil when unchanged
-	Snapshot  *Snapshot  // a received snapshot that replaces log and state
+	Snapshot  *Snapshot  // received snapshot that replaces log and state
 	Entries   []Entry    // to append; an index at or below the last one truncates the log there first
 	Messages  []Message  // to send after the sync
 	Committed []Entry    // to apply
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work to do.
 func (r Ready) Empty() bool {
 	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0
 }
 
-// Timing holds the periods of the protocol.
+// Timing holds the intervals and timeouts of the protocol.
 type Timing struct {
-	Heartbeat   time.Duration // period of the leader's appends to idle followers
-	ElectionMin time.Duration // silence after which a follower may ask for votes; also how long it refuses them
-	ElectionMax time.Duration // upper end of the random silence
-	Lease       time.Duration // how long a quorum's answers let a leader serve reads; below ElectionMin
+	Heartbeat   time.Duration // interval of the leader's appends to idle followers
+	ElectionMin time.Duration // minimum election timeout; also how long a follower rejects vote requests after leader contact
+	ElectionMax time.Duration // maximum election timeout
+	Lease       time.Duration // how long a quorum's acknowledgements let a leader serve reads; below ElectionMin
 }
 
-// Config is what a node needs to start.
+// Config holds the parameters of a node.
 type Config struct {
 	ID     ID
 	Timing Timing
 	Random func(n int64) int64 // uniform in [0, n); seeded by the caller
 }
 
-// Restored is the state read back from stable storage; the zero value is an empty folder.
+// Restored is the state read from stable storage. The zero value stands for an empty folder.
 type Restored struct {
 	HardState HardState
 	Snapshot  SnapshotMeta
