--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -40,8 +40,8 @@
 	coldStartRankDelay    = 2
 )
 
-// nextQueryAt returns when to query the other voters next, and false if no further query is due. Queries end ElectionMax
-// after the start, when a regular election has begun anyway.
+// nextQueryAt returns when to query the other voters next, and false if no further query is due. Queries end
+// ElectionMax after the start, when a regular election has begun anyway.
 func (c *coldStart) nextQueryAt(timing Timing) (time.Duration, bool) {
 	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
@@ -50,7 +50,7 @@
 // finish ends the cold start: this incarnation follows a leader or leads.
 func (c *coldStart) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
-// nextColdStartQuery returns when this replica queries the other voters next, and false when it sends no further query.
+// nextColdStartQuery is nextQueryAt for voters; other replicas send no queries.
 func (n *Node) nextColdStartQuery() (time.Duration, bool) {
 	next, pending := n.coldStart.nextQueryAt(n.config.Timing)
 	return next, pending && n.membership.IsVoter(n.config.ID)
