--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -75,8 +75,8 @@
 // Leader returns the leader this replica follows, or "".
 func (n *Node) Leader() ID { return n.leader }
 
-// LeaderSilent reports whether this replica is not the leader and has not heard from one for twice ElectionMax. A replica
-// that was removed from the group hears from none.
+// LeaderSilent reports whether this replica is not the leader and has not heard from one for twice ElectionMax.
+// A replica that was removed from the group hears from none.
 func (n *Node) LeaderSilent(now time.Duration) bool {
 	return n.role != Leader && now > n.lastLeaderContact+2*n.config.Timing.ElectionMax
 }
@@ -89,8 +89,8 @@
 // Membership returns the newest membership in the log.
 func (n *Node) Membership() Membership { return n.membership }
 
-// MembershipCommitted reports whether the newest membership is committed. Until then, replicas that it removes may still
-// count towards quorums.
+// MembershipCommitted reports whether the newest membership is committed. Until then, replicas that it removes may
+// still count towards quorums.
 func (n *Node) MembershipCommitted() bool { return n.membershipIndex <= n.commit }
 
 // MembershipAt returns the membership in force at a committed index, for a snapshot made there.
