--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// tickLeader sends heartbeats. It steps down if no quorum has replied within ElectionMax (check-quorum), or if the committed
-// membership no longer lists this replica as a voter.
+// tickLeader sends heartbeats. It steps down if no quorum has replied within ElectionMax (check-quorum), or if the
+// committed membership no longer lists this replica as a voter.
 func (n *Node) tickLeader(now time.Duration) {
 	if now < n.lastHeartbeat+n.config.Timing.Heartbeat {
 		return
@@ -101,8 +101,9 @@
 	peer.next = upTo + 1
 }
 
-// sendSnapshot sends the newest snapshot. It is resent only after ElectionMin without an acknowledgement, since a large one takes
-// longer than a heartbeat to arrive. Until then the peer gets heartbeats; even its rejections extend the leader's lease.
+// sendSnapshot sends the newest snapshot. It is resent only after ElectionMin without an acknowledgement, since a large
+// one takes longer than a heartbeat to arrive. Until then the peer gets heartbeats; even its rejections extend the
+// leader's lease.
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
 	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
@@ -188,7 +189,7 @@
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	meta := message.Snapshot.Meta
 	if term, found := n.log.term(meta.Index); found && term == meta.Term {
-		// The log already matches the snapshot; installing it would drop acknowledged entries that follow it.
+		// The log matches the snapshot; installing it would drop acknowledged entries after it.
 		n.commit = max(n.commit, meta.Index)
 	} else if meta.Index > n.commit {
 		n.log = raftLog{base: meta}
@@ -232,7 +233,8 @@
 	}
 }
 
-// advanceCommit raises the commit index to the last entry that a quorum of voters has synced, if it is of the current term.
+// advanceCommit raises the commit index to the last entry that a quorum of voters has synced, if that entry is of the
+// current term.
 func (n *Node) advanceCommit() {
 	matches := make([]uint64, 0, len(n.membership.Members))
 	for _, member := range n.membership.Members {
