--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -159,7 +159,7 @@
 	SentAt      time.Duration `json:"sent_at,omitempty"`  // leader's clock, echoed in the reply to extend the lease
 	Entries     []Entry       `json:"entries,omitempty"`  // entries after Index
 	Snapshot    *Snapshot     `json:"snapshot,omitempty"` // MessageSnapshot only
-	Incarnation uint64        `json:"life,omitempty"`     // cold start: incarnation of the querying replica, echoed in the reply
+	Incarnation uint64        `json:"life,omitempty"`     // of a cold start query; echoed in the reply
 
 	// Level is the compatibility level of the sender's build, InForce the level in force in the sender's applied state.
 	// Both are set and read by the caller.
@@ -184,7 +184,7 @@
 // Timing holds the intervals and timeouts of the protocol.
 type Timing struct {
 	Heartbeat   time.Duration // interval of the leader's appends to idle followers
-	ElectionMin time.Duration // minimum election timeout; also how long a follower rejects vote requests after leader contact
+	ElectionMin time.Duration // minimum election timeout; vote requests are rejected this long after leader contact
 	ElectionMax time.Duration // maximum election timeout
 	Lease       time.Duration // how long a quorum's acknowledgements let a leader serve reads; below ElectionMin
 }
