--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -13,7 +13,7 @@
 
 var testTiming = Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 700 * time.Millisecond, ElectionMax: 1400 * time.Millisecond, Lease: 500 * time.Millisecond}
 
-// replica is a node with its disk.
+// replica is a node with its simulated stable storage.
 type replica struct {
 	id       ID
 	node     *Node
@@ -24,7 +24,7 @@
 	running  bool
 }
 
-// cluster drives nodes over a network that the test controls.
+// cluster drives nodes over a simulated network.
 type cluster struct {
 	now         time.Duration
 	random      *rand.Rand
@@ -32,7 +32,7 @@
 	inFlight    []Message
 	partitioned map[ID]bool
 	leaders     map[uint64]ID
-	committed   map[uint64]Entry // committed entry by index, as first seen
+	committed   map[uint64]Entry // first committed entry seen for each index
 	fail        func(format string, arguments ...any)
 }
 
@@ -58,7 +58,7 @@
 		func() (Snapshot, bool) { return r.snapshot, true })
 }
 
-// processReady syncs and sends what a replica has to do, in the order that the package demands.
+// processReady stores, sends and applies a replica's pending work in the order that the package comment prescribes.
 func (c *cluster) processReady(r *replica) {
 	for r.running && r.node.HasReady() {
 		ready := r.node.Ready()
@@ -79,7 +79,7 @@
 	}
 	if r.running && r.node.Role() == Leader {
 		if other, exists := c.leaders[r.node.Term()]; exists && other != r.id {
-			c.fail("%s and %s both lead term %d", other, r.id, r.node.Term())
+			c.fail("replicas %s and %s both lead term %d", other, r.id, r.node.Term())
 		}
 		c.leaders[r.node.Term()] = r.id
 	}
@@ -95,7 +95,7 @@
 func (c *cluster) apply(r *replica, entry Entry) {
 	first, known := c.committed[entry.Index]
 	if known && (first.Term != entry.Term || !bytes.Equal(first.Data, entry.Data)) {
-		c.fail("index %d: %s committed term %d, another replica term %d", entry.Index, r.id, entry.Term, first.Term)
+		c.fail("index %d: %s committed an entry of term %d that differs from another replica's of term %d", entry.Index, r.id, entry.Term, first.Term)
 	}
 	c.committed[entry.Index] = entry
 	r.applied = append(r.applied, entry)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// deliver takes the message at a position, or loses it on a cut link.
+// deliver delivers the in-flight message at a position, or drops it if either end is partitioned or the target is down.
 func (c *cluster) deliver(at int) {
 	message := c.inFlight[at]
 	c.inFlight = slices.Delete(c.inFlight, at, at+1)
@@ -133,7 +133,7 @@
 	c.checkLeases()
 }
 
-// checkLeases holds that at most one replica may serve reads.
+// checkLeases fails if more than one replica holds a valid lease.
 func (c *cluster) checkLeases() {
 	var holder *replica
 	for _, r := range c.replicas {
@@ -141,7 +141,7 @@
 			continue
 		}
 		if holder != nil {
-			c.fail("%s (term %d) and %s (term %d) both hold a lease", holder.id, holder.node.Term(), r.id, r.node.Term())
+			c.fail("replicas %s (term %d) and %s (term %d) both hold a valid lease", holder.id, holder.node.Term(), r.id, r.node.Term())
 		}
 		holder = r
 	}
@@ -167,7 +167,7 @@
 	return ok
 }
 
-// runFor lets time pass with a working network.
+// runFor advances time and delivers all messages in order.
 func (c *cluster) runFor(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.advance(20 * time.Millisecond)
@@ -181,18 +181,17 @@
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	if !c.propose("x") {
-		t.Fatal("no leader after 3 s")
+		t.Fatal("no leader accepted a proposal after 3 s")
 	}
 	c.runFor(time.Second)
 	for _, r := range c.replicas {
 		if last := r.applied[len(r.applied)-1]; string(last.Data) != "x" {
-			t.Fatalf("%s applied %q last", r.id, last.Data)
+			t.Fatalf("%s: last applied entry %q, want \"x\"", r.id, last.Data)
 		}
 	}
 }
 
-// TestPartitionedLeaderLosesLeaseBeforeNextElection: by the time another replica can be elected, the old leader must know that it may
-// not serve reads.
+// Guards against stale reads: a partitioned leader's lease must end before another leader is elected.
 func TestPartitionedLeaderLosesLeaseBeforeNextElection(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -202,15 +201,15 @@
 		c.runFor(20 * time.Millisecond)
 		if next := c.leader(); next != nil && next != old {
 			if old.node.LeaseValid(c.now) {
-				t.Fatalf("%s leads term %d while %s holds a lease of term %d", next.id, next.node.Term(), old.id, old.node.Term())
+				t.Fatalf("replica %s leads term %d while %s still holds a valid lease of term %d", next.id, next.node.Term(), old.id, old.node.Term())
 			}
 			return
 		}
 	}
-	t.Fatal("no new leader within 6 s")
+	t.Fatal("no new leader within 6 s of the partition")
 }
 
-// TestReconnectedReplicaDoesNotDeposeLeader: pre-vote keeps a replica that was cut off from raising the term.
+// Guards against a partitioned replica raising the term: pre-vote must prevent it.
 func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -225,11 +224,11 @@
 	delete(c.partitioned, isolated.id)
 	c.runFor(3 * time.Second)
 	if c.leader() != leader || leader.node.Term() != term {
-		t.Fatalf("leadership changed to term %d", c.leader().node.Term())
+		t.Fatalf("leader changed after reconnection: now in term %d", c.leader().node.Term())
 	}
 }
 
-// TestLogsAgreeUnderFaults delivers, loses, repeats and reorders messages, kills and cuts replicas.
+// TestLogsAgreeUnderFaults drops, duplicates and reorders messages and kills, restarts and partitions replicas at random.
 func TestLogsAgreeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"), t.Fatalf)
@@ -268,7 +267,7 @@
 	})
 }
 
-// recoverAndCheck heals everything; the group must commit again and agree on all that was ever committed.
+// recoverAndCheck heals the network and restarts all replicas, which must then elect a leader, commit and catch up.
 func (c *cluster) recoverAndCheck(t *rapid.T) {
 	clear(c.partitioned)
 	c.inFlight = nil
@@ -279,38 +278,37 @@
 	}
 	c.runFor(8 * time.Second)
 	if !c.propose("last") {
-		t.Fatal("no leader after everything healed")
+		t.Fatal("no leader accepted a proposal after recovery")
 	}
 	c.runFor(2 * time.Second)
 	for _, r := range c.replicas {
 		if r.node.Commit() < c.leader().node.Commit() {
-			t.Fatalf("%s committed up to %d, the leader up to %d", r.id, r.node.Commit(), c.leader().node.Commit())
+			t.Fatalf("after recovery %s committed up to index %d, the leader up to %d", r.id, r.node.Commit(), c.leader().node.Commit())
 		}
 	}
 }
 
-// TestMembershipChangesOneVoteAtATime refuses a change of two votes and a change on top of an uncommitted one.
+// A change of two votes and a change before the previous one has committed must be rejected.
 func TestMembershipChangesOneVoteAtATime(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
 	leader := c.leader().node
 	twoNewVoters := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
 	if _, _, ok := leader.ProposeMembership(c.now, twoNewVoters); ok {
-		t.Fatal("two votes were changed at once")
+		t.Fatal("a change of two votes was accepted")
 	}
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "x", Learner: true})); !ok {
-		t.Fatal("a learner was refused")
+		t.Fatal("adding a learner was rejected")
 	}
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "y", Learner: true})); ok {
-		t.Fatal("a second change was taken before the first had committed")
+		t.Fatal("a second change was accepted before the first had committed")
 	}
 	if leader.MembershipCommitted() {
-		t.Fatal("an uncommitted membership counts as settled")
+		t.Fatal("MembershipCommitted is true before the membership entry has committed")
 	}
 }
 
-// TestFollowerWithLostEntriesIsProbedOncePerHeartbeat: a follower that forgot what it had acknowledged is asked again with
-// heartbeats, not at the speed of the network.
+// Guards against a message loop with a follower that lost acknowledged entries and rejects every append.
 func TestFollowerWithLostEntriesIsProbedOncePerHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -320,12 +318,12 @@
 		leader.node.Step(c.now, Message{Kind: MessageAppendReply, From: peer.ID, To: leader.id, Term: leader.node.Term(), Reject: true, Index: peer.Match})
 	}
 	if sent := len(leader.node.Ready().Messages); sent != 0 {
-		t.Fatalf("%d messages answer rejections below the match index", sent)
+		t.Fatalf("%d messages sent in response to rejections at the match index, want 0", sent)
 	}
 }
 
-// TestPendingSnapshotIsNotResentEveryHeartbeat: while one is on its way the peer hears heartbeats, and the leader keeps its lease by their
-// answers; once a while without an answer has passed, the snapshot is sent again.
+// An unacknowledged snapshot must not be resent with each heartbeat. Meanwhile the replies to heartbeats keep the lease
+// valid, and a lost snapshot is eventually resent.
 func TestPendingSnapshotIsNotResentEveryHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -346,20 +344,20 @@
 		for len(c.inFlight) > 0 {
 			if c.inFlight[0].Kind == MessageSnapshot {
 				snapshots++
-				c.inFlight = c.inFlight[1:] // a large one, still on its way
+				c.inFlight = c.inFlight[1:] // the snapshot does not arrive
 				continue
 			}
 			c.deliver(0)
 		}
 		if !leader.node.LeaseValid(c.now) {
-			t.Fatalf("the leader has no lease at %v", c.now)
+			t.Fatalf("leader has no valid lease at %v", c.now)
 		}
 	}
 	if snapshots != 1 {
-		t.Fatalf("%d snapshots were sent", snapshots)
+		t.Fatalf("%d snapshots sent, want 1", snapshots)
 	}
 	c.runFor(2 * time.Second)
 	if follower := c.find(isolated); follower.node.Commit() < leader.node.Commit() {
-		t.Fatalf("%s rests at %d, the leader at %d", isolated, follower.node.Commit(), leader.node.Commit())
+		t.Fatalf("replica %s committed up to index %d, the leader up to %d", isolated, follower.node.Commit(), leader.node.Commit())
 	}
 }
