--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// restart ends the given replicas at once and starts them again, in their order, one each gap.
+// restart stops the given replicas together and starts them again in order, with a gap between starts.
 func (c *cluster) restart(gap time.Duration, replicas ...*replica) {
 	for _, r := range replicas {
 		r.running = false
@@ -19,7 +19,7 @@
 	}
 }
 
-// waitForLeader lets time pass until a leader may serve reads, and returns how long that took.
+// waitForLeader runs the cluster until a leader has a valid lease, and fails the test on timeout.
 func (c *cluster) waitForLeader(t *testing.T, timeout time.Duration) {
 	t.Helper()
 	startedAt := c.now
@@ -29,10 +29,10 @@
 			return
 		}
 	}
-	t.Fatalf("no leader within %v of the last start", timeout)
+	t.Fatalf("no leader with a valid lease within %v of the last start", timeout)
 }
 
-// TestFullRestartElectsLeaderWithoutLeaseWait: nobody is left that a lease was promised to.
+// After a restart of all replicas no lease can be left, so that the election must not wait for ElectionMin.
 func TestFullRestartElectsLeaderWithoutLeaseWait(t *testing.T) {
 	for _, gap := range []time.Duration{0, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestRestartedFollowersKeepLeader: those that restart learn that another voter knows a leader, and wait.
+// Guards against restarted followers deposing a leader that is still running.
 func TestRestartedFollowersKeepLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -57,12 +57,11 @@
 		}
 	}
 	if c.leader() != leader || leader.node.Term() != term {
-		t.Fatalf("term %d became %d", term, c.leader().node.Term())
+		t.Fatalf("leader or term changed: term was %d, now %d", term, c.leader().node.Term())
 	}
 }
 
-// TestRestartedMajorityWaitsForLeaseExpiry: the leader is cut off and may still hold a lease, so that the two others, which
-// have just started and see nobody else, wait as long as the lease may run.
+// Guards against an election while a partitioned leader may still hold a lease that the restarted majority confirmed.
 func TestRestartedMajorityWaitsForLeaseExpiry(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -79,13 +78,13 @@
 	for c.now < restartedAt+testTiming.ElectionMin-20*time.Millisecond {
 		c.runFor(20 * time.Millisecond)
 		if c.leader() != nil {
-			t.Fatalf("elected after %v, while the old lease may run", c.now-restartedAt)
+			t.Fatalf("leader elected %v after the restart, while the previous lease may still be valid", c.now-restartedAt)
 		}
 	}
 }
 
-// TestRejectedColdStartCandidateRetriesSoon: the first to know that no voter knows a leader asks those that have not heard
-// it yet (ayni-lima trouble-1: 120 ms after a restart of all).
+// The first candidate of a leaderless group may be rejected by voters that do not know yet that the group is leaderless.
+// It must retry without waiting for a regular election timeout.
 func TestRejectedColdStartCandidateRetriesSoon(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -99,11 +98,11 @@
 		candidate.Step(c.now, Message{Kind: MessagePreVoteReply, From: other.id, To: candidate.config.ID, Term: candidate.Term(), Reject: true})
 	}
 	if wait := candidate.electionDue - c.now; wait > testTiming.Heartbeat {
-		t.Fatalf("stands again after %v", wait)
+		t.Fatalf("next election only after %v", wait)
 	}
 }
 
-// TestReplyToPreviousIncarnationIsIgnored: what was said before this life began may be older than a promise of the last life.
+// A reply to a previous incarnation may predate a lease that this incarnation's predecessor confirmed.
 func TestReplyToPreviousIncarnationIsIgnored(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	r := c.replicas[0]
@@ -113,12 +112,12 @@
 		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation + 1})
 	}
 	if r.node.coldStart.leaderless {
-		t.Fatal("answers to another life let it vote at once")
+		t.Fatal("replies to another incarnation made the group count as leaderless")
 	}
 	for _, other := range c.replicas[1:] {
 		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation})
 	}
 	if !r.node.coldStart.leaderless {
-		t.Fatal("all voters know no leader, and it still waits")
+		t.Fatal("group does not count as leaderless after replies from all other voters")
 	}
 }
