--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// TestLogsAgreeUnderFaults drops, duplicates and reorders messages and kills, restarts and partitions replicas at random.
+// TestLogsAgreeUnderFaults drops, duplicates and reorders messages, and kills, restarts and partitions replicas.
 func TestLogsAgreeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"), t.Fatalf)
