--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// The first candidate of a leaderless group may be rejected by voters that do not know yet that the group is leaderless.
-// It must retry without waiting for a regular election timeout.
+// The first candidate of a leaderless group may be rejected by voters that do not know yet that the group is
+// leaderless. It must retry without waiting for a regular election timeout.
 func TestRejectedColdStartCandidateRetriesSoon(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	c.runFor(3 * time.Second)
@@ -102,7 +102,7 @@
 	}
 }
 
-// A reply to a previous incarnation may predate a lease that this incarnation's predecessor confirmed.
+// A reply to a previous incarnation may be older than a lease that the same incarnation confirmed later.
 func TestReplyToPreviousIncarnationIsIgnored(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	r := c.replicas[0]
