--- a/internal/storage/file.go
+++ b/internal/storage/file.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ReplaceFile writes a file so that after a crash either the old or the new content is there.
+// ReplaceFile replaces a file atomically: after a crash it has either its old or its new content.
 func ReplaceFile(path string, data []byte) error {
 	temporary := path + temporarySuffix
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePermissions)
@@ -45,7 +45,7 @@
 	return eris.Wrapf(err, "sync %s", folder)
 }
 
-// WriteJSON replaces a file with the JSON form of a value, framed with a checksum.
+// WriteJSON atomically replaces a file with the JSON encoding of a value in a checksummed record.
 func WriteJSON(path string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return ReplaceFile(path, AppendRecord(nil, Record{Data: data}))
 }
 
-// ReadJSON reads a file written by WriteJSON. It returns false when the file does not exist.
+// ReadJSON decodes a file written by WriteJSON into value. It returns false if the file does not exist.
 func ReadJSON(path string, value any) (bool, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
