--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -1,9 +1,9 @@
-// Package storage keeps records on disk: an append-only log of checksummed segments that can be cut to a
-// checkpoint, and small files replaced as a whole.
+// Package storage keeps records on disk: an append-only log of checksummed segments that a checkpoint can
+// replace, and small files that are replaced atomically.
 //
-// A record is durable once Sync has returned. A record torn by a crash at the very end of the newest
-// segment is cut away on the next start; any other damage stops the start and changes nothing, since it
-// means that durable data is gone.
+// A record is durable once Sync has returned. Open truncates an incomplete record that a crash left at the
+// end of the newest segment. On any other corruption it fails without changing files, since durable data
+// is lost.
 package storage
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// FormatVersion is the layout written by this code. A folder with a newer one is refused.
+// FormatVersion is the version of the segment format that this code writes. Open rejects segments of a newer version.
 const FormatVersion = 1
 
-// Kind tells what a record carries; its values belong to the caller, but for KindHeader.
+// Kind is the type of a record. All values except KindHeader are defined by the caller.
 type Kind uint8
 
 // KindHeader marks the first record of each segment.
@@ -37,7 +37,7 @@
 	filePermissions   = 0o644
 )
 
-// Errors that a caller can tell apart with errors.Is.
+// Errors that callers match with errors.Is.
 var (
 	ErrDamaged     = eris.New("data folder is damaged")
 	ErrForeign     = eris.New("data folder belongs to another program or replica")
@@ -72,7 +72,7 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Open opens or creates the log of an owner in a folder and returns the records since the last checkpoint.
+// Open opens or creates the log of an owner in a folder and returns the records from the last checkpoint on.
 func Open(folder, owner string) (*Log, []Record, error) {
 	if err := os.MkdirAll(folder, folderPermissions); err != nil {
 		return nil, nil, eris.Wrapf(err, "create %s", folder)
@@ -101,8 +101,8 @@
 	return log, records, log.reopenNewest()
 }
 
-// startsWithCheckpoint reports whether a later segment replaces the ones before it. Every segment after
-// the first is made by Checkpoint, so this holds when it has any record.
+// startsWithCheckpoint reports whether a segment after the first replaces the earlier ones. Checkpoint creates all of
+// these, so that any with records starts with a checkpoint.
 func startsWithCheckpoint(segment []Record) bool { return len(segment) > 0 }
 
 func listSegments(folder string) ([]uint64, error) {
@@ -135,7 +135,7 @@
 	return l.writeSegment(nil)
 }
 
-// readSegment returns the records after the header and the length of the valid part.
+// readSegment returns the records after the header and the length of the valid data in bytes.
 func (l *Log) readSegment(sequence uint64, newest bool) ([]Record, int64, error) {
 	path := l.segmentPath(sequence)
 	data, err := os.ReadFile(path)
@@ -144,7 +144,7 @@
 	}
 	records, length, tail := DecodeRecords(data)
 	if len(records) == 0 || records[0].Kind != KindHeader {
-		return nil, 0, eris.Wrapf(ErrDamaged, "%s has no readable header", path)
+		return nil, 0, eris.Wrapf(ErrDamaged, "%s has no valid segment header", path)
 	}
 	if err := l.checkHeader(path, records[0].Data); err != nil {
 		return nil, 0, err
@@ -177,7 +177,7 @@
 		return eris.Wrapf(err, "open %s", path)
 	}
 	if err := file.Truncate(l.size); err != nil {
-		return eris.Wrapf(err, "cut the torn end of %s", path)
+		return eris.Wrapf(err, "truncate the incomplete record at the end of %s", path)
 	}
 	if _, err := file.Seek(l.size, 0); err != nil {
 		return eris.Wrapf(err, "seek in %s", path)
@@ -191,8 +191,8 @@
 	l.pending = AppendRecord(l.pending, record)
 }
 
-// Sync writes and syncs the buffered records. After an error the log must not be used any more: what the
-// disk holds is not known.
+// Sync writes and syncs the buffered records. After an error the content on disk is unknown and the log must
+// not be used any more.
 func (l *Log) Sync() error {
 	if len(l.pending) == 0 {
 		return nil
@@ -206,8 +206,8 @@
 	return eris.Wrapf(l.file.Sync(), "sync %s", l.file.Name())
 }
 
-// Checkpoint starts a new segment with the given records, which replace everything before, and deletes
-// the older segments once the new one is durable.
+// Checkpoint starts a new segment with the given records, which replace all earlier ones, and deletes the
+// older segments once the new one is durable.
 func (l *Log) Checkpoint(records []Record) error {
 	if err := l.Sync(); err != nil {
 		return err
@@ -219,11 +219,11 @@
 		return err
 	}
 	if err := oldFile.Close(); err != nil {
-		return eris.Wrap(err, "close old segment")
+		return eris.Wrap(err, "close previous segment")
 	}
 	for sequence := previous; sequence > 0; sequence-- {
 		if err := os.Remove(l.segmentPath(sequence)); err != nil {
-			break // older ones are gone already
+			break // the older ones are already deleted
 		}
 	}
 	return syncFolder(l.folder)
@@ -246,13 +246,13 @@
 	return l.reopenNewest()
 }
 
-// Size returns the bytes of the newest segment.
+// Size returns the size of the newest segment in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Close closes the log without syncing buffered records.
+// Close closes the log and discards buffered records.
 func (l *Log) Close() error { return eris.Wrap(l.file.Close(), "close log") }
 
-// AppendRecord appends the framed record to a buffer.
+// AppendRecord appends the encoding of a record to a buffer.
 func AppendRecord(buffer []byte, record Record) []byte {
 	var frame [frameHeaderBytes]byte
 	binary.LittleEndian.PutUint32(frame[0:], uint32(len(record.Data)))
@@ -265,17 +265,18 @@
 	return append(buffer, record.Data...)
 }
 
-// TailState tells what follows the last valid record.
+// TailState is the kind of data that follows the last valid record.
 type TailState uint8
 
-// What DecodeRecords found after the valid records.
+// Tail states returned by DecodeRecords.
 const (
 	TailClean     TailState = iota
-	TailTruncated           // an incomplete last record, as a crash leaves it
-	TailCorrupt             // a bad record with valid-looking data after it
+	TailTruncated           // an incomplete last record, as a crash can leave it
+	TailCorrupt             // an invalid record that is followed by a valid one
 )
 
-// DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
+// DecodeRecords decodes records up to the first invalid one. It returns them, their length in bytes and the state of
+// the rest.
 func DecodeRecords(data []byte) (records []Record, length int64, tail TailState) {
 	offset := 0
 	for offset < len(data) {
@@ -307,8 +308,8 @@
 	return Record{Kind: Kind(data[8]), Data: append([]byte(nil), body...)}, frameHeaderBytes + length, true
 }
 
-// classifyTail tells a torn end from damage: if any valid, non-empty record can be found after the bad
-// place, data written later survived, so the bad place was once durable.
+// classifyTail distinguishes an incomplete last record from corruption. A valid, non-empty record at any later
+// offset means that the invalid one had been written completely.
 func classifyTail(tail []byte) TailState {
 	for start := 1; start+frameHeaderBytes < len(tail); start++ {
 		record, _, ok := decodeRecord(tail[start:])
