--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -15,7 +15,7 @@
 
 func record(text string) Record { return Record{Kind: 2, Data: []byte(text)} }
 
-// writeLog makes a folder with one synced record for each text.
+// writeLog creates a log with one synced record per text and returns its folder.
 func writeLog(t *testing.T, texts ...string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -39,7 +39,7 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*"+segmentSuffix))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("segments %v, %v", paths, err)
+		t.Fatalf("segments %v, error %v, want at least one segment", paths, err)
 	}
 	return paths
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestTornTailIsTruncatedOnOpen cuts the file at every length: what was whole before the cut must come back.
+// Truncates the file at every length within the last record: the records before it must survive.
 func TestTornTailIsTruncatedOnOpen(t *testing.T) {
 	content, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
 	if err != nil {
@@ -94,12 +94,12 @@
 			t.Fatal(err)
 		}
 		if got := reopen(t, folder); got != "first" {
-			t.Fatalf("cut at %d of %d: read back %q", length, len(content), got)
+			t.Fatalf("truncated to %d of %d bytes: read back %q, want \"first\"", length, len(content), got)
 		}
 	}
 }
 
-// TestCorruptRecordFailsOpen flips a byte before the last record: the start must fail and touch nothing.
+// Flips a bit in a record before the last one: Open must fail and leave the file unchanged.
 func TestCorruptRecordFailsOpen(t *testing.T) {
 	folder := writeLog(t, "first", "second", "third")
 	path := segments(t, folder)[0]
@@ -112,7 +112,7 @@
 		t.Fatalf("error %v, want ErrDamaged", err)
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(after, data) {
-		t.Fatal("the damaged file was changed")
+		t.Fatal("Open changed the corrupt file")
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestLogMatchesModel drives appends, syncs, checkpoints and restarts against a plain list.
+// TestLogMatchesModel compares the log with a slice model under random appends, syncs, checkpoints and restarts.
 func TestLogMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "log")
@@ -198,7 +198,7 @@
 				}
 				pending = nil
 				if got := texts(records); got != strings.Join(durable, " ") {
-					t.Fatalf("read back %q, want %q", got, durable)
+					t.Fatalf("read back %q, want records %q", got, durable)
 				}
 			},
 		})
@@ -206,7 +206,7 @@
 	})
 }
 
-// FuzzDecodeRecords: no bytes may crash the decoder, and what it accepts must encode to the same bytes.
+// FuzzDecodeRecords checks that no input panics and that the decoded records encode to the same bytes.
 func FuzzDecodeRecords(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(AppendRecord(nil, record("one")))
@@ -218,7 +218,7 @@
 			encoded = AppendRecord(encoded, r)
 		}
 		if !bytes.Equal(encoded, data[:length]) {
-			t.Fatalf("%d records of %d bytes encode to %d bytes", len(records), length, len(encoded))
+			t.Fatalf("%d records decoded from %d bytes re-encode to %d bytes that differ", len(records), length, len(encoded))
 		}
 	})
 }
