--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells the time that has passed, the time included in which the machine was suspended. Go's own steady clock stands still
-// meanwhile, and so do its timers: whatever another process may end, or was promised to end, is judged by this clock at the moment of the
-// act, after the last wait, and never by a timer's ring.
+// Package clock measures elapsed time including the time during which the machine was suspended. Go's monotonic clock
+// and timers stop during suspension. Leases and deadlines that other processes rely on must therefore be checked against
+// this clock immediately before acting on them, not by a timer.
 package clock
 
 /*
@@ -18,23 +18,23 @@
 
 import "time"
 
-// Source tells the time since a moment that stays the same. It never runs backwards.
+// Source returns the time since a fixed moment. It is monotonic.
 type Source func() time.Duration
 
 var processStart = bootTime()
 
-// Now returns the time since the process started. Through the C library it is read without a system call: 87 ns, 242 ns with one.
+// Now returns the time since the process started. The C library reads the clock without a system call.
 func Now() time.Duration { return bootTime() - processStart }
 
 func bootTime() time.Duration {
 	at := time.Duration(C.boot_time())
 	if at < 0 {
-		panic("clock: the kernel has no CLOCK_BOOTTIME")
+		panic("clock: CLOCK_BOOTTIME is not available")
 	}
 	return at
 }
 
-// NewSource returns a source that begins now, of another one or, where that is nil, of the machine's clock.
+// NewSource returns a source that starts at zero and advances with base, or with Now if base is nil.
 func NewSource(base Source) Source {
 	if base == nil {
 		base = Now
