--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestNowIncludesSuspension: it is the kernel's clock that counts the time a machine was suspended, not the steady one.
+// Now must follow CLOCK_BOOTTIME, which includes suspension, and not CLOCK_MONOTONIC.
 func TestNowIncludesSuspension(t *testing.T) {
 	bootTimeNow := func() time.Duration {
 		var at unix.Timespec
@@ -19,22 +19,22 @@
 	before := bootTimeNow()
 	now := processStart + Now()
 	if after := bootTimeNow(); now < before || now > after {
-		t.Fatalf("%v is not between %v and %v", now, before, after)
+		t.Fatalf("process start + Now() = %v, want between %v and %v", now, before, after)
 	}
 }
 
-// TestNewSourceStartsAtZero: and run as the one that they were made from.
+// A new source must start at zero and advance with its base.
 func TestNewSourceStartsAtZero(t *testing.T) {
 	at := 7 * time.Second
 	source := NewSource(func() time.Duration { return at })
 	if source() != 0 {
-		t.Fatalf("it begins at %v", source())
+		t.Fatalf("new source starts at %v, want 0", source())
 	}
 	if at += 3 * time.Second; source() != 3*time.Second {
-		t.Fatalf("%v after 3 s", source())
+		t.Fatalf("source returns %v after 3 s, want 3s", source())
 	}
 	if system := NewSource(nil); system() < 0 || system() > time.Minute {
-		t.Fatalf("the machine's begins at %v", system())
+		t.Fatalf("source of the system clock starts at %v, want about 0", system())
 	}
 }
 
