--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// coldStart lets a group whose replicas all restarted elect a leader without waiting for the lease timeout.
+// coldStartState lets a group whose replicas all restarted elect a leader without waiting for the lease timeout.
 //
 // A replica that has just started rejects vote requests for ElectionMin, since its previous incarnation may have
 // confirmed a leader's lease. The wait is skipped once every other voter has replied to this incarnation that it has
 // seen no leader since its own start either: then no process that could hold a lease is left. Replies to a previous
 // incarnation are ignored, since that incarnation may have confirmed a lease after the reply was sent.
-type coldStart struct {
+type coldStartState struct {
 	incarnation uint64             // random ID of this run of the process
 	startedAt   time.Duration      // start of this incarnation
 	leaderSeen  bool               // this incarnation has followed a leader or led; never reset
@@ -42,13 +42,13 @@
 
 // nextQueryAt returns when to query the other voters next, and false if no further query is due. Queries end
 // ElectionMax after the start, when a regular election has begun anyway.
-func (c *coldStart) nextQueryAt(timing Timing) (time.Duration, bool) {
+func (c *coldStartState) nextQueryAt(timing Timing) (time.Duration, bool) {
 	next := c.queriedAt + timing.Heartbeat
 	return next, !c.leaderSeen && !c.leaderless && next < c.startedAt+timing.ElectionMax
 }
 
 // finish ends the cold start: this incarnation follows a leader or leads.
-func (c *coldStart) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
+func (c *coldStartState) finish() { c.leaderSeen, c.leaderless, c.replies = true, false, nil }
 
 // nextColdStartQuery is nextQueryAt for voters; other replicas send no queries.
 func (n *Node) nextColdStartQuery() (time.Duration, bool) {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -38,7 +38,7 @@
 	lastLeaderContact time.Duration // last message from a valid leader, initially the start
 	electionDue       time.Duration
 	termStartIndex    uint64 // index of the no-op entry that began this leadership
-	coldStart         coldStart
+	coldStart         coldStartState
 
 	hardStateChanged bool
 	unstableFrom     uint64 // first index to return in Ready.Entries; 0 if none
@@ -58,7 +58,7 @@
 		delivered:         restored.Snapshot.Index,
 		lastLeaderContact: now,
 		snapshotSource:    snapshotSource,
-		coldStart: coldStart{
+		coldStart: coldStartState{
 			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, replies: map[ID]logPosition{},
 		},
 	}
