--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// coldStartState lets a group whose replicas all restarted elect a leader without waiting for the lease timeout.
+// coldStartState is the state of a protocol that lets a group elect a leader without waiting for the lease timeout when
+// all its replicas have restarted.
 //
 // A replica that has just started rejects vote requests for ElectionMin, since its previous incarnation may have
 // confirmed a leader's lease. The wait is skipped once every other voter has replied to this incarnation that it has
