--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -64,7 +64,7 @@
 
 func TestSyncedRecordsSurviveReopen(t *testing.T) {
 	if got := reopen(t, writeLog(t, "a", "b", "c")); got != "a b c" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want \"a b c\"", got)
 	}
 }
 
@@ -77,7 +77,7 @@
 	log.Append(record("never synced"))
 	_ = log.Close()
 	if got := reopen(t, folder); got != "" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want no records", got)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	_ = log.Close()
 	if got := reopen(t, folder); got != "state after" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want \"state after\"", got)
 	}
 }
 
