--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock measures elapsed time including the time during which the machine was suspended. Go's monotonic clock
-// and timers stop during suspension. Leases and deadlines that other processes rely on must therefore be checked against
-// this clock immediately before acting on them, not by a timer.
+// and timers stop during suspension. Leases and deadlines that other processes rely on must therefore be checked
+// against this clock immediately before acting on them, not by a timer.
 package clock
 
 /*
