--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -19,12 +19,12 @@
 
 // handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
 // signals hold whatever becomes of the request.
-func (a *attempt) handlePushback(status int, verdict ResponseInfo) {
-	a.requestedBackoff = verdict.Signals.Backoff
+func (a *attempt) handlePushback(status int, info ResponseInfo) {
+	a.requestedBackoff = info.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Signals, unreadableBackoff: verdict.UnparsedBackoff, unreadableLimit: verdict.UnparsedLimit})
-	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
-	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unreadableBackoff: info.UnparsedBackoff, unreadableLimit: info.UnparsedLimit})
+	g.recordUnknownHeaders(a.row, info.UnknownHeaders)
+	if info.NoLimit && (a.exchange.call.ID == "" || info.ID == a.exchange.call.ID) {
 		g.observeNoLimit(a.row, a.startedAt)
 	}
 }
