--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -22,7 +22,7 @@
 func (a *attempt) handlePushback(status int, info ResponseInfo) {
 	a.requestedBackoff = info.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unreadableBackoff: info.UnparsedBackoff, unreadableLimit: info.UnparsedLimit})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unreadableLimit: info.UnparsedLimit})
 	g.recordUnknownHeaders(a.row, info.UnknownHeaders)
 	if info.NoLimit && (a.exchange.call.ID == "" || info.ID == a.exchange.call.ID) {
 		g.observeNoLimit(a.row, a.startedAt)
@@ -39,17 +39,17 @@
 
 // answerPushback holds the signals of one answer, and fields for the log.
 type answerPushback struct {
-	request           string // "" if the answer belongs to no caller's request
-	status            int
-	signals           pushback.Signals
-	unreadableBackoff string // a backoff that cannot be parsed
+	request         string // "" if the answer belongs to no caller's request
+	status          int
+	signals         pushback.Signals
+	unparsedBackoff string // a backoff that cannot be parsed
 
 	unreadableLimit string // a limit that cannot be parsed
 }
 
 // handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
 func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
-	if answer.signals.IsEmpty() && answer.unreadableBackoff == "" && answer.unreadableLimit == "" {
+	if answer.signals.IsEmpty() && answer.unparsedBackoff == "" && answer.unreadableLimit == "" {
 		return
 	}
 	now := g.now()
@@ -65,12 +65,12 @@
 	if changes.forPeers.Draining {
 		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
+	if answer.signals.Backoff <= 0 && answer.unparsedBackoff == "" {
 		return
 	}
 	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
 		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
-			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unreadableBackoff), zap.Int("held", held))...)
+			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unparsedBackoff), zap.Int("held", held))...)
 	}
 }
 
