--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -22,7 +22,7 @@
 func (a *attempt) handlePushback(status int, info ResponseInfo) {
 	a.requestedBackoff = info.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unreadableLimit: info.UnparsedLimit})
+	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unparsedLimit: info.UnparsedLimit})
 	g.recordUnknownHeaders(a.row, info.UnknownHeaders)
 	if info.NoLimit && (a.exchange.call.ID == "" || info.ID == a.exchange.call.ID) {
 		g.observeNoLimit(a.row, a.startedAt)
@@ -44,12 +44,12 @@
 	signals         pushback.Signals
 	unparsedBackoff string // a backoff that cannot be parsed
 
-	unreadableLimit string // a limit that cannot be parsed
+	unparsedLimit string // a limit that cannot be parsed
 }
 
 // handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
 func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
-	if answer.signals.IsEmpty() && answer.unparsedBackoff == "" && answer.unreadableLimit == "" {
+	if answer.signals.IsEmpty() && answer.unparsedBackoff == "" && answer.unparsedLimit == "" {
 		return
 	}
 	now := g.now()
@@ -57,7 +57,7 @@
 	if !changes.forPeers.IsEmpty() {
 		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: changes.forPeers})
 	}
-	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unreadableLimit)
+	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unparsedLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
 	if answer.request != "" {
 		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
