--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -19,7 +19,7 @@
 
 // reportLimit lets a gateway receive a rate limit that a back end advertises.
 func reportLimit(g *Gateway, id string, rate float64) {
-	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
+	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
 // TestLimitLogging tests the log lines for changed, unreadable and withdrawn limits and for unknown header fields, and
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -22,7 +22,7 @@
 func (a *attempt) handlePushback(status int, info ResponseInfo) {
 	a.requestedBackoff = info.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unparsedLimit: info.UnparsedLimit})
+	g.handlePushback(a.row, responsePushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unparsedLimit: info.UnparsedLimit})
 	g.recordUnknownHeaders(a.row, info.UnknownHeaders)
 	if info.NoLimit && (a.exchange.call.ID == "" || info.ID == a.exchange.call.ID) {
 		g.observeNoLimit(a.row, a.startedAt)
@@ -33,12 +33,12 @@
 // the roster are ignored.
 func (g *Gateway) handleCachePushback(id string, report CacheReport) {
 	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
-		g.handlePushback(row, answerPushback{signals: report.Pushback})
+		g.handlePushback(row, responsePushback{signals: report.Pushback})
 	}
 }
 
-// answerPushback holds the signals of one answer, and fields for the log.
-type answerPushback struct {
+// responsePushback holds the signals of one answer, and fields for the log.
+type responsePushback struct {
 	request         string // "" if the answer belongs to no caller's request
 	status          int
 	signals         pushback.Signals
@@ -48,7 +48,7 @@
 }
 
 // handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
-func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
+func (g *Gateway) handlePushback(row *endpoint, answer responsePushback) {
 	if answer.signals.IsEmpty() && answer.unparsedBackoff == "" && answer.unparsedLimit == "" {
 		return
 	}
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -59,12 +59,12 @@
 
 // reportBackoff lets a gateway receive a request for backoff from a back end.
 func reportBackoff(g *Gateway, id string, rest time.Duration) {
-	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
+	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
 // reportDraining lets a gateway receive a draining signal from a back end.
 func reportDraining(g *Gateway, id string) {
-	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
+	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
 // TestPushbackAfterChoice tests that the check before sending sees signals which arrived after the back end was chosen,
