--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -48,29 +48,29 @@
 }
 
 // handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
-func (g *Gateway) handlePushback(row *endpoint, answer responsePushback) {
-	if answer.signals.IsEmpty() && answer.unparsedBackoff == "" && answer.unparsedLimit == "" {
+func (g *Gateway) handlePushback(row *endpoint, response responsePushback) {
+	if response.signals.IsEmpty() && response.unparsedBackoff == "" && response.unparsedLimit == "" {
 		return
 	}
 	now := g.now()
-	changes := g.table.observePushback(now, row, answer.signals)
+	changes := g.table.observePushback(now, row, response.signals)
 	if !changes.forPeers.IsEmpty() {
 		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: changes.forPeers})
 	}
-	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unparsedLimit)
+	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, response.unparsedLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
-	if answer.request != "" {
-		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
+	if response.request != "" {
+		fields = append(fields, zap.String(events.FieldRequest, response.request), zap.Int("answer", response.status))
 	}
 	if changes.forPeers.Draining {
 		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if answer.signals.Backoff <= 0 && answer.unparsedBackoff == "" {
+	if response.signals.Backoff <= 0 && response.unparsedBackoff == "" {
 		return
 	}
 	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
-		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
-			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unparsedBackoff), zap.Int("held", held))...)
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, response.signals.Backoff),
+			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, response.unparsedBackoff), zap.Int("held", held))...)
 	}
 }
 
