--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -48,7 +48,7 @@
 }
 
 // logLimit logs a limit that changed, was withdrawn, or cannot be parsed.
-func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unreadable string) {
+func (g *Gateway) logLimit(now time.Duration, instance string, limit pushback.Limit, source, unparsedValue string) {
 	fields := []zap.Field{zap.String(events.FieldInstance, instance), zap.String("told_by", source)}
 	switch {
 	case limit.Advertised:
@@ -56,11 +56,11 @@
 	case limit.Withdrawn:
 		g.log.info(events.InstanceLimitWithdrawn, fields...)
 	}
-	if unreadable == "" {
+	if unparsedValue == "" {
 		return
 	}
 	if held, due := g.limitLogLimiter.Due(now, instance); due {
-		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unreadable), zap.Int("held", held))...)
+		g.log.info(events.InstanceLimitAdvertised, append(fields, zap.String(events.FieldUnparsedValue, unparsedValue), zap.Int("held", held))...)
 	}
 }
 
