--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -84,8 +84,8 @@
 
 // newestVersions returns the newer of the known and the reported versions of each model. A new leader may not have
 // received the back end's heartbeat yet and then reports none.
-func newestVersions(known, told map[string]uint64) map[string]uint64 {
-	merged := maps.Clone(told)
+func newestVersions(known, reported map[string]uint64) map[string]uint64 {
+	merged := maps.Clone(reported)
 	for model, version := range known {
 		if merged == nil {
 			merged = map[string]uint64{}
