--- a/internal/gateway/follower.go
+++ b/internal/gateway/follower.go
@@ -117,7 +117,7 @@
 
 // readCache queries an engine once and applies its report. It returns false if it did not query the engine, because
 // that is too early, the engine is gone or it requested a backoff.
-func (g *Gateway) readCache(ctx context.Context, id string, cursor *cacheCursor) (asked bool, err error) {
+func (g *Gateway) readCache(ctx context.Context, id string, cursor *cacheCursor) (queried bool, err error) {
 	address, open := g.table.cacheAddress(g.now(), id)
 	if !open {
 		return false, nil
