--- a/internal/gateway/cachenews.go
+++ b/internal/gateway/cachenews.go
@@ -17,7 +17,7 @@
 	Pushback    pushback.Signals    // of the engine; also set with an error
 }
 
-// CacheReader reads the contents of engines' prefix caches. It is safe for concurrent use. An answer that cannot be
+// CacheReader reads the contents of engines' prefix caches. It is safe for concurrent use. A response that cannot be
 // parsed in full is an error of that call only.
 type CacheReader interface {
 	// Events returns the changes from an event number on. It waits for a change for about a second at most.
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -22,7 +22,7 @@
 	// ms, this size allows 10 MB/s.
 	socketBufferBytes = 32 << 10
 	// bufferStep is the initial buffer size for a body, the size up to which an event is not counted, and the maximum
-	// write size when an answer is relayed, in bytes.
+	// write size when a response is relayed, in bytes.
 	bufferStep = 16 << 10
 )
 
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// relayBody copies an answer to the caller as it arrives.
+// relayBody copies a response to the caller as it arrives.
 func (x *exchange) relayBody(from io.Reader) error {
 	part := make([]byte, bufferStep)
 	for {
--- a/internal/gateway/named.go
+++ b/internal/gateway/named.go
@@ -18,7 +18,7 @@
 	signals  pushback.Signals
 }
 
-// observeNoLimit handles an answer without a limit, to a request sent at the given time.
+// observeNoLimit handles a response without a limit, to a request sent at the given time.
 func (g *Gateway) observeNoLimit(row *endpoint, sent time.Duration) {
 	now := g.now()
 	g.table.mutex.Lock()
@@ -65,7 +65,7 @@
 }
 
 const (
-	// leaseRetryInterval is how long no leases on limits are requested after the allocator did not answer, since each
+	// leaseRetryInterval is how long no leases on limits are requested after the allocator did not reply, since each
 	// attempt would delay a request by the timeout.
 	leaseRetryInterval = schedulerRetryInterval
 	// minLimitExhaustion is the minimum time for which a back end is excluded after no lease on its limit was
@@ -75,7 +75,7 @@
 	maxLimitedAttempts = 4
 	// limitCost is the cost of a back end that advertises a limit, in milliseconds: the round trip to the allocator. It
 	// decreases by limitCostDecay for each second since the limit was last observed, for up to maxLimitCostDecayTime,
-	// because only an answer shows that the limit was withdrawn, and a back end that always costs more than idle ones
+	// because only a response shows that the limit was withdrawn, and a back end that always costs more than idle ones
 	// would get no requests.
 	limitCost             = 10.0
 	limitCostDecay        = 10.0
@@ -92,7 +92,7 @@
 const (
 	leaseGranted      = "granted"
 	leaseLimitReached = "over"
-	leaseUnavailable  = "unknown" // the allocator did not answer
+	leaseUnavailable  = "unknown" // the allocator did not reply
 	leaseUnused       = "unused"  // granted, but nothing was sent
 )
 
--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -22,8 +22,8 @@
 	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Limit: pushback.Limit{Advertised: true, Rate: rate}}, status: 200})
 }
 
-// TestLimitLogging tests the log lines for changed, unreadable and withdrawn limits and for unknown header fields, and
-// the gauges of limits. Only the answer to the same request, sent after the limit was observed, can withdraw it.
+// TestLimitLogging tests the log lines for changed, unparsed and withdrawn limits and for unknown headers, and
+// the gauges of limits. Only the response to the same request, sent after the limit was observed, can withdraw it.
 func TestLimitLogging(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
@@ -41,7 +41,7 @@
 		t.Fatalf("log lines about limits: %v", got)
 	}
 	if strange := lines.FilterMessage(events.UnknownBackendHeader).All(); len(strange) != 1 {
-		t.Errorf("log lines about unknown fields: %v, want 1", strange)
+		t.Errorf("log lines about unknown headers: %v, want 1", strange)
 	}
 	gauges := make(chan prometheus.Metric, 4)
 	newAdvertisedLimitGauge(g).Collect(gauges)
@@ -50,12 +50,12 @@
 	}
 	sent.handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"}) // sent before the limit was observed
 	if len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) > 0 {
-		t.Fatal("limit withdrawn by an answer to a request sent before it was observed")
+		t.Fatal("limit withdrawn by a response to a request sent before it was observed")
 	}
 	now += time.Second
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "another"})
 	if counts, _ := g.table.advertisedLimits(); counts["s"] != 1 {
-		t.Fatal("limit withdrawn by another request's answer")
+		t.Fatal("limit withdrawn by another request's response")
 	}
 	attemptAt(g, g.table.rows["i-0"]).handlePushback(200, ResponseInfo{Signed: true, NoLimit: true, ID: "r1"})
 	if counts, _ := g.table.advertisedLimits(); len(counts) != 0 || len(lines.FilterMessage(events.InstanceLimitWithdrawn).All()) != 1 {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestUnknownFieldsAreBounded tests that the number of remembered unknown field names is bounded, since back ends
+// TestUnknownHeadersAreBounded tests that the number of remembered unknown header names is bounded, since back ends
 // choose the names.
-func TestUnknownFieldsAreBounded(t *testing.T) {
+func TestUnknownHeadersAreBounded(t *testing.T) {
 	var words unknownHeaders
 	logged := 0
 	for i := range 10 * maxUnknownHeaders {
@@ -78,7 +78,7 @@
 	}
 }
 
-// reportNoLimit lets a gateway receive an answer without a limit to a request sent now.
+// reportNoLimit lets a gateway receive a response without a limit to a request sent now.
 func reportNoLimit(g *Gateway, id string) { g.observeNoLimit(g.table.rows[id], g.now()) }
 
 // chosenFor returns the ID of the back end that a gateway chooses for a request of its own, or "".
@@ -121,7 +121,7 @@
 
 // TestExhaustedLimitsAreExcluded tests that back ends with an exhausted limit are not chosen, that a scheduler paces
 // other gateways' placements there by the limit, and that no back end with a limit is chosen while the allocator does
-// not answer.
+// not reply.
 func TestExhaustedLimitsAreExcluded(t *testing.T) {
 	now := time.Minute
 	g := newScheduler(2)
@@ -293,7 +293,7 @@
 	now := time.Minute
 	g := newScheduler(2)
 	g.now = func() time.Duration { return now }
-	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // no engine service, so that the back ends differ in cost only by the limit
+	g.view.Store(newView(&catalog.Document{Services: []catalog.Service{{Name: "s"}}})) // without engines, only the limit adds cost
 	reportLimit(g, "i-0", 4)
 	for range 40 {
 		if now += 100 * time.Millisecond; chosenFor(g) == "i-0" {
--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -11,13 +11,13 @@
 	"kitetiller/internal/pushback"
 )
 
-// Sources of a back end's signals, in logs: its own answer or another gateway.
+// Sources of a back end's signals, in logs: its own response or another gateway.
 const (
 	sourceAnswer  = "answer"
 	sourceGateway = "gateway"
 )
 
-// handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
+// handlePushback applies the back-pressure signals of a response. It runs before the response is processed, since the
 // signals hold whatever becomes of the request.
 func (a *attempt) handlePushback(status int, info ResponseInfo) {
 	a.requestedBackoff = info.Signals.Backoff
@@ -29,7 +29,7 @@
 	}
 }
 
-// handleCachePushback applies the signals of an answer to a cache query. Signals of another incarnation than the one in
+// handleCachePushback applies the signals of a response to a cache query. Signals of another incarnation than the one in
 // the roster are ignored.
 func (g *Gateway) handleCachePushback(id string, report CacheReport) {
 	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
@@ -37,9 +37,9 @@
 	}
 }
 
-// responsePushback holds the signals of one answer, and fields for the log.
+// responsePushback holds the signals of one response, and fields for the log.
 type responsePushback struct {
-	request         string // "" if the answer belongs to no caller's request
+	request         string // "" if the response belongs to no caller's request
 	status          int
 	signals         pushback.Signals
 	unparsedBackoff string // a backoff that cannot be parsed
@@ -47,7 +47,7 @@
 	unparsedLimit string // a limit that cannot be parsed
 }
 
-// handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
+// handlePushback applies and logs the signals of a response, and tells other gateways what changed.
 func (g *Gateway) handlePushback(row *endpoint, response responsePushback) {
 	if response.signals.IsEmpty() && response.unparsedBackoff == "" && response.unparsedLimit == "" {
 		return
@@ -74,14 +74,14 @@
 	}
 }
 
-// pushbackChanges is what the signals of an answer changed.
+// pushbackChanges is what the signals of a response changed.
 type pushbackChanges struct {
 	restriction pushback.Restriction // in effect now
 	forPeers    pushback.Signals     // for other gateways: each backoff, and limits that changed or are due again
 	forLog      pushback.Limit       // set only if the limit changed
 }
 
-// observePushback records the signals of an answer and returns what they changed.
+// observePushback records the signals of a response and returns what they changed.
 func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (changes pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -16,7 +16,7 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unreadable
+// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unparsed
 // backoffs, the backoff left in the log of a failed attempt, and the gauge of back ends in backoff.
 func TestBackoffLogging(t *testing.T) {
 	now := time.Minute
@@ -38,7 +38,7 @@
 		t.Errorf("log fields of a backoff: %v", asked)
 	}
 	if unread[events.FieldUnparsedValue] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
-		t.Errorf("log fields of an unreadable backoff: %v", unread)
+		t.Errorf("log fields of an unparsed backoff: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
@@ -109,8 +109,8 @@
 		"later incarnation": {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
 		for kind, say := range map[string]func(*Gateway){
-			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
-			"leaving": func(g *Gateway) { reportDraining(g, first.ID()) },
+			"backoff":  func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
+			"draining": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
 			g := newScheduler(0)
 			applyEntry(g, first, "a")
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -60,7 +60,7 @@
 	entry.Versions = newestVersions(e.entry.Versions, reported)
 	for model, version := range reported {
 		if version < e.controlVersions[model] {
-			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat; engines reject requests that expect other versions
+			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat
 		}
 	}
 	e.controlVersions = reported
