--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -83,11 +83,11 @@
 }
 
 // newPlacementID returns a placement ID that is unique in the fleet.
-func (s *schedulers) newPlacementID(nick string) string {
+func (s *schedulers) newPlacementID(gateway string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastPlacementID++
-	return nick + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
+	return gateway + "-" + strconv.FormatUint(s.lastPlacementID, saltBase)
 }
 
 // reportEnd reports the end of a placement to a scheduler in the background. A report that fails or exceeds
