--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -55,13 +55,13 @@
 // TestOneFullWatchReply guards against several replicas sending the document and roster while a gateway looks for one
 // that answers, which a small machine could not parse within the timeout.
 func TestOneFullWatchReply(t *testing.T) {
-	addresses, whole := startReplicas(t, 3)
+	addresses, fullReplies := startReplicas(t, 3)
 	g := New(Settings{Name: "g", Zone: "z", Control: addresses, ViewTTL: time.Hour}, nil, node.NopLog())
 	reply := g.watchOnce(context.Background(), control.RosterVersion{}, 10*time.Second, true)
 	if reply == nil || reply.Document == nil {
 		t.Fatalf("reply %+v, want one with a document", reply)
 	}
-	if got := whole.Load(); got != 1 {
+	if got := fullReplies.Load(); got != 1 {
 		t.Fatalf("%d full replies, want 1", got)
 	}
 }
