--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -23,20 +23,20 @@
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
 		h.reserve(others)
 		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bufferStep).Draw(t, "sent"))
-		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
+		length := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
 		var from io.Reader = bytes.NewReader(sent)
 		if rapid.Bool().Draw(t, "halves") {
 			from = iotest.HalfReader(from)
 		}
-		body, room, err := h.readBody(from, told)
+		body, room, err := h.readBody(from, length)
 		switch {
 		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
 				t.Fatalf("rejected with %d bytes reserved for others and a body of %d", others, len(sent))
 			}
-		case told > int64(len(sent)):
+		case length > int64(len(sent)):
 			if err != io.ErrUnexpectedEOF {
-				t.Fatalf("truncated body, got %d of %d bytes: error %v", len(sent), told, err)
+				t.Fatalf("truncated body, got %d of %d bytes: error %v", len(sent), length, err)
 			}
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("got %d of %d bytes, error %v", len(body), len(sent), err)
