--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -28,7 +28,7 @@
 		if rapid.Bool().Draw(t, "halves") {
 			from = iotest.HalfReader(from)
 		}
-		body, room, err := h.readBody(from, length)
+		body, reserved, err := h.readBody(from, length)
 		switch {
 		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
@@ -41,10 +41,10 @@
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("got %d of %d bytes, error %v", len(body), len(sent), err)
 		}
-		if room > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+room || h.used.Load() > maxBufferedBytes {
-			t.Fatalf("reserved %d bytes for a body of %d, %d in total with %d for others", room, len(sent), h.used.Load(), others)
+		if reserved > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+reserved || h.used.Load() > maxBufferedBytes {
+			t.Fatalf("reserved %d bytes for a body of %d, %d in total with %d for others", reserved, len(sent), h.used.Load(), others)
 		}
-		if h.release(room); int(h.used.Load()) != others {
+		if h.release(reserved); int(h.used.Load()) != others {
 			t.Fatalf("%d bytes reserved after release, want %d", h.used.Load(), others)
 		}
 	})
