--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -67,12 +67,12 @@
 func (o *outage) remaining(now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	typical := o.meanDuration
-	if typical == 0 {
-		typical = initialOutageEstimate
+	expected := o.meanDuration
+	if expected == 0 {
+		expected = initialOutageEstimate
 	}
 	elapsed := now - o.startedAt
-	return max(typical-elapsed, time.Duration(minRemainingFraction*float64(elapsed)))
+	return max(expected-elapsed, time.Duration(minRemainingFraction*float64(elapsed)))
 }
 
 // controlRetryAfter returns when a caller may retry a request that was rejected because control is unavailable.
