--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -25,8 +25,8 @@
 	table, applyVersions := newVersionsTable()
 	applyVersions(map[string]uint64{"m": 4})
 	applyVersions(map[string]uint64{"m": 3})
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("version %d after control reported 4 and then 3, want 3", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 3 {
+		t.Fatalf("version %d after control reported 4 and then 3, want 3", version)
 	}
 	applyVersions(nil) // a new leader without the heartbeat
 	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
