--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -70,7 +70,7 @@
 // TestPushbackAfterChoice tests that the check before sending sees signals which arrived after the back end was chosen,
 // while the connection was established or a scheduler was asked.
 func TestPushbackAfterChoice(t *testing.T) {
-	for cause, say := range map[string]func(*Gateway){
+	for cause, signal := range map[string]func(*Gateway){
 		causeBackingOff: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
 		causeDraining:   func(g *Gateway) { reportDraining(g, "i-0") },
 	} {
@@ -79,7 +79,7 @@
 		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("restricted before the signal: %s", bar)
 		}
-		say(g)
+		signal(g)
 		if bar := chosen.recheckConditions(); bar != cause {
 			t.Fatalf("restriction %q, want %q", bar, cause)
 		}
