--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -108,13 +108,13 @@
 		"another address":   {func(g *Gateway) { applyEntry(g, first, "b") }, false},
 		"later incarnation": {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
-		for kind, say := range map[string]func(*Gateway){
+		for kind, signal := range map[string]func(*Gateway){
 			"backoff":  func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
 			"draining": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
 			g := newScheduler(0)
 			applyEntry(g, first, "a")
-			say(g)
+			signal(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
 			x := newModelRequest(g)
