--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -35,15 +35,15 @@
 // TestControlRetryAfter tests that retry times during an outage are bounded and have jitter.
 func TestControlRetryAfter(t *testing.T) {
 	g := &Gateway{now: func() time.Duration { return time.Hour }} // an outage of an hour
-	told := map[time.Duration]bool{}
+	distinct := map[time.Duration]bool{}
 	for range 100 {
 		advice := g.controlRetryAfter()
 		if advice < minControlRetryAfter || advice > time.Duration((1+controlRetryJitter)*float64(maxControlRetryAfter)) {
 			t.Fatalf("retry after %v", advice)
 		}
-		told[advice] = true
+		distinct[advice] = true
 	}
-	if len(told) < 50 {
-		t.Fatalf("%d distinct retry times for 100 callers, want at least 50", len(told))
+	if len(distinct) < 50 {
+		t.Fatalf("%d distinct retry times for 100 callers, want at least 50", len(distinct))
 	}
 }
