--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -37,11 +37,11 @@
 	g := &Gateway{now: func() time.Duration { return time.Hour }} // an outage of an hour
 	distinct := map[time.Duration]bool{}
 	for range 100 {
-		advice := g.controlRetryAfter()
-		if advice < minControlRetryAfter || advice > time.Duration((1+controlRetryJitter)*float64(maxControlRetryAfter)) {
-			t.Fatalf("retry after %v", advice)
+		retryAfter := g.controlRetryAfter()
+		if retryAfter < minControlRetryAfter || retryAfter > time.Duration((1+controlRetryJitter)*float64(maxControlRetryAfter)) {
+			t.Fatalf("retry after %v", retryAfter)
 		}
-		distinct[advice] = true
+		distinct[retryAfter] = true
 	}
 	if len(distinct) < 50 {
 		t.Fatalf("%d distinct retry times for 100 callers, want at least 50", len(distinct))
