--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -66,14 +66,14 @@
 // TestUnknownHeadersAreBounded tests that the number of remembered unknown header names is bounded, since back ends
 // choose the names.
 func TestUnknownHeadersAreBounded(t *testing.T) {
-	var words unknownHeaders
+	var headers unknownHeaders
 	logged := 0
 	for i := range 10 * maxUnknownHeaders {
-		if words.addNew(fmt.Sprint(i)) {
+		if headers.addNew(fmt.Sprint(i)) {
 			logged++
 		}
 	}
-	if logged != maxUnknownHeaders || words.addNew("0") {
+	if logged != maxUnknownHeaders || headers.addNew("0") {
 		t.Fatalf("%d names logged", logged)
 	}
 }
