--- a/internal/gateway/named_test.go
+++ b/internal/gateway/named_test.go
@@ -40,8 +40,8 @@
 		got[2].ContextMap()[events.FieldUnparsedValue] != "3,8" {
 		t.Fatalf("log lines about limits: %v", got)
 	}
-	if strange := lines.FilterMessage(events.UnknownBackendHeader).All(); len(strange) != 1 {
-		t.Errorf("log lines about unknown headers: %v, want 1", strange)
+	if unknown := lines.FilterMessage(events.UnknownBackendHeader).All(); len(unknown) != 1 {
+		t.Errorf("log lines about unknown headers: %v, want 1", unknown)
 	}
 	gauges := make(chan prometheus.Metric, 4)
 	newAdvertisedLimitGauge(g).Collect(gauges)
