--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -41,10 +41,10 @@
 }
 
 // newPlacementRequest returns a placement request for a prompt of a preamble, a subject part and a part of its own.
-func newPlacementRequest(ticket string, subject int) *wirePlacementRequest {
+func newPlacementRequest(placementID string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
-		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
-		Parts: []string{"preamble", fmt.Sprint("subject-", subject), ticket}, PartTokens: []int{2520, 3780, 2890},
+		PlacementID: placementID, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
+		Parts: []string{"preamble", fmt.Sprint("subject-", subject), placementID}, PartTokens: []int{2520, 3780, 2890},
 	}
 }
 
