--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,8 +17,8 @@
 }
 
 // newObjectiveRequest returns a placement request for a route with a latency objective.
-func newObjectiveRequest(ticket string, first bool) *wirePlacementRequest {
-	asked := newPlacementRequest(ticket, 1)
+func newObjectiveRequest(placementID string, first bool) *wirePlacementRequest {
+	asked := newPlacementRequest(placementID, 1)
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
