--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -141,10 +141,10 @@
 }
 
 // addPlacement adds a placement and returns the back end's load as this gateway reports it to others.
-func (t *table) addPlacement(now time.Duration, ticket string, p placement) belief.Load {
+func (t *table) addPlacement(now time.Duration, id string, p placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.placed[ticket] = p
+	t.placed[id] = p
 	here := &p.row.occupancy
 	here.Placed = here.Placed.Plus(p.load)
 	t.addPrefill(now, p.row, p.uncached)
