--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -179,8 +179,8 @@
 }
 
 // removePlacement removes a placement and its load. The caller holds the mutex.
-func (t *table) removePlacement(ticket string, p placement) {
-	delete(t.placed, ticket)
+func (t *table) removePlacement(id string, p placement) {
+	delete(t.placed, id)
 	p.row.occupancy.Placed = p.row.occupancy.Placed.Minus(p.load)
 }
 
