--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -186,9 +186,9 @@
 
 // expirePlacements removes placements whose end was not reported in time. The caller holds the mutex.
 func (t *table) expirePlacements(now time.Duration) {
-	for ticket, p := range t.placed {
+	for id, p := range t.placed {
 		if now > p.expiresAt {
-			t.removePlacement(ticket, p)
+			t.removePlacement(id, p)
 		}
 	}
 }
