--- a/internal/gateway/follower_test.go
+++ b/internal/gateway/follower_test.go
@@ -61,7 +61,7 @@
 // read calls readCache the given number of times.
 func (s *scriptedCache) read(g *Gateway, at *cacheCursor, times int) {
 	for range times {
-		at.listedAt = -cacheListInterval // lists may follow each other here
+		at.listedAt = -cacheListInterval // allow consecutive listings
 		_, _ = g.readCache(context.Background(), "i-1", at)
 	}
 }
--- a/internal/gateway/schedulers.go
+++ b/internal/gateway/schedulers.go
@@ -165,8 +165,8 @@
 	return req
 }
 
-// excluded returns the back ends that the request was sent to already, and those that this gateway avoids or that
-// restrict it.
+// excluded returns the back ends that the request was sent to already, and those that this gateway avoids or whose
+// signals exclude them.
 func (t *table) excluded(now time.Duration, service string, tried []*endpoint) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
