--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -29,8 +29,8 @@
 		t.Fatalf("version %d after control reported 4 and then 3, want 3", version)
 	}
 	applyVersions(nil) // a new leader without the heartbeat
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("version %d after control reported none, want 3", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 3 {
+		t.Fatalf("version %d after control reported none, want 3", version)
 	}
 	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	applyVersions(map[string]uint64{"m": 3})
