--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -34,8 +34,8 @@
 	}
 	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	applyVersions(map[string]uint64{"m": 3})
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
-		t.Fatalf("version %d after the engine reported 5 and control 3 again, want 5", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 5 {
+		t.Fatalf("version %d after the engine reported 5 and control 3 again, want 5", version)
 	}
 }
 
