--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -70,12 +70,12 @@
 				}
 				oracle[asked.PlacementID] = running{answer.Instance, now + 5*time.Second}
 			case 2:
-				ticket := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
-				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: outcomeSuccess})
-				if _, runs := oracle[ticket]; known != runs {
-					t.Fatalf("end of placement %s: known %v, want %v", ticket, known, runs)
+				placementID := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
+				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: placementID, Gateway: "a", Outcome: outcomeSuccess})
+				if _, runs := oracle[placementID]; known != runs {
+					t.Fatalf("end of placement %s: known %v, want %v", placementID, known, runs)
 				}
-				delete(oracle, ticket)
+				delete(oracle, placementID)
 			case 3:
 				g.table.sweep(now)
 				for ticket, r := range oracle {
