--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -130,9 +130,9 @@
 func TestUnreachableReportsNeedTwoGateways(t *testing.T) {
 	g := newScheduler(3)
 	row := g.table.rows["i-0"]
-	report := func(now time.Duration, gateway, ticket string) {
-		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
-		g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Unreached: true})
+	report := func(now time.Duration, gateway, placementID string) {
+		g.table.addPlacement(now, placementID, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
+		g.table.endPlacement(now, &wirePlacementEnd{PlacementID: placementID, Gateway: gateway, Unreached: true})
 	}
 	for i := range 5 {
 		report(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
