--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -71,9 +71,9 @@
 	now := time.Second
 	setPrefillBusy(g, now, time.Hour)
 	for i := range 400 {
-		ticket := fmt.Sprint("t", i)
+		placementID := fmt.Sprint("t", i)
 		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, expiresAt: now + time.Second, queueWait: 1500}
-		g.table.addPlacement(now, ticket, made)
+		g.table.addPlacement(now, placementID, made)
 		g.table.observeQueueWait("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
 		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
