--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,15 +4,15 @@
 
 func (n *Node) resetElectionTimer(now time.Duration) {
 	timing := n.config.Timing
-	spread := int64(timing.ElectionMax - timing.ElectionMin)
-	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(spread))
+	jitter := int64(timing.ElectionMax - timing.ElectionMin)
+	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(jitter))
 }
 
 // becomeFollower enters a term. The vote is kept when the term does not change.
 func (n *Node) becomeFollower(now time.Duration, term uint64, leader ID) {
 	if term > n.hard.Term {
 		n.hard = HardState{Term: term}
-		n.hardDirty = true
+		n.hardStateChanged = true
 	}
 	n.role = Follower
 	n.leader = leader
@@ -27,21 +27,21 @@
 	n.leader = ""
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessagePreVote, n.hard.Term+1)
+	n.requestVotes(MessagePreVote, n.hard.Term+1)
 	n.countVotes(now)
 }
 
 func (n *Node) startElection(now time.Duration) {
 	n.role = Candidate
 	n.hard = HardState{Term: n.hard.Term + 1, Vote: n.config.ID}
-	n.hardDirty = true
+	n.hardStateChanged = true
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessageVote, n.hard.Term)
+	n.requestVotes(MessageVote, n.hard.Term)
 	n.countVotes(now)
 }
 
-func (n *Node) askForVotes(kind MessageKind, term uint64) {
+func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	for _, member := range n.membership.Members {
 		if member.Learner || member.ID == n.config.ID {
 			continue
@@ -51,7 +51,7 @@
 }
 
 func (n *Node) countVotes(now time.Duration) {
-	granted, refused := 0, 0
+	granted, rejected := 0, 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
@@ -61,7 +61,7 @@
 		case answered && vote:
 			granted++
 		case answered:
-			refused++
+			rejected++
 		}
 	}
 	quorum := n.membership.Voters()/2 + 1
@@ -70,20 +70,20 @@
 		n.startElection(now)
 	case granted >= quorum && n.role == Candidate:
 		n.becomeLeader(now)
-	case refused >= quorum:
+	case rejected >= quorum:
 		n.becomeFollower(now, n.hard.Term, "")
-		n.standSoon(now)
+		n.shortenElectionTimeout(now)
 	}
 }
 
 func (n *Node) becomeLeader(now time.Duration) {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.cold.end()
+	n.coldStart.finish()
 	n.peers = map[ID]*progress{}
 	n.refreshMembership()
 	for _, peer := range n.peers {
-		peer.heardAt = now
+		peer.lastReplyAt = now
 	}
 	n.termStartIndex = n.appendLocal(EntryNoop, nil)
 	n.lastHeartbeat = now
@@ -98,7 +98,7 @@
 	if preVote {
 		reply.Kind = MessagePreVoteReply
 	}
-	leaderAlive := n.role == Leader || (!n.cold.quiet && now < n.leaderHeardAt+n.config.Timing.ElectionMin)
+	leaderAlive := n.role == Leader || (!n.coldStart.leaderless && now < n.lastLeaderContact+n.config.Timing.ElectionMin)
 	if leaderAlive || message.Term < n.hard.Term {
 		n.send(reply)
 		return
@@ -108,13 +108,13 @@
 	}
 	upToDate := message.LogTerm > n.log.lastTerm() ||
 		(message.LogTerm == n.log.lastTerm() && message.Index >= n.log.lastIndex())
-	free := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
+	canVote := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
 	reply.Term = message.Term
-	if upToDate && free {
+	if upToDate && canVote {
 		reply.Reject = false
 		if !preVote {
 			n.hard.Vote = message.From
-			n.hardDirty = true
+			n.hardStateChanged = true
 			n.resetElectionTimer(now)
 		}
 	}
@@ -122,18 +122,18 @@
 }
 
 func (n *Node) handleVoteReply(now time.Duration, message Message) {
-	wantedRole, wantedTerm := Candidate, n.hard.Term
+	expectedRole, expectedTerm := Candidate, n.hard.Term
 	if message.Kind == MessagePreVoteReply {
-		wantedRole, wantedTerm = PreCandidate, n.hard.Term+1
+		expectedRole, expectedTerm = PreCandidate, n.hard.Term+1
 	}
-	if n.role != wantedRole {
+	if n.role != expectedRole {
 		return
 	}
-	if message.Reject && message.Term > n.hard.Term && message.Term != wantedTerm {
+	if message.Reject && message.Term > n.hard.Term && message.Term != expectedTerm {
 		n.becomeFollower(now, message.Term, "")
 		return
 	}
-	if !message.Reject && message.Term != wantedTerm {
+	if !message.Reject && message.Term != expectedTerm {
 		return
 	}
 	n.votes[message.From] = !message.Reject
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -8,13 +8,13 @@
 
 // progress is what a leader knows of one other replica.
 type progress struct {
-	match       uint64        // highest index known to be stored there
-	next        uint64        // next index to send
-	ackedSentAt time.Duration // leader's clock when the newest answered message was sent
-	heardAt     time.Duration // leader's clock when the last answer came
-	sentAt      time.Duration // leader's clock of the last append
-	snapshotAt  time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
-	paused      bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
+	match          uint64        // highest index known to be stored there
+	next           uint64        // next index to send
+	ackedSentAt    time.Duration // leader's clock when the newest answered message was sent
+	lastReplyAt    time.Duration // leader's clock when the last answer came
+	lastAppendAt   time.Duration // leader's clock of the last append
+	snapshotSentAt time.Duration // leader's clock when a snapshot was sent that has no answer; 0 when there is none
+	paused         bool          // a snapshot or probe is on its way; wait for an answer or the next heartbeat
 }
 
 // Node is one replica of the log. It is not safe for concurrent use.
@@ -32,33 +32,33 @@
 	delivered uint64 // last index handed out in Ready.Committed or covered by a snapshot
 	persisted uint64 // last index known to be synced here
 
-	votes          map[ID]bool
-	peers          map[ID]*progress
-	lastHeartbeat  time.Duration
-	leaderHeardAt  time.Duration // last time a valid leader was heard; start-up counts as heard
-	electionDue    time.Duration
-	termStartIndex uint64 // index of the no-op of the current leadership
-	cold           coldStart
-
-	hardDirty      bool
-	unstableFrom   uint64 // first index to hand out in Ready.Entries; 0 when none
-	pendingInstall *Snapshot
-	messages       []Message
-	snapshotSource func() (Snapshot, bool)
+	votes             map[ID]bool
+	peers             map[ID]*progress
+	lastHeartbeat     time.Duration
+	lastLeaderContact time.Duration // last time a valid leader was heard; start-up counts as heard
+	electionDue       time.Duration
+	termStartIndex    uint64 // index of the no-op of the current leadership
+	coldStart         coldStart
+
+	hardStateChanged bool
+	unstableFrom     uint64 // first index to hand out in Ready.Entries; 0 when none
+	pendingInstall   *Snapshot
+	messages         []Message
+	snapshotSource   func() (Snapshot, bool)
 }
 
 // New restores a node. snapshotSource returns the newest snapshot for followers that are too far behind.
 func New(config Config, restored Restored, now time.Duration, snapshotSource func() (Snapshot, bool)) *Node {
 	node := &Node{
-		config:         config,
-		hard:           restored.HardState,
-		log:            raftLog{base: restored.Snapshot, entries: slices.Clone(restored.Entries)},
-		commit:         restored.Snapshot.Index,
-		delivered:      restored.Snapshot.Index,
-		leaderHeardAt:  now,
-		snapshotSource: snapshotSource,
-		cold: coldStart{
-			life: uint64(config.Random(math.MaxInt64)), began: now, askedAt: now - config.Timing.Heartbeat, others: map[ID]logPosition{},
+		config:            config,
+		hard:              restored.HardState,
+		log:               raftLog{base: restored.Snapshot, entries: slices.Clone(restored.Entries)},
+		commit:            restored.Snapshot.Index,
+		delivered:         restored.Snapshot.Index,
+		lastLeaderContact: now,
+		snapshotSource:    snapshotSource,
+		coldStart: coldStart{
+			incarnation: uint64(config.Random(math.MaxInt64)), startedAt: now, queriedAt: now - config.Timing.Heartbeat, replies: map[ID]logPosition{},
 		},
 	}
 	node.persisted = node.log.lastIndex()
@@ -79,7 +79,7 @@
 // LeaderSilent reports whether this replica follows a leader, or waits for one, that it has not heard for two of the
 // longest election timeouts. A replica that the group has removed hears none.
 func (n *Node) LeaderSilent(now time.Duration) bool {
-	return n.role != Leader && now > n.leaderHeardAt+2*n.config.Timing.ElectionMax
+	return n.role != Leader && now > n.lastLeaderContact+2*n.config.Timing.ElectionMax
 }
 
 // Commit returns the commit index.
@@ -91,9 +91,9 @@
 // Membership returns the newest membership in the log.
 func (n *Node) Membership() Membership { return n.membership }
 
-// MembershipSettled reports whether the newest membership is committed. Until then a repair is not complete: the
+// MembershipCommitted reports whether the newest membership is committed. Until then a repair is not complete: the
 // replicas it replaces still count.
-func (n *Node) MembershipSettled() bool { return n.membershipIndex <= n.commit }
+func (n *Node) MembershipCommitted() bool { return n.membershipIndex <= n.commit }
 
 // MembershipAt returns the membership in force at a committed index, for a snapshot made there.
 func (n *Node) MembershipAt(index uint64) Membership {
@@ -115,8 +115,8 @@
 	if now >= n.electionDue && n.membership.IsVoter(n.config.ID) {
 		n.startPreVote(now)
 	}
-	if due, asks := n.coldDue(); asks && now >= due {
-		n.askCold(now)
+	if due, pending := n.nextColdStartQuery(); pending && now >= due {
+		n.sendColdStartQueries(now)
 	}
 }
 
@@ -125,7 +125,7 @@
 	if n.role == Leader {
 		return n.lastHeartbeat + n.config.Timing.Heartbeat
 	}
-	if due, asks := n.coldDue(); asks {
+	if due, pending := n.nextColdStartQuery(); pending {
 		return min(n.electionDue, due)
 	}
 	return n.electionDue
@@ -148,7 +148,7 @@
 	if n.role != Leader || n.membershipIndex > n.commit || n.commit < n.termStartIndex {
 		return 0, 0, false
 	}
-	if changedVoters(n.membership, membership) > 1 {
+	if countChangedVoters(n.membership, membership) > 1 {
 		return 0, 0, false
 	}
 	index = n.appendLocal(EntryMembership, EncodeMembership(membership))
@@ -157,8 +157,8 @@
 	return index, n.hard.Term, true
 }
 
-// changedVoters counts replicas whose vote differs between two memberships.
-func changedVoters(before, after Membership) int {
+// countChangedVoters counts replicas whose vote differs between two memberships.
+func countChangedVoters(before, after Membership) int {
 	changed := 0
 	for _, member := range after.Members {
 		if before.IsVoter(member.ID) != !member.Learner {
@@ -203,9 +203,9 @@
 
 // PeerStatus is a leader's view of one other replica.
 type PeerStatus struct {
-	ID      ID
-	Match   uint64
-	HeardAt time.Duration
+	ID          ID
+	Match       uint64
+	LastReplyAt time.Duration
 }
 
 // Peers returns the leader's view of the others, ordered as in the membership.
@@ -216,7 +216,7 @@
 	}
 	for _, member := range n.membership.Members {
 		if peer := n.peers[member.ID]; peer != nil {
-			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, HeardAt: peer.heardAt})
+			statuses = append(statuses, PeerStatus{ID: member.ID, Match: peer.match, LastReplyAt: peer.lastReplyAt})
 		}
 	}
 	return statuses
@@ -225,10 +225,10 @@
 // Ready returns and clears the work collected since the last call.
 func (n *Node) Ready() Ready {
 	var ready Ready
-	if n.hardDirty {
+	if n.hardStateChanged {
 		hard := n.hard
 		ready.HardState = &hard
-		n.hardDirty = false
+		n.hardStateChanged = false
 	}
 	ready.Snapshot = n.pendingInstall
 	n.pendingInstall = nil
@@ -245,10 +245,10 @@
 	return ready
 }
 
-// Persisted tells the node that everything handed out by Ready up to index is synced.
-func (n *Node) Persisted(index, term uint64) {
-	held, ok := n.log.term(index)
-	if !ok || held != term || index <= n.persisted {
+// MarkPersisted tells the node that everything handed out by Ready up to index is synced.
+func (n *Node) MarkPersisted(index, term uint64) {
+	storedTerm, ok := n.log.term(index)
+	if !ok || storedTerm != term || index <= n.persisted {
 		return
 	}
 	n.persisted = index
@@ -305,7 +305,7 @@
 
 // HasReady reports whether Ready would return work.
 func (n *Node) HasReady() bool {
-	return n.hardDirty || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
+	return n.hardStateChanged || n.pendingInstall != nil || n.unstableFrom != 0 || len(n.messages) > 0 || n.delivered < n.commit
 }
 
 // TermStart returns the index of the first entry of the current leadership. A leader's applied state is
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -1,10 +1,10 @@
-// Package router is the shell around the core: it takes callers' requests over net/http, carries out the
-// core's actions, and keeps the router's synced copy of the settings.
+// Package router does the I/O of a router around internal/core: it serves clients over HTTP, performs the actions of
+// the core, and stores the settings received from control.
 //
-// Threads: one decides (it owns the core); one renews the session; one reads the platform's list; one tells control of ended back ends; one for
-// each back end polls its state; net/http's goroutines serve callers; one for each attempt reads a back end's
-// stream. They are joined by bounded rings (buffered channels). A full ring refuses or sheds, it never blocks
-// the deciding thread.
+// Goroutines: the event loop, which owns the core; one each for renewing the session, reading the machine list,
+// announcing dispatches to other routers and reporting crashed back ends to control; one poller for each back end; one
+// for each client request and one for each attempt. They communicate over buffered channels. When a buffer is full,
+// items are rejected or dropped; the event loop never blocks on one.
 package router
 
 import (
@@ -33,23 +33,23 @@
 )
 
 const (
-	eventRing     = 16384
-	maximumLinger = 20 * time.Millisecond
-	drainBatch    = 512
-	shutdownTime  = 5 * time.Second
-	// drainLinger is how long a stopping router keeps answering that it stops, so that no caller's request meets a
-	// connection that is just being closed.
-	drainLinger   = 1500 * time.Millisecond
+	eventBufferSize = 16384
+	maxTickInterval = 20 * time.Millisecond
+	maxEventBatch   = 512
+	shutdownTimeout = 5 * time.Second
+	// minDrainTime is the time for which a draining router keeps its listener open and rejects requests, so that clients
+	// move elsewhere before connections are closed.
+	minDrainTime  = 1500 * time.Millisecond
 	headerTimeout = 10 * time.Second
 )
 
-// inspection runs a function on the decide thread.
+// inspection is a function to be run in the event loop.
 type inspection struct {
-	run  func(*core.Core)
+	read func(*core.Core)
 	done chan struct{}
 }
 
-// view is what callers' goroutines may read without asking the decide thread.
+// view is a snapshot of the state that request handlers need, so that they do not have to query the event loop.
 type view struct {
 	tree     settings.Tree
 	keys     map[string]string   // tenant by API key digest
@@ -57,58 +57,58 @@
 	weights  map[string][]string // weights in use by service
 	version  uint64
 	services []string
-	values   *sync.Map // effective settings by place; made anew with each version
+	values   *sync.Map // cache of settings.Values by scope, for one version
 }
 
-// place names where settings take effect.
-type place struct{ zone, service, tenant string }
+// scope identifies the node of the settings tree that applies to a request.
+type scope struct{ zone, service, tenant string }
 
-// effective returns the settings at a place; they are resolved once for each version.
+// effective returns the settings that apply in a scope. Results are cached until the version changes.
 func (v *view) effective(zone, service, tenant string) settings.Values {
-	at := place{zone, service, tenant}
-	if held, found := v.values.Load(at); found {
-		return held.(settings.Values)
+	key := scope{zone, service, tenant}
+	if cached, found := v.values.Load(key); found {
+		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
-	if service == settings.Any || slices.Contains(v.services, service) { // callers choose the name
-		v.values.Store(at, values)
+	if service == settings.Any || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
+		v.values.Store(key, values)
 	}
 	return values
 }
 
-// Server is a router process.
+// Server is a router.
 type Server struct {
-	file        *node.File
-	log         *zap.Logger
-	now         clock.Source // since it was made
-	quarantine  *reporter.Reporter
-	saidLines   *node.Sparse // lines of back ends that ask for rest or leave, by back end
-	incarnation uint64
-	hasher      *prefix.Hasher
+	file         *node.File
+	log          *zap.Logger
+	now          clock.Source // time since the server was created
+	quarantine   *reporter.Reporter
+	pushbackLogs *node.Sparse // rate limit of pushback log lines, by back end
+	incarnation  uint64
+	hasher       *prefix.Hasher
 
-	core    *core.Core
-	events  chan core.Event
-	inspect chan inspection
-	view    atomic.Pointer[view]
-	nextID  atomic.Uint64
+	core        *core.Core
+	events      chan core.Event
+	inspections chan inspection
+	view        atomic.Pointer[view]
+	nextID      atomic.Uint64
 
-	mutex    sync.Mutex
-	waiting  map[core.RequestID]*exchange   // callers
-	attempts map[core.AttemptID]*attemptRun // running attempts
+	mutex     sync.Mutex
+	exchanges map[core.RequestID]*exchange      // requests in progress
+	attempts  map[core.AttemptID]*activeAttempt // running attempts
 
-	pollers   map[string]context.CancelFunc // by back end; owned by the platform thread
-	client    *transport.Client
-	backends  *http.Client
-	group     *control.Client
-	metrics   *metrics
-	disk      *diskState
-	announcer *transport.Announcer[core.PeerDispatch]
-	session   *session.Machine // owned by the session thread
-	draining  atomic.Bool
-	shed      atomic.Uint64
+	pollers       map[string]context.CancelFunc // by name@address of the back end; owned by watchPlatform
+	client        *transport.Client
+	backendClient *http.Client
+	control       *control.Client
+	metrics       *metrics
+	disk          *diskState
+	announcer     *transport.Announcer[core.PeerDispatch]
+	session       *session.Machine // owned by renewSession
+	draining      atomic.Bool
+	droppedEvents atomic.Uint64
 }
 
-// NewServer opens the data folder and restores the newest settings this router acknowledged.
+// NewServer opens the data folder and restores the newest stored settings.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
 	disk, err := openDiskState(file.Data, file.Name)
 	if err != nil {
@@ -121,13 +121,13 @@
 	links := transport.WatchLinks(ctx, file.Links, file.Zone)
 	client := transport.NewClient(file.ClusterToken, links)
 	server := &Server{
-		file: file, log: log, now: clock.From(nil), incarnation: disk.incarnation, disk: disk,
+		file: file, log: log, now: clock.NewSource(nil), incarnation: disk.incarnation, disk: disk,
 		hasher: prefix.NewHasher(key, file.Router.BlockTokens, guard.Set{}),
-		events: make(chan core.Event, eventRing), inspect: make(chan inspection, 64),
-		waiting: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*attemptRun{},
+		events: make(chan core.Event, eventBufferSize), inspections: make(chan inspection, 64),
+		exchanges: map[core.RequestID]*exchange{}, attempts: map[core.AttemptID]*activeAttempt{},
 		pollers: map[string]context.CancelFunc{}, client: client,
-		backends: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
-		group:    control.NewClient(client, file.Router.Control), saidLines: node.NewSparse(),
+		backendClient: &http.Client{Transport: transport.NewRoundTripper(links), CheckRedirect: noRedirect},
+		control:       control.NewClient(client, file.Router.Control), pushbackLogs: node.NewSparse(),
 	}
 	server.core = core.New(core.Config{
 		Router: file.Name, Zone: file.Zone, Seed: disk.incarnation, BlockTokens: file.Router.BlockTokens,
@@ -149,85 +149,85 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Run serves until ctx ends, then finishes what is in flight.
+// Run serves until ctx is cancelled and then drains the router.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.file.Router.Listen)
 	if err != nil {
 		return eris.Wrapf(err, "listen on %s", s.file.Router.Listen)
 	}
-	internal, err := s.listenInternal()
+	internalServer, err := s.listenInternal()
 	if err != nil {
 		return err
 	}
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	public := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
-	failed := make(chan error, 1)
+	publicServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout}
+	serveErr := make(chan error, 1)
 	go func() {
-		if err := public.Serve(listener); err != http.ErrServerClosed {
-			failed <- err
+		if err := publicServer.Serve(listener); err != http.ErrServerClosed {
+			serveErr <- err
 		}
 	}()
-	var threads sync.WaitGroup
-	threads.Go(func() { s.decide(run) })
-	renewing, stopRenewing := context.WithCancel(run)
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { s.runEventLoop(runCtx) })
+	renewCtx, stopRenewing := context.WithCancel(runCtx)
 	defer stopRenewing()
-	renewed := make(chan struct{})
+	renewDone := make(chan struct{})
 	go func() {
-		defer close(renewed)
-		s.renewSession(renewing)
+		defer close(renewDone)
+		s.renewSession(renewCtx)
 	}()
-	threads.Go(func() { s.watchPlatform(run) })
-	threads.Go(func() { s.announcer.Run(run) })
-	threads.Go(func() { s.quarantine.Run(run) })
-	threads.Go(func() { transport.Every(run, sweepPeriod, s.sweep) })
+	goroutines.Go(func() { s.watchPlatform(runCtx) })
+	goroutines.Go(func() { s.announcer.Run(runCtx) })
+	goroutines.Go(func() { s.quarantine.Run(runCtx) })
+	goroutines.Go(func() { transport.Every(runCtx, sweepInterval, s.sweep) })
 	s.log.Info("router started", zap.String("listen", s.file.Router.Listen), zap.Uint64("incarnation", s.incarnation),
 		zap.Uint64("settings_version", s.disk.saved.Version))
 	select {
 	case <-ctx.Done():
-		s.drain(public, func() { stopRenewing(); <-renewed })
-	case err = <-failed:
+		s.drain(publicServer, func() { stopRenewing(); <-renewDone })
+	case err = <-serveErr:
 	}
 	cancel()
-	threads.Wait()
-	s.closeInternal(internal)
+	goroutines.Wait()
+	s.closeInternal(internalServer)
 	s.log.Info("router stopped")
 	return err
 }
 
-// drain is the planned stop: no new request is taken, those in flight are finished, and the session is closed
-// after its thread has stopped.
+// drain rejects new requests, waits for those in progress up to DrainLimit, closes the session and shuts down the HTTP
+// server. The session is closed only after renewSession has returned.
 func (s *Server) drain(public *http.Server, stopRenewing func()) {
-	s.log.Info("planned stop: finishing requests in flight")
+	s.log.Info("draining: finishing requests in progress")
 	s.draining.Store(true)
 	s.events <- core.EventDrain{}
 	deadline := time.Now().Add(s.file.Router.DrainLimit)
-	calm := time.Now().Add(drainLinger)
-	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(calm)) {
-		time.Sleep(maximumLinger)
+	earliestEnd := time.Now().Add(minDrainTime)
+	for time.Now().Before(deadline) && (s.inFlight() > 0 || time.Now().Before(earliestEnd)) {
+		time.Sleep(maxTickInterval)
 	}
 	stopRenewing()
 	s.closeSession()
-	closing, done := context.WithDeadline(context.Background(), deadline.Add(shutdownTime))
-	defer done()
-	if err := public.Shutdown(closing); err != nil {
-		s.log.Warn("connections were still open at the end of the planned stop", zap.Error(err))
+	shutdownCtx, cancel := context.WithDeadline(context.Background(), deadline.Add(shutdownTimeout))
+	defer cancel()
+	if err := public.Shutdown(shutdownCtx); err != nil {
+		s.log.Warn("connections still open at the end of the drain", zap.Error(err))
 	}
 }
 
 func (s *Server) inFlight() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.waiting)
+	return len(s.exchanges)
 }
 
-// decide is the thread that owns the core.
-func (s *Server) decide(ctx context.Context) {
+// runEventLoop owns the core: it passes events to it, performs its actions and serves inspections.
+func (s *Server) runEventLoop(ctx context.Context) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	batch := make([]core.Event, 0, drainBatch)
+	batch := make([]core.Event, 0, maxEventBatch)
 	for {
 		batch = batch[:0]
 		select {
@@ -235,33 +235,33 @@
 			return
 		case event := <-s.events:
 			batch = append(batch, event)
-		case question := <-s.inspect:
-			question.run(s.core)
-			close(question.done)
+		case request := <-s.inspections:
+			request.read(s.core)
+			close(request.done)
 			continue
 		case <-timer.C:
 		}
-		for len(batch) < drainBatch && len(s.events) > 0 {
+		for len(batch) < maxEventBatch && len(s.events) > 0 {
 			batch = append(batch, <-s.events)
 		}
-		s.carryOut(ctx, s.core.Tick(s.now(), batch))
-		if touchesView(batch) {
+		s.performActions(ctx, s.core.Tick(s.now(), batch))
+		if mayChangeView(batch) {
 			s.publishView()
 		}
-		timer.Reset(s.untilDue())
+		timer.Reset(s.untilNextTick())
 	}
 }
 
-func (s *Server) untilDue() time.Duration {
-	due, any := s.core.NextWakeup()
-	if !any {
-		return maximumLinger
+func (s *Server) untilNextTick() time.Duration {
+	due, ok := s.core.NextWakeup()
+	if !ok {
+		return maxTickInterval
 	}
-	return min(max(due-s.now(), 0), maximumLinger)
+	return min(max(due-s.now(), 0), maxTickInterval)
 }
 
-// touchesView reports whether a batch may have changed what callers' goroutines read.
-func touchesView(batch []core.Event) bool {
+// mayChangeView reports whether a batch of events may have changed the view.
+func mayChangeView(batch []core.Event) bool {
 	for _, event := range batch {
 		switch event.(type) {
 		case core.EventSettings, core.EventBackendPoll, core.EventMachineList, core.EventLease:
@@ -271,8 +271,8 @@
 	return false
 }
 
-// publishView stores what callers' goroutines may read. Weights are taken anew each time; the rest only
-// when the settings changed.
+// publishView replaces the view. Weights are read from the core each time, everything else only if the settings have
+// changed.
 func (s *Server) publishView() {
 	previous := s.view.Load()
 	next := &view{version: s.core.SettingsVersion(), weights: map[string][]string{}}
@@ -282,7 +282,7 @@
 	} else {
 		next.tree = s.core.Tree()
 		next.keys = next.tree.APIKeys()
-		next.models = modelsOf(next.tree, s.file.Zone)
+		next.models = modelServices(next.tree, s.file.Zone)
 		next.services, next.values = next.tree.Services(), &sync.Map{}
 	}
 	for _, service := range next.services {
@@ -291,8 +291,8 @@
 	s.view.Store(next)
 }
 
-// modelsOf maps model names to services; a service also answers to its own name.
-func modelsOf(tree settings.Tree, zone string) map[string]string {
+// modelServices maps model names to services. The name of a service is also a model name.
+func modelServices(tree settings.Tree, zone string) map[string]string {
 	models := map[string]string{}
 	for _, service := range tree.Services() {
 		values := tree.Resolve(zone, service)
@@ -307,54 +307,54 @@
 	return models
 }
 
-// ask runs a function on the decide thread and waits for it.
-func (s *Server) ask(ctx context.Context, run func(*core.Core)) bool {
-	question := inspection{run: run, done: make(chan struct{})}
+// inspect runs a function in the event loop and waits for it. It returns false if ctx ends first.
+func (s *Server) inspect(ctx context.Context, read func(*core.Core)) bool {
+	request := inspection{read: read, done: make(chan struct{})}
 	select {
-	case s.inspect <- question:
+	case s.inspections <- request:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case <-question.done:
+	case <-request.done:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// post puts an event into the ring and waits for room; only goroutines that may wait call it.
+// post queues an event and blocks while the buffer is full. The event loop must not call it.
 func (s *Server) post(event core.Event) { s.events <- event }
 
-// offer puts an event into the ring unless it is full.
+// offer queues an event, or drops it and returns false if the buffer is full.
 func (s *Server) offer(event core.Event) bool {
 	select {
 	case s.events <- event:
 		return true
 	default:
-		s.shed.Add(1)
+		s.droppedEvents.Add(1)
 		return false
 	}
 }
 
-// carryOut performs actions in order. None of them blocks.
-func (s *Server) carryOut(ctx context.Context, actions []core.Action) {
+// performActions performs actions of the core in order, without blocking.
+func (s *Server) performActions(ctx context.Context, actions []core.Action) {
 	for _, action := range actions {
-		switch typed := action.(type) {
+		switch a := action.(type) {
 		case core.ActionDispatch:
-			s.startAttempt(ctx, typed)
+			s.startAttempt(ctx, a)
 		case core.ActionCancel:
-			s.cancelAttempt(typed.Attempt)
+			s.cancelAttempt(a.Attempt)
 		case core.ActionChunk:
-			s.deliverChunk(typed)
+			s.deliverChunk(a)
 		case core.ActionFinish:
-			s.deliverFinish(typed)
+			s.deliverFinish(a)
 		case core.ActionClaim:
-			go s.claim(ctx, typed)
+			go s.claim(ctx, a)
 		case core.ActionEndClaim:
-			go s.endClaim(ctx, typed)
+			go s.endClaim(ctx, a)
 		case core.ActionRequestSnapshot:
-			go s.fetchSnapshot(ctx, typed)
+			go s.fetchSnapshot(ctx, a)
 		}
 	}
 }
--- a/internal/router/server_test.go
+++ b/internal/router/server_test.go
@@ -33,17 +33,17 @@
 	testKey     = "key"
 	testTenant  = "tenant"
 	testService = "llm"
-	patience    = 20 * time.Second // how long a test waits for something that must happen
+	testTimeout = 20 * time.Second // maximum wait for an expected condition
 )
 
-// site is a router process in this test's process, with one engine and no control group: it serves by the settings
-// of its folder, as after a restart in a zone that is cut off.
-type site struct {
+// testRouter is a router with one fake engine and, by default, no control group. It serves with the settings stored in
+// its folder, as after a restart without a connection to control.
+type testRouter struct {
 	t         *testing.T
 	engine    *httptest.Server
 	platform  *httptest.Server
-	release   chan struct{} // closed: the engine's streams go on after their first token
-	cancelled atomic.Int32  // attempts whose connection was closed on the engine
+	release   chan struct{} // closed to let the engine stream beyond the first token
+	cancelled atomic.Int32  // attempts whose connection was closed by the router
 	address   string
 	control   string // address of the control group, or "" for none
 	stop      context.CancelFunc
@@ -52,20 +52,20 @@
 
 func testSettings() settings.Tree {
 	digest := sha256.Sum256([]byte(testKey))
-	kind, keys, cutOff, bytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
-	small, once := settings.KindService, false
+	kind, keys, whenCutOff, maxPromptBytes := settings.KindLLM, []string{hex.EncodeToString(digest[:])}, "serve_last", 4096
+	small, repeatable := settings.KindService, false
 	tree := settings.NewTree()
-	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &cutOff, MaxPromptBytes: &bytes}
+	tree.Nodes["/"] = settings.Overrides{WhenCutOff: &whenCutOff, MaxPromptBytes: &maxPromptBytes}
 	tree.Nodes["/*"] = settings.Overrides{}
 	tree.Nodes["/*/"+testService] = settings.Overrides{Kind: &kind}
-	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &once}
+	tree.Nodes["/*/small"] = settings.Overrides{Kind: &small, Repeatable: &repeatable}
 	tree.Nodes["/*/"+testService+"/"+testTenant] = settings.Overrides{APIKeySHA256: &keys}
 	return tree
 }
 
-func startSite(t *testing.T) *site {
+func startTestRouter(t *testing.T) *testRouter {
 	t.Helper()
-	s := &site{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
+	s := &testRouter{t: t, release: make(chan struct{}), stopped: make(chan error, 1)}
 	s.engine = httptest.NewServer(s.engineRoutes())
 	t.Cleanup(s.engine.Close)
 	s.platform = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -77,8 +77,8 @@
 	return s
 }
 
-// settingsFolder returns a router's folder with settings.
-func (s *site) settingsFolder() string {
+// settingsFolder returns a data folder with stored settings.
+func (s *testRouter) settingsFolder() string {
 	s.t.Helper()
 	folder := s.t.TempDir()
 	if err := storage.WriteJSON(filepath.Join(folder, settingsFile), session.Settings{Version: 7, Tree: testSettings()}); err != nil {
@@ -87,7 +87,7 @@
 	return folder
 }
 
-func (s *site) engineRoutes() http.Handler {
+func (s *testRouter) engineRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(api.StateReply{Report: core.BackendReport{Incarnation: 1, Weights: "w1", Load: core.Load{PrefillRate: 8000}}})
@@ -96,8 +96,8 @@
 	return mux
 }
 
-// generate gives one token, waits for the release, and gives the rest.
-func (s *site) generate(w http.ResponseWriter, r *http.Request) {
+// generate streams one token, waits for the release, and streams the others.
+func (s *testRouter) generate(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		s.t.Error(err)
@@ -124,7 +124,7 @@
 	send(api.GenerateEvent{Kind: api.GenerateDone, Index: request.MaxTokens})
 }
 
-func (s *site) start(folder string) {
+func (s *testRouter) start(folder string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -133,7 +133,7 @@
 	_ = listener.Close()
 	file := &node.File{Name: "r1", Zone: "z", Data: folder, AdminToken: "admin", Router: &node.Router{
 		Listen: s.address, Control: []string{cmp.Or(s.control, "127.0.0.1:1")}, Platform: s.platform.Listener.Addr().String(), PrefixKey: strings.Repeat("01", prefix.KeyBytes),
-		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: patience, MaxConnections: 100}}
+		BlockTokens: 64, IndexBlocks: 1000, PollEvery: 20 * time.Millisecond, HeartbeatEvery: time.Second, DrainLimit: testTimeout, MaxConnections: 100}}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	server, err := NewServer(ctx, file, zap.NewNop())
@@ -159,17 +159,17 @@
 	})
 }
 
-func (s *site) eventually(what string, check func() bool) {
+func (s *testRouter) eventually(condition string, check func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if check() {
 			return
 		}
 	}
-	s.t.Fatalf("never happened: %s", what)
+	s.t.Fatalf("timed out waiting until %s", condition)
 }
 
-func (s *site) post(path, key, body string, headers ...string) *http.Response {
+func (s *testRouter) post(path, key, body string, headers ...string) *http.Response {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -189,61 +189,60 @@
 	return response
 }
 
-const goodBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
+const validBody = `{"model":"llm","prompt":"hello","max_tokens":4,"stream":true}`
 
-// TestRouterServesFromItsFolder: a router that restarts without any control replica in reach serves at once where the
-// tree allows it.
-func TestRouterServesFromItsFolder(t *testing.T) {
-	s := startSite(t)
+// A router that starts without a reachable control replica serves with its stored settings if they allow it.
+func TestRouterServesStoredSettingsWithoutControl(t *testing.T) {
+	s := startTestRouter(t)
 	close(s.release)
-	text, err := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body)
+	text, err := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body)
 	if err != nil || !strings.Contains(string(text), "t3 ") || !strings.HasSuffix(strings.TrimSpace(string(text)), "[DONE]") {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("got error %v and stream %s, want a complete stream", err, text)
 	}
 }
 
-// TestBadRequestsGetAClearError: each is refused with what is wrong, and the next good one is served.
-func TestBadRequestsGetAClearError(t *testing.T) {
-	s := startSite(t)
+// Each invalid request gets a problem response, and a valid one is served afterwards.
+func TestInvalidRequestsAreRejectedWithProblem(t *testing.T) {
+	s := startTestRouter(t)
 	close(s.release)
-	for _, row := range []struct {
+	for _, test := range []struct {
 		name, path, key, body string
 		headers               []string
 		status                int
 		run                   core.RunStatus
 	}{
-		{"no key", "/v1/completions", "", goodBody, nil, 401, core.RunNot},
-		{"unknown key", "/v1/completions", "other", goodBody, nil, 401, core.RunNot},
+		{"no key", "/v1/completions", "", validBody, nil, 401, core.RunNot},
+		{"unknown key", "/v1/completions", "other", validBody, nil, 401, core.RunNot},
 		{"not JSON", "/v1/completions", testKey, "{", nil, 400, core.RunNot},
 		{"no prompt", "/v1/completions", testKey, `{"model":"llm"}`, nil, 400, core.RunNot},
 		{"negative tokens", "/v1/completions", testKey, `{"model":"llm","prompt":"x","max_tokens":-1}`, nil, 400, core.RunNot},
 		{"unknown model", "/v1/completions", testKey, `{"model":"other","prompt":"x"}`, nil, 404, core.RunNot},
 		{"too long", "/v1/completions", testKey, strings.Repeat("x", 5000), nil, 413, core.RunNot},
-		{"unknown priority", "/v1/completions", testKey, goodBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
+		{"unknown priority", "/v1/completions", testKey, validBody, []string{api.HeaderPriority, "now"}, 400, core.RunNot},
 		{"unknown service", "/v1/services/none", testKey, "{}", nil, 404, core.RunNot},
 		{"no idempotency key", "/v1/services/small", testKey, "{}", nil, 400, core.RunNot},
 		{"key may have run before", "/v1/services/small", "other", "{}", []string{api.HeaderIdempotencyKey, "k"}, 401, core.RunUnknown},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			response := s.post(row.path, row.key, row.body, row.headers...)
+		t.Run(test.name, func(t *testing.T) {
+			response := s.post(test.path, test.key, test.body, test.headers...)
 			var problem api.Problem
 			if err := json.NewDecoder(response.Body).Decode(&problem); err != nil {
 				t.Fatal(err)
 			}
-			if response.StatusCode != row.status || problem.Run != row.run || problem.Title == "" {
-				t.Fatalf("status %d, %+v", response.StatusCode, problem)
+			if response.StatusCode != test.status || problem.Run != test.run || problem.Title == "" {
+				t.Fatalf("got status %d and problem %+v", response.StatusCode, problem)
 			}
 		})
 	}
-	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, goodBody).Body); !strings.Contains(string(text), "[DONE]") {
-		t.Fatalf("after the bad requests: %s", text)
+	if text, _ := io.ReadAll(s.post("/v1/completions", testKey, validBody).Body); !strings.Contains(string(text), "[DONE]") {
+		t.Fatalf("got incomplete stream after the invalid requests: %s", text)
 	}
 }
 
-// TestCallerThatHangsUpCancelsTheEngine: the engine must not go on for nobody.
-func TestCallerThatHangsUpCancelsTheEngine(t *testing.T) {
-	s := startSite(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+// Guards against engines that keep generating after the client has disconnected.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	s := startTestRouter(t)
+	response := s.post("/v1/completions", testKey, validBody)
 	if _, err := bufio.NewReader(response.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -251,39 +250,38 @@
 	s.eventually("the engine's attempt is cancelled", func() bool { return s.cancelled.Load() == 1 })
 }
 
-// TestPlannedStopFinishesTheStream: SIGTERM ends Run only after the stream in flight is whole; new requests are
-// refused meanwhile.
-func TestPlannedStopFinishesTheStream(t *testing.T) {
-	s := startSite(t)
-	response := s.post("/v1/completions", testKey, goodBody)
+// A draining router rejects new requests, and Run returns only after the stream in progress is complete.
+func TestDrainFinishesActiveStream(t *testing.T) {
+	s := startTestRouter(t)
+	response := s.post("/v1/completions", testKey, validBody)
 	reader := bufio.NewReader(response.Body)
 	if _, err := reader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
 	s.stop()
-	s.eventually("new requests are refused", func() bool {
-		refused := s.post("/v1/completions", testKey, goodBody)
+	s.eventually("new requests are rejected", func() bool {
+		refused := s.post("/v1/completions", testKey, validBody)
 		return refused.StatusCode == http.StatusServiceUnavailable && refused.Header.Get(api.HeaderDraining) != ""
 	})
 	close(s.release)
 	rest, err := io.ReadAll(reader)
 	if err != nil || !strings.Contains(string(rest), "t3 ") || !strings.Contains(string(rest), "[DONE]") {
-		t.Fatalf("%v: %s", err, rest)
+		t.Fatalf("got error %v and rest of the stream %s, want a complete stream", err, rest)
 	}
 	select {
 	case err := <-s.stopped:
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the router did not end after its last stream")
+	case <-time.After(testTimeout):
+		t.Fatal("Run did not return after the last stream")
 	}
 }
 
-// TestModelsAreListed: ordinary clients ask for the models first; they are told with a key only.
+// Models are listed only for requests with a known API key.
 func TestModelsAreListed(t *testing.T) {
-	s := startSite(t)
-	ask := func(key string) (*http.Response, api.ModelList) {
+	s := startTestRouter(t)
+	listModels := func(key string) (*http.Response, api.ModelList) {
 		request, err := http.NewRequest(http.MethodGet, "http://"+s.address+"/v1/models", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -302,11 +300,11 @@
 		}
 		return response, list
 	}
-	if response, _ := ask("wrong"); response.StatusCode != http.StatusUnauthorized {
-		t.Fatalf("without a known key: %s", response.Status)
+	if response, _ := listModels("wrong"); response.StatusCode != http.StatusUnauthorized {
+		t.Fatalf("got status %s with an unknown key, want 401", response.Status)
 	}
-	_, list := ask(testKey)
+	_, list := listModels(testKey)
 	if list.Object != api.ObjectList || len(list.Data) != 1 || list.Data[0].ID != testService || list.Data[0].Object != api.ObjectModel {
-		t.Fatalf("list %+v", list)
+		t.Fatalf("got models %+v, want only the model of the test service", list)
 	}
 }
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -83,7 +83,7 @@
 	}
 	log := &Log{folder: folder, owner: owner}
 	if len(sequences) == 0 {
-		return log, nil, log.createFirst()
+		return log, nil, log.createFirstSegment()
 	}
 	var records []Record
 	for i, sequence := range sequences {
@@ -130,7 +130,7 @@
 	return filepath.Join(l.folder, fmt.Sprintf("%016d%s", sequence, segmentSuffix))
 }
 
-func (l *Log) createFirst() error {
+func (l *Log) createFirstSegment() error {
 	l.sequence = 1
 	return l.writeSegment(nil)
 }
@@ -142,14 +142,14 @@
 	if err != nil {
 		return nil, 0, eris.Wrapf(err, "read %s", path)
 	}
-	records, length, torn := DecodeRecords(data)
+	records, length, tail := DecodeRecords(data)
 	if len(records) == 0 || records[0].Kind != KindHeader {
 		return nil, 0, eris.Wrapf(ErrDamaged, "%s has no readable header", path)
 	}
 	if err := l.checkHeader(path, records[0].Data); err != nil {
 		return nil, 0, err
 	}
-	if torn != TornNone && (!newest || torn == TornMiddle) {
+	if tail != TailClean && (!newest || tail == TailCorrupt) {
 		return nil, 0, eris.Wrapf(ErrDamaged,
 			"%s: record at byte %d fails its checksum and is not the last one; restore the folder from a backup or wipe it to rejoin as a new replica", path, length)
 	}
@@ -157,15 +157,15 @@
 }
 
 func (l *Log) checkHeader(path string, data []byte) error {
-	var found header
-	if err := json.Unmarshal(data, &found); err != nil || found.Magic != magic {
+	var decoded header
+	if err := json.Unmarshal(data, &decoded); err != nil || decoded.Magic != magic {
 		return eris.Wrapf(ErrForeign, "%s was not written by this program", path)
 	}
-	if found.Format > FormatVersion {
-		return eris.Wrapf(ErrNewerFormat, "%s has format %d, this program reads up to %d; start the newer program", path, found.Format, FormatVersion)
+	if decoded.Format > FormatVersion {
+		return eris.Wrapf(ErrNewerFormat, "%s has format %d, this program reads up to %d; start the newer program", path, decoded.Format, FormatVersion)
 	}
-	if found.Owner != l.owner {
-		return eris.Wrapf(ErrForeign, "%s belongs to %q, not to %q", path, found.Owner, l.owner)
+	if decoded.Owner != l.owner {
+		return eris.Wrapf(ErrForeign, "%s belongs to %q, not to %q", path, decoded.Owner, l.owner)
 	}
 	return nil
 }
@@ -213,12 +213,12 @@
 		return err
 	}
 	previous := l.sequence
-	old := l.file
+	oldFile := l.file
 	l.sequence++
 	if err := l.writeSegment(records); err != nil {
 		return err
 	}
-	if err := old.Close(); err != nil {
+	if err := oldFile.Close(); err != nil {
 		return eris.Wrap(err, "close old segment")
 	}
 	for sequence := previous; sequence > 0; sequence-- {
@@ -230,11 +230,11 @@
 }
 
 func (l *Log) writeSegment(records []Record) error {
-	head, err := json.Marshal(header{Magic: magic, Format: FormatVersion, Owner: l.owner, Sequence: l.sequence})
+	encodedHeader, err := json.Marshal(header{Magic: magic, Format: FormatVersion, Owner: l.owner, Sequence: l.sequence})
 	if err != nil {
 		return eris.Wrap(err, "encode segment header")
 	}
-	data := AppendRecord(nil, Record{Kind: KindHeader, Data: head})
+	data := AppendRecord(nil, Record{Kind: KindHeader, Data: encodedHeader})
 	for _, record := range records {
 		data = AppendRecord(data, record)
 	}
@@ -265,31 +265,31 @@
 	return append(buffer, record.Data...)
 }
 
-// Torn tells what follows the last valid record.
-type Torn uint8
+// TailState tells what follows the last valid record.
+type TailState uint8
 
 // What DecodeRecords found after the valid records.
 const (
-	TornNone   Torn = iota
-	TornEnd         // an incomplete last record, as a crash leaves it
-	TornMiddle      // a bad record with valid-looking data after it
+	TailClean     TailState = iota
+	TailTruncated           // an incomplete last record, as a crash leaves it
+	TailCorrupt             // a bad record with valid-looking data after it
 )
 
 // DecodeRecords reads framed records until the first that is not valid and returns the bytes they span.
-func DecodeRecords(data []byte) (records []Record, length int64, torn Torn) {
+func DecodeRecords(data []byte) (records []Record, length int64, tail TailState) {
 	offset := 0
 	for offset < len(data) {
-		record, size, ok := decodeOne(data[offset:])
+		record, size, ok := decodeRecord(data[offset:])
 		if !ok {
 			return records, int64(offset), classifyTail(data[offset:])
 		}
 		records = append(records, record)
 		offset += size
 	}
-	return records, int64(offset), TornNone
+	return records, int64(offset), TailClean
 }
 
-func decodeOne(data []byte) (Record, int, bool) {
+func decodeRecord(data []byte) (Record, int, bool) {
 	if len(data) < frameHeaderBytes {
 		return Record{}, 0, false
 	}
@@ -309,12 +309,12 @@
 
 // classifyTail tells a torn end from damage: if any valid, non-empty record can be found after the bad
 // place, data written later survived, so the bad place was once durable.
-func classifyTail(tail []byte) Torn {
+func classifyTail(tail []byte) TailState {
 	for start := 1; start+frameHeaderBytes < len(tail); start++ {
-		record, _, ok := decodeOne(tail[start:])
+		record, _, ok := decodeRecord(tail[start:])
 		if ok && len(record.Data) > 0 {
-			return TornMiddle
+			return TailCorrupt
 		}
 	}
-	return TornEnd
+	return TailTruncated
 }
