--- a/internal/gateway/pushback.go
+++ b/internal/gateway/pushback.go
@@ -11,77 +11,77 @@
 	"kitetiller/internal/pushback"
 )
 
-// Sources of a back end's signals, in logs: its own answer or another gateway.
+// Sources of a back end's signals, in logs: its own response or another gateway.
 const (
 	sourceAnswer  = "answer"
 	sourceGateway = "gateway"
 )
 
-// handlePushback applies the back-pressure signals of an answer. It runs before the answer is processed, since the
+// handlePushback applies the back-pressure signals of a response. It runs before the response is processed, since the
 // signals hold whatever becomes of the request.
-func (a *attempt) handlePushback(status int, verdict ResponseInfo) {
-	a.requestedBackoff = verdict.Signals.Backoff
+func (a *attempt) handlePushback(status int, info ResponseInfo) {
+	a.requestedBackoff = info.Signals.Backoff
 	g := a.exchange.gateway
-	g.handlePushback(a.row, answerPushback{request: a.exchange.call.ID, status: status, signals: verdict.Signals, unreadableBackoff: verdict.UnparsedBackoff, unreadableLimit: verdict.UnparsedLimit})
-	g.recordUnknownHeaders(a.row, verdict.UnknownHeaders)
-	if verdict.NoLimit && (a.exchange.call.ID == "" || verdict.ID == a.exchange.call.ID) {
+	g.handlePushback(a.row, responsePushback{request: a.exchange.call.ID, status: status, signals: info.Signals, unparsedBackoff: info.UnparsedBackoff, unparsedLimit: info.UnparsedLimit})
+	g.recordUnknownHeaders(a.row, info.UnknownHeaders)
+	if info.NoLimit && (a.exchange.call.ID == "" || info.ID == a.exchange.call.ID) {
 		g.observeNoLimit(a.row, a.startedAt)
 	}
 }
 
-// handleCachePushback applies the signals of an answer to a cache query. Signals of another incarnation than the one in
+// handleCachePushback applies the signals of a response to a cache query. Signals of another incarnation than the one in
 // the roster are ignored.
 func (g *Gateway) handleCachePushback(id string, report CacheReport) {
 	if row := g.table.row(id); row != nil && (report.StartedMS == 0 || report.StartedMS == row.incarnation.StartedMS) {
-		g.handlePushback(row, answerPushback{signals: report.Pushback})
+		g.handlePushback(row, responsePushback{signals: report.Pushback})
 	}
 }
 
-// answerPushback holds the signals of one answer, and fields for the log.
-type answerPushback struct {
-	request           string // "" if the answer belongs to no caller's request
-	status            int
-	signals           pushback.Signals
-	unreadableBackoff string // a backoff that cannot be parsed
+// responsePushback holds the signals of one response, and fields for the log.
+type responsePushback struct {
+	request         string // "" if the response belongs to no caller's request
+	status          int
+	signals         pushback.Signals
+	unparsedBackoff string // a backoff that cannot be parsed
 
-	unreadableLimit string // a limit that cannot be parsed
+	unparsedLimit string // a limit that cannot be parsed
 }
 
-// handlePushback applies and logs the signals of an answer, and tells other gateways what changed.
-func (g *Gateway) handlePushback(row *endpoint, answer answerPushback) {
-	if answer.signals.IsEmpty() && answer.unreadableBackoff == "" && answer.unreadableLimit == "" {
+// handlePushback applies and logs the signals of a response, and tells other gateways what changed.
+func (g *Gateway) handlePushback(row *endpoint, response responsePushback) {
+	if response.signals.IsEmpty() && response.unparsedBackoff == "" && response.unparsedLimit == "" {
 		return
 	}
 	now := g.now()
-	changes := g.table.observePushback(now, row, answer.signals)
+	changes := g.table.observePushback(now, row, response.signals)
 	if !changes.forPeers.IsEmpty() {
 		g.peers.announce(announcement{Gateway: g.shortName, Instance: row.entry.ID, Signals: changes.forPeers})
 	}
-	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, answer.unreadableLimit)
+	g.logLimit(now, row.entry.ID, changes.forLog, sourceAnswer, response.unparsedLimit)
 	fields := []zap.Field{zap.String(events.FieldInstance, row.entry.ID)}
-	if answer.request != "" {
-		fields = append(fields, zap.String(events.FieldRequest, answer.request), zap.Int("answer", answer.status))
+	if response.request != "" {
+		fields = append(fields, zap.String(events.FieldRequest, response.request), zap.Int("answer", response.status))
 	}
 	if changes.forPeers.Draining {
 		g.log.info(events.InstanceLeaving, append(fields, zap.String("told_by", sourceAnswer))...)
 	}
-	if answer.signals.Backoff <= 0 && answer.unreadableBackoff == "" {
+	if response.signals.Backoff <= 0 && response.unparsedBackoff == "" {
 		return
 	}
 	if held, due := g.backoffLogLimiter.Due(now, row.entry.ID); due {
-		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, answer.signals.Backoff),
-			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, answer.unreadableBackoff), zap.Int("held", held))...)
+		g.log.info(events.InstanceBackoffRequested, append(fields, zap.Duration(events.FieldBackoff, response.signals.Backoff),
+			zap.Duration(events.FieldBackoffLeft, max(0, changes.restriction.BackoffUntil-now)), zap.String(events.FieldUnparsedValue, response.unparsedBackoff), zap.Int("held", held))...)
 	}
 }
 
-// pushbackChanges is what the signals of an answer changed.
+// pushbackChanges is what the signals of a response changed.
 type pushbackChanges struct {
 	restriction pushback.Restriction // in effect now
 	forPeers    pushback.Signals     // for other gateways: each backoff, and limits that changed or are due again
 	forLog      pushback.Limit       // set only if the limit changed
 }
 
-// observePushback records the signals of an answer and returns what they changed.
+// observePushback records the signals of a response and returns what they changed.
 func (t *table) observePushback(now time.Duration, row *endpoint, signals pushback.Signals) (changes pushbackChanges) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -60,7 +60,7 @@
 	entry.Versions = newestVersions(e.entry.Versions, reported)
 	for model, version := range reported {
 		if version < e.controlVersions[model] {
-			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat; engines reject requests that expect other versions
+			entry.Versions[model] = version // a downgrade, or a new leader without the heartbeat
 		}
 	}
 	e.controlVersions = reported
@@ -84,8 +84,8 @@
 
 // newestVersions returns the newer of the known and the reported versions of each model. A new leader may not have
 // received the back end's heartbeat yet and then reports none.
-func newestVersions(known, told map[string]uint64) map[string]uint64 {
-	merged := maps.Clone(told)
+func newestVersions(known, reported map[string]uint64) map[string]uint64 {
+	merged := maps.Clone(reported)
 	for model, version := range known {
 		if merged == nil {
 			merged = map[string]uint64{}
