--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -84,7 +84,7 @@
 	clients         map[uint64]transport.Respond
 	nextID          uint64
 	senderAddresses map[consensus.ID]string // last known address of each replica that sent a message; owned by runReplica
-	links           *transport.Links
+	links           *transport.LinkFilter
 	client          *transport.Client
 	group           *Client
 	driver          Driver
@@ -112,13 +112,13 @@
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinks(ctx, file.LinkFile, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.LinkFile, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
 		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
-		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
+		client: transport.NewClientWithDialTimeout(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
 	if server.config, err = server.replicaConfig(); err != nil {
--- a/internal/gateway/held_test.go
+++ b/internal/gateway/held_test.go
@@ -23,28 +23,28 @@
 		others := rapid.IntRange(0, maxBufferedBytes).Draw(t, "others")
 		h.reserve(others)
 		sent := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bufferStep).Draw(t, "sent"))
-		told := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
+		length := int64(rapid.SampledFrom([]int{-1, len(sent), len(sent) + 1, maxBufferedBytes}).Draw(t, "told"))
 		var from io.Reader = bytes.NewReader(sent)
 		if rapid.Bool().Draw(t, "halves") {
 			from = iotest.HalfReader(from)
 		}
-		body, room, err := h.readBody(from, told)
+		body, reserved, err := h.readBody(from, length)
 		switch {
 		case errors.Is(err, errBufferLimit):
 			if others+2*len(sent)+bufferStep < maxBufferedBytes {
 				t.Fatalf("rejected with %d bytes reserved for others and a body of %d", others, len(sent))
 			}
-		case told > int64(len(sent)):
+		case length > int64(len(sent)):
 			if err != io.ErrUnexpectedEOF {
-				t.Fatalf("truncated body, got %d of %d bytes: error %v", len(sent), told, err)
+				t.Fatalf("truncated body, got %d of %d bytes: error %v", len(sent), length, err)
 			}
 		case err != nil || !bytes.Equal(body, sent):
 			t.Fatalf("got %d of %d bytes, error %v", len(body), len(sent), err)
 		}
-		if room > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+room || h.used.Load() > maxBufferedBytes {
-			t.Fatalf("reserved %d bytes for a body of %d, %d in total with %d for others", room, len(sent), h.used.Load(), others)
+		if reserved > max(bufferStep, 2*len(sent)) || int(h.used.Load()) != others+reserved || h.used.Load() > maxBufferedBytes {
+			t.Fatalf("reserved %d bytes for a body of %d, %d in total with %d for others", reserved, len(sent), h.used.Load(), others)
 		}
-		if h.release(room); int(h.used.Load()) != others {
+		if h.release(reserved); int(h.used.Load()) != others {
 			t.Fatalf("%d bytes reserved after release, want %d", h.used.Load(), others)
 		}
 	})
--- a/internal/gateway/placements.go
+++ b/internal/gateway/placements.go
@@ -141,10 +141,10 @@
 }
 
 // addPlacement adds a placement and returns the back end's load as this gateway reports it to others.
-func (t *table) addPlacement(now time.Duration, ticket string, p placement) belief.Load {
+func (t *table) addPlacement(now time.Duration, id string, p placement) belief.Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.placed[ticket] = p
+	t.placed[id] = p
 	here := &p.row.occupancy
 	here.Placed = here.Placed.Plus(p.load)
 	t.addPrefill(now, p.row, p.uncached)
@@ -179,16 +179,16 @@
 }
 
 // removePlacement removes a placement and its load. The caller holds the mutex.
-func (t *table) removePlacement(ticket string, p placement) {
-	delete(t.placed, ticket)
+func (t *table) removePlacement(id string, p placement) {
+	delete(t.placed, id)
 	p.row.occupancy.Placed = p.row.occupancy.Placed.Minus(p.load)
 }
 
 // expirePlacements removes placements whose end was not reported in time. The caller holds the mutex.
 func (t *table) expirePlacements(now time.Duration) {
-	for ticket, p := range t.placed {
+	for id, p := range t.placed {
 		if now > p.expiresAt {
-			t.removePlacement(ticket, p)
+			t.removePlacement(id, p)
 		}
 	}
 }
--- a/internal/gateway/pushback_test.go
+++ b/internal/gateway/pushback_test.go
@@ -16,7 +16,7 @@
 	"kitetiller/internal/pushback"
 )
 
-// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unreadable
+// TestBackoffLogging tests the log lines of backoffs, at most one per second and back end, the field for unparsed
 // backoffs, the backoff left in the log of a failed attempt, and the gauge of back ends in backoff.
 func TestBackoffLogging(t *testing.T) {
 	now := time.Minute
@@ -38,7 +38,7 @@
 		t.Errorf("log fields of a backoff: %v", asked)
 	}
 	if unread[events.FieldUnparsedValue] != "soon" || unread[events.FieldBackoffLeft] != time.Duration(0) {
-		t.Errorf("log fields of an unreadable backoff: %v", unread)
+		t.Errorf("log fields of an unparsed backoff: %v", unread)
 	}
 	again := attemptAt(g, g.table.rows["i-0"])
 	now += time.Second
@@ -59,18 +59,18 @@
 
 // reportBackoff lets a gateway receive a request for backoff from a back end.
 func reportBackoff(g *Gateway, id string, rest time.Duration) {
-	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Backoff: rest}, status: 503})
+	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Backoff: rest}, status: 503})
 }
 
 // reportDraining lets a gateway receive a draining signal from a back end.
 func reportDraining(g *Gateway, id string) {
-	g.handlePushback(g.table.rows[id], answerPushback{signals: pushback.Signals{Draining: true}, status: 200})
+	g.handlePushback(g.table.rows[id], responsePushback{signals: pushback.Signals{Draining: true}, status: 200})
 }
 
 // TestPushbackAfterChoice tests that the check before sending sees signals which arrived after the back end was chosen,
 // while the connection was established or a scheduler was asked.
 func TestPushbackAfterChoice(t *testing.T) {
-	for cause, say := range map[string]func(*Gateway){
+	for cause, signal := range map[string]func(*Gateway){
 		causeBackingOff: func(g *Gateway) { reportBackoff(g, "i-0", time.Second) },
 		causeDraining:   func(g *Gateway) { reportDraining(g, "i-0") },
 	} {
@@ -79,7 +79,7 @@
 		if bar := chosen.recheckConditions(); bar != "" {
 			t.Fatalf("restricted before the signal: %s", bar)
 		}
-		say(g)
+		signal(g)
 		if bar := chosen.recheckConditions(); bar != cause {
 			t.Fatalf("restriction %q, want %q", bar, cause)
 		}
@@ -108,13 +108,13 @@
 		"another address":   {func(g *Gateway) { applyEntry(g, first, "b") }, false},
 		"later incarnation": {func(g *Gateway) { applyEntry(g, later, "a") }, true},
 	} {
-		for kind, say := range map[string]func(*Gateway){
-			"rest":    func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
-			"leaving": func(g *Gateway) { reportDraining(g, first.ID()) },
+		for kind, signal := range map[string]func(*Gateway){
+			"backoff":  func(g *Gateway) { reportBackoff(g, first.ID(), time.Minute) },
+			"draining": func(g *Gateway) { reportDraining(g, first.ID()) },
 		} {
 			g := newScheduler(0)
 			applyEntry(g, first, "a")
-			say(g)
+			signal(g)
 			step.meanwhile(g)
 			g.table.sweep(g.now())
 			x := newModelRequest(g)
--- a/internal/router/announce.go
+++ b/internal/router/announce.go
@@ -27,9 +27,9 @@
 // them yet, so that two routers do not choose the same idle engine.
 func newAnnouncer(client *transport.Client) *transport.Announcer[core.PeerDispatch] {
 	settings := transport.AnnouncerSettings{
-		Path: pathDispatches, Ring: announceBufferSize, Batch: announceBatch, Period: announceInterval, Timeout: announceTimeout,
+		Path: pathDispatches, QueueSize: announceBufferSize, MaxBatch: announceBatch, BatchDelay: announceInterval, Timeout: announceTimeout,
 	}
-	return transport.NewAnnouncer(client, settings, func(batch []transport.Aged[core.PeerDispatch]) any {
+	return transport.NewAnnouncer(client, settings, func(batch []transport.Timestamped[core.PeerDispatch]) any {
 		event := core.EventPeerDispatches{}
 		for _, entry := range batch {
 			entry.Item.Age = clock.Now() - entry.At
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -70,7 +70,7 @@
 		return cached.(settings.Values)
 	}
 	values := v.tree.Resolve(zone, service, tenant)
-	if service == settings.Any || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
+	if service == settings.Wildcard || slices.Contains(v.services, service) { // bounds the cache: clients choose the name
 		v.values.Store(key, values)
 	}
 	return values
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinks(ctx, file.LinkFile, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.LinkFile, file.Zone)
 	client := transport.NewClient(file.ClusterToken, links)
 	server := &Server{
 		file: file, log: log, now: clock.NewSource(nil), incarnation: disk.incarnation, disk: disk,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -42,7 +42,7 @@
 		return "a path is written /zone/service/tenant, without a slash at the end"
 	}
 	for _, element := range elements {
-		if element != Any && !namePattern.MatchString(element) {
+		if element != Wildcard && !namePattern.MatchString(element) {
 			return fmt.Sprintf("%q is not a name: use letters, digits, dot, dash and underscore, at most 63, or * for all", element)
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 		problems = append(problems, checkNode(path, t.Nodes[path])...)
 	}
-	return append(problems, t.checkWhole()...)
+	return append(problems, t.checkConsistency()...)
 }
 
 func checkNode(path Path, node Overrides) []Problem {
@@ -114,26 +114,26 @@
 	return problems
 }
 
-// checkEdited checks the nodes that edits touched, and the whole for contradictions. The other nodes were checked
+// checkEditedNodes checks the nodes that edits touched, and the whole for contradictions. The other nodes were checked
 // when they were made; a change to a large tree must not check all of it again.
-func (t Tree) checkEdited(edits []Edit) []Problem {
+func (t Tree) checkEditedNodes(edits []Edit) []Problem {
 	if len(edits) >= len(t.Nodes) || len(t.Nodes) > maxNodes {
 		return t.Check()
 	}
 	var problems []Problem
 	seen := map[Path]bool{}
 	for _, edit := range edits {
-		node, held := t.Nodes[edit.Path]
-		if held && !seen[edit.Path] {
+		node, exists := t.Nodes[edit.Path]
+		if exists && !seen[edit.Path] {
 			problems = append(problems, checkNode(edit.Path, node)...)
 		}
 		seen[edit.Path] = true
 	}
-	return append(problems, t.checkWhole()...)
+	return append(problems, t.checkConsistency()...)
 }
 
-// checkWhole finds contradictions between nodes.
-func (t Tree) checkWhole() []Problem {
+// checkConsistency finds contradictions between nodes.
+func (t Tree) checkConsistency() []Problem {
 	var problems []Problem
 	owner := map[string]string{}
 	for _, path := range t.Paths() {
@@ -151,12 +151,12 @@
 		}
 	}
 	for _, service := range t.Services() {
-		values := t.Resolve(Any, service)
+		values := t.Resolve(Wildcard, service)
 		if values.TimeWeight+values.RecomputeWeight == 0 {
-			problems = append(problems, Problem{Path: MakePath(Any, service), Message: "time_weight and recompute_weight must not both be 0"})
+			problems = append(problems, Problem{Path: MakePath(Wildcard, service), Message: "time_weight and recompute_weight must not both be 0"})
 		}
 		if values.Kind == "llm" && !values.Repeatable {
-			problems = append(problems, Problem{Path: MakePath(Any, service), Setting: "repeatable", Message: "only services of kind service may be non-repeatable"})
+			problems = append(problems, Problem{Path: MakePath(Wildcard, service), Setting: "repeatable", Message: "only services of kind service may be non-repeatable"})
 		}
 	}
 	return problems
@@ -170,12 +170,12 @@
 		return t, []Problem{{Path: "/", Message: "the change has no edits"}}
 	}
 	for _, edit := range edits {
-		if problem := next.applyOne(edit); problem != nil {
+		if problem := next.applyEdit(edit); problem != nil {
 			problems = append(problems, *problem)
 		}
 	}
 	if len(problems) == 0 {
-		problems = next.checkEdited(edits)
+		problems = next.checkEditedNodes(edits)
 	}
 	if len(problems) > 0 {
 		return t, problems
@@ -183,22 +183,22 @@
 	return next, nil
 }
 
-func (t Tree) applyOne(edit Edit) *Problem {
+func (t Tree) applyEdit(edit Edit) *Problem {
 	if message := checkPath(edit.Path); message != "" {
 		return &Problem{Path: edit.Path, Message: message}
 	}
 	if edit.Setting == "" {
-		return t.applyNode(edit)
+		return t.applyNodeEdit(edit)
 	}
 	definition, known := definitionByName[edit.Setting]
 	if !known {
-		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: unknownSetting(edit.Setting)}
+		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: unknownSettingMessage(edit.Setting)}
 	}
 	value := edit.Value
 	if string(value) == "null" {
 		value = nil
 	}
-	node, err := t.Nodes[edit.Path].with(definition, value)
+	node, err := t.Nodes[edit.Path].withSetting(definition, value)
 	if err != nil {
 		return &Problem{Path: edit.Path, Setting: edit.Setting, Message: fmt.Sprintf("%s is not a value of type %s", edit.Value, definition.Type)}
 	}
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (t Tree) applyNode(edit Edit) *Problem {
+func (t Tree) applyNodeEdit(edit Edit) *Problem {
 	if edit.Create {
 		if _, exists := t.Nodes[edit.Path]; !exists {
 			t.Nodes[edit.Path] = Overrides{}
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// unknownSetting says that a name is not known and offers the nearest one.
-func unknownSetting(name string) string {
+// unknownSettingMessage says that a name is not known and offers the nearest one.
+func unknownSettingMessage(name string) string {
 	best, distance := "", len(name)
 	for _, definition := range definitions {
 		if d := editDistance(name, definition.Name); d < distance {
@@ -265,7 +265,7 @@
 func DiffEdits(before, after Tree) []Edit {
 	var edits []Edit
 	for _, path := range before.Paths() {
-		if _, kept := after.Nodes[path]; !kept && (len(path.Elements()) == 1 || !removedAbove(path, after)) {
+		if _, kept := after.Nodes[path]; !kept && (len(path.Elements()) == 1 || !ancestorRemoved(path, after)) {
 			edits = append(edits, Edit{Path: path})
 		}
 	}
@@ -286,8 +286,8 @@
 	return edits
 }
 
-// removedAbove reports whether a parent of the path is removed too, which removes the path with it.
-func removedAbove(path Path, after Tree) bool {
+// ancestorRemoved reports whether a parent of the path is removed too, which removes the path with it.
+func ancestorRemoved(path Path, after Tree) bool {
 	elements := path.Elements()
 	for depth := 1; depth < len(elements); depth++ {
 		if _, kept := after.Nodes[MakePath(elements[:depth]...)]; !kept {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -26,8 +26,8 @@
 
 const settingsKey = "settings"
 
-// labKey is the section of a deployment file that describes stand-ins; it is not part of the tree.
-const labKey = "lab"
+// simulationKey is the section of a deployment file that describes stand-ins; it is not part of the tree.
+const simulationKey = "lab"
 
 // fileReader collects the tree and every fault of a file.
 type fileReader struct {
@@ -48,7 +48,7 @@
 	}
 	reader.readNode(file.Docs[0].Body, nil)
 	if len(reader.problems) == 0 {
-		for _, problem := range reader.tree.checkWhole() {
+		for _, problem := range reader.tree.checkConsistency() {
 			reader.problems = append(reader.problems, FileProblem{Line: reader.lines[problem.Path], Problem: problem})
 		}
 	}
@@ -69,7 +69,7 @@
 	return line
 }
 
-func (r *fileReader) fault(node ast.Node, path Path, setting, message string) {
+func (r *fileReader) addProblem(node ast.Node, path Path, setting, message string) {
 	line := 1
 	if token := node.GetToken(); token != nil {
 		line = token.Position.Line
@@ -77,8 +77,8 @@
 	r.problems = append(r.problems, FileProblem{Line: line, Problem: Problem{Path: path, Setting: setting, Message: message}})
 }
 
-// members returns the key-value pairs of a mapping, or nil for an empty value.
-func (r *fileReader) members(node ast.Node, path Path) []*ast.MappingValueNode {
+// mappingEntries returns the key-value pairs of a mapping, or nil for an empty value.
+func (r *fileReader) mappingEntries(node ast.Node, path Path) []*ast.MappingValueNode {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
 		return typed.Values
@@ -87,7 +87,7 @@
 	case *ast.NullNode:
 		return nil
 	}
-	r.fault(node, path, "", "a mapping is expected here")
+	r.addProblem(node, path, "", "a mapping is expected here")
 	return nil
 }
 
@@ -100,22 +100,22 @@
 		r.lines[path] = token.Position.Line
 	}
 	children := childKeys[len(elements)]
-	for _, member := range r.members(node, path) {
+	for _, member := range r.mappingEntries(node, path) {
 		key := keyText(member.Key)
 		switch {
 		case key == settingsKey:
 			r.readSettings(member.Value, path)
 		case key == children && children != "":
 			r.readChildren(member.Value, elements)
-		case key == labKey && len(elements) == 0:
+		case key == simulationKey && len(elements) == 0:
 			// read by package plan
 		default:
-			r.fault(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", allowedKeys(children)))
+			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", describeAllowedKeys(children)))
 		}
 	}
 }
 
-func allowedKeys(children string) string {
+func describeAllowedKeys(children string) string {
 	if children == "" {
 		return settingsKey
 	}
@@ -125,10 +125,10 @@
 func keyText(key ast.MapKeyNode) string { return strings.Trim(key.String(), `"'`) }
 
 func (r *fileReader) readChildren(node ast.Node, elements []string) {
-	for _, member := range r.members(node, MakePath(elements...)) {
+	for _, member := range r.mappingEntries(node, MakePath(elements...)) {
 		child := append(append([]string(nil), elements...), keyText(member.Key))
 		if message := checkPath(MakePath(child...)); message != "" {
-			r.fault(member.Key, MakePath(child...), "", message)
+			r.addProblem(member.Key, MakePath(child...), "", message)
 			continue
 		}
 		r.readNode(member.Value, child)
@@ -136,11 +136,11 @@
 }
 
 func (r *fileReader) readSettings(node ast.Node, path Path) {
-	for _, member := range r.members(node, path) {
+	for _, member := range r.mappingEntries(node, path) {
 		name := keyText(member.Key)
 		definition, known := definitionByName[name]
 		if !known {
-			r.fault(member.Key, path, name, unknownSetting(name))
+			r.addProblem(member.Key, path, name, unknownSettingMessage(name))
 			continue
 		}
 		r.readValue(member, path, definition)
@@ -150,22 +150,22 @@
 func (r *fileReader) readValue(member *ast.MappingValueNode, path Path, definition Definition) {
 	var value any
 	if err := yaml.NodeToValue(member.Value, &value); err != nil {
-		r.fault(member.Key, path, definition.Name, firstLine(err.Error()))
+		r.addProblem(member.Key, path, definition.Name, firstLine(err.Error()))
 		return
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		r.fault(member.Key, path, definition.Name, "the value cannot be read")
+		r.addProblem(member.Key, path, definition.Name, "the value cannot be read")
 		return
 	}
-	next, err := r.tree.Nodes[path].with(definition, bytes.TrimSpace(data))
+	next, err := r.tree.Nodes[path].withSetting(definition, bytes.TrimSpace(data))
 	if err != nil {
-		r.fault(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
+		r.addProblem(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
 		return
 	}
-	single, _ := Overrides{}.with(definition, data)
+	single, _ := Overrides{}.withSetting(definition, data)
 	if problems := checkNode(path, single); len(problems) > 0 {
-		r.fault(member.Key, path, definition.Name, problems[0].Message)
+		r.addProblem(member.Key, path, definition.Name, problems[0].Message)
 		return
 	}
 	r.tree.Nodes[path] = next
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -29,18 +29,18 @@
 
 // Kinds of outcome.
 const (
-	OutcomeAccepted OutcomeKind = "accepted"
-	OutcomeConflict OutcomeKind = "conflict"            // the tree is at another version
-	OutcomeInvalid  OutcomeKind = "invalid"             // the edits or the resulting tree are wrong
-	OutcomeReused   OutcomeKind = "operation-id-reused" // the operation id was used for another change
+	OutcomeAccepted          OutcomeKind = "accepted"
+	OutcomeConflict          OutcomeKind = "conflict"            // the tree is at another version
+	OutcomeInvalid           OutcomeKind = "invalid"             // the edits or the resulting tree are wrong
+	OutcomeOperationIDReused OutcomeKind = "operation-id-reused" // the operation id was used for another change
 )
 
 // Outcome is the answer to a change. A resend gets the stored first outcome.
 type Outcome struct {
-	Kind      OutcomeKind  `json:"kind"`
-	Version   uint64       `json:"version"` // new version when accepted, else the current one
-	Problems  []Problem    `json:"problems,omitempty"`
-	Differing []Difference `json:"differing,omitempty"` // with a conflict: what changed since the base, if still known
+	Kind             OutcomeKind  `json:"kind"`
+	Version          uint64       `json:"version"` // new version when accepted, else the current one
+	Problems         []Problem    `json:"problems,omitempty"`
+	ChangesSinceBase []Difference `json:"differing,omitempty"` // with a conflict: what changed since the base, if still known
 }
 
 // HistoryEntry is one accepted change.
@@ -61,10 +61,10 @@
 
 // Machine is the replicated state of the tree. Versions start at 0 and only grow.
 type Machine struct {
-	Guards  guard.Set `json:"-"`
-	state   machineState
-	byID    map[string]int // index into state.Outcomes
-	dropped int            // outcomes dropped from the front since byID was built
+	Guards          guard.Set `json:"-"`
+	state           machineState
+	outcomeIndexes  map[string]int // index into state.Outcomes
+	droppedOutcomes int            // outcomes dropped from the front since byID was built
 }
 
 type machineState struct {
@@ -76,7 +76,7 @@
 
 // NewMachine returns a machine with an empty tree at version 0.
 func NewMachine() *Machine {
-	return &Machine{state: machineState{Tree: NewTree()}, byID: map[string]int{}}
+	return &Machine{state: machineState{Tree: NewTree()}, outcomeIndexes: map[string]int{}}
 }
 
 // Version returns the current version.
@@ -90,25 +90,25 @@
 
 // Apply decides a change. It is deterministic: every replica gets the same outcome.
 func (m *Machine) Apply(change Change, unixMS int64) Outcome {
-	digest := digestOf(change)
-	if index, seen := m.byID[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
-		first := m.state.Outcomes[index-m.dropped]
+	digest := changeDigest(change)
+	if index, seen := m.outcomeIndexes[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
+		first := m.state.Outcomes[index-m.droppedOutcomes]
 		if first.Digest != digest {
-			return Outcome{Kind: OutcomeReused, Version: m.state.Version}
+			return Outcome{Kind: OutcomeOperationIDReused, Version: m.state.Version}
 		}
 		return first.Outcome
 	}
-	outcome := m.decide(change, unixMS)
-	m.remember(storedOutcome{OperationID: change.OperationID, Digest: digest, Outcome: outcome})
+	outcome := m.applyNew(change, unixMS)
+	m.storeOutcome(storedOutcome{OperationID: change.OperationID, Digest: digest, Outcome: outcome})
 	return outcome
 }
 
-func (m *Machine) decide(change Change, unixMS int64) Outcome {
+func (m *Machine) applyNew(change Change, unixMS int64) Outcome {
 	if change.OperationID == "" {
 		return Outcome{Kind: OutcomeInvalid, Version: m.state.Version, Problems: []Problem{{Path: "/", Message: "operation_id is missing"}}}
 	}
 	if change.Base != m.state.Version && m.Guards.On(guard.VersionCheck) {
-		return Outcome{Kind: OutcomeConflict, Version: m.state.Version, Differing: m.changedSince(change.Base)}
+		return Outcome{Kind: OutcomeConflict, Version: m.state.Version, ChangesSinceBase: m.changedSince(change.Base)}
 	}
 	next, problems := m.state.Tree.Apply(change.Edits)
 	if len(problems) > 0 {
@@ -157,23 +157,23 @@
 	return edits, true
 }
 
-func (m *Machine) remember(stored storedOutcome) {
+func (m *Machine) storeOutcome(stored storedOutcome) {
 	if stored.OperationID == "" {
 		return
 	}
-	m.byID[stored.OperationID] = m.dropped + len(m.state.Outcomes)
+	m.outcomeIndexes[stored.OperationID] = m.droppedOutcomes + len(m.state.Outcomes)
 	m.state.Outcomes = append(m.state.Outcomes, stored)
 	if len(m.state.Outcomes) <= maxOutcomes {
 		return
 	}
 	oldest := m.state.Outcomes[0]
-	delete(m.byID, oldest.OperationID)
+	delete(m.outcomeIndexes, oldest.OperationID)
 	m.state.Outcomes = m.state.Outcomes[1:]
-	m.dropped++
+	m.droppedOutcomes++
 }
 
-// digestOf identifies the content of a change, so that a reused operation id is noticed.
-func digestOf(change Change) uint64 {
+// changeDigest identifies the content of a change, so that a reused operation id is noticed.
+func changeDigest(change Change) uint64 {
 	data, err := json.Marshal(change)
 	if err != nil {
 		panic("settings: change cannot be written: " + err.Error())
@@ -191,10 +191,10 @@
 		return err
 	}
 	m.state = state
-	m.dropped = 0
-	m.byID = make(map[string]int, len(state.Outcomes))
+	m.droppedOutcomes = 0
+	m.outcomeIndexes = make(map[string]int, len(state.Outcomes))
 	for i, stored := range state.Outcomes {
-		m.byID[stored.OperationID] = i
+		m.outcomeIndexes[stored.OperationID] = i
 	}
 	return nil
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Any is the path element that stands for every zone, service or tenant.
-const Any = "*"
+// Wildcard is the path element that stands for every zone, service or tenant.
+const Wildcard = "*"
 
 // Level names of the tree, from the root down.
 const (
@@ -70,17 +70,17 @@
 // OriginDefault is the Path of an Origin that no node of the tree set.
 const OriginDefault Path = "default"
 
-// layers lists the nodes that apply to a place, weakest first: by depth, and at one depth Any before a name,
+// applicablePaths lists the nodes that apply to a place, weakest first: by depth, and at one depth Any before a name,
 // compared zone first.
-func layers(elements []string) []Path {
+func applicablePaths(elements []string) []Path {
 	paths := []Path{"/"}
 	current := []Path{""}
 	for _, element := range elements {
 		var next []Path
 		for _, parent := range current {
-			next = append(next, parent+"/"+Any)
+			next = append(next, parent+"/"+Wildcard)
 		}
-		if element != Any {
+		if element != Wildcard {
 			for _, parent := range current {
 				next = append(next, parent+"/"+Path(element))
 			}
@@ -97,7 +97,7 @@
 	score := 0
 	for _, element := range path.Elements() {
 		score <<= 1
-		if element != Any {
+		if element != Wildcard {
 			score++
 		}
 	}
@@ -107,7 +107,7 @@
 // Resolve returns the effective values for a zone, service and tenant; trailing ones may be left out.
 func (t Tree) Resolve(elements ...string) Values {
 	values := Defaults()
-	for _, path := range layers(elements) {
+	for _, path := range applicablePaths(elements) {
 		if node, found := t.Nodes[path]; found {
 			node.apply(&values, nil)
 		}
@@ -119,7 +119,7 @@
 func (t Tree) Explain(elements ...string) []Origin {
 	values := Defaults()
 	origin := map[string]Path{}
-	for _, path := range layers(elements) {
+	for _, path := range applicablePaths(elements) {
 		if node, found := t.Nodes[path]; found {
 			node.apply(&values, func(name string) { origin[name] = path })
 		}
@@ -148,7 +148,7 @@
 	found := map[string]bool{}
 	for path := range t.Nodes {
 		elements := path.Elements()
-		if len(elements) > depth && elements[depth] != Any {
+		if len(elements) > depth && elements[depth] != Wildcard {
 			found[elements[depth]] = true
 		}
 	}
--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -11,15 +11,15 @@
 
 // AnnouncerSettings bound an announcer.
 type AnnouncerSettings struct {
-	Path    string        // that peers are told on
-	Ring    int           // items that may wait
-	Batch   int           // items told in one message
-	Period  time.Duration // how long an item waits for others to be told with it
-	Timeout time.Duration // of one message
+	Path       string        // that peers are told on
+	QueueSize  int           // items that may wait
+	MaxBatch   int           // items told in one message
+	BatchDelay time.Duration // how long an item waits for others to be told with it
+	Timeout    time.Duration // of one message
 }
 
-// Aged is an announced item and when that was.
-type Aged[T any] struct {
+// Timestamped is an announced item and when that was.
+type Timestamped[T any] struct {
 	Item T
 	At   time.Duration // by clock.Now
 }
@@ -27,18 +27,18 @@
 // Announcer tells peers of items, several in one message, without ever holding up who announces them. What cannot be told
 // in time is dropped: it is for news that only make a choice better.
 type Announcer[T any] struct {
-	client   *Client
-	settings AnnouncerSettings
-	message  func(batch []Aged[T]) any // what peers are sent
-	items    chan Aged[T]
+	client       *Client
+	settings     AnnouncerSettings
+	buildMessage func(batch []Timestamped[T]) any // what peers are sent
+	queue        chan Timestamped[T]
 
 	mutex sync.Mutex
 	peers []string
 }
 
 // NewAnnouncer returns an announcer without peers.
-func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, message func(batch []Aged[T]) any) *Announcer[T] {
-	return &Announcer[T]{client: client, settings: settings, message: message, items: make(chan Aged[T], settings.Ring)}
+func NewAnnouncer[T any](client *Client, settings AnnouncerSettings, buildMessage func(batch []Timestamped[T]) any) *Announcer[T] {
+	return &Announcer[T]{client: client, settings: settings, buildMessage: buildMessage, queue: make(chan Timestamped[T], settings.QueueSize)}
 }
 
 // SetPeers replaces the addresses that are told.
@@ -51,7 +51,7 @@
 // Announce queues an item, or drops it when the ring is full.
 func (a *Announcer[T]) Announce(item T) {
 	select {
-	case a.items <- Aged[T]{Item: item, At: clock.Now()}:
+	case a.queue <- Timestamped[T]{Item: item, At: clock.Now()}:
 	default:
 	}
 }
@@ -62,22 +62,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-a.items:
-			time.Sleep(a.settings.Period)
-			a.tell(ctx, a.message(a.collect(first)))
+		case first := <-a.queue:
+			time.Sleep(a.settings.BatchDelay)
+			a.broadcast(ctx, a.buildMessage(a.collectBatch(first)))
 		}
 	}
 }
 
-func (a *Announcer[T]) collect(first Aged[T]) []Aged[T] {
-	batch := []Aged[T]{first}
-	for len(batch) < a.settings.Batch && len(a.items) > 0 {
-		batch = append(batch, <-a.items)
+func (a *Announcer[T]) collectBatch(first Timestamped[T]) []Timestamped[T] {
+	batch := []Timestamped[T]{first}
+	for len(batch) < a.settings.MaxBatch && len(a.queue) > 0 {
+		batch = append(batch, <-a.queue)
 	}
 	return batch
 }
 
-func (a *Announcer[T]) tell(ctx context.Context, message any) {
+func (a *Announcer[T]) broadcast(ctx context.Context, message any) {
 	a.mutex.Lock()
 	peers := a.peers
 	a.mutex.Unlock()
@@ -90,9 +90,9 @@
 	}
 	for _, address := range peers {
 		go func() {
-			attempt, cancel := context.WithTimeout(ctx, a.settings.Timeout)
+			callCtx, cancel := context.WithTimeout(ctx, a.settings.Timeout)
 			defer cancel()
-			_ = a.client.PostBody(attempt, address, a.settings.Path, body) // best effort
+			_ = a.client.PostBody(callCtx, address, a.settings.Path, body) // best effort
 		}()
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -30,28 +30,28 @@
 
 // NewClient returns a client whose connections pass through links. Long bodies are compressed here, both ways; net/http's own
 // compression is off.
-func NewClient(token string, links *Links) *Client {
+func NewClient(token string, links *LinkFilter) *Client {
 	return &Client{http: &http.Client{Transport: NewRoundTripper(links)}, token: token}
 }
 
-// NewClientWithin returns a client that gives a connection up which does not come up within a time. A machine that has just
+// NewClientWithDialTimeout returns a client that gives a connection up which does not come up within a time. A machine that has just
 // come back never answers what was sent to it before; a new attempt reaches it at once.
-func NewClientWithin(token string, links *Links, dial time.Duration) *Client {
-	return &Client{http: &http.Client{Transport: newRoundTripper(links, dial)}, token: token}
+func NewClientWithDialTimeout(token string, links *LinkFilter, timeout time.Duration) *Client {
+	return &Client{http: &http.Client{Transport: newRoundTripper(links, timeout)}, token: token}
 }
 
-// NewClientOver returns a client whose connections are made by dial, for runs that count what travels.
-func NewClientOver(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
-	over := NewRoundTripper(nil)
-	over.DialContext = dial
-	return &Client{http: &http.Client{Transport: over}, token: token}
+// NewClientWithDialer returns a client whose connections are made by dial, for runs that count what travels.
+func NewClientWithDialer(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
+	roundTripper := NewRoundTripper(nil)
+	roundTripper.DialContext = dial
+	return &Client{http: &http.Client{Transport: roundTripper}, token: token}
 }
 
 // NewRoundTripper returns the transport used towards processes and back ends.
-func NewRoundTripper(links *Links) *http.Transport { return newRoundTripper(links, dialTimeout) }
+func NewRoundTripper(links *LinkFilter) *http.Transport { return newRoundTripper(links, dialTimeout) }
 
-func newRoundTripper(links *Links, dial time.Duration) *http.Transport {
-	dialer := &net.Dialer{Timeout: dial}
+func newRoundTripper(links *LinkFilter, timeout time.Duration) *http.Transport {
+	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Transport{
 		DialContext:         links.wrapDial(dialer.DialContext),
 		MaxIdleConnsPerHost: idlePerHost,
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -13,15 +13,15 @@
 // LinkFile describes the network between zones, for tests on one machine: which addresses lie in which zone,
 // how long a message takes between zones, and which zones are cut off. It is read again when it changes.
 type LinkFile struct {
-	Zones     map[string]string `json:"zones"` // zone by address
-	LatencyMS float64           `json:"latency_ms"`
-	Cut       []string          `json:"cut"`
+	Zones       map[string]string `json:"zones"` // zone by address
+	LatencyMS   float64           `json:"latency_ms"`
+	Partitioned []string          `json:"cut"`
 }
 
-const linkFilePoll = 100 * time.Millisecond
+const linkFilePollInterval = 100 * time.Millisecond
 
-// Links filters a process's connections by a LinkFile. A nil Links passes everything.
-type Links struct {
+// LinkFilter filters a process's connections by a LinkFile. A nil LinkFilter passes everything.
+type LinkFilter struct {
 	zone string
 	path string
 
@@ -30,22 +30,22 @@
 	modified time.Time
 }
 
-// WatchLinks reads the file now and then every linkFilePoll until ctx ends.
-func WatchLinks(ctx context.Context, path, zone string) *Links {
+// WatchLinkFile reads the file now and then every linkFilePoll until ctx ends.
+func WatchLinkFile(ctx context.Context, path, zone string) *LinkFilter {
 	if path == "" {
 		return nil
 	}
-	links := &Links{zone: zone, path: path}
+	links := &LinkFilter{zone: zone, path: path}
 	links.reload()
 	go links.watch(ctx)
 	return links
 }
 
-func (l *Links) watch(ctx context.Context) {
-	Every(ctx, linkFilePoll, l.reload)
+func (l *LinkFilter) watch(ctx context.Context) {
+	Every(ctx, linkFilePollInterval, l.reload)
 }
 
-func (l *Links) reload() {
+func (l *LinkFilter) reload() {
 	info, err := os.Stat(l.path)
 	if err != nil || info.ModTime().Equal(l.modified) {
 		return
@@ -63,22 +63,22 @@
 	l.mutex.Unlock()
 }
 
-// state tells whether an address is cut off and how far it is.
-func (l *Links) state(address string) (cut bool, latency time.Duration) {
+// linkState tells whether an address is cut off and how far it is.
+func (l *LinkFilter) linkState(address string) (cut bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
 	other := l.file.Zones[address]
 	if other == "" || other == l.zone {
 		return false, 0
 	}
-	cut = slices.Contains(l.file.Cut, other) || slices.Contains(l.file.Cut, l.zone)
+	cut = slices.Contains(l.file.Partitioned, other) || slices.Contains(l.file.Partitioned, l.zone)
 	return cut, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
 }
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // wrapDial makes connections that go silent while their link is cut.
-func (l *Links) wrapDial(dial dialFunc) dialFunc {
+func (l *LinkFilter) wrapDial(dial dialFunc) dialFunc {
 	if l == nil {
 		return dial
 	}
@@ -90,24 +90,24 @@
 		if err != nil {
 			return nil, err
 		}
-		life, end := context.WithCancel(context.Background())
-		return &linkConn{Conn: conn, links: l, address: address, life: life, end: end}, nil
+		closeCtx, cancel := context.WithCancel(context.Background())
+		return &linkConn{Conn: conn, links: l, address: address, closeCtx: closeCtx, cancel: cancel}, nil
 	}
 }
 
 // wait blocks while the link is cut, as a network that drops packets does, then for the latency.
-func (l *Links) wait(ctx context.Context, address string) error {
+func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
-		cut, latency := l.state(address)
-		pause := latency
+		cut, latency := l.linkState(address)
+		delay := latency
 		if cut {
-			pause = linkFilePoll
+			delay = linkFilePollInterval
 		}
-		if pause > 0 {
+		if delay > 0 {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 		}
 		if !cut {
@@ -119,15 +119,15 @@
 // linkConn is a connection over a filtered link. Latency is added to what is written.
 type linkConn struct {
 	net.Conn
-	links   *Links
-	address string
-	life    context.Context // ends with Close
-	end     context.CancelFunc
+	links    *LinkFilter
+	address  string
+	closeCtx context.Context // ends with Close
+	cancel   context.CancelFunc
 }
 
 // Write waits for the link, then writes.
 func (c *linkConn) Write(data []byte) (int, error) {
-	if err := c.links.wait(c.life, c.address); err != nil {
+	if err := c.links.wait(c.closeCtx, c.address); err != nil {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(data)
@@ -137,20 +137,20 @@
 func (c *linkConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	for {
-		cut, _ := c.links.state(c.address)
+		cut, _ := c.links.linkState(c.address)
 		if !cut {
 			return n, err
 		}
 		select {
-		case <-c.life.Done():
+		case <-c.closeCtx.Done():
 			return 0, net.ErrClosed
-		case <-time.After(linkFilePoll):
+		case <-time.After(linkFilePollInterval):
 		}
 	}
 }
 
 // Close closes the connection and frees whoever waits for the link.
 func (c *linkConn) Close() error {
-	c.end()
+	c.cancel()
 	return c.Conn.Close()
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -42,38 +42,38 @@
 // Server is the internal listener.
 type Server struct {
 	gnet.BuiltinEventEngine
-	engine  gnet.Engine
-	started chan struct{}
-	token   string
-	handler Handler
-	log     *zap.Logger
-	owed    atomic.Int64 // bytes of answers that peers have not read yet
-	most    int64        // that owed may reach by long answers
+	engine      gnet.Engine
+	started     chan struct{}
+	token       string
+	handler     Handler
+	log         *zap.Logger
+	unreadBytes atomic.Int64 // bytes of answers that peers have not read yet
+	maxUnread   int64        // that owed may reach by long answers
 }
 
 // connection is the state of one accepted connection. It is touched only on its event loop.
 type connection struct {
-	busy bool // a request is being answered; the next one waits in the buffer
-	need int  // bytes that must be buffered before parsing again
-	owed int  // bytes of the newest answer, until the peer has asked again: only then has it read them
+	busy        bool // a request is being answered; the next one waits in the buffer
+	minBuffered int  // bytes that must be buffered before parsing again
+	unread      int  // bytes of the newest answer, until the peer has asked again: only then has it read them
 }
 
-// owedMost bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
+// defaultMaxUnread bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
 // behind slow links turns them away, so that its memory does not end; 48 MB is less than a tenth of a control machine's.
-const owedMost = 48 << 20
+const defaultMaxUnread = 48 << 20
 
 // Listen serves on address until Close. Callers must send the cluster token.
 func Listen(address, token string, handler Handler, log *zap.Logger) (*Server, error) {
-	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, most: owedMost}
-	failed := make(chan error, 1)
+	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: defaultMaxUnread}
+	runErr := make(chan error, 1)
 	go func() {
-		failed <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
+		runErr <- gnet.Run(server, "tcp://"+address, gnet.WithNumEventLoop(eventLoops), gnet.WithReuseAddr(true),
 			gnet.WithLogger(log.Sugar()))
 	}()
 	select {
 	case <-server.started:
 		return server, nil
-	case err := <-failed:
+	case err := <-runErr:
 		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
 }
@@ -99,25 +99,25 @@
 // OnTraffic is called by gnet when bytes have come in.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	state := c.Context().(*connection)
-	if state.busy || c.InboundBuffered() < state.need {
+	if state.busy || c.InboundBuffered() < state.minBuffered {
 		return gnet.None
 	}
 	data, err := c.Peek(-1)
 	if err != nil {
 		return gnet.Close
 	}
-	request, consumed, err := parse(data)
+	request, consumed, err := parseRequest(data)
 	switch {
 	case err == errIncomplete:
-		state.need = consumed
+		state.minBuffered = consumed
 		return gnet.None
 	case err != nil:
 		s.log.Warn("malformed internal request", zap.Error(err))
 		return gnet.Close
 	}
-	known := s.knows(request)
+	authorized := s.isAuthorized(request)
 	var body []byte
-	if known { // who doesn't show the token has nothing expanded
+	if authorized { // who doesn't show the token has nothing expanded
 		body, err = payload.Decompress(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
 	}
 	if err != nil {
@@ -127,96 +127,96 @@
 	if _, err := c.Discard(consumed); err != nil {
 		return gnet.Close
 	}
-	state.need = 0
+	state.minBuffered = 0
 	state.busy = true
-	s.settle(state)
-	s.dispatch(c, request, body, known)
+	s.releaseUnread(state)
+	s.dispatch(c, request, body, authorized)
 	return gnet.None
 }
 
 // OnClose is called by gnet when a connection has ended.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if state, ok := c.Context().(*connection); ok {
-		s.settle(state)
+		s.releaseUnread(state)
 	}
 	return gnet.None
 }
 
-// settle notes that a peer waits for no answer any more.
-func (s *Server) settle(state *connection) {
-	s.owed.Add(-int64(state.owed))
-	state.owed = 0
+// releaseUnread notes that a peer waits for no answer any more.
+func (s *Server) releaseUnread(state *connection) {
+	s.unreadBytes.Add(-int64(state.unread))
+	state.unread = 0
 }
 
-// knows reports whether a request shows the cluster's token.
-func (s *Server) knows(request *http.Request) bool {
+// isAuthorized reports whether a request shows the cluster's token.
+func (s *Server) isAuthorized(request *http.Request) bool {
 	return s.token == "" || strings.TrimPrefix(request.Header.Get("Authorization"), bearerPrefix) == s.token
 }
 
-func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, known bool) {
-	accepts := request.Header.Get(acceptHeader) == payload.Gzip
-	respond := func(status int, answer any) { s.answer(c, status, answer, accepts) }
-	if !known {
+func (s *Server) dispatch(c gnet.Conn, request *http.Request, body []byte, authorized bool) {
+	acceptsGzip := request.Header.Get(acceptHeader) == payload.Gzip
+	respond := func(status int, value any) { s.writeResponse(c, status, value, acceptsGzip) }
+	if !authorized {
 		respond(http.StatusUnauthorized, nil)
 		return
 	}
 	s.handler(Request{Path: request.URL.Path, Body: body}, respond)
 }
 
-// answer writes a response and lets the connection's next request be parsed.
-func (s *Server) answer(c gnet.Conn, status int, answer any, accepts bool) {
-	body, encoding, err := encode(answer, accepts)
+// writeResponse writes a response and lets the connection's next request be parsed.
+func (s *Server) writeResponse(c gnet.Conn, status int, value any, acceptsGzip bool) {
+	body, encoding, err := encodeResponse(value, acceptsGzip)
 	if err != nil {
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("internal answer cannot be encoded", zap.Error(err))
 	}
-	if len(body) >= payload.MinCompressBytes && s.owed.Load()+int64(len(body)) > s.most {
-		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.owed.Load()))
+	if len(body) >= payload.MinCompressBytes && s.unreadBytes.Load()+int64(len(body)) > s.maxUnread {
+		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.unreadBytes.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
-	s.owed.Add(int64(len(body)))
-	wire, err := framed(status, body, encoding)
+	s.unreadBytes.Add(int64(len(body)))
+	wire, err := frameResponse(status, body, encoding)
 	if err != nil {
 		s.log.Error("internal answer cannot be framed", zap.Error(err))
 		return
 	}
-	written := func(c gnet.Conn, failed error) error {
+	onWritten := func(c gnet.Conn, writeErr error) error {
 		state, ok := c.Context().(*connection)
-		if !ok || failed != nil {
-			s.owed.Add(-int64(len(body))) // OnClose has come before
+		if !ok || writeErr != nil {
+			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
 			return nil
 		}
-		state.busy, state.owed = false, state.owed+len(body)
+		state.busy, state.unread = false, state.unread+len(body)
 		if c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
 		return nil
 	}
-	if err := c.AsyncWrite(wire, written); err != nil {
-		s.owed.Add(-int64(len(body)))
+	if err := c.AsyncWrite(wire, onWritten); err != nil {
+		s.unreadBytes.Add(-int64(len(body)))
 		s.log.Debug("internal answer cannot be written", zap.Error(err))
 	}
 }
 
-// encode returns an answer as it travels, and its encoding.
-func encode(answer any, accepts bool) (body []byte, encoding string, err error) {
-	if composite, made := answer.(payload.Composite); made {
+// encodeResponse returns an answer as it travels, and its encoding.
+func encodeResponse(value any, acceptsGzip bool) (body []byte, encoding string, err error) {
+	if composite, isComposite := value.(payload.Composite); isComposite {
 		parts, err := composite.Parts()
 		if err != nil {
 			return nil, "", err
 		}
-		body, encoding = payload.Assemble(parts, accepts)
+		body, encoding = payload.Assemble(parts, acceptsGzip)
 		return body, encoding, nil
 	}
-	body, err = json.Marshal(answer)
-	if err == nil && accepts {
+	body, err = json.Marshal(value)
+	if err == nil && acceptsGzip {
 		body, encoding = payload.Compress(body)
 	}
 	return body, encoding, err
 }
 
-// framed returns a response as it travels.
-func framed(status int, body []byte, encoding string) ([]byte, error) {
+// frameResponse returns a response as it travels.
+func frameResponse(status int, body []byte, encoding string) ([]byte, error) {
 	response := http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body)),
 		Header: http.Header{"Content-Type": {"application/json"}}, Body: io.NopCloser(bytes.NewReader(body)),
@@ -232,9 +232,9 @@
 // errIncomplete says that more bytes are needed.
 var errIncomplete = eris.New("incomplete request")
 
-// parse reads one request from the start of data. With errIncomplete it returns how many bytes are needed
+// parseRequest reads one request from the start of data. With errIncomplete it returns how many bytes are needed
 // at least.
-func parse(data []byte) (*http.Request, int, error) {
+func parseRequest(data []byte) (*http.Request, int, error) {
 	headerEnd := bytes.Index(data, []byte("\r\n\r\n"))
 	if headerEnd < 0 {
 		if len(data) > maxHeaderBytes {
