--- a/cmd/kitetiller/main.go
+++ b/cmd/kitetiller/main.go
@@ -166,7 +166,7 @@
 			if a.release != "" {
 				return o.Release(a.release)
 			}
-			return o.Held()
+			return o.ListQuarantined()
 		})},
 	}
 }
@@ -238,13 +238,13 @@
 			*target = value
 		}
 	}
-	override(&file.Data, args.data)
+	override(&file.DataDir, args.data)
 	override(&file.Zone, args.zone)
 	override(&file.LogLevel, args.logLevel)
 	if file.Router != nil {
 		override(&file.Router.Listen, args.listen)
 	} else {
-		override(&file.Control.Internal, args.listen)
+		override(&file.Control.InternalAddress, args.listen)
 	}
 	return file, nil
 }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -13,7 +13,7 @@
 
 var testTiming = Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 700 * time.Millisecond, ElectionMax: 1400 * time.Millisecond, Lease: 500 * time.Millisecond}
 
-// replica is a node with its disk.
+// replica is a node with its simulated stable storage.
 type replica struct {
 	id       ID
 	node     *Node
@@ -21,23 +21,23 @@
 	entries  []Entry
 	snapshot Snapshot
 	applied  []Entry
-	up       bool
+	running  bool
 }
 
-// cluster drives nodes over a network that the test controls.
+// cluster drives nodes over a simulated network.
 type cluster struct {
-	now      time.Duration
-	random   *rand.Rand
-	replicas []*replica
-	mail     []Message
-	cut      map[ID]bool
-	leaders  map[uint64]ID
-	chosen   map[uint64]Entry // committed entry by index, as first seen
-	fail     func(format string, arguments ...any)
+	now         time.Duration
+	random      *rand.Rand
+	replicas    []*replica
+	inFlight    []Message
+	partitioned map[ID]bool
+	leaders     map[uint64]ID
+	committed   map[uint64]Entry // first committed entry seen for each index
+	fail        func(format string, arguments ...any)
 }
 
 func newCluster(size int, seed uint64, fail func(string, ...any)) *cluster {
-	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), cut: map[ID]bool{}, leaders: map[uint64]ID{}, chosen: map[uint64]Entry{}, fail: fail}
+	c := &cluster{random: rand.New(rand.NewPCG(seed, 1)), partitioned: map[ID]bool{}, leaders: map[uint64]ID{}, committed: map[uint64]Entry{}, fail: fail}
 	var members []Member
 	for i := range size {
 		members = append(members, Member{ID: ID(fmt.Sprintf("n%d", i)), Name: fmt.Sprintf("n%d", i)})
@@ -51,16 +51,16 @@
 }
 
 func (c *cluster) start(r *replica) {
-	r.up = true
+	r.running = true
 	r.applied = nil
 	r.node = New(Config{ID: r.id, Timing: testTiming, Random: c.random.Int64N},
 		Restored{HardState: r.hard, Snapshot: r.snapshot.Meta, Entries: slices.Clone(r.entries)}, c.now,
 		func() (Snapshot, bool) { return r.snapshot, true })
 }
 
-// settle syncs and sends what a replica has to do, in the order that the package demands.
-func (c *cluster) settle(r *replica) {
-	for r.up && r.node.HasReady() {
+// processReady stores, sends and applies a replica's pending work in the order that the package comment prescribes.
+func (c *cluster) processReady(r *replica) {
+	for r.running && r.node.HasReady() {
 		ready := r.node.Ready()
 		if ready.HardState != nil {
 			r.hard = *ready.HardState
@@ -68,24 +68,24 @@
 		if ready.Snapshot != nil {
 			r.snapshot, r.entries, r.applied = *ready.Snapshot, nil, nil
 		}
-		c.store(r, ready.Entries)
+		c.persist(r, ready.Entries)
 		if count := len(ready.Entries); count > 0 {
-			r.node.Persisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
+			r.node.MarkPersisted(ready.Entries[count-1].Index, ready.Entries[count-1].Term)
 		}
-		c.mail = append(c.mail, ready.Messages...)
+		c.inFlight = append(c.inFlight, ready.Messages...)
 		for _, entry := range ready.Committed {
 			c.apply(r, entry)
 		}
 	}
-	if r.up && r.node.Role() == Leader {
-		if other, taken := c.leaders[r.node.Term()]; taken && other != r.id {
-			c.fail("%s and %s both lead term %d", other, r.id, r.node.Term())
+	if r.running && r.node.Role() == Leader {
+		if other, exists := c.leaders[r.node.Term()]; exists && other != r.id {
+			c.fail("replicas %s and %s both lead term %d", other, r.id, r.node.Term())
 		}
 		c.leaders[r.node.Term()] = r.id
 	}
 }
 
-func (c *cluster) store(r *replica, entries []Entry) {
+func (c *cluster) persist(r *replica, entries []Entry) {
 	for _, entry := range entries {
 		at := int(entry.Index - r.snapshot.Meta.Index - 1)
 		r.entries = append(r.entries[:at:at], entry)
@@ -93,11 +93,11 @@
 }
 
 func (c *cluster) apply(r *replica, entry Entry) {
-	first, known := c.chosen[entry.Index]
+	first, known := c.committed[entry.Index]
 	if known && (first.Term != entry.Term || !bytes.Equal(first.Data, entry.Data)) {
-		c.fail("index %d: %s committed term %d, another replica term %d", entry.Index, r.id, entry.Term, first.Term)
+		c.fail("index %d: %s committed an entry of term %d that differs from another replica's of term %d", entry.Index, r.id, entry.Term, first.Term)
 	}
-	c.chosen[entry.Index] = entry
+	c.committed[entry.Index] = entry
 	r.applied = append(r.applied, entry)
 }
 
@@ -110,38 +110,38 @@
 	return nil
 }
 
-// deliver takes the message at a position, or loses it on a cut link.
+// deliver delivers the in-flight message at a position, or drops it if either end is partitioned or the target is down.
 func (c *cluster) deliver(at int) {
-	message := c.mail[at]
-	c.mail = slices.Delete(c.mail, at, at+1)
+	message := c.inFlight[at]
+	c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	to := c.find(message.To)
-	if to == nil || !to.up || c.cut[message.From] || c.cut[message.To] {
+	if to == nil || !to.running || c.partitioned[message.From] || c.partitioned[message.To] {
 		return
 	}
 	to.node.Step(c.now, message)
-	c.settle(to)
+	c.processReady(to)
 }
 
 func (c *cluster) advance(d time.Duration) {
 	c.now += d
 	for _, r := range c.replicas {
-		if r.up {
+		if r.running {
 			r.node.Tick(c.now)
-			c.settle(r)
+			c.processReady(r)
 		}
 	}
 	c.checkLeases()
 }
 
-// checkLeases holds that at most one replica may serve reads.
+// checkLeases fails if more than one replica holds a valid lease.
 func (c *cluster) checkLeases() {
 	var holder *replica
 	for _, r := range c.replicas {
-		if !r.up || !r.node.LeaseValid(c.now) {
+		if !r.running || !r.node.LeaseValid(c.now) {
 			continue
 		}
 		if holder != nil {
-			c.fail("%s (term %d) and %s (term %d) both hold a lease", holder.id, holder.node.Term(), r.id, r.node.Term())
+			c.fail("replicas %s (term %d) and %s (term %d) both hold a valid lease", holder.id, holder.node.Term(), r.id, r.node.Term())
 		}
 		holder = r
 	}
@@ -150,7 +150,7 @@
 func (c *cluster) leader() *replica {
 	var best *replica
 	for _, r := range c.replicas {
-		if r.up && !c.cut[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
+		if r.running && !c.partitioned[r.id] && r.node.Role() == Leader && (best == nil || r.node.Term() > best.node.Term()) {
 			best = r
 		}
 	}
@@ -163,15 +163,15 @@
 		return false
 	}
 	_, _, ok := leader.node.Propose(c.now, []byte(data))
-	c.settle(leader)
+	c.processReady(leader)
 	return ok
 }
 
-// calm lets time pass with a working network.
-func (c *cluster) calm(length time.Duration) {
+// runFor advances time and delivers all messages in order.
+func (c *cluster) runFor(length time.Duration) {
 	for end := c.now + length; c.now < end; {
 		c.advance(20 * time.Millisecond)
-		for len(c.mail) > 0 {
+		for len(c.inFlight) > 0 {
 			c.deliver(0)
 		}
 	}
@@ -179,87 +179,86 @@
 
 func TestLeaderIsElectedAndCommits(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	if !c.propose("x") {
-		t.Fatal("no leader after 3 s")
+		t.Fatal("no leader accepted a proposal after 3 s")
 	}
-	c.calm(time.Second)
+	c.runFor(time.Second)
 	for _, r := range c.replicas {
 		if last := r.applied[len(r.applied)-1]; string(last.Data) != "x" {
-			t.Fatalf("%s applied %q last", r.id, last.Data)
+			t.Fatalf("%s: last applied entry %q, want \"x\"", r.id, last.Data)
 		}
 	}
 }
 
-// TestCutOffLeaderLosesItsLease: by the time another replica can be elected, the old leader must know that it may
-// not serve reads.
-func TestCutOffLeaderLosesItsLease(t *testing.T) {
+// Guards against stale reads: a partitioned leader's lease must end before another leader is elected.
+func TestPartitionedLeaderLosesLeaseBeforeNextElection(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	old := c.leader()
-	c.cut[old.id] = true
+	c.partitioned[old.id] = true
 	for range 300 {
-		c.calm(20 * time.Millisecond)
+		c.runFor(20 * time.Millisecond)
 		if next := c.leader(); next != nil && next != old {
 			if old.node.LeaseValid(c.now) {
-				t.Fatalf("%s leads term %d while %s holds a lease of term %d", next.id, next.node.Term(), old.id, old.node.Term())
+				t.Fatalf("replica %s leads term %d while %s still holds a valid lease of term %d", next.id, next.node.Term(), old.id, old.node.Term())
 			}
 			return
 		}
 	}
-	t.Fatal("no new leader within 6 s")
+	t.Fatal("no new leader within 6 s of the partition")
 }
 
-// TestReturningReplicaDoesNotDepose: pre-vote keeps a replica that was cut off from raising the term.
-func TestReturningReplicaDoesNotDepose(t *testing.T) {
+// Guards against a partitioned replica raising the term: pre-vote must prevent it.
+func TestReconnectedReplicaDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	term := leader.node.Term()
-	away := c.replicas[0]
-	if away == leader {
-		away = c.replicas[1]
+	isolated := c.replicas[0]
+	if isolated == leader {
+		isolated = c.replicas[1]
 	}
-	c.cut[away.id] = true
-	c.calm(20 * time.Second)
-	delete(c.cut, away.id)
-	c.calm(3 * time.Second)
+	c.partitioned[isolated.id] = true
+	c.runFor(20 * time.Second)
+	delete(c.partitioned, isolated.id)
+	c.runFor(3 * time.Second)
 	if c.leader() != leader || leader.node.Term() != term {
-		t.Fatalf("leadership changed to term %d", c.leader().node.Term())
+		t.Fatalf("leader changed after reconnection: now in term %d", c.leader().node.Term())
 	}
 }
 
-// TestLogsAgreeUnderFaults delivers, loses, repeats and reorders messages, kills and cuts replicas.
+// TestLogsAgreeUnderFaults drops, duplicates and reorders messages, and kills, restarts and partitions replicas.
 func TestLogsAgreeUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"), t.Fatalf)
-		c.calm(3 * time.Second)
+		c.runFor(3 * time.Second)
 		proposals := 0
-		one := rapid.IntRange(0, len(c.replicas)-1)
+		replicaIndex := rapid.IntRange(0, len(c.replicas)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { c.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond) },
 			"propose": func(*rapid.T) { proposals++; c.propose(fmt.Sprint(proposals)) },
 			"deliver": func(t *rapid.T) {
-				for range min(len(c.mail), rapid.IntRange(1, 8).Draw(t, "count")) {
-					c.deliver(rapid.IntRange(0, len(c.mail)-1).Draw(t, "position"))
+				for range min(len(c.inFlight), rapid.IntRange(1, 8).Draw(t, "count")) {
+					c.deliver(rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position"))
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(c.mail) > 0 {
-					at := rapid.IntRange(0, len(c.mail)-1).Draw(t, "position")
-					c.mail = slices.Delete(c.mail, at, at+1)
+				if len(c.inFlight) > 0 {
+					at := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")
+					c.inFlight = slices.Delete(c.inFlight, at, at+1)
 				}
 			},
 			"repeat": func(t *rapid.T) {
-				if len(c.mail) > 0 {
-					c.mail = append(c.mail, c.mail[rapid.IntRange(0, len(c.mail)-1).Draw(t, "position")])
+				if len(c.inFlight) > 0 {
+					c.inFlight = append(c.inFlight, c.inFlight[rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "position")])
 				}
 			},
-			"cut":  func(t *rapid.T) { c.cut[c.replicas[one.Draw(t, "replica")].id] = true },
-			"heal": func(*rapid.T) { clear(c.cut) },
-			"kill": func(t *rapid.T) { c.replicas[one.Draw(t, "replica")].up = false },
+			"cut":  func(t *rapid.T) { c.partitioned[c.replicas[replicaIndex.Draw(t, "replica")].id] = true },
+			"heal": func(*rapid.T) { clear(c.partitioned) },
+			"kill": func(t *rapid.T) { c.replicas[replicaIndex.Draw(t, "replica")].running = false },
 			"start": func(t *rapid.T) {
-				if r := c.replicas[one.Draw(t, "replica")]; !r.up {
+				if r := c.replicas[replicaIndex.Draw(t, "replica")]; !r.running {
 					c.start(r)
 				}
 			},
@@ -268,98 +267,97 @@
 	})
 }
 
-// recoverAndCheck heals everything; the group must commit again and agree on all that was ever committed.
+// recoverAndCheck heals the network and restarts all replicas, which must then elect a leader, commit and catch up.
 func (c *cluster) recoverAndCheck(t *rapid.T) {
-	clear(c.cut)
-	c.mail = nil
+	clear(c.partitioned)
+	c.inFlight = nil
 	for _, r := range c.replicas {
-		if !r.up {
+		if !r.running {
 			c.start(r)
 		}
 	}
-	c.calm(8 * time.Second)
+	c.runFor(8 * time.Second)
 	if !c.propose("last") {
-		t.Fatal("no leader after everything healed")
+		t.Fatal("no leader accepted a proposal after recovery")
 	}
-	c.calm(2 * time.Second)
+	c.runFor(2 * time.Second)
 	for _, r := range c.replicas {
 		if r.node.Commit() < c.leader().node.Commit() {
-			t.Fatalf("%s committed up to %d, the leader up to %d", r.id, r.node.Commit(), c.leader().node.Commit())
+			t.Fatalf("after recovery %s committed up to index %d, the leader up to %d", r.id, r.node.Commit(), c.leader().node.Commit())
 		}
 	}
 }
 
-// TestMembershipChangesOneVoteAtATime refuses a change of two votes and a change on top of an uncommitted one.
+// A change of two votes and a change before the previous one has committed must be rejected.
 func TestMembershipChangesOneVoteAtATime(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader().node
-	two := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
-	if _, _, ok := leader.ProposeMembership(c.now, two); ok {
-		t.Fatal("two votes were changed at once")
+	twoNewVoters := leader.Membership().With(Member{ID: "x"}).With(Member{ID: "y"})
+	if _, _, ok := leader.ProposeMembership(c.now, twoNewVoters); ok {
+		t.Fatal("a change of two votes was accepted")
 	}
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "x", Learner: true})); !ok {
-		t.Fatal("a learner was refused")
+		t.Fatal("adding a learner was rejected")
 	}
 	if _, _, ok := leader.ProposeMembership(c.now, leader.Membership().With(Member{ID: "y", Learner: true})); ok {
-		t.Fatal("a second change was taken before the first had committed")
+		t.Fatal("a second change was accepted before the first had committed")
 	}
-	if leader.MembershipSettled() {
-		t.Fatal("an uncommitted membership counts as settled")
+	if leader.MembershipCommitted() {
+		t.Fatal("MembershipCommitted is true before the membership entry has committed")
 	}
 }
 
-// TestFollowerThatLostEntriesIsNotFlooded: a follower that forgot what it had acknowledged is asked again with
-// heartbeats, not at the speed of the network.
-func TestFollowerThatLostEntriesIsNotFlooded(t *testing.T) {
+// Guards against a message loop with a follower that lost acknowledged entries and rejects every append.
+func TestFollowerWithLostEntriesIsProbedOncePerHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	peer := leader.node.Peers()[0]
 	for range 5 {
 		leader.node.Step(c.now, Message{Kind: MessageAppendReply, From: peer.ID, To: leader.id, Term: leader.node.Term(), Reject: true, Index: peer.Match})
 	}
 	if sent := len(leader.node.Ready().Messages); sent != 0 {
-		t.Fatalf("%d messages answer rejections below the match index", sent)
+		t.Fatalf("%d messages sent in response to rejections at the match index, want 0", sent)
 	}
 }
 
-// TestSnapshotIsNotSentWithEachHeartbeat: while one is on its way the peer hears heartbeats, and the leader keeps its lease by their
-// answers; once a while without an answer has passed, the snapshot is sent again.
-func TestSnapshotIsNotSentWithEachHeartbeat(t *testing.T) {
+// An unacknowledged snapshot must not be resent with each heartbeat. Meanwhile the replies to heartbeats keep the lease
+// valid, and a lost snapshot is eventually resent.
+func TestPendingSnapshotIsNotResentEveryHeartbeat(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
-	away := leader.node.Peers()[0].ID
-	c.cut[away] = true
+	isolated := leader.node.Peers()[0].ID
+	c.partitioned[isolated] = true
 	for i := range 20 {
 		c.propose(fmt.Sprint(i))
 	}
-	c.calm(time.Second)
+	c.runFor(time.Second)
 	meta := SnapshotMeta{Index: leader.node.Commit(), Term: leader.node.Term(), Membership: leader.node.Membership()}
 	leader.snapshot, leader.entries = Snapshot{Meta: meta}, nil
 	leader.node.Compact(meta)
-	delete(c.cut, away)
+	delete(c.partitioned, isolated)
 	snapshots := 0
 	for end := c.now + testTiming.ElectionMin - 2*testTiming.Heartbeat; c.now < end; {
 		c.advance(20 * time.Millisecond)
-		for len(c.mail) > 0 {
-			if c.mail[0].Kind == MessageSnapshot {
+		for len(c.inFlight) > 0 {
+			if c.inFlight[0].Kind == MessageSnapshot {
 				snapshots++
-				c.mail = c.mail[1:] // a large one, still on its way
+				c.inFlight = c.inFlight[1:] // the snapshot does not arrive
 				continue
 			}
 			c.deliver(0)
 		}
 		if !leader.node.LeaseValid(c.now) {
-			t.Fatalf("the leader has no lease at %v", c.now)
+			t.Fatalf("leader has no valid lease at %v", c.now)
 		}
 	}
 	if snapshots != 1 {
-		t.Fatalf("%d snapshots were sent", snapshots)
+		t.Fatalf("%d snapshots sent, want 1", snapshots)
 	}
-	c.calm(2 * time.Second)
-	if behind := c.find(away); behind.node.Commit() < leader.node.Commit() {
-		t.Fatalf("%s rests at %d, the leader at %d", away, behind.node.Commit(), leader.node.Commit())
+	c.runFor(2 * time.Second)
+	if follower := c.find(isolated); follower.node.Commit() < leader.node.Commit() {
+		t.Fatalf("replica %s committed up to index %d, the leader up to %d", isolated, follower.node.Commit(), leader.node.Commit())
 	}
 }
--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -5,69 +5,68 @@
 	"time"
 )
 
-// restart ends the given replicas at once and starts them again, in their order, one each gap.
+// restart stops the given replicas together and starts them again in order, with a gap between starts.
 func (c *cluster) restart(gap time.Duration, replicas ...*replica) {
 	for _, r := range replicas {
-		r.up = false
+		r.running = false
 	}
-	c.mail = nil
+	c.inFlight = nil
 	for i, r := range replicas {
 		if i > 0 {
-			c.calm(gap)
+			c.runFor(gap)
 		}
 		c.start(r)
 	}
 }
 
-// leaderWithin lets time pass until a leader may serve reads, and returns how long that took.
-func (c *cluster) leaderWithin(t *testing.T, most time.Duration) {
+// waitForLeader runs the cluster until a leader has a valid lease, and fails the test on timeout.
+func (c *cluster) waitForLeader(t *testing.T, timeout time.Duration) {
 	t.Helper()
-	began := c.now
-	for c.now < began+most {
-		c.calm(10 * time.Millisecond)
+	startedAt := c.now
+	for c.now < startedAt+timeout {
+		c.runFor(10 * time.Millisecond)
 		if leader := c.leader(); leader != nil && leader.node.LeaseValid(c.now) {
 			return
 		}
 	}
-	t.Fatalf("no leader within %v of the last start", most)
+	t.Fatalf("no leader with a valid lease within %v of the last start", timeout)
 }
 
-// TestWholeGroupElectsAtOnceAfterRestart: nobody is left that a lease was promised to.
-func TestWholeGroupElectsAtOnceAfterRestart(t *testing.T) {
+// After a restart of all replicas no lease can be left, so that the election must not wait for ElectionMin.
+func TestFullRestartElectsLeaderWithoutLeaseWait(t *testing.T) {
 	for _, gap := range []time.Duration{0, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
 			c := newCluster(3, seed, t.Fatalf)
-			c.calm(3 * time.Second)
+			c.runFor(3 * time.Second)
 			c.restart(gap, c.replicas...)
-			c.leaderWithin(t, testTiming.ElectionMin/2)
+			c.waitForLeader(t, testTiming.ElectionMin/2)
 		}
 	}
 }
 
-// TestRestartedMinorityLeavesTheLeader: those that restart learn that another voter knows a leader, and wait.
-func TestRestartedMinorityLeavesTheLeader(t *testing.T) {
+// Guards against restarted followers deposing a leader that is still running.
+func TestRestartedFollowersKeepLeader(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
 	term := leader.node.Term()
 	for _, r := range c.replicas {
 		if r != leader {
 			c.restart(0, r)
-			c.calm(time.Second)
+			c.runFor(time.Second)
 		}
 	}
 	if c.leader() != leader || leader.node.Term() != term {
-		t.Fatalf("term %d became %d", term, c.leader().node.Term())
+		t.Fatalf("leader or term changed: term was %d, now %d", term, c.leader().node.Term())
 	}
 }
 
-// TestRestartedMajorityWaitsOutTheLease: the leader is cut off and may still hold a lease, so that the two others, which
-// have just started and see nobody else, wait as long as the lease may run.
-func TestRestartedMajorityWaitsOutTheLease(t *testing.T) {
+// Guards against an election while a partitioned leader may still hold a lease that the restarted majority confirmed.
+func TestRestartedMajorityWaitsForLeaseExpiry(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	leader := c.leader()
-	c.cut[leader.id] = true
+	c.partitioned[leader.id] = true
 	var others []*replica
 	for _, r := range c.replicas {
 		if r != leader {
@@ -75,50 +74,50 @@
 		}
 	}
 	c.restart(0, others...)
-	began := c.now
-	for c.now < began+testTiming.ElectionMin-20*time.Millisecond {
-		c.calm(20 * time.Millisecond)
+	restartedAt := c.now
+	for c.now < restartedAt+testTiming.ElectionMin-20*time.Millisecond {
+		c.runFor(20 * time.Millisecond)
 		if c.leader() != nil {
-			t.Fatalf("elected after %v, while the old lease may run", c.now-began)
+			t.Fatalf("leader elected %v after the restart, while the previous lease may still be valid", c.now-restartedAt)
 		}
 	}
 }
 
-// TestRefusedVoterOfAQuietGroupStandsAgain: the first to know that no voter knows a leader asks those that have not heard
-// it yet (ayni-lima trouble-1: 120 ms after a restart of all).
-func TestRefusedVoterOfAQuietGroupStandsAgain(t *testing.T) {
+// The first candidate of a leaderless group may be rejected by voters that do not know yet that the group is
+// leaderless. It must retry without waiting for a regular election timeout.
+func TestRejectedColdStartCandidateRetriesSoon(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
-	c.calm(3 * time.Second)
+	c.runFor(3 * time.Second)
 	c.restart(0, c.replicas...)
-	first := c.replicas[0].node
+	candidate := c.replicas[0].node
 	for _, other := range c.replicas[1:] {
-		first.Step(c.now, Message{Kind: MessageColdReply, From: other.id, To: first.config.ID, Term: 1, Life: first.cold.life})
+		candidate.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: candidate.config.ID, Term: 1, Incarnation: candidate.coldStart.incarnation})
 	}
-	first.Tick(first.electionDue)
+	candidate.Tick(candidate.electionDue)
 	for _, other := range c.replicas[1:] {
-		first.Step(c.now, Message{Kind: MessagePreVoteReply, From: other.id, To: first.config.ID, Term: first.Term(), Reject: true})
+		candidate.Step(c.now, Message{Kind: MessagePreVoteReply, From: other.id, To: candidate.config.ID, Term: candidate.Term(), Reject: true})
 	}
-	if wait := first.electionDue - c.now; wait > testTiming.Heartbeat {
-		t.Fatalf("stands again after %v", wait)
+	if wait := candidate.electionDue - c.now; wait > testTiming.Heartbeat {
+		t.Fatalf("next election only after %v", wait)
 	}
 }
 
-// TestAnswerToAFormerLifeDoesNotCount: what was said before this life began may be older than a promise of the last life.
-func TestAnswerToAFormerLifeDoesNotCount(t *testing.T) {
+// A reply to a previous incarnation may be older than a lease that the same incarnation confirmed later.
+func TestReplyToPreviousIncarnationIsIgnored(t *testing.T) {
 	c := newCluster(3, 1, t.Fatalf)
 	r := c.replicas[0]
-	c.mail = nil
+	c.inFlight = nil
 	c.start(r)
 	for _, other := range c.replicas[1:] {
-		r.node.Step(c.now, Message{Kind: MessageColdReply, From: other.id, To: r.id, Term: 1, Life: r.node.cold.life + 1})
+		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation + 1})
 	}
-	if r.node.cold.quiet {
-		t.Fatal("answers to another life let it vote at once")
+	if r.node.coldStart.leaderless {
+		t.Fatal("replies to another incarnation made the group count as leaderless")
 	}
 	for _, other := range c.replicas[1:] {
-		r.node.Step(c.now, Message{Kind: MessageColdReply, From: other.id, To: r.id, Term: 1, Life: r.node.cold.life})
+		r.node.Step(c.now, Message{Kind: MessageColdStartReply, From: other.id, To: r.id, Term: 1, Incarnation: r.node.coldStart.incarnation})
 	}
-	if !r.node.cold.quiet {
-		t.Fatal("all voters know no leader, and it still waits")
+	if !r.node.coldStart.leaderless {
+		t.Fatal("group does not count as leaderless after replies from all other voters")
 	}
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,15 +4,16 @@
 
 func (n *Node) resetElectionTimer(now time.Duration) {
 	timing := n.config.Timing
-	spread := int64(timing.ElectionMax - timing.ElectionMin)
-	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(spread))
+	jitter := int64(timing.ElectionMax - timing.ElectionMin)
+	n.electionDue = now + timing.ElectionMin + time.Duration(n.config.Random(jitter))
 }
 
-// becomeFollower enters a term. The vote is kept when the term does not change.
+// becomeFollower enters a term as follower of leader, or of no known leader if it is empty. The vote is kept when the
+// term does not change.
 func (n *Node) becomeFollower(now time.Duration, term uint64, leader ID) {
 	if term > n.hard.Term {
 		n.hard = HardState{Term: term}
-		n.hardDirty = true
+		n.hardStateChanged = true
 	}
 	n.role = Follower
 	n.leader = leader
@@ -20,28 +21,28 @@
 	n.resetElectionTimer(now)
 }
 
-// startPreVote asks whether an election could be won, without raising the term, so that a replica cut
-// off for a long time does not depose a working leader when it comes back.
+// startPreVote asks whether an election could be won, without raising the term, so that a replica that was
+// partitioned for a long time does not depose a working leader when it reconnects.
 func (n *Node) startPreVote(now time.Duration) {
 	n.role = PreCandidate
 	n.leader = ""
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessagePreVote, n.hard.Term+1)
+	n.requestVotes(MessagePreVote, n.hard.Term+1)
 	n.countVotes(now)
 }
 
 func (n *Node) startElection(now time.Duration) {
 	n.role = Candidate
 	n.hard = HardState{Term: n.hard.Term + 1, Vote: n.config.ID}
-	n.hardDirty = true
+	n.hardStateChanged = true
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.resetElectionTimer(now)
-	n.askForVotes(MessageVote, n.hard.Term)
+	n.requestVotes(MessageVote, n.hard.Term)
 	n.countVotes(now)
 }
 
-func (n *Node) askForVotes(kind MessageKind, term uint64) {
+func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	for _, member := range n.membership.Members {
 		if member.Learner || member.ID == n.config.ID {
 			continue
@@ -51,7 +52,7 @@
 }
 
 func (n *Node) countVotes(now time.Duration) {
-	granted, refused := 0, 0
+	granted, rejected := 0, 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
@@ -61,7 +62,7 @@
 		case answered && vote:
 			granted++
 		case answered:
-			refused++
+			rejected++
 		}
 	}
 	quorum := n.membership.Voters()/2 + 1
@@ -70,35 +71,35 @@
 		n.startElection(now)
 	case granted >= quorum && n.role == Candidate:
 		n.becomeLeader(now)
-	case refused >= quorum:
+	case rejected >= quorum:
 		n.becomeFollower(now, n.hard.Term, "")
-		n.standSoon(now)
+		n.shortenElectionTimeout(now)
 	}
 }
 
 func (n *Node) becomeLeader(now time.Duration) {
 	n.role = Leader
 	n.leader = n.config.ID
-	n.cold.end()
+	n.coldStart.finish()
 	n.peers = map[ID]*progress{}
 	n.refreshMembership()
 	for _, peer := range n.peers {
-		peer.heardAt = now
+		peer.lastReplyAt = now
 	}
 	n.termStartIndex = n.appendLocal(EntryNoop, nil)
 	n.lastHeartbeat = now
 	n.broadcastAppend(now)
 }
 
-// handleVote answers a vote or pre-vote request. A replica that heard a leader within the shortest
-// election timeout refuses both: leases depend on it. Its start counts as one, unless no voter knows a leader.
+// handleVote answers a vote or pre-vote request. A replica that heard from a leader within ElectionMin rejects both;
+// leases depend on it. Its start counts as such contact, unless the whole group is known to be leaderless.
 func (n *Node) handleVote(now time.Duration, message Message) {
 	preVote := message.Kind == MessagePreVote
 	reply := Message{Kind: MessageVoteReply, To: message.From, Term: n.hard.Term, Reject: true}
 	if preVote {
 		reply.Kind = MessagePreVoteReply
 	}
-	leaderAlive := n.role == Leader || (!n.cold.quiet && now < n.leaderHeardAt+n.config.Timing.ElectionMin)
+	leaderAlive := n.role == Leader || (!n.coldStart.leaderless && now < n.lastLeaderContact+n.config.Timing.ElectionMin)
 	if leaderAlive || message.Term < n.hard.Term {
 		n.send(reply)
 		return
@@ -108,13 +109,13 @@
 	}
 	upToDate := message.LogTerm > n.log.lastTerm() ||
 		(message.LogTerm == n.log.lastTerm() && message.Index >= n.log.lastIndex())
-	free := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
+	canVote := preVote || n.hard.Vote == "" || n.hard.Vote == message.From
 	reply.Term = message.Term
-	if upToDate && free {
+	if upToDate && canVote {
 		reply.Reject = false
 		if !preVote {
 			n.hard.Vote = message.From
-			n.hardDirty = true
+			n.hardStateChanged = true
 			n.resetElectionTimer(now)
 		}
 	}
@@ -122,18 +123,18 @@
 }
 
 func (n *Node) handleVoteReply(now time.Duration, message Message) {
-	wantedRole, wantedTerm := Candidate, n.hard.Term
+	expectedRole, expectedTerm := Candidate, n.hard.Term
 	if message.Kind == MessagePreVoteReply {
-		wantedRole, wantedTerm = PreCandidate, n.hard.Term+1
+		expectedRole, expectedTerm = PreCandidate, n.hard.Term+1
 	}
-	if n.role != wantedRole {
+	if n.role != expectedRole {
 		return
 	}
-	if message.Reject && message.Term > n.hard.Term && message.Term != wantedTerm {
+	if message.Reject && message.Term > n.hard.Term && message.Term != expectedTerm {
 		n.becomeFollower(now, message.Term, "")
 		return
 	}
-	if !message.Reject && message.Term != wantedTerm {
+	if !message.Reject && message.Term != expectedTerm {
 		return
 	}
 	n.votes[message.From] = !message.Reject
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -19,16 +19,17 @@
 		n.handleAppend(now, message)
 	case MessageSnapshot:
 		n.handleSnapshot(now, message)
-	case MessageCold:
-		n.handleCold(message)
-	case MessageColdReply:
-		n.handleColdReply(now, message)
+	case MessageColdStartQuery:
+		n.handleColdStartQuery(message)
+	case MessageColdStartReply:
+		n.handleColdStartReply(now, message)
 	case MessageAppendReply:
 		n.handleAppendReply(now, message)
 	}
 }
 
-// tickLeader sends heartbeats and steps down when a quorum has been silent too long (check-quorum).
+// tickLeader sends heartbeats. It steps down if no quorum has replied within ElectionMax (check-quorum), or if the
+// committed membership no longer lists this replica as a voter.
 func (n *Node) tickLeader(now time.Duration) {
 	if now < n.lastHeartbeat+n.config.Timing.Heartbeat {
 		return
@@ -49,16 +50,16 @@
 }
 
 func (n *Node) quorumSilent(now time.Duration) bool {
-	heard := 0
+	responsive := 0
 	for _, member := range n.membership.Members {
 		if member.Learner {
 			continue
 		}
-		if member.ID == n.config.ID || now < n.peers[member.ID].heardAt+n.config.Timing.ElectionMax {
-			heard++
+		if member.ID == n.config.ID || now < n.peers[member.ID].lastReplyAt+n.config.Timing.ElectionMax {
+			responsive++
 		}
 	}
-	return heard < n.membership.Voters()/2+1
+	return responsive < n.membership.Voters()/2+1
 }
 
 func (n *Node) forEachPeer(visit func(id ID)) {
@@ -77,12 +78,12 @@
 	})
 }
 
-// sendAppend sends the entries after the peer's next index, or a snapshot when the log no longer has them.
+// sendAppend sends the entries from the peer's next index on, or a snapshot if they are compacted.
 func (n *Node) sendAppend(now time.Duration, id ID) {
 	peer := n.peers[id]
 	previous := peer.next - 1
-	term, held := n.log.term(previous)
-	if !held {
+	term, found := n.log.term(previous)
+	if !found {
 		n.sendSnapshot(now, id)
 		return
 	}
@@ -92,50 +93,51 @@
 		Kind: MessageAppend, To: id, Term: n.hard.Term, Index: previous, LogTerm: term,
 		Commit: n.commit, SentAt: now, Entries: entries,
 	})
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	if peer.match == 0 && len(entries) > 0 {
-		peer.paused = true // probe until the first answer
+		peer.paused = true // probe: wait for the first reply
 		return
 	}
 	peer.next = upTo + 1
 }
 
-// sendSnapshot sends the whole state, again only after a while: a large one takes longer than a heartbeat to arrive. Meanwhile the
-// peer hears heartbeats, which it rejects for what it lacks; its answers still confirm the leader.
+// sendSnapshot sends the newest snapshot. It is resent only after ElectionMin without an acknowledgement, since a large
+// one takes longer than a heartbeat to arrive. Until then the peer gets heartbeats; even its rejections extend the
+// leader's lease.
 func (n *Node) sendSnapshot(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if peer.snapshotAt > 0 && now < peer.snapshotAt+n.config.Timing.ElectionMin {
-		n.sendBeat(now, id)
+	if peer.snapshotSentAt > 0 && now < peer.snapshotSentAt+n.config.Timing.ElectionMin {
+		n.sendHeartbeat(now, id)
 		return
 	}
 	snapshot, ok := n.snapshotSource()
 	if !ok {
 		return
 	}
-	peer.paused, peer.snapshotAt, peer.sentAt = true, now, now
+	peer.paused, peer.snapshotSentAt, peer.lastAppendAt = true, now, now
 	n.send(Message{Kind: MessageSnapshot, To: id, Term: n.hard.Term, SentAt: now, Snapshot: &snapshot})
 }
 
-// sendBeat sends an append without entries, once a heartbeat.
-func (n *Node) sendBeat(now time.Duration, id ID) {
+// sendHeartbeat sends an append without entries, at most once per heartbeat interval.
+func (n *Node) sendHeartbeat(now time.Duration, id ID) {
 	peer := n.peers[id]
-	if now < peer.sentAt+n.config.Timing.Heartbeat {
+	if now < peer.lastAppendAt+n.config.Timing.Heartbeat {
 		return
 	}
-	peer.sentAt = now
+	peer.lastAppendAt = now
 	base := n.log.base
 	n.send(Message{Kind: MessageAppend, To: id, Term: n.hard.Term, Index: base.Index, LogTerm: base.Term, Commit: n.commit, SentAt: now})
 }
 
-// acceptLeader checks the term of a leader's message and follows it.
+// acceptLeader follows the sender of a leader's message, or rejects the message if its term is old.
 func (n *Node) acceptLeader(now time.Duration, message Message) bool {
 	if message.Term < n.hard.Term {
 		n.send(Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, Reject: true})
 		return false
 	}
 	n.becomeFollower(now, message.Term, message.From)
-	n.leaderHeardAt = now
-	n.cold.end()
+	n.lastLeaderContact = now
+	n.coldStart.finish()
 	return true
 }
 
@@ -145,11 +147,11 @@
 	}
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	if message.Index < n.log.base.Index {
-		reply.Index = n.log.base.Index // already covered by our snapshot, so committed
+		reply.Index = n.log.base.Index // covered by the local snapshot, hence committed
 		n.send(reply)
 		return
 	}
-	if term, held := n.log.term(message.Index); !held || term != message.LogTerm {
+	if term, found := n.log.term(message.Index); !found || term != message.LogTerm {
 		reply.Reject = true
 		reply.Index = message.Index
 		reply.Hint = min(n.log.lastIndex(), message.Index-1)
@@ -163,14 +165,14 @@
 	n.send(reply)
 }
 
-// appendFromLeader keeps entries that agree with the log and replaces the tail from the first that does not.
+// appendFromLeader skips entries that the log already has and replaces its tail from the first conflicting entry on.
 func (n *Node) appendFromLeader(entries []Entry) {
 	for i, entry := range entries {
-		term, held := n.log.term(entry.Index)
-		if held && term == entry.Term {
+		term, found := n.log.term(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			n.log.truncateFrom(entry.Index)
 		}
 		n.log.entries = append(n.log.entries, entries[i:]...)
@@ -186,8 +188,8 @@
 	}
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: n.hard.Term, SentAt: message.SentAt}
 	meta := message.Snapshot.Meta
-	if term, held := n.log.term(meta.Index); held && term == meta.Term {
-		// The log already agrees up to the snapshot; installing it would drop entries acknowledged after it.
+	if term, found := n.log.term(meta.Index); found && term == meta.Term {
+		// The log matches the snapshot; installing it would drop acknowledged entries after it.
 		n.commit = max(n.commit, meta.Index)
 	} else if meta.Index > n.commit {
 		n.log = raftLog{base: meta}
@@ -209,12 +211,12 @@
 	if n.role != Leader || message.Term < n.hard.Term || peer == nil {
 		return
 	}
-	peer.heardAt = now
+	peer.lastReplyAt = now
 	peer.ackedSentAt = max(peer.ackedSentAt, message.SentAt)
 	peer.paused = false
 	if message.Reject {
 		if message.Index <= peer.match {
-			peer.paused = true // it lost entries that it had acknowledged; ask again with the next heartbeat only
+			peer.paused = true // the peer lost acknowledged entries; probe only once per heartbeat
 			return
 		}
 		peer.next = max(peer.match, message.Hint) + 1
@@ -222,7 +224,7 @@
 		return
 	}
 	if message.Index > peer.match {
-		peer.match, peer.snapshotAt = message.Index, 0
+		peer.match, peer.snapshotSentAt = message.Index, 0
 		n.advanceCommit()
 	}
 	peer.next = max(peer.next, peer.match+1)
@@ -231,7 +233,8 @@
 	}
 }
 
-// advanceCommit commits the newest entry of this term that a quorum of voters has synced.
+// advanceCommit raises the commit index to the last entry that a quorum of voters has synced, if that entry is of the
+// current term.
 func (n *Node) advanceCommit() {
 	matches := make([]uint64, 0, len(n.membership.Members))
 	for _, member := range n.membership.Members {
@@ -245,8 +248,8 @@
 	}
 	slices.Sort(matches)
 	candidate := matches[(len(matches)-1)/2]
-	term, held := n.log.term(candidate)
-	if held && term == n.hard.Term && candidate > n.commit {
+	term, found := n.log.term(candidate)
+	if found && term == n.hard.Term && candidate > n.commit {
 		n.commit = candidate
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -84,7 +84,7 @@
 	clients         map[uint64]transport.Respond
 	nextID          uint64
 	senderAddresses map[consensus.ID]string // last known address of each replica that sent a message; owned by runReplica
-	links           *transport.Links
+	links           *transport.LinkFilter
 	client          *transport.Client
 	group           *Client
 	driver          Driver
@@ -108,17 +108,17 @@
 
 // NewServer opens the data folder and restores the replica.
 func NewServer(ctx context.Context, file *node.File, log *zap.Logger) (*Server, error) {
-	disk, identity, restored, err := OpenDisk(file.Data, file.Name)
+	disk, identity, restored, err := OpenDisk(file.DataDir, file.Name)
 	if err != nil {
 		return nil, err
 	}
-	links := transport.WatchLinks(ctx, file.Links, file.Zone)
+	links := transport.WatchLinkFile(ctx, file.LinkFile, file.Zone)
 	server := &Server{
 		file: file, log: log.With(zap.String("replica", string(identity.ID))), identity: identity, disk: disk,
-		now: clock.From(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
+		now: clock.NewSource(nil), inputs: make(chan input, inputCapacity), engineCalls: make(chan EngineCall, callCapacity), weightsCalls: make(chan queuedCall, callCapacity),
 		beats:   heartbeatBatcher{acked: map[string]ackedHeartbeat{}, wake: make(chan struct{}, 1)},
 		clients: map[uint64]transport.Respond{}, senderAddresses: map[consensus.ID]string{}, links: links, outboxes: map[consensus.ID]chan consensus.Message{},
-		client: transport.NewClientWithin(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
+		client: transport.NewClientWithDialTimeout(file.ClusterToken, links, file.Control.Heartbeat), fatal: make(chan error, 1),
 	}
 	server.group = NewClient(server.client, file.Control.Founders)
 	if server.config, err = server.replicaConfig(); err != nil {
@@ -130,7 +130,7 @@
 
 func (s *Server) replicaConfig() (Config, error) {
 	section := s.file.Control
-	mechanisms, err := mechanism.Without(section.Without)
+	mechanisms, err := mechanism.Without(section.DisabledMechanisms)
 	if err != nil {
 		return Config{}, err
 	}
@@ -140,15 +140,15 @@
 	}
 	return Config{
 		Mechanisms: mechanisms, Level: level.Current,
-		ID: s.identity.ID, Name: s.identity.Name, Address: section.Internal, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
+		ID: s.identity.ID, Name: s.identity.Name, Address: section.InternalAddress, Zone: s.file.Zone, MaxDirectGateways: maxDirectGateways, Timing: timing,
 		Replicas: section.Replicas, SettingsLease: section.SettingsLease, RepairAfter: section.RepairAfter,
-		SnapshotEvery: section.SnapshotEvery, OrderWait: section.OrderWait, GatewayTrust: section.GatewayTrust, Quota: section.Quota.Terms(), Random: rand.Int64N,
+		SnapshotEvery: section.SnapshotEvery, OrderWait: section.WeightsOrderDelay, GatewayTrust: section.GatewayViewTTL, Quota: section.Quota.Policy(), Random: rand.Int64N,
 	}, nil
 }
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	listener, err := transport.Listen(cmp.Or(s.file.Control.Bind, s.file.Control.Internal), s.file.ClusterToken, s.handle, s.log)
+	listener, err := transport.Listen(cmp.Or(s.file.Control.InternalListen, s.file.Control.InternalAddress), s.file.ClusterToken, s.handle, s.log)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if s.replica.Node().LastIndex() == 0 {
 		workers.Go(func() { s.joinOrFound(run) })
 	}
-	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.Internal), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
+	s.log.Info(events.ReplicaStarted, zap.String("internal", s.file.Control.InternalAddress), zap.String("admin", s.file.Control.Admin), zap.Strings(events.FieldDisabledMechanisms, s.config.Mechanisms.Off()))
 	select {
 	case <-ctx.Done():
 	case err = <-s.fatal:
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -160,7 +160,7 @@
 func newPeerAnnouncer(c *transport.Client) *peerAnnouncer {
 	announcer := func(path string, period time.Duration) *transport.Announcer[announcement] {
 		settings := transport.AnnouncerSettings{
-			Path: path, Ring: announceQueueSize, Batch: announceBatchSize, Period: period, Timeout: announceTimeout,
+			Path: path, QueueSize: announceQueueSize, MaxBatch: announceBatchSize, BatchDelay: period, Timeout: announceTimeout,
 		}
 		return transport.NewAnnouncer(c, settings, batchToWire)
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func batchToWire(batch []transport.Aged[announcement]) any {
+func batchToWire(batch []transport.Timestamped[announcement]) any {
 	announcements := make([]wireAnnouncement, 0, len(batch))
 	for _, aged := range batch {
 		announcements = append(announcements, aged.Item.toWire(clock.Now()-aged.At))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,9 +59,9 @@
 	outage            outage
 	cacheReader       CacheReader // nil if engines' caches are not read
 	followers         *cacheFollowers
-	weightsLogLimiter *node.Sparse // for weight version mismatches, by instance
-	backoffLogLimiter *node.Sparse // for backoff requests of back ends, by instance
-	limitLogLimiter   *node.Sparse // for unparsable advertised limits, by instance
+	weightsLogLimiter *node.LogLimiter // for weight version mismatches, by instance
+	backoffLogLimiter *node.LogLimiter // for backoff requests of back ends, by instance
+	limitLogLimiter   *node.LogLimiter // for unparsable advertised limits, by instance
 	unknownHeaders    unknownHeaders
 	// viewConfirmed is notified whenever control confirms the view.
 	viewConfirmed *notifier
@@ -78,12 +78,12 @@
 
 // New returns a gateway without a view; Run obtains one from control.
 func New(settings Settings, dialect Dialect, log *node.Log) *Gateway {
-	client := transport.NewClientWithin(settings.Token, nil, peerDialTimeout)
+	client := transport.NewClientWithDialTimeout(settings.Token, nil, peerDialTimeout)
 	g := &Gateway{
-		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.From(settings.Clock),
+		settings: settings, dialect: dialect, log: newDecisionLog(log), now: clock.NewSource(settings.Clock),
 		group: control.NewClient(client, settings.Control), nearby: newNearbyReplicas(settings.Name), table: newTable(settings.Mechanisms), budget: newRetryBudget(settings),
 		viewConfirmed: newNotifier(), followers: newCacheFollowers(), pool: newPool(settings.Clock), splits: newSplits(newRand()),
-		weightsLogLimiter: node.NewSparse(), backoffLogLimiter: node.NewSparse(), limitLogLimiter: node.NewSparse(),
+		weightsLogLimiter: node.NewLogLimiter(), backoffLogLimiter: node.NewLogLimiter(), limitLogLimiter: node.NewLogLimiter(),
 		peers: newPeerAnnouncer(client), schedulers: newSchedulers(client), shortName: strconv.FormatUint(rand.Uint64N(shortNameRange), saltBase),
 	}
 	g.quarantine = reporter.New(reporter.Config{Submit: g.group.Quarantine, RefusesConnections: reporter.RefusesTCP(&g.pool.dialer), Log: g.log.info, Now: g.now})
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -25,17 +25,17 @@
 	table, applyVersions := newVersionsTable()
 	applyVersions(map[string]uint64{"m": 4})
 	applyVersions(map[string]uint64{"m": 3})
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("version %d after control reported 4 and then 3, want 3", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 3 {
+		t.Fatalf("version %d after control reported 4 and then 3, want 3", version)
 	}
 	applyVersions(nil) // a new leader without the heartbeat
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 3 {
-		t.Fatalf("version %d after control reported none, want 3", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 3 {
+		t.Fatalf("version %d after control reported none, want 3", version)
 	}
 	table.recordVersion(time.Second, table.rows["e@1"], "m", 5)
 	applyVersions(map[string]uint64{"m": 3})
-	if believed := table.rows["e@1"].entry.Versions["m"]; believed != 5 {
-		t.Fatalf("version %d after the engine reported 5 and control 3 again, want 5", believed)
+	if version := table.rows["e@1"].entry.Versions["m"]; version != 5 {
+		t.Fatalf("version %d after the engine reported 5 and control 3 again, want 5", version)
 	}
 }
 
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,8 +17,8 @@
 }
 
 // newObjectiveRequest returns a placement request for a route with a latency objective.
-func newObjectiveRequest(ticket string, first bool) *wirePlacementRequest {
-	asked := newPlacementRequest(ticket, 1)
+func newObjectiveRequest(placementID string, first bool) *wirePlacementRequest {
+	asked := newPlacementRequest(placementID, 1)
 	asked.FirstAttempt, asked.Priority, asked.LatencyTargetMS = first, 1, 800
 	return asked
 }
@@ -71,9 +71,9 @@
 	now := time.Second
 	setPrefillBusy(g, now, time.Hour)
 	for i := range 400 {
-		ticket := fmt.Sprint("t", i)
+		placementID := fmt.Sprint("t", i)
 		made := placement{row: g.table.rows["i-0"], load: belief.Load{Running: 1}, expiresAt: now + time.Second, queueWait: 1500}
-		g.table.addPlacement(now, ticket, made)
+		g.table.addPlacement(now, placementID, made)
 		g.table.observeQueueWait("s", 0, made.queueWait, 0, 50*time.Millisecond, 0)
 		g.table.observeQueueWait("s", 1, made.queueWait, 0, 1500*time.Millisecond, 0)
 	}
--- a/internal/gateway/schedulers_test.go
+++ b/internal/gateway/schedulers_test.go
@@ -41,10 +41,10 @@
 }
 
 // newPlacementRequest returns a placement request for a prompt of a preamble, a subject part and a part of its own.
-func newPlacementRequest(ticket string, subject int) *wirePlacementRequest {
+func newPlacementRequest(placementID string, subject int) *wirePlacementRequest {
 	return &wirePlacementRequest{
-		PlacementID: ticket, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
-		Parts: []string{"preamble", fmt.Sprint("subject-", subject), ticket}, PartTokens: []int{2520, 3780, 2890},
+		PlacementID: placementID, Gateway: "a", Service: "s", Model: "m", PromptTokens: 9190, TimeoutMS: 5000,
+		Parts: []string{"preamble", fmt.Sprint("subject-", subject), placementID}, PartTokens: []int{2520, 3780, 2890},
 	}
 }
 
@@ -70,12 +70,12 @@
 				}
 				oracle[asked.PlacementID] = running{answer.Instance, now + 5*time.Second}
 			case 2:
-				ticket := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
-				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: "a", Outcome: outcomeSuccess})
-				if _, runs := oracle[ticket]; known != runs {
-					t.Fatalf("end of placement %s: known %v, want %v", ticket, known, runs)
+				placementID := fmt.Sprint("t", rapid.IntRange(0, step).Draw(t, "ended"))
+				_, _, known := g.table.endPlacement(now, &wirePlacementEnd{PlacementID: placementID, Gateway: "a", Outcome: outcomeSuccess})
+				if _, runs := oracle[placementID]; known != runs {
+					t.Fatalf("end of placement %s: known %v, want %v", placementID, known, runs)
 				}
-				delete(oracle, ticket)
+				delete(oracle, placementID)
 			case 3:
 				g.table.sweep(now)
 				for ticket, r := range oracle {
@@ -130,9 +130,9 @@
 func TestUnreachableReportsNeedTwoGateways(t *testing.T) {
 	g := newScheduler(3)
 	row := g.table.rows["i-0"]
-	report := func(now time.Duration, gateway, ticket string) {
-		g.table.addPlacement(now, ticket, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
-		g.table.endPlacement(now, &wirePlacementEnd{PlacementID: ticket, Gateway: gateway, Unreached: true})
+	report := func(now time.Duration, gateway, placementID string) {
+		g.table.addPlacement(now, placementID, placement{row: row, load: belief.Load{Running: 1}, expiresAt: now + time.Second})
+		g.table.endPlacement(now, &wirePlacementEnd{PlacementID: placementID, Gateway: gateway, Unreached: true})
 	}
 	for i := range 5 {
 		report(time.Second+time.Duration(i)*10*time.Millisecond, "a", fmt.Sprint("t", i))
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -11,28 +11,28 @@
 	"kitetiller/internal/events"
 )
 
-// stuckReader takes lines only while it is free.
-type stuckReader struct {
-	free chan struct{} // closed once it takes lines
-	mu   sync.Mutex
-	got  []string // guarded by mu
+// blockingWriter takes lines only while it is free.
+type blockingWriter struct {
+	unblocked chan struct{} // closed once it takes lines
+	mu        sync.Mutex
+	lines     []string // guarded by mu
 }
 
-func (s *stuckReader) Write(line []byte) (int, error) {
-	<-s.free
+func (s *blockingWriter) Write(line []byte) (int, error) {
+	<-s.unblocked
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got = append(s.got, string(line))
+	s.lines = append(s.lines, string(line))
 	return len(line), nil
 }
 
-func (*stuckReader) Sync() error { return nil }
+func (*blockingWriter) Sync() error { return nil }
 
-func (s *stuckReader) count(text string) int {
+func (s *blockingWriter) count(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, line := range s.got {
+	for _, line := range s.lines {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -40,52 +40,52 @@
 	return n
 }
 
-// TestStuckReaderHoldsNothingUp: whoever logs goes on although nobody reads, and what is dropped is counted.
-func TestStuckReaderHoldsNothingUp(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
-	defer close(reader.free)
-	log := newLog(zapcore.InfoLevel, "n", newLineRing(reader))
-	const lines = 5 * logRing
-	for range lines {
+// TestLoggingDoesNotBlockOnStalledOutput: whoever logs goes on although nobody reads, and what is dropped is counted.
+func TestLoggingDoesNotBlockOnStalledOutput(t *testing.T) {
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	defer close(output.unblocked)
+	log := newLog(zapcore.InfoLevel, "n", newAsyncWriter(output))
+	const written = 5 * logBufferLines
+	for range written {
 		log.Info("line")
 	}
-	if dropped := log.Dropped(); dropped < lines-logRing-1 || dropped >= lines {
-		t.Fatalf("%d of %d lines dropped", dropped, lines)
+	if dropped := log.Dropped(); dropped < written-logBufferLines-1 || dropped >= written {
+		t.Fatalf("%d of %d lines dropped", dropped, written)
 	}
 }
 
-// TestRoutineLinesAreDroppedFirst: while nobody reads, successes leave room for what else happens; once somebody reads
+// TestRoutineLinesAreDroppedBeforeOthers: while nobody reads, successes leave room for what else happens; once somebody reads
 // again, all of that comes, and a line tells how many are missing.
-func TestRoutineLinesAreDroppedFirst(t *testing.T) {
-	reader := &stuckReader{free: make(chan struct{})}
-	ring := newLineRing(reader)
-	log := newLog(zapcore.InfoLevel, "n", ring)
-	for range 5 * logRing {
+func TestRoutineLinesAreDroppedBeforeOthers(t *testing.T) {
+	output := &blockingWriter{unblocked: make(chan struct{})}
+	writer := newAsyncWriter(output)
+	log := newLog(zapcore.InfoLevel, "n", writer)
+	for range 5 * logBufferLines {
 		log.Info(events.RequestAnswered)
 	}
-	const changes = logReserve - 2
-	for range changes {
+	const otherLines = logBufferReserve - 2
+	for range otherLines {
 		log.Info(events.InstanceGone)
 	}
 	dropped := log.Dropped()
-	if dropped < 4*logRing || len(ring.lines) > logRing {
-		t.Fatalf("%d lines dropped, %d wait", dropped, len(ring.lines))
+	if dropped < 4*logBufferLines || len(writer.lines) > logBufferLines {
+		t.Fatalf("%d lines dropped, %d wait", dropped, len(writer.lines))
 	}
-	close(reader.free)
+	close(output.unblocked)
 	for range 1000 {
-		if reader.count(events.InstanceGone) == changes && len(ring.lines) == 0 {
+		if output.count(events.InstanceGone) == otherLines && len(writer.lines) == 0 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if got := reader.count(events.InstanceGone); got != changes {
-		t.Fatalf("%d of %d changes of belief were written", got, changes)
+	if got := output.count(events.InstanceGone); got != otherLines {
+		t.Fatalf("%d of %d changes of belief were written", got, otherLines)
 	}
-	tell := make(chan uint64, 1)
-	fresh := newLineRing(reader)
-	fresh.dropped.Store(dropped)
-	go fresh.runEach(time.Millisecond, func(count uint64) { tell <- count })
-	if told := <-tell; told != dropped {
-		t.Fatalf("told of %d dropped lines, wanted %d", told, dropped)
+	reports := make(chan uint64, 1)
+	secondWriter := newAsyncWriter(output)
+	secondWriter.dropped.Store(dropped)
+	go secondWriter.runWithInterval(time.Millisecond, func(count uint64) { reports <- count })
+	if reported := <-reports; reported != dropped {
+		t.Fatalf("told of %d dropped lines, wanted %d", reported, dropped)
 	}
 }
--- a/internal/node/sparse.go
+++ b/internal/node/sparse.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// SparseEach is the least time between two lines of one key: a rollout may cause one for each request.
-	SparseEach = time.Second
-	// sparseKept is how long a key is kept after its newest line, for the count of the lines that were held back since.
-	sparseKept = time.Minute
+	// LogLimitInterval is the least time between two lines of one key: a rollout may cause one for each request.
+	LogLimitInterval = time.Second
+	// logLimitStateTTL is how long a key is kept after its newest line, for the count of the lines that were held back since.
+	logLimitStateTTL = time.Minute
 )
 
-// Sparse bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
-type Sparse struct {
-	mu    sync.Mutex
-	lines map[string]sparseLine // guarded by mu
+// LogLimiter bounds how often lines of one key are written, and counts those held back. It is safe for concurrent use.
+type LogLimiter struct {
+	mu     sync.Mutex
+	states map[string]logLimitState // guarded by mu
 }
 
-// sparseLine is what is known of the lines of one key.
-type sparseLine struct {
-	at   time.Duration // when one was last written
-	held int           // held back since
+// logLimitState is what is known of the lines of one key.
+type logLimitState struct {
+	writtenAt  time.Duration // when one was last written
+	suppressed int           // held back since
 }
 
-// NewSparse returns one that has written no line yet.
-func NewSparse() *Sparse { return &Sparse{lines: map[string]sparseLine{}} }
+// NewLogLimiter returns one that has written no line yet.
+func NewLogLimiter() *LogLimiter { return &LogLimiter{states: map[string]logLimitState{}} }
 
-// Due reports whether a line may be written now, and how many were held back since the last.
-func (s *Sparse) Due(now time.Duration, key string) (held int, due bool) {
+// Allow reports whether a line may be written now, and how many were held back since the last.
+func (s *LogLimiter) Allow(now time.Duration, key string) (suppressed int, allowed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, known := s.lines[key]
-	if known && now-last.at < SparseEach {
-		last.held++
-		s.lines[key] = last
+	state, known := s.states[key]
+	if known && now-state.writtenAt < LogLimitInterval {
+		state.suppressed++
+		s.states[key] = state
 		return 0, false
 	}
-	s.lines[key] = sparseLine{at: now}
-	return last.held, true
+	s.states[key] = logLimitState{writtenAt: now}
+	return state.suppressed, true
 }
 
 // Sweep forgets keys without a line for long.
-func (s *Sparse) Sweep(now time.Duration) {
+func (s *LogLimiter) Sweep(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, last := range s.lines {
-		if now-last.at > sparseKept {
-			delete(s.lines, key)
+	for key, state := range s.states {
+		if now-state.writtenAt > logLimitStateTTL {
+			delete(s.states, key)
 		}
 	}
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -19,8 +19,8 @@
 	"kitetiller/internal/settings"
 )
 
-// standIn answers operators' requests with fixed replies.
-func standIn(t *testing.T) *httptest.Server {
+// newFakeServer answers operators' requests with fixed replies.
+func newFakeServer(t *testing.T) *httptest.Server {
 	t.Helper()
 	tree := settings.NewTree()
 	edit := settings.Edit{Path: "/z1/llm", Setting: "queue_limit", Value: json.RawMessage("64")}
@@ -54,7 +54,7 @@
 				t.Errorf("released %+v", released)
 			}
 		case request.Change != nil:
-			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, Differing: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
+			response.Change = &settings.Outcome{Kind: settings.OutcomeConflict, Version: 7, ChangesSinceBase: []settings.Difference{{Path: "/z1/llm", Setting: "queue_limit", After: json.RawMessage("64")}}}
 		}
 		_ = json.NewEncoder(w).Encode(response)
 	})
@@ -73,20 +73,20 @@
 	return server
 }
 
-// TestOutputOfOperatorsCommands compares each table with its golden file; go test ./internal/operator -update writes them.
-func TestOutputOfOperatorsCommands(t *testing.T) {
-	address := standIn(t).Listener.Addr().String()
-	for _, row := range []struct {
-		name string
-		run  func(*Command) error
-		fail bool
+// TestCommandOutputMatchesGoldenFiles compares each table with its golden file; go test ./internal/operator -update writes them.
+func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
+	address := newFakeServer(t).Listener.Addr().String()
+	for _, tc := range []struct {
+		name    string
+		run     func(*Command) error
+		wantErr bool
 	}{
 		{"status", (*Command).Status, false},
 		{"members", (*Command).Members, false},
 		{"explain", func(c *Command) error { return c.Explain("q1") }, false},
 		{"get", func(c *Command) error { return c.Get("/", false) }, false},
 		{"get-effective", func(c *Command) error { return c.Get("/z1/llm/t", true) }, false},
-		{"held", (*Command).Held, false},
+		{"held", (*Command).ListQuarantined, false},
 		{"release", func(c *Command) error {
 			return c.Release(quarantine.Fingerprint{1}.String() + "," + quarantine.Fingerprint{2}.String())
 		}, false},
@@ -95,16 +95,16 @@
 			return c.Set("/", "queue_limit", "5", ChangeOptions{Base: 6, OperationID: "x"})
 		}, true},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
 			command, err := New(Options{Control: address, Routers: address, AdminToken: "t", Output: "table", Out: &out})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := row.run(command); (err != nil) != row.fail {
+			if err := tc.run(command); (err != nil) != tc.wantErr {
 				t.Fatalf("error %v", err)
 			}
-			goldie.New(t).Assert(t, row.name, out.Bytes())
+			goldie.New(t).Assert(t, tc.name, out.Bytes())
 		})
 	}
 }
--- a/internal/payload/shared.go
+++ b/internal/payload/shared.go
@@ -6,34 +6,34 @@
 	"sync"
 )
 
-// Shared is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
-type Shared struct {
-	plain  []byte
-	once   sync.Once
-	packed []byte
+// SharedJSON is JSON that is a part of many messages. It is encoded when it is made, and compressed when it first travels so.
+type SharedJSON struct {
+	encoded  []byte
+	gzipOnce sync.Once
+	gzipped  []byte
 }
 
-// NewShared encodes a value.
-func NewShared(value any) (*Shared, error) {
-	plain, err := json.Marshal(value)
+// NewSharedJSON encodes a value.
+func NewSharedJSON(value any) (*SharedJSON, error) {
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return &Shared{plain: plain}, nil
+	return &SharedJSON{encoded: encoded}, nil
 }
 
 // MarshalJSON returns the JSON as it was made.
-func (s *Shared) MarshalJSON() ([]byte, error) { return s.plain, nil }
+func (s *SharedJSON) MarshalJSON() ([]byte, error) { return s.encoded, nil }
 
-func (s *Shared) compressed() []byte {
-	s.once.Do(func() { s.packed = pack(s.plain) })
-	return s.packed
+func (s *SharedJSON) compressed() []byte {
+	s.gzipOnce.Do(func() { s.gzipped = gzipMember(s.encoded) })
+	return s.gzipped
 }
 
 // Part is a piece of a message: bytes of its own, or JSON that it shares with others.
 type Part struct {
-	Own    []byte
-	Shared *Shared // instead of Own; or nil
+	Raw    []byte
+	Shared *SharedJSON // instead of Own; or nil
 }
 
 // Composite is a message that is made of parts. Together they are its JSON.
@@ -42,32 +42,32 @@
 }
 
 // Assemble returns the bytes of a message made of parts, as it travels, and its encoding. Compressing costs what the own parts are.
-func Assemble(parts []Part, accepts bool) (body []byte, encoding string) {
+func Assemble(parts []Part, acceptsGzip bool) (body []byte, encoding string) {
 	length := 0
 	for _, p := range parts {
-		length += len(p.plain())
+		length += len(p.uncompressed())
 	}
-	packs := accepts && length >= CompressFrom
-	var whole bytes.Buffer
+	compresses := acceptsGzip && length >= MinCompressBytes
+	var assembled bytes.Buffer
 	for _, p := range parts {
 		switch {
-		case !packs:
-			whole.Write(p.plain())
+		case !compresses:
+			assembled.Write(p.uncompressed())
 		case p.Shared != nil:
-			whole.Write(p.Shared.compressed())
+			assembled.Write(p.Shared.compressed())
 		default:
-			whole.Write(pack(p.Own))
+			assembled.Write(gzipMember(p.Raw))
 		}
 	}
-	if packs {
+	if compresses {
 		encoding = Gzip
 	}
-	return whole.Bytes(), encoding
+	return assembled.Bytes(), encoding
 }
 
-func (p Part) plain() []byte {
+func (p Part) uncompressed() []byte {
 	if p.Shared != nil {
-		return p.Shared.plain
+		return p.Shared.encoded
 	}
-	return p.Own
+	return p.Raw
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	referenceFile  = "../../docs/CONFIGURATION.md"
-	referenceStart = "<!-- settings: generated from the types -->\n"
-	referenceEnd   = "<!-- end of settings -->"
+	referenceFile    = "../../docs/CONFIGURATION.md"
+	tableStartMarker = "<!-- settings: generated from the types -->\n"
+	tableEndMarker   = "<!-- end of settings -->"
 )
 
-// reference writes the table of every setting.
-func reference() string {
+// settingsTable writes the table of every setting.
+func settingsTable() string {
 	var text strings.Builder
 	text.WriteString("| setting | type | unit | default | allowed | levels | effect |\n|---|---|---|---|---|---|---|\n")
 	for _, d := range Definitions() {
@@ -23,33 +23,33 @@
 		if allowed == "" {
 			allowed = "any"
 		}
-		standard := d.Default
-		if standard == "" {
-			standard = "(empty)"
+		defaultText := d.Default
+		if defaultText == "" {
+			defaultText = "(empty)"
 		}
-		fmt.Fprintf(&text, "| `%s` | %s | %s | %s | %s | %s | %s |\n", d.Name, d.Type, d.Unit, standard, allowed, strings.Join(d.Levels, ", "), d.Help)
+		fmt.Fprintf(&text, "| `%s` | %s | %s | %s | %s | %s | %s |\n", d.Name, d.Type, d.Unit, defaultText, allowed, strings.Join(d.Levels, ", "), d.Help)
 	}
 	return text.String()
 }
 
-// TestConfigurationPageMatchesTheTypes: run with UPDATE_DOCS=1 to write the table anew.
-func TestConfigurationPageMatchesTheTypes(t *testing.T) {
+// TestConfigurationPageMatchesDefinitions: run with UPDATE_DOCS=1 to write the table anew.
+func TestConfigurationPageMatchesDefinitions(t *testing.T) {
 	path := filepath.FromSlash(referenceFile)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, rest, found := strings.Cut(string(data), referenceStart)
-	_, after, closed := strings.Cut(rest, referenceEnd)
+	before, rest, found := strings.Cut(string(data), tableStartMarker)
+	_, after, closed := strings.Cut(rest, tableEndMarker)
 	if !found || !closed {
 		t.Fatalf("%s has no markers around the settings", referenceFile)
 	}
-	wanted := before + referenceStart + reference() + referenceEnd + after
+	want := before + tableStartMarker + settingsTable() + tableEndMarker + after
 	if os.Getenv("UPDATE_DOCS") != "" {
-		if err := os.WriteFile(path, []byte(wanted), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
-	} else if wanted != string(data) {
+	} else if want != string(data) {
 		t.Fatalf("%s differs from the types; run UPDATE_DOCS=1 go test ./internal/settings", referenceFile)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,44 +14,44 @@
 
 func raw(text string) json.RawMessage { return json.RawMessage(text) }
 
-func change(base uint64, id string, edits ...Edit) Change {
+func newChange(base uint64, id string, edits ...Edit) Change {
 	return Change{Base: base, OperationID: id, Edits: edits}
 }
 
-func set(path Path, name, value string) Edit {
+func setEdit(path Path, name, value string) Edit {
 	return Edit{Path: path, Setting: name, Value: raw(value)}
 }
 
 func TestValuesInheritDownTheTree(t *testing.T) {
 	m := NewMachine()
-	outcome := m.Apply(change(0, "a", set("/", "queue_limit", "10"), set("/z1", "queue_limit", "20"), set("/*/s", "queue_limit", "30"),
-		set("/z1/s", "queue_limit", "40")), 0)
+	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/z1", "queue_limit", "20"), setEdit("/*/s", "queue_limit", "30"),
+		setEdit("/z1/s", "queue_limit", "40")), 0)
 	if outcome.Kind != OutcomeAccepted {
 		t.Fatalf("outcome %+v", outcome)
 	}
-	for _, row := range []struct {
+	for _, test := range []struct {
 		elements []string
-		wanted   int
+		want     int
 	}{{nil, 10}, {[]string{"z2"}, 10}, {[]string{"z1"}, 20}, {[]string{"z2", "s"}, 30}, {[]string{"z1", "s"}, 40}, {[]string{"z1", "s", "t"}, 40}} {
-		if got := m.Tree().Resolve(row.elements...).QueueLimit; got != row.wanted {
-			t.Errorf("%v: queue_limit %d, want %d", row.elements, got, row.wanted)
+		if got := m.Tree().Resolve(test.elements...).QueueLimit; got != test.want {
+			t.Errorf("%v: queue_limit %d, want %d", test.elements, got, test.want)
 		}
 	}
 }
 
-func TestEqualBaseVersionsOneWins(t *testing.T) {
+func TestOnlyOneChangeOfABaseVersionIsAccepted(t *testing.T) {
 	m := NewMachine()
-	m.Apply(change(0, "a", set("/", "queue_limit", "10")), 0)
-	outcome := m.Apply(change(0, "b", set("/", "queue_limit", "20")), 0)
-	if outcome.Kind != OutcomeConflict || outcome.Version != 1 || len(outcome.Differing) != 1 || outcome.Differing[0].Path != "/" {
+	m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
+	outcome := m.Apply(newChange(0, "b", setEdit("/", "queue_limit", "20")), 0)
+	if outcome.Kind != OutcomeConflict || outcome.Version != 1 || len(outcome.ChangesSinceBase) != 1 || outcome.ChangesSinceBase[0].Path != "/" {
 		t.Fatalf("outcome %+v", outcome)
 	}
 }
 
-func TestResendGetsTheFirstOutcomeAfterARestart(t *testing.T) {
+func TestResentChangeGetsItsFirstOutcomeAfterRestart(t *testing.T) {
 	m := NewMachine()
-	first := m.Apply(change(0, "a", set("/", "queue_limit", "10")), 0)
-	m.Apply(change(1, "b", set("/", "queue_limit", "20")), 0)
+	first := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
+	m.Apply(newChange(1, "b", setEdit("/", "queue_limit", "20")), 0)
 	data, err := json.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
@@ -60,48 +60,48 @@
 	if err := json.Unmarshal(data, restarted); err != nil {
 		t.Fatal(err)
 	}
-	if again := restarted.Apply(change(0, "a", set("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
+	if again := restarted.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
 		t.Fatalf("outcome %+v, first %+v", again, first)
 	}
-	if reused := restarted.Apply(change(2, "a", set("/", "queue_limit", "99")), 0); reused.Kind != OutcomeReused {
+	if reused := restarted.Apply(newChange(2, "a", setEdit("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
 		t.Fatalf("same id with other content: %+v", reused)
 	}
 }
 
-// TestAtomicChange: one wrong edit keeps all of them out.
-func TestAtomicChange(t *testing.T) {
+// TestOneInvalidEditRejectsTheWholeChange: one wrong edit keeps all of them out.
+func TestOneInvalidEditRejectsTheWholeChange(t *testing.T) {
 	m := NewMachine()
-	outcome := m.Apply(change(0, "a", set("/", "queue_limit", "10"), set("/", "time_weight", "7"), set("/", "no_such", "1")), 0)
+	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/", "time_weight", "7"), setEdit("/", "no_such", "1")), 0)
 	if outcome.Kind != OutcomeInvalid || len(outcome.Problems) == 0 || m.Version() != 0 || !m.Tree().Nodes["/"].Empty() {
 		t.Fatalf("outcome %+v, tree %+v", outcome, m.Tree())
 	}
 }
 
-// TestMachineAgainstSimpleModel: versions, outcomes and values against a plain map.
-func TestMachineAgainstSimpleModel(t *testing.T) {
+// TestMachineMatchesModel: versions, outcomes and values against a plain map.
+func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, model := NewMachine(), map[Path]int{}
+		m, wantLimits := NewMachine(), map[Path]int{}
 		var version uint64
 		outcomes := map[string]Outcome{}
 		sent := []Change{}
 		path := rapid.SampledFrom([]Path{"/", "/z1", "/z2", "/z1/s", "/*/s"})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				at, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
+				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := change(base, fmt.Sprint(len(sent)), set(at, "queue_limit", fmt.Sprint(value)))
+				c := newChange(base, fmt.Sprint(len(sent)), setEdit(path, "queue_limit", fmt.Sprint(value)))
 				sent = append(sent, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
 				switch {
 				case base != version:
-					expect(t, outcome, OutcomeConflict, version)
+					expectOutcome(t, outcome, OutcomeConflict, version)
 				case value < 0:
-					expect(t, outcome, OutcomeInvalid, version)
+					expectOutcome(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
-					model[at] = value
-					expect(t, outcome, OutcomeAccepted, version)
+					wantLimits[path] = value
+					expectOutcome(t, outcome, OutcomeAccepted, version)
 				}
 			},
 			"resend": func(t *rapid.T) {
@@ -110,7 +110,7 @@
 				}
 				c := rapid.SampledFrom(sent).Draw(t, "change")
 				first := outcomes[c.OperationID]
-				expect(t, m.Apply(c, 0), first.Kind, first.Version)
+				expectOutcome(t, m.Apply(c, 0), first.Kind, first.Version)
 			},
 			"restart": func(t *rapid.T) {
 				data, err := json.Marshal(m)
@@ -123,32 +123,32 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				held := map[Path]int{}
+				got := map[Path]int{}
 				for at, node := range m.Tree().Nodes {
 					if node.QueueLimit != nil {
-						held[at] = *node.QueueLimit
+						got[at] = *node.QueueLimit
 					}
 				}
-				if !maps.Equal(held, model) {
-					t.Fatalf("tree %v, want %v", held, model)
+				if !maps.Equal(got, wantLimits) {
+					t.Fatalf("tree %v, want %v", got, wantLimits)
 				}
 			},
 		})
 	})
 }
 
-func expect(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
+func expectOutcome(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
 	if outcome.Kind != kind || outcome.Version != version {
 		t.Fatalf("outcome %s at %d, want %s at %d", outcome.Kind, outcome.Version, kind, version)
 	}
 }
 
-// TestEditsSinceLeadToTheSameTree: deltas and the whole tree must never differ.
-func TestEditsSinceLeadToTheSameTree(t *testing.T) {
+// TestEditsSinceReproduceTheCurrentTree: deltas and the whole tree must never differ.
+func TestEditsSinceReproduceTheCurrentTree(t *testing.T) {
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
 	for i := range 30 {
-		m.Apply(change(uint64(i), fmt.Sprint(i), set(Path(fmt.Sprintf("/z%d", i%4)), "queue_limit", fmt.Sprint(i))), 0)
+		m.Apply(newChange(uint64(i), fmt.Sprint(i), setEdit(Path(fmt.Sprintf("/z%d", i%4)), "queue_limit", fmt.Sprint(i))), 0)
 		trees = append(trees, m.Tree())
 	}
 	for base, tree := range trees {
@@ -166,9 +166,9 @@
 	}
 }
 
-func TestDiffEditsTurnOneTreeIntoTheOther(t *testing.T) {
-	kigali, nilewash := readConfig(t, "kigali"), readConfig(t, "nilewash")
-	for _, pair := range [][2]Tree{{kigali, nilewash}, {nilewash, kigali}, {NewTree(), kigali}, {kigali, NewTree()}} {
+func TestDiffEditsTransformOneTreeIntoTheOther(t *testing.T) {
+	kigaliTree, nilewashTree := readConfig(t, "kigali"), readConfig(t, "nilewash")
+	for _, pair := range [][2]Tree{{kigaliTree, nilewashTree}, {nilewashTree, kigaliTree}, {NewTree(), kigaliTree}, {kigaliTree, NewTree()}} {
 		next, problems := pair[0].Apply(DiffEdits(pair[0], pair[1]))
 		if len(problems) > 0 || len(Diff(next, pair[1])) > 0 {
 			t.Fatalf("problems %v, left over %v", problems, Diff(next, pair[1]))
@@ -189,7 +189,7 @@
 	return tree
 }
 
-const threeMistakes = `settings:
+const fileWithThreeProblems = `settings:
   time_weight: 7
   queue_limits: 5
 zones:
@@ -200,16 +200,16 @@
           kind: modell
 `
 
-func TestFileWithThreeMistakesNamesAllThree(t *testing.T) {
-	_, problems := ParseFile([]byte(threeMistakes))
+func TestParseFileReportsAllProblems(t *testing.T) {
+	_, problems := ParseFile([]byte(fileWithThreeProblems))
 	var text []string
 	for _, problem := range problems {
 		text = append(text, problem.String())
 	}
 	all := strings.Join(text, "\n")
-	for _, wanted := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
-		if !strings.Contains(all, wanted) {
-			t.Errorf("%q is not named in:\n%s", wanted, all)
+	for _, want := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
+		if !strings.Contains(all, want) {
+			t.Errorf("%q is not named in:\n%s", want, all)
 		}
 	}
 	if len(problems) != 3 {
@@ -219,7 +219,7 @@
 
 // FuzzParseFile: no bytes may crash the parser, and a tree without problems must pass its own check.
 func FuzzParseFile(f *testing.F) {
-	f.Add([]byte(threeMistakes))
+	f.Add([]byte(fileWithThreeProblems))
 	f.Add([]byte("settings: {queue_limit: 3}\n"))
 	f.Add([]byte("zones: {'*': {services: {s: {tenants: {t: {}}}}}}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -230,8 +230,8 @@
 	})
 }
 
-// TestAcceptedTreesPassTheWholeCheck: checking only what was edited must accept nothing that the whole check refuses.
-func TestAcceptedTreesPassTheWholeCheck(t *testing.T) {
+// TestAcceptedTreesPassFullCheck: checking only what was edited must accept nothing that the whole check refuses.
+func TestAcceptedTreesPassFullCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := NewTree()
 		path := rapid.SampledFrom([]Path{"/", "/z", "/z/s", "/*/s", "/z/s/t", "/*/s/u", "bad path", "/z/s/t/x"})
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -15,7 +15,7 @@
 
 func record(text string) Record { return Record{Kind: 2, Data: []byte(text)} }
 
-// writeLog makes a folder with one synced record for each text.
+// writeLog creates a log with one synced record per text and returns its folder.
 func writeLog(t *testing.T, texts ...string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -39,15 +39,15 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*"+segmentSuffix))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("segments %v, %v", paths, err)
+		t.Fatalf("segments %v, error %v, want at least one segment", paths, err)
 	}
 	return paths
 }
 
 func texts(records []Record) string {
 	var all []string
-	for _, held := range records {
-		all = append(all, string(held.Data))
+	for _, r := range records {
+		all = append(all, string(r.Data))
 	}
 	return strings.Join(all, " ")
 }
@@ -62,9 +62,9 @@
 	return texts(records)
 }
 
-func TestSyncedRecordsComeBack(t *testing.T) {
+func TestSyncedRecordsSurviveReopen(t *testing.T) {
 	if got := reopen(t, writeLog(t, "a", "b", "c")); got != "a b c" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want \"a b c\"", got)
 	}
 }
 
@@ -77,30 +77,30 @@
 	log.Append(record("never synced"))
 	_ = log.Close()
 	if got := reopen(t, folder); got != "" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want no records", got)
 	}
 }
 
-// TestTornTailIsCut cuts the file at every length: what was whole before the cut must come back.
-func TestTornTailIsCut(t *testing.T) {
-	whole, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
+// Truncates the file at every length within the last record: the records before it must survive.
+func TestTornTailIsTruncatedOnOpen(t *testing.T) {
+	content, err := os.ReadFile(segments(t, writeLog(t, "first", "second"))[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := bytes.Index(whole, []byte("first")) + len("first")
-	for length := first; length < len(whole); length++ {
+	firstEnd := bytes.Index(content, []byte("first")) + len("first")
+	for length := firstEnd; length < len(content); length++ {
 		folder := writeLog(t, "first", "second")
 		if err := os.Truncate(segments(t, folder)[0], int64(length)); err != nil {
 			t.Fatal(err)
 		}
 		if got := reopen(t, folder); got != "first" {
-			t.Fatalf("cut at %d of %d: read back %q", length, len(whole), got)
+			t.Fatalf("truncated to %d of %d bytes: read back %q, want \"first\"", length, len(content), got)
 		}
 	}
 }
 
-// TestDamageStopsTheStart flips a byte before the last record: the start must fail and touch nothing.
-func TestDamageStopsTheStart(t *testing.T) {
+// Flips a bit in a record before the last one: Open must fail and leave the file unchanged.
+func TestCorruptRecordFailsOpen(t *testing.T) {
 	folder := writeLog(t, "first", "second", "third")
 	path := segments(t, folder)[0]
 	data, _ := os.ReadFile(path)
@@ -112,24 +112,24 @@
 		t.Fatalf("error %v, want ErrDamaged", err)
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(after, data) {
-		t.Fatal("the damaged file was changed")
+		t.Fatal("Open changed the corrupt file")
 	}
 }
 
-func TestForeignFolderIsRefused(t *testing.T) {
+func TestFolderOfAnotherOwnerIsRejected(t *testing.T) {
 	folder := writeLog(t, "a")
 	if _, _, err := Open(folder, "replica-2"); !errors.Is(err, ErrForeign) {
 		t.Fatalf("error %v, want ErrForeign", err)
 	}
 }
 
-func TestNewerFormatIsRefused(t *testing.T) {
+func TestNewerFormatIsRejected(t *testing.T) {
 	folder := t.TempDir()
-	written := writeLog(t, "a")
-	data, _ := os.ReadFile(segments(t, written)[0])
+	source := writeLog(t, "a")
+	data, _ := os.ReadFile(segments(t, source)[0])
 	records, _, _ := DecodeRecords(data)
-	held := AppendRecord(nil, Record{Kind: KindHeader, Data: bytes.Replace(records[0].Data, []byte(`"format":1`), []byte(`"format":9`), 1)})
-	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, written)[0])), held, filePermissions); err != nil {
+	segment := AppendRecord(nil, Record{Kind: KindHeader, Data: bytes.Replace(records[0].Data, []byte(`"format":1`), []byte(`"format":9`), 1)})
+	if err := os.WriteFile(filepath.Join(folder, filepath.Base(segments(t, source)[0])), segment, filePermissions); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(folder, testOwner); !errors.Is(err, ErrNewerFormat) {
@@ -152,12 +152,12 @@
 	}
 	_ = log.Close()
 	if got := reopen(t, folder); got != "state after" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("read back %q, want \"state after\"", got)
 	}
 }
 
-// TestLogAgainstSimpleModel drives appends, syncs, checkpoints and restarts against a plain list.
-func TestLogAgainstSimpleModel(t *testing.T) {
+// TestLogMatchesModel compares the log with a slice model under random appends, syncs, checkpoints and restarts.
+func TestLogMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "log")
 		if err != nil {
@@ -168,21 +168,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var durable, waiting []string
+		var durable, pending []string
 		t.Repeat(map[string]func(*rapid.T){
 			"append": func(t *rapid.T) {
 				text := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "text")
 				log.Append(record(text))
-				waiting = append(waiting, text)
+				pending = append(pending, text)
 			},
 			"sync": func(t *rapid.T) {
 				if err := log.Sync(); err != nil {
 					t.Fatal(err)
 				}
-				durable, waiting = append(durable, waiting...), nil
+				durable, pending = append(durable, pending...), nil
 			},
 			"checkpoint": func(t *rapid.T) {
-				if len(waiting) > 0 {
+				if len(pending) > 0 {
 					t.Skip("a checkpoint follows a sync")
 				}
 				if err := log.Checkpoint([]Record{record("state")}); err != nil {
@@ -196,9 +196,9 @@
 				if log, records, err = Open(folder, testOwner); err != nil {
 					t.Fatal(err)
 				}
-				waiting = nil
+				pending = nil
 				if got := texts(records); got != strings.Join(durable, " ") {
-					t.Fatalf("read back %q, want %q", got, durable)
+					t.Fatalf("read back %q, want records %q", got, durable)
 				}
 			},
 		})
@@ -206,19 +206,19 @@
 	})
 }
 
-// FuzzDecodeRecords: no bytes may crash the decoder, and what it accepts must encode to the same bytes.
+// FuzzDecodeRecords checks that no input panics and that the decoded records encode to the same bytes.
 func FuzzDecodeRecords(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(AppendRecord(nil, record("one")))
 	f.Add(AppendRecord(AppendRecord(nil, record("one")), record("two"))[:20])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		records, length, _ := DecodeRecords(data)
-		var again []byte
-		for _, held := range records {
-			again = AppendRecord(again, held)
+		var encoded []byte
+		for _, r := range records {
+			encoded = AppendRecord(encoded, r)
 		}
-		if !bytes.Equal(again, data[:length]) {
-			t.Fatalf("%d records of %d bytes encode to %d bytes", len(records), length, len(again))
+		if !bytes.Equal(encoded, data[:length]) {
+			t.Fatalf("%d records decoded from %d bytes re-encode to %d bytes that differ", len(records), length, len(encoded))
 		}
 	})
 }
--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// TestAnnouncerTellsEveryPeerOfEveryItem: in order, several in one message.
-func TestAnnouncerTellsEveryPeerOfEveryItem(t *testing.T) {
-	const items = 50
-	told := make(chan []int, items)
+// TestAnnouncerSendsQueuedItemsToEveryPeer: in order, several in one message.
+func TestAnnouncerSendsQueuedItemsToEveryPeer(t *testing.T) {
+	const queueSize = 50
+	received := make(chan []int, queueSize)
 	var peers []string
 	for range 2 {
 		address := freeAddress(t)
@@ -22,7 +22,7 @@
 			if json.Unmarshal(request.Body, &batch) != nil || request.Path != "/told" {
 				t.Errorf("%s: %s", request.Path, request.Body)
 			}
-			told <- batch
+			received <- batch
 			respond(http.StatusOK, struct{}{})
 		}, zap.NewNop())
 		if err != nil {
@@ -31,8 +31,8 @@
 		t.Cleanup(func() { _ = server.Close(context.Background()) })
 		peers = append(peers, address)
 	}
-	settings := AnnouncerSettings{Path: "/told", Ring: items, Batch: items, Period: 5 * time.Millisecond, Timeout: 5 * time.Second}
-	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Aged[int]) any {
+	settings := AnnouncerSettings{Path: "/told", QueueSize: queueSize, MaxBatch: queueSize, BatchDelay: 5 * time.Millisecond, Timeout: 5 * time.Second}
+	announcer := NewAnnouncer(NewClient("", nil), settings, func(batch []Timestamped[int]) any {
 		var numbers []int
 		for _, announced := range batch {
 			numbers = append(numbers, announced.Item)
@@ -40,15 +40,15 @@
 		return numbers
 	})
 	announcer.SetPeers(peers)
-	for number := range items + 10 { // nobody takes them yet: what is beyond the ring is dropped
+	for number := range queueSize + 10 { // nobody takes them yet: what is beyond the ring is dropped
 		announcer.Announce(number)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go announcer.Run(ctx)
 	for range peers {
-		batch := <-told
-		if len(batch) != items || batch[0] != 0 || batch[items-1] != items-1 {
+		batch := <-received
+		if len(batch) != queueSize || batch[0] != 0 || batch[queueSize-1] != queueSize-1 {
 			t.Fatalf("told %v", batch)
 		}
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -51,7 +51,7 @@
 	go respond(http.StatusOK, message{Text: request.Path + " " + string(body)})
 }
 
-func TestManyRequestsAtOnceGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentRequestsGetMatchingResponses(t *testing.T) {
 	address := startServer(t, echo)
 	client := NewClient("token", nil)
 	var calls sync.WaitGroup
@@ -70,7 +70,7 @@
 	calls.Wait()
 }
 
-func TestWrongTokenIsRefused(t *testing.T) {
+func TestWrongTokenIsRejected(t *testing.T) {
 	address := startServer(t, echo)
 	err := NewClient("other", nil).Post(context.Background(), address, "/echo", message{}, nil)
 	var status *StatusError
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestNothingIsExpandedForStrangers: a body that can't be read closes the connection of a peer; a stranger is told that it is one, whatever it
+// TestUnauthorizedBodyIsNotDecompressed: a body that can't be read closes the connection of a peer; a stranger is told that it is one, whatever it
 // sent.
-func TestNothingIsExpandedForStrangers(t *testing.T) {
+func TestUnauthorizedBodyIsNotDecompressed(t *testing.T) {
 	address := startServer(t, echo)
 	for token, want := range map[string]string{"other": "HTTP/1.1 401", "token": ""} {
 		connection, err := net.Dial("tcp", address)
@@ -94,15 +94,15 @@
 			t.Fatal(err)
 		}
 		_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-		first := make([]byte, len("HTTP/1.1 401"))
-		n, _ := io.ReadFull(connection, first)
-		if string(first[:n]) != want {
-			t.Fatalf("with token %q the answer begins %q, wanted %q", token, first[:n], want)
+		statusLine := make([]byte, len("HTTP/1.1 401"))
+		n, _ := io.ReadFull(connection, statusLine)
+		if string(statusLine[:n]) != want {
+			t.Fatalf("with token %q the answer begins %q, wanted %q", token, statusLine[:n], want)
 		}
 	}
 }
 
-func TestMalformedRequestDisturbsNobodyElse(t *testing.T) {
+func TestMalformedRequestLeavesOtherConnectionsUnaffected(t *testing.T) {
 	address := startServer(t, echo)
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestLongBodiesComeWhole: they travel compressed, both ways.
-func TestLongBodiesComeWhole(t *testing.T) {
+// TestLongBodiesSurviveCompression: they travel compressed, both ways.
+func TestLongBodiesSurviveCompression(t *testing.T) {
 	address := startServer(t, echo)
 	var reply message
 	text := strings.Repeat("a long prompt ", 4000)
@@ -128,40 +128,40 @@
 	}
 }
 
-// TestAnswersOwedAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
+// TestUnreadResponseBytesAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
 // gone others are answered again.
-func TestAnswersOwedAreBounded(t *testing.T) {
-	const size, most = 1 << 20, 6 << 20
-	noise := make([]byte, size)
+func TestUnreadResponseBytesAreBounded(t *testing.T) {
+	const responseSize, maxUnread = 1 << 20, 6 << 20
+	responseBody := make([]byte, responseSize)
 	random := rand.NewChaCha8([32]byte{1})
-	_, _ = random.Read(noise)
+	_, _ = random.Read(responseBody)
 	var server *Server
 	address := freeAddress(t)
-	server, err := Listen(address, "", func(_ Request, respond Respond) { go respond(http.StatusOK, noise) }, zap.NewNop())
+	server, err := Listen(address, "", func(_ Request, respond Respond) { go respond(http.StatusOK, responseBody) }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.most = most
+	server.maxUnread = maxUnread
 	defer func() { _ = server.Close(context.Background()) }()
-	var idle []net.Conn
-	for range 3 * most / size {
+	var stalled []net.Conn
+	for range 3 * maxUnread / responseSize {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		idle = append(idle, c)
+		stalled = append(stalled, c)
 		if _, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
-		first := make([]byte, len("HTTP/1.1 200"))
-		if _, err := io.ReadFull(c, first); err != nil {
+		statusLine := make([]byte, len("HTTP/1.1 200"))
+		if _, err := io.ReadFull(c, statusLine); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if owed := server.owed.Load(); owed == 0 || owed > most {
-		t.Fatalf("%d bytes are owed, at most %d may be", owed, most)
+	if unread := server.unreadBytes.Load(); unread == 0 || unread > maxUnread {
+		t.Fatalf("%d bytes are owed, at most %d may be", unread, maxUnread)
 	}
-	for _, c := range idle {
+	for _, c := range stalled {
 		_ = c.Close()
 	}
 	var reply []byte
@@ -171,7 +171,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err != nil || len(reply) != size {
+	if err != nil || len(reply) != responseSize {
 		t.Fatalf("%d bytes after the others had gone: %v", len(reply), err)
 	}
 }
@@ -182,7 +182,7 @@
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 99999999999999\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		request, length, err := parse(data)
+		request, length, err := parseRequest(data)
 		if err == nil && (request == nil || length > len(data)) {
 			t.Fatalf("request of %d bytes taken from %d", length, len(data))
 		}
@@ -192,8 +192,8 @@
 	})
 }
 
-// TestListenAgainAtOnce: a restarted process must get its address back although old connections linger.
-func TestListenAgainAtOnce(t *testing.T) {
+// TestListenOnSameAddressAfterClose: a restarted process must get its address back although old connections linger.
+func TestListenOnSameAddressAfterClose(t *testing.T) {
 	address := freeAddress(t)
 	for round := range 3 {
 		server, err := Listen(address, "token", echo, zap.NewNop())
