--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -64,15 +64,15 @@
 }
 
 // linkState tells whether an address is cut off and how far it is.
-func (l *LinkFilter) linkState(address string) (cut bool, latency time.Duration) {
+func (l *LinkFilter) linkState(address string) (partitioned bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
 	other := l.file.Zones[address]
 	if other == "" || other == l.zone {
 		return false, 0
 	}
-	cut = slices.Contains(l.file.Partitioned, other) || slices.Contains(l.file.Partitioned, l.zone)
-	return cut, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
+	partitioned = slices.Contains(l.file.Partitioned, other) || slices.Contains(l.file.Partitioned, l.zone)
+	return partitioned, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
 }
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
