--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -98,9 +98,9 @@
 // wait blocks while the link is cut, as a network that drops packets does, then for the latency.
 func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
-		cut, latency := l.linkState(address)
+		partitioned, latency := l.linkState(address)
 		delay := latency
-		if cut {
+		if partitioned {
 			delay = linkFilePollInterval
 		}
 		if delay > 0 {
@@ -110,7 +110,7 @@
 			case <-time.After(delay):
 			}
 		}
-		if !cut {
+		if !partitioned {
 			return nil
 		}
 	}
