--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -137,8 +137,8 @@
 func (c *linkConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	for {
-		cut, _ := c.links.linkState(c.address)
-		if !cut {
+		partitioned, _ := c.links.linkState(c.address)
+		if !partitioned {
 			return n, err
 		}
 		select {
