--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -67,11 +67,11 @@
 func (l *LinkFilter) linkState(address string) (partitioned bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
-	other := l.file.Zones[address]
-	if other == "" || other == l.zone {
+	zone := l.file.Zones[address]
+	if zone == "" || zone == l.zone {
 		return false, 0
 	}
-	partitioned = slices.Contains(l.file.Partitioned, other) || slices.Contains(l.file.Partitioned, l.zone)
+	partitioned = slices.Contains(l.file.Partitioned, zone) || slices.Contains(l.file.Partitioned, l.zone)
 	return partitioned, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
 }
 
