--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -124,12 +124,12 @@
 			node.apply(&values, func(name string) { origin[name] = path })
 		}
 	}
-	full, err := json.Marshal(values)
+	encoded, err := json.Marshal(values)
 	if err != nil {
 		panic("settings: effective values cannot be written: " + err.Error())
 	}
 	byName := map[string]json.RawMessage{}
-	if err := json.Unmarshal(full, &byName); err != nil {
+	if err := json.Unmarshal(encoded, &byName); err != nil {
 		panic("settings: effective values cannot be read: " + err.Error())
 	}
 	var list []Origin
