--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -132,15 +132,15 @@
 	if err := json.Unmarshal(encoded, &byName); err != nil {
 		panic("settings: effective values cannot be read: " + err.Error())
 	}
-	var list []Origin
+	var origins []Origin
 	for _, definition := range definitions {
 		path, set := origin[definition.Name]
 		if !set {
 			path = OriginDefault
 		}
-		list = append(list, Origin{Setting: definition.Name, Value: byName[definition.Name], Path: path})
+		origins = append(origins, Origin{Setting: definition.Name, Value: byName[definition.Name], Path: path})
 	}
-	return list
+	return origins
 }
 
 // namesAt returns the distinct names at one depth, without Any.
