--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -74,20 +74,20 @@
 // compared zone first.
 func applicablePaths(elements []string) []Path {
 	paths := []Path{"/"}
-	current := []Path{""}
+	parents := []Path{""}
 	for _, element := range elements {
 		var next []Path
-		for _, parent := range current {
+		for _, parent := range parents {
 			next = append(next, parent+"/"+Wildcard)
 		}
 		if element != Wildcard {
-			for _, parent := range current {
+			for _, parent := range parents {
 				next = append(next, parent+"/"+Path(element))
 			}
 		}
 		sort.SliceStable(next, func(i, j int) bool { return specificity(next[i]) < specificity(next[j]) })
 		paths = append(paths, next...)
-		current = next
+		parents = next
 	}
 	return paths
 }
