--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -216,7 +216,7 @@
 	_, hadNode := before.Nodes[path]
 	_, hasNode := after.Nodes[path]
 	if hadNode != hasNode {
-		differences = append(differences, Difference{Path: path, Before: presence(hadNode), After: presence(hasNode)})
+		differences = append(differences, Difference{Path: path, Before: presenceMarker(hadNode), After: presenceMarker(hasNode)})
 	}
 	for _, definition := range definitions {
 		old, hadOld := before.Nodes[path].Get(definition.Name)
@@ -228,7 +228,7 @@
 	return differences
 }
 
-func presence(exists bool) json.RawMessage {
+func presenceMarker(exists bool) json.RawMessage {
 	if exists {
 		return json.RawMessage("{}")
 	}
