--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestOnlyOneChangeOfABaseVersionIsAccepted(t *testing.T) {
+func TestSecondChangeOnSameBaseVersionConflicts(t *testing.T) {
 	m := NewMachine()
 	m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0)
 	outcome := m.Apply(newChange(0, "b", setEdit("/", "queue_limit", "20")), 0)
