--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -83,14 +83,14 @@
 		m, wantLimits := NewMachine(), map[Path]int{}
 		var version uint64
 		outcomes := map[string]Outcome{}
-		sent := []Change{}
+		changes := []Change{}
 		path := rapid.SampledFrom([]Path{"/", "/z1", "/z2", "/z1/s", "/*/s"})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := newChange(base, fmt.Sprint(len(sent)), setEdit(path, "queue_limit", fmt.Sprint(value)))
-				sent = append(sent, c)
+				c := newChange(base, fmt.Sprint(len(changes)), setEdit(path, "queue_limit", fmt.Sprint(value)))
+				changes = append(changes, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
 				switch {
@@ -105,10 +105,10 @@
 				}
 			},
 			"resend": func(t *rapid.T) {
-				if len(sent) == 0 {
+				if len(changes) == 0 {
 					t.Skip("nothing was sent")
 				}
-				c := rapid.SampledFrom(sent).Draw(t, "change")
+				c := rapid.SampledFrom(changes).Draw(t, "change")
 				first := outcomes[c.OperationID]
 				expectOutcome(t, m.Apply(c, 0), first.Kind, first.Version)
 			},
