--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -202,11 +202,11 @@
 
 func TestParseFileReportsAllProblems(t *testing.T) {
 	_, problems := ParseFile([]byte(fileWithThreeProblems))
-	var text []string
+	var messages []string
 	for _, problem := range problems {
-		text = append(text, problem.String())
+		messages = append(messages, problem.String())
 	}
-	all := strings.Join(text, "\n")
+	all := strings.Join(messages, "\n")
 	for _, want := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
 		if !strings.Contains(all, want) {
 			t.Errorf("%q is not named in:\n%s", want, all)
