--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Wildcard is the path element that stands for every zone, service or tenant.
+// Wildcard is the path element that matches every zone, service or tenant.
 const Wildcard = "*"
 
 // Level names of the tree, from the root down.
@@ -21,11 +21,11 @@
 
 var levelNames = []string{LevelRoot, LevelZone, LevelService, LevelTenant}
 
-// Path names a node: "/" is the root, "/zone", "/zone/service" and "/zone/service/tenant" lie beneath.
-// An element may be Any.
+// Path identifies a node of the tree: "/" (the root), "/zone", "/zone/service" or "/zone/service/tenant".
+// Each element may be Wildcard.
 type Path string
 
-// Elements returns the names below the root.
+// Elements returns the path elements below the root, nil for the root itself.
 func (p Path) Elements() []string {
 	trimmed := strings.Trim(string(p), "/")
 	if trimmed == "" {
@@ -34,7 +34,7 @@
 	return strings.Split(trimmed, "/")
 }
 
-// Level returns the name of the path's level.
+// Level returns the name of the path's level, or "" when the path is too deep.
 func (p Path) Level() string {
 	depth := len(p.Elements())
 	if depth >= len(levelNames) {
@@ -43,10 +43,10 @@
 	return levelNames[depth]
 }
 
-// MakePath joins elements to a path.
+// MakePath joins elements into a path.
 func MakePath(elements ...string) Path { return Path("/" + strings.Join(elements, "/")) }
 
-// Tree maps each path to what it sets. A node exists when it has an entry, even an empty one.
+// Tree maps each path to the settings it overrides. A node exists when it has an entry, even an empty one.
 type Tree struct {
 	Nodes map[Path]Overrides `json:"nodes"`
 }
@@ -54,24 +54,24 @@
 // NewTree returns a tree with an empty root.
 func NewTree() Tree { return Tree{Nodes: map[Path]Overrides{"/": {}}} }
 
-// Clone returns a copy that shares no map. Overrides are never changed in place.
+// Clone returns a copy with its own map. The Overrides are shared, since they are never modified in place.
 func (t Tree) Clone() Tree { return Tree{Nodes: maps.Clone(t.Nodes)} }
 
 // Paths returns all paths, sorted.
 func (t Tree) Paths() []Path { return slices.Sorted(maps.Keys(t.Nodes)) }
 
-// Origin tells which node set an effective value; the built-in default has the path "default".
+// Origin is an effective value and the node that set it; the path of a built-in default is OriginDefault.
 type Origin struct {
 	Setting string          `json:"setting"`
 	Value   json.RawMessage `json:"value"`
 	Path    Path            `json:"path"`
 }
 
-// OriginDefault is the Path of an Origin that no node of the tree set.
+// OriginDefault is the Path of a value that no node of the tree sets.
 const OriginDefault Path = "default"
 
-// applicablePaths lists the nodes that apply to a place, weakest first: by depth, and at one depth Any before a name,
-// compared zone first.
+// applicablePaths returns the paths that apply to the given zone, service and tenant, in order of increasing precedence:
+// deeper paths override shallower ones and, at the same depth, names override Wildcard, compared from the zone down.
 func applicablePaths(elements []string) []Path {
 	paths := []Path{"/"}
 	parents := []Path{""}
@@ -92,7 +92,7 @@
 	return paths
 }
 
-// specificity orders paths of one depth: a named zone counts more than a named service, that more than a tenant.
+// specificity ranks paths of the same depth: a named zone outweighs a named service, which outweighs a named tenant.
 func specificity(path Path) int {
 	score := 0
 	for _, element := range path.Elements() {
@@ -104,7 +104,7 @@
 	return score
 }
 
-// Resolve returns the effective values for a zone, service and tenant; trailing ones may be left out.
+// Resolve returns the effective values for a zone, service and tenant; trailing elements may be omitted.
 func (t Tree) Resolve(elements ...string) Values {
 	values := Defaults()
 	for _, path := range applicablePaths(elements) {
@@ -115,7 +115,7 @@
 	return values
 }
 
-// Explain returns each effective value and the node that set it.
+// Explain returns each effective value with the node that set it.
 func (t Tree) Explain(elements ...string) []Origin {
 	values := Defaults()
 	origin := map[string]Path{}
@@ -126,11 +126,11 @@
 	}
 	encoded, err := json.Marshal(values)
 	if err != nil {
-		panic("settings: effective values cannot be written: " + err.Error())
+		panic("settings: encode effective values: " + err.Error())
 	}
 	byName := map[string]json.RawMessage{}
 	if err := json.Unmarshal(encoded, &byName); err != nil {
-		panic("settings: effective values cannot be read: " + err.Error())
+		panic("settings: decode effective values: " + err.Error())
 	}
 	var origins []Origin
 	for _, definition := range definitions {
@@ -143,7 +143,7 @@
 	return origins
 }
 
-// namesAt returns the distinct names at one depth, without Any.
+// namesAt returns the distinct names at a depth, sorted, without Wildcard.
 func (t Tree) namesAt(depth int) []string {
 	found := map[string]bool{}
 	for path := range t.Nodes {
@@ -179,15 +179,15 @@
 	return keys
 }
 
-// Edit sets or removes one setting, or a whole node.
+// Edit sets or removes one setting, or creates or removes a node.
 type Edit struct {
 	Path    Path            `json:"path"`
-	Setting string          `json:"setting,omitempty"` // empty: the node itself
-	Value   json.RawMessage `json:"value,omitempty"`   // empty: inherit again, or remove the node
-	Create  bool            `json:"create,omitempty"`  // with an empty Setting: make an empty node
+	Setting string          `json:"setting,omitempty"` // empty: the edit applies to the node itself
+	Value   json.RawMessage `json:"value,omitempty"`   // empty: inherit the setting again, or remove the node
+	Create  bool            `json:"create,omitempty"`  // with an empty Setting: create an empty node
 }
 
-// Difference is one setting that differs between two trees.
+// Difference is a setting, or with an empty Setting a node, that differs between two trees.
 type Difference struct {
 	Path    Path            `json:"path"`
 	Setting string          `json:"setting"`
@@ -195,7 +195,7 @@
 	After   json.RawMessage `json:"after,omitempty"`
 }
 
-// Diff lists the settings in which two trees differ, sorted by path and setting.
+// Diff returns the differences between two trees, sorted by path, then in the order of Definitions.
 func Diff(before, after Tree) []Difference {
 	paths := map[Path]bool{}
 	for path := range before.Nodes {
@@ -228,6 +228,7 @@
 	return differences
 }
 
+// presenceMarker represents a node in a Difference: an empty object, or nil when it does not exist.
 func presenceMarker(exists bool) json.RawMessage {
 	if exists {
 		return json.RawMessage("{}")
