--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -1,6 +1,6 @@
-// Package settings is the operators' tree: defaults at the root, overridden by zones, services and
-// tenants beneath. The package is pure: Machine applies changes from the replicated log, Tree resolves the
-// effective values for a request, and check.go says what is wrong with a tree or an edit.
+// Package settings holds the tree of operator settings: defaults at the root, overridden by zones, services
+// and tenants. It does no I/O: Machine applies changes from the replicated log, Tree resolves the effective
+// values for a request, and check.go validates trees and edits.
 package settings
 
 import (
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Values are the effective settings at one place of the tree. The tags are the reference documentation:
-// docs/CONFIGURATION.md is written from them.
+// Values are the effective settings for a zone, service and tenant. The reference table in docs/CONFIGURATION.md
+// is generated from the field tags.
 type Values struct {
 	Kind                  string   `json:"kind" default:"llm" enum:"llm,service" unit:"name" levels:"service" help:"llm: model engines with prefix caches; service: small back ends that answer whole requests"`
 	Model                 string   `json:"model" default:"" unit:"name" levels:"service" help:"model name in callers' requests that this service answers; empty means the service's own name"`
@@ -50,7 +50,8 @@
 	KindService = "service" // small back ends that answer whole requests
 )
 
-// Overrides are the settings that one node of the tree sets itself; nil fields are inherited.
+// Overrides are the settings that one node of the tree sets; nil fields are inherited. The fields must be in the
+// order of Values.
 type Overrides struct {
 	Kind                  *string   `json:"kind,omitempty"`
 	Model                 *string   `json:"model,omitempty"`
@@ -83,7 +84,7 @@
 	APIKeySHA256          *[]string `json:"api_key_sha256,omitempty"`
 }
 
-// Definition describes one setting.
+// Definition describes one setting: its type, unit, default, allowed values and levels.
 type Definition struct {
 	Name    string
 	Type    string
@@ -96,7 +97,7 @@
 
 	minimum, maximum float64
 	bounded          bool
-	field            int
+	field            int // index of the field in Values and Overrides
 }
 
 var definitions, definitionByName = buildDefinitions()
@@ -160,7 +161,7 @@
 	}
 }
 
-// apply copies the set fields of an override onto values and calls note for each.
+// apply copies the fields that are set to values and calls onSet, unless nil, with the name of each.
 func (o Overrides) apply(values *Values, onSet func(name string)) {
 	source := reflect.ValueOf(o)
 	target := reflect.ValueOf(values).Elem()
@@ -179,7 +180,7 @@
 // Empty reports whether the node sets nothing.
 func (o Overrides) Empty() bool { return reflect.ValueOf(o).IsZero() }
 
-// Get returns the JSON form of a set value, or false when it is inherited.
+// Get returns the JSON form of a setting, or false when the node does not set it.
 func (o Overrides) Get(name string) (json.RawMessage, bool) {
 	definition, known := definitionByName[name]
 	if !known {
@@ -191,12 +192,12 @@
 	}
 	data, err := json.Marshal(pointer.Interface())
 	if err != nil {
-		panic("settings: value of " + name + " cannot be written: " + err.Error())
+		panic("settings: value of " + name + " cannot be encoded: " + err.Error())
 	}
 	return data, true
 }
 
-// withSetting returns a copy in which one setting is set, or inherited again when value is nil.
+// withSetting returns a copy with one setting set, or inherited when value is nil.
 func (o Overrides) withSetting(definition Definition, value json.RawMessage) (Overrides, error) {
 	target := reflect.ValueOf(&o).Elem().Field(definition.field)
 	if value == nil {
