--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -12,7 +12,7 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// FileProblem is a fault of a settings file with its line.
+// FileProblem is a problem in a settings file with its line number.
 type FileProblem struct {
 	Line int
 	Problem
@@ -21,22 +21,22 @@
 // String returns "line N: path setting: message".
 func (p FileProblem) String() string { return fmt.Sprintf("line %d: %s", p.Line, p.Problem) }
 
-// childKeys names the key that holds the children of each level in a settings file.
+// childKeys are the keys that hold the child nodes, by the depth of the parent; tenants have none.
 var childKeys = []string{"zones", "services", "tenants", ""}
 
 const settingsKey = "settings"
 
-// simulationKey is the section of a deployment file that describes stand-ins; it is not part of the tree.
+// simulationKey is the top-level section that describes simulated engines and load; ParseFile skips it.
 const simulationKey = "lab"
 
-// fileReader collects the tree and every fault of a file.
+// fileReader collects the tree and all problems of a file.
 type fileReader struct {
 	tree     Tree
-	lines    map[Path]int
+	lines    map[Path]int // line on which each node starts
 	problems []FileProblem
 }
 
-// ParseFile reads the YAML form of a tree and reports all faults at once.
+// ParseFile parses the YAML form of a tree and returns all problems it finds, sorted by line.
 func ParseFile(data []byte) (Tree, []FileProblem) {
 	reader := &fileReader{tree: NewTree(), lines: map[Path]int{"/": 1}}
 	file, err := parser.ParseBytes(data, 0)
@@ -61,6 +61,7 @@
 	return line
 }
 
+// syntaxLine extracts the line number from a YAML syntax error.
 func syntaxLine(err error) int {
 	var line int
 	if _, scanErr := fmt.Sscanf(err.Error(), "[%d:", &line); scanErr != nil {
@@ -108,7 +109,7 @@
 		case key == children && children != "":
 			r.readChildren(member.Value, elements)
 		case key == simulationKey && len(elements) == 0:
-			// read by package plan
+			// parsed by package lab/plan
 		default:
 			r.addProblem(member.Key, path, key, fmt.Sprintf("unknown key; allowed here: %s", describeAllowedKeys(children)))
 		}
@@ -155,7 +156,7 @@
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		r.addProblem(member.Key, path, definition.Name, "the value cannot be read")
+		r.addProblem(member.Key, path, definition.Name, "the value cannot be represented as JSON")
 		return
 	}
 	next, err := r.tree.Nodes[path].withSetting(definition, bytes.TrimSpace(data))
@@ -163,6 +164,7 @@
 		r.addProblem(member.Key, path, definition.Name, fmt.Sprintf("%s is not a value of type %s", data, definition.Type))
 		return
 	}
+	// Only the new value is checked, so that a problem is reported on its own line.
 	single, _ := Overrides{}.withSetting(definition, data)
 	if problems := checkNode(path, single); len(problems) > 0 {
 		r.addProblem(member.Key, path, definition.Name, problems[0].Message)
