--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// maxHistory bounds the accepted changes kept for config history and deltas.
+	// maxHistory bounds the accepted changes kept for the history and for EditsSince.
 	maxHistory = 500
-	// maxOutcomes bounds the operation ids whose first outcome is remembered.
+	// maxOutcomes bounds the stored outcomes, which are returned when a change is resent.
 	maxOutcomes = 20_000
 )
 
-// Change is one operator's atomic request to edit the tree.
+// Change is an operator's request to edit the tree. Its edits are applied atomically.
 type Change struct {
-	Base        uint64 `json:"base"`         // version the operator looked at
-	OperationID string `json:"operation_id"` // the same for every resend of this change
+	Base        uint64 `json:"base"`         // version of the tree that the edits are based on
+	OperationID string `json:"operation_id"` // identifies the change; the same for every resend
 	Author      string `json:"author,omitempty"`
 	Edits       []Edit `json:"edits"`
 }
 
-// OutcomeKind tells what became of a change.
+// OutcomeKind is the result of a change.
 type OutcomeKind string
 
 // Kinds of outcome.
 const (
 	OutcomeAccepted          OutcomeKind = "accepted"
 	OutcomeConflict          OutcomeKind = "conflict"            // the tree is at another version
-	OutcomeInvalid           OutcomeKind = "invalid"             // the edits or the resulting tree are wrong
-	OutcomeOperationIDReused OutcomeKind = "operation-id-reused" // the operation id was used for another change
+	OutcomeInvalid           OutcomeKind = "invalid"             // the edits or the resulting tree are invalid
+	OutcomeOperationIDReused OutcomeKind = "operation-id-reused" // a change with other content has used the operation ID
 )
 
-// Outcome is the answer to a change. A resend gets the stored first outcome.
+// Outcome is the response to a change. A resent change gets the stored outcome of the first attempt.
 type Outcome struct {
 	Kind             OutcomeKind  `json:"kind"`
-	Version          uint64       `json:"version"` // new version when accepted, else the current one
+	Version          uint64       `json:"version"` // new version if accepted, else the current one
 	Problems         []Problem    `json:"problems,omitempty"`
-	ChangesSinceBase []Difference `json:"differing,omitempty"` // with a conflict: what changed since the base, if still known
+	ChangesSinceBase []Difference `json:"differing,omitempty"` // on a conflict: changes since the base version that the history still holds
 }
 
 // HistoryEntry is one accepted change.
@@ -52,18 +52,19 @@
 	Edits       []Edit `json:"edits"`
 }
 
-// storedOutcome remembers the outcome of an operation id and what it was used for.
+// storedOutcome is the outcome of an operation ID and a digest of the change it was used for.
 type storedOutcome struct {
 	OperationID string  `json:"id"`
 	Digest      uint64  `json:"digest"`
 	Outcome     Outcome `json:"outcome"`
 }
 
-// Machine is the replicated state of the tree. Versions start at 0 and only grow.
+// Machine is the replicated state machine of the settings tree. Versions start at 0 and increase by one with each
+// accepted change.
 type Machine struct {
 	Guards          guard.Set `json:"-"`
 	state           machineState
-	outcomeIndexes  map[string]int // index into state.Outcomes
+	outcomeIndexes  map[string]int // by operation ID: index into state.Outcomes, plus droppedOutcomes
 	droppedOutcomes int            // outcomes dropped from the front since byID was built
 }
 
@@ -82,13 +83,14 @@
 // Version returns the current version.
 func (m *Machine) Version() uint64 { return m.state.Version }
 
-// Tree returns the current tree; callers must not change it.
+// Tree returns the current tree; callers must not modify it.
 func (m *Machine) Tree() Tree { return m.state.Tree }
 
-// History returns the newest accepted changes, oldest first.
+// History returns the most recent accepted changes, oldest first.
 func (m *Machine) History() []HistoryEntry { return m.state.History }
 
-// Apply decides a change. It is deterministic: every replica gets the same outcome.
+// Apply validates and applies a change from the replicated log. It is deterministic, so that all replicas reach the
+// same outcome.
 func (m *Machine) Apply(change Change, unixMS int64) Outcome {
 	digest := changeDigest(change)
 	if index, seen := m.outcomeIndexes[change.OperationID]; seen && m.Guards.On(guard.OperationCheck) {
@@ -103,6 +105,7 @@
 	return outcome
 }
 
+// applyNew applies a change whose operation ID has not been seen before.
 func (m *Machine) applyNew(change Change, unixMS int64) Outcome {
 	if change.OperationID == "" {
 		return Outcome{Kind: OutcomeInvalid, Version: m.state.Version, Problems: []Problem{{Path: "/", Message: "operation_id is missing"}}}
@@ -125,7 +128,7 @@
 	return Outcome{Kind: OutcomeAccepted, Version: m.state.Version}
 }
 
-// changedSince lists the edits accepted after a version, as far as the history reaches.
+// changedSince returns the edits accepted after a version, as far as the history reaches back.
 func (m *Machine) changedSince(base uint64) []Difference {
 	var differences []Difference
 	for _, entry := range m.state.History {
@@ -139,8 +142,8 @@
 	return differences
 }
 
-// EditsSince returns the edits that lead from a version to the current one, or false when the history no
-// longer reaches back and the whole tree must be sent.
+// EditsSince returns the edits that lead from a version to the current one, or false if the history does not reach
+// back to it and the whole tree must be sent.
 func (m *Machine) EditsSince(base uint64) ([]Edit, bool) {
 	if base == m.state.Version {
 		return nil, true
@@ -157,6 +160,7 @@
 	return edits, true
 }
 
+// storeOutcome records an outcome and evicts the oldest one when there are more than maxOutcomes.
 func (m *Machine) storeOutcome(stored storedOutcome) {
 	if stored.OperationID == "" {
 		return
@@ -172,19 +176,19 @@
 	m.droppedOutcomes++
 }
 
-// changeDigest identifies the content of a change, so that a reused operation id is noticed.
+// changeDigest hashes the content of a change, to detect an operation ID that is reused for another change.
 func changeDigest(change Change) uint64 {
 	data, err := json.Marshal(change)
 	if err != nil {
-		panic("settings: change cannot be written: " + err.Error())
+		panic("settings: encode change: " + err.Error())
 	}
 	return xxhash.Sum64(data)
 }
 
-// MarshalJSON writes the whole state for a snapshot.
+// MarshalJSON encodes the whole state for a snapshot.
 func (m *Machine) MarshalJSON() ([]byte, error) { return json.Marshal(m.state) }
 
-// UnmarshalJSON restores a state written by MarshalJSON.
+// UnmarshalJSON restores a state encoded by MarshalJSON.
 func (m *Machine) UnmarshalJSON(data []byte) error {
 	var state machineState
 	if err := json.Unmarshal(data, &state); err != nil {
