--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// maxNodes bounds the tree: 13 zones of 1,900 tenants and room for services.
+// maxNodes bounds the nodes of a tree.
 const maxNodes = 100_000
 
 var (
@@ -17,7 +17,7 @@
 	digestPattern = regexp.MustCompile(`^[0-9a-fA-F]{64}$`)
 )
 
-// Problem says what is wrong at one place and what is allowed there.
+// Problem describes an invalid path, setting or value and what is allowed instead.
 type Problem struct {
 	Path    Path   `json:"path"`
 	Setting string `json:"setting,omitempty"`
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s %s: %s", p.Path, p.Setting, p.Message)
 }
 
-// checkPath returns what is wrong with a path, or "".
+// checkPath returns why a path is invalid, or "".
 func checkPath(path Path) string {
 	elements := path.Elements()
 	if len(elements) > 3 {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// checkValue returns what is wrong with one value at a path, or "".
+// checkValue returns why a value is invalid or not allowed at a path, or "".
 func checkValue(definition Definition, path Path, value any) string {
 	if !slices.Contains(definition.Levels, path.Level()) {
 		return fmt.Sprintf("may be set at level %s, not at %s", strings.Join(definition.Levels, ", "), path.Level())
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// Check lists everything that is wrong with a tree.
+// Check validates the whole tree and returns all problems.
 func (t Tree) Check() []Problem {
 	var problems []Problem
 	if len(t.Nodes) > maxNodes {
@@ -114,8 +114,8 @@
 	return problems
 }
 
-// checkEditedNodes checks the nodes that edits touched, and the whole for contradictions. The other nodes were checked
-// when they were made; a change to a large tree must not check all of it again.
+// checkEditedNodes validates the nodes that edits touched and the consistency of the whole tree. All other nodes were
+// validated by earlier changes, so that a change to a large tree need not validate each node again.
 func (t Tree) checkEditedNodes(edits []Edit) []Problem {
 	if len(edits) >= len(t.Nodes) || len(t.Nodes) > maxNodes {
 		return t.Check()
@@ -132,7 +132,8 @@
 	return append(problems, t.checkConsistency()...)
 }
 
-// checkConsistency finds contradictions between nodes.
+// checkConsistency finds problems that involve several nodes: API keys of more than one tenant and invalid
+// combinations of effective values.
 func (t Tree) checkConsistency() []Problem {
 	var problems []Problem
 	owner := map[string]string{}
@@ -162,7 +163,7 @@
 	return problems
 }
 
-// Apply returns the tree with the edits made, or what is wrong with them. All edits are made or none.
+// Apply returns a copy of the tree with all edits applied or, if any is invalid, the unchanged tree and the problems.
 func (t Tree) Apply(edits []Edit) (Tree, []Problem) {
 	next := t.Clone()
 	var problems []Problem
@@ -183,6 +184,7 @@
 	return next, nil
 }
 
+// applyEdit applies one edit in place.
 func (t Tree) applyEdit(edit Edit) *Problem {
 	if message := checkPath(edit.Path); message != "" {
 		return &Problem{Path: edit.Path, Message: message}
@@ -206,6 +208,7 @@
 	return nil
 }
 
+// applyNodeEdit creates a node, or removes it with all nodes below it.
 func (t Tree) applyNodeEdit(edit Edit) *Problem {
 	if edit.Create {
 		if _, exists := t.Nodes[edit.Path]; !exists {
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// unknownSettingMessage says that a name is not known and offers the nearest one.
+// unknownSettingMessage returns the message for an unknown setting, with the most similar name as a suggestion.
 func unknownSettingMessage(name string) string {
 	best, distance := "", len(name)
 	for _, definition := range definitions {
@@ -241,6 +244,7 @@
 	return "unknown setting; docs/CONFIGURATION.md lists all"
 }
 
+// editDistance returns the Levenshtein distance.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -261,7 +265,7 @@
 	return row[len(b)]
 }
 
-// DiffEdits returns the edits that turn one tree into another.
+// DiffEdits returns the edits that transform one tree into another.
 func DiffEdits(before, after Tree) []Edit {
 	var edits []Edit
 	for _, path := range before.Paths() {
@@ -286,7 +290,7 @@
 	return edits
 }
 
-// ancestorRemoved reports whether a parent of the path is removed too, which removes the path with it.
+// ancestorRemoved reports whether a node above the path is absent from after; its removal includes the path.
 func ancestorRemoved(path Path, after Tree) bool {
 	elements := path.Elements()
 	for depth := 1; depth < len(elements); depth++ {
