--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -65,7 +65,7 @@
 	Guards          guard.Set `json:"-"`
 	state           machineState
 	outcomeIndexes  map[string]int // by operation ID: index into state.Outcomes, plus droppedOutcomes
-	droppedOutcomes int            // outcomes dropped from the front since byID was built
+	droppedOutcomes int            // outcomes evicted since outcomeIndexes was built
 }
 
 type machineState struct {
