--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -14,7 +14,7 @@
 	tableEndMarker   = "<!-- end of settings -->"
 )
 
-// settingsTable writes the table of every setting.
+// settingsTable returns the Markdown table of all settings.
 func settingsTable() string {
 	var text strings.Builder
 	text.WriteString("| setting | type | unit | default | allowed | levels | effect |\n|---|---|---|---|---|---|---|\n")
@@ -32,7 +32,8 @@
 	return text.String()
 }
 
-// TestConfigurationPageMatchesDefinitions: run with UPDATE_DOCS=1 to write the table anew.
+// TestConfigurationPageMatchesDefinitions compares the table in docs/CONFIGURATION.md with the field tags of Values.
+// Run it with UPDATE_DOCS=1 to regenerate the table.
 func TestConfigurationPageMatchesDefinitions(t *testing.T) {
 	path := filepath.FromSlash(referenceFile)
 	data, err := os.ReadFile(path)
@@ -42,7 +43,7 @@
 	before, rest, found := strings.Cut(string(data), tableStartMarker)
 	_, after, closed := strings.Cut(rest, tableEndMarker)
 	if !found || !closed {
-		t.Fatalf("%s has no markers around the settings", referenceFile)
+		t.Fatalf("%s: no markers around the settings table", referenceFile)
 	}
 	want := before + tableStartMarker + settingsTable() + tableEndMarker + after
 	if os.Getenv("UPDATE_DOCS") != "" {
@@ -50,6 +51,6 @@
 			t.Fatal(err)
 		}
 	} else if want != string(data) {
-		t.Fatalf("%s differs from the types; run UPDATE_DOCS=1 go test ./internal/settings", referenceFile)
+		t.Fatalf("%s: the settings table is outdated; run UPDATE_DOCS=1 go test ./internal/settings", referenceFile)
 	}
 }
