--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -61,14 +61,13 @@
 		t.Fatal(err)
 	}
 	if again := restarted.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10")), 0); again.Kind != first.Kind || again.Version != first.Version {
-		t.Fatalf("outcome %+v, first %+v", again, first)
+		t.Fatalf("outcome of the resent change %+v, want %+v", again, first)
 	}
 	if reused := restarted.Apply(newChange(2, "a", setEdit("/", "queue_limit", "99")), 0); reused.Kind != OutcomeOperationIDReused {
-		t.Fatalf("same id with other content: %+v", reused)
+		t.Fatalf("reused operation ID with other content: outcome %+v", reused)
 	}
 }
 
-// TestOneInvalidEditRejectsTheWholeChange: one wrong edit keeps all of them out.
 func TestOneInvalidEditRejectsTheWholeChange(t *testing.T) {
 	m := NewMachine()
 	outcome := m.Apply(newChange(0, "a", setEdit("/", "queue_limit", "10"), setEdit("/", "time_weight", "7"), setEdit("/", "no_such", "1")), 0)
@@ -77,7 +76,7 @@
 	}
 }
 
-// TestMachineMatchesModel: versions, outcomes and values against a plain map.
+// TestMachineMatchesModel compares versions, outcomes and values with a plain map, over changes, resends and restarts.
 func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, wantLimits := NewMachine(), map[Path]int{}
@@ -106,7 +105,7 @@
 			},
 			"resend": func(t *rapid.T) {
 				if len(changes) == 0 {
-					t.Skip("nothing was sent")
+					t.Skip("no change to resend")
 				}
 				c := rapid.SampledFrom(changes).Draw(t, "change")
 				first := outcomes[c.OperationID]
@@ -139,11 +138,12 @@
 
 func expectOutcome(t *rapid.T, outcome Outcome, kind OutcomeKind, version uint64) {
 	if outcome.Kind != kind || outcome.Version != version {
-		t.Fatalf("outcome %s at %d, want %s at %d", outcome.Kind, outcome.Version, kind, version)
+		t.Fatalf("outcome %s at version %d, want %s at version %d", outcome.Kind, outcome.Version, kind, version)
 	}
 }
 
-// TestEditsSinceReproduceTheCurrentTree: deltas and the whole tree must never differ.
+// TestEditsSinceReproduceTheCurrentTree checks that a router that receives edits ends with the same tree as one that
+// receives the whole tree.
 func TestEditsSinceReproduceTheCurrentTree(t *testing.T) {
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
@@ -154,14 +154,14 @@
 	for base, tree := range trees {
 		edits, ok := m.EditsSince(uint64(base))
 		if !ok {
-			t.Fatalf("no edits since version %d", base)
+			t.Fatalf("version %d: edits not available", base)
 		}
 		if base == len(trees)-1 {
 			continue
 		}
 		next, problems := tree.Apply(edits)
 		if len(problems) > 0 || len(Diff(next, m.Tree())) > 0 {
-			t.Fatalf("edits since %d lead elsewhere: %v, %v", base, problems, Diff(next, m.Tree()))
+			t.Fatalf("edits since version %d: problems %v, remaining differences %v", base, problems, Diff(next, m.Tree()))
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	for _, pair := range [][2]Tree{{kigaliTree, nilewashTree}, {nilewashTree, kigaliTree}, {NewTree(), kigaliTree}, {kigaliTree, NewTree()}} {
 		next, problems := pair[0].Apply(DiffEdits(pair[0], pair[1]))
 		if len(problems) > 0 || len(Diff(next, pair[1])) > 0 {
-			t.Fatalf("problems %v, left over %v", problems, Diff(next, pair[1]))
+			t.Fatalf("problems %v, remaining differences %v", problems, Diff(next, pair[1]))
 		}
 	}
 }
@@ -209,7 +209,7 @@
 	all := strings.Join(messages, "\n")
 	for _, want := range []string{"line 2", "time_weight", "0 to 1", "line 3", "did you mean queue_limit", "line 9", "llm | service"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("%q is not named in:\n%s", want, all)
+			t.Errorf("problems do not contain %q:\n%s", want, all)
 		}
 	}
 	if len(problems) != 3 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// FuzzParseFile: no bytes may crash the parser, and a tree without problems must pass its own check.
+// FuzzParseFile checks that no input makes ParseFile panic and that each tree it accepts passes Check.
 func FuzzParseFile(f *testing.F) {
 	f.Add([]byte(fileWithThreeProblems))
 	f.Add([]byte("settings: {queue_limit: 3}\n"))
@@ -225,12 +225,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		tree, problems := ParseFile(data)
 		if len(problems) == 0 && len(tree.Check()) > 0 {
-			t.Fatalf("accepted, but the check says %v", tree.Check())
+			t.Fatalf("accepted tree fails Check: %v", tree.Check())
 		}
 	})
 }
 
-// TestAcceptedTreesPassFullCheck: checking only what was edited must accept nothing that the whole check refuses.
+// TestAcceptedTreesPassFullCheck checks that Apply, which validates only the edited nodes, accepts no tree that Check
+// rejects.
 func TestAcceptedTreesPassFullCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := NewTree()
@@ -247,7 +248,7 @@
 				continue
 			}
 			if found := next.Check(); len(found) > 0 {
-				t.Fatalf("%+v was accepted, but: %v", edits, found)
+				t.Fatalf("tree accepted after %+v fails Check: %v", edits, found)
 			}
 			tree = next
 		}
