--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestEditsSinceReproduceTheCurrentTree checks that a router that receives edits ends with the same tree as one that
-// receives the whole tree.
+// TestEditsSinceReproduceTheCurrentTree checks that EditsSince, applied to the tree of an older version, yields the
+// current tree.
 func TestEditsSinceReproduceTheCurrentTree(t *testing.T) {
 	m := NewMachine()
 	trees := []Tree{m.Tree()}
