--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -9,27 +9,27 @@
 	"kitetiller/internal/clock"
 )
 
-// AnnouncerSettings bound an announcer.
+// AnnouncerSettings configure an Announcer.
 type AnnouncerSettings struct {
-	Path       string        // that peers are told on
-	QueueSize  int           // items that may wait
-	MaxBatch   int           // items told in one message
-	BatchDelay time.Duration // how long an item waits for others to be told with it
-	Timeout    time.Duration // of one message
+	Path       string        // request path at the peers
+	QueueSize  int           // items that may be queued
+	MaxBatch   int           // items per message
+	BatchDelay time.Duration // delay before sending, to collect further items
+	Timeout    time.Duration // of sending one message to one peer
 }
 
-// Timestamped is an announced item and when that was.
+// Timestamped is an item and the time when it was announced.
 type Timestamped[T any] struct {
 	Item T
 	At   time.Duration // by clock.Now
 }
 
-// Announcer tells peers of items, several in one message, without ever holding up who announces them. What cannot be told
-// in time is dropped: it is for news that only make a choice better.
+// Announcer sends items to all peers in batches, without blocking callers of Announce. Delivery is best effort: items are
+// dropped when the queue is full and when a peer does not respond in time, so correctness must not depend on them.
 type Announcer[T any] struct {
 	client       *Client
 	settings     AnnouncerSettings
-	buildMessage func(batch []Timestamped[T]) any // what peers are sent
+	buildMessage func(batch []Timestamped[T]) any // returns the value that peers are sent, as JSON
 	queue        chan Timestamped[T]
 
 	mutex sync.Mutex
@@ -41,14 +41,14 @@
 	return &Announcer[T]{client: client, settings: settings, buildMessage: buildMessage, queue: make(chan Timestamped[T], settings.QueueSize)}
 }
 
-// SetPeers replaces the addresses that are told.
+// SetPeers replaces the addresses of the peers.
 func (a *Announcer[T]) SetPeers(peers []string) {
 	a.mutex.Lock()
 	a.peers = peers
 	a.mutex.Unlock()
 }
 
-// Announce queues an item, or drops it when the ring is full.
+// Announce queues an item, or drops it when the queue is full.
 func (a *Announcer[T]) Announce(item T) {
 	select {
 	case a.queue <- Timestamped[T]{Item: item, At: clock.Now()}:
@@ -56,7 +56,7 @@
 	}
 }
 
-// Run is the thread that tells the peers until ctx ends.
+// Run sends queued items to the peers until ctx ends.
 func (a *Announcer[T]) Run(ctx context.Context) {
 	for {
 		select {
@@ -86,7 +86,7 @@
 	}
 	body, err := json.Marshal(message)
 	if err != nil {
-		return // news that cannot be told are dropped like those that come too late
+		return // the batch is dropped: delivery is best effort
 	}
 	for _, address := range peers {
 		go func() {
