--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -28,26 +28,26 @@
 	token string
 }
 
-// NewClient returns a client whose connections pass through links. Long bodies are compressed here, both ways; net/http's own
-// compression is off.
+// NewClient returns a client whose connections pass through links. Client compresses long bodies in both directions itself;
+// net/http's own compression is off.
 func NewClient(token string, links *LinkFilter) *Client {
 	return &Client{http: &http.Client{Transport: NewRoundTripper(links)}, token: token}
 }
 
-// NewClientWithDialTimeout returns a client that gives a connection up which does not come up within a time. A machine that has just
-// come back never answers what was sent to it before; a new attempt reaches it at once.
+// NewClientWithDialTimeout returns a client with another limit on the time to connect. A short limit reconnects sooner to
+// a machine that was unreachable: packets sent before are lost, and a new attempt need not wait for a retransmission.
 func NewClientWithDialTimeout(token string, links *LinkFilter, timeout time.Duration) *Client {
 	return &Client{http: &http.Client{Transport: newRoundTripper(links, timeout)}, token: token}
 }
 
-// NewClientWithDialer returns a client whose connections are made by dial, for runs that count what travels.
+// NewClientWithDialer returns a client whose connections are made by dial, for example to count the bytes sent.
 func NewClientWithDialer(token string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	roundTripper := NewRoundTripper(nil)
 	roundTripper.DialContext = dial
 	return &Client{http: &http.Client{Transport: roundTripper}, token: token}
 }
 
-// NewRoundTripper returns the transport used towards processes and back ends.
+// NewRoundTripper returns the HTTP transport for requests to other processes and to back ends.
 func NewRoundTripper(links *LinkFilter) *http.Transport { return newRoundTripper(links, dialTimeout) }
 
 func newRoundTripper(links *LinkFilter, timeout time.Duration) *http.Transport {
@@ -60,19 +60,19 @@
 	}
 }
 
-// StatusError is an answer with another status than 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
 }
 
-// Error returns the status and the start of the body.
+// Error returns the status text and the start of the body.
 func (e *StatusError) Error() string {
 	excerpt := e.Body[:min(len(e.Body), maxErrorExcerpt)]
 	return http.StatusText(e.Status) + ": " + string(excerpt)
 }
 
-// Post sends a value and decodes the answer into reply, unless reply is nil.
+// Post sends a value and decodes the response into reply, unless reply is nil.
 func (c *Client) Post(ctx context.Context, address, path string, value, reply any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -81,12 +81,12 @@
 	return c.do(ctx, http.MethodPost, address, path, body, reply)
 }
 
-// PostBody sends a body that is JSON already and passes over what is answered.
+// PostBody sends a body that is already JSON and ignores the body of the response.
 func (c *Client) PostBody(ctx context.Context, address, path string, body []byte) error {
 	return c.do(ctx, http.MethodPost, address, path, body, nil)
 }
 
-// Get asks for a value.
+// Get requests a value and decodes it into reply.
 func (c *Client) Get(ctx context.Context, address, path string, reply any) error {
 	return c.do(ctx, http.MethodGet, address, path, nil, reply)
 }
@@ -95,7 +95,7 @@
 	body, encoding := payload.Compress(body)
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "make request")
+		return eris.Wrap(err, "create request")
 	}
 	request.Header.Set(acceptHeader, payload.Gzip)
 	if encoding != "" {
@@ -111,7 +111,7 @@
 	defer response.Body.Close()
 	data, err := payload.Expand(response.Body, response.Header.Get(encodingHeader), maxMessageBytes)
 	if err != nil {
-		return eris.Wrapf(err, "read answer of %s", path)
+		return eris.Wrapf(err, "read response of %s", path)
 	}
 	if response.StatusCode != http.StatusOK {
 		return &StatusError{Status: response.StatusCode, Body: data}
@@ -119,5 +119,5 @@
 	if reply == nil {
 		return nil
 	}
-	return eris.Wrapf(json.Unmarshal(data, reply), "decode answer of %s", path)
+	return eris.Wrapf(json.Unmarshal(data, reply), "decode response of %s", path)
 }
