--- a/internal/transport/every.go
+++ b/internal/transport/every.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Every calls do once a period until ctx ends. A call that takes longer than a period delays the next one.
+// Every calls do once per period until ctx ends. Calls do not overlap: one that takes longer than a period delays the
+// next.
 func Every(ctx context.Context, period time.Duration, do func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
