--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// LinkFile describes the network between zones, for tests on one machine: which addresses lie in which zone,
-// how long a message takes between zones, and which zones are cut off. It is read again when it changes.
+// LinkFile describes an emulated network between zones, for tests on one machine: the zone of each address, the latency
+// between zones, and the zones that are partitioned from all others. The file is read again when it changes.
 type LinkFile struct {
 	Zones       map[string]string `json:"zones"` // zone by address
 	LatencyMS   float64           `json:"latency_ms"`
@@ -20,7 +20,7 @@
 
 const linkFilePollInterval = 100 * time.Millisecond
 
-// LinkFilter filters a process's connections by a LinkFile. A nil LinkFilter passes everything.
+// LinkFilter applies the latency and partitions of a LinkFile to a process's connections. A nil LinkFilter has no effect.
 type LinkFilter struct {
 	zone string
 	path string
@@ -30,7 +30,7 @@
 	modified time.Time
 }
 
-// WatchLinkFile reads the file now and then every linkFilePoll until ctx ends.
+// WatchLinkFile reads the file and checks it for changes until ctx ends. It returns nil when path is empty.
 func WatchLinkFile(ctx context.Context, path, zone string) *LinkFilter {
 	if path == "" {
 		return nil
@@ -56,14 +56,14 @@
 	}
 	var file LinkFile
 	if json.Unmarshal(data, &file) != nil {
-		return // half written; the next poll reads it whole
+		return // partially written; retried at the next poll
 	}
 	l.mutex.Lock()
 	l.file, l.modified = file, info.ModTime()
 	l.mutex.Unlock()
 }
 
-// linkState tells whether an address is cut off and how far it is.
+// linkState returns whether an address is partitioned from this process, and the latency to it.
 func (l *LinkFilter) linkState(address string) (partitioned bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
@@ -77,7 +77,8 @@
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// wrapDial makes connections that go silent while their link is cut.
+// wrapDial returns a dial function whose connections have the latency of their link and transfer nothing while it is
+// partitioned.
 func (l *LinkFilter) wrapDial(dial dialFunc) dialFunc {
 	if l == nil {
 		return dial
@@ -95,7 +96,7 @@
 	}
 }
 
-// wait blocks while the link is cut, as a network that drops packets does, then for the latency.
+// wait blocks while the link is partitioned, like a network that drops packets, then for the latency.
 func (l *LinkFilter) wait(ctx context.Context, address string) error {
 	for {
 		partitioned, latency := l.linkState(address)
@@ -116,16 +117,16 @@
 	}
 }
 
-// linkConn is a connection over a filtered link. Latency is added to what is written.
+// linkConn is a connection over an emulated link. Latency is added to writes only.
 type linkConn struct {
 	net.Conn
 	links    *LinkFilter
 	address  string
-	closeCtx context.Context // ends with Close
+	closeCtx context.Context // canceled by Close
 	cancel   context.CancelFunc
 }
 
-// Write waits for the link, then writes.
+// Write waits for the partition to end and for the latency, then writes.
 func (c *linkConn) Write(data []byte) (int, error) {
 	if err := c.links.wait(c.closeCtx, c.address); err != nil {
 		return 0, net.ErrClosed
@@ -133,7 +134,7 @@
 	return c.Conn.Write(data)
 }
 
-// Read reads, and holds back what came while the link is cut.
+// Read reads, and withholds the data until the link is not partitioned.
 func (c *linkConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	for {
@@ -149,7 +150,7 @@
 	}
 }
 
-// Close closes the connection and frees whoever waits for the link.
+// Close closes the connection and unblocks pending reads and writes.
 func (c *linkConn) Close() error {
 	c.cancel()
 	return c.Conn.Close()
