--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,5 +1,5 @@
-// Package transport carries the system's own HTTP/1.1 with JSON between its processes: a gnet listener whose
-// framing is net/http's, a net/http client, and a link filter with which tests cut zones apart.
+// Package transport carries JSON over HTTP/1.1 between the processes of a cluster: a gnet server that parses and frames
+// messages with net/http, a net/http client, and a link filter with which tests emulate partitions between zones.
 package transport
 
 import (
@@ -20,26 +20,26 @@
 )
 
 const (
-	// maxMessageBytes bounds one request; a snapshot of the control state must fit.
+	// maxMessageBytes bounds the body of one message; a snapshot of the control state must fit.
 	maxMessageBytes = 256 << 20
 	maxHeaderBytes  = 64 << 10
 	eventLoops      = 2
 	bearerPrefix    = "Bearer "
 )
 
-// Request is one internal request.
+// Request is a request from another process of the cluster.
 type Request struct {
 	Path string
 	Body []byte
 }
 
-// Respond sends the answer to a request, once, from any goroutine.
+// Respond sends the response to a request. It must be called once, from any goroutine.
 type Respond func(status int, body any)
 
-// Handler takes a request. It must not block: it runs on the event loop.
+// Handler handles a request. It must not block, since it runs on the event loop.
 type Handler func(request Request, respond Respond)
 
-// Server is the internal listener.
+// Server is the HTTP server for requests between processes.
 type Server struct {
 	gnet.BuiltinEventEngine
 	engine      gnet.Engine
@@ -47,22 +47,22 @@
 	token       string
 	handler     Handler
 	log         *zap.Logger
-	unreadBytes atomic.Int64 // bytes of answers that peers have not read yet
-	maxUnread   int64        // that owed may reach by long answers
+	unreadBytes atomic.Int64 // bytes of responses that peers are not known to have read
+	maxUnread   int64        // bound on unreadBytes; long responses that would exceed it are replaced by 503
 }
 
-// connection is the state of one accepted connection. It is touched only on its event loop.
+// connection is the state of one accepted connection. It is accessed only on its event loop.
 type connection struct {
-	busy        bool // a request is being answered; the next one waits in the buffer
-	minBuffered int  // bytes that must be buffered before parsing again
-	unread      int  // bytes of the newest answer, until the peer has asked again: only then has it read them
+	busy        bool // a request is being handled; the next one waits in the buffer
+	minBuffered int  // bytes that must be buffered before parsing is retried
+	unread      int  // bytes of the latest response; the next request or OnClose releases them
 }
 
-// defaultMaxUnread bounds the bytes of answers that peers have not read yet, over all connections. A process that is asked for more by peers
-// behind slow links turns them away, so that its memory does not end; 48 MB is less than a tenth of a control machine's.
+// defaultMaxUnread bounds the bytes of unread responses over all connections, so that many peers behind slow links cannot
+// exhaust the memory of the process.
 const defaultMaxUnread = 48 << 20
 
-// Listen serves on address until Close. Callers must send the cluster token.
+// Listen serves on address until Close. Requests must carry the cluster token, unless token is empty.
 func Listen(address, token string, handler Handler, log *zap.Logger) (*Server, error) {
 	server := &Server{started: make(chan struct{}), token: token, handler: handler, log: log, maxUnread: defaultMaxUnread}
 	runErr := make(chan error, 1)
@@ -83,7 +83,7 @@
 	return eris.Wrap(s.engine.Stop(ctx), "stop listener")
 }
 
-// OnBoot is called by gnet when the listener is open.
+// OnBoot is called by gnet once the listener is open.
 func (s *Server) OnBoot(engine gnet.Engine) gnet.Action {
 	s.engine = engine
 	close(s.started)
@@ -96,7 +96,7 @@
 	return nil, gnet.None
 }
 
-// OnTraffic is called by gnet when bytes have come in.
+// OnTraffic is called by gnet when data has arrived, and by writeResponse when a further request is buffered.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	state := c.Context().(*connection)
 	if state.busy || c.InboundBuffered() < state.minBuffered {
@@ -117,7 +117,7 @@
 	}
 	authorized := s.isAuthorized(request)
 	var body []byte
-	if authorized { // who doesn't show the token has nothing expanded
+	if authorized { // bodies of unauthorized requests are not decompressed
 		body, err = payload.Expand(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
 	}
 	if err != nil {
@@ -134,7 +134,7 @@
 	return gnet.None
 }
 
-// OnClose is called by gnet when a connection has ended.
+// OnClose is called by gnet when a connection has closed.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	if state, ok := c.Context().(*connection); ok {
 		s.releaseUnread(state)
@@ -142,13 +142,13 @@
 	return gnet.None
 }
 
-// releaseUnread notes that a peer waits for no answer any more.
+// releaseUnread subtracts a connection's latest response from the unread bytes.
 func (s *Server) releaseUnread(state *connection) {
 	s.unreadBytes.Add(-int64(state.unread))
 	state.unread = 0
 }
 
-// isAuthorized reports whether a request shows the cluster's token.
+// isAuthorized reports whether a request carries the cluster token.
 func (s *Server) isAuthorized(request *http.Request) bool {
 	return s.token == "" || strings.TrimPrefix(request.Header.Get("Authorization"), bearerPrefix) == s.token
 }
@@ -163,27 +163,27 @@
 	s.handler(Request{Path: request.URL.Path, Body: body}, respond)
 }
 
-// writeResponse writes a response and lets the connection's next request be parsed.
+// writeResponse writes a response and allows the connection's next request to be parsed.
 func (s *Server) writeResponse(c gnet.Conn, status int, value any, acceptsGzip bool) {
 	body, encoding, err := encodeResponse(value, acceptsGzip)
 	if err != nil {
 		status, body = http.StatusInternalServerError, nil
-		s.log.Error("internal answer cannot be encoded", zap.Error(err))
+		s.log.Error("cannot encode internal response", zap.Error(err))
 	}
 	if len(body) >= payload.CompressFrom && s.unreadBytes.Load()+int64(len(body)) > s.maxUnread {
-		s.log.Warn("too many answers wait for slow peers, one is turned away", zap.Int64("bytes", s.unreadBytes.Load()))
+		s.log.Warn("unread responses exceed the limit, answering 503", zap.Int64("bytes", s.unreadBytes.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
 	s.unreadBytes.Add(int64(len(body)))
 	wire, err := frameResponse(status, body, encoding)
 	if err != nil {
-		s.log.Error("internal answer cannot be framed", zap.Error(err))
+		s.log.Error("cannot frame internal response", zap.Error(err))
 		return
 	}
 	onWritten := func(c gnet.Conn, writeErr error) error {
 		state, ok := c.Context().(*connection)
 		if !ok || writeErr != nil {
-			s.unreadBytes.Add(-int64(len(body))) // OnClose has come before
+			s.unreadBytes.Add(-int64(len(body))) // OnClose was called before
 			return nil
 		}
 		state.busy, state.unread = false, state.unread+len(body)
@@ -194,11 +194,11 @@
 	}
 	if err := c.AsyncWrite(wire, onWritten); err != nil {
 		s.unreadBytes.Add(-int64(len(body)))
-		s.log.Debug("internal answer cannot be written", zap.Error(err))
+		s.log.Debug("cannot write internal response", zap.Error(err))
 	}
 }
 
-// encodeResponse returns an answer as it travels, and its encoding.
+// encodeResponse returns the body of a response, compressed if the peer accepts it, and its content encoding.
 func encodeResponse(value any, acceptsGzip bool) (body []byte, encoding string, err error) {
 	if composite, isComposite := value.(payload.Composite); isComposite {
 		parts, err := composite.Parts()
@@ -215,7 +215,7 @@
 	return body, encoding, err
 }
 
-// frameResponse returns a response as it travels.
+// frameResponse returns a response in HTTP/1.1 form.
 func frameResponse(status int, body []byte, encoding string) ([]byte, error) {
 	response := http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body)),
@@ -226,19 +226,19 @@
 	}
 	var wire bytes.Buffer
 	err := response.Write(&wire)
-	return wire.Bytes(), eris.Wrap(err, "frame answer")
+	return wire.Bytes(), eris.Wrap(err, "frame response")
 }
 
-// errIncomplete says that more bytes are needed.
+// errIncomplete means that more bytes are needed.
 var errIncomplete = eris.New("incomplete request")
 
-// parseRequest reads one request from the start of data. With errIncomplete it returns how many bytes are needed
-// at least.
+// parseRequest parses one request from the start of data and returns its length. With errIncomplete it returns the least
+// number of bytes needed to try again.
 func parseRequest(data []byte) (*http.Request, int, error) {
 	headerEnd := bytes.Index(data, []byte("\r\n\r\n"))
 	if headerEnd < 0 {
 		if len(data) > maxHeaderBytes {
-			return nil, 0, eris.New("header is too long")
+			return nil, 0, eris.New("request header too long")
 		}
 		return nil, len(data) + 1, errIncomplete
 	}
@@ -249,7 +249,7 @@
 		return nil, 0, eris.Wrap(err, "read request")
 	}
 	if request.ContentLength < 0 || request.ContentLength > maxMessageBytes {
-		return nil, 0, eris.Errorf("content length %d is not accepted", request.ContentLength)
+		return nil, 0, eris.Errorf("unsupported content length %d", request.ContentLength)
 	}
 	total := headerEnd + len("\r\n\r\n") + int(request.ContentLength)
 	if len(data) < total {
