--- a/internal/transport/announcer_test.go
+++ b/internal/transport/announcer_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// TestAnnouncerSendsQueuedItemsToEveryPeer: in order, several in one message.
+// TestAnnouncerSendsQueuedItemsToEveryPeer checks that a full queue reaches each peer in order, as one batch.
 func TestAnnouncerSendsQueuedItemsToEveryPeer(t *testing.T) {
 	const queueSize = 50
 	received := make(chan []int, queueSize)
@@ -40,7 +40,7 @@
 		return numbers
 	})
 	announcer.SetPeers(peers)
-	for number := range queueSize + 10 { // nobody takes them yet: what is beyond the ring is dropped
+	for number := range queueSize + 10 { // Run has not started: items beyond the queue size are dropped
 		announcer.Announce(number)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +49,7 @@
 	for range peers {
 		batch := <-received
 		if len(batch) != queueSize || batch[0] != 0 || batch[queueSize-1] != queueSize-1 {
-			t.Fatalf("told %v", batch)
+			t.Fatalf("received %v", batch)
 		}
 	}
 }
