--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -75,12 +75,12 @@
 	err := NewClient("other", nil).Post(context.Background(), address, "/echo", message{}, nil)
 	var status *StatusError
 	if !errors.As(err, &status) {
-		t.Fatalf("error %v, want a status", err)
+		t.Fatalf("error %v, want a StatusError", err)
 	}
 }
 
-// TestUnauthorizedBodyIsNotDecompressed: a body that can't be read closes the connection of a peer; a stranger is told that it is one, whatever it
-// sent.
+// TestUnauthorizedBodyIsNotDecompressed checks that a malformed compressed body closes the connection of an authorized
+// client, while a client with a wrong token gets 401.
 func TestUnauthorizedBodyIsNotDecompressed(t *testing.T) {
 	address := startServer(t, echo)
 	for token, want := range map[string]string{"other": "HTTP/1.1 401", "token": ""} {
@@ -97,7 +97,7 @@
 		statusLine := make([]byte, len("HTTP/1.1 401"))
 		n, _ := io.ReadFull(connection, statusLine)
 		if string(statusLine[:n]) != want {
-			t.Fatalf("with token %q the answer begins %q, wanted %q", token, statusLine[:n], want)
+			t.Fatalf("token %q: response starts with %q, want %q", token, statusLine[:n], want)
 		}
 	}
 }
@@ -118,18 +118,18 @@
 	}
 }
 
-// TestLongBodiesSurviveCompression: they travel compressed, both ways.
+// TestLongBodiesSurviveCompression checks bodies that are compressed in both directions.
 func TestLongBodiesSurviveCompression(t *testing.T) {
 	address := startServer(t, echo)
 	var reply message
 	text := strings.Repeat("a long prompt ", 4000)
 	if err := NewClient("token", nil).Post(context.Background(), address, "/echo", message{Text: text}, &reply); err != nil || !strings.Contains(reply.Text, text) {
-		t.Fatalf("%d bytes came back: %v", len(reply.Text), err)
+		t.Fatalf("got %d bytes, error %v", len(reply.Text), err)
 	}
 }
 
-// TestUnreadResponseBytesAreBounded: peers that ask and don't read hold no more than the bound; the rest is turned away, and once they are
-// gone others are answered again.
+// TestUnreadResponseBytesAreBounded checks that unread responses of stalled clients stay below maxUnread, and that
+// requests succeed again once these clients have disconnected.
 func TestUnreadResponseBytesAreBounded(t *testing.T) {
 	const responseSize, maxUnread = 1 << 20, 6 << 20
 	responseBody := make([]byte, responseSize)
@@ -159,7 +159,7 @@
 		}
 	}
 	if unread := server.unreadBytes.Load(); unread == 0 || unread > maxUnread {
-		t.Fatalf("%d bytes are owed, at most %d may be", unread, maxUnread)
+		t.Fatalf("%d unread bytes, want 1 to %d", unread, maxUnread)
 	}
 	for _, c := range stalled {
 		_ = c.Close()
@@ -172,11 +172,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if err != nil || len(reply) != responseSize {
-		t.Fatalf("%d bytes after the others had gone: %v", len(reply), err)
+		t.Fatalf("got %d bytes after the stalled clients disconnected: %v", len(reply), err)
 	}
 }
 
-// FuzzParseRequest: no bytes may crash the parser; what it takes must be as long as it says.
+// FuzzParseRequest checks that no input makes parseRequest panic and that the returned length fits the result.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 99999999999999\r\n\r\n"))
@@ -184,15 +184,15 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		request, length, err := parseRequest(data)
 		if err == nil && (request == nil || length > len(data)) {
-			t.Fatalf("request of %d bytes taken from %d", length, len(data))
+			t.Fatalf("parsed a request of %d bytes from %d bytes of input", length, len(data))
 		}
 		if err != nil && errors.Is(err, errIncomplete) && length <= len(data) {
-			t.Fatalf("%d bytes wanted, %d are there: %q", length, len(data), bytes.TrimSpace(data))
+			t.Fatalf("incomplete request: %d bytes needed, %d bytes given: %q", length, len(data), bytes.TrimSpace(data))
 		}
 	})
 }
 
-// TestListenOnSameAddressAfterClose: a restarted process must get its address back although old connections linger.
+// TestListenOnSameAddressAfterClose checks that a restarted process can bind its address while old connections linger.
 func TestListenOnSameAddressAfterClose(t *testing.T) {
 	address := freeAddress(t)
 	for round := range 3 {
