--- a/internal/transport/announcer.go
+++ b/internal/transport/announcer.go
@@ -24,8 +24,8 @@
 	At   time.Duration // by clock.Now
 }
 
-// Announcer sends items to all peers in batches, without blocking callers of Announce. Delivery is best effort: items are
-// dropped when the queue is full and when a peer does not respond in time, so correctness must not depend on them.
+// Announcer sends items to all peers in batches, without blocking callers of Announce. Delivery is best effort: items
+// are dropped when the queue is full or a peer does not respond in time, so correctness must not depend on them.
 type Announcer[T any] struct {
 	client       *Client
 	settings     AnnouncerSettings
