--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -28,14 +28,14 @@
 	token string
 }
 
-// NewClient returns a client whose connections pass through links. Client compresses long bodies in both directions itself;
-// net/http's own compression is off.
+// NewClient returns a client whose connections pass through links. Client itself compresses long request bodies and
+// decompresses responses; net/http's own compression is off.
 func NewClient(token string, links *LinkFilter) *Client {
 	return &Client{http: &http.Client{Transport: NewRoundTripper(links)}, token: token}
 }
 
-// NewClientWithDialTimeout returns a client with another limit on the time to connect. A short limit reconnects sooner to
-// a machine that was unreachable: packets sent before are lost, and a new attempt need not wait for a retransmission.
+// NewClientWithDialTimeout returns a client that abandons an attempt to connect after timeout. A machine that has just
+// become reachable again does not answer earlier attempts, but answers a new one at once.
 func NewClientWithDialTimeout(token string, links *LinkFilter, timeout time.Duration) *Client {
 	return &Client{http: &http.Client{Transport: newRoundTripper(links, timeout)}, token: token}
 }
