--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -20,7 +20,8 @@
 
 const linkFilePollInterval = 100 * time.Millisecond
 
-// LinkFilter applies the latency and partitions of a LinkFile to a process's connections. A nil LinkFilter has no effect.
+// LinkFilter applies the latency and partitions of a LinkFile to a process's connections. A nil LinkFilter does
+// nothing.
 type LinkFilter struct {
 	zone string
 	path string
