--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,7 +58,7 @@
 	unread      int  // bytes of the latest response; the next request or OnClose releases them
 }
 
-// defaultMaxUnread bounds the bytes of unread responses over all connections, so that many peers behind slow links cannot
+// defaultMaxUnread bounds the bytes of unread responses over all connections, so that peers behind slow links cannot
 // exhaust the memory of the process.
 const defaultMaxUnread = 48 << 20
 
@@ -183,7 +183,7 @@
 	onWritten := func(c gnet.Conn, writeErr error) error {
 		state, ok := c.Context().(*connection)
 		if !ok || writeErr != nil {
-			s.unreadBytes.Add(-int64(len(body))) // OnClose was called before
+			s.unreadBytes.Add(-int64(len(body))) // OnClose ran first and did not count this response
 			return nil
 		}
 		state.busy, state.unread = false, state.unread+len(body)
@@ -232,8 +232,8 @@
 // errIncomplete means that more bytes are needed.
 var errIncomplete = eris.New("incomplete request")
 
-// parseRequest parses one request from the start of data and returns its length. With errIncomplete it returns the least
-// number of bytes needed to try again.
+// parseRequest parses one request from the start of data and returns its length. With errIncomplete it returns the
+// least number of bytes needed to try again.
 func parseRequest(data []byte) (*http.Request, int, error) {
 	headerEnd := bytes.Index(data, []byte("\r\n\r\n"))
 	if headerEnd < 0 {
