--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -70,8 +70,9 @@
 // OriginDefault is the Path of a value that no node of the tree sets.
 const OriginDefault Path = "default"
 
-// applicablePaths returns the paths that apply to the given zone, service and tenant, in order of increasing precedence:
-// deeper paths override shallower ones and, at the same depth, names override Wildcard, compared from the zone down.
+// applicablePaths returns the paths that apply to the given zone, service and tenant, in order of increasing
+// precedence: deeper paths override shallower ones and, at the same depth, names override Wildcard, compared from the
+// zone down.
 func applicablePaths(elements []string) []Path {
 	paths := []Path{"/"}
 	parents := []Path{""}
