--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestUnreadResponseBytesAreBounded checks that unread responses of stalled clients stay below maxUnread, and that
+// TestUnreadResponseBytesAreBounded checks that unread responses of stalled clients do not exceed maxUnread, and that
 // requests succeed again once these clients have disconnected.
 func TestUnreadResponseBytesAreBounded(t *testing.T) {
 	const responseSize, maxUnread = 1 << 20, 6 << 20
