--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -46,7 +46,7 @@
 
 	Quarantine *quarantine.Update `json:"quarantine,omitempty"` // set if it differs from the list that the gateway holds
 
-	sharedDocument *payload.Shared // Document encoded as JSON, or nil
+	sharedDocument *payload.SharedJSON // Document encoded as JSON, or nil
 }
 
 // Parts returns the encoded response. Document and roster update are encoded and compressed once and shared by all
@@ -56,11 +56,11 @@
 	if r.Watch != nil {
 		watchReply := *r.Watch
 		if watchReply.sharedDocument != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"document":`)}, payload.Part{Shared: watchReply.sharedDocument})
+			parts = append(parts, payload.Part{Raw: []byte(`,"document":`)}, payload.Part{Shared: watchReply.sharedDocument})
 			watchReply.Document = nil
 		}
 		if watchReply.Roster != nil && watchReply.Roster.Shared() != nil {
-			parts = append(parts, payload.Part{Own: []byte(`,"roster":`)}, payload.Part{Shared: watchReply.Roster.Shared()})
+			parts = append(parts, payload.Part{Raw: []byte(`,"roster":`)}, payload.Part{Shared: watchReply.Roster.Shared()})
 			watchReply.Roster = nil
 		}
 		r.Watch = &watchReply
@@ -68,13 +68,13 @@
 	type plain Response
 	encoded, err := json.Marshal(plain(r))
 	if err != nil || len(parts) == 0 {
-		return []payload.Part{{Own: encoded}}, err
+		return []payload.Part{{Raw: encoded}}, err
 	}
 	head, found := bytes.CutSuffix(encoded, []byte("}}")) // a watch reply is the last field of its response
 	if !found {
 		panic("control: a watch reply is not the last field of its response: " + string(encoded))
 	}
-	return append(append([]payload.Part{{Own: head}}, parts...), payload.Part{Own: []byte("}}")}), nil
+	return append(append([]payload.Part{{Raw: head}}, parts...), payload.Part{Raw: []byte("}}")}), nil
 }
 
 // heldWatch is a watch that is answered when something changes or it is due.
@@ -226,12 +226,12 @@
 }
 
 // publishedDocument returns the document without its source, as sent to gateways, and its shared encoding.
-func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.Shared) {
+func (r *Replica) publishedDocument(document *catalog.Document) (*catalog.Document, *payload.SharedJSON) {
 	if r.published.document == nil || r.published.document.Revision != document.Revision {
 		sent := *document
 		sent.Source = nil
 		r.published.document, r.published.shared = &sent, nil
-		if shared, err := payload.NewShared(&sent); err == nil {
+		if shared, err := payload.NewSharedJSON(&sent); err == nil {
 			r.published.shared = shared // on failure, encoding the response reports the error
 		}
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -135,7 +135,7 @@
 	job := &engine.Job{
 		Attempt: request.Attempt, Origin: request.Router, Tenant: request.Tenant, Blocks: request.Blocks,
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, ResumeFrom: request.ResumeFrom,
-		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, RelyTokens: request.RelyTokens,
+		Lane: request.Lane, Incarnation: request.Incarnation, Weights: request.Weights, RelyTokens: request.ExpectedCachedTokens,
 		ImportFrom: request.ImportFrom, ImportBlocks: request.ImportBlocks, UserData: state,
 	}
 	e.mutex.Lock()
@@ -152,11 +152,11 @@
 }
 
 // refusalOf returns the answer to a job that was not taken.
-func refusalOf(result engine.SubmitResult) (api.BackendRefusal, bool) {
-	refusal := api.BackendRefusal{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
+func refusalOf(result engine.SubmitResult) (api.BackendRejection, bool) {
+	refusal := api.BackendRejection{Run: core.RunNot, RetryAfterMS: busyAdvice.Milliseconds()}
 	switch result {
 	case engine.RefusedLeaving:
-		refusal.Leaving = true
+		refusal.Draining = true
 		return refusal, true
 	case engine.RefusedBusy, engine.RefusedLoading:
 		return refusal, true
@@ -205,24 +205,24 @@
 		event.Kind, event.Text = api.GenerateToken, TokenText(digest, request.Seed, output.Index)
 	case engine.OutputDone:
 		event.Kind = api.GenerateDone
-		event.Kept = e.keep(request)
+		event.StoredBlocks = e.keep(request)
 	}
 	return event
 }
 
 // keep stores the asked-for prefix in the vault.
 func (e *Engine) keep(request api.GenerateRequest) int {
-	if request.KeepBlocks == 0 || request.Vault == "" {
+	if request.VaultBlocks == 0 || request.Vault == "" {
 		return 0
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), kvTimeout)
 	defer cancel()
-	blocks := request.Blocks[:min(request.KeepBlocks, len(request.Blocks))]
+	blocks := request.Blocks[:min(request.VaultBlocks, len(request.Blocks))]
 	var reply api.KVReply
 	if err := e.client.Post(ctx, request.Vault, api.PathKVKeep, api.KVRequest{Blocks: blocks}, &reply); err != nil {
 		return 0
 	}
-	return reply.Held
+	return reply.CachedBlocks
 }
 
 // importFrom asks another engine or the vault how much of a chain it can give. It is called with the mutex
@@ -234,7 +234,7 @@
 	if err := e.client.Post(ctx, source, api.PathKVMatch, api.KVRequest{Blocks: chain}, &reply); err != nil {
 		return 0
 	}
-	return reply.Held
+	return reply.CachedBlocks
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
@@ -271,7 +271,7 @@
 	}
 	held := e.model.Export(e.now(), request.Blocks)
 	e.mutex.Unlock()
-	writeJSON(w, http.StatusOK, api.KVReply{Held: held})
+	writeJSON(w, http.StatusOK, api.KVReply{CachedBlocks: held})
 }
 
 func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
--- a/internal/operator/story.go
+++ b/internal/operator/story.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// storyBefore is how long before a request what its processes and back ends went through belongs to its story.
-	storyBefore = 10 * time.Second
-	// maximumLine bounds one log line.
-	maximumLine = 1 << 20
+	// precedingWindow is how long before a request what its processes and back ends went through belongs to its story.
+	precedingWindow = 10 * time.Second
+	// maxLineBytes bounds one log line.
+	maxLineBytes = 1 << 20
 )
 
 // logLine is a line of a process's log.
@@ -32,17 +32,17 @@
 	fields   map[string]any
 }
 
-// nodeEvents tell what happened to a process as a whole.
-var nodeEvents = []string{
+// processEvents tell what happened to a process as a whole.
+var processEvents = []string{
 	events.GatewayStarted, events.GatewayStopping, events.GatewayStopped, events.ControlDisconnected, events.ControlReconnected,
 	events.LogLinesDropped,
 }
 
-// groupEvents tell what happened to the control group, which concerns everybody.
-var groupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
+// controlGroupEvents tell what happened to the control group, which concerns everybody.
+var controlGroupEvents = []string{events.LeadershipWon, events.LeadershipLost, events.ReplicaStarted}
 
-// commonFields stand in columns of their own.
-var commonFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
+// columnFields stand in columns of their own.
+var columnFields = []string{"level", "time", "msg", "node", events.FieldRequest, events.FieldInstance}
 
 // ExplainLogs prints the story of a request, or of a back end's life, from the logs of several processes, in order of
 // time. Files hold a JSON line each; what stands before the first brace of a line is passed over.
@@ -55,12 +55,12 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := storyOf(lines, id)
-	if len(story) == 0 {
+	timeline := selectTimeline(lines, id)
+	if len(timeline) == 0 {
 		return eris.Errorf("no line of %s names %q", strings.Join(files, ", "), id)
 	}
-	for _, line := range story {
-		fmt.Fprintln(out, line.text())
+	for _, line := range timeline {
+		fmt.Fprintln(out, line.format())
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 	defer file.Close()
 	var lines []logLine
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		if line, found := parseLine(scanner.Text()); found {
 			lines = append(lines, line)
@@ -91,22 +91,22 @@
 	if json.Unmarshal([]byte(text[start:]), &line.fields) != nil {
 		return logLine{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, line.field("time"))
+	timestamp, err := time.Parse(time.RFC3339Nano, line.stringField("time"))
 	if err != nil {
 		return logLine{}, false
 	}
-	line.Time, line.Node, line.Event = at, line.field("node"), line.field("msg")
-	line.Request, line.Instance = line.field(events.FieldRequest), line.field(events.FieldInstance)
+	line.Time, line.Node, line.Event = timestamp, line.stringField("node"), line.stringField("msg")
+	line.Request, line.Instance = line.stringField(events.FieldRequest), line.stringField(events.FieldInstance)
 	return line, true
 }
 
-func (l logLine) field(name string) string {
+func (l logLine) stringField(name string) string {
 	text, _ := l.fields[name].(string)
 	return text
 }
 
-// text returns the line as a reader wants it: time, process, event, what it concerns, and the rest by name.
-func (l logLine) text() string {
+// format returns the line as a reader wants it: time, process, event, what it concerns, and the rest by name.
+func (l logLine) format() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s  %s  %s", l.Time.UTC().Format("15:04:05.000"), l.Node, l.Event)
 	for _, subject := range []string{l.Request, l.Instance} {
@@ -116,7 +116,7 @@
 	}
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
-		if !slices.Contains(commonFields, name) {
+		if !slices.Contains(columnFields, name) {
 			names = append(names, name)
 		}
 	}
@@ -128,23 +128,23 @@
 	return out.String()
 }
 
-// storyOf selects what belongs to a request: its own lines, and what its back ends and its processes went through from
+// selectTimeline selects what belongs to a request: its own lines, and what its back ends and its processes went through from
 // shortly before. An instance's story is all that names it.
-func storyOf(lines []logLine, id string) []logLine {
-	var own []logLine
+func selectTimeline(lines []logLine, id string) []logLine {
+	var matching []logLine
 	for _, line := range lines {
 		if line.Request == id || line.Instance == id {
-			own = append(own, line)
+			matching = append(matching, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	story := own
-	first, last := own[0].Time, own[0].Time
-	instances, nodes := map[string]bool{}, map[string]bool{}
-	for _, line := range own {
-		instances[line.Instance], nodes[line.Node] = true, true
+	timeline := matching
+	first, last := matching[0].Time, matching[0].Time
+	instances, processes := map[string]bool{}, map[string]bool{}
+	for _, line := range matching {
+		instances[line.Instance], processes[line.Node] = true, true
 		if line.Time.Before(first) {
 			first = line.Time
 		}
@@ -153,14 +153,14 @@
 		}
 	}
 	for _, line := range lines {
-		outside := line.Time.Before(first.Add(-storyBefore)) || line.Time.After(last)
+		outside := line.Time.Before(first.Add(-precedingWindow)) || line.Time.After(last)
 		if outside || line.Request != "" || line.Instance == id {
 			continue
 		}
-		if slices.Contains(groupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (nodes[line.Node] && slices.Contains(nodeEvents, line.Event)) {
-			story = append(story, line)
+		if slices.Contains(controlGroupEvents, line.Event) || (line.Instance != "" && instances[line.Instance]) || (processes[line.Node] && slices.Contains(processEvents, line.Event)) {
+			timeline = append(timeline, line)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-	return story
+	slices.SortStableFunc(timeline, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+	return timeline
 }
--- a/internal/payload/compress.go
+++ b/internal/payload/compress.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// CompressFrom is the length of a body from which it travels compressed. Messages of a calm fleet are shorter; rosters,
+	// MinCompressBytes is the length of a body from which it travels compressed. Messages of a calm fleet are shorter; rosters,
 	// registrations and snapshots are JSON that repeats itself and shrinks some ten times, which is what lets a whole roster pass a link
 	// of 10 Mbit/s in tens of milliseconds.
-	CompressFrom = 8 << 10
+	MinCompressBytes = 8 << 10
 	// Gzip names the encoding.
 	Gzip = "gzip"
 )
 
-var compressors = sync.Pool{New: func() any {
+var gzipWriters = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
 		panic("payload: the level of compression is not known: " + err.Error())
@@ -29,18 +29,18 @@
 
 // Compress returns a body as it travels, and its encoding, "" where it is sent as it is.
 func Compress(body []byte) ([]byte, string) {
-	if len(body) < CompressFrom {
+	if len(body) < MinCompressBytes {
 		return body, ""
 	}
-	return pack(body), Gzip
+	return gzipMember(body), Gzip
 }
 
-// pack returns data as one member of a compressed stream; members may follow each other.
-func pack(data []byte) []byte {
-	var packed bytes.Buffer
-	w := compressors.Get().(*gzip.Writer)
-	defer compressors.Put(w)
-	w.Reset(&packed)
+// gzipMember returns data as one member of a compressed stream; members may follow each other.
+func gzipMember(data []byte) []byte {
+	var compressed bytes.Buffer
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
+	w.Reset(&compressed)
 	_, err := w.Write(data)
 	if err == nil {
 		err = w.Close()
@@ -48,11 +48,11 @@
 	if err != nil {
 		panic("payload: memory cannot be written: " + err.Error())
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
-// Expand returns a body that came in an encoding; one of more than most bytes is refused.
-func Expand(body io.Reader, encoding string, most int) ([]byte, error) {
+// Decompress returns a body that came in an encoding; one of more than most bytes is refused.
+func Decompress(body io.Reader, encoding string, maxBytes int) ([]byte, error) {
 	switch encoding {
 	case "":
 	case Gzip:
@@ -65,12 +65,12 @@
 	default:
 		return nil, eris.Errorf("encoding %q is not known", encoding)
 	}
-	data, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
+	data, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read body")
 	}
-	if len(data) > most {
-		return nil, eris.Errorf("a body of more than %d bytes is not accepted", most)
+	if len(data) > maxBytes {
+		return nil, eris.Errorf("a body of more than %d bytes is not accepted", maxBytes)
 	}
 	return data, nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -118,7 +118,7 @@
 	authorized := s.isAuthorized(request)
 	var body []byte
 	if authorized { // bodies of unauthorized requests are not decompressed
-		body, err = payload.Expand(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
+		body, err = payload.Decompress(request.Body, request.Header.Get(encodingHeader), maxMessageBytes)
 	}
 	if err != nil {
 		s.log.Warn("malformed internal request", zap.Error(err))
@@ -170,7 +170,7 @@
 		status, body = http.StatusInternalServerError, nil
 		s.log.Error("cannot encode internal response", zap.Error(err))
 	}
-	if len(body) >= payload.CompressFrom && s.unreadBytes.Load()+int64(len(body)) > s.maxUnread {
+	if len(body) >= payload.MinCompressBytes && s.unreadBytes.Load()+int64(len(body)) > s.maxUnread {
 		s.log.Warn("unread responses exceed the limit, answering 503", zap.Int64("bytes", s.unreadBytes.Load()))
 		status, body, encoding = http.StatusServiceUnavailable, nil, ""
 	}
