--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -86,9 +86,9 @@
 		path := rapid.SampledFrom([]Path{"/", "/z1", "/z2", "/z1/s", "/*/s"})
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
-				path, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
+				nodePath, value := path.Draw(t, "path"), rapid.IntRange(-5, 50).Draw(t, "value")
 				base := version - min(version, uint64(rapid.IntRange(0, 2).Draw(t, "behind")))
-				c := newChange(base, fmt.Sprint(len(changes)), setEdit(path, "queue_limit", fmt.Sprint(value)))
+				c := newChange(base, fmt.Sprint(len(changes)), setEdit(nodePath, "queue_limit", fmt.Sprint(value)))
 				changes = append(changes, c)
 				outcome := m.Apply(c, 0)
 				outcomes[c.OperationID] = outcome
@@ -99,7 +99,7 @@
 					expectOutcome(t, outcome, OutcomeInvalid, version)
 				default:
 					version++
-					wantLimits[path] = value
+					wantLimits[nodePath] = value
 					expectOutcome(t, outcome, OutcomeAccepted, version)
 				}
 			},
