--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -123,9 +123,9 @@
 			},
 			"": func(t *rapid.T) {
 				got := map[Path]int{}
-				for at, node := range m.Tree().Nodes {
+				for path, node := range m.Tree().Nodes {
 					if node.QueueLimit != nil {
-						got[at] = *node.QueueLimit
+						got[path] = *node.QueueLimit
 					}
 				}
 				if !maps.Equal(got, wantLimits) {
