--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -68,11 +68,11 @@
 func (l *LinkFilter) linkState(address string) (partitioned bool, latency time.Duration) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
-	zone := l.file.Zones[address]
-	if zone == "" || zone == l.zone {
+	peerZone := l.file.Zones[address]
+	if peerZone == "" || peerZone == l.zone {
 		return false, 0
 	}
-	partitioned = slices.Contains(l.file.Partitioned, zone) || slices.Contains(l.file.Partitioned, l.zone)
+	partitioned = slices.Contains(l.file.Partitioned, peerZone) || slices.Contains(l.file.Partitioned, l.zone)
 	return partitioned, time.Duration(l.file.LatencyMS * float64(time.Millisecond))
 }
 
