--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -84,18 +84,18 @@
 func TestUnauthorizedBodyIsNotDecompressed(t *testing.T) {
 	address := startServer(t, echo)
 	for token, want := range map[string]string{"other": "HTTP/1.1 401", "token": ""} {
-		connection, err := net.Dial("tcp", address)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer connection.Close()
+		defer conn.Close()
 		text := "POST /x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + token + "\r\nContent-Encoding: gzip\r\nContent-Length: 8\r\n\r\nnonsense"
-		if _, err := connection.Write([]byte(text)); err != nil {
+		if _, err := conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		statusLine := make([]byte, len("HTTP/1.1 401"))
-		n, _ := io.ReadFull(connection, statusLine)
+		n, _ := io.ReadFull(conn, statusLine)
 		if string(statusLine[:n]) != want {
 			t.Fatalf("token %q: response starts with %q, want %q", token, statusLine[:n], want)
 		}
