--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -47,7 +47,7 @@
 type mixed struct {
 	commit string
 	plays  int
-	broken map[soak.Promise]int
+	broken map[soak.Guarantee]int
 	cannot error // why a play could not be judged, or the build not made
 }
 
@@ -97,7 +97,7 @@
 
 // play plays a plan with the build of a commit beside this one, once for each seed.
 func (f *mixFlags) play(ctx context.Context, commit string, plan soak.Plan) mixed {
-	made := mixed{commit: commit, broken: map[soak.Promise]int{}}
+	made := mixed{commit: commit, broken: map[soak.Guarantee]int{}}
 	other, err := earlier.Build(ctx, ".", commit, "cmd/kitetiller", f.programs)
 	if err != nil {
 		made.cannot = err
--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -42,8 +42,8 @@
 }
 
 func (f *soakFlags) run() error {
-	off := soak.Promise(f.guardOff)
-	able := []soak.Promise{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
+	off := soak.Guarantee(f.guardOff)
+	able := []soak.Guarantee{soak.WithinLimit, soak.AtMostOnce, soak.OwnAnswer, soak.HeldBack, soak.NotForged, soak.RestGiven, soak.LeaveHeard, soak.LimitNamed, soak.ConfigKept}
 	if off != "" && !slices.Contains(able, off) {
 		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, able)
 	}
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Promise names one thing that must hold.
-type Promise string
+// Guarantee names one thing that must hold.
+type Guarantee string
 
 // The promises that are checked.
 const (
-	WithinLimit Promise = "limit"      // what runs of a tenant's requests stays within its limit, over all machines
-	AtMostOnce  Promise = "once"       // a request that may not be repeated runs at most once
-	NotRunTrue  Promise = "not-run"    // a request that was said not to have run does not run
-	OwnAnswer   Promise = "answer"     // a success is the whole answer to the caller's own request
-	ServiceBack Promise = "back"       // after the last fault healed, requests are served again
-	NoOwnEnd    Promise = "own-end"    // no process ends by itself, and each ends when it is told to
-	HeldBack    Promise = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
-	RestGiven   Promise = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
-	LeaveHeard  Promise = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
-	LimitNamed  Promise = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
-	ConfigKept  Promise = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
-	NotForged   Promise = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
+	WithinLimit Guarantee = "limit"      // what runs of a tenant's requests stays within its limit, over all machines
+	AtMostOnce  Guarantee = "once"       // a request that may not be repeated runs at most once
+	NotRunTrue  Guarantee = "not-run"    // a request that was said not to have run does not run
+	OwnAnswer   Guarantee = "answer"     // a success is the whole answer to the caller's own request
+	ServiceBack Guarantee = "back"       // after the last fault healed, requests are served again
+	NoOwnEnd    Guarantee = "own-end"    // no process ends by itself, and each ends when it is told to
+	HeldBack    Guarantee = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
+	RestGiven   Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
+	LeaveHeard  Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
+	LimitNamed  Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
+	ConfigKept  Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
+	NotForged   Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
 )
 
 // Promises lists every promise in a fixed order.
-func Promises() []Promise {
-	return []Promise{WithinLimit, AtMostOnce, NotRunTrue, OwnAnswer, ServiceBack, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
+func Promises() []Guarantee {
+	return []Guarantee{WithinLimit, AtMostOnce, NotRunTrue, OwnAnswer, ServiceBack, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
 }
 
 // Broken is a promise that did not hold, with the observation.
 type Broken struct {
-	Promise Promise
+	Promise Guarantee
 	What    string
 }
 
@@ -163,7 +163,7 @@
 }
 
 // Fail notes that a promise was seen broken.
-func (w *Watch) Fail(promise Promise, format string, values ...any) {
+func (w *Watch) Fail(promise Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fail(promise, format, values...)
@@ -172,7 +172,7 @@
 // brokenKept bounds the observations that are kept.
 const brokenKept = 200
 
-func (w *Watch) fail(promise Promise, format string, values ...any) {
+func (w *Watch) fail(promise Guarantee, format string, values ...any) {
 	if len(w.broken) < brokenKept {
 		w.broken = append(w.broken, Broken{Promise: promise, What: fmt.Sprintf(format, values...)})
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -65,7 +65,7 @@
 func TestWatchSeesBrokenPromises(t *testing.T) {
 	limit := Allowance{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
-		wanted Promise
+		wanted Guarantee
 		do     func(*Watch)
 	}{
 		{"", func(w *Watch) { w.Ran(0, "a", "t", 50); w.Ran(time.Second, "a", "t", 60); w.Answered("a", true, false) }},
