--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -26,8 +26,8 @@
 	NotForged   Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
 )
 
-// Promises lists every promise in a fixed order.
-func Promises() []Guarantee {
+// Guarantees lists every promise in a fixed order.
+func Guarantees() []Guarantee {
 	return []Guarantee{WithinLimit, AtMostOnce, NotRunTrue, OwnAnswer, ServiceBack, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
 }
 
