--- a/cmd/kitelab/mix.go
+++ b/cmd/kitelab/mix.go
@@ -113,7 +113,7 @@
 		}
 		made.plays++
 		for _, found := range broken {
-			made.broken[found.Promise]++
+			made.broken[found.Guarantee]++
 		}
 	}
 	return made
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -101,7 +101,7 @@
 		w.Asked("once", true)
 		c.do(w)
 		broken := w.Close()
-		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Promise != c.wanted) {
+		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
 			t.Errorf("wanted %q broken, found %v", c.wanted, broken)
 		}
 	}
