--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -34,7 +34,7 @@
 // Broken is a promise that did not hold, with the observation.
 type Broken struct {
 	Guarantee Guarantee
-	What      string
+	Detail    string
 }
 
 // Allowance is what a tenant may use, from a time on.
@@ -174,7 +174,7 @@
 
 func (w *Watch) fail(promise Guarantee, format string, values ...any) {
 	if len(w.broken) < brokenKept {
-		w.broken = append(w.broken, Broken{Guarantee: promise, What: fmt.Sprintf(format, values...)})
+		w.broken = append(w.broken, Broken{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
