--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -31,8 +31,8 @@
 	return []Guarantee{WithinLimit, AtMostOnce, NotRunTrue, OwnAnswer, ServiceBack, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
 }
 
-// Broken is a promise that did not hold, with the observation.
-type Broken struct {
+// Violation is a promise that did not hold, with the observation.
+type Violation struct {
 	Guarantee Guarantee
 	Detail    string
 }
@@ -65,7 +65,7 @@
 	requests map[string]*tried          // by id; guarded by mu
 	runs     map[string][]run           // by tenant, rising by time; guarded by mu
 	limits   map[string][]Allowance     // by tenant, rising by time; guarded by mu
-	broken   []Broken                   // guarded by mu
+	broken   []Violation                // guarded by mu
 	outcomes map[string]int             // by what callers got; guarded by mu
 	served   []bool                     // of the requests that began after the calm; guarded by mu
 	back     bool                       // the plan leaves time for service to be back; guarded by mu
@@ -174,7 +174,7 @@
 
 func (w *Watch) fail(promise Guarantee, format string, values ...any) {
 	if len(w.broken) < brokenKept {
-		w.broken = append(w.broken, Broken{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
+		w.broken = append(w.broken, Violation{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
@@ -182,7 +182,7 @@
 const servedLeast = 0.8
 
 // Close makes the checks that need the whole run, and returns all that was broken.
-func (w *Watch) Close() []Broken {
+func (w *Watch) Close() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for tenant, runs := range w.runs {
