--- a/cmd/kitelab/mix_test.go
+++ b/cmd/kitelab/mix_test.go
@@ -11,7 +11,7 @@
 // TestOldestThatTakesPart: one that broke a promise, or that couldn't be judged, counts with all before it.
 func TestOldestThatTakesPart(t *testing.T) {
 	good := func(commit string) mixed { return mixed{commit: commit, plays: 1} }
-	broke := mixed{commit: "broke", plays: 1, broken: map[soak.Guarantee]int{soak.ServiceBack: 1}}
+	broke := mixed{commit: "broke", plays: 1, broken: map[soak.Guarantee]int{soak.ServiceRecovers: 1}}
 	mute := mixed{commit: "mute", cannot: eris.New("acknowledged nothing")}
 	for _, row := range []struct {
 		all    []mixed
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -16,7 +16,7 @@
 	AtMostOnce      Guarantee = "once"       // a request that may not be repeated runs at most once
 	NotRunHonored   Guarantee = "not-run"    // a request that was said not to have run does not run
 	CorrectResponse Guarantee = "answer"     // a success is the whole answer to the caller's own request
-	ServiceBack     Guarantee = "back"       // after the last fault healed, requests are served again
+	ServiceRecovers Guarantee = "back"       // after the last fault healed, requests are served again
 	NoOwnEnd        Guarantee = "own-end"    // no process ends by itself, and each ends when it is told to
 	HeldBack        Guarantee = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
 	RestGiven       Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
@@ -28,7 +28,7 @@
 
 // Guarantees lists every promise in a fixed order.
 func Guarantees() []Guarantee {
-	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceBack, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
+	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoOwnEnd, HeldBack, RestGiven, LeaveHeard, LimitNamed, ConfigKept, NotForged}
 }
 
 // Violation is a promise that did not hold, with the observation.
@@ -198,7 +198,7 @@
 		w.checkDeadly(name, arrivals)
 	}
 	if w.back && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
-		w.fail(ServiceBack, "%d of %d requests were served after everything had healed", good, len(w.served))
+		w.fail(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
 	}
 	return slices.Clone(w.broken)
 }
