--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -78,7 +78,7 @@
 		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true); w.Answered("a", true, true); w.Failed("502", true) }},
 		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true) }},
 		{NotForged, func(w *Watch) { w.Fail(NotForged, "a request reached it") }},
-		{NoOwnEnd, func(w *Watch) { w.Fail(NoOwnEnd, "it ended") }},
+		{NoUnexpectedExit, func(w *Watch) { w.Fail(NoUnexpectedExit, "it ended") }},
 		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
 		{RestGiven, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watch) { restArrivals(w, 9, time.Second) }},
