--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -92,7 +92,7 @@
 		{"", func(w *Watch) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
 		{"", func(w *Watch) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
 		{"", func(w *Watch) { deadlyArrivals(w, 6) }},
-		{HeldBack, func(w *Watch) { deadlyArrivals(w, 7) }},
+		{QuarantineEnforced, func(w *Watch) { deadlyArrivals(w, 7) }},
 		{"", func(w *Watch) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
 	} {
 		w := NewWatch(time.Second, 0)
