--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -118,7 +118,7 @@
 		}
 		if at < told.until {
 			if told.got++; told.got == restMost+1 {
-				w.fail(RestGiven, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
+				w.fail(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
 			}
 		}
 		if told.leaving && request.at > told.shown+leaveFree {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -80,7 +80,7 @@
 		{NotForged, func(w *Watch) { w.Fail(NotForged, "a request reached it") }},
 		{NoUnexpectedExit, func(w *Watch) { w.Fail(NoUnexpectedExit, "it ended") }},
 		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
-		{RestGiven, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
+		{BackoffRespected, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watch) { restArrivals(w, 9, time.Second) }},
 		{LeaveHeard, func(w *Watch) { leaveArrival(w, 4*time.Second, "b") }},
 		{"", func(w *Watch) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
