--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -122,7 +122,7 @@
 			}
 		}
 		if told.leaving && request.at > told.shown+leaveFree {
-			w.fail(LeaveHeard, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
+			w.fail(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
 		}
 	}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -82,7 +82,7 @@
 		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
 		{BackoffRespected, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watch) { restArrivals(w, 9, time.Second) }},
-		{LeaveHeard, func(w *Watch) { leaveArrival(w, 4*time.Second, "b") }},
+		{DrainRespected, func(w *Watch) { leaveArrival(w, 4*time.Second, "b") }},
 		{"", func(w *Watch) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
 		{"", func(w *Watch) { leaveArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watch) { limitArrivals(w, 13, 5*time.Second, gateway) }},
