--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -12,23 +12,23 @@
 
 // The promises that are checked.
 const (
-	WithinLimit        Guarantee = "limit"      // what runs of a tenant's requests stays within its limit, over all machines
-	AtMostOnce         Guarantee = "once"       // a request that may not be repeated runs at most once
-	NotRunHonored      Guarantee = "not-run"    // a request that was said not to have run does not run
-	CorrectResponse    Guarantee = "answer"     // a success is the whole answer to the caller's own request
-	ServiceRecovers    Guarantee = "back"       // after the last fault healed, requests are served again
-	NoUnexpectedExit   Guarantee = "own-end"    // no process ends by itself, and each ends when it is told to
-	QuarantineEnforced Guarantee = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
-	BackoffRespected   Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
-	DrainRespected     Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
-	LimitNamed         Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
-	ConfigKept         Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
-	NotForged          Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
+	WithinLimit              Guarantee = "limit"      // what runs of a tenant's requests stays within its limit, over all machines
+	AtMostOnce               Guarantee = "once"       // a request that may not be repeated runs at most once
+	NotRunHonored            Guarantee = "not-run"    // a request that was said not to have run does not run
+	CorrectResponse          Guarantee = "answer"     // a success is the whole answer to the caller's own request
+	ServiceRecovers          Guarantee = "back"       // after the last fault healed, requests are served again
+	NoUnexpectedExit         Guarantee = "own-end"    // no process ends by itself, and each ends when it is told to
+	QuarantineEnforced       Guarantee = "held-back"  // a request that ends its workers gets few more after the third; no other one is refused for it
+	BackoffRespected         Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
+	DrainRespected           Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
+	AdvertisedLimitRespected Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
+	ConfigKept               Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
+	NotForged                Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
 )
 
 // Guarantees lists every promise in a fixed order.
 func Guarantees() []Guarantee {
-	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, LimitNamed, ConfigKept, NotForged}
+	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigKept, NotForged}
 }
 
 // Violation is a promise that did not hold, with the observation.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -86,7 +86,7 @@
 		{"", func(w *Watch) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
 		{"", func(w *Watch) { leaveArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watch) { limitArrivals(w, 13, 5*time.Second, gateway) }},
-		{LimitNamed, func(w *Watch) { limitArrivals(w, 14, 5*time.Second, gateway) }},
+		{AdvertisedLimitRespected, func(w *Watch) { limitArrivals(w, 14, 5*time.Second, gateway) }},
 		{"", func(w *Watch) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
 		{"", func(w *Watch) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
 		{"", func(w *Watch) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
