--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -22,13 +22,13 @@
 	BackoffRespected         Guarantee = "rest"       // a back end that asked a gateway for rest gets two requests more from it in that time at the most
 	DrainRespected           Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
 	AdvertisedLimitRespected Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
-	ConfigKept               Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
+	ConfigDurable            Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
 	NotForged                Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
 )
 
 // Guarantees lists every promise in a fixed order.
 func Guarantees() []Guarantee {
-	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigKept, NotForged}
+	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigDurable, NotForged}
 }
 
 // Violation is a promise that did not hold, with the observation.
