--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -43,7 +43,7 @@
 
 func (f *soakFlags) run() error {
 	off := soak.Guarantee(f.guardOff)
-	able := []soak.Guarantee{soak.WithinLimit, soak.AtMostOnce, soak.CorrectResponse, soak.QuarantineEnforced, soak.NotForged, soak.BackoffRespected, soak.DrainRespected, soak.AdvertisedLimitRespected, soak.ConfigDurable}
+	able := []soak.Guarantee{soak.WithinLimit, soak.AtMostOnce, soak.CorrectResponse, soak.QuarantineEnforced, soak.ForgedHeartbeatsIgnored, soak.BackoffRespected, soak.DrainRespected, soak.AdvertisedLimitRespected, soak.ConfigDurable}
 	if off != "" && !slices.Contains(able, off) {
 		return eris.Errorf("%q cannot be broken on purpose; %v can", f.guardOff, able)
 	}
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -23,12 +23,12 @@
 	DrainRespected           Guarantee = "leaving"    // a back end that said in an answer that it leaves gets nothing new from whoever heard it
 	AdvertisedLimitRespected Guarantee = "named"      // a back end that names a limit gets no more than it allows from all processes together that have heard it
 	ConfigDurable            Guarantee = "config"     // a configuration that was acknowledged is never lost, and none older is shown after it
-	NotForged                Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
+	ForgedHeartbeatsIgnored  Guarantee = "not-forged" // no request reaches a worker that only forged heartbeats name, and none of these is acknowledged
 )
 
 // Guarantees lists every promise in a fixed order.
 func Guarantees() []Guarantee {
-	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigDurable, NotForged}
+	return []Guarantee{WithinLimit, AtMostOnce, NotRunHonored, CorrectResponse, ServiceRecovers, NoUnexpectedExit, QuarantineEnforced, BackoffRespected, DrainRespected, AdvertisedLimitRespected, ConfigDurable, ForgedHeartbeatsIgnored}
 }
 
 // Violation is a promise that did not hold, with the observation.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -77,7 +77,7 @@
 		{CorrectResponse, func(w *Watch) { w.Ran(0, "nobody's", "u", 1) }},
 		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true); w.Answered("a", true, true); w.Failed("502", true) }},
 		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true) }},
-		{NotForged, func(w *Watch) { w.Fail(NotForged, "a request reached it") }},
+		{ForgedHeartbeatsIgnored, func(w *Watch) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
 		{NoUnexpectedExit, func(w *Watch) { w.Fail(NoUnexpectedExit, "it ended") }},
 		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
 		{BackoffRespected, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
