--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -37,8 +37,8 @@
 	Detail    string
 }
 
-// Allowance is what a tenant may use, from a time on.
-type Allowance struct {
+// TenantLimit is what a tenant may use, from a time on.
+type TenantLimit struct {
 	From  time.Duration
 	Units func(window time.Duration) float64
 }
@@ -64,7 +64,7 @@
 	mu       sync.Mutex
 	requests map[string]*tried          // by id; guarded by mu
 	runs     map[string][]run           // by tenant, rising by time; guarded by mu
-	limits   map[string][]Allowance     // by tenant, rising by time; guarded by mu
+	limits   map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
 	broken   []Violation                // guarded by mu
 	outcomes map[string]int             // by what callers got; guarded by mu
 	served   []bool                     // of the requests that began after the calm; guarded by mu
@@ -82,13 +82,13 @@
 // NewWatch returns a watch that has seen nothing.
 func NewWatch(window, settle time.Duration) *Watch {
 	return &Watch{
-		Window: window, Settle: settle, requests: map[string]*tried{}, runs: map[string][]run{}, limits: map[string][]Allowance{},
+		Window: window, Settle: settle, requests: map[string]*tried{}, runs: map[string][]run{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
 
 // Limit notes that a tenant's limit was accepted at a time.
-func (w *Watch) Limit(tenant string, limit Allowance) {
+func (w *Watch) Limit(tenant string, limit TenantLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits[tenant] = append(w.limits[tenant], limit)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -63,7 +63,7 @@
 
 // TestWatchSeesBrokenPromises, each from the observation that decides it.
 func TestWatchSeesBrokenPromises(t *testing.T) {
-	limit := Allowance{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
+	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
 		wanted Guarantee
 		do     func(*Watch)
@@ -144,8 +144,8 @@
 		broken int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
 		w := NewWatch(time.Second, time.Second)
-		w.Limit("t", Allowance{Units: of(100)})
-		w.Limit("t", Allowance{From: 4 * time.Second, Units: of(10)})
+		w.Limit("t", TenantLimit{Units: of(100)})
+		w.Limit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
 		w.Asked("a", false)
 		w.Ran(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
