--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -43,8 +43,8 @@
 	Units func(window time.Duration) float64
 }
 
-// run is a request that a back end began.
-type run struct {
+// execution is a request that a back end began.
+type execution struct {
 	at    time.Duration
 	units float64
 }
@@ -63,7 +63,7 @@
 
 	mu       sync.Mutex
 	requests map[string]*tried          // by id; guarded by mu
-	runs     map[string][]run           // by tenant, rising by time; guarded by mu
+	runs     map[string][]execution     // by tenant, rising by time; guarded by mu
 	limits   map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
 	broken   []Violation                // guarded by mu
 	outcomes map[string]int             // by what callers got; guarded by mu
@@ -82,7 +82,7 @@
 // NewWatch returns a watch that has seen nothing.
 func NewWatch(window, settle time.Duration) *Watch {
 	return &Watch{
-		Window: window, Settle: settle, requests: map[string]*tried{}, runs: map[string][]run{}, limits: map[string][]TenantLimit{},
+		Window: window, Settle: settle, requests: map[string]*tried{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
@@ -112,7 +112,7 @@
 func (w *Watch) Ran(at time.Duration, id, tenant string, units float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.runs[tenant] = append(w.runs[tenant], run{at: at, units: units})
+	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
 	request := w.requests[id]
 	if request == nil {
 		w.fail(CorrectResponse, "a back end ran %q, which no caller sent", id)
@@ -265,8 +265,8 @@
 }
 
 // checkLimit looks at every window that ends with a run.
-func (w *Watch) checkLimit(tenant string, runs []run) {
-	slices.SortFunc(runs, func(a, b run) int { return int(a.at - b.at) })
+func (w *Watch) checkLimit(tenant string, runs []execution) {
+	slices.SortFunc(runs, func(a, b execution) int { return int(a.at - b.at) })
 	sum, first := 0.0, 0
 	for _, r := range runs {
 		for sum += r.units; runs[first].at <= r.at-w.Window; first++ {
