--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -49,8 +49,8 @@
 	units float64
 }
 
-// tried is what is known of one request of a caller.
-type tried struct {
+// requestState is what is known of one request of a caller.
+type requestState struct {
 	once   bool // it may run at most once
 	runs   int
 	notRun bool // its caller was told that it did not run
@@ -62,7 +62,7 @@
 	Settle time.Duration // how long after a lower limit was accepted an older one may still count
 
 	mu       sync.Mutex
-	requests map[string]*tried          // by id; guarded by mu
+	requests map[string]*requestState   // by id; guarded by mu
 	runs     map[string][]execution     // by tenant, rising by time; guarded by mu
 	limits   map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
 	broken   []Violation                // guarded by mu
@@ -82,7 +82,7 @@
 // NewWatch returns a watch that has seen nothing.
 func NewWatch(window, settle time.Duration) *Watch {
 	return &Watch{
-		Window: window, Settle: settle, requests: map[string]*tried{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
+		Window: window, Settle: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
@@ -105,7 +105,7 @@
 func (w *Watch) Asked(id string, once bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.requests[id] = &tried{once: once}
+	w.requests[id] = &requestState{once: once}
 }
 
 // Ran notes that a back end began a request.
