--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -51,9 +51,9 @@
 
 // requestState is what is known of one request of a caller.
 type requestState struct {
-	once   bool // it may run at most once
-	runs   int
-	notRun bool // its caller was told that it did not run
+	atMostOnce bool // it may run at most once
+	runs       int
+	notRun     bool // its caller was told that it did not run
 }
 
 // Watch gathers what callers and back ends see. It is safe for concurrent use. Times are of one clock, that of the soak.
@@ -105,7 +105,7 @@
 func (w *Watch) Asked(id string, once bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.requests[id] = &requestState{once: once}
+	w.requests[id] = &requestState{atMostOnce: once}
 }
 
 // Ran notes that a back end began a request.
@@ -119,10 +119,10 @@
 		return
 	}
 	request.runs++
-	if request.once && request.runs > 1 {
+	if request.atMostOnce && request.runs > 1 {
 		w.fail(AtMostOnce, "%s ran %d times", id, request.runs)
 	}
-	if request.notRun && request.once {
+	if request.notRun && request.atMostOnce {
 		w.fail(NotRunHonored, "%s ran after its caller was told that it did not", id)
 	}
 }
@@ -134,7 +134,7 @@
 	w.outcomes[outcome]++
 	request := w.requests[id]
 	request.notRun = true
-	if request.once && request.runs > 0 {
+	if request.atMostOnce && request.runs > 0 {
 		w.fail(NotRunHonored, "%s had run when its caller was told that it did not", id)
 	}
 }
