--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -23,7 +23,7 @@
 }
 
 // NamedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
-func (w *Watch) NamedLimit(at time.Duration, id, life string, rate float64, until time.Duration) {
+func (w *Watcher) NamedLimit(at time.Duration, id, life string, rate float64, until time.Duration) {
 	w.mu.Lock()
 	n := w.said.needs[life]
 	if n == nil || at >= n.until {
@@ -38,7 +38,7 @@
 }
 
 // reachedInNeed counts a request that came to a life of a back end. The caller holds mu.
-func (w *Watch) reachedInNeed(at time.Duration, request sent, life string) {
+func (w *Watcher) reachedInNeed(at time.Duration, request sent, life string) {
 	n := w.said.needs[life]
 	if n == nil || at >= n.until {
 		return
@@ -54,12 +54,12 @@
 }
 
 // bunched reports whether links or gateways were struck in a window, so that what was sent over a longer time may have come in it.
-func (w *Watch) bunched(at time.Duration) bool {
+func (w *Watcher) bunched(at time.Duration) bool {
 	return slices.ContainsFunc(w.bunches, func(s span) bool { return at >= s.from && at-window.Length <= s.to })
 }
 
 // Bunch notes that requests may be held up between processes for a time and come together at its end.
-func (w *Watch) Bunch(from, to time.Duration) {
+func (w *Watcher) Bunch(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bunches = append(w.bunches, span{from, to})
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -56,8 +56,8 @@
 	notRun     bool // its caller was told that it did not run
 }
 
-// Watch gathers what callers and back ends see. It is safe for concurrent use. Times are of one clock, that of the soak.
-type Watch struct {
+// Watcher gathers what callers and back ends see. It is safe for concurrent use. Times are of one clock, that of the soak.
+type Watcher struct {
 	Window time.Duration // that limits are judged in
 	Settle time.Duration // how long after a lower limit was accepted an older one may still count
 
@@ -80,36 +80,36 @@
 type span struct{ from, to time.Duration }
 
 // NewWatch returns a watch that has seen nothing.
-func NewWatch(window, settle time.Duration) *Watch {
-	return &Watch{
+func NewWatch(window, settle time.Duration) *Watcher {
+	return &Watcher{
 		Window: window, Settle: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
 
 // Limit notes that a tenant's limit was accepted at a time.
-func (w *Watch) Limit(tenant string, limit TenantLimit) {
+func (w *Watcher) Limit(tenant string, limit TenantLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits[tenant] = append(w.limits[tenant], limit)
 }
 
 // ExpectBack tells whether the plan leaves time for service to be back.
-func (w *Watch) ExpectBack(expected bool) {
+func (w *Watcher) ExpectBack(expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.back = expected
 }
 
 // Asked notes that a caller is about to send a request.
-func (w *Watch) Asked(id string, once bool) {
+func (w *Watcher) Asked(id string, once bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[id] = &requestState{atMostOnce: once}
 }
 
 // Ran notes that a back end began a request.
-func (w *Watch) Ran(at time.Duration, id, tenant string, units float64) {
+func (w *Watcher) Ran(at time.Duration, id, tenant string, units float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
@@ -128,7 +128,7 @@
 }
 
 // Refused notes that a caller was told that its request did not run and will not.
-func (w *Watch) Refused(id, outcome string) {
+func (w *Watcher) Refused(id, outcome string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes[outcome]++
@@ -140,7 +140,7 @@
 }
 
 // Answered notes a success and whether it was the whole answer to the request; calm tells that service had to be back.
-func (w *Watch) Answered(id string, whole, calm bool) {
+func (w *Watcher) Answered(id string, whole, calm bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes["answered"]++
@@ -153,7 +153,7 @@
 }
 
 // Failed notes any other end.
-func (w *Watch) Failed(outcome string, calm bool) {
+func (w *Watcher) Failed(outcome string, calm bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes[outcome]++
@@ -163,7 +163,7 @@
 }
 
 // Fail notes that a promise was seen broken.
-func (w *Watch) Fail(promise Guarantee, format string, values ...any) {
+func (w *Watcher) Fail(promise Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fail(promise, format, values...)
@@ -172,7 +172,7 @@
 // brokenKept bounds the observations that are kept.
 const brokenKept = 200
 
-func (w *Watch) fail(promise Guarantee, format string, values ...any) {
+func (w *Watcher) fail(promise Guarantee, format string, values ...any) {
 	if len(w.broken) < brokenKept {
 		w.broken = append(w.broken, Violation{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
 	}
@@ -182,7 +182,7 @@
 const servedLeast = 0.8
 
 // Close makes the checks that need the whole run, and returns all that was broken.
-func (w *Watch) Close() []Violation {
+func (w *Watcher) Close() []Violation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for tenant, runs := range w.runs {
@@ -212,21 +212,21 @@
 )
 
 // Trouble notes that the system's processes or links are struck for a time.
-func (w *Watch) Trouble(from, to time.Duration) {
+func (w *Watcher) Trouble(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.troubles = append(w.troubles, span{from, to})
 }
 
 // Deadly notes that a request came to a worker that ends under it.
-func (w *Watch) Deadly(at time.Duration, name string) {
+func (w *Watcher) Deadly(at time.Duration, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.deadly[name] = append(w.deadly[name], at)
 }
 
 // DeadlyHeld notes that a caller of such a request was told that it is held back.
-func (w *Watch) DeadlyHeld(name string) {
+func (w *Watcher) DeadlyHeld(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.held[name]++
@@ -234,21 +234,21 @@
 
 // Settled reports whether what was seen of such a request tells if it is held back: its callers were told so as often as more workers would
 // break the promise, or it did come to these.
-func (w *Watch) Settled(name string) bool {
+func (w *Watcher) Settled(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.held[name] > deadlyMore || w.laterArrivals(w.deadly[name]) > deadlyMore
 }
 
 // checkDeadly counts what reached workers after the third had ended, while all was well.
-func (w *Watch) checkDeadly(name string, arrivals []time.Duration) {
+func (w *Watcher) checkDeadly(name string, arrivals []time.Duration) {
 	if later := w.laterArrivals(arrivals); later > deadlyMore {
 		w.fail(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
 	}
 }
 
 // laterArrivals counts those that must not have come. The caller holds the mutex.
-func (w *Watch) laterArrivals(arrivals []time.Duration) int {
+func (w *Watcher) laterArrivals(arrivals []time.Duration) int {
 	slices.Sort(arrivals)
 	later := 0
 	for i, at := range arrivals {
@@ -260,12 +260,12 @@
 }
 
 // troubled reports whether something was struck a moment before.
-func (w *Watch) troubled(at time.Duration) bool {
+func (w *Watcher) troubled(at time.Duration) bool {
 	return slices.ContainsFunc(w.troubles, func(s span) bool { return at >= s.from && at <= s.to+deadlyContact })
 }
 
 // checkLimit looks at every window that ends with a run.
-func (w *Watch) checkLimit(tenant string, runs []execution) {
+func (w *Watcher) checkLimit(tenant string, runs []execution) {
 	slices.SortFunc(runs, func(a, b execution) int { return int(a.at - b.at) })
 	sum, first := 0.0, 0
 	for _, r := range runs {
@@ -282,7 +282,7 @@
 
 // allowed returns the most that any limit allows that may still count in a window from a time on; a later lower limit binds
 // whole windows only.
-func (w *Watch) allowed(tenant string, from time.Duration) (float64, bool) {
+func (w *Watcher) allowed(tenant string, from time.Duration) (float64, bool) {
 	most, found := 0.0, false
 	limits := w.limits[tenant]
 	for i, limit := range limits {
@@ -295,7 +295,7 @@
 }
 
 // Outcomes returns what callers got, by kind.
-func (w *Watch) Outcomes() map[string]int {
+func (w *Watcher) Outcomes() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	copied := map[string]int{}
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -45,21 +45,21 @@
 }
 
 // Sent notes that a caller is about to send a request to a process.
-func (w *Watch) Sent(at time.Duration, id string, by Sender) {
+func (w *Watcher) Sent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.said.sent[id] = sent{by, at}
 }
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
-func (w *Watch) AskedRest(at time.Duration, id, life string, rest time.Duration) {
+func (w *Watcher) AskedRest(at time.Duration, id, life string, rest time.Duration) {
 	w.say(id, &word{life: life, until: at + rest})
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watch) SaidLeaving(id, life string) { w.say(id, &word{life: life, leaving: true}) }
+func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{life: life, leaving: true}) }
 
-func (w *Watch) say(id string, told *word) {
+func (w *Watcher) say(id string, told *word) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.said.sent[id]
@@ -73,14 +73,14 @@
 }
 
 // Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
-func (w *Watch) Shown(at time.Duration, id string) {
+func (w *Watcher) Shown(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.show(at, id, "")
 }
 
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
-func (w *Watch) show(at time.Duration, id, except string) {
+func (w *Watcher) show(at time.Duration, id, except string) {
 	var left []*word
 	for _, told := range w.said.open[id] {
 		if told.life == except {
@@ -103,7 +103,7 @@
 }
 
 // Reached notes that a request came to a life of a back end.
-func (w *Watch) Reached(at time.Duration, id, life string) {
+func (w *Watcher) Reached(at time.Duration, id, life string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.said.sent[id]
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -8,7 +8,7 @@
 var gateway = Sender{Name: "g", Process: 1}
 
 // restArrivals lets a back end ask for rest, the caller have its answer after 3 s, and so many later requests come 2 s after that.
-func restArrivals(w *Watch, later int, rest time.Duration) {
+func restArrivals(w *Watcher, later int, rest time.Duration) {
 	w.Sent(time.Second, "refused", gateway)
 	w.Reached(2*time.Second, "refused", "b")
 	w.AskedRest(2*time.Second, "refused", "b", rest)
@@ -28,7 +28,7 @@
 
 // leaveArrival lets a back end say that it leaves, which its gateway is seen to know after 3 s, and a request come to a life of it that was
 // sent at a time.
-func leaveArrival(w *Watch, at time.Duration, life string) {
+func leaveArrival(w *Watcher, at time.Duration, life string) {
 	w.Sent(time.Second, "first", gateway)
 	w.SaidLeaving("first", "b")
 	w.Reached(3*time.Second, "first", "c") // it went on elsewhere
@@ -38,7 +38,7 @@
 
 // limitArrivals lets a back end name a limit of 1.4 requests a second after a second, for 20 s, the gateway be seen to know it after 2 s, and so many
 // requests that a process sent there come together at a time; 13.4 are allowed.
-func limitArrivals(w *Watch, count int, at time.Duration, by Sender) {
+func limitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
 	w.Sent(time.Second, "first", gateway)
 	w.Reached(time.Second, "first", "b")
 	w.NamedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -66,34 +66,38 @@
 	limit := TenantLimit{Units: func(window time.Duration) float64 { return 100 * window.Seconds() }}
 	for _, c := range []struct {
 		wanted Guarantee
-		do     func(*Watch)
+		do     func(*Watcher)
 	}{
-		{"", func(w *Watch) { w.Ran(0, "a", "t", 50); w.Ran(time.Second, "a", "t", 60); w.Answered("a", true, false) }},
-		{WithinLimit, func(w *Watch) { w.Ran(0, "a", "t", 50); w.Ran(time.Second-1, "a", "t", 60) }},
-		{AtMostOnce, func(w *Watch) { w.Ran(0, "once", "u", 1); w.Ran(1, "once", "u", 1) }},
-		{NotRunHonored, func(w *Watch) { w.Ran(0, "once", "u", 1); w.Refused("once", "refused") }},
-		{NotRunHonored, func(w *Watch) { w.Refused("once", "refused"); w.Ran(0, "once", "u", 1) }},
-		{CorrectResponse, func(w *Watch) { w.Answered("a", false, false) }},
-		{CorrectResponse, func(w *Watch) { w.Ran(0, "nobody's", "u", 1) }},
-		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true); w.Answered("a", true, true); w.Failed("502", true) }},
-		{ServiceRecovers, func(w *Watch) { w.ExpectBack(true) }},
-		{ForgedHeartbeatsIgnored, func(w *Watch) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
-		{NoUnexpectedExit, func(w *Watch) { w.Fail(NoUnexpectedExit, "it ended") }},
-		{"", func(w *Watch) { restArrivals(w, 2, time.Minute) }},
-		{BackoffRespected, func(w *Watch) { restArrivals(w, 3, time.Minute) }},
-		{"", func(w *Watch) { restArrivals(w, 9, time.Second) }},
-		{DrainRespected, func(w *Watch) { leaveArrival(w, 4*time.Second, "b") }},
-		{"", func(w *Watch) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
-		{"", func(w *Watch) { leaveArrival(w, 4*time.Second, "the next life of b") }},
-		{"", func(w *Watch) { limitArrivals(w, 13, 5*time.Second, gateway) }},
-		{AdvertisedLimitRespected, func(w *Watch) { limitArrivals(w, 14, 5*time.Second, gateway) }},
-		{"", func(w *Watch) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
-		{"", func(w *Watch) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
-		{"", func(w *Watch) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
-		{"", func(w *Watch) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
-		{"", func(w *Watch) { deadlyArrivals(w, 6) }},
-		{QuarantineEnforced, func(w *Watch) { deadlyArrivals(w, 7) }},
-		{"", func(w *Watch) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
+		{"", func(w *Watcher) {
+			w.Ran(0, "a", "t", 50)
+			w.Ran(time.Second, "a", "t", 60)
+			w.Answered("a", true, false)
+		}},
+		{WithinLimit, func(w *Watcher) { w.Ran(0, "a", "t", 50); w.Ran(time.Second-1, "a", "t", 60) }},
+		{AtMostOnce, func(w *Watcher) { w.Ran(0, "once", "u", 1); w.Ran(1, "once", "u", 1) }},
+		{NotRunHonored, func(w *Watcher) { w.Ran(0, "once", "u", 1); w.Refused("once", "refused") }},
+		{NotRunHonored, func(w *Watcher) { w.Refused("once", "refused"); w.Ran(0, "once", "u", 1) }},
+		{CorrectResponse, func(w *Watcher) { w.Answered("a", false, false) }},
+		{CorrectResponse, func(w *Watcher) { w.Ran(0, "nobody's", "u", 1) }},
+		{ServiceRecovers, func(w *Watcher) { w.ExpectBack(true); w.Answered("a", true, true); w.Failed("502", true) }},
+		{ServiceRecovers, func(w *Watcher) { w.ExpectBack(true) }},
+		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
+		{NoUnexpectedExit, func(w *Watcher) { w.Fail(NoUnexpectedExit, "it ended") }},
+		{"", func(w *Watcher) { restArrivals(w, 2, time.Minute) }},
+		{BackoffRespected, func(w *Watcher) { restArrivals(w, 3, time.Minute) }},
+		{"", func(w *Watcher) { restArrivals(w, 9, time.Second) }},
+		{DrainRespected, func(w *Watcher) { leaveArrival(w, 4*time.Second, "b") }},
+		{"", func(w *Watcher) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
+		{"", func(w *Watcher) { leaveArrival(w, 4*time.Second, "the next life of b") }},
+		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, gateway) }},
+		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, gateway) }},
+		{"", func(w *Watcher) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
+		{"", func(w *Watcher) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
+		{"", func(w *Watcher) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
+		{"", func(w *Watcher) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
+		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
+		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
+		{"", func(w *Watcher) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
 	} {
 		w := NewWatch(time.Second, 0)
 		w.Limit("t", limit)
@@ -108,7 +112,7 @@
 }
 
 // deadlyArrivals lets one request come so often, the first three at once, the rest a minute later.
-func deadlyArrivals(w *Watch, count int) {
+func deadlyArrivals(w *Watcher, count int) {
 	for n := range count {
 		at := time.Duration(n)
 		if n >= deadlyLives {
