--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -79,8 +79,8 @@
 // span is a stretch of time.
 type span struct{ from, to time.Duration }
 
-// NewWatch returns a watch that has seen nothing.
-func NewWatch(window, settle time.Duration) *Watcher {
+// NewWatcher returns a watch that has seen nothing.
+func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, Settle: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -99,7 +99,7 @@
 		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
 		{"", func(w *Watcher) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
 	} {
-		w := NewWatch(time.Second, 0)
+		w := NewWatcher(time.Second, 0)
 		w.Limit("t", limit)
 		w.Asked("a", false)
 		w.Asked("once", true)
@@ -129,7 +129,7 @@
 		arrivals, held int
 		settled        bool
 	}{{0, 0, false}, {deadlyLives, deadlyMore, false}, {deadlyLives, deadlyMore + 1, true}, {deadlyLives + deadlyMore, 0, false}, {deadlyLives + deadlyMore + 1, 0, true}} {
-		w := NewWatch(time.Second, 0)
+		w := NewWatcher(time.Second, 0)
 		deadlyArrivals(w, c.arrivals)
 		for range c.held {
 			w.DeadlyHeld("deadly 1")
@@ -147,7 +147,7 @@
 		at     time.Duration
 		broken int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
-		w := NewWatch(time.Second, time.Second)
+		w := NewWatcher(time.Second, time.Second)
 		w.Limit("t", TenantLimit{Units: of(100)})
 		w.Limit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
 		w.Asked("a", false)
