--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -58,8 +58,8 @@
 
 // Watcher gathers what callers and back ends see. It is safe for concurrent use. Times are of one clock, that of the soak.
 type Watcher struct {
-	Window time.Duration // that limits are judged in
-	Settle time.Duration // how long after a lower limit was accepted an older one may still count
+	Window          time.Duration // that limits are judged in
+	LimitSettleTime time.Duration // how long after a lower limit was accepted an older one may still count
 
 	mu       sync.Mutex
 	requests map[string]*requestState   // by id; guarded by mu
@@ -82,7 +82,7 @@
 // NewWatcher returns a watch that has seen nothing.
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
-		Window: window, Settle: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
+		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
 		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
@@ -286,7 +286,7 @@
 	most, found := 0.0, false
 	limits := w.limits[tenant]
 	for i, limit := range limits {
-		if i+1 < len(limits) && limits[i+1].From+w.Settle < from {
+		if i+1 < len(limits) && limits[i+1].From+w.LimitSettleTime < from {
 			continue // replaced before the window
 		}
 		most, found = max(most, limit.Units(w.Window)), true
