--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -61,19 +61,19 @@
 	Window          time.Duration // that limits are judged in
 	LimitSettleTime time.Duration // how long after a lower limit was accepted an older one may still count
 
-	mu         sync.Mutex
-	requests   map[string]*requestState   // by id; guarded by mu
-	runs       map[string][]execution     // by tenant, rising by time; guarded by mu
-	limits     map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
-	violations []Violation                // guarded by mu
-	outcomes   map[string]int             // by what callers got; guarded by mu
-	served     []bool                     // of the requests that began after the calm; guarded by mu
-	back       bool                       // the plan leaves time for service to be back; guarded by mu
-	deadly     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
-	held       map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
-	troubles   []span                     // of the system's processes and links; guarded by mu
-	bunches    []span                     // in which requests may be held up; guarded by mu
-	said       said                       // of themselves, by back ends; guarded by mu
+	mu             sync.Mutex
+	requests       map[string]*requestState   // by id; guarded by mu
+	runs           map[string][]execution     // by tenant, rising by time; guarded by mu
+	limits         map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
+	violations     []Violation                // guarded by mu
+	outcomes       map[string]int             // by what callers got; guarded by mu
+	served         []bool                     // of the requests that began after the calm; guarded by mu
+	expectRecovery bool                       // the plan leaves time for service to be back; guarded by mu
+	deadly         map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
+	held           map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
+	troubles       []span                     // of the system's processes and links; guarded by mu
+	bunches        []span                     // in which requests may be held up; guarded by mu
+	said           said                       // of themselves, by back ends; guarded by mu
 }
 
 // span is a stretch of time.
@@ -98,7 +98,7 @@
 func (w *Watcher) ExpectBack(expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.back = expected
+	w.expectRecovery = expected
 }
 
 // Asked notes that a caller is about to send a request.
@@ -197,7 +197,7 @@
 	for name, arrivals := range w.deadly {
 		w.checkDeadly(name, arrivals)
 	}
-	if w.back && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
+	if w.expectRecovery && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
 		w.fail(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
 	}
 	return slices.Clone(w.violations)
