--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -69,7 +69,7 @@
 	outcomes       map[string]int             // by what callers got; guarded by mu
 	served         []bool                     // of the requests that began after the calm; guarded by mu
 	expectRecovery bool                       // the plan leaves time for service to be back; guarded by mu
-	deadly         map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
+	fatalArrivals  map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
 	held           map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
 	troubles       []span                     // of the system's processes and links; guarded by mu
 	bunches        []span                     // in which requests may be held up; guarded by mu
@@ -83,7 +83,7 @@
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
-		said: newSaid(), outcomes: map[string]int{}, deadly: map[string][]time.Duration{}, held: map[string]int{},
+		said: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, held: map[string]int{},
 	}
 }
 
@@ -194,7 +194,7 @@
 			good++
 		}
 	}
-	for name, arrivals := range w.deadly {
+	for name, arrivals := range w.fatalArrivals {
 		w.checkDeadly(name, arrivals)
 	}
 	if w.expectRecovery && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
@@ -222,7 +222,7 @@
 func (w *Watcher) Deadly(at time.Duration, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deadly[name] = append(w.deadly[name], at)
+	w.fatalArrivals[name] = append(w.fatalArrivals[name], at)
 }
 
 // DeadlyHeld notes that a caller of such a request was told that it is held back.
@@ -237,7 +237,7 @@
 func (w *Watcher) Settled(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held[name] > deadlyMore || w.laterArrivals(w.deadly[name]) > deadlyMore
+	return w.held[name] > deadlyMore || w.laterArrivals(w.fatalArrivals[name]) > deadlyMore
 }
 
 // checkDeadly counts what reached workers after the third had ended, while all was well.
