--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -61,19 +61,19 @@
 	Window          time.Duration // that limits are judged in
 	LimitSettleTime time.Duration // how long after a lower limit was accepted an older one may still count
 
-	mu             sync.Mutex
-	requests       map[string]*requestState   // by id; guarded by mu
-	runs           map[string][]execution     // by tenant, rising by time; guarded by mu
-	limits         map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
-	violations     []Violation                // guarded by mu
-	outcomes       map[string]int             // by what callers got; guarded by mu
-	served         []bool                     // of the requests that began after the calm; guarded by mu
-	expectRecovery bool                       // the plan leaves time for service to be back; guarded by mu
-	fatalArrivals  map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
-	held           map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
-	troubles       []span                     // of the system's processes and links; guarded by mu
-	bunches        []span                     // in which requests may be held up; guarded by mu
-	said           said                       // of themselves, by back ends; guarded by mu
+	mu                sync.Mutex
+	requests          map[string]*requestState   // by id; guarded by mu
+	runs              map[string][]execution     // by tenant, rising by time; guarded by mu
+	limits            map[string][]TenantLimit   // by tenant, rising by time; guarded by mu
+	violations        []Violation                // guarded by mu
+	outcomes          map[string]int             // by what callers got; guarded by mu
+	served            []bool                     // of the requests that began after the calm; guarded by mu
+	expectRecovery    bool                       // the plan leaves time for service to be back; guarded by mu
+	fatalArrivals     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
+	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
+	troubles          []span                     // of the system's processes and links; guarded by mu
+	bunches           []span                     // in which requests may be held up; guarded by mu
+	said              said                       // of themselves, by back ends; guarded by mu
 }
 
 // span is a stretch of time.
@@ -83,7 +83,7 @@
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
-		said: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, held: map[string]int{},
+		said: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
 	}
 }
 
@@ -229,7 +229,7 @@
 func (w *Watcher) DeadlyHeld(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.held[name]++
+	w.quarantineReplies[name]++
 }
 
 // Settled reports whether what was seen of such a request tells if it is held back: its callers were told so as often as more workers would
@@ -237,7 +237,7 @@
 func (w *Watcher) Settled(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held[name] > deadlyMore || w.laterArrivals(w.fatalArrivals[name]) > deadlyMore
+	return w.quarantineReplies[name] > deadlyMore || w.laterArrivals(w.fatalArrivals[name]) > deadlyMore
 }
 
 // checkDeadly counts what reached workers after the third had ended, while all was well.
