--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -71,7 +71,7 @@
 	expectRecovery    bool                       // the plan leaves time for service to be back; guarded by mu
 	fatalArrivals     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
 	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
-	troubles          []span                     // of the system's processes and links; guarded by mu
+	disturbances      []span                     // of the system's processes and links; guarded by mu
 	bunches           []span                     // in which requests may be held up; guarded by mu
 	said              said                       // of themselves, by back ends; guarded by mu
 }
@@ -215,7 +215,7 @@
 func (w *Watcher) Trouble(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.troubles = append(w.troubles, span{from, to})
+	w.disturbances = append(w.disturbances, span{from, to})
 }
 
 // Deadly notes that a request came to a worker that ends under it.
@@ -261,7 +261,7 @@
 
 // troubled reports whether something was struck a moment before.
 func (w *Watcher) troubled(at time.Duration) bool {
-	return slices.ContainsFunc(w.troubles, func(s span) bool { return at >= s.from && at <= s.to+deadlyContact })
+	return slices.ContainsFunc(w.disturbances, func(s span) bool { return at >= s.from && at <= s.to+deadlyContact })
 }
 
 // checkLimit looks at every window that ends with a run.
