--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -72,7 +72,7 @@
 	fatalArrivals     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
 	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
 	disturbances      []span                     // of the system's processes and links; guarded by mu
-	bunches           []span                     // in which requests may be held up; guarded by mu
+	burstWindows      []span                     // in which requests may be held up; guarded by mu
 	said              said                       // of themselves, by back ends; guarded by mu
 }
 
