--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -25,12 +25,12 @@
 // NamedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
 func (w *Watcher) NamedLimit(at time.Duration, id, life string, rate float64, until time.Duration) {
 	w.mu.Lock()
-	n := w.said.needs[life]
+	n := w.signals.needs[life]
 	if n == nil || at >= n.until {
 		n = &inNeed{from: at, until: until, rate: rate, heard: map[Sender]time.Duration{}}
-		w.said.needs[life] = n
+		w.signals.needs[life] = n
 	}
-	_, heard := n.heard[w.said.sent[id].by]
+	_, heard := n.heard[w.signals.sent[id].by]
 	w.mu.Unlock()
 	if !heard {
 		w.say(id, &word{life: life, need: n})
@@ -39,7 +39,7 @@
 
 // reachedInNeed counts a request that came to a life of a back end. The caller holds mu.
 func (w *Watcher) reachedInNeed(at time.Duration, request sent, life string) {
-	n := w.said.needs[life]
+	n := w.signals.needs[life]
 	if n == nil || at >= n.until {
 		return
 	}
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -73,7 +73,7 @@
 	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
 	disturbances      []span                     // of the system's processes and links; guarded by mu
 	burstWindows      []span                     // in which requests may be held up; guarded by mu
-	said              said                       // of themselves, by back ends; guarded by mu
+	signals           said                       // of themselves, by back ends; guarded by mu
 }
 
 // span is a stretch of time.
@@ -83,7 +83,7 @@
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
-		said: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
+		signals: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
 	}
 }
 
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -48,7 +48,7 @@
 func (w *Watcher) Sent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.said.sent[id] = sent{by, at}
+	w.signals.sent[id] = sent{by, at}
 }
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
@@ -62,14 +62,14 @@
 func (w *Watcher) say(id string, told *word) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
 	if told.need == nil {
-		w.said.words[request.by] = append(w.said.words[request.by], told)
+		w.signals.words[request.by] = append(w.signals.words[request.by], told)
 	}
-	w.said.open[id] = append(w.said.open[id], told)
+	w.signals.open[id] = append(w.signals.open[id], told)
 }
 
 // Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
@@ -82,7 +82,7 @@
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
 func (w *Watcher) show(at time.Duration, id, except string) {
 	var left []*word
-	for _, told := range w.said.open[id] {
+	for _, told := range w.signals.open[id] {
 		if told.life == except {
 			left = append(left, told)
 			continue
@@ -91,28 +91,28 @@
 		if told.need == nil {
 			continue
 		}
-		if by := w.said.sent[id].by; told.need.heard[by] == 0 {
+		if by := w.signals.sent[id].by; told.need.heard[by] == 0 {
 			told.need.heard[by] = at
 		}
 	}
 	if left == nil {
-		delete(w.said.open, id)
+		delete(w.signals.open, id)
 		return
 	}
-	w.said.open[id] = left
+	w.signals.open[id] = left
 }
 
 // Reached notes that a request came to a life of a back end.
 func (w *Watcher) Reached(at time.Duration, id, life string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request, known := w.said.sent[id]
+	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
 	w.show(at, id, life)
 	w.reachedInNeed(at, request, life)
-	for _, told := range w.said.words[request.by] {
+	for _, told := range w.signals.words[request.by] {
 		if told.life != life || told.shown == 0 || request.at <= told.shown {
 			continue
 		}
