--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -55,12 +55,12 @@
 
 // bunched reports whether links or gateways were struck in a window, so that what was sent over a longer time may have come in it.
 func (w *Watcher) bunched(at time.Duration) bool {
-	return slices.ContainsFunc(w.burstWindows, func(s span) bool { return at >= s.from && at-window.Length <= s.to })
+	return slices.ContainsFunc(w.burstWindows, func(s interval) bool { return at >= s.from && at-window.Length <= s.to })
 }
 
 // Bunch notes that requests may be held up between processes for a time and come together at its end.
 func (w *Watcher) Bunch(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.burstWindows = append(w.burstWindows, span{from, to})
+	w.burstWindows = append(w.burstWindows, interval{from, to})
 }
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -71,13 +71,13 @@
 	expectRecovery    bool                       // the plan leaves time for service to be back; guarded by mu
 	fatalArrivals     map[string][]time.Duration // when a request that ends its workers came to one, by its name, rising; guarded by mu
 	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
-	disturbances      []span                     // of the system's processes and links; guarded by mu
-	burstWindows      []span                     // in which requests may be held up; guarded by mu
+	disturbances      []interval                 // of the system's processes and links; guarded by mu
+	burstWindows      []interval                 // in which requests may be held up; guarded by mu
 	signals           said                       // of themselves, by back ends; guarded by mu
 }
 
-// span is a stretch of time.
-type span struct{ from, to time.Duration }
+// interval is a stretch of time.
+type interval struct{ from, to time.Duration }
 
 // NewWatcher returns a watch that has seen nothing.
 func NewWatcher(window, settle time.Duration) *Watcher {
@@ -215,7 +215,7 @@
 func (w *Watcher) Trouble(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.disturbances = append(w.disturbances, span{from, to})
+	w.disturbances = append(w.disturbances, interval{from, to})
 }
 
 // Deadly notes that a request came to a worker that ends under it.
@@ -261,7 +261,7 @@
 
 // troubled reports whether something was struck a moment before.
 func (w *Watcher) troubled(at time.Duration) bool {
-	return slices.ContainsFunc(w.disturbances, func(s span) bool { return at >= s.from && at <= s.to+deadlyContact })
+	return slices.ContainsFunc(w.disturbances, func(s interval) bool { return at >= s.from && at <= s.to+deadlyContact })
 }
 
 // checkLimit looks at every window that ends with a run.
