--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Limit notes that a tenant's limit was accepted at a time.
-func (w *Watcher) Limit(tenant string, limit TenantLimit) {
+// RecordLimit notes that a tenant's limit was accepted at a time.
+func (w *Watcher) RecordLimit(tenant string, limit TenantLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits[tenant] = append(w.limits[tenant], limit)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -100,7 +100,7 @@
 		{"", func(w *Watcher) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
 	} {
 		w := NewWatcher(time.Second, 0)
-		w.Limit("t", limit)
+		w.RecordLimit("t", limit)
 		w.Asked("a", false)
 		w.Asked("once", true)
 		c.do(w)
@@ -148,8 +148,8 @@
 		broken int
 	}{{4 * time.Second, 0}, {7 * time.Second, 1}} {
 		w := NewWatcher(time.Second, time.Second)
-		w.Limit("t", TenantLimit{Units: of(100)})
-		w.Limit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
+		w.RecordLimit("t", TenantLimit{Units: of(100)})
+		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
 		w.Asked("a", false)
 		w.Ran(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
