--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -94,8 +94,8 @@
 	w.limits[tenant] = append(w.limits[tenant], limit)
 }
 
-// ExpectBack tells whether the plan leaves time for service to be back.
-func (w *Watcher) ExpectBack(expected bool) {
+// ExpectRecovery tells whether the plan leaves time for service to be back.
+func (w *Watcher) ExpectRecovery(expected bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expectRecovery = expected
