--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -101,8 +101,8 @@
 	w.expectRecovery = expected
 }
 
-// Asked notes that a caller is about to send a request.
-func (w *Watcher) Asked(id string, once bool) {
+// RecordRequest notes that a caller is about to send a request.
+func (w *Watcher) RecordRequest(id string, once bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[id] = &requestState{atMostOnce: once}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -101,8 +101,8 @@
 	} {
 		w := NewWatcher(time.Second, 0)
 		w.RecordLimit("t", limit)
-		w.Asked("a", false)
-		w.Asked("once", true)
+		w.RecordRequest("a", false)
+		w.RecordRequest("once", true)
 		c.do(w)
 		broken := w.Close()
 		if c.wanted == "" && len(broken) > 0 || c.wanted != "" && (len(broken) != 1 || broken[0].Guarantee != c.wanted) {
@@ -150,7 +150,7 @@
 		w := NewWatcher(time.Second, time.Second)
 		w.RecordLimit("t", TenantLimit{Units: of(100)})
 		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
-		w.Asked("a", false)
+		w.RecordRequest("a", false)
 		w.Ran(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
 			t.Errorf("at %v: %v", c.at, broken)
