--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -108,8 +108,8 @@
 	w.requests[id] = &requestState{atMostOnce: once}
 }
 
-// Ran notes that a back end began a request.
-func (w *Watcher) Ran(at time.Duration, id, tenant string, units float64) {
+// RecordExecution notes that a back end began a request.
+func (w *Watcher) RecordExecution(at time.Duration, id, tenant string, units float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -69,16 +69,16 @@
 		do     func(*Watcher)
 	}{
 		{"", func(w *Watcher) {
-			w.Ran(0, "a", "t", 50)
-			w.Ran(time.Second, "a", "t", 60)
+			w.RecordExecution(0, "a", "t", 50)
+			w.RecordExecution(time.Second, "a", "t", 60)
 			w.Answered("a", true, false)
 		}},
-		{WithinLimit, func(w *Watcher) { w.Ran(0, "a", "t", 50); w.Ran(time.Second-1, "a", "t", 60) }},
-		{AtMostOnce, func(w *Watcher) { w.Ran(0, "once", "u", 1); w.Ran(1, "once", "u", 1) }},
-		{NotRunHonored, func(w *Watcher) { w.Ran(0, "once", "u", 1); w.Refused("once", "refused") }},
-		{NotRunHonored, func(w *Watcher) { w.Refused("once", "refused"); w.Ran(0, "once", "u", 1) }},
+		{WithinLimit, func(w *Watcher) { w.RecordExecution(0, "a", "t", 50); w.RecordExecution(time.Second-1, "a", "t", 60) }},
+		{AtMostOnce, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.RecordExecution(1, "once", "u", 1) }},
+		{NotRunHonored, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.Refused("once", "refused") }},
+		{NotRunHonored, func(w *Watcher) { w.Refused("once", "refused"); w.RecordExecution(0, "once", "u", 1) }},
 		{CorrectResponse, func(w *Watcher) { w.Answered("a", false, false) }},
-		{CorrectResponse, func(w *Watcher) { w.Ran(0, "nobody's", "u", 1) }},
+		{CorrectResponse, func(w *Watcher) { w.RecordExecution(0, "nobody's", "u", 1) }},
 		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true); w.Answered("a", true, true); w.Failed("502", true) }},
 		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true) }},
 		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
@@ -151,7 +151,7 @@
 		w.RecordLimit("t", TenantLimit{Units: of(100)})
 		w.RecordLimit("t", TenantLimit{From: 4 * time.Second, Units: of(10)})
 		w.RecordRequest("a", false)
-		w.Ran(c.at, "a", "t", 50)
+		w.RecordExecution(c.at, "a", "t", 50)
 		if broken := w.Close(); len(broken) != c.broken {
 			t.Errorf("at %v: %v", c.at, broken)
 		}
