--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Refused notes that a caller was told that its request did not run and will not.
-func (w *Watcher) Refused(id, outcome string) {
+// RecordNotRun notes that a caller was told that its request did not run and will not.
+func (w *Watcher) RecordNotRun(id, outcome string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes[outcome]++
