--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -140,11 +140,11 @@
 }
 
 // Answered notes a success and whether it was the whole answer to the request; calm tells that service had to be back.
-func (w *Watcher) Answered(id string, whole, afterRecovery bool) {
+func (w *Watcher) Answered(id string, complete, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes["answered"]++
-	if !whole {
+	if !complete {
 		w.fail(CorrectResponse, "%s got an answer that is not its own whole one", id)
 	}
 	if afterRecovery {
