--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Answered notes a success and whether it was the whole answer to the request; calm tells that service had to be back.
-func (w *Watcher) Answered(id string, complete, afterRecovery bool) {
+// RecordSuccess notes a success and whether it was the whole answer to the request; calm tells that service had to be back.
+func (w *Watcher) RecordSuccess(id string, complete, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes["answered"]++
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -71,15 +71,15 @@
 		{"", func(w *Watcher) {
 			w.RecordExecution(0, "a", "t", 50)
 			w.RecordExecution(time.Second, "a", "t", 60)
-			w.Answered("a", true, false)
+			w.RecordSuccess("a", true, false)
 		}},
 		{WithinLimit, func(w *Watcher) { w.RecordExecution(0, "a", "t", 50); w.RecordExecution(time.Second-1, "a", "t", 60) }},
 		{AtMostOnce, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.RecordExecution(1, "once", "u", 1) }},
 		{NotRunHonored, func(w *Watcher) { w.RecordExecution(0, "once", "u", 1); w.RecordNotRun("once", "refused") }},
 		{NotRunHonored, func(w *Watcher) { w.RecordNotRun("once", "refused"); w.RecordExecution(0, "once", "u", 1) }},
-		{CorrectResponse, func(w *Watcher) { w.Answered("a", false, false) }},
+		{CorrectResponse, func(w *Watcher) { w.RecordSuccess("a", false, false) }},
 		{CorrectResponse, func(w *Watcher) { w.RecordExecution(0, "nobody's", "u", 1) }},
-		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true); w.Answered("a", true, true); w.Failed("502", true) }},
+		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true); w.RecordSuccess("a", true, true); w.Failed("502", true) }},
 		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true) }},
 		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
 		{NoUnexpectedExit, func(w *Watcher) { w.Fail(NoUnexpectedExit, "it ended") }},
