--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -153,11 +153,11 @@
 }
 
 // Failed notes any other end.
-func (w *Watcher) Failed(outcome string, calm bool) {
+func (w *Watcher) Failed(outcome string, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes[outcome]++
-	if calm {
+	if afterRecovery {
 		w.served = append(w.served, false)
 	}
 }
