--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Failed notes any other end.
-func (w *Watcher) Failed(outcome string, afterRecovery bool) {
+// RecordFailure notes any other end.
+func (w *Watcher) RecordFailure(outcome string, afterRecovery bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes[outcome]++
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -79,7 +79,11 @@
 		{NotRunHonored, func(w *Watcher) { w.RecordNotRun("once", "refused"); w.RecordExecution(0, "once", "u", 1) }},
 		{CorrectResponse, func(w *Watcher) { w.RecordSuccess("a", false, false) }},
 		{CorrectResponse, func(w *Watcher) { w.RecordExecution(0, "nobody's", "u", 1) }},
-		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true); w.RecordSuccess("a", true, true); w.Failed("502", true) }},
+		{ServiceRecovers, func(w *Watcher) {
+			w.ExpectRecovery(true)
+			w.RecordSuccess("a", true, true)
+			w.RecordFailure("502", true)
+		}},
 		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true) }},
 		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
 		{NoUnexpectedExit, func(w *Watcher) { w.Fail(NoUnexpectedExit, "it ended") }},
