--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Fail notes that a promise was seen broken.
-func (w *Watcher) Fail(promise Guarantee, format string, values ...any) {
+// RecordViolation notes that a promise was seen broken.
+func (w *Watcher) RecordViolation(promise Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fail(promise, format, values...)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -85,8 +85,8 @@
 			w.RecordFailure("502", true)
 		}},
 		{ServiceRecovers, func(w *Watcher) { w.ExpectRecovery(true) }},
-		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.Fail(ForgedHeartbeatsIgnored, "a request reached it") }},
-		{NoUnexpectedExit, func(w *Watcher) { w.Fail(NoUnexpectedExit, "it ended") }},
+		{ForgedHeartbeatsIgnored, func(w *Watcher) { w.RecordViolation(ForgedHeartbeatsIgnored, "a request reached it") }},
+		{NoUnexpectedExit, func(w *Watcher) { w.RecordViolation(NoUnexpectedExit, "it ended") }},
 		{"", func(w *Watcher) { restArrivals(w, 2, time.Minute) }},
 		{BackoffRespected, func(w *Watcher) { restArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watcher) { restArrivals(w, 9, time.Second) }},
