--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -49,7 +49,7 @@
 	n.arrivals = window.Add(n.arrivals, at)
 	allowed := window.Allowed(n.rate)
 	if at >= n.from+namedFrom && float64(len(n.arrivals)) > allowed && !w.bunched(at) {
-		w.fail(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", life, n.rate, len(n.arrivals), window.Length, allowed)
+		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", life, n.rate, len(n.arrivals), window.Length, allowed)
 	}
 }
 
--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -115,15 +115,15 @@
 	w.runs[tenant] = append(w.runs[tenant], execution{at: at, units: units})
 	request := w.requests[id]
 	if request == nil {
-		w.fail(CorrectResponse, "a back end ran %q, which no caller sent", id)
+		w.addViolation(CorrectResponse, "a back end ran %q, which no caller sent", id)
 		return
 	}
 	request.runs++
 	if request.atMostOnce && request.runs > 1 {
-		w.fail(AtMostOnce, "%s ran %d times", id, request.runs)
+		w.addViolation(AtMostOnce, "%s ran %d times", id, request.runs)
 	}
 	if request.notRun && request.atMostOnce {
-		w.fail(NotRunHonored, "%s ran after its caller was told that it did not", id)
+		w.addViolation(NotRunHonored, "%s ran after its caller was told that it did not", id)
 	}
 }
 
@@ -135,7 +135,7 @@
 	request := w.requests[id]
 	request.notRun = true
 	if request.atMostOnce && request.runs > 0 {
-		w.fail(NotRunHonored, "%s had run when its caller was told that it did not", id)
+		w.addViolation(NotRunHonored, "%s had run when its caller was told that it did not", id)
 	}
 }
 
@@ -145,7 +145,7 @@
 	defer w.mu.Unlock()
 	w.outcomes["answered"]++
 	if !complete {
-		w.fail(CorrectResponse, "%s got an answer that is not its own whole one", id)
+		w.addViolation(CorrectResponse, "%s got an answer that is not its own whole one", id)
 	}
 	if afterRecovery {
 		w.served = append(w.served, true)
@@ -166,13 +166,13 @@
 func (w *Watcher) RecordViolation(promise Guarantee, format string, values ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fail(promise, format, values...)
+	w.addViolation(promise, format, values...)
 }
 
 // brokenKept bounds the observations that are kept.
 const brokenKept = 200
 
-func (w *Watcher) fail(promise Guarantee, format string, values ...any) {
+func (w *Watcher) addViolation(promise Guarantee, format string, values ...any) {
 	if len(w.violations) < brokenKept {
 		w.violations = append(w.violations, Violation{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
 	}
@@ -198,7 +198,7 @@
 		w.checkDeadly(name, arrivals)
 	}
 	if w.expectRecovery && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
-		w.fail(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
+		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
 	}
 	return slices.Clone(w.violations)
 }
@@ -243,7 +243,7 @@
 // checkDeadly counts what reached workers after the third had ended, while all was well.
 func (w *Watcher) checkDeadly(name string, arrivals []time.Duration) {
 	if later := w.laterArrivals(arrivals); later > deadlyMore {
-		w.fail(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
+		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
 	}
 }
 
@@ -274,7 +274,7 @@
 		}
 		allowed, limited := w.allowed(tenant, runs[first].at)
 		if limited && sum > allowed {
-			w.fail(WithinLimit, "tenant %s used %.0f units in the %v before %v, %.0f allowed", tenant, sum, w.Window, r.at.Round(time.Millisecond), allowed)
+			w.addViolation(WithinLimit, "tenant %s used %.0f units in the %v before %v, %.0f allowed", tenant, sum, w.Window, r.at.Round(time.Millisecond), allowed)
 			return
 		}
 	}
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -118,11 +118,11 @@
 		}
 		if at < told.until {
 			if told.got++; told.got == restMost+1 {
-				w.fail(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
 			}
 		}
 		if told.leaving && request.at > told.shown+leaveFree {
-			w.fail(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
+			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
 		}
 	}
 }
