--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -169,11 +169,11 @@
 	w.addViolation(promise, format, values...)
 }
 
-// brokenKept bounds the observations that are kept.
-const brokenKept = 200
+// maxViolations bounds the observations that are kept.
+const maxViolations = 200
 
 func (w *Watcher) addViolation(promise Guarantee, format string, values ...any) {
-	if len(w.violations) < brokenKept {
+	if len(w.violations) < maxViolations {
 		w.violations = append(w.violations, Violation{Guarantee: promise, Detail: fmt.Sprintf(format, values...)})
 	}
 }
