--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// servedLeast is the share of the requests that must be served once everything has healed.
-const servedLeast = 0.8
+// minServedFraction is the share of the requests that must be served once everything has healed.
+const minServedFraction = 0.8
 
 // Close makes the checks that need the whole run, and returns all that was broken.
 func (w *Watcher) Close() []Violation {
@@ -197,7 +197,7 @@
 	for name, arrivals := range w.fatalArrivals {
 		w.checkDeadly(name, arrivals)
 	}
-	if w.expectRecovery && (len(w.served) == 0 || float64(good) < servedLeast*float64(len(w.served))) {
+	if w.expectRecovery && (len(w.served) == 0 || float64(good) < minServedFraction*float64(len(w.served))) {
 		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
 	}
 	return slices.Clone(w.violations)
