--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -188,17 +188,17 @@
 	for tenant, runs := range w.runs {
 		w.checkLimit(tenant, runs)
 	}
-	good := 0
+	servedCount := 0
 	for _, served := range w.served {
 		if served {
-			good++
+			servedCount++
 		}
 	}
 	for name, arrivals := range w.fatalArrivals {
 		w.checkDeadly(name, arrivals)
 	}
-	if w.expectRecovery && (len(w.served) == 0 || float64(good) < minServedFraction*float64(len(w.served))) {
-		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", good, len(w.served))
+	if w.expectRecovery && (len(w.served) == 0 || float64(servedCount) < minServedFraction*float64(len(w.served))) {
+		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", servedCount, len(w.served))
 	}
 	return slices.Clone(w.violations)
 }
