--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -204,11 +204,11 @@
 }
 
 const (
-	// deadlyLives is how many workers a request may end before it is held back, deadlyMore how many more may get it, and deadlyContact how
+	// quarantineThreshold is how many workers a request may end before it is held back, deadlyMore how many more may get it, and deadlyContact how
 	// long the news may take, and how long the system's processes and links must have been well for what they send to count.
-	deadlyLives   = 3
-	deadlyMore    = 3
-	deadlyContact = 4 * time.Second
+	quarantineThreshold = 3
+	deadlyMore          = 3
+	deadlyContact       = 4 * time.Second
 )
 
 // Trouble notes that the system's processes or links are struck for a time.
@@ -252,7 +252,7 @@
 	slices.Sort(arrivals)
 	later := 0
 	for i, at := range arrivals {
-		if i >= deadlyLives && at > arrivals[deadlyLives-1]+deadlyContact && !w.troubled(at) {
+		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+deadlyContact && !w.troubled(at) {
 			later++
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -119,7 +119,7 @@
 func deadlyArrivals(w *Watcher, count int) {
 	for n := range count {
 		at := time.Duration(n)
-		if n >= deadlyLives {
+		if n >= quarantineThreshold {
 			at += time.Minute
 		}
 		w.Deadly(at, "deadly 1")
@@ -132,7 +132,7 @@
 	for _, c := range []struct {
 		arrivals, held int
 		settled        bool
-	}{{0, 0, false}, {deadlyLives, deadlyMore, false}, {deadlyLives, deadlyMore + 1, true}, {deadlyLives + deadlyMore, 0, false}, {deadlyLives + deadlyMore + 1, 0, true}} {
+	}{{0, 0, false}, {quarantineThreshold, deadlyMore, false}, {quarantineThreshold, deadlyMore + 1, true}, {quarantineThreshold + deadlyMore, 0, false}, {quarantineThreshold + deadlyMore + 1, 0, true}} {
 		w := NewWatcher(time.Second, 0)
 		deadlyArrivals(w, c.arrivals)
 		for range c.held {
