--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -207,7 +207,7 @@
 	// quarantineThreshold is how many workers a request may end before it is held back, deadlyMore how many more may get it, and deadlyContact how
 	// long the news may take, and how long the system's processes and links must have been well for what they send to count.
 	quarantineThreshold = 3
-	deadlyMore          = 3
+	maxExtraArrivals    = 3
 	deadlyContact       = 4 * time.Second
 )
 
@@ -237,12 +237,12 @@
 func (w *Watcher) Settled(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.quarantineReplies[name] > deadlyMore || w.laterArrivals(w.fatalArrivals[name]) > deadlyMore
+	return w.quarantineReplies[name] > maxExtraArrivals || w.laterArrivals(w.fatalArrivals[name]) > maxExtraArrivals
 }
 
 // checkDeadly counts what reached workers after the third had ended, while all was well.
 func (w *Watcher) checkDeadly(name string, arrivals []time.Duration) {
-	if later := w.laterArrivals(arrivals); later > deadlyMore {
+	if later := w.laterArrivals(arrivals); later > maxExtraArrivals {
 		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
 	}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -132,7 +132,7 @@
 	for _, c := range []struct {
 		arrivals, held int
 		settled        bool
-	}{{0, 0, false}, {quarantineThreshold, deadlyMore, false}, {quarantineThreshold, deadlyMore + 1, true}, {quarantineThreshold + deadlyMore, 0, false}, {quarantineThreshold + deadlyMore + 1, 0, true}} {
+	}{{0, 0, false}, {quarantineThreshold, maxExtraArrivals, false}, {quarantineThreshold, maxExtraArrivals + 1, true}, {quarantineThreshold + maxExtraArrivals, 0, false}, {quarantineThreshold + maxExtraArrivals + 1, 0, true}} {
 		w := NewWatcher(time.Second, 0)
 		deadlyArrivals(w, c.arrivals)
 		for range c.held {
