--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -206,9 +206,9 @@
 const (
 	// quarantineThreshold is how many workers a request may end before it is held back, deadlyMore how many more may get it, and deadlyContact how
 	// long the news may take, and how long the system's processes and links must have been well for what they send to count.
-	quarantineThreshold = 3
-	maxExtraArrivals    = 3
-	deadlyContact       = 4 * time.Second
+	quarantineThreshold        = 3
+	maxExtraArrivals           = 3
+	quarantinePropagationDelay = 4 * time.Second
 )
 
 // Trouble notes that the system's processes or links are struck for a time.
@@ -252,7 +252,7 @@
 	slices.Sort(arrivals)
 	later := 0
 	for i, at := range arrivals {
-		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+deadlyContact && !w.troubled(at) {
+		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+quarantinePropagationDelay && !w.troubled(at) {
 			later++
 		}
 	}
@@ -261,7 +261,7 @@
 
 // troubled reports whether something was struck a moment before.
 func (w *Watcher) troubled(at time.Duration) bool {
-	return slices.ContainsFunc(w.disturbances, func(s interval) bool { return at >= s.from && at <= s.to+deadlyContact })
+	return slices.ContainsFunc(w.disturbances, func(s interval) bool { return at >= s.from && at <= s.to+quarantinePropagationDelay })
 }
 
 // checkLimit looks at every window that ends with a run.
