--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -211,8 +211,8 @@
 	quarantinePropagationDelay = 4 * time.Second
 )
 
-// Trouble notes that the system's processes or links are struck for a time.
-func (w *Watcher) Trouble(from, to time.Duration) {
+// RecordDisturbance notes that the system's processes or links are struck for a time.
+func (w *Watcher) RecordDisturbance(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.disturbances = append(w.disturbances, interval{from, to})
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -101,7 +101,7 @@
 		{"", func(w *Watcher) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
 		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
 		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
-		{"", func(w *Watcher) { w.Trouble(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
+		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
 	} {
 		w := NewWatcher(time.Second, 0)
 		w.RecordLimit("t", limit)
