--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -218,8 +218,8 @@
 	w.disturbances = append(w.disturbances, interval{from, to})
 }
 
-// Deadly notes that a request came to a worker that ends under it.
-func (w *Watcher) Deadly(at time.Duration, name string) {
+// RecordFatalArrival notes that a request came to a worker that ends under it.
+func (w *Watcher) RecordFatalArrival(at time.Duration, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fatalArrivals[name] = append(w.fatalArrivals[name], at)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -122,7 +122,7 @@
 		if n >= quarantineThreshold {
 			at += time.Minute
 		}
-		w.Deadly(at, "deadly 1")
+		w.RecordFatalArrival(at, "deadly 1")
 	}
 }
 
