--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -225,8 +225,8 @@
 	w.fatalArrivals[name] = append(w.fatalArrivals[name], at)
 }
 
-// DeadlyHeld notes that a caller of such a request was told that it is held back.
-func (w *Watcher) DeadlyHeld(name string) {
+// RecordQuarantined notes that a caller of such a request was told that it is held back.
+func (w *Watcher) RecordQuarantined(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.quarantineReplies[name]++
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -136,7 +136,7 @@
 		w := NewWatcher(time.Second, 0)
 		deadlyArrivals(w, c.arrivals)
 		for range c.held {
-			w.DeadlyHeld("deadly 1")
+			w.RecordQuarantined("deadly 1")
 		}
 		if w.Settled("deadly 1") != c.settled || w.Settled("another") {
 			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.held, !c.settled)
