--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -232,9 +232,9 @@
 	w.quarantineReplies[name]++
 }
 
-// Settled reports whether what was seen of such a request tells if it is held back: its callers were told so as often as more workers would
+// QuarantineDecided reports whether what was seen of such a request tells if it is held back: its callers were told so as often as more workers would
 // break the promise, or it did come to these.
-func (w *Watcher) Settled(name string) bool {
+func (w *Watcher) QuarantineDecided(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.quarantineReplies[name] > maxExtraArrivals || w.laterArrivals(w.fatalArrivals[name]) > maxExtraArrivals
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -138,7 +138,7 @@
 		for range c.held {
 			w.RecordQuarantined("deadly 1")
 		}
-		if w.Settled("deadly 1") != c.settled || w.Settled("another") {
+		if w.QuarantineDecided("deadly 1") != c.settled || w.QuarantineDecided("another") {
 			t.Errorf("%d arrivals, %d times held back: settled %v", c.arrivals, c.held, !c.settled)
 		}
 	}
