--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -195,7 +195,7 @@
 		}
 	}
 	for name, arrivals := range w.fatalArrivals {
-		w.checkDeadly(name, arrivals)
+		w.checkQuarantine(name, arrivals)
 	}
 	if w.expectRecovery && (len(w.served) == 0 || float64(servedCount) < minServedFraction*float64(len(w.served))) {
 		w.addViolation(ServiceRecovers, "%d of %d requests were served after everything had healed", servedCount, len(w.served))
@@ -240,8 +240,8 @@
 	return w.quarantineReplies[name] > maxExtraArrivals || w.laterArrivals(w.fatalArrivals[name]) > maxExtraArrivals
 }
 
-// checkDeadly counts what reached workers after the third had ended, while all was well.
-func (w *Watcher) checkDeadly(name string, arrivals []time.Duration) {
+// checkQuarantine counts what reached workers after the third had ended, while all was well.
+func (w *Watcher) checkQuarantine(name string, arrivals []time.Duration) {
 	if later := w.laterArrivals(arrivals); later > maxExtraArrivals {
 		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
 	}
