--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -242,8 +242,8 @@
 
 // checkQuarantine counts what reached workers after the third had ended, while all was well.
 func (w *Watcher) checkQuarantine(name string, arrivals []time.Duration) {
-	if later := w.laterArrivals(arrivals); later > maxExtraArrivals {
-		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, later, len(arrivals))
+	if excess := w.laterArrivals(arrivals); excess > maxExtraArrivals {
+		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, excess, len(arrivals))
 	}
 }
 
