--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -250,13 +250,13 @@
 // laterArrivals counts those that must not have come. The caller holds the mutex.
 func (w *Watcher) laterArrivals(arrivals []time.Duration) int {
 	slices.Sort(arrivals)
-	later := 0
+	excess := 0
 	for i, at := range arrivals {
 		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+quarantinePropagationDelay && !w.troubled(at) {
-			later++
+			excess++
 		}
 	}
-	return later
+	return excess
 }
 
 // troubled reports whether something was struck a moment before.
