--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -237,18 +237,18 @@
 func (w *Watcher) QuarantineDecided(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.quarantineReplies[name] > maxExtraArrivals || w.laterArrivals(w.fatalArrivals[name]) > maxExtraArrivals
+	return w.quarantineReplies[name] > maxExtraArrivals || w.excessArrivals(w.fatalArrivals[name]) > maxExtraArrivals
 }
 
 // checkQuarantine counts what reached workers after the third had ended, while all was well.
 func (w *Watcher) checkQuarantine(name string, arrivals []time.Duration) {
-	if excess := w.laterArrivals(arrivals); excess > maxExtraArrivals {
+	if excess := w.excessArrivals(arrivals); excess > maxExtraArrivals {
 		w.addViolation(QuarantineEnforced, "%q came to %d workers after it had ended three, %d in all", name, excess, len(arrivals))
 	}
 }
 
-// laterArrivals counts those that must not have come. The caller holds the mutex.
-func (w *Watcher) laterArrivals(arrivals []time.Duration) int {
+// excessArrivals counts those that must not have come. The caller holds the mutex.
+func (w *Watcher) excessArrivals(arrivals []time.Duration) int {
 	slices.Sort(arrivals)
 	excess := 0
 	for i, at := range arrivals {
