--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -252,15 +252,15 @@
 	slices.Sort(arrivals)
 	excess := 0
 	for i, at := range arrivals {
-		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+quarantinePropagationDelay && !w.troubled(at) {
+		if i >= quarantineThreshold && at > arrivals[quarantineThreshold-1]+quarantinePropagationDelay && !w.disturbed(at) {
 			excess++
 		}
 	}
 	return excess
 }
 
-// troubled reports whether something was struck a moment before.
-func (w *Watcher) troubled(at time.Duration) bool {
+// disturbed reports whether something was struck a moment before.
+func (w *Watcher) disturbed(at time.Duration) bool {
 	return slices.ContainsFunc(w.disturbances, func(s interval) bool { return at >= s.from && at <= s.to+quarantinePropagationDelay })
 }
 
