--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -283,15 +283,15 @@
 // allowed returns the most that any limit allows that may still count in a window from a time on; a later lower limit binds
 // whole windows only.
 func (w *Watcher) allowed(tenant string, from time.Duration) (float64, bool) {
-	most, found := 0.0, false
+	highest, found := 0.0, false
 	limits := w.limits[tenant]
 	for i, limit := range limits {
 		if i+1 < len(limits) && limits[i+1].From+w.LimitSettleTime < from {
 			continue // replaced before the window
 		}
-		most, found = max(most, limit.Units(w.Window)), true
+		highest, found = max(highest, limit.Units(w.Window)), true
 	}
-	return most, found
+	return highest, found
 }
 
 // Outcomes returns what callers got, by kind.
