--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// namedFrom is how long after it was first named it must hold, and namedFree how long after a process was seen to have heard of it what callers
+	// limitGracePeriod is how long after it was first named it must hold, and namedFree how long after a process was seen to have heard of it what callers
 	// send there doesn't count.
-	namedFrom = 3 * time.Second
-	namedFree = 500 * time.Millisecond
+	limitGracePeriod = 3 * time.Second
+	namedFree        = 500 * time.Millisecond
 )
 
 // inNeed is a time in which one life of a back end names a limit.
@@ -48,7 +48,7 @@
 	}
 	n.arrivals = window.Add(n.arrivals, at)
 	allowed := window.Allowed(n.rate)
-	if at >= n.from+namedFrom && float64(len(n.arrivals)) > allowed && !w.bunched(at) {
+	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.bunched(at) {
 		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", life, n.rate, len(n.arrivals), window.Length, allowed)
 	}
 }
