--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -10,8 +10,8 @@
 const (
 	// limitGracePeriod is how long after it was first named it must hold, and namedFree how long after a process was seen to have heard of it what callers
 	// send there doesn't count.
-	limitGracePeriod = 3 * time.Second
-	namedFree        = 500 * time.Millisecond
+	limitGracePeriod      = 3 * time.Second
+	limitPropagationDelay = 500 * time.Millisecond
 )
 
 // inNeed is a time in which one life of a back end names a limit.
@@ -43,7 +43,7 @@
 	if n == nil || at >= n.until {
 		return
 	}
-	if heard, known := n.heard[request.by]; !known || request.at <= heard+namedFree {
+	if heard, known := n.heard[request.by]; !known || request.at <= heard+limitPropagationDelay {
 		return
 	}
 	n.arrivals = window.Add(n.arrivals, at)
