--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -18,7 +18,7 @@
 type inNeed struct {
 	from, until time.Duration
 	rate        float64                  // requests a second
-	heard       map[Sender]time.Duration // when each process was seen to have heard of it
+	observedAt  map[Sender]time.Duration // when each process was seen to have heard of it
 	arrivals    []time.Duration          // that count, of the newest window; rising
 }
 
@@ -27,10 +27,10 @@
 	w.mu.Lock()
 	n := w.signals.needs[life]
 	if n == nil || at >= n.until {
-		n = &inNeed{from: at, until: until, rate: rate, heard: map[Sender]time.Duration{}}
+		n = &inNeed{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
 		w.signals.needs[life] = n
 	}
-	_, heard := n.heard[w.signals.sent[id].by]
+	_, heard := n.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
 	if !heard {
 		w.say(id, &word{life: life, need: n})
@@ -43,7 +43,7 @@
 	if n == nil || at >= n.until {
 		return
 	}
-	if heard, known := n.heard[request.by]; !known || request.at <= heard+limitPropagationDelay {
+	if heard, known := n.observedAt[request.by]; !known || request.at <= heard+limitPropagationDelay {
 		return
 	}
 	n.arrivals = window.Add(n.arrivals, at)
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -91,8 +91,8 @@
 		if told.need == nil {
 			continue
 		}
-		if by := w.signals.sent[id].by; told.need.heard[by] == 0 {
-			told.need.heard[by] = at
+		if by := w.signals.sent[id].by; told.need.observedAt[by] == 0 {
+			told.need.observedAt[by] = at
 		}
 	}
 	if left == nil {
