--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -14,8 +14,8 @@
 	limitPropagationDelay = 500 * time.Millisecond
 )
 
-// inNeed is a time in which one life of a back end names a limit.
-type inNeed struct {
+// advertisedLimit is a time in which one life of a back end names a limit.
+type advertisedLimit struct {
 	from, until time.Duration
 	rate        float64                  // requests a second
 	observedAt  map[Sender]time.Duration // when each process was seen to have heard of it
@@ -27,7 +27,7 @@
 	w.mu.Lock()
 	n := w.signals.needs[life]
 	if n == nil || at >= n.until {
-		n = &inNeed{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
+		n = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
 		w.signals.needs[life] = n
 	}
 	_, heard := n.observedAt[w.signals.sent[id].by]
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -26,22 +26,22 @@
 	life    string
 	until   time.Duration // end of the rest that it asked for
 	leaving bool
-	need    *inNeed       // in which it names a limit, or nil
-	shown   time.Duration // when it was seen that the process had heard of it; 0 not yet
-	got     int           // requests that came in the rest although they were sent after that
+	need    *advertisedLimit // in which it names a limit, or nil
+	shown   time.Duration    // when it was seen that the process had heard of it; 0 not yet
+	got     int              // requests that came in the rest although they were sent after that
 }
 
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
 type said struct {
-	sent  map[string]sent    // by request
-	words map[Sender][]*word // by who heard them
-	open  map[string][]*word // by request: words in its answers that the process hasn't shown yet to have heard
-	needs map[string]*inNeed // by life, the newest
+	sent  map[string]sent             // by request
+	words map[Sender][]*word          // by who heard them
+	open  map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
+	needs map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sent{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*inNeed{}}
+	return said{sent: map[string]sent{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
