--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -23,17 +23,17 @@
 }
 
 // NamedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
-func (w *Watcher) NamedLimit(at time.Duration, id, life string, rate float64, until time.Duration) {
+func (w *Watcher) NamedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
 	w.mu.Lock()
-	n := w.signals.needs[life]
+	n := w.signals.needs[incarnation]
 	if n == nil || at >= n.until {
 		n = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
-		w.signals.needs[life] = n
+		w.signals.needs[incarnation] = n
 	}
 	_, heard := n.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
 	if !heard {
-		w.say(id, &word{life: life, need: n})
+		w.say(id, &word{life: incarnation, need: n})
 	}
 }
 
