--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -22,8 +22,8 @@
 	arrivals    []time.Duration          // that count, of the newest window; rising
 }
 
-// NamedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
-func (w *Watcher) NamedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
+// RecordAdvertisedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
+func (w *Watcher) RecordAdvertisedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
 	w.mu.Lock()
 	n := w.signals.needs[incarnation]
 	if n == nil || at >= n.until {
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -41,7 +41,7 @@
 func limitArrivals(w *Watcher, count int, at time.Duration, by Sender) {
 	w.Sent(time.Second, "first", gateway)
 	w.Reached(time.Second, "first", "b")
-	w.NamedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
+	w.RecordAdvertisedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
 	w.Shown(2*time.Second, "first")
 	for n := range count {
 		id := fmt.Sprint("later-", n)
