--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -38,8 +38,8 @@
 }
 
 // reachedInNeed counts a request that came to a life of a back end. The caller holds mu.
-func (w *Watcher) reachedInNeed(at time.Duration, request sent, life string) {
-	n := w.signals.needs[life]
+func (w *Watcher) reachedInNeed(at time.Duration, request sent, incarnation string) {
+	n := w.signals.needs[incarnation]
 	if n == nil || at >= n.until {
 		return
 	}
@@ -49,7 +49,7 @@
 	n.arrivals = window.Add(n.arrivals, at)
 	allowed := window.Allowed(n.rate)
 	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.bunched(at) {
-		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", life, n.rate, len(n.arrivals), window.Length, allowed)
+		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", incarnation, n.rate, len(n.arrivals), window.Length, allowed)
 	}
 }
 
