--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// reachedInNeed counts a request that came to a life of a back end. The caller holds mu.
-func (w *Watcher) reachedInNeed(at time.Duration, request sent, incarnation string) {
+// checkAdvertisedLimit counts a request that came to a life of a back end. The caller holds mu.
+func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sent, incarnation string) {
 	n := w.signals.needs[incarnation]
 	if n == nil || at >= n.until {
 		return
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -111,7 +111,7 @@
 		return
 	}
 	w.show(at, id, life)
-	w.reachedInNeed(at, request, life)
+	w.checkAdvertisedLimit(at, request, life)
 	for _, told := range w.signals.words[request.by] {
 		if told.life != life || told.shown == 0 || request.at <= told.shown {
 			continue
