--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -48,13 +48,13 @@
 	}
 	n.arrivals = window.Add(n.arrivals, at)
 	allowed := window.Allowed(n.rate)
-	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.bunched(at) {
+	if at >= n.from+limitGracePeriod && float64(len(n.arrivals)) > allowed && !w.mayBeBurst(at) {
 		w.addViolation(AdvertisedLimitRespected, "%s takes %.1f a second and got %d requests in %v from processes that had heard it, %.0f allowed", incarnation, n.rate, len(n.arrivals), window.Length, allowed)
 	}
 }
 
-// bunched reports whether links or gateways were struck in a window, so that what was sent over a longer time may have come in it.
-func (w *Watcher) bunched(at time.Duration) bool {
+// mayBeBurst reports whether links or gateways were struck in a window, so that what was sent over a longer time may have come in it.
+func (w *Watcher) mayBeBurst(at time.Duration) bool {
 	return slices.ContainsFunc(w.burstWindows, func(s interval) bool { return at >= s.from && at-window.Length <= s.to })
 }
 
