--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -58,8 +58,8 @@
 	return slices.ContainsFunc(w.burstWindows, func(s interval) bool { return at >= s.from && at-window.Length <= s.to })
 }
 
-// Bunch notes that requests may be held up between processes for a time and come together at its end.
-func (w *Watcher) Bunch(from, to time.Duration) {
+// RecordBurstWindow notes that requests may be held up between processes for a time and come together at its end.
+func (w *Watcher) RecordBurstWindow(from, to time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.burstWindows = append(w.burstWindows, interval{from, to})
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -98,7 +98,7 @@
 		{"", func(w *Watcher) { limitArrivals(w, 30, 5*time.Second, Sender{Name: "g", Process: 2}) }}, // that one hasn't heard of it
 		{"", func(w *Watcher) { limitArrivals(w, 30, 3*time.Second, gateway) }},                       // too soon after the first naming
 		{"", func(w *Watcher) { limitArrivals(w, 30, 30*time.Second, gateway) }},                      // the limit is over
-		{"", func(w *Watcher) { w.Bunch(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
+		{"", func(w *Watcher) { w.RecordBurstWindow(0, 2*time.Second); limitArrivals(w, 30, 5*time.Second, gateway) }},
 		{"", func(w *Watcher) { deadlyArrivals(w, 6) }},
 		{QuarantineEnforced, func(w *Watcher) { deadlyArrivals(w, 7) }},
 		{"", func(w *Watcher) { w.RecordDisturbance(time.Minute, time.Minute); deadlyArrivals(w, 9) }},
