--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// restMost is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
-	restMost = 2
+	// maxBackoffRequests is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
+	maxBackoffRequests = 2
 	// leaveFree is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
 	leaveFree = 500 * time.Millisecond
 )
@@ -117,8 +117,8 @@
 			continue
 		}
 		if at < told.until {
-			if told.got++; told.got == restMost+1 {
-				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, restMost, request.by.Name, told.until-at)
+			if told.got++; told.got == maxBackoffRequests+1 {
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.until-at)
 			}
 		}
 		if told.leaving && request.at > told.shown+leaveFree {
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -21,7 +21,7 @@
 		w.Reached(5*time.Second, id, "b")
 	}
 	w.Sent(4*time.Second, "elsewhere", Sender{Name: "g", Process: 2}) // the next life hasn't heard of it
-	for range restMost + 1 {
+	for range maxBackoffRequests + 1 {
 		w.Reached(5*time.Second, "elsewhere", "b")
 	}
 }
