--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -5,8 +5,8 @@
 const (
 	// maxBackoffRequests is how many requests may still reach a back end in its rest from a process that was seen to have heard of it.
 	maxBackoffRequests = 2
-	// leaveFree is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
-	leaveFree = 500 * time.Millisecond
+	// drainPropagationDelay is how long after it was seen to have heard that a back end leaves a process may still take requests that go there.
+	drainPropagationDelay = 500 * time.Millisecond
 )
 
 // Sender is one life of a process that passes requests on.
@@ -121,7 +121,7 @@
 				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.until-at)
 			}
 		}
-		if told.leaving && request.at > told.shown+leaveFree {
+		if told.leaving && request.at > told.shown+drainPropagationDelay {
 			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -91,7 +91,7 @@
 		{BackoffRespected, func(w *Watcher) { restArrivals(w, 3, time.Minute) }},
 		{"", func(w *Watcher) { restArrivals(w, 9, time.Second) }},
 		{DrainRespected, func(w *Watcher) { leaveArrival(w, 4*time.Second, "b") }},
-		{"", func(w *Watcher) { leaveArrival(w, 3*time.Second+leaveFree, "b") }},
+		{"", func(w *Watcher) { leaveArrival(w, 3*time.Second+drainPropagationDelay, "b") }},
 		{"", func(w *Watcher) { leaveArrival(w, 4*time.Second, "the next life of b") }},
 		{"", func(w *Watcher) { limitArrivals(w, 13, 5*time.Second, gateway) }},
 		{AdvertisedLimitRespected, func(w *Watcher) { limitArrivals(w, 14, 5*time.Second, gateway) }},
