--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -23,12 +23,12 @@
 
 // word is what one life of a back end said of itself in one answer.
 type word struct {
-	life    string
-	until   time.Duration // end of the rest that it asked for
-	leaving bool
-	need    *advertisedLimit // in which it names a limit, or nil
-	shown   time.Duration    // when it was seen that the process had heard of it; 0 not yet
-	got     int              // requests that came in the rest although they were sent after that
+	incarnation string
+	until       time.Duration // end of the rest that it asked for
+	leaving     bool
+	need        *advertisedLimit // in which it names a limit, or nil
+	shown       time.Duration    // when it was seen that the process had heard of it; 0 not yet
+	got         int              // requests that came in the rest although they were sent after that
 }
 
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
@@ -53,11 +53,11 @@
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
 func (w *Watcher) AskedRest(at time.Duration, id, life string, rest time.Duration) {
-	w.say(id, &word{life: life, until: at + rest})
+	w.say(id, &word{incarnation: life, until: at + rest})
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{life: life, leaving: true}) }
+func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{incarnation: life, leaving: true}) }
 
 func (w *Watcher) say(id string, told *word) {
 	w.mu.Lock()
@@ -83,7 +83,7 @@
 func (w *Watcher) show(at time.Duration, id, except string) {
 	var left []*word
 	for _, told := range w.signals.open[id] {
-		if told.life == except {
+		if told.incarnation == except {
 			left = append(left, told)
 			continue
 		}
@@ -113,7 +113,7 @@
 	w.show(at, id, life)
 	w.checkAdvertisedLimit(at, request, life)
 	for _, told := range w.signals.words[request.by] {
-		if told.life != life || told.shown == 0 || request.at <= told.shown {
+		if told.incarnation != life || told.shown == 0 || request.at <= told.shown {
 			continue
 		}
 		if at < told.until {
