--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -23,12 +23,12 @@
 
 // word is what one life of a back end said of itself in one answer.
 type word struct {
-	incarnation string
-	until       time.Duration // end of the rest that it asked for
-	leaving     bool
-	need        *advertisedLimit // in which it names a limit, or nil
-	shown       time.Duration    // when it was seen that the process had heard of it; 0 not yet
-	got         int              // requests that came in the rest although they were sent after that
+	incarnation  string
+	backoffUntil time.Duration // end of the rest that it asked for
+	leaving      bool
+	need         *advertisedLimit // in which it names a limit, or nil
+	shown        time.Duration    // when it was seen that the process had heard of it; 0 not yet
+	got          int              // requests that came in the rest although they were sent after that
 }
 
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
@@ -53,7 +53,7 @@
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
 func (w *Watcher) AskedRest(at time.Duration, id, life string, rest time.Duration) {
-	w.say(id, &word{incarnation: life, until: at + rest})
+	w.say(id, &word{incarnation: life, backoffUntil: at + rest})
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
@@ -116,9 +116,9 @@
 		if told.incarnation != life || told.shown == 0 || request.at <= told.shown {
 			continue
 		}
-		if at < told.until {
+		if at < told.backoffUntil {
 			if told.got++; told.got == maxBackoffRequests+1 {
-				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.until-at)
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
 			}
 		}
 		if told.leaving && request.at > told.shown+drainPropagationDelay {
