--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -25,7 +25,7 @@
 type word struct {
 	incarnation  string
 	backoffUntil time.Duration // end of the rest that it asked for
-	leaving      bool
+	draining     bool
 	need         *advertisedLimit // in which it names a limit, or nil
 	shown        time.Duration    // when it was seen that the process had heard of it; 0 not yet
 	got          int              // requests that came in the rest although they were sent after that
@@ -57,7 +57,7 @@
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{incarnation: life, leaving: true}) }
+func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{incarnation: life, draining: true}) }
 
 func (w *Watcher) say(id string, told *word) {
 	w.mu.Lock()
@@ -121,7 +121,7 @@
 				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
 			}
 		}
-		if told.leaving && request.at > told.shown+drainPropagationDelay {
+		if told.draining && request.at > told.shown+drainPropagationDelay {
 			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
 		}
 	}
