--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -26,7 +26,7 @@
 	incarnation  string
 	backoffUntil time.Duration // end of the rest that it asked for
 	draining     bool
-	need         *advertisedLimit // in which it names a limit, or nil
+	limit        *advertisedLimit // in which it names a limit, or nil
 	shown        time.Duration    // when it was seen that the process had heard of it; 0 not yet
 	got          int              // requests that came in the rest although they were sent after that
 }
@@ -66,7 +66,7 @@
 	if !known {
 		return
 	}
-	if told.need == nil {
+	if told.limit == nil {
 		w.signals.words[request.by] = append(w.signals.words[request.by], told)
 	}
 	w.signals.open[id] = append(w.signals.open[id], told)
@@ -88,11 +88,11 @@
 			continue
 		}
 		told.shown = at
-		if told.need == nil {
+		if told.limit == nil {
 			continue
 		}
-		if by := w.signals.sent[id].by; told.need.observedAt[by] == 0 {
-			told.need.observedAt[by] = at
+		if by := w.signals.sent[id].by; told.limit.observedAt[by] == 0 {
+			told.limit.observedAt[by] = at
 		}
 	}
 	if left == nil {
