--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -27,7 +27,7 @@
 	backoffUntil time.Duration // end of the rest that it asked for
 	draining     bool
 	limit        *advertisedLimit // in which it names a limit, or nil
-	shown        time.Duration    // when it was seen that the process had heard of it; 0 not yet
+	confirmedAt  time.Duration    // when it was seen that the process had heard of it; 0 not yet
 	got          int              // requests that came in the rest although they were sent after that
 }
 
@@ -87,7 +87,7 @@
 			left = append(left, told)
 			continue
 		}
-		told.shown = at
+		told.confirmedAt = at
 		if told.limit == nil {
 			continue
 		}
@@ -113,7 +113,7 @@
 	w.show(at, id, life)
 	w.checkAdvertisedLimit(at, request, life)
 	for _, told := range w.signals.words[request.by] {
-		if told.incarnation != life || told.shown == 0 || request.at <= told.shown {
+		if told.incarnation != life || told.confirmedAt == 0 || request.at <= told.confirmedAt {
 			continue
 		}
 		if at < told.backoffUntil {
@@ -121,8 +121,8 @@
 				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
 			}
 		}
-		if told.draining && request.at > told.shown+drainPropagationDelay {
-			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.shown)
+		if told.draining && request.at > told.confirmedAt+drainPropagationDelay {
+			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.confirmedAt)
 		}
 	}
 }
