--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -28,7 +28,7 @@
 	draining     bool
 	limit        *advertisedLimit // in which it names a limit, or nil
 	confirmedAt  time.Duration    // when it was seen that the process had heard of it; 0 not yet
-	got          int              // requests that came in the rest although they were sent after that
+	received     int              // requests that came in the rest although they were sent after that
 }
 
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
@@ -117,7 +117,7 @@
 			continue
 		}
 		if at < told.backoffUntil {
-			if told.got++; told.got == maxBackoffRequests+1 {
+			if told.received++; told.received == maxBackoffRequests+1 {
 				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
 			}
 		}
