--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -38,7 +38,7 @@
 }
 
 // checkAdvertisedLimit counts a request that came to a life of a back end. The caller holds mu.
-func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sent, incarnation string) {
+func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sentRequest, incarnation string) {
 	n := w.signals.needs[incarnation]
 	if n == nil || at >= n.until {
 		return
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -15,8 +15,8 @@
 	Process int // its number; another life has another one
 }
 
-// sent is a request that a caller sent to a process.
-type sent struct {
+// sentRequest is a request that a caller sentRequest to a process.
+type sentRequest struct {
 	by Sender
 	at time.Duration
 }
@@ -34,21 +34,21 @@
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
 type said struct {
-	sent  map[string]sent             // by request
+	sent  map[string]sentRequest      // by request
 	words map[Sender][]*word          // by who heard them
 	open  map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
 	needs map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sent{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
+	return said{sent: map[string]sentRequest{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
 func (w *Watcher) Sent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.signals.sent[id] = sent{by, at}
+	w.signals.sent[id] = sentRequest{by, at}
 }
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
