--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -34,14 +34,14 @@
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
 type said struct {
-	sent  map[string]sentRequest      // by request
-	words map[Sender][]*word          // by who heard them
-	open  map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
-	needs map[string]*advertisedLimit // by life, the newest
+	sent       map[string]sentRequest      // by request
+	byReceiver map[Sender][]*word          // by who heard them
+	open       map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
+	needs      map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sentRequest{}, words: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
+	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
@@ -67,7 +67,7 @@
 		return
 	}
 	if told.limit == nil {
-		w.signals.words[request.by] = append(w.signals.words[request.by], told)
+		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], told)
 	}
 	w.signals.open[id] = append(w.signals.open[id], told)
 }
@@ -112,7 +112,7 @@
 	}
 	w.show(at, id, life)
 	w.checkAdvertisedLimit(at, request, life)
-	for _, told := range w.signals.words[request.by] {
+	for _, told := range w.signals.byReceiver[request.by] {
 		if told.incarnation != life || told.confirmedAt == 0 || request.at <= told.confirmedAt {
 			continue
 		}
