--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -34,14 +34,14 @@
 // said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
 type said struct {
-	sent       map[string]sentRequest      // by request
-	byReceiver map[Sender][]*word          // by who heard them
-	open       map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
-	needs      map[string]*advertisedLimit // by life, the newest
+	sent        map[string]sentRequest      // by request
+	byReceiver  map[Sender][]*word          // by who heard them
+	unconfirmed map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
+	needs       map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, open: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
+	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, unconfirmed: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
@@ -69,7 +69,7 @@
 	if told.limit == nil {
 		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], told)
 	}
-	w.signals.open[id] = append(w.signals.open[id], told)
+	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], told)
 }
 
 // Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
@@ -82,7 +82,7 @@
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
 func (w *Watcher) show(at time.Duration, id, except string) {
 	var left []*word
-	for _, told := range w.signals.open[id] {
+	for _, told := range w.signals.unconfirmed[id] {
 		if told.incarnation == except {
 			left = append(left, told)
 			continue
@@ -96,10 +96,10 @@
 		}
 	}
 	if left == nil {
-		delete(w.signals.open, id)
+		delete(w.signals.unconfirmed, id)
 		return
 	}
-	w.signals.open[id] = left
+	w.signals.unconfirmed[id] = left
 }
 
 // Reached notes that a request came to a life of a back end.
