--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -25,10 +25,10 @@
 // RecordAdvertisedLimit notes that a life of a back end names a limit in its answer to a request, and until when it will.
 func (w *Watcher) RecordAdvertisedLimit(at time.Duration, id, incarnation string, rate float64, until time.Duration) {
 	w.mu.Lock()
-	n := w.signals.needs[incarnation]
+	n := w.signals.limits[incarnation]
 	if n == nil || at >= n.until {
 		n = &advertisedLimit{from: at, until: until, rate: rate, observedAt: map[Sender]time.Duration{}}
-		w.signals.needs[incarnation] = n
+		w.signals.limits[incarnation] = n
 	}
 	_, heard := n.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
@@ -39,7 +39,7 @@
 
 // checkAdvertisedLimit counts a request that came to a life of a back end. The caller holds mu.
 func (w *Watcher) checkAdvertisedLimit(at time.Duration, request sentRequest, incarnation string) {
-	n := w.signals.needs[incarnation]
+	n := w.signals.limits[incarnation]
 	if n == nil || at >= n.until {
 		return
 	}
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -37,11 +37,11 @@
 	sent        map[string]sentRequest      // by request
 	byReceiver  map[Sender][]*word          // by who heard them
 	unconfirmed map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
-	needs       map[string]*advertisedLimit // by life, the newest
+	limits      map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, unconfirmed: map[string][]*word{}, needs: map[string]*advertisedLimit{}}
+	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, unconfirmed: map[string][]*word{}, limits: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
