--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -21,8 +21,8 @@
 	at time.Duration
 }
 
-// word is what one life of a back end said of itself in one answer.
-type word struct {
+// signal is what one life of a back end said of itself in one answer.
+type signal struct {
 	incarnation  string
 	backoffUntil time.Duration // end of the rest that it asked for
 	draining     bool
@@ -35,13 +35,13 @@
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
 type said struct {
 	sent        map[string]sentRequest      // by request
-	byReceiver  map[Sender][]*word          // by who heard them
-	unconfirmed map[string][]*word          // by request: words in its answers that the process hasn't shown yet to have heard
+	byReceiver  map[Sender][]*signal        // by who heard them
+	unconfirmed map[string][]*signal        // by request: words in its answers that the process hasn't shown yet to have heard
 	limits      map[string]*advertisedLimit // by life, the newest
 }
 
 func newSaid() said {
-	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*word{}, unconfirmed: map[string][]*word{}, limits: map[string]*advertisedLimit{}}
+	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
@@ -53,13 +53,13 @@
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
 func (w *Watcher) AskedRest(at time.Duration, id, life string, rest time.Duration) {
-	w.say(id, &word{incarnation: life, backoffUntil: at + rest})
+	w.say(id, &signal{incarnation: life, backoffUntil: at + rest})
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &word{incarnation: life, draining: true}) }
+func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &signal{incarnation: life, draining: true}) }
 
-func (w *Watcher) say(id string, told *word) {
+func (w *Watcher) say(id string, told *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.signals.sent[id]
@@ -81,7 +81,7 @@
 
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
 func (w *Watcher) show(at time.Duration, id, except string) {
-	var left []*word
+	var left []*signal
 	for _, told := range w.signals.unconfirmed[id] {
 		if told.incarnation == except {
 			left = append(left, told)
