--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -73,7 +73,7 @@
 	quarantineReplies map[string]int             // how often its callers were told that it is held back, by its name; guarded by mu
 	disturbances      []interval                 // of the system's processes and links; guarded by mu
 	burstWindows      []interval                 // in which requests may be held up; guarded by mu
-	signals           said                       // of themselves, by back ends; guarded by mu
+	signals           signalLog                  // of themselves, by back ends; guarded by mu
 }
 
 // interval is a stretch of time.
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -31,17 +31,17 @@
 	received     int              // requests that came in the rest although they were sent after that
 }
 
-// said is what back ends said of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
+// signalLog is what back ends signalLog of themselves, and to whom. Times are those of the soak; what a slow machine does to the time between an answer
 // and whoever reads it changes no verdict, since only what a caller sent after the process had shown that it knows counts.
-type said struct {
+type signalLog struct {
 	sent        map[string]sentRequest      // by request
 	byReceiver  map[Sender][]*signal        // by who heard them
 	unconfirmed map[string][]*signal        // by request: words in its answers that the process hasn't shown yet to have heard
 	limits      map[string]*advertisedLimit // by life, the newest
 }
 
-func newSaid() said {
-	return said{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
+func newSaid() signalLog {
+	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
 // Sent notes that a caller is about to send a request to a process.
