--- a/internal/lab/soak/promises.go
+++ b/internal/lab/soak/promises.go
@@ -83,7 +83,7 @@
 func NewWatcher(window, settle time.Duration) *Watcher {
 	return &Watcher{
 		Window: window, LimitSettleTime: settle, requests: map[string]*requestState{}, runs: map[string][]execution{}, limits: map[string][]TenantLimit{},
-		signals: newSaid(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
+		signals: newSignalLog(), outcomes: map[string]int{}, fatalArrivals: map[string][]time.Duration{}, quarantineReplies: map[string]int{},
 	}
 }
 
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -40,7 +40,7 @@
 	limits      map[string]*advertisedLimit // by life, the newest
 }
 
-func newSaid() signalLog {
+func newSignalLog() signalLog {
 	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
