--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -44,8 +44,8 @@
 	return signalLog{sent: map[string]sentRequest{}, byReceiver: map[Sender][]*signal{}, unconfirmed: map[string][]*signal{}, limits: map[string]*advertisedLimit{}}
 }
 
-// Sent notes that a caller is about to send a request to a process.
-func (w *Watcher) Sent(at time.Duration, id string, by Sender) {
+// RecordSent notes that a caller is about to send a request to a process.
+func (w *Watcher) RecordSent(at time.Duration, id string, by Sender) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.signals.sent[id] = sentRequest{by, at}
