--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -52,8 +52,8 @@
 }
 
 // AskedRest notes that a life of a back end answered a request with the wish for rest.
-func (w *Watcher) AskedRest(at time.Duration, id, incarnation string, rest time.Duration) {
-	w.say(id, &signal{incarnation: incarnation, backoffUntil: at + rest})
+func (w *Watcher) AskedRest(at time.Duration, id, incarnation string, backoff time.Duration) {
+	w.say(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
