--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -51,8 +51,8 @@
 	w.signals.sent[id] = sentRequest{by, at}
 }
 
-// AskedRest notes that a life of a back end answered a request with the wish for rest.
-func (w *Watcher) AskedRest(at time.Duration, id, incarnation string, backoff time.Duration) {
+// RecordBackoff notes that a life of a back end answered a request with the wish for rest.
+func (w *Watcher) RecordBackoff(at time.Duration, id, incarnation string, backoff time.Duration) {
 	w.say(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -11,7 +11,7 @@
 func restArrivals(w *Watcher, later int, rest time.Duration) {
 	w.RecordSent(time.Second, "refused", gateway)
 	w.Reached(2*time.Second, "refused", "b")
-	w.AskedRest(2*time.Second, "refused", "b", rest)
+	w.RecordBackoff(2*time.Second, "refused", "b", rest)
 	w.RecordSent(2*time.Second, "on its way", gateway)
 	w.Shown(3*time.Second, "refused")
 	w.Reached(4*time.Second, "on its way", "b")
