--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -57,7 +57,9 @@
 }
 
 // SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watcher) SaidLeaving(id, life string) { w.say(id, &signal{incarnation: life, draining: true}) }
+func (w *Watcher) SaidLeaving(id, incarnation string) {
+	w.say(id, &signal{incarnation: incarnation, draining: true})
+}
 
 func (w *Watcher) say(id string, told *signal) {
 	w.mu.Lock()
