--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -56,8 +56,8 @@
 	w.say(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
-// SaidLeaving notes that a life of a back end said in its answer to a request that it leaves.
-func (w *Watcher) SaidLeaving(id, incarnation string) {
+// RecordDraining notes that a life of a back end said in its answer to a request that it leaves.
+func (w *Watcher) RecordDraining(id, incarnation string) {
 	w.say(id, &signal{incarnation: incarnation, draining: true})
 }
 
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -30,7 +30,7 @@
 // sent at a time.
 func leaveArrival(w *Watcher, at time.Duration, life string) {
 	w.RecordSent(time.Second, "first", gateway)
-	w.SaidLeaving("first", "b")
+	w.RecordDraining("first", "b")
 	w.Reached(3*time.Second, "first", "c") // it went on elsewhere
 	w.RecordSent(at, "later", gateway)
 	w.Reached(at+time.Second, "later", life)
