--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -61,17 +61,17 @@
 	w.say(id, &signal{incarnation: incarnation, draining: true})
 }
 
-func (w *Watcher) say(id string, told *signal) {
+func (w *Watcher) say(id string, s *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	if told.limit == nil {
-		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], told)
+	if s.limit == nil {
+		w.signals.byReceiver[request.by] = append(w.signals.byReceiver[request.by], s)
 	}
-	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], told)
+	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
 
 // Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
