--- a/internal/lab/soak/named.go
+++ b/internal/lab/soak/named.go
@@ -33,7 +33,7 @@
 	_, heard := n.observedAt[w.signals.sent[id].by]
 	w.mu.Unlock()
 	if !heard {
-		w.say(id, &signal{incarnation: incarnation, limit: n})
+		w.addSignal(id, &signal{incarnation: incarnation, limit: n})
 	}
 }
 
--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -53,15 +53,15 @@
 
 // RecordBackoff notes that a life of a back end answered a request with the wish for rest.
 func (w *Watcher) RecordBackoff(at time.Duration, id, incarnation string, backoff time.Duration) {
-	w.say(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
+	w.addSignal(id, &signal{incarnation: incarnation, backoffUntil: at + backoff})
 }
 
 // RecordDraining notes that a life of a back end said in its answer to a request that it leaves.
 func (w *Watcher) RecordDraining(id, incarnation string) {
-	w.say(id, &signal{incarnation: incarnation, draining: true})
+	w.addSignal(id, &signal{incarnation: incarnation, draining: true})
 }
 
-func (w *Watcher) say(id string, s *signal) {
+func (w *Watcher) addSignal(id string, s *signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.signals.sent[id]
