--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -74,8 +74,8 @@
 	w.signals.unconfirmed[id] = append(w.signals.unconfirmed[id], s)
 }
 
-// Shown notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
-func (w *Watcher) Shown(at time.Duration, id string) {
+// RecordResponseHead notes that a caller has the head of its answer, so that the process has read all answers that it got to the request before.
+func (w *Watcher) RecordResponseHead(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.show(at, id, "")
--- a/internal/lab/soak/said_test.go
+++ b/internal/lab/soak/said_test.go
@@ -13,7 +13,7 @@
 	w.Reached(2*time.Second, "refused", "b")
 	w.RecordBackoff(2*time.Second, "refused", "b", rest)
 	w.RecordSent(2*time.Second, "on its way", gateway)
-	w.Shown(3*time.Second, "refused")
+	w.RecordResponseHead(3*time.Second, "refused")
 	w.Reached(4*time.Second, "on its way", "b")
 	for n := range later {
 		id := fmt.Sprint("later-", n)
@@ -42,7 +42,7 @@
 	w.RecordSent(time.Second, "first", gateway)
 	w.Reached(time.Second, "first", "b")
 	w.RecordAdvertisedLimit(time.Second, "first", "b", 1.4, 21*time.Second)
-	w.Shown(2*time.Second, "first")
+	w.RecordResponseHead(2*time.Second, "first")
 	for n := range count {
 		id := fmt.Sprint("later-", n)
 		w.RecordSent(at-time.Second/4, id, by)
