--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -82,10 +82,10 @@
 }
 
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
-func (w *Watcher) show(at time.Duration, id, except string) {
+func (w *Watcher) show(at time.Duration, id, exceptIncarnation string) {
 	var left []*signal
 	for _, told := range w.signals.unconfirmed[id] {
-		if told.incarnation == except {
+		if told.incarnation == exceptIncarnation {
 			left = append(left, told)
 			continue
 		}
