--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -83,10 +83,10 @@
 
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
 func (w *Watcher) show(at time.Duration, id, exceptIncarnation string) {
-	var left []*signal
+	var remaining []*signal
 	for _, told := range w.signals.unconfirmed[id] {
 		if told.incarnation == exceptIncarnation {
-			left = append(left, told)
+			remaining = append(remaining, told)
 			continue
 		}
 		told.confirmedAt = at
@@ -97,11 +97,11 @@
 			told.limit.observedAt[by] = at
 		}
 	}
-	if left == nil {
+	if remaining == nil {
 		delete(w.signals.unconfirmed, id)
 		return
 	}
-	w.signals.unconfirmed[id] = left
+	w.signals.unconfirmed[id] = remaining
 }
 
 // Reached notes that a request came to a life of a back end.
