--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -84,17 +84,17 @@
 // show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
 func (w *Watcher) show(at time.Duration, id, exceptIncarnation string) {
 	var remaining []*signal
-	for _, told := range w.signals.unconfirmed[id] {
-		if told.incarnation == exceptIncarnation {
-			remaining = append(remaining, told)
+	for _, s := range w.signals.unconfirmed[id] {
+		if s.incarnation == exceptIncarnation {
+			remaining = append(remaining, s)
 			continue
 		}
-		told.confirmedAt = at
-		if told.limit == nil {
+		s.confirmedAt = at
+		if s.limit == nil {
 			continue
 		}
-		if by := w.signals.sent[id].by; told.limit.observedAt[by] == 0 {
-			told.limit.observedAt[by] = at
+		if by := w.signals.sent[id].by; s.limit.observedAt[by] == 0 {
+			s.limit.observedAt[by] = at
 		}
 	}
 	if remaining == nil {
