--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -78,11 +78,11 @@
 func (w *Watcher) RecordResponseHead(at time.Duration, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.show(at, id, "")
+	w.confirm(at, id, "")
 }
 
-// show ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
-func (w *Watcher) show(at time.Duration, id, exceptIncarnation string) {
+// confirm ends the time in which a process may not know what it was told in answers to a request by other lives than one. The caller holds mu.
+func (w *Watcher) confirm(at time.Duration, id, exceptIncarnation string) {
 	var remaining []*signal
 	for _, s := range w.signals.unconfirmed[id] {
 		if s.incarnation == exceptIncarnation {
@@ -112,7 +112,7 @@
 	if !known {
 		return
 	}
-	w.show(at, id, life)
+	w.confirm(at, id, life)
 	w.checkAdvertisedLimit(at, request, life)
 	for _, told := range w.signals.byReceiver[request.by] {
 		if told.incarnation != life || told.confirmedAt == 0 || request.at <= told.confirmedAt {
