--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -105,26 +105,26 @@
 }
 
 // Reached notes that a request came to a life of a back end.
-func (w *Watcher) Reached(at time.Duration, id, life string) {
+func (w *Watcher) Reached(at time.Duration, id, incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.signals.sent[id]
 	if !known {
 		return
 	}
-	w.confirm(at, id, life)
-	w.checkAdvertisedLimit(at, request, life)
+	w.confirm(at, id, incarnation)
+	w.checkAdvertisedLimit(at, request, incarnation)
 	for _, told := range w.signals.byReceiver[request.by] {
-		if told.incarnation != life || told.confirmedAt == 0 || request.at <= told.confirmedAt {
+		if told.incarnation != incarnation || told.confirmedAt == 0 || request.at <= told.confirmedAt {
 			continue
 		}
 		if at < told.backoffUntil {
 			if told.received++; told.received == maxBackoffRequests+1 {
-				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", life, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", incarnation, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
 			}
 		}
 		if told.draining && request.at > told.confirmedAt+drainPropagationDelay {
-			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", life, request.by.Name, request.at-told.confirmedAt)
+			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", incarnation, request.by.Name, request.at-told.confirmedAt)
 		}
 	}
 }
