--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -114,17 +114,17 @@
 	}
 	w.confirm(at, id, incarnation)
 	w.checkAdvertisedLimit(at, request, incarnation)
-	for _, told := range w.signals.byReceiver[request.by] {
-		if told.incarnation != incarnation || told.confirmedAt == 0 || request.at <= told.confirmedAt {
+	for _, s := range w.signals.byReceiver[request.by] {
+		if s.incarnation != incarnation || s.confirmedAt == 0 || request.at <= s.confirmedAt {
 			continue
 		}
-		if at < told.backoffUntil {
-			if told.received++; told.received == maxBackoffRequests+1 {
-				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", incarnation, maxBackoffRequests, request.by.Name, told.backoffUntil-at)
+		if at < s.backoffUntil {
+			if s.received++; s.received == maxBackoffRequests+1 {
+				w.addViolation(BackoffRespected, "%s got more than %d requests from %s in a rest that ends %v later", incarnation, maxBackoffRequests, request.by.Name, s.backoffUntil-at)
 			}
 		}
-		if told.draining && request.at > told.confirmedAt+drainPropagationDelay {
-			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", incarnation, request.by.Name, request.at-told.confirmedAt)
+		if s.draining && request.at > s.confirmedAt+drainPropagationDelay {
+			w.addViolation(DrainRespected, "%s got a request from %s that a caller had sent %v after that one had heard that it leaves", incarnation, request.by.Name, request.at-s.confirmedAt)
 		}
 	}
 }
