--- a/internal/lab/soak/said.go
+++ b/internal/lab/soak/said.go
@@ -104,8 +104,8 @@
 	w.signals.unconfirmed[id] = remaining
 }
 
-// Reached notes that a request came to a life of a back end.
-func (w *Watcher) Reached(at time.Duration, id, incarnation string) {
+// RecordArrival notes that a request came to a life of a back end.
+func (w *Watcher) RecordArrival(at time.Duration, id, incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	request, known := w.signals.sent[id]
