--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -32,7 +32,7 @@
 	LowerLimit    Kind = "lower-limit"
 	ChangeSetting Kind = "change-setting" // a document that changes nothing that matters
 	Reload        Kind = "reload"         // processes are told to read their settings again, also in a planned stop
-	DeadlyRequest Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
+	FatalRequest  Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
 	ShedWorkers   Kind = "shed-workers"   // workers turn every request away and ask for rest
 	LeaveWorker   Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
 	NeedWorkers   Kind = "need-workers"   // workers name a limit of requests in their answers
@@ -43,7 +43,7 @@
 func Kinds() []Kind {
 	return []Kind{
 		KillGateway, PauseGateway, StopGateway, KillControl, PauseLeader, KillAll, CutLeader, CutOneWay, CutGateway, DelayLinks, ResetLinks, ResetControl,
-		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, DeadlyRequest, ForgedBeats,
+		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats,
 		ShedWorkers, LeaveWorker, NeedWorkers,
 	}
 }
@@ -51,7 +51,7 @@
 // Disturbs reports whether a fault strikes the system's own processes or their links.
 func (k Kind) Disturbs() bool {
 	switch k {
-	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, DeadlyRequest, ForgedBeats, ShedWorkers, LeaveWorker, NeedWorkers:
+	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats, ShedWorkers, LeaveWorker, NeedWorkers:
 		return false
 	}
 	return true
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -101,7 +101,7 @@
 		for _, p := range f.all() {
 			p.Signal(syscall.SIGHUP)
 		}
-	case DeadlyRequest:
+	case FatalRequest:
 		f.Deadly(ctx, fault.Target, length)
 	case ForgedBeats:
 		f.Forge(ctx, fault.Target, length)
