--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -105,7 +105,7 @@
 		f.Deadly(ctx, fault.Target, length)
 	case ForgedBeats:
 		f.Forge(ctx, fault.Target, length)
-	case ShedWorkers:
+	case RejectRequests:
 		f.Shed(ctx, fault.Target, length)
 	case NeedWorkers:
 		f.Need(ctx, fault.Target, length)
