--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -34,7 +34,7 @@
 	Reload         Kind = "reload"         // processes are told to read their settings again, also in a planned stop
 	FatalRequest   Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
 	RejectRequests Kind = "shed-workers"   // workers turn every request away and ask for rest
-	LeaveWorker    Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
+	DrainWorker    Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
 	NeedWorkers    Kind = "need-workers"   // workers name a limit of requests in their answers
 	ForgedBeats    Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
 )
@@ -44,14 +44,14 @@
 	return []Kind{
 		KillGateway, PauseGateway, StopGateway, KillControl, PauseLeader, KillAll, CutLeader, CutOneWay, CutGateway, DelayLinks, ResetLinks, ResetControl,
 		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats,
-		RejectRequests, LeaveWorker, NeedWorkers,
+		RejectRequests, DrainWorker, NeedWorkers,
 	}
 }
 
 // Disturbs reports whether a fault strikes the system's own processes or their links.
 func (k Kind) Disturbs() bool {
 	switch k {
-	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats, RejectRequests, LeaveWorker, NeedWorkers:
+	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats, RejectRequests, DrainWorker, NeedWorkers:
 		return false
 	}
 	return true
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -109,7 +109,7 @@
 		f.Shed(ctx, fault.Target, length)
 	case NeedWorkers:
 		f.Need(ctx, fault.Target, length)
-	case LeaveWorker:
+	case DrainWorker:
 		f.Leave(ctx, fault.Target, length)
 	}
 }
