--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -107,7 +107,7 @@
 		f.Forge(ctx, fault.Target, length)
 	case RejectRequests:
 		f.Shed(ctx, fault.Target, length)
-	case NeedWorkers:
+	case AdvertiseLimits:
 		f.Need(ctx, fault.Target, length)
 	case DrainWorker:
 		f.Leave(ctx, fault.Target, length)
