--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -15,35 +15,35 @@
 
 // The kinds of faults.
 const (
-	KillGateway     Kind = "kill-gateway"
-	PauseGateway    Kind = "pause-gateway"
-	StopGateway     Kind = "stop-gateway" // a planned stop
-	KillControl     Kind = "kill-control"
-	PauseLeader     Kind = "pause-leader"
-	KillAll         Kind = "kill-all"   // gateways and control
-	CutLeader       Kind = "cut-leader" // from everybody
-	CutOneWay       Kind = "cut-one-way"
-	CutGateway      Kind = "cut-gateway" // from control
-	DelayLinks      Kind = "delay-links"
-	ResetLinks      Kind = "reset-links"
-	ResetControl    Kind = "reset-control" // connections between control processes, in series
-	KillWorker      Kind = "kill-worker"
-	HotTenant       Kind = "hot-tenant"
-	LowerLimit      Kind = "lower-limit"
-	ChangeSetting   Kind = "change-setting" // a document that changes nothing that matters
-	Reload          Kind = "reload"         // processes are told to read their settings again, also in a planned stop
-	FatalRequest    Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
-	RejectRequests  Kind = "shed-workers"   // workers turn every request away and ask for rest
-	DrainWorker     Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
-	AdvertiseLimits Kind = "need-workers"   // workers name a limit of requests in their answers
-	ForgedBeats     Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
+	KillGateway      Kind = "kill-gateway"
+	PauseGateway     Kind = "pause-gateway"
+	StopGateway      Kind = "stop-gateway" // a planned stop
+	KillControl      Kind = "kill-control"
+	PauseLeader      Kind = "pause-leader"
+	KillAll          Kind = "kill-all"   // gateways and control
+	CutLeader        Kind = "cut-leader" // from everybody
+	CutOneWay        Kind = "cut-one-way"
+	CutGateway       Kind = "cut-gateway" // from control
+	DelayLinks       Kind = "delay-links"
+	ResetLinks       Kind = "reset-links"
+	ResetControl     Kind = "reset-control" // connections between control processes, in series
+	KillWorker       Kind = "kill-worker"
+	HotTenant        Kind = "hot-tenant"
+	LowerLimit       Kind = "lower-limit"
+	ChangeSetting    Kind = "change-setting" // a document that changes nothing that matters
+	Reload           Kind = "reload"         // processes are told to read their settings again, also in a planned stop
+	FatalRequest     Kind = "deadly-request" // one that ends each worker that begins to run it comes again and again
+	RejectRequests   Kind = "shed-workers"   // workers turn every request away and ask for rest
+	DrainWorker      Kind = "leave-worker"   // a worker says in its answers that it leaves, while its heartbeats say that it is ready
+	AdvertiseLimits  Kind = "need-workers"   // workers name a limit of requests in their answers
+	ForgedHeartbeats Kind = "forged-beats"   // another writer sends heartbeats that can't be read in full
 )
 
 // Kinds lists every kind in a fixed order.
 func Kinds() []Kind {
 	return []Kind{
 		KillGateway, PauseGateway, StopGateway, KillControl, PauseLeader, KillAll, CutLeader, CutOneWay, CutGateway, DelayLinks, ResetLinks, ResetControl,
-		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats,
+		KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedHeartbeats,
 		RejectRequests, DrainWorker, AdvertiseLimits,
 	}
 }
@@ -51,7 +51,7 @@
 // Disturbs reports whether a fault strikes the system's own processes or their links.
 func (k Kind) Disturbs() bool {
 	switch k {
-	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedBeats, RejectRequests, DrainWorker, AdvertiseLimits:
+	case KillWorker, HotTenant, LowerLimit, ChangeSetting, Reload, FatalRequest, ForgedHeartbeats, RejectRequests, DrainWorker, AdvertiseLimits:
 		return false
 	}
 	return true
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -103,7 +103,7 @@
 		}
 	case FatalRequest:
 		f.Deadly(ctx, fault.Target, length)
-	case ForgedBeats:
+	case ForgedHeartbeats:
 		f.Forge(ctx, fault.Target, length)
 	case RejectRequests:
 		f.Shed(ctx, fault.Target, length)
