--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -57,8 +57,8 @@
 	return true
 }
 
-// Bunches reports whether a fault may hold requests up between processes, or in one, so that they come together at its end.
-func (k Kind) Bunches() bool {
+// CausesBursts reports whether a fault may hold requests up between processes, or in one, so that they come together at its end.
+func (k Kind) CausesBursts() bool {
 	switch k {
 	case PauseGateway, CutOneWay, DelayLinks, ResetLinks:
 		return true
