--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -66,8 +66,8 @@
 	return false
 }
 
-// hotShare is how often a drawn fault is a hot tenant, whatever else there is: without one no limit is ever reached.
-const hotShare = 0.2
+// hotTenantFraction is how often a drawn fault is a hot tenant, whatever else there is: without one no limit is ever reached.
+const hotTenantFraction = 0.2
 
 // Fault is one thing that goes wrong, or that an operator does.
 type Fault struct {
@@ -111,7 +111,7 @@
 		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(faultMost)))
 		lasts = min(lasts, length-calmEnd-at+time.Second)
 		kind := kinds[random.IntN(len(kinds))]
-		if random.Float64() < hotShare {
+		if random.Float64() < hotTenantFraction {
 			kind = HotTenant
 		}
 		plan.Faults = append(plan.Faults, Fault{AtMS: at.Milliseconds(), ForMS: lasts.Milliseconds(), Kind: kind, Target: random.IntN(64)})
