--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -97,8 +97,8 @@
 	// warmUp and calmEnd are without new faults: until everything runs, and until service must be back.
 	warmUp         = 4 * time.Second
 	recoveryPeriod = 16 * time.Second
-	// pauseMost is the longest time between two faults; one in three comes while the one before it lasts.
-	pauseMost = 3 * time.Second
+	// maxGap is the longest time between two faults; one in three comes while the one before it lasts.
+	maxGap    = 3 * time.Second
 	faultMost = 5 * time.Second
 )
 
@@ -107,7 +107,7 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
 	kinds := Kinds()
-	for at := warmUp; at < length-recoveryPeriod; at += time.Duration(random.Int64N(int64(pauseMost))) {
+	for at := warmUp; at < length-recoveryPeriod; at += time.Duration(random.Int64N(int64(maxGap))) {
 		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(faultMost)))
 		lasts = min(lasts, length-recoveryPeriod-at+time.Second)
 		kind := kinds[random.IntN(len(kinds))]
