--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -98,8 +98,8 @@
 	warmUp         = 4 * time.Second
 	recoveryPeriod = 16 * time.Second
 	// maxGap is the longest time between two faults; one in three comes while the one before it lasts.
-	maxGap    = 3 * time.Second
-	faultMost = 5 * time.Second
+	maxGap           = 3 * time.Second
+	maxFaultDuration = 5 * time.Second
 )
 
 // Draw draws a plan of a length from a seed.
@@ -108,7 +108,7 @@
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
 	kinds := Kinds()
 	for at := warmUp; at < length-recoveryPeriod; at += time.Duration(random.Int64N(int64(maxGap))) {
-		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(faultMost)))
+		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration)))
 		lasts = min(lasts, length-recoveryPeriod-at+time.Second)
 		kind := kinds[random.IntN(len(kinds))]
 		if random.Float64() < hotTenantFraction {
