--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -108,13 +108,13 @@
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
 	kinds := Kinds()
 	for at := warmUp; at < length-recoveryPeriod; at += time.Duration(random.Int64N(int64(maxGap))) {
-		lasts := 200*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration)))
-		lasts = min(lasts, length-recoveryPeriod-at+time.Second)
+		duration := 200*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		duration = min(duration, length-recoveryPeriod-at+time.Second)
 		kind := kinds[random.IntN(len(kinds))]
 		if random.Float64() < hotTenantFraction {
 			kind = HotTenant
 		}
-		plan.Faults = append(plan.Faults, Fault{AtMS: at.Milliseconds(), ForMS: lasts.Milliseconds(), Kind: kind, Target: random.IntN(64)})
+		plan.Faults = append(plan.Faults, Fault{AtMS: at.Milliseconds(), ForMS: duration.Milliseconds(), Kind: kind, Target: random.IntN(64)})
 	}
 	return plan
 }
