--- a/cmd/kitelab/soak.go
+++ b/cmd/kitelab/soak.go
@@ -75,5 +75,5 @@
 	if f.seed == 0 {
 		f.seed = rand.Uint64()
 	}
-	return soak.Draw(f.seed, time.Duration(f.minutes*float64(time.Minute))), nil
+	return soak.Generate(f.seed, time.Duration(f.minutes*float64(time.Minute))), nil
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -102,8 +102,8 @@
 	maxFaultDuration = 5 * time.Second
 )
 
-// Draw draws a plan of a length from a seed.
-func Draw(seed uint64, length time.Duration) Plan {
+// Generate draws a plan of a length from a seed.
+func Generate(seed uint64, length time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, seed))
 	plan := Plan{Seed: seed, LengthMS: length.Milliseconds()}
 	kinds := Kinds()
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,8 +14,8 @@
 
 // TestPlansComeFromTheirSeed: the same seed draws the same plan, which is read back as it was written.
 func TestPlansComeFromTheirSeed(t *testing.T) {
-	plan := Draw(7, time.Minute)
-	if !reflect.DeepEqual(plan, Draw(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Draw(8, time.Minute).Faults) {
+	plan := Generate(7, time.Minute)
+	if !reflect.DeepEqual(plan, Generate(7, time.Minute)) || reflect.DeepEqual(plan.Faults, Generate(8, time.Minute).Faults) {
 		t.Fatal("plans do not follow their seeds")
 	}
 	path := filepath.Join(t.TempDir(), "plan.json")
