--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -21,7 +21,7 @@
 	// workers name a limit of requests.
 	KillWorker     func(ctx context.Context, target int, length time.Duration)
 	OverloadTenant func(ctx context.Context, target int, length time.Duration)
-	Lower          func(ctx context.Context, target int, length time.Duration)
+	LowerLimit     func(ctx context.Context, target int, length time.Duration)
 	Change         func(ctx context.Context)
 	Deadly         func(ctx context.Context, target int, length time.Duration)
 	Forge          func(ctx context.Context, target int, length time.Duration)
@@ -94,7 +94,7 @@
 	case HotTenant:
 		f.OverloadTenant(ctx, fault.Target, length)
 	case LowerLimit:
-		f.Lower(ctx, fault.Target, length)
+		f.LowerLimit(ctx, fault.Target, length)
 	case ChangeSetting:
 		f.Change(ctx)
 	case Reload:
