--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -22,7 +22,7 @@
 	KillWorker     func(ctx context.Context, target int, length time.Duration)
 	OverloadTenant func(ctx context.Context, target int, length time.Duration)
 	LowerLimit     func(ctx context.Context, target int, length time.Duration)
-	Change         func(ctx context.Context)
+	ChangeSetting  func(ctx context.Context)
 	Deadly         func(ctx context.Context, target int, length time.Duration)
 	Forge          func(ctx context.Context, target int, length time.Duration)
 	Shed           func(ctx context.Context, target int, length time.Duration)
@@ -96,7 +96,7 @@
 	case LowerLimit:
 		f.LowerLimit(ctx, fault.Target, length)
 	case ChangeSetting:
-		f.Change(ctx)
+		f.ChangeSetting(ctx)
 	case Reload:
 		for _, p := range f.all() {
 			p.Signal(syscall.SIGHUP)
