--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -19,15 +19,15 @@
 	// request come again and again that ends each worker that begins to run it; Forge lets another writer send heartbeats that can't be read
 	// in full; Shed lets workers turn requests away and ask for rest; Leave lets one say in its answers that it leaves, and another life follow; Need lets
 	// workers name a limit of requests.
-	KillWorker     func(ctx context.Context, target int, length time.Duration)
-	OverloadTenant func(ctx context.Context, target int, length time.Duration)
-	LowerLimit     func(ctx context.Context, target int, length time.Duration)
-	ChangeSetting  func(ctx context.Context)
-	Deadly         func(ctx context.Context, target int, length time.Duration)
-	Forge          func(ctx context.Context, target int, length time.Duration)
-	Shed           func(ctx context.Context, target int, length time.Duration)
-	Leave          func(ctx context.Context, target int, length time.Duration)
-	Need           func(ctx context.Context, target int, length time.Duration)
+	KillWorker        func(ctx context.Context, target int, length time.Duration)
+	OverloadTenant    func(ctx context.Context, target int, length time.Duration)
+	LowerLimit        func(ctx context.Context, target int, length time.Duration)
+	ChangeSetting     func(ctx context.Context)
+	SendFatalRequests func(ctx context.Context, target int, length time.Duration)
+	Forge             func(ctx context.Context, target int, length time.Duration)
+	Shed              func(ctx context.Context, target int, length time.Duration)
+	Leave             func(ctx context.Context, target int, length time.Duration)
+	Need              func(ctx context.Context, target int, length time.Duration)
 }
 
 // delayed is how much longer things take on links that are delayed.
@@ -102,7 +102,7 @@
 			p.Signal(syscall.SIGHUP)
 		}
 	case FatalRequest:
-		f.Deadly(ctx, fault.Target, length)
+		f.SendFatalRequests(ctx, fault.Target, length)
 	case ForgedHeartbeats:
 		f.Forge(ctx, fault.Target, length)
 	case RejectRequests:
