--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -24,7 +24,7 @@
 	LowerLimit        func(ctx context.Context, target int, length time.Duration)
 	ChangeSetting     func(ctx context.Context)
 	SendFatalRequests func(ctx context.Context, target int, length time.Duration)
-	Forge             func(ctx context.Context, target int, length time.Duration)
+	ForgeHeartbeats   func(ctx context.Context, target int, length time.Duration)
 	Shed              func(ctx context.Context, target int, length time.Duration)
 	Leave             func(ctx context.Context, target int, length time.Duration)
 	Need              func(ctx context.Context, target int, length time.Duration)
@@ -104,7 +104,7 @@
 	case FatalRequest:
 		f.SendFatalRequests(ctx, fault.Target, length)
 	case ForgedHeartbeats:
-		f.Forge(ctx, fault.Target, length)
+		f.ForgeHeartbeats(ctx, fault.Target, length)
 	case RejectRequests:
 		f.Shed(ctx, fault.Target, length)
 	case AdvertiseLimits:
