--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -25,7 +25,7 @@
 	ChangeSetting     func(ctx context.Context)
 	SendFatalRequests func(ctx context.Context, target int, length time.Duration)
 	ForgeHeartbeats   func(ctx context.Context, target int, length time.Duration)
-	Shed              func(ctx context.Context, target int, length time.Duration)
+	RejectRequests    func(ctx context.Context, target int, length time.Duration)
 	Leave             func(ctx context.Context, target int, length time.Duration)
 	Need              func(ctx context.Context, target int, length time.Duration)
 }
@@ -106,7 +106,7 @@
 	case ForgedHeartbeats:
 		f.ForgeHeartbeats(ctx, fault.Target, length)
 	case RejectRequests:
-		f.Shed(ctx, fault.Target, length)
+		f.RejectRequests(ctx, fault.Target, length)
 	case AdvertiseLimits:
 		f.Need(ctx, fault.Target, length)
 	case DrainWorker:
