--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -26,7 +26,7 @@
 	SendFatalRequests func(ctx context.Context, target int, length time.Duration)
 	ForgeHeartbeats   func(ctx context.Context, target int, length time.Duration)
 	RejectRequests    func(ctx context.Context, target int, length time.Duration)
-	Leave             func(ctx context.Context, target int, length time.Duration)
+	DrainWorker       func(ctx context.Context, target int, length time.Duration)
 	Need              func(ctx context.Context, target int, length time.Duration)
 }
 
@@ -110,7 +110,7 @@
 	case AdvertiseLimits:
 		f.Need(ctx, fault.Target, length)
 	case DrainWorker:
-		f.Leave(ctx, fault.Target, length)
+		f.DrainWorker(ctx, fault.Target, length)
 	}
 }
 
