--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -27,7 +27,7 @@
 	ForgeHeartbeats   func(ctx context.Context, target int, length time.Duration)
 	RejectRequests    func(ctx context.Context, target int, length time.Duration)
 	DrainWorker       func(ctx context.Context, target int, length time.Duration)
-	Need              func(ctx context.Context, target int, length time.Duration)
+	AdvertiseLimits   func(ctx context.Context, target int, length time.Duration)
 }
 
 // delayed is how much longer things take on links that are delayed.
@@ -108,7 +108,7 @@
 	case RejectRequests:
 		f.RejectRequests(ctx, fault.Target, length)
 	case AdvertiseLimits:
-		f.Need(ctx, fault.Target, length)
+		f.AdvertiseLimits(ctx, fault.Target, length)
 	case DrainWorker:
 		f.DrainWorker(ctx, fault.Target, length)
 	}
