--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -30,8 +30,8 @@
 	AdvertiseLimits   func(ctx context.Context, target int, length time.Duration)
 }
 
-// delayed is how much longer things take on links that are delayed.
-const delayed = 40 * time.Millisecond
+// linkDelay is how much longer things take on links that are linkDelay.
+const linkDelay = 40 * time.Millisecond
 
 // Play lets a plan's faults strike, and returns once all have healed. When ctx ends, faults heal at once.
 func (f *Fleet) Play(ctx context.Context, plan Plan, began time.Time, told func(Fault)) {
@@ -176,7 +176,7 @@
 
 func (f *Fleet) delay(ctx context.Context, length time.Duration, links []Link) {
 	for _, link := range links {
-		f.Proxy.Delay(link, delayed)
+		f.Proxy.Delay(link, linkDelay)
 	}
 	Rest(ctx, length)
 	for _, link := range links {
