--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -34,11 +34,11 @@
 const linkDelay = 40 * time.Millisecond
 
 // Play lets a plan's faults strike, and returns once all have healed. When ctx ends, faults heal at once.
-func (f *Fleet) Play(ctx context.Context, plan Plan, began time.Time, onStart func(Fault)) {
+func (f *Fleet) Play(ctx context.Context, plan Plan, start time.Time, onStart func(Fault)) {
 	var faults sync.WaitGroup
 	for _, fault := range plan.Faults {
 		faults.Go(func() {
-			if !Rest(ctx, time.Until(began.Add(fault.At()))) {
+			if !Rest(ctx, time.Until(start.Add(fault.At()))) {
 				return
 			}
 			onStart(fault)
