--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -49,11 +49,11 @@
 }
 
 // Rest waits, and is false when ctx ended first.
-func Rest(ctx context.Context, length time.Duration) bool {
+func Rest(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
