--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -38,7 +38,7 @@
 	var faults sync.WaitGroup
 	for _, fault := range plan.Faults {
 		faults.Go(func() {
-			if !Rest(ctx, time.Until(start.Add(fault.At()))) {
+			if !Sleep(ctx, time.Until(start.Add(fault.At()))) {
 				return
 			}
 			onStart(fault)
@@ -48,8 +48,8 @@
 	faults.Wait()
 }
 
-// Rest waits, and is false when ctx ended first.
-func Rest(ctx context.Context, duration time.Duration) bool {
+// Sleep waits, and is false when ctx ended first.
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -119,7 +119,7 @@
 
 // resetControl resets the connections between control processes again and again.
 func (f *Fleet) resetControl(ctx context.Context, length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end) && Rest(ctx, resetEach); {
+	for end := time.Now().Add(length); time.Now().Before(end) && Sleep(ctx, resetEach); {
 		for i, one := range f.Control {
 			for _, other := range f.Control[:i] {
 				f.Proxy.Reset(one.Name, other.Name)
@@ -152,7 +152,7 @@
 		ends.Go(func() { p.End(signal) })
 	}
 	ends.Wait()
-	Rest(ctx, length)
+	Sleep(ctx, length)
 	for _, p := range processes {
 		_ = p.Start() // one that cannot start serves nobody, which the promises show
 	}
@@ -160,7 +160,7 @@
 
 func (f *Fleet) pause(ctx context.Context, length time.Duration, p *Process) {
 	p.Signal(syscall.SIGSTOP)
-	Rest(ctx, length)
+	Sleep(ctx, length)
 	p.Signal(syscall.SIGCONT)
 }
 
@@ -168,7 +168,7 @@
 	for _, link := range links {
 		f.Proxy.Silence(link)
 	}
-	Rest(ctx, length)
+	Sleep(ctx, length)
 	for _, link := range links {
 		f.Proxy.Heal(link)
 	}
@@ -178,7 +178,7 @@
 	for _, link := range links {
 		f.Proxy.Delay(link, linkDelay)
 	}
-	Rest(ctx, length)
+	Sleep(ctx, length)
 	for _, link := range links {
 		f.Proxy.Delay(link, 0)
 	}
