--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -60,41 +60,41 @@
 
 // strike makes one fault and heals it.
 func (f *Fleet) strike(ctx context.Context, fault Fault) {
-	length := time.Duration(fault.ForMS) * time.Millisecond
+	duration := time.Duration(fault.ForMS) * time.Millisecond
 	gateway := f.Gateways[fault.Target%len(f.Gateways)]
 	switch fault.Kind {
 	case KillGateway:
-		f.down(ctx, length, syscall.SIGKILL, gateway)
+		f.down(ctx, duration, syscall.SIGKILL, gateway)
 	case StopGateway:
-		f.down(ctx, length, syscall.SIGTERM, gateway)
+		f.down(ctx, duration, syscall.SIGTERM, gateway)
 	case KillControl:
-		f.down(ctx, length, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
+		f.down(ctx, duration, syscall.SIGKILL, f.Control[fault.Target%len(f.Control)])
 	case KillAll:
-		f.down(ctx, length, syscall.SIGKILL, f.all()...)
+		f.down(ctx, duration, syscall.SIGKILL, f.all()...)
 	case PauseGateway:
-		f.pause(ctx, length, gateway)
+		f.pause(ctx, duration, gateway)
 	case PauseLeader:
-		f.pause(ctx, length, f.Control[f.Leader()])
+		f.pause(ctx, duration, f.Control[f.Leader()])
 	case CutLeader:
-		f.silence(ctx, length, f.linksOf(f.Control[f.Leader()], f.all(), true))
+		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.all(), true))
 	case CutOneWay:
-		f.silence(ctx, length, f.linksOf(f.Control[f.Leader()], f.all(), false))
+		f.silence(ctx, duration, f.linksOf(f.Control[f.Leader()], f.all(), false))
 	case CutGateway:
-		f.silence(ctx, length, f.linksOf(gateway, f.Control, true))
+		f.silence(ctx, duration, f.linksOf(gateway, f.Control, true))
 	case DelayLinks:
-		f.delay(ctx, length, f.linksOf(gateway, f.all(), true))
+		f.delay(ctx, duration, f.linksOf(gateway, f.all(), true))
 	case ResetLinks:
 		for _, other := range f.all() {
 			f.Proxy.Reset(gateway.Name, other.Name)
 		}
 	case ResetControl:
-		f.resetControl(ctx, length)
+		f.resetControl(ctx, duration)
 	case KillWorker:
-		f.KillWorker(ctx, fault.Target, length)
+		f.KillWorker(ctx, fault.Target, duration)
 	case HotTenant:
-		f.OverloadTenant(ctx, fault.Target, length)
+		f.OverloadTenant(ctx, fault.Target, duration)
 	case LowerLimit:
-		f.LowerLimit(ctx, fault.Target, length)
+		f.LowerLimit(ctx, fault.Target, duration)
 	case ChangeSetting:
 		f.ChangeSetting(ctx)
 	case Reload:
@@ -102,15 +102,15 @@
 			p.Signal(syscall.SIGHUP)
 		}
 	case FatalRequest:
-		f.SendFatalRequests(ctx, fault.Target, length)
+		f.SendFatalRequests(ctx, fault.Target, duration)
 	case ForgedHeartbeats:
-		f.ForgeHeartbeats(ctx, fault.Target, length)
+		f.ForgeHeartbeats(ctx, fault.Target, duration)
 	case RejectRequests:
-		f.RejectRequests(ctx, fault.Target, length)
+		f.RejectRequests(ctx, fault.Target, duration)
 	case AdvertiseLimits:
-		f.AdvertiseLimits(ctx, fault.Target, length)
+		f.AdvertiseLimits(ctx, fault.Target, duration)
 	case DrainWorker:
-		f.DrainWorker(ctx, fault.Target, length)
+		f.DrainWorker(ctx, fault.Target, duration)
 	}
 }
 
