--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -42,7 +42,7 @@
 				return
 			}
 			onStart(fault)
-			f.strike(ctx, fault)
+			f.inject(ctx, fault)
 		})
 	}
 	faults.Wait()
@@ -58,8 +58,8 @@
 	}
 }
 
-// strike makes one fault and heals it.
-func (f *Fleet) strike(ctx context.Context, fault Fault) {
+// inject makes one fault and heals it.
+func (f *Fleet) inject(ctx context.Context, fault Fault) {
 	duration := time.Duration(fault.ForMS) * time.Millisecond
 	gateway := f.Gateways[fault.Target%len(f.Gateways)]
 	switch fault.Kind {
