--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -114,12 +114,12 @@
 	}
 }
 
-// resetEach is the pause between two resets in a series: shorter than what a change takes to be acknowledged.
-const resetEach = 30 * time.Millisecond
+// resetInterval is the pause between two resets in a series: shorter than what a change takes to be acknowledged.
+const resetInterval = 30 * time.Millisecond
 
 // resetControl resets the connections between control processes again and again.
 func (f *Fleet) resetControl(ctx context.Context, length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end) && Sleep(ctx, resetEach); {
+	for end := time.Now().Add(length); time.Now().Before(end) && Sleep(ctx, resetInterval); {
 		for i, one := range f.Control {
 			for _, other := range f.Control[:i] {
 				f.Proxy.Reset(one.Name, other.Name)
